--- a/admit/src/lib.rs
+++ b/admit/src/lib.rs
@@ -56,7 +56,13 @@
 }
 
 impl Reason {
-    pub const ALL: [Reason; 5] = [Reason::Room, Reason::Worth, Reason::Over, Reason::Failed, Reason::New];
+    pub const ALL: [Reason; 5] = [
+        Reason::Room,
+        Reason::Worth,
+        Reason::Over,
+        Reason::Failed,
+        Reason::New,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
@@ -125,7 +131,10 @@
     }
 
     fn add(&mut self, now: Duration, over: f64) {
-        *self = Fading { n: self.now(now, over) + 1.0, at: now };
+        *self = Fading {
+            n: self.now(now, over) + 1.0,
+            at: now,
+        };
     }
 }
 
@@ -178,7 +187,9 @@
 
     /// A session of a listener takes so much work a second, by what its server told.
     pub fn takes(&mut self, now: Duration, listener: u8, work: f64) {
-        let Some(take) = self.takes.get_mut(usize::from(listener)) else { return };
+        let Some(take) = self.takes.get_mut(usize::from(listener)) else {
+            return;
+        };
         if !work.is_finite() || work < 0.0 {
             return;
         }
@@ -193,7 +204,11 @@
         self.takes.iter().map(move |take| {
             let age = now.saturating_sub(take.at);
             let known = take.words >= WORDS && take.mean > 0.0 && age <= OLD;
-            known.then_some(Taken { mean: take.mean, off: take.off, age })
+            known.then_some(Taken {
+                mean: take.mean,
+                off: take.off,
+                age,
+            })
         })
     }
 
@@ -218,8 +233,13 @@
         self.refused.add(now, CROWD);
         let reason = self.reason(now, pace, who, place);
         let count = self.counts.get_mut(usize::from(who.listener));
-        count.into_iter().for_each(|count| count[reason as usize] += 1);
-        Err(Refusal { reason, come_back: self.come_back(now, pace) })
+        count
+            .into_iter()
+            .for_each(|count| count[reason as usize] += 1);
+        Err(Refusal {
+            reason,
+            come_back: self.come_back(now, pace),
+        })
     }
 
     fn fill(&mut self, now: Duration) {
@@ -242,9 +262,19 @@
     fn place(&self, now: Duration, who: Who) -> (f64, f64) {
         let worth = self.worth(now, who.listener);
         let listeners = self.terms.worths.len().max(1);
-        let ahead = (0..listeners).filter(|l| self.worth(now, *l as u8) > worth).count();
-        let own = [(self.is_over(now, who.member), 4.0), (who.failed, 2.0), (!who.again, 1.0)];
-        let behind: f64 = own.iter().filter(|(so, _)| *so).map(|(_, by)| by / 8.0).sum();
+        let ahead = (0..listeners)
+            .filter(|l| self.worth(now, *l as u8) > worth)
+            .count();
+        let own = [
+            (self.is_over(now, who.member), 4.0),
+            (who.failed, 2.0),
+            (!who.again, 1.0),
+        ];
+        let behind: f64 = own
+            .iter()
+            .filter(|(so, _)| *so)
+            .map(|(_, by)| by / 8.0)
+            .sum();
         (ahead as f64 / listeners as f64, behind / listeners as f64)
     }
 
@@ -259,9 +289,17 @@
     }
 
     fn is_over(&self, now: Duration, member: u16) -> bool {
-        let portion = self.terms.portions.get(usize::from(member)).copied().unwrap_or(0.0);
+        let portion = self
+            .terms
+            .portions
+            .get(usize::from(member))
+            .copied()
+            .unwrap_or(0.0);
         let all = self.all.now(now, SHARES);
-        let own = self.members.get(usize::from(member)).map_or(0.0, |own| own.now(now, SHARES));
+        let own = self
+            .members
+            .get(usize::from(member))
+            .map_or(0.0, |own| own.now(now, SHARES));
         portion > 0.0 && all >= FEW && own > (portion + OVER) * all
     }
 
@@ -273,11 +311,17 @@
 
     fn reason(&self, now: Duration, pace: f64, who: Who, place: (f64, f64)) -> Reason {
         let would = |place: f64| self.level >= self.need(pace, place);
-        let first = Who { again: true, failed: false, ..who };
+        let first = Who {
+            again: true,
+            failed: false,
+            ..who
+        };
         match () {
             () if !would(0.0) => Reason::Room,
             () if !would(place.0) => Reason::Worth,
-            () if self.is_over(now, who.member) && !would(self.place(now, first).1 + place.0) => Reason::Over,
+            () if self.is_over(now, who.member) && !would(self.place(now, first).1 + place.0) => {
+                Reason::Over
+            }
             () if who.failed => Reason::Failed,
             () => Reason::New,
         }
--- a/benchlink/src/frame.rs
+++ b/benchlink/src/frame.rs
@@ -26,7 +26,11 @@
             records: at.u32(8) as usize,
             clock: at.u64(12),
         };
-        if head.records.checked_mul(EVENT).is_none_or(|all| all > head.size) {
+        if head
+            .records
+            .checked_mul(EVENT)
+            .is_none_or(|all| all > head.size)
+        {
             return Err(format!(
                 "batch {}: header at byte 8 counts {} records, more than its {} bytes hold",
                 head.number, head.records, head.size
@@ -76,7 +80,9 @@
     /// What lies in the tail: `count` items of `each` bytes, where the field at `at` says.
     pub fn tail(self, at: usize, each: usize, tail: &'a [u8]) -> Result<&'a [u8], String> {
         let (offset, count) = (self.u32(at) as usize, self.u32(at + 4) as usize);
-        let span = count.checked_mul(each).and_then(|size| Some(offset..offset.checked_add(size)?));
+        let span = count
+            .checked_mul(each)
+            .and_then(|size| Some(offset..offset.checked_add(size)?));
         span.and_then(|span| tail.get(span)).ok_or_else(|| {
             format!(
                 "field at byte {at}: {count} items at offset {offset} pass the tail's {} bytes",
@@ -91,7 +97,9 @@
 
 impl Record {
     pub fn new(code: u8, instance: u16) -> Self {
-        Record([0; ACTION]).put(0, [code]).put(1, instance.to_le_bytes())
+        Record([0; ACTION])
+            .put(0, [code])
+            .put(1, instance.to_le_bytes())
     }
 
     pub fn put<const N: usize>(mut self, at: usize, bytes: [u8; N]) -> Self {
--- a/benchlink/src/link.rs
+++ b/benchlink/src/link.rs
@@ -69,16 +69,30 @@
         Ok(())
     }
 
-    fn event(&mut self, at: Fields, tail: &[u8], now: Duration, reply: &mut Vec<u8>) -> Result<(), String> {
+    fn event(
+        &mut self,
+        at: Fields,
+        tail: &[u8],
+        now: Duration,
+        reply: &mut Vec<u8>,
+    ) -> Result<(), String> {
         let (code, id) = (at.u8(0), at.u16(1));
         match code {
             ATTACH => {
-                let text =
-                    std::str::from_utf8(at.tail(11, 1, tail)?).map_err(|e| format!("settings: {e}"))?;
+                let text = std::str::from_utf8(at.tail(11, 1, tail)?)
+                    .map_err(|e| format!("settings: {e}"))?;
                 let setup = setup::read(text.lines().filter_map(|line| line.split_once('=')))?;
                 let (listeners, reports) = (setup.listeners.len(), setup.reports);
                 let choice = Choice::new(setup.deployment, at.u64(3));
-                self.instances.insert(id, Instance { choice, listeners, reports, door: Door::default() });
+                self.instances.insert(
+                    id,
+                    Instance {
+                        choice,
+                        listeners,
+                        reports,
+                        door: Door::default(),
+                    },
+                );
                 return Ok(());
             }
             TEARDOWN => {
@@ -87,8 +101,10 @@
             }
             _ => {}
         }
-        let instance =
-            self.instances.get_mut(&id).ok_or_else(|| format!("instance {id} was never started"))?;
+        let instance = self
+            .instances
+            .get_mut(&id)
+            .ok_or_else(|| format!("instance {id} was never started"))?;
         if let Some(event) = instance.read(code, at, tail)? {
             instance.choice.handle(now, event, &mut self.actions);
             for action in self.actions.drain(..) {
@@ -136,9 +152,15 @@
             }
             TAKEN_OVER => {
                 let sess = self.fresh(at)?;
-                Some(Event::Inherited(arrival(sess, at), self.door.server(at.address(43))))
+                Some(Event::Inherited(
+                    arrival(sess, at),
+                    self.door.server(at.address(43)),
+                ))
             }
-            BEGUN => known(&self.door).map(|sess| Event::Began { sess, dial: at.u8(11) }),
+            BEGUN => known(&self.door).map(|sess| Event::Began {
+                sess,
+                dial: at.u8(11),
+            }),
             RESOLVED => known(&self.door).map(|sess| Event::Ended {
                 sess,
                 dial: at.u8(11),
@@ -151,21 +173,26 @@
                 let amount = f64::from(at.f32(12));
                 let note = match at.u8(11) {
                     1 => Some(Note::Work(amount)),
-                    2 => Duration::try_from_secs_f64(amount / 1e3).ok().map(Note::Delay),
+                    2 => Duration::try_from_secs_f64(amount / 1e3)
+                        .ok()
+                        .map(Note::Delay),
                     _ => None,
                 };
                 let server = self.door.servers.get(&at.address(16)).copied();
-                known(&self.door).zip(server).zip(note).map(|((sess, server), note)| Event::Noted {
-                    sess,
-                    server,
-                    note,
-                })
+                known(&self.door)
+                    .zip(server)
+                    .zip(note)
+                    .map(|((sess, server), note)| Event::Noted { sess, server, note })
             }
-            CHECK_RESULT => self.door.servers.get(&at.address(3)).map(|server| Event::Probed {
-                server: *server,
-                outcome: outcome(at.u16(9)),
-                load: self.load(at, 15),
-            }),
+            CHECK_RESULT => self
+                .door
+                .servers
+                .get(&at.address(3))
+                .map(|server| Event::Probed {
+                    server: *server,
+                    outcome: outcome(at.u16(9)),
+                    load: self.load(at, 15),
+                }),
             RING => Some(Event::Tick),
             MEMO => {
                 at.tail(5, 1, tail)?;
@@ -223,7 +250,8 @@
 
     fn load(&self, at: Fields, from: usize) -> Load {
         let count = usize::from(at.u8(from)).min(4);
-        self.reports.load(|place, _| (place < count).then(|| f64::from(at.f32(from + 1 + 4 * place))))
+        self.reports
+            .load(|place, _| (place < count).then(|| f64::from(at.f32(from + 1 + 4 * place))))
     }
 }
 
@@ -253,22 +281,32 @@
 }
 
 fn micros(span: Duration) -> [u8; 4] {
-    u32::try_from(span.as_micros()).unwrap_or(u32::MAX).to_le_bytes()
+    u32::try_from(span.as_micros())
+        .unwrap_or(u32::MAX)
+        .to_le_bytes()
 }
 
 impl Door {
     fn write(&mut self, id: u16, action: Action, reply: &mut Vec<u8>) {
-        let about =
-            |code, sess: SessId| Record::new(code, id).put(3, self.handles[sess as usize].to_le_bytes());
+        let about = |code, sess: SessId| {
+            Record::new(code, id).put(3, self.handles[sess as usize].to_le_bytes())
+        };
         let record = match action {
-            Action::Dial { sess, server, time_out, .. } => {
-                about(ATTEMPT, sess).put(11, self.addresses[server as usize]).put(17, micros(time_out))
-            }
+            Action::Dial {
+                sess,
+                server,
+                time_out,
+                ..
+            } => about(ATTEMPT, sess)
+                .put(11, self.addresses[server as usize])
+                .put(17, micros(time_out)),
             Action::CallOff { sess, dial } => about(ABORT_ATTEMPT, sess).put(11, [dial]),
             Action::Refuse { sess, come_back } => about(BUSY, sess).put(11, micros(come_back)),
             Action::TearDown { sess } => about(FAIL, sess),
             Action::Move { sess } => about(MOVE, sess),
-            Action::Probe { server } => Record::new(TEST, id).put(3, self.addresses[server as usize]),
+            Action::Probe { server } => {
+                Record::new(TEST, id).put(3, self.addresses[server as usize])
+            }
             Action::Subscribe => Record::new(OBSERVE, id).put(3, [1]),
             Action::Wake { after } => Record::new(TIMER, id).put(3, micros(after)),
             Action::Forget { sess } => return self.forget(sess),
--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -31,7 +31,10 @@
             return Ok(());
         }
         if got < head.len() {
-            return Err(format!("input ends {got} bytes into a batch's header of {}", head.len()));
+            return Err(format!(
+                "input ends {got} bytes into a batch's header of {}",
+                head.len()
+            ));
         }
         let head = frame::Head::read(&head)?;
         body.clear();
@@ -41,11 +44,18 @@
             .read_to_end(&mut body)
             .map_err(|e| format!("reading: {e}"))?;
         if came < head.size {
-            return Err(format!("batch {}: input ends after {came} of {} bytes", head.number, head.size));
+            return Err(format!(
+                "batch {}: input ends after {came} of {} bytes",
+                head.number, head.size
+            ));
         }
         reply.clear();
-        link.answer(&head, &body, &mut reply).map_err(|what| format!("batch {}: {what}", head.number))?;
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| format!("writing: {e}"))?;
+        link.answer(&head, &body, &mut reply)
+            .map_err(|what| format!("batch {}: {what}", head.number))?;
+        output
+            .write_all(&reply)
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("writing: {e}"))?;
     }
 }
 
--- a/benchlink/tests/wire.rs
+++ b/benchlink/tests/wire.rs
@@ -15,7 +15,10 @@
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
-    digits.chunks(2).map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap()).collect()
+    digits
+        .chunks(2)
+        .map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap())
+        .collect()
 }
 
 fn record(text: &str) -> Vec<u8> {
@@ -26,23 +29,36 @@
 
 fn batch(number: u32, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let body = [records.concat(), tail.to_vec()].concat();
-    let head = [number, body.len() as u32, records.len() as u32].map(u32::to_le_bytes).concat();
+    let head = [number, body.len() as u32, records.len() as u32]
+        .map(u32::to_le_bytes)
+        .concat();
     [head, hex(CLOCK), body].concat()
 }
 
 fn start(setup: &str) -> Vec<u8> {
     let attach = format!("0a03000700000000000000 00000000{}", at(setup.len()));
     let view = format!("14030029000000 02 {}01000000", at(setup.len()));
-    batch(1, &[record(&attach), record(&view)], &[setup.as_bytes(), &hex(LINE)].concat())
+    batch(
+        1,
+        &[record(&attach), record(&view)],
+        &[setup.as_bytes(), &hex(LINE)].concat(),
+    )
 }
 
 fn at(n: usize) -> String {
-    (n as u32).to_le_bytes().iter().map(|b| format!("{b:02x}")).collect()
+    (n as u32)
+        .to_le_bytes()
+        .iter()
+        .map(|b| format!("{b:02x}"))
+        .collect()
 }
 
 fn run(input: &[u8]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_asterramp-benchlink"));
-    let piped = command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
+    let piped = command
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped());
     let mut child = piped.spawn().unwrap();
     child.stdin.take().unwrap().write_all(input).unwrap();
     child.wait_with_output().unwrap()
@@ -51,14 +67,34 @@
 #[test]
 fn frames_go_both_ways() {
     let ring = record("460300 4d000000");
-    let input = [batch(9, &[], &[]), start(SETUP), batch(2, &[record(INGRESS)], &[]), batch(3, &[ring], &[])];
+    let input = [
+        batch(9, &[], &[]),
+        start(SETUP),
+        batch(2, &[record(INGRESS)], &[]),
+        batch(3, &[ring], &[]),
+    ];
     let output = run(&input.concat());
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let timer = "320300 a0860100 00000000 00000000000000000000000000";
     let attempt = "640300 c4913a5d35b00e00 0a124a07 c32b 801a0600 000000";
-    let expected = ["09000000 00000000 00000000", "01000000 01000000 18000000", timer];
-    let expected =
-        [&expected[..], &["02000000 01000000 18000000", attempt, "03000000 01000000 18000000", timer]];
+    let expected = [
+        "09000000 00000000 00000000",
+        "01000000 01000000 18000000",
+        timer,
+    ];
+    let expected = [
+        &expected[..],
+        &[
+            "02000000 01000000 18000000",
+            attempt,
+            "03000000 01000000 18000000",
+            timer,
+        ],
+    ];
     assert_eq!(output.stdout, hex(&expected.concat().concat()));
 }
 
@@ -74,5 +110,8 @@
 fn bad_input_ends_in_one_plain_line(input: Vec<u8>, says: &str) {
     let output = run(&input);
     let said = String::from_utf8(output.stderr).unwrap();
-    assert!(!output.status.success() && said.contains(says) && said.lines().count() == 1, "{said}");
+    assert!(
+        !output.status.success() && said.contains(says) && said.lines().count() == 1,
+        "{said}"
+    );
 }
--- a/check/src/explore.rs
+++ b/check/src/explore.rs
@@ -42,7 +42,12 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { states: 40_000_000, front: 2_000_000, depth: 200, time: Duration::from_secs(600) }
+        Limits {
+            states: 40_000_000,
+            front: 2_000_000,
+            depth: 200,
+            time: Duration::from_secs(600),
+        }
     }
 }
 
@@ -62,7 +67,10 @@
 
     fn first(&self, digest: u128) -> bool {
         let shard = &self.0[(digest >> 64) as usize % SHARDS];
-        shard.lock().unwrap_or_else(|broken| broken.into_inner()).insert(digest)
+        shard
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
+            .insert(digest)
     }
 }
 
@@ -70,19 +78,27 @@
 fn chances(step: Step) -> u8 {
     match step {
         Step::Arrives(_) => 4,
-        Step::Connected(_) | Step::Written(_) | Step::Sigterm | Step::Leaves(_) | Step::Speaks(_) => 1,
+        Step::Connected(_)
+        | Step::Written(_)
+        | Step::Sigterm
+        | Step::Leaves(_)
+        | Step::Speaks(_) => 1,
         _ => 2,
     }
 }
 
 pub fn explore(shape: &Shape, limits: Limits) -> Explored {
     let (began, visited, steps) = (Instant::now(), Visited::new(), AtomicU64::new(0));
-    let mut explored = Explored { states: 1, ..Explored::default() };
+    let mut explored = Explored {
+        states: 1,
+        ..Explored::default()
+    };
     let mut level = vec![World::new(shape)];
     visited.first(level[0].digest());
     let mut parents: Vec<Vec<Parent>> = vec![Vec::new()];
     while !level.is_empty() && explored.found.is_none() {
-        let full = explored.stopped || explored.states >= limits.states || began.elapsed() > limits.time;
+        let full =
+            explored.stopped || explored.states >= limits.states || began.elapsed() > limits.time;
         if full || explored.depth >= limits.depth {
             (explored.left_out, explored.stopped) = (level.len() as u64, true);
             break;
@@ -111,7 +127,8 @@
                     Err(_) => {}
                 }
             }
-            let full = explored.states + next.len() as u64 >= limits.states || next.len() >= limits.front;
+            let full =
+                explored.states + next.len() as u64 >= limits.states || next.len() >= limits.front;
             if explored.found.is_some() || full {
                 explored.stopped |= full;
                 break;
--- a/check/src/handover.rs
+++ b/check/src/handover.rs
@@ -72,7 +72,14 @@
 impl Process {
     fn new(stage: Stage, all: u8) -> Process {
         let side = Side::new(stage);
-        Process { side, lives: true, linked: true, touches: all, holds: all, inbox: VecDeque::new() }
+        Process {
+            side,
+            lives: true,
+            linked: true,
+            touches: all,
+            holds: all,
+            inbox: VecDeque::new(),
+        }
     }
 
     fn says(&self, to: &mut Process, word: Word) -> Heard {
@@ -94,8 +101,16 @@
 
 impl World {
     fn new() -> World {
-        let (elder, younger) = (Process::new(Stage::Handing, ALL), Process::new(Stage::Taking, 0));
-        World { elder, younger, gone_with: 0, babbles: 1 }
+        let (elder, younger) = (
+            Process::new(Stage::Handing, ALL),
+            Process::new(Stage::Taking, 0),
+        );
+        World {
+            elder,
+            younger,
+            gone_with: 0,
+            babbles: 1,
+        }
     }
 
     fn key(&self) -> String {
@@ -108,11 +123,15 @@
         match step {
             Step::Offers => hands && elder.touches != 0 && elder.side.room() > 0,
             // An end is read as well, once what was said before it is.
-            Step::ElderReads => elder.lives && elder.linked && (!elder.inbox.is_empty() || !younger.linked),
+            Step::ElderReads => {
+                elder.lives && elder.linked && (!elder.inbox.is_empty() || !younger.linked)
+            }
             Step::YoungerReads => {
                 younger.lives && younger.linked && (!younger.inbox.is_empty() || !elder.linked)
             }
-            Step::YoungerBabbles => self.babbles > 0 && younger.lives && younger.linked && elder.linked,
+            Step::YoungerBabbles => {
+                self.babbles > 0 && younger.lives && younger.linked && elder.linked
+            }
             Step::ElderBabbles => self.babbles > 0 && elder.lives && elder.linked && younger.linked,
             Step::ElderDies => elder.lives,
             Step::YoungerDies => younger.lives,
@@ -120,7 +139,12 @@
     }
 
     fn make(&mut self, step: Step) {
-        let World { elder, younger, gone_with, babbles } = self;
+        let World {
+            elder,
+            younger,
+            gone_with,
+            babbles,
+        } = self;
         match step {
             Step::Offers => {
                 let n = elder.touches.trailing_zeros() as u8;
@@ -145,8 +169,11 @@
                         for _ in elder.inbox.drain(..).filter(|word| *word == Word::Taken) {
                             elder.holds &= !bits(elder.side.dropped());
                         }
-                        let told =
-                            if act == Act::KeepOn { elder.says(younger, Word::Kept) } else { Heard::Gone };
+                        let told = if act == Act::KeepOn {
+                            elder.says(younger, Word::Kept)
+                        } else {
+                            Heard::Gone
+                        };
                         let (kept, dropped) = elder.side.parted(told);
                         elder.touches |= bits(kept);
                         elder.holds &= !bits(dropped);
@@ -222,7 +249,9 @@
 
     /// What must hold where nothing is left to do: whatever did not die with its owner is somebody's who lives.
     fn lost(&self) -> Option<String> {
-        let quiet = [Step::Offers, Step::ElderReads, Step::YoungerReads].iter().all(|step| !self.may(*step));
+        let quiet = [Step::Offers, Step::ElderReads, Step::YoungerReads]
+            .iter()
+            .all(|step| !self.may(*step));
         let lost = ALL & !(self.elder.touches | self.younger.touches | self.gone_with);
         let anyone = self.elder.lives || self.younger.lives;
         (quiet && anyone && lost != 0).then(|| format!("connections {lost:#b} are nobody's"))
--- a/check/src/main.rs
+++ b/check/src/main.rs
@@ -87,14 +87,21 @@
 
 /// Tells what playing every order came to.
 fn told<S: std::fmt::Debug>(explored: search::Explored<S>) -> u8 {
-    let search::Explored { states, steps, depth, found } = explored;
+    let search::Explored {
+        states,
+        steps,
+        depth,
+        found,
+    } = explored;
     println!("{states} states, {steps} steps, depth {depth}");
     let Some((what, way)) = found else {
         println!("all seen to that depth, all hold");
         return 0;
     };
     println!("BROKEN: {what}");
-    (1..).zip(way).for_each(|(nth, step)| println!("{nth:>3}. {step:?}"));
+    (1..)
+        .zip(way)
+        .for_each(|(nth, step)| println!("{nth:>3}. {step:?}"));
     1
 }
 
@@ -110,10 +117,21 @@
 
 fn perform(what: What) -> Result<u8, String> {
     match what {
-        What::Run { quick, shape, states, seconds, save } => {
-            let named = shape.map(|name| Shape::find(&name).ok_or(format!("--shape: {name:?} is not known")));
+        What::Run {
+            quick,
+            shape,
+            states,
+            seconds,
+            save,
+        } => {
+            let named = shape
+                .map(|name| Shape::find(&name).ok_or(format!("--shape: {name:?} is not known")));
             let named = named.transpose()?;
-            let limits = Limits { states, time: Duration::from_secs(seconds), ..Limits::default() };
+            let limits = Limits {
+                states,
+                time: Duration::from_secs(seconds),
+                ..Limits::default()
+            };
             let wanted = |s: &&Shape| named.map_or(!quick || s.quick, |named| named.name == s.name);
             let mut stopped = false;
             for shape in SHAPES.iter().filter(wanted) {
@@ -128,28 +146,43 @@
         }
         What::Handover => {
             let explored = handover::explore();
-            let handover::Explored { states, steps, depth, found } = explored;
+            let handover::Explored {
+                states,
+                steps,
+                depth,
+                found,
+            } = explored;
             println!("{states} states, {steps} steps, depth {depth}");
             let Some((what, way)) = found else {
                 println!("all seen, all hold");
                 return Ok(0);
             };
             println!("BROKEN: {what}");
-            (1..).zip(way).for_each(|(nth, step)| println!("{nth:>3}. {step:?}"));
+            (1..)
+                .zip(way)
+                .for_each(|(nth, step)| println!("{nth:>3}. {step:?}"));
             Ok(1)
         }
         What::Site { depth } => Ok(told(site::explore(&[], depth.into(), site::NONE))),
         What::Recovery { depth } => Ok(told(recovery::explore(&[], depth.into(), recovery::NONE))),
         What::Owner { depth } => {
             let ways = owner::ways();
-            let codes = ways.iter().map(|before| told(owner::explore(before, depth.into(), owner::NONE)));
+            let codes = ways
+                .iter()
+                .map(|before| told(owner::explore(before, depth.into(), owner::NONE)));
             Ok(codes.max().unwrap_or_default())
         }
         What::Plants { plant } => plants(plant),
-        What::Walk { seconds, seed, save } => {
+        What::Walk {
+            seconds,
+            seed,
+            save,
+        } => {
             let walked = walks(&WALK, seed, Duration::from_secs(seconds));
             let (walks, steps, whole) = (walked.walks, walked.steps, walked.whole);
-            println!("{walks} walks from seed {seed}, {steps} steps, {whole} to the end of every session");
+            println!(
+                "{walks} walks from seed {seed}, {steps} steps, {whole} to the end of every session"
+            );
             match walked.found {
                 Some((seed, found)) => {
                     println!("seed {seed}");
@@ -170,7 +203,9 @@
             let played = trace.play(|line| println!("{line}"));
             println!(
                 "{}",
-                played.as_ref().map_or_else(ToString::to_string, |()| "all properties hold".into())
+                played
+                    .as_ref()
+                    .map_or_else(ToString::to_string, |()| "all properties hold".into())
             );
             Ok(u8::from(played.is_err()))
         }
@@ -187,7 +222,9 @@
     };
     let (states, depth) = (explored.states, explored.depth);
     let name = shape.name;
-    format!("{name:<18} {states:>9} states, depth {depth:>3}, {seconds:>6.1} s, {rate:>6.0}k steps/s  {end}")
+    format!(
+        "{name:<18} {states:>9} states, depth {depth:>3}, {seconds:>6.1} s, {rate:>6.0}k steps/s  {end}"
+    )
 }
 
 fn counterexample(trace: Trace, save: &PathBuf) -> Result<u8, String> {
@@ -204,7 +241,9 @@
 
 #[cfg(not(feature = "planted"))]
 fn planted(which: Option<&str>) -> Result<(), String> {
-    which.map_or(Ok(()), |which| Err(format!("plant {which}: build with --features planted")))
+    which.map_or(Ok(()), |which| {
+        Err(format!("plant {which}: build with --features planted"))
+    })
 }
 
 #[cfg(feature = "planted")]
@@ -225,7 +264,11 @@
             continue;
         }
         planted(Some(&which))?;
-        let limits = Limits { states: 2_000_000, time: Duration::from_secs(60), ..Limits::default() };
+        let limits = Limits {
+            states: 2_000_000,
+            time: Duration::from_secs(60),
+            ..Limits::default()
+        };
         let (mut found, mut took, mut states) = (None, Duration::ZERO, 0);
         for shape in SHAPES.iter().filter(|shape| shape.quick) {
             let explored = explore(shape, limits);
@@ -239,7 +282,10 @@
         match found {
             Some((shape, one)) => {
                 let (steps, breach) = (one.moves.len(), &one.breach);
-                println!("{which:<22} {steps:>2} steps, {cost}, {}: {breach}", shape.name);
+                println!(
+                    "{which:<22} {steps:>2} steps, {cost}, {}: {breach}",
+                    shape.name
+                );
                 if only.is_some() {
                     println!("{}", Trace::of(shape, Some(which), &one).text());
                 }
--- a/check/src/owner.rs
+++ b/check/src/owner.rs
@@ -11,7 +11,10 @@
     Duration::from_millis(ms)
 }
 
-const TERMS: Terms = Terms { timeout: ms(4_000), margin: ms(1_000) };
+const TERMS: Terms = Terms {
+    timeout: ms(4_000),
+    margin: ms(1_000),
+};
 const STEP: Duration = ms(1_000);
 const CANDIDATES: usize = 2;
 const RECEIVERS: usize = 2;
@@ -139,7 +142,14 @@
         #[cfg(feature = "planted")]
         (owner.plant = self.plant);
         let (wanted, made) = ([Wanted::None; RECEIVERS], [None; RECEIVERS]);
-        Candidate { owner, asked: None, wanted, made, heard: [false; RECEIVERS], begun: false }
+        Candidate {
+            owner,
+            asked: None,
+            wanted,
+            made,
+            heard: [false; RECEIVERS],
+            begun: false,
+        }
     }
 
     fn fence(&mut self, kept: Term) -> Fence {
@@ -153,7 +163,11 @@
 
     /// A candidate's own clock: the first's runs an eighth too slow.
     fn own(&self, c: usize) -> Duration {
-        if c == 0 { self.now - (self.now - ms(1_000_000)) / 8 } else { self.now }
+        if c == 0 {
+            self.now - (self.now - ms(1_000_000)) / 8
+        } else {
+            self.now
+        }
     }
 
     fn clock(&self, r: usize) -> Duration {
@@ -174,7 +188,9 @@
             return;
         }
         let Some(seat) = self.seats[c] else {
-            return self.breaks(format!("candidate {c} orders, and the store has ended its session"));
+            return self.breaks(format!(
+                "candidate {c} orders, and the store has ended its session"
+            ));
         };
         let until = (order.until + BEHIND[r]).saturating_sub(AHEAD[r]);
         if until > seat.heard + TERMS.timeout {
@@ -190,7 +206,9 @@
         let owner = &mut self.candidates[c].owner;
         owner.expired();
         if owner.state() != State::Away {
-            self.breaks(format!("candidate {c} goes on though its session has lapsed"));
+            self.breaks(format!(
+                "candidate {c} goes on though its session has lapsed"
+            ));
         }
     }
 
@@ -201,24 +219,39 @@
             return;
         }
         if boot != ticket.boot {
-            self.breaks(format!("receiver {r} takes an order for the process before it"));
+            self.breaks(format!(
+                "receiver {r} takes an order for the process before it"
+            ));
         }
         if clock >= until {
             self.breaks(format!("receiver {r} takes an order after its end"));
         }
         if term < self.accepted[r] {
-            self.breaks(format!("receiver {r} takes one of {term} after one of {}", self.accepted[r]));
+            self.breaks(format!(
+                "receiver {r} takes one of {term} after one of {}",
+                self.accepted[r]
+            ));
         }
-        let later = self.candidates.iter().find(|other| other.begun && other.owner.term() > term);
+        let later = self
+            .candidates
+            .iter()
+            .find(|other| other.begun && other.owner.term() > term);
         if let Some(later) = later {
-            self.breaks(format!("receiver {r} takes one of {term}, and {} has begun", later.owner.term()));
+            self.breaks(format!(
+                "receiver {r} takes one of {term}, and {} has begun",
+                later.owner.term()
+            ));
         }
         self.accepted[r] = self.accepted[r].max(term);
         if self.fences[r].highest() < self.accepted[r] {
             self.breaks(format!("receiver {r} forgets the term that it heard"));
         }
         self.kept[r] = self.fences[r].highest();
-        for candidate in self.candidates.iter_mut().filter(|candidate| candidate.owner.term() == term) {
+        for candidate in self
+            .candidates
+            .iter_mut()
+            .filter(|candidate| candidate.owner.term() == term)
+        {
             candidate.heard[r] = true;
             if candidate.heard == [true; RECEIVERS] {
                 candidate.owner.all_heard();
@@ -251,17 +284,38 @@
                 key += &match wanted {
                     Wanted::None => "-".to_string(),
                     Wanted::Asked => "a".into(),
-                    Wanted::Written(t) => format!("w{}{:?}", self.boots - t.boot, self.clock(r) - t.clock),
+                    Wanted::Written(t) => {
+                        format!("w{}{:?}", self.boots - t.boot, self.clock(r) - t.clock)
+                    }
                     Wanted::Came(t, at) => {
-                        format!("c{}{:?}{:?}", self.boots - t.boot, self.clock(r) - t.clock, own - *at)
+                        format!(
+                            "c{}{:?}{:?}",
+                            self.boots - t.boot,
+                            self.clock(r) - t.clock,
+                            own - *at
+                        )
                     }
                 };
             }
             let made = candidate.made.iter().enumerate().map(|(r, made)| {
-                made.map(|o| (o.term, self.boots - o.boot, o.until.saturating_sub(self.clock(r)).as_millis()))
+                made.map(|o| {
+                    (
+                        o.term,
+                        self.boots - o.boot,
+                        o.until.saturating_sub(self.clock(r)).as_millis(),
+                    )
+                })
             });
-            key += &format!("{:?}{:?}{}", made.collect::<Vec<_>>(), candidate.heard, candidate.begun);
-            key += &format!("{:?}", self.seats[c].map(|seat| (seat.term, age(seat.heard))));
+            key += &format!(
+                "{:?}{:?}{}",
+                made.collect::<Vec<_>>(),
+                candidate.heard,
+                candidate.begun
+            );
+            key += &format!(
+                "{:?}",
+                self.seats[c].map(|seat| (seat.term, age(seat.heard)))
+            );
         }
         for (r, term, boot, until) in &self.on_the_way {
             key += &format!(
@@ -270,7 +324,10 @@
                 until.saturating_sub(self.clock(*r)).as_millis()
             );
         }
-        let boots = self.fences.iter().map(|fence| self.boots - fence.ticket(ms(0)).boot);
+        let boots = self
+            .fences
+            .iter()
+            .map(|fence| self.boots - fence.ticket(ms(0)).boot);
         format!("{key}{:?}{}", boots.collect::<Vec<_>>(), self.changes)
     }
 
@@ -286,8 +343,10 @@
                 Some(Asked::Heard(..)) => steps.extend([Step::Answer(c), Step::Breaks(c)]),
                 None => {}
             }
-            steps
-                .extend(seat.filter(|seat| self.now >= seat.heard + TERMS.timeout).map(|_| Step::Expires(c)));
+            steps.extend(
+                seat.filter(|seat| self.now >= seat.heard + TERMS.timeout)
+                    .map(|_| Step::Expires(c)),
+            );
             steps.extend((!away && seat.is_none()).then_some(Step::HearsOfIt(c)));
             let leaves = candidate.owner.state() == State::Owns;
             steps.extend((leaves && seat.is_some()).then_some(Step::Leaves(c)));
@@ -329,7 +388,9 @@
             Step::Ask(c) => self.candidates[c].asked = Some(Asked::Sent(self.own(c))),
             Step::StoreHears(c) => {
                 let first = self.first();
-                let Some(Asked::Sent(at)) = self.candidates[c].asked else { return };
+                let Some(Asked::Sent(at)) = self.candidates[c].asked else {
+                    return;
+                };
                 // A session that the store does not know is told so, and not heard.
                 let known = self.seats[c].as_mut().map(|seat| seat.heard = now);
                 self.candidates[c].asked = Some(Asked::Heard(at, known.and(first)));
@@ -375,7 +436,9 @@
             Step::Orders(c, r, hear) => {
                 let own = self.own(c);
                 let candidate = &mut self.candidates[c];
-                let Wanted::Came(ticket, came) = std::mem::take(&mut candidate.wanted[r]) else { return };
+                let Wanted::Came(ticket, came) = std::mem::take(&mut candidate.wanted[r]) else {
+                    return;
+                };
                 if let Some(order) = candidate.owner.order(own, ticket, came, hear) {
                     candidate.made[r] = Some(order);
                     self.made(c, r, order, hear);
@@ -383,7 +446,8 @@
             }
             Step::Sends(c, r) => {
                 let order = self.candidates[c].made[r].take();
-                self.on_the_way.extend(order.map(|o| (r, o.term, o.boot, o.until)));
+                self.on_the_way
+                    .extend(order.map(|o| (r, o.term, o.boot, o.until)));
             }
             Step::Reads(nth) => {
                 let message = self.on_the_way.iter().nth(nth).copied();
@@ -435,7 +499,12 @@
 /// The same, and another is queued behind it.
 pub fn queued() -> Vec<Step> {
     let mut way = begun();
-    way.extend([Step::Join(1), Step::Ask(1), Step::StoreHears(1), Step::Answer(1)]);
+    way.extend([
+        Step::Join(1),
+        Step::Ask(1),
+        Step::StoreHears(1),
+        Step::Answer(1),
+    ]);
     way
 }
 
@@ -470,7 +539,9 @@
     let mut way = queued();
     for _ in 0..5 {
         way.push(Step::Passes);
-        way.extend((0..CANDIDATES).flat_map(|c| [Step::Ask(c), Step::StoreHears(c), Step::Answer(c)]));
+        way.extend(
+            (0..CANDIDATES).flat_map(|c| [Step::Ask(c), Step::StoreHears(c), Step::Answer(c)]),
+        );
     }
     way
 }
@@ -478,21 +549,41 @@
 /// An order of the first is on its way; the store forgets all sessions, and the second is first now.
 pub fn forgotten() -> Vec<Step> {
     let mut way = ordered();
-    way.extend([Step::StoreForgets, Step::HearsOfIt(1), Step::Join(1), Step::Ask(1), Step::StoreHears(1)]);
+    way.extend([
+        Step::StoreForgets,
+        Step::HearsOfIt(1),
+        Step::Join(1),
+        Step::Ask(1),
+        Step::StoreHears(1),
+    ]);
     way
 }
 
 /// The same, and the second has asked one receiver to hear it.
 pub fn announced() -> Vec<Step> {
     let mut way = forgotten();
-    way.extend([Step::Answer(1), Step::Ticket(1, 0), Step::Written(1, 0), Step::Comes(1, 0)]);
+    way.extend([
+        Step::Answer(1),
+        Step::Ticket(1, 0),
+        Step::Written(1, 0),
+        Step::Comes(1, 0),
+    ]);
     way.extend([Step::Orders(1, 0, true), Step::Sends(1, 0)]);
     way
 }
 
 /// Each with what has happened before.
 pub fn ways() -> [Vec<Step>; 8] {
-    [Vec::new(), begun(), queued(), ordered(), asked(), patient(), forgotten(), announced()]
+    [
+        Vec::new(),
+        begun(),
+        queued(),
+        ordered(),
+        asked(),
+        patient(),
+        forgotten(),
+        announced(),
+    ]
 }
 
 /// Plays all orders of up to `depth` steps behind some that have happened.
--- a/check/src/properties.rs
+++ b/check/src/properties.rs
@@ -130,16 +130,28 @@
         seen.wires += 1;
         seen.out = Some((now, zone, false));
         if out {
-            self.broken(NeverTwoDials, format!("session {n} dials while another dial is out"));
+            self.broken(
+                NeverTwoDials,
+                format!("session {n} dials while another dial is out"),
+            );
         }
         if silent {
-            self.broken(NoDialAfterTheAnswer, format!("session {n} dials though nobody waits for it"));
+            self.broken(
+                NoDialAfterTheAnswer,
+                format!("session {n} dials though nobody waits for it"),
+            );
         }
         if dials > max {
-            self.broken(DialsBounded, format!("session {n} dials {dials} times of {max}"));
+            self.broken(
+                DialsBounded,
+                format!("session {n} dials {dials} times of {max}"),
+            );
         }
         if self.drained.contains_key(&server) || host.is_none() {
-            self.broken(DrainsKept, format!("session {n} dials host {server}, told to take nothing"));
+            self.broken(
+                DrainsKept,
+                format!("session {n} dials host {server}, told to take nothing"),
+            );
         }
         if let Some(ran) = ran {
             let twice = match kind {
@@ -150,10 +162,15 @@
                 }
             };
             if twice {
-                self.broken(NoEffectTwice, format!("session {n} dials again though it may have run"));
+                self.broken(
+                    NoEffectTwice,
+                    format!("session {n} dials again though it may have run"),
+                );
             }
         }
-        let cold = host.and_then(|host| host.started).filter(|at| now < *at + self.cold.warm_after);
+        let cold = host
+            .and_then(|host| host.started)
+            .filter(|at| now < *at + self.cold.warm_after);
         if let Some(started) = cold {
             let dialled = self.cold_dials.entry((server, started)).or_default();
             *dialled += 1;
@@ -163,7 +180,10 @@
             let warm_after = self.cold.warm_after.as_secs_f64();
             let warmth = self.cold.share + (1.0 - self.cold.share) * up / warm_after / 2.0;
             if dialled > self.cold.multiple * warmth / (UNIT * warm_after) * up + 1.0 {
-                self.broken(ColdSpared, format!("cold host {server} is dialled past its budget"));
+                self.broken(
+                    ColdSpared,
+                    format!("cold host {server} is dialled past its budget"),
+                );
             }
         }
     }
@@ -174,7 +194,9 @@
             let what = format!("session {n} has its line sent though its client has gone");
             self.broken(Property::NoDialAfterTheAnswer, what);
         }
-        let past = waits.zip(wait).is_some_and(|(until, wait)| now + wait > until + SLACK);
+        let past = waits
+            .zip(wait)
+            .is_some_and(|(until, wait)| now + wait > until + SLACK);
         if past {
             let what = format!("session {n} tells its host to take longer than its client waits");
             self.broken(Property::OneAnswerInTime, what);
@@ -186,7 +208,10 @@
         let seen = self.seen(n);
         if let Some((begun, zone, written)) = &mut seen.out {
             *written = true;
-            seen.ran = seen.ran.or(Some(Ran { begun: *begun, zone: *zone }));
+            seen.ran = seen.ran.or(Some(Ran {
+                begun: *begun,
+                zone: *zone,
+            }));
         }
     }
 
@@ -216,18 +241,27 @@
         let (answers, out, ran) = (seen.answers, seen.wires > 0, seen.ran.is_some());
         let (left, waits) = (seen.left, seen.waits.take());
         if answers > 1 || left {
-            self.broken(OneAnswerInTime, format!("session {n} is answered though it was, or has left"));
+            self.broken(
+                OneAnswerInTime,
+                format!("session {n} is answered though it was, or has left"),
+            );
         }
         if waits.is_some_and(|until| now > until + SLACK) {
             self.broken(OneAnswerInTime, format!("session {n} is answered late"));
         }
         // A client that spoke is answered at once, and its dial closed in the same turn.
         if out && refuses {
-            self.broken(NoDialAfterTheAnswer, format!("session {n} is refused while its dial is out"));
+            self.broken(
+                NoDialAfterTheAnswer,
+                format!("session {n} is refused while its dial is out"),
+            );
         }
         let harmless = matches!(kind, Kind::Repeatable | Kind::Referenced(Circle::All, _));
         if refuses && ran && !harmless {
-            self.broken(NoEffectTwice, format!("session {n} is refused though it may have run"));
+            self.broken(
+                NoEffectTwice,
+                format!("session {n} is refused though it may have run"),
+            );
         }
     }
 
@@ -242,14 +276,20 @@
         seen.open = true;
         let (answers, waits) = (seen.answers, seen.waits.take());
         if !connected {
-            self.broken(Property::NothingMadeUp, format!("session {n} is opened without a connection"));
+            self.broken(
+                Property::NothingMadeUp,
+                format!("session {n} is opened without a connection"),
+            );
         }
         if !client || answers > 1 {
             let what = format!("session {n} is opened for a client that was answered or has left");
             self.broken(Property::OneAnswerInTime, what);
         }
         if waits.is_some_and(|until| now > until + SLACK) {
-            self.broken(Property::OneAnswerInTime, format!("session {n} is opened late"));
+            self.broken(
+                Property::OneAnswerInTime,
+                format!("session {n} is opened late"),
+            );
         }
     }
 
@@ -290,7 +330,10 @@
         let seen = self.seen(n);
         let (lost, out) = (seen.waits.is_some(), seen.wires > 0);
         if lost {
-            self.broken(Property::OneAnswerInTime, format!("session {n} is forgotten without an answer"));
+            self.broken(
+                Property::OneAnswerInTime,
+                format!("session {n} is forgotten without an answer"),
+            );
         }
         if out {
             self.left_behind(n, "a dial of a session that is forgotten");
@@ -302,7 +345,10 @@
         for n in 0..self.sessions.len() as u8 {
             let seen = self.seen(n).clone();
             if seen.waits.is_some_and(|until| now > until + SLACK) {
-                self.broken(Property::OneAnswerInTime, format!("session {n} has no answer in time"));
+                self.broken(
+                    Property::OneAnswerInTime,
+                    format!("session {n} has no answer in time"),
+                );
             }
             let calls_off = self.calls_off;
             let over = (seen.answers > 0 || seen.left) && !seen.open;
--- a/check/src/recovery.rs
+++ b/check/src/recovery.rs
@@ -16,8 +16,14 @@
 const PROXIES: usize = 3;
 const HOSTS: usize = 3;
 /// Round figures, so that worlds meet again.
-const TERMS: Terms =
-    Terms { look: ms(500), ask: ms(500), probe: ms(1_000), warm: ms(1_500), others: true, probes: 1 };
+const TERMS: Terms = Terms {
+    look: ms(500),
+    ask: ms(500),
+    probe: ms(1_000),
+    warm: ms(1_500),
+    others: true,
+    probes: 1,
+};
 const STEP: Duration = ms(500);
 /// Within how long every start that knows a host which is up must be through.
 const SETTLES: usize = 40;
@@ -91,7 +97,10 @@
 }
 
 fn address(host: HostId) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 4000 + if host == 2 { 1 } else { host as u16 }))
+    SocketAddr::from((
+        [127, 0, 0, 1],
+        4000 + if host == 2 { 1 } else { host as u16 },
+    ))
 }
 
 impl World {
@@ -108,7 +117,12 @@
 
     #[cfg(not(feature = "planted"))]
     fn new((): Planted) -> World {
-        World { now: ms(1_000_000), proxies: [None, None, None], up: [true, false, true], broken: None }
+        World {
+            now: ms(1_000_000),
+            proxies: [None, None, None],
+            up: [true, false, true],
+            broken: None,
+        }
     }
 
     #[cfg(feature = "planted")]
@@ -122,7 +136,11 @@
     fn start(&mut self, at: usize, disk: Disk) {
         let mut recovery = Recovery::new(self.now, TERMS);
         self.plant_in(&mut recovery);
-        let age = if disk == Disk::Saved { Age::Fresh } else { Age::Unknown };
+        let age = if disk == Disk::Saved {
+            Age::Fresh
+        } else {
+            Age::Unknown
+        };
         if disk != Disk::Empty {
             for host in [0, 1] {
                 recovery.word(self.now, host, address(host), Source::Saved, age, 5);
@@ -145,16 +163,23 @@
     }
 
     fn reply(&mut self, to: usize, from: usize) {
-        let answering = |host: &HostId, proxy: &Proxy| proxy.recovery.hosts().state(*host) == State::Answers;
+        let answering =
+            |host: &HostId, proxy: &Proxy| proxy.recovery.hosts().state(*host) == State::Answers;
         let says: Vec<HostId> = match &self.proxies[from] {
-            Some(proxy) => (0..HOSTS as HostId).filter(|host| answering(host, proxy)).collect(),
+            Some(proxy) => (0..HOSTS as HostId)
+                .filter(|host| answering(host, proxy))
+                .collect(),
             None => Vec::new(),
         };
         let now = self.now;
-        let Some(proxy) = &mut self.proxies[to] else { return };
+        let Some(proxy) = &mut self.proxies[to] else {
+            return;
+        };
         proxy.asked.remove(&from);
         for host in says {
-            proxy.recovery.word(now, host, address(host), Source::Heard, Age::Fresh, 6);
+            proxy
+                .recovery
+                .word(now, host, address(host), Source::Heard, Age::Fresh, 6);
         }
         if proxy.asked.is_empty() {
             proxy.recovery.heard_others(now);
@@ -164,9 +189,16 @@
 
     fn probed(&mut self, at: usize, host: HostId) {
         let (now, up) = (self.now, self.up[host as usize]);
-        let Some(proxy) = &mut self.proxies[at] else { return };
+        let Some(proxy) = &mut self.proxies[at] else {
+            return;
+        };
         proxy.probes.remove(&host);
-        if up && proxy.told.as_ref().is_none_or(|listed| listed.contains(&host)) {
+        if up
+            && proxy
+                .told
+                .as_ref()
+                .is_none_or(|listed| listed.contains(&host))
+        {
             proxy.proven.insert(host);
         }
         proxy.recovery.answered(now, host, up);
@@ -175,8 +207,11 @@
 
     fn told(&mut self, at: usize, lists: Lists) {
         let (now, up) = (self.now, self.up);
-        let Some(proxy) = &mut self.proxies[at] else { return };
-        let ready = (0..HOSTS as HostId).filter(|host| lists != Lists::Nobody && up[*host as usize]);
+        let Some(proxy) = &mut self.proxies[at] else {
+            return;
+        };
+        let ready =
+            (0..HOSTS as HostId).filter(|host| lists != Lists::Nobody && up[*host as usize]);
         let ready: Vec<HostId> = ready.collect();
         proxy.proven = ready.iter().copied().collect();
         proxy.used = proxy.proven.clone();
@@ -191,7 +226,9 @@
 
     fn gone(&mut self, at: usize, host: HostId) {
         let now = self.now;
-        let Some(proxy) = &mut self.proxies[at] else { return };
+        let Some(proxy) = &mut self.proxies[at] else {
+            return;
+        };
         proxy.used.remove(&host);
         proxy.proven.remove(&host);
         proxy.recovery.told(now, host, address(host), false);
@@ -200,7 +237,9 @@
 
     fn new_host(&mut self, at: usize) {
         let now = self.now;
-        let Some(proxy) = &mut self.proxies[at] else { return };
+        let Some(proxy) = &mut self.proxies[at] else {
+            return;
+        };
         proxy.used.insert(2);
         proxy.proven.insert(2);
         proxy.recovery.told(now, 2, address(2), true);
@@ -209,7 +248,9 @@
 
     /// What is wanted is carried out.
     fn heed(&mut self, at: usize) {
-        let Some(proxy) = &mut self.proxies[at] else { return };
+        let Some(proxy) = &mut self.proxies[at] else {
+            return;
+        };
         let effects: Vec<Effect> = proxy.recovery.effects().collect();
         for effect in effects {
             match effect {
@@ -217,7 +258,9 @@
                 Effect::Probe(host) => drop(proxy.probes.insert(host)),
                 Effect::Use(host) => {
                     if !proxy.proven.contains(&host) {
-                        self.broken = Some(format!("proxy {at} uses host {host}, which has not answered it"));
+                        self.broken = Some(format!(
+                            "proxy {at} uses host {host}, which has not answered it"
+                        ));
                     }
                     proxy.used.insert(host);
                 }
@@ -227,7 +270,9 @@
                 }
                 Effect::Door(door) => {
                     proxy.door = door;
-                    let warm = proxy.degrees.is_some_and(|since| self.now >= since + TERMS.warm);
+                    let warm = proxy
+                        .degrees
+                        .is_some_and(|since| self.now >= since + TERMS.warm);
                     if door == Entry::Open && proxy.told.is_none() && !warm {
                         self.broken = Some(format!("proxy {at} lets all in at once"));
                     }
@@ -270,7 +315,10 @@
         }
         let old = proxy.doubtful.is_some_and(|until| self.now > until);
         let asks = |host| {
-            matches!(proxy.recovery.hosts().state(host), State::Waiting | State::Silent | State::Asked)
+            matches!(
+                proxy.recovery.hosts().state(host),
+                State::Waiting | State::Silent | State::Asked
+            )
         };
         let saved = proxy.recovery.hosts().by(Source::Saved).0 > 0 && proxy.told.is_none();
         (old && saved && asks(1) && !self.up[1])
@@ -288,8 +336,10 @@
             }
             for _ in 0..SETTLES {
                 for at in 0..PROXIES {
-                    let probes: Vec<HostId> =
-                        world.proxies[at].iter().flat_map(|p| p.probes.clone()).collect();
+                    let probes: Vec<HostId> = world.proxies[at]
+                        .iter()
+                        .flat_map(|p| p.probes.clone())
+                        .collect();
                     probes.into_iter().for_each(|host| world.probed(at, host));
                 }
                 world.passes();
@@ -304,7 +354,10 @@
                     return Some(format!("proxy {at} stays {}", stage.name()));
                 }
                 if discovery && proxy.used != BTreeSet::from([0, 1]) {
-                    return Some(format!("proxy {at} uses {:?} where discovery tells 0 and 1", proxy.used));
+                    return Some(format!(
+                        "proxy {at} uses {:?} where discovery tells 0 and 1",
+                        proxy.used
+                    ));
                 }
             }
         }
@@ -323,13 +376,25 @@
                 key += "|-";
                 continue;
             };
-            let (stage, since) = (p.recovery.stage(), (self.now - p.recovery.since()).min(ms(1)));
+            let (stage, since) = (
+                p.recovery.stage(),
+                (self.now - p.recovery.since()).min(ms(1)),
+            );
             key += &format!(
                 "|{stage:?}{since:?}{:?}{:?}{:?}{:?}{:?}",
                 p.door, p.used, p.proven, p.probes, p.asked
             );
-            key += &format!("{:?}{:?}{:?}", p.told, p.doubtful.map(left), p.degrees.map(|at| self.now - at));
-            key += &format!("{}{:?}", p.recovery.hosts().aged(self.now), p.recovery.due().map(left));
+            key += &format!(
+                "{:?}{:?}{:?}",
+                p.told,
+                p.doubtful.map(left),
+                p.degrees.map(|at| self.now - at)
+            );
+            key += &format!(
+                "{}{:?}",
+                p.recovery.hosts().aged(self.now),
+                p.recovery.due().map(left)
+            );
         }
         key
     }
@@ -350,11 +415,21 @@
             };
             steps.push(Step::Power(at, Disk::Empty));
             steps.extend(proxy.probes.iter().map(|host| Step::Probe(at, *host)));
-            steps.extend(proxy.asked.iter().map(|from| Step::Reply { to: at, from: *from }));
-            steps
-                .extend(proxy.used.iter().filter(|_| proxy.told.is_none()).map(|host| Step::Gone(at, *host)));
+            steps.extend(proxy.asked.iter().map(|from| Step::Reply {
+                to: at,
+                from: *from,
+            }));
+            steps.extend(
+                proxy
+                    .used
+                    .iter()
+                    .filter(|_| proxy.told.is_none())
+                    .map(|host| Step::Gone(at, *host)),
+            );
             steps.extend((proxy.told.is_none() && self.up[2]).then_some(Step::New(at)));
-            steps.extend([Lists::Warm, Lists::Cold, Lists::Nobody].map(|lists| Step::Told(at, lists)));
+            steps.extend(
+                [Lists::Warm, Lists::Cold, Lists::Nobody].map(|lists| Step::Told(at, lists)),
+            );
         }
         steps
     }
@@ -397,10 +472,19 @@
 pub const NONE: Planted = ();
 
 /// One proxy has started and waits for others; it asks next.
-pub const ASKING: &[Step] = &[Step::Power(0, Disk::Saved), Step::Power(1, Disk::Empty), Step::Passes];
+pub const ASKING: &[Step] = &[
+    Step::Power(0, Disk::Saved),
+    Step::Power(1, Disk::Empty),
+    Step::Passes,
+];
 
 /// One proxy has asked the first of its hosts, which has answered.
-pub const PROBED: &[Step] = &[Step::Power(0, Disk::Saved), Step::Passes, Step::Passes, Step::Probe(0, 0)];
+pub const PROBED: &[Step] = &[
+    Step::Power(0, Disk::Saved),
+    Step::Passes,
+    Step::Passes,
+    Step::Probe(0, 0),
+];
 
 /// Half a minute has passed over a host that a wrong clock told of.
 pub fn late() -> Vec<Step> {
--- a/check/src/search.rs
+++ b/check/src/search.rs
@@ -26,7 +26,12 @@
 
 /// Plays all orders of up to `depth` steps behind some that have happened; a world that was met before is not gone on from.
 pub fn explore<W: Played>(mut first: W, before: &[W::Step], depth: usize) -> Explored<W::Step> {
-    let mut explored = Explored { states: 0, steps: 0, depth: 0, found: None };
+    let mut explored = Explored {
+        states: 0,
+        steps: 0,
+        depth: 0,
+        found: None,
+    };
     before.iter().for_each(|step| first.make(*step));
     let mut seen = HashSet::from([first.key()]);
     let mut level = vec![(first, before.to_vec())];
@@ -45,7 +50,10 @@
                 let mut after = world.clone();
                 after.make(step);
                 if seen.insert(after.key()) {
-                    next.push((after, way.iter().copied().chain([step]).collect::<Vec<W::Step>>()));
+                    next.push((
+                        after,
+                        way.iter().copied().chain([step]).collect::<Vec<W::Step>>(),
+                    ));
                 }
             }
         }
--- a/check/src/shape.rs
+++ b/check/src/shape.rs
@@ -62,11 +62,42 @@
 
 /// All shapes. Each adds one matter to a small base, since their product is out of reach.
 pub const SHAPES: &[Shape] = &[
-    Shape { name: "repeatable", sessions: &[REPEATABLE], stale: 1, no_socket: true, ..BASE },
-    Shape { name: "once-only", sessions: &[ONCE], stale: 1, no_socket: true, ..BASE },
-    Shape { name: "referenced-zone", sessions: &[ZONED], hosts: 3, max_dials: 3, no_socket: true, ..BASE },
-    Shape { name: "referenced-all", sessions: &[EVERYWHERE], max_dials: 3, no_socket: true, ..BASE },
-    Shape { name: "sigterm", sessions: &[REPEATABLE], sigterm: true, no_socket: true, ..BASE },
+    Shape {
+        name: "repeatable",
+        sessions: &[REPEATABLE],
+        stale: 1,
+        no_socket: true,
+        ..BASE
+    },
+    Shape {
+        name: "once-only",
+        sessions: &[ONCE],
+        stale: 1,
+        no_socket: true,
+        ..BASE
+    },
+    Shape {
+        name: "referenced-zone",
+        sessions: &[ZONED],
+        hosts: 3,
+        max_dials: 3,
+        no_socket: true,
+        ..BASE
+    },
+    Shape {
+        name: "referenced-all",
+        sessions: &[EVERYWHERE],
+        max_dials: 3,
+        no_socket: true,
+        ..BASE
+    },
+    Shape {
+        name: "sigterm",
+        sessions: &[REPEATABLE],
+        sigterm: true,
+        no_socket: true,
+        ..BASE
+    },
     Shape {
         name: "drained",
         sessions: &[REPEATABLE],
@@ -76,8 +107,20 @@
         wait: Duration::from_millis(150),
         ..BASE
     },
-    Shape { name: "kept-dials", sessions: &[REPEATABLE], may_call_off: false, stale: 1, ..BASE },
-    Shape { name: "gone-unseen", sessions: &[REPEATABLE], unseen: true, no_socket: true, ..BASE },
+    Shape {
+        name: "kept-dials",
+        sessions: &[REPEATABLE],
+        may_call_off: false,
+        stale: 1,
+        ..BASE
+    },
+    Shape {
+        name: "gone-unseen",
+        sessions: &[REPEATABLE],
+        unseen: true,
+        no_socket: true,
+        ..BASE
+    },
     Shape {
         name: "gone-unseen-kept-dials",
         sessions: &[REPEATABLE],
@@ -94,9 +137,26 @@
         wait: Duration::from_millis(180),
         ..BASE
     },
-    Shape { name: "cold", sessions: &[REPEATABLE], cold: true, ..BASE },
-    Shape { name: "four-dials", sessions: &[REPEATABLE], max_dials: 4, told: 0, ..BASE },
-    Shape { name: "probes-and-drains", sessions: &[ONCE], may_probe: true, quick: false, ..BASE },
+    Shape {
+        name: "cold",
+        sessions: &[REPEATABLE],
+        cold: true,
+        ..BASE
+    },
+    Shape {
+        name: "four-dials",
+        sessions: &[REPEATABLE],
+        max_dials: 4,
+        told: 0,
+        ..BASE
+    },
+    Shape {
+        name: "probes-and-drains",
+        sessions: &[ONCE],
+        may_probe: true,
+        quick: false,
+        ..BASE
+    },
     Shape {
         name: "four-dials-of-three",
         sessions: &[REPEATABLE],
@@ -140,8 +200,9 @@
 pub const WALK: Shape = Shape {
     name: "walk",
     sessions: &[
-        REPEATABLE, ONCE, ZONED, EVERYWHERE, REPEATABLE, REPEATABLE, ONCE, ZONED, EVERYWHERE, REPEATABLE,
-        REPEATABLE, ONCE, ZONED, EVERYWHERE, REPEATABLE, REPEATABLE, ONCE, ZONED, EVERYWHERE, REPEATABLE,
+        REPEATABLE, ONCE, ZONED, EVERYWHERE, REPEATABLE, REPEATABLE, ONCE, ZONED, EVERYWHERE,
+        REPEATABLE, REPEATABLE, ONCE, ZONED, EVERYWHERE, REPEATABLE, REPEATABLE, ONCE, ZONED,
+        EVERYWHERE, REPEATABLE,
     ],
     hosts: 10,
     max_dials: 4,
@@ -158,7 +219,10 @@
 
 impl Shape {
     pub fn find(name: &str) -> Option<&'static Shape> {
-        SHAPES.iter().chain(std::iter::once(&WALK)).find(|shape| shape.name == name)
+        SHAPES
+            .iter()
+            .chain(std::iter::once(&WALK))
+            .find(|shape| shape.name == name)
     }
 
     pub fn deployment(&self) -> Deployment {
@@ -171,7 +235,12 @@
         Deployment {
             listeners: self.sessions.iter().map(listener).collect(),
             proxies: 1,
-            cold: ColdRule { share: 0.3, warm_after: MS(9_000), multiple: 4.0, over: MS(1_500) },
+            cold: ColdRule {
+                share: 0.3,
+                warm_after: MS(9_000),
+                multiple: 4.0,
+                over: MS(1_500),
+            },
             max_dials: self.max_dials,
             may_probe: self.may_probe,
             may_call_off: self.may_call_off,
--- a/check/src/site.rs
+++ b/check/src/site.rs
@@ -90,7 +90,14 @@
     }
 
     fn key(&self) -> String {
-        let own = (&self.answers, &self.listed, &self.silent, &self.signs, &self.open, &self.falls);
+        let own = (
+            &self.answers,
+            &self.listed,
+            &self.silent,
+            &self.signs,
+            &self.open,
+            &self.falls,
+        );
         let ages = (self.heard, self.first);
         let ages = [ages.0, ages.1].map(|of| of.map(|at| (self.now - at).as_millis()));
         let fell = self.fell.map(|at| at.map(|at| (self.now - at).as_millis()));
@@ -98,7 +105,9 @@
     }
 
     fn steps(&self) -> impl Iterator<Item = Step> + '_ {
-        let meets = (0..8).filter(|s| self.listed[usize::from(PLACES[*s as usize])]).map(Step::Meets);
+        let meets = (0..8)
+            .filter(|s| self.listed[usize::from(PLACES[*s as usize])])
+            .map(Step::Meets);
         let places = (0..COUNT).flat_map(|place| [Step::Cut(place), Step::Told(place)]);
         meets.chain(places).chain([Step::Fails(0), Step::Passes])
     }
@@ -110,15 +119,22 @@
             Step::Cut(place) => {
                 let answers = !self.any_answers(place);
                 for (server, of) in PLACES.into_iter().enumerate() {
-                    self.answers[server] = if of == place { answers } else { self.answers[server] };
+                    self.answers[server] = if of == place {
+                        answers
+                    } else {
+                        self.answers[server]
+                    };
                 }
             }
             Step::Fails(server) => self.answers[server as usize] ^= true,
             Step::Told(place) => {
                 let ready = !self.listed[usize::from(place)];
                 self.listed[usize::from(place)] = ready;
-                let (standing, started) =
-                    if ready { (Standing::Ready, Some(self.now)) } else { (Standing::Gone, None) };
+                let (standing, started) = if ready {
+                    (Standing::Ready, Some(self.now))
+                } else {
+                    (Standing::Gone, None)
+                };
                 for (server, of) in (0..).zip(PLACES).filter(|(_, of)| *of == place) {
                     self.silent[server as usize] = false;
                     self.sites.listed(self.now, server, of, standing, started);
@@ -148,7 +164,9 @@
             if self.signs[place] == 0 {
                 // Servers that were silent before the place was last heard show it anew.
                 self.first[place] = self.now;
-                (0..8).filter(|s| usize::from(PLACES[*s]) == place).for_each(|s| self.silent[s] = false);
+                (0..8)
+                    .filter(|s| usize::from(PLACES[*s]) == place)
+                    .for_each(|s| self.silent[s] = false);
             }
             self.signs[place] += u8::from(!self.silent[server as usize]);
             self.silent[server as usize] = true;
@@ -178,19 +196,31 @@
     fn opens(&mut self, place: usize, part: f64) {
         let before = std::mem::replace(&mut self.open[place], part);
         if part <= 0.0 {
-            let servers = PLACES.iter().filter(|of| usize::from(**of) == place).count() as u8;
+            let servers = PLACES
+                .iter()
+                .filter(|of| usize::from(**of) == place)
+                .count() as u8;
             if self.signs[place] < servers.min(3) {
-                self.breaks(format!("place {place} is given up at {} signs", self.signs[place]));
+                self.breaks(format!(
+                    "place {place} is given up at {} signs",
+                    self.signs[place]
+                ));
             }
             let mut others = (0..usize::from(COUNT)).filter(|other| *other != place);
             if others.all(|other| self.heard[other] < self.first[place]) {
-                self.breaks(format!("place {place} is given up though nobody answers anywhere"));
+                self.breaks(format!(
+                    "place {place} is given up though nobody answers anywhere"
+                ));
             }
             let soon = self.fell[place].is_some_and(|at| self.now < at + ms(20_000));
             self.falls[place] = if soon { self.falls[place] + 1 } else { 1 };
             self.fell[place] = Some(self.now);
         } else if before <= 0.0 {
-            let least = if self.falls[place] > 1 { TERMS.hold } else { Duration::ZERO };
+            let least = if self.falls[place] > 1 {
+                TERMS.hold
+            } else {
+                Duration::ZERO
+            };
             let all = (0..usize::from(COUNT))
                 .all(|other| other == place || !self.listed[other] || self.open[other] <= 0.0);
             if self.fell[place].is_some_and(|at| self.now < at + least) && !all && part < 1.0 {
@@ -216,7 +246,12 @@
             state == State::Whole && self.open[*place] < 1.0
         });
         None.or(none_left.then(|| "all places are shut".to_string()))
-            .or(odd.map(|place| format!("place {place} is whole and open for {:.2}", self.open[place])))
+            .or(odd.map(|place| {
+                format!(
+                    "place {place} is whole and open for {:.2}",
+                    self.open[place]
+                )
+            }))
             .or_else(|| self.broken.clone())
     }
 
@@ -234,9 +269,12 @@
         for _ in 0..SETTLES {
             world.make(Step::Passes);
         }
-        [0, 1, 2, 3].into_iter().for_each(|server| world.meets(server));
+        [0, 1, 2, 3]
+            .into_iter()
+            .for_each(|server| world.meets(server));
         let state = world.sites.places()[0].state;
-        (!state.is_shut()).then(|| format!("place 0 stays {} though nobody there answers", state.name()))
+        (!state.is_shut())
+            .then(|| format!("place 0 stays {} though nobody there answers", state.name()))
     }
 
     /// What must hold of every world that is left alone, with all servers up and answering.
@@ -249,8 +287,15 @@
         for _ in 0..SETTLES {
             world.make(Step::Passes);
         }
-        let left = world.sites.places().iter().position(|place| place.state != State::Whole)?;
-        Some(format!("place {left} stays {} though all answer", world.sites.places()[left].state.name()))
+        let left = world
+            .sites
+            .places()
+            .iter()
+            .position(|place| place.state != State::Whole)?;
+        Some(format!(
+            "place {left} stays {} though all answer",
+            world.sites.places()[left].state.name()
+        ))
     }
 }
 
@@ -307,6 +352,8 @@
     }
 
     fn wrong(&self) -> Option<String> {
-        World::wrong(self).or_else(|| self.stuck()).or_else(|| self.blind())
+        World::wrong(self)
+            .or_else(|| self.stuck())
+            .or_else(|| self.blind())
     }
 }
--- a/check/src/step.rs
+++ b/check/src/step.rs
@@ -88,7 +88,9 @@
 }
 
 fn name<T: PartialEq + Copy>(all: &[(T, &'static str)], of: T) -> &'static str {
-    all.iter().find(|pair| pair.0 == of).map_or("?", |pair| pair.1)
+    all.iter()
+        .find(|pair| pair.0 == of)
+        .map_or("?", |pair| pair.1)
 }
 
 fn find<T: Copy>(all: &[(T, &'static str)], word: &str) -> Option<T> {
@@ -116,7 +118,11 @@
             Step::Drain => f.write_str("operator drains"),
             Step::Undrain => f.write_str("operator undrains"),
         }?;
-        if self.chance > 0 { write!(f, " ~{}", self.chance) } else { Ok(()) }
+        if self.chance > 0 {
+            write!(f, " ~{}", self.chance)
+        } else {
+            Ok(())
+        }
     }
 }
 
--- a/check/src/trace.rs
+++ b/check/src/trace.rs
@@ -17,7 +17,12 @@
 
 impl Trace {
     pub fn of(shape: &'static Shape, plant: Option<String>, found: &Found) -> Trace {
-        Trace { shape, plant, breach: found.breach.to_string(), moves: found.moves.clone() }
+        Trace {
+            shape,
+            plant,
+            breach: found.breach.to_string(),
+            moves: found.moves.clone(),
+        }
     }
 
     pub fn text(&self) -> String {
@@ -35,7 +40,10 @@
     /// Reads a file; an error names the line.
     pub fn read(text: &str) -> Result<Trace, String> {
         let (mut shape, mut plant, mut breach, mut moves) = (None, None, String::new(), Vec::new());
-        for (nth, line) in (1..).zip(text.lines()).filter(|(_, line)| !line.trim().is_empty()) {
+        for (nth, line) in (1..)
+            .zip(text.lines())
+            .filter(|(_, line)| !line.trim().is_empty())
+        {
             let wrong = |what: String| format!("line {nth}: {what}");
             let line = line.trim();
             if let Some(name) = line.strip_prefix("shape ") {
@@ -46,12 +54,20 @@
             } else if let Some(what) = line.strip_prefix("breaks ") {
                 breach = what.to_string();
             } else {
-                let step = line.split_once(". ").ok_or_else(|| wrong("no numbered step".into()))?.1;
+                let step = line
+                    .split_once(". ")
+                    .ok_or_else(|| wrong("no numbered step".into()))?
+                    .1;
                 moves.push(step.parse().map_err(wrong)?);
             }
         }
         let shape = shape.ok_or("no line `shape NAME`")?;
-        Ok(Trace { shape, plant, breach, moves })
+        Ok(Trace {
+            shape,
+            plant,
+            breach,
+            moves,
+        })
     }
 
     /// Plays the steps; tells each with what the code did, and the breach, if there is one.
@@ -61,7 +77,10 @@
             let made = world.make(self.shape, *step);
             let ms = (world.now - START).as_millis();
             tell(&format!("{nth:>3}. at {ms:>5} ms  {step}"));
-            world.done.iter().for_each(|done| tell(&format!("                   {done}")));
+            world
+                .done
+                .iter()
+                .for_each(|done| tell(&format!("                   {done}")));
             made?;
         }
         Ok(())
--- a/check/src/walk.rs
+++ b/check/src/walk.rs
@@ -30,12 +30,21 @@
     while moves.len() < LONGEST && !world.over(shape) {
         world.steps(shape, &mut steps);
         let due = steps.last() == Some(&Step::Due) && chance.random::<f64>() < hurry;
-        let Some(last) = steps.len().checked_sub(1) else { break };
-        let at = if due { last } else { chance.random_range(0..=last) };
+        let Some(last) = steps.len().checked_sub(1) else {
+            break;
+        };
+        let at = if due {
+            last
+        } else {
+            chance.random_range(0..=last)
+        };
         // SIGTERM ends a walk, and would end most of them at once.
         let early = steps[at] == Step::Sigterm && chance.random::<f64>() > 0.02;
         let step = if early { steps[last] } else { steps[at] };
-        let what = Move { step, chance: chance.random_range(0..4) };
+        let what = Move {
+            step,
+            chance: chance.random_range(0..4),
+        };
         moves.push(what);
         if let Err(breach) = world.make(shape, what) {
             return (moves.len(), false, Some(Found { breach, moves }));
--- a/check/src/world.rs
+++ b/check/src/world.rs
@@ -138,7 +138,9 @@
             done: Vec::new(),
         };
         let entries = world.hosts.iter().map(Host::entry).collect();
-        world.exchange.event(START, Event::Roster(Roster::Whole(entries)));
+        world
+            .exchange
+            .event(START, Event::Roster(Roster::Whole(entries)));
         world.settle();
         world
     }
@@ -147,10 +149,26 @@
     pub fn digest(&self) -> u128 {
         use std::fmt::Write;
         let mut digest = Digest(0xcbf2_9ce4_8422_2325, 0);
-        let own = (&self.now, &self.exchange, &self.conns, &self.deadlines, &self.hosts);
-        let more =
-            (&self.came, &self.probes, &self.closed, self.told_left, self.stale_left, self.orders_left);
-        let _ = write!(digest, "{own:?}{more:?}{:?}{:?}{:?}", self.drain, self.last_came, self.monitor);
+        let own = (
+            &self.now,
+            &self.exchange,
+            &self.conns,
+            &self.deadlines,
+            &self.hosts,
+        );
+        let more = (
+            &self.came,
+            &self.probes,
+            &self.closed,
+            self.told_left,
+            self.stale_left,
+            self.orders_left,
+        );
+        let _ = write!(
+            digest,
+            "{own:?}{more:?}{:?}{:?}{:?}",
+            self.drain, self.last_came, self.monitor
+        );
         u128::from(digest.0) << 64 | u128::from(digest.1)
     }
 
@@ -158,8 +176,9 @@
     pub fn over(&self, shape: &Shape) -> bool {
         let late = self.now > START + shape.arrivals() || self.leaving();
         let come = self.came.iter().all(|came| came.is_some() || late);
-        let open =
-            self.drain.state() == State::Serving && self.now > START + shape.ends() && self.over_or_open();
+        let open = self.drain.state() == State::Serving
+            && self.now > START + shape.ends()
+            && self.over_or_open();
         come && (open || self.exchange.sessions.is_empty())
     }
 
@@ -187,7 +206,9 @@
             }
             if self.told_left > 0 {
                 let told: &[Told] = match host.standing {
-                    Standing::Ready => &[Told::Draining, Told::Gone, Told::Restarted, Told::Replaced],
+                    Standing::Ready => {
+                        &[Told::Draining, Told::Gone, Told::Restarted, Told::Replaced]
+                    }
                     _ => &[Told::Ready],
                 };
                 out.extend(told.iter().map(|told| Step::Told(n, *told)));
@@ -206,7 +227,14 @@
     }
 
     fn session_steps(&self, shape: &Shape, n: u8, key: Key, out: &mut Vec<Step>) {
-        let Some(held) = self.exchange.sessions.get(key).filter(|held| held.own.number == n) else { return };
+        let Some(held) = self
+            .exchange
+            .sessions
+            .get(key)
+            .filter(|held| held.own.number == n)
+        else {
+            return;
+        };
         if let Some(conn) = held.own.server.and_then(|server| self.conns.get(server)) {
             match conn.wire {
                 Wire::Connecting => out.extend([Step::Connected(n), Step::Refused(n)]),
@@ -235,7 +263,9 @@
     pub fn make(&mut self, shape: &Shape, what: Move) -> Result<(), Breach> {
         self.done.clear();
         // What chance does is a choice of the explorer: a draw from the lower half, or from the upper.
-        self.exchange.choice.reseed([0, 0x8000_0000, 0x4000_0001, 0xc000_0003][usize::from(what.chance & 3)]);
+        self.exchange
+            .choice
+            .reseed([0, 0x8000_0000, 0x4000_0001, 0xc000_0003][usize::from(what.chance & 3)]);
         if what.step == Step::Due {
             self.closed.clear();
         }
@@ -248,14 +278,22 @@
     fn happen(&mut self, shape: &Shape, step: Step) {
         match step {
             Step::Arrives(n) => {
-                let arrival =
-                    Arrival { listener: n, dial_timeout: self.now + shape.wait, ..Arrival::default() };
+                let arrival = Arrival {
+                    listener: n,
+                    dial_timeout: self.now + shape.wait,
+                    ..Arrival::default()
+                };
                 self.monitor.asks(n, self.now + shape.wait);
                 self.last_came = self.now;
                 if self.drain.state() != State::Serving {
                     self.deadlines.set(Due::Leave, self.now + STEP);
                 }
-                let own = Own { number: n, client: true, gone: false, server: None };
+                let own = Own {
+                    number: n,
+                    client: true,
+                    gone: false,
+                    server: None,
+                };
                 let key = self.exchange.arrive(self.now, arrival, false, own);
                 self.came[usize::from(n)] = Some(key);
             }
@@ -276,7 +314,11 @@
                 if word == Word::Busy {
                     self.monitor.never_ran(n);
                 }
-                self.word(n, |dial| Input::Said { dial, outcome, load: Load::default() });
+                self.word(n, |dial| Input::Said {
+                    dial,
+                    outcome,
+                    load: Load::default(),
+                });
             }
             Step::HostEnds(n) => {
                 let open = self.conn(n).is_some_and(|conn| conn.wire == Wire::Open);
@@ -287,8 +329,14 @@
                 }
             }
             Step::Leaves(n) => {
-                let Some(key) = self.came[usize::from(n)] else { return };
-                let open = self.exchange.sessions.get(key).is_some_and(|held| held.life.stage == Stage::Open);
+                let Some(key) = self.came[usize::from(n)] else {
+                    return;
+                };
+                let open = self
+                    .exchange
+                    .sessions
+                    .get(key)
+                    .is_some_and(|held| held.life.stage == Stage::Open);
                 self.monitor.leaves(n);
                 self.exchange.input(self.now, key, Input::Left);
                 if open {
@@ -296,11 +344,14 @@
                 }
             }
             Step::Speaks(n) => {
-                let Some(key) = self.came[usize::from(n)] else { return };
+                let Some(key) = self.came[usize::from(n)] else {
+                    return;
+                };
                 self.exchange.input(self.now, key, Input::Spoke);
             }
             Step::LeavesUnseen(n) => {
-                let held = self.came[usize::from(n)].and_then(|key| self.exchange.sessions.get_mut(key));
+                let held =
+                    self.came[usize::from(n)].and_then(|key| self.exchange.sessions.get_mut(key));
                 held.into_iter().for_each(|held| held.own.gone = true);
                 self.monitor.goes(n);
             }
@@ -309,12 +360,31 @@
                 let server = self.hosts[usize::from(n)].uid;
                 self.probes.remove(&server);
                 let (outcome, load) = match word {
-                    Word::Ok => (Outcome::Ok, Load { connections: Some(1.0), asked: Some(0.1) }),
-                    Word::Full => (Outcome::Ok, Load { connections: Some(20.0), asked: Some(1.2) }),
+                    Word::Ok => (
+                        Outcome::Ok,
+                        Load {
+                            connections: Some(1.0),
+                            asked: Some(0.1),
+                        },
+                    ),
+                    Word::Full => (
+                        Outcome::Ok,
+                        Load {
+                            connections: Some(20.0),
+                            asked: Some(1.2),
+                        },
+                    ),
                     Word::Silent => (Outcome::TimedOut, Load::default()),
                     _ => (Outcome::Unreachable, Load::default()),
                 };
-                self.exchange.event(self.now, Event::Probed { server, outcome, load });
+                self.exchange.event(
+                    self.now,
+                    Event::Probed {
+                        server,
+                        outcome,
+                        load,
+                    },
+                );
             }
             Step::Due => self.due(),
             Step::Stale(n) => self.stale(n),
@@ -357,21 +427,31 @@
     fn leave_on(&mut self) {
         let of = |open: bool| -> Vec<(Key, u8)> {
             let sessions = self.exchange.sessions.iter();
-            let those =
-                sessions.filter(|(_, held)| (held.life.stage == Stage::Open) == open && !held.life.left);
+            let those = sessions
+                .filter(|(_, held)| (held.life.stage == Stage::Open) == open && !held.life.left);
             those.map(|(key, held)| (key, held.own.number)).collect()
         };
         let (open, pending) = (of(true), of(false));
         let clients = open.len() + pending.len();
         let (room, last_came) = (None, self.last_came);
-        let view = View { open: open.len(), pending: pending.len(), clients, last_came, room };
+        let view = View {
+            open: open.len(),
+            pending: pending.len(),
+            clients,
+            last_came,
+            room,
+        };
         let advice = self.drain.advise(self.now, &view);
         for (_, number) in open.into_iter().take(advice.move_now) {
             self.close_both(number, Outcome::CalledOff);
         }
         if advice.answer {
             for (key, _) in pending {
-                let word = if self.leaving() { Input::GoingDown } else { Input::TurnedAway };
+                let word = if self.leaving() {
+                    Input::GoingDown
+                } else {
+                    Input::TurnedAway
+                };
                 self.exchange.input(self.now, key, word);
             }
         }
@@ -405,7 +485,9 @@
 
     /// An open connection ends: both sides are closed, and the life hears.
     fn close_both(&mut self, n: u8, outcome: Outcome) {
-        let Some(key) = self.came[usize::from(n)] else { return };
+        let Some(key) = self.came[usize::from(n)] else {
+            return;
+        };
         let server = self.exchange.sessions.get_mut(key).and_then(|held| {
             held.own.client = false;
             held.own.server.take()
@@ -414,7 +496,14 @@
             self.conns.remove(server);
         }
         self.monitor.ended(n);
-        self.exchange.input(self.now, key, Input::Closed { outcome, load: Load::default() });
+        self.exchange.input(
+            self.now,
+            key,
+            Input::Closed {
+                outcome,
+                load: Load::default(),
+            },
+        );
     }
 
     fn tell(&mut self, n: u8, told: Told) {
@@ -427,7 +516,10 @@
             Told::Gone => host.standing = Standing::Gone,
             Told::Restarted => host.started = Some(self.now),
             Told::Replaced => {
-                let gone = Entry { standing: Standing::Gone, ..host.entry() };
+                let gone = Entry {
+                    standing: Standing::Gone,
+                    ..host.entry()
+                };
                 entries.push(gone);
                 (host.uid, host.started) = (self.uids, Some(self.now));
                 self.uids += 1;
@@ -437,11 +529,14 @@
         for entry in &entries {
             self.monitor.told(entry, self.now);
         }
-        self.exchange.event(self.now, Event::Roster(Roster::Changes(entries)));
+        self.exchange
+            .event(self.now, Event::Roster(Roster::Changes(entries)));
     }
 
     fn due(&mut self) {
-        let Some(at) = self.deadlines.next() else { return };
+        let Some(at) = self.deadlines.next() else {
+            return;
+        };
         self.now = self.now.max(at);
         match self.deadlines.pop(self.now) {
             Some(Due::Tick) => self.exchange.event(self.now, Event::Tick),
@@ -455,7 +550,9 @@
     /// router, its key finds whoever has the slot, if the generations let it.
     fn stale(&mut self, n: u8) {
         self.stale_left -= 1;
-        let Some(at) = self.closed.iter().position(|closed| closed.1.number == n) else { return };
+        let Some(at) = self.closed.iter().position(|closed| closed.1.number == n) else {
+            return;
+        };
         let (key, was) = self.closed.remove(at);
         let Some(conn) = self.conns.get(key).copied() else {
             // The socket is gone; were its word heard all the same, it would name its dial.
@@ -463,13 +560,15 @@
         };
         self.monitor.made_up(conn.number);
         let dial = conn.dial;
-        self.exchange.input(self.now, conn.sess, Input::Ended { dial });
+        self.exchange
+            .input(self.now, conn.sess, Input::Ended { dial });
     }
 
     /// A closed dial's late word, given to the life past the table of connections: it names its dial.
     fn late(&mut self, was: Conn) {
         if was.wire == Wire::Written {
-            self.exchange.input(self.now, was.sess, Input::Up { dial: was.dial });
+            self.exchange
+                .input(self.now, was.sess, Input::Up { dial: was.dial });
         }
     }
 
@@ -489,8 +588,14 @@
     }
 
     fn carry_out(&mut self, key: Key, effect: Effect) {
-        let Some(held) = self.exchange.sessions.get_mut(key) else { return };
-        let (n, dial, gone) = (held.own.number, held.life.dial(), held.own.gone && held.own.client);
+        let Some(held) = self.exchange.sessions.get_mut(key) else {
+            return;
+        };
+        let (n, dial, gone) = (
+            held.own.number,
+            held.life.dial(),
+            held.own.gone && held.own.client,
+        );
         match &effect {
             Effect::Watch(_) | Effect::Count(_) | Effect::Log(_) => {}
             effect => self.done.push(format!("session {n}: {effect:?}")),
@@ -502,12 +607,19 @@
                 return;
             }
         }
-        let Some(held) = self.exchange.sessions.get_mut(key) else { return };
+        let Some(held) = self.exchange.sessions.get_mut(key) else {
+            return;
+        };
         match effect {
             Effect::Connect { server } => {
                 let host = self.hosts.iter().find(|host| host.uid == server);
                 self.monitor.dials(n, self.now, server, host);
-                let conn = Conn { sess: key, number: n, dial, wire: Wire::Connecting };
+                let conn = Conn {
+                    sess: key,
+                    number: n,
+                    dial,
+                    wire: Wire::Connecting,
+                };
                 held.own.server = Some(self.conns.insert(conn));
             }
             Effect::Ask { wait } => self.monitor.asked(n, self.now, wait),
@@ -525,7 +637,8 @@
             Effect::Watch(None) => self.deadlines.clear(Due::Session(key)),
             Effect::Answer(answer) => {
                 if std::mem::replace(&mut held.own.client, false) {
-                    self.monitor.answers(n, self.now, matches!(answer, Answer::Busy(_)));
+                    self.monitor
+                        .answers(n, self.now, matches!(answer, Answer::Busy(_)));
                 } else {
                     self.monitor.answers_nobody(n);
                 }
@@ -557,23 +670,29 @@
         self.monitor.late(self.now);
         let sessions = &self.exchange.sessions;
         for (key, conn) in self.conns.iter() {
-            let held = sessions.get(conn.sess).filter(|held| held.own.server == Some(key));
+            let held = sessions
+                .get(conn.sess)
+                .filter(|held| held.own.server == Some(key));
             if held.is_none() {
-                self.monitor.left_behind(conn.number, "a connection that no session knows");
+                self.monitor
+                    .left_behind(conn.number, "a connection that no session knows");
             }
         }
         // A session without a connection and a deadline waits within the module for what probes tell; where
         // there are none, nothing is to come that could end it.
         for (key, held) in sessions.iter().filter(|_| !shape.may_probe) {
             if held.own.server.is_none() && !self.watched(|due| due == Due::Session(key)) {
-                self.monitor.left_behind(held.own.number, "a session that nothing will end");
+                self.monitor
+                    .left_behind(held.own.number, "a session that nothing will end");
             }
         }
         let stray = |due| matches!(due, Due::Session(key) if sessions.get(key).is_none());
         if self.watched(stray) {
-            self.monitor.left_behind(0, "a deadline of a session that is gone");
+            self.monitor
+                .left_behind(0, "a deadline of a session that is gone");
         }
-        if self.now > START + shape.arrivals() + shape.wait * 2 + GOING_DOWN && !self.over_or_open() {
+        if self.now > START + shape.arrivals() + shape.wait * 2 + GOING_DOWN && !self.over_or_open()
+        {
             self.monitor.left_behind(0, "a session long after its time");
         }
         self.monitor.verdict()
@@ -585,7 +704,10 @@
     }
 
     fn over_or_open(&self) -> bool {
-        self.exchange.sessions.iter().all(|(_, held)| held.life.stage == Stage::Open)
+        self.exchange
+            .sessions
+            .iter()
+            .all(|(_, held)| held.life.stage == Stage::Open)
     }
 }
 
--- a/check/tests/explore.rs
+++ b/check/tests/explore.rs
@@ -13,16 +13,25 @@
 #[test_case("four-dials")]
 #[test_case("cold")]
 fn a_small_shape_is_seen_whole_and_holds(name: &str) {
-    let limits = Limits { states: 60_000, ..Limits::default() };
+    let limits = Limits {
+        states: 60_000,
+        ..Limits::default()
+    };
     let explored = explore(Shape::find(name).unwrap(), limits);
-    let trace = explored.found.as_ref().map(|f| Trace::of(Shape::find(name).unwrap(), None, f).text());
+    let trace = explored
+        .found
+        .as_ref()
+        .map(|f| Trace::of(Shape::find(name).unwrap(), None, f).text());
     assert!(explored.found.is_none(), "{}", trace.unwrap_or_default());
     assert!(explored.states > 1_000, "{explored:?}");
 }
 
 #[test]
 fn exploring_twice_sees_the_same() {
-    let limits = Limits { depth: 6, ..Limits::default() };
+    let limits = Limits {
+        depth: 6,
+        ..Limits::default()
+    };
     let seen = |_| {
         let explored = explore(&SHAPES[0], limits);
         (explored.states, explored.steps, explored.left_out)
@@ -33,9 +42,16 @@
 #[test]
 fn walks_hold_and_are_the_same_for_the_same_seed() {
     let walked = walks(&WALK, 1, Duration::from_secs(4));
-    let found = walked.found.map(|(seed, f)| format!("{seed}: {}", Trace::of(&WALK, None, &f).text()));
+    let found = walked
+        .found
+        .map(|(seed, f)| format!("{seed}: {}", Trace::of(&WALK, None, &f).text()));
     assert!(found.is_none(), "{}", found.unwrap_or_default());
-    assert!(walked.whole * 2 > walked.walks, "few walks end: {} of {}", walked.whole, walked.walks);
+    assert!(
+        walked.whole * 2 > walked.walks,
+        "few walks end: {} of {}",
+        walked.whole,
+        walked.walks
+    );
     assert_eq!(walk(&WALK, 7).0, walk(&WALK, 7).0);
 }
 
@@ -45,11 +61,20 @@
     for nth in 0..400_usize {
         world.steps(&WALK, &mut steps);
         for step in &steps {
-            let what = Move { step: *step, chance: (nth % 4) as u8 };
+            let what = Move {
+                step: *step,
+                chance: (nth % 4) as u8,
+            };
             assert_eq!(what.to_string().parse(), Ok(what));
         }
-        let Some(step) = steps.get(nth * 7 % steps.len()) else { break };
-        let step = if *step == Step::Sigterm { Step::Due } else { *step };
+        let Some(step) = steps.get(nth * 7 % steps.len()) else {
+            break;
+        };
+        let step = if *step == Step::Sigterm {
+            Step::Due
+        } else {
+            *step
+        };
         world.make(&WALK, Move { step, chance: 0 }).unwrap();
     }
 }
@@ -82,7 +107,11 @@
 #[test]
 fn starts_after_a_power_loss_hold_in_every_order() {
     use asterramp_check::recovery::{ASKING, NONE, explore, late};
-    for (before, depth, least) in [(Vec::new(), 6, 20_000), (ASKING.to_vec(), 4, 3_000), (late(), 2, 50)] {
+    for (before, depth, least) in [
+        (Vec::new(), 6, 20_000),
+        (ASKING.to_vec(), 4, 3_000),
+        (late(), 2, 50),
+    ] {
         let explored = explore(&before, depth, NONE);
         assert!(explored.found.is_none(), "{:?}", explored.found);
         assert!(explored.states > least, "{explored:?}");
--- a/check/tests/fuzz.rs
+++ b/check/tests/fuzz.rs
@@ -16,13 +16,17 @@
     let leaf = prop_oneof![
         Just("null".to_string()),
         Just("true".to_string()),
-        any::<f64>().prop_filter("finite", |n| n.is_finite()).prop_map(|n| n.to_string()),
+        any::<f64>()
+            .prop_filter("finite", |n| n.is_finite())
+            .prop_map(|n| n.to_string()),
         "[-]?[0-9]{1,30}(\\.[0-9]{1,9})?(e[+-]?[0-9]{1,3})?",
-        "[a-z0-9 \\\\/\"\u{e9}\u{1f600}]{0,12}".prop_map(|s| format!("{:?}", s).replace("\\u{", "\\u00")),
+        "[a-z0-9 \\\\/\"\u{e9}\u{1f600}]{0,12}"
+            .prop_map(|s| format!("{:?}", s).replace("\\u{", "\\u00")),
     ];
     leaf.prop_recursive(6, 64, 6, |inner| {
         prop_oneof![
-            prop::collection::vec(inner.clone(), 0..6).prop_map(|all| format!("[{}]", all.join(","))),
+            prop::collection::vec(inner.clone(), 0..6)
+                .prop_map(|all| format!("[{}]", all.join(","))),
             prop::collection::vec(("[a-z]{1,6}", inner), 0..6).prop_map(|all| {
                 let pairs: Vec<String> = all.iter().map(|(k, v)| format!("\"{k}\":{v}")).collect();
                 format!("{{{}}}", pairs.join(","))
@@ -33,10 +37,20 @@
 
 /// A first line of a client, nearly right.
 fn open_line() -> impl Strategy<Value = String> {
-    let value = prop_oneof!["[0-9a-f]{1,20}", "[0-9.e+-]{1,12}", "[a-z]{0,8}", Just("\u{0}".to_string())];
+    let value = prop_oneof![
+        "[0-9a-f]{1,20}",
+        "[0-9.e+-]{1,12}",
+        "[a-z]{0,8}",
+        Just("\u{0}".to_string())
+    ];
     let pair = ("(c|t|d|g|r|again|at|h|x|)", value).prop_map(|(k, v)| format!("{k}={v}"));
     let list = prop::collection::vec(pair, 0..9).prop_map(|pairs| pairs.join(","));
-    ("(OPEN|PING|open|)", "[0-9a-z]{0,20}", "[0-9a-f]{0,20}", list)
+    (
+        "(OPEN|PING|open|)",
+        "[0-9a-z]{0,20}",
+        "[0-9a-f]{0,20}",
+        list,
+    )
         .prop_map(|(word, id, key, list)| format!("{word} {id} {key} {list}"))
 }
 
@@ -59,8 +73,15 @@
 
 /// As long as `PROPTEST_CASES` says.
 fn campaign() -> ProptestConfig {
-    let cases = std::env::var("PROPTEST_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(512);
-    ProptestConfig { cases, failure_persistence: None, ..ProptestConfig::default() }
+    let cases = std::env::var("PROPTEST_CASES")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(512);
+    ProptestConfig {
+        cases,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    }
 }
 
 /// Settings that are whole, of which a few are then replaced or taken out.
--- a/check/tests/planted.rs
+++ b/check/tests/planted.rs
@@ -19,14 +19,24 @@
 }
 
 /// Each is found by `explore`, whose way there is told.
-fn all_found<P: Copy + std::fmt::Debug, S>(all: &[P], explore: impl Fn(P) -> Option<(String, Vec<S>)>) {
+fn all_found<P: Copy + std::fmt::Debug, S>(
+    all: &[P],
+    explore: impl Fn(P) -> Option<(String, Vec<S>)>,
+) {
     let missed = all.iter().filter(|plant| {
         let found = explore(**plant);
-        let told = found.as_ref().map(|(what, way)| format!("{} steps: {what}", way.len()));
+        let told = found
+            .as_ref()
+            .map(|(what, way)| format!("{} steps: {what}", way.len()));
         println!("{plant:?}: {}", told.unwrap_or_default());
         found.is_none()
     });
-    assert!(missed.map(|plant| format!("{plant:?}")).collect::<Vec<_>>().is_empty());
+    assert!(
+        missed
+            .map(|plant| format!("{plant:?}"))
+            .collect::<Vec<_>>()
+            .is_empty()
+    );
 }
 
 #[test]
@@ -59,6 +69,8 @@
     use asterramp_check::owner::{explore, ways};
     use asterramp_fleet::Plant;
     all_found(&Plant::ALL, |plant| {
-        ways().into_iter().find_map(|before| explore(&before, 6, Some(plant)).found)
+        ways()
+            .into_iter()
+            .find_map(|before| explore(&before, 6, Some(plant)).found)
     });
 }
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -154,16 +154,24 @@
 
 impl Request {
     pub fn new(verb: Verb) -> Request {
-        Request { v: VERSION, verb, deadline_ms: None, pace: None, owner: None }
+        Request {
+            v: VERSION,
+            verb,
+            deadline_ms: None,
+            pace: None,
+            owner: None,
+        }
     }
 
     /// Reads a line; an error says what is wrong with it.
     pub fn read(line: &[u8]) -> Result<Request, String> {
-        let request: Request = serde_json::from_slice(line).map_err(|e| format!("not a request: {e}"))?;
+        let request: Request =
+            serde_json::from_slice(line).map_err(|e| format!("not a request: {e}"))?;
         if request.v != VERSION {
             return Err(format!("v is {}; this proxy speaks {VERSION}", request.v));
         }
-        if request.verb != Verb::Drain && (request.deadline_ms.is_some() || request.pace.is_some()) {
+        if request.verb != Verb::Drain && (request.deadline_ms.is_some() || request.pace.is_some())
+        {
             return Err("deadline_ms and pace go with drain".into());
         }
         if matches!(request.verb, Verb::Hear | Verb::Leave) && request.owner.is_none() {
@@ -172,7 +180,10 @@
         if request.deadline_ms.is_some_and(|ms| ms > 86_400_000) {
             return Err("deadline_ms is more than a day".into());
         }
-        if request.pace.is_some_and(|pace| !(0.1..=100_000.0).contains(&pace)) {
+        if request
+            .pace
+            .is_some_and(|pace| !(0.1..=100_000.0).contains(&pace))
+        {
             return Err("pace is out of range; allowed are 0.1 to 100000 a second".into());
         }
         Ok(request)
@@ -181,15 +192,30 @@
 
 impl Reply {
     pub fn status(status: Status) -> Reply {
-        Reply { v: VERSION, error: None, status: Some(status), text: None }
+        Reply {
+            v: VERSION,
+            error: None,
+            status: Some(status),
+            text: None,
+        }
     }
 
     pub fn error(what: impl Into<String>) -> Reply {
-        Reply { v: VERSION, error: Some(what.into()), status: None, text: None }
+        Reply {
+            v: VERSION,
+            error: Some(what.into()),
+            status: None,
+            text: None,
+        }
     }
 
     pub fn text(text: String) -> Reply {
-        Reply { v: VERSION, error: None, status: None, text: Some(text) }
+        Reply {
+            v: VERSION,
+            error: None,
+            status: None,
+            text: Some(text),
+        }
     }
 
     /// A line, its end included.
@@ -213,14 +239,20 @@
         let stream = UnixStream::connect(path).map_err(told)?;
         stream.set_read_timeout(Some(PATIENCE)).map_err(told)?;
         stream.set_write_timeout(Some(PATIENCE)).map_err(told)?;
-        Ok(Client { stream: BufReader::new(stream), path: path.to_path_buf() })
+        Ok(Client {
+            stream: BufReader::new(stream),
+            path: path.to_path_buf(),
+        })
     }
 
     /// Asks and waits for the answer.
     pub fn ask(&mut self, request: &Request) -> Result<Status, String> {
         let told = |e: &dyn std::fmt::Display| format!("{}: {e}", self.path.display());
         let line = serde_json::to_string(request).map_err(|e| told(&e))? + "\n";
-        self.stream.get_mut().write_all(line.as_bytes()).map_err(|e| told(&e))?;
+        self.stream
+            .get_mut()
+            .write_all(line.as_bytes())
+            .map_err(|e| told(&e))?;
         let mut answer = String::new();
         let mut bounded = (&mut self.stream).take(LONGEST_REPLY as u64);
         bounded.read_line(&mut answer).map_err(|e| told(&e))?;
--- a/drain/src/lib.rs
+++ b/drain/src/lib.rs
@@ -182,12 +182,19 @@
 
     /// Whether it serves and has done so for long enough that another may be drained.
     pub fn carries(&self, now: Duration) -> bool {
-        let back = self.back_since.is_none_or(|since| now.saturating_sub(since) >= self.terms.back);
+        let back = self
+            .back_since
+            .is_none_or(|since| now.saturating_sub(since) >= self.terms.back);
         self.state == State::Serving && back
     }
 
     /// Begins to empty the proxy, or changes the deadline and pace of a drain under way.
-    pub fn drain(&mut self, now: Duration, within: Duration, pace: Option<f64>) -> Result<(), Refusal> {
+    pub fn drain(
+        &mut self,
+        now: Duration,
+        within: Duration,
+        pace: Option<f64>,
+    ) -> Result<(), Refusal> {
         match self.state {
             State::Exiting => return Err(Refusal::Exiting),
             State::Serving => {
@@ -222,7 +229,9 @@
 
     /// Connections a second that it moves now.
     pub fn pace(&self, view: &View) -> f64 {
-        let absorbed = view.room.map_or(UNTOLD, |room| (room / FILLED_IN).max(CRAWL));
+        let absorbed = view
+            .room
+            .map_or(UNTOLD, |room| (room / FILLED_IN).max(CRAWL));
         self.pace.unwrap_or(absorbed).min(self.terms.pace)
     }
 
@@ -243,7 +252,10 @@
             (State::Closing, _) => {
                 let quiet = now.saturating_sub(view.last_came.max(self.began)) >= self.terms.quiet;
                 // A short drain has no time for a slow front.
-                let most = self.terms.closing.min(self.deadline.saturating_sub(self.began) / CLOSING_PART);
+                let most = self
+                    .terms
+                    .closing
+                    .min(self.deadline.saturating_sub(self.began) / CLOSING_PART);
                 let over = quiet || now >= self.began + most;
                 if !over {
                     return Advice::default();
@@ -267,7 +279,10 @@
             if view.pending == 0 {
                 self.state = State::Empty;
             }
-            return Advice { answer, ..Advice::default() };
+            return Advice {
+                answer,
+                ..Advice::default()
+            };
         }
         if self.state == State::Empty {
             self.state = State::Moving;
@@ -284,11 +299,19 @@
         // What hosts had no room for a moment ago is not owed to them in one burst.
         self.allowed = (self.allowed + pace.max(wanted.min(1e9)) * span).min(view.open as f64);
         let all = now + STEP >= self.deadline;
-        let moves = if all { view.open } else { self.allowed as usize };
+        let moves = if all {
+            view.open
+        } else {
+            self.allowed as usize
+        };
         self.allowed -= moves as f64;
         self.allowed = self.allowed.max(0.0);
         self.moved += moves as u64;
-        Advice { move_now: moves, answer, ..Advice::default() }
+        Advice {
+            move_now: moves,
+            answer,
+            ..Advice::default()
+        }
     }
 
     fn leave(&mut self, now: Duration, view: &View, exit: &Exit) -> Advice {
@@ -301,6 +324,11 @@
         let moves = if now < exit.moving { 0 } else { share };
         self.moved += moves as u64;
         let late = now >= exit.ends;
-        Advice { move_now: moves, answer: now >= exit.answered, exit: late || view.clients == 0, late }
+        Advice {
+            move_now: moves,
+            answer: now >= exit.answered,
+            exit: late || view.clients == 0,
+            late,
+        }
     }
 }
--- a/drain/tests/drain.rs
+++ b/drain/tests/drain.rs
@@ -23,11 +23,23 @@
 impl Played {
     fn new(open: usize, room: Option<f64>) -> Played {
         let drain = Drain::new(Terms::default());
-        Played { drain, now: START, open, room, moves: Vec::new(), states: Vec::new() }
+        Played {
+            drain,
+            now: START,
+            open,
+            room,
+            moves: Vec::new(),
+            states: Vec::new(),
+        }
     }
 
     fn view(&self) -> View {
-        View { open: self.open, clients: self.open, room: self.room, ..View::default() }
+        View {
+            open: self.open,
+            clients: self.open,
+            room: self.room,
+            ..View::default()
+        }
     }
 
     fn play(&mut self, span: Duration) -> &mut Played {
@@ -66,9 +78,21 @@
     assert_eq!((played.open, played.states.as_slice()), (0, states));
     assert_eq!(played.drain.moved(), open as u64);
     let second = 1_000 / STEP.as_millis() as usize;
-    let worst = played.moves.windows(second).map(|w| w.iter().sum::<usize>()).max().unwrap();
-    assert!(worst <= most + most / 8 + 1 && worst + 2 >= most.min(open), "{worst} in a second");
-    let last = played.moves.iter().rposition(|n| *n > 0).map_or(0, |at| at + 1);
+    let worst = played
+        .moves
+        .windows(second)
+        .map(|w| w.iter().sum::<usize>())
+        .max()
+        .unwrap();
+    assert!(
+        worst <= most + most / 8 + 1 && worst + 2 >= most.min(open),
+        "{worst} in a second"
+    );
+    let last = played
+        .moves
+        .iter()
+        .rposition(|n| *n > 0)
+        .map_or(0, |at| at + 1);
     assert!(STEP * last as u32 <= ms(deadline), "past its deadline");
 }
 
@@ -82,11 +106,20 @@
     for step in 1..200 {
         let now = START + STEP * step;
         let last_came = now.min(START + ms(1_500));
-        let view = View { open: 10, clients: 10, last_came, ..View::default() };
+        let view = View {
+            open: 10,
+            clients: 10,
+            last_came,
+            ..View::default()
+        };
         let _ = played.drain.advise(now, &view);
         at.extend((played.drain.state() != State::Closing).then_some(now));
     }
-    assert!((at[0] - START).abs_diff(ms(2_500)) <= STEP, "{:?}", at[0] - START);
+    assert!(
+        (at[0] - START).abs_diff(ms(2_500)) <= STEP,
+        "{:?}",
+        at[0] - START
+    );
 }
 
 #[test]
@@ -99,10 +132,17 @@
         played.drain.undrain(now).unwrap();
         let left = played.open;
         played.play(ms(3_000));
-        assert_eq!((played.open, played.drain.state()), (left, State::Serving), "nothing moves any more");
+        assert_eq!(
+            (played.open, played.drain.state()),
+            (left, State::Serving),
+            "nothing moves any more"
+        );
         assert!(played.drain.answers_pings() && !played.drain.carries(played.now));
         played.play(ms(7_100));
-        assert!(played.drain.carries(played.now), "long enough for the next one");
+        assert!(
+            played.drain.carries(played.now),
+            "long enough for the next one"
+        );
         let now = played.now;
         played.drain.drain(now, ms(8_000), None).unwrap();
         played.play(ms(8_000));
@@ -120,7 +160,10 @@
     let now = played.now;
     played.drain.drain(now, ms(4_000), None).unwrap();
     played.play(ms(100));
-    assert!(played.open < left && played.drain.state() == State::Late, "at once, and late");
+    assert!(
+        played.open < left && played.drain.state() == State::Late,
+        "at once, and late"
+    );
     played.play(ms(3_900));
     assert_eq!(played.open, 0);
 }
@@ -177,11 +220,20 @@
     let mut drain = Drain::new(Terms::default());
     drain.exit(exit(START));
     let shuts = drain.shuts_door(START + ms(after));
-    let advice = drain.advise(START + ms(after), &View { clients, ..View::default() });
+    let advice = drain.advise(
+        START + ms(after),
+        &View {
+            clients,
+            ..View::default()
+        },
+    );
     assert_eq!((shuts, advice.answer, advice.exit), does);
 }
 
 #[test]
 fn taking_back_what_does_not_drain_is_refused() {
-    assert_eq!(Drain::new(Terms::default()).undrain(START), Err(Refusal::NotDraining));
+    assert_eq!(
+        Drain::new(Terms::default()).undrain(START),
+        Err(Refusal::NotDraining)
+    );
 }
--- a/ephemeral/src/frame.rs
+++ b/ephemeral/src/frame.rs
@@ -33,9 +33,14 @@
     /// The next whole frame, without its length. A length beyond the longest is told as soon as it is there, before
     /// any of the frame is waited for.
     pub fn take(&mut self) -> Result<Option<&[u8]>, Fault> {
-        let Some(head) = self.bytes[self.start..].first_chunk::<4>() else { return Ok(None) };
+        let Some(head) = self.bytes[self.start..].first_chunk::<4>() else {
+            return Ok(None);
+        };
         let length = i32::from_be_bytes(*head);
-        let n = usize::try_from(length).ok().filter(|n| *n <= LONGEST).ok_or(Fault::Length(length))?;
+        let n = usize::try_from(length)
+            .ok()
+            .filter(|n| *n <= LONGEST)
+            .ok_or(Fault::Length(length))?;
         let from = self.start + 4;
         if self.bytes.len() < from + n {
             return Ok(None);
--- a/ephemeral/src/jute.rs
+++ b/ephemeral/src/jute.rs
@@ -90,7 +90,10 @@
     }
 
     /// A vector, each entry read by `one`; none at all counts as empty.
-    pub fn vector<T>(&mut self, one: impl Fn(&mut Self) -> Result<T, Fault>) -> Result<Vec<T>, Fault> {
+    pub fn vector<T>(
+        &mut self,
+        one: impl Fn(&mut Self) -> Result<T, Fault>,
+    ) -> Result<Vec<T>, Fault> {
         match self.int()? {
             -1 => Ok(Vec::new()),
             n if !(0..=MOST).contains(&n) => Err(Fault::Length(n)),
@@ -102,7 +105,11 @@
 
     /// Nothing may be left.
     pub fn end(&self) -> Result<(), Fault> {
-        if self.bytes.is_empty() { Ok(()) } else { Err(Fault::Left(self.left())) }
+        if self.bytes.is_empty() {
+            Ok(())
+        } else {
+            Err(Fault::Left(self.left()))
+        }
     }
 }
 
--- a/ephemeral/src/listing.rs
+++ b/ephemeral/src/listing.rs
@@ -62,7 +62,11 @@
 
 impl Default for Terms {
     fn default() -> Self {
-        Terms { flaps: 4, flap_span: Duration::from_secs(20), stays: Duration::from_secs(5) }
+        Terms {
+            flaps: 4,
+            flap_span: Duration::from_secs(20),
+            stays: Duration::from_secs(5),
+        }
     }
 }
 
@@ -97,13 +101,20 @@
 
 impl Listing {
     pub fn new(terms: Terms) -> Listing {
-        Listing { terms, ..Listing::default() }
+        Listing {
+            terms,
+            ..Listing::default()
+        }
     }
 
     /// How old the list is: nought while the store can be heard and the list was read.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         let heard = self.heard?;
-        Some(if self.up { Duration::ZERO } else { now.saturating_sub(heard) })
+        Some(if self.up {
+            Duration::ZERO
+        } else {
+            now.saturating_sub(heard)
+        })
     }
 
     /// The store cannot be heard, or our own session has lapsed: nothing is known to have changed.
@@ -125,7 +136,12 @@
         (self.heard, self.up) = (Some(now), true);
         let there: BTreeSet<&String> = children.iter().map(|child| &child.0).collect();
         let before = self.nodes.len();
-        let gone: Vec<String> = self.nodes.keys().filter(|name| !there.contains(name)).cloned().collect();
+        let gone: Vec<String> = self
+            .nodes
+            .keys()
+            .filter(|name| !there.contains(name))
+            .cloned()
+            .collect();
         self.unreadable.retain(|name| there.contains(name));
         for (name, node) in children {
             match node {
@@ -173,7 +189,13 @@
     }
 
     /// One node was deleted.
-    pub fn deleted(&mut self, now: Duration, name: &str, told: &mut Vec<Told>, remarks: &mut Vec<Remark>) {
+    pub fn deleted(
+        &mut self,
+        now: Duration,
+        name: &str,
+        told: &mut Vec<Told>,
+        remarks: &mut Vec<Remark>,
+    ) {
         self.nodes.remove(name);
         self.unreadable.remove(name);
         self.settle(now, told, remarks);
@@ -191,7 +213,9 @@
         let mut names: BTreeMap<&String, BTreeSet<String>> = BTreeMap::new();
         for (name, node) in &self.nodes {
             names.entry(&node.uid).or_default().insert(name.clone());
-            let newer = speaks.get(&node.uid).is_none_or(|(_, other)| node.boot >= other.boot);
+            let newer = speaks
+                .get(&node.uid)
+                .is_none_or(|(_, other)| node.boot >= other.boot);
             if newer {
                 speaks.insert(&node.uid, (name, node));
             }
@@ -210,7 +234,9 @@
             }
             // It comes, by its first node, or by another process under its name.
             if known.names.is_empty() {
-                known.came.retain(|at| now.saturating_sub(*at) < self.terms.flap_span);
+                known
+                    .came
+                    .retain(|at| now.saturating_sub(*at) < self.terms.flap_span);
                 known.came.push(now);
                 if known.came.len() >= self.terms.flaps {
                     known.held_until = Some(now + self.terms.stays);
@@ -226,10 +252,15 @@
                 (None, true) => Standing::Draining,
                 (None, false) => Standing::Ready,
             };
-            let same = known.told == standing && (standing == Standing::Gone || known.node == **node);
+            let same =
+                known.told == standing && (standing == Standing::Gone || known.node == **node);
             if !same {
                 let shown = (standing != Standing::Gone).then(|| (*node).clone());
-                told.push(Told { uid: (*uid).clone(), standing, node: shown });
+                told.push(Told {
+                    uid: (*uid).clone(),
+                    standing,
+                    node: shown,
+                });
             }
             (known.told, known.node) = (standing, (*node).clone());
         }
@@ -242,7 +273,11 @@
             known.held_until = None;
             if known.told != Standing::Gone {
                 known.told = Standing::Gone;
-                told.push(Told { uid: uid.clone(), standing: Standing::Gone, node: None });
+                told.push(Told {
+                    uid: uid.clone(),
+                    standing: Standing::Gone,
+                    node: None,
+                });
             }
         }
         self.forget(now);
@@ -255,7 +290,10 @@
         }
         let span = self.terms.flap_span;
         self.hosts.retain(|_, known| {
-            let young = known.came.last().is_some_and(|at| now.saturating_sub(*at) < span);
+            let young = known
+                .came
+                .last()
+                .is_some_and(|at| now.saturating_sub(*at) < span);
             known.told != Standing::Gone || !known.names.is_empty() || young
         });
     }
--- a/ephemeral/src/main.rs
+++ b/ephemeral/src/main.rs
@@ -33,7 +33,9 @@
 
 impl Shared {
     fn desk(&self) -> MutexGuard<'_, Desk> {
-        self.desk.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.desk
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 }
 
@@ -45,7 +47,10 @@
                 Effect::Send(conn, frame) if !self.mute => {
                     let mut bytes = (frame.len() as u32).to_be_bytes().to_vec();
                     bytes.extend(frame);
-                    let written = self.conns.get(&conn).map(|mut stream| stream.write_all(&bytes));
+                    let written = self
+                        .conns
+                        .get(&conn)
+                        .map(|mut stream| stream.write_all(&bytes));
                     if matches!(written, Some(Err(_))) {
                         self.close(conn);
                     }
@@ -102,7 +107,9 @@
         }
         let _ = stream.set_nodelay(true);
         let _ = stream.set_write_timeout(Some(Duration::from_millis(200)));
-        let Ok(own) = stream.try_clone() else { continue };
+        let Ok(own) = stream.try_clone() else {
+            continue;
+        };
         desk.next += 1;
         let conn = desk.next;
         desk.conns.insert(conn, own);
@@ -119,8 +126,17 @@
         std::process::exit(2);
     }
     let store = Store::new(LEAST, MOST);
-    let desk = Desk { store, conns: HashMap::new(), next: 0, mute: false, refuse: false };
-    let shared = Arc::new(Shared { desk: Mutex::new(desk), began: Instant::now() });
+    let desk = Desk {
+        store,
+        conns: HashMap::new(),
+        next: 0,
+        mute: false,
+        refuse: false,
+    };
+    let shared = Arc::new(Shared {
+        desk: Mutex::new(desk),
+        began: Instant::now(),
+    });
     for address in addresses {
         let door = match TcpListener::bind(&address) {
             Ok(door) => door,
@@ -129,7 +145,12 @@
                 std::process::exit(1);
             }
         };
-        println!("{}", door.local_addr().map(|at| at.to_string()).unwrap_or_default());
+        println!(
+            "{}",
+            door.local_addr()
+                .map(|at| at.to_string())
+                .unwrap_or_default()
+        );
         let shared = shared.clone();
         std::thread::spawn(move || listen(shared, door));
     }
@@ -151,12 +172,18 @@
             "accept" => desk.refuse = false,
             "expire" => {
                 let (sessions, mut out) = (desk.store.sessions().collect::<Vec<_>>(), Vec::new());
-                sessions.into_iter().for_each(|id| desk.store.end(id, &mut out));
+                sessions
+                    .into_iter()
+                    .for_each(|id| desk.store.end(id, &mut out));
                 desk.carry_out(out);
             }
-            "drop" => {
-                desk.conns.keys().copied().collect::<Vec<_>>().into_iter().for_each(|conn| desk.close(conn))
-            }
+            "drop" => desk
+                .conns
+                .keys()
+                .copied()
+                .collect::<Vec<_>>()
+                .into_iter()
+                .for_each(|conn| desk.close(conn)),
             other => eprintln!("asterramp-store: {other:?} is no fault"),
         }
         println!("done {}", line.trim());
--- a/ephemeral/src/record.rs
+++ b/ephemeral/src/record.rs
@@ -42,7 +42,12 @@
             r.boolean()?;
         }
         r.end()?;
-        Ok(Connect { last_zxid, timeout, session, password })
+        Ok(Connect {
+            last_zxid,
+            timeout,
+            session,
+            password,
+        })
     }
 }
 
@@ -72,7 +77,11 @@
             r.boolean()?;
         }
         r.end()?;
-        Ok(Connected { timeout, session, password })
+        Ok(Connected {
+            timeout,
+            session,
+            password,
+        })
     }
 }
 
@@ -170,7 +179,11 @@
 
     fn body(&self, out: &mut Vec<u8>) {
         match self {
-            Request::Create { path, data, ephemeral } => {
+            Request::Create {
+                path,
+                data,
+                ephemeral,
+            } => {
                 out.text(path);
                 out.buffer(Some(data));
                 out.vector(&[ALL], |out, rights| {
@@ -190,7 +203,11 @@
                 out.text(path);
                 out.boolean(*watch);
             }
-            Request::SetData { path, data, version } => {
+            Request::SetData {
+                path,
+                data,
+                version,
+            } => {
                 out.text(path);
                 out.buffer(Some(data));
                 out.int(*version);
@@ -201,7 +218,12 @@
                 out.text(scheme);
                 out.buffer(Some(secret));
             }
-            Request::SetWatches { since, data, exist, child } => {
+            Request::SetWatches {
+                since,
+                data,
+                exist,
+                child,
+            } => {
                 out.long(*since);
                 for paths in [data, exist, child] {
                     out.vector(paths, |out, path| out.text(path));
@@ -225,7 +247,11 @@
     pub fn read(bytes: &[u8]) -> Result<(i32, Request), Fault> {
         let mut r = Reader::new(bytes);
         let (xid, op) = (r.int()?, r.int()?);
-        let request = if op == op::MULTI { Self::read_multi(&mut r)? } else { Self::read_one(op, &mut r)? };
+        let request = if op == op::MULTI {
+            Self::read_multi(&mut r)?
+        } else {
+            Self::read_one(op, &mut r)?
+        };
         r.end()?;
         Ok((xid, request))
     }
@@ -254,24 +280,52 @@
                     r.text().map(drop)
                 })?;
                 match r.int()? {
-                    flags @ (0 | 1) => Request::Create { path, data, ephemeral: flags == 1 },
+                    flags @ (0 | 1) => Request::Create {
+                        path,
+                        data,
+                        ephemeral: flags == 1,
+                    },
                     other => return Err(Fault::Value(other)),
                 }
             }
-            op::DELETE => Request::Delete { path: path(r)?, version: r.int()? },
-            op::EXISTS => Request::Exists { path: path(r)?, watch: r.boolean()? },
-            op::GET_DATA => Request::GetData { path: path(r)?, watch: r.boolean()? },
-            op::SET_DATA => Request::SetData { path: path(r)?, data: data(r)?, version: r.int()? },
-            op::GET_CHILDREN => Request::GetChildren { path: path(r)?, watch: r.boolean()? },
+            op::DELETE => Request::Delete {
+                path: path(r)?,
+                version: r.int()?,
+            },
+            op::EXISTS => Request::Exists {
+                path: path(r)?,
+                watch: r.boolean()?,
+            },
+            op::GET_DATA => Request::GetData {
+                path: path(r)?,
+                watch: r.boolean()?,
+            },
+            op::SET_DATA => Request::SetData {
+                path: path(r)?,
+                data: data(r)?,
+                version: r.int()?,
+            },
+            op::GET_CHILDREN => Request::GetChildren {
+                path: path(r)?,
+                watch: r.boolean()?,
+            },
             op::PING => Request::Ping,
             op::CLOSE => Request::Close,
             op::AUTH => {
                 r.int()?;
-                Request::Auth { scheme: path(r)?, secret: data(r)? }
+                Request::Auth {
+                    scheme: path(r)?,
+                    secret: data(r)?,
+                }
             }
             op::SET_WATCHES => {
                 let (since, data, exist, child) = (r.long()?, texts(r)?, texts(r)?, texts(r)?);
-                Request::SetWatches { since, data, exist, child }
+                Request::SetWatches {
+                    since,
+                    data,
+                    exist,
+                    child,
+                }
             }
             other => return Err(Fault::Value(other)),
         })
@@ -295,7 +349,11 @@
     }
 
     pub fn read(r: &mut Reader) -> Result<Head, Fault> {
-        Ok(Head { xid: r.int()?, zxid: r.long()?, err: r.int()? })
+        Ok(Head {
+            xid: r.int()?,
+            zxid: r.long()?,
+            err: r.int()?,
+        })
     }
 }
 
@@ -365,7 +423,12 @@
 
 impl Stat {
     pub fn write(&self, out: &mut Vec<u8>) {
-        for long in [self.created, self.modified, self.created_ms, self.modified_ms] {
+        for long in [
+            self.created,
+            self.modified,
+            self.created_ms,
+            self.modified_ms,
+        ] {
             out.long(long);
         }
         for int in [self.version, self.child_version, self.acl_version] {
@@ -423,14 +486,27 @@
 
 impl Told {
     pub fn write(&self, out: &mut Vec<u8>) {
-        out.int(CHANGES.iter().find(|c| c.1 == self.what).map_or(-1, |c| c.0));
+        out.int(
+            CHANGES
+                .iter()
+                .find(|c| c.1 == self.what)
+                .map_or(-1, |c| c.0),
+        );
         out.int(self.state);
         out.text(&self.path);
     }
 
     pub fn read(r: &mut Reader) -> Result<Told, Fault> {
         let (what, state) = (r.int()?, r.int()?);
-        let what = CHANGES.iter().find(|c| c.0 == what).ok_or(Fault::Value(what))?.1;
-        Ok(Told { what, state, path: r.text()?.to_string() })
+        let what = CHANGES
+            .iter()
+            .find(|c| c.0 == what)
+            .ok_or(Fault::Value(what))?
+            .1;
+        Ok(Told {
+            what,
+            state,
+            path: r.text()?.to_string(),
+        })
     }
 }
--- a/ephemeral/src/session.rs
+++ b/ephemeral/src/session.rs
@@ -136,7 +136,9 @@
     /// When `tick` wants to be called next.
     pub fn due(&self) -> Duration {
         match self.state {
-            State::Connected => (self.sent + self.timeout / 3).min(self.heard + self.timeout * 2 / 3),
+            State::Connected => {
+                (self.sent + self.timeout / 3).min(self.heard + self.timeout * 2 / 3)
+            }
             State::Closed => Duration::MAX,
             _ => self.due,
         }
@@ -147,7 +149,11 @@
         if self.state != State::Connected || self.waiting.len() >= MOST {
             return None;
         }
-        self.xid = if self.xid == i32::MAX { 1 } else { self.xid + 1 };
+        self.xid = if self.xid == i32::MAX {
+            1
+        } else {
+            self.xid + 1
+        };
         self.send(now, self.xid, &request, out);
         self.waiting.insert(self.xid, request);
         Some(self.xid)
@@ -189,7 +195,11 @@
             State::Connecting | State::Greeting => {}
         }
         // Whether they were done nobody knows now.
-        out.extend(std::mem::take(&mut self.waiting).into_keys().map(|xid| Effect::Lost { xid }));
+        out.extend(
+            std::mem::take(&mut self.waiting)
+                .into_keys()
+                .map(|xid| Effect::Lost { xid }),
+        );
         self.state = State::Away;
         self.at = (self.at + 1) % self.terms.addresses.max(1);
         let pause = (PAUSE * (1 << self.failed.min(7))).min(LONGEST);
@@ -243,7 +253,11 @@
     }
 
     fn greeted(&mut self, now: Duration, frame: &[u8], out: &mut Vec<Effect>) -> Result<(), Fault> {
-        let Connected { timeout, session, password } = Connected::read(frame)?;
+        let Connected {
+            timeout,
+            session,
+            password,
+        } = Connected::read(frame)?;
         if timeout <= 0 {
             // Ours has lapsed; what others hold is not touched by that.
             (self.id, self.password, self.zxid) = (0, vec![0; 16], 0);
@@ -264,7 +278,17 @@
             self.watched = Default::default();
         } else if self.watched.iter().any(|paths| !paths.is_empty()) {
             let [data, exist, child] = self.watched.clone().map(Vec::from_iter);
-            self.send(now, XID_WATCHES, &Request::SetWatches { since: self.zxid, data, exist, child }, out);
+            self.send(
+                now,
+                XID_WATCHES,
+                &Request::SetWatches {
+                    since: self.zxid,
+                    data,
+                    exist,
+                    child,
+                },
+                out,
+            );
         }
         out.push(Effect::Up { new });
         Ok(())
@@ -277,7 +301,10 @@
         match head.xid {
             XID_PING | XID_AUTH | XID_WATCHES => {
                 if let Some(refused) = Refused::of(head.err) {
-                    out.push(Effect::Bad(format!("the store refuses {}: {refused:?}", head.xid)));
+                    out.push(Effect::Bad(format!(
+                        "the store refuses {}: {refused:?}",
+                        head.xid
+                    )));
                 }
                 return Ok(());
             }
@@ -291,7 +318,10 @@
             _ => {}
         }
         let Some(request) = self.waiting.remove(&head.xid) else {
-            out.push(Effect::Bad(format!("an answer to {}, which nobody asked", head.xid)));
+            out.push(Effect::Bad(format!(
+                "an answer to {}, which nobody asked",
+                head.xid
+            )));
             return Ok(());
         };
         let refused = Refused::of(head.err);
@@ -301,7 +331,10 @@
             Some(refused) => Err(refused),
             None => Ok(read(&request, &mut r)?),
         };
-        out.push(Effect::Answered { xid: head.xid, answer });
+        out.push(Effect::Answered {
+            xid: head.xid,
+            answer,
+        });
         Ok(())
     }
 
--- a/ephemeral/src/store.rs
+++ b/ephemeral/src/store.rs
@@ -3,7 +3,8 @@
 
 use crate::jute::{Fault, Write};
 use crate::record::{
-    ANY, Change, Connect, Connected, Head, Refused, Request, Stat, Told, XID_AUTH, XID_EVENT, XID_PING,
+    ANY, Change, Connect, Connected, Head, Refused, Request, Stat, Told, XID_AUTH, XID_EVENT,
+    XID_PING,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -91,13 +92,20 @@
     /// Ends sessions that said nothing for too long.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<Effect>) {
         let lapsed = |s: &Keeper| now >= s.heard + s.timeout;
-        let over: Vec<i64> = self.sessions.iter().filter(|(_, s)| lapsed(s)).map(|(id, _)| *id).collect();
+        let over: Vec<i64> = self
+            .sessions
+            .iter()
+            .filter(|(_, s)| lapsed(s))
+            .map(|(id, _)| *id)
+            .collect();
         over.into_iter().for_each(|id| self.end(id, out));
     }
 
     /// Ends a session: its nodes vanish, its connection is closed.
     pub fn end(&mut self, id: i64, out: &mut Vec<Effect>) {
-        let Some(session) = self.sessions.remove(&id) else { return };
+        let Some(session) = self.sessions.remove(&id) else {
+            return;
+        };
         for path in session.nodes {
             self.remove(&path, out);
         }
@@ -126,7 +134,9 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), Fault> {
         self.asked += 1;
-        let Some(id) = self.conns.get(&conn).copied() else { return self.connect(now, conn, frame, out) };
+        let Some(id) = self.conns.get(&conn).copied() else {
+            return self.connect(now, conn, frame, out);
+        };
         let (xid, request) = Request::read(frame)?;
         if let Some(session) = self.sessions.get_mut(&id) {
             session.heard = now;
@@ -149,7 +159,17 @@
         };
         out.append(&mut fired);
         let body = if err == 0 { body.as_slice() } else { &[] };
-        out.push(Effect::Send(conn, answer(Head { xid, zxid: self.zxid, err }, body)));
+        out.push(Effect::Send(
+            conn,
+            answer(
+                Head {
+                    xid,
+                    zxid: self.zxid,
+                    err,
+                },
+                body,
+            ),
+        ));
         Ok(())
     }
 
@@ -161,7 +181,10 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), Fault> {
         let asked = Connect::read(frame)?;
-        let known = self.sessions.get(&asked.session).filter(|s| s.password == asked.password);
+        let known = self
+            .sessions
+            .get(&asked.session)
+            .filter(|s| s.password == asked.password);
         let (id, connected) = match (asked.session, known) {
             (0, _) => {
                 let id = self.next;
@@ -172,7 +195,13 @@
                 let mixed = (id as u64 ^ 0x5bd1_e995).wrapping_mul(0x9e37_79b9_7f4a_7c15);
                 let password = [mixed.to_be_bytes(), mixed.rotate_left(29).to_be_bytes()].concat();
                 let nodes = BTreeSet::new();
-                let keeper = Keeper { password, timeout, heard: now, conn: None, nodes };
+                let keeper = Keeper {
+                    password,
+                    timeout,
+                    heard: now,
+                    conn: None,
+                    nodes,
+                };
                 self.sessions.insert(id, keeper);
                 (id, true)
             }
@@ -185,11 +214,18 @@
             out.extend([Effect::Send(conn, bytes), Effect::Close(conn)]);
             return Ok(());
         }
-        let Some(session) = self.sessions.get_mut(&id) else { return Ok(()) };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return Ok(());
+        };
         session.heard = now;
         let before = session.conn.replace(conn);
         let timeout = session.timeout.as_millis() as i32;
-        Connected { timeout, session: id, password: session.password.clone() }.write(&mut bytes);
+        Connected {
+            timeout,
+            session: id,
+            password: session.password.clone(),
+        }
+        .write(&mut bytes);
         if let Some(before) = before.filter(|before| *before != conn) {
             self.watches.retain(|watch| watch.2 != before);
             self.conns.remove(&before);
@@ -210,12 +246,20 @@
         fired: &mut Vec<Effect>,
     ) -> Result<(), Refused> {
         match request {
-            Request::Create { path, data, ephemeral } => {
+            Request::Create {
+                path,
+                data,
+                ephemeral,
+            } => {
                 self.create(now, id, path, data, *ephemeral, fired)?;
                 body.text(path);
             }
             Request::Delete { path, version } => self.delete(path, *version, fired)?,
-            Request::SetData { path, data, version } => {
+            Request::SetData {
+                path,
+                data,
+                version,
+            } => {
                 self.set(now, path, data, *version, fired)?;
                 self.nodes[path.as_str()].stat.write(body);
             }
@@ -238,7 +282,12 @@
                 stat.write(body);
                 self.keep(path, Kind::Children, conn, *watch);
             }
-            Request::SetWatches { since, data, exist, child } => {
+            Request::SetWatches {
+                since,
+                data,
+                exist,
+                child,
+            } => {
                 self.again(conn, *since, data, exist, child, fired);
             }
             Request::Multi(all) => self.multi(now, id, all, fired)?,
@@ -254,9 +303,16 @@
     }
 
     fn children(&self, path: &str) -> impl Iterator<Item = &str> {
-        let prefix = if path == "/" { "/".to_string() } else { format!("{path}/") };
+        let prefix = if path == "/" {
+            "/".to_string()
+        } else {
+            format!("{path}/")
+        };
         let length = prefix.len();
-        let below = self.nodes.range(prefix.clone()..).take_while(move |(p, _)| p.starts_with(&prefix));
+        let below = self
+            .nodes
+            .range(prefix.clone()..)
+            .take_while(move |(p, _)| p.starts_with(&prefix));
         let names = below.filter_map(move |(p, _)| p.get(length..));
         names.filter(|name| !name.is_empty() && !name.contains('/'))
     }
@@ -271,7 +327,10 @@
         fired: &mut Vec<Effect>,
     ) -> Result<(), Refused> {
         let name = path.rsplit('/').next().unwrap_or_default();
-        let plain = path.starts_with('/') && !name.is_empty() && !path.contains("//") && !path.contains('\0');
+        let plain = path.starts_with('/')
+            && !name.is_empty()
+            && !path.contains("//")
+            && !path.contains('\0');
         if !plain || data.len() > DATA || self.nodes.len() > NODES {
             return Err(Refused::BadArguments);
         }
@@ -296,7 +355,13 @@
             data_length: data.len() as i32,
             ..Stat::default()
         };
-        self.nodes.insert(path.to_string(), Node { data: data.to_vec(), stat });
+        self.nodes.insert(
+            path.to_string(),
+            Node {
+                data: data.to_vec(),
+                stat,
+            },
+        );
         if ephemeral && let Some(session) = self.sessions.get_mut(&id) {
             session.nodes.insert(path.to_string());
         }
@@ -316,7 +381,11 @@
     }
 
     fn delete(&mut self, path: &str, version: i32, fired: &mut Vec<Effect>) -> Result<(), Refused> {
-        let node = self.nodes.get(path).filter(|_| path != "/").ok_or(Refused::NoNode)?;
+        let node = self
+            .nodes
+            .get(path)
+            .filter(|_| path != "/")
+            .ok_or(Refused::NoNode)?;
         if version != ANY && version != node.stat.version {
             return Err(Refused::BadVersion);
         }
@@ -374,15 +443,26 @@
         all: &[Request],
         out: &mut Vec<Effect>,
     ) -> Result<(), Refused> {
-        let before = (self.nodes.clone(), self.sessions.clone(), self.watches.clone(), self.zxid);
+        let before = (
+            self.nodes.clone(),
+            self.sessions.clone(),
+            self.watches.clone(),
+            self.zxid,
+        );
         let mut fired = Vec::new();
         for request in all {
             let done = match request {
-                Request::Create { path, data, ephemeral } => {
-                    self.create(now, id, path, data, *ephemeral, &mut fired)
-                }
+                Request::Create {
+                    path,
+                    data,
+                    ephemeral,
+                } => self.create(now, id, path, data, *ephemeral, &mut fired),
                 Request::Delete { path, version } => self.delete(path, *version, &mut fired),
-                Request::SetData { path, data, version } => self.set(now, path, data, *version, &mut fired),
+                Request::SetData {
+                    path,
+                    data,
+                    version,
+                } => self.set(now, path, data, *version, &mut fired),
                 _ => Err(Refused::BadArguments),
             };
             if let Err(refused) = done {
@@ -464,7 +544,17 @@
 
 fn event(conn: Conn, what: Change, path: &str) -> Effect {
     let mut bytes = Vec::new();
-    Head { xid: XID_EVENT, zxid: -1, err: 0 }.write(&mut bytes);
-    Told { what, state: STANDS, path: path.to_string() }.write(&mut bytes);
+    Head {
+        xid: XID_EVENT,
+        zxid: -1,
+        err: 0,
+    }
+    .write(&mut bytes);
+    Told {
+        what,
+        state: STANDS,
+        path: path.to_string(),
+    }
+    .write(&mut bytes);
     Effect::Send(conn, bytes)
 }
--- a/ephemeral/tests/codec.rs
+++ b/ephemeral/tests/codec.rs
@@ -14,15 +14,21 @@
     for word in spec.split_whitespace() {
         match word.strip_prefix('"').and_then(|w| w.strip_suffix('"')) {
             Some(text) => out.extend(text.bytes()),
-            None => out
-                .extend((0..word.len()).step_by(2).map(|i| u8::from_str_radix(&word[i..i + 2], 16).unwrap())),
+            None => out.extend(
+                (0..word.len())
+                    .step_by(2)
+                    .map(|i| u8::from_str_radix(&word[i..i + 2], 16).unwrap()),
+            ),
         }
     }
     out
 }
 
 fn request(path: &str) -> Request {
-    Request::GetChildren { path: path.into(), watch: true }
+    Request::GetChildren {
+        path: path.into(),
+        watch: true,
+    }
 }
 
 #[test_case(XID_PING, Request::Ping, "fffffffe 0000000b"; "ping")]
@@ -53,20 +59,38 @@
 
 #[test]
 fn connecting_has_the_published_bytes_with_and_without_the_last() {
-    let connect = Connect { last_zxid: 1, timeout: 4_000, session: 2, password: vec![9; 2] };
+    let connect = Connect {
+        last_zxid: 1,
+        timeout: 4_000,
+        session: 2,
+        password: vec![9; 2],
+    };
     let mut out = Vec::new();
     connect.write(&mut out);
-    assert_eq!(out, bytes("00000000 0000000000000001 00000fa0 0000000000000002 00000002 0909 00"));
+    assert_eq!(
+        out,
+        bytes("00000000 0000000000000001 00000fa0 0000000000000002 00000002 0909 00")
+    );
     assert_eq!(
         (Connect::read(&out), Connect::read(&out[..out.len() - 1])),
         (Ok(connect.clone()), Ok(connect))
     );
-    let connected = Connected { timeout: 4_000, session: 2, password: vec![7] };
+    let connected = Connected {
+        timeout: 4_000,
+        session: 2,
+        password: vec![7],
+    };
     let mut out = Vec::new();
     connected.write(&mut out);
-    assert_eq!(out, bytes("00000000 00000fa0 0000000000000002 00000001 07 00"));
     assert_eq!(
-        (Connected::read(&out), Connected::read(&out[..out.len() - 1])),
+        out,
+        bytes("00000000 00000fa0 0000000000000002 00000001 07 00")
+    );
+    assert_eq!(
+        (
+            Connected::read(&out),
+            Connected::read(&out[..out.len() - 1])
+        ),
         (Ok(connected.clone()), Ok(connected))
     );
 }
@@ -74,18 +98,39 @@
 #[test]
 fn answers_and_events_have_the_published_bytes() {
     let mut out = Vec::new();
-    Head { xid: XID_EVENT, zxid: -1, err: 0 }.write(&mut out);
-    let told = Told { what: Change::Children, state: 3, path: "/hosts".into() };
+    Head {
+        xid: XID_EVENT,
+        zxid: -1,
+        err: 0,
+    }
+    .write(&mut out);
+    let told = Told {
+        what: Change::Children,
+        state: 3,
+        path: "/hosts".into(),
+    };
     told.write(&mut out);
-    assert_eq!(out, bytes("ffffffff ffffffffffffffff 00000000 00000004 00000003 00000006 \"/hosts\""));
+    assert_eq!(
+        out,
+        bytes("ffffffff ffffffffffffffff 00000000 00000004 00000003 00000006 \"/hosts\"")
+    );
     let mut r = Reader::new(&out);
     assert_eq!(Head::read(&mut r).map(|head| head.xid), Ok(XID_EVENT));
     assert_eq!((Told::read(&mut r), r.end()), (Ok(told), Ok(())));
-    let stat =
-        Stat { created: 1, version: 2, owner: 3, data_length: 4, child_modified: 5, ..Stat::default() };
+    let stat = Stat {
+        created: 1,
+        version: 2,
+        owner: 3,
+        data_length: 4,
+        child_modified: 5,
+        ..Stat::default()
+    };
     let mut out = Vec::new();
     stat.write(&mut out);
-    assert_eq!((out.len(), Stat::read(&mut Reader::new(&out))), (68, Ok(stat)));
+    assert_eq!(
+        (out.len(), Stat::read(&mut Reader::new(&out))),
+        (68, Ok(stat))
+    );
 }
 
 #[test_case(0, None; "done")]
--- a/ephemeral/tests/listing.rs
+++ b/ephemeral/tests/listing.rs
@@ -10,7 +10,14 @@
 
 fn node(uid: &str) -> Node {
     let (address, place) = ("127.0.0.1:9".into(), "a".into());
-    Node { uid: uid.into(), address, place, weight: 1.0, boot: Some(ms(5)), draining: false }
+    Node {
+        uid: uid.into(),
+        address,
+        place,
+        weight: 1.0,
+        boot: Some(ms(5)),
+        draining: false,
+    }
 }
 
 struct Played {
@@ -22,25 +29,33 @@
 impl Played {
     /// With hosts a, b and c, told.
     fn new() -> Played {
-        let mut played =
-            Played { listing: Listing::new(Terms::default()), told: Vec::new(), remarks: Vec::new() };
+        let mut played = Played {
+            listing: Listing::new(Terms::default()),
+            told: Vec::new(),
+            remarks: Vec::new(),
+        };
         played.whole(0, &["a", "b", "c"].map(|uid| (uid, Some(node(uid)))));
         assert_eq!(played.took(), ["a ready", "b ready", "c ready"]);
         played
     }
 
     fn whole(&mut self, at: u64, children: &[(&str, Option<Node>)]) {
-        let children: Vec<(String, Option<Node>)> =
-            children.iter().map(|(name, node)| (name.to_string(), node.clone())).collect();
-        self.listing.whole(ms(at), &children, &mut self.told, &mut self.remarks);
+        let children: Vec<(String, Option<Node>)> = children
+            .iter()
+            .map(|(name, node)| (name.to_string(), node.clone()))
+            .collect();
+        self.listing
+            .whole(ms(at), &children, &mut self.told, &mut self.remarks);
     }
 
     fn changed(&mut self, at: u64, name: &str, node: Option<Node>) {
-        self.listing.changed(ms(at), name, node, &mut self.told, &mut self.remarks);
+        self.listing
+            .changed(ms(at), name, node, &mut self.told, &mut self.remarks);
     }
 
     fn deleted(&mut self, at: u64, name: &str) {
-        self.listing.deleted(ms(at), name, &mut self.told, &mut self.remarks);
+        self.listing
+            .deleted(ms(at), name, &mut self.told, &mut self.remarks);
     }
 
     fn tick(&mut self, at: u64) {
@@ -54,7 +69,9 @@
             Standing::Draining => "draining",
             Standing::Gone => "gone",
         };
-        told.iter().map(|t| format!("{} {}", t.uid, word(t.standing))).collect()
+        told.iter()
+            .map(|t| format!("{} {}", t.uid, word(t.standing)))
+            .collect()
     }
 }
 
@@ -85,20 +102,39 @@
     played.whole(200, &[]);
     assert_eq!(
         (played.took(), played.remarks),
-        (vec!["a gone".into(), "c gone".into()], vec![Remark::AllGone])
+        (
+            vec!["a gone".into(), "c gone".into()],
+            vec![Remark::AllGone]
+        )
     );
 }
 
 #[test_case(Some(ms(5)), false, "b ready"; "the same process")]
 #[test_case(Some(ms(900)), false, "b ready"; "a newer one, which is cold")]
 #[test_case(Some(ms(5)), true, "b draining"; "draining")]
-fn a_node_back_within_a_second_is_told_as_gone_and_back(boot: Option<Duration>, draining: bool, back: &str) {
+fn a_node_back_within_a_second_is_told_as_gone_and_back(
+    boot: Option<Duration>,
+    draining: bool,
+    back: &str,
+) {
     let mut played = Played::new();
     played.deleted(100, "b");
-    played.changed(700, "b2", Some(Node { boot, draining, ..node("b") }));
+    played.changed(
+        700,
+        "b2",
+        Some(Node {
+            boot,
+            draining,
+            ..node("b")
+        }),
+    );
     assert_eq!(played.took(), ["b gone", back]);
-    let boots: Vec<Option<Duration>> =
-        played.told.iter().filter_map(|t| t.node.as_ref()).map(|n| n.boot).collect();
+    let boots: Vec<Option<Duration>> = played
+        .told
+        .iter()
+        .filter_map(|t| t.node.as_ref())
+        .map(|n| n.boot)
+        .collect();
     assert!(boots.iter().all(|b| *b == boot));
 }
 
@@ -107,9 +143,23 @@
     let mut played = Played::new();
     played.changed(100, "b", None);
     played.changed(200, "b", None);
-    played.whole(300, &[("a", Some(node("a"))), ("b", None), ("c", Some(node("c"))), ("odd", None)]);
+    played.whole(
+        300,
+        &[
+            ("a", Some(node("a"))),
+            ("b", None),
+            ("c", Some(node("c"))),
+            ("odd", None),
+        ],
+    );
     assert!(played.took().is_empty());
-    assert_eq!(played.remarks, [Remark::Unreadable("b".into()), Remark::Unreadable("odd".into())]);
+    assert_eq!(
+        played.remarks,
+        [
+            Remark::Unreadable("b".into()),
+            Remark::Unreadable("odd".into())
+        ]
+    );
     played.deleted(400, "b");
     assert_eq!(played.took(), ["b gone"], "its node went, read or not");
 }
@@ -117,12 +167,29 @@
 #[test]
 fn of_two_nodes_of_one_host_the_newer_process_speaks_and_it_stays_while_one_is_there() {
     let mut played = Played::new();
-    let newer = Node { boot: Some(ms(900)), address: "127.0.0.1:10".into(), ..node("b") };
+    let newer = Node {
+        boot: Some(ms(900)),
+        address: "127.0.0.1:10".into(),
+        ..node("b")
+    };
     played.changed(1_000, "b-2", Some(newer.clone()));
-    assert_eq!(played.told, [Told { uid: "b".into(), standing: Standing::Ready, node: Some(newer) }]);
-    assert_eq!((played.took().len(), &played.remarks[..]), (1, &[Remark::Twice("b".into())][..]));
+    assert_eq!(
+        played.told,
+        [Told {
+            uid: "b".into(),
+            standing: Standing::Ready,
+            node: Some(newer)
+        }]
+    );
+    assert_eq!(
+        (played.took().len(), &played.remarks[..]),
+        (1, &[Remark::Twice("b".into())][..])
+    );
     played.deleted(2_000, "b");
-    assert!(played.took().is_empty(), "the old process's node lapses late");
+    assert!(
+        played.took().is_empty(),
+        "the old process's node lapses late"
+    );
     played.deleted(3_000, "b-2");
     assert_eq!(played.took(), ["b gone"]);
 }
@@ -134,7 +201,10 @@
         played.deleted(round * 1_000, "b");
         played.changed(round * 1_000 + 500, "b", Some(node("b")));
     }
-    assert_eq!(played.took(), ["b gone", "b ready", "b gone", "b ready", "b gone"]);
+    assert_eq!(
+        played.took(),
+        ["b gone", "b ready", "b gone", "b ready", "b gone"]
+    );
     assert_eq!(played.remarks, [Remark::Flaps("b".into())]);
     played.tick(8_000);
     assert!(played.took().is_empty());
@@ -146,10 +216,24 @@
 fn a_change_of_what_a_node_says_is_told_once() {
     let mut played = Played::new();
     for _ in 0..2 {
-        played.changed(100, "a", Some(Node { weight: 2.0, ..node("a") }));
+        played.changed(
+            100,
+            "a",
+            Some(Node {
+                weight: 2.0,
+                ..node("a")
+            }),
+        );
     }
     assert_eq!(played.took(), ["a ready"]);
-    played.changed(200, "a", Some(Node { draining: true, ..node("a") }));
+    played.changed(
+        200,
+        "a",
+        Some(Node {
+            draining: true,
+            ..node("a")
+        }),
+    );
     played.changed(300, "a", Some(node("a")));
     assert_eq!(played.took(), ["a draining", "a ready"]);
 }
--- a/ephemeral/tests/session.rs
+++ b/ephemeral/tests/session.rs
@@ -22,9 +22,17 @@
 impl Played {
     fn new(addresses: usize) -> Played {
         let mut out = Vec::new();
-        let terms = Terms { addresses, timeout: ms(3_000), auth: None };
+        let terms = Terms {
+            addresses,
+            timeout: ms(3_000),
+            auth: None,
+        };
         let session = Session::new(ms(0), terms, 4, &mut out);
-        Played { session, now: ms(0), out }
+        Played {
+            session,
+            now: ms(0),
+            out,
+        }
     }
 
     fn took(&mut self) -> Vec<Effect> {
@@ -35,13 +43,20 @@
     fn greet(&mut self, session: i64, timeout: i32) -> Connect {
         self.session.connected(self.now, &mut self.out);
         let sent = self.took();
-        let Some(Effect::Send(bytes)) = sent.last() else { panic!("{sent:?}") };
+        let Some(Effect::Send(bytes)) = sent.last() else {
+            panic!("{sent:?}")
+        };
         let mut frames = Frames::default();
         frames.push(bytes);
         let connect = Connect::read(frames.take().unwrap().unwrap()).unwrap();
         let mut bytes = Vec::new();
         framed(&mut bytes, |out| {
-            Connected { timeout, session, password: vec![session as u8; 16] }.write(out)
+            Connected {
+                timeout,
+                session,
+                password: vec![session as u8; 16],
+            }
+            .write(out)
         });
         self.session.bytes(self.now, &bytes, &mut self.out);
         connect
@@ -53,7 +68,10 @@
     }
 
     fn ask(&mut self, request: Request) -> i32 {
-        let xid = self.session.ask(self.now, request, &mut self.out).expect("a session stands");
+        let xid = self
+            .session
+            .ask(self.now, request, &mut self.out)
+            .expect("a session stands");
         self.took();
         xid
     }
@@ -83,7 +101,10 @@
 }
 
 fn children(path: &str) -> Request {
-    Request::GetChildren { path: path.into(), watch: true }
+    Request::GetChildren {
+        path: path.into(),
+        watch: true,
+    }
 }
 
 #[test]
@@ -96,14 +117,30 @@
         out.vector(&["a", "b"], |out, name| out.text(name));
         Stat::default().write(out);
     });
-    let answer = Ok(Answer::Children(vec!["a".into(), "b".into()], Stat::default()));
+    let answer = Ok(Answer::Children(
+        vec!["a".into(), "b".into()],
+        Stat::default(),
+    ));
     assert_eq!(played.took(), [Effect::Answered { xid, answer }]);
-    let told = Told { what: Change::Children, state: 3, path: "/hosts".into() };
+    let told = Told {
+        what: Change::Children,
+        state: 3,
+        path: "/hosts".into(),
+    };
     played.say(XID_EVENT, -1, 0, |out| told.write(out));
     assert_eq!(played.took(), [Effect::Told(told)]);
-    let xid = played.ask(Request::GetData { path: "/none".into(), watch: false });
+    let xid = played.ask(Request::GetData {
+        path: "/none".into(),
+        watch: false,
+    });
     played.say(xid, 10, -101, |_| ());
-    assert_eq!(played.took(), [Effect::Answered { xid, answer: Err(Refused::NoNode) }]);
+    assert_eq!(
+        played.took(),
+        [Effect::Answered {
+            xid,
+            answer: Err(Refused::NoNode)
+        }]
+    );
 }
 
 #[test]
@@ -116,20 +153,44 @@
         out.vector(&[], |out: &mut Vec<u8>, name: &&str| out.text(name));
         Stat::default().write(out);
     });
-    let open = played.ask(Request::Exists { path: "/x".into(), watch: true });
+    let open = played.ask(Request::Exists {
+        path: "/x".into(),
+        watch: true,
+    });
     played.took();
     played.session.broken(played.now, &mut played.out);
-    assert_eq!(played.took(), [Effect::Down, Effect::Lost { xid: open }, Effect::Drop]);
-    assert!(played.session.ask(played.now, children("/y"), &mut played.out).is_none());
+    assert_eq!(
+        played.took(),
+        [Effect::Down, Effect::Lost { xid: open }, Effect::Drop]
+    );
+    assert!(
+        played
+            .session
+            .ask(played.now, children("/y"), &mut played.out)
+            .is_none()
+    );
     played.wait(State::Connecting);
     assert_eq!(played.took(), [Effect::Connect(2)], "the next address");
     let connect = played.greet(5, 3_000);
-    assert_eq!((connect.session, connect.last_zxid, connect.password), (5, 77, vec![5; 16]));
+    assert_eq!(
+        (connect.session, connect.last_zxid, connect.password),
+        (5, 77, vec![5; 16])
+    );
     let took = played.took();
-    let [Effect::Send(watches), Effect::Up { new: false }] = &took[..] else { panic!("{took:?}") };
+    let [Effect::Send(watches), Effect::Up { new: false }] = &took[..] else {
+        panic!("{took:?}")
+    };
     let (_, again) = Request::read(&watches[4..]).unwrap();
     let child = vec!["/hosts".to_string()];
-    assert_eq!(again, Request::SetWatches { since: 77, data: vec![], exist: vec![], child });
+    assert_eq!(
+        again,
+        Request::SetWatches {
+            since: 77,
+            data: vec![],
+            exist: vec![],
+            child
+        }
+    );
 }
 
 #[test]
@@ -157,9 +218,14 @@
     played.wait(State::Away);
     assert_eq!(played.now, ms(2_000));
     let took = played.took();
-    let pings =
-        took.iter().filter(|e| matches!(e, Effect::Send(bytes) if bytes[4..8] == [255, 255, 255, 254]));
-    assert_eq!((pings.count(), took.contains(&Effect::Down)), (1, true), "{took:?}");
+    let pings = took
+        .iter()
+        .filter(|e| matches!(e, Effect::Send(bytes) if bytes[4..8] == [255, 255, 255, 254]));
+    assert_eq!(
+        (pings.count(), took.contains(&Effect::Down)),
+        (1, true),
+        "{took:?}"
+    );
 }
 
 #[test]
@@ -174,7 +240,10 @@
     }
     assert!(pauses[0] <= ms(75) && pauses[6] >= ms(1_600), "{pauses:?}");
     assert!(pauses.iter().all(|pause| *pause <= ms(7_500)), "{pauses:?}");
-    assert!(pauses[10..].windows(2).all(|w| w[0] != w[1]), "spread: {pauses:?}");
+    assert!(
+        pauses[10..].windows(2).all(|w| w[0] != w[1]),
+        "spread: {pauses:?}"
+    );
 }
 
 #[test_case(&[0x7f, 0xff, 0xff, 0xff]; "a frame beyond the longest")]
@@ -186,7 +255,10 @@
     played.up();
     played.session.bytes(played.now, bytes, &mut played.out);
     let took = played.took();
-    assert!(matches!(took[..], [Effect::Bad(_), Effect::Down, Effect::Drop]), "{took:?}");
+    assert!(
+        matches!(took[..], [Effect::Bad(_), Effect::Down, Effect::Drop]),
+        "{took:?}"
+    );
     played.wait(State::Connecting);
     assert_eq!(played.greet(5, 3_000).session, 5);
 }
@@ -198,8 +270,13 @@
     played.up();
     played.session.close(played.now, &mut played.out);
     let took = played.took();
-    assert!(matches!(&took[..], [Effect::Send(bytes), Effect::Drop] if bytes[8..] == [255, 255, 255, 245]));
+    assert!(
+        matches!(&took[..], [Effect::Send(bytes), Effect::Drop] if bytes[8..] == [255, 255, 255, 245])
+    );
     played.session.broken(played.now, &mut played.out);
     played.session.tick(ms(60_000), &mut played.out);
-    assert_eq!((played.took(), played.session.due()), (vec![], Duration::MAX));
+    assert_eq!(
+        (played.took(), played.session.due()),
+        (vec![], Duration::MAX)
+    );
 }
--- a/ephemeral/tests/together.rs
+++ b/ephemeral/tests/together.rs
@@ -41,10 +41,19 @@
         };
         for seed in 0..clients {
             let mut out = Vec::new();
-            let terms = Terms { addresses: 2, timeout: ms(3_000), auth: None };
+            let terms = Terms {
+                addresses: 2,
+                timeout: ms(3_000),
+                auth: None,
+            };
             let session = Session::new(net.now, terms, seed as u64 + 1, &mut out);
-            let client =
-                Client { session, conn: None, frames: Frames::default(), sleeps: false, heard: Vec::new() };
+            let client = Client {
+                session,
+                conn: None,
+                frames: Frames::default(),
+                sleeps: false,
+                heard: Vec::new(),
+            };
             net.clients.push(client);
             net.carry(seed, out);
         }
@@ -76,7 +85,11 @@
         }
     }
 
-    fn event(&mut self, nth: usize, act: impl FnOnce(&mut Session, Duration, &mut Vec<session::Effect>)) {
+    fn event(
+        &mut self,
+        nth: usize,
+        act: impl FnOnce(&mut Session, Duration, &mut Vec<session::Effect>),
+    ) {
         let mut out = Vec::new();
         act(&mut self.clients[nth].session, self.now, &mut out);
         self.carry(nth, out);
@@ -84,7 +97,9 @@
 
     /// A client's bytes at the store.
     fn arrive(&mut self, nth: usize, bytes: &[u8]) {
-        let Some(conn) = self.clients[nth].conn.filter(|_| self.reaches) else { return };
+        let Some(conn) = self.clients[nth].conn.filter(|_| self.reaches) else {
+            return;
+        };
         self.clients[nth].frames.push(bytes);
         while let Some(frame) = self.clients[nth].frames.take().unwrap().map(<[u8]>::to_vec) {
             let mut out = Vec::new();
@@ -100,7 +115,9 @@
                 Effect::Send(conn, _) | Effect::Close(conn) => *conn,
             };
             let awake = |c: &Client| c.conn == Some(conn) && !c.sleeps;
-            let Some(nth) = self.clients.iter().position(awake) else { continue };
+            let Some(nth) = self.clients.iter().position(awake) else {
+                continue;
+            };
             match effect {
                 Effect::Send(_, frame) => {
                     let mut bytes = (frame.len() as u32).to_be_bytes().to_vec();
@@ -134,11 +151,14 @@
     /// Asks and hears the answer.
     fn ask(&mut self, nth: usize, request: Request) -> Result<Answer, Refused> {
         let mut asked = None;
-        self.event(nth, |session, now, out| asked = session.ask(now, request, out));
+        self.event(nth, |session, now, out| {
+            asked = session.ask(now, request, out)
+        });
         let asked = asked.expect("a session stands");
         let heard = &mut self.clients[nth].heard;
-        let at =
-            heard.iter().position(|e| matches!(e, session::Effect::Answered { xid, .. } if *xid == asked));
+        let at = heard
+            .iter()
+            .position(|e| matches!(e, session::Effect::Answered { xid, .. } if *xid == asked));
         match heard.remove(at.expect("an answer")) {
             session::Effect::Answered { answer, .. } => answer,
             _ => unreachable!(),
@@ -146,7 +166,13 @@
     }
 
     fn children(&mut self, nth: usize, path: &str) -> Vec<String> {
-        match self.ask(nth, Request::GetChildren { path: path.into(), watch: true }) {
+        match self.ask(
+            nth,
+            Request::GetChildren {
+                path: path.into(),
+                watch: true,
+            },
+        ) {
             Ok(Answer::Children(children, _)) => children,
             other => panic!("{other:?}"),
         }
@@ -163,12 +189,20 @@
     }
 
     fn heard(&self, nth: usize, effect: &session::Effect) -> usize {
-        self.clients[nth].heard.iter().filter(|e| *e == effect).count()
+        self.clients[nth]
+            .heard
+            .iter()
+            .filter(|e| *e == effect)
+            .count()
     }
 }
 
 fn create(path: &str, ephemeral: bool) -> Request {
-    Request::Create { path: path.into(), data: b"{}".to_vec(), ephemeral }
+    Request::Create {
+        path: path.into(),
+        data: b"{}".to_vec(),
+        ephemeral,
+    }
 }
 
 /// Two hosts that keep nodes, and a third client that watches.
@@ -194,7 +228,14 @@
     assert_eq!(heard, [(Change::Children, "/hosts".to_string())]);
     assert_eq!(net.children(2, "/hosts"), ["b"]);
     net.told(2);
-    net.ask(1, Request::Delete { path: "/hosts/b".into(), version: ANY }).unwrap();
+    net.ask(
+        1,
+        Request::Delete {
+            path: "/hosts/b".into(),
+            version: ANY,
+        },
+    )
+    .unwrap();
     assert_eq!(net.told(2).len(), 1);
     net.ask(1, create("/hosts/b", true)).unwrap();
     assert_eq!(net.told(2), [], "the watch was not set again");
@@ -216,8 +257,19 @@
         assert_eq!(net.heard(nth, &session::Effect::Up { new: false }), 1);
     }
     net.told(2);
-    net.ask(0, Request::Delete { path: "/hosts/a".into(), version: ANY }).unwrap();
-    assert_eq!(net.told(2), [(Change::Children, "/hosts".to_string())], "its watch was set again");
+    net.ask(
+        0,
+        Request::Delete {
+            path: "/hosts/a".into(),
+            version: ANY,
+        },
+    )
+    .unwrap();
+    assert_eq!(
+        net.told(2),
+        [(Change::Children, "/hosts".to_string())],
+        "its watch was set again"
+    );
 }
 
 #[test]
@@ -225,7 +277,14 @@
     let mut net = site();
     let conn = net.clients[2].conn.take();
     net.store.gone(conn.unwrap());
-    net.ask(0, Request::Delete { path: "/hosts/a".into(), version: ANY }).unwrap();
+    net.ask(
+        0,
+        Request::Delete {
+            path: "/hosts/a".into(),
+            version: ANY,
+        },
+    )
+    .unwrap();
     net.event(2, |session, now, out| session.broken(now, out));
     net.pass(ms(500));
     assert_eq!(net.told(2), [(Change::Children, "/hosts".to_string())]);
@@ -241,14 +300,21 @@
     net.pass(ms(1_000));
     assert_eq!(net.heard(2, &session::Effect::Expired), 1);
     assert_eq!(net.heard(2, &session::Effect::Up { new: true }), 1);
-    assert_eq!(net.children(2, "/hosts"), ["a", "b"], "the hosts' sessions are their own");
+    assert_eq!(
+        net.children(2, "/hosts"),
+        ["a", "b"],
+        "the hosts' sessions are their own"
+    );
 }
 
 #[test]
 fn closing_takes_the_node_away_at_once() {
     let mut net = site();
     net.event(0, |session, now, out| session.close(now, out));
-    assert_eq!((net.told(2).len(), net.clients[0].session.state()), (1, State::Closed));
+    assert_eq!(
+        (net.told(2).len(), net.clients[0].session.state()),
+        (1, State::Closed)
+    );
     assert_eq!(net.children(2, "/hosts"), ["b"]);
 }
 
@@ -263,28 +329,50 @@
 fn what_cannot_be_done_is_refused_and_changes_nothing(request: Request, refused: Refused) {
     let mut net = site();
     let before = net.store.nodes();
-    assert_eq!((net.ask(2, request), net.store.nodes()), (Err(refused), before));
+    assert_eq!(
+        (net.ask(2, request), net.store.nodes()),
+        (Err(refused), before)
+    );
 }
 
 #[test]
 fn a_node_that_is_not_there_yet_is_told_when_it_comes() {
     let mut net = site();
-    let exists = Request::Exists { path: "/hosts/c".into(), watch: true };
+    let exists = Request::Exists {
+        path: "/hosts/c".into(),
+        watch: true,
+    };
     assert_eq!(net.ask(2, exists), Err(Refused::NoNode));
     net.ask(0, create("/hosts/c", true)).unwrap();
     let told = net.told(2);
-    assert_eq!(told, [(Change::Created, "/hosts/c".to_string()), (Change::Children, "/hosts".to_string())]);
+    assert_eq!(
+        told,
+        [
+            (Change::Created, "/hosts/c".to_string()),
+            (Change::Children, "/hosts".to_string())
+        ]
+    );
 }
 
 #[test]
 fn data_changes_are_told_with_their_versions() {
     let mut net = site();
-    let read = |net: &mut Net| match net.ask(2, Request::GetData { path: "/hosts/a".into(), watch: true }) {
+    let read = |net: &mut Net| match net.ask(
+        2,
+        Request::GetData {
+            path: "/hosts/a".into(),
+            watch: true,
+        },
+    ) {
         Ok(Answer::Data(data, stat)) => (data, stat.version, stat.owner != 0),
         other => panic!("{other:?}"),
     };
     assert_eq!(read(&mut net), (b"{}".to_vec(), 0, true));
-    let set = Request::SetData { path: "/hosts/a".into(), data: b"[]".to_vec(), version: 0 };
+    let set = Request::SetData {
+        path: "/hosts/a".into(),
+        data: b"[]".to_vec(),
+        version: 0,
+    };
     net.ask(0, set.clone()).unwrap();
     assert_eq!(net.told(2), [(Change::Data, "/hosts/a".to_string())]);
     assert_eq!(read(&mut net), (b"[]".to_vec(), 1, true));
--- a/fleet/src/fence.rs
+++ b/fleet/src/fence.rs
@@ -72,18 +72,27 @@
     }
 
     pub fn ticket(&self, now: Duration) -> Ticket {
-        Ticket { boot: self.boot, clock: now }
+        Ticket {
+            boot: self.boot,
+            clock: now,
+        }
     }
 
     /// Whether an order still counts; one that does is the newest heard.
     pub fn check(&mut self, now: Duration, order: &Order) -> Result<(), Refused> {
         match () {
             () if order.term == 0 => Err(Refused::NoTerm),
-            () if order.boot != self.boot && !planted!(self, AnyProcess) => Err(Refused::OtherProcess),
+            () if order.boot != self.boot && !planted!(self, AnyProcess) => {
+                Err(Refused::OtherProcess)
+            }
             () if now >= order.until && !planted!(self, LateCounts) => Err(Refused::Late),
             () if order.term < self.highest && !planted!(self, OlderCounts) => Err(Refused::Older),
             () => {
-                self.highest = if planted!(self, TermNotKept) { self.highest } else { order.term };
+                self.highest = if planted!(self, TermNotKept) {
+                    self.highest
+                } else {
+                    order.term
+                };
                 Ok(())
             }
         }
--- a/fleet/src/owner.rs
+++ b/fleet/src/owner.rs
@@ -87,8 +87,16 @@
         if self.state == State::Away {
             return;
         }
-        let from = if planted!(self, LeaseFromAnswer) { now } else { asked };
-        let margin = if planted!(self, NoMargin) { Duration::ZERO } else { self.terms.margin };
+        let from = if planted!(self, LeaseFromAnswer) {
+            now
+        } else {
+            asked
+        };
+        let margin = if planted!(self, NoMargin) {
+            Duration::ZERO
+        } else {
+            self.terms.margin
+        };
         self.lease = self.lease.max(from + self.terms.timeout - margin);
     }
 
@@ -100,7 +108,11 @@
             (State::Queued, true) => {
                 // The one before may have been taken out of the queue before its time was over.
                 self.begins = now + self.terms.timeout;
-                if planted!(self, BeginsAtOnce) { State::Owns } else { State::Waiting }
+                if planted!(self, BeginsAtOnce) {
+                    State::Owns
+                } else {
+                    State::Waiting
+                }
             }
             (state @ (State::Waiting | State::Owns), true) => state,
             (_, false) => State::Queued,
@@ -129,23 +141,49 @@
 
     /// An order for a receiver whose ticket came at `came`, if this may act now: until its own end at most. Asking to be heard is
     /// allowed before it begins.
-    pub fn order(&mut self, now: Duration, ticket: Ticket, came: Duration, hear: bool) -> Option<Order> {
+    pub fn order(
+        &mut self,
+        now: Duration,
+        ticket: Ticket,
+        came: Duration,
+        hear: bool,
+    ) -> Option<Order> {
         self.tick(now);
         let may = self.state == State::Owns || hear && self.state == State::Waiting;
-        let lasts = if planted!(self, NoLease) { now + self.terms.timeout } else { self.lease };
+        let lasts = if planted!(self, NoLease) {
+            now + self.terms.timeout
+        } else {
+            self.lease
+        };
         if !may || now >= lasts {
             return None;
         }
         // The clock was read before the ticket came, so this is never too late.
-        let left =
-            if planted!(self, NoEnd) { Duration::from_secs(1 << 20) } else { lasts.saturating_sub(came) };
-        let until = if planted!(self, OwnClock) { lasts } else { ticket.clock + left };
-        Some(Order { term: self.term, boot: ticket.boot, until })
+        let left = if planted!(self, NoEnd) {
+            Duration::from_secs(1 << 20)
+        } else {
+            lasts.saturating_sub(came)
+        };
+        let until = if planted!(self, OwnClock) {
+            lasts
+        } else {
+            ticket.clock + left
+        };
+        Some(Order {
+            term: self.term,
+            boot: ticket.boot,
+            until,
+        })
     }
 
     /// All that it knows, in times from now. For whoever compares many of them.
     pub fn aged(&self, now: Duration) -> String {
         let left = |at: Duration| at.saturating_sub(now).as_millis();
-        format!("{:?}{}{:?}", self.state, self.term, (left(self.lease), left(self.begins)))
+        format!(
+            "{:?}{}{:?}",
+            self.state,
+            self.term,
+            (left(self.lease), left(self.begins))
+        )
     }
 }
--- a/handover/src/lib.rs
+++ b/handover/src/lib.rs
@@ -115,7 +115,12 @@
             Word::Taken => put(8),
             Word::Kept => put(9),
         }
-        let mut message = [MAGIC, &[VERSION, kind][..], &(body.len() as u32).to_le_bytes()].concat();
+        let mut message = [
+            MAGIC,
+            &[VERSION, kind][..],
+            &(body.len() as u32).to_le_bytes(),
+        ]
+        .concat();
         message.extend(body);
         message
     }
@@ -141,7 +146,9 @@
                 }
                 Word::Hosts(hosts)
             }
-            3 => Word::Door { rev: rest.number::<8>()? },
+            3 => Word::Door {
+                rev: rest.number::<8>()?,
+            },
             4 => Word::Serves,
             5 => Word::Holds(rest.number::<4>()? as u32),
             6 => Word::Pair(Pair::read(&mut rest)?),
@@ -150,7 +157,11 @@
             9 => Word::Kept,
             _ => return Err("an unknown word"),
         };
-        if rest.0.is_empty() { Ok(word) } else { Err("more than the word") }
+        if rest.0.is_empty() {
+            Ok(word)
+        } else {
+            Err("more than the word")
+        }
     }
 }
 
@@ -178,7 +189,11 @@
     fn name(&mut self) -> Result<String, &'static str> {
         let bytes = self.bytes()?;
         let text = std::str::from_utf8(bytes).map_err(|_| "a name is not text")?;
-        if text.len() > NAME { Err("a name is too long") } else { Ok(text.into()) }
+        if text.len() > NAME {
+            Err("a name is too long")
+        } else {
+            Ok(text.into())
+        }
     }
 }
 
@@ -189,7 +204,9 @@
 
 impl Host {
     fn write(&self, body: &mut Vec<u8>) {
-        [&self.uid, &self.endpoint, &self.zone].into_iter().for_each(|name| put(body, name.as_bytes()));
+        [&self.uid, &self.endpoint, &self.zone]
+            .into_iter()
+            .for_each(|name| put(body, name.as_bytes()));
         body.extend(self.cell.to_le_bytes());
         body.push(self.standing);
         body.extend(self.weight.to_bits().to_le_bytes());
@@ -205,7 +222,15 @@
             return Err("a host's standing or weight is none");
         }
         let started = (started > 0).then(|| Duration::from_millis(started));
-        Ok(Host { uid, endpoint, zone, cell, standing, weight, started })
+        Ok(Host {
+            uid,
+            endpoint,
+            zone,
+            cell,
+            standing,
+            weight,
+            started,
+        })
     }
 }
 
@@ -217,7 +242,11 @@
 
     fn read(rest: &mut Rest) -> Result<Bytes, &'static str> {
         let (whole, bytes) = (rest.number::<4>()? as usize, rest.bytes()?.to_vec());
-        if whole > bytes.len() { Err("more lines than bytes") } else { Ok(Bytes { whole, bytes }) }
+        if whole > bytes.len() {
+            Err("more lines than bytes")
+        } else {
+            Ok(Bytes { whole, bytes })
+        }
     }
 }
 
@@ -225,7 +254,11 @@
     fn write(&self, body: &mut Vec<u8>) {
         put(body, &self.line);
         put(body, self.uid.as_bytes());
-        body.extend(self.waits.map_or(u32::MAX, |span| span.as_millis() as u32).to_le_bytes());
+        body.extend(
+            self.waits
+                .map_or(u32::MAX, |span| span.as_millis() as u32)
+                .to_le_bytes(),
+        );
         self.client.write(body);
         self.server.write(body);
     }
@@ -234,7 +267,13 @@
         let (line, uid) = (rest.bytes()?.to_vec(), rest.name()?);
         let waits = Some(rest.number::<4>()? as u32).filter(|ms| *ms != u32::MAX);
         let waits = waits.map(|ms| Duration::from_millis(ms.into()));
-        Ok(Pair { line, uid, waits, client: Bytes::read(rest)?, server: Bytes::read(rest)? })
+        Ok(Pair {
+            line,
+            uid,
+            waits,
+            client: Bytes::read(rest)?,
+            server: Bytes::read(rest)?,
+        })
     }
 }
 
@@ -346,7 +385,11 @@
 
 impl<O: PartialEq, F> Side<O, F> {
     pub fn new(stage: Stage) -> Self {
-        Side { stage, offers: VecDeque::new(), untold: Vec::new() }
+        Side {
+            stage,
+            offers: VecDeque::new(),
+            untold: Vec::new(),
+        }
     }
 
     /// How many more may be offered now.
@@ -372,7 +415,11 @@
     /// may take it.
     pub fn parted(&mut self, told: Heard) -> (Vec<O>, Vec<O>) {
         let offers = std::mem::take(&mut self.offers).into();
-        if told == Heard::Full { (Vec::new(), offers) } else { (offers, Vec::new()) }
+        if told == Heard::Full {
+            (Vec::new(), offers)
+        } else {
+            (offers, Vec::new())
+        }
     }
 
     /// The younger read an offer: what it may touch from now on. An error is an elder that lives and does not hear.
--- a/handover/tests/words.rs
+++ b/handover/tests/words.rs
@@ -14,7 +14,10 @@
         weight: 0.5,
         started,
     };
-    let bytes = |whole, text: &[u8]| Bytes { whole, bytes: text.to_vec() };
+    let bytes = |whole, text: &[u8]| Bytes {
+        whole,
+        bytes: text.to_vec(),
+    };
     let pair = |waits| Pair {
         line: b"OPEN 1 2 c=a\r\n".to_vec(),
         uid: "s-1".into(),
@@ -42,8 +45,12 @@
     for word in words() {
         let message = word.write();
         assert_eq!(Word::read(&message), Ok(word.clone()));
-        (0..message.len()).for_each(|n| assert!(Word::read(&message[..n]).is_err(), "{word:?} cut at {n}"));
-        assert!(Word::read(&[&message[..], b"x"].concat()).is_err(), "{word:?} and more");
+        (0..message.len())
+            .for_each(|n| assert!(Word::read(&message[..n]).is_err(), "{word:?} cut at {n}"));
+        assert!(
+            Word::read(&[&message[..], b"x"].concat()).is_err(),
+            "{word:?} and more"
+        );
     }
 }
 
@@ -68,7 +75,10 @@
             for _ in 0..3 {
                 chance = chance.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
                 let at = 5 + (chance >> 8) as usize % (message.len() - 4);
-                message.get_mut(at).into_iter().for_each(|byte| *byte = (chance >> 24) as u8);
+                message
+                    .get_mut(at)
+                    .into_iter()
+                    .for_each(|byte| *byte = (chance >> 24) as u8);
             }
             let _ = Word::read(&message);
         }
--- a/operator/src/lib.rs
+++ b/operator/src/lib.rs
@@ -56,7 +56,13 @@
 impl Default for Recovery {
     fn default() -> Self {
         let (look, probe) = (Duration::from_millis(500), Duration::from_secs(2));
-        Recovery { stages: false, look, probe, fleet: String::new(), others: Vec::new() }
+        Recovery {
+            stages: false,
+            look,
+            probe,
+            fleet: String::new(),
+            others: Vec::new(),
+        }
     }
 }
 
@@ -144,7 +150,12 @@
 const KEYS: &[(&str, &str, Form, Takes)] = &[
     ("control", "socket", Form::Socket, Takes::Restart),
     ("control", "peers", Form::Count(1, 64), Takes::Restart),
-    ("drain", "deadline", Form::Span(1.0, 86_400.0), Takes::AtOnce),
+    (
+        "drain",
+        "deadline",
+        Form::Span(1.0, 86_400.0),
+        Takes::AtOnce,
+    ),
     ("drain", "closing", Form::Span(0.0, 60.0), Takes::AtOnce),
     ("drain", "quiet", Form::Span(0.1, 60.0), Takes::AtOnce),
     ("drain", "pace", Form::Number(0.1, 100_000.0), Takes::AtOnce),
@@ -190,19 +201,35 @@
 
 impl Values {
     fn span(&self, table: &'static str, key: &'static str, absent: Duration) -> Duration {
-        if let Some(Read::Span(span)) = self.0.get(&(table, key)) { *span } else { absent }
+        if let Some(Read::Span(span)) = self.0.get(&(table, key)) {
+            *span
+        } else {
+            absent
+        }
     }
 
     fn flag(&self, table: &'static str, key: &'static str, absent: bool) -> bool {
-        if let Some(Read::Flag(flag)) = self.0.get(&(table, key)) { *flag } else { absent }
+        if let Some(Read::Flag(flag)) = self.0.get(&(table, key)) {
+            *flag
+        } else {
+            absent
+        }
     }
 
     fn path(&self, table: &'static str, key: &'static str) -> Option<PathBuf> {
-        if let Some(Read::Path(path)) = self.0.get(&(table, key)) { Some(path.clone()) } else { None }
+        if let Some(Read::Path(path)) = self.0.get(&(table, key)) {
+            Some(path.clone())
+        } else {
+            None
+        }
     }
 
     fn number(&self, table: &'static str, key: &'static str, absent: f64) -> f64 {
-        if let Some(Read::Number(number)) = self.0.get(&(table, key)) { *number } else { absent }
+        if let Some(Read::Number(number)) = self.0.get(&(table, key)) {
+            *number
+        } else {
+            absent
+        }
     }
 }
 
@@ -223,11 +250,18 @@
             .collect();
         let mut values = Values::default();
         for (table, entries) in root.get_ref() {
-            let mut problem =
-                |at: usize, what: String| problems.push(Problem { line: line_of(text, at), what });
+            let mut problem = |at: usize, what: String| {
+                problems.push(Problem {
+                    line: line_of(text, at),
+                    what,
+                })
+            };
             let name = table.get_ref().as_ref();
             if !KEYS.iter().any(|key| key.0 == name) {
-                problem(table.span().start, format!("[{name}] is no table; allowed are {}", tables()));
+                problem(
+                    table.span().start,
+                    format!("[{name}] is no table; allowed are {}", tables()),
+                );
                 continue;
             }
             let DeValue::Table(entries) = entries.get_ref() else {
@@ -235,13 +269,22 @@
                 continue;
             };
             for (key, value) in entries {
-                let known = KEYS.iter().find(|k| k.0 == name && k.1 == key.get_ref().as_ref());
+                let known = KEYS
+                    .iter()
+                    .find(|k| k.0 == name && k.1 == key.get_ref().as_ref());
                 let at = key.span().start;
                 match known {
                     None => {
-                        let keys = KEYS.iter().filter(|k| k.0 == name).map(|k| k.1).collect::<Vec<_>>();
-                        let what =
-                            format!("{name}.{} is no key; allowed are {}", key.get_ref(), keys.join(", "));
+                        let keys = KEYS
+                            .iter()
+                            .filter(|k| k.0 == name)
+                            .map(|k| k.1)
+                            .collect::<Vec<_>>();
+                        let what = format!(
+                            "{name}.{} is no key; allowed are {}",
+                            key.get_ref(),
+                            keys.join(", ")
+                        );
                         problem(at, what);
                     }
                     Some((table, key, form, _)) => match decode(value, *form) {
@@ -254,15 +297,26 @@
         let operator = Operator::of(&values);
         for (table, key) in [("control", "socket"), ("state", "folder")] {
             if !values.0.contains_key(&(table, key)) && values.0.keys().any(|key| key.0 == table) {
-                problems.push(Problem { line: 1, what: format!("{table}.{key} is missing") });
+                problems.push(Problem {
+                    line: 1,
+                    what: format!("{table}.{key} is missing"),
+                });
             }
         }
-        if values.0.contains_key(&("recovery", "others")) && !values.0.contains_key(&("recovery", "fleet")) {
-            problems
-                .push(Problem { line: 1, what: "recovery.fleet is missing beside recovery.others".into() });
+        if values.0.contains_key(&("recovery", "others"))
+            && !values.0.contains_key(&("recovery", "fleet"))
+        {
+            problems.push(Problem {
+                line: 1,
+                what: "recovery.fleet is missing beside recovery.others".into(),
+            });
         }
         problems.sort();
-        if problems.is_empty() { Ok(operator) } else { Err(problems) }
+        if problems.is_empty() {
+            Ok(operator)
+        } else {
+            Err(problems)
+        }
     }
 
     fn of(values: &Values) -> Operator {
@@ -273,10 +327,13 @@
         };
         let (anew, every) = (Recovery::default(), Duration::from_secs(1));
         Operator {
-            control: values.path("control", "socket").map(|socket| Control { socket, peers }),
-            state: values
-                .path("state", "folder")
-                .map(|folder| State { folder, every: values.span("state", "every", every) }),
+            control: values
+                .path("control", "socket")
+                .map(|socket| Control { socket, peers }),
+            state: values.path("state", "folder").map(|folder| State {
+                folder,
+                every: values.span("state", "every", every),
+            }),
             recovery: Recovery {
                 stages: values.flag("recovery", "stages", anew.stages),
                 look: values.span("recovery", "look", anew.look),
@@ -317,9 +374,18 @@
             let known = KEYS.iter().find(|k| format!("{}.{}", k.0, k.1) == key);
             changed.extend(known.filter(|_| differs).map(|k| (key.to_string(), k.3)));
         };
-        note("control.socket", a.as_ref().map(|c| &c.socket) != b.as_ref().map(|c| &c.socket));
-        note("control.peers", a.as_ref().map(|c| c.peers) != b.as_ref().map(|c| c.peers));
-        note("drain.deadline", self.drain.deadline != other.drain.deadline);
+        note(
+            "control.socket",
+            a.as_ref().map(|c| &c.socket) != b.as_ref().map(|c| &c.socket),
+        );
+        note(
+            "control.peers",
+            a.as_ref().map(|c| c.peers) != b.as_ref().map(|c| c.peers),
+        );
+        note(
+            "drain.deadline",
+            self.drain.deadline != other.drain.deadline,
+        );
         note("drain.closing", self.drain.closing != other.drain.closing);
         note("drain.quiet", self.drain.quiet != other.drain.quiet);
         note("drain.pace", self.drain.pace != other.drain.pace);
@@ -327,18 +393,39 @@
         note("site.watch", self.site.watch != other.site.watch);
         note("site.look", self.site.look != other.site.look);
         note("site.hold", self.site.hold != other.site.hold);
-        note("site.hold_most", self.site.hold_most != other.site.hold_most);
+        note(
+            "site.hold_most",
+            self.site.hold_most != other.site.hold_most,
+        );
         note("site.settle", self.site.settle != other.site.settle);
         note("site.pace", self.site.pace != other.site.pace);
         note("site.by_worth", self.site.by_worth != other.site.by_worth);
         let (a, b) = (&self.state, &other.state);
-        note("state.folder", a.as_ref().map(|s| &s.folder) != b.as_ref().map(|s| &s.folder));
-        note("state.every", a.as_ref().map(|s| s.every) != b.as_ref().map(|s| s.every));
-        note("recovery.stages", self.recovery.stages != other.recovery.stages);
+        note(
+            "state.folder",
+            a.as_ref().map(|s| &s.folder) != b.as_ref().map(|s| &s.folder),
+        );
+        note(
+            "state.every",
+            a.as_ref().map(|s| s.every) != b.as_ref().map(|s| s.every),
+        );
+        note(
+            "recovery.stages",
+            self.recovery.stages != other.recovery.stages,
+        );
         note("recovery.look", self.recovery.look != other.recovery.look);
-        note("recovery.probe", self.recovery.probe != other.recovery.probe);
-        note("recovery.fleet", self.recovery.fleet != other.recovery.fleet);
-        note("recovery.others", self.recovery.others != other.recovery.others);
+        note(
+            "recovery.probe",
+            self.recovery.probe != other.recovery.probe,
+        );
+        note(
+            "recovery.fleet",
+            self.recovery.fleet != other.recovery.fleet,
+        );
+        note(
+            "recovery.others",
+            self.recovery.others != other.recovery.others,
+        );
         changed
     }
 }
@@ -346,18 +433,30 @@
 fn tables() -> String {
     let mut names: Vec<&str> = KEYS.iter().map(|key| key.0).collect();
     names.dedup();
-    names.iter().map(|name| format!("[{name}]")).collect::<Vec<_>>().join(", ")
+    names
+        .iter()
+        .map(|name| format!("[{name}]"))
+        .collect::<Vec<_>>()
+        .join(", ")
 }
 
 fn decode(value: &Spanned<DeValue>, form: Form) -> Result<Read, String> {
     let value = value.get_ref();
     match form {
         Form::Span(least, most) => {
-            let allowed = format!("allowed are {least}s to {most}s, as in \"250ms\", \"3s\" or \"2m\"");
-            let DeValue::String(text) = value else { return Err(format!("is no time; {allowed}")) };
-            let span = parse_span(text).ok_or_else(|| format!("is {text:?}, no time; {allowed}"))?;
+            let allowed =
+                format!("allowed are {least}s to {most}s, as in \"250ms\", \"3s\" or \"2m\"");
+            let DeValue::String(text) = value else {
+                return Err(format!("is no time; {allowed}"));
+            };
+            let span =
+                parse_span(text).ok_or_else(|| format!("is {text:?}, no time; {allowed}"))?;
             let within = (least..=most).contains(&span.as_secs_f64());
-            if within { Ok(Read::Span(span)) } else { Err(format!("is {text:?}; {allowed}")) }
+            if within {
+                Ok(Read::Span(span))
+            } else {
+                Err(format!("is {text:?}; {allowed}"))
+            }
         }
         Form::Number(least, most) => {
             let number = match value {
@@ -373,8 +472,14 @@
             let DeValue::Integer(number) = value else {
                 return Err(format!("is no whole number; allowed are {least} to {most}"));
             };
-            let number = number.as_str().parse().ok().filter(|n: &i64| (least..=most).contains(n));
-            number.map(Read::Count).ok_or_else(|| format!("is out of range; allowed are {least} to {most}"))
+            let number = number
+                .as_str()
+                .parse()
+                .ok()
+                .filter(|n: &i64| (least..=most).contains(n));
+            number
+                .map(Read::Count)
+                .ok_or_else(|| format!("is out of range; allowed are {least} to {most}"))
         }
         Form::Flag => match value {
             DeValue::Boolean(flag) => Ok(Read::Flag(*flag)),
@@ -382,14 +487,23 @@
         },
         Form::Name => {
             let allowed = "allowed are up to 64 letters, digits and -";
-            let DeValue::String(text) = value else { return Err(format!("is no name; {allowed}")) };
+            let DeValue::String(text) = value else {
+                return Err(format!("is no name; {allowed}"));
+            };
             let good = (1..=64).contains(&text.len())
                 && text.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
-            if good { Ok(Read::Name(text.to_string())) } else { Err(format!("is {text:?}; {allowed}")) }
+            if good {
+                Ok(Read::Name(text.to_string()))
+            } else {
+                Err(format!("is {text:?}; {allowed}"))
+            }
         }
         Form::Addresses => {
-            let allowed = format!("allowed is a list of up to {OTHERS} addresses, as in [\"10.0.0.5:9000\"]");
-            let DeValue::Array(list) = value else { return Err(format!("is no list; {allowed}")) };
+            let allowed =
+                format!("allowed is a list of up to {OTHERS} addresses, as in [\"10.0.0.5:9000\"]");
+            let DeValue::Array(list) = value else {
+                return Err(format!("is no list; {allowed}"));
+            };
             let read = |entry: &Spanned<DeValue>| match entry.get_ref() {
                 DeValue::String(text) => text.parse().ok(),
                 _ => None,
@@ -400,9 +514,15 @@
                 .ok_or_else(|| format!("has an entry that is no address, or too many; {allowed}"))
         }
         Form::Socket | Form::Folder => {
-            let longest = if matches!(form, Form::Socket) { SOCKET } else { FOLDER };
+            let longest = if matches!(form, Form::Socket) {
+                SOCKET
+            } else {
+                FOLDER
+            };
             let allowed = format!("allowed is an absolute path of at most {longest} bytes");
-            let DeValue::String(text) = value else { return Err(format!("is no path; {allowed}")) };
+            let DeValue::String(text) = value else {
+                return Err(format!("is no path; {allowed}"));
+            };
             let good = text.starts_with('/') && text.len() <= longest && !text.contains('\0');
             if good {
                 Ok(Read::Path(text.to_string().into()))
@@ -415,7 +535,10 @@
 
 /// A number and its unit, `ms`, `s`, `m` or `h`.
 pub fn parse_span(text: &str) -> Option<Duration> {
-    let digits = text.len() - text.trim_start_matches(|c: char| c.is_ascii_digit() || c == '.').len();
+    let digits = text.len()
+        - text
+            .trim_start_matches(|c: char| c.is_ascii_digit() || c == '.')
+            .len();
     let factor = match &text[digits..] {
         "ms" => 0.001,
         "s" => 1.0,
