--- a/operator/tests/operator.rs
+++ b/operator/tests/operator.rs
@@ -11,21 +11,50 @@
                 quiet = \"1s\"\npace = 40\nback = \"5s\"\n";
     let operator = Operator::read(text).unwrap();
     let control = operator.control.clone().unwrap();
-    assert_eq!((control.socket.to_str(), control.peers), (Some("/run/a.sock"), 4));
+    assert_eq!(
+        (control.socket.to_str(), control.peers),
+        (Some("/run/a.sock"), 4)
+    );
     let drain = &operator.drain;
-    assert_eq!((drain.deadline.as_secs(), drain.closing.as_millis(), drain.pace), (120, 1_500, 40.0));
+    assert_eq!(
+        (
+            drain.deadline.as_secs(),
+            drain.closing.as_millis(),
+            drain.pace
+        ),
+        (120, 1_500, 40.0)
+    );
     let changed = Operator::read(&text.replace("40", "41").replace("a.sock", "b.sock")).unwrap();
     let changes = operator.changes(&changed);
-    assert_eq!(changes, [("control.socket".into(), Takes::Restart), ("drain.pace".into(), Takes::AtOnce)]);
+    assert_eq!(
+        changes,
+        [
+            ("control.socket".into(), Takes::Restart),
+            ("drain.pace".into(), Takes::AtOnce)
+        ]
+    );
     assert_eq!(operator.changes(&operator), []);
     let site = Operator::read("[site]\nwatch = false\nsettle = \"9s\"\n").unwrap();
     assert_eq!((site.site.watch, site.site.settle.as_secs()), (false, 9));
     let changes = site.changes(&Operator::default());
-    assert_eq!(changes, [("site.watch".into(), Takes::Restart), ("site.settle".into(), Takes::AtOnce)]);
+    assert_eq!(
+        changes,
+        [
+            ("site.watch".into(), Takes::Restart),
+            ("site.settle".into(), Takes::AtOnce)
+        ]
+    );
     let anew = Operator::read("[state]\nfolder = \"/var/a\"\n[recovery]\nstages = true\n").unwrap();
-    assert_eq!(anew.state.as_ref().map(|state| state.every.as_secs()), Some(1));
+    assert_eq!(
+        anew.state.as_ref().map(|state| state.every.as_secs()),
+        Some(1)
+    );
     assert!(anew.recovery.stages && !Operator::default().recovery.stages);
-    let changes: Vec<String> = anew.changes(&Operator::default()).into_iter().map(|c| c.0).collect();
+    let changes: Vec<String> = anew
+        .changes(&Operator::default())
+        .into_iter()
+        .map(|c| c.0)
+        .collect();
     assert_eq!(changes, ["state.folder", "state.every", "recovery.stages"]);
 }
 
@@ -49,17 +78,31 @@
 #[test_case("[recovery]\nlook = \"5s\"\n", 2, &["recovery.look", "0s to 1s"]; "a door shut too long")]
 #[test_case("[recovery]\nstages = \"yes\"\n", 2, &["recovery.stages", "true nor false"]; "text for a flag")]
 #[test_case("[drain]\npace = \n", 2, &[]; "not TOML")]
-fn what_is_wrong_is_told_with_its_line_its_key_and_what_is_allowed(text: &str, line: usize, says: &[&str]) {
+fn what_is_wrong_is_told_with_its_line_its_key_and_what_is_allowed(
+    text: &str,
+    line: usize,
+    says: &[&str],
+) {
     let problems = Operator::read(text).unwrap_err();
     assert_eq!(problems[0].line, line, "{problems:?}");
-    assert!(says.iter().all(|word| problems[0].what.contains(word)), "{problems:?}");
+    assert!(
+        says.iter().all(|word| problems[0].what.contains(word)),
+        "{problems:?}"
+    );
 }
 
 #[test]
 fn all_that_is_wrong_is_told_at_once() {
     let text = "[drain]\npace = 0\nquiet = \"x\"\nodd = 1\n[nothing]\n[control]\nsocket = 5\n";
-    let lines: Vec<usize> = Operator::read(text).unwrap_err().iter().map(|p| p.line).collect();
-    assert!([2, 3, 4, 5, 7].iter().all(|line| lines.contains(line)), "{lines:?}");
+    let lines: Vec<usize> = Operator::read(text)
+        .unwrap_err()
+        .iter()
+        .map(|p| p.line)
+        .collect();
+    assert!(
+        [2, 3, 4, 5, 7].iter().all(|line| lines.contains(line)),
+        "{lines:?}"
+    );
 }
 
 #[test_case("250ms", Some(250); "milliseconds")]
--- a/proxy/src/program/clock.rs
+++ b/proxy/src/program/clock.rs
@@ -10,8 +10,13 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix }
+        let unix = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            unix,
+        }
     }
 
     pub fn now(&self) -> Duration {
--- a/proxy/src/program/command.rs
+++ b/proxy/src/program/command.rs
@@ -161,30 +161,56 @@
 
 /// A node's name at the store.
 fn name(text: &str) -> Result<String, String> {
-    let good = (1..=64).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
+    let good = (1..=64).contains(&text.len())
+        && text.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
     if good {
         Ok(text.into())
     } else {
-        Err(format!("{text:?} is no name; allowed are letters, digits and -"))
+        Err(format!(
+            "{text:?} is no name; allowed are letters, digits and -"
+        ))
     }
 }
 
 fn span(text: &str) -> Result<Duration, String> {
-    parse_span(text).ok_or_else(|| format!("{text:?} is no time; allowed are a number and ms, s, m or h"))
+    parse_span(text)
+        .ok_or_else(|| format!("{text:?} is no time; allowed are a number and ms, s, m or h"))
 }
 
 /// Does what the command line says.
 pub fn perform() -> ExitCode {
-    let done = match Cli::parse().what.unwrap_or(What::Serve { files: Files::default() }) {
+    let done = match Cli::parse().what.unwrap_or(What::Serve {
+        files: Files::default(),
+    }) {
         What::Serve { files } => serve(&files),
         What::Validate { files } => return validate(&files),
         What::Status { at, json, watch } => status(&at.control, json, watch),
-        What::Drain { at, deadline, pace, wait } => drain(&at.control, deadline, pace, wait),
+        What::Drain {
+            at,
+            deadline,
+            pace,
+            wait,
+        } => drain(&at.control, deadline, pace, wait),
         What::Undrain { at } => {
             ask(&at.control, &Request::new(Verb::Undrain)).map(|s| println!("{}", told(&s)))
         }
-        What::Roll { control, deadline, restart, patience, share, store, name, session } => {
-            let order = Roll { control, deadline, restart, patience, share };
+        What::Roll {
+            control,
+            deadline,
+            restart,
+            patience,
+            share,
+            store,
+            name,
+            session,
+        } => {
+            let order = Roll {
+                control,
+                deadline,
+                restart,
+                patience,
+                share,
+            };
             match name {
                 _ if store.is_empty() => roll::roll(&order),
                 Some(name) => roll::guarded(&order, &name, store, session),
@@ -194,7 +220,12 @@
         What::State { what } => state::perform(what),
         What::Fleet { what } => fleet(what),
         What::Completions { shell } => {
-            clap_complete::generate(shell, &mut Cli::command(), "asterramp", &mut std::io::stdout());
+            clap_complete::generate(
+                shell,
+                &mut Cli::command(),
+                "asterramp",
+                &mut std::io::stdout(),
+            );
             Ok(())
         }
     };
@@ -215,7 +246,10 @@
 
 fn serve(files: &Files) -> Result<(), String> {
     let operator = path(files.operator.as_ref(), "ASTERRAMP_OPERATOR");
-    run(path(files.config.as_ref(), "LB_CONFIG").as_deref(), operator.as_deref())
+    run(
+        path(files.config.as_ref(), "LB_CONFIG").as_deref(),
+        operator.as_deref(),
+    )
 }
 
 fn validate(files: &Files) -> ExitCode {
@@ -229,7 +263,11 @@
             Err(e) => wrong.push(format!("{operator}: {e}")),
             Ok(text) => {
                 let problems = Operator::read(&text).err().unwrap_or_default();
-                wrong.extend(problems.iter().map(|problem| format!("{operator}: {problem}")));
+                wrong.extend(
+                    problems
+                        .iter()
+                        .map(|problem| format!("{operator}: {problem}")),
+                );
             }
         }
     }
@@ -247,7 +285,10 @@
 
 /// A status as a line for people.
 pub fn told(s: &Status) -> String {
-    let mut line = format!("{}  {} open, {} pending, {} moved", s.state, s.open, s.pending, s.moved);
+    let mut line = format!(
+        "{}  {} open, {} pending, {} moved",
+        s.state, s.open, s.pending, s.moved
+    );
     let seconds = |ms: u64| ms as f64 / 1e3;
     if let Some(deadline) = s.deadline_ms {
         line += &format!(", {:.1} s left", seconds(deadline));
@@ -255,26 +296,54 @@
     if let Some(expected) = s.expected_ms {
         line += &format!(", empty in {:.1} s at {:.0}/s", seconds(expected), s.pace);
     }
-    let left: Vec<String> = s.left.iter().map(|(name, n)| format!("{n} {name}")).collect();
+    let left: Vec<String> = s
+        .left
+        .iter()
+        .map(|(name, n)| format!("{n} {name}"))
+        .collect();
     if !left.is_empty() {
         line += &format!(" ({})", left.join(", "));
     }
-    let discovery =
-        s.discovery_ms.map_or("never heard".into(), |ms| format!("heard {:.1} s ago", seconds(ms)));
-    let carries = if s.carries { "another may be drained" } else { "no other should be drained" };
-    line += &format!("; {} of {} hosts ready, discovery {discovery}; {carries}", s.hosts_ready, s.hosts);
+    let discovery = s.discovery_ms.map_or("never heard".into(), |ms| {
+        format!("heard {:.1} s ago", seconds(ms))
+    });
+    let carries = if s.carries {
+        "another may be drained"
+    } else {
+        "no other should be drained"
+    };
+    line += &format!(
+        "; {} of {} hosts ready, discovery {discovery}; {carries}",
+        s.hosts_ready, s.hosts
+    );
     if let Some(start) = s.start.iter().find(|start| start.stage != "normal") {
-        line += &format!("; start {} for {:.1} s", start.stage, seconds(start.since_ms));
-        start.sources.iter().for_each(|(by, told, good)| line += &format!(", {by} {good} of {told} answer"));
+        line += &format!(
+            "; start {} for {:.1} s",
+            start.stage,
+            seconds(start.since_ms)
+        );
+        start
+            .sources
+            .iter()
+            .for_each(|(by, told, good)| line += &format!(", {by} {good} of {told} answer"));
     }
     for room in &s.refusals {
-        let whys: Vec<String> = room.refused.iter().map(|(why, n)| format!("{n} {why}")).collect();
+        let whys: Vec<String> = room
+            .refused
+            .iter()
+            .map(|(why, n)| format!("{n} {why}"))
+            .collect();
         if !whys.is_empty() {
             line += &format!("; {} refused for room: {}", room.listener, whys.join(", "));
         }
     }
     for place in s.places.iter().filter(|place| place.state != "whole") {
-        line += &format!("; {} {} for {:.1} s", place.name, place.state, seconds(place.since_ms));
+        line += &format!(
+            "; {} {} for {:.1} s",
+            place.name,
+            place.state,
+            seconds(place.since_ms)
+        );
     }
     line
 }
@@ -284,7 +353,10 @@
     loop {
         let status = client.ask(&Request::new(Verb::Status))?;
         match json {
-            true => println!("{}", serde_json::to_string(&status).map_err(|e| e.to_string())?),
+            true => println!(
+                "{}",
+                serde_json::to_string(&status).map_err(|e| e.to_string())?
+            ),
             false => println!("{}", told(&status)),
         }
         if !watch {
@@ -294,12 +366,25 @@
     }
 }
 
-fn drain(control: &Path, deadline: Option<Duration>, pace: Option<f64>, wait: bool) -> Result<(), String> {
+fn drain(
+    control: &Path,
+    deadline: Option<Duration>,
+    pace: Option<f64>,
+    wait: bool,
+) -> Result<(), String> {
     let deadline_ms = deadline.map(|span| span.as_millis() as u64);
     let mut client = Client::connect(control)?;
-    let status = client.ask(&Request { deadline_ms, pace, ..Request::new(Verb::Drain) })?;
+    let status = client.ask(&Request {
+        deadline_ms,
+        pace,
+        ..Request::new(Verb::Drain)
+    })?;
     println!("{}", told(&status));
-    if wait { emptied(&mut client, deadline.unwrap_or(Duration::from_secs(86_400))) } else { Ok(()) }
+    if wait {
+        emptied(&mut client, deadline.unwrap_or(Duration::from_secs(86_400)))
+    } else {
+        Ok(())
+    }
 }
 
 /// Shows progress until a proxy is empty; the bound is its deadline and a little for what comes up late.
--- a/proxy/src/program/config.rs
+++ b/proxy/src/program/config.rs
@@ -37,14 +37,19 @@
         let value = file(&self.path)?;
         let start = parse(&value)?;
         let keys: BTreeSet<&str> = keys(&self.first).chain(keys(&value)).collect();
-        let kept =
-            keys.into_iter().filter(|key| !LIVE.contains(key) && self.first.get(key) != value.get(key));
+        let kept = keys
+            .into_iter()
+            .filter(|key| !LIVE.contains(key) && self.first.get(key) != value.get(key));
         Ok((start, kept.map(String::from).collect()))
     }
 }
 
 fn keys(value: &Value) -> impl Iterator<Item = &str> {
-    let pairs = if let Value::Object(pairs) = value { pairs.as_slice() } else { &[] };
+    let pairs = if let Value::Object(pairs) = value {
+        pairs.as_slice()
+    } else {
+        &[]
+    };
     pairs.iter().map(|pair| pair.0.as_str())
 }
 
@@ -56,29 +61,42 @@
 fn parse(value: &Value) -> Result<Start, String> {
     // Older configurations have no such key; the variable says the same.
     let operator = match value.get("operator") {
-        None | Some(Value::Null) => std::env::var("LB_OPERATOR").ok().map(|at| ("LB_OPERATOR", at)),
+        None | Some(Value::Null) => std::env::var("LB_OPERATOR")
+            .ok()
+            .map(|at| ("LB_OPERATOR", at)),
         Some(at) => Some(("operator", at.text().unwrap_or_default().to_string())),
     };
     let operator = operator.map(|(key, at)| {
-        at.parse().map_err(|_| format!("{key} is no address; allowed is one as in 10.0.0.4:9000"))
+        at.parse()
+            .map_err(|_| format!("{key} is no address; allowed is one as in 10.0.0.4:9000"))
     });
     let need = |key: &str| value.get(key).ok_or_else(|| format!("{key} is missing"));
     let address = |key: &str| -> Result<SocketAddr, String> {
         let text = need(key)?.text();
-        text.and_then(|text| text.parse().ok()).ok_or_else(|| format!("{key} is no address"))
+        text.and_then(|text| text.parse().ok())
+            .ok_or_else(|| format!("{key} is no address"))
     };
-    let seed = need("seed")?.text().and_then(|seed| u64::from_str_radix(seed, 16).ok());
+    let seed = need("seed")?
+        .text()
+        .and_then(|seed| u64::from_str_radix(seed, 16).ok());
     let mut pairs = Vec::new();
     need("settings")?.flatten("", &mut pairs);
-    let setup = setup::read(pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())))?;
-    let limit = |key: &str, absent: usize| match value.get("limits").and_then(|limits| limits.get(key)) {
-        None | Some(Value::Null) => Ok(absent),
-        Some(limit) => {
-            let read = limit.number::<f64>().filter(|n| *n >= 1.0 && *n <= 1e9);
-            read.map(|n| n as usize).ok_or_else(|| format!("limits.{key} is no limit"))
-        }
-    };
-    let known = discovery::list(need("known")?).and_then(|list| list.bad.clone().map_or(Ok(list), Err));
+    let setup = setup::read(
+        pairs
+            .iter()
+            .map(|(path, value)| (path.as_str(), value.as_str())),
+    )?;
+    let limit =
+        |key: &str, absent: usize| match value.get("limits").and_then(|limits| limits.get(key)) {
+            None | Some(Value::Null) => Ok(absent),
+            Some(limit) => {
+                let read = limit.number::<f64>().filter(|n| *n >= 1.0 && *n <= 1e9);
+                read.map(|n| n as usize)
+                    .ok_or_else(|| format!("limits.{key} is no limit"))
+            }
+        };
+    let known =
+        discovery::list(need("known")?).and_then(|list| list.bad.clone().map_or(Ok(list), Err));
     let known = known.map_err(|e| format!("known: {e}"))?;
     let listen = address("listen")?;
     let sockets = limit("sockets", SOCKETS)?;
--- a/proxy/src/program/counters.rs
+++ b/proxy/src/program/counters.rs
@@ -28,6 +28,9 @@
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("counters")?;
-        Code::ALL.iter().zip(&self.0).try_for_each(|(code, n)| write!(f, " {}={n}", code.name()))
+        Code::ALL
+            .iter()
+            .zip(&self.0)
+            .try_for_each(|(code, n)| write!(f, " {}={n}", code.name()))
     }
 }
--- a/proxy/src/program/owner.rs
+++ b/proxy/src/program/owner.rs
@@ -48,16 +48,34 @@
     }
 
     fn begin(stores: Vec<SocketAddr>, session: Duration, joins: bool) -> Claim {
-        let owner = Owner::new(OwnerTerms { timeout: session, margin: session / MARGIN });
-        let desk = Arc::new(Mutex::new(Desk { owner, asks: Vec::new(), over: false }));
-        let claim = Claim { desk, began: Instant::now() };
+        let owner = Owner::new(OwnerTerms {
+            timeout: session,
+            margin: session / MARGIN,
+        });
+        let desk = Arc::new(Mutex::new(Desk {
+            owner,
+            asks: Vec::new(),
+            over: false,
+        }));
+        let claim = Claim {
+            desk,
+            began: Instant::now(),
+        };
         let own = claim.clone();
-        std::thread::spawn(move || Seat { joins, ..Seat::new(own, stores, session) }.run());
+        std::thread::spawn(move || {
+            Seat {
+                joins,
+                ..Seat::new(own, stores, session)
+            }
+            .run()
+        });
         claim
     }
 
     fn desk(&self) -> MutexGuard<'_, Desk> {
-        self.desk.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.desk
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 
     fn now(&self) -> Duration {
@@ -100,23 +118,43 @@
     pub fn order(&self, client: &mut Client, request: Request) -> Result<Option<Status>, String> {
         let told = client.ask(&Request::new(Verb::Status))?;
         let came = self.now();
-        let ticket = Ticket { boot: told.boot, clock: Duration::from_micros(told.clock_us) };
-        let order = self.desk().owner.order(self.now(), ticket, came, request.verb == Verb::Hear);
+        let ticket = Ticket {
+            boot: told.boot,
+            clock: Duration::from_micros(told.clock_us),
+        };
+        let order = self
+            .desk()
+            .owner
+            .order(self.now(), ticket, came, request.verb == Verb::Hear);
         let Some(order) = order else { return Ok(None) };
-        let owner =
-            OwnerWords { term: order.term, boot: order.boot, until_us: order.until.as_micros() as u64 };
-        client.ask(&Request { owner: Some(owner), ..request }).map(Some)
+        let owner = OwnerWords {
+            term: order.term,
+            boot: order.boot,
+            until_us: order.until.as_micros() as u64,
+        };
+        client
+            .ask(&Request {
+                owner: Some(owner),
+                ..request
+            })
+            .map(Some)
     }
 
     /// The queue for the work, who is first in front: each node's name and term.
     pub fn queue(&self) -> Result<Vec<(Term, String)>, String> {
-        let names = match self.ask(Ask::GetChildren { path: QUEUE.into(), watch: false })? {
+        let names = match self.ask(Ask::GetChildren {
+            path: QUEUE.into(),
+            watch: false,
+        })? {
             Answer::Children(names, _) => names,
             _ => Vec::new(),
         };
         let mut queue = Vec::new();
         for name in names {
-            let found = self.ask(Ask::Exists { path: format!("{QUEUE}/{name}"), watch: false });
+            let found = self.ask(Ask::Exists {
+                path: format!("{QUEUE}/{name}"),
+                watch: false,
+            });
             if let Ok(Answer::Stat(stat)) = found {
                 queue.push((stat.created as Term, name));
             }
@@ -128,7 +166,10 @@
     /// Waits until the store answers, for so long.
     pub fn reached(&self, patience: Duration) -> Result<(), String> {
         let until = Instant::now() + patience;
-        let root = || Ask::Exists { path: "/".into(), watch: false };
+        let root = || Ask::Exists {
+            path: "/".into(),
+            watch: false,
+        };
         while self.ask(root()).is_err() {
             if Instant::now() > until {
                 return Err("the store cannot be heard".into());
@@ -182,8 +223,16 @@
     fn new(claim: Claim, stores: Vec<SocketAddr>, timeout: Duration) -> Seat {
         let seed = u64::from(std::process::id()).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5ca1;
         let (mut out, now) = (Vec::new(), claim.now());
-        let session =
-            Session::new(now, Terms { addresses: stores.len(), timeout, auth: None }, seed, &mut out);
+        let session = Session::new(
+            now,
+            Terms {
+                addresses: stores.len(),
+                timeout,
+                auth: None,
+            },
+            seed,
+            &mut out,
+        );
         Seat {
             claim,
             joins: true,
@@ -215,7 +264,14 @@
             self.ask_for_work(now);
             if self.stands && now >= self.looked + self.every && self.left == 0 {
                 self.looked = now;
-                self.ask(now, Ask::GetChildren { path: QUEUE.into(), watch: false }, For::Queue(now));
+                self.ask(
+                    now,
+                    Ask::GetChildren {
+                        path: QUEUE.into(),
+                        watch: false,
+                    },
+                    For::Queue(now),
+                );
             }
             self.carry_out();
             self.read();
@@ -231,11 +287,14 @@
 
     fn ask_for_work(&mut self, now: Duration) {
         let asks = std::mem::take(&mut self.claim.desk().asks);
-        asks.into_iter().for_each(|(ask, answer)| self.ask(now, ask, For::Work(answer)));
+        asks.into_iter()
+            .for_each(|(ask, answer)| self.ask(now, ask, For::Work(answer)));
     }
 
     fn read(&mut self) {
-        let Some(stream) = &mut self.stream else { return std::thread::sleep(TURN) };
+        let Some(stream) = &mut self.stream else {
+            return std::thread::sleep(TURN);
+        };
         let mut bytes = [0; 8192];
         let read = stream.read(&mut bytes);
         let now = self.claim.now();
@@ -263,7 +322,8 @@
         let now = self.claim.now();
         match effect {
             Effect::Connect(nth) => {
-                let stream = TcpStream::connect_timeout(&self.stores[nth % self.stores.len()], TURN * 25);
+                let stream =
+                    TcpStream::connect_timeout(&self.stores[nth % self.stores.len()], TURN * 25);
                 let ready = stream.and_then(|stream| {
                     stream.set_nodelay(true)?;
                     stream.set_read_timeout(Some(TURN))?;
@@ -289,10 +349,18 @@
             Effect::Up { new: true } if !self.joins => {}
             Effect::Up { new: true } => {
                 for path in [ROOT, QUEUE] {
-                    let make = Ask::Create { path: path.into(), data: Vec::new(), ephemeral: false };
+                    let make = Ask::Create {
+                        path: path.into(),
+                        data: Vec::new(),
+                        ephemeral: false,
+                    };
                     self.ask(now, make, For::Folder);
                 }
-                let make = Ask::Create { path: self.node.clone(), data: Vec::new(), ephemeral: true };
+                let make = Ask::Create {
+                    path: self.node.clone(),
+                    data: Vec::new(),
+                    ephemeral: true,
+                };
                 self.ask(now, make, For::Node);
             }
             Effect::Up { new: false } => self.looked = Duration::ZERO,
@@ -304,7 +372,8 @@
             }
             Effect::Answered { xid, answer } => {
                 let what = self.questions.remove(&xid);
-                what.into_iter().for_each(|what| self.answered(now, what, answer.clone()));
+                what.into_iter()
+                    .for_each(|what| self.answered(now, what, answer.clone()));
             }
             Effect::Lost { xid } => self.questions.remove(&xid).into_iter().for_each(lost),
             Effect::Told(_) | Effect::Bad(_) => {}
@@ -321,7 +390,10 @@
             }
             (For::Node, Err(_)) => {}
             (For::Own(asked), Ok(Answer::Stat(stat))) => {
-                self.claim.desk().owner.joined(now, asked, stat.created as Term);
+                self.claim
+                    .desk()
+                    .owner
+                    .joined(now, asked, stat.created as Term);
                 self.stands = true;
             }
             (For::Queue(asked), Ok(Answer::Children(names, _))) => {
--- a/proxy/src/program/roll.rs
+++ b/proxy/src/program/roll.rs
@@ -75,7 +75,12 @@
 
 /// The same under one owner at a time: waits until this one owns the work, takes it up where it stands, and stops, to wait again, when
 /// it is lost.
-pub fn guarded(roll: &Roll, name: &str, stores: Vec<SocketAddr>, session: Duration) -> Result<(), String> {
+pub fn guarded(
+    roll: &Roll,
+    name: &str,
+    stores: Vec<SocketAddr>,
+    session: Duration,
+) -> Result<(), String> {
     let claim = Claim::start(stores, session);
     loop {
         owned(roll, &claim)?;
@@ -115,7 +120,9 @@
                     claim.all_heard(term);
                 }
             }
-            State::Away if since.elapsed() > roll.patience => return Err("the store cannot be heard".into()),
+            State::Away if since.elapsed() > roll.patience => {
+                return Err("the store cannot be heard".into());
+            }
             State::Away | State::Queued => {}
         }
         std::thread::sleep(LOOK / 2);
@@ -136,7 +143,8 @@
     let (first, rest): (Vec<&PathBuf>, Vec<&PathBuf>) = roll.control.iter().partition(half);
     for control in first.into_iter().chain(rest) {
         let before = plan.pids.get(control).copied();
-        let replaced = status(control).is_ok_and(|now| Some(now.pid) != before && now.state == "serving");
+        let replaced =
+            status(control).is_ok_and(|now| Some(now.pid) != before && now.state == "serving");
         if replaced {
             println!("{}: replaced already", control.display());
             continue;
@@ -148,14 +156,21 @@
         })?;
     }
     let data = serde_json::to_vec(&Plan { done: true, ..plan }).map_err(|e| e.to_string())?;
-    let told = claim.ask(Ask::SetData { path: plan_at(name), data, version: ANY });
+    let told = claim.ask(Ask::SetData {
+        path: plan_at(name),
+        data,
+        version: ANY,
+    });
     told.map(drop).map_err(|_| LOST.to_string())
 }
 
 /// The plan as it stands at the store, and its version; `None` where there is none.
 fn kept(name: &str, claim: &Claim) -> Result<Option<(Plan, i32)>, String> {
     let path = plan_at(name);
-    match claim.ask(Ask::GetData { path: path.clone(), watch: false }) {
+    match claim.ask(Ask::GetData {
+        path: path.clone(),
+        watch: false,
+    }) {
         Ok(Answer::Data(data, stat)) => {
             let plan = serde_json::from_slice(&data).map_err(|e| format!("{path}: {e}"))?;
             Ok(Some((plan, stat.version)))
@@ -188,12 +203,19 @@
         Some((term, owner)) => println!("{owner} owns, term {term}; {} wait", queue.len() - 1),
         None => println!("nobody owns the work"),
     }
-    let Some((plan, _)) = kept(name, claim)? else { return Err(format!("no roll is called {name}")) };
-    let replaced = |(control, pid): &(&PathBuf, &u32)| status(control).is_ok_and(|now| now.pid != **pid);
+    let Some((plan, _)) = kept(name, claim)? else {
+        return Err(format!("no roll is called {name}"));
+    };
+    let replaced =
+        |(control, pid): &(&PathBuf, &u32)| status(control).is_ok_and(|now| now.pid != **pid);
     let (done, all) = (plan.pids.iter().filter(replaced).count(), plan.pids.len());
     println!(
         "{name}: {done} of {all} are replaced; it {}",
-        if plan.done { "is done" } else { plan.wish.name() }
+        if plan.done {
+            "is done"
+        } else {
+            plan.wish.name()
+        }
     );
     for (control, pid) in &plan.pids {
         let state = match status(control) {
@@ -208,12 +230,18 @@
 
 /// Wants something of whoever owns a roll; it is heeded before the next proxy.
 pub fn wish(name: &str, claim: &Claim, wish: Wish) -> Result<(), String> {
-    let Some((plan, version)) = kept(name, claim)? else { return Err(format!("no roll is called {name}")) };
+    let Some((plan, version)) = kept(name, claim)? else {
+        return Err(format!("no roll is called {name}"));
+    };
     if plan.done {
         return Err(format!("{name} is done"));
     }
     let data = serde_json::to_vec(&Plan { wish, ..plan }).map_err(|e| e.to_string())?;
-    claim.ask(Ask::SetData { path: plan_at(name), data, version })?;
+    claim.ask(Ask::SetData {
+        path: plan_at(name),
+        data,
+        version,
+    })?;
     println!("{name} {}", wish.name());
     Ok(())
 }
@@ -222,17 +250,31 @@
 fn plan(roll: &Roll, name: &str, claim: &Claim) -> Result<Plan, String> {
     let path = plan_at(name);
     if let Some((plan, _)) = kept(name, claim)? {
-        let same = plan.pids.keys().collect::<BTreeSet<_>>() == roll.control.iter().collect::<BTreeSet<_>>();
+        let same = plan.pids.keys().collect::<BTreeSet<_>>()
+            == roll.control.iter().collect::<BTreeSet<_>>();
         return if same {
             Ok(plan)
         } else {
-            Err(format!("{path}: it is of other proxies; give this roll another name"))
+            Err(format!(
+                "{path}: it is of other proxies; give this roll another name"
+            ))
         };
     }
-    let pids = roll.control.iter().map(|control| Ok((control.clone(), status(control)?.pid)));
-    let plan = Plan { pids: pids.collect::<Result<_, String>>()?, done: false, wish: Wish::GoOn };
+    let pids = roll
+        .control
+        .iter()
+        .map(|control| Ok((control.clone(), status(control)?.pid)));
+    let plan = Plan {
+        pids: pids.collect::<Result<_, String>>()?,
+        done: false,
+        wish: Wish::GoOn,
+    };
     let data = serde_json::to_vec(&plan).map_err(|e| e.to_string())?;
-    let made = claim.ask(Ask::Create { path, data, ephemeral: false });
+    let made = claim.ask(Ask::Create {
+        path,
+        data,
+        ephemeral: false,
+    });
     made.map(|_| plan).map_err(|_| LOST.to_string())
 }
 
@@ -284,7 +326,14 @@
     let before = client.ask(&Request::new(Verb::Status))?;
     println!("{}: draining, {} open", control.display(), before.open);
     let deadline_ms = Some(roll.deadline.as_millis() as u64);
-    order(&mut client, Request { deadline_ms, ..Request::new(Verb::Drain) }, claim)?;
+    order(
+        &mut client,
+        Request {
+            deadline_ms,
+            ..Request::new(Verb::Drain)
+        },
+        claim,
+    )?;
     emptied(&mut client, roll.deadline)?;
     if claim.is_some() && roll.restart.is_none() {
         order(&mut client, Request::new(Verb::Leave), claim)?;
@@ -295,7 +344,10 @@
             return Err(LOST.into());
         }
         let mut shell = Command::new("/bin/sh");
-        let ran = shell.args(["-c", command]).env("ASTERRAMP_CONTROL", control).status();
+        let ran = shell
+            .args(["-c", command])
+            .env("ASTERRAMP_CONTROL", control)
+            .status();
         let ran = ran.map_err(|e| format!("restart: {e}"))?;
         if !ran.success() {
             return Err(format!("restart: {ran}"));
@@ -306,13 +358,22 @@
 }
 
 fn comes_back(roll: &Roll, control: &Path, before: Option<u32>) -> Result<(), String> {
-    let back = || status(control).ok().filter(|s| s.state == "serving" && Some(s.pid) != before);
+    let back = || {
+        status(control)
+            .ok()
+            .filter(|s| s.state == "serving" && Some(s.pid) != before)
+    };
     until(roll.patience, back).ok_or("it has not come back")?;
-    println!("{}: back; waiting until it carries its share", control.display());
+    println!(
+        "{}: back; waiting until it carries its share",
+        control.display()
+    );
     let carries = || {
         let own = status(control).ok()?;
         let others = roll.control.iter().filter(|other| *other != control);
-        let open: Vec<usize> = others.filter_map(|other| Some(status(other).ok()?.open)).collect();
+        let open: Vec<usize> = others
+            .filter_map(|other| Some(status(other).ok()?.open))
+            .collect();
         let mean = open.iter().sum::<usize>() as f64 / open.len().max(1) as f64;
         (own.carries && own.open as f64 >= mean * roll.share).then_some(own)
     };
--- a/proxy/src/program/run.rs
+++ b/proxy/src/program/run.rs
@@ -38,7 +38,11 @@
             Err(e) => troubles.push(format!("folder={} why=\"{e}\"", state.folder.display())),
         }
     }
-    router.reports.extend(troubles.into_iter().map(|why| Report::Line(Code::StateBad, why)));
+    router.reports.extend(
+        troubles
+            .into_iter()
+            .map(|why| Report::Line(Code::StateBad, why)),
+    );
     router.gate_by(wishes.site.pace, wishes.site.by_worth);
     router.fence_from(term);
     router.drain_by(terms(&wishes));
@@ -49,18 +53,24 @@
     }
     let (mut log, mut counters) = (Log::default(), Counters::default());
     while !router.is_done() {
-        router.wait(clock.now()).map_err(|e| format!("waiting: {e}"))?;
+        router
+            .wait(clock.now())
+            .map_err(|e| format!("waiting: {e}"))?;
         let now = clock.now();
         router.run(now);
         if signals.reloads() {
             match source.again() {
                 Ok((start, kept)) => {
                     for key in kept {
-                        router.reports.push(Report::Line(Code::ReloadKept, format!("key={key}")));
+                        router
+                            .reports
+                            .push(Report::Line(Code::ReloadKept, format!("key={key}")));
                     }
                     router.reload(now, start.discovery);
                 }
-                Err(why) => router.reports.push(Report::Line(Code::ReloadBad, format!("why={why:?}"))),
+                Err(why) => router
+                    .reports
+                    .push(Report::Line(Code::ReloadBad, format!("why={why:?}"))),
             }
             if let Some(path) = operator {
                 wishes = again(&mut router, path, wishes);
@@ -107,7 +117,12 @@
 
 fn terms(wishes: &Operator) -> Terms {
     let drain = &wishes.drain;
-    Terms { closing: drain.closing, quiet: drain.quiet, pace: drain.pace, back: drain.back }
+    Terms {
+        closing: drain.closing,
+        quiet: drain.quiet,
+        pace: drain.pace,
+        back: drain.back,
+    }
 }
 
 /// The newest snapshot of this proxy's, and a line for all that was wrong on the way to it.
@@ -118,24 +133,52 @@
         Err(_) => return (None, Vec::new()),
     };
     let told = |trouble: asterramp_state::Trouble| {
-        format!("file={}/{} why={:?}", state.folder.display(), trouble.file, trouble.why)
+        format!(
+            "file={}/{} why={:?}",
+            state.folder.display(),
+            trouble.file,
+            trouble.why
+        )
     };
-    (found.snapshot, found.troubles.into_iter().map(told).collect())
+    (
+        found.snapshot,
+        found.troubles.into_iter().map(told).collect(),
+    )
 }
 
 fn others(wishes: &Operator) -> Others {
     let Recovery { fleet, others, .. } = &wishes.recovery;
-    Others { fleet: fleet.clone(), doors: others.clone() }
+    Others {
+        fleet: fleet.clone(),
+        doors: others.clone(),
+    }
 }
 
 fn stages(wishes: &Operator, setup: &Setup) -> asterramp_recovery::Terms {
     let (wish, warm) = (&wishes.recovery, setup.deployment.cold.warm_after);
-    asterramp_recovery::Terms { look: wish.look, probe: wish.probe, warm, ..Default::default() }
+    asterramp_recovery::Terms {
+        look: wish.look,
+        probe: wish.probe,
+        warm,
+        ..Default::default()
+    }
 }
 
 fn sites(wishes: &Operator) -> asterramp_site::Terms {
-    let Site { look, hold, hold_most, settle, .. } = wishes.site;
-    asterramp_site::Terms { look, hold, hold_most, settle, ..Default::default() }
+    let Site {
+        look,
+        hold,
+        hold_most,
+        settle,
+        ..
+    } = wishes.site;
+    asterramp_site::Terms {
+        look,
+        hold,
+        hold_most,
+        settle,
+        ..Default::default()
+    }
 }
 
 /// Reads the operator's file again. What takes a restart keeps its value; a bad file changes nothing.
@@ -143,19 +186,37 @@
     let after = match read(path) {
         Ok(after) => after,
         Err(why) => {
-            router.reports.push(Report::Line(Code::ReloadBad, format!("why={why:?}")));
+            router
+                .reports
+                .push(Report::Line(Code::ReloadBad, format!("why={why:?}")));
             return before;
         }
     };
     for (key, takes) in before.changes(&after) {
-        let code = if takes == Takes::AtOnce { Code::Reloaded } else { Code::ReloadKept };
-        router.reports.push(Report::Line(code, format!("key={key}")));
+        let code = if takes == Takes::AtOnce {
+            Code::Reloaded
+        } else {
+            Code::ReloadKept
+        };
+        router
+            .reports
+            .push(Report::Line(code, format!("key={key}")));
     }
     router.drain_by(terms(&after));
     router.control_deadline(after.drain.deadline);
-    let site = Site { watch: before.site.watch, by_worth: before.site.by_worth, ..after.site };
+    let site = Site {
+        watch: before.site.watch,
+        by_worth: before.site.by_worth,
+        ..after.site
+    };
     let (control, state, recovery) = (before.control, before.state, before.recovery);
-    let after = Operator { control, state, recovery, site, ..after };
+    let after = Operator {
+        control,
+        state,
+        recovery,
+        site,
+        ..after
+    };
     router.gate_by(after.site.pace, after.site.by_worth);
     router.sites_by(after.site.watch.then(|| sites(&after)));
     after
--- a/proxy/src/program/signals.rs
+++ b/proxy/src/program/signals.rs
@@ -22,12 +22,24 @@
         let (wakes, woken) =
             pipe_with(PipeFlags::CLOEXEC | PipeFlags::NONBLOCK).map_err(|e| told(e.into()))?;
         let [leave, print, reload] = std::array::from_fn(|_| Arc::new(AtomicBool::new(false)));
-        for (signal, flag) in [(SIGTERM, &leave), (SIGINT, &leave), (SIGUSR1, &print), (SIGHUP, &reload)] {
+        for (signal, flag) in [
+            (SIGTERM, &leave),
+            (SIGINT, &leave),
+            (SIGUSR1, &print),
+            (SIGHUP, &reload),
+        ] {
             // Flags first: they are set in this order.
             flag::register(signal, flag.clone()).map_err(told)?;
             low_level::pipe::register(signal, woken.try_clone().map_err(told)?).map_err(told)?;
         }
-        Ok((Signals { leave, print, reload }, wakes))
+        Ok((
+            Signals {
+                leave,
+                print,
+                reload,
+            },
+            wakes,
+        ))
     }
 
     /// Whether it is to leave; that stays.
--- a/proxy/src/protocol/call.rs
+++ b/proxy/src/protocol/call.rs
@@ -38,7 +38,11 @@
             Status::TooLate => (408, "Request Timeout", "the call did not come in time"),
             Status::NoLength => (411, "Length Required", "a body needs its length"),
             Status::BodyTooLong => (413, "Content Too Large", "the body is too long"),
-            Status::HeadTooLong => (431, "Request Header Fields Too Large", "the head is too long"),
+            Status::HeadTooLong => (
+                431,
+                "Request Header Fields Too Large",
+                "the head is too long",
+            ),
             Status::Unavailable(why) => (503, "Service Unavailable", why),
             Status::Version => (505, "HTTP Version Not Supported", "only HTTP/1.1 is spoken"),
         }
@@ -52,8 +56,11 @@
 /// A whole answer; without a text it says what the status means.
 pub fn answer(status: Status, text: Option<&str>) -> String {
     let (code, reason, why) = status.parts();
-    let allow =
-        if let Status::WrongMethod(method) = status { format!("Allow: {method}\r\n") } else { "".into() };
+    let allow = if let Status::WrongMethod(method) = status {
+        format!("Allow: {method}\r\n")
+    } else {
+        "".into()
+    };
     let body = text.map_or_else(|| format!("{why}\n"), String::from);
     let (kind, n) = ("Content-Type: text/plain; charset=utf-8", body.len());
     format!(
@@ -64,29 +71,47 @@
 /// The call in `bytes`, once it is whole with its body; `None` while it is not.
 pub fn read(bytes: &[u8]) -> Result<Option<Call<'_>>, Status> {
     let Some(end) = bytes.windows(END.len()).position(|four| four == END) else {
-        return if bytes.len() > LONGEST_HEAD { Err(Status::HeadTooLong) } else { Ok(None) };
+        return if bytes.len() > LONGEST_HEAD {
+            Err(Status::HeadTooLong)
+        } else {
+            Ok(None)
+        };
     };
     if end > LONGEST_HEAD {
         return Err(Status::HeadTooLong);
     }
-    let head = std::str::from_utf8(&bytes[..end]).map_err(|_| Status::Bad("the head is not text"))?;
+    let head =
+        std::str::from_utf8(&bytes[..end]).map_err(|_| Status::Bad("the head is not text"))?;
     let mut lines = head.split("\r\n");
     let mut words = lines.next().unwrap_or_default().split(' ');
     let (Some(method), Some(path), Some(version), None) =
         (words.next(), words.next(), words.next(), words.next())
     else {
-        return Err(Status::Bad("the first line is not a method, a path and a version"));
+        return Err(Status::Bad(
+            "the first line is not a method, a path and a version",
+        ));
     };
     if version != "HTTP/1.1" {
         let known = version.starts_with("HTTP/");
-        return Err(if known { Status::Version } else { Status::Bad("the version is none") });
+        return Err(if known {
+            Status::Version
+        } else {
+            Status::Bad("the version is none")
+        });
     }
-    if method.is_empty() || !method.bytes().all(|b| b.is_ascii_uppercase()) || !path.starts_with('/') {
-        return Err(Status::Bad("the first line is not a method, a path and a version"));
+    if method.is_empty()
+        || !method.bytes().all(|b| b.is_ascii_uppercase())
+        || !path.starts_with('/')
+    {
+        return Err(Status::Bad(
+            "the first line is not a method, a path and a version",
+        ));
     }
     let (mut hosts, mut length) = (0, None);
     for line in lines {
-        let (name, value) = line.split_once(':').ok_or(Status::Bad("a header has no colon"))?;
+        let (name, value) = line
+            .split_once(':')
+            .ok_or(Status::Bad("a header has no colon"))?;
         if name.is_empty() || name.bytes().any(|b| b.is_ascii_whitespace()) {
             return Err(Status::Bad("a header's name is none"));
         }
@@ -98,7 +123,11 @@
         } else if is("content-length") {
             let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
             let bad = Status::Bad("the body's length is none");
-            let told = if digits { value.parse::<usize>().unwrap_or(usize::MAX) } else { return Err(bad) };
+            let told = if digits {
+                value.parse::<usize>().unwrap_or(usize::MAX)
+            } else {
+                return Err(bad);
+            };
             if length.replace(told).is_some_and(|before| before != told) {
                 return Err(bad);
             }
--- a/proxy/src/protocol/client.rs
+++ b/proxy/src/protocol/client.rs
@@ -44,7 +44,9 @@
 }
 
 fn number(hex: &str) -> Option<u64> {
-    u64::from_str_radix(hex, 16).ok().filter(|_| hex.len() <= 16)
+    u64::from_str_radix(hex, 16)
+        .ok()
+        .filter(|_| hex.len() <= 16)
 }
 
 /// Figures that this program does not use may follow under names of their own.
@@ -59,7 +61,8 @@
         return Err(Fault::Malformed("list"));
     }
     let item = number(item).ok_or(Fault::Malformed("key"))?;
-    let (mut listener, mut member, mut wait, mut group, mut open_at) = (None, None, None, None, None);
+    let (mut listener, mut member, mut wait, mut group, mut open_at) =
+        (None, None, None, None, None);
     let (mut again, mut failed) = (false, false);
     let mut at = line.len() - list.len();
     for pair in list.split(',') {
@@ -75,7 +78,10 @@
             "at" => open_at = Some(value),
             "d" => {
                 let digits = value.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-                let ms = value.parse().ok().filter(|ms: &f64| digits && ms.is_finite());
+                let ms = value
+                    .parse()
+                    .ok()
+                    .filter(|ms: &f64| digits && ms.is_finite());
                 wait = Some((ms.ok_or(Fault::Malformed("d"))?, value_at));
             }
             _ => {}
@@ -87,5 +93,16 @@
     let (ms, wait_at) = meant.ok_or(Fault::Malformed("d"))?;
     let wait = Duration::from_secs_f64(ms.min(LONGEST_WAIT) / 1e3);
     let listener = listener.ok_or(Fault::Malformed("c"))?;
-    Ok(Greeting::Open(Open { id, item, listener, member, wait, wait_at, group, again, failed, open_at }))
+    Ok(Greeting::Open(Open {
+        id,
+        item,
+        listener,
+        member,
+        wait,
+        wait_at,
+        group,
+        again,
+        failed,
+        open_at,
+    }))
 }
--- a/proxy/src/protocol/discovery.rs
+++ b/proxy/src/protocol/discovery.rs
@@ -35,14 +35,29 @@
 
 /// Entries that cannot be read are left out.
 pub fn list(value: &Value) -> Result<List, String> {
-    let rev = value.get("rev").and_then(Value::number).ok_or("rev is missing or no number")?;
+    let rev = value
+        .get("rev")
+        .and_then(Value::number)
+        .ok_or("rev is missing or no number")?;
     let whole = matches!(value.get("all"), Some(Value::Bool(true)));
-    let targets = value.get("targets").and_then(Value::list).ok_or("targets is missing or no list")?;
-    let mut list = List { rev, whole, lines: Vec::with_capacity(targets.len()), bad: None };
+    let targets = value
+        .get("targets")
+        .and_then(Value::list)
+        .ok_or("targets is missing or no list")?;
+    let mut list = List {
+        rev,
+        whole,
+        lines: Vec::with_capacity(targets.len()),
+        bad: None,
+    };
     for (nth, target) in targets.iter().enumerate() {
         match listed(target) {
             Ok(line) => list.lines.push(line),
-            Err(key) => list.bad = list.bad.or(Some(format!("targets.{nth}.{key} is missing or wrong"))),
+            Err(key) => {
+                list.bad = list
+                    .bad
+                    .or(Some(format!("targets.{nth}.{key} is missing or wrong")))
+            }
         }
     }
     Ok(list)
@@ -58,20 +73,33 @@
     };
     let number = |key: &'static str| match target.get(key) {
         None | Some(Value::Null) => Ok(None),
-        Some(value) => value.number::<f64>().filter(|n| n.is_finite() && *n >= 0.0).map(Some).ok_or(key),
+        Some(value) => value
+            .number::<f64>()
+            .filter(|n| n.is_finite() && *n >= 0.0)
+            .map(Some)
+            .ok_or(key),
     };
     let started = number("boot_ms")?.filter(|ms| *ms > 0.0).map(|ms| ms / 1e3);
     Ok(Listed {
-        uid: Some(text("uid")?).filter(|uid| uid.len() <= UID).ok_or("uid")?.to_string(),
+        uid: Some(text("uid")?)
+            .filter(|uid| uid.len() <= UID)
+            .ok_or("uid")?
+            .to_string(),
         endpoint: match text("endpoint").ok().and_then(|text| text.parse().ok()) {
             Some(endpoint) => endpoint,
             None if standing == Standing::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
             None => return Err("endpoint"),
         },
-        zone: target.get("az").and_then(Value::text).unwrap_or_default().to_string(),
+        zone: target
+            .get("az")
+            .and_then(Value::text)
+            .unwrap_or_default()
+            .to_string(),
         cell: number("pod_group")?.unwrap_or_default() as u16,
         standing,
         weight: number("capacity_hint")?.unwrap_or(1.0),
-        started: started.map(|s| Duration::try_from_secs_f64(s).map_err(|_| "boot_ms")).transpose()?,
+        started: started
+            .map(|s| Duration::try_from_secs_f64(s).map_err(|_| "boot_ms"))
+            .transpose()?,
     })
 }
--- a/proxy/src/protocol/http.rs
+++ b/proxy/src/protocol/http.rs
@@ -47,7 +47,11 @@
                 let (data, rest) = bytes.split_at(left.min(bytes.len()));
                 self.data(data, lines)?;
                 bytes = rest;
-                self.part = if data.len() == left { Part::DataEnd } else { Part::Data(left - data.len()) };
+                self.part = if data.len() == left {
+                    Part::DataEnd
+                } else {
+                    Part::Data(left - data.len())
+                };
                 continue;
             }
             bytes = &bytes[1..];
@@ -58,7 +62,11 @@
             if self.text.len() > LONGEST_HEAD {
                 return Err(Fault::TooLong);
             }
-            let whole = if self.part == Part::Head { &b"\r\n\r\n"[..] } else { &b"\r\n"[..] };
+            let whole = if self.part == Part::Head {
+                &b"\r\n\r\n"[..]
+            } else {
+                &b"\r\n"[..]
+            };
             if self.text.ends_with(whole) {
                 let text = std::mem::take(&mut self.text);
                 let text = std::str::from_utf8(&text).map_err(|_| Fault::NotText)?;
@@ -72,11 +80,15 @@
         match self.part {
             Part::Head => {
                 let mut lines = text.split("\r\n");
-                let status = lines.next().and_then(|line| line.split(' ').nth(1)?.parse().ok());
-                let chunked = lines.filter_map(|line| line.split_once(':')).any(|(name, value)| {
-                    name.eq_ignore_ascii_case("transfer-encoding")
-                        && value.trim().eq_ignore_ascii_case("chunked")
-                });
+                let status = lines
+                    .next()
+                    .and_then(|line| line.split(' ').nth(1)?.parse().ok());
+                let chunked = lines
+                    .filter_map(|line| line.split_once(':'))
+                    .any(|(name, value)| {
+                        name.eq_ignore_ascii_case("transfer-encoding")
+                            && value.trim().eq_ignore_ascii_case("chunked")
+                    });
                 match status {
                     Some(200) if chunked => Ok(Part::Size),
                     Some(status) if status != 200 => Err(Fault::Status(status)),
@@ -85,8 +97,13 @@
             }
             Part::Size => {
                 let digits = text.split(';').next().unwrap_or_default().trim();
-                let size = usize::from_str_radix(digits, 16).map_err(|_| Fault::Malformed("chunk size"))?;
-                Ok(if size == 0 { Part::Over } else { Part::Data(size) })
+                let size = usize::from_str_radix(digits, 16)
+                    .map_err(|_| Fault::Malformed("chunk size"))?;
+                Ok(if size == 0 {
+                    Part::Over
+                } else {
+                    Part::Data(size)
+                })
             }
             _ if text.is_empty() => Ok(Part::Size),
             _ => Err(Fault::Malformed("chunk end")),
--- a/proxy/src/protocol/json.rs
+++ b/proxy/src/protocol/json.rs
@@ -16,31 +16,60 @@
 
 impl Value {
     pub fn get(&self, name: &str) -> Option<&Value> {
-        let Value::Object(pairs) = self else { return None };
+        let Value::Object(pairs) = self else {
+            return None;
+        };
         pairs.iter().find(|pair| pair.0 == name).map(|pair| &pair.1)
     }
 
     pub fn text(&self) -> Option<&str> {
-        if let Value::Text(text) = self { Some(text) } else { None }
+        if let Value::Text(text) = self {
+            Some(text)
+        } else {
+            None
+        }
     }
 
     pub fn number<T: std::str::FromStr>(&self) -> Option<T> {
-        if let Value::Number(text) = self { text.parse().ok() } else { None }
+        if let Value::Number(text) = self {
+            text.parse().ok()
+        } else {
+            None
+        }
     }
 
     pub fn list(&self) -> Option<&[Value]> {
-        if let Value::List(items) = self { Some(items) } else { None }
+        if let Value::List(items) = self {
+            Some(items)
+        } else {
+            None
+        }
     }
 
     /// Paths and values as the settings' flat form has them: items of a list stand under their numbers with
     /// the `count` beside them, plain ones in one value joined by commas.
     pub fn flatten(&self, path: &str, out: &mut Vec<(String, String)>) {
-        let under = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+        let under = |name: &str| {
+            if path.is_empty() {
+                name.to_string()
+            } else {
+                format!("{path}.{name}")
+            }
+        };
         match self {
-            Value::Object(pairs) => pairs.iter().for_each(|(name, value)| value.flatten(&under(name), out)),
-            Value::List(items) if items.iter().any(|i| matches!(i, Value::Object(_) | Value::List(_))) => {
+            Value::Object(pairs) => pairs
+                .iter()
+                .for_each(|(name, value)| value.flatten(&under(name), out)),
+            Value::List(items)
+                if items
+                    .iter()
+                    .any(|i| matches!(i, Value::Object(_) | Value::List(_))) =>
+            {
                 out.push((under("count"), items.len().to_string()));
-                items.iter().enumerate().for_each(|(nth, item)| item.flatten(&under(&nth.to_string()), out));
+                items
+                    .iter()
+                    .enumerate()
+                    .for_each(|(nth, item)| item.flatten(&under(&nth.to_string()), out));
             }
             Value::List(items) => {
                 let plain: Vec<String> = items.iter().map(Value::plain).collect();
@@ -65,7 +94,11 @@
     let mut reader = Reader { text, at: 0 };
     let value = reader.value(0)?;
     reader.space();
-    if reader.at < text.len() { Err(reader.wrong("more than one value")) } else { Ok(value) }
+    if reader.at < text.len() {
+        Err(reader.wrong("more than one value"))
+    } else {
+        Ok(value)
+    }
 }
 
 struct Reader<'a> {
@@ -104,8 +137,11 @@
             Some(b'"') => self.string().map(Value::Text),
             Some(b'-' | b'0'..=b'9') => self.number(),
             _ => {
-                let words =
-                    [("null", Value::Null), ("true", Value::Bool(true)), ("false", Value::Bool(false))];
+                let words = [
+                    ("null", Value::Null),
+                    ("true", Value::Bool(true)),
+                    ("false", Value::Bool(false)),
+                ];
                 let rest = &self.text[self.at..];
                 let found = words.into_iter().find(|word| rest.starts_with(word.0));
                 let (word, value) = found.ok_or_else(|| self.wrong("no value"))?;
@@ -128,11 +164,16 @@
     }
 
     fn list(&mut self, depth: usize) -> Result<Value, String> {
-        self.items(b']', |reader| reader.value(depth)).map(Value::List)
+        self.items(b']', |reader| reader.value(depth))
+            .map(Value::List)
     }
 
     /// What stands between brackets, with commas between.
-    fn items<T>(&mut self, end: u8, item: impl Fn(&mut Self) -> Result<T, String>) -> Result<Vec<T>, String> {
+    fn items<T>(
+        &mut self,
+        end: u8,
+        item: impl Fn(&mut Self) -> Result<T, String>,
+    ) -> Result<Vec<T>, String> {
         self.at += 1;
         let mut items = Vec::new();
         if self.take(end) {
@@ -192,7 +233,8 @@
             b't' => '\t',
             b'u' => {
                 let high = self.unit()?;
-                let pair = matches!(high, 0xd800..0xdc00) && self.text[self.at..].starts_with("\\u");
+                let pair =
+                    matches!(high, 0xd800..0xdc00) && self.text[self.at..].starts_with("\\u");
                 let code = if pair {
                     self.at += 2;
                     let low = self.unit()?.wrapping_sub(0xdc00);
@@ -207,7 +249,10 @@
     }
 
     fn unit(&mut self) -> Result<u32, String> {
-        let digits = self.text.get(self.at..self.at + 4).filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()));
+        let digits = self
+            .text
+            .get(self.at..self.at + 4)
+            .filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()));
         let unit = digits.and_then(|d| u32::from_str_radix(d, 16).ok());
         self.at += 4;
         unit.ok_or_else(|| self.wrong("unknown escape"))
--- a/proxy/src/protocol/line.rs
+++ b/proxy/src/protocol/line.rs
@@ -32,9 +32,15 @@
 pub fn first(bytes: &[u8]) -> Result<Option<(&str, usize)>, Fault> {
     let within = &bytes[..bytes.len().min(LONGEST)];
     let Some(end) = within.iter().position(|b| *b == b'\n') else {
-        return if bytes.len() >= LONGEST { Err(Fault::TooLong) } else { Ok(None) };
+        return if bytes.len() >= LONGEST {
+            Err(Fault::TooLong)
+        } else {
+            Ok(None)
+        };
     };
-    let line = within[..end].strip_suffix(b"\r").ok_or(Fault::Malformed("line end"))?;
+    let line = within[..end]
+        .strip_suffix(b"\r")
+        .ok_or(Fault::Malformed("line end"))?;
     let text = std::str::from_utf8(line).map_err(|_| Fault::NotText)?;
     Ok(Some((text, end + 1)))
 }
--- a/proxy/src/protocol/server.rs
+++ b/proxy/src/protocol/server.rs
@@ -29,7 +29,11 @@
         "ERR" => Said::Erred(rest),
         "BUSY" => Said::Full(rest),
         "PONG" => Said::Pong(rest),
-        "LOAD" => rest.parse().ok().filter(|x: &f64| x.is_finite()).map_or(Said::Other, Said::Work),
+        "LOAD" => rest
+            .parse()
+            .ok()
+            .filter(|x: &f64| x.is_finite())
+            .map_or(Said::Other, Said::Work),
         _ => Said::Other,
     }
 }
--- a/proxy/src/routing/calls.rs
+++ b/proxy/src/routing/calls.rs
@@ -33,45 +33,77 @@
 impl Router {
     /// Listens for operators. Only a start does; what the door holds is taken from what clients may have.
     pub(super) fn open_calls(&mut self, at: SocketAddr) -> io::Result<()> {
-        let door = self.keep(socket::listen(at, false)?, Role::CallDoor, Want { read: true, write: false });
+        let door = self.keep(
+            socket::listen(at, false)?,
+            Role::CallDoor,
+            Want {
+                read: true,
+                write: false,
+            },
+        );
         let door = door.ok_or_else(|| io::Error::other("it cannot be watched"))?;
         self.budget = self.budget.without(CALLERS + 1);
-        self.calls = Some(Calls { door, callers: Vec::new() });
+        self.calls = Some(Calls {
+            door,
+            callers: Vec::new(),
+        });
         Ok(())
     }
 
     pub(super) fn accept_calls(&mut self) {
         for _ in 0..TURN {
             let Some(calls) = &self.calls else { return };
-            let Some(conn) = self.conns.get(calls.door) else { return };
+            let Some(conn) = self.conns.get(calls.door) else {
+                return;
+            };
             let fd = match socket::accept(&conn.stream) {
                 Ok(Some(fd)) => fd,
                 Ok(None) => return,
                 Err(e) => return self.line(Code::AcceptFailed, format!("operators error={e}")),
             };
-            let oldest = calls.callers.first().copied().filter(|_| calls.callers.len() >= CALLERS);
+            let oldest = calls
+                .callers
+                .first()
+                .copied()
+                .filter(|_| calls.callers.len() >= CALLERS);
             if let Some(oldest) = oldest {
                 self.line(Code::CallBad, "call why=\"crowded out\"");
                 self.drop_caller(oldest);
             }
             let role = Role::Caller { answered: false };
-            if let Some(key) = self.keep(fd, role, Want { read: true, write: false }) {
-                self.calls.iter_mut().for_each(|calls| calls.callers.push(key));
+            if let Some(key) = self.keep(
+                fd,
+                role,
+                Want {
+                    read: true,
+                    write: false,
+                },
+            ) {
+                self.calls
+                    .iter_mut()
+                    .for_each(|calls| calls.callers.push(key));
                 self.deadlines.set(Due::Conn(key), self.now + PATIENCE);
-                self.woken(crate::transport::poll::Ready { key, write: false, broken: false });
+                self.woken(crate::transport::poll::Ready {
+                    key,
+                    write: false,
+                    broken: false,
+                });
             }
         }
     }
 
     pub(super) fn caller_woken(&mut self, key: Key, answered: bool) {
         let tells = self.tells_others();
-        let Some(conn) = self.conns.get_mut(key) else { return };
+        let Some(conn) = self.conns.get_mut(key) else {
+            return;
+        };
         if answered {
             // What comes behind the call is not looked at.
             let n = conn.stream.inbound.bytes().len();
             conn.stream.inbound.consume(n);
             let sent = conn.stream.sent();
-            if conn.stream.ended.is_some() && sent || conn.stream.ended == Some(crate::transport::End::Reset)
+            if conn.stream.ended.is_some() && sent
+                || conn.stream.ended == Some(crate::transport::End::Reset)
             {
                 return self.drop_caller(key);
             }
@@ -123,8 +155,11 @@
         if !matches!(status, Status::Good | Status::Unavailable(_)) {
             self.line(Code::CallBad, format!("call why={:?}", status.why()));
         }
-        let Some(conn) = self.conns.get_mut(key) else { return };
-        conn.stream.send(&[call::answer(status, text.as_deref()).as_bytes()]);
+        let Some(conn) = self.conns.get_mut(key) else {
+            return;
+        };
+        conn.stream
+            .send(&[call::answer(status, text.as_deref()).as_bytes()]);
         self.turn(key, Role::Caller { answered: true });
         self.deadlines.set(Due::Conn(key), self.now + PATIENCE);
         self.caller_woken(key, true);
@@ -132,14 +167,19 @@
 
     fn drop_caller(&mut self, key: Key) {
         self.close(key);
-        self.calls.iter_mut().for_each(|calls| calls.callers.retain(|caller| *caller != key));
+        self.calls
+            .iter_mut()
+            .for_each(|calls| calls.callers.retain(|caller| *caller != key));
     }
 
     /// Does what is called for. A start or stop said again is a yes, and changes nothing.
     fn called(&mut self, verb: Verb) -> (Status, Option<String>) {
         let deadline_ms = Some(EMPTY_IN.as_millis() as u64);
         let request = match (verb, self.drain.state()) {
-            (Verb::Drain, State::Serving) => Request { deadline_ms, ..Request::new(verb) },
+            (Verb::Drain, State::Serving) => Request {
+                deadline_ms,
+                ..Request::new(verb)
+            },
             (Verb::Drain, _) | (Verb::Undrain, State::Serving) => return (Status::Good, None),
             _ => Request::new(verb),
         };
@@ -155,11 +195,22 @@
     }
 
     pub(super) fn told_figures(&self) -> String {
-        let listed = self.roster.hosts().filter(|host| host.standing != event::Standing::Gone).count();
-        let standing =
-            Standing { inflight: self.tally.clients(), listed, down: self.exchange.choice.avoided(self.now) };
+        let listed = self
+            .roster
+            .hosts()
+            .filter(|host| host.standing != event::Standing::Gone)
+            .count();
+        let standing = Standing {
+            inflight: self.tally.clients(),
+            listed,
+            down: self.exchange.choice.avoided(self.now),
+        };
         let mut text = self.figures.text(&self.setup.listeners, standing);
-        let places = self.exchange.places.iter().flat_map(|places| places.sites.places());
+        let places = self
+            .exchange
+            .places
+            .iter()
+            .flat_map(|places| places.sites.places());
         text += &super::figures::places_text(self.setup.zones.iter().zip(places));
         text += &super::figures::room_text(self.setup.listeners.iter().zip(self.gate.counts()));
         text += &super::figures::start_text(self.starting(), self.kept());
--- a/proxy/src/routing/client.rs
+++ b/proxy/src/routing/client.rs
@@ -46,7 +46,10 @@
 impl Budget {
     /// An operator's peers take theirs from what clients would have.
     pub fn without(self, peers: usize) -> Budget {
-        Budget { held: self.held.saturating_sub(peers), ..self }
+        Budget {
+            held: self.held.saturating_sub(peers),
+            ..self
+        }
     }
 
     pub fn new(sockets: usize, memory: usize) -> Budget {
@@ -54,7 +57,11 @@
         let edge = EDGE.min(sockets / 16);
         let by_sockets = sockets.saturating_sub(BASE + edge + probes);
         let by_memory = PAIR * ((memory / 4 * 3).saturating_sub(PROGRAM) / SESSION);
-        Budget { held: by_sockets.min(by_memory), edge, probes }
+        Budget {
+            held: by_sockets.min(by_memory),
+            edge,
+            probes,
+        }
     }
 }
 
@@ -131,7 +138,11 @@
     /// The tally's figures counted anew.
     fn counted(&self) -> (usize, usize) {
         let sessions = &self.exchange.sessions;
-        let unplaced = |sess| sessions.get(sess).is_none_or(|held| held.own.server.is_none());
+        let unplaced = |sess| {
+            sessions
+                .get(sess)
+                .is_none_or(|held| held.own.server.is_none())
+        };
         let (mut clients, mut strangers) = (0, 0);
         for (_, conn) in self.conns.iter() {
             match conn.role {
@@ -152,10 +163,19 @@
             Role::Lingering { .. } => conn.stream.sent(),
             _ => false,
         };
-        let due = self.conns.iter().filter(|(_, conn)| old(conn) && conn.passed + YOUNG <= self.now);
+        let due = self
+            .conns
+            .iter()
+            .filter(|(_, conn)| old(conn) && conn.passed + YOUNG <= self.now);
         let due = due.filter(|(key, _)| !self.is_lent(*key));
-        let Some((key, _)) = due.min_by_key(|(_, conn)| conn.passed) else { return false };
-        if let Some(conn) = self.conns.get_mut(key).filter(|conn| conn.role == Role::Greeting) {
+        let Some((key, _)) = due.min_by_key(|(_, conn)| conn.passed) else {
+            return false;
+        };
+        if let Some(conn) = self
+            .conns
+            .get_mut(key)
+            .filter(|conn| conn.role == Role::Greeting)
+        {
             conn.stream.send(&[FAILED]);
             self.line(Code::CrowdedOut, "client");
         }
@@ -177,19 +197,36 @@
         if self.is_followed() {
             return;
         }
-        self.door.into_iter().for_each(|door| self.want(door, Want { read: true, write: false }));
+        self.door.into_iter().for_each(|door| {
+            self.want(
+                door,
+                Want {
+                    read: true,
+                    write: false,
+                },
+            )
+        });
     }
 
     pub(super) fn accept(&mut self) {
         for _ in 0..TURN {
-            let Some(door) = self.door.filter(|_| !self.is_followed()) else { return };
+            let Some(door) = self.door.filter(|_| !self.is_followed()) else {
+                return;
+            };
             // Strangers may take half of what clients leave, so that who says what it wants finds room.
             let (clients, strangers) = (self.tally.held(), self.tally.strangers);
             debug_assert_eq!((clients, strangers), self.counted(), "the tally is off");
-            let most = (self.budget.held.saturating_sub(self.foreign() + clients) / 2).max(self.budget.edge);
+            let most = (self.budget.held.saturating_sub(self.foreign() + clients) / 2)
+                .max(self.budget.edge);
             let shut = strangers >= most && !self.make_room();
-            let Some(conn) = self.conns.get(door) else { return };
-            let taken = if shut { Ok(None) } else { socket::accept(&conn.stream) };
+            let Some(conn) = self.conns.get(door) else {
+                return;
+            };
+            let taken = if shut {
+                Ok(None)
+            } else {
+                socket::accept(&conn.stream)
+            };
             match taken {
                 Ok(Some(fd)) => self.let_in_stranger(fd),
                 Ok(None) if !shut => return,
@@ -210,35 +247,60 @@
     /// Takes in all that wait at a door about to be closed: its close would reset them. Who finds no room is refused.
     pub(super) fn accept_all(&mut self) {
         for _ in 0..socket::BACKLOG {
-            let Some(conn) = self.door.filter(|_| !self.is_followed()).and_then(|door| self.conns.get(door))
+            let Some(conn) = self
+                .door
+                .filter(|_| !self.is_followed())
+                .and_then(|door| self.conns.get(door))
             else {
                 return;
             };
-            let Ok(Some(fd)) = socket::accept(&conn.stream) else { return };
+            let Ok(Some(fd)) = socket::accept(&conn.stream) else {
+                return;
+            };
             self.let_in_stranger(fd);
         }
     }
 
     fn let_in_stranger(&mut self, fd: OwnedFd) {
-        if let Some(key) = self.keep(fd, Role::Greeting, Want { read: true, write: false }) {
+        if let Some(key) = self.keep(
+            fd,
+            Role::Greeting,
+            Want {
+                read: true,
+                write: false,
+            },
+        ) {
             self.deadlines.set(Due::Conn(key), self.now + GREETING);
             // What it wants is often there already.
-            self.woken(Ready { key, write: false, broken: false });
+            self.woken(Ready {
+                key,
+                write: false,
+                broken: false,
+            });
             self.settle();
         }
     }
 
     pub(super) fn greeted(&mut self, key: Key) {
         let serves = self.start_serves();
-        let Some(conn) = self.conns.get_mut(key) else { return };
+        let Some(conn) = self.conns.get_mut(key) else {
+            return;
+        };
         // One that asks and takes no answers would pile them up here.
         if !conn.stream.sent() && conn.stream.ended.is_none() {
-            return self.want(key, Want { read: false, write: true });
+            return self.want(
+                key,
+                Want {
+                    read: false,
+                    write: true,
+                },
+            );
         }
         let (ended, bytes) = (conn.stream.ended, conn.stream.inbound.bytes());
         let found = line::first(bytes);
         let nothing = bytes.is_empty();
-        let asked = found.and_then(|line| line.map(|(text, n)| Ok((greeting(text)?, n))).transpose());
+        let asked =
+            found.and_then(|line| line.map(|(text, n)| Ok((greeting(text)?, n))).transpose());
         match asked {
             Ok(None) if ended.is_none() => self.want_own(key),
             Ok(None) if nothing || ended == Some(End::Reset) => {
@@ -286,9 +348,16 @@
     }
 
     fn bad_greeting(&mut self, key: Key, fault: Fault) {
-        let said = self.conns.get(key).map(|conn| conn.stream.inbound.bytes()).unwrap_or_default();
+        let said = self
+            .conns
+            .get(key)
+            .map(|conn| conn.stream.inbound.bytes())
+            .unwrap_or_default();
         let said = said[..said.len().min(160)].escape_ascii().to_string();
-        self.line(Code::ClientBad, format!("client fault=\"{fault}\" line=\"{said}\""));
+        self.line(
+            Code::ClientBad,
+            format!("client fault=\"{fault}\" line=\"{said}\""),
+        );
         self.dismiss(key, &[FAILED]);
     }
 
@@ -303,7 +372,10 @@
         if !restored && let Err(refusal) = self.let_in(arrival, failed) {
             return self.turn_away(key, arrival, &own, refusal);
         }
-        self.conns.get_mut(key).into_iter().for_each(|conn| conn.stream.inbound.consume(line));
+        self.conns
+            .get_mut(key)
+            .into_iter()
+            .for_each(|conn| conn.stream.inbound.consume(line));
         self.deadlines.clear(Due::Conn(key));
         if !restored {
             self.count(Code::Taken);
@@ -317,24 +389,47 @@
 
     /// The order in which clients are refused while room is short; nobody is held for it.
     fn let_in(&mut self, arrival: Arrival, failed: bool) -> Result<(), Refusal> {
-        let Arrival { listener, member, again, .. } = arrival;
-        self.gate.ask(self.now, Who { listener, member, again, failed })
+        let Arrival {
+            listener,
+            member,
+            again,
+            ..
+        } = arrival;
+        self.gate.ask(
+            self.now,
+            Who {
+                listener,
+                member,
+                again,
+                failed,
+            },
+        )
     }
 
     fn turn_away(&mut self, key: Key, arrival: Arrival, own: &Session, refusal: Refusal) {
         let listener = &self.setup.listeners[usize::from(arrival.listener)];
-        let about = format!("sess={} listener={listener} why={}", own.id(), refusal.reason.name());
+        let about = format!(
+            "sess={} listener={listener} why={}",
+            own.id(),
+            refusal.reason.name()
+        );
         self.line(Code::Short, about);
         self.figures.ended(arrival.listener, figures::End::Busy);
         self.dismiss(key, &[client::refusal(refusal.come_back).as_bytes()]);
     }
 
     pub(super) fn client_woken(&mut self, sess: Key) {
-        let Some(held) = self.exchange.sessions.get(sess) else { return };
+        let Some(held) = self.exchange.sessions.get(sess) else {
+            return;
+        };
         if held.life.stage == Stage::Open {
             return self.relay(sess);
         }
-        let Some((key, conn)) = held.own.client.and_then(|key| Some((key, self.conns.get(key)?))) else {
+        let Some((key, conn)) = held
+            .own
+            .client
+            .and_then(|key| Some((key, self.conns.get(key)?)))
+        else {
             return;
         };
         if !conn.stream.inbound.is_empty() {
@@ -350,26 +445,45 @@
     pub(super) fn answer(&mut self, sess: Key, text: &[u8], code: Code) {
         let client = self.take_client(sess);
         if let Some(client) = client {
-            self.ended(sess, if code == Code::Refused { figures::End::Busy } else { figures::End::Failure });
+            self.ended(
+                sess,
+                if code == Code::Refused {
+                    figures::End::Busy
+                } else {
+                    figures::End::Failure
+                },
+            );
             self.log_end(sess, code);
             self.dismiss(client, &[text]);
         }
     }
 
     pub(super) fn log_end(&mut self, sess: Key, code: Code) {
-        let Some(held) = self.exchange.sessions.get(sess) else { return };
+        let Some(held) = self.exchange.sessions.get(sess) else {
+            return;
+        };
         let (id, life) = (held.own.id(), &held.life);
         let listener = &self.setup.listeners[usize::from(life.arrival.listener)];
-        let server = if life.dials > 0 { self.roster.name(life.to) } else { "-" };
+        let server = if life.dials > 0 {
+            self.roster.name(life.to)
+        } else {
+            "-"
+        };
         let ms = self.now.saturating_sub(life.arrived).as_millis();
-        let about = format!("sess={id} listener={listener} server={server} dials={} ms={ms}", life.dials);
+        let about = format!(
+            "sess={id} listener={listener} server={server} dials={} ms={ms}",
+            life.dials
+        );
         self.line(code, about);
     }
 }
 
 impl Session {
     pub(super) fn id(&self) -> &str {
-        std::str::from_utf8(&self.line).ok().and_then(|line| line.split(' ').nth(1)).unwrap_or_default()
+        std::str::from_utf8(&self.line)
+            .ok()
+            .and_then(|line| line.split(' ').nth(1))
+            .unwrap_or_default()
     }
 }
 
@@ -389,6 +503,10 @@
 pub(super) fn places(setup: &Setup, open: &Open) -> Option<(u8, u16)> {
     let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
     let listener = place(&setup.listeners, open.listener);
-    let member = open.member.map_or(Some(0), |name| place(&setup.members, name));
-    listener.zip(member).map(|(listener, member)| (listener as u8, member as u16))
+    let member = open
+        .member
+        .map_or(Some(0), |name| place(&setup.members, name));
+    listener
+        .zip(member)
+        .map(|(listener, member)| (listener as u8, member as u16))
 }
--- a/proxy/src/routing/control.rs
+++ b/proxy/src/routing/control.rs
@@ -6,7 +6,9 @@
 use crate::transport::{Key, socket};
 use asterramp::event::Standing;
 use asterramp_admit::Reason;
-use asterramp_control::{LONGEST, PlaceStatus, Reply, Request, RoomStatus, StartStatus, Status, Verb};
+use asterramp_control::{
+    LONGEST, PlaceStatus, Reply, Request, RoomStatus, StartStatus, Status, Verb,
+};
 use asterramp_drain::{Refusal, State};
 use asterramp_fleet::Order;
 use asterramp_recovery::Source;
@@ -33,15 +35,30 @@
     /// Opens the socket. A file that a crashed proxy left is taken over; one that somebody listens at is not.
     pub fn open_control(&mut self, path: &Path, most: usize, deadline: Duration) -> io::Result<()> {
         let door = socket::listen_unix(path, socket::SocketType::STREAM)?;
-        let door = self.keep(door, Role::ControlDoor, Want { read: true, write: false });
+        let door = self.keep(
+            door,
+            Role::ControlDoor,
+            Want {
+                read: true,
+                write: false,
+            },
+        );
         let door = door.ok_or_else(|| io::Error::other("it cannot be watched"))?;
         self.budget = self.budget.without(most + 1);
-        self.control = Some(Control { path: path.to_path_buf(), door, peers: 0, most, deadline });
+        self.control = Some(Control {
+            path: path.to_path_buf(),
+            door,
+            peers: 0,
+            most,
+            deadline,
+        });
         Ok(())
     }
 
     pub fn control_deadline(&mut self, deadline: Duration) {
-        self.control.iter_mut().for_each(|control| control.deadline = deadline);
+        self.control
+            .iter_mut()
+            .for_each(|control| control.deadline = deadline);
     }
 
     /// Takes the socket's file away.
@@ -56,7 +73,9 @@
         for _ in 0..TURN {
             let Some(control) = &self.control else { return };
             let (door, full) = (control.door, control.peers >= control.most);
-            let Some(conn) = self.conns.get(door) else { return };
+            let Some(conn) = self.conns.get(door) else {
+                return;
+            };
             let fd = match socket::accept_unix(&conn.stream) {
                 Ok(Some(fd)) => fd,
                 Ok(None) => return,
@@ -64,12 +83,25 @@
             };
             // Dropped, it closes.
             if full || !socket::is_own_user(&fd) {
-                let why = if full { "too many peers" } else { "another user" };
+                let why = if full {
+                    "too many peers"
+                } else {
+                    "another user"
+                };
                 self.line(Code::ControlBad, format!("peer why={why:?}"));
                 continue;
             }
-            if let Some(key) = self.keep(fd, Role::Control, Want { read: true, write: false }) {
-                self.control.iter_mut().for_each(|control| control.peers += 1);
+            if let Some(key) = self.keep(
+                fd,
+                Role::Control,
+                Want {
+                    read: true,
+                    write: false,
+                },
+            ) {
+                self.control
+                    .iter_mut()
+                    .for_each(|control| control.peers += 1);
                 self.deadlines.set(Due::Conn(key), self.now + SILENT);
             }
         }
@@ -77,13 +109,21 @@
 
     pub(super) fn control_woken(&mut self, key: Key) {
         loop {
-            let Some(conn) = self.conns.get_mut(key) else { return };
+            let Some(conn) = self.conns.get_mut(key) else {
+                return;
+            };
             if conn.stream.ended.is_some() {
                 return self.drop_control(key);
             }
             // The next question is looked at once the last one's answer is written.
             if !conn.stream.sent() {
-                return self.want(key, Want { read: false, write: true });
+                return self.want(
+                    key,
+                    Want {
+                        read: false,
+                        write: true,
+                    },
+                );
             }
             let bytes = conn.stream.inbound.bytes();
             let end = bytes.iter().take(LONGEST).position(|b| *b == b'\n');
@@ -91,7 +131,8 @@
                 if bytes.len() < LONGEST {
                     return self.want_own(key);
                 }
-                conn.stream.send(&[Reply::error("a request is too long").line().as_bytes()]);
+                conn.stream
+                    .send(&[Reply::error("a request is too long").line().as_bytes()]);
                 self.line(Code::ControlBad, "request why=\"too long\"");
                 return self.drop_control(key);
             };
@@ -105,26 +146,37 @@
                     Reply::error(why)
                 }
             };
-            let Some(conn) = self.conns.get_mut(key) else { return };
+            let Some(conn) = self.conns.get_mut(key) else {
+                return;
+            };
             conn.stream.send(&[reply.line().as_bytes()]);
         }
     }
 
     pub(super) fn drop_control(&mut self, key: Key) {
         self.close(key);
-        self.control.iter_mut().for_each(|control| control.peers = control.peers.saturating_sub(1));
+        self.control
+            .iter_mut()
+            .for_each(|control| control.peers = control.peers.saturating_sub(1));
     }
 
     /// Does what an operator wants, over whichever door; an error says why it can't.
     pub(super) fn obey(&mut self, request: &Request) -> Result<Reply, &'static str> {
         if let Some(owner) = request.owner {
             let until = Duration::from_micros(owner.until_us);
-            let order = Order { term: owner.term, boot: owner.boot, until };
+            let order = Order {
+                term: owner.term,
+                boot: owner.boot,
+                until,
+            };
             let before = self.fence.highest();
             if let Err(refused) = self.fence.check(self.now, &order) {
                 let (verb, highest) = (request.verb, self.fence.highest());
-                let about =
-                    format!("order={verb:?} term={} heard={highest} why={:?}", owner.term, refused.why());
+                let about = format!(
+                    "order={verb:?} term={} heard={highest} why={:?}",
+                    owner.term,
+                    refused.why()
+                );
                 self.line(Code::OrderRefused, about);
                 return Err(refused.why());
             }
@@ -133,7 +185,10 @@
                 self.heard_term(owner.term);
             }
         }
-        let deadline = self.control.as_ref().map_or(Duration::ZERO, |control| control.deadline);
+        let deadline = self
+            .control
+            .as_ref()
+            .map_or(Duration::ZERO, |control| control.deadline);
         let done = match request.verb {
             Verb::Status | Verb::Hear => Ok(()),
             Verb::Leave => {
@@ -158,14 +213,19 @@
 
     /// What is made of places. A reply has its bound, so of many only those that need a look are told.
     fn places_told(&self) -> Vec<PlaceStatus> {
-        let Some(places) = &self.exchange.places else { return Vec::new() };
+        let Some(places) = &self.exchange.places else {
+            return Vec::new();
+        };
         let mut told: Vec<PlaceStatus> = Vec::new();
         for (name, place) in self.setup.zones.iter().zip(places.sites.places()) {
             told.push(PlaceStatus {
                 name: name.clone(),
                 state: place.state.name().into(),
                 // Whole since the start, it has turned to nothing.
-                since_ms: self.now.saturating_sub(place.since.max(self.began)).as_millis() as u64,
+                since_ms: self
+                    .now
+                    .saturating_sub(place.since.max(self.began))
+                    .as_millis() as u64,
                 doubts: place.doubts,
                 false_alarms: place.false_alarms,
             });
@@ -190,7 +250,11 @@
         Some(StartStatus {
             stage: start.stage().name().into(),
             since_ms: self.now.saturating_sub(start.since()).as_millis() as u64,
-            sources: sources.into_iter().map(source).filter(|told| told.1 > 0).collect(),
+            sources: sources
+                .into_iter()
+                .map(source)
+                .filter(|told| told.1 > 0)
+                .collect(),
             dropped: start.hosts().dropped,
             saved: self.kept(),
         })
@@ -199,7 +263,12 @@
     /// Who was refused for want of room, and what is known of what sessions take; of many listeners the first.
     fn refusals_told(&self) -> Vec<RoomStatus> {
         let taken = self.gate.taken(self.now);
-        let all = self.setup.listeners.iter().zip(self.gate.counts()).zip(taken);
+        let all = self
+            .setup
+            .listeners
+            .iter()
+            .zip(self.gate.counts())
+            .zip(taken);
         let told = all.map(|((name, counts), taken)| RoomStatus {
             listener: name.clone(),
             refused: Reason::ALL
@@ -210,7 +279,9 @@
                 .collect(),
             takes: taken.map(|t| (t.mean, t.off, t.age.as_millis() as u64)),
         });
-        told.filter(|room| !room.refused.is_empty() || room.takes.is_some()).take(16).collect()
+        told.filter(|room| !room.refused.is_empty() || room.takes.is_some())
+            .take(16)
+            .collect()
     }
 
     fn status(&self) -> Status {
@@ -243,8 +314,16 @@
             carries: self.drain.carries(self.now),
             taken: self.taken,
             left,
-            hosts_ready: self.roster.hosts().filter(|host| host.standing == Standing::Ready).count(),
-            hosts: self.roster.hosts().filter(|host| host.standing != Standing::Gone).count(),
+            hosts_ready: self
+                .roster
+                .hosts()
+                .filter(|host| host.standing == Standing::Ready)
+                .count(),
+            hosts: self
+                .roster
+                .hosts()
+                .filter(|host| host.standing != Standing::Gone)
+                .count(),
             discovery_ms: self.watch.heard().map(|at| ms(self.now.saturating_sub(at))),
             places: self.places_told(),
             start: self.start_told(),
--- a/proxy/src/routing/exchange.rs
+++ b/proxy/src/routing/exchange.rs
@@ -82,7 +82,8 @@
         let key = self.sessions.insert(Held { life, own });
         if let Some(held) = self.sessions.get_mut(key) {
             held.life.arrival.sess = key.slot;
-            self.events.push_back(Event::Inherited(held.life.arrival, held.life.to));
+            self.events
+                .push_back(Event::Inherited(held.life.arrival, held.life.to));
         }
         self.settle(now);
         key
@@ -106,8 +107,12 @@
 
     /// Something that is no session's own: the roster, a probe's answer, a tick.
     pub fn event(&mut self, now: Duration, event: Event) {
-        let dials =
-            |held: &Held<T>| matches!(held.life.stage, Stage::Connecting | Stage::Asked | Stage::Sent);
+        let dials = |held: &Held<T>| {
+            matches!(
+                held.life.stage,
+                Stage::Connecting | Stage::Asked | Stage::Sent
+            )
+        };
         if planted(Plant::DrainMidDialLost)
             && matches!(event, Event::Roster(_))
             && self.sessions.iter().any(|(_, held)| dials(held))
@@ -145,7 +150,9 @@
     }
 
     fn step(&mut self, now: Duration, sess: Key, input: Input) {
-        let Some(held) = self.sessions.get_mut(sess) else { return };
+        let Some(held) = self.sessions.get_mut(sess) else {
+            return;
+        };
         let mut effects = std::mem::take(&mut self.effects);
         held.life.step(now, input, &mut effects);
         for effect in effects.drain(..) {
@@ -174,7 +181,9 @@
                     Event::Began { sess, .. } | Event::Ended { sess, .. } => self.sessions.at(sess),
                     _ => None,
                 };
-                let to = to.and_then(|key| self.sessions.get(key)).map(|held| held.life.to);
+                let to = to
+                    .and_then(|key| self.sessions.get(key))
+                    .map(|held| held.life.to);
                 places.hears(now, &event, to);
             }
             self.heed_places();
@@ -187,22 +196,36 @@
 
     fn act(&mut self, now: Duration, action: Action) {
         let (sess, input) = match action {
-            Action::Dial { sess, server, time_out, within } => {
-                (sess, Input::Dial { server, time_out, within })
-            }
+            Action::Dial {
+                sess,
+                server,
+                time_out,
+                within,
+            } => (
+                sess,
+                Input::Dial {
+                    server,
+                    time_out,
+                    within,
+                },
+            ),
             Action::CallOff { sess, .. } => (sess, Input::CallOff),
             Action::Refuse { sess, come_back } => (sess, Input::Refuse { come_back }),
             Action::TearDown { sess } => (sess, Input::TearDown),
             Action::Move { sess } => (sess, Input::Move),
             Action::Forget { sess } => {
                 let key = self.known(sess).filter(|_| !planted(Plant::Kept));
-                return self.tasks.extend(key.map(|key| Task::For(key, Effect::Forget)));
+                return self
+                    .tasks
+                    .extend(key.map(|key| Task::For(key, Effect::Forget)));
             }
             Action::Probe { server } => return self.tasks.push_back(Task::Probe(server)),
             Action::Wake { after } => return self.tasks.push_back(Task::Wake(after)),
             Action::Subscribe => return self.tasks.push_back(Task::Subscribe),
         };
-        self.known(sess).into_iter().for_each(|key| self.step(now, key, input));
+        self.known(sess)
+            .into_iter()
+            .for_each(|key| self.step(now, key, input));
     }
 
     /// The session that the module knows by this index.
--- a/proxy/src/routing/figures.rs
+++ b/proxy/src/routing/figures.rs
@@ -16,7 +16,11 @@
     Failure,
 }
 
-const ENDS: [(End, &str); 3] = [(End::Success, "success"), (End::Busy, "busy"), (End::Failure, "failure")];
+const ENDS: [(End, &str); 3] = [
+    (End::Success, "success"),
+    (End::Busy, "busy"),
+    (End::Failure, "failure"),
+];
 
 /// Counts since the start of this process.
 #[derive(Debug)]
@@ -38,7 +42,10 @@
 
 impl Figures {
     pub fn new(listeners: usize) -> Figures {
-        Figures { ends: vec![[0; ENDS.len()]; listeners], attempts: 0 }
+        Figures {
+            ends: vec![[0; ENDS.len()]; listeners],
+            attempts: 0,
+        }
     }
 
     pub fn ended(&mut self, listener: u8, end: End) {
@@ -57,7 +64,10 @@
             let tier = escaped(name);
             for (end, code) in ENDS {
                 let n = counts[end as usize];
-                let _ = writeln!(text, "svc_calls_total{{tier=\"{tier}\",code=\"{code}\"}} {n}");
+                let _ = writeln!(
+                    text,
+                    "svc_calls_total{{tier=\"{tier}\",code=\"{code}\"}} {n}"
+                );
             }
         }
         let rest = [
@@ -78,22 +88,32 @@
     let mut text = String::new();
     for (name, place) in places {
         let (place_name, state) = (escaped(name), place.state.name());
-        let _ = writeln!(text, "svc_place_state{{place=\"{place_name}\",state=\"{state}\"}} 1");
+        let _ = writeln!(
+            text,
+            "svc_place_state{{place=\"{place_name}\",state=\"{state}\"}} 1"
+        );
         for (kind, n) in [("doubt", place.doubts), ("given-up", place.false_alarms)] {
-            let _ =
-                writeln!(text, "svc_place_false_alarms_total{{place=\"{place_name}\",kind=\"{kind}\"}} {n}");
+            let _ = writeln!(
+                text,
+                "svc_place_false_alarms_total{{place=\"{place_name}\",kind=\"{kind}\"}} {n}"
+            );
         }
     }
     text
 }
 
 /// Who was refused for want of room, and why; nothing while nobody was.
-pub fn room_text<'a>(counts: impl Iterator<Item = (&'a String, &'a [u64; Reason::ALL.len()])>) -> String {
+pub fn room_text<'a>(
+    counts: impl Iterator<Item = (&'a String, &'a [u64; Reason::ALL.len()])>,
+) -> String {
     let mut text = String::new();
     for (name, counts) in counts {
         for (why, n) in Reason::ALL.into_iter().zip(counts).filter(|(_, n)| **n > 0) {
             let (tier, why) = (escaped(name), why.name());
-            let _ = writeln!(text, "svc_room_refused_total{{tier=\"{tier}\",why=\"{why}\"}} {n}");
+            let _ = writeln!(
+                text,
+                "svc_room_refused_total{{tier=\"{tier}\",why=\"{why}\"}} {n}"
+            );
         }
     }
     text
@@ -103,10 +123,21 @@
 pub fn start_text(start: Option<&Recovery>, kept: Option<(u64, u64)>) -> String {
     let mut text = String::new();
     if let Some(start) = start {
-        let _ = writeln!(text, "svc_start_stage{{stage=\"{}\"}} 1", start.stage().name());
-        let _ = writeln!(text, "svc_start_hosts_dropped_total {}", start.hosts().dropped);
+        let _ = writeln!(
+            text,
+            "svc_start_stage{{stage=\"{}\"}} 1",
+            start.stage().name()
+        );
+        let _ = writeln!(
+            text,
+            "svc_start_hosts_dropped_total {}",
+            start.hosts().dropped
+        );
     }
-    for (what, n) in kept.iter().flat_map(|kept| [("saved", kept.0), ("failed", kept.1)]) {
+    for (what, n) in kept
+        .iter()
+        .flat_map(|kept| [("saved", kept.0), ("failed", kept.1)])
+    {
         let _ = writeln!(text, "svc_state_snapshots_total{{end=\"{what}\"}} {n}");
     }
     text
@@ -114,5 +145,7 @@
 
 /// A name as a label's value.
 fn escaped(name: &str) -> String {
-    name.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
+    name.replace('\\', "\\\\")
+        .replace('"', "\\\"")
+        .replace('\n', "\\n")
 }
--- a/proxy/src/routing/kin.rs
+++ b/proxy/src/routing/kin.rs
@@ -11,7 +11,9 @@
 use crate::transport::poll::Want;
 use crate::transport::{Key, Stream, link, socket};
 use asterramp::event::{Outcome, Standing};
-use asterramp_handover::{Act, Bytes, HOSTS, Heard, Host, Input, LONGEST, OFFERED, Pair, Side, Stage, Word};
+use asterramp_handover::{
+    Act, Bytes, HOSTS, Heard, Host, Input, LONGEST, OFFERED, Pair, Side, Stage, Word,
+};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::io::Errno;
@@ -70,14 +72,26 @@
                 Some((message, _)) if message.is_empty() => return Err("it hung up".into()),
                 Some((message, mut with)) => match (Word::read(&message)?, with.pop()) {
                     (Word::Hosts(hosts), None) if lines.len() < MOST => {
-                        lines.extend(hosts.into_iter().map(listed).collect::<Result<Vec<_>, _>>()?);
+                        lines.extend(
+                            hosts
+                                .into_iter()
+                                .map(listed)
+                                .collect::<Result<Vec<_>, _>>()?,
+                        );
                     }
                     (Word::Door { rev }, Some(door)) => {
-                        let at = rustix::net::getsockname(&door).ok().and_then(|at| at.try_into().ok());
+                        let at = rustix::net::getsockname(&door)
+                            .ok()
+                            .and_then(|at| at.try_into().ok());
                         if at != Some(listen) || !socket::is_door(&door) {
                             return Err("its door is another".into());
                         }
-                        let list = List { rev, whole: true, lines, bad: None };
+                        let list = List {
+                            rev,
+                            whole: true,
+                            lines,
+                            bad: None,
+                        };
                         return Ok(Some(Estate { link, door, list }));
                     }
                     _ => return Err("it says what makes no sense now".into()),
@@ -87,7 +101,10 @@
                     if left.is_zero() {
                         return Err("it is too slow".into());
                     }
-                    let time = Timespec { tv_sec: 0, tv_nsec: left.subsec_nanos().into() };
+                    let time = Timespec {
+                        tv_sec: 0,
+                        tv_nsec: left.subsec_nanos().into(),
+                    };
                     match poll(&mut [PollFd::new(&link, PollFlags::IN)], Some(&time)) {
                         Ok(_) | Err(Errno::INTR) => {}
                         Err(e) => return Err(e.to_string()),
@@ -101,24 +118,54 @@
 impl Router {
     /// Others that start beside this process may come from now on; `estate` is what this one got from its elder.
     pub(super) fn meet_kin(&mut self, path: PathBuf, link: Option<OwnedFd>) {
-        let link = link.and_then(|fd| self.keep(fd, Role::Kin, Want { read: true, write: false }));
-        let stage = if link.is_some() { Stage::Taking } else { Stage::Alone };
-        self.kin = Some(Kin { path, side: Side::new(stage), door: None, link, foreign: 0 });
+        let link = link.and_then(|fd| {
+            self.keep(
+                fd,
+                Role::Kin,
+                Want {
+                    read: true,
+                    write: false,
+                },
+            )
+        });
+        let stage = if link.is_some() {
+            Stage::Taking
+        } else {
+            Stage::Alone
+        };
+        self.kin = Some(Kin {
+            path,
+            side: Side::new(stage),
+            door: None,
+            link,
+            foreign: 0,
+        });
     }
 
     /// This process serves: its elder hands over, and a younger may come.
     pub(super) fn serves_kin(&mut self) {
-        if self.kin.as_ref().is_some_and(|kin| kin.link.is_some()) && !self.told_kin(&Word::Serves, &[]) {
+        if self.kin.as_ref().is_some_and(|kin| kin.link.is_some())
+            && !self.told_kin(&Word::Serves, &[])
+        {
             self.kin_input(Input::Broke, None, Vec::new());
         }
         self.open_kin();
     }
 
     fn open_kin(&mut self) {
-        let Some(kin) = self.kin.as_ref().filter(|kin| kin.door.is_none()) else { return };
+        let Some(kin) = self.kin.as_ref().filter(|kin| kin.door.is_none()) else {
+            return;
+        };
         match socket::listen_unix(&kin.path, socket::SocketType::SEQPACKET) {
             Ok(fd) => {
-                let door = self.keep(fd, Role::KinDoor, Want { read: true, write: false });
+                let door = self.keep(
+                    fd,
+                    Role::KinDoor,
+                    Want {
+                        read: true,
+                        write: false,
+                    },
+                );
                 self.kin.iter_mut().for_each(|kin| kin.door = door);
             }
             Err(e) => self.line(Code::KinBad, format!("door error={e:?}")),
@@ -136,18 +183,24 @@
 
     /// Whether a younger has taken over.
     pub(super) fn is_followed(&self) -> bool {
-        self.kin.as_ref().is_some_and(|kin| kin.side.stage == Stage::Handing)
+        self.kin
+            .as_ref()
+            .is_some_and(|kin| kin.side.stage == Stage::Handing)
     }
 
     pub(super) fn is_offered(&self, sess: Key) -> bool {
-        self.kin.as_ref().is_some_and(|kin| kin.side.is_offered(&Offer::Pair(sess)))
+        self.kin
+            .as_ref()
+            .is_some_and(|kin| kin.side.is_offered(&Offer::Pair(sess)))
     }
 
     /// Whether a connection has been offered, and is nobody's to read or write.
     pub(super) fn is_lent(&self, key: Key) -> bool {
         let Some(kin) = &self.kin else { return false };
         match self.conns.get(key).map(|conn| conn.role) {
-            Some(Role::Client(sess) | Role::Server(sess)) => kin.side.is_offered(&Offer::Pair(sess)),
+            Some(Role::Client(sess) | Role::Server(sess)) => {
+                kin.side.is_offered(&Offer::Pair(sess))
+            }
             Some(Role::Greeting) => kin.side.is_offered(&Offer::Stranger(key)),
             _ => false,
         }
@@ -160,8 +213,12 @@
 
     pub(super) fn accept_kin(&mut self) {
         let door = self.kin.as_ref().and_then(|kin| kin.door);
-        let Some(conn) = door.and_then(|door| self.conns.get(door)) else { return };
-        let Ok(Some(fd)) = socket::accept_unix(&conn.stream) else { return };
+        let Some(conn) = door.and_then(|door| self.conns.get(door)) else {
+            return;
+        };
+        let Ok(Some(fd)) = socket::accept_unix(&conn.stream) else {
+            return;
+        };
         if !socket::is_own_user(&fd) {
             return self.line(Code::KinBad, "caller why=\"another user\"");
         }
@@ -171,7 +228,9 @@
     pub(super) fn kin_woken(&mut self, key: Key) {
         // Bounded, so that nobody waits for it: what an elder offers is.
         for _ in 0..2 * OFFERED {
-            let Some(conn) = self.conns.get(key) else { return };
+            let Some(conn) = self.conns.get(key) else {
+                return;
+            };
             let (message, with) = match link::receive(&conn.stream, LONGEST) {
                 Ok(None) => return,
                 Ok(Some((message, with))) if !message.is_empty() => (message, with),
@@ -212,12 +271,18 @@
 
     fn tell_kin(&mut self, word: &Word, with: &[Key]) -> Heard {
         let link = self.kin.as_ref().and_then(|kin| kin.link);
-        let Some(link) = link.and_then(|link| self.conns.get(link)) else { return Heard::Gone };
-        let with: Option<Vec<BorrowedFd>> =
-            with.iter().map(|key| Some(self.conns.get(*key)?.stream.as_fd())).collect();
+        let Some(link) = link.and_then(|link| self.conns.get(link)) else {
+            return Heard::Gone;
+        };
+        let with: Option<Vec<BorrowedFd>> = with
+            .iter()
+            .map(|key| Some(self.conns.get(*key)?.stream.as_fd()))
+            .collect();
         match with.map(|with| link::send(&link.stream, &word.write(), &with)) {
             Some(Ok(true)) => Heard::Yes,
-            Some(Err(Errno::PIPE | Errno::CONNRESET | Errno::CONNREFUSED | Errno::NOTCONN)) => Heard::Gone,
+            Some(Err(Errno::PIPE | Errno::CONNRESET | Errno::CONNREFUSED | Errno::NOTCONN)) => {
+                Heard::Gone
+            }
             _ => Heard::Full,
         }
     }
@@ -234,15 +299,26 @@
         let (before, act) = (kin.side.stage, kin.side.stage.step(input));
         match act {
             Act::Nothing => {
-                let link = caller.and_then(|fd| self.keep(fd, Role::Kin, Want { read: true, write: false }));
+                let link = caller.and_then(|fd| {
+                    self.keep(
+                        fd,
+                        Role::Kin,
+                        Want {
+                            read: true,
+                            write: false,
+                        },
+                    )
+                });
                 self.kin.iter_mut().for_each(|kin| kin.link = link);
-                link.into_iter().for_each(|key| self.deadlines.set(Due::Conn(key), self.now + SAYS));
+                link.into_iter()
+                    .for_each(|key| self.deadlines.set(Due::Conn(key), self.now + SAYS));
             }
             Act::TurnAway => self.line(Code::KinBad, "caller why=\"one replaces this already\""),
             Act::TellState => {
                 let told = self.tell_estate();
                 let link = self.kin.as_ref().and_then(|kin| kin.link);
-                link.into_iter().for_each(|key| self.deadlines.set(Due::Conn(key), self.now + SERVES));
+                link.into_iter()
+                    .for_each(|key| self.deadlines.set(Due::Conn(key), self.now + SERVES));
                 if told {
                     // The path is the younger's from now on.
                     self.shut_kin();
@@ -252,8 +328,11 @@
             }
             Act::StopTaking => {
                 let link = self.kin.as_ref().and_then(|kin| kin.link);
-                link.into_iter().for_each(|key| self.deadlines.clear(Due::Conn(key)));
-                self.door.into_iter().for_each(|door| self.want(door, Want::default()));
+                link.into_iter()
+                    .for_each(|key| self.deadlines.clear(Due::Conn(key)));
+                self.door
+                    .into_iter()
+                    .for_each(|door| self.want(door, Want::default()));
                 self.deadlines.clear(Due::Door);
                 let holds = Word::Holds(self.conns.len() as u32);
                 let about = format!("by another process, {} descriptors", self.conns.len());
@@ -294,7 +373,11 @@
 
     /// The younger lives: what it took before this moment is its own, and from now on it can say so no more.
     fn hear_out(&mut self) {
-        let link = self.kin.as_ref().and_then(|kin| kin.link).and_then(|link| self.conns.get(link));
+        let link = self
+            .kin
+            .as_ref()
+            .and_then(|kin| kin.link)
+            .and_then(|link| self.conns.get(link));
         let mut taken = 0;
         if let Some(link) = link {
             // It fails only for a link that has ended, which then says nothing more.
@@ -319,7 +402,14 @@
         let (link, (kept, dropped)) = (kin.link.take(), kin.side.parted(told));
         link.into_iter().for_each(|key| drop(self.close(key)));
         self.deadlines.clear(Due::Kin);
-        self.line(Code::KinParted, format!("from={before:?} kept={} dropped={}", kept.len(), dropped.len()));
+        self.line(
+            Code::KinParted,
+            format!(
+                "from={before:?} kept={} dropped={}",
+                kept.len(),
+                dropped.len()
+            ),
+        );
         kept.into_iter().for_each(|offer| self.take_up(offer));
         dropped.into_iter().for_each(|offer| self.let_go(offer));
         if !self.drain.shuts_door(self.now) && self.serving {
@@ -332,7 +422,9 @@
         let hosts: Vec<Host> = self.roster.lines().map(host).collect();
         let Some(door) = self.door else { return false };
         let rev = self.watch.rev();
-        hosts.chunks(HOSTS).all(|hosts| self.told_kin(&Word::Hosts(hosts.to_vec()), &[]))
+        hosts
+            .chunks(HOSTS)
+            .all(|hosts| self.told_kin(&Word::Hosts(hosts.to_vec()), &[]))
             && self.told_kin(&Word::Door { rev }, &[door])
     }
 
@@ -344,20 +436,42 @@
         self.deadlines.set(Due::Kin, self.now + STEP);
         let room = self.kin.as_ref().map_or(0, |kin| kin.side.room());
         let strangers = self.conns.iter().filter(|(key, conn)| {
-            let offered = self.kin.as_ref().is_some_and(|kin| kin.side.is_offered(&Offer::Stranger(*key)));
-            conn.role == Role::Greeting && conn.stream.ended.is_none() && conn.stream.sent() && !offered
+            let offered = self
+                .kin
+                .as_ref()
+                .is_some_and(|kin| kin.side.is_offered(&Offer::Stranger(*key)));
+            conn.role == Role::Greeting
+                && conn.stream.ended.is_none()
+                && conn.stream.sent()
+                && !offered
         });
-        let mut offers: Vec<Offer> = strangers.map(|(key, _)| Offer::Stranger(key)).take(room).collect();
-        let sessions = self.exchange.sessions.iter().filter(|(key, held)| self.may_offer(*key, held));
-        offers.extend(sessions.map(|(key, _)| Offer::Pair(key)).take(room - offers.len()));
+        let mut offers: Vec<Offer> = strangers
+            .map(|(key, _)| Offer::Stranger(key))
+            .take(room)
+            .collect();
+        let sessions = self
+            .exchange
+            .sessions
+            .iter()
+            .filter(|(key, held)| self.may_offer(*key, held));
+        offers.extend(
+            sessions
+                .map(|(key, _)| Offer::Pair(key))
+                .take(room - offers.len()),
+        );
         for offer in offers {
-            let Some((word, with)) = self.worded(offer) else { continue };
+            let Some((word, with)) = self.worded(offer) else {
+                continue;
+            };
             if !self.told_kin(&word, &with) {
                 return;
             }
             // Nothing of it is read or written from here on, until it is dropped or taken up again.
             for key in with {
-                self.conns.get(key).into_iter().for_each(|conn| self.poll.forget(&conn.stream));
+                self.conns
+                    .get(key)
+                    .into_iter()
+                    .for_each(|conn| self.poll.forget(&conn.stream));
                 self.deadlines.clear(Due::Conn(key));
             }
             if let Offer::Pair(sess) = offer {
@@ -381,17 +495,27 @@
     fn worded(&self, offer: Offer) -> Option<(Word, Vec<Key>)> {
         let bytes = |key: Key| {
             let conn = self.conns.get(key)?;
-            Some(Bytes { whole: conn.whole, bytes: conn.stream.inbound.bytes().to_vec() })
+            Some(Bytes {
+                whole: conn.whole,
+                bytes: conn.stream.inbound.bytes().to_vec(),
+            })
         };
         match offer {
             Offer::Stranger(key) => Some((Word::Stranger(bytes(key)?), vec![key])),
             Offer::Pair(sess) => {
                 let held = self.exchange.sessions.get(sess)?;
                 let (client, server) = (held.own.client?, held.own.server?);
-                let due = self.deadlines.of(Due::Session(sess)).filter(|_| held.own.asked);
+                let due = self
+                    .deadlines
+                    .of(Due::Session(sess))
+                    .filter(|_| held.own.asked);
                 // The other process is told when its client is to be moved, not when its server counts as quiet.
                 let waits = super::relay::rest(self.setup.connect_within);
-                let later = if held.own.quiet { Duration::ZERO } else { waits };
+                let later = if held.own.quiet {
+                    Duration::ZERO
+                } else {
+                    waits
+                };
                 let pair = Pair {
                     line: held.own.line.clone(),
                     uid: self.roster.name(held.life.to).into(),
@@ -411,9 +535,18 @@
             Offer::Pair(sess) => {
                 self.count(Code::HandedOver);
                 let (client, server) = (self.take_client(sess), self.take_server(sess));
-                [client, server].into_iter().flatten().for_each(|key| drop(self.let_out(key)));
+                [client, server]
+                    .into_iter()
+                    .flatten()
+                    .for_each(|key| drop(self.let_out(key)));
                 let load = asterramp::event::Load::default();
-                self.input(sess, super::Input::Closed { outcome: Outcome::CalledOff, load });
+                self.input(
+                    sess,
+                    super::Input::Closed {
+                        outcome: Outcome::CalledOff,
+                        load,
+                    },
+                );
             }
         }
     }
@@ -422,7 +555,10 @@
     fn take_up(&mut self, offer: Offer) {
         let watch = |router: &mut Router, key: Key| {
             if let Some(conn) = router.conns.get_mut(key) {
-                conn.stream.want = Want { read: true, write: false };
+                conn.stream.want = Want {
+                    read: true,
+                    write: false,
+                };
                 let _ = router.poll.add(&conn.stream, key, conn.stream.want);
             }
         };
@@ -433,11 +569,19 @@
                 self.greeted(key);
             }
             Offer::Pair(sess) => {
-                let keys = self.own(sess).map(|own| (own.client, own.server, own.asked));
-                let Some((client, server, asked)) = keys else { return };
-                [client, server].into_iter().flatten().for_each(|key| watch(self, key));
+                let keys = self
+                    .own(sess)
+                    .map(|own| (own.client, own.server, own.asked));
+                let Some((client, server, asked)) = keys else {
+                    return;
+                };
+                [client, server]
+                    .into_iter()
+                    .flatten()
+                    .for_each(|key| watch(self, key));
                 if asked {
-                    self.deadlines.set(Due::Session(sess), self.now + super::relay::SILENCE);
+                    self.deadlines
+                        .set(Due::Session(sess), self.now + super::relay::SILENCE);
                     self.own(sess).into_iter().for_each(|own| own.quiet = true);
                 }
                 self.relay(sess);
@@ -448,11 +592,20 @@
     /// The elder offers something: it is taken only where it is whole and known, and the elder hears that before
     /// anything is done with it.
     fn offered(&mut self, word: Word, with: Vec<OwnedFd>) {
-        let taking = self.kin.as_ref().is_some_and(|kin| kin.side.stage == Stage::Taking);
-        let found = if taking { self.found(word, with) } else { Err("nothing may be offered now") };
+        let taking = self
+            .kin
+            .as_ref()
+            .is_some_and(|kin| kin.side.stage == Stage::Taking);
+        let found = if taking {
+            self.found(word, with)
+        } else {
+            Err("nothing may be offered now")
+        };
         let taken = found.and_then(|found| {
             let told = self.tell_kin(&Word::Taken, &[]);
-            self.kin.as_mut().map_or(Ok(None), |kin| kin.side.read(found, told))
+            self.kin
+                .as_mut()
+                .map_or(Ok(None), |kin| kin.side.read(found, told))
         });
         match taken {
             Ok(found) => {
@@ -468,16 +621,30 @@
 
     /// Goes on with what was the elder's.
     fn adopt(&mut self, found: Found) {
-        let less = if matches!(found, Found::Pair(..)) { 2 } else { 1 };
-        self.kin.iter_mut().for_each(|kin| kin.foreign = kin.foreign.saturating_sub(less));
+        let less = if matches!(found, Found::Pair(..)) {
+            2
+        } else {
+            1
+        };
+        self.kin
+            .iter_mut()
+            .for_each(|kin| kin.foreign = kin.foreign.saturating_sub(less));
         match found {
             Found::Stranger(stream) => {
-                let Some(key) = self.keep_stream(stream, Role::Greeting, 0) else { return };
+                let Some(key) = self.keep_stream(stream, Role::Greeting, 0) else {
+                    return;
+                };
                 self.deadlines.set(Due::Conn(key), self.now + GREETING);
                 self.greeted(key);
             }
             Found::Pair(pair) => {
-                let FoundPair { life, own, client, server, waits } = *pair;
+                let FoundPair {
+                    life,
+                    own,
+                    client,
+                    server,
+                    waits,
+                } = *pair;
                 self.ids.insert(own.id().to_string());
                 let asked = own.asked;
                 let sess = self.exchange.adopt(self.now, life, own);
@@ -489,13 +656,25 @@
                 self.count(Code::Adopted);
                 if client.is_none() || server.is_none() {
                     // A socket that cannot be watched is closed already; the session must not stay behind.
-                    [client, server].into_iter().flatten().for_each(|key| drop(self.close(key)));
-                    self.own(sess).into_iter().for_each(|own| (own.client, own.server) = (None, None));
+                    [client, server]
+                        .into_iter()
+                        .flatten()
+                        .for_each(|key| drop(self.close(key)));
+                    self.own(sess)
+                        .into_iter()
+                        .for_each(|own| (own.client, own.server) = (None, None));
                     let load = asterramp::event::Load::default();
-                    return self.input(sess, super::Input::Closed { outcome: Outcome::Reset, load });
+                    return self.input(
+                        sess,
+                        super::Input::Closed {
+                            outcome: Outcome::Reset,
+                            load,
+                        },
+                    );
                 }
                 if asked {
-                    self.deadlines.set(Due::Session(sess), self.now + waits.unwrap_or_default());
+                    self.deadlines
+                        .set(Due::Session(sess), self.now + waits.unwrap_or_default());
                 }
                 self.relay(sess);
             }
@@ -511,7 +690,10 @@
         match word {
             Word::Stranger(bytes) => Ok(Found::Stranger(stream(&bytes)?)),
             Word::Pair(pair) => {
-                let text = pair.line.strip_suffix(b"\r\n").and_then(|line| std::str::from_utf8(line).ok());
+                let text = pair
+                    .line
+                    .strip_suffix(b"\r\n")
+                    .and_then(|line| std::str::from_utf8(line).ok());
                 let Some(Ok(Greeting::Open(open))) = text.map(greeting) else {
                     return Err("its first line is none");
                 };
@@ -535,7 +717,13 @@
                 let life = Life::open(self.now, arrival, server, self.setup.connect_within);
                 let client = (stream(&pair.client)?, pair.client.whole);
                 let server = (stream(&pair.server)?, pair.server.whole);
-                Ok(Found::Pair(Box::new(FoundPair { life, own, client, server, waits: pair.waits })))
+                Ok(Found::Pair(Box::new(FoundPair {
+                    life,
+                    own,
+                    client,
+                    server,
+                    waits: pair.waits,
+                })))
             }
             _ => Err("no offer"),
         }
@@ -575,7 +763,9 @@
     let standing = [Standing::Ready, Standing::Draining, Standing::Gone];
     Ok(Listed {
         endpoint: host.endpoint.parse().map_err(|_| "an endpoint is none")?,
-        standing: *standing.get(usize::from(host.standing)).ok_or("a standing is none")?,
+        standing: *standing
+            .get(usize::from(host.standing))
+            .ok_or("a standing is none")?,
         uid: host.uid,
         zone: host.zone,
         cell: host.cell,
--- a/proxy/src/routing/leave.rs
+++ b/proxy/src/routing/leave.rs
@@ -36,11 +36,25 @@
         let answered = now + told.max(SERVE_ON);
         let part = |part| now + (answered - now).mul_f64(part);
         let (moving, moved) = (part(MOVING.0), part(MOVING.1));
-        let (serve_on, ends) = ((now + SERVE_ON).min(moving), (now + told + AFTER).max(answered + CLOSES));
+        let (serve_on, ends) = (
+            (now + SERVE_ON).min(moving),
+            (now + told + AFTER).max(answered + CLOSES),
+        );
         // Another process that takes this one's place shares the address, and is to have all that come. Where none may,
         // whoever comes late is served and moved rather than reset.
-        let door = if self.kin.is_some() { now + SERVE_ON } else { answered };
-        self.drain.exit(Exit { serve_on, door, moving, moved, answered, ends });
+        let door = if self.kin.is_some() {
+            now + SERVE_ON
+        } else {
+            answered
+        };
+        self.drain.exit(Exit {
+            serve_on,
+            door,
+            moving,
+            moved,
+            answered,
+            ends,
+        });
         self.deadlines.set(Due::Leave, serve_on);
         self.told_state();
     }
@@ -71,7 +85,10 @@
             self.state = state;
             let view = self.view();
             let (pace, moved) = (self.drain.pace(&view), self.drain.moved());
-            let about = format!("open={} pending={} moved={moved} pace={pace:.1}", view.open, view.pending);
+            let about = format!(
+                "open={} pending={} moved={moved} pace={pace:.1}",
+                view.open, view.pending
+            );
             self.line(Code::DrainState, format!("state={} {about}", state.name()));
         }
     }
@@ -79,15 +96,27 @@
     fn sessions_of(&self, stage: impl Fn(Stage) -> bool) -> Vec<Key> {
         let sessions = self.exchange.sessions.iter();
         let those = sessions.filter(|(_, held)| stage(held.life.stage) && !held.life.left);
-        those.map(|(key, _)| key).filter(|key| !self.is_offered(*key)).collect()
+        those
+            .map(|(key, _)| key)
+            .filter(|key| !self.is_offered(*key))
+            .collect()
     }
 
     pub(super) fn view(&self) -> View {
-        let client = |role| matches!(role, Role::Greeting | Role::Client(_) | Role::Lingering { .. });
+        let client = |role| {
+            matches!(
+                role,
+                Role::Greeting | Role::Client(_) | Role::Lingering { .. }
+            )
+        };
         View {
             open: self.sessions_of(|stage| stage == Stage::Open).len(),
             pending: self.sessions_of(|stage| stage != Stage::Open).len(),
-            clients: self.conns.iter().filter(|(_, conn)| client(conn.role)).count(),
+            clients: self
+                .conns
+                .iter()
+                .filter(|(_, conn)| client(conn.role))
+                .count(),
             last_came: self.last_came,
             room: self.room(),
         }
@@ -97,7 +126,9 @@
     /// is taken for one whose connections are of the mean size.
     pub(super) fn room(&self) -> Option<f64> {
         let cold = self.setup.deployment.cold.warm_after;
-        let warm = |started: Option<Duration>| started.is_none_or(|at| self.now.saturating_sub(at) >= cold);
+        let warm = |started: Option<Duration>| {
+            started.is_none_or(|at| self.now.saturating_sub(at) >= cold)
+        };
         let told: Vec<(f64, f64)> = self
             .roster
             .hosts()
@@ -105,10 +136,16 @@
             .filter(|host| self.now.saturating_sub(host.told) <= TELLS)
             .filter_map(|host| Some((host.load.connections?, host.load.asked?)))
             .collect();
-        let (count, asked) = told.iter().fold((0.0, 0.0), |sum, host| (sum.0 + host.0, sum.1 + host.1));
+        let (count, asked) = told
+            .iter()
+            .fold((0.0, 0.0), |sum, host| (sum.0 + host.0, sum.1 + host.1));
         let mean = (count >= 1.0 && asked > 0.0).then(|| asked / count)?;
         let room = |(count, asked): &(f64, f64)| {
-            let unit = if *count >= 1.0 { (asked / count).max(mean / 4.0) } else { mean };
+            let unit = if *count >= 1.0 {
+                (asked / count).max(mean / 4.0)
+            } else {
+                mean
+            };
             ((FULL - asked) / unit).max(0.0)
         };
         Some(told.iter().map(room).sum())
@@ -127,18 +164,35 @@
                 // Whoever may run again without harm goes first.
                 open.sort_by_key(|sess| self.rank(*sess));
             }
-            let code = if exiting { Code::Leaving } else { Code::Drained };
-            open.into_iter().take(advice.move_now).for_each(|sess| self.move_away(sess, code));
+            let code = if exiting {
+                Code::Leaving
+            } else {
+                Code::Drained
+            };
+            open.into_iter()
+                .take(advice.move_now)
+                .for_each(|sess| self.move_away(sess, code));
         }
         if advice.answer {
             let pending = self.sessions_of(|stage| stage != Stage::Open);
-            let word = if exiting { Input::GoingDown } else { Input::TurnedAway };
+            let word = if exiting {
+                Input::GoingDown
+            } else {
+                Input::TurnedAway
+            };
             pending.into_iter().for_each(|sess| self.input(sess, word));
         }
         if advice.answer && exiting {
-            let greeting = self.conns.iter().filter(|(_, conn)| conn.role == Role::Greeting);
-            let late: Vec<Key> = greeting.map(|(key, _)| key).filter(|key| !self.is_lent(*key)).collect();
-            late.into_iter().for_each(|key| self.dismiss(key, &[FAILED]));
+            let greeting = self
+                .conns
+                .iter()
+                .filter(|(_, conn)| conn.role == Role::Greeting);
+            let late: Vec<Key> = greeting
+                .map(|(key, _)| key)
+                .filter(|key| !self.is_lent(*key))
+                .collect();
+            late.into_iter()
+                .for_each(|key| self.dismiss(key, &[FAILED]));
         }
         if advice.exit {
             self.shut_door();
@@ -155,7 +209,10 @@
     fn shut_door(&mut self) {
         self.accept_all();
         self.shut_kin();
-        self.door.take().into_iter().for_each(|door| drop(self.close(door)));
+        self.door
+            .take()
+            .into_iter()
+            .for_each(|door| drop(self.close(door)));
         self.deadlines.clear(Due::Door);
     }
 
@@ -164,14 +221,22 @@
     pub fn close_all(&mut self) {
         let keys: Vec<Key> = self.conns.iter().map(|(key, _)| key).collect();
         for key in keys {
-            self.conns.get_mut(key).into_iter().for_each(|conn| conn.stream.flush());
+            self.conns
+                .get_mut(key)
+                .into_iter()
+                .for_each(|conn| conn.stream.flush());
             self.close(key);
         }
     }
 
     fn rank(&self, sess: Key) -> u8 {
-        let listener = self.life(sess).map(|life| usize::from(life.arrival.listener));
-        match listener.and_then(|l| self.setup.deployment.listeners.get(l)).map(|l| l.kind) {
+        let listener = self
+            .life(sess)
+            .map(|life| usize::from(life.arrival.listener));
+        match listener
+            .and_then(|l| self.setup.deployment.listeners.get(l))
+            .map(|l| l.kind)
+        {
             Some(Kind::Repeatable) => 0,
             Some(Kind::Referenced(..)) => 1,
             _ => 2,
--- a/proxy/src/routing/life.rs
+++ b/proxy/src/routing/life.rs
@@ -199,50 +199,190 @@
 const TABLE: &[(Stage, Word, Stage, &[Act])] = &[
     (Stage::Waiting, Word::Dial, Stage::Connecting, &[Act::Begin]),
     (Stage::Waiting, Word::Refuse, Stage::Over, &[Act::Refuse]),
-    (Stage::Waiting, Word::TearDown, Stage::Over, &[Act::TearDown]),
+    (
+        Stage::Waiting,
+        Word::TearDown,
+        Stage::Over,
+        &[Act::TearDown],
+    ),
     (Stage::Waiting, Word::Due, Stage::Waiting, &[Act::Restore]),
-    (Stage::Waiting, Word::NoSocket, Stage::Waiting, &[Act::Fail(Outcome::NeverSent)]),
-    (Stage::Connecting, Word::NoSocket, Stage::Waiting, &[Act::Fail(Outcome::NeverSent)]),
-    (Stage::Connecting, Word::Unreachable, Stage::Waiting, &[Act::Fail(Outcome::Unreachable)]),
-    (Stage::Connecting, Word::Due, Stage::Waiting, &[Act::Fail(Outcome::Unreachable)]),
-    (Stage::Connecting, Word::CallOff, Stage::Waiting, &[Act::Fail(Outcome::CalledOff)]),
-    (Stage::Connecting, Word::Connected, Stage::Asked, &[Act::Ask]),
+    (
+        Stage::Waiting,
+        Word::NoSocket,
+        Stage::Waiting,
+        &[Act::Fail(Outcome::NeverSent)],
+    ),
+    (
+        Stage::Connecting,
+        Word::NoSocket,
+        Stage::Waiting,
+        &[Act::Fail(Outcome::NeverSent)],
+    ),
+    (
+        Stage::Connecting,
+        Word::Unreachable,
+        Stage::Waiting,
+        &[Act::Fail(Outcome::Unreachable)],
+    ),
+    (
+        Stage::Connecting,
+        Word::Due,
+        Stage::Waiting,
+        &[Act::Fail(Outcome::Unreachable)],
+    ),
+    (
+        Stage::Connecting,
+        Word::CallOff,
+        Stage::Waiting,
+        &[Act::Fail(Outcome::CalledOff)],
+    ),
+    (
+        Stage::Connecting,
+        Word::Connected,
+        Stage::Asked,
+        &[Act::Ask],
+    ),
     (Stage::Asked, Word::Written, Stage::Sent, &[]),
     // The line's last byte was never written.
-    (Stage::Asked, Word::Ended, Stage::Waiting, &[Act::Fail(Outcome::Unreachable)]),
-    (Stage::Asked, Word::Due, Stage::Waiting, &[Act::Fail(Outcome::Unreachable)]),
-    (Stage::Asked, Word::CallOff, Stage::Waiting, &[Act::Fail(Outcome::CalledOff)]),
+    (
+        Stage::Asked,
+        Word::Ended,
+        Stage::Waiting,
+        &[Act::Fail(Outcome::Unreachable)],
+    ),
+    (
+        Stage::Asked,
+        Word::Due,
+        Stage::Waiting,
+        &[Act::Fail(Outcome::Unreachable)],
+    ),
+    (
+        Stage::Asked,
+        Word::CallOff,
+        Stage::Waiting,
+        &[Act::Fail(Outcome::CalledOff)],
+    ),
     // The client had gone before the line's first byte was written.
-    (Stage::Asked, Word::NoSocket, Stage::Waiting, &[Act::Fail(Outcome::NeverSent)]),
+    (
+        Stage::Asked,
+        Word::NoSocket,
+        Stage::Waiting,
+        &[Act::Fail(Outcome::NeverSent)],
+    ),
     (Stage::Sent, Word::Up, Stage::Open, &[Act::ComeUp]),
     // A client that left while its dial could not be called off.
-    (Stage::Sent, Word::UpAlone, Stage::Waiting, &[Act::Fail(Outcome::Ok)]),
+    (
+        Stage::Sent,
+        Word::UpAlone,
+        Stage::Waiting,
+        &[Act::Fail(Outcome::Ok)],
+    ),
     (Stage::Sent, Word::Said, Stage::Waiting, &[Act::FailAsSaid]),
-    (Stage::Sent, Word::Ended, Stage::Waiting, &[Act::Fail(Outcome::Reset)]),
-    (Stage::Sent, Word::Due, Stage::Waiting, &[Act::Fail(Outcome::TimedOut)]),
-    (Stage::Sent, Word::CallOff, Stage::Waiting, &[Act::Fail(Outcome::CalledOff)]),
+    (
+        Stage::Sent,
+        Word::Ended,
+        Stage::Waiting,
+        &[Act::Fail(Outcome::Reset)],
+    ),
+    (
+        Stage::Sent,
+        Word::Due,
+        Stage::Waiting,
+        &[Act::Fail(Outcome::TimedOut)],
+    ),
+    (
+        Stage::Sent,
+        Word::CallOff,
+        Stage::Waiting,
+        &[Act::Fail(Outcome::CalledOff)],
+    ),
     (Stage::Open, Word::Move, Stage::Open, &[Act::SendAway]),
     (Stage::Open, Word::Left, Stage::Open, &[Act::TellLeft]),
     (Stage::Open, Word::Closed, Stage::Over, &[Act::TellEnd]),
-    (Stage::Waiting, Word::Left, Stage::Waiting, &[Act::Depart(Code::ClientLeft), Act::TellLeft]),
+    (
+        Stage::Waiting,
+        Word::Left,
+        Stage::Waiting,
+        &[Act::Depart(Code::ClientLeft), Act::TellLeft],
+    ),
     (Stage::Connecting, Word::Left, Stage::Waiting, UNASKED_LEFT),
     (Stage::Asked, Word::Left, Stage::Waiting, UNASKED_LEFT),
-    (Stage::Sent, Word::Left, Stage::Sent, &[Act::Depart(Code::ClientLeft), Act::TellLeft]),
+    (
+        Stage::Sent,
+        Word::Left,
+        Stage::Sent,
+        &[Act::Depart(Code::ClientLeft), Act::TellLeft],
+    ),
     // It was to wait for its answer: what it says would reach its server unasked.
-    (Stage::Waiting, Word::Spoke, Stage::Waiting, &[Act::Depart(Code::ClientBad), Act::TellLeft]),
+    (
+        Stage::Waiting,
+        Word::Spoke,
+        Stage::Waiting,
+        &[Act::Depart(Code::ClientBad), Act::TellLeft],
+    ),
     (Stage::Connecting, Word::Spoke, Stage::Waiting, UNASKED_BAD),
     (Stage::Asked, Word::Spoke, Stage::Waiting, UNASKED_BAD),
-    (Stage::Sent, Word::Spoke, Stage::Sent, &[Act::Depart(Code::ClientBad), Act::TellLeft]),
-    (Stage::Waiting, Word::TurnedAway, Stage::Waiting, &[Act::TurnAway, Act::TellLeft]),
-    (Stage::Connecting, Word::TurnedAway, Stage::Waiting, &[Act::TurnAway, Act::TellLeft, Act::Unask]),
-    (Stage::Asked, Word::TurnedAway, Stage::Waiting, &[Act::TurnAway, Act::TellLeft, Act::Unask]),
-    (Stage::Sent, Word::TurnedAway, Stage::Sent, &[Act::TurnAway, Act::TellLeft]),
-    (Stage::Waiting, Word::Unknown, Stage::Over, &[Act::Depart(Code::ClientLeft), Act::Forget]),
-    (Stage::Connecting, Word::Unknown, Stage::Over, &[Act::Depart(Code::ClientLeft), Act::Forget]),
-    (Stage::Asked, Word::Unknown, Stage::Over, &[Act::Depart(Code::ClientLeft), Act::Forget]),
-    (Stage::Sent, Word::Unknown, Stage::Over, &[Act::Depart(Code::ClientLeft), Act::Forget]),
+    (
+        Stage::Sent,
+        Word::Spoke,
+        Stage::Sent,
+        &[Act::Depart(Code::ClientBad), Act::TellLeft],
+    ),
+    (
+        Stage::Waiting,
+        Word::TurnedAway,
+        Stage::Waiting,
+        &[Act::TurnAway, Act::TellLeft],
+    ),
+    (
+        Stage::Connecting,
+        Word::TurnedAway,
+        Stage::Waiting,
+        &[Act::TurnAway, Act::TellLeft, Act::Unask],
+    ),
+    (
+        Stage::Asked,
+        Word::TurnedAway,
+        Stage::Waiting,
+        &[Act::TurnAway, Act::TellLeft, Act::Unask],
+    ),
+    (
+        Stage::Sent,
+        Word::TurnedAway,
+        Stage::Sent,
+        &[Act::TurnAway, Act::TellLeft],
+    ),
+    (
+        Stage::Waiting,
+        Word::Unknown,
+        Stage::Over,
+        &[Act::Depart(Code::ClientLeft), Act::Forget],
+    ),
+    (
+        Stage::Connecting,
+        Word::Unknown,
+        Stage::Over,
+        &[Act::Depart(Code::ClientLeft), Act::Forget],
+    ),
+    (
+        Stage::Asked,
+        Word::Unknown,
+        Stage::Over,
+        &[Act::Depart(Code::ClientLeft), Act::Forget],
+    ),
+    (
+        Stage::Sent,
+        Word::Unknown,
+        Stage::Over,
+        &[Act::Depart(Code::ClientLeft), Act::Forget],
+    ),
     (Stage::Waiting, Word::GoingDown, Stage::Over, &[Act::GoDown]),
-    (Stage::Connecting, Word::GoingDown, Stage::Over, &[Act::GoDown]),
+    (
+        Stage::Connecting,
+        Word::GoingDown,
+        Stage::Over,
+        &[Act::GoDown],
+    ),
     (Stage::Asked, Word::GoingDown, Stage::Over, &[Act::GoDown]),
     (Stage::Sent, Word::GoingDown, Stage::Over, &[Act::GoDown]),
 ];
@@ -278,7 +418,12 @@
 
     /// One that another process of this proxy brought up.
     pub fn open(now: Duration, arrival: Arrival, to: ServerId, connect_within: Duration) -> Life {
-        Life { stage: Stage::Open, dials: 1, to, ..Life::new(now, arrival, false, connect_within) }
+        Life {
+            stage: Stage::Open,
+            dials: 1,
+            to,
+            ..Life::new(now, arrival, false, connect_within)
+        }
     }
 
     /// The present dial's number, or the last's.
@@ -292,10 +437,18 @@
     }
 
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Effect>) {
-        let Some(word) = self.word(now, input) else { return };
+        let Some(word) = self.word(now, input) else {
+            return;
+        };
         let late_up = planted(Plant::LateUpBelieved) && word == Word::Up;
-        let stage = if late_up && self.stage != Stage::Over { Stage::Sent } else { self.stage };
-        let Some(row) = TABLE.iter().find(|row| row.0 == stage && row.1 == word) else { return };
+        let stage = if late_up && self.stage != Stage::Over {
+            Stage::Sent
+        } else {
+            self.stage
+        };
+        let Some(row) = TABLE.iter().find(|row| row.0 == stage && row.1 == word) else {
+            return;
+        };
         if planted(Plant::NoSocketUntold) && word == Word::NoSocket {
             self.stage = Stage::Waiting;
             return out.extend([Effect::Close, Effect::Watch(None)]);
@@ -303,7 +456,11 @@
         if planted(Plant::CallOffKept) && (stage, word) == (Stage::Sent, Word::CallOff) {
             return;
         }
-        self.stage = if planted(Plant::GoneAsked) && row.3.contains(&Act::Unask) { stage } else { row.2 };
+        self.stage = if planted(Plant::GoneAsked) && row.3.contains(&Act::Unask) {
+            stage
+        } else {
+            row.2
+        };
         row.3.iter().for_each(|act| self.act(now, *act, input, out));
     }
 
@@ -323,7 +480,9 @@
             Input::Unreachable { dial } => of(dial, Word::Unreachable),
             // What came up too late for its line has met nobody: nothing is sent.
             Input::Connected { dial } if now >= self.write_by => of(dial, Word::NoSocket),
-            Input::Due if self.stage == Stage::Connecting && now >= self.write_by => Some(Word::NoSocket),
+            Input::Due if self.stage == Stage::Connecting && now >= self.write_by => {
+                Some(Word::NoSocket)
+            }
             Input::Connected { dial } => of(dial, Word::Connected),
             Input::Written { dial } => of(dial, Word::Written),
             Input::Up { dial } => {
@@ -333,7 +492,9 @@
             Input::Said { dial, .. } => of(dial, Word::Said),
             Input::Ended { dial } => of(dial, Word::Ended),
             Input::Due => Some(Word::Due),
-            Input::Left | Input::Spoke if self.restored && self.stage != Stage::Open => Some(Word::Unknown),
+            Input::Left | Input::Spoke if self.restored && self.stage != Stage::Open => {
+                Some(Word::Unknown)
+            }
             Input::Left | Input::Spoke if self.left => None,
             Input::Left => Some(Word::Left),
             Input::Spoke => Some(Word::Spoke),
@@ -348,7 +509,14 @@
         let (sess, dial) = (self.arrival.sess, self.dial());
         match act {
             Act::Begin => {
-                let Input::Dial { server, time_out, within } = input else { return };
+                let Input::Dial {
+                    server,
+                    time_out,
+                    within,
+                } = input
+                else {
+                    return;
+                };
                 (self.to, self.dial_ends, self.write_by) = (server, now + time_out, now + within);
                 self.dials = self.dials.saturating_add(1);
                 if planted(Plant::DeadlineTooLate) {
@@ -359,11 +527,16 @@
                 out.push(Effect::Connect { server });
             }
             Act::Ask => {
-                let wait = self.dial_ends.saturating_sub(now).max(Duration::from_millis(1));
+                let wait = self
+                    .dial_ends
+                    .saturating_sub(now)
+                    .max(Duration::from_millis(1));
                 let watched = (!planted(Plant::NoDeadline)).then_some(self.dial_ends);
                 out.push(Effect::Watch(watched));
                 out.push(Effect::Count(Code::Dialled));
-                out.push(Effect::Ask { wait: (!self.restored).then_some(wait) });
+                out.push(Effect::Ask {
+                    wait: (!self.restored).then_some(wait),
+                });
             }
             Act::ComeUp => {
                 out.push(Effect::Watch(None));
@@ -379,11 +552,15 @@
             }
             Act::Fail(outcome) => self.fail(now, outcome, Load::default(), out),
             Act::FailAsSaid => {
-                let Input::Said { outcome, load, .. } = input else { return };
+                let Input::Said { outcome, load, .. } = input else {
+                    return;
+                };
                 self.fail(now, outcome, load, out);
             }
             Act::Refuse => {
-                let Input::Refuse { come_back } = input else { return };
+                let Input::Refuse { come_back } = input else {
+                    return;
+                };
                 self.answer(Answer::Busy(come_back), out);
             }
             Act::TurnAway => self.answer(Answer::Failed(Code::TornDown), out),
@@ -401,9 +578,17 @@
             }
             Act::Forget => out.extend([Effect::Watch(None), Effect::Close, Effect::Forget]),
             Act::TellEnd => {
-                let Input::Closed { outcome, load } = input else { return };
+                let Input::Closed { outcome, load } = input else {
+                    return;
+                };
                 out.push(Effect::Watch(None));
-                out.push(Effect::Tell(Event::Ended { sess, dial, outcome, over: true, load }));
+                out.push(Effect::Tell(Event::Ended {
+                    sess,
+                    dial,
+                    outcome,
+                    over: true,
+                    load,
+                }));
             }
             Act::Unask if planted(Plant::GoneAsked) => {}
             Act::Unask => self.fail(now, Outcome::CalledOff, Load::default(), out),
@@ -440,12 +625,25 @@
         out.push(Effect::Watch(None));
         let proves = planted(Plant::TimeOutProvesNothing) && outcome == Outcome::TimedOut
             || planted(Plant::ResetProvesNothing) && outcome == Outcome::Reset;
-        let outcome = if proves { Outcome::Unreachable } else { outcome };
-        let Some((_, unrun, code)) = ENDS.iter().find(|end| end.0 == outcome) else { return };
+        let outcome = if proves {
+            Outcome::Unreachable
+        } else {
+            outcome
+        };
+        let Some((_, unrun, code)) = ENDS.iter().find(|end| end.0 == outcome) else {
+            return;
+        };
         out.extend(code.map(Effect::Log));
         if !self.restored {
-            let (sess, dial, over): (SessId, u8, bool) = (self.arrival.sess, self.dial(), !self.present);
-            out.push(Effect::Tell(Event::Ended { sess, dial, outcome, over, load }));
+            let (sess, dial, over): (SessId, u8, bool) =
+                (self.arrival.sess, self.dial(), !self.present);
+            out.push(Effect::Tell(Event::Ended {
+                sess,
+                dial,
+                outcome,
+                over,
+                load,
+            }));
         } else if *unrun && now + AGAIN < self.restored_until() {
             out.push(Effect::Watch(Some(now + AGAIN)));
         } else {
--- a/proxy/src/routing/mod.rs
+++ b/proxy/src/routing/mod.rs
@@ -61,14 +61,23 @@
 /// What is made of whole places goes by the deployment's own figures.
 fn site_terms(setup: &Setup) -> SiteTerms {
     let probe = setup.connect_within * 3;
-    SiteTerms { may_look: setup.deployment.may_probe, under_way: probe, ..SiteTerms::default() }
+    SiteTerms {
+        may_look: setup.deployment.may_probe,
+        under_way: probe,
+        ..SiteTerms::default()
+    }
 }
 
 /// Sessions are refused by what they are worth and whose they are.
 fn gate_terms(setup: &Setup) -> asterramp_admit::Terms {
     let worths = setup.deployment.listeners.iter().map(|l| l.worth).collect();
     let (portions, longest) = (setup.portions.clone(), setup.deployment.come_back);
-    asterramp_admit::Terms { worths, portions, longest, by_worth: false }
+    asterramp_admit::Terms {
+        worths,
+        portions,
+        longest,
+        by_worth: false,
+    }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -201,8 +210,22 @@
 
 impl Router {
     pub fn new(start: Start, now: Duration) -> io::Result<Router> {
-        let Start { setup, seed, listen, discovery, operator, kin, known, anew, sockets, memory } = start;
-        let estate = kin.as_ref().map(|path| Estate::ask(path, listen)).unwrap_or(Ok(None));
+        let Start {
+            setup,
+            seed,
+            listen,
+            discovery,
+            operator,
+            kin,
+            known,
+            anew,
+            sockets,
+            memory,
+        } = start;
+        let estate = kin
+            .as_ref()
+            .map(|path| Estate::ask(path, listen))
+            .unwrap_or(Ok(None));
         let (estate, why) = estate.map_or_else(|why| (None, Some(why)), |estate| (estate, None));
         let rev = estate.as_ref().map_or(known.rev, |estate| estate.list.rev);
         let mut router = Router {
@@ -239,14 +262,20 @@
             setup,
         };
         router.exchange.places = Places::new(router.setup.zones.len(), site_terms(&router.setup));
-        let named =
-            |key: &str, at: SocketAddr, e: io::Error| io::Error::new(e.kind(), format!("{key}: {at}: {e}"));
-        why.into_iter().for_each(|why| router.line(Code::KinBad, format!("elder why={why:?}")));
+        let named = |key: &str, at: SocketAddr, e: io::Error| {
+            io::Error::new(e.kind(), format!("{key}: {at}: {e}"))
+        };
+        why.into_iter()
+            .for_each(|why| router.line(Code::KinBad, format!("elder why={why:?}")));
         let (door, link, list) = match estate {
             Some(estate) => (estate.door, Some(estate.link), Some(estate.list)),
             None => {
                 let door = socket::listen(listen, operator.is_some());
-                (door.map_err(|e| named("listen", listen, e.into()))?, None, None)
+                (
+                    door.map_err(|e| named("listen", listen, e.into()))?,
+                    None,
+                    None,
+                )
             }
         };
         if let Some(path) = kin {
@@ -254,7 +283,9 @@
         }
         router.door = router.keep(door, Role::Door, Want::default());
         if let Some(at) = operator {
-            router.open_calls(at).map_err(|e| named("operator", at, e))?;
+            router
+                .open_calls(at)
+                .map_err(|e| named("operator", at, e))?;
         }
         match list {
             Some(list) => {
@@ -282,8 +313,16 @@
     pub fn sites_by(&mut self, terms: Option<SiteTerms>) {
         match (&mut self.exchange.places, terms) {
             (Some(places), Some(terms)) => {
-                let SiteTerms { may_look, under_way, .. } = site_terms(&self.setup);
-                places.sites.terms(SiteTerms { may_look, under_way, ..terms });
+                let SiteTerms {
+                    may_look,
+                    under_way,
+                    ..
+                } = site_terms(&self.setup);
+                places.sites.terms(SiteTerms {
+                    may_look,
+                    under_way,
+                    ..terms
+                });
             }
             (places, None) => *places = None,
             (None, Some(_)) => {}
@@ -303,7 +342,10 @@
 
     /// Waits for sockets, no longer than until the next deadline.
     pub fn wait(&mut self, now: Duration) -> io::Result<()> {
-        let next = self.deadlines.next().map_or(PATIENCE, |at| at.saturating_sub(now));
+        let next = self
+            .deadlines
+            .next()
+            .map_or(PATIENCE, |at| at.saturating_sub(now));
         Ok(self.poll.wait(next, &mut self.ready)?)
     }
 
@@ -328,8 +370,16 @@
 
     /// Wakes at what comes there, whose bytes say nothing.
     pub fn wake_by(&mut self, wakes: OwnedFd) -> io::Result<()> {
-        let kept = self.keep(wakes, Role::Wakes, Want { read: true, write: false });
-        kept.map(drop).ok_or_else(|| io::Error::other("it cannot be watched"))
+        let kept = self.keep(
+            wakes,
+            Role::Wakes,
+            Want {
+                read: true,
+                write: false,
+            },
+        );
+        kept.map(drop)
+            .ok_or_else(|| io::Error::other("it cannot be watched"))
     }
 
     pub fn is_done(&self) -> bool {
@@ -346,7 +396,9 @@
         if self.is_lent(event.key) {
             return;
         }
-        let Some(conn) = self.conns.get_mut(event.key) else { return };
+        let Some(conn) = self.conns.get_mut(event.key) else {
+            return;
+        };
         if conn.role == Role::Door {
             return self.accept();
         }
@@ -418,9 +470,17 @@
 
     /// A stranger has had its time. What it wants may have come this moment.
     fn greeting_due(&mut self, key: Key) {
-        self.woken(Ready { key, write: false, broken: false });
+        self.woken(Ready {
+            key,
+            write: false,
+            broken: false,
+        });
         self.settle();
-        if self.conns.get(key).is_some_and(|conn| conn.role == Role::Greeting) {
+        if self
+            .conns
+            .get(key)
+            .is_some_and(|conn| conn.role == Role::Greeting)
+        {
             self.line(Code::ClientSilent, "client");
             self.dismiss(key, &[FAILED]);
         }
@@ -441,7 +501,10 @@
     }
 
     fn own(&mut self, sess: Key) -> Option<&mut Session> {
-        self.exchange.sessions.get_mut(sess).map(|held| &mut held.own)
+        self.exchange
+            .sessions
+            .get_mut(sess)
+            .map(|held| &mut held.own)
     }
 
     /// Carries out what there is to do, until there is no more.
@@ -451,8 +514,15 @@
                 Task::Probe(server) => self.probe(server),
                 Task::Subscribe => self.connect_watch(),
                 Task::Turned((place, state, why)) => {
-                    let name = self.setup.zones.get(usize::from(place)).map_or("-", |name| name.as_str());
-                    self.line(Code::Place, format!("place={name} state={} why={why:?}", state.name()));
+                    let name = self
+                        .setup
+                        .zones
+                        .get(usize::from(place))
+                        .map_or("-", |name| name.as_str());
+                    self.line(
+                        Code::Place,
+                        format!("place={name} state={} why={why:?}", state.name()),
+                    );
                 }
                 Task::Wake(after) => self.deadlines.set(Due::Tick, self.now + after),
                 Task::For(sess, effect) => self.carry_out(sess, effect),
@@ -500,7 +570,9 @@
     /// A session has come to its one end, as its client sees it.
     fn ended(&mut self, sess: Key, end: figures::End) {
         let listener = self.life(sess).map(|life| life.arrival.listener);
-        listener.into_iter().for_each(|listener| self.figures.ended(listener, end));
+        listener
+            .into_iter()
+            .for_each(|listener| self.figures.ended(listener, end));
     }
 
     /// Parts a session from its client's connection. A server's that stays behind holds one descriptor, where
@@ -538,7 +610,12 @@
     /// The same of one with bytes that came already, the first `whole` of which are checked lines.
     fn keep_stream(&mut self, stream: Stream, role: Role, whole: usize) -> Option<Key> {
         let want = stream.want;
-        let conn = Conn { stream, role, whole, passed: self.now };
+        let conn = Conn {
+            stream,
+            role,
+            whole,
+            passed: self.now,
+        };
         let key = self.conns.insert(conn);
         let added = self.poll.add(&self.conns.get(key)?.stream, key, want);
         if added.is_err() {
@@ -555,8 +632,10 @@
     fn close(&mut self, key: Key) -> Option<Stream> {
         let lent = self.is_lent(key);
         let (role, mut stream) = self.let_out(key)?;
-        let theirs =
-            matches!(role, Role::Greeting | Role::Client(_) | Role::Lingering { .. } | Role::Caller { .. });
+        let theirs = matches!(
+            role,
+            Role::Greeting | Role::Client(_) | Role::Lingering { .. } | Role::Caller { .. }
+        );
         if theirs && !lent {
             stream.discard(UNREAD);
         }
@@ -580,7 +659,11 @@
     }
 
     fn want(&mut self, key: Key, want: Want) {
-        if let Some(conn) = self.conns.get_mut(key).filter(|conn| conn.stream.want != want) {
+        if let Some(conn) = self
+            .conns
+            .get_mut(key)
+            .filter(|conn| conn.stream.want != want)
+        {
             conn.stream.want = want;
             // It fails only for a socket that is not watched, and all kept ones are.
             let _ = self.poll.change(&conn.stream, key, want);
@@ -590,7 +673,13 @@
     /// Watches for what a connection that waits for its own texts and answers can do next.
     fn want_own(&mut self, key: Key) {
         if let Some(conn) = self.conns.get(key) {
-            self.want(key, Want { read: conn.stream.may_read(), write: !conn.stream.sent() });
+            self.want(
+                key,
+                Want {
+                    read: conn.stream.may_read(),
+                    write: !conn.stream.sent(),
+                },
+            );
         }
     }
 
@@ -607,8 +696,12 @@
     }
 
     fn lingered(&mut self, key: Key) {
-        let Some(conn) = self.conns.get_mut(key) else { return };
-        let Role::Lingering { discarded } = &mut conn.role else { return };
+        let Some(conn) = self.conns.get_mut(key) else {
+            return;
+        };
+        let Role::Lingering { discarded } = &mut conn.role else {
+            return;
+        };
         let n = conn.stream.inbound.bytes().len();
         conn.stream.inbound.consume(n);
         *discarded += n;
--- a/proxy/src/routing/peers.rs
+++ b/proxy/src/routing/peers.rs
@@ -74,21 +74,39 @@
 
 impl Router {
     pub fn others_by(&mut self, others: Others) {
-        self.peers = Peers { next: self.setup.deployment.number as usize, others, ..Peers::default() };
+        self.peers = Peers {
+            next: self.setup.deployment.number as usize,
+            others,
+            ..Peers::default()
+        };
     }
 
     /// Asks some of the others, others each time.
     pub(super) fn ask_others(&mut self) {
         self.drop_peers();
         let (doors, from) = (self.peers.others.doors.clone(), self.peers.next);
-        let round = doors.iter().cycle().skip(from % doors.len().max(1)).take(doors.len().min(ASKED));
+        let round = doors
+            .iter()
+            .cycle()
+            .skip(from % doors.len().max(1))
+            .take(doors.len().min(ASKED));
         for door in round {
             self.peers.next += 1;
             let role = Role::Peer;
             let fd = socket::connect(*door).ok();
-            if let Some(key) = fd.and_then(|fd| self.keep(fd, role, Want { read: false, write: true })) {
+            if let Some(key) = fd.and_then(|fd| {
+                self.keep(
+                    fd,
+                    role,
+                    Want {
+                        read: false,
+                        write: true,
+                    },
+                )
+            }) {
                 self.peers.out.push((key, Asked::default()));
-                self.deadlines.set(Due::Conn(key), self.now + self.setup.connect_within * 2);
+                self.deadlines
+                    .set(Due::Conn(key), self.now + self.setup.connect_within * 2);
             }
         }
         if self.peers.out.is_empty() {
@@ -98,7 +116,9 @@
 
     fn heard_others(&mut self) {
         let now = self.now;
-        self.starting.iter_mut().for_each(|s| s.recovery.heard_others(now));
+        self.starting
+            .iter_mut()
+            .for_each(|s| s.recovery.heard_others(now));
         self.heed_start();
     }
 
@@ -110,9 +130,13 @@
     }
 
     pub(super) fn peer_woken(&mut self, event: Ready) {
-        let Some(at) = self.peers.out.iter().position(|out| out.0 == event.key) else { return };
+        let Some(at) = self.peers.out.iter().position(|out| out.0 == event.key) else {
+            return;
+        };
         let Asked { asked, text } = &mut self.peers.out[at].1;
-        let Some(conn) = self.conns.get_mut(event.key) else { return };
+        let Some(conn) = self.conns.get_mut(event.key) else {
+            return;
+        };
         if !*asked {
             if !conn.stream.is_up() {
                 return self.peer_ended(event.key, "it cannot be reached");
@@ -163,12 +187,17 @@
             let at = now.checked_sub(Duration::from_millis(host.age_ms));
             let old = at.map_or(Age::Unknown, |at| age(now, Some(at)));
             let zoned = self.setup.zones.contains(&host.zone);
-            let good = zoned && host.weight.is_finite() && host.weight >= 0.0 && host.uid.len() <= 256;
-            let Some(starting) = self.starting.as_mut().filter(|_| good) else { continue };
+            let good =
+                zoned && host.weight.is_finite() && host.weight >= 0.0 && host.uid.len() <= 256;
+            let Some(starting) = self.starting.as_mut().filter(|_| good) else {
+                continue;
+            };
             // One that is known already stands where it did: another's word moves nobody.
             if let Some(id) = self.roster.find(&host.uid) {
                 if let Some(at) = self.roster.address(id).filter(|at| *at == host.endpoint) {
-                    starting.recovery.word(now, id, at, Source::Heard, old, known.rev);
+                    starting
+                        .recovery
+                        .word(now, id, at, Source::Heard, old, known.rev);
                 }
                 continue;
             }
@@ -182,10 +211,22 @@
                 started: host.started_ms.map(Duration::from_millis),
             };
             // It does not count as listed before it answers.
-            let Some((entry, _)) = self.roster.take(line) else { continue };
+            let Some((entry, _)) = self.roster.take(line) else {
+                continue;
+            };
             self.roster.stands_at(entry.server, host.endpoint);
-            starting.remember(entry.server, host.unit.filter(|unit| unit.is_finite() && *unit > 0.0));
-            starting.recovery.word(now, entry.server, host.endpoint, Source::Heard, old, known.rev);
+            starting.remember(
+                entry.server,
+                host.unit.filter(|unit| unit.is_finite() && *unit > 0.0),
+            );
+            starting.recovery.word(
+                now,
+                entry.server,
+                host.endpoint,
+                Source::Heard,
+                old,
+                known.rev,
+            );
         }
     }
 
@@ -196,7 +237,9 @@
             Some(start) => matches!(start.hosts().state(id), State::Answers | State::Told),
             None => true,
         };
-        let normal = self.starting().is_none_or(|start| start.stage() == asterramp_recovery::Stage::Normal);
+        let normal = self
+            .starting()
+            .is_none_or(|start| start.stage() == asterramp_recovery::Stage::Normal);
         let mut hosts: Vec<KnownHost> = (0..)
             .zip(self.roster.lines().zip(self.roster.hosts()))
             .filter(|(id, (line, _))| line.standing == Standing::Ready && (normal || answers(*id)))
@@ -205,7 +248,11 @@
                 endpoint: line.endpoint,
                 zone: line.zone,
                 cell: line.cell,
-                weight: if line.weight.is_finite() { line.weight } else { 1.0 },
+                weight: if line.weight.is_finite() {
+                    line.weight
+                } else {
+                    1.0
+                },
                 started_ms: line.started.map(|at| at.as_millis() as u64),
                 age_ms: now
                     .saturating_sub(host.told.max(self.watch.heard().unwrap_or(self.began)))
@@ -223,7 +270,10 @@
         let known = Known {
             v: VERSION,
             fleet: self.peers.others.fleet.clone(),
-            stage: self.starting().map_or("normal", |start| start.stage().name()).into(),
+            stage: self
+                .starting()
+                .map_or("normal", |start| start.stage().name())
+                .into(),
             rev: self.watch.rev(),
             told_ms: self.watch.heard().map(|at| at.as_millis() as u64),
             pending: self.view().pending,
@@ -240,12 +290,15 @@
 
 /// An answer taken apart; what is wrong with it in a few words.
 fn known(text: &[u8], fleet: &str) -> Result<Known, String> {
-    let end = text.windows(4).position(|four| four == b"\r\n\r\n").ok_or("its answer has no head")?;
+    let end = text
+        .windows(4)
+        .position(|four| four == b"\r\n\r\n")
+        .ok_or("its answer has no head")?;
     if !text.starts_with(b"HTTP/1.1 200 ") {
         return Err("it answers no".into());
     }
-    let known: Known =
-        serde_json::from_slice(&text[end + 4..]).map_err(|e| format!("its answer cannot be read: {e}"))?;
+    let known: Known = serde_json::from_slice(&text[end + 4..])
+        .map_err(|e| format!("its answer cannot be read: {e}"))?;
     match () {
         () if known.v != VERSION => Err(format!("it speaks version {}", known.v)),
         () if known.fleet != fleet => Err("it is of another fleet".into()),
--- a/proxy/src/routing/places.rs
+++ b/proxy/src/routing/places.rs
@@ -29,7 +29,10 @@
 impl Places {
     /// `None` where there is one place: a proxy has no other to go to.
     pub fn new(count: usize, terms: Terms) -> Option<Places> {
-        (count > 1).then(|| Places { sites: Sites::new(terms, count), listed: Vec::new() })
+        (count > 1).then(|| Places {
+            sites: Sites::new(terms, count),
+            listed: Vec::new(),
+        })
     }
 
     /// Something that the module is about to hear. `to` is the server of the session that it is about, if any.
@@ -38,7 +41,10 @@
             (Event::Roster(Roster::Whole(entries)), _) => {
                 let mut left: Vec<Entry> = self.listed.iter().flatten().copied().collect();
                 left.retain(|known| entries.iter().all(|entry| entry.server != known.server));
-                let gone = left.into_iter().map(|known| Entry { standing: Standing::Gone, ..known });
+                let gone = left.into_iter().map(|known| Entry {
+                    standing: Standing::Gone,
+                    ..known
+                });
                 gone.for_each(|entry| self.listed(now, entry));
                 entries.iter().for_each(|entry| self.listed(now, *entry));
                 self.sites.told(now);
@@ -52,9 +58,23 @@
                 entries.iter().for_each(|entry| self.listed(now, *entry));
             }
             (Event::Began { .. }, Some(server)) => self.sites.sound(now, server),
-            (Event::Probed { server, outcome, .. }, _) => self.shown(now, *server, *outcome),
-            (Event::Ended { outcome, over: false, .. }, Some(server)) => self.shown(now, server, *outcome),
-            (Event::Tick, _) if self.sites.due().is_some_and(|due| due <= now) => self.sites.tick(now),
+            (
+                Event::Probed {
+                    server, outcome, ..
+                },
+                _,
+            ) => self.shown(now, *server, *outcome),
+            (
+                Event::Ended {
+                    outcome,
+                    over: false,
+                    ..
+                },
+                Some(server),
+            ) => self.shown(now, server, *outcome),
+            (Event::Tick, _) if self.sites.due().is_some_and(|due| due <= now) => {
+                self.sites.tick(now)
+            }
             _ => {}
         }
     }
@@ -70,7 +90,8 @@
             Standing::Draining => site::Standing::Draining,
             Standing::Gone => site::Standing::Gone,
         };
-        self.sites.listed(now, entry.server, entry.zone, standing, entry.started);
+        self.sites
+            .listed(now, entry.server, entry.zone, standing, entry.started);
     }
 
     fn shown(&mut self, now: Duration, server: ServerId, outcome: Outcome) {
--- a/proxy/src/routing/probe.rs
+++ b/proxy/src/routing/probe.rs
@@ -37,12 +37,25 @@
                 None => return self.probed(server, Outcome::NeverSent, Load::default()),
             }
         }
-        let fd = self.roster.address(server).and_then(|address| socket::connect(address).ok());
+        let fd = self
+            .roster
+            .address(server)
+            .and_then(|address| socket::connect(address).ok());
         let role = Role::Probe(server, Stage::Connecting);
-        match fd.and_then(|fd| self.keep(fd, role, Want { read: false, write: true })) {
+        match fd.and_then(|fd| {
+            self.keep(
+                fd,
+                role,
+                Want {
+                    read: false,
+                    write: true,
+                },
+            )
+        }) {
             Some(key) => {
                 self.roster.set_probe(server, Some(key));
-                self.deadlines.set(Due::Conn(key), self.now + self.setup.connect_within);
+                self.deadlines
+                    .set(Due::Conn(key), self.now + self.setup.connect_within);
             }
             None => self.probed(server, Outcome::Unreachable, Load::default()),
         }
@@ -50,7 +63,9 @@
 
     /// Whether a kept connection is up and has said nothing since its last answer.
     fn is_at_rest(&mut self, key: Key) -> bool {
-        let Some(conn) = self.conns.get_mut(key) else { return false };
+        let Some(conn) = self.conns.get_mut(key) else {
+            return false;
+        };
         conn.stream.fill(false);
         conn.stream.ended.is_none() && conn.stream.inbound.is_empty()
     }
@@ -63,13 +78,16 @@
         conn.role = Role::Probe(server, stage);
         conn.stream.send(&[STATS]);
         // Twice as long as a connection may take to come up: a slow server is not yet a silent one.
-        self.deadlines.set(Due::Conn(key), self.now + self.setup.connect_within * 2);
+        self.deadlines
+            .set(Due::Conn(key), self.now + self.setup.connect_within * 2);
         self.count(Code::Probed);
         self.want_own(key);
     }
 
     pub(super) fn probe_woken(&mut self, server: ServerId, stage: Stage, event: Ready) {
-        let Some(conn) = self.conns.get_mut(event.key) else { return };
+        let Some(conn) = self.conns.get_mut(event.key) else {
+            return;
+        };
         if stage == Stage::Connecting {
             return match conn.stream.is_up() {
                 true => self.ask_stats(server, event.key, Stage::Asked),
@@ -114,9 +132,15 @@
 
     /// A probe without an answer.
     pub(super) fn probe_ended(&mut self, server: ServerId, outcome: Outcome) {
-        let about = format!("probe server={} outcome={outcome:?}", self.roster.name(server));
+        let about = format!(
+            "probe server={} outcome={outcome:?}",
+            self.roster.name(server)
+        );
         self.line(Code::ProbeFailed, about);
-        self.roster.probe(server).into_iter().for_each(|key| self.drop_probe(server, key));
+        self.roster
+            .probe(server)
+            .into_iter()
+            .for_each(|key| self.drop_probe(server, key));
         self.probed(server, outcome, Load::default());
     }
 
@@ -129,7 +153,11 @@
         if outcome == Outcome::Ok {
             self.roster.reported(server, load, self.now);
         }
-        self.event(Event::Probed { server, outcome, load });
+        self.event(Event::Probed {
+            server,
+            outcome,
+            load,
+        });
         self.probed_at_start(server, outcome);
     }
 }
--- a/proxy/src/routing/room.rs
+++ b/proxy/src/routing/room.rs
@@ -11,7 +11,12 @@
         if let Some(pace) = self.start_pace() {
             return self.gate.pace(self.now, Some(pace));
         }
-        let short = self.gated && self.exchange.places.as_ref().is_some_and(|p| p.sites.is_short(self.now));
+        let short = self.gated
+            && self
+                .exchange
+                .places
+                .as_ref()
+                .is_some_and(|p| p.sites.is_short(self.now));
         if !short {
             return self.gate.pace(self.now, None);
         }
@@ -19,18 +24,30 @@
         let warm = |started| self.now.saturating_sub(started) >= cold;
         let shut = |zone: &str| {
             let place = self.setup.zones.iter().position(|name| name == zone);
-            let places = self.exchange.places.iter().flat_map(|places| places.sites.places());
-            places.enumerate().any(|(nth, p)| Some(nth) == place && p.state.is_shut())
+            let places = self
+                .exchange
+                .places
+                .iter()
+                .flat_map(|places| places.sites.places());
+            places
+                .enumerate()
+                .any(|(nth, p)| Some(nth) == place && p.state.is_shut())
         };
-        let ready =
-            self.roster.placed().filter(|(host, zone)| host.standing == Standing::Ready && !shut(zone));
+        let ready = self
+            .roster
+            .placed()
+            .filter(|(host, zone)| host.standing == Standing::Ready && !shut(zone));
         let (mut count, mut words) = (0, Vec::new());
         for (host, _) in ready {
             count += 1;
             if let (Some(asked), Some(connections)) = (host.load.asked, host.load.connections)
                 && host.started.is_none_or(warm)
             {
-                words.push(Load { asked, connections, age: self.now.saturating_sub(host.told) });
+                words.push(Load {
+                    asked,
+                    connections,
+                    age: self.now.saturating_sub(host.told),
+                });
             }
         }
         let pace = room::pace(words.into_iter(), count, self.setup.deployment.proxies);
--- a/proxy/src/routing/roster.rs
+++ b/proxy/src/routing/roster.rs
@@ -45,7 +45,11 @@
 
 impl Roster {
     pub fn new(zones: Vec<String>) -> Roster {
-        Roster { zones, by_uid: BTreeMap::new(), servers: Vec::new() }
+        Roster {
+            zones,
+            by_uid: BTreeMap::new(),
+            servers: Vec::new(),
+        }
     }
 
     /// A line in the module's terms, and whether its server's probe connection is of no use any more; `None`
@@ -56,15 +60,26 @@
         }
         let server = self.by_uid.get(&line.uid).copied().unwrap_or_else(|| {
             let id = self.servers.len() as ServerId;
-            self.servers.push(Server { line: line.clone(), probe: None, host: Host::default() });
+            self.servers.push(Server {
+                line: line.clone(),
+                probe: None,
+                host: Host::default(),
+            });
             self.by_uid.insert(line.uid.clone(), id);
             id
         });
         let known = &mut self.servers[server as usize];
         let before = known.line.endpoint;
         let moved = before != line.endpoint;
-        let endpoint = if line.standing == Standing::Gone { before } else { line.endpoint };
-        known.line = Listed { endpoint, ..line.clone() };
+        let endpoint = if line.standing == Standing::Gone {
+            before
+        } else {
+            line.endpoint
+        };
+        known.line = Listed {
+            endpoint,
+            ..line.clone()
+        };
         (known.host.standing, known.host.started) = (line.standing, line.started);
         let stale = moved || line.standing == Standing::Gone;
         let entry = self.entry(server)?;
@@ -74,7 +89,10 @@
     /// A server's line in the module's terms, as it stands.
     pub fn entry(&self, server: ServerId) -> Option<Entry> {
         let known = self.servers.get(server as usize)?;
-        let (line, zone) = (&known.line, self.zones.iter().position(|zone| *zone == known.line.zone));
+        let (line, zone) = (
+            &known.line,
+            self.zones.iter().position(|zone| *zone == known.line.zone),
+        );
         Some(Entry {
             server,
             mark: mark(&line.uid),
@@ -89,11 +107,17 @@
 
     /// Where one stands that nobody has listed yet.
     pub fn stands_at(&mut self, server: ServerId, endpoint: SocketAddr) {
-        self.servers.get_mut(server as usize).into_iter().for_each(|server| server.line.endpoint = endpoint);
+        self.servers
+            .get_mut(server as usize)
+            .into_iter()
+            .for_each(|server| server.line.endpoint = endpoint);
     }
 
     pub fn stands(&mut self, server: ServerId, standing: Standing) {
-        self.servers.get_mut(server as usize).into_iter().for_each(|server| server.host.standing = standing);
+        self.servers
+            .get_mut(server as usize)
+            .into_iter()
+            .for_each(|server| server.host.standing = standing);
     }
 
     pub fn hosts(&self) -> impl Iterator<Item = &Host> {
@@ -102,14 +126,22 @@
 
     /// Each with the name of its place.
     pub fn placed(&self) -> impl Iterator<Item = (&Host, &str)> {
-        self.servers.iter().map(|server| (&server.host, server.line.zone.as_str()))
+        self.servers
+            .iter()
+            .map(|server| (&server.host, server.line.zone.as_str()))
     }
 
     /// Those that a whole list leaves out are gone.
     pub fn only(&mut self, listed: &[Entry]) {
         let mut named = vec![false; self.servers.len()];
-        listed.iter().for_each(|entry| named[entry.server as usize] = true);
-        let gone = self.servers.iter_mut().zip(named).filter(|(_, named)| !named);
+        listed
+            .iter()
+            .for_each(|entry| named[entry.server as usize] = true);
+        let gone = self
+            .servers
+            .iter_mut()
+            .zip(named)
+            .filter(|(_, named)| !named);
         gone.for_each(|(server, _)| server.host.standing = Standing::Gone);
     }
 
@@ -121,7 +153,10 @@
 
     /// All that was ever listed, as it stands.
     pub fn lines(&self) -> impl Iterator<Item = Listed> {
-        let stands = |server: &Server| Listed { standing: server.host.standing, ..server.line.clone() };
+        let stands = |server: &Server| Listed {
+            standing: server.host.standing,
+            ..server.line.clone()
+        };
         self.servers.iter().map(stands)
     }
 
@@ -130,11 +165,15 @@
     }
 
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.servers.get(server as usize).map(|server| server.line.endpoint)
+        self.servers
+            .get(server as usize)
+            .map(|server| server.line.endpoint)
     }
 
     pub fn name(&self, server: ServerId) -> &str {
-        self.servers.get(server as usize).map_or("-", |server| &server.line.uid)
+        self.servers
+            .get(server as usize)
+            .map_or("-", |server| &server.line.uid)
     }
 
     pub fn probe(&self, server: ServerId) -> Option<Key> {
@@ -142,6 +181,9 @@
     }
 
     pub fn set_probe(&mut self, server: ServerId, key: Option<Key>) {
-        self.servers.get_mut(server as usize).into_iter().for_each(|server| server.probe = key);
+        self.servers
+            .get_mut(server as usize)
+            .into_iter()
+            .for_each(|server| server.probe = key);
     }
 }
--- a/proxy/src/routing/start.rs
+++ b/proxy/src/routing/start.rs
@@ -6,7 +6,9 @@
 use crate::protocol::discovery::{List, Listed};
 use asterramp::Event;
 use asterramp::event::{Entry, Outcome, Roster, ServerId, Standing};
-use asterramp_recovery::{Age, Effect, Entry as Way, HostId, Recovery, Source, Stage, Terms, age, fill};
+use asterramp_recovery::{
+    Age, Effect, Entry as Way, HostId, Recovery, Source, Stage, Terms, age, fill,
+};
 use asterramp_state::{Host, Snapshot, Told, Writer};
 use std::time::Duration;
 
@@ -42,7 +44,15 @@
 
 impl Keeping {
     pub fn new(writer: Writer, every: Duration, owner: String, term: u64) -> Keeping {
-        Keeping { writer, every, owner, term, saved: Duration::ZERO, changed: false, written: (0, 0) }
+        Keeping {
+            writer,
+            every,
+            owner,
+            term,
+            saved: Duration::ZERO,
+            changed: false,
+            written: (0, 0),
+        }
     }
 }
 
@@ -82,7 +92,11 @@
         let others = !anew.others.doors.is_empty();
         self.budget = self.budget.without(anew.others.doors.len().min(8));
         self.others_by(anew.others);
-        let terms = Terms { others, probes: self.budget.probes.min(anew.terms.probes).max(1), ..anew.terms };
+        let terms = Terms {
+            others,
+            probes: self.budget.probes.min(anew.terms.probes).max(1),
+            ..anew.terms
+        };
         let saved = anew.saved.unwrap_or_default();
         let mut starting = Starting {
             recovery: Recovery::new(now, terms),
@@ -93,20 +107,34 @@
         };
         // When it was told counts, not when it was written again.
         let told = saved.told_ms.map(unix);
-        let old =
-            if age(now, Some(unix(saved.saved_ms))) == Age::Unknown { Age::Unknown } else { age(now, told) };
-        let hosts = saved.hosts.iter().filter(|host| host.standing == asterramp_state::Standing::Ready);
+        let old = if age(now, Some(unix(saved.saved_ms))) == Age::Unknown {
+            Age::Unknown
+        } else {
+            age(now, told)
+        };
+        let hosts = saved
+            .hosts
+            .iter()
+            .filter(|host| host.standing == asterramp_state::Standing::Ready);
         let own = hosts.map(|host| (listed(host), Source::Saved, old, saved.rev, host.unit));
-        let configured = known.lines.iter().filter(|line| line.standing == Standing::Ready);
-        let configured = configured.map(|line| (line.clone(), Source::Configured, Age::Unknown, rev, None));
+        let configured = known
+            .lines
+            .iter()
+            .filter(|line| line.standing == Standing::Ready);
+        let configured =
+            configured.map(|line| (line.clone(), Source::Configured, Age::Unknown, rev, None));
         // The newer list is taken in last: where the two differ in an address, its word stands.
         let mut words: Vec<_> = own.chain(configured).collect();
         words.sort_by_key(|word| word.3);
         for (line, source, old, rev, unit) in words {
             let at = line.endpoint;
-            let Some((entry, _)) = self.roster.take(line) else { continue };
+            let Some((entry, _)) = self.roster.take(line) else {
+                continue;
+            };
             starting.remember(entry.server, unit);
-            starting.recovery.word(now, entry.server, at, source, old, rev);
+            starting
+                .recovery
+                .word(now, entry.server, at, source, old, rev);
         }
         self.starting = Some(starting);
         self.heed_start();
@@ -114,7 +142,10 @@
 
     /// Whether the list that discovery tells is older than one that we had, while that may matter.
     pub(super) fn is_older(&self, rev: u64) -> bool {
-        let starting = self.starting.as_ref().filter(|s| s.recovery.stage() != Stage::Normal);
+        let starting = self
+            .starting
+            .as_ref()
+            .filter(|s| s.recovery.stage() != Stage::Normal);
         starting.is_some_and(|starting| rev < starting.had)
     }
 
@@ -123,10 +154,14 @@
         let (now, mut away) = (self.now, Vec::new());
         for entry in entries {
             let at = self.roster.address(entry.server);
-            let Some((starting, at)) = self.starting.as_mut().zip(at) else { return };
+            let Some((starting, at)) = self.starting.as_mut().zip(at) else {
+                return;
+            };
             match entry.standing {
                 Standing::Ready => {
-                    starting.recovery.word(now, entry.server, at, Source::Told, Age::Old, rev);
+                    starting
+                        .recovery
+                        .word(now, entry.server, at, Source::Told, Age::Old, rev);
                 }
                 _ => {
                     starting.recovery.told(now, entry.server, at, false);
@@ -134,7 +169,13 @@
                 }
             }
         }
-        self.line(Code::RosterOld, format!("rev={rev} had={}", self.starting.as_ref().map_or(0, |s| s.had)));
+        self.line(
+            Code::RosterOld,
+            format!(
+                "rev={rev} had={}",
+                self.starting.as_ref().map_or(0, |s| s.had)
+            ),
+        );
         self.event(Event::Roster(Roster::Changes(away)));
         self.heed_start();
     }
@@ -142,19 +183,31 @@
     /// Discovery has told these, `whole` or changes; the module hears it by itself.
     pub(super) fn told_start(&mut self, entries: &mut [Entry], whole: bool) {
         let (now, cold) = (self.now, self.setup.deployment.cold.warm_after);
-        let Some(starting) = &mut self.starting else { return };
-        entries.iter_mut().for_each(|entry| entry.unit = starting.unit(entry.server));
+        let Some(starting) = &mut self.starting else {
+            return;
+        };
+        entries
+            .iter_mut()
+            .for_each(|entry| entry.unit = starting.unit(entry.server));
         if starting.recovery.stage() == Stage::Normal {
             return;
         }
         for entry in entries.iter() {
             if let Some(at) = self.roster.address(entry.server) {
-                starting.recovery.told(now, entry.server, at, entry.standing == Standing::Ready);
+                starting
+                    .recovery
+                    .told(now, entry.server, at, entry.standing == Standing::Ready);
             }
         }
         if whole {
-            let ready = entries.iter().filter(|entry| entry.standing == Standing::Ready);
-            let new = |entry: &&Entry| entry.started.is_some_and(|at| now.saturating_sub(at) < cold);
+            let ready = entries
+                .iter()
+                .filter(|entry| entry.standing == Standing::Ready);
+            let new = |entry: &&Entry| {
+                entry
+                    .started
+                    .is_some_and(|at| now.saturating_sub(at) < cold)
+            };
             let (all, young) = (ready.clone().count(), ready.clone().filter(new).count());
             let listed: Vec<HostId> = entries.iter().map(|entry| entry.server).collect();
             starting.recovery.told_whole(now, &listed, young * 2 > all);
@@ -165,7 +218,9 @@
     /// A probe has ended that the start may have wanted.
     pub(super) fn probed_at_start(&mut self, server: ServerId, outcome: Outcome) {
         let now = self.now;
-        let Some(starting) = &mut self.starting else { return };
+        let Some(starting) = &mut self.starting else {
+            return;
+        };
         starting.recovery.answered(
             now,
             server,
@@ -176,7 +231,9 @@
 
     pub(super) fn start_due(&mut self) {
         let now = self.now;
-        let Some(starting) = &mut self.starting else { return };
+        let Some(starting) = &mut self.starting else {
+            return;
+        };
         starting.recovery.tick(now);
         self.heed_start();
     }
@@ -184,14 +241,20 @@
     /// Carries out what the start wants, until there is no more.
     pub(super) fn heed_start(&mut self) {
         loop {
-            let Some(starting) = &mut self.starting else { return };
+            let Some(starting) = &mut self.starting else {
+                return;
+            };
             let effects: Vec<Effect> = starting.recovery.effects().collect();
             if effects.is_empty() {
                 break;
             }
-            effects.into_iter().for_each(|effect| self.start_effect(effect));
+            effects
+                .into_iter()
+                .for_each(|effect| self.start_effect(effect));
         }
-        let Some(starting) = &self.starting else { return };
+        let Some(starting) = &self.starting else {
+            return;
+        };
         match starting.recovery.due() {
             Some(due) => self.deadlines.set(Due::Start, due),
             None => self.deadlines.clear(Due::Start),
@@ -204,7 +267,9 @@
             // Where probes are not allowed, the first dial is the question.
             Effect::Probe(id) if !self.setup.deployment.may_probe => {
                 let now = self.now;
-                self.starting.iter_mut().for_each(|s| s.recovery.answered(now, id, true));
+                self.starting
+                    .iter_mut()
+                    .for_each(|s| s.recovery.answered(now, id, true));
             }
             Effect::Probe(id) => self.probe(id),
             Effect::Use(id) => {
@@ -214,7 +279,10 @@
                 self.place_on(id, Standing::Ready, started, unit);
             }
             Effect::Drop(id, why) => {
-                self.line(Code::HostDropped, format!("server={} why={why:?}", self.roster.name(id)));
+                self.line(
+                    Code::HostDropped,
+                    format!("server={} why={why:?}", self.roster.name(id)),
+                );
                 self.roster.stands(id, Standing::Gone);
                 self.place_on(id, Standing::Gone, None, None);
             }
@@ -231,9 +299,20 @@
         }
     }
 
-    fn place_on(&mut self, id: HostId, standing: Standing, started: Option<Duration>, unit: Option<f64>) {
+    fn place_on(
+        &mut self,
+        id: HostId,
+        standing: Standing,
+        started: Option<Duration>,
+        unit: Option<f64>,
+    ) {
         if let Some(entry) = self.roster.entry(id) {
-            let entry = Entry { standing, started, unit, ..entry };
+            let entry = Entry {
+                standing,
+                started,
+                unit,
+                ..entry
+            };
             self.event(Event::Roster(Roster::Changes(vec![entry])));
         }
     }
@@ -249,13 +328,23 @@
                 let up = self.now.saturating_sub(starting.recovery.since());
                 let unit = starting.units.iter().flatten();
                 let (sum, n) = unit.fold((0.0, 0.0), |(sum, n), unit| (sum + unit, n + 1.0));
-                let told =
-                    self.roster.hosts().filter_map(|host| Some((host.load.asked?, host.load.connections?)));
-                let (asked, held) = told.fold((0.0, 0.0), |sum, load| (sum.0 + load.0, sum.1 + load.1));
+                let told = self
+                    .roster
+                    .hosts()
+                    .filter_map(|host| Some((host.load.asked?, host.load.connections?)));
+                let (asked, held) =
+                    told.fold((0.0, 0.0), |sum, load| (sum.0 + load.0, sum.1 + load.1));
                 // What hosts say now goes before what they took before.
-                let unit = if held >= fill::FEW { Some(asked / held) } else { (n > 0.0).then(|| sum / n) };
-                let cold =
-                    fill::Cold { share: cold.share, warm_after: cold.warm_after, multiple: cold.multiple };
+                let unit = if held >= fill::FEW {
+                    Some(asked / held)
+                } else {
+                    (n > 0.0).then(|| sum / n)
+                };
+                let cold = fill::Cold {
+                    share: cold.share,
+                    warm_after: cold.warm_after,
+                    multiple: cold.multiple,
+                };
                 Some(fill::pace(
                     cold,
                     starting.recovery.hosts().usable(),
@@ -269,7 +358,9 @@
 
     /// Whether it says so when it is asked whether it serves.
     pub(super) fn start_serves(&self) -> bool {
-        self.starting.as_ref().is_none_or(|s| !matches!(s.way, Way::Shut | Way::Refused))
+        self.starting
+            .as_ref()
+            .is_none_or(|s| !matches!(s.way, Way::Shut | Way::Refused))
     }
 
     pub(super) fn starting(&self) -> Option<&Recovery> {
@@ -283,25 +374,33 @@
 
     /// An owner's term was heard that is higher than any before; it is kept.
     pub(super) fn heard_term(&mut self, term: u64) {
-        self.keeping.iter_mut().for_each(|keeping| keeping.term = term);
+        self.keeping
+            .iter_mut()
+            .for_each(|keeping| keeping.term = term);
         self.state_changed();
     }
 
     pub(super) fn state_changed(&mut self) {
-        self.keeping.iter_mut().for_each(|keeping| keeping.changed = true);
+        self.keeping
+            .iter_mut()
+            .for_each(|keeping| keeping.changed = true);
     }
 
     /// Hands a snapshot over, if one is due, and tells how the last ones fared.
     pub(super) fn keep_on(&mut self) {
         let now = self.now;
-        let Some(keeping) = &mut self.keeping else { return };
+        let Some(keeping) = &mut self.keeping else {
+            return;
+        };
         let told = keeping.writer.told();
         let since = now.saturating_sub(keeping.saved);
         let due = keeping.changed && since >= keeping.every || since >= keeping.every * AGES;
         self.told_of_state(told);
         if due {
             let snapshot = self.snapshot(false);
-            let Some(keeping) = &mut self.keeping else { return };
+            let Some(keeping) = &mut self.keeping else {
+                return;
+            };
             (keeping.saved, keeping.changed) = (now, false);
             keeping.writer.save(snapshot);
         }
@@ -309,7 +408,10 @@
 
     fn told_of_state(&mut self, told: Vec<Told>) {
         for told in told {
-            let (wrote, failed) = (matches!(told, Told::Saved { .. }), matches!(told, Told::Failed(_)));
+            let (wrote, failed) = (
+                matches!(told, Told::Saved { .. }),
+                matches!(told, Told::Failed(_)),
+            );
             self.keeping.iter_mut().for_each(|keeping| {
                 keeping.written.0 += u64::from(wrote);
                 keeping.written.1 += u64::from(failed);
@@ -334,7 +436,11 @@
     }
 
     fn snapshot(&self, clean: bool) -> Snapshot {
-        let loads = || self.roster.hosts().filter_map(|host| host.load.asked.zip(host.load.connections));
+        let loads = || {
+            self.roster
+                .hosts()
+                .filter_map(|host| host.load.asked.zip(host.load.connections))
+        };
         let all = loads().fold((0.0, 0.0), |sum, load| (sum.0 + load.0, sum.1 + load.1));
         // One that holds few stands for what all take.
         let told = |load: &(f64, f64)| load.1 >= fill::FEW;
@@ -350,7 +456,11 @@
                     Standing::Draining => asterramp_state::Standing::Draining,
                     _ => asterramp_state::Standing::Ready,
                 },
-                weight: if line.weight.is_finite() { line.weight } else { 1.0 },
+                weight: if line.weight.is_finite() {
+                    line.weight
+                } else {
+                    1.0
+                },
                 started_ms: line.started.map(ms),
                 heard_ms: (!host.told.is_zero()).then(|| ms(host.told)),
                 unit: unit.filter(|unit| unit.is_finite()),
@@ -359,19 +469,29 @@
         let lines = self.roster.lines().zip(self.roster.hosts());
         let keeping = self.keeping.as_ref();
         // What was known before stays so until discovery has told more.
-        let before =
-            self.starting.as_ref().filter(|s| s.recovery.stage() != Stage::Normal || self.watch.rev() == 0);
+        let before = self
+            .starting
+            .as_ref()
+            .filter(|s| s.recovery.stage() != Stage::Normal || self.watch.rev() == 0);
         let had = before.map_or(0, |s| s.had);
-        let told = self.watch.heard().or(self.starting.as_ref().and_then(|s| s.told));
+        let told = self
+            .watch
+            .heard()
+            .or(self.starting.as_ref().and_then(|s| s.told));
         Snapshot {
-            owner: keeping.map(|keeping| keeping.owner.clone()).unwrap_or_default(),
+            owner: keeping
+                .map(|keeping| keeping.owner.clone())
+                .unwrap_or_default(),
             seq: 0,
             saved_ms: ms(self.now),
             rev: self.watch.rev().max(had),
             told_ms: told.map(ms),
             term: keeping.map_or(0, |keeping| keeping.term),
             clean,
-            hosts: lines.filter(|(line, _)| line.standing != Standing::Gone).map(host).collect(),
+            hosts: lines
+                .filter(|(line, _)| line.standing != Standing::Gone)
+                .map(host)
+                .collect(),
         }
     }
 
--- a/proxy/src/routing/watch.rs
+++ b/proxy/src/routing/watch.rs
@@ -84,7 +84,11 @@
     }
 
     fn begin(&mut self, list: List, as_told: impl Fn(Vec<event::Entry>) -> event::Roster) {
-        let entries = list.lines.into_iter().filter_map(|line| Some(self.roster.take(line)?.0)).collect();
+        let entries = list
+            .lines
+            .into_iter()
+            .filter_map(|line| Some(self.roster.take(line)?.0))
+            .collect();
         self.event(Event::Roster(as_told(entries)));
         if !self.watch.by_module {
             self.connect_watch();
@@ -97,10 +101,20 @@
             return;
         }
         let fd = socket::connect(self.watch.at).ok();
-        self.watch.key = fd.and_then(|fd| self.keep(fd, Role::Watch, Want { read: false, write: true }));
+        self.watch.key = fd.and_then(|fd| {
+            self.keep(
+                fd,
+                Role::Watch,
+                Want {
+                    read: false,
+                    write: true,
+                },
+            )
+        });
         (self.watch.asked, self.watch.answer) = (false, Answer::default());
         if self.watch.key.is_some() {
-            self.deadlines.set(Due::Watch, self.now + self.watch.patience);
+            self.deadlines
+                .set(Due::Watch, self.now + self.watch.patience);
             self.watch.patience = (self.watch.patience * 2).min(SILENCE);
         } else {
             self.end_watch(Code::WatchEnded, "connect failed");
@@ -112,11 +126,23 @@
     pub fn reload(&mut self, now: Duration, discovery: SocketAddr) {
         self.now = now;
         let same = self.watch.at == discovery;
-        self.line(Code::Reloaded, format!("discovery={discovery} changed={}", !same));
+        self.line(
+            Code::Reloaded,
+            format!("discovery={discovery} changed={}", !same),
+        );
         if !same {
-            self.watch.key.take().into_iter().for_each(|key| drop(self.close(key)));
-            self.watch =
-                Watch { at: discovery, rev: 0, pause: PAUSE, answer: Answer::default(), ..self.watch };
+            self.watch
+                .key
+                .take()
+                .into_iter()
+                .for_each(|key| drop(self.close(key)));
+            self.watch = Watch {
+                at: discovery,
+                rev: 0,
+                pause: PAUSE,
+                answer: Answer::default(),
+                ..self.watch
+            };
             self.watch.patience = first_patience(self.watch.by_module);
             self.connect_watch();
         }
@@ -132,7 +158,11 @@
 
     fn end_watch(&mut self, code: Code, why: &str) {
         self.line(code, format!("watch why={why:?}"));
-        self.watch.key.take().into_iter().for_each(|key| drop(self.close(key)));
+        self.watch
+            .key
+            .take()
+            .into_iter()
+            .for_each(|key| drop(self.close(key)));
         if self.watch.by_module {
             self.deadlines.clear(Due::Watch);
             return self.event(Event::Roster(event::Roster::Failed));
@@ -142,7 +172,9 @@
     }
 
     pub(super) fn watch_woken(&mut self, event: Ready) {
-        let Some(conn) = self.conns.get_mut(event.key) else { return };
+        let Some(conn) = self.conns.get_mut(event.key) else {
+            return;
+        };
         if !self.watch.asked {
             if !conn.stream.is_up() {
                 return self.end_watch(Code::WatchEnded, "connect failed");
@@ -217,13 +249,19 @@
             self.roster.only(&entries);
         }
         self.told_start(&mut entries, whole);
-        let told = if whole { event::Roster::Whole } else { event::Roster::Changes };
+        let told = if whole {
+            event::Roster::Whole
+        } else {
+            event::Roster::Changes
+        };
         self.event(Event::Roster(told(entries)));
     }
 
     /// Its server is gone or stands elsewhere: what is asked there now is answered by nobody.
     fn unneeded_probe(&mut self, server: event::ServerId) {
-        let Some(key) = self.roster.probe(server) else { return };
+        let Some(key) = self.roster.probe(server) else {
+            return;
+        };
         match self.conns.get(key).map(|conn| conn.role) {
             Some(Role::Probe(_, super::probe::Stage::Idle)) => self.drop_probe(server, key),
             _ => self.probe_ended(server, event::Outcome::CalledOff),
