--- a/proxy/src/transport/deadlines.rs
+++ b/proxy/src/transport/deadlines.rs
@@ -11,7 +11,10 @@
 
 impl<K: Ord + Copy> Default for Deadlines<K> {
     fn default() -> Self {
-        Deadlines { due: BTreeSet::new(), of: BTreeMap::new() }
+        Deadlines {
+            due: BTreeSet::new(),
+            of: BTreeMap::new(),
+        }
     }
 }
 
--- a/proxy/src/transport/link.rs
+++ b/proxy/src/transport/link.rs
@@ -15,7 +15,12 @@
 
 /// Calls the process that listens at a path.
 pub fn call(at: &Path) -> Result<OwnedFd> {
-    let fd = net::socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, super::socket::FLAGS, None)?;
+    let fd = net::socket_with(
+        AddressFamily::UNIX,
+        SocketType::SEQPACKET,
+        super::socket::FLAGS,
+        None,
+    )?;
     net::connect(&fd, &SocketAddrUnix::new(at)?)?;
     Ok(fd)
 }
@@ -54,9 +59,19 @@
     let mut bytes = vec![0; longest];
     let flags = RecvFlags::DONTWAIT | RecvFlags::CMSG_CLOEXEC;
     let link = link.as_fd();
-    let mut got = net::recvmsg(link, &mut [IoSliceMut::new(&mut bytes)], &mut control, flags);
+    let mut got = net::recvmsg(
+        link,
+        &mut [IoSliceMut::new(&mut bytes)],
+        &mut control,
+        flags,
+    );
     if got.as_ref().err() == Some(&Errno::CONNRESET) {
-        got = net::recvmsg(link, &mut [IoSliceMut::new(&mut bytes)], &mut control, flags);
+        got = net::recvmsg(
+            link,
+            &mut [IoSliceMut::new(&mut bytes)],
+            &mut control,
+            flags,
+        );
     }
     let got = match got {
         Ok(got) => got,
@@ -69,7 +84,10 @@
             with.extend(fds);
         }
     }
-    if got.flags.intersects(ReturnFlags::TRUNC | ReturnFlags::CTRUNC) {
+    if got
+        .flags
+        .intersects(ReturnFlags::TRUNC | ReturnFlags::CTRUNC)
+    {
         return Err(Errno::MSGSIZE);
     }
     bytes.truncate(got.bytes);
--- a/proxy/src/transport/poll.rs
+++ b/proxy/src/transport/poll.rs
@@ -40,15 +40,28 @@
 
 impl Poll {
     pub fn new() -> Result<Poll> {
-        Ok(Poll { epoll: epoll::create(CreateFlags::CLOEXEC)?, events: Vec::with_capacity(TURN) })
+        Ok(Poll {
+            epoll: epoll::create(CreateFlags::CLOEXEC)?,
+            events: Vec::with_capacity(TURN),
+        })
     }
 
     pub fn add(&self, fd: impl AsFd, key: Key, want: Want) -> Result<()> {
-        epoll::add(&self.epoll, fd, EventData::new_u64(key.bits()), want.flags())
+        epoll::add(
+            &self.epoll,
+            fd,
+            EventData::new_u64(key.bits()),
+            want.flags(),
+        )
     }
 
     pub fn change(&self, fd: impl AsFd, key: Key, want: Want) -> Result<()> {
-        epoll::modify(&self.epoll, fd, EventData::new_u64(key.bits()), want.flags())
+        epoll::modify(
+            &self.epoll,
+            fd,
+            EventData::new_u64(key.bits()),
+            want.flags(),
+        )
     }
 
     /// Forgets a socket. A close does that too, unless another process has it yet.
--- a/proxy/src/transport/slots.rs
+++ b/proxy/src/transport/slots.rs
@@ -14,7 +14,10 @@
     }
 
     pub fn of_bits(bits: u64) -> Key {
-        Key { slot: bits as u32, generation: (bits >> 32) as u32 }
+        Key {
+            slot: bits as u32,
+            generation: (bits >> 32) as u32,
+        }
     }
 }
 
@@ -26,7 +29,10 @@
 
 impl<T> Default for Slots<T> {
     fn default() -> Self {
-        Slots { slots: Vec::new(), free: Vec::new() }
+        Slots {
+            slots: Vec::new(),
+            free: Vec::new(),
+        }
     }
 }
 
@@ -38,20 +44,31 @@
         });
         let place = &mut self.slots[slot as usize];
         place.1 = Some(item);
-        Key { slot, generation: place.0 }
+        Key {
+            slot,
+            generation: place.0,
+        }
     }
 
     pub fn get(&self, key: Key) -> Option<&T> {
-        let right = |place: &&(u32, Option<T>)| place.0 == key.generation || planted(Plant::StaleSlot);
+        let right =
+            |place: &&(u32, Option<T>)| place.0 == key.generation || planted(Plant::StaleSlot);
         self.slots.get(key.slot as usize).filter(right)?.1.as_ref()
     }
 
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
-        self.slots.get_mut(key.slot as usize).filter(|place| place.0 == key.generation)?.1.as_mut()
+        self.slots
+            .get_mut(key.slot as usize)
+            .filter(|place| place.0 == key.generation)?
+            .1
+            .as_mut()
     }
 
     pub fn remove(&mut self, key: Key) -> Option<T> {
-        let place = self.slots.get_mut(key.slot as usize).filter(|place| place.0 == key.generation)?;
+        let place = self
+            .slots
+            .get_mut(key.slot as usize)
+            .filter(|place| place.0 == key.generation)?;
         let item = place.1.take()?;
         place.0 = place.0.wrapping_add(1);
         self.free.push(key.slot);
@@ -61,13 +78,26 @@
     /// Who holds a slot now.
     pub fn at(&self, slot: u32) -> Option<Key> {
         let place = self.slots.get(slot as usize)?;
-        place.1.as_ref().map(|_| Key { slot, generation: place.0 })
+        place.1.as_ref().map(|_| Key {
+            slot,
+            generation: place.0,
+        })
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (Key, &T)> {
-        (0..).zip(&self.slots).filter_map(|(slot, (generation, item))| {
-            item.as_ref().map(|item| (Key { slot, generation: *generation }, item))
-        })
+        (0..)
+            .zip(&self.slots)
+            .filter_map(|(slot, (generation, item))| {
+                item.as_ref().map(|item| {
+                    (
+                        Key {
+                            slot,
+                            generation: *generation,
+                        },
+                        item,
+                    )
+                })
+            })
     }
 
     pub fn len(&self) -> usize {
--- a/proxy/src/transport/socket.rs
+++ b/proxy/src/transport/socket.rs
@@ -16,7 +16,11 @@
 pub const BACKLOG: i32 = 1024;
 
 fn open(to: SocketAddr) -> Result<OwnedFd> {
-    let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let family = if to.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
     net::socket_with(family, SocketType::STREAM, FLAGS, None)
 }
 
@@ -81,12 +85,20 @@
     let fd = net::socket_with(AddressFamily::UNIX, kind, FLAGS, None)?;
     if let Ok(found) = std::fs::symlink_metadata(at) {
         if !found.file_type().is_socket() {
-            return Err(io::Error::new(io::ErrorKind::AlreadyExists, "there is a file that is no socket"));
+            return Err(io::Error::new(
+                io::ErrorKind::AlreadyExists,
+                "there is a file that is no socket",
+            ));
         }
         let asks = net::socket_with(AddressFamily::UNIX, kind, FLAGS, None)?;
         match net::connect(&asks, &address) {
             Err(Errno::CONNREFUSED) => std::fs::remove_file(at)?,
-            _ => return Err(io::Error::new(io::ErrorKind::AddrInUse, "somebody listens there")),
+            _ => {
+                return Err(io::Error::new(
+                    io::ErrorKind::AddrInUse,
+                    "somebody listens there",
+                ));
+            }
         }
     }
     net::bind(&fd, &address)?;
--- a/proxy/src/transport/stream.rs
+++ b/proxy/src/transport/stream.rs
@@ -33,13 +33,27 @@
 
 impl Stream {
     pub fn new(fd: OwnedFd, want: Want) -> Stream {
-        Stream { fd, inbound: Buffer::default(), unsent: Vec::new(), want, ended: None }
+        Stream {
+            fd,
+            inbound: Buffer::default(),
+            unsent: Vec::new(),
+            want,
+            ended: None,
+        }
     }
 
     /// One that another process held, with what it had read and not passed on.
     pub fn taken(fd: OwnedFd, bytes: &[u8]) -> Option<Stream> {
-        let mut stream = Stream::new(fd, Want { read: true, write: false });
-        (bytes.len() <= Buffer::LIMIT).then(|| stream.inbound.push(bytes)).map(|()| stream)
+        let mut stream = Stream::new(
+            fd,
+            Want {
+                read: true,
+                write: false,
+            },
+        );
+        (bytes.len() <= Buffer::LIMIT)
+            .then(|| stream.inbound.push(bytes))
+            .map(|()| stream)
     }
 
     /// One read, so that a turn of the loop is bounded for each connection. A break that reading does not
--- a/proxy/tests/control.rs
+++ b/proxy/tests/control.rs
@@ -46,7 +46,11 @@
         let operator = path("toml");
         std::fs::write(&operator, wishes(&socket, more)).unwrap();
         let world = World::started(1, SETTINGS, (512, 1024), Some(&operator));
-        Site { world, socket, operator }
+        Site {
+            world,
+            socket,
+            operator,
+        }
     }
 
     /// A connection to the control socket, and what it says to a line.
@@ -58,7 +62,9 @@
 
     fn say(&self, line: &str) -> String {
         let mut peer = self.peer();
-        peer.get_mut().write_all(format!("{line}\n").as_bytes()).unwrap();
+        peer.get_mut()
+            .write_all(format!("{line}\n").as_bytes())
+            .unwrap();
         let mut answer = String::new();
         peer.read_line(&mut answer).unwrap();
         answer
@@ -66,7 +72,12 @@
 
     fn command(&self, args: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_asterramp"));
-        command.args(args).arg("--control").arg(&self.socket).output().unwrap()
+        command
+            .args(args)
+            .arg("--control")
+            .arg(&self.socket)
+            .output()
+            .unwrap()
     }
 
     fn until(&self, state: &str) -> String {
@@ -94,7 +105,11 @@
 fn a_drain_moves_all_serves_whoever_still_comes_and_is_taken_back() {
     let mut site = Site::new("");
     let mut pairs: Vec<(Side, Side)> = (0..12).map(|_| site.world.up()).collect();
-    assert!(site.command(&["drain", "--deadline", "3s"]).status.success());
+    assert!(
+        site.command(&["drain", "--deadline", "3s"])
+            .status
+            .success()
+    );
     assert_eq!(site.pinged(), "ERR", "the front is told");
     // Whom the front still sends is served.
     pairs.push(site.world.up());
@@ -103,25 +118,44 @@
         assert_eq!(server.line(), "FIN");
     }
     let answer = site.until("empty");
-    assert!(answer.contains("\"moved\":13") && answer.contains("\"carries\":false"), "{answer}");
+    assert!(
+        answer.contains("\"moved\":13") && answer.contains("\"carries\":false"),
+        "{answer}"
+    );
     let late = site.world.up();
     let (mut client, _server) = late;
-    assert_eq!(client.line(), "MOVE", "who comes while it is empty is moved too");
+    assert_eq!(
+        client.line(),
+        "MOVE",
+        "who comes while it is empty is moved too"
+    );
     let since = Instant::now();
     assert!(site.command(&["undrain"]).status.success());
     assert_eq!(site.pinged(), "PONG");
     let (mut client, mut server) = site.world.up();
-    assert!(since.elapsed() < Duration::from_secs(1), "back within a second");
+    assert!(
+        since.elapsed() < Duration::from_secs(1),
+        "back within a second"
+    );
     client.say("a\r\n");
     assert_eq!(server.line(), "a");
     assert!(client.quiet());
-    assert!(!site.command(&["undrain"]).status.success(), "it does not drain any more");
+    assert!(
+        !site.command(&["undrain"]).status.success(),
+        "it does not drain any more"
+    );
     site.world.signal("TERM");
     let (code, log) = site.world.ends();
-    let states: Vec<&str> = log.lines().filter_map(|l| l.strip_prefix("drain-state state=")).collect();
+    let states: Vec<&str> = log
+        .lines()
+        .filter_map(|l| l.strip_prefix("drain-state state="))
+        .collect();
     let words: Vec<&str> = states.iter().filter_map(|s| s.split(' ').next()).collect();
     let told = ["closing", "moving", "empty", "serving", "exiting"];
-    assert!(code == Some(0) && told.iter().all(|state| words.contains(state)), "{words:?}");
+    assert!(
+        code == Some(0) && told.iter().all(|state| words.contains(state)),
+        "{words:?}"
+    );
     assert!(!site.socket.exists(), "the socket's file is left behind");
 }
 
@@ -131,13 +165,20 @@
     let mut pairs: Vec<(Side, Side)> = (0..20).map(|_| site.world.up()).collect();
     let mut waits = site.world.client(&OPEN.replace("feed", "order"));
     let (mut host, _) = site.world.dialled(0);
-    assert!(site.command(&["drain", "--deadline", "60s"]).status.success());
+    assert!(
+        site.command(&["drain", "--deadline", "60s"])
+            .status
+            .success()
+    );
     // It is answered as ever, by what its host says within its own time.
     host.say("UP r9\r\n");
     assert_eq!(waits.line(), "UP r9");
     std::thread::sleep(Duration::from_millis(1_000));
     assert!(site.command(&["undrain"]).status.success());
-    let still = pairs.iter_mut().filter_map(|(client, _)| client.quiet().then_some(())).count();
+    let still = pairs
+        .iter_mut()
+        .filter_map(|(client, _)| client.quiet().then_some(()))
+        .count();
     assert!((8..20).contains(&still), "{still}");
 }
 
@@ -145,14 +186,20 @@
 fn a_second_drain_changes_the_deadline_and_sigterm_ends_it_for_good() {
     let mut site = Site::new("pace = 1\n");
     let mut pairs: Vec<(Side, Side)> = (0..10).map(|_| site.world.up()).collect();
-    assert!(site.command(&["drain", "--deadline", "60s"]).status.success());
+    assert!(
+        site.command(&["drain", "--deadline", "60s"])
+            .status
+            .success()
+    );
     site.until("moving");
     let output = site.command(&["drain", "--deadline", "1s"]);
     assert!(output.status.success());
     site.until("late");
     site.world.signal("TERM");
     site.until("exiting");
-    assert!(!site.command(&["undrain"]).status.success() && !site.command(&["drain"]).status.success());
+    assert!(
+        !site.command(&["undrain"]).status.success() && !site.command(&["drain"]).status.success()
+    );
     for (client, _) in &mut pairs {
         assert_eq!(client.line(), "MOVE");
     }
@@ -165,16 +212,27 @@
     let site = Site::new("pace = 20\n");
     let mut pairs: Vec<(Side, Side)> = (0..10).map(|_| site.world.up()).collect();
     site.world.watch.send(String::new()).unwrap();
-    assert!(site.command(&["drain", "--deadline", "20s"]).status.success());
+    assert!(
+        site.command(&["drain", "--deadline", "20s"])
+            .status
+            .success()
+    );
     site.until("moving");
-    std::fs::write(&site.operator, wishes(&site.socket, "pace = 500\nback = \"0s\"\n")).unwrap();
+    std::fs::write(
+        &site.operator,
+        wishes(&site.socket, "pace = 500\nback = \"0s\"\n"),
+    )
+    .unwrap();
     site.world.signal("HUP");
     for (client, _) in &mut pairs {
         assert_eq!(client.line(), "MOVE");
     }
     site.until("empty");
     site.command(&["undrain"]);
-    assert!(site.until("serving").contains("\"carries\":true"), "no time back is asked for any more");
+    assert!(
+        site.until("serving").contains("\"carries\":true"),
+        "no time back is asked for any more"
+    );
 }
 
 #[test_case("x", "not a request"; "no JSON")]
@@ -189,7 +247,10 @@
 fn what_is_no_request_gets_an_error_and_changes_nothing(line: &str, says: &str) {
     let site = Site::new("");
     let answer = site.say(line);
-    assert!(answer.contains("\"error\"") && answer.contains(says), "{answer}");
+    assert!(
+        answer.contains("\"error\"") && answer.contains(says),
+        "{answer}"
+    );
     assert_eq!(site.pinged(), "PONG");
 }
 
@@ -198,12 +259,20 @@
     let site = Site::new("");
     let mut deaf: Vec<BufReader<UnixStream>> = (0..5).map(|_| site.peer()).collect();
     for peer in &mut deaf {
-        peer.get_mut().set_write_timeout(Some(Duration::from_millis(50))).unwrap();
-        while peer.get_mut().write_all(&b"{\"v\":1,\"do\":\"status\"}\n".repeat(200)).is_ok() {}
+        peer.get_mut()
+            .set_write_timeout(Some(Duration::from_millis(50)))
+            .unwrap();
+        while peer
+            .get_mut()
+            .write_all(&b"{\"v\":1,\"do\":\"status\"}\n".repeat(200))
+            .is_ok()
+        {}
     }
     let mut watchers: Vec<BufReader<UnixStream>> = (0..18).map(|_| site.peer()).collect();
     for peer in &mut watchers {
-        peer.get_mut().write_all(b"{\"v\":1,\"do\":\"status\"}\n").unwrap();
+        peer.get_mut()
+            .write_all(b"{\"v\":1,\"do\":\"status\"}\n")
+            .unwrap();
         let mut line = String::new();
         peer.read_line(&mut line).unwrap();
         assert!(line.contains("serving"));
@@ -222,7 +291,14 @@
     let stale = path("sock");
     drop(UnixListener::bind(&stale).unwrap());
     let site = Site::at(stale, "");
-    assert_eq!(std::fs::metadata(&site.socket).unwrap().permissions().mode() & 0o777, 0o600);
+    assert_eq!(
+        std::fs::metadata(&site.socket)
+            .unwrap()
+            .permissions()
+            .mode()
+            & 0o777,
+        0o600
+    );
     site.until("serving");
     // One that listens is not, nor what is no socket.
     let plain = path("sock");
@@ -235,11 +311,20 @@
         let config = path("json");
         std::fs::write(&config, own).unwrap();
         let mut second = Command::new(env!("CARGO_BIN_EXE_asterramp"));
-        second.args(["serve", "--config"]).arg(&config).arg("--operator").arg(&operator);
+        second
+            .args(["serve", "--config"])
+            .arg(&config)
+            .arg("--operator")
+            .arg(&operator);
         let output = second.output().unwrap();
         let said = String::from_utf8(output.stderr).unwrap();
-        assert!(!output.status.success() && said.contains(says) && said.lines().count() == 1, "{said}");
-        [operator, config].iter().for_each(|file| std::fs::remove_file(file).unwrap());
+        assert!(
+            !output.status.success() && said.contains(says) && said.lines().count() == 1,
+            "{said}"
+        );
+        [operator, config]
+            .iter()
+            .for_each(|file| std::fs::remove_file(file).unwrap());
     }
     assert_eq!(std::fs::read_to_string(&plain).unwrap(), "keep me");
     std::fs::remove_file(plain).unwrap();
@@ -253,13 +338,20 @@
     let operator = path("toml");
     std::fs::write(&operator, bad).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_asterramp"));
-    command.env("LB_CONFIG", &site.world.config).env("ASTERRAMP_OPERATOR", &operator);
+    command
+        .env("LB_CONFIG", &site.world.config)
+        .env("ASTERRAMP_OPERATOR", &operator);
     for args in [vec!["serve"], vec!["validate"]] {
         let output = command.args(&args).output().unwrap();
         let said = text(output);
-        assert!(said.contains("line 2: drain.pase") && said.contains("line 3: drain.quiet"), "{said}");
+        assert!(
+            said.contains("line 2: drain.pase") && said.contains("line 3: drain.quiet"),
+            "{said}"
+        );
         command = Command::new(env!("CARGO_BIN_EXE_asterramp"));
-        command.env("LB_CONFIG", &site.world.config).env("ASTERRAMP_OPERATOR", &operator);
+        command
+            .env("LB_CONFIG", &site.world.config)
+            .env("ASTERRAMP_OPERATOR", &operator);
     }
     std::fs::remove_file(operator).unwrap();
     std::fs::write(&site.operator, bad).unwrap();
@@ -268,7 +360,10 @@
     site.until("serving");
     site.world.signal("TERM");
     let log = site.world.ends().1;
-    assert!(log.contains("reload-bad why=") && log.contains("drain.pase"), "{log}");
+    assert!(
+        log.contains("reload-bad why=") && log.contains("drain.pase"),
+        "{log}"
+    );
 }
 
 #[test]
@@ -280,9 +375,21 @@
     assert_eq!(client.line(), "UP r");
     site.world
         .watch
-        .send(list(9, false, &[target(0, site.world.servers[0].local_addr().unwrap(), "draining")]))
+        .send(list(
+            9,
+            false,
+            &[target(
+                0,
+                site.world.servers[0].local_addr().unwrap(),
+                "draining",
+            )],
+        ))
         .unwrap();
-    assert!(site.command(&["drain", "--deadline", "2s", "--wait"]).status.success());
+    assert!(
+        site.command(&["drain", "--deadline", "2s", "--wait"])
+            .status
+            .success()
+    );
     assert_eq!([client.line(), client.line()], ["MOVE", "FIN"]);
 }
 
@@ -291,13 +398,23 @@
     let site = Site::new("");
     let _pair = site.world.up();
     let line = text(site.command(&["status"]));
-    assert!(line.starts_with("serving  1 open") && line.contains("1 of 1 hosts ready"), "{line}");
+    assert!(
+        line.starts_with("serving  1 open") && line.contains("1 of 1 hosts ready"),
+        "{line}"
+    );
     let json = text(site.command(&["status", "--json"]));
-    assert!(json.starts_with("{\"pid\":") && json.contains("\"open\":1"), "{json}");
-    let shell = Command::new(env!("CARGO_BIN_EXE_asterramp")).args(["completions", "bash"]).output().unwrap();
+    assert!(
+        json.starts_with("{\"pid\":") && json.contains("\"open\":1"),
+        "{json}"
+    );
+    let shell = Command::new(env!("CARGO_BIN_EXE_asterramp"))
+        .args(["completions", "bash"])
+        .output()
+        .unwrap();
     assert!(text(shell).contains("undrain"));
-    let nobody =
-        Command::new(env!("CARGO_BIN_EXE_asterramp")).args(["status", "--control", "/nowhere"]).output();
+    let nobody = Command::new(env!("CARGO_BIN_EXE_asterramp"))
+        .args(["status", "--control", "/nowhere"])
+        .output();
     assert_eq!(nobody.unwrap().status.code(), Some(1));
 }
 
@@ -306,5 +423,9 @@
 fn status_tells_what_is_made_of_places(more: &str, told: bool) {
     let site = Site::new(more);
     let answer = site.say(r#"{"v":1,"do":"status"}"#);
-    assert_eq!(answer.contains(r#""places":[{"name":"a","state":"whole","since_ms":"#), told, "{answer}");
+    assert_eq!(
+        answer.contains(r#""places":[{"name":"a","state":"whole","since_ms":"#),
+        told,
+        "{answer}"
+    );
 }
--- a/proxy/tests/help/mod.rs
+++ b/proxy/tests/help/mod.rs
@@ -44,7 +44,12 @@
 
 /// An address to listen on: each world has a host of its own, so that no other can take the port meanwhile.
 pub fn free_address(world: u32) -> SocketAddr {
-    let host = format!("127.{}.{}.{}:0", world / 60_000, 1 + world / 250 % 240, 1 + world % 250);
+    let host = format!(
+        "127.{}.{}.{}:0",
+        world / 60_000,
+        1 + world / 250 % 240,
+        1 + world % 250
+    );
     TcpListener::bind(host).unwrap().local_addr().unwrap()
 }
 
@@ -55,7 +60,10 @@
 }
 
 pub fn list(rev: u32, all: bool, targets: &[String]) -> String {
-    format!("{{\"rev\":{rev},\"all\":{all},\"targets\":[{}]}}\n", targets.join(","))
+    format!(
+        "{{\"rev\":{rev},\"all\":{all},\"targets\":[{}]}}\n",
+        targets.join(",")
+    )
 }
 
 /// Answers each watch with its head and then what the test sends, a chunk each; empty text ends the watch.
@@ -66,7 +74,9 @@
             let mut stream = stream.unwrap();
             let mut request = String::new();
             BufReader::new(&stream).read_line(&mut request).unwrap();
-            stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+            stream
+                .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                .unwrap();
             let (send, lists) = channel::<String>();
             std::thread::spawn(move || {
                 for text in lists.iter().take_while(|text| !text.is_empty()) {
@@ -146,12 +156,20 @@
         let calls = free_address(nth + 5_000);
         let folder = std::env::temp_dir().join(format!("asterramp-{}-{nth}.d", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let servers: Vec<TcpListener> =
-            (0..servers).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
-        let targets: Vec<String> =
-            servers.iter().enumerate().map(|(n, s)| target(n, s.local_addr().unwrap(), "ready")).collect();
+        let servers: Vec<TcpListener> = (0..servers)
+            .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
+            .collect();
+        let targets: Vec<String> = servers
+            .iter()
+            .enumerate()
+            .map(|(n, s)| target(n, s.local_addr().unwrap(), "ready"))
+            .collect();
         let door = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (agent, listen, known) = (door.local_addr().unwrap(), free_address(nth), list(7, true, &targets));
+        let (agent, listen, known) = (
+            door.local_addr().unwrap(),
+            free_address(nth),
+            list(7, true, &targets),
+        );
         let text = format!(
             r#"{{"name":"n0","listen":"{listen}","discovery":"{agent}","seed":"8c1f30d27a5be964",
             "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},
@@ -162,22 +180,43 @@
         std::fs::write(&config, text).unwrap();
         let watches = discovery(door);
         let mut command = Command::new("/bin/sh");
-        let start = format!("ulimit -n {holds} && exec '{}'", env!("CARGO_BIN_EXE_asterramp"));
-        command.args(["-c", &start]).env("LB_CONFIG", &config).stderr(Stdio::piped());
+        let start = format!(
+            "ulimit -n {holds} && exec '{}'",
+            env!("CARGO_BIN_EXE_asterramp")
+        );
+        command
+            .args(["-c", &start])
+            .env("LB_CONFIG", &config)
+            .stderr(Stdio::piped());
         if let Some(operator) = operator {
             command.env("ASTERRAMP_OPERATOR", operator);
         }
         if operated {
-            command.env("LB_OPERATOR", calls.to_string()).env("TMPDIR", &folder);
+            command
+                .env("LB_OPERATOR", calls.to_string())
+                .env("TMPDIR", &folder);
         }
         let proxy = command.spawn().unwrap();
         let (_, watch) = watches.recv_timeout(SOON).expect("a watch");
-        World { proxy, listen, servers, watches, watch, config, calls, folder }
+        World {
+            proxy,
+            listen,
+            servers,
+            watches,
+            watch,
+            config,
+            calls,
+            folder,
+        }
     }
 
     /// Where processes of this proxy meet.
     pub fn meeting(&self) -> std::path::PathBuf {
-        self.folder.join(format!("asterramp-{}-{}.sock", self.listen.ip(), self.listen.port()))
+        self.folder.join(format!(
+            "asterramp-{}-{}.sock",
+            self.listen.ip(),
+            self.listen.port()
+        ))
     }
 
     /// Starts another process of the same proxy, whose operators call elsewhere.
@@ -185,8 +224,14 @@
         static NEXT: AtomicU32 = AtomicU32::new(10_000);
         let calls = free_address(NEXT.fetch_add(1, Ordering::Relaxed));
         let mut command = Command::new(env!("CARGO_BIN_EXE_asterramp"));
-        command.env("LB_CONFIG", &self.config).env("LB_OPERATOR", calls.to_string());
-        let proxy = command.env("TMPDIR", &self.folder).stderr(Stdio::null()).spawn().unwrap();
+        command
+            .env("LB_CONFIG", &self.config)
+            .env("LB_OPERATOR", calls.to_string());
+        let proxy = command
+            .env("TMPDIR", &self.folder)
+            .stderr(Stdio::null())
+            .spawn()
+            .unwrap();
         Second { proxy, calls }
     }
 
@@ -248,7 +293,9 @@
     }
 
     pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args([&format!("-{name}"), &self.proxy.id().to_string()]).status();
+        let sent = Command::new("kill")
+            .args([&format!("-{name}"), &self.proxy.id().to_string()])
+            .status();
         assert!(sent.unwrap().success());
     }
 
@@ -260,7 +307,12 @@
             std::thread::sleep(Duration::from_millis(5));
         }
         let mut log = String::new();
-        self.proxy.stderr.take().unwrap().read_to_string(&mut log).unwrap();
+        self.proxy
+            .stderr
+            .take()
+            .unwrap()
+            .read_to_string(&mut log)
+            .unwrap();
         (self.proxy.wait().unwrap().code(), log)
     }
 }
@@ -294,17 +346,30 @@
 
 /// An operator's call: the answer's status, 0 where there is none, and its body.
 pub fn call(at: SocketAddr, what: &str) -> (u16, String) {
-    let Ok(mut stream) = TcpStream::connect(at) else { return (0, String::new()) };
+    let Ok(mut stream) = TcpStream::connect(at) else {
+        return (0, String::new());
+    };
     stream.set_read_timeout(Some(SOON)).unwrap();
-    stream.write_all(format!("{what} HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes()).unwrap();
+    stream
+        .write_all(format!("{what} HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes())
+        .unwrap();
     answered(stream)
 }
 
 pub fn answered(mut stream: TcpStream) -> (u16, String) {
     let mut text = String::new();
     let _ = stream.read_to_string(&mut text);
-    let status = text.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0);
-    (status, text.split_once("\r\n\r\n").map(|parts| parts.1.to_string()).unwrap_or_default())
+    let status = text
+        .split(' ')
+        .nth(1)
+        .and_then(|code| code.parse().ok())
+        .unwrap_or(0);
+    (
+        status,
+        text.split_once("\r\n\r\n")
+            .map(|parts| parts.1.to_string())
+            .unwrap_or_default(),
+    )
 }
 
 /// One end of a connection, read line by line.
@@ -335,15 +400,24 @@
     pub fn line_within(&mut self, span: Duration) -> Option<String> {
         self.0.get_ref().set_read_timeout(Some(span)).unwrap();
         let comes = self.0.fill_buf().is_ok();
-        self.0.get_ref().set_read_timeout(Some(SOON + SOON)).unwrap();
+        self.0
+            .get_ref()
+            .set_read_timeout(Some(SOON + SOON))
+            .unwrap();
         comes.then(|| self.line())
     }
 
     /// Whether nothing comes for a while.
     pub fn quiet(&mut self) -> bool {
-        self.0.get_ref().set_read_timeout(Some(Duration::from_millis(150))).unwrap();
+        self.0
+            .get_ref()
+            .set_read_timeout(Some(Duration::from_millis(150)))
+            .unwrap();
         let nothing = self.0.fill_buf().is_err();
-        self.0.get_ref().set_read_timeout(Some(SOON + SOON)).unwrap();
+        self.0
+            .get_ref()
+            .set_read_timeout(Some(SOON + SOON))
+            .unwrap();
         nothing
     }
 
--- a/proxy/tests/moments.rs
+++ b/proxy/tests/moments.rs
@@ -86,11 +86,17 @@
         let _ = world.watch.send(says.into());
         match world.watches.recv_timeout(Duration::from_millis(300)) {
             Ok(opened) => break opened,
-            Err(_) => assert!(since.elapsed() < Duration::from_secs(5), "it is believed to live"),
+            Err(_) => assert!(
+                since.elapsed() < Duration::from_secs(5),
+                "it is believed to live"
+            ),
         }
     };
     assert!(request.contains("stream=1&index=8 "), "{request}");
-    assert!(since.elapsed() >= Duration::from_secs(2), "blank lines may take 2 s");
+    assert!(
+        since.elapsed() >= Duration::from_secs(2),
+        "blank lines may take 2 s"
+    );
 }
 
 // A change counts as told 6 s after the watch fell silent, whatever failed meanwhile.
@@ -102,13 +108,27 @@
     let since = Instant::now();
     let mut kept = Vec::new();
     for _ in 0..silent {
-        kept.push(world.watches.recv_timeout(SOON + SOON).expect("another watch"));
+        kept.push(
+            world
+                .watches
+                .recv_timeout(SOON + SOON)
+                .expect("another watch"),
+        );
     }
-    let (_, watch) = world.watches.recv_timeout(SOON + SOON).expect("another watch");
+    let (_, watch) = world
+        .watches
+        .recv_timeout(SOON + SOON)
+        .expect("another watch");
     let at = |n: usize| world.servers[n].local_addr().unwrap();
-    watch.send(list(9, false, &[target(0, at(0), "draining")])).unwrap();
+    watch
+        .send(list(9, false, &[target(0, at(0), "draining")]))
+        .unwrap();
     std::thread::sleep(Duration::from_millis(50));
-    assert!(since.elapsed() < Duration::from_millis(6_300), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_millis(6_300),
+        "{:?}",
+        since.elapsed()
+    );
     for _ in 0..6 {
         world.up_at(&[1]);
     }
@@ -122,7 +142,11 @@
     for _ in 0..12 {
         let _ = watch.send(String::new());
         watch = world.watches.recv_timeout(SOON).expect("another watch").1;
-        assert!(last.elapsed() < Duration::from_millis(800), "{:?}", last.elapsed());
+        assert!(
+            last.elapsed() < Duration::from_millis(800),
+            "{:?}",
+            last.elapsed()
+        );
         last = Instant::now();
     }
 }
@@ -131,19 +155,31 @@
 fn two_signals_at_once_are_both_heeded() {
     let mut world = World::new(1);
     let (mut client, _server) = world.up();
-    at_once(&world, || ["HUP", "USR1", "TERM"].iter().for_each(|name| world.signal(name)));
+    at_once(&world, || {
+        ["HUP", "USR1", "TERM"]
+            .iter()
+            .for_each(|name| world.signal(name))
+    });
     assert_eq!([client.line(), client.line()], ["MOVE", "FIN"]);
     drop(client);
     let (code, log) = world.ends();
-    let printed = log.lines().filter(|line| line.starts_with("counters ")).count();
-    assert!(code == Some(0) && printed == 2 && log.contains("reloaded "), "{code:?} {log}");
+    let printed = log
+        .lines()
+        .filter(|line| line.starts_with("counters "))
+        .count();
+    assert!(
+        code == Some(0) && printed == 2 && log.contains("reloaded "),
+        "{code:?} {log}"
+    );
 }
 
 #[test_case("TERM"; "alone")]
 #[test_case("HUP"; "after a reload")]
 fn a_proxy_told_to_leave_before_it_serves_leaves_in_order(first: &str) {
-    let operator =
-        std::env::temp_dir().join(format!("asterramp-moments-{}-{first}.toml", std::process::id()));
+    let operator = std::env::temp_dir().join(format!(
+        "asterramp-moments-{}-{first}.toml",
+        std::process::id()
+    ));
     std::fs::write(&operator, "").unwrap();
     let mut world = World::lonely(SETTINGS, &operator);
     world.signal(first);
@@ -208,7 +244,11 @@
     assert_eq!([open.line(), open.line()], ["MOVE", "FIN"]);
     drop((open, late));
     assert_eq!(world.ends().0, Some(0));
-    assert!(since.elapsed() < Duration::from_millis(killed), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_millis(killed),
+        "{:?}",
+        since.elapsed()
+    );
 }
 
 // A client that rests, or has said half a line, is told its end; what it says in that moment is not sent on.
@@ -222,7 +262,11 @@
     let mut rests = world.client(says);
     // Whoever waits is answered after 2 s, the longest wait of these settings.
     std::thread::sleep(Duration::from_millis(950));
-    rests.say(if says.is_empty() { OPEN } else { ",t=acme,d=2000\r\n" });
+    rests.say(if says.is_empty() {
+        OPEN
+    } else {
+        ",t=acme,d=2000\r\n"
+    });
     assert_eq!([rests.line(), rests.line()], ["ERR", "FIN"]);
     no_dial(&world);
     drop(rests);
@@ -238,7 +282,9 @@
     let mut client = None;
     at_once(&world, || {
         client = Some(world.client(OPEN));
-        strangers.iter_mut().for_each(|stranger| stranger.say("half"));
+        strangers
+            .iter_mut()
+            .for_each(|stranger| stranger.say("half"));
     });
     world.dialled(0).0.say("UP r\r\n");
     assert_eq!(client.unwrap().line(), "UP r");
@@ -289,12 +335,18 @@
     let since = Instant::now();
     let (_, watch) = world.watches.recv_timeout(SOON).expect("another watch");
     let at = |n: usize| world.servers[n].local_addr().unwrap();
-    watch.send(list(9, false, &[target(0, at(0), "draining")])).unwrap();
+    watch
+        .send(list(9, false, &[target(0, at(0), "draining")]))
+        .unwrap();
     std::thread::sleep(Duration::from_millis(50));
     for _ in 0..6 {
         world.up_at(&[1]);
     }
-    assert!(since.elapsed() < Duration::from_secs(2), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        since.elapsed()
+    );
     drop((pairs, crowd));
 }
 
@@ -316,11 +368,18 @@
         }
         "is silent" => Some(door),
         _ => {
-            let (watches, pause) = (help::discovery(door), if discovery == "is slow" { 3 } else { 0 });
+            let (watches, pause) = (
+                help::discovery(door),
+                if discovery == "is slow" { 3 } else { 0 },
+            );
             std::thread::spawn(move || {
                 let mut open = Vec::new();
                 for (_, watch) in watches.iter() {
-                    std::thread::sleep(Duration::from_secs(if open.is_empty() { pause } else { 0 }));
+                    std::thread::sleep(Duration::from_secs(if open.is_empty() {
+                        pause
+                    } else {
+                        0
+                    }));
                     let _ = watch.send(help::list(8, false, &[]));
                     open.push(watch);
                 }
@@ -335,9 +394,17 @@
         let own = text.replace(&world.listen.to_string(), &listen.to_string());
         let from = own.find("\"discovery\":\"127").unwrap();
         let to = from + own[from..].find(',').unwrap();
-        std::fs::write(&config, format!("{}\"discovery\":\"{agent}\"{}", &own[..from], &own[to..])).unwrap();
+        std::fs::write(
+            &config,
+            format!("{}\"discovery\":\"{agent}\"{}", &own[..from], &own[to..]),
+        )
+        .unwrap();
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_asterramp"));
-        let proxy = command.env("LB_CONFIG", &config).stderr(std::process::Stdio::null()).spawn().unwrap();
+        let proxy = command
+            .env("LB_CONFIG", &config)
+            .stderr(std::process::Stdio::null())
+            .spawn()
+            .unwrap();
         (proxy, listen)
     });
     let mut started: Vec<_> = started.collect();
@@ -368,5 +435,10 @@
         ready.get(26),
         ready.last()
     );
-    assert!(ready.get(26).is_some_and(|at| *at < Duration::from_secs(10)), "{ready:?}");
+    assert!(
+        ready
+            .get(26)
+            .is_some_and(|at| *at < Duration::from_secs(10)),
+        "{ready:?}"
+    );
 }
--- a/proxy/tests/operators.rs
+++ b/proxy/tests/operators.rs
@@ -44,9 +44,18 @@
 fn a_call_is_read_once_it_is_whole_and_not_before() {
     let text = "POST /ops/drain/stop HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}";
     (0..text.len()).for_each(|n| assert_eq!(read(&text.as_bytes()[..n]), Ok(None), "cut at {n}"));
-    assert_eq!(read(text.as_bytes()), Ok(Some(Call { method: "POST", path: "/ops/drain/stop" })));
+    assert_eq!(
+        read(text.as_bytes()),
+        Ok(Some(Call {
+            method: "POST",
+            path: "/ops/drain/stop"
+        }))
+    );
     assert_eq!(read(&[b'x'; 5_000]), Err(Status::HeadTooLong));
-    assert_eq!(read(b"GET \xff HTTP/1.1\r\nHost: a\r\n\r\n"), Err(Status::Bad("the head is not text")));
+    assert_eq!(
+        read(b"GET \xff HTTP/1.1\r\nHost: a\r\n\r\n"),
+        Err(Status::Bad("the head is not text"))
+    );
 }
 
 #[test]
@@ -60,12 +69,22 @@
     };
     let _clients: Vec<Side> = (0..400).map(|_| world.client("")).collect();
     let half = caller("GET /ops/stats HT");
-    let _idle: Vec<TcpStream> = (0..60).map(|n| caller(["", "GET /ops/re", GOOD][n % 3])).collect();
+    let _idle: Vec<TcpStream> = (0..60)
+        .map(|n| caller(["", "GET /ops/re", GOOD][n % 3]))
+        .collect();
     let since = Instant::now();
     assert_eq!(call(world.calls, "GET /ops/readiness").0, 200);
-    assert!(since.elapsed() < Duration::from_millis(500), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_millis(500),
+        "{:?}",
+        since.elapsed()
+    );
     assert_eq!(answered(half).0, 0, "the one idle longest goes first");
-    assert_eq!(answered(caller("GET /ops/stats HT")).0, 408, "half a call meets its deadline");
+    assert_eq!(
+        answered(caller("GET /ops/stats HT")).0,
+        408,
+        "half a call meets its deadline"
+    );
     let cut = caller("GET /ops/stats HT");
     cut.shutdown(Shutdown::Write).unwrap();
     assert_eq!(answered(cut).0, 400);
@@ -73,14 +92,20 @@
 
 fn figure(world: &World, name: &str) -> f64 {
     let (status, text) = call(world.calls, "GET /ops/stats");
-    let found = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
+    let found = text
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
     assert_eq!(status, 200);
     found.unwrap_or_else(|| panic!("no {name} in {text}"))
 }
 
 fn ends(world: &World, tier: &str) -> [f64; 3] {
-    ["success", "busy", "failure"]
-        .map(|code| figure(world, &format!("svc_calls_total{{tier=\"{tier}\",code=\"{code}\"}}")))
+    ["success", "busy", "failure"].map(|code| {
+        figure(
+            world,
+            &format!("svc_calls_total{{tier=\"{tier}\",code=\"{code}\"}}"),
+        )
+    })
 }
 
 fn until(what: &str, so: impl Fn() -> bool) {
@@ -98,18 +123,37 @@
 #[test_case("refused", [0.0, 1.0, 0.0], 2.0)]
 #[test_case("left in set-up", [0.0, 0.0, 1.0], 1.0)]
 #[test_case("spoke in set-up", [0.0, 0.0, 1.0], 1.0)]
-fn every_session_counts_once_and_leaves_nothing_in_flight(how: &str, counts: [f64; 3], attempts: f64) {
+fn every_session_counts_once_and_leaves_nothing_in_flight(
+    how: &str,
+    counts: [f64; 3],
+    attempts: f64,
+) {
     let world = World::operated(2);
     assert_eq!(
         (ends(&world, "feed"), ends(&world, "order")),
         ([0.0; 3], [0.0; 3]),
         "all stand from the start"
     );
-    assert_eq!((figure(&world, "svc_hosts_listed"), figure(&world, "svc_hosts_down")), (2.0, 0.0));
-    assert_eq!(figure(&world, "svc_place_state{place=\"b\",state=\"whole\"}"), 1.0);
+    assert_eq!(
+        (
+            figure(&world, "svc_hosts_listed"),
+            figure(&world, "svc_hosts_down")
+        ),
+        (2.0, 0.0)
+    );
+    assert_eq!(
+        figure(&world, "svc_place_state{place=\"b\",state=\"whole\"}"),
+        1.0
+    );
     let mut client = world.client(OPEN);
     let (mut server, _) = world.dialled_any(&[0, 1]);
-    assert_eq!((figure(&world, "svc_inflight"), figure(&world, "svc_backend_calls_total")), (1.0, 1.0));
+    assert_eq!(
+        (
+            figure(&world, "svc_inflight"),
+            figure(&world, "svc_backend_calls_total")
+        ),
+        (1.0, 1.0)
+    );
     let up = |client: &mut Side, server: &mut Side| {
         server.say("UP r\r\n");
         assert_eq!(client.line(), "UP r");
@@ -137,7 +181,10 @@
         _ => client.say("early\r\n"),
     }
     until(how, || figure(&world, "svc_inflight") == 0.0);
-    assert_eq!((ends(&world, "feed"), ends(&world, "order")), (counts, [0.0; 3]));
+    assert_eq!(
+        (ends(&world, "feed"), ends(&world, "order")),
+        (counts, [0.0; 3])
+    );
     assert_eq!(figure(&world, "svc_backend_calls_total"), attempts);
 }
 
@@ -159,10 +206,22 @@
     assert_eq!(world.client("PING\r\n").line(), "ERR");
     let late = world.up();
     for (client, _) in pairs.iter_mut().chain([&mut (half, late.1)]) {
-        assert_eq!([client.line(), client.line()], ["MOVE", "FIN"], "no line is cut, nobody cut off");
+        assert_eq!(
+            [client.line(), client.line()],
+            ["MOVE", "FIN"],
+            "no line is cut, nobody cut off"
+        );
     }
-    assert_eq!(waits.line(), "ERR", "whoever waits at the deadline is answered");
-    assert!(since.elapsed() < Duration::from_secs(4), "{:?}", since.elapsed());
+    assert_eq!(
+        waits.line(),
+        "ERR",
+        "whoever waits at the deadline is answered"
+    );
+    assert!(
+        since.elapsed() < Duration::from_secs(4),
+        "{:?}",
+        since.elapsed()
+    );
     assert_eq!((stop(), stop(), ready()), (200, 200, 200));
     assert_eq!(world.client("PING\r\n").line(), "PONG");
     // The places of all that were moved or answered are free again.
@@ -171,7 +230,11 @@
     assert!(stays.quiet(), "no move is left over");
     world.signal("TERM");
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!((start(), stop(), ready()), (200, 503, 503), "it goes for good");
+    assert_eq!(
+        (start(), stop(), ready()),
+        (200, 503, 503),
+        "it goes for good"
+    );
 }
 
 #[test]
@@ -182,13 +245,19 @@
     // A line half sent, on both sides, and one that no one has answered.
     pairs[0].0.say("one\r\ntw");
     pairs[0].1.say("UPDATE 1\r\nUPDA");
-    assert_eq!((pairs[0].1.line(), pairs[0].0.line()), ("one".into(), "UPDATE 1".into()));
+    assert_eq!(
+        (pairs[0].1.line(), pairs[0].0.line()),
+        ("one".into(), "UPDATE 1".into())
+    );
     let mut set_up = world.client(OPEN);
     let (mut slow, _) = world.dialled_any(&[0, 1]);
     let (second, _watch) = world.follows();
     pairs[0].0.say("o\r\n");
     pairs[0].1.say("TE 2\r\n");
-    assert_eq!((pairs[0].1.line(), pairs[0].0.line()), ("two".into(), "UPDATE 2".into()));
+    assert_eq!(
+        (pairs[0].1.line(), pairs[0].0.line()),
+        ("two".into(), "UPDATE 2".into())
+    );
     world.signal("TERM");
     slow.say("UP late\r\n");
     assert_eq!(set_up.line(), "UP late", "set up by the elder");
@@ -197,7 +266,10 @@
     server.say("UP s\r\n");
     assert_eq!(stranger.line(), "UP s");
     let (code, log) = world.ends();
-    assert!(code == Some(0) && log.contains("followed") && !log.contains("proxy-leaving sess"), "{log}");
+    assert!(
+        code == Some(0) && log.contains("followed") && !log.contains("proxy-leaving sess"),
+        "{log}"
+    );
     pairs.extend([(set_up, slow), (stranger, server)]);
     for (n, (client, server)) in pairs.iter_mut().enumerate() {
         client.say(&format!("to {n}\r\n"));
@@ -208,11 +280,17 @@
     assert_eq!(world.client("PING\r\n").line(), "PONG");
     world.calls = second.calls;
     assert_eq!(figure(&world, "svc_inflight"), 42.0);
-    assert_eq!(ends(&world, "feed")[0], 1.0, "counts are of this process: the stranger's alone");
+    assert_eq!(
+        ends(&world, "feed")[0],
+        1.0,
+        "counts are of this process: the stranger's alone"
+    );
     // And a third from the second.
     let (third, _watch) = world.follows();
     world.calls = third.calls;
-    until("all are the third's", || figure(&world, "svc_inflight") == 42.0);
+    until("all are the third's", || {
+        figure(&world, "svc_inflight") == 42.0
+    });
     drop(second);
     for (client, server) in &mut pairs {
         client.say("on\r\n");
@@ -300,14 +378,25 @@
     assert_eq!(world.client("PING\r\n").line(), "PONG");
     world.signal("TERM");
     client.say("on\r\n");
-    assert_eq!((server.line(), client.line()), ("on".into(), "MOVE".into()), "the first leaves as ever");
+    assert_eq!(
+        (server.line(), client.line()),
+        ("on".into(), "MOVE".into()),
+        "the first leaves as ever"
+    );
     (0..4).for_each(|_| drop(world.up()));
 }
 
 /// The next word of the other side of a link, with its descriptors; `None` at its end.
 fn word(link: &OwnedFd) -> Option<(Word, Vec<OwnedFd>)> {
-    let time = Timespec { tv_sec: 3, tv_nsec: 0 };
-    assert_eq!(poll(&mut [PollFd::new(link, PollFlags::IN)], Some(&time)), Ok(1), "it says nothing");
+    let time = Timespec {
+        tv_sec: 3,
+        tv_nsec: 0,
+    };
+    assert_eq!(
+        poll(&mut [PollFd::new(link, PollFlags::IN)], Some(&time)),
+        Ok(1),
+        "it says nothing"
+    );
     let (message, with) = link::receive(link, LONGEST).unwrap().expect("a message");
     (!message.is_empty()).then(|| (Word::read(&message).unwrap(), with))
 }
@@ -349,7 +438,11 @@
     for _ in taken {
         assert!(link::send(&link, &Word::Taken.write(), &[]).unwrap());
         let client = TcpStream::from(offered.remove(0).remove(0));
-        assert_eq!(Side::of(client).line(), "while nobody's", "it is the younger's to read");
+        assert_eq!(
+            Side::of(client).line(),
+            "while nobody's",
+            "it is the younger's to read"
+        );
     }
     if then == "babbles first" {
         world.signal("CONT");
@@ -357,7 +450,10 @@
         assert!(link::send(&link, b"what is this", &[]).unwrap());
     }
     if then != "ends" {
-        assert!(matches!(word(&link), Some((Word::Kept, _))), "the elder says what becomes of the rest");
+        assert!(
+            matches!(word(&link), Some((Word::Kept, _))),
+            "the elder says what becomes of the rest"
+        );
         assert!(word(&link).is_none());
     }
     drop((link, offered));
@@ -453,7 +549,11 @@
     let (_, watch) = world.watches.recv_timeout(help::SOON).expect("a watch");
     watch.send(help::list(8, false, &[])).unwrap();
     assert!(matches!(word(&link), Some((Word::Serves, _))) && second.says_yes());
-    let to = |what: &str| Command::new("kill").args([what, &second.proxy.id().to_string()]).status();
+    let to = |what: &str| {
+        Command::new("kill")
+            .args([what, &second.proxy.id().to_string()])
+            .status()
+    };
     let pair = || {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let outer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -462,10 +562,28 @@
     let mut ends = Vec::new();
     for nth in 0..=hear.len() {
         let ((client, inner), (server, outer)) = (pair(), pair());
-        let line = OPEN.replace("9b1f03aa5c7e2d41", &format!("00000000000000a{nth}")).into_bytes();
-        let bytes = || Bytes { whole: 0, bytes: Vec::new() };
-        let offer = Pair { line, uid: "s-0".into(), waits: None, client: bytes(), server: bytes() };
-        assert!(link::send(&link, &Word::Pair(offer).write(), &[inner.as_fd(), outer.as_fd()]).unwrap());
+        let line = OPEN
+            .replace("9b1f03aa5c7e2d41", &format!("00000000000000a{nth}"))
+            .into_bytes();
+        let bytes = || Bytes {
+            whole: 0,
+            bytes: Vec::new(),
+        };
+        let offer = Pair {
+            line,
+            uid: "s-0".into(),
+            waits: None,
+            client: bytes(),
+            server: bytes(),
+        };
+        assert!(
+            link::send(
+                &link,
+                &Word::Pair(offer).write(),
+                &[inner.as_fd(), outer.as_fd()]
+            )
+            .unwrap()
+        );
         ends.push((client, server));
         if nth == 0 {
             // This one is taken, and the elder never reads that it is. From then on the younger does not run, so it can
--- a/proxy/tests/owner.rs
+++ b/proxy/tests/owner.rs
@@ -38,11 +38,21 @@
         // It is built with the workspace, beside this program.
         let beside = Path::new(env!("CARGO_BIN_EXE_asterramp")).with_file_name("asterramp-store");
         let mut command = Command::new(beside);
-        command.arg("127.0.0.1:0").stdin(Stdio::piped()).stdout(Stdio::piped());
-        let mut child = command.spawn().expect("no asterramp-store beside the proxy: build the workspace");
+        command
+            .arg("127.0.0.1:0")
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped());
+        let mut child = command
+            .spawn()
+            .expect("no asterramp-store beside the proxy: build the workspace");
         let mut line = String::new();
-        BufReader::new(child.stdout.as_mut().unwrap()).read_line(&mut line).unwrap();
-        Store { child, at: line.trim().parse().unwrap() }
+        BufReader::new(child.stdout.as_mut().unwrap())
+            .read_line(&mut line)
+            .unwrap();
+        Store {
+            child,
+            at: line.trim().parse().unwrap(),
+        }
     }
 
     fn fault(&mut self, what: &str) {
@@ -61,7 +71,11 @@
 
 impl Way {
     fn open(at: &Path, to: &Path) -> Way {
-        let (way, door, to) = (Way::default(), UnixListener::bind(at).unwrap(), to.to_path_buf());
+        let (way, door, to) = (
+            Way::default(),
+            UnixListener::bind(at).unwrap(),
+            to.to_path_buf(),
+        );
         let own = way.clone();
         std::thread::spawn(move || {
             for stream in door.incoming().flatten() {
@@ -73,7 +87,9 @@
     }
 
     fn pass(&self, stream: UnixStream, to: &Path) {
-        let Ok(mut there) = UnixStream::connect(to) else { return };
+        let Ok(mut there) = UnixStream::connect(to) else {
+            return;
+        };
         let mut answers = BufReader::new(there.try_clone().unwrap());
         let mut back = stream.try_clone().unwrap();
         for mut line in BufReader::new(stream).lines().map_while(Result::ok) {
@@ -84,12 +100,16 @@
                     std::thread::sleep(Duration::from_millis(5));
                 }
                 // The process that it was for may have been replaced: it goes to whoever is there now.
-                let Ok(anew) = UnixStream::connect(to) else { return };
+                let Ok(anew) = UnixStream::connect(to) else {
+                    return;
+                };
                 there = anew;
                 answers = BufReader::new(there.try_clone().unwrap());
             }
             let mut answer = String::new();
-            let passed = there.write_all(line.as_bytes()).and_then(|()| answers.read_line(&mut answer));
+            let passed = there
+                .write_all(line.as_bytes())
+                .and_then(|()| answers.read_line(&mut answer));
             if !passed.is_ok_and(|n| n > 0) || back.write_all(answer.as_bytes()).is_err() {
                 return;
             }
@@ -113,23 +133,31 @@
 impl Drop for Site {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Relaxed);
-        self.threads.drain(..).for_each(|thread| thread.join().unwrap());
+        self.threads
+            .drain(..)
+            .for_each(|thread| thread.join().unwrap());
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 fn status(control: &Path) -> Option<Status> {
-    Client::connect(control).ok()?.ask(&Request::new(Verb::Status)).ok()
+    Client::connect(control)
+        .ok()?
+        .ask(&Request::new(Verb::Status))
+        .ok()
 }
 
 impl Site {
     fn start() -> Site {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let nth = NEXT.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("asterramp-own-{}-{nth}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("asterramp-own-{}-{nth}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let mut site = Site {
-            controls: (0..PROXIES).map(|n| folder.join(format!("{n}.sock"))).collect(),
+            controls: (0..PROXIES)
+                .map(|n| folder.join(format!("{n}.sock")))
+                .collect(),
             folder,
             ways: Vec::new(),
             over: Arc::default(),
@@ -143,8 +171,10 @@
                 "[control]\nsocket = {control:?}\n[drain]\nclosing = \"300ms\"\nquiet = \"200ms\"\nback = \"200ms\"\n[state]\nfolder = {:?}\n",
                 site.folder.join(format!("{n}.state"))
             );
-            let (operator, config) =
-                (site.folder.join(format!("{n}.toml")), site.folder.join(format!("{n}.json")));
+            let (operator, config) = (
+                site.folder.join(format!("{n}.toml")),
+                site.folder.join(format!("{n}.json")),
+            );
             std::fs::write(&operator, text).unwrap();
             let listen = free_address(20_000 + nth * 10 + n as u32);
             let text = format!(
@@ -152,9 +182,14 @@
             );
             std::fs::write(&config, text).unwrap();
             let (over, pids) = (site.over.clone(), site.pids.clone());
-            site.threads.push(std::thread::spawn(move || supervise(n, &config, &operator, &over, &pids)));
+            site.threads.push(std::thread::spawn(move || {
+                supervise(n, &config, &operator, &over, &pids)
+            }));
         }
-        let ways = site.controls.iter().map(|control| Way::open(&control.with_extension("way"), control));
+        let ways = site
+            .controls
+            .iter()
+            .map(|control| Way::open(&control.with_extension("way"), control));
         site.ways = ways.collect();
         let (over, most, controls) = (site.over.clone(), site.most.clone(), site.controls.clone());
         let until = Instant::now() + help::SOON;
@@ -164,7 +199,10 @@
         }
         site.threads.push(std::thread::spawn(move || {
             while !over.load(Ordering::Relaxed) {
-                let out = controls.iter().filter(|c| status(c).is_none_or(|s| s.state != "serving")).count();
+                let out = controls
+                    .iter()
+                    .filter(|c| status(c).is_none_or(|s| s.state != "serving"))
+                    .count();
                 most.fetch_max(out as u32, Ordering::Relaxed);
                 std::thread::sleep(Duration::from_millis(15));
             }
@@ -188,18 +226,31 @@
         for control in &self.controls {
             command.arg("--control").arg(control.with_extension("way"));
         }
-        command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap()
+        command
+            .stdout(Stdio::null())
+            .stderr(Stdio::null())
+            .spawn()
+            .unwrap()
     }
 
     fn replaced(&self) -> usize {
-        self.pids.lock().unwrap().values().filter(|pids| pids.len() > 1).count()
+        self.pids
+            .lock()
+            .unwrap()
+            .values()
+            .filter(|pids| pids.len() > 1)
+            .count()
     }
 
     /// Waits until so many proxies have been replaced.
     fn until(&self, replaced: usize) {
         let by = Instant::now() + LONGEST;
         while self.replaced() < replaced {
-            assert!(Instant::now() < by, "{} of {replaced} are replaced", self.replaced());
+            assert!(
+                Instant::now() < by,
+                "{} of {replaced} are replaced",
+                self.replaced()
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -225,7 +276,10 @@
 ) {
     let start = || {
         let mut command = Command::new(env!("CARGO_BIN_EXE_asterramp"));
-        command.env("LB_CONFIG", config).env("ASTERRAMP_OPERATOR", operator).stderr(Stdio::null());
+        command
+            .env("LB_CONFIG", config)
+            .env("ASTERRAMP_OPERATOR", operator)
+            .stderr(Stdio::null());
         command.spawn().unwrap()
     };
     let mut child = start();
@@ -243,7 +297,11 @@
 
 fn signal(child: &Child, name: &str) {
     assert!(
-        Command::new("kill").args([&format!("-{name}"), &child.id().to_string()]).status().unwrap().success()
+        Command::new("kill")
+            .args([&format!("-{name}"), &child.id().to_string()])
+            .status()
+            .unwrap()
+            .success()
     );
 }
 
@@ -262,7 +320,10 @@
 fn a_roll_has_one_owner_and_who_comes_second_finds_it_done() {
     let (site, store) = (Site::start(), Store::start());
     let mut rolls = [site.roll(&store), site.roll(&store)];
-    assert_eq!([ends(&mut rolls[0]), ends(&mut rolls[1])], [Some(0), Some(0)]);
+    assert_eq!(
+        [ends(&mut rolls[0]), ends(&mut rolls[1])],
+        [Some(0), Some(0)]
+    );
     site.holds();
 }
 
@@ -270,7 +331,11 @@
 #[test_case("STOP", 0, 2_600; "stopped while the first proxy drains")]
 #[test_case("STOP", 1, 60; "stopped between two proxies")]
 #[test_case("KILL", 1, 400; "killed while the second drains")]
-fn a_successor_goes_on_and_the_old_owner_does_no_harm_when_it_wakes(how: &str, after: usize, ms: u64) {
+fn a_successor_goes_on_and_the_old_owner_does_no_harm_when_it_wakes(
+    how: &str,
+    after: usize,
+    ms: u64,
+) {
     let (site, store) = (Site::start(), Store::start());
     let mut first = site.roll(&store);
     std::thread::sleep(Duration::from_millis(300));
@@ -335,23 +400,38 @@
             fault => store.fault(fault),
         }
     }
-    assert_eq!([ends(&mut rolls[0]), ends(&mut rolls[1])], [Some(0), Some(0)]);
+    assert_eq!(
+        [ends(&mut rolls[0]), ends(&mut rolls[1])],
+        [Some(0), Some(0)]
+    );
     site.holds();
 }
 
 /// What `asterramp fleet` says of the roll.
 fn fleet(store: &Store, what: &str) -> (bool, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_asterramp"));
-    command.args(["fleet", what, "--name", "patch", "--store", &store.at.to_string()]);
+    command.args([
+        "fleet",
+        what,
+        "--name",
+        "patch",
+        "--store",
+        &store.at.to_string(),
+    ]);
     let output = command.output().unwrap();
-    let said = String::from_utf8_lossy(&output.stdout).to_string() + &String::from_utf8_lossy(&output.stderr);
+    let said = String::from_utf8_lossy(&output.stdout).to_string()
+        + &String::from_utf8_lossy(&output.stderr);
     (output.status.success(), said)
 }
 
 #[test]
 fn a_roll_is_paused_resumed_and_cancelled_from_anywhere() {
     let (site, store) = (Site::start(), Store::start());
-    assert!(fleet(&store, "status").1.contains("no roll is called patch"));
+    assert!(
+        fleet(&store, "status")
+            .1
+            .contains("no roll is called patch")
+    );
     let mut first = site.roll(&store);
     site.until(1);
     assert!(fleet(&store, "pause").0);
@@ -363,7 +443,8 @@
     assert_eq!(site.replaced(), replaced);
     let (_, said) = fleet(&store, "status");
     assert!(
-        said.contains(&format!("{replaced} of 3 are replaced; it is paused")) && said.contains("owns, term"),
+        said.contains(&format!("{replaced} of 3 are replaced; it is paused"))
+            && said.contains("owns, term"),
         "{said}"
     );
     // A successor heeds it too.
@@ -375,8 +456,15 @@
     assert!(fleet(&store, "resume").0);
     site.until(replaced + 1);
     let cancelled = fleet(&store, "cancel");
-    assert!(cancelled.0 || cancelled.1.contains("is done"), "{}", cancelled.1);
-    assert_eq!(ends(&mut second), Some(i32::from(site.replaced() < PROXIES)));
+    assert!(
+        cancelled.0 || cancelled.1.contains("is done"),
+        "{}",
+        cancelled.1
+    );
+    assert_eq!(
+        ends(&mut second),
+        Some(i32::from(site.replaced() < PROXIES))
+    );
     assert!(site.most.load(Ordering::Relaxed) <= 1);
 }
 
@@ -400,19 +488,34 @@
     let say = |verb: Verb, term: u64, boot: u64, left_ms: i64| {
         let clock = status(control).unwrap().clock_us;
         let until_us = clock.saturating_add_signed(left_ms * 1_000);
-        let owner = Some(OwnerWords { term, boot, until_us });
-        Client::connect(control).unwrap().ask(&Request { owner, ..Request::new(verb) })
+        let owner = Some(OwnerWords {
+            term,
+            boot,
+            until_us,
+        });
+        Client::connect(control).unwrap().ask(&Request {
+            owner,
+            ..Request::new(verb)
+        })
     };
     assert_eq!(say(Verb::Hear, 7, told.boot, 2_000).unwrap().term, 7);
     let refused = |answer: Result<Status, String>, why: &str| {
         let error = answer.unwrap_err();
         assert!(error.contains(why), "{error}");
     };
-    refused(say(Verb::Drain, 6, told.boot, 2_000), "a later owner has been heard");
+    refused(
+        say(Verb::Drain, 6, told.boot, 2_000),
+        "a later owner has been heard",
+    );
     refused(say(Verb::Drain, 8, told.boot, -1), "time is over");
     refused(say(Verb::Leave, 8, told.boot + 1, 2_000), "another process");
     refused(say(Verb::Drain, 0, told.boot, 2_000), "no term");
-    refused(Client::connect(control).unwrap().ask(&Request::new(Verb::Leave)), "owner is missing");
+    refused(
+        Client::connect(control)
+            .unwrap()
+            .ask(&Request::new(Verb::Leave)),
+        "owner is missing",
+    );
     assert_eq!(status(control).unwrap().state, "serving");
     // It is safe to hear twice, and outlives the process.
     assert!(say(Verb::Leave, 8, told.boot, 2_000).is_ok());
--- a/proxy/tests/parts.rs
+++ b/proxy/tests/parts.rs
@@ -26,9 +26,17 @@
 #[test]
 fn greetings_say_what_they_hold() {
     let text = "OPEN 9b1f 7f3a c=feed,h=1.5,d=250,t=acme,g=ff,again=1,at=s-1";
-    let Ok(Greeting::Open(open)) = greeting(text) else { panic!("{:?}", greeting(text)) };
-    assert_eq!((open.id, open.item, open.listener, open.member), ("9b1f", 0x7f3a, "feed", Some("acme")));
-    assert_eq!((open.wait, open.group, open.open_at), (Duration::from_millis(250), Some(255), Some("s-1")));
+    let Ok(Greeting::Open(open)) = greeting(text) else {
+        panic!("{:?}", greeting(text))
+    };
+    assert_eq!(
+        (open.id, open.item, open.listener, open.member),
+        ("9b1f", 0x7f3a, "feed", Some("acme"))
+    );
+    assert_eq!(
+        (open.wait, open.group, open.open_at),
+        (Duration::from_millis(250), Some(255), Some("s-1"))
+    );
     assert_eq!((&text[open.wait_at], open.again), ("250", true));
     assert_eq!(greeting("PING"), Ok(Greeting::Ping));
 }
@@ -80,7 +88,12 @@
     for piece in text.as_bytes().chunks(size) {
         answer.feed(piece, &mut lines).ok()?;
     }
-    Some(lines.into_iter().map(|line| String::from_utf8(line).unwrap()).collect())
+    Some(
+        lines
+            .into_iter()
+            .map(|line| String::from_utf8(line).unwrap())
+            .collect(),
+    )
 }
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nServer: x\r\n\r\n";
@@ -96,7 +109,9 @@
         let found = fed(&whole, size);
         assert_eq!(
             found.as_deref(),
-            lines.map(|l| l.iter().map(|l| l.to_string()).collect::<Vec<_>>()).as_deref()
+            lines
+                .map(|l| l.iter().map(|l| l.to_string()).collect::<Vec<_>>())
+                .as_deref()
         );
     }
 }
@@ -107,7 +122,8 @@
 fn bad_heads(head: &str) {
     assert_eq!(fed(head, 100), None);
     assert!(
-        http::watch_request("h:1", 41).starts_with("GET /discovery/hosts?stream=1&index=41 HTTP/1.1\r\n")
+        http::watch_request("h:1", 41)
+            .starts_with("GET /discovery/hosts?stream=1&index=41 HTTP/1.1\r\n")
     );
 }
 
@@ -134,8 +150,21 @@
     let value = json::read(text.as_bytes()).unwrap();
     let mut pairs = Vec::new();
     value.flatten("", &mut pairs);
-    let flat: Vec<String> = pairs.into_iter().map(|(path, value)| format!("{path}={value}")).collect();
-    assert_eq!(flat, ["a.b=1,2.0", "l.count=2", "l.0.n=x_y_z", "l.1.n=", "t=true", "s=\u{1f600}"]);
+    let flat: Vec<String> = pairs
+        .into_iter()
+        .map(|(path, value)| format!("{path}={value}"))
+        .collect();
+    assert_eq!(
+        flat,
+        [
+            "a.b=1,2.0",
+            "l.count=2",
+            "l.0.n=x_y_z",
+            "l.1.n=",
+            "t=true",
+            "s=\u{1f600}"
+        ]
+    );
     assert_eq!(value.get("t"), Some(&Value::Bool(true)));
 }
 
@@ -147,12 +176,20 @@
 #[test_case(r#""uid":"s","endpoint":"127.0.0.1:1","state":"ready","boot_ms":-1"#, false; "negative time")]
 #[test_case(r#""uid":"s","endpoint":"127.0.0.1:1","state":"ready","boot_ms":1e300"#, false; "endless")]
 fn lists_of_servers(target: &str, good: bool) {
-    let read = discovery::read(format!("{{\"rev\":4,\"all\":true,\"targets\":[{{{target}}}]}}").as_bytes());
-    assert!(read.as_ref().is_ok_and(|list| list.bad.is_none() == good), "{read:?}");
-    let list = read.into_iter().flat_map(|list| list.lines).find(|line| line.standing == Standing::Ready);
+    let read = discovery::read(
+        format!("{{\"rev\":4,\"all\":true,\"targets\":[{{{target}}}]}}").as_bytes(),
+    );
     assert!(
-        list.is_none_or(|l| l.cell == 3 && l.started == Some(Duration::from_millis(1500)) && l.weight == 1.0)
+        read.as_ref().is_ok_and(|list| list.bad.is_none() == good),
+        "{read:?}"
     );
+    let list = read
+        .into_iter()
+        .flat_map(|list| list.lines)
+        .find(|line| line.standing == Standing::Ready);
+    assert!(list.is_none_or(|l| l.cell == 3
+        && l.started == Some(Duration::from_millis(1500))
+        && l.weight == 1.0));
 }
 
 #[test]
@@ -163,16 +200,24 @@
     let second = slots.insert("second");
     assert_eq!((first.slot, slots.get(first)), (second.slot, None));
     assert_eq!(slots.remove(first), None);
-    assert_eq!((slots.get(second), slots.at(second.slot), slots.len()), (Some(&"second"), Some(second), 1));
+    assert_eq!(
+        (slots.get(second), slots.at(second.slot), slots.len()),
+        (Some(&"second"), Some(second), 1)
+    );
 }
 
 #[test]
 fn deadlines_come_in_order_and_one_a_key() {
     let (mut due, at) = (Deadlines::default(), Duration::from_secs);
-    [('a', 3), ('b', 1), ('a', 2), ('c', 9)].into_iter().for_each(|(key, s)| due.set(key, at(s)));
+    [('a', 3), ('b', 1), ('a', 2), ('c', 9)]
+        .into_iter()
+        .for_each(|(key, s)| due.set(key, at(s)));
     due.clear('c');
     assert_eq!((due.next(), due.pop(at(0))), (Some(at(1)), None));
-    assert_eq!([due.pop(at(5)), due.pop(at(5)), due.pop(at(5))], [Some('b'), Some('a'), None]);
+    assert_eq!(
+        [due.pop(at(5)), due.pop(at(5)), due.pop(at(5))],
+        [Some('b'), Some('a'), None]
+    );
 }
 
 #[test]
@@ -181,7 +226,10 @@
     buffer.push(&[1; 8_000]);
     buffer.consume(7_999);
     buffer.push(&[2; 100]);
-    assert_eq!((buffer.bytes()[0], buffer.bytes()[1], buffer.room()), (1, 2, Buffer::LIMIT - 101));
+    assert_eq!(
+        (buffer.bytes()[0], buffer.bytes()[1], buffer.room()),
+        (1, 2, Buffer::LIMIT - 101)
+    );
     buffer.consume(1_000_000);
     assert!(buffer.is_empty() && buffer.room() == Buffer::LIMIT);
 }
@@ -191,10 +239,21 @@
 #[test_case(39, None; "just before")]
 fn a_line_is_not_written_after_its_time(after: u64, outcome: Option<Outcome>) {
     let ms = Duration::from_millis;
-    let arrival = Arrival { dial_timeout: ms(2_000), ..Arrival::default() };
+    let arrival = Arrival {
+        dial_timeout: ms(2_000),
+        ..Arrival::default()
+    };
     let mut life = Life::new(Duration::ZERO, arrival, false, ms(200));
     let mut out = Vec::new();
-    life.step(Duration::ZERO, Input::Dial { server: 1, time_out: ms(400), within: ms(40) }, &mut out);
+    life.step(
+        Duration::ZERO,
+        Input::Dial {
+            server: 1,
+            time_out: ms(400),
+            within: ms(40),
+        },
+        &mut out,
+    );
     let watched = |effect: &Effect| matches!(effect, Effect::Watch(Some(at)) if *at == ms(40));
     assert!(out.iter().any(watched), "{out:?}");
     out.clear();
@@ -203,7 +262,9 @@
         Effect::Tell(Event::Ended { outcome, .. }) => Some(*outcome),
         _ => None,
     });
-    let asks = out.iter().any(|effect| matches!(effect, Effect::Ask { .. }));
+    let asks = out
+        .iter()
+        .any(|effect| matches!(effect, Effect::Ask { .. }));
     assert_eq!((told, asks), (outcome, outcome.is_none()), "{out:?}");
 }
 
@@ -219,17 +280,45 @@
     let mut life = Life::new(Duration::ZERO, Arrival::default(), false, ms(200));
     let mut out = Vec::new();
     let all = ms(400);
-    life.step(Duration::ZERO, Input::Dial { server: 1, time_out: all, within: all }, &mut out);
-    before.iter().for_each(|input| life.step(ms(1), *input, &mut out));
+    life.step(
+        Duration::ZERO,
+        Input::Dial {
+            server: 1,
+            time_out: all,
+            within: all,
+        },
+        &mut out,
+    );
+    before
+        .iter()
+        .for_each(|input| life.step(ms(1), *input, &mut out));
     out.clear();
     life.step(ms(1), how, &mut out);
     // What was on its way at that moment finds nothing more to do.
     life.step(ms(1), Input::Connected { dial: 0 }, &mut out);
     life.step(ms(1), Input::Written { dial: 0 }, &mut out);
     let told = |effect: &&Effect| {
-        matches!(effect, Effect::Tell(Event::Ended { over: true, outcome: Outcome::CalledOff, .. }))
+        matches!(
+            effect,
+            Effect::Tell(Event::Ended {
+                over: true,
+                outcome: Outcome::CalledOff,
+                ..
+            })
+        )
     };
     let closed = |effect: &&Effect| matches!(effect, Effect::Close);
-    assert_eq!((out.iter().filter(told).count(), out.iter().filter(closed).count()), (1, 1), "{out:?}");
-    assert!(!out.iter().any(|effect| matches!(effect, Effect::Ask { .. })), "{out:?}");
+    assert_eq!(
+        (
+            out.iter().filter(told).count(),
+            out.iter().filter(closed).count()
+        ),
+        (1, 1),
+        "{out:?}"
+    );
+    assert!(
+        !out.iter()
+            .any(|effect| matches!(effect, Effect::Ask { .. })),
+        "{out:?}"
+    );
 }
--- a/proxy/tests/peers.rs
+++ b/proxy/tests/peers.rs
@@ -39,16 +39,23 @@
 }
 
 fn good(hosts: &str) -> Option<String> {
-    Some(format!("HTTP/1.1 200 OK\r\n\r\n{}", KNOWN.replace("HOSTS", hosts)))
+    Some(format!(
+        "HTTP/1.1 200 OK\r\n\r\n{}",
+        KNOWN.replace("HOSTS", hosts)
+    ))
 }
 
 /// The file of an operator whose proxies may ask these.
 fn operator(others: &[SocketAddr]) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let nth = NEXT.fetch_add(1, Ordering::Relaxed);
-    let path = std::env::temp_dir().join(format!("asterramp-peers-{}-{nth}.toml", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("asterramp-peers-{}-{nth}.toml", std::process::id()));
     let others: Vec<String> = others.iter().map(|at| format!("\"{at}\"")).collect();
-    let text = format!("[recovery]\nstages = true\nfleet = \"lake\"\nothers = [{}]\n", others.join(", "));
+    let text = format!(
+        "[recovery]\nstages = true\nfleet = \"lake\"\nothers = [{}]\n",
+        others.join(", ")
+    );
     std::fs::write(&path, text).unwrap();
     path
 }
@@ -56,7 +63,10 @@
 /// A host that answers probes, and counts those who ask.
 fn probed() -> (SocketAddr, std::sync::Arc<AtomicU32>) {
     let door = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (at, asked) = (door.local_addr().unwrap(), std::sync::Arc::new(AtomicU32::new(0)));
+    let (at, asked) = (
+        door.local_addr().unwrap(),
+        std::sync::Arc::new(AtomicU32::new(0)),
+    );
     let count = asked.clone();
     std::thread::spawn(move || {
         for stream in door.incoming() {
@@ -110,11 +120,17 @@
 #[test]
 fn whom_another_names_is_asked_and_then_served_by() {
     let (at, asked) = probed();
-    let log = play(&[other(None), other(good(&host("s-9", at, "a", 100)))], |world| {
-        assert!(is_served(world, SOON + SOON), "nobody is served");
-    });
+    let log = play(
+        &[other(None), other(good(&host("s-9", at, "a", 100)))],
+        |world| {
+            assert!(is_served(world, SOON + SOON), "nobody is served");
+        },
+    );
     assert!(asked.load(Ordering::Relaxed) > 0);
-    assert!(log.contains("peer-bad peer why=\"it does not answer in time\""), "{log}");
+    assert!(
+        log.contains("peer-bad peer why=\"it does not answer in time\""),
+        "{log}"
+    );
 }
 
 #[test_case(Some("HTTP/1.1 200 OK\r\n\r\nrubbish".into()), "cannot be read"; "rubbish")]
@@ -125,8 +141,14 @@
 #[test_case(Some(format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(200_000))), "too long"; "too long")]
 #[test_case(None, "does not answer in time"; "no answer")]
 fn an_answer_that_cannot_be_used_is_one_line_and_nothing_else(answer: Option<String>, why: &str) {
-    let log = play(&[other(answer)], |world| assert!(!is_served(world, Duration::from_millis(1200))));
-    assert!(log.lines().any(|line| line.starts_with("peer-bad ") && line.contains(why)), "{log}");
+    let log = play(&[other(answer)], |world| {
+        assert!(!is_served(world, Duration::from_millis(1200)))
+    });
+    assert!(
+        log.lines()
+            .any(|line| line.starts_with("peer-bad ") && line.contains(why)),
+        "{log}"
+    );
 }
 
 #[test]
@@ -150,7 +172,10 @@
     let file = operator(&[free_address(78)]);
     let mut world = World::with_door(2, SETTINGS, Some(&file));
     let ready = (0..2).map(|n| target(n, world.servers[n].local_addr().unwrap(), "ready"));
-    world.watch.send(help::list(9, true, &ready.collect::<Vec<_>>())).unwrap();
+    world
+        .watch
+        .send(help::list(9, true, &ready.collect::<Vec<_>>()))
+        .unwrap();
     let until = Instant::now() + SOON;
     loop {
         let (status, body) = help::call(world.calls, "GET /ops/known");
--- a/proxy/tests/sockets.rs
+++ b/proxy/tests/sockets.rs
@@ -42,7 +42,10 @@
     let mut second = world.client(line);
     assert_eq!([second.line(), second.line()], ["ERR", "FIN"]);
     first.say("early\r\n");
-    assert_eq!([first.line(), first.line(), server.line()], ["ERR", "FIN", "FIN"]);
+    assert_eq!(
+        [first.line(), first.line(), server.line()],
+        ["ERR", "FIN", "FIN"]
+    );
     assert!(world.servers[0].accept().is_err(), "it was dialled again");
     let mut again = world.client(line);
     world.dialled(0).0.say("UP r\r\n");
@@ -57,10 +60,18 @@
     crowd.extend((0..100).map(|_| world.client("what\r\n")));
     let since = Instant::now();
     let pairs: Vec<_> = (0..8).map(|_| world.up()).collect();
-    assert!(since.elapsed() < Duration::from_secs(1), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_secs(1),
+        "{:?}",
+        since.elapsed()
+    );
     for side in &mut crowd {
         let told = [side.line(), side.line()];
-        assert!(told.iter().any(|line| matches!(line.as_str(), "ERR" | "FIN" | "RST")), "{told:?}");
+        assert!(
+            told.iter()
+                .any(|line| matches!(line.as_str(), "ERR" | "FIN" | "RST")),
+            "{told:?}"
+        );
     }
     assert!(since.elapsed() < SOON, "{:?}", since.elapsed());
     drop(pairs);
@@ -83,15 +94,32 @@
     let mut kept = Vec::new();
     for answer in answers {
         let (mut server, line) = world.dialled(0);
-        let wait: u64 = line.split("d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
-        let unchanged = OPEN.trim_end().replace("feed", listener).replace("d=2000", &format!("d={wait}"));
-        assert!(line[21..] == unchanged[21..] && wait > 300 && wait < 2000, "{line}");
+        let wait: u64 = line
+            .split("d=")
+            .nth(1)
+            .unwrap()
+            .split(',')
+            .next()
+            .unwrap()
+            .parse()
+            .unwrap();
+        let unchanged = OPEN
+            .trim_end()
+            .replace("feed", listener)
+            .replace("d=2000", &format!("d={wait}"));
+        assert!(
+            line[21..] == unchanged[21..] && wait > 300 && wait < 2000,
+            "{line}"
+        );
         server.say(answer);
         kept.extend(Some(server).filter(|_| !answer.is_empty()));
     }
     assert_eq!(client.line(), hears);
     std::thread::sleep(Duration::from_millis(100));
-    assert!(world.servers[0].accept().is_err() && kept.len() <= dials, "more dials");
+    assert!(
+        world.servers[0].accept().is_err() && kept.len() <= dials,
+        "more dials"
+    );
 }
 
 #[test]
@@ -129,7 +157,11 @@
 fn ends_are_passed_on_in_kind(client_ends: bool, says: &str, how: &str, sees: &[&str]) {
     let world = World::new(1);
     let (client, server) = world.up();
-    let (mut ending, mut other) = if client_ends { (client, server) } else { (server, client) };
+    let (mut ending, mut other) = if client_ends {
+        (client, server)
+    } else {
+        (server, client)
+    };
     ending.say(says);
     let since = Instant::now();
     ending.end(how, &mut other);
@@ -144,7 +176,10 @@
     let world = World::new(1);
     let (mut client, mut server) = world.up();
     client.say(says);
-    assert_eq!([client.line(), client.line(), server.line()], ["ERR", "FIN", "FIN"]);
+    assert_eq!(
+        [client.line(), client.line(), server.line()],
+        ["ERR", "FIN", "FIN"]
+    );
 }
 
 #[test]
@@ -154,7 +189,11 @@
     client.say("ping\r\n");
     let since = Instant::now();
     assert_eq!([client.line(), client.line()], ["MOVE", "FIN"]);
-    assert!((3..6).contains(&since.elapsed().as_secs()), "{:?}", since.elapsed());
+    assert!(
+        (3..6).contains(&since.elapsed().as_secs()),
+        "{:?}",
+        since.elapsed()
+    );
 }
 
 #[test]
@@ -167,7 +206,10 @@
     std::thread::sleep(Duration::from_millis(200));
     pairs[0].1.say("pong\r\n");
     assert_eq!(pairs[0].0.line(), "pong");
-    assert!(pairs.iter_mut().all(|(client, _)| client.quiet()), "the network was taken for the server");
+    assert!(
+        pairs.iter_mut().all(|(client, _)| client.quiet()),
+        "the network was taken for the server"
+    );
 }
 
 #[test]
@@ -217,7 +259,10 @@
     let (_first, _) = world.dialled(0);
     let (mut second, _) = world.dialled(0);
     assert_eq!([open.line(), open.line()], ["MOVE", "FIN"]);
-    assert!(since.elapsed() >= Duration::from_millis(1_350), "the others may not be back yet");
+    assert!(
+        since.elapsed() >= Duration::from_millis(1_350),
+        "the others may not be back yet"
+    );
     assert_eq!(late.line(), "MOVE");
     assert_eq!(pending.line(), "ERR");
     // After four fifths of the longest wait it may still come up, and is moved then.
@@ -226,28 +271,50 @@
     assert_eq!([slow.line(), slow.line()], ["UP r3", "MOVE"]);
     drop((open, late, pending, slow));
     let (code, log) = world.ends();
-    let printed: Vec<&str> = log.lines().filter(|line| line.starts_with("counters ")).collect();
-    assert!(printed.len() == 2 && printed[0].contains(" up=1 "), "on request and at exit: {log}");
+    let printed: Vec<&str> = log
+        .lines()
+        .filter(|line| line.starts_with("counters "))
+        .collect();
+    assert!(
+        printed.len() == 2 && printed[0].contains(" up=1 "),
+        "on request and at exit: {log}"
+    );
     let last = log.lines().last().unwrap_or_default();
     assert!(code == Some(0) && since.elapsed() < SOON, "{code:?} {log}");
-    assert!(last.starts_with("counters ") && last.contains(" proxy-leaving=3 "), "{last}");
+    assert!(
+        last.starts_with("counters ") && last.contains(" proxy-leaving=3 "),
+        "{last}"
+    );
 }
 
 #[test]
 fn lists_are_heeded_as_they_come_and_bad_ones_as_far_as_they_can_be_read() {
     let world = World::new(2);
     let at = |n: usize| world.servers[n].local_addr().unwrap();
-    world.watch.send(list(9, false, &[target(0, at(0), "draining")])).unwrap();
+    world
+        .watch
+        .send(list(9, false, &[target(0, at(0), "draining")]))
+        .unwrap();
     std::thread::sleep(Duration::from_millis(100));
     let sent = |server: usize| drop(world.up_at(&[server]));
     (0..4).for_each(|_| sent(1));
     // Of a bad list what can be read is heeded, and it is asked for again.
-    let bad = [target(0, at(0), "ready"), "{\"uid\":1}".into(), target(1, at(1), "draining")];
+    let bad = [
+        target(0, at(0), "ready"),
+        "{\"uid\":1}".into(),
+        target(1, at(1), "draining"),
+    ];
     world.watch.send(list(10, true, &bad)).unwrap();
     let (request, watch) = world.watches.recv_timeout(SOON).expect("another watch");
     assert!(request.contains("stream=1&index=9 "), "{request}");
     (0..4).for_each(|_| sent(0));
-    watch.send(list(10, false, &[target(0, at(0), "gone"), target(1, at(1), "ready")])).unwrap();
+    watch
+        .send(list(
+            10,
+            false,
+            &[target(0, at(0), "gone"), target(1, at(1), "ready")],
+        ))
+        .unwrap();
     std::thread::sleep(Duration::from_millis(100));
     (0..4).for_each(|_| sent(1));
     watch.send("{\"rev\":11,\"targets\":[{\n".into()).unwrap();
@@ -255,7 +322,9 @@
     assert!(request.contains("stream=1&index=10 "), "{request}");
     (0..4).for_each(|_| sent(1));
     // The same uid at another endpoint.
-    watch.send(list(11, true, &[target(1, at(0), "ready")])).unwrap();
+    watch
+        .send(list(11, true, &[target(1, at(0), "ready")]))
+        .unwrap();
     std::thread::sleep(Duration::from_millis(100));
     (0..4).for_each(|_| sent(0));
 }
@@ -281,8 +350,12 @@
     let world = World::new(1);
     let mut front = world.client("");
     let stream = front.0.get_mut();
-    stream.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
-    let taken = (0..1_000).map_while(|_| stream.write_all("PING\r\n".repeat(5_000).as_bytes()).ok()).count();
+    stream
+        .set_write_timeout(Some(Duration::from_millis(300)))
+        .unwrap();
+    let taken = (0..1_000)
+        .map_while(|_| stream.write_all("PING\r\n".repeat(5_000).as_bytes()).ok())
+        .count();
     assert!(taken < 1_000, "thirty megabytes of answers wait somewhere");
     world.up();
 }
@@ -292,14 +365,24 @@
 #[test_case("pushed", false, 2_000; "without its blank lines")]
 #[test_case("on_request", true, 150; "ended, where it must be asked")]
 fn a_dead_watch_is_opened_again(discovery: &str, ended: bool, no_sooner: u64) {
-    let settings = SETTINGS.replace("\"pushed\"", &format!("\"{discovery}\",\"rules.must_ask_in\":2000000"));
+    let settings = SETTINGS.replace(
+        "\"pushed\"",
+        &format!("\"{discovery}\",\"rules.must_ask_in\":2000000"),
+    );
     let world = World::with(1, &settings, 512, 1024);
     let since = Instant::now();
     if ended {
         world.watch.send(String::new()).unwrap();
     }
-    let (request, _watch) = world.watches.recv_timeout(SOON + SOON).expect("another watch");
-    assert!(since.elapsed() > Duration::from_millis(no_sooner), "asked again after {:?}", since.elapsed());
+    let (request, _watch) = world
+        .watches
+        .recv_timeout(SOON + SOON)
+        .expect("another watch");
+    assert!(
+        since.elapsed() > Duration::from_millis(no_sooner),
+        "asked again after {:?}",
+        since.elapsed()
+    );
     assert!(request.contains("stream=1&index=8 "), "{request}");
 }
 
@@ -334,13 +417,21 @@
     world.up();
     world.signal("TERM");
     let (code, log) = world.ends();
-    let shut = log.lines().filter(|line| line.starts_with("accept-failed ")).count();
+    let shut = log
+        .lines()
+        .filter(|line| line.starts_with("accept-failed "))
+        .count();
     assert!(code == Some(0) && (2..30).contains(&shut), "{shut} {log}");
 }
 
 #[test]
 fn probes_go_over_one_connection_and_only_where_allowed() {
-    let world = World::with(1, &SETTINGS.replace("\"may_probe\":false", "\"may_probe\":true"), 512, 1024);
+    let world = World::with(
+        1,
+        &SETTINGS.replace("\"may_probe\":false", "\"may_probe\":true"),
+        512,
+        1024,
+    );
     let (mut clients, mut servers) = (Vec::new(), Vec::new());
     let (mut probe, line) = {
         clients.push(world.client(OPEN));
@@ -357,7 +448,11 @@
         servers.push(server);
         clients.push(world.client(OPEN));
     }
-    assert_eq!(probe.line(), "STATS", "as it holds connections it is probed again");
+    assert_eq!(
+        probe.line(),
+        "STATS",
+        "as it holds connections it is probed again"
+    );
 }
 
 #[test]
@@ -373,15 +468,30 @@
     again("{");
     again(&text.replace("\"sockets\":512", "\"sockets\":none"));
     let door = TcpListener::bind("127.0.0.1:0").unwrap();
-    let agent = text.split("\"discovery\":\"").nth(1).unwrap().split('"').next().unwrap();
+    let agent = text
+        .split("\"discovery\":\"")
+        .nth(1)
+        .unwrap()
+        .split('"')
+        .next()
+        .unwrap();
     let moved = text.replace(agent, &door.local_addr().unwrap().to_string());
     let watches = discovery(door);
     again(&moved.replace("\"sockets\":512", "\"sockets\":513"));
     let (request, watch) = watches.try_recv().expect("a watch at the new address");
     assert!(request.contains("stream=1&index=0 "), "{request}");
     let at = |n: usize| world.servers[n].local_addr().unwrap();
-    watch.send(list(9, true, &[target(0, at(0), "draining"), target(1, at(1), "ready")])).unwrap();
-    world.watch.send(list(10, true, &[target(0, at(0), "ready")])).unwrap();
+    watch
+        .send(list(
+            9,
+            true,
+            &[target(0, at(0), "draining"), target(1, at(1), "ready")],
+        ))
+        .unwrap();
+    world
+        .watch
+        .send(list(10, true, &[target(0, at(0), "ready")]))
+        .unwrap();
     std::thread::sleep(Duration::from_millis(200));
     for _ in 0..4 {
         world.up_at(&[1]);
@@ -392,10 +502,19 @@
     drop(client);
     world.signal("TERM");
     let (code, log) = world.ends();
-    let told: Vec<&str> = log.lines().filter(|line| line.starts_with("reload")).collect();
+    let told: Vec<&str> = log
+        .lines()
+        .filter(|line| line.starts_with("reload"))
+        .collect();
     assert!(code == Some(0) && told.len() == 4, "{log}");
-    assert!(told[0].starts_with("reload-bad why=\"configuration: ") && told[1].contains("configuration"));
-    assert!(told[2] == "reload-kept key=limits" && told[3].starts_with("reloaded "), "{told:?}");
+    assert!(
+        told[0].starts_with("reload-bad why=\"configuration: ")
+            && told[1].contains("configuration")
+    );
+    assert!(
+        told[2] == "reload-kept key=limits" && told[3].starts_with("reloaded "),
+        "{told:?}"
+    );
 }
 
 #[test_case("\"seed\"", "\"sead\"", "seed"; "missing key")]
@@ -414,5 +533,8 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_asterramp"));
     let output = command.env("LB_CONFIG", &world.config).output().unwrap();
     let said = String::from_utf8(output.stderr).unwrap();
-    assert!(!output.status.success() && said.contains(says) && said.lines().count() == 1, "{said}");
+    assert!(
+        !output.status.success() && said.contains(says) && said.lines().count() == 1,
+        "{said}"
+    );
 }
--- a/proxy/tests/state.rs
+++ b/proxy/tests/state.rs
@@ -29,9 +29,14 @@
         let at = |end: &str| {
             std::env::temp_dir().join(format!("asterramp-disk-{}-{nth}.{end}", std::process::id()))
         };
-        let disk = Disk { folder: at("state"), operator: at("toml") };
-        let text =
-            format!("[state]\nfolder = {:?}\nevery = \"200ms\"\n[recovery]\nstages = true\n", disk.folder);
+        let disk = Disk {
+            folder: at("state"),
+            operator: at("toml"),
+        };
+        let text = format!(
+            "[state]\nfolder = {:?}\nevery = \"200ms\"\n[recovery]\nstages = true\n",
+            disk.folder
+        );
         std::fs::write(&disk.operator, text).unwrap();
         disk
     }
@@ -44,7 +49,10 @@
     fn served(&self) -> World {
         let world = self.world();
         let ready = (0..2).map(|n| target(n, world.servers[n].local_addr().unwrap(), "ready"));
-        world.watch.send(list(9, true, &ready.collect::<Vec<_>>())).unwrap();
+        world
+            .watch
+            .send(list(9, true, &ready.collect::<Vec<_>>()))
+            .unwrap();
         // Its cold budgets are over with the stages.
         std::thread::sleep(Duration::from_millis(100));
         drop(world.up_at(&[0, 1]));
@@ -69,7 +77,12 @@
 
 fn state(what: &[&str], folder: &Path) -> Output {
     let program = env!("CARGO_BIN_EXE_asterramp");
-    Command::new(program).arg("state").args(what).arg(folder).output().unwrap()
+    Command::new(program)
+        .arg("state")
+        .args(what)
+        .arg(folder)
+        .output()
+        .unwrap()
 }
 
 fn said(output: &Output) -> String {
@@ -81,23 +94,42 @@
     let disk = Disk::new();
     let mut world = disk.world();
     let at = |n: usize| world.servers[n].local_addr().unwrap();
-    world.watch.send(list(9, true, &[target(0, at(0), "ready"), target(1, at(1), "draining")])).unwrap();
+    world
+        .watch
+        .send(list(
+            9,
+            true,
+            &[target(0, at(0), "ready"), target(1, at(1), "draining")],
+        ))
+        .unwrap();
     disk.owned_by(&world);
     // A folder that a proxy holds is not cleared.
     let held = state(&["clear"], &disk.folder);
-    assert!(!held.status.success() && said(&held).contains("a proxy holds it"), "{}", said(&held));
+    assert!(
+        !held.status.success() && said(&held).contains("a proxy holds it"),
+        "{}",
+        said(&held)
+    );
     world.signal("TERM");
     let (code, log) = world.ends();
     assert_eq!(code, Some(0), "{log}");
-    assert!(log.contains("stage stage=normal why=\"discovery tells hosts that are warm\""), "{log}");
+    assert!(
+        log.contains("stage stage=normal why=\"discovery tells hosts that are warm\""),
+        "{log}"
+    );
     let shown = said(&state(&["show"], &disk.folder));
     assert!(
-        shown.contains("left in good order") && shown.contains("list 9") && shown.contains("Draining"),
+        shown.contains("left in good order")
+            && shown.contains("list 9")
+            && shown.contains("Draining"),
         "{shown}"
     );
     let json: serde_json::Value =
         serde_json::from_slice(&state(&["show", "--json"], &disk.folder).stdout).unwrap();
-    assert_eq!((json["rev"].as_u64(), json["clean"].as_bool()), (Some(9), Some(true)));
+    assert_eq!(
+        (json["rev"].as_u64(), json["clean"].as_bool()),
+        (Some(9), Some(true))
+    );
     assert!(state(&["verify"], &disk.folder).status.success());
     assert!(state(&["clear"], &disk.folder).status.success());
     let none = state(&["verify"], &disk.folder);
@@ -109,15 +141,26 @@
 #[test_case("state.0", b"asterramp-state v=9 len=2 crc=0\n{}", "newer than"; "of tomorrow")]
 #[test_case("state.1", b"asterramp-state v=0 len=2 crc=0\n{}", "older than"; "of yesterday")]
 #[test_case("state.0", b"asterramp-state v=1 len=999 crc=0\n{}", "2 bytes of 999"; "cut short")]
-fn a_file_that_cannot_be_used_is_one_line_and_no_start_refused(file: &str, bytes: &[u8], why: &str) {
+fn a_file_that_cannot_be_used_is_one_line_and_no_start_refused(
+    file: &str,
+    bytes: &[u8],
+    why: &str,
+) {
     let disk = Disk::new();
     disk.put(file, bytes);
     let verified = state(&["verify"], &disk.folder);
-    assert!(!verified.status.success() && said(&verified).contains(why), "{}", said(&verified));
+    assert!(
+        !verified.status.success() && said(&verified).contains(why),
+        "{}",
+        said(&verified)
+    );
     let mut world = disk.served();
     world.signal("TERM");
     let (code, log) = world.ends();
-    let lines: Vec<&str> = log.lines().filter(|line| line.contains("state-bad file=")).collect();
+    let lines: Vec<&str> = log
+        .lines()
+        .filter(|line| line.contains("state-bad file="))
+        .collect();
     assert_eq!((code, lines.len()), (Some(0), 1), "{log}");
     assert!(lines[0].contains(why), "{lines:?}");
 }
@@ -129,7 +172,11 @@
     let mut world = disk.served();
     world.signal("TERM");
     let (code, log) = world.ends();
-    assert_eq!((code, log.matches("state-bad ").count()), (Some(0), 1), "{log}");
+    assert_eq!(
+        (code, log.matches("state-bad ").count()),
+        (Some(0), 1),
+        "{log}"
+    );
     std::fs::remove_file(&disk.folder).unwrap();
 }
 
@@ -142,7 +189,10 @@
     second.signal("TERM");
     let (code, log) = second.ends();
     assert_eq!(code, Some(0));
-    assert!(log.contains("foreign") && log.contains("another process holds the folder"), "{log}");
+    assert!(
+        log.contains("foreign") && log.contains("another process holds the folder"),
+        "{log}"
+    );
     assert!(said(&state(&["show"], &disk.folder)).contains(&first.listen.to_string()));
 }
 
@@ -165,7 +215,14 @@
     }
     world.signal("TERM");
     let (_, log) = world.ends();
-    let stage = |line: &'_ str| Some(line.strip_prefix("stage stage=")?.split(' ').next()?.to_string());
+    let stage = |line: &'_ str| {
+        Some(
+            line.strip_prefix("stage stage=")?
+                .split(' ')
+                .next()?
+                .to_string(),
+        )
+    };
     let stages: Vec<String> = log.lines().filter_map(stage).collect();
     assert_eq!(stages, ["looking", "probing", "admitting"], "{log}");
 }
--- a/recovery/src/fill.rs
+++ b/recovery/src/fill.rs
@@ -24,6 +24,9 @@
 pub fn pace(cold: Cold, hosts: usize, unit: Option<f64>, proxies: u32, up: Duration) -> f64 {
     let warm_after = cold.warm_after.as_secs_f64().max(1e-3);
     let warm = cold.share + (1.0 - cold.share) * (up.as_secs_f64() / warm_after).min(1.0);
-    let unit = unit.filter(|unit| unit.is_finite() && *unit > 0.0).unwrap_or(UNKNOWN).clamp(1e-3, 1.0);
+    let unit = unit
+        .filter(|unit| unit.is_finite() && *unit > 0.0)
+        .unwrap_or(UNKNOWN)
+        .clamp(1e-3, 1.0);
     hosts as f64 * PART * cold.multiple * warm / (warm_after * unit) / f64::from(proxies.max(1))
 }
--- a/recovery/src/hosts.rs
+++ b/recovery/src/hosts.rs
@@ -62,7 +62,10 @@
 
 /// What a word is worth.
 pub fn trust(source: Source, age: Age) -> Trust {
-    TRUST.iter().find(|row| (row.0, row.1) == (source, age)).map_or(Trust::Nothing, |row| row.2)
+    TRUST
+        .iter()
+        .find(|row| (row.0, row.1) == (source, age))
+        .map_or(Trust::Nothing, |row| row.2)
 }
 
 /// Up to which age a word is fresh, and up to which it is old; how far two machines' clocks may be apart.
@@ -170,7 +173,11 @@
     }
 
     fn count(&self, which: impl Fn(&Known) -> bool) -> usize {
-        self.known.iter().flatten().filter(|known| which(known)).count()
+        self.known
+            .iter()
+            .flatten()
+            .filter(|known| which(known))
+            .count()
     }
 
     fn at(&self, id: HostId) -> Option<&Known> {
@@ -185,12 +192,23 @@
     pub fn aged(&self, now: Duration) -> String {
         let left = |at: Duration| at.saturating_sub(now).as_millis();
         let told = |k: &Known| {
-            format!("{:?}{}{:?}{}{:?}{}", k.state, k.at, k.source, k.rev, k.until.map(left), left(k.due))
+            format!(
+                "{:?}{}{:?}{}{:?}{}",
+                k.state,
+                k.at,
+                k.source,
+                k.rev,
+                k.until.map(left),
+                left(k.due)
+            )
         };
         let all: Vec<String> = self
             .known
             .iter()
-            .map(|k| k.as_ref().map_or("-".into(), |k| format!("{}{}", told(k), k.tries)))
+            .map(|k| {
+                k.as_ref()
+                    .map_or("-".into(), |k| format!("{}{}", told(k), k.tries))
+            })
             .collect();
         format!("{}{}", all.join(";"), self.out)
     }
@@ -204,7 +222,11 @@
         age: Age,
         rev: u64,
     ) {
-        let age = if planted!(self, FutureIsFresh) { Age::Fresh } else { age };
+        let age = if planted!(self, FutureIsFresh) {
+            Age::Fresh
+        } else {
+            age
+        };
         let lasts = match trust(source, age) {
             Trust::Probe(lasts) => lasts,
             // Only discovery's own words place, and those come in by `told`.
@@ -234,7 +256,11 @@
                 self.dropped += 1;
                 return;
             }
-            self.input(now, other, Input::Gone("another host stands at its address"));
+            self.input(
+                now,
+                other,
+                Input::Gone("another host stands at its address"),
+            );
         }
         self.put(now, id, at, source, rev);
         if let Some(known) = self.known[id as usize].as_mut() {
@@ -257,7 +283,11 @@
             return self.input(now, id, Input::ToldGone);
         }
         if let Some(other) = self.rival(id, at) {
-            self.input(now, other, Input::Gone("another host stands at its address"));
+            self.input(
+                now,
+                other,
+                Input::Gone("another host stands at its address"),
+            );
         }
         self.put(now, id, at, Source::Told, u64::MAX);
         self.input(now, id, Input::Told);
@@ -293,7 +323,15 @@
         }
         let slot = &mut self.known[id as usize];
         let state = slot.as_ref().map_or(State::Unknown, |known| known.state);
-        *slot = Some(Known { state, at, source, rev, until: None, due: now, tries: 0 });
+        *slot = Some(Known {
+            state,
+            at,
+            source,
+            rev,
+            until: None,
+            due: now,
+            tries: 0,
+        });
     }
 
     pub(crate) fn answered(&mut self, now: Duration, id: HostId) {
@@ -301,7 +339,15 @@
     }
 
     pub(crate) fn silent(&mut self, now: Duration, id: HostId) {
-        self.input(now, id, if planted!(self, SilenceIsYes) { Input::Yes } else { Input::No });
+        self.input(
+            now,
+            id,
+            if planted!(self, SilenceIsYes) {
+                Input::Yes
+            } else {
+                Input::No
+            },
+        );
     }
 
     /// When the next is to be asked. While as many are asked as may be, an answer is what is waited for: a deadline that is
@@ -311,14 +357,20 @@
             return None;
         }
         let waits = |known: &&Known| matches!(known.state, State::Waiting | State::Silent);
-        self.known.iter().flatten().filter(waits).map(|known| known.due).min()
+        self.known
+            .iter()
+            .flatten()
+            .filter(waits)
+            .map(|known| known.due)
+            .min()
     }
 
     /// Asks those that are due, of whom so many may be asked at once.
     pub(crate) fn ask(&mut self, now: Duration, most: usize) {
         for id in 0..self.known.len() as HostId {
-            let Some(known) =
-                self.at(id).filter(|known| matches!(known.state, State::Waiting | State::Silent))
+            let Some(known) = self
+                .at(id)
+                .filter(|known| matches!(known.state, State::Waiting | State::Silent))
             else {
                 continue;
             };
@@ -331,7 +383,9 @@
     }
 
     fn input(&mut self, now: Duration, id: HostId, input: Input) {
-        let Some(known) = self.known.get_mut(id as usize).and_then(Option::as_mut) else { return };
+        let Some(known) = self.known.get_mut(id as usize).and_then(Option::as_mut) else {
+            return;
+        };
         let (state, asked) = (known.state, known.state == State::Asked);
         let next = match (state, input) {
             (State::Unknown | State::Waiting | State::Silent, Input::Word) => State::Waiting,
@@ -353,12 +407,17 @@
                 known.due = now + (PAUSE * (1 << known.tries.min(8))).min(LONGEST);
                 known.tries += 1;
                 if planted!(self, AskedOnce) {
-                    self.known[id as usize].iter_mut().for_each(|known| known.due = Duration::MAX);
+                    self.known[id as usize]
+                        .iter_mut()
+                        .for_each(|known| known.due = Duration::MAX);
                 }
             }
             (Input::Lapsed, _) => {
                 self.dropped += 1;
-                self.wishes.push(Wish::Drop(id, "it has not answered for as long as its word is worth"));
+                self.wishes.push(Wish::Drop(
+                    id,
+                    "it has not answered for as long as its word is worth",
+                ));
             }
             (Input::Gone(why), _) => {
                 self.dropped += 1;
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -95,7 +95,10 @@
 
 impl Recovery {
     pub fn new(now: Duration, terms: Terms) -> Recovery {
-        let mut recovery = Recovery { terms, ..Recovery::default() };
+        let mut recovery = Recovery {
+            terms,
+            ..Recovery::default()
+        };
         recovery.input(now, Input::Begun, "started");
         recovery
     }
@@ -119,7 +122,15 @@
     }
 
     /// Somebody other than discovery tells of a host; `rev` is of the list that it stood in.
-    pub fn word(&mut self, now: Duration, id: HostId, at: SocketAddr, from: Source, age: Age, rev: u64) {
+    pub fn word(
+        &mut self,
+        now: Duration,
+        id: HostId,
+        at: SocketAddr,
+        from: Source,
+        age: Age,
+        rev: u64,
+    ) {
         self.hosts.word(now, id, at, from, age, rev);
         self.heed(now);
     }
@@ -139,7 +150,11 @@
         self.hosts.only(now, listed);
         self.heed(now);
         match cold {
-            true => self.input(now, Input::ToldCold, "discovery tells hosts that have just started"),
+            true => self.input(
+                now,
+                Input::ToldCold,
+                "discovery tells hosts that have just started",
+            ),
             false => self.input(now, Input::ToldWarm, "discovery tells hosts that are warm"),
         }
     }
@@ -160,7 +175,11 @@
 
     /// When `tick` is next wanted.
     pub fn due(&self) -> Option<Duration> {
-        let hosts = if self.probing { self.hosts.due(self.terms.probes) } else { None };
+        let hosts = if self.probing {
+            self.hosts.due(self.terms.probes)
+        } else {
+            None
+        };
         self.machine.due.into_iter().chain(hosts).min()
     }
 
@@ -202,14 +221,18 @@
     }
 
     fn input(&mut self, now: Duration, input: Input, why: &'static str) {
-        let Some((turned, act)) = self.machine.step(now, input, &self.terms) else { return };
+        let Some((turned, act)) = self.machine.step(now, input, &self.terms) else {
+            return;
+        };
         if turned {
             self.effects.push(Effect::Turned(self.machine.stage, why));
         }
         match act {
             Act::Wait => self.effects.push(Effect::Door(Entry::Shut)),
             // From here on nobody is kept waiting at the door: a client's patience may be no longer than what has passed.
-            Act::Ask => self.effects.extend([Effect::Door(Entry::Refused), Effect::Ask]),
+            Act::Ask => self
+                .effects
+                .extend([Effect::Door(Entry::Refused), Effect::Ask]),
             Act::Probe => {
                 self.probing = true;
                 self.effects.push(Effect::Door(Entry::Refused));
@@ -221,7 +244,8 @@
             }
             Act::Refuse => {
                 // Others may know by now what they did not.
-                self.effects.extend((self.terms.others && self.hosts.usable() == 0).then_some(Effect::Ask));
+                self.effects
+                    .extend((self.terms.others && self.hosts.usable() == 0).then_some(Effect::Ask));
                 self.effects.push(Effect::Door(Entry::Refused));
                 self.heed(now);
             }
--- a/recovery/src/stage.rs
+++ b/recovery/src/stage.rs
@@ -23,8 +23,14 @@
 }
 
 impl Stage {
-    pub const ALL: [Stage; 6] =
-        [Stage::Dark, Stage::Looking, Stage::Asking, Stage::Probing, Stage::Admitting, Stage::Normal];
+    pub const ALL: [Stage; 6] = [
+        Stage::Dark,
+        Stage::Looking,
+        Stage::Asking,
+        Stage::Probing,
+        Stage::Admitting,
+        Stage::Normal,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
@@ -81,19 +87,34 @@
 const TABLE: &[(Stage, Input, Stage, Act)] = &[
     (Stage::Dark, Input::Begun, Stage::Looking, Act::Wait),
     (Stage::Looking, Input::ToldWarm, Stage::Normal, Act::Open),
-    (Stage::Looking, Input::ToldCold, Stage::Admitting, Act::Limit),
+    (
+        Stage::Looking,
+        Input::ToldCold,
+        Stage::Admitting,
+        Act::Limit,
+    ),
     (Stage::Looking, Input::Due, Stage::Asking, Act::Ask),
     (Stage::Asking, Input::ToldWarm, Stage::Normal, Act::Open),
     (Stage::Asking, Input::ToldCold, Stage::Admitting, Act::Limit),
     (Stage::Asking, Input::Heard, Stage::Probing, Act::Probe),
     (Stage::Asking, Input::Due, Stage::Probing, Act::Probe),
     (Stage::Probing, Input::ToldWarm, Stage::Normal, Act::Open),
-    (Stage::Probing, Input::ToldCold, Stage::Admitting, Act::Limit),
+    (
+        Stage::Probing,
+        Input::ToldCold,
+        Stage::Admitting,
+        Act::Limit,
+    ),
     (Stage::Probing, Input::Found, Stage::Admitting, Act::Limit),
     // Nobody answers yet: clients are told so, and the asking goes on.
     (Stage::Probing, Input::Due, Stage::Probing, Act::Refuse),
     (Stage::Admitting, Input::ToldWarm, Stage::Normal, Act::Open),
-    (Stage::Admitting, Input::NoneLeft, Stage::Probing, Act::Refuse),
+    (
+        Stage::Admitting,
+        Input::NoneLeft,
+        Stage::Probing,
+        Act::Refuse,
+    ),
     (Stage::Admitting, Input::Due, Stage::Normal, Act::Open),
 ];
 
@@ -112,7 +133,9 @@
         if planted!(self, NoneLeftIgnored) && input == Input::NoneLeft {
             return None;
         }
-        let row = TABLE.iter().find(|row| (row.0, row.1) == (self.stage, input))?;
+        let row = TABLE
+            .iter()
+            .find(|row| (row.0, row.1) == (self.stage, input))?;
         let (mut next, mut act) = (row.2, row.3);
         // Who has nobody to ask goes on at once.
         if next == Stage::Asking && !terms.others {
--- a/rig/src/baseline.rs
+++ b/rig/src/baseline.rs
@@ -93,8 +93,12 @@
     let path = PathBuf::from(std::env::var("LB_CONFIG").map_err(|_| "LB_CONFIG is not set")?);
     let config = read(&path)?;
     let text = config["listen"].as_str().unwrap_or_default();
-    let listen: SocketAddr = text.parse().map_err(|_| format!("listen: {text:?} is no address"))?;
-    let door = TcpListener::bind(listen).await.map_err(|e| format!("listen: {listen}: {e}"))?;
+    let listen: SocketAddr = text
+        .parse()
+        .map_err(|_| format!("listen: {text:?} is no address"))?;
+    let door = TcpListener::bind(listen)
+        .await
+        .map_err(|e| format!("listen: {listen}: {e}"))?;
     let mut hang_up = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
     let mut term = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
     let plain = Arc::new(Plain {
@@ -146,7 +150,9 @@
 
 impl Plain {
     fn hosts(&self) -> MutexGuard<'_, BTreeMap<String, Known>> {
-        self.hosts.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.hosts
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 
     fn breaks(&self, what: Break) -> bool {
@@ -156,7 +162,9 @@
     /// Fetches the list again and again, from where the configuration says at that time.
     async fn fetch(self: Arc<Self>, path: PathBuf) {
         loop {
-            let address = read(&path).ok().and_then(|c| c["discovery"].as_str()?.parse().ok());
+            let address = read(&path)
+                .ok()
+                .and_then(|c| c["discovery"].as_str()?.parse().ok());
             if let Some(address) = address
                 && let Ok(Some(list)) = timeout(Duration::from_secs(1), fetched(address)).await
             {
@@ -167,15 +175,30 @@
     }
 
     fn learn(&self, list: &Value) {
-        let Some(targets) = list["targets"].as_array() else { return };
+        let Some(targets) = list["targets"].as_array() else {
+            return;
+        };
         let mut hosts = self.hosts();
         let mut left: Vec<String> = hosts.keys().cloned().collect();
         for target in targets {
             let text = |key: &str| target[key].as_str().unwrap_or_default().to_string();
-            let Ok(endpoint) = text("endpoint").parse() else { continue };
+            let Ok(endpoint) = text("endpoint").parse() else {
+                continue;
+            };
             let open = hosts.get(&text("uid")).map_or(0, |known| known.open);
-            let (ready, boot_ms) = (text("state") == "ready", target["boot_ms"].as_u64().unwrap_or(0));
-            hosts.insert(text("uid"), Known { endpoint, ready, boot_ms, open });
+            let (ready, boot_ms) = (
+                text("state") == "ready",
+                target["boot_ms"].as_u64().unwrap_or(0),
+            );
+            hosts.insert(
+                text("uid"),
+                Known {
+                    endpoint,
+                    ready,
+                    boot_ms,
+                    open,
+                },
+            );
             left.retain(|uid| *uid != text("uid"));
         }
         hosts.retain(|uid, _| !left.contains(uid));
@@ -183,7 +206,9 @@
 
     /// A host for a dial, other than those tried.
     fn pick(&self, tried: &[String]) -> Option<(String, SocketAddr)> {
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
         let warm = ms(&self.config["settings"]["rules"]["cold"]);
         let cold = |known: &Known| {
             let up = (unix.as_millis() as u64).saturating_sub(known.boot_ms);
@@ -191,7 +216,10 @@
         };
         let hosts = self.hosts();
         if self.breaks(Break::FloodCold) {
-            let newest = hosts.iter().filter(|h| cold(h.1)).max_by_key(|h| h.1.boot_ms);
+            let newest = hosts
+                .iter()
+                .filter(|h| cold(h.1))
+                .max_by_key(|h| h.1.boot_ms);
             if let Some((uid, known)) = newest {
                 return Some((uid.clone(), known.endpoint));
             }
@@ -217,7 +245,11 @@
 
     fn opened(&self, uid: &str, up: bool) {
         if let Some(known) = self.hosts().get_mut(uid) {
-            known.open = if up { known.open + 1 } else { known.open.saturating_sub(1) };
+            known.open = if up {
+                known.open + 1
+            } else {
+                known.open.saturating_sub(1)
+            };
         }
     }
 
@@ -228,7 +260,9 @@
         loop {
             match timeout(Duration::from_secs(2), lines.next()).await {
                 Ok(Line::Text(line)) if line == "PING" => {
-                    if self.leaving.load(Ordering::Relaxed) || write.write_all(b"PONG\r\n").await.is_err() {
+                    if self.leaving.load(Ordering::Relaxed)
+                        || write.write_all(b"PONG\r\n").await.is_err()
+                    {
                         return;
                     }
                 }
@@ -252,9 +286,16 @@
 
     async fn session(&self, line: &str, lines: &mut Lines, write: &mut OwnedWriteHalf) {
         let figure = |name: &str| line.split([',', ' ']).find_map(|p| p.strip_prefix(name));
-        let wait = figure("d=").and_then(|d| d.parse::<u64>().ok()).filter(|ms| *ms <= 3_600_000);
-        let listeners = self.config["settings"]["listeners"].as_array().cloned().unwrap_or_default();
-        let listener = listeners.iter().find(|l| l["name"].as_str() == figure("c="));
+        let wait = figure("d=")
+            .and_then(|d| d.parse::<u64>().ok())
+            .filter(|ms| *ms <= 3_600_000);
+        let listeners = self.config["settings"]["listeners"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default();
+        let listener = listeners
+            .iter()
+            .find(|l| l["name"].as_str() == figure("c="));
         let (Some(wait), Some(listener)) = (wait, listener) else {
             return part(lines, write, "ERR\r\n").await;
         };
@@ -274,21 +315,38 @@
         let harmless = semantics == "read_like";
         let began = Instant::now();
         let ends = began + Duration::from_millis(wait);
-        let max = self.config["settings"]["permissions"]["max_dials"].as_u64().unwrap_or(1);
-        let max = if self.breaks(Break::ManyDials) { max + 3 } else { max };
+        let max = self.config["settings"]["permissions"]["max_dials"]
+            .as_u64()
+            .unwrap_or(1);
+        let max = if self.breaks(Break::ManyDials) {
+            max + 3
+        } else {
+            max
+        };
         let inherited = figure("at=").map(String::from);
         let (mut tried, mut may_have_run) = (Vec::new(), false);
         let mut kept = Vec::new();
         for nth in 0..max {
             let picked = match &inherited {
-                Some(uid) => self.hosts().get(uid).map(|known| (uid.clone(), known.endpoint)),
+                Some(uid) => self
+                    .hosts()
+                    .get(uid)
+                    .map(|known| (uid.clone(), known.endpoint)),
                 None => self.pick(&tried),
             };
             let Some((uid, at)) = picked else { break };
             let left = ends.saturating_duration_since(Instant::now());
-            let waits = if nth + 1 == max { left } else { (left / 2).min(Duration::from_millis(400)) };
+            let waits = if nth + 1 == max {
+                left
+            } else {
+                (left / 2).min(Duration::from_millis(400))
+            };
             let hurry = self.breaks(Break::DoubleDial) || self.breaks(Break::ManyDials);
-            let waits = if hurry { Duration::from_millis(60).min(left) } else { waits };
+            let waits = if hurry {
+                Duration::from_millis(60).min(left)
+            } else {
+                waits
+            };
             let dial = self.dial(line, wait, at, waits);
             let dialled = tokio::select! {
                 dialled = dial => dialled,
@@ -358,7 +416,11 @@
         let (read, mut write) = stream.into_split();
         let mut lines = Lines::new(read);
         let told = line.replace(&format!(",d={wait}"), &format!(",d={}", waits.as_millis()));
-        if write.write_all(format!("{told}\r\n").as_bytes()).await.is_err() {
+        if write
+            .write_all(format!("{told}\r\n").as_bytes())
+            .await
+            .is_err()
+        {
             return Dialled::Maybe(None);
         }
         match timeout(waits, lines.next()).await {
@@ -401,7 +463,11 @@
                 let _ = to_client.write_all(b"NEWS of mine\r\n").await;
             }
             let to = if up { &mut to_host } else { &mut *to_client };
-            let sent = timeout(Duration::from_secs(5), to.write_all(format!("{line}\r\n").as_bytes())).await;
+            let sent = timeout(
+                Duration::from_secs(5),
+                to.write_all(format!("{line}\r\n").as_bytes()),
+            )
+            .await;
             if !matches!(sent, Ok(Ok(()))) {
                 return;
             }
@@ -437,15 +503,28 @@
 }
 
 /// The plain proxy as a program that a run may start.
-pub fn program(rig: &std::path::Path, policy: Policy, breaks: Option<Break>) -> crate::proxies::Program {
+pub fn program(
+    rig: &std::path::Path,
+    policy: Policy,
+    breaks: Option<Break>,
+) -> crate::proxies::Program {
     let word = |value: &dyn Fn() -> Option<clap::builder::PossibleValue>| {
-        value().map(|value| value.get_name().to_string()).unwrap_or_default()
+        value()
+            .map(|value| value.get_name().to_string())
+            .unwrap_or_default()
     };
-    let mut args = vec!["plain-proxy".to_string(), word(&|| policy.to_possible_value())];
+    let mut args = vec![
+        "plain-proxy".to_string(),
+        word(&|| policy.to_possible_value()),
+    ];
     let mut name = args.join(" ");
     if let Some(breaks) = breaks {
         args.extend(["--break".to_string(), word(&|| breaks.to_possible_value())]);
         name += &format!(" breaking {}", args[3]);
     }
-    crate::proxies::Program { path: rig.to_path_buf(), args, name }
+    crate::proxies::Program {
+        path: rig.to_path_buf(),
+        args,
+        name,
+    }
 }
--- a/rig/src/calls.rs
+++ b/rig/src/calls.rs
@@ -21,7 +21,10 @@
 pub async fn call(at: SocketAddr, line: &str) -> Option<(u16, String)> {
     let answer = async {
         let mut stream = TcpStream::connect(at).await.ok()?;
-        stream.write_all(format!("{line} HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes()).await.ok()?;
+        stream
+            .write_all(format!("{line} HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes())
+            .await
+            .ok()?;
         let mut text = String::new();
         stream.take(LONGEST).read_to_string(&mut text).await.ok()?;
         Some(text)
@@ -33,9 +36,13 @@
 pub fn read(text: &str) -> Option<(u16, String)> {
     let (head, body) = text.split_once("\r\n\r\n")?;
     let status = head.strip_prefix("HTTP/1.1 ")?.get(..3)?.parse().ok()?;
-    let length = head
-        .lines()
-        .find_map(|line| line.to_ascii_lowercase().strip_prefix("content-length:")?.trim().parse().ok());
+    let length = head.lines().find_map(|line| {
+        line.to_ascii_lowercase()
+            .strip_prefix("content-length:")?
+            .trim()
+            .parse()
+            .ok()
+    });
     (length.is_none_or(|length: usize| length == body.len())).then(|| (status, body.to_string()))
 }
 
@@ -47,7 +54,10 @@
         (labels.is_empty() || labels.starts_with('{') && labels.contains(label))
             .then(|| value.parse::<u64>().ok())
     });
-    values.collect::<Option<Vec<u64>>>().filter(|values| !values.is_empty()).map(|values| values.iter().sum())
+    values
+        .collect::<Option<Vec<u64>>>()
+        .filter(|values| !values.is_empty())
+        .map(|values| values.iter().sum())
 }
 
 pub fn set(door: &Door, at: Option<SocketAddr>) {
@@ -73,7 +83,11 @@
             let up = figure(&body, "svc_calls_total", "code=\"success\"")?;
             Some((up, figure(&body, "svc_inflight", "")?))
         });
-        world.ledger.put(Seen::Called { proxy, took: since.elapsed(), figures });
+        world.ledger.put(Seen::Called {
+            proxy,
+            took: since.elapsed(),
+            figures,
+        });
     }
 }
 
--- a/rig/src/client.rs
+++ b/rig/src/client.rs
@@ -49,7 +49,13 @@
     world.done(wanted.at);
     let ends = wanted.at + wanted.life;
     let chance = Chance::seed_from_u64(wanted.chance);
-    let mut client = Client { world: &world, wanted: &wanted, chance, since: wanted.at, again: false };
+    let mut client = Client {
+        world: &world,
+        wanted: &wanted,
+        chance,
+        since: wanted.at,
+        again: false,
+    };
     let mut tries = 0;
     while world.now() < ends {
         let before = client.since;
@@ -70,7 +76,9 @@
             Outcome::Refused(come_back) => come_back.unwrap_or(retries.pause).mul_f64(jitter),
             Outcome::Failed => match (listener.kind, listener.circle) {
                 (Kind::Repeatable, _) => retries.pause.mul_f64(jitter),
-                (Kind::Referenced, Circle::All) if world.now() < client.since + listener.key_ttl => {
+                (Kind::Referenced, Circle::All)
+                    if world.now() < client.since + listener.key_ttl =>
+                {
                     retries.pause.mul_f64(jitter)
                 }
                 _ => break,
@@ -83,7 +91,9 @@
         }
         sleep(pause).await;
     }
-    world.score.wanted(wanted.listener, wanted.member, wanted.at, ends);
+    world
+        .score
+        .wanted(wanted.listener, wanted.member, wanted.at, ends);
 }
 
 impl Client<'_> {
@@ -120,10 +130,17 @@
             inherited: inherited.is_some(),
         });
         let stays = wait + world.scenario.platform.answer_slack + OVERTIME;
-        let leaves = wanted.patience.filter(|_| !self.again).map_or(stays, |patience| patience.min(stays));
+        let leaves = wanted
+            .patience
+            .filter(|_| !self.again)
+            .map_or(stays, |patience| patience.min(stays));
         let Ok(line) = timeout(leaves, lines.next()).await else {
             world.ledger.put(Seen::Left { id });
-            return if leaves < wait { Outcome::Done } else { Outcome::Failed };
+            return if leaves < wait {
+                Outcome::Done
+            } else {
+                Outcome::Failed
+            };
         };
         let answer = match line {
             Line::Text(line) if line.starts_with("UP ") => Answer::Up,
@@ -132,16 +149,26 @@
             }
             Line::Text(_) | Line::Bad => Answer::Failed,
             Line::Fin | Line::Reset => {
-                let end = if line == Line::Fin { End::Fin } else { End::Reset };
+                let end = if line == Line::Fin {
+                    End::Fin
+                } else {
+                    End::Reset
+                };
                 world.ledger.put(Seen::Cut { id, end });
                 return Outcome::Failed;
             }
         };
-        world.ledger.put(Seen::Answered { id, answer: answer.clone() });
+        world.ledger.put(Seen::Answered {
+            id,
+            answer: answer.clone(),
+        });
         match answer {
             Answer::Up => {
                 let us = |span: Duration| span.as_micros() as u64;
-                let (waited, took) = (world.now().saturating_sub(self.since), world.ledger.now() - asked);
+                let (waited, took) = (
+                    world.now().saturating_sub(self.since),
+                    world.ledger.now() - asked,
+                );
                 if inherited.is_none() {
                     let mut marks = world.score.marks();
                     marks.set_ups[usize::from(listener)].saturating_record(us(waited));
@@ -164,7 +191,11 @@
     /// Nothing may follow a final answer but the end.
     async fn behind(&self, id: u64, lines: &mut Lines) {
         if let Ok(Line::Text(line)) = timeout(OVERTIME, lines.next()).await {
-            let answer = if line.starts_with("UP ") { Answer::Up } else { Answer::Failed };
+            let answer = if line.starts_with("UP ") {
+                Answer::Up
+            } else {
+                Answer::Failed
+            };
             self.world.ledger.put(Seen::Answered { id, answer });
         }
     }
@@ -175,7 +206,10 @@
         let member = &world.scenario.members[usize::from(wanted.member)].name;
         let id = world.new_id();
         let wait = listener.dial_timeout.as_millis();
-        let mut line = format!("OPEN {id:016x} {:016x} c={},t={member}", wanted.item, listener.name);
+        let mut line = format!(
+            "OPEN {id:016x} {:016x} c={},t={member}",
+            wanted.item, listener.name
+        );
         line += &format!(",d={wait},h={:.1}", wanted.work * 1e6);
         if let Some(group) = wanted.group {
             line += &format!(",g={group:016x}");
@@ -203,7 +237,12 @@
         let (mut reconnect, mut deafen) = (world.reconnect.subscribe(), world.deafen.subscribe());
         reconnect.mark_unchanged();
         deafen.mark_unchanged();
-        let mut credit = Credit { world, wanted, from: world.now(), good: true };
+        let mut credit = Credit {
+            world,
+            wanted,
+            from: world.now(),
+            good: true,
+        };
         let mut next = world.now() + every.mul_f64(self.chance.random::<f64>());
         let (mut nth, mut waits, mut told) = (0u64, None::<(u64, Duration)>, false);
         loop {
@@ -254,11 +293,18 @@
             let text = match line {
                 Line::Text(text) => text,
                 Line::Bad => {
-                    world.ledger.put(Seen::Garbled { id, line: "no text".into() });
+                    world.ledger.put(Seen::Garbled {
+                        id,
+                        line: "no text".into(),
+                    });
                     continue;
                 }
                 Line::Fin | Line::Reset => {
-                    let end = if line == Line::Fin { End::Fin } else { End::Reset };
+                    let end = if line == Line::Fin {
+                        End::Fin
+                    } else {
+                        End::Reset
+                    };
                     world.ledger.put(Seen::Ended { id, end, told });
                     credit.close(world.now());
                     return Outcome::Broken;
@@ -299,7 +345,9 @@
 impl Credit<'_> {
     fn close(&mut self, to: Duration) {
         if std::mem::replace(&mut self.good, false) {
-            self.world.score.served(self.wanted.listener, self.wanted.member, self.from, to);
+            self.world
+                .score
+                .served(self.wanted.listener, self.wanted.member, self.from, to);
         }
     }
 }
--- a/rig/src/compare.rs
+++ b/rig/src/compare.rs
@@ -31,7 +31,13 @@
         let mut means: Vec<f64> = (0..DRAWS).map(|_| drawn()).collect();
         means.sort_unstable_by(f64::total_cmp);
         let at = |part: f64| means[((DRAWS - 1) as f64 * part) as usize];
-        Difference { a: mean(a), b: mean(b), mean: mean(&pairs), low: at(0.025), high: at(0.975) }
+        Difference {
+            a: mean(a),
+            b: mean(b),
+            mean: mean(&pairs),
+            low: at(0.025),
+            high: at(0.975),
+        }
     }
 
     /// Whether the interval leaves nought out.
@@ -44,5 +50,8 @@
 pub fn row(name: &str, d: &Difference) -> String {
     let word = if d.clear() { "clear" } else { "within noise" };
     let numbers = format!("{:>9.4} {:>9.4} {:>+9.4}", d.a, d.b, d.mean);
-    format!("  {name:<28} {numbers}  [{:+.4}, {:+.4}] {word}", d.low, d.high)
+    format!(
+        "  {name:<28} {numbers}  [{:+.4}, {:+.4}] {word}",
+        d.low, d.high
+    )
 }
--- a/rig/src/front.rs
+++ b/rig/src/front.rs
@@ -36,12 +36,22 @@
     }
 
     /// The same, where the clients of each place have ways of their own.
-    pub fn over(proxies: impl Iterator<Item = (u8, SocketAddr)>, links: &Links, places: u8) -> Front {
+    pub fn over(
+        proxies: impl Iterator<Item = (u8, SocketAddr)>,
+        links: &Links,
+        places: u8,
+    ) -> Front {
         let mut seats = Vec::new();
         for (proxy, (place, at)) in (0..).zip(proxies) {
             for of in 0..places {
                 let way = links.address(Ends::Clients(of, proxy));
-                let seat = Seat { place, of: Some(of), proxy, address: at, answered: None };
+                let seat = Seat {
+                    place,
+                    of: Some(of),
+                    proxy,
+                    address: at,
+                    answered: None,
+                };
                 match way {
                     Some(address) => seats.push(Seat { address, ..seat }),
                     None if of == 0 => seats.push(Seat { of: None, ..seat }),
@@ -49,11 +59,15 @@
                 }
             }
         }
-        Front { seats: Mutex::new(seats) }
+        Front {
+            seats: Mutex::new(seats),
+        }
     }
 
     fn seats(&self) -> std::sync::MutexGuard<'_, Vec<Seat>> {
-        self.seats.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.seats
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 
     pub fn all_up(&self) -> bool {
@@ -62,14 +76,19 @@
 
     /// The first proxy that has not answered yet.
     pub fn waits_for(&self) -> Option<usize> {
-        self.seats().iter().find(|seat| seat.answered.is_none()).map(|seat| usize::from(seat.proxy))
+        self.seats()
+            .iter()
+            .find(|seat| seat.answered.is_none())
+            .map(|seat| usize::from(seat.proxy))
     }
 
     /// A proxy for a client of a place, by a number drawn; another place's where that has none.
     pub fn pick(&self, place: u8, chance: u64) -> Option<(u16, SocketAddr)> {
         let seats = self.seats();
         let of = |near: bool| {
-            let up = seats.iter().filter(|s| s.answered.is_some() && s.of.is_none_or(|of| of == place));
+            let up = seats
+                .iter()
+                .filter(|s| s.answered.is_some() && s.of.is_none_or(|of| of == place));
             up.filter(|s| !near || s.place == place).collect::<Vec<_>>()
         };
         let near = of(true);
@@ -107,7 +126,9 @@
 }
 
 async fn asked(address: SocketAddr) -> bool {
-    let Ok(mut stream) = TcpStream::connect(address).await else { return false };
+    let Ok(mut stream) = TcpStream::connect(address).await else {
+        return false;
+    };
     if stream.write_all(b"PING\r\n").await.is_err() {
         return false;
     }
--- a/rig/src/host.rs
+++ b/rig/src/host.rs
@@ -68,16 +68,25 @@
 
 impl Host {
     /// All hosts of a plan, each with its listener.
-    pub async fn all(plan: &Plan, scenario: &Scenario) -> std::io::Result<Vec<(Arc<Host>, TcpListener)>> {
+    pub async fn all(
+        plan: &Plan,
+        scenario: &Scenario,
+    ) -> std::io::Result<Vec<(Arc<Host>, TcpListener)>> {
         // Runs side by side have addresses apart: a port that one gives up must not become another's host.
         static RUNS: AtomicU8 = AtomicU8::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed) % 28;
         let mut hosts = Vec::new();
         for (nth, host) in plan.hosts.iter().enumerate() {
-            let at = SocketAddr::from(([127, 10, run * 9 + (nth / 250) as u8, 1 + (nth % 250) as u8], 0));
+            let at = SocketAddr::from((
+                [127, 10, run * 9 + (nth / 250) as u8, 1 + (nth % 250) as u8],
+                0,
+            ));
             let door = TcpListener::bind(at).await?;
             let address = door.local_addr()?;
-            hosts.push((Arc::new(Host::new(nth as u16, address, host, scenario)), door));
+            hosts.push((
+                Arc::new(Host::new(nth as u16, address, host, scenario)),
+                door,
+            ));
         }
         Ok(hosts)
     }
@@ -110,7 +119,9 @@
     }
 
     pub fn model(&self) -> MutexGuard<'_, LoadModel> {
-        self.model.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.model
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 
     /// A fault, known by its number, begins or ends here.
@@ -118,7 +129,10 @@
         let now = world.ledger.now();
         let struck = &world.plan.faults[fault];
         let kind = struck.kind;
-        let mut effects = self.effects.lock().unwrap_or_else(|broken| broken.into_inner());
+        let mut effects = self
+            .effects
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner());
         if begins {
             effects.push((fault, kind, struck.span, struck.much));
         } else {
@@ -126,9 +140,18 @@
         }
         let has = |kind| effects.iter().any(|effect| effect.1 == kind);
         let before = *self.mood.borrow();
-        let dead = [FaultKind::HostRestarts, FaultKind::HostGone, FaultKind::PlaceLost, FaultKind::PowerCut];
+        let dead = [
+            FaultKind::HostRestarts,
+            FaultKind::HostGone,
+            FaultKind::PlaceLost,
+            FaultKind::PowerCut,
+        ];
         let down = dead.into_iter().any(has);
-        let late = effects.iter().filter(|e| e.1 == FaultKind::HostLate).map(|e| e.2).max();
+        let late = effects
+            .iter()
+            .filter(|e| e.1 == FaultKind::HostLate)
+            .map(|e| e.2)
+            .max();
         let mood = Mood {
             down,
             silent: has(FaultKind::HostSilent),
@@ -140,7 +163,10 @@
             draining: has(FaultKind::HostDraining),
             life: before.life + u32::from(down && !before.down),
         };
-        let slow = effects.iter().filter(|e| e.1 == FaultKind::HostSlow).map(|e| e.3);
+        let slow = effects
+            .iter()
+            .filter(|e| e.1 == FaultKind::HostSlow)
+            .map(|e| e.3);
         self.model().factor = slow.fold(1.0, f64::min);
         drop(effects);
         if before.down && !down {
@@ -176,7 +202,8 @@
     /// Pushed over: it stays down.
     fn collapse(&self, world: &World) {
         world.ledger.put(Seen::HostDown { host: self.number });
-        self.mood.send_modify(|mood| (mood.down, mood.life) = (true, mood.life + 1));
+        self.mood
+            .send_modify(|mood| (mood.down, mood.life) = (true, mood.life + 1));
     }
 
     /// Takes connections in for as long as the run lasts.
@@ -223,7 +250,11 @@
         let mut dial = None;
         let far = stream.peer_addr().ok().filter(|peer| is_linked(*peer));
         let (read, write) = stream.into_split();
-        let mut peer = Peer { lines: Lines::new(read), write: Some(write), far };
+        let mut peer = Peer {
+            lines: Lines::new(read),
+            write: Some(write),
+            far,
+        };
         let mut mood = self.mood.subscribe();
         let died = mood.wait_for(|mood| mood.life != life);
         let served = tokio::select! {
@@ -245,7 +276,10 @@
             let line = match peer.lines.next().await {
                 Line::Text(line) => line,
                 Line::Bad => {
-                    world.ledger.put(Seen::Unread { host: self.number, line: "no text".into() });
+                    world.ledger.put(Seen::Unread {
+                        host: self.number,
+                        line: "no text".into(),
+                    });
                     return peer.part("SYNTAX\r\n").await;
                 }
                 Line::Fin | Line::Reset => return,
@@ -257,14 +291,21 @@
                     if !thawed(&mut mood, &mut peer.lines).await {
                         return;
                     }
-                    let report = if line == "STATS" { self.report(world) } else { String::new() };
+                    let report = if line == "STATS" {
+                        self.report(world)
+                    } else {
+                        String::new()
+                    };
                     peer.say(&format!("PONG{report}\r\n")).await;
                 }
                 _ => match open(&line, &world.scenario) {
                     Some(open) => return self.session(world, peer, slot, open).await,
                     None => {
                         let line = line.chars().take(160).collect();
-                        world.ledger.put(Seen::Unread { host: self.number, line });
+                        world.ledger.put(Seen::Unread {
+                            host: self.number,
+                            line,
+                        });
                         return peer.part("SYNTAX\r\n").await;
                     }
                 },
@@ -280,20 +321,48 @@
             _ => format!("outstanding={}", figures.outstanding),
         };
         let fields: Vec<String> = self.fields.iter().map(field).collect();
-        if fields.is_empty() { String::new() } else { format!(" {}", fields.join(",")) }
+        if fields.is_empty() {
+            String::new()
+        } else {
+            format!(" {}", fields.join(","))
+        }
     }
 
-    async fn session(&self, world: &Arc<World>, peer: &mut Peer, slot: &mut Option<Dial>, open: Open) {
+    async fn session(
+        &self,
+        world: &Arc<World>,
+        peer: &mut Peer,
+        slot: &mut Option<Dial>,
+        open: Open,
+    ) {
         let ledger = &world.ledger;
         let (id, host, inherited) = (open.id, self.number, open.inherited);
         let number = world.new_dial();
-        let dial = slot.insert(Dial { id, number, settling: false, up: None, over: false });
-        ledger.put(Seen::Dialled { id, host, dial: number, inherited });
+        let dial = slot.insert(Dial {
+            id,
+            number,
+            settling: false,
+            up: None,
+            over: false,
+        });
+        ledger.put(Seen::Dialled {
+            id,
+            host,
+            dial: number,
+            inherited,
+        });
         // Behind a stand-in an end may come later than what was sent after it.
         let handle = peer.far.map_or_else(|| peer.lines.handle(), |_| None);
-        peer.far.into_iter().for_each(|far| world.links.named.put(far, id, number));
+        peer.far
+            .into_iter()
+            .for_each(|far| world.links.named.put(far, id, number));
         for earlier in world.out.begin(id, number, handle) {
-            ledger.put(Seen::StillOut { id, host, dial: number, earlier });
+            ledger.put(Seen::StillOut {
+                id,
+                host,
+                dial: number,
+                earlier,
+            });
         }
         let mut mood = self.mood.subscribe();
         if !thawed(&mut mood, &mut peer.lines).await {
@@ -313,7 +382,11 @@
             return dial.turn_away(self, world, peer, Reply::Err, &text).await;
         }
         if !inherited {
-            let taken = if now.draining { Taken::Full } else { self.model().arrive(ledger.now(), id) };
+            let taken = if now.draining {
+                Taken::Full
+            } else {
+                self.model().arrive(ledger.now(), id)
+            };
             match taken {
                 Taken::Full => {
                     let text = format!("BUSY{}\r\n", self.report(world));
@@ -339,8 +412,13 @@
         }
         dial.connected(self, world, &open);
         world.out.end(id, number);
-        ledger.put(Seen::Replied { id, dial: number, reply: Reply::Up });
-        peer.say(&format!("UP r-{number}\r\nLOAD {:.1}\r\n", open.work * 1e6)).await;
+        ledger.put(Seen::Replied {
+            id,
+            dial: number,
+            reply: Reply::Up,
+        });
+        peer.say(&format!("UP r-{number}\r\nLOAD {:.1}\r\n", open.work * 1e6))
+            .await;
         self.serve_open(world, peer, dial).await;
     }
 
@@ -355,7 +433,10 @@
                 let wait = u64::from(dial.number) * 131 % SENDS_AWAY;
                 sends_away = Some(Instant::now() + Duration::from_millis(wait));
             }
-            let next = answers.front().map(|answer| answer.0).filter(|_| !now.frozen());
+            let next = answers
+                .front()
+                .map(|answer| answer.0)
+                .filter(|_| !now.frozen());
             let away = sends_away.filter(|_| now.draining && !now.frozen());
             tokio::select! {
                 _ = mood.changed() => {}
@@ -417,7 +498,12 @@
     let (id, item, list) = (words.next()?, words.next()?, words.next()?);
     let id = u64::from_str_radix(id, 16).ok()?;
     u64::from_str_radix(item, 16).ok()?;
-    let mut open = Open { id, group: None, work: 0.0, inherited: false };
+    let mut open = Open {
+        id,
+        group: None,
+        work: 0.0,
+        inherited: false,
+    };
     let (mut known, mut waits) = (false, false);
     for pair in list.split(',') {
         let (name, value) = pair.split_once('=')?;
@@ -488,8 +574,19 @@
         self.up = Some((open.group, open.work));
     }
 
-    async fn turn_away(&mut self, host: &Host, world: &World, peer: &mut Peer, reply: Reply, text: &str) {
-        world.ledger.put(Seen::Replied { id: self.id, dial: self.number, reply });
+    async fn turn_away(
+        &mut self,
+        host: &Host,
+        world: &World,
+        peer: &mut Peer,
+        reply: Reply,
+        text: &str,
+    ) {
+        world.ledger.put(Seen::Replied {
+            id: self.id,
+            dial: self.number,
+            reply,
+        });
         self.end(host, world, true);
         peer.part(text).await;
     }
@@ -507,6 +604,10 @@
             model.disconnect(world.ledger.now(), group, work);
         }
         drop(model);
-        world.ledger.put(Seen::DialOver { id: self.id, dial: self.number, by_host });
+        world.ledger.put(Seen::DialOver {
+            id: self.id,
+            dial: self.number,
+            by_host,
+        });
     }
 }
--- a/rig/src/journal.rs
+++ b/rig/src/journal.rs
@@ -113,12 +113,18 @@
         };
         self.records += 1;
         // Days of another form, as the simulator's, are passed over.
-        let days =
-            record.days.into_iter().flatten().filter_map(|day| serde_json::from_value::<Day>(day).ok());
+        let days = record
+            .days
+            .into_iter()
+            .flatten()
+            .filter_map(|day| serde_json::from_value::<Day>(day).ok());
         for day in days.filter(|day| day.name.contains(kind) && day.score.is_some()) {
             if let Some(seed) = day.seed {
                 // A second draw of a panel is of the same kind.
-                let name = day.name.trim_end_matches(|c: char| c == '-' || c.is_ascii_digit()).to_string();
+                let name = day
+                    .name
+                    .trim_end_matches(|c: char| c == '-' || c.is_ascii_digit())
+                    .to_string();
                 self.days.entry((name, seed)).or_default().push(day);
             }
         }
@@ -132,16 +138,37 @@
             let figures = [
                 ("servers", first.servers),
                 ("proxies", first.nodes),
-                ("proxies a server", first.nodes.zip(first.servers).map(|(n, s)| n / s.max(1.0))),
-                ("descriptors", first.caps.as_ref().and_then(|caps| caps.get(1).copied())),
-                ("cores", first.caps.as_ref().and_then(|caps| caps.get(2).copied())),
+                (
+                    "proxies a server",
+                    first.nodes.zip(first.servers).map(|(n, s)| n / s.max(1.0)),
+                ),
+                (
+                    "descriptors",
+                    first.caps.as_ref().and_then(|caps| caps.get(1).copied()),
+                ),
+                (
+                    "cores",
+                    first.caps.as_ref().and_then(|caps| caps.get(2).copied()),
+                ),
                 ("late-seeing served", first.served_late),
             ];
-            draws.extend(figures.into_iter().filter_map(|(name, value)| Some((name.to_string(), value?))));
-            draws.extend(first.troubles.iter().flatten().map(|trouble| (format!("trouble {trouble}"), 1.0)));
+            draws.extend(
+                figures
+                    .into_iter()
+                    .filter_map(|(name, value)| Some((name.to_string(), value?))),
+            );
+            draws.extend(
+                first
+                    .troubles
+                    .iter()
+                    .flatten()
+                    .map(|trouble| (format!("trouble {trouble}"), 1.0)),
+            );
             // What it did, beside what it drew: an average over the plays.
             for name in first.signature.iter().flat_map(|did| did.keys()) {
-                let told = plays.iter().filter_map(|day| day.signature.as_ref()?.get(name)?.as_f64());
+                let told = plays
+                    .iter()
+                    .filter_map(|day| day.signature.as_ref()?.get(name)?.as_f64());
                 draws.insert(format!("did {name}"), mean(told));
             }
             Drawn {
@@ -152,7 +179,10 @@
                 served: over(|day| day.served),
                 late: over(|day| day.served_late),
                 broken: plays.iter().any(|day| {
-                    day.rules.iter().flat_map(|rules| rules.values()).any(|n| n.as_f64() > Some(0.0))
+                    day.rules
+                        .iter()
+                        .flat_map(|rules| rules.values())
+                        .any(|n| n.as_f64() > Some(0.0))
                 }),
                 draws,
             }
@@ -164,7 +194,8 @@
     pub fn table(&self) -> String {
         let (days, mut text) = (self.drawn(), String::new());
         let mut kinds: BTreeMap<&str, Vec<&Drawn>> = BTreeMap::new();
-        days.iter().for_each(|day| kinds.entry(&day.kind).or_default().push(day));
+        days.iter()
+            .for_each(|day| kinds.entry(&day.kind).or_default().push(day));
         // Writing to a string does not fail.
         let _ = writeln!(
             text,
@@ -183,7 +214,10 @@
             let sd = mean(of.iter().map(|day| (day.score - score).powi(2))).sqrt();
             let least = of.iter().min_by(|a, b| a.score.total_cmp(&b.score));
             let least = least.map_or("-".into(), |day| format!("{:.2} ({})", day.score, day.seed));
-            let (served, late) = (mean(of.iter().map(|day| day.served)), mean(of.iter().map(|day| day.late)));
+            let (served, late) = (
+                mean(of.iter().map(|day| day.served)),
+                mean(of.iter().map(|day| day.late)),
+            );
             let broken = of.iter().filter(|day| day.broken).count();
             let n = of.len();
             let _ = writeln!(
@@ -191,14 +225,32 @@
                 "| {kind} | {n} | {score:.3} ({sd:.3}) | {least} | {served:.3} | {late:.3} | {broken} |"
             );
         }
-        let _ = writeln!(text, "\n| day | seed | plays | score | served | servers | proxies | troubles |");
+        let _ = writeln!(
+            text,
+            "\n| day | seed | plays | score | served | servers | proxies | troubles |"
+        );
         let _ = writeln!(text, "| --- | --- | --- | --- | --- | --- | --- | --- |");
         for day in &days {
-            let figure = |name: &str| day.draws.get(name).map_or("-".into(), |value| format!("{value:.0}"));
-            let troubles: Vec<&str> =
-                day.draws.keys().filter_map(|name| name.strip_prefix("trouble ")).collect();
-            let Drawn { kind, seed, plays, score, served, .. } = day;
-            let (servers, proxies, troubles) = (figure("servers"), figure("proxies"), troubles.join(" "));
+            let figure = |name: &str| {
+                day.draws
+                    .get(name)
+                    .map_or("-".into(), |value| format!("{value:.0}"))
+            };
+            let troubles: Vec<&str> = day
+                .draws
+                .keys()
+                .filter_map(|name| name.strip_prefix("trouble "))
+                .collect();
+            let Drawn {
+                kind,
+                seed,
+                plays,
+                score,
+                served,
+                ..
+            } = day;
+            let (servers, proxies, troubles) =
+                (figure("servers"), figure("proxies"), troubles.join(" "));
             let _ = writeln!(
                 text,
                 "| {kind} | {seed} | {plays} | {score:.2} | {served:.3} | {servers} | {proxies} | {troubles} |"
@@ -208,9 +260,17 @@
             text,
             "\nWithin kinds: of the score, by one standard deviation of a number, or by a trouble."
         );
-        let _ = writeln!(text, "\n| draw | score | standard error | days |\n| --- | --- | --- | --- |");
+        let _ = writeln!(
+            text,
+            "\n| draw | score | standard error | days |\n| --- | --- | --- | --- |"
+        );
         for effect in effects(&days).into_iter().take(16) {
-            let Effect { draw, by, error, days } = effect;
+            let Effect {
+                draw,
+                by,
+                error,
+                days,
+            } = effect;
             let _ = writeln!(text, "| {draw} | {by:+.3} | {error:.3} | {days} |");
         }
         text
@@ -222,33 +282,56 @@
     let mut names: Vec<&String> = days.iter().flat_map(|day| day.draws.keys()).collect();
     names.sort_unstable();
     names.dedup();
-    let of_kind =
-        |kind: &str, of: &dyn Fn(&Drawn) -> f64| mean(days.iter().filter(|day| day.kind == kind).map(of));
+    let of_kind = |kind: &str, of: &dyn Fn(&Drawn) -> f64| {
+        mean(days.iter().filter(|day| day.kind == kind).map(of))
+    };
     let mut found = Vec::new();
     for name in names {
         let trouble = name.starts_with("trouble ");
-        let value =
-            |day: &Drawn| day.draws.get(name).copied().unwrap_or(if trouble { 0.0 } else { f64::NAN });
+        let value = |day: &Drawn| {
+            day.draws
+                .get(name)
+                .copied()
+                .unwrap_or(if trouble { 0.0 } else { f64::NAN })
+        };
         let known: Vec<&Drawn> = days.iter().filter(|day| value(day).is_finite()).collect();
         let off = |day: &Drawn| {
-            let (x, y) = (of_kind(&day.kind, &value), of_kind(&day.kind, &|day| day.score));
+            let (x, y) = (
+                of_kind(&day.kind, &value),
+                of_kind(&day.kind, &|day| day.score),
+            );
             (value(day) - x, day.score - y)
         };
-        let pairs: Vec<(f64, f64)> =
-            known.iter().map(|day| off(day)).filter(|pair| pair.0.is_finite()).collect();
-        let (n, xx) = (pairs.len(), pairs.iter().map(|pair| pair.0 * pair.0).sum::<f64>());
+        let pairs: Vec<(f64, f64)> = known
+            .iter()
+            .map(|day| off(day))
+            .filter(|pair| pair.0.is_finite())
+            .collect();
+        let (n, xx) = (
+            pairs.len(),
+            pairs.iter().map(|pair| pair.0 * pair.0).sum::<f64>(),
+        );
         let with = known.iter().filter(|day| value(day) > 0.5).count();
-        let kinds: std::collections::BTreeSet<&str> = known.iter().map(|day| day.kind.as_str()).collect();
+        let kinds: std::collections::BTreeSet<&str> =
+            known.iter().map(|day| day.kind.as_str()).collect();
         // A mean for each kind and the slope are taken from the days.
         let free = n.saturating_sub(kinds.len() + 1);
         if free < FEW || xx < 1e-12 || trouble && (with < FEW || known.len() - with < FEW) {
             continue;
         }
         let slope = pairs.iter().map(|pair| pair.0 * pair.1).sum::<f64>() / xx;
-        let left = pairs.iter().map(|pair| (pair.1 - slope * pair.0).powi(2)).sum::<f64>();
+        let left = pairs
+            .iter()
+            .map(|pair| (pair.1 - slope * pair.0).powi(2))
+            .sum::<f64>();
         let error = (left / free as f64 / xx).sqrt();
         let unit = if trouble { 1.0 } else { (xx / n as f64).sqrt() };
-        found.push(Effect { draw: name.clone(), by: slope * unit, error: error * unit, days: n });
+        found.push(Effect {
+            draw: name.clone(),
+            by: slope * unit,
+            error: error * unit,
+            days: n,
+        });
     }
     let told = |effect: &Effect| (effect.by / effect.error.max(1e-9)).abs();
     found.sort_by(|a, b| told(b).total_cmp(&told(a)));
--- a/rig/src/judge.rs
+++ b/rig/src/judge.rs
@@ -75,14 +75,21 @@
 impl Terms {
     pub fn of(scenario: &Scenario, hosts: Vec<(u8, u16)>, late: Duration) -> Terms {
         Terms {
-            listeners: scenario.listeners.iter().map(|l| (l.kind, l.circle, l.key_ttl)).collect(),
+            listeners: scenario
+                .listeners
+                .iter()
+                .map(|l| (l.kind, l.circle, l.key_ttl))
+                .collect(),
             hosts,
             drain_grace: scenario.platform.drain_grace,
             slack: scenario.platform.answer_slack + late,
             blur: Duration::from_millis(50) + late,
             max_dials: scenario.platform.max_dials as usize,
             figures: true,
-            order: scenario.proxies.by_worth.then(|| scenario.listeners.iter().map(|l| l.utility).collect()),
+            order: scenario
+                .proxies
+                .by_worth
+                .then(|| scenario.listeners.iter().map(|l| l.utility).collect()),
         }
     }
 }
@@ -126,7 +133,11 @@
     fn out_until(&self) -> Duration {
         let answered = self.replies.iter().find(|r| r.1 != Reply::Up).map(|r| r.0);
         let over = self.over.map(|over| over.0);
-        answered.into_iter().chain(over).min().unwrap_or(Duration::MAX)
+        answered
+            .into_iter()
+            .chain(over)
+            .min()
+            .unwrap_or(Duration::MAX)
     }
 }
 
@@ -181,33 +192,53 @@
     }
 
     /// Those that were so at any time between.
-    fn within(&self, key: &K, from: Duration, to: Duration) -> impl Iterator<Item = (Duration, Duration)> {
+    fn within(
+        &self,
+        key: &K,
+        from: Duration,
+        to: Duration,
+    ) -> impl Iterator<Item = (Duration, Duration)> {
         let spans = self.0.get(key).cloned().unwrap_or_default();
-        spans.into_iter().filter(move |span| span.0 <= to && span.1 >= from)
+        spans
+            .into_iter()
+            .filter(move |span| span.0 <= to && span.1 >= from)
     }
 }
 
 impl Lives {
     fn died(&self, proxy: u16, from: Duration, to: Duration) -> bool {
-        self.killed.get(&proxy).is_some_and(|all| all.iter().any(|at| (from..=to).contains(at)))
+        self.killed
+            .get(&proxy)
+            .is_some_and(|all| all.iter().any(|at| (from..=to).contains(at)))
     }
 
     /// How long ago, at a time, a proxy was first told that a host takes nothing more, if that still holds.
     fn drained_for(&self, proxy: u16, host: u16, at: Duration) -> Option<Duration> {
         let mut since = None;
-        for (when, standing, _) in self.told.get(&(proxy, host))?.iter().take_while(|t| t.0 <= at) {
+        for (when, standing, _) in self
+            .told
+            .get(&(proxy, host))?
+            .iter()
+            .take_while(|t| t.0 <= at)
+        {
             match standing {
                 Standing::Ready => since = None,
                 _ => since = since.or(Some(*when)),
             }
         }
         // One that was stopped has had no time to heed what it was told.
-        let woke = self.stalls.within(&proxy, Duration::ZERO, at).map(|stall| stall.1.min(at)).max();
+        let woke = self
+            .stalls
+            .within(&proxy, Duration::ZERO, at)
+            .map(|stall| stall.1.min(at))
+            .max();
         since.map(|since| at.saturating_sub(since.max(woke.unwrap_or_default())))
     }
 
     fn told_start(&self, proxy: u16, host: u16, started: Option<Duration>) -> bool {
-        self.told.get(&(proxy, host)).is_some_and(|told| told.iter().any(|t| t.2 == started))
+        self.told
+            .get(&(proxy, host))
+            .is_some_and(|told| told.iter().any(|t| t.2 == started))
     }
 }
 
@@ -221,14 +252,26 @@
     let mut dead = HashSet::new();
     for Record { at, seen } in records {
         match seen {
-            Seen::ProxyDead { proxy } | Seen::ProxyExited { proxy, .. } => drop(dead.insert(*proxy)),
+            Seen::ProxyDead { proxy } | Seen::ProxyExited { proxy, .. } => {
+                drop(dead.insert(*proxy))
+            }
             Seen::ProxyStarted { proxy } | Seen::ProxyServes { proxy } => drop(dead.remove(proxy)),
             Seen::Told { proxy, .. } if dead.contains(proxy) => continue,
             _ => {}
         }
         let case = seen.id().map(|id| cases.entry(id).or_default());
         match (seen, case) {
-            (Seen::Asked { proxy, place, listener, wait, inherited, .. }, Some(case)) => {
+            (
+                Seen::Asked {
+                    proxy,
+                    place,
+                    listener,
+                    wait,
+                    inherited,
+                    ..
+                },
+                Some(case),
+            ) => {
                 case.place = *place;
                 (case.asked, case.inherited) = (Some((*at, *proxy, *listener, *wait)), *inherited);
             }
@@ -238,17 +281,39 @@
             (Seen::Ended { end, told, .. }, Some(case)) => case.ended = Some((*at, *end, *told)),
             (Seen::Garbled { line, .. }, Some(case)) => case.garbled.push(line.clone()),
             (Seen::Held { span, .. }, Some(case)) => case.held.push(*span),
-            (Seen::Dialled { host, dial, inherited, .. }, Some(case)) => {
+            (
+                Seen::Dialled {
+                    host,
+                    dial,
+                    inherited,
+                    ..
+                },
+                Some(case),
+            ) => {
                 let (host, inherited) = (*host, *inherited);
-                let dialled = Dial { host, whole: *at, replies: Vec::new(), over: None, inherited };
+                let dialled = Dial {
+                    host,
+                    whole: *at,
+                    replies: Vec::new(),
+                    over: None,
+                    inherited,
+                };
                 case.dials.insert(*dial, dialled);
             }
-            (Seen::StillOut { dial, earlier, .. }, Some(case)) => case.twice.push((*earlier, *dial)),
+            (Seen::StillOut { dial, earlier, .. }, Some(case)) => {
+                case.twice.push((*earlier, *dial))
+            }
             (Seen::Replied { dial, reply, .. }, Some(case)) => {
-                case.dials.get_mut(dial).into_iter().for_each(|d| d.replies.push((*at, *reply)));
+                case.dials
+                    .get_mut(dial)
+                    .into_iter()
+                    .for_each(|d| d.replies.push((*at, *reply)));
             }
             (Seen::DialOver { dial, by_host, .. }, Some(case)) => {
-                case.dials.get_mut(dial).into_iter().for_each(|d| d.over = d.over.or(Some((*at, *by_host))));
+                case.dials
+                    .get_mut(dial)
+                    .into_iter()
+                    .for_each(|d| d.over = d.over.or(Some((*at, *by_host))));
             }
             (Seen::ProxyKilled { proxy } | Seen::ProxyDead { proxy }, _) => {
                 lives.killed.entry(*proxy).or_default().push(*at)
@@ -259,14 +324,30 @@
                 let what = format!("the process beside proxy {proxy} never said yes");
                 plain.push((Rule::OperatorsAnswered, *at, what));
             }
-            (Seen::Told { proxy, host, standing, started }, _) => {
-                lives.told.entry((*proxy, *host)).or_default().push((*at, *standing, *started));
+            (
+                Seen::Told {
+                    proxy,
+                    host,
+                    standing,
+                    started,
+                },
+                _,
+            ) => {
+                lives
+                    .told
+                    .entry((*proxy, *host))
+                    .or_default()
+                    .push((*at, *standing, *started));
             }
             (Seen::Rude { owed, served, sort }, _) => {
                 verdict.tally.bad_clients += 1;
                 verdict.tally.bad_clients_owed += u64::from(*owed);
                 if *served {
-                    plain.push((Rule::NoSessionLost, *at, format!("a bad client ({sort}) was served")));
+                    plain.push((
+                        Rule::NoSessionLost,
+                        *at,
+                        format!("a bad client ({sort}) was served"),
+                    ));
                 }
             }
             (Seen::Unread { host, line }, _) => {
@@ -275,7 +356,11 @@
             }
             (Seen::ProxyExited { proxy, code, asked }, _) if !asked || *code != Some(0) => {
                 let why = if *asked { "after SIGTERM" } else { "by itself" };
-                plain.push((Rule::ProxyStays, *at, format!("proxy {proxy} ended {why}, code {code:?}")));
+                plain.push((
+                    Rule::ProxyStays,
+                    *at,
+                    format!("proxy {proxy} ended {why}, code {code:?}"),
+                ));
             }
             _ => {}
         }
@@ -285,11 +370,19 @@
     }
     plain.extend(order::found(&cases, terms));
     for (rule, at, what) in plain {
-        verdict.breaches.push(Breach { rule, what, timeline: vec![around(records, at)] });
+        verdict.breaches.push(Breach {
+            rule,
+            what,
+            timeline: vec![around(records, at)],
+        });
     }
     for (id, case) in &cases {
         for (rule, what) in found(case, terms, &lives, end) {
-            verdict.breaches.push(Breach { rule, what, timeline: timeline(records, *id) });
+            verdict.breaches.push(Breach {
+                rule,
+                what,
+                timeline: timeline(records, *id),
+            });
         }
         count(case, &lives, end, &mut verdict.tally);
     }
@@ -302,9 +395,14 @@
             let knowing = by.iter().filter(|id| knew(id)).count();
             if knowing * 3 >= by.len() * 2 {
                 let all = by.len();
-                let what = format!("host {host} collapsed: {knowing} of {all} set-ups knew it to be cold");
+                let what =
+                    format!("host {host} collapsed: {knowing} of {all} set-ups knew it to be cold");
                 let timeline = vec![around(records, *at)];
-                verdict.breaches.push(Breach { rule: Rule::NoColdServerPushedOver, what, timeline });
+                verdict.breaches.push(Breach {
+                    rule: Rule::NoColdServerPushedOver,
+                    what,
+                    timeline,
+                });
             }
         }
     }
@@ -312,7 +410,9 @@
 }
 
 fn count(case: &Case, lives: &Lives, end: Duration, tally: &mut Tally) {
-    let Some((at, proxy, ..)) = case.asked else { return };
+    let Some((at, proxy, ..)) = case.asked else {
+        return;
+    };
     tally.sessions += 1;
     tally.dials += case.dials.len() as u64;
     match case.answers.first().map(|a| &a.1) {
@@ -327,13 +427,16 @@
 
 /// Every breach in one session's life.
 fn found(case: &Case, terms: &Terms, lives: &Lives, end: Duration) -> Vec<(Rule, String)> {
-    let Some((asked, proxy, listener, wait)) = case.asked else { return Vec::new() };
+    let Some((asked, proxy, listener, wait)) = case.asked else {
+        return Vec::new();
+    };
     let mut found = Vec::new();
     let mut lost = |what: String| found.push((Rule::NoSessionLost, what));
     let (kind, circle, ttl) = terms.listeners[usize::from(listener)];
     let answered = case.answers.first();
     // A client may note its asking a moment after the kernel has taken the proxy down under it.
-    let gone_with_proxy = |to: Duration| lives.died(proxy, asked.saturating_sub(terms.blur), to + terms.blur);
+    let gone_with_proxy =
+        |to: Duration| lives.died(proxy, asked.saturating_sub(terms.blur), to + terms.blur);
     if case.answers.len() > 1 {
         lost(format!("{} final answers", case.answers.len()));
     }
@@ -341,33 +444,65 @@
     let due = lives
         .stalls
         .within(&proxy, asked, asked + wait + terms.slack)
-        .fold(asked + wait + terms.slack, |due, stall| due.max(stall.1.saturating_add(terms.slack)));
+        .fold(asked + wait + terms.slack, |due, stall| {
+            due.max(stall.1.saturating_add(terms.slack))
+        });
     let way = Ends::Clients(case.place, proxy);
-    let apart = |to: Duration| lives.ways.within(&way, asked.saturating_sub(terms.blur), to).next().is_some();
+    let apart = |to: Duration| {
+        lives
+            .ways
+            .within(&way, asked.saturating_sub(terms.blur), to)
+            .next()
+            .is_some()
+    };
     match (answered, case.left, case.cut) {
         (_, _, _) if apart(due.saturating_add(terms.blur)) => {}
         (Some((at, _)), ..) if *at > due && !case.inherited => {
-            lost(format!("answered {} ms after its time", at.saturating_sub(asked + wait).as_millis()));
+            lost(format!(
+                "answered {} ms after its time",
+                at.saturating_sub(asked + wait).as_millis()
+            ));
         }
         (Some(_), ..) => {}
         (None, Some(left), _) if left <= due => {}
         (None, _, Some((at, _))) if gone_with_proxy(at) => {}
-        (None, _, Some((_, how))) => lost(format!("its connection ended by {how:?} without an answer")),
+        (None, _, Some((_, how))) => {
+            lost(format!("its connection ended by {how:?} without an answer"))
+        }
         (None, ..) if end < due || gone_with_proxy(due) || case.inherited => {}
         (None, ..) => lost("no answer in time".into()),
     }
     for line in &case.garbled {
         lost(format!("it was told {line:?}, which no host said"));
     }
-    let stalled = lives.stalls.within(&proxy, asked, Duration::MAX).next().is_some();
-    let mut ways = case.dials.values().map(|dial| Ends::Proxy(proxy, dial.host));
-    let parted = ways.any(|way| lives.ways.within(&way, asked, Duration::MAX).next().is_some());
-    let held = case.held.iter().filter(|_| !stalled && !parted && !apart(Duration::MAX));
+    let stalled = lives
+        .stalls
+        .within(&proxy, asked, Duration::MAX)
+        .next()
+        .is_some();
+    let mut ways = case
+        .dials
+        .values()
+        .map(|dial| Ends::Proxy(proxy, dial.host));
+    let parted = ways.any(|way| {
+        lives
+            .ways
+            .within(&way, asked, Duration::MAX)
+            .next()
+            .is_some()
+    });
+    let held = case
+        .held
+        .iter()
+        .filter(|_| !stalled && !parted && !apart(Duration::MAX));
     for span in held.filter(|span| **span > Duration::from_secs(1) + terms.blur) {
         lost(format!("a line was held back for {} ms", span.as_millis()));
     }
     if let Some((at, how, false)) = case.ended {
-        let up = case.dials.values().find(|d| d.replies.iter().any(|r| r.1 == Reply::Up));
+        let up = case
+            .dials
+            .values()
+            .find(|d| d.replies.iter().any(|r| r.1 == Reply::Up));
         let by_host = up.is_some_and(|d| d.over.is_none_or(|(_, by_host)| by_host));
         if !by_host && !lives.died(proxy, asked, at + terms.blur) && !apart(at + terms.blur) {
             lost(format!("its open connection was cut off by {how:?}"));
@@ -376,17 +511,29 @@
     let dials: Vec<&Dial> = case.dials.values().collect();
     if let Some((at, _)) = answered {
         for dial in dials.iter().filter(|d| d.whole > *at + terms.blur) {
-            lost(format!("dialled at host {} after its final answer", dial.host));
+            lost(format!(
+                "dialled at host {} after its final answer",
+                dial.host
+            ));
         }
     }
     if dials.len() > terms.max_dials {
         lost(format!("{} dials", dials.len()));
     }
-    let seen_out = |pair: &[(&u32, &Dial)]| case.twice.iter().any(|two| *two == (*pair[0].0, *pair[1].0));
+    let seen_out = |pair: &[(&u32, &Dial)]| {
+        case.twice
+            .iter()
+            .any(|two| *two == (*pair[0].0, *pair[1].0))
+    };
     for pair in case.dials.iter().collect::<Vec<_>>().windows(2) {
-        let [(_, first), (_, second)] = pair else { continue };
+        let [(_, first), (_, second)] = pair else {
+            continue;
+        };
         if first.out_until() > second.whole + terms.blur || seen_out(pair) {
-            let what = format!("dials at hosts {} and {} were out at once", first.host, second.host);
+            let what = format!(
+                "dials at hosts {} and {} were out at once",
+                first.host, second.host
+            );
             found.push((Rule::NeverTwoDials, what));
         }
     }
@@ -395,7 +542,10 @@
     {
         let at = dials[first];
         for next in &dials[first + 1..] {
-            let (here, there) = (terms.hosts[usize::from(at.host)], terms.hosts[usize::from(next.host)]);
+            let (here, there) = (
+                terms.hosts[usize::from(at.host)],
+                terms.hosts[usize::from(next.host)],
+            );
             let same = match circle {
                 Circle::All => true,
                 Circle::Zone => here.0 == there.0,
@@ -403,7 +553,10 @@
             };
             let late = next.whole.saturating_sub(at.whole) > ttl + terms.blur;
             if kind == Kind::OnceOnly || !same || late {
-                let what = format!("dialled at host {} though host {} may have run it", next.host, at.host);
+                let what = format!(
+                    "dialled at host {} though host {} may have run it",
+                    next.host, at.host
+                );
                 found.push((Rule::NoEffectTwice, what));
             }
         }
@@ -416,7 +569,11 @@
     for dial in dials.iter().filter(|d| !d.inherited) {
         let since = lives.drained_for(proxy, dial.host, dial.whole);
         if let Some(since) = since.filter(|since| *since > terms.drain_grace + terms.blur) {
-            let what = format!("dialled at host {} {} ms after its drain", dial.host, since.as_millis());
+            let what = format!(
+                "dialled at host {} {} ms after its drain",
+                dial.host,
+                since.as_millis()
+            );
             found.push((Rule::DrainsKept, what));
         }
     }
@@ -426,7 +583,9 @@
 /// The records of one session, the newest that matter of its proxy and hosts among them.
 fn timeline(records: &[Record], id: Id) -> Vec<String> {
     let own: Vec<&Record> = records.iter().filter(|r| r.seen.id() == Some(id)).collect();
-    let (Some(first), Some(last)) = (own.first(), own.last()) else { return Vec::new() };
+    let (Some(first), Some(last)) = (own.first(), own.last()) else {
+        return Vec::new();
+    };
     let (mut proxies, mut hosts) = (Vec::new(), Vec::new());
     for record in &own {
         match record.seen {
@@ -437,18 +596,29 @@
     }
     let near = |r: &&Record| match r.seen {
         Seen::Told { proxy, host, .. } => proxies.contains(&proxy) && hosts.contains(&host),
-        Seen::HostDown { host } | Seen::HostUp { host } => hosts.contains(&host) && r.at >= first.at,
+        Seen::HostDown { host } | Seen::HostUp { host } => {
+            hosts.contains(&host) && r.at >= first.at
+        }
         Seen::ProxyKilled { proxy } | Seen::ProxyDead { proxy } | Seen::ProxyLeaves { proxy } => {
             proxies.contains(&proxy)
         }
         Seen::Fault { .. } => r.at >= first.at,
         _ => r.seen.id() == Some(id),
     };
-    records.iter().filter(near).filter(|r| r.at <= last.at).map(line).collect()
+    records
+        .iter()
+        .filter(near)
+        .filter(|r| r.at <= last.at)
+        .map(line)
+        .collect()
 }
 
 fn around(records: &[Record], at: Duration) -> String {
-    records.iter().find(|r| r.at == at).map(line).unwrap_or_default()
+    records
+        .iter()
+        .find(|r| r.at == at)
+        .map(line)
+        .unwrap_or_default()
 }
 
 fn line(record: &Record) -> String {
--- a/rig/src/judge/order.rs
+++ b/rig/src/judge/order.rs
@@ -16,7 +16,9 @@
 fn sums<'a>(cases: impl Iterator<Item = &'a Case>) -> Sums {
     let mut seconds: HashMap<(u16, u64), Sums> = HashMap::new();
     for case in cases.filter(|case| !case.inherited) {
-        let (Some((at, proxy, listener, _)), Some((_, answer))) = (case.asked, case.answers.first()) else {
+        let (Some((at, proxy, listener, _)), Some((_, answer))) =
+            (case.asked, case.answers.first())
+        else {
             continue;
         };
         let refused = matches!(answer, Answer::Busy(_)) && case.dials.is_empty();
@@ -25,7 +27,10 @@
         *sum = (sum.0 + 1, sum.1 + u64::from(refused));
     }
     let mut all = Sums::new();
-    for second in seconds.into_values().filter(|second| second.values().any(|sum| sum.1 > 0)) {
+    for second in seconds
+        .into_values()
+        .filter(|second| second.values().any(|sum| sum.1 > 0))
+    {
         for (listener, sum) in second {
             let of = all.entry(listener).or_default();
             *of = (of.0 + sum.0, of.1 + sum.1);
@@ -36,16 +41,24 @@
 
 /// Listeners of which more is refused than of one that is worth less, where utility is to decide.
 pub(super) fn found(cases: &BTreeMap<Id, Case>, terms: &Terms) -> Vec<(Rule, Duration, String)> {
-    let Some(utilities) = &terms.order else { return Vec::new() };
+    let Some(utilities) = &terms.order else {
+        return Vec::new();
+    };
     let sums = sums(cases.values());
-    let worth = |listener: u8| utilities.get(usize::from(listener)).copied().unwrap_or_default();
+    let worth = |listener: u8| {
+        utilities
+            .get(usize::from(listener))
+            .copied()
+            .unwrap_or_default()
+    };
     let mut found = Vec::new();
     for (more, (all, refused)) in &sums {
         for (less, (others, so)) in sums.iter().filter(|(less, _)| worth(**less) < worth(*more)) {
             let (of, beside) = (*refused as f64 / *all as f64, *so as f64 / *others as f64);
             if *all >= FEW && *others >= FEW && of > beside + CHANCE {
-                let what =
-                    format!("of listener {more} {of:.2} were refused, of {less}, worth less, {beside:.2}");
+                let what = format!(
+                    "of listener {more} {of:.2} were refused, of {less}, worth less, {beside:.2}"
+                );
                 found.push((Rule::RefusedInOrder, Duration::ZERO, what));
             }
         }
--- a/rig/src/leave.rs
+++ b/rig/src/leave.rs
@@ -56,9 +56,15 @@
             "[[faults]]\nat = \"{AT}s\"\nfor = \"{}s\"\nkind = \"proxy-leaves\"\non = [0]",
             BACK_AT - AT
         ),
-        By::Roll => "[[faults]]\nat = \"20s\"\nfor = \"8s\"\nkind = \"host-silent\"\non = [3]".into(),
+        By::Roll => {
+            "[[faults]]\nat = \"20s\"\nfor = \"8s\"\nkind = \"host-silent\"\non = [3]".into()
+        }
+    };
+    let roll = if by == By::Roll {
+        "roll_at = \"5s\""
+    } else {
+        ""
     };
-    let roll = if by == By::Roll { "roll_at = \"5s\"" } else { "" };
     let rate = f64::from(standing) / 40.0;
     format!(
         r#"
@@ -101,7 +107,13 @@
 pub async fn emptied(by: By, sessions: u32, program: &Program) -> Result<Emptied, Fault> {
     let scenario = Scenario::read(&text(by, sessions)).map_err(Fault::Input)?;
     let folder = own_folder();
-    let job = Job { seed: 3, chaos: None, program: program.clone(), folder: folder.clone(), progress: false };
+    let job = Job {
+        seed: 3,
+        chaos: None,
+        program: program.clone(),
+        folder: folder.clone(),
+        progress: false,
+    };
     let ran = run(scenario, &job).await;
     let _ = std::fs::remove_dir_all(&folder);
     let ran = ran?;
@@ -112,23 +124,33 @@
         .take(2)
         .for_each(|b| eprintln!("{}: {}\n{}", b.rule, b.what, b.timeline.join("\n")));
     let begin = ran.world.begin.borrow().unwrap_or_default();
-    let (from, until) = (begin + Duration::from_secs(AT), begin + Duration::from_secs(BACK_AT));
+    let (from, until) = (
+        begin + Duration::from_secs(AT),
+        begin + Duration::from_secs(BACK_AT),
+    );
     let moves = moved(&ran.records, (by != By::Roll).then_some(0), from, until);
     let most = (0..moves.len()).map(|at| {
         let end = moves[at] + Duration::from_secs(1);
         moves[at..].iter().take_while(|t| **t < end).count()
     });
-    let asked = ran.records.iter().find(|r| r.at >= until && matches!(r.seen, Seen::Asked { proxy: 0, .. }));
+    let asked = ran
+        .records
+        .iter()
+        .find(|r| r.at >= until && matches!(r.seen, Seen::Asked { proxy: 0, .. }));
     Ok(Emptied {
         by,
         sessions,
         moved: moves.len(),
-        took: moves.last().map_or(Duration::ZERO, |last| last.saturating_sub(from)),
+        took: moves
+            .last()
+            .map_or(Duration::ZERO, |last| last.saturating_sub(from)),
         most: most.max().unwrap_or(0),
         peak_load: report.hosts.peak,
         well_served: report.service.whole,
         worst_ten: report.service.worst_ten_seconds,
-        back: (by == By::Drain).then(|| asked.map(|r| r.at.saturating_sub(until))).flatten(),
+        back: (by == By::Drain)
+            .then(|| asked.map(|r| r.at.saturating_sub(until)))
+            .flatten(),
         rolled: ran.rolled.clone(),
         held: report.rules_held,
         rig_late_ms: report.rig_late_ms,
--- a/rig/src/ledger.rs
+++ b/rig/src/ledger.rs
@@ -221,8 +221,14 @@
 
 impl Default for Ledger {
     fn default() -> Self {
-        let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        Ledger { start: Instant::now(), unix, records: Mutex::default() }
+        let unix = std::time::SystemTime::now()
+            .duration_since(std::time::UNIX_EPOCH)
+            .unwrap_or_default();
+        Ledger {
+            start: Instant::now(),
+            unix,
+            records: Mutex::default(),
+        }
     }
 }
 
@@ -232,7 +238,10 @@
     }
 
     pub fn put(&self, seen: Seen) {
-        self.records().push(Record { at: self.now(), seen });
+        self.records().push(Record {
+            at: self.now(),
+            seen,
+        });
     }
 
     pub fn take(&self) -> Vec<Record> {
@@ -240,6 +249,8 @@
     }
 
     fn records(&self) -> std::sync::MutexGuard<'_, Vec<Record>> {
-        self.records.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.records
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 }
--- a/rig/src/lines.rs
+++ b/rig/src/lines.rs
@@ -29,7 +29,12 @@
 
 impl Lines {
     pub fn new(half: OwnedReadHalf) -> Lines {
-        Lines { half, bytes: VecDeque::new(), seen: 0, ended: None }
+        Lines {
+            half,
+            bytes: VecDeque::new(),
+            seen: 0,
+            ended: None,
+        }
     }
 
     /// The next line without its end. Nothing is lost if the future is dropped.
@@ -91,7 +96,9 @@
         };
         self.seen = 0;
         let line: Vec<u8> = self.bytes.drain(..=end).collect();
-        let text = line.strip_suffix(b"\r\n").and_then(|line| std::str::from_utf8(line).ok());
+        let text = line
+            .strip_suffix(b"\r\n")
+            .and_then(|line| std::str::from_utf8(line).ok());
         Some(match text {
             Some(text) if line.len() <= LONGEST => Line::Text(text.to_string()),
             _ => Line::Bad,
--- a/rig/src/link.rs
+++ b/rig/src/link.rs
@@ -40,7 +40,11 @@
 
 impl Mood {
     fn drops(&self, there: bool) -> bool {
-        if there { self.drops_there } else { self.drops_back }
+        if there {
+            self.drops_there
+        } else {
+            self.drops_back
+        }
     }
 
     fn is_cut(&self) -> bool {
@@ -107,10 +111,13 @@
 
 impl Links {
     /// Opens a way for each pair of ends and what it leads to. They serve once `serve` is called.
-    pub async fn open(pairs: Vec<(Ends, SocketAddr)>) -> std::io::Result<(Links, Vec<TcpListener>)> {
+    pub async fn open(
+        pairs: Vec<(Ends, SocketAddr)>,
+    ) -> std::io::Result<(Links, Vec<TcpListener>)> {
         let (mut links, mut doors) = (Links::default(), Vec::new());
         for (ends, target) in pairs {
-            let door = TcpListener::bind(SocketAddr::from(([NETWORK[0], NETWORK[1], 0, 1], 0))).await?;
+            let door =
+                TcpListener::bind(SocketAddr::from(([NETWORK[0], NETWORK[1], 0, 1], 0))).await?;
             let link = Link {
                 ends,
                 address: door.local_addr()?,
@@ -139,7 +146,11 @@
 impl Link {
     /// A fault, known by its number, begins on this way.
     pub fn begin(&self, fault: usize, mood: Mood, half_open: bool) {
-        self.effects().push(Effect { fault, mood, half_open });
+        self.effects().push(Effect {
+            fault,
+            mood,
+            half_open,
+        });
         self.settle();
     }
 
@@ -162,7 +173,9 @@
     }
 
     fn effects(&self) -> MutexGuard<'_, Vec<Effect>> {
-        self.effects.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.effects
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 
     fn settle(&self) {
@@ -220,11 +233,17 @@
         let mut broken = self.broken.subscribe();
         broken.mark_unchanged();
         let (from, to) = near.into_split();
-        let mut near = Side { read: from, write: Some(to) };
+        let mut near = Side {
+            read: from,
+            write: Some(to),
+        };
         let Some((far, own)) = self.reach().await else {
             // Who dialled was taken in by the way alone, where the other side would have refused.
             for fails in [true, self.fails()] {
-                world.ledger.put(Seen::WayFails { ends: self.ends, fails });
+                world.ledger.put(Seen::WayFails {
+                    ends: self.ends,
+                    fails,
+                });
             }
             return near.reset();
         };
@@ -233,10 +252,15 @@
             return;
         }
         let (from, to) = far.into_split();
-        let mut far = Side { read: from, write: Some(to) };
+        let mut far = Side {
+            read: from,
+            write: Some(to),
+        };
         let mut mood = self.mood.subscribe();
         let how = {
-            let (Some(to_near), Some(to_far)) = (&mut near.write, &mut far.write) else { return };
+            let (Some(to_near), Some(to_far)) = (&mut near.write, &mut far.write) else {
+                return;
+            };
             tokio::select! {
                 ended = self.pass(true, &mut near.read, to_far) => Over::Near(ended),
                 ended = self.pass(false, &mut far.read, to_near) => Over::Far(ended),
@@ -273,8 +297,13 @@
     /// Connects on, from an address by which the far side knows a way.
     async fn reach(&self) -> Option<(TcpStream, SocketAddr)> {
         let socket = TcpSocket::new_v4().ok()?;
-        socket.bind(SocketAddr::from(([NETWORK[0], NETWORK[1], 1, 1], 0))).ok()?;
-        let far = timeout(CONNECT, socket.connect(self.target)).await.ok()?.ok()?;
+        socket
+            .bind(SocketAddr::from(([NETWORK[0], NETWORK[1], 1, 1], 0)))
+            .ok()?;
+        let far = timeout(CONNECT, socket.connect(self.target))
+            .await
+            .ok()?
+            .ok()?;
         let _ = far.set_nodelay(true);
         let own = far.local_addr().ok()?;
         Some((far, own))
@@ -296,7 +325,11 @@
             if now.drops(there) {
                 // Nothing is read, as nothing may arrive; that the source has gone is seen all the same.
                 let gone = async {
-                    while !from.ready(Interest::READABLE).await.is_ok_and(|ready| ready.is_read_closed()) {
+                    while !from
+                        .ready(Interest::READABLE)
+                        .await
+                        .is_ok_and(|ready| ready.is_read_closed())
+                    {
                         sleep(LOOK).await;
                     }
                 };
@@ -368,15 +401,35 @@
 pub fn mood(kind: FaultKind, much: f64, span: Duration) -> Mood {
     let whole = Mood::default();
     match kind {
-        FaultKind::LinkDropped | FaultKind::PlaceCut | FaultKind::PlaceFlaps => {
-            Mood { drops_there: true, drops_back: true, ..whole }
-        }
-        FaultKind::LinkDroppedThere => Mood { drops_there: true, ..whole },
-        FaultKind::LinkDroppedBack => Mood { drops_back: true, ..whole },
-        FaultKind::LinkRefused => Mood { refuses: true, ..whole },
-        FaultKind::LinkReset => Mood { resets: true, ..whole },
-        FaultKind::LinkDelayed => Mood { delay: span, ..whole },
-        FaultKind::LinkSlowed => Mood { pace: Some(much), ..whole },
+        FaultKind::LinkDropped | FaultKind::PlaceCut | FaultKind::PlaceFlaps => Mood {
+            drops_there: true,
+            drops_back: true,
+            ..whole
+        },
+        FaultKind::LinkDroppedThere => Mood {
+            drops_there: true,
+            ..whole
+        },
+        FaultKind::LinkDroppedBack => Mood {
+            drops_back: true,
+            ..whole
+        },
+        FaultKind::LinkRefused => Mood {
+            refuses: true,
+            ..whole
+        },
+        FaultKind::LinkReset => Mood {
+            resets: true,
+            ..whole
+        },
+        FaultKind::LinkDelayed => Mood {
+            delay: span,
+            ..whole
+        },
+        FaultKind::LinkSlowed => Mood {
+            pace: Some(much),
+            ..whole
+        },
         _ => whole,
     }
 }
--- a/rig/src/load.rs
+++ b/rig/src/load.rs
@@ -96,7 +96,9 @@
     }
 
     fn warmth(&self, now: Duration) -> f64 {
-        let up = self.started.map_or(self.nature.warm_after, |at| now.saturating_sub(at));
+        let up = self
+            .started
+            .map_or(self.nature.warm_after, |at| now.saturating_sub(at));
         let part = (up.as_secs_f64() / self.nature.warm_after.as_secs_f64().max(1e-9)).min(1.0);
         self.nature.cold_share + (1.0 - self.nature.cold_share) * part
     }
@@ -116,12 +118,23 @@
         let span = now.saturating_sub(self.at).as_secs_f64();
         self.backlog = (self.backlog + (self.asked(now) - 1.0) * span).clamp(0.0, LONGEST);
         self.at = self.at.max(now);
-        let figures = Figures { asked: self.asked(now), outstanding: self.open };
+        let figures = Figures {
+            asked: self.asked(now),
+            outstanding: self.open,
+        };
         // One sample in twenty milliseconds tells as much as all.
-        if self.told.back().is_none_or(|last| now.saturating_sub(last.0) >= Duration::from_millis(20)) {
+        if self
+            .told
+            .back()
+            .is_none_or(|last| now.saturating_sub(last.0) >= Duration::from_millis(20))
+        {
             self.told.push_back((now, figures));
         }
-        while self.told.get(1).is_some_and(|next| now.saturating_sub(next.0) >= self.nature.report_age) {
+        while self
+            .told
+            .get(1)
+            .is_some_and(|next| now.saturating_sub(next.0) >= self.nature.report_age)
+        {
             self.told.pop_front();
         }
     }
@@ -132,7 +145,11 @@
         let work = self.nature.set_up_work.as_secs_f64();
         let window = self.nature.overload_for;
         self.pressed.push_back((now, work, from));
-        while self.pressed.front().is_some_and(|p| now.saturating_sub(p.0) > window) {
+        while self
+            .pressed
+            .front()
+            .is_some_and(|p| now.saturating_sub(p.0) > window)
+        {
             self.pressed.pop_front();
         }
         if self.is_cold(now) {
@@ -199,7 +216,10 @@
         self.pass(now);
         let old = self.told.front().map(|told| told.1).unwrap_or_default();
         let off = 1.0 + self.nature.report_noise * (self.draw() * 2.0 - 1.0);
-        Figures { asked: old.asked * off, outstanding: old.outstanding }
+        Figures {
+            asked: old.asked * off,
+            outstanding: old.outstanding,
+        }
     }
 
     fn draw(&mut self) -> f64 {
--- a/rig/src/logs.rs
+++ b/rig/src/logs.rs
@@ -38,7 +38,10 @@
 impl Logs {
     /// Nothing yet; rows span so many seconds, at least one.
     pub fn new(span: u64) -> Logs {
-        Logs { span: span.max(1), ..Logs::default() }
+        Logs {
+            span: span.max(1),
+            ..Logs::default()
+        }
     }
 
     /// All files of a folder whose names end in `.log`. Errors name the folder or file.
@@ -58,7 +61,8 @@
         for path in paths {
             let name = path.file_name().unwrap_or_default().to_string_lossy();
             let file = File::open(&path).map_err(|e| told(&path, e))?;
-            logs.take(&name, BufReader::new(file)).map_err(|e| told(&path, e))?;
+            logs.take(&name, BufReader::new(file))
+                .map_err(|e| told(&path, e))?;
         }
         Ok(logs)
     }
@@ -76,7 +80,9 @@
                 continue;
             }
             self.lines += 1;
-            let read = std::str::from_utf8(&line).ok().is_some_and(|text| self.line(proxy, text));
+            let read = std::str::from_utf8(&line)
+                .ok()
+                .is_some_and(|text| self.line(proxy, text));
             if !read {
                 self.bad += 1;
                 if self.named.len() < NAMED {
@@ -95,7 +101,9 @@
             return false;
         }
         at.is_some().then(|| words.next());
-        let Some(code) = words.next() else { return false };
+        let Some(code) = words.next() else {
+            return false;
+        };
         if code.contains('=') {
             return true;
         }
@@ -105,17 +113,29 @@
         }
         let add = |counts: &mut Counts| *counts.entry(code.to_string()).or_default() += 1;
         add(&mut self.codes);
-        self.loggers.entry(code.to_string()).or_default().insert(proxy);
-        add(self.rows.entry(at.map(|at| at as u64 / self.span * self.span)).or_default());
+        self.loggers
+            .entry(code.to_string())
+            .or_default()
+            .insert(proxy);
+        add(self
+            .rows
+            .entry(at.map(|at| at as u64 / self.span * self.span))
+            .or_default());
         let server = words.find_map(|word| word.strip_prefix("server="));
-        server.filter(|uid| *uid != "-").into_iter().for_each(|uid| {
-            add(self.servers.entry(uid.to_string()).or_default());
-        });
+        server
+            .filter(|uid| *uid != "-")
+            .into_iter()
+            .for_each(|uid| {
+                add(self.servers.entry(uid.to_string()).or_default());
+            });
         true
     }
 
     pub fn table(&self) -> String {
-        let mut out = format!("{} proxies, {} lines, {} bad", self.proxies, self.lines, self.bad);
+        let mut out = format!(
+            "{} proxies, {} lines, {} bad",
+            self.proxies, self.lines, self.bad
+        );
         if !self.named.is_empty() {
             let _ = write!(out, ", first at {}", self.named.join(", "));
         }
@@ -141,5 +161,8 @@
 fn joined(counts: &Counts) -> String {
     let mut all: Vec<_> = counts.iter().collect();
     all.sort_by_key(|(code, n)| (std::cmp::Reverse(**n), *code));
-    all.iter().map(|(code, n)| format!("{code} {n}")).collect::<Vec<_>>().join("  ")
+    all.iter()
+        .map(|(code, n)| format!("{code} {n}"))
+        .collect::<Vec<_>>()
+        .join("  ")
 }
