--- a/rig/src/main.rs
+++ b/rig/src/main.rs
@@ -148,9 +148,15 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_target(false).without_time();
+    let log = tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_target(false)
+        .without_time();
     log.with_max_level(tracing::Level::INFO).init();
-    let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(e) => return fail(&Fault::Run(e.to_string())),
     };
@@ -171,7 +177,9 @@
 
 async fn asked_to_stop() {
     use tokio::signal::unix::{SignalKind, signal};
-    let Ok(mut term) = signal(SignalKind::terminate()) else { return std::future::pending().await };
+    let Ok(mut term) = signal(SignalKind::terminate()) else {
+        return std::future::pending().await;
+    };
     tokio::select! {
         _ = term.recv() => {}
         _ = tokio::signal::ctrl_c() => {}
@@ -190,14 +198,29 @@
 async fn perform(what: What) -> Result<ExitCode, Fault> {
     match what {
         What::Logs { folder, span } => {
-            print!("{}", Logs::of_folder(&folder, span).map_err(Fault::Input)?.table());
+            print!(
+                "{}",
+                Logs::of_folder(&folder, span)
+                    .map_err(Fault::Input)?
+                    .table()
+            );
             Ok(ExitCode::SUCCESS)
         }
         What::Journal { folder, kind } => {
-            print!("{}", Journal::of_folder(&folder, &kind).map_err(Fault::Input)?.table());
+            print!(
+                "{}",
+                Journal::of_folder(&folder, &kind)
+                    .map_err(Fault::Input)?
+                    .table()
+            );
             Ok(ExitCode::SUCCESS)
         }
-        What::Shrink { scenario, common, tries, save } => {
+        What::Shrink {
+            scenario,
+            common,
+            tries,
+            save,
+        } => {
             let text = std::fs::read_to_string(&scenario)
                 .map_err(|e| Fault::Input(format!("{}: {e}", scenario.display())))?;
             let scenario = Scenario::open(&scenario).map_err(Fault::Input)?;
@@ -207,30 +230,63 @@
         What::Run { scenario, common } => {
             one(Scenario::open(&scenario).map_err(Fault::Input)?, &common).await
         }
-        What::Compare { scenario, proxy, runs, seed, chaos } => {
+        What::Compare {
+            scenario,
+            proxy,
+            runs,
+            seed,
+            chaos,
+        } => {
             let scenario = Scenario::open(&scenario).map_err(Fault::Input)?;
             compare(&scenario, &proxy, runs, seed, chaos).await
         }
-        What::Scale { proxy, quick, only, seconds, report } => {
+        What::Scale {
+            proxy,
+            quick,
+            only,
+            seconds,
+            report,
+        } => {
             let program = named(proxy.as_ref())?;
             let mut points = Vec::new();
             for size in scale::sizes(quick) {
-                if only.as_ref().is_some_and(|only| !size.what.ends_with(only.as_str())) {
+                if only
+                    .as_ref()
+                    .is_some_and(|only| !size.what.ends_with(only.as_str()))
+                {
                     continue;
                 }
                 let point = scale::point(&size, &program, seconds).await?;
-                eprint!("{}", scale::table(&[point]).lines().last().unwrap_or_default().to_owned() + "\n");
+                eprint!(
+                    "{}",
+                    scale::table(&[point])
+                        .lines()
+                        .last()
+                        .unwrap_or_default()
+                        .to_owned()
+                        + "\n"
+                );
                 points.push(point);
             }
             print!("{}", scale::table(&points));
             if let Some(folder) = report {
                 scale::plots(&points, &folder).map_err(Fault::Run)?;
             }
-            Ok(ExitCode::from(u8::from(points.iter().any(|p| !p.rules_held))))
+            Ok(ExitCode::from(u8::from(
+                points.iter().any(|p| !p.rules_held),
+            )))
         }
-        What::Empty { proxy, sessions, roll } => {
+        What::Empty {
+            proxy,
+            sessions,
+            roll,
+        } => {
             let (program, mut held) = (named(proxy.as_ref())?, true);
-            let ways: &[By] = if roll { &[By::Roll] } else { &[By::Drain, By::Sigterm] };
+            let ways: &[By] = if roll {
+                &[By::Roll]
+            } else {
+                &[By::Drain, By::Sigterm]
+            };
             println!("{}", leave::HEAD);
             for sessions in sessions {
                 for by in ways {
@@ -263,13 +319,23 @@
     let path = path.cloned().or_else(|| own_proxy(&own));
     let path = path.ok_or_else(|| Fault::Input(missing.into()))?;
     if !path.is_file() {
-        return Err(Fault::Input(format!("--proxy: {} is no file", path.display())));
+        return Err(Fault::Input(format!(
+            "--proxy: {} is no file",
+            path.display()
+        )));
     }
-    Ok(Program { name: name(&path), path, args: Vec::new() })
+    Ok(Program {
+        name: name(&path),
+        path,
+        args: Vec::new(),
+    })
 }
 
 fn name(path: &Path) -> String {
-    path.file_name().unwrap_or_default().to_string_lossy().into_owned()
+    path.file_name()
+        .unwrap_or_default()
+        .to_string_lossy()
+        .into_owned()
 }
 
 /// A figure's name and where a report has it.
@@ -283,17 +349,26 @@
     seed: u64,
     chaos: bool,
 ) -> Result<ExitCode, Fault> {
-    let [a, b] = paths else { return Err(Fault::Input("--proxy: two are compared, A and B".into())) };
+    let [a, b] = paths else {
+        return Err(Fault::Input("--proxy: two are compared, A and B".into()));
+    };
     let programs = [named(Some(a))?, named(Some(b))?];
     let figures: [Figure; 6] = [
         ("well served", |r| r.service.whole),
         ("worst ten seconds", |r| r.service.worst_ten_seconds),
         ("worst listener", |r| r.service.worst_listener.1),
         ("answer p99 ms", |r| r.answer_ms.p99),
-        ("dials a session", |r| r.tally.dials as f64 / r.tally.sessions.max(1) as f64),
-        ("cpu a proxy", |r| r.proxies.iter().map(|p| p.cpu_share).sum::<f64>() / r.proxies.len() as f64),
+        ("dials a session", |r| {
+            r.tally.dials as f64 / r.tally.sessions.max(1) as f64
+        }),
+        ("cpu a proxy", |r| {
+            r.proxies.iter().map(|p| p.cpu_share).sum::<f64>() / r.proxies.len() as f64
+        }),
+    ];
+    let mut found: [Vec<Vec<f64>>; 2] = [
+        vec![Vec::new(); figures.len()],
+        vec![Vec::new(); figures.len()],
     ];
-    let mut found: [Vec<Vec<f64>>; 2] = [vec![Vec::new(); figures.len()], vec![Vec::new(); figures.len()]];
     let (mut held, mut void) = (true, 0);
     for seed in seed..seed + runs {
         // Who goes first changes from pair to pair.
@@ -302,12 +377,22 @@
         for which in order {
             let folder = own_folder();
             let (chaos, program) = (chaos.then_some(seed), programs[which].clone());
-            let job = Job { seed, chaos, program, folder: folder.clone(), progress: false };
+            let job = Job {
+                seed,
+                chaos,
+                program,
+                folder: folder.clone(),
+                progress: false,
+            };
             let ran = run(scenario.clone(), &job).await;
             let _ = std::fs::remove_dir_all(folder);
             let report = Report::of(&ran?, &programs[which].name, seed, chaos);
             held &= report.rules_held;
-            report.breaches.iter().take(2).for_each(|b| eprintln!("{}: {}", b.rule, b.what));
+            report
+                .breaches
+                .iter()
+                .take(2)
+                .for_each(|b| eprintln!("{}: {}", b.rule, b.what));
             reports[which] = Some(report).filter(|report| !report.void);
         }
         let [Some(first), Some(second)] = reports else {
@@ -318,16 +403,31 @@
             found[0][nth].push(figure(&first));
             found[1][nth].push(figure(&second));
         }
-        eprintln!("seed {seed}: {:.4} and {:.4} well served", first.service.whole, second.service.whole);
+        eprintln!(
+            "seed {seed}: {:.4} and {:.4} well served",
+            first.service.whole, second.service.whole
+        );
     }
     if found[0][0].len() < 2 {
-        return Err(Fault::Run(format!("{void} of {runs} pairs were void; too few are left")));
+        return Err(Fault::Run(format!(
+            "{void} of {runs} pairs were void; too few are left"
+        )));
     }
-    println!("  {:<28} {:>9} {:>9} {:>9}  95% of draws", "", "A", "B", "B - A");
+    println!(
+        "  {:<28} {:>9} {:>9} {:>9}  95% of draws",
+        "", "A", "B", "B - A"
+    );
     for (nth, (name, _)) in figures.iter().enumerate() {
-        println!("{}", compare::row(name, &Difference::of(&found[0][nth], &found[1][nth], seed)));
+        println!(
+            "{}",
+            compare::row(name, &Difference::of(&found[0][nth], &found[1][nth], seed))
+        );
     }
-    println!("  pairs {}, void {void}, rules {}", found[0][0].len(), if held { "held" } else { "BROKEN" });
+    println!(
+        "  pairs {}, void {void}, rules {}",
+        found[0][0].len(),
+        if held { "held" } else { "BROKEN" }
+    );
     Ok(ExitCode::from(u8::from(!held)))
 }
 
@@ -343,15 +443,31 @@
     let all = shrink::drawn(&Plan::new(&scenario, seed, common.chaos).faults);
     let runtime = tokio::runtime::Handle::current();
     let breaks = |faults: &[asterramp_rig::scenario::Fault]| {
-        let scenario = Scenario { faults: faults.to_vec(), ..scenario.clone() };
+        let scenario = Scenario {
+            faults: faults.to_vec(),
+            ..scenario.clone()
+        };
         let folder = own_folder();
-        let job =
-            Job { seed, chaos: None, program: program.clone(), folder: folder.clone(), progress: false };
+        let job = Job {
+            seed,
+            chaos: None,
+            program: program.clone(),
+            folder: folder.clone(),
+            progress: false,
+        };
         let ran = tokio::task::block_in_place(|| runtime.block_on(run(scenario, &job)));
         let _ = std::fs::remove_dir_all(folder);
         let found = ran.map(|ran| !ran.void && !ran.verdict.breaches.is_empty());
         let broke = found.unwrap_or(false);
-        eprintln!("{} faults: {}", faults.len(), if broke { "a rule breaks" } else { "rules held, or void" });
+        eprintln!(
+            "{} faults: {}",
+            faults.len(),
+            if broke {
+                "a rule breaks"
+            } else {
+                "rules held, or void"
+            }
+        );
         broke
     };
     if !breaks(&all) {
@@ -360,7 +476,12 @@
     let left = shrink::fewest(&all, tries, breaks);
     let text = shrink::written(text, &left).map_err(Fault::Run)?;
     std::fs::write(save, text).map_err(|e| Fault::Run(format!("{}: {e}", save.display())))?;
-    println!("{} of {} faults are left, in {}", left.len(), all.len(), save.display());
+    println!(
+        "{} of {} faults are left, in {}",
+        left.len(),
+        all.len(),
+        save.display()
+    );
     Ok(ExitCode::SUCCESS)
 }
 
@@ -368,7 +489,13 @@
     let (seed, program) = (common.seed.unwrap_or(scenario.seed), program(common)?);
     let name = program.name.clone();
     let folder = common.report.clone().unwrap_or_else(own_folder);
-    let job = Job { seed, chaos: common.chaos, program, folder: folder.clone(), progress: true };
+    let job = Job {
+        seed,
+        chaos: common.chaos,
+        program,
+        folder: folder.clone(),
+        progress: true,
+    };
     let ran = run(scenario, &job).await;
     if common.report.is_none() {
         let _ = std::fs::remove_dir_all(&folder);
@@ -379,7 +506,10 @@
         report.write(&folder, &ran).map_err(Fault::Run)?;
     }
     if common.json {
-        println!("{}", serde_json::to_string_pretty(&report).unwrap_or_default());
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&report).unwrap_or_default()
+        );
     } else {
         print!("{}", report.table());
     }
--- a/rig/src/plan.rs
+++ b/rig/src/plan.rs
@@ -49,12 +49,17 @@
         let (from, to) = place_of(ends);
         match (self.kind, ends) {
             (FaultKind::PlaceCut | FaultKind::PlaceFlaps, _) => {
-                from != to && (self.on.contains(&u16::from(from)) || self.on.contains(&u16::from(to)))
+                from != to
+                    && (self.on.contains(&u16::from(from)) || self.on.contains(&u16::from(to)))
             }
-            (kind, Ends::Proxy(proxy, host)) if kind.strikes_links() && self.way == Way::ProxyHost => {
+            (kind, Ends::Proxy(proxy, host))
+                if kind.strikes_links() && self.way == Way::ProxyHost =>
+            {
                 self.on.contains(&proxy) && self.to.as_ref().is_none_or(|to| to.contains(&host))
             }
-            (kind, Ends::Clients(_, proxy)) if kind.strikes_links() && self.way == Way::ClientProxy => {
+            (kind, Ends::Clients(_, proxy))
+                if kind.strikes_links() && self.way == Way::ClientProxy =>
+            {
                 self.on.contains(&proxy)
             }
             _ => false,
@@ -86,16 +91,25 @@
         let mut faults = scenario.faults.clone();
         faults.extend(chaos.into_iter().flat_map(|chaos| drawn(scenario, chaos)));
         let mut chance = Chance::seed_from_u64(seed ^ 0x5eed_fa17);
-        let mut struck: Vec<Struck> =
-            faults.iter().map(|fault| strike(fault, scenario, &mut chance)).collect();
+        let mut struck: Vec<Struck> = faults
+            .iter()
+            .map(|fault| strike(fault, scenario, &mut chance))
+            .collect();
         struck.sort_by_key(|s| s.at);
-        Plan { clients: clients(scenario, seed, hosts.len()), faults: struck, hosts }
+        Plan {
+            clients: clients(scenario, seed, hosts.len()),
+            faults: struck,
+            hosts,
+        }
     }
 
     /// Ways that must go through a stand-in for these faults to strike them.
     pub fn linked(&self, way: Way) -> bool {
-        let cuts = |fault: &Struck| matches!(fault.kind, FaultKind::PlaceCut | FaultKind::PlaceFlaps);
-        self.faults.iter().any(|fault| cuts(fault) || fault.kind.strikes_links() && fault.way == way)
+        let cuts =
+            |fault: &Struck| matches!(fault.kind, FaultKind::PlaceCut | FaultKind::PlaceFlaps);
+        self.faults
+            .iter()
+            .any(|fault| cuts(fault) || fault.kind.strikes_links() && fault.way == way)
     }
 
     /// The longest that a way holds anything back.
@@ -111,13 +125,18 @@
 
     /// Whether a proxy is drained on request, and so needs a control socket.
     pub fn drains(&self) -> bool {
-        self.faults.iter().any(|fault| fault.kind == FaultKind::ProxyDrains)
+        self.faults
+            .iter()
+            .any(|fault| fault.kind == FaultKind::ProxyDrains)
     }
 
     /// Most clients that want to be connected at once.
     pub fn standing(&self) -> usize {
-        let mut steps: Vec<(Duration, i64)> =
-            self.clients.iter().flat_map(|c| [(c.at, 1), (c.at + c.life, -1)]).collect();
+        let mut steps: Vec<(Duration, i64)> = self
+            .clients
+            .iter()
+            .flat_map(|c| [(c.at, 1), (c.at + c.life, -1)])
+            .collect();
         steps.sort_unstable();
         let at_once = steps.iter().scan(0, |open, step| {
             *open += step.1;
@@ -131,11 +150,21 @@
     let mut hosts = Vec::new();
     for kind in &scenario.fleet.hosts {
         for _ in 0..kind.count {
-            let named = kind.place.as_ref().and_then(|p| scenario.places.iter().position(|q| q == p));
+            let named = kind
+                .place
+                .as_ref()
+                .and_then(|p| scenario.places.iter().position(|q| q == p));
             let place = named.unwrap_or(hosts.len() % scenario.places.len()) as u8;
             let (speed, weight) = (kind.speed, kind.weight);
             let (cell, places, room) = (kind.cell, kind.places, kind.room);
-            hosts.push(HostPlan { place, cell, speed, weight, places, room });
+            hosts.push(HostPlan {
+                place,
+                cell,
+                speed,
+                weight,
+                places,
+                room,
+            });
         }
     }
     hosts
@@ -168,12 +197,17 @@
 fn clients(scenario: &Scenario, seed: u64, hosts: usize) -> Vec<Wanted> {
     let mut chance = Chance::seed_from_u64(seed);
     let traffic = &scenario.traffic;
-    let life = LogNormal::new(traffic.life.median.as_secs_f64().max(1e-3).ln(), traffic.life.sigma);
+    let life = LogNormal::new(
+        traffic.life.median.as_secs_f64().max(1e-3).ln(),
+        traffic.life.sigma,
+    );
     let length = scenario.length.as_secs_f64();
     let mut client = |at: f64, inherited: Option<u16>| {
         let listener = picked(&mut chance, scenario.listeners.iter().map(|l| l.portion)) as u8;
         let member = picked(&mut chance, scenario.members.iter().map(|m| m.portion)) as u16;
-        let lives = life.map_or(1.0, |life| life.sample(&mut chance)).clamp(0.05, length - at);
+        let lives = life
+            .map_or(1.0, |life| life.sample(&mut chance))
+            .clamp(0.05, length - at);
         let grouped = traffic.groups > 0 && chance.random::<f64>() < traffic.grouped;
         let group = grouped.then(|| 1 + u64::from(chance.random_range(0..traffic.groups)));
         let kind = &scenario.listeners[usize::from(listener)];
@@ -192,15 +226,17 @@
             chance: chance.random(),
         }
     };
-    let mut all: Vec<Wanted> =
-        (0..traffic.inherited).map(|n| client(0.0, Some((n as usize % hosts) as u16))).collect();
+    let mut all: Vec<Wanted> = (0..traffic.inherited)
+        .map(|n| client(0.0, Some((n as usize % hosts) as u16)))
+        .collect();
     // Arrivals at the highest rate, of which as many are kept as the present rate is of it.
     let most = traffic.curve.iter().map(|p| p.times).fold(1.0, f64::max) * traffic.rate;
     let mut arrivals = Chance::seed_from_u64(seed ^ 0xa441);
     let mut at = 0.0;
     while at < length - 0.1 {
         at += -(1.0 - arrivals.random::<f64>()).ln() / most;
-        if at < length - 0.1 && arrivals.random::<f64>() * most < rate(scenario, Duration::from_secs_f64(at))
+        if at < length - 0.1
+            && arrivals.random::<f64>() * most < rate(scenario, Duration::from_secs_f64(at))
         {
             all.push(client(at, None));
         }
@@ -220,7 +256,9 @@
         None => {
             let mut left: Vec<u16> = (0..all as u16).collect();
             let count = fault.count.min(all);
-            (0..count).map(|_| left.swap_remove(chance.random_range(0..left.len()))).collect()
+            (0..count)
+                .map(|_| left.swap_remove(chance.random_range(0..left.len())))
+                .collect()
         }
     };
     let until = fault.lasts.map(|lasts| fault.at + lasts);
@@ -232,7 +270,10 @@
         much: fault.much,
         span: fault.span,
         way: fault.way,
-        to: fault.to.as_ref().map(|to| to.iter().map(|n| *n as u16).collect()),
+        to: fault
+            .to
+            .as_ref()
+            .map(|to| to.iter().map(|n| *n as u16).collect()),
         half_open: fault.half_open,
         back: fault.back,
     }
@@ -288,9 +329,25 @@
         let count = if kind.strikes_hosts() { count } else { 1 };
         let half_open = kind.strikes_links() && chance.random::<f64>() < 0.5;
         let (way, to, back) = (Way::default(), None, Back::default());
-        let span = if kind == FaultKind::LinkDelayed { span / 10 } else { span };
+        let span = if kind == FaultKind::LinkDelayed {
+            span / 10
+        } else {
+            span
+        };
         let lasts = Some(lasts);
-        faults.push(Fault { at, lasts, kind, on, count, much, span, way, to, half_open, back });
+        faults.push(Fault {
+            at,
+            lasts,
+            kind,
+            on,
+            count,
+            much,
+            span,
+            way,
+            to,
+            half_open,
+            back,
+        });
     }
     faults
 }
--- a/rig/src/proxies.rs
+++ b/rig/src/proxies.rs
@@ -95,7 +95,10 @@
 /// Where a proxy's control socket is: a socket's path may be no longer than some hundred bytes, so it stands
 /// in no folder of the user's choice.
 pub fn control(run: u32, number: u16) -> PathBuf {
-    std::env::temp_dir().join(format!("asterramp-rig-{}-{run}-{number}.sock", std::process::id()))
+    std::env::temp_dir().join(format!(
+        "asterramp-rig-{}-{run}-{number}.sock",
+        std::process::id()
+    ))
 }
 
 /// The file by which a `roll` asks for a restart.
@@ -219,13 +222,25 @@
         self.started += 1;
         let asked = world.scenario.proxies.asks && self.child.is_none();
         let free = SocketAddr::new(doors_of(self.listen), 0);
-        let door = if asked { door_of(self.listen) } else { TcpListener::bind(free)?.local_addr()? };
+        let door = if asked {
+            door_of(self.listen)
+        } else {
+            TcpListener::bind(free)?.local_addr()?
+        };
         let shared = self.config.with_extension("tmp");
         std::fs::create_dir_all(&shared)?;
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log)?;
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&self.log)?;
         let mut command = Command::new(&self.program.path);
-        command.args(&self.program.args).env("LB_CONFIG", &self.config).kill_on_drop(true);
-        command.env("LB_OPERATOR", door.to_string()).env("TMPDIR", shared);
+        command
+            .args(&self.program.args)
+            .env("LB_CONFIG", &self.config)
+            .kill_on_drop(true);
+        command
+            .env("LB_OPERATOR", door.to_string())
+            .env("TMPDIR", shared);
         let proxies = &world.scenario.proxies;
         let mut text = String::new();
         if world.plan.drains() || proxies.roll_at.is_some() || proxies.watchers > 0 {
@@ -234,14 +249,18 @@
             text += "[drain]\nclosing = \"2s\"\nquiet = \"600ms\"\nback = \"2s\"\n";
         }
         if proxies.saves {
-            text +=
-                &format!("[state]\nfolder = {:?}\nevery = \"200ms\"\n", self.disk().display().to_string());
+            text += &format!(
+                "[state]\nfolder = {:?}\nevery = \"200ms\"\n",
+                self.disk().display().to_string()
+            );
         }
         if proxies.stages {
             text += "[recovery]\nstages = true\n";
             if proxies.asks {
                 let others = self.others.iter().filter(|at| **at != self.listen);
-                let doors: Vec<String> = others.map(|at| format!("{:?}", door_of(*at).to_string())).collect();
+                let doors: Vec<String> = others
+                    .map(|at| format!("{:?}", door_of(*at).to_string()))
+                    .collect();
                 text += &format!("fleet = \"rig\"\nothers = [{}]\n", doors.join(", "));
             }
         }
@@ -253,13 +272,18 @@
             std::fs::write(&operator, text)?;
             command.env("ASTERRAMP_OPERATOR", operator);
         }
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
         Ok((command.spawn()?, door))
     }
 
     /// Where it keeps what it knows for its next start.
     fn disk(&self) -> PathBuf {
-        std::env::current_dir().unwrap_or_default().join(self.config.with_extension("state"))
+        std::env::current_dir()
+            .unwrap_or_default()
+            .join(self.config.with_extension("state"))
     }
 
     /// One file is cut short, one overwritten.
@@ -269,7 +293,11 @@
             if let Ok(mut bytes) = std::fs::read(&path) {
                 match short {
                     true => bytes.truncate(bytes.len() / 2),
-                    false => bytes.iter_mut().skip(50).step_by(7).for_each(|byte| *byte ^= 0x55),
+                    false => bytes
+                        .iter_mut()
+                        .skip(50)
+                        .step_by(7)
+                        .for_each(|byte| *byte ^= 0x55),
                 }
                 // It may be gone meanwhile: the proxy replaces it.
                 let _ = std::fs::write(&path, bytes);
@@ -278,7 +306,11 @@
     }
 
     /// Starts a second process beside the first and, once it says yes, tells the first to go.
-    async fn replace(&mut self, world: &World, killed_after: Option<Duration>) -> Result<(), String> {
+    async fn replace(
+        &mut self,
+        world: &World,
+        killed_after: Option<Duration>,
+    ) -> Result<(), String> {
         if self.child.is_none() {
             return Ok(());
         }
@@ -286,12 +318,16 @@
         let next = self.control_of_next(world);
         let control = std::mem::replace(&mut self.control, next);
         world.ledger.put(Seen::ProxyBeside { proxy: number });
-        let (mut second, door) = self.spawn(world).map_err(|e| format!("proxy {number}: {e}"))?;
+        let (mut second, door) = self
+            .spawn(world)
+            .map_err(|e| format!("proxy {number}: {e}"))?;
         let since = Instant::now();
         let mut yes = None;
         while yes.is_none() && killed_after.is_none() && since.elapsed() < READY {
             let heard = calls::call(door, "GET /ops/readiness").await;
-            yes = heard.filter(|heard| heard.0 == 200).map(|_| since.elapsed());
+            yes = heard
+                .filter(|heard| heard.0 == 200)
+                .map(|_| since.elapsed());
             sleep(Duration::from_millis(20)).await;
         }
         match killed_after {
@@ -324,11 +360,19 @@
                 None
             }
         };
-        world.ledger.put(Seen::ProxyExited { proxy: self.number, code, asked: true });
+        world.ledger.put(Seen::ProxyExited {
+            proxy: self.number,
+            code,
+            asked: true,
+        });
     }
 
     fn signal(&self, signal: Signal) {
-        let id = self.child.as_ref().and_then(Child::id).and_then(|id| Pid::from_raw(id as i32));
+        let id = self
+            .child
+            .as_ref()
+            .and_then(Child::id)
+            .and_then(|id| Pid::from_raw(id as i32));
         if let Some(id) = id {
             // It fails only for a process that has ended.
             let _ = kill_process(id, signal);
@@ -336,7 +380,11 @@
     }
 
     /// Carries out orders until there are none, then has the proxy leave in good order.
-    pub async fn run(mut self, world: Arc<World>, mut orders: mpsc::Receiver<Order>) -> Result<(), String> {
+    pub async fn run(
+        mut self,
+        world: Arc<World>,
+        mut orders: mpsc::Receiver<Order>,
+    ) -> Result<(), String> {
         let (number, mut looks) = (self.number, 0_u32);
         loop {
             let ended = async {
@@ -368,14 +416,19 @@
             };
             match order {
                 Some(Order::Start) if self.child.is_none() => {
-                    self.start(&world).map_err(|e| format!("proxy {number}: {e}"))?;
+                    self.start(&world)
+                        .map_err(|e| format!("proxy {number}: {e}"))?;
                 }
                 Some(Order::Kill) => self.kill(&world).await,
                 Some(Order::Stall) => self.stall(&world, true),
                 Some(Order::Wake) => self.stall(&world, false),
                 Some(Order::Leave) => self.leave(&world).await,
                 Some(Order::Reload) => {
-                    let moved = self.agent.moves(&world).await.and_then(|()| self.configure(&world));
+                    let moved = self
+                        .agent
+                        .moves(&world)
+                        .await
+                        .and_then(|()| self.configure(&world));
                     moved.map_err(|e| format!("proxy {number}: {e}"))?;
                     self.signal(Signal::HUP);
                 }
@@ -383,7 +436,11 @@
                 Some(Order::Replace(killed_after)) => self.replace(&world, killed_after).await?,
                 Some(Order::Drain(within)) => {
                     let deadline_ms = Some(within.as_millis() as u64);
-                    self.ask(Request { deadline_ms, ..Request::new(Verb::Drain) }).await;
+                    self.ask(Request {
+                        deadline_ms,
+                        ..Request::new(Verb::Drain)
+                    })
+                    .await;
                 }
                 Some(Order::Spoil) => self.spoil(),
                 Some(Order::Undrain) => self.ask(Request::new(Verb::Undrain)).await,
@@ -410,11 +467,17 @@
         if self.child.is_some() {
             // What comes before the signal and after the other is not held against it.
             if stops {
-                world.ledger.put(Seen::ProxyStalls { proxy: self.number, stops });
+                world.ledger.put(Seen::ProxyStalls {
+                    proxy: self.number,
+                    stops,
+                });
             }
             self.signal(if stops { Signal::STOP } else { Signal::CONT });
             if !stops {
-                world.ledger.put(Seen::ProxyStalls { proxy: self.number, stops });
+                world.ledger.put(Seen::ProxyStalls {
+                    proxy: self.number,
+                    stops,
+                });
             }
         }
     }
@@ -447,9 +510,14 @@
     }
 
     fn sample(&self, world: &World) {
-        let Some(id) = self.child.as_ref().and_then(Child::id) else { return };
+        let Some(id) = self.child.as_ref().and_then(Child::id) else {
+            return;
+        };
         if let Some(used) = usage(id, world.now().as_secs()) {
-            self.used.lock().unwrap_or_else(|broken| broken.into_inner()).push(used);
+            self.used
+                .lock()
+                .unwrap_or_else(|broken| broken.into_inner())
+                .push(used);
         }
     }
 }
@@ -464,7 +532,12 @@
     let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).ok()?.count() as u64;
     let hertz = rustix::param::clock_ticks_per_second() as f64;
     let page = rustix::param::page_size() as u64;
-    Some(Use { second, cpu: ticks as f64 / hertz, resident_kb: pages * page / 1024, descriptors })
+    Some(Use {
+        second,
+        cpu: ticks as f64 / hertz,
+        resident_kb: pages * page / 1024,
+        descriptors,
+    })
 }
 
 /// The settings of the platform that a scenario stands for, as the configuration nests them.
@@ -486,9 +559,14 @@
             "handshake_target": us(l.handshake_target), "give_up": us(l.dial_timeout),
             "utility": l.utility, "overdue_utility": 0.0, "stream": true})
     };
-    let aims: Vec<f64> = scenario.listeners.iter().map(|l| us(l.message_target) as f64).collect();
+    let aims: Vec<f64> = scenario
+        .listeners
+        .iter()
+        .map(|l| us(l.message_target) as f64)
+        .collect();
     let portions: f64 = scenario.members.iter().map(|m| m.portion).sum();
-    let member = |m: &crate::scenario::Member| json!({"name": m.name, "portion": m.portion / portions});
+    let member =
+        |m: &crate::scenario::Member| json!({"name": m.name, "portion": m.portion / portions});
     json!({
         "discovery": "pushed", "instances": scenario.proxies.count, "self_index": number, "zone": place,
         "localities": scenario.places, "weights": "fixed",
--- a/rig/src/report.rs
+++ b/rig/src/report.rs
@@ -112,19 +112,36 @@
             share(cells.filter(|(nth, _)| pick(*nth)).map(|(_, cell)| *cell))
         };
         let worst = |names: Vec<&String>, pick: &dyn Fn(usize, usize) -> bool| {
-            let each = names.iter().enumerate().map(|(i, name)| (name.to_string(), all(&|nth| pick(nth, i))));
+            let each = names
+                .iter()
+                .enumerate()
+                .map(|(i, name)| (name.to_string(), all(&|nth| pick(nth, i))));
             each.min_by(|a, b| a.1.total_cmp(&b.1)).unwrap_or_default()
         };
-        let of_row = |row: &Vec<(f64, f64)>| row.iter().fold((0.0, 0.0), |s, c| (s.0 + c.0, s.1 + c.1));
+        let of_row =
+            |row: &Vec<(f64, f64)>| row.iter().fold((0.0, 0.0), |s, c| (s.0 + c.0, s.1 + c.1));
         let seconds: Vec<(f64, f64)> = marks.seconds.iter().map(of_row).collect();
-        let spans = seconds.windows(10.min(seconds.len().max(1))).map(|w| share(w.iter().copied()));
-        let set_ups = scenario.listeners.iter().zip(&marks.set_ups).map(|(listener, times)| {
-            let target = listener.handshake_target.as_micros() as u64;
-            let within = times.count_between(0, target) as f64 / times.len().max(1) as f64;
-            SetUps { listener: listener.name.clone(), within_target: within, ms: spread(times) }
-        });
-        let breach =
-            |b: &Breach| Told { rule: b.rule.text(), what: b.what.clone(), timeline: b.timeline.clone() };
+        let spans = seconds
+            .windows(10.min(seconds.len().max(1)))
+            .map(|w| share(w.iter().copied()));
+        let set_ups = scenario
+            .listeners
+            .iter()
+            .zip(&marks.set_ups)
+            .map(|(listener, times)| {
+                let target = listener.handshake_target.as_micros() as u64;
+                let within = times.count_between(0, target) as f64 / times.len().max(1) as f64;
+                SetUps {
+                    listener: listener.name.clone(),
+                    within_target: within,
+                    ms: spread(times),
+                }
+            });
+        let breach = |b: &Breach| Told {
+            rule: b.rule.text(),
+            what: b.what.clone(),
+            timeline: b.timeline.clone(),
+        };
         Report {
             scenario: scenario.name.clone(),
             program: program.to_string(),
@@ -139,12 +156,14 @@
             service: Service {
                 whole: all(&|_| true),
                 worst_ten_seconds: spans.fold(1.0, f64::min),
-                worst_listener: worst(scenario.listeners.iter().map(|l| &l.name).collect(), &|n, i| {
-                    n / members == i
-                }),
-                worst_member: worst(scenario.members.iter().map(|m| &m.name).collect(), &|n, i| {
-                    n % members == i
-                }),
+                worst_listener: worst(
+                    scenario.listeners.iter().map(|l| &l.name).collect(),
+                    &|n, i| n / members == i,
+                ),
+                worst_member: worst(
+                    scenario.members.iter().map(|m| &m.name).collect(),
+                    &|n, i| n % members == i,
+                ),
             },
             set_ups: set_ups.collect(),
             answer_ms: spread(&marks.answers),
@@ -164,38 +183,76 @@
             let _ = writeln!(text, "  {name:<34} {value}");
         };
         let t = &self.tally;
-        row("scenario, proxy, seed", format!("{}, {}, {}", self.scenario, self.program, self.seed));
+        row(
+            "scenario, proxy, seed",
+            format!("{}, {}, {}", self.scenario, self.program, self.seed),
+        );
         row("sessions asked for", t.sessions.to_string());
-        row("  accepted, refused, torn down", format!("{}, {}, {}", t.accepted, t.refused, t.torn_down));
-        row("  left, taken by a killed proxy", format!("{}, {}", t.left, t.died_with_proxy));
-        row("dials a session", format!("{:.3}", t.dials as f64 / t.sessions.max(1) as f64));
+        row(
+            "  accepted, refused, torn down",
+            format!("{}, {}, {}", t.accepted, t.refused, t.torn_down),
+        );
+        row(
+            "  left, taken by a killed proxy",
+            format!("{}, {}", t.left, t.died_with_proxy),
+        );
+        row(
+            "dials a session",
+            format!("{:.3}", t.dials as f64 / t.sessions.max(1) as f64),
+        );
         row("moved", t.moved.to_string());
         if t.bad_clients > 0 {
-            row("bad clients told in time", format!("{} of {}", t.bad_clients_owed, t.bad_clients));
+            row(
+                "bad clients told in time",
+                format!("{} of {}", t.bad_clients_owed, t.bad_clients),
+            );
         }
-        row("wanted seconds well served", format!("{:.4}", self.service.whole));
-        row("  worst ten seconds", format!("{:.4}", self.service.worst_ten_seconds));
+        row(
+            "wanted seconds well served",
+            format!("{:.4}", self.service.whole),
+        );
+        row(
+            "  worst ten seconds",
+            format!("{:.4}", self.service.worst_ten_seconds),
+        );
         let (listener, member) = (&self.service.worst_listener, &self.service.worst_member);
-        row("  worst listener", format!("{:.4} {}", listener.1, listener.0));
+        row(
+            "  worst listener",
+            format!("{:.4} {}", listener.1, listener.0),
+        );
         row("  worst member", format!("{:.4} {}", member.1, member.0));
         for s in &self.set_ups {
             let ms = s.ms;
             let times = format!("p50 {:.1} p99 {:.1} most {:.0} ms", ms.p50, ms.p99, ms.most);
-            row(&format!("set-up {}", s.listener), format!("{times}, {:.4} within target", s.within_target));
+            row(
+                &format!("set-up {}", s.listener),
+                format!("{times}, {:.4} within target", s.within_target),
+            );
         }
         let ms = self.message_ms;
-        row("messages", format!("p50 {:.1} p99 {:.1} most {:.0} ms", ms.p50, ms.p99, ms.most));
+        row(
+            "messages",
+            format!("p50 {:.1} p99 {:.1} most {:.0} ms", ms.p50, ms.p99, ms.most),
+        );
         let h = &self.hosts;
-        let hosts = format!("least {:.2} mean {:.2} most {:.2} peak {:.2}", h.least, h.mean, h.most, h.peak);
+        let hosts = format!(
+            "least {:.2} mean {:.2} most {:.2} peak {:.2}",
+            h.least, h.mean, h.most, h.peak
+        );
         row("load of hosts", hosts);
         for (nth, p) in self.proxies.iter().enumerate().take(8) {
             let used = format!("cpu {:.3} (most {:.3})", p.cpu_share, p.cpu_share_most);
             let held = format!("{} KiB, {} descriptors", p.resident_kb, p.descriptors);
             row(&format!("proxy {nth}"), format!("{used}, {held}"));
         }
-        row("the rig was late by at most", format!("{:.1} ms", self.rig_late_ms));
+        row(
+            "the rig was late by at most",
+            format!("{:.1} ms", self.rig_late_ms),
+        );
         let mut rules: BTreeMap<&str, usize> = BTreeMap::new();
-        self.breaches.iter().for_each(|b| *rules.entry(b.rule).or_default() += 1);
+        self.breaches
+            .iter()
+            .for_each(|b| *rules.entry(b.rule).or_default() += 1);
         let verdict = match (self.void, rules.is_empty()) {
             (true, _) => "void: the rig was too late to tell".to_string(),
             (_, true) => "held".to_string(),
@@ -231,19 +288,28 @@
 
 fn loads(rows: &[Vec<f32>]) -> Loads {
     let hosts = rows.first().map_or(0, Vec::len);
-    let mean = |host: usize| rows.iter().map(|row| f64::from(row[host])).sum::<f64>() / rows.len() as f64;
+    let mean =
+        |host: usize| rows.iter().map(|row| f64::from(row[host])).sum::<f64>() / rows.len() as f64;
     let means: Vec<f64> = (0..hosts).map(mean).collect();
     Loads {
         least: means.iter().copied().fold(f64::INFINITY, f64::min),
         mean: means.iter().sum::<f64>() / means.len().max(1) as f64,
         most: means.iter().copied().fold(0.0, f64::max),
-        peak: rows.iter().flatten().map(|x| f64::from(*x)).fold(0.0, f64::max),
+        peak: rows
+            .iter()
+            .flatten()
+            .map(|x| f64::from(*x))
+            .fold(0.0, f64::max),
     }
 }
 
 /// CPU is told since a process's start; steps back are restarts.
 fn proxy_use(used: &[crate::proxies::Use]) -> ProxyUse {
-    let steps: Vec<f64> = used.windows(2).map(|w| w[1].cpu - w[0].cpu).filter(|d| *d >= 0.0).collect();
+    let steps: Vec<f64> = used
+        .windows(2)
+        .map(|w| w[1].cpu - w[0].cpu)
+        .filter(|d| *d >= 0.0)
+        .collect();
     let late = &steps[steps.len() * 2 / 3..];
     ProxyUse {
         cpu_share_late: late.iter().sum::<f64>() / late.len().max(1) as f64,
--- a/rig/src/roster.rs
+++ b/rig/src/roster.rs
@@ -69,7 +69,9 @@
     }
 
     fn entries(&self) -> MutexGuard<'_, Vec<Entry>> {
-        self.entries.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.entries
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 
     /// Changes what is known of a host.
@@ -88,7 +90,12 @@
     }
 
     /// The list as one line, of what changed after a version, or whole; and whom it names.
-    pub fn list(&self, world: &World, proxy: u16, after: Option<u64>) -> (u64, String, Vec<(u16, Told)>) {
+    pub fn list(
+        &self,
+        world: &World,
+        proxy: u16,
+        after: Option<u64>,
+    ) -> (u64, String, Vec<(u16, Told)>) {
         let rev = *self.rev.borrow();
         self.told(world, proxy, after, rev, &self.entries())
     }
@@ -113,7 +120,13 @@
             if after.is_some_and(|after| e.rev <= after) {
                 continue;
             }
-            named.push((nth as u16, Told { standing: e.standing, started: e.started }));
+            named.push((
+                nth as u16,
+                Told {
+                    standing: e.standing,
+                    started: e.started,
+                },
+            ));
             // A whole list tells that one is gone by leaving it out.
             if after.is_none() && e.standing == Standing::Gone {
                 continue;
@@ -124,7 +137,10 @@
                 Standing::Gone => "gone",
             };
             // A proxy has its own way to a host where that goes through a stand-in.
-            let endpoint = world.links.address(Ends::Proxy(proxy, nth as u16)).unwrap_or(e.endpoint);
+            let endpoint = world
+                .links
+                .address(Ends::Proxy(proxy, nth as u16))
+                .unwrap_or(e.endpoint);
             let boot = e.started.map_or(0, |at| (unix + at).as_millis() as u64);
             lines.push(serde_json::json!({
                 "uid": uid(nth as u16), "endpoint": endpoint.to_string(), "az": e.place, "model": "m1",
@@ -156,7 +172,10 @@
 impl Agent {
     pub async fn start(world: &Arc<World>, proxy: u16) -> std::io::Result<Arc<Agent>> {
         let door = TcpListener::bind(place(proxy)).await?;
-        let agent = Arc::new(Agent { proxy, address: watch::channel(door.local_addr()?).0 });
+        let agent = Arc::new(Agent {
+            proxy,
+            address: watch::channel(door.local_addr()?).0,
+        });
         tokio::spawn(agent.clone().serve(world.clone(), door));
         Ok(agent)
     }
@@ -230,7 +249,10 @@
             if head.len() > LONGEST_HEAD {
                 return None;
             }
-            let byte = timeout(Duration::from_secs(5), stream.read_u8()).await.ok()?.ok()?;
+            let byte = timeout(Duration::from_secs(5), stream.read_u8())
+                .await
+                .ok()?
+                .ok()?;
             head.push(byte);
         }
         let head = String::from_utf8(head).ok()?;
@@ -250,19 +272,27 @@
             self.told(world, &named);
             return Some(());
         }
-        let asked = rest.split("index=").nth(1).and_then(|n| n.split('&').next()?.parse::<u64>().ok());
+        let asked = rest
+            .split("index=")
+            .nth(1)
+            .and_then(|n| n.split('&').next()?.parse::<u64>().ok());
         let mut rev = world.roster.rev.subscribe();
         // A version that this discovery never had tells nothing.
         let mut after = asked.filter(|n| (1..=*rev.borrow()).contains(n));
         let mut old = false;
         let mut chance = crate::plan::Chance::seed_from_u64(u64::from(self.proxy) ^ 0xd15c);
-        stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.ok()?;
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .await
+            .ok()?;
         loop {
             let _ = mood.wait_for(|mood| mood.silent == 0).await;
             let _ = apart.wait_for(|apart| apart[own] == 0).await;
             if mood.borrow_and_update().babbles > 0 {
                 let text = ["{\"rev\":[}", "{\"rev\":-1,\"targets\":7}", "\u{fffd}\u{1}"];
-                chunk(stream, text[chance.random_range(0..text.len())]).await.ok()?;
+                chunk(stream, text[chance.random_range(0..text.len())])
+                    .await
+                    .ok()?;
                 sleep(Duration::from_millis(200)).await;
                 continue;
             }
@@ -296,7 +326,12 @@
     fn told(&self, world: &World, named: &[(u16, Told)]) {
         for (host, entry) in named {
             let (standing, started) = (entry.standing, entry.started);
-            world.ledger.put(Seen::Told { proxy: self.proxy, host: *host, standing, started });
+            world.ledger.put(Seen::Told {
+                proxy: self.proxy,
+                host: *host,
+                standing,
+                started,
+            });
         }
     }
 }
--- a/rig/src/rude.rs
+++ b/rig/src/rude.rs
@@ -30,13 +30,34 @@
     let scenario = &world.scenario;
     let listener = listener.unwrap_or(&scenario.listeners[0].name);
     let member = &scenario.members[0].name;
-    format!("OPEN {:016x} 1 c={listener},t={member},d={wait}\r\n", world.new_id())
+    format!(
+        "OPEN {:016x} 1 c={listener},t={member},d={wait}\r\n",
+        world.new_id()
+    )
 }
 
 const SORTS: &[Sort] = &[
-    Sort { name: "again at once", text: |_| "GET / HTTP/1.1\r\n".into(), much: 0, closes: false, again: 30 },
-    Sort { name: "unreadable", text: |_| "\u{1}\u{2}HELO me\r\n".into(), much: 0, closes: false, again: 0 },
-    Sort { name: "endless line", text: |_| String::new(), much: 1 << 20, closes: false, again: 0 },
+    Sort {
+        name: "again at once",
+        text: |_| "GET / HTTP/1.1\r\n".into(),
+        much: 0,
+        closes: false,
+        again: 30,
+    },
+    Sort {
+        name: "unreadable",
+        text: |_| "\u{1}\u{2}HELO me\r\n".into(),
+        much: 0,
+        closes: false,
+        again: 0,
+    },
+    Sort {
+        name: "endless line",
+        text: |_| String::new(),
+        much: 1 << 20,
+        closes: false,
+        again: 0,
+    },
     Sort {
         name: "no such listener",
         text: |w| open(w, "2000", Some("none")),
@@ -44,8 +65,20 @@
         closes: false,
         again: 0,
     },
-    Sort { name: "time no number", text: |w| open(w, "soon", None), much: 0, closes: false, again: 0 },
-    Sort { name: "negative time", text: |w| open(w, "-5", None), much: 0, closes: false, again: 0 },
+    Sort {
+        name: "time no number",
+        text: |w| open(w, "soon", None),
+        much: 0,
+        closes: false,
+        again: 0,
+    },
+    Sort {
+        name: "negative time",
+        text: |w| open(w, "-5", None),
+        much: 0,
+        closes: false,
+        again: 0,
+    },
     Sort {
         name: "huge time",
         text: |w| open(w, "99999999999999999999", None),
@@ -53,7 +86,13 @@
         closes: false,
         again: 0,
     },
-    Sort { name: "no id", text: |_| "OPEN \r\n".into(), much: 0, closes: false, again: 0 },
+    Sort {
+        name: "no id",
+        text: |_| "OPEN \r\n".into(),
+        much: 0,
+        closes: false,
+        again: 0,
+    },
     Sort {
         name: "half a line and a close",
         text: |_| "OPEN 12 3 c=".into(),
@@ -68,8 +107,20 @@
         closes: false,
         again: 0,
     },
-    Sort { name: "says nothing", text: |_| String::new(), much: 0, closes: false, again: 0 },
-    Sort { name: "sixty megabytes", text: |_| "OPEN 1 1 x=".into(), much: MUCH, closes: false, again: 0 },
+    Sort {
+        name: "says nothing",
+        text: |_| String::new(),
+        much: 0,
+        closes: false,
+        again: 0,
+    },
+    Sort {
+        name: "sixty megabytes",
+        text: |_| "OPEN 1 1 x=".into(),
+        much: MUCH,
+        closes: false,
+        again: 0,
+    },
 ];
 
 /// So many of every sort, against proxies of all places in turn.
@@ -83,13 +134,21 @@
             let world = world.clone();
             tokio::spawn(async move {
                 let place = nth as usize % world.scenario.places.len();
-                let Some((_, at)) = world.front.pick(place as u8, u64::from(nth)) else { return };
+                let Some((_, at)) = world.front.pick(place as u8, u64::from(nth)) else {
+                    return;
+                };
                 let limit = if sort.much == MUCH { OWED_MUCH } else { OWED };
                 for _ in 0..=sort.again {
-                    let Ok(stream) = TcpStream::connect(at).await else { return };
+                    let Ok(stream) = TcpStream::connect(at).await else {
+                        return;
+                    };
                     let told = timeout(limit, behave(&world, sort, stream)).await;
                     let (owed, served) = (told.is_ok(), told == Ok(Some(true)));
-                    world.ledger.put(Seen::Rude { sort: sort.name, owed, served });
+                    world.ledger.put(Seen::Rude {
+                        sort: sort.name,
+                        owed,
+                        served,
+                    });
                 }
             });
         }
--- a/rig/src/run.rs
+++ b/rig/src/run.rs
@@ -70,22 +70,31 @@
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
     let holds = limit.maximum.unwrap_or(u64::MAX);
     // A process may always take what its hard limit allows.
-    let raised = rustix::process::Rlimit { current: limit.maximum, maximum: limit.maximum };
+    let raised = rustix::process::Rlimit {
+        current: limit.maximum,
+        maximum: limit.maximum,
+    };
     let _ = rustix::process::setrlimit(rustix::process::Resource::Nofile, raised);
     let standing = plan.standing();
     let probes = u64::from(scenario.proxies.count) * u64::from(scenario.hosts()).min(64) * 2;
     let wants = standing as u64 * EACH + probes + SPARE;
     if wants > holds {
         let what = format!("{standing} standing connections want {wants} descriptors of the rig");
-        return Err(Fault::Input(format!("{what}, and this machine allows {holds}")));
+        return Err(Fault::Input(format!(
+            "{what}, and this machine allows {holds}"
+        )));
     }
     let each = standing / scenario.proxies.count as usize;
     if each > PORTS {
-        return Err(Fault::Input(format!("{each} connections a proxy, and ports allow {PORTS}")));
+        return Err(Fault::Input(format!(
+            "{each} connections a proxy, and ports allow {PORTS}"
+        )));
     }
     let most = u64::from(scenario.proxies.sockets);
     if most > holds {
-        return Err(Fault::Input(format!("proxies.sockets is {most}, and this machine allows {holds}")));
+        return Err(Fault::Input(format!(
+            "proxies.sockets is {most}, and this machine allows {holds}"
+        )));
     }
     Ok(())
 }
@@ -95,10 +104,15 @@
     fits(&scenario, &plan)?;
     let broke = |e: std::io::Error| Fault::Run(format!("starting: {e}"));
     std::fs::create_dir_all(&order.folder).map_err(broke)?;
-    let (hosts, doors): (Vec<_>, Vec<_>) =
-        Host::all(&plan, &scenario).await.map_err(broke)?.into_iter().unzip();
+    let (hosts, doors): (Vec<_>, Vec<_>) = Host::all(&plan, &scenario)
+        .await
+        .map_err(broke)?
+        .into_iter()
+        .unzip();
     let at = proxies::addresses(&scenario).map_err(broke)?;
-    let (links, ways) = Links::open(pairs(&scenario, &plan, &hosts, &at)).await.map_err(broke)?;
+    let (links, ways) = Links::open(pairs(&scenario, &plan, &hosts, &at))
+        .await
+        .map_err(broke)?;
     let front = Front::over(at.iter().copied(), &links, scenario.places.len() as u8);
     let world = Arc::new(World::new(scenario, plan, hosts, front, Arc::new(links)));
     for (link, door) in world.links.all().iter().zip(ways) {
@@ -111,9 +125,16 @@
     let mut doors = Vec::new();
     let listens: Vec<SocketAddr> = at.iter().map(|at| at.1).collect();
     for (nth, at) in at.into_iter().enumerate() {
-        let proxy = Proxy::new(&world, nth as u16, at, listens.clone(), &order.program, &order.folder)
-            .await
-            .map_err(broke)?;
+        let proxy = Proxy::new(
+            &world,
+            nth as u16,
+            at,
+            listens.clone(),
+            &order.program,
+            &order.folder,
+        )
+        .await
+        .map_err(broke)?;
         used.push(proxy.used());
         doors.push(proxy.door.clone());
         let (send, receive) = mpsc::channel(64);
@@ -129,7 +150,9 @@
             let log = std::fs::read_to_string(order.folder.join(format!("proxy-{nth}.log")));
             let log = log.unwrap_or_default();
             let last: Vec<&str> = log.lines().rev().take(3).collect();
-            return Err(Fault::Run(format!("proxy {nth} never became ready; its log ends {last:?}")));
+            return Err(Fault::Run(format!(
+                "proxy {nth} never became ready; its log ends {last:?}"
+            )));
         }
         if let Some(Ok(Err(what))) = running.try_join_next() {
             return Err(Fault::Run(what));
@@ -143,7 +166,11 @@
         tokio::spawn(faults(world.clone(), orders.clone())),
     ];
     let mut callers = JoinSet::new();
-    for (number, door) in doors.iter().enumerate().filter(|_| world.scenario.proxies.callers > 0) {
+    for (number, door) in doors
+        .iter()
+        .enumerate()
+        .filter(|_| world.scenario.proxies.callers > 0)
+    {
         callers.spawn(calls::stall(door.clone()));
         for _ in 0..world.scenario.proxies.callers {
             callers.spawn(calls::ask(world.clone(), number as u16, door.clone()));
@@ -185,9 +212,21 @@
     terms.figures = !world.plan.linked(Way::ClientProxy);
     let verdict = judge(&records, &terms);
     let void = late > world.scenario.platform.void_above;
-    let used = used.iter().map(|used| std::mem::take(&mut *lock(used))).collect();
+    let used = used
+        .iter()
+        .map(|used| std::mem::take(&mut *lock(used)))
+        .collect();
     let loads = std::mem::take(&mut *lock(&loads));
-    Ok(Ran { world, records, verdict, late, void, used, loads, rolled })
+    Ok(Ran {
+        world,
+        records,
+        verdict,
+        late,
+        void,
+        used,
+        loads,
+        rolled,
+    })
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
@@ -197,9 +236,15 @@
 /// An operator at a control socket who asks again and again, and reads the answers or does not.
 async fn operator(at: PathBuf, reads: bool) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let Ok(mut stream) = tokio::net::UnixStream::connect(at).await else { return };
+    let Ok(mut stream) = tokio::net::UnixStream::connect(at).await else {
+        return;
+    };
     let mut answer = [0; 4096];
-    while stream.write_all(b"{\"v\":1,\"do\":\"status\"}\n").await.is_ok() {
+    while stream
+        .write_all(b"{\"v\":1,\"do\":\"status\"}\n")
+        .await
+        .is_ok()
+    {
         if reads {
             if !matches!(stream.read(&mut answer).await, Ok(n) if n > 0) {
                 return;
@@ -213,10 +258,22 @@
 async fn rolled(world: Arc<World>, program: Program, at: Duration) -> Result<Duration, String> {
     world.until(at).await;
     let mut command = tokio::process::Command::new(&program.path);
-    command.args(["roll", "--deadline", "4s", "--patience", "15s", "--share", "0.2"]);
-    command.args(["--restart", "touch \"${ASTERRAMP_CONTROL%.sock}.restart\""]).kill_on_drop(true);
+    command.args([
+        "roll",
+        "--deadline",
+        "4s",
+        "--patience",
+        "15s",
+        "--share",
+        "0.2",
+    ]);
+    command
+        .args(["--restart", "touch \"${ASTERRAMP_CONTROL%.sock}.restart\""])
+        .kill_on_drop(true);
     for number in 0..world.scenario.proxies.count {
-        command.arg("--control").arg(proxies::control(world.run, number as u16));
+        command
+            .arg("--control")
+            .arg(proxies::control(world.run, number as u16));
     }
     let output = command.output().await.map_err(|e| e.to_string())?;
     info!(roll = %String::from_utf8_lossy(&output.stdout).lines().last().unwrap_or_default());
@@ -234,11 +291,20 @@
         clients.spawn(client::live(world.clone(), wanted.clone()));
         while clients.try_join_next().is_some() {}
     }
-    let longest = world.scenario.listeners.iter().map(|l| l.dial_timeout).max().unwrap_or_default();
+    let longest = world
+        .scenario
+        .listeners
+        .iter()
+        .map(|l| l.dial_timeout)
+        .max()
+        .unwrap_or_default();
     world.until(world.scenario.length).await;
     // Whoever still waits has its answer, or none in time, by then.
     let settles = longest + world.scenario.platform.answer_slack + Duration::from_secs(3);
-    let _ = timeout(settles, async { while clients.join_next().await.is_some() {} }).await;
+    let _ = timeout(settles, async {
+        while clients.join_next().await.is_some() {}
+    })
+    .await;
 }
 
 /// How late this process comes to what it set itself for, at worst.
@@ -254,7 +320,11 @@
 async fn weigh(world: Arc<World>, loads: Arc<Mutex<Vec<Vec<f32>>>>) {
     loop {
         let now = world.ledger.now();
-        let row = world.hosts.iter().map(|host| host.model().asked(now) as f32).collect();
+        let row = world
+            .hosts
+            .iter()
+            .map(|host| host.model().asked(now) as f32)
+            .collect();
         lock(&loads).push(row);
         sleep(Duration::from_secs(1)).await;
     }
@@ -273,7 +343,9 @@
             (marks.given_up, marks.unreachable)
         };
         let now = now.as_secs();
-        eprintln!("{now:>4} s  {open:>6} open  {given_up:>4} gave up  {unreachable:>4} times no proxy");
+        eprintln!(
+            "{now:>4} s  {open:>6} open  {given_up:>4} gave up  {unreachable:>4} times no proxy"
+        );
     }
 }
 
@@ -309,7 +381,9 @@
                 (FaultKind::DiskSpoilt, true) => Order::Spoil,
                 (FaultKind::DiskSpoilt, false) => continue,
                 (
-                    FaultKind::ProxyReloads | FaultKind::ProxyReplaced | FaultKind::ProxyReplacedBadly,
+                    FaultKind::ProxyReloads
+                    | FaultKind::ProxyReplaced
+                    | FaultKind::ProxyReplacedBadly,
                     false,
                 ) => continue,
                 _ => Order::Start,
@@ -331,10 +405,16 @@
     let mut pairs = Vec::new();
     for (proxy, (_, at)) in (0..).zip(proxies) {
         if plan.linked(Way::ProxyHost) {
-            pairs.extend(hosts.iter().map(|host| (Ends::Proxy(proxy, host.number), host.address)));
+            pairs.extend(
+                hosts
+                    .iter()
+                    .map(|host| (Ends::Proxy(proxy, host.number), host.address)),
+            );
         }
         if plan.linked(Way::ClientProxy) {
-            pairs.extend((0..scenario.places.len() as u8).map(|place| (Ends::Clients(place, proxy), *at)));
+            pairs.extend(
+                (0..scenario.places.len() as u8).map(|place| (Ends::Clients(place, proxy), *at)),
+            );
         }
     }
     pairs
@@ -353,9 +433,12 @@
 async fn places(world: &Arc<World>, orders: &[mpsc::Sender<Order>], nth: usize, begins: bool) {
     let struck = &world.plan.faults[nth];
     let power = struck.kind == FaultKind::PowerCut;
-    let there = |place: u8| power || struck.kind.strikes_places() && struck.on.contains(&u16::from(place));
-    let (dies, silent) =
-        (power || struck.kind == FaultKind::PlaceLost, struck.kind == FaultKind::PlaceSilent);
+    let there =
+        |place: u8| power || struck.kind.strikes_places() && struck.on.contains(&u16::from(place));
+    let (dies, silent) = (
+        power || struck.kind == FaultKind::PlaceLost,
+        struck.kind == FaultKind::PlaceSilent,
+    );
     if dies || silent {
         let comes = |back: Back| begins || struck.back == Back::All || struck.back == back;
         for (host, plan) in world.hosts.iter().zip(&world.plan.hosts) {
@@ -421,14 +504,21 @@
         } else {
             link.end(nth);
         }
-        world.ledger.put(Seen::WayFails { ends: link.ends, fails: link.fails() });
+        world.ledger.put(Seen::WayFails {
+            ends: link.ends,
+            fails: link.fails(),
+        });
     }
     if matches!(struck.kind, FaultKind::PlaceCut | FaultKind::PlaceFlaps) {
         world.apart.send_modify(|apart| {
             for (proxy, faults) in apart.iter_mut().enumerate() {
                 let place = places_of(world, Ends::Clients(0, proxy as u16)).1;
                 if struck.on.contains(&u16::from(place)) {
-                    *faults = if begins { *faults + 1 } else { faults.saturating_sub(1) };
+                    *faults = if begins {
+                        *faults + 1
+                    } else {
+                        faults.saturating_sub(1)
+                    };
                 }
             }
         });
@@ -459,8 +549,20 @@
 
 /// Faults that strike neither single hosts nor single proxies.
 fn broad(world: &Arc<World>, struck: &Struck, begins: bool) {
-    let step = |count: &mut u32| *count = if begins { *count + 1 } else { count.saturating_sub(1) };
-    let call = |call: &mut Call| *call = Call { nth: call.nth + 1, share: struck.much, span: struck.span };
+    let step = |count: &mut u32| {
+        *count = if begins {
+            *count + 1
+        } else {
+            count.saturating_sub(1)
+        }
+    };
+    let call = |call: &mut Call| {
+        *call = Call {
+            nth: call.nth + 1,
+            share: struck.much,
+            span: struck.span,
+        }
+    };
     match struck.kind {
         FaultKind::DiscoverySilent | FaultKind::PowerCut => {
             world.roster.mood.send_modify(|m| step(&mut m.silent))
@@ -485,5 +587,7 @@
 /// The proxy of this repository, as built beside this program.
 pub fn own_proxy(beside: &Path) -> Option<PathBuf> {
     let folder = beside.parent()?;
-    [folder.join("asterramp"), folder.parent()?.join("asterramp")].into_iter().find(|path| path.is_file())
+    [folder.join("asterramp"), folder.parent()?.join("asterramp")]
+        .into_iter()
+        .find(|path| path.is_file())
 }
--- a/rig/src/scale.rs
+++ b/rig/src/scale.rs
@@ -90,7 +90,11 @@
         size.hosts,
         size.rate,
         // Those that were connected before stay to the end; new ones pass by.
-        if size.standing > 0 { u64::from(seconds) * 1000 } else { 250 },
+        if size.standing > 0 {
+            u64::from(seconds) * 1000
+        } else {
+            250
+        },
         size.message_every_ms,
         size.standing,
         size.proxies,
@@ -105,7 +109,13 @@
 pub async fn point(size: &Size, program: &Program, seconds: u32) -> Result<Point, Fault> {
     let scenario = Scenario::read(&text(size, seconds)).map_err(Fault::Input)?;
     let folder = own_folder();
-    let job = Job { seed: 1, chaos: None, program: program.clone(), folder: folder.clone(), progress: false };
+    let job = Job {
+        seed: 1,
+        chaos: None,
+        program: program.clone(),
+        folder: folder.clone(),
+        progress: false,
+    };
     let ran = run(scenario, &job).await;
     let _ = std::fs::remove_dir_all(&folder);
     let ran = ran?;
@@ -113,7 +123,10 @@
     let mean = |of: &dyn Fn(&crate::report::ProxyUse) -> f64| {
         report.proxies.iter().map(of).sum::<f64>() / report.proxies.len().max(1) as f64
     };
-    let asked = report.tally.sessions.saturating_sub(u64::from(size.standing));
+    let asked = report
+        .tally
+        .sessions
+        .saturating_sub(u64::from(size.standing));
     Ok(Point {
         what: size.what,
         hosts: size.hosts,
@@ -150,35 +163,88 @@
     let mut all = Vec::new();
     // What one proxy carries: ever more sessions a second, on few hosts and on many.
     for hosts in [10, 50, 200] {
-        let rates: &[f64] = if quick { &[200.0, 800.0] } else { &[200.0, 400.0, 800.0, 1_600.0, 3_200.0] };
-        all.extend(rates.iter().map(|rate| Size { what: "set-ups", hosts, rate: *rate, ..base }));
+        let rates: &[f64] = if quick {
+            &[200.0, 800.0]
+        } else {
+            &[200.0, 400.0, 800.0, 1_600.0, 3_200.0]
+        };
+        all.extend(rates.iter().map(|rate| Size {
+            what: "set-ups",
+            hosts,
+            rate: *rate,
+            ..base
+        }));
     }
-    let standing: &[u32] = if quick { &[500, 2_000] } else { &[500, 1_000, 2_000, 4_000, 8_000] };
+    let standing: &[u32] = if quick {
+        &[500, 2_000]
+    } else {
+        &[500, 1_000, 2_000, 4_000, 8_000]
+    };
     for what in ["idle", "lines"] {
         let every = if what == "idle" { 60_000 } else { 250 };
-        let with = |n: &u32| Size { what, standing: *n, message_every_ms: every, ..base };
+        let with = |n: &u32| Size {
+            what,
+            standing: *n,
+            message_every_ms: every,
+            ..base
+        };
         all.extend(standing.iter().map(with));
     }
     for watchers in [0, 16, 0, 16, 0, 16] {
         let what = if watchers > 0 { "watched" } else { "unwatched" };
-        all.push(Size { what, rate: 400.0, standing: 0, watchers, ..base });
+        all.push(Size {
+            what,
+            rate: 400.0,
+            standing: 0,
+            watchers,
+            ..base
+        });
     }
     for proxies in [1, 5, 20] {
         for hosts in [10, 50, 200] {
-            let size = Size { what: "fleet", hosts, proxies, standing: 2_000, rate: 50.0, ..base };
-            all.push(Size { message_every_ms: 2_000, ..size });
+            let size = Size {
+                what: "fleet",
+                hosts,
+                proxies,
+                standing: 2_000,
+                rate: 50.0,
+                ..base
+            };
+            all.push(Size {
+                message_every_ms: 2_000,
+                ..size
+            });
         }
     }
     all
 }
 
 pub fn table(points: &[Point]) -> String {
-    let head = ["what", "hosts", "proxies", "standing", "set-ups/s", "lines/s", "answer p50/p99 ms"];
-    let tail = ["message p99 ms", "cpu a proxy", "late", "KiB a proxy", "accepted", "rig late ms"];
+    let head = [
+        "what",
+        "hosts",
+        "proxies",
+        "standing",
+        "set-ups/s",
+        "lines/s",
+        "answer p50/p99 ms",
+    ];
+    let tail = [
+        "message p99 ms",
+        "cpu a proxy",
+        "late",
+        "KiB a proxy",
+        "accepted",
+        "rig late ms",
+    ];
     let mut text = format!("| {} | {} |\n", head.join(" | "), tail.join(" | "));
     let _ = writeln!(text, "|{}", " --- |".repeat(head.len() + tail.len()));
     for p in points {
-        let late = format!("{:.0}{}", p.rig_late_ms, if p.void { " (void)" } else { "" });
+        let late = format!(
+            "{:.0}{}",
+            p.rig_late_ms,
+            if p.void { " (void)" } else { "" }
+        );
         let _ = writeln!(
             text,
             "| {} | {} | {} | {} | {:.0} | {:.0} | {:.1} / {:.1} | {:.1} | {:.3} | {:.3} | {:.0} | {:.3} | {late} |",
@@ -205,19 +271,51 @@
     let told = |e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
     std::fs::create_dir_all(folder).map_err(|e| told(&e))?;
     let line = |hosts: u32| {
-        let of = points.iter().filter(move |p| p.what == "set-ups" && p.hosts == hosts);
-        (format!("{hosts} hosts"), of.map(|p| (p.set_ups, p.cpu)).collect())
+        let of = points
+            .iter()
+            .filter(move |p| p.what == "set-ups" && p.hosts == hosts);
+        (
+            format!("{hosts} hosts"),
+            of.map(|p| (p.set_ups, p.cpu)).collect(),
+        )
     };
     let lines = [10, 50, 200].map(line).to_vec();
-    let (title, x, y) = ("one proxy: processor by set-ups", "set-ups a second", "share of a core");
-    let chart = Chart { title, x, y, lines, marks: Vec::new() };
-    chart.draw(&folder.join("scale-set-ups.svg")).map_err(|e| told(&e))?;
+    let (title, x, y) = (
+        "one proxy: processor by set-ups",
+        "set-ups a second",
+        "share of a core",
+    );
+    let chart = Chart {
+        title,
+        x,
+        y,
+        lines,
+        marks: Vec::new(),
+    };
+    chart
+        .draw(&folder.join("scale-set-ups.svg"))
+        .map_err(|e| told(&e))?;
     let line = |what: &'static str| {
         let of = points.iter().filter(move |p| p.what == what);
-        (what.to_string(), of.map(|p| (f64::from(p.standing), p.cpu_late)).collect())
+        (
+            what.to_string(),
+            of.map(|p| (f64::from(p.standing), p.cpu_late)).collect(),
+        )
     };
     let lines = ["idle", "lines"].map(line).to_vec();
-    let (title, x, y) = ("one proxy: processor by connections", "standing connections", "share of a core");
-    let chart = Chart { title, x, y, lines, marks: Vec::new() };
-    chart.draw(&folder.join("scale-standing.svg")).map_err(|e| told(&e))
+    let (title, x, y) = (
+        "one proxy: processor by connections",
+        "standing connections",
+        "share of a core",
+    );
+    let chart = Chart {
+        title,
+        x,
+        y,
+        lines,
+        marks: Vec::new(),
+    };
+    chart
+        .draw(&folder.join("scale-standing.svg"))
+        .map_err(|e| told(&e))
 }
--- a/rig/src/scenario.rs
+++ b/rig/src/scenario.rs
@@ -185,7 +185,10 @@
 
 impl Default for Retries {
     fn default() -> Self {
-        Retries { most: 4, pause: Duration::from_millis(300) }
+        Retries {
+            most: 4,
+            pause: Duration::from_millis(300),
+        }
     }
 }
 
@@ -280,7 +283,10 @@
 
 impl Default for Front {
     fn default() -> Self {
-        Front { check: Duration::from_millis(250), forget: Duration::from_millis(1500) }
+        Front {
+            check: Duration::from_millis(250),
+            forget: Duration::from_millis(1500),
+        }
     }
 }
 
@@ -446,7 +452,8 @@
 
     /// Decodes and checks; an error names the key and what is allowed.
     pub fn read(text: &str) -> Result<Scenario, String> {
-        let scenario: Scenario = toml::from_str(text).map_err(|e| e.to_string().trim_end().to_string())?;
+        let scenario: Scenario =
+            toml::from_str(text).map_err(|e| e.to_string().trim_end().to_string())?;
         scenario.check()?;
         Ok(scenario)
     }
@@ -458,16 +465,42 @@
     fn check(&self) -> Result<(), String> {
         let within = |key: &str, value: f64, least: f64, most: f64| {
             let good = value >= least && value <= most;
-            if good { Ok(()) } else { Err(format!("{key} is {value}; allowed are {least} to {most}")) }
+            if good {
+                Ok(())
+            } else {
+                Err(format!("{key} is {value}; allowed are {least} to {most}"))
+            }
         };
         let plain = |key: &str, name: &str| {
-            let good = !name.is_empty() && name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
-            if good { Ok(()) } else { Err(format!("{key} is {name:?}; allowed are letters, digits and -")) }
+            let good =
+                !name.is_empty() && name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
+            if good {
+                Ok(())
+            } else {
+                Err(format!(
+                    "{key} is {name:?}; allowed are letters, digits and -"
+                ))
+            }
         };
-        within("length in seconds", self.length.as_secs_f64(), 0.5, LONGEST.as_secs_f64())?;
+        within(
+            "length in seconds",
+            self.length.as_secs_f64(),
+            0.5,
+            LONGEST.as_secs_f64(),
+        )?;
         within("places, their number", self.places.len() as f64, 1.0, 250.0)?;
-        within("listeners, their number", self.listeners.len() as f64, 1.0, 16.0)?;
-        within("members, their number", self.members.len() as f64, 1.0, 256.0)?;
+        within(
+            "listeners, their number",
+            self.listeners.len() as f64,
+            1.0,
+            16.0,
+        )?;
+        within(
+            "members, their number",
+            self.members.len() as f64,
+            1.0,
+            256.0,
+        )?;
         for (i, place) in self.places.iter().enumerate() {
             plain(&format!("places.{i}"), place)?;
         }
@@ -475,50 +508,101 @@
         for (i, l) in self.listeners.iter().enumerate() {
             plain(&format!("listeners.{i}.name"), &l.name)?;
             if !names.insert(&l.name) {
-                return Err(format!("listeners.{i}.name is {:?}, as another's; each has its own", l.name));
+                return Err(format!(
+                    "listeners.{i}.name is {:?}, as another's; each has its own",
+                    l.name
+                ));
             }
             within(&format!("listeners.{i}.work"), l.work, 0.0, 1.0)?;
             within(&format!("listeners.{i}.portion"), l.portion, 0.0, 1e6)?;
             let timeout = l.dial_timeout.as_secs_f64();
-            within(&format!("listeners.{i}.dial_timeout in seconds"), timeout, 0.05, 60.0)?;
+            within(
+                &format!("listeners.{i}.dial_timeout in seconds"),
+                timeout,
+                0.05,
+                60.0,
+            )?;
         }
         for (i, m) in self.members.iter().enumerate() {
             plain(&format!("members.{i}.name"), &m.name)?;
             within(&format!("members.{i}.portion"), m.portion, 0.0, 1e6)?;
         }
         let portions = |all: f64, key: &str| {
-            if all > 0.0 { Ok(()) } else { Err(format!("{key}: all portions are 0; one must be more")) }
+            if all > 0.0 {
+                Ok(())
+            } else {
+                Err(format!("{key}: all portions are 0; one must be more"))
+            }
         };
         portions(self.listeners.iter().map(|l| l.portion).sum(), "listeners")?;
         portions(self.members.iter().map(|m| m.portion).sum(), "members")?;
         for (i, h) in self.fleet.hosts.iter().enumerate() {
             within(&format!("fleet.hosts.{i}.speed"), h.speed, 0.01, 100.0)?;
             within(&format!("fleet.hosts.{i}.weight"), h.weight, 0.001, 1000.0)?;
-            if let Some(place) = h.place.as_ref().filter(|place| !self.places.contains(place)) {
-                return Err(format!("fleet.hosts.{i}.place is {place:?}; allowed are {:?}", self.places));
+            if let Some(place) = h
+                .place
+                .as_ref()
+                .filter(|place| !self.places.contains(place))
+            {
+                return Err(format!(
+                    "fleet.hosts.{i}.place is {place:?}; allowed are {:?}",
+                    self.places
+                ));
             }
         }
-        within("fleet.hosts, their number", f64::from(self.hosts()), 1.0, f64::from(MOST_HOSTS))?;
+        within(
+            "fleet.hosts, their number",
+            f64::from(self.hosts()),
+            1.0,
+            f64::from(MOST_HOSTS),
+        )?;
         within("fleet.report_noise", self.fleet.report_noise, 0.0, 0.5)?;
         within("fleet.cold_share", self.fleet.cold_share, 0.01, 1.0)?;
         within("fleet.tip_multiple", self.fleet.tip_multiple, 1.0, 100.0)?;
         for (i, field) in self.fleet.report_fields.iter().enumerate() {
             if !["x0", "outstanding"].contains(&field.as_str()) {
                 let key = format!("fleet.report_fields.{i}");
-                return Err(format!("{key} is {field:?}; allowed are \"x0\", \"outstanding\""));
+                return Err(format!(
+                    "{key} is {field:?}; allowed are \"x0\", \"outstanding\""
+                ));
             }
         }
         within("traffic.rate", self.traffic.rate, 0.0, 20_000.0)?;
         within("traffic.grouped", self.traffic.grouped, 0.0, 1.0)?;
         within("traffic.impatient", self.traffic.impatient, 0.0, 1.0)?;
         within("traffic.life.sigma", self.traffic.life.sigma, 0.0, 4.0)?;
-        within("traffic.inherited", f64::from(self.traffic.inherited), 0.0, 50_000.0)?;
-        within("proxies.count", f64::from(self.proxies.count), 1.0, f64::from(MOST_PROXIES))?;
-        within("proxies.sockets", f64::from(self.proxies.sockets), 64.0, 1e6)?;
+        within(
+            "traffic.inherited",
+            f64::from(self.traffic.inherited),
+            0.0,
+            50_000.0,
+        )?;
+        within(
+            "proxies.count",
+            f64::from(self.proxies.count),
+            1.0,
+            f64::from(MOST_PROXIES),
+        )?;
+        within(
+            "proxies.sockets",
+            f64::from(self.proxies.sockets),
+            64.0,
+            1e6,
+        )?;
         within("proxies.callers", f64::from(self.proxies.callers), 0.0, 8.0)?;
-        within("proxies.watchers", f64::from(self.proxies.watchers), 0.0, 16.0)?;
+        within(
+            "proxies.watchers",
+            f64::from(self.proxies.watchers),
+            0.0,
+            16.0,
+        )?;
         for (i, point) in self.traffic.curve.iter().enumerate() {
-            within(&format!("traffic.curve.{i}.times"), point.times, 0.0, 1000.0)?;
+            within(
+                &format!("traffic.curve.{i}.times"),
+                point.times,
+                0.0,
+                1000.0,
+            )?;
         }
         for (i, fault) in self.faults.iter().enumerate() {
             let limit = match fault.kind {
@@ -527,8 +611,19 @@
                 kind if kind.strikes_places() => self.places.len() as u32,
                 _ => u32::MAX,
             };
-            let on = fault.on.iter().flatten().copied().max().map_or(fault.count, |most| most + 1);
-            within(&format!("faults.{i}.on or .count"), f64::from(on), 1.0, f64::from(limit))?;
+            let on = fault
+                .on
+                .iter()
+                .flatten()
+                .copied()
+                .max()
+                .map_or(fault.count, |most| most + 1);
+            within(
+                &format!("faults.{i}.on or .count"),
+                f64::from(on),
+                1.0,
+                f64::from(limit),
+            )?;
             let (least, most) = match fault.kind {
                 FaultKind::ClientsBad => (1.0, 500.0),
                 FaultKind::LinkSlowed => (1.0, 1e6),
@@ -537,20 +632,45 @@
             };
             within(&format!("faults.{i}.much"), fault.much, least, most)?;
             let misplaced = [
-                ("to", fault.to.is_some() && (!fault.kind.strikes_links() || fault.way != Way::ProxyHost)),
-                ("way", fault.way != Way::default() && !fault.kind.strikes_links()),
+                (
+                    "to",
+                    fault.to.is_some()
+                        && (!fault.kind.strikes_links() || fault.way != Way::ProxyHost),
+                ),
+                (
+                    "way",
+                    fault.way != Way::default() && !fault.kind.strikes_links(),
+                ),
                 (
                     "half_open",
                     fault.half_open && !(fault.kind.strikes_links() || fault.kind.strikes_places()),
                 ),
-                ("on", fault.kind == FaultKind::DiskSpoilt && !self.proxies.saves),
-                ("back", fault.back != Back::All && fault.kind != FaultKind::PlaceLost),
+                (
+                    "on",
+                    fault.kind == FaultKind::DiskSpoilt && !self.proxies.saves,
+                ),
+                (
+                    "back",
+                    fault.back != Back::All && fault.kind != FaultKind::PlaceLost,
+                ),
             ];
             if let Some((key, _)) = misplaced.iter().find(|(_, wrong)| *wrong) {
-                return Err(format!("faults.{i}.{key} does not go with {:?}", fault.kind));
+                return Err(format!(
+                    "faults.{i}.{key} does not go with {:?}",
+                    fault.kind
+                ));
             }
-            if let Some(to) = fault.to.iter().flatten().max().filter(|to| **to >= self.hosts()) {
-                return Err(format!("faults.{i}.to is {to}; allowed are 0 to {}", self.hosts() - 1));
+            if let Some(to) = fault
+                .to
+                .iter()
+                .flatten()
+                .max()
+                .filter(|to| **to >= self.hosts())
+            {
+                return Err(format!(
+                    "faults.{i}.to is {to}; allowed are 0 to {}",
+                    self.hosts() - 1
+                ));
             }
         }
         Ok(())
@@ -559,8 +679,12 @@
 
 /// A number and its unit, `ms`, `s` or `m`.
 pub fn parse_span(text: &str) -> Result<Duration, String> {
-    let wrong = || format!("{text:?} is no time; allowed are a number and ms, s or m, as in \"250ms\"");
-    let digits = text.len() - text.trim_start_matches(|c: char| c.is_ascii_digit() || c == '.').len();
+    let wrong =
+        || format!("{text:?} is no time; allowed are a number and ms, s or m, as in \"250ms\"");
+    let digits = text.len()
+        - text
+            .trim_start_matches(|c: char| c.is_ascii_digit() || c == '.')
+            .len();
     let factor = match &text[digits..] {
         "ms" => 0.001,
         "s" => 1.0,
@@ -568,7 +692,10 @@
         _ => return Err(wrong()),
     };
     let number: f64 = text[..digits].parse().map_err(|_| wrong())?;
-    Duration::try_from_secs_f64(number * factor).ok().filter(|span| *span <= LONGEST).ok_or_else(wrong)
+    Duration::try_from_secs_f64(number * factor)
+        .ok()
+        .filter(|span| *span <= LONGEST)
+        .ok_or_else(wrong)
 }
 
 fn span<'d, D: Deserializer<'d>>(d: D) -> Result<Duration, D::Error> {
--- a/rig/src/shrink.rs
+++ b/rig/src/shrink.rs
@@ -16,7 +16,10 @@
         much: struck.much,
         span: struck.span,
         way: struck.way,
-        to: struck.to.as_ref().map(|to| to.iter().map(|n| u32::from(*n)).collect()),
+        to: struck
+            .to
+            .as_ref()
+            .map(|to| to.iter().map(|n| u32::from(*n)).collect()),
         half_open: struck.half_open,
         back: struck.back,
     };
@@ -34,7 +37,11 @@
             let end = (at + step).min(left.len());
             let without: Vec<T> = left[..at].iter().chain(&left[end..]).cloned().collect();
             tries -= 1;
-            if fails(&without) { left = without } else { at = end }
+            if fails(&without) {
+                left = without
+            } else {
+                at = end
+            }
         }
         if tries == 0 || step == 1 && left.len() == before {
             return left;
@@ -64,7 +71,11 @@
             entry.insert("way".into(), named(Value::try_from(fault.way))?);
         }
         entry.extend(fault.to.as_deref().map(|to| ("to".into(), numbers(to))));
-        entry.extend(fault.half_open.then(|| ("half_open".into(), Value::from(true))));
+        entry.extend(
+            fault
+                .half_open
+                .then(|| ("half_open".into(), Value::from(true))),
+        );
         if fault.kind == crate::scenario::FaultKind::PlaceLost {
             entry.insert("back".into(), named(Value::try_from(fault.back))?);
         }
--- a/rig/src/world.rs
+++ b/rig/src/world.rs
@@ -91,7 +91,9 @@
     /// The plan's time now; zero before it begins.
     pub fn now(&self) -> Duration {
         let begin = *self.begin.borrow();
-        begin.map_or(Duration::ZERO, |begin| self.ledger.now().saturating_sub(begin))
+        begin.map_or(Duration::ZERO, |begin| {
+            self.ledger.now().saturating_sub(begin)
+        })
     }
 
     /// Sleeps until a time of the plan; not at all where that has come, since even the shortest sleep takes a
@@ -105,7 +107,10 @@
 
     /// Something due by the plan is done now: keeps how late that is, if it is the latest yet.
     pub fn done(&self, due: Duration) {
-        self.late.fetch_max(self.now().saturating_sub(due).as_micros() as u64, Ordering::Relaxed);
+        self.late.fetch_max(
+            self.now().saturating_sub(due).as_micros() as u64,
+            Ordering::Relaxed,
+        );
     }
 
     pub fn late(&self) -> Duration {
@@ -124,7 +129,11 @@
     pub fn begin(&self, id: Id, dial: u32, handle: Option<OwnedFd>) -> Vec<u32> {
         let mut all = self.dials();
         let dials = all.entry(id).or_default();
-        let out = dials.iter().filter(|(_, handle)| !ended(handle)).map(|(dial, _)| *dial).collect();
+        let out = dials
+            .iter()
+            .filter(|(_, handle)| !ended(handle))
+            .map(|(dial, _)| *dial)
+            .collect();
         dials.extend(handle.map(|handle| (dial, handle)));
         out
     }
@@ -188,11 +197,16 @@
             unreachable: 0,
             given_up: 0,
         };
-        Score { inner: Mutex::new(marks), members }
+        Score {
+            inner: Mutex::new(marks),
+            members,
+        }
     }
 
     pub fn marks(&self) -> MutexGuard<'_, Marks> {
-        self.inner.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.inner
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 
     pub fn wanted(&self, listener: u8, member: u16, from: Duration, to: Duration) {
@@ -203,7 +217,14 @@
         self.spread(listener, member, from, to, |cell, part| cell.1 += part);
     }
 
-    fn spread(&self, l: u8, m: u16, from: Duration, to: Duration, add: impl Fn(&mut (f64, f64), f64)) {
+    fn spread(
+        &self,
+        l: u8,
+        m: u16,
+        from: Duration,
+        to: Duration,
+        add: impl Fn(&mut (f64, f64), f64),
+    ) {
         let (from, to) = (from.as_secs_f64(), to.as_secs_f64());
         let cell = usize::from(l) * self.members + usize::from(m);
         let mut marks = self.marks();
--- a/rig/tests/breaks.rs
+++ b/rig/tests/breaks.rs
@@ -39,11 +39,21 @@
 
 fn rules_broken(policy: Policy, breaks: Option<Break>) -> Vec<Rule> {
     let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-rig"));
-    let ran = help::play(help::scenario(TROUBLE), program(rig, policy, breaks), 3, None);
+    let ran = help::play(
+        help::scenario(TROUBLE),
+        program(rig, policy, breaks),
+        3,
+        None,
+    );
     assert!(ran.verdict.tally.sessions > 50, "{:?}", ran.verdict.tally);
     let mut rules: Vec<Rule> = ran.verdict.breaches.iter().map(|b| b.rule).collect();
     for breach in ran.verdict.breaches.iter().take(2) {
-        println!("{}: {}\n{}", breach.rule.text(), breach.what, breach.timeline.join("\n"));
+        println!(
+            "{}: {}\n{}",
+            breach.rule.text(),
+            breach.what,
+            breach.timeline.join("\n")
+        );
     }
     rules.sort_unstable();
     rules.dedup();
@@ -79,8 +89,19 @@
         .replace("set_up_work = \"60ms\"", "set_up_work = \"2ms\"")
         .replace("name = \"order\"", "name = \"order\"\nutility = 3.0")
         .replace("count = 2", "count = 2\nby_worth = true");
-    let ran = help::play(Scenario::read(&text).unwrap(), program(rig, Policy::Random, breaks), 3, None);
-    assert_eq!(ran.verdict.breaches.iter().any(|breach| breach.rule == Rule::RefusedInOrder), seen);
+    let ran = help::play(
+        Scenario::read(&text).unwrap(),
+        program(rig, Policy::Random, breaks),
+        3,
+        None,
+    );
+    assert_eq!(
+        ran.verdict
+            .breaches
+            .iter()
+            .any(|breach| breach.rule == Rule::RefusedInOrder),
+        seen
+    );
 }
 
 /// Hosts that answer within some ms, so that two dials are out at once for less than the times of peers are apart.
@@ -92,7 +113,13 @@
     let silent = "[[faults]]\nat = \"1s\"\nkind = \"host-silent\"\non = [1]";
     let scenario = Scenario::read(&format!("{text}\n{silent}")).unwrap();
     let ran = help::play(scenario, program(rig, Policy::RoundRobin, breaks), 3, None);
-    assert_eq!(ran.verdict.breaches.iter().any(|breach| breach.rule == Rule::NeverTwoDials), seen);
+    assert_eq!(
+        ran.verdict
+            .breaches
+            .iter()
+            .any(|breach| breach.rule == Rule::NeverTwoDials),
+        seen
+    );
 }
 
 #[test]
@@ -101,12 +128,27 @@
     let fault = "[[faults]]\nat = \"1s\"\nkind = \"proxy-replaced\"\non = [0]";
     let scenario = help::scenario_with(fault, "callers = 1");
     let ran = help::play(scenario, program(rig, Policy::Random, None), 3, None);
-    assert!(ran.verdict.breaches.iter().all(|breach| breach.rule == Rule::OperatorsAnswered));
-    assert!(ran.verdict.breaches.len() > 5, "each call that was not answered counts");
-    let replaced: Vec<_> =
-        ran.records.iter().filter(|r| matches!(r.seen, Seen::Replaced { yes: None, .. })).collect();
+    assert!(
+        ran.verdict
+            .breaches
+            .iter()
+            .all(|breach| breach.rule == Rule::OperatorsAnswered)
+    );
+    assert!(
+        ran.verdict.breaches.len() > 5,
+        "each call that was not answered counts"
+    );
+    let replaced: Vec<_> = ran
+        .records
+        .iter()
+        .filter(|r| matches!(r.seen, Seen::Replaced { yes: None, .. }))
+        .collect();
     assert_eq!(replaced.len(), 1, "the second never says yes");
-    let dead = ran.records.iter().filter(|r| matches!(r.seen, Seen::ProxyDead { proxy: 0 })).count();
+    let dead = ran
+        .records
+        .iter()
+        .filter(|r| matches!(r.seen, Seen::ProxyDead { proxy: 0 }))
+        .count();
     assert_eq!(dead, 1, "so it is ended, and the first goes on");
 }
 
--- a/rig/tests/faults.rs
+++ b/rig/tests/faults.rs
@@ -20,11 +20,23 @@
 
 /// Hosts without proxies; the fault is the plan's only one, on host 0.
 async fn world(kind: &str) -> Arc<World> {
-    let fault = format!("[[faults]]\nat = \"1s\"\nkind = \"{kind}\"\non = [0]\nspan = \"400ms\"\nmuch = 0.1");
-    let scenario =
-        help::scenario(&fault.replace("on = [0]", if kind.starts_with("host") { "on = [0]" } else { "" }));
+    let fault = format!(
+        "[[faults]]\nat = \"1s\"\nkind = \"{kind}\"\non = [0]\nspan = \"400ms\"\nmuch = 0.1"
+    );
+    let scenario = help::scenario(&fault.replace(
+        "on = [0]",
+        if kind.starts_with("host") {
+            "on = [0]"
+        } else {
+            ""
+        },
+    ));
     let plan = Plan::new(&scenario, 1, None);
-    let (hosts, doors): (Vec<_>, Vec<_>) = Host::all(&plan, &scenario).await.unwrap().into_iter().unzip();
+    let (hosts, doors): (Vec<_>, Vec<_>) = Host::all(&plan, &scenario)
+        .await
+        .unwrap()
+        .into_iter()
+        .unzip();
     let front = Front::new(addresses(&scenario).unwrap().into_iter());
     let world = Arc::new(World::new(scenario, plan, hosts, front, Arc::default()));
     for (host, door) in world.hosts.iter().zip(doors) {
@@ -38,7 +50,9 @@
     let Ok(connected) = timeout(PATIENCE, TcpStream::connect(world.hosts[0].address)).await else {
         return "no connection".into();
     };
-    let Ok(mut stream) = connected else { return "refused".into() };
+    let Ok(mut stream) = connected else {
+        return "refused".into();
+    };
     let line = format!("OPEN {:x} 1 c=feed,t=acme,d=900,h=10\r\n", world.new_id());
     stream.write_all(line.as_bytes()).await.unwrap();
     let (read, _write) = stream.into_split();
@@ -78,7 +92,10 @@
     help::runtime().block_on(async {
         let world = world(kind).await;
         let mut stream = TcpStream::connect(world.hosts[0].address).await.unwrap();
-        stream.write_all(b"OPEN 7 1 c=feed,t=acme,d=900\r\n").await.unwrap();
+        stream
+            .write_all(b"OPEN 7 1 c=feed,t=acme,d=900\r\n")
+            .await
+            .unwrap();
         let (read, _write) = stream.into_split();
         let mut lines = Lines::new(read);
         assert!(matches!(lines.next().await, Line::Text(up) if up.starts_with("UP ")));
@@ -100,8 +117,18 @@
         let fault = |kind: &str| format!("[[faults]]\nat = \"1s\"\nkind = \"{kind}\"\non = [0]\n");
         let scenario = help::scenario(&[fault("host-draining"), fault("host-erring")].concat());
         let plan = Plan::new(&scenario, 1, None);
-        let (hosts, doors): (Vec<_>, Vec<_>) = Host::all(&plan, &scenario).await.unwrap().into_iter().unzip();
-        let world = Arc::new(World::new(scenario, plan, hosts, Front::new([].into_iter()), Arc::default()));
+        let (hosts, doors): (Vec<_>, Vec<_>) = Host::all(&plan, &scenario)
+            .await
+            .unwrap()
+            .into_iter()
+            .unzip();
+        let world = Arc::new(World::new(
+            scenario,
+            plan,
+            hosts,
+            Front::new([].into_iter()),
+            Arc::default(),
+        ));
         for (host, door) in world.hosts.iter().zip(doors) {
             tokio::spawn(host.clone().serve(world.clone(), door));
         }
@@ -142,13 +169,18 @@
         let (read, _write) = stream.into_split();
         let mut lines = Lines::new(read);
         assert_eq!(lines.next().await, Line::Text("PONG".into()));
-        assert_eq!(lines.next().await, Line::Text("PONG x0=0.0000,outstanding=0".into()));
+        assert_eq!(
+            lines.next().await,
+            Line::Text("PONG x0=0.0000,outstanding=0".into())
+        );
     });
 }
 
 /// What a watch says within a while, heads and chunk sizes left out.
 async fn watch(agent: &Agent, index: u64) -> String {
-    let Ok(mut stream) = TcpStream::connect(agent.address()).await else { return "refused".into() };
+    let Ok(mut stream) = TcpStream::connect(agent.address()).await else {
+        return "refused".into();
+    };
     let request = format!("GET /discovery/hosts?stream=1&index={index} HTTP/1.1\r\n\r\n");
     let _ = stream.write_all(request.as_bytes()).await;
     let (mut heard, until) = (Vec::new(), Instant::now() + Duration::from_millis(300));
@@ -167,17 +199,32 @@
         let world = world("host-draining").await;
         let agent = Agent::start(&world, 0).await.unwrap();
         let whole = watch(&agent, 0).await;
-        assert!(whole.contains("\"all\":true") && whole.matches("\"ready\"").count() == 4, "{whole}");
+        assert!(
+            whole.contains("\"all\":true") && whole.matches("\"ready\"").count() == 4,
+            "{whole}"
+        );
         world.hosts[0].strike(&world, 0, true);
         let changed = watch(&agent, 1).await;
-        assert!(changed.contains("\"all\":false") && changed.matches("uid").count() == 1, "{changed}");
+        assert!(
+            changed.contains("\"all\":false") && changed.matches("uid").count() == 1,
+            "{changed}"
+        );
         assert!(changed.contains("\"draining\""), "{changed}");
         world.roster.mood.send_modify(|mood| mood.silent = 1);
         assert_eq!(watch(&agent, 1).await, "");
-        world.roster.mood.send_modify(|mood| (mood.silent, mood.babbles) = (0, 1));
+        world
+            .roster
+            .mood
+            .send_modify(|mood| (mood.silent, mood.babbles) = (0, 1));
         let babble = watch(&agent, 1).await;
-        assert!(babble.contains("chunked") && !babble.contains("uid"), "{babble}");
-        world.roster.mood.send_modify(|mood| (mood.babbles, mood.refuses) = (0, 1));
+        assert!(
+            babble.contains("chunked") && !babble.contains("uid"),
+            "{babble}"
+        );
+        world
+            .roster
+            .mood
+            .send_modify(|mood| (mood.babbles, mood.refuses) = (0, 1));
         sleep(Duration::from_millis(50)).await;
         assert_eq!(watch(&agent, 1).await, "refused");
         world.roster.mood.send_modify(|mood| mood.refuses = 0);
@@ -187,6 +234,9 @@
         assert_ne!(agent.address(), old);
         assert!(watch(&agent, 1).await.contains("draining"));
         sleep(Duration::from_millis(50)).await;
-        assert!(TcpStream::connect(old).await.is_err(), "the old address still listens");
+        assert!(
+            TcpStream::connect(old).await.is_err(),
+            "the old address still listens"
+        );
     });
 }
--- a/rig/tests/help/mod.rs
+++ b/rig/tests/help/mod.rs
@@ -64,7 +64,11 @@
 
 #[allow(dead_code)]
 pub fn runtime() -> tokio::runtime::Runtime {
-    tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap()
+    tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()
+        .unwrap()
 }
 
 /// This repository's proxy, built by the same call of cargo for the whole workspace.
@@ -72,7 +76,11 @@
 pub fn real() -> Program {
     let own = std::env::current_exe().unwrap();
     let path = own_proxy(&own).expect("no asterramp beside the tests: build the workspace");
-    Program { path, args: Vec::new(), name: "asterramp".into() }
+    Program {
+        path,
+        args: Vec::new(),
+        name: "asterramp".into(),
+    }
 }
 
 #[allow(dead_code)]
@@ -82,13 +90,28 @@
 
 /// The same, and what the proxies wrote into their logs.
 #[allow(dead_code)]
-pub fn play_and_read(scenario: Scenario, program: Program, seed: u64, chaos: Option<u64>) -> (Ran, String) {
+pub fn play_and_read(
+    scenario: Scenario,
+    program: Program,
+    seed: u64,
+    chaos: Option<u64>,
+) -> (Ran, String) {
     let folder = own_folder();
-    let job = Job { seed, chaos, program, folder: folder.clone(), progress: false };
+    let job = Job {
+        seed,
+        chaos,
+        program,
+        folder: folder.clone(),
+        progress: false,
+    };
     let ran = runtime().block_on(run(scenario, &job)).unwrap();
-    let files = std::fs::read_dir(&folder).unwrap().map(|file| file.unwrap().path());
+    let files = std::fs::read_dir(&folder)
+        .unwrap()
+        .map(|file| file.unwrap().path());
     let logs = files.filter(|path| path.extension().is_some_and(|ending| ending == "log"));
-    let text = logs.map(|path| std::fs::read_to_string(path).unwrap()).collect();
+    let text = logs
+        .map(|path| std::fs::read_to_string(path).unwrap())
+        .collect();
     let _ = std::fs::remove_dir_all(folder);
     (ran, text)
 }
@@ -97,6 +120,11 @@
 #[allow(dead_code)]
 pub fn show(ran: &Ran) {
     for breach in ran.verdict.breaches.iter().take(3) {
-        println!("{}: {}\n{}", breach.rule.text(), breach.what, breach.timeline.join("\n"));
+        println!(
+            "{}: {}\n{}",
+            breach.rule.text(),
+            breach.what,
+            breach.timeline.join("\n")
+        );
     }
 }
--- a/rig/tests/parts.rs
+++ b/rig/tests/parts.rs
@@ -50,17 +50,26 @@
 #[test]
 fn arrivals_follow_their_curve_and_lives_their_median() {
     let more = "[[faults]]\nat = \"1s\"\nkind = \"clients-bad\"";
-    let text = format!("{}\n{more}", help::BASE).replace("length = \"5s\"", "length = \"300s\"").replace(
-        "rate = 45.0",
-        "rate = 45.0\ncurve = [{ at = \"100s\", times = 1.0 }, { at = \"200s\", times = 3.0 }]",
-    );
+    let text = format!("{}\n{more}", help::BASE)
+        .replace("length = \"5s\"", "length = \"300s\"")
+        .replace(
+            "rate = 45.0",
+            "rate = 45.0\ncurve = [{ at = \"100s\", times = 1.0 }, { at = \"200s\", times = 3.0 }]",
+        );
     let plan = Plan::new(&Scenario::read(&text).unwrap(), 1, None);
     let between = |from: u64, to: u64| {
-        let inside = plan.clients.iter().filter(|c| c.at >= ms(from * 1000) && c.at < ms(to * 1000));
+        let inside = plan
+            .clients
+            .iter()
+            .filter(|c| c.at >= ms(from * 1000) && c.at < ms(to * 1000));
         inside.count() as f64 / (to - from) as f64
     };
     for (from, to, rate) in [(0, 100, 45.0), (100, 200, 90.0), (200, 299, 135.0)] {
-        assert!((between(from, to) / rate - 1.0).abs() < 0.06, "{from}: {}", between(from, to));
+        assert!(
+            (between(from, to) / rate - 1.0).abs() < 0.06,
+            "{from}: {}",
+            between(from, to)
+        );
     }
     let mut lives: Vec<Duration> = plan.clients.iter().map(|c| c.life).collect();
     lives.sort_unstable();
@@ -92,12 +101,25 @@
     assert!((model.asked(ms(0)) - 0.4).abs() < 1e-9);
     let light = model.message(ms(10));
     model.factor = 0.42;
-    assert!(model.message(ms(20)) > light * 5, "near its limit messages take long");
-    let queued = (model.message(ms(1_020)), model.factor = 0.2, model.message(ms(3_020)));
-    assert!(queued.2 > queued.0 + ms(1_900), "over it work piles up: {queued:?}");
+    assert!(
+        model.message(ms(20)) > light * 5,
+        "near its limit messages take long"
+    );
+    let queued = (
+        model.message(ms(1_020)),
+        model.factor = 0.2,
+        model.message(ms(3_020)),
+    );
+    assert!(
+        queued.2 > queued.0 + ms(1_900),
+        "over it work piles up: {queued:?}"
+    );
     model.factor = 1.0;
     model.disconnect(ms(3_020), Some(1), 0.05);
-    assert!((model.asked(ms(3_020)) - 0.35).abs() < 1e-9, "the group is still held");
+    assert!(
+        (model.asked(ms(3_020)) - 0.35).abs() < 1e-9,
+        "the group is still held"
+    );
     model.disconnect(ms(3_020), Some(1), 0.05);
     assert!((model.asked(ms(3_020)) - 0.2).abs() < 1e-9);
 }
@@ -130,10 +152,26 @@
 
 /// Records of session 1, asked of proxy 0 at 100 ms with a wait of 1 s, and what else a case tells.
 fn verdict(listener: u8, seen: Vec<(u64, Seen)>) -> Verdict {
-    let asked = Seen::Asked { id: 1, proxy: 0, place: 0, listener, wait: ms(1_000), inherited: false };
-    let mut records = vec![Record { at: ms(100), seen: asked }];
-    records.extend(seen.into_iter().map(|(at, seen)| Record { at: ms(at), seen }));
-    records.push(Record { at: ms(9_000), seen: Seen::HostUp { host: 9 } });
+    let asked = Seen::Asked {
+        id: 1,
+        proxy: 0,
+        place: 0,
+        listener,
+        wait: ms(1_000),
+        inherited: false,
+    };
+    let mut records = vec![Record {
+        at: ms(100),
+        seen: asked,
+    }];
+    records.extend(
+        seen.into_iter()
+            .map(|(at, seen)| Record { at: ms(at), seen }),
+    );
+    records.push(Record {
+        at: ms(9_000),
+        seen: Seen::HostUp { host: 9 },
+    });
     judge(&records, &terms())
 }
 
@@ -156,11 +194,21 @@
 }
 
 fn still_out(dial: u32, earlier: u32) -> Seen {
-    Seen::StillOut { id: 1, host: 1, dial, earlier }
+    Seen::StillOut {
+        id: 1,
+        host: 1,
+        dial,
+        earlier,
+    }
 }
 
 fn dialled(dial: u32, host: u16) -> Seen {
-    Seen::Dialled { id: 1, host, dial, inherited: false }
+    Seen::Dialled {
+        id: 1,
+        host,
+        dial,
+        inherited: false,
+    }
 }
 
 fn replied(dial: u32, reply: Reply) -> Seen {
@@ -168,7 +216,11 @@
 }
 
 fn over(dial: u32) -> Seen {
-    Seen::DialOver { id: 1, dial, by_host: false }
+    Seen::DialOver {
+        id: 1,
+        dial,
+        by_host: false,
+    }
 }
 
 fn answered(answer: Answer) -> Seen {
@@ -176,7 +228,12 @@
 }
 
 fn told(standing: Standing) -> Seen {
-    Seen::Told { proxy: 0, host: 0, standing, started: None }
+    Seen::Told {
+        proxy: 0,
+        host: 0,
+        standing,
+        started: None,
+    }
 }
 
 /// Forty sessions come up at proxy 0, one each 10 ms from 1 s on, and stand until 9 s; a process beside it serves alone
@@ -204,21 +261,66 @@
     let mut seen = vec![(0, Seen::ProxyStarted { proxy: 0 })];
     for id in 1..=40 {
         let came = 1_000 + id * 10;
-        let asked = Seen::Asked { id, proxy: 0, place: 0, listener: 0, wait: ms(1_000), inherited: false };
-        let dialled = Seen::Dialled { id, host: 0, dial: 1, inherited: false };
-        let replied = Seen::Replied { id, dial: 1, reply: Reply::Up };
-        let all = [asked, dialled, replied, Seen::Answered { id, answer: Answer::Up }];
+        let asked = Seen::Asked {
+            id,
+            proxy: 0,
+            place: 0,
+            listener: 0,
+            wait: ms(1_000),
+            inherited: false,
+        };
+        let dialled = Seen::Dialled {
+            id,
+            host: 0,
+            dial: 1,
+            inherited: false,
+        };
+        let replied = Seen::Replied {
+            id,
+            dial: 1,
+            reply: Reply::Up,
+        };
+        let all = [
+            asked,
+            dialled,
+            replied,
+            Seen::Answered {
+                id,
+                answer: Answer::Up,
+            },
+        ];
         seen.extend(all.map(|seen| (came, seen)));
-        seen.push((9_000, Seen::DialOver { id, dial: 1, by_host: true }));
+        seen.push((
+            9_000,
+            Seen::DialOver {
+                id,
+                dial: 1,
+                by_host: true,
+            },
+        ));
     }
     if let Some(alone) = alone {
         seen.push((alone - 100, Seen::ProxyBeside { proxy: 0 }));
         seen.push((alone, Seen::ProxyServes { proxy: 0 }));
     }
-    seen.push((at, Seen::Called { proxy: 0, took: ms(took), figures }));
+    seen.push((
+        at,
+        Seen::Called {
+            proxy: 0,
+            took: ms(took),
+            figures,
+        },
+    ));
     seen.sort_by_key(|seen| seen.0);
-    let records: Vec<Record> = seen.into_iter().map(|(at, seen)| Record { at: ms(at), seen }).collect();
-    let found: Vec<Rule> = judge(&records, &terms()).breaches.into_iter().map(|b| b.rule).collect();
+    let records: Vec<Record> = seen
+        .into_iter()
+        .map(|(at, seen)| Record { at: ms(at), seen })
+        .collect();
+    let found: Vec<Rule> = judge(&records, &terms())
+        .breaches
+        .into_iter()
+        .map(|b| b.rule)
+        .collect();
     assert_eq!(found, breaks.into_iter().collect::<Vec<_>>());
 }
 
@@ -264,7 +366,11 @@
 #[test_case(0, vec![(220, answered(BUSY)), (300, Seen::Rude { sort: "x", owed: true, served: true })], Some(Rule::NoSessionLost); "a bad client served")]
 #[test_case(0, vec![(220, answered(BUSY)), (300, Seen::ProxyExited { proxy: 0, code: Some(1), asked: true })], Some(Rule::ProxyStays); "an exit with an error")]
 #[test_case(0, vec![(220, answered(BUSY)), (300, Seen::ProxyExited { proxy: 0, code: Some(0), asked: true })], None; "an exit in good order")]
-fn each_rule_is_told_from_what_is_allowed(listener: u8, seen: Vec<(u64, Seen)>, rule: Option<Rule>) {
+fn each_rule_is_told_from_what_is_allowed(
+    listener: u8,
+    seen: Vec<(u64, Seen)>,
+    rule: Option<Rule>,
+) {
     let verdict = verdict(listener, seen);
     let mut found: Vec<Rule> = verdict.breaches.iter().map(|b| b.rule).collect();
     found.dedup();
@@ -275,23 +381,50 @@
 #[test_case(3, false; "fewer knew it")]
 fn a_cold_host_pushed_over_counts_by_who_knew(knowing: u64, broken: bool) {
     let started = Some(ms(50));
-    let told = Seen::Told { proxy: 0, host: 0, standing: Standing::Ready, started };
+    let told = Seen::Told {
+        proxy: 0,
+        host: 0,
+        standing: Standing::Ready,
+        started,
+    };
     let mut seen = vec![(60, told), (200, answered(BUSY))];
     for id in 2..=6 {
         let proxy = u16::from(id > knowing);
-        let asked = Seen::Asked { id, proxy, place: 0, listener: 0, wait: ms(1_000), inherited: false };
+        let asked = Seen::Asked {
+            id,
+            proxy,
+            place: 0,
+            listener: 0,
+            wait: ms(1_000),
+            inherited: false,
+        };
         seen.push((100, asked));
         seen.push((200, Seen::Answered { id, answer: BUSY }));
     }
-    seen.push((300, Seen::Collapsed { host: 0, started, by: (1..=6).collect() }));
+    seen.push((
+        300,
+        Seen::Collapsed {
+            host: 0,
+            started,
+            by: (1..=6).collect(),
+        },
+    ));
     assert_eq!(!verdict(0, seen).breaches.is_empty(), broken);
 }
 
 #[test]
 fn a_breach_comes_with_what_led_there() {
-    let seen = vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (400, over(1)), (510, answered(BUSY))];
+    let seen = vec![
+        (200, dialled(1, 0)),
+        (300, dialled(2, 1)),
+        (400, over(1)),
+        (510, answered(BUSY)),
+    ];
     let breach = &verdict(0, seen).breaches[0];
-    assert!(breach.timeline.len() == 5 && breach.timeline[1].contains("0.200 s"), "{breach:?}");
+    assert!(
+        breach.timeline.len() == 5 && breach.timeline[1].contains("0.200 s"),
+        "{breach:?}"
+    );
 }
 
 #[test]
@@ -302,7 +435,10 @@
     assert!(found.clear() && (found.mean - 0.02).abs() < 1e-9 && found.low > 0.019);
     let mixed = [0.92, 0.79, 0.94, 0.73, 0.84];
     let found = Difference::of(&a, &mixed, 1);
-    assert!(!found.clear() && found.low < 0.0 && found.high > 0.0, "{found:?}");
+    assert!(
+        !found.clear() && found.low < 0.0 && found.high > 0.0,
+        "{found:?}"
+    );
 }
 
 #[test_case(b"0.5 refused sess=1 server=- dials=0\n2.1 dial-erred server=s-1\n\n2.9 dial-erred server=s-1", &["1 proxies, 3 lines, 0 bad\n", "dial-erred                   2        1", "2           dial-erred 2", "s-1         dial-erred 2"]; "sound lines")]
@@ -312,7 +448,11 @@
 fn the_logs_of_a_fleet_are_summed_and_bad_lines_named(log: &[u8], says: &[&str]) {
     let mut logs = Logs::new(2);
     logs.take("n0.log", log).unwrap();
-    assert!(says.iter().all(|part| logs.table().contains(part)), "{}", logs.table());
+    assert!(
+        says.iter().all(|part| logs.table().contains(part)),
+        "{}",
+        logs.table()
+    );
 }
 
 /// Whatever else strikes, these together are what fails.
@@ -335,7 +475,17 @@
         let text = written(help::BASE, &drawn(&plan.faults)).unwrap();
         let read = Plan::new(&Scenario::read(&text).unwrap(), 5, None);
         let ms = |at: Duration| at.as_millis();
-        let told = |s: &Struck| (s.kind, s.on.clone(), ms(s.at), s.way, s.half_open, ms(s.span), s.back);
+        let told = |s: &Struck| {
+            (
+                s.kind,
+                s.on.clone(),
+                ms(s.at),
+                s.way,
+                s.half_open,
+                ms(s.span),
+                s.back,
+            )
+        };
         assert_eq!(
             read.faults.iter().map(told).collect::<Vec<_>>(),
             plan.faults.iter().map(told).collect::<Vec<_>>()
@@ -350,7 +500,11 @@
     for seed in 0..12_u64 {
         let bad = seed % 3 == 0;
         let score = if bad { 0.5 } else { 0.75 } + (seed % 2) as f64 * 0.01;
-        let troubles = if bad { r#"["slow","burst"]"# } else { r#"["burst"]"# };
+        let troubles = if bad {
+            r#"["slow","burst"]"#
+        } else {
+            r#"["burst"]"#
+        };
         let text = format!(
             r#"{{"v":1,"days":[{{"name":"zone+mass-2","seed":{seed},"score":{score},"served":0.8,"served_late":0.9,
             "servers":{},"nodes":300,"caps":[64,640,0.2],"troubles":{troubles},"signature":{{"moves":0.5,"odd":null}},"rules":{{"lost":0}}}},
@@ -364,9 +518,16 @@
     }
     journal.take(b"{\"days\":7}", "+mass");
     let table = journal.table();
-    assert!(table.contains("13 records, 12 days, 1 files cannot be read"), "{table}");
+    assert!(
+        table.contains("13 records, 12 days, 1 files cannot be read"),
+        "{table}"
+    );
     assert!(table.contains("| zone+mass | 12 | 0.672 ("), "{table}");
-    let first = table.lines().skip_while(|line| !line.starts_with("| draw")).nth(2).unwrap();
+    let first = table
+        .lines()
+        .skip_while(|line| !line.starts_with("| draw"))
+        .nth(2)
+        .unwrap();
     assert!(
         first.starts_with("| trouble slow | -0.2") && !table.contains("| trouble burst |"),
         "{first}\n{table}"
--- a/rig/tests/recovery.rs
+++ b/rig/tests/recovery.rs
@@ -15,11 +15,17 @@
     let text = help::BASE
         .replace("places = [\"a\", \"b\"]", "places = [\"a\", \"b\", \"c\"]")
         .replace("length = \"5s\"", "length = \"11s\"")
-        .replace("set_up_work = \"60ms\"", "set_up_work = \"2ms\"\nwarm_after = \"3s\"")
+        .replace(
+            "set_up_work = \"60ms\"",
+            "set_up_work = \"2ms\"\nwarm_after = \"3s\"",
+        )
         .replace("count = 4", "count = 9")
         .replace("work = 0.002", "work = 0.01")
         .replace("rate = 45.0", "rate = 60.0")
-        .replace("count = 2", "count = 6\nsaves = true\nstages = true\nknown = \"empty\"");
+        .replace(
+            "count = 2",
+            "count = 6\nsaves = true\nstages = true\nknown = \"empty\"",
+        );
     format!("{text}\n{faults}")
 }
 
@@ -40,9 +46,17 @@
 fn play_it(scenario: Scenario) -> (Ran, String) {
     let (ran, logs) = help::play_and_read(scenario, help::real(), 3, None);
     help::show(&ran);
-    assert!(ran.verdict.breaches.is_empty(), "faults: {:?}", ran.world.plan.faults);
+    assert!(
+        ran.verdict.breaches.is_empty(),
+        "faults: {:?}",
+        ran.world.plan.faults
+    );
     // The sum of all proxies pushes nobody over, told or not.
-    let over = ran.records.iter().filter(|r| matches!(r.seen, Seen::Collapsed { .. })).count();
+    let over = ran
+        .records
+        .iter()
+        .filter(|r| matches!(r.seen, Seen::Collapsed { .. }))
+        .count();
     assert_eq!(over, 0, "{over} hosts were pushed over");
     (ran, logs)
 }
@@ -50,10 +64,22 @@
 /// Sessions brought up between two seconds of the run.
 fn up(ran: &Ran, from: u64, to: u64) -> usize {
     let begin = (*ran.world.begin.borrow()).unwrap();
-    let within =
-        |at: Duration| at >= begin + Duration::from_secs(from) && at < begin + Duration::from_secs(to);
-    let up = |seen: &Seen| matches!(seen, Seen::Replied { reply: Reply::Up, .. });
-    ran.records.iter().filter(|r| within(r.at) && up(&r.seen)).count()
+    let within = |at: Duration| {
+        at >= begin + Duration::from_secs(from) && at < begin + Duration::from_secs(to)
+    };
+    let up = |seen: &Seen| {
+        matches!(
+            seen,
+            Seen::Replied {
+                reply: Reply::Up,
+                ..
+            }
+        )
+    };
+    ran.records
+        .iter()
+        .filter(|r| within(r.at) && up(&r.seen))
+        .count()
 }
 
 fn count(logs: &str, what: &str) -> usize {
@@ -69,33 +95,57 @@
 fn service_returns_whatever_becomes_of_discovery(discovery: &str, stage: &str) {
     let (ran, logs) = play(&(cut() + discovery));
     let (before, after) = (up(&ran, 1, 4), up(&ran, 7, 10));
-    assert!(after * 2 > before, "{before} came up in three seconds before, {after} in three after");
+    assert!(
+        after * 2 > before,
+        "{before} came up in three seconds before, {after} in three after"
+    );
     assert!(up(&ran, 5, 7) > 10, "{} within two seconds", up(&ran, 5, 7));
-    assert!(count(&logs, &format!("stage stage={stage} ")) >= 6, "{stage}");
+    assert!(
+        count(&logs, &format!("stage stage={stage} ")) >= 6,
+        "{stage}"
+    );
 }
 
 #[test_case(&[0, 4, 8], 40; "a third of the hosts are gone")]
 #[test_case(&[0, 1, 3, 4, 6, 8], 10; "two thirds are")]
 fn hosts_that_did_not_come_back_are_dropped(gone: &[u32], least: usize) {
     let gone = format!("on = {gone:?}");
-    let faults = fault("3900ms", None, "discovery-silent", "") + &fault("3950ms", None, "host-gone", &gone);
+    let faults =
+        fault("3900ms", None, "discovery-silent", "") + &fault("3950ms", None, "host-gone", &gone);
     let (ran, _) = play(&(cut() + &faults));
     assert!(up(&ran, 6, 10) > least, "{} came up", up(&ran, 6, 10));
     // Nobody is dialled who has not answered.
     let at = (*ran.world.begin.borrow()).unwrap() + Duration::from_secs(5);
-    let dials = |r: &&asterramp_rig::ledger::Record| r.at > at && matches!(r.seen, Seen::Dialled { .. });
+    let dials =
+        |r: &&asterramp_rig::ledger::Record| r.at > at && matches!(r.seen, Seen::Dialled { .. });
     let dials = ran.records.iter().filter(dials).count();
     let ups = up(&ran, 5, 11);
-    assert!(dials <= ups + ups / 5 + 5, "{dials} dials for {ups} sessions");
+    assert!(
+        dials <= ups + ups / 5 + 5,
+        "{dials} dials for {ups} sessions"
+    );
 }
 
 #[test]
 fn where_no_host_comes_back_each_is_told_at_once_to_come_later() {
     let faults = fault("3900ms", None, "discovery-silent", "")
-        + &fault("3950ms", None, "host-gone", "on = [0, 1, 2, 3, 4, 5, 6, 7, 8]");
+        + &fault(
+            "3950ms",
+            None,
+            "host-gone",
+            "on = [0, 1, 2, 3, 4, 5, 6, 7, 8]",
+        );
     let (ran, logs) = play(&(cut() + &faults));
     assert_eq!(up(&ran, 6, 11), 0);
-    let busy = |seen: &Seen| matches!(seen, Seen::Answered { answer: Answer::Busy(Some(_)), .. });
+    let busy = |seen: &Seen| {
+        matches!(
+            seen,
+            Seen::Answered {
+                answer: Answer::Busy(Some(_)),
+                ..
+            }
+        )
+    };
     assert!(ran.records.iter().any(|r| busy(&r.seen)));
     assert!(count(&logs, "why=room") > 5);
 }
@@ -105,7 +155,11 @@
     let faults = fault("3900ms", Some("4s"), "discovery-silent", "")
         + &fault("4500ms", Some("1s"), "disk-spoilt", "on = [0, 2, 4]");
     let (ran, logs) = play(&(cut() + &faults));
-    assert_eq!(count(&logs, "state-bad file="), 6, "two files at three proxies");
+    assert_eq!(
+        count(&logs, "state-bad file="),
+        6,
+        "two files at three proxies"
+    );
     assert!(up(&ran, 5, 8) > 10, "{}", up(&ran, 5, 8));
     assert!(up(&ran, 9, 11) > 20, "{}", up(&ran, 9, 11));
 }
@@ -118,11 +172,20 @@
     let faults = fault("3900ms", None, "discovery-silent", "")
         + &fault("4500ms", Some("1s"), "disk-spoilt", "on = [0, 2, 4]")
         + more;
-    let text = scenario_text(&(cut() + &faults)).replace("stages = true", "stages = true\nasks = true");
+    let text =
+        scenario_text(&(cut() + &faults)).replace("stages = true", "stages = true\nasks = true");
     let (ran, logs) = play_it(Scenario::read(&text).unwrap());
-    assert_eq!(count(&logs, "state-bad file="), 6, "two files at three proxies");
+    assert_eq!(
+        count(&logs, "state-bad file="),
+        6,
+        "two files at three proxies"
+    );
     // All six are through at the end, none by discovery.
-    assert!(count(&logs, "stage stage=admitting ") >= 6, "{}", count(&logs, "stage stage=admitting "));
+    assert!(
+        count(&logs, "stage stage=admitting ") >= 6,
+        "{}",
+        count(&logs, "stage stage=admitting ")
+    );
     assert!(up(&ran, 8, 11) > 40, "{}", up(&ran, 8, 11));
 }
 
@@ -139,7 +202,9 @@
 #[test]
 fn more_hosts_than_are_asked_at_once_are_all_found() {
     let text = scenario_text(&(cut() + &fault("3900ms", None, "discovery-silent", "")));
-    let text = text.replace("count = 9", "count = 90").replace("count = 6\n", "count = 3\n");
+    let text = text
+        .replace("count = 9", "count = 90")
+        .replace("count = 6\n", "count = 3\n");
     let (ran, logs) = play_it(Scenario::read(&text).unwrap());
     assert!(count(&logs, "stage stage=normal why=\"its time is over\"") >= 3);
     assert!(up(&ran, 8, 11) > 60, "{}", up(&ran, 8, 11));
@@ -150,5 +215,9 @@
     let (ran, logs) = play(&fault("3s", Some("500ms"), "proxy-leaves", "on = [0, 1]"));
     assert!(count(&logs, "stage stage=normal ") >= 8);
     assert_eq!(count(&logs, "stage stage=probing "), 0);
-    assert!(ran.verdict.tally.refused * 10 < ran.verdict.tally.sessions, "{:?}", ran.verdict.tally);
+    assert!(
+        ran.verdict.tally.refused * 10 < ran.verdict.tally.sessions,
+        "{:?}",
+        ran.verdict.tally
+    );
 }
--- a/rig/tests/sites.rs
+++ b/rig/tests/sites.rs
@@ -20,14 +20,20 @@
     let text = help::BASE
         .replace("places = [\"a\", \"b\"]", "places = [\"a\", \"b\", \"c\"]")
         .replace("length = \"5s\"", "length = \"9s\"")
-        .replace("set_up_work = \"60ms\"", "set_up_work = \"2ms\"\nwarm_after = \"2s\"")
+        .replace(
+            "set_up_work = \"60ms\"",
+            "set_up_work = \"2ms\"\nwarm_after = \"2s\"",
+        )
         .replace("count = 4", "count = 9")
         // Loads at which places help each other out; where they need not, nobody goes elsewhere and nothing is learned.
         .replace("work = 0.002", &format!("work = {work}"))
         .replace("rate = 45.0", "rate = 60.0")
         // What is worth less is refused first.
         .replace("name = \"order\"", "name = \"order\"\nutility = 3.0")
-        .replace("count = 2", &format!("count = 6\nby_worth = true\n{proxies}"));
+        .replace(
+            "count = 2",
+            &format!("count = 6\nby_worth = true\n{proxies}"),
+        );
     Scenario::read(&format!("{text}\n{faults}")).unwrap()
 }
 
@@ -38,7 +44,11 @@
 fn play(faults: &str, proxies: &str) -> (Ran, String) {
     let (ran, logs) = help::play_and_read(scenario(faults, proxies), help::real(), 3, None);
     help::show(&ran);
-    assert!(ran.verdict.breaches.is_empty(), "faults: {:?}", ran.world.plan.faults);
+    assert!(
+        ran.verdict.breaches.is_empty(),
+        "faults: {:?}",
+        ran.world.plan.faults
+    );
     let tally = ran.verdict.tally;
     assert!(tally.sessions > 300 && tally.accepted > 200, "{tally:?}");
     (ran, logs)
@@ -46,7 +56,9 @@
 
 /// Turns of a place to a state, over all proxies.
 fn turns(logs: &str, place: &str, state: &str) -> usize {
-    logs.lines().filter(|line| line.contains(&format!("place place={place} state={state} "))).count()
+    logs.lines()
+        .filter(|line| line.contains(&format!("place place={place} state={state} ")))
+        .count()
 }
 
 #[test_case("place-lost", "on = [1]\nspan = \"1s\""; "all die, and discovery notices")]
@@ -71,57 +83,92 @@
     help::show(&ran);
     assert!(ran.verdict.breaches.is_empty());
     let refused = |listener: &str| {
-        let own =
-            |line: &&str| line.contains("room-short ") && line.contains(&format!("listener={listener} "));
+        let own = |line: &&str| {
+            line.contains("room-short ") && line.contains(&format!("listener={listener} "))
+        };
         logs.lines().filter(own).count()
     };
     // Of four sessions two are for feed, and one each for order, which is worth most, and ticket.
     let (feed, order, ticket) = (refused("feed"), refused("order"), refused("ticket"));
     assert!(feed + ticket > 40, "{feed}, {order}, {ticket}");
-    assert!(order * 2 < ticket.min(feed / 2), "{feed}, {order}, {ticket}");
+    assert!(
+        order * 2 < ticket.min(feed / 2),
+        "{feed}, {order}, {ticket}"
+    );
     let spread: std::collections::BTreeSet<u64> = ran
         .records
         .iter()
         .filter_map(|r| match r.seen {
-            Seen::Answered { answer: asterramp_rig::ledger::Answer::Busy(Some(ms)), .. } => Some(ms / 100),
+            Seen::Answered {
+                answer: asterramp_rig::ledger::Answer::Busy(Some(ms)),
+                ..
+            } => Some(ms / 100),
             _ => None,
         })
         .collect();
-    assert!(spread.len() > 8, "come-back times in {} tenths of a second", spread.len());
+    assert!(
+        spread.len() > 8,
+        "come-back times in {} tenths of a second",
+        spread.len()
+    );
 }
 
 #[test]
 fn where_only_proxies_come_back_the_place_stays_lost() {
-    let (_, logs) = play(&fault("2s", "3s", "place-lost", "on = [1]\nback = \"proxies\"\nspan = \"1s\""), "");
+    let (_, logs) = play(
+        &fault(
+            "2s",
+            "3s",
+            "place-lost",
+            "on = [1]\nback = \"proxies\"\nspan = \"1s\"",
+        ),
+        "",
+    );
     assert!(turns(&logs, "b", "lost") >= 3);
     assert_eq!(turns(&logs, "b", "returning"), 0);
 }
 
 #[test]
 fn a_place_that_is_lost_twice_within_ten_seconds_is_given_up_twice() {
-    let faults =
-        fault("1500ms", "2500ms", "place-cut", "on = [1]") + &fault("5s", "3s", "place-cut", "on = [1]");
+    let faults = fault("1500ms", "2500ms", "place-cut", "on = [1]")
+        + &fault("5s", "3s", "place-cut", "on = [1]");
     let (_, logs) = play(&faults, "");
-    assert!(turns(&logs, "b", "lost") >= 5, "{} by four proxies", turns(&logs, "b", "lost"));
+    assert!(
+        turns(&logs, "b", "lost") >= 5,
+        "{} by four proxies",
+        turns(&logs, "b", "lost")
+    );
 }
 
 #[test]
 fn a_place_that_flaps_breaks_no_rule() {
-    play(&fault("1500ms", "6s", "place-flaps", "on = [2]\nspan = \"700ms\""), "");
+    play(
+        &fault("1500ms", "6s", "place-flaps", "on = [2]\nspan = \"700ms\""),
+        "",
+    );
 }
 
 #[test]
 fn a_proxy_that_was_stopped_over_a_loss_wakes_with_old_news() {
     let stalls = fault("1800ms", "3s", "proxy-stalls", "on = [0, 2]");
-    let (ran, logs) = play(&(stalls + &fault("2s", "5s", "place-lost", "on = [1]\nspan = \"1s\"")), "");
+    let (ran, logs) = play(
+        &(stalls + &fault("2s", "5s", "place-lost", "on = [1]\nspan = \"1s\"")),
+        "",
+    );
     assert!(turns(&logs, "b", "lost") >= 3);
-    let woke = ran.records.iter().filter(|r| matches!(r.seen, Seen::ProxyStalls { stops: false, .. }));
+    let woke = ran
+        .records
+        .iter()
+        .filter(|r| matches!(r.seen, Seen::ProxyStalls { stops: false, .. }));
     assert_eq!(woke.count(), 2);
 }
 
 #[test]
 fn a_place_lost_during_a_roll_breaks_no_rule() {
-    let (ran, _) = play(&fault("2s", "3s", "place-lost", "on = [1]"), "roll_at = \"1s\"");
+    let (ran, _) = play(
+        &fault("2s", "3s", "place-lost", "on = [1]"),
+        "roll_at = \"1s\"",
+    );
     // It ends well, or says where it stopped; proxies of the lost place cannot be asked.
     let rolled = ran.rolled.expect("a roll was asked for");
     assert!(rolled.is_ok() || rolled.is_err_and(|why| !why.is_empty()));
@@ -132,10 +179,25 @@
     let (ran, _) = play(&fault("3s", "1s", "power-cut", ""), "");
     let since = |from: u64| {
         let began = (*ran.world.begin.borrow()).unwrap() + Duration::from_secs(from);
-        let up = |seen: &Seen| matches!(seen, Seen::Replied { reply: asterramp_rig::ledger::Reply::Up, .. });
-        ran.records.iter().filter(move |r| r.at > began && up(&r.seen)).count()
+        let up = |seen: &Seen| {
+            matches!(
+                seen,
+                Seen::Replied {
+                    reply: asterramp_rig::ledger::Reply::Up,
+                    ..
+                }
+            )
+        };
+        ran.records
+            .iter()
+            .filter(move |r| r.at > began && up(&r.seen))
+            .count()
     };
-    assert!(since(6) > 20, "{} were brought up two seconds after it", since(6));
+    assert!(
+        since(6) > 20,
+        "{} were brought up two seconds after it",
+        since(6)
+    );
 }
 
 #[test_case("link-dropped", "count = 3"; "bytes are dropped")]
--- a/site/src/lib.rs
+++ b/site/src/lib.rs
@@ -57,7 +57,13 @@
 }
 
 impl State {
-    pub const ALL: [State; 5] = [State::Whole, State::Doubtful, State::Lost, State::CutOff, State::Returning];
+    pub const ALL: [State; 5] = [
+        State::Whole,
+        State::Doubtful,
+        State::Lost,
+        State::CutOff,
+        State::Returning,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
@@ -133,7 +139,12 @@
     (State::Lost, Input::Alone, State::Doubtful, Act::Restore),
     (State::CutOff, Input::Due, State::CutOff, Act::Look),
     (State::CutOff, Input::Sound, State::Returning, Act::Reopen),
-    (State::CutOff, Input::ToldBack, State::Returning, Act::Refill),
+    (
+        State::CutOff,
+        Input::ToldBack,
+        State::Returning,
+        Act::Refill,
+    ),
     (State::CutOff, Input::ToldGone, State::Lost, Act::Nothing),
     (State::CutOff, Input::Alone, State::Doubtful, Act::Restore),
     (State::Returning, Input::Due, State::Whole, Act::Widen),
@@ -260,7 +271,11 @@
 
 impl Sites {
     pub fn new(terms: Terms, places: usize) -> Sites {
-        Sites { terms, places: vec![Place::default(); places], ..Sites::default() }
+        Sites {
+            terms,
+            places: vec![Place::default(); places],
+            ..Sites::default()
+        }
     }
 
     pub fn places(&self) -> &[Place] {
@@ -287,10 +302,20 @@
         for p in &self.places {
             let (heard, due) = (p.heard.map(age), p.due.map(left));
             let spans = (age(p.since), age(p.first), left(p.held), age(p.whole));
-            text += &format!("{:?}{heard:?}{due:?}{spans:?}{:?}", p.state, (p.degree, p.falls, p.missed));
+            text += &format!(
+                "{:?}{heard:?}{due:?}{spans:?}{:?}",
+                p.state,
+                (p.degree, p.falls, p.missed)
+            );
         }
         for s in &self.servers {
-            text += &format!("{:?}{:?}{:?}{}", s.standing, s.started, s.sign.map(age), age(s.looked));
+            text += &format!(
+                "{:?}{:?}{:?}{}",
+                s.standing,
+                s.started,
+                s.sign.map(age),
+                age(s.looked)
+            );
         }
         text
     }
@@ -320,14 +345,24 @@
         let ready = standing == Standing::Ready;
         let back = known && ready && (!server.is_ready() || server.started != started);
         let went = known && server.standing != Standing::Gone && standing == Standing::Gone;
-        *server = Server { place: Some(place), standing, started, ..*server };
+        *server = Server {
+            place: Some(place),
+            standing,
+            started,
+            ..*server
+        };
         if back {
             server.sign = None;
             self.heard_of(now, place, Input::ToldBack, "discovery tells servers again");
         }
         if went && self.of(place).all(|(_, s)| s.standing == Standing::Gone) {
             self.places[usize::from(place)].missed = true;
-            self.input(now, place, Input::ToldGone, "discovery calls its servers gone");
+            self.input(
+                now,
+                place,
+                Input::ToldGone,
+                "discovery calls its servers gone",
+            );
         }
         self.not_alone(now);
     }
@@ -336,31 +371,45 @@
     pub fn told(&mut self, now: Duration) {
         for place in 0..self.places.len() as PlaceId {
             let shut = &self.places[usize::from(place)];
-            let late =
-                shut.state == State::Lost && !shut.missed && now >= shut.first + self.terms.told_within;
+            let late = shut.state == State::Lost
+                && !shut.missed
+                && now >= shut.first + self.terms.told_within;
             if late && self.of(place).any(|(_, s)| s.is_ready()) {
-                self.input(now, place, Input::ToldThere, "discovery calls its servers ready");
+                self.input(
+                    now,
+                    place,
+                    Input::ToldThere,
+                    "discovery calls its servers ready",
+                );
             }
         }
     }
 
     /// A server said nothing in time, or nobody is at its address.
     pub fn sign(&mut self, now: Duration, id: ServerId) {
-        let Some(server) = self.servers.get_mut(id as usize) else { return };
-        let Some(place) = server.place.filter(|_| server.is_ready()) else { return };
+        let Some(server) = self.servers.get_mut(id as usize) else {
+            return;
+        };
+        let Some(place) = server.place.filter(|_| server.is_ready()) else {
+            return;
+        };
         // What was under way while this proxy was cut off itself proves nothing of its server.
         if self.awake.is_some_and(|at| now < at + self.terms.under_way) {
             return;
         }
         let heard = self.places[usize::from(place)].heard;
-        let first = server.sign.filter(|at| heard.is_none_or(|heard| *at > heard));
+        let first = server
+            .sign
+            .filter(|at| heard.is_none_or(|heard| *at > heard));
         server.sign = first.or(Some(now));
         self.weigh(now, place);
     }
 
     /// A server said something.
     pub fn sound(&mut self, now: Duration, id: ServerId) {
-        let Some(server) = self.servers.get_mut(id as usize) else { return };
+        let Some(server) = self.servers.get_mut(id as usize) else {
+            return;
+        };
         server.sign = None;
         let Some(place) = server.place else { return };
         let state = &mut self.places[usize::from(place)];
@@ -380,7 +429,10 @@
         }
         // What is doubted may have waited for this: it is not this proxy that is cut off.
         for other in 0..self.places.len() as PlaceId {
-            let doubted = matches!(self.places[usize::from(other)].state, State::Doubtful | State::Returning);
+            let doubted = matches!(
+                self.places[usize::from(other)].state,
+                State::Doubtful | State::Returning
+            );
             if doubted && !planted!(self, NotWeighedAgain) {
                 self.weigh(now, other);
             }
@@ -402,7 +454,10 @@
 
     pub fn tick(&mut self, now: Duration) {
         for place in 0..self.places.len() as PlaceId {
-            if self.places[usize::from(place)].due.is_some_and(|due| due <= now) {
+            if self.places[usize::from(place)]
+                .due
+                .is_some_and(|due| due <= now)
+            {
                 self.places[usize::from(place)].due = None;
                 self.fell_due(now, place);
             }
@@ -413,7 +468,10 @@
     fn fell_due(&mut self, now: Duration, id: PlaceId) {
         let step = self.terms.settle / DEGREES;
         let place = &mut self.places[usize::from(id)];
-        if place.state == State::Returning && place.degree + 1 < DEGREES && !planted!(self, WholeAtOnce) {
+        if place.state == State::Returning
+            && place.degree + 1 < DEGREES
+            && !planted!(self, WholeAtOnce)
+        {
             // A wider part now, the whole at the last.
             place.degree += 1;
             (place.due, place.turned) = (Some(now + step), Some(now));
@@ -435,16 +493,21 @@
     }
 
     fn of(&self, place: PlaceId) -> impl Iterator<Item = (ServerId, &Server)> {
-        (0..).zip(&self.servers).filter(move |(_, s)| s.place == Some(place))
+        (0..)
+            .zip(&self.servers)
+            .filter(move |(_, s)| s.place == Some(place))
     }
 
     /// Signs since a place was last heard, none of the same moment, in which it lived; the first of them, and the
     /// servers that it has.
     fn signs(&self, place: PlaceId) -> (usize, Option<Duration>, usize) {
-        let heard = self.places[usize::from(place)].heard.filter(|_| !planted!(self, OldSignsCount));
+        let heard = self.places[usize::from(place)]
+            .heard
+            .filter(|_| !planted!(self, OldSignsCount));
         let ready = || self.of(place).filter(|(_, s)| s.is_ready());
-        let counts =
-            || ready().filter_map(|(_, s)| s.sign.filter(|at| heard.is_none_or(|heard| *at > heard)));
+        let counts = || {
+            ready().filter_map(|(_, s)| s.sign.filter(|at| heard.is_none_or(|heard| *at > heard)))
+        };
         (counts().count(), counts().min(), ready().count())
     }
 
@@ -462,8 +525,11 @@
         let others = (0..).zip(&self.places).any(|(other, place)| {
             other != id && !place.state.is_shut() && place.heard.is_some_and(|at| at >= first)
         });
-        let shown =
-            if planted!(self, TwoAreEnough) { DOUBT } else { SHOWN.max(all / PART).min(DOUBT + ASKED) };
+        let shown = if planted!(self, TwoAreEnough) {
+            DOUBT
+        } else {
+            SHOWN.max(all / PART).min(DOUBT + ASKED)
+        };
         if signs >= shown.min(all) && (others || planted!(self, GivenUpAlone)) {
             self.input(now, id, Input::Shown, "nobody answers");
         }
@@ -475,8 +541,13 @@
             return;
         }
         let has = |place: PlaceId| self.of(place).any(|(_, s)| s.is_ready());
-        let shut: Vec<PlaceId> = (0..self.places.len() as PlaceId).filter(|p| has(*p)).collect();
-        if shut.iter().all(|place| self.places[usize::from(*place)].state.is_shut()) {
+        let shut: Vec<PlaceId> = (0..self.places.len() as PlaceId)
+            .filter(|p| has(*p))
+            .collect();
+        if shut
+            .iter()
+            .all(|place| self.places[usize::from(*place)].state.is_shut())
+        {
             for place in shut {
                 self.input(now, place, Input::Alone, "no other place is left");
             }
@@ -485,7 +556,12 @@
 
     fn input(&mut self, now: Duration, id: PlaceId, input: Input, why: &'static str) {
         let place = &mut self.places[usize::from(id)];
-        let Some(row) = TABLE.iter().find(|row| (row.0, row.1) == (place.state, input)) else { return };
+        let Some(row) = TABLE
+            .iter()
+            .find(|row| (row.0, row.1) == (place.state, input))
+        else {
+            return;
+        };
         if place.state != row.2 {
             (place.state, place.since) = (row.2, now);
             self.effects.push(Effect::Turned(id, row.2, why));
@@ -515,7 +591,8 @@
                 place.held = if place.falls > 1 { now + held } else { now };
                 place.due = Some(place.held.max(now + terms.look));
                 (place.looks, place.degree) = (0, 0);
-                self.effects.extend((act == Act::Shut).then_some(Effect::Open(id, 0.0)));
+                self.effects
+                    .extend((act == Act::Shut).then_some(Effect::Open(id, 0.0)));
             }
             Act::Look if planted!(self, NeverLooked) => {}
             Act::Look => {
@@ -524,12 +601,15 @@
                 self.look(now, id, 1);
             }
             Act::Reopen => {
-                (place.degree, place.missed, place.whole, place.turned) = (0, false, now, Some(now));
+                (place.degree, place.missed, place.whole, place.turned) =
+                    (0, false, now, Some(now));
                 place.due = Some(now + terms.settle / DEGREES);
-                self.effects.push(Effect::Open(id, 1.0 / f64::from(DEGREES)));
+                self.effects
+                    .push(Effect::Open(id, 1.0 / f64::from(DEGREES)));
             }
             Act::Refill => {
-                (place.degree, place.missed, place.whole, place.turned) = (DEGREES, false, now, Some(now));
+                (place.degree, place.missed, place.whole, place.turned) =
+                    (DEGREES, false, now, Some(now));
                 place.due = Some(now + terms.settle);
                 // What they said nothing to was before.
                 let there = self.servers.iter_mut().filter(|s| s.place == Some(id));
@@ -550,8 +630,9 @@
     /// Asks those of a place that were not looked at for the longest, first those that have given no sign.
     fn look(&mut self, now: Duration, id: PlaceId, most: usize) {
         let ready = self.of(id).filter(|(_, s)| s.is_ready());
-        let mut order: Vec<(bool, Duration, ServerId)> =
-            ready.map(|(server, s)| (s.sign.is_some(), s.looked, server)).collect();
+        let mut order: Vec<(bool, Duration, ServerId)> = ready
+            .map(|(server, s)| (s.sign.is_some(), s.looked, server))
+            .collect();
         order.sort_unstable();
         for (_, _, server) in order.into_iter().take(most) {
             self.servers[server as usize].looked = now;
--- a/site/tests/room.rs
+++ b/site/tests/room.rs
@@ -5,7 +5,11 @@
 use test_case::test_case;
 
 fn word(asked: f64, connections: f64, seconds: u64) -> Load {
-    Load { asked, connections, age: Duration::from_secs(seconds) }
+    Load {
+        asked,
+        connections,
+        age: Duration::from_secs(seconds),
+    }
 }
 
 /// Two hosts at 0.45 with 30 connections each have room for 26.7 each; of 30 hosts, a hundred proxies share 800.
--- a/site/tests/site.rs
+++ b/site/tests/site.rs
@@ -36,7 +36,13 @@
 fn sites(terms: Terms) -> Sites {
     let mut sites = Sites::new(terms, 3);
     for server in 0..12 {
-        sites.listed(ms(0), server, (server / 4) as PlaceId, Standing::Ready, None);
+        sites.listed(
+            ms(0),
+            server,
+            (server / 4) as PlaceId,
+            Standing::Ready,
+            None,
+        );
         sites.sound(ms(0), server);
     }
     sites.effects();
@@ -50,10 +56,16 @@
         match *what {
             Sign(server) => sites.sign(now, server),
             Sound(server) => sites.sound(now, server),
-            Gone(server) => sites.listed(now, server, (server / 4) as PlaceId, Standing::Gone, None),
-            Ready(server, at) => {
-                sites.listed(now, server, (server / 4) as PlaceId, Standing::Ready, Some(ms(at)))
+            Gone(server) => {
+                sites.listed(now, server, (server / 4) as PlaceId, Standing::Gone, None)
             }
+            Ready(server, at) => sites.listed(
+                now,
+                server,
+                (server / 4) as PlaceId,
+                Standing::Ready,
+                Some(ms(at)),
+            ),
             Told => sites.told(now),
             Tick => sites.tick(now),
         }
@@ -63,7 +75,12 @@
 }
 
 /// Two signs make a doubt, a third gives the place up, while others answer.
-const LOST: [(u64, Happens); 4] = [(1_000, Sign(0)), (1_100, Sign(1)), (1_200, Sound(4)), (1_300, Sign(2))];
+const LOST: [(u64, Happens); 4] = [
+    (1_000, Sign(0)),
+    (1_100, Sign(1)),
+    (1_200, Sound(4)),
+    (1_300, Sign(2)),
+];
 
 #[test_case(&[(1_000, Sign(0))], State::Whole; "one server")]
 #[test_case(&[(1_000, Sign(0)), (1_100, Sign(0)), (1_200, Sign(0))], State::Whole; "one server over and over")]
@@ -88,7 +105,11 @@
     let mut sites = sites(TERMS);
     play(&mut sites, happens);
     assert_eq!(sites.places()[0].state, state);
-    assert!(sites.places()[1..].iter().all(|place| place.state == State::Whole));
+    assert!(
+        sites.places()[1..]
+            .iter()
+            .all(|place| place.state == State::Whole)
+    );
 }
 
 #[test]
@@ -106,7 +127,12 @@
     assert!(effects.contains(&Effect::Open(0, 0.0)));
     let ticks: Vec<(u64, Happens)> = (13..113).map(|n| (n * 100, Tick)).collect();
     let looks = play(&mut sites, &ticks);
-    assert!(looks.iter().all(|effect| matches!(effect, Effect::Look(0..4))), "{looks:?}");
+    assert!(
+        looks
+            .iter()
+            .all(|effect| matches!(effect, Effect::Look(0..4))),
+        "{looks:?}"
+    );
     assert_eq!(looks.len(), 6, "one each 1.5 s");
 }
 
@@ -139,7 +165,15 @@
     let mut sites = sites(TERMS);
     let (mut now, mut shut) = (1_000, Vec::new());
     for _ in 0..6 {
-        play(&mut sites, &[(now, Sign(0)), (now, Sign(1)), (now + 10, Sound(4)), (now + 20, Sign(2))]);
+        play(
+            &mut sites,
+            &[
+                (now, Sign(0)),
+                (now, Sign(1)),
+                (now + 10, Sound(4)),
+                (now + 20, Sign(2)),
+            ],
+        );
         assert_eq!(sites.places()[0].state, State::Lost, "at {now}");
         let since = now;
         while sites.places()[0].state != State::Returning {
@@ -152,7 +186,10 @@
     }
     assert_eq!(shut, [100, 2_100, 4_100, 8_100, 9_100, 9_100]);
     // Whole for long, it begins anew.
-    play(&mut sites, &(0..700).map(|n| (now + n * 100, Tick)).collect::<Vec<_>>());
+    play(
+        &mut sites,
+        &(0..700).map(|n| (now + n * 100, Tick)).collect::<Vec<_>>(),
+    );
     now += 70_000;
     play(
         &mut sites,
@@ -182,7 +219,10 @@
 
 #[test]
 fn where_nobody_may_be_asked_a_shut_place_is_tried() {
-    let mut sites = sites(Terms { may_look: false, ..TERMS });
+    let mut sites = sites(Terms {
+        may_look: false,
+        ..TERMS
+    });
     play(&mut sites, &LOST);
     let effects = play(&mut sites, &[(2_900, Tick)]);
     assert!(effects.contains(&Effect::Open(0, 1.0 / 6.0)), "{effects:?}");
@@ -193,7 +233,10 @@
     let mut sites = sites(TERMS);
     play(&mut sites, &LOST[..2]);
     play(&mut sites, &[(1_500, Sound(3))]);
-    assert_eq!((sites.places()[0].doubts, sites.places()[0].false_alarms), (1, 0));
+    assert_eq!(
+        (sites.places()[0].doubts, sites.places()[0].false_alarms),
+        (1, 0)
+    );
     play(
         &mut sites,
         &[
--- a/src/budget.rs
+++ b/src/budget.rs
@@ -24,18 +24,31 @@
 
 impl DialBudget {
     pub fn new(rule: Option<DialRule>) -> DialBudget {
-        DialBudget { rule, ring: Default::default() }
+        DialBudget {
+            rule,
+            ring: Default::default(),
+        }
     }
 
     fn step(&self, now: Duration) -> Option<(DialRule, u64)> {
         let rule = self.rule?;
-        Some((rule, (now.as_nanos() * u128::from(STEPS) / rule.over.as_nanos().max(1)) as u64))
+        Some((
+            rule,
+            (now.as_nanos() * u128::from(STEPS) / rule.over.as_nanos().max(1)) as u64,
+        ))
     }
 
     fn at(&mut self, now: Duration) -> Option<&mut Step> {
         let (_, nth) = self.step(now)?;
         let step = &mut self.ring[(nth % KEPT as u64) as usize];
-        *step = if step.nth == nth { *step } else { Step { nth, ..Step::default() } };
+        *step = if step.nth == nth {
+            *step
+        } else {
+            Step {
+                nth,
+                ..Step::default()
+            }
+        };
         Some(step)
     }
 
@@ -51,9 +64,14 @@
 
     /// Whether one more may be sent.
     pub fn allows(&self, now: Duration) -> bool {
-        let Some((rule, nth)) = self.step(now) else { return true };
-        let since =
-            |steps: u64| self.ring.iter().filter(move |step| step.nth + steps >= nth && step.nth <= nth);
+        let Some((rule, nth)) = self.step(now) else {
+            return true;
+        };
+        let since = |steps: u64| {
+            self.ring
+                .iter()
+                .filter(move |step| step.nth + steps >= nth && step.nth <= nth)
+        };
         let dials: f64 = since(STEPS).map(|step| step.dials).sum();
         let taken: f64 = since(STEPS - 1).map(|step| step.taken).sum();
         dials + 1.0 <= rule.free + rule.share * taken + 1e-9
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -7,7 +7,9 @@
 use crate::action::Action;
 use crate::budget::DialBudget;
 use crate::deployment::{Circle, Deployment, Kind};
-use crate::event::{Arrival, Entry, Event, Load, Note, Outcome, Roster, ServerId, SessId, Standing};
+use crate::event::{
+    Arrival, Entry, Event, Load, Note, Outcome, Roster, ServerId, SessId, Standing,
+};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -86,16 +88,41 @@
 
 /// State, input, next state, effect. What is not listed is late or stray, and ignored.
 const TABLE: &[(State, Input, State, Effect)] = &[
-    (State::Choosing, Input::Arrived, State::Choosing, Effect::Place),
-    (State::Choosing, Input::Dialled, State::Dialling, Effect::Nothing),
+    (
+        State::Choosing,
+        Input::Arrived,
+        State::Choosing,
+        Effect::Place,
+    ),
+    (
+        State::Choosing,
+        Input::Dialled,
+        State::Dialling,
+        Effect::Nothing,
+    ),
     (State::Choosing, Input::GivenUp, State::Over, Effect::Answer),
-    (State::Choosing, Input::Asked, State::Asking, Effect::Nothing),
+    (
+        State::Choosing,
+        Input::Asked,
+        State::Asking,
+        Effect::Nothing,
+    ),
     (State::Asking, Input::Told, State::Choosing, Effect::Place),
     (State::Asking, Input::Left, State::Over, Effect::Nothing),
     (State::Dialling, Input::Began, State::Open, Effect::Stand),
-    (State::Dialling, Input::Failed, State::Choosing, Effect::Place),
+    (
+        State::Dialling,
+        Input::Failed,
+        State::Choosing,
+        Effect::Place,
+    ),
     (State::Dialling, Input::Closed, State::Over, Effect::Nothing),
-    (State::Dialling, Input::Left, State::Parting, Effect::CallOff),
+    (
+        State::Dialling,
+        Input::Left,
+        State::Parting,
+        Effect::CallOff,
+    ),
     (State::Open, Input::Left, State::Parting, Effect::Release),
     (State::Open, Input::Failed, State::Over, Effect::Release),
     (State::Open, Input::Closed, State::Over, Effect::Release),
@@ -198,9 +225,16 @@
 
 impl Choice {
     pub fn new(facts: Deployment, nonce: u64) -> Self {
-        let facts = Deployment { proxies: facts.proxies.max(1), ..facts };
+        let facts = Deployment {
+            proxies: facts.proxies.max(1),
+            ..facts
+        };
         let dials = DialBudget::new(facts.dial_rule);
-        let mut choice = Choice { facts, dials, ..Choice::default() };
+        let mut choice = Choice {
+            facts,
+            dials,
+            ..Choice::default()
+        };
         choice.reseed(nonce);
         choice
     }
@@ -223,12 +257,31 @@
             Event::Arrived(arrival) => self.enter(arrival, None, out),
             Event::Inherited(arrival, server) => self.enter(arrival, Some(server), out),
             Event::Began { sess, dial } => self.advance(sess, Some(dial), Input::Began, out),
-            Event::Ended { sess, dial, outcome, over, load } => {
+            Event::Ended {
+                sess,
+                dial,
+                outcome,
+                over,
+                load,
+            } => {
                 self.ended(sess, dial, outcome, load);
-                self.advance(sess, Some(dial), if over { Input::Closed } else { Input::Failed }, out);
+                self.advance(
+                    sess,
+                    Some(dial),
+                    if over { Input::Closed } else { Input::Failed },
+                    out,
+                );
             }
-            Event::Noted { server, note: Note::Delay(span), .. } => self.delayed(server, span, out),
-            Event::Probed { server, outcome, load } => self.probed(server, outcome, load, out),
+            Event::Noted {
+                server,
+                note: Note::Delay(span),
+                ..
+            } => self.delayed(server, span, out),
+            Event::Probed {
+                server,
+                outcome,
+                load,
+            } => self.probed(server, outcome, load, out),
             Event::Left { sess } => self.advance(sess, None, Input::Left, out),
             Event::Place { zone, open } => self.narrow(zone, open, out),
             Event::Doubted { server } if self.facts.may_probe => self.probe(server, out),
@@ -240,8 +293,15 @@
     /// Messages over their target are served nothing, though reports may not say so, or say it late. What is
     /// piled up there keeps them late, so the more it is, the more leave, as far as others have room.
     fn delayed(&mut self, server: ServerId, span: Duration, out: &mut Vec<Action>) {
-        if self.facts.listeners.iter().any(|l| l.message_target.is_some_and(|target| span > target)) {
-            let load = self.mean(|s| Some(s.unit? * s.aged(self.now))).unwrap_or(NEAR);
+        if self
+            .facts
+            .listeners
+            .iter()
+            .any(|l| l.message_target.is_some_and(|target| span > target))
+        {
+            let load = self
+                .mean(|s| Some(s.unit? * s.aged(self.now)))
+                .unwrap_or(NEAR);
             let piled = CLEAR * (FULL - load).max(0.0) * span.as_secs_f64();
             self.relieve(server, Some(1.0 + piled), out);
         }
@@ -252,21 +312,29 @@
     fn narrow(&mut self, zone: u8, open: f64, out: &mut Vec<Action>) {
         self.narrowed.retain(|n| n.0 != zone);
         self.narrowed.extend((open < 1.0).then_some((zone, open)));
-        let there = |s: &Server| open <= 0.0 && s.entry.zone == zone && s.entry.standing == Standing::Ready;
+        let there =
+            |s: &Server| open <= 0.0 && s.entry.zone == zone && s.entry.standing == Standing::Ready;
         for id in 0..self.servers.len() {
             if there(&self.servers[id]) {
                 let s = &mut self.servers[id];
                 s.silent = s.silent.max(SILENT);
                 let waiting = std::mem::take(&mut s.waiting);
-                waiting.into_iter().for_each(|sess| self.advance(sess, None, Input::Told, out));
+                waiting
+                    .into_iter()
+                    .for_each(|sess| self.advance(sess, None, Input::Told, out));
             }
         }
     }
 
     /// How many servers that are listed it leaves alone for now, as they fail or say nothing.
     pub fn avoided(&self, now: Duration) -> usize {
-        let listed = self.servers.iter().filter(|s| s.entry.standing != Standing::Gone);
-        listed.filter(|s| s.shut_until > now || s.silent >= SILENT).count()
+        let listed = self
+            .servers
+            .iter()
+            .filter(|s| s.entry.standing != Standing::Gone);
+        listed
+            .filter(|s| s.shut_until > now || s.silent >= SILENT)
+            .count()
     }
 
     fn enter(&mut self, arrival: Arrival, held_by: Option<ServerId>, out: &mut Vec<Action>) {
@@ -274,17 +342,32 @@
         held_by.is_none().then(|| self.dials.took(dialled));
         grow(&mut self.sessions, at);
         let listener = self.facts.listeners.get(usize::from(arrival.listener));
-        let Some(listener) = listener.filter(|_| self.sessions[at].state == State::Over) else { return };
+        let Some(listener) = listener.filter(|_| self.sessions[at].state == State::Over) else {
+            return;
+        };
         let (server, dials) = (held_by.unwrap_or_default(), u32::from(held_by.is_some()));
         grow(&mut self.servers, server as usize);
-        let waits =
-            (dialled + listener.handshake_target / 2).min(arrival.dial_timeout.saturating_sub(TICK * 2));
+        let waits = (dialled + listener.handshake_target / 2)
+            .min(arrival.dial_timeout.saturating_sub(TICK * 2));
         let fresh = (State::Choosing, Input::Arrived);
         let (state, input) = held_by.map_or(fresh, |_| (State::Dialling, Input::Began));
         let luck = draw(&mut self.chance);
-        let order = if held_by.is_none() { self.order(&arrival) } else { Vec::new() };
-        self.sessions[at] =
-            Session { state, arrival, server, dials, dialled, order, waits, luck, ..Session::default() };
+        let order = if held_by.is_none() {
+            self.order(&arrival)
+        } else {
+            Vec::new()
+        };
+        self.sessions[at] = Session {
+            state,
+            arrival,
+            server,
+            dials,
+            dialled,
+            order,
+            waits,
+            luck,
+            ..Session::default()
+        };
         self.advance(arrival.sess, None, input, out);
     }
 
@@ -293,7 +376,9 @@
         let mut next = self.speaks_of(sess, dial).then_some(input);
         while let Some(input) = next {
             let s = &mut self.sessions[sess as usize];
-            let Some(row) = TABLE.iter().find(|row| row.0 == s.state && row.1 == input) else { return };
+            let Some(row) = TABLE.iter().find(|row| row.0 == s.state && row.1 == input) else {
+                return;
+            };
             s.state = row.2;
             next = self.effect(sess, row.3, out);
             out.extend((row.2 == State::Over).then_some(Action::Forget { sess }));
@@ -301,18 +386,25 @@
     }
 
     fn speaks_of(&self, sess: SessId, dial: Option<u8>) -> bool {
-        self.sessions.get(sess as usize).is_some_and(|s| dial.is_none_or(|d| u32::from(d) + 1 == s.dials))
+        self.sessions
+            .get(sess as usize)
+            .is_some_and(|s| dial.is_none_or(|d| u32::from(d) + 1 == s.dials))
     }
 
     fn effect(&mut self, sess: SessId, effect: Effect, out: &mut Vec<Action>) -> Option<Input> {
         let (now, s) = (self.now, &self.sessions[sess as usize]);
-        let (id, dialled, dial) = (s.server as usize, s.dialled, s.dials.saturating_sub(1) as u8);
+        let (id, dialled, dial) = (
+            s.server as usize,
+            s.dialled,
+            s.dials.saturating_sub(1) as u8,
+        );
         let group = s.arrival.group;
         match effect {
             Effect::Nothing => {}
             Effect::Place => return Some(self.place(sess, out)),
             Effect::Answer => {
-                (now >= s.arrival.dial_timeout || !self.pause.is_zero()).then(|| self.hold_back(sess));
+                (now >= s.arrival.dial_timeout || !self.pause.is_zero())
+                    .then(|| self.hold_back(sess));
                 out.push(self.answer(sess));
             }
             Effect::Stand => {
@@ -326,14 +418,21 @@
             }
             Effect::CallOff => {
                 self.take_back(sess);
-                out.extend(self.facts.may_call_off.then_some(Action::CallOff { sess, dial }));
+                out.extend(
+                    self.facts
+                        .may_call_off
+                        .then_some(Action::CallOff { sess, dial }),
+                );
             }
             Effect::Release => {
                 let s = &mut self.servers[id];
                 s.age(now);
                 s.open = s.open.saturating_sub(1);
                 s.v += 1.0 / CHURN;
-                let at = self.held.iter().position(|held| Some(held.0) == group && held.1 as usize == id);
+                let at = self
+                    .held
+                    .iter()
+                    .position(|held| Some(held.0) == group && held.1 as usize == id);
                 at.map(|at| self.held.swap_remove(at));
             }
         }
@@ -342,9 +441,16 @@
 
     /// How many others are as busy as we are, by the connections that they hold: who leaves sends no more.
     fn others(&self) -> f64 {
-        let counts = self.servers.iter().filter_map(|s| Some((s.counted?, f64::from(s.open))));
+        let counts = self
+            .servers
+            .iter()
+            .filter_map(|s| Some((s.counted?, f64::from(s.open))));
         let (all, ours) = counts.fold((0.0, 0.0), |sum, s| (sum.0 + s.0, sum.1 + s.1));
-        let theirs = if all > 0.0 { (all - ours) / ours.max(1.0) } else { f64::MAX };
+        let theirs = if all > 0.0 {
+            (all - ours) / ours.max(1.0)
+        } else {
+            f64::MAX
+        };
         theirs.clamp(0.0, f64::from(self.facts.proxies) - 1.0)
     }
 
@@ -357,14 +463,22 @@
     /// A bump of the score: a connection, and what the others send to one of two drawn. A client that comes
     /// again is in late counts already, where it was before, and often came from the others.
     fn bump(&self, sess: SessId) -> f64 {
-        let others = if self.sessions[sess as usize].arrival.again { 0.0 } else { self.others() };
+        let others = if self.sessions[sess as usize].arrival.again {
+            0.0
+        } else {
+            self.others()
+        };
         1.0 + (2.0 * self.crowd(others)).min(others)
     }
 
     fn probe(&mut self, id: ServerId, out: &mut Vec<Action>) {
-        let Some(s) = self.servers.get_mut(id as usize) else { return };
+        let Some(s) = self.servers.get_mut(id as usize) else {
+            return;
+        };
         s.asked = self.now + TICK.mul_f64(2.0 * draw(&mut self.chance));
-        out.extend((!std::mem::replace(&mut s.probing, true)).then_some(Action::Probe { server: id }));
+        out.extend(
+            (!std::mem::replace(&mut s.probing, true)).then_some(Action::Probe { server: id }),
+        );
     }
 
     fn take_back(&mut self, sess: SessId) {
@@ -389,9 +503,18 @@
     /// Two candidates of the best pool that is not empty, and whether to ask them first.
     fn draw_two(&self, sess: SessId) -> (bool, Vec<Candidate>) {
         let (crowd, s) = (self.crowd(self.others()), &self.sessions[sess as usize]);
-        let asks = if self.facts.may_probe && self.now < s.waits { s.asks } else { u32::MAX };
+        let asks = if self.facts.may_probe && self.now < s.waits {
+            s.asks
+        } else {
+            u32::MAX
+        };
         let (group, hashed) = (s.arrival.group, self.hashed(&s.arrival).is_some());
-        let holders: Vec<ServerId> = self.held.iter().filter(|h| Some(h.0) == group).map(|h| h.1).collect();
+        let holders: Vec<ServerId> = self
+            .held
+            .iter()
+            .filter(|h| Some(h.0) == group)
+            .map(|h| h.1)
+            .collect();
         let near = |id: ServerId| self.servers[id as usize].entry.zone == self.facts.zone;
         let holds = |id: ServerId| group.is_none() || holders.contains(&id);
         // A server that fails or hangs rests, or its zone, unless all do. One that leaves a probe unanswered
@@ -399,38 +522,71 @@
         let quiet = |to: &Server| to.probing && self.now >= to.asked + TICK;
         let zone = |id: ServerId| self.servers[id as usize].entry.zone;
         let erred = |id| s.failed_by.iter().any(|&f| zone(f) == zone(id));
-        let away = self.nowhere(s) && s.order.iter().any(|&id| !erred(id) && self.may_send(sess, id));
+        let away = self.nowhere(s)
+            && s.order
+                .iter()
+                .any(|&id| !erred(id) && self.may_send(sess, id));
         let rested = |id| {
             let to: &Server = &self.servers[id as usize];
             let left = s.failed_by.contains(&id) || away && erred(id);
             to.shut_until <= self.now && !quiet(to) && !left
         };
-        let open = |id: ServerId| self.narrowed.iter().all(|n| n.0 != zone(id) || s.luck < n.1);
-        let all_rest = !s.order.iter().any(|&id| open(id) && rested(id) && self.may_send(sess, id));
+        let open = |id: ServerId| {
+            self.narrowed
+                .iter()
+                .all(|n| n.0 != zone(id) || s.luck < n.1)
+        };
+        let all_rest = !s
+            .order
+            .iter()
+            .any(|&id| open(id) && rested(id) && self.may_send(sess, id));
         // Before a session is refused, one at rest that answers probes may take it.
-        let trial = |id: ServerId| self.servers[id as usize].silent == 0 && !s.failed_by.contains(&id);
-        let usable = |id, nth| open(id) && (nth == 6 || all_rest || rested(id)) && self.may_send(sess, id);
+        let trial =
+            |id: ServerId| self.servers[id as usize].silent == 0 && !s.failed_by.contains(&id);
+        let usable =
+            |id, nth| open(id) && (nth == 6 || all_rest || rested(id)) && self.may_send(sess, id);
         let candidate = |id: ServerId| {
             let to = &self.servers[id as usize];
             // A cold server can do less, so its connections take larger shares.
             let mean = self.unit.unwrap_or(f64::EPSILON);
             let unit = to.unit.unwrap_or(mean / self.warmth(to, self.now));
-            let fresh = to.heard.is_some_and(|at| self.now.saturating_sub(at) <= FRESH);
-            Candidate { id, load: (to.aged(self.now) + crowd + 1.0) * unit, holds: holds(id), fresh }
+            let fresh = to
+                .heard
+                .is_some_and(|at| self.now.saturating_sub(at) <= FRESH);
+            Candidate {
+                id,
+                load: (to.aged(self.now) + crowd + 1.0) * unit,
+                holds: holds(id),
+                fresh,
+            }
         };
         // A group takes its first two near by, then any server that we know to hold it, then the first two of
         // the order that all proxies share; walking on would spread it, and each server pays for it anew.
-        let pools: [&dyn Fn(ServerId) -> bool; 6] = [&near, &holds, &|_| true, &|_| true, &holds, &trial];
+        let pools: [&dyn Fn(ServerId) -> bool; 6] =
+            [&near, &holds, &|_| true, &|_| true, &holds, &trial];
         let worth = self.facts.listeners[usize::from(s.arrival.listener)].worth;
         let full = FULL * (1.0 - SPARE * (1.0 - worth));
-        let limits =
-            [(NEAR, hashed), (ROOM, false), (ROOM, hashed), (NEAR, false), (full, false), (NEAR, false)];
+        let limits = [
+            (NEAR, hashed),
+            (ROOM, false),
+            (ROOM, hashed),
+            (NEAR, false),
+            (full, false),
+            (NEAR, false),
+        ];
         for (nth, (fits, (limit, first_two))) in (1..).zip(pools.into_iter().zip(limits)) {
             let may_ask = asks < ASKS * nth;
             let room = |c: &Candidate| c.load < limit || may_ask && !c.fresh;
-            let reach =
-                s.order.iter().copied().filter(|id| fits(*id) && usable(*id, nth)).take(ASKS as usize);
-            let two = reach.map(candidate).filter(|c| first_two || room(c)).take(2);
+            let reach = s
+                .order
+                .iter()
+                .copied()
+                .filter(|id| fits(*id) && usable(*id, nth))
+                .take(ASKS as usize);
+            let two = reach
+                .map(candidate)
+                .filter(|c| first_two || room(c))
+                .take(2);
             let drawn: Vec<Candidate> = two.filter(room).collect();
             if !drawn.is_empty() {
                 return (may_ask && drawn.iter().any(|c| !c.fresh), drawn);
@@ -441,11 +597,16 @@
 
     /// What all proxies draw alike by.
     fn hashed(&self, arrival: &Arrival) -> Option<u64> {
-        if self.facts.passes_through { Some(arrival.item) } else { arrival.group }
+        if self.facts.passes_through {
+            Some(arrival.item)
+        } else {
+            arrival.group
+        }
     }
 
     fn ask(&mut self, sess: SessId, drawn: &[Candidate], out: &mut Vec<Action>) -> Input {
-        self.due.insert((self.sessions[sess as usize].waits, Due::Told(sess)));
+        self.due
+            .insert((self.sessions[sess as usize].waits, Due::Told(sess)));
         for c in drawn.iter().filter(|c| !c.fresh) {
             let waiting = &mut self.servers[c.id as usize].waiting;
             let new = (!waiting.contains(&sess)).then_some(sess);
@@ -462,7 +623,13 @@
         let even = hashed.is_some() && self.facts.live_weights;
         let rank = |(id, to): (ServerId, &Server)| {
             let weight = if even { 1.0 } else { to.entry.weight.max(1e-6) };
-            (-hash_unit(hashed.unwrap_or(self.chance), to.entry.mark).max(1e-12).ln() / weight, id)
+            (
+                -hash_unit(hashed.unwrap_or(self.chance), to.entry.mark)
+                    .max(1e-12)
+                    .ln()
+                    / weight,
+                id,
+            )
         };
         let mut ranked: Vec<(f64, ServerId)> = (0..).zip(&self.servers).map(rank).collect();
         ranked.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
@@ -480,15 +647,23 @@
     }
 
     fn mean(&self, of: impl Fn(&Server) -> Option<f64>) -> Option<f64> {
-        let ready = self.servers.iter().filter(|s| s.entry.standing == Standing::Ready);
-        let (sum, n) = ready.filter_map(of).fold((0.0, 0.0), |(sum, n), x| (sum + x, n + 1.0));
+        let ready = self
+            .servers
+            .iter()
+            .filter(|s| s.entry.standing == Standing::Ready);
+        let (sum, n) = ready
+            .filter_map(of)
+            .fold((0.0, 0.0), |(sum, n), x| (sum + x, n + 1.0));
         (n > 0.0).then_some(sum / n)
     }
 
     /// Share of its capacity that a server has at least.
     fn warmth(&self, s: &Server, now: Duration) -> f64 {
         let cold = self.facts.cold;
-        let up = s.entry.started.map_or(cold.warm_after, |at| now.saturating_sub(at));
+        let up = s
+            .entry
+            .started
+            .map_or(cold.warm_after, |at| now.saturating_sub(at));
         let part = (up.as_secs_f64() / cold.warm_after.as_secs_f64()).min(1.0);
         cold.share + (1.0 - cold.share) * part
     }
@@ -499,17 +674,26 @@
         let span = self.now.saturating_sub(s.filled).as_secs_f64();
         let warmth = (self.warmth(s, s.filled) + self.warmth(s, self.now)) / 2.0;
         let pace = PART * self.facts.cold.multiple * warmth * self.fill;
-        let (saved, kept) = (s.budget + pace * span, pace * self.facts.cold.over.as_secs_f64() * KEPT);
-        if saved < 1.0 || saved.fract() < kept { saved.min(1.0 + saved.fract()) } else { saved.fract() }
+        let (saved, kept) = (
+            s.budget + pace * span,
+            pace * self.facts.cold.over.as_secs_f64() * KEPT,
+        );
+        if saved < 1.0 || saved.fract() < kept {
+            saved.min(1.0 + saved.fract())
+        } else {
+            saved.fract()
+        }
     }
 
     /// The one gate: each rule stands here, and every dial passes.
     fn may_send(&self, sess: SessId, id: ServerId) -> bool {
         let (s, to) = (&self.sessions[sess as usize], &self.servers[id as usize]);
         let answered = s.state != State::Choosing || self.now >= s.arrival.dial_timeout;
-        let spent = s.dials >= self.facts.max_dials.max(1) || s.dials > 0 && !self.dials.allows(self.now);
         let spent =
-            spent || s.failed_by.len() > 1 && self.nowhere(s) || s.dials > 0 && self.pause > PAUSES.0 * 4;
+            s.dials >= self.facts.max_dials.max(1) || s.dials > 0 && !self.dials.allows(self.now);
+        let spent = spent
+            || s.failed_by.len() > 1 && self.nowhere(s)
+            || s.dials > 0 && self.pause > PAUSES.0 * 4;
         let drained = to.entry.standing != Standing::Ready;
         let cold = self.warmth(to, self.now) < 1.0 && self.budget(to) < 1.0;
         let twice = s.ran.is_some_and(|(sent, first)| {
@@ -541,7 +725,11 @@
         let s = &mut self.sessions[sess as usize];
         (s.server, s.dials, s.dialled) = (id, s.dials + 1, now);
         let pause = self.pause.mul_f64(0.9 + 0.2 * draw(&mut self.chance));
-        self.next = if self.sessions[sess as usize].dials == 1 { now + pause } else { self.next };
+        self.next = if self.sessions[sess as usize].dials == 1 {
+            now + pause
+        } else {
+            self.next
+        };
         (self.pace, self.sent) = (self.pace * fade(now, self.sent) + 1.0 / CHURN, now);
         // A further dial of a referenced session has to be on its way before its mark is forgotten.
         let s = &self.sessions[sess as usize];
@@ -549,7 +737,12 @@
             (Kind::Referenced(_, ttl), Some(first)) => (first.0 + ttl).saturating_sub(now + EDGE),
             _ => time_out,
         };
-        out.push(Action::Dial { sess, server: id, time_out, within });
+        out.push(Action::Dial {
+            sess,
+            server: id,
+            time_out,
+            within,
+        });
         Input::Dialled
     }
 
@@ -558,11 +751,23 @@
     fn hold_back(&mut self, sess: SessId) {
         let s = &self.sessions[sess as usize];
         // Who was dialled before the last pause tells nothing of that; a bad client fails again, alone.
-        let since = self.came_up + REST <= self.now && s.ran.is_some_and(|first| self.slowed <= first.0);
+        let since =
+            self.came_up + REST <= self.now && s.ran.is_some_and(|first| self.slowed <= first.0);
         let another = since && self.nowhere(s) && self.doubted != Some(s.arrival.item);
         if another && (self.doubted.replace(s.arrival.item).is_some() || self.came_up.is_zero()) {
-            let first = if self.came_up.is_zero() { PAUSES.0 * 4 } else { PAUSES.0 };
-            (self.pause, self.slowed) = (if self.pause.is_zero() { first } else { PAUSES.1 }, self.now);
+            let first = if self.came_up.is_zero() {
+                PAUSES.0 * 4
+            } else {
+                PAUSES.0
+            };
+            (self.pause, self.slowed) = (
+                if self.pause.is_zero() {
+                    first
+                } else {
+                    PAUSES.1
+                },
+                self.now,
+            );
             self.next = self.now + self.pause.mul_f64(0.9 + 0.2 * draw(&mut self.chance));
         }
     }
@@ -580,13 +785,24 @@
 
     /// One came up. One that took long shows that others wait there, and that more would only wait longer.
     fn go_on(&mut self, late: bool) {
-        let less = if self.pause > PAUSES.0 { self.pause / 2 } else { Duration::ZERO };
-        self.pause = if late { (self.pause * 2).min(PAUSES.1) } else { less };
-        (self.next, self.came_up, self.doubted) = (self.next.min(self.now + self.pause), self.now, None);
+        let less = if self.pause > PAUSES.0 {
+            self.pause / 2
+        } else {
+            Duration::ZERO
+        };
+        self.pause = if late {
+            (self.pause * 2).min(PAUSES.1)
+        } else {
+            less
+        };
+        (self.next, self.came_up, self.doubted) =
+            (self.next.min(self.now + self.pause), self.now, None);
     }
 
     fn half(&self, sess: SessId) -> Duration {
-        self.facts.listeners[usize::from(self.sessions[sess as usize].arrival.listener)].handshake_target / 2
+        self.facts.listeners[usize::from(self.sessions[sess as usize].arrival.listener)]
+            .handshake_target
+            / 2
     }
 
     /// Half the handshake target at first, so that a second dial can meet it, then twice as long each time.
@@ -594,7 +810,8 @@
     fn time_out(&self, sess: SessId) -> Duration {
         let s = &self.sessions[sess as usize];
         let left = s.arrival.dial_timeout.saturating_sub(self.now);
-        let wait = (self.half(sess) * (1 << s.dials.min(8))).max(self.set_up.unwrap_or_default() * 2);
+        let wait =
+            (self.half(sess) * (1 << s.dials.min(8))).max(self.set_up.unwrap_or_default() * 2);
         let last = s.dials + 1 >= self.facts.max_dials || self.pause > PAUSES.0 || self.nowhere(s);
         if last { left } else { wait.min(left) }
     }
@@ -602,9 +819,19 @@
     /// The final answer to a session given up on: a refusal where that promise can be kept, else a teardown.
     fn answer(&self, sess: SessId) -> Action {
         let s = &self.sessions[sess as usize];
-        let harmless = matches!(self.kind(s), Kind::Repeatable | Kind::Referenced(Circle::All, _));
-        let refusal = Action::Refuse { sess, come_back: self.facts.come_back.min(REST) };
-        if harmless || s.ran.is_none() { refusal } else { Action::TearDown { sess } }
+        let harmless = matches!(
+            self.kind(s),
+            Kind::Repeatable | Kind::Referenced(Circle::All, _)
+        );
+        let refusal = Action::Refuse {
+            sess,
+            come_back: self.facts.come_back.min(REST),
+        };
+        if harmless || s.ran.is_none() {
+            refusal
+        } else {
+            Action::TearDown { sess }
+        }
     }
 
     fn kind(&self, s: &Session) -> Kind {
@@ -617,13 +844,22 @@
             return;
         }
         let (now, s) = (self.now, &mut self.sessions[sess as usize]);
-        let (id, setting_up, waited) = (s.server, s.state == State::Dialling, now.saturating_sub(s.dialled));
-        let unrun = matches!(outcome, Outcome::Full | Outcome::Unreachable | Outcome::NeverSent);
+        let (id, setting_up, waited) = (
+            s.server,
+            s.state == State::Dialling,
+            now.saturating_sub(s.dialled),
+        );
+        let unrun = matches!(
+            outcome,
+            Outcome::Full | Outcome::Unreachable | Outcome::NeverSent
+        );
         if setting_up {
             s.ran = s.ran.or((!unrun).then_some((s.dialled, id)));
             self.take_back(sess);
             // Slow for one is slow for the next: thin traffic would learn it too late from a mean.
-            self.set_up = self.set_up.max((outcome == Outcome::TimedOut).then_some(waited * 2));
+            self.set_up = self
+                .set_up
+                .max((outcome == Outcome::TimedOut).then_some(waited * 2));
             let failed = matches!(outcome, Outcome::Erred | Outcome::TimedOut | Outcome::Reset);
             (failed && (dial > 0 || self.came_up.is_zero())).then(|| self.hold_back(sess));
             let tried = &mut self.sessions[sess as usize].failed_by;
@@ -649,11 +885,23 @@
     }
 
     fn probed(&mut self, id: ServerId, outcome: Outcome, load: Load, out: &mut Vec<Action>) {
-        let Some(s) = self.servers.get_mut(id as usize) else { return };
-        let failed = matches!(outcome, Outcome::TimedOut | Outcome::Unreachable | Outcome::Reset);
-        (s.silent, s.heard) = if failed { (s.silent + 1, s.heard) } else { (0, Some(self.now)) };
+        let Some(s) = self.servers.get_mut(id as usize) else {
+            return;
+        };
+        let failed = matches!(
+            outcome,
+            Outcome::TimedOut | Outcome::Unreachable | Outcome::Reset
+        );
+        (s.silent, s.heard) = if failed {
+            (s.silent + 1, s.heard)
+        } else {
+            (0, Some(self.now))
+        };
         s.probing = false;
-        let (again, waiting) = (failed && s.silent < SILENT && s.open > 0, std::mem::take(&mut s.waiting));
+        let (again, waiting) = (
+            failed && s.silent < SILENT && s.open > 0,
+            std::mem::take(&mut s.waiting),
+        );
         failed.then(|| self.strike(id));
         again.then(|| self.probe(id, out));
         self.report(id, load);
@@ -664,11 +912,15 @@
         let again = std::mem::replace(&mut s.slower, slower).min(slower);
         let more = if again > 1.1 { again * again } else { 1.0 };
         self.relieve(id, load.asked.map(|asked| asked * more), out);
-        waiting.into_iter().for_each(|sess| self.advance(sess, None, Input::Told, out));
+        waiting
+            .into_iter()
+            .for_each(|sess| self.advance(sess, None, Input::Told, out));
     }
 
     fn report(&mut self, id: ServerId, load: Load) {
-        let Some(connections) = load.connections else { return };
+        let Some(connections) = load.connections else {
+            return;
+        };
         let (now, s) = (self.now, &mut self.servers[id as usize]);
         s.counted = Some(connections);
         // What it told of its share while slow must not bar it for ever.
@@ -682,7 +934,9 @@
     /// A server asked for more than it can do, or gone silent, serves none of its connections in time until
     /// some leave: each proxy moves its part of the excess, rounded by chance, smallest groups first.
     fn relieve(&mut self, id: ServerId, asked: Option<f64>, out: &mut Vec<Action>) {
-        let Some(s) = self.servers.get_mut(id as usize) else { return };
+        let Some(s) = self.servers.get_mut(id as usize) else {
+            return;
+        };
         let keep = match asked {
             _ if s.relieved > self.now => return,
             _ if s.silent >= SILENT => 0.0,
@@ -691,9 +945,14 @@
         };
         s.relieved = self.now + STALE;
         let excess = (f64::from(s.open) * (1.0 - keep) + draw(&mut self.chance)) as usize;
-        let kin =
-            |s: &Session| self.held.iter().filter(|h| (Some(h.0), h.1) == (s.arrival.group, id)).count();
-        let free = |s: &&Session| (s.state, s.server, self.kind(s)) == (State::Open, id, Kind::Repeatable);
+        let kin = |s: &Session| {
+            self.held
+                .iter()
+                .filter(|h| (Some(h.0), h.1) == (s.arrival.group, id))
+                .count()
+        };
+        let free =
+            |s: &&Session| (s.state, s.server, self.kind(s)) == (State::Open, id, Kind::Repeatable);
         let here = self.sessions.iter().filter(free);
         let mut order: Vec<(usize, SessId)> = here.map(|s| (kin(s), s.arrival.sess)).collect();
         order.sort_unstable();
@@ -736,7 +995,10 @@
         };
         // Changes of nothing only say that the call waits.
         self.calls_failed *= u32::from(!whole && entries.is_empty());
-        self.servers.iter_mut().filter(|_| whole).for_each(|s| s.entry.standing = Standing::Gone);
+        self.servers
+            .iter_mut()
+            .filter(|_| whole)
+            .for_each(|s| s.entry.standing = Standing::Gone);
         let (t, v) = (self.now, self.mean(|s| Some(s.v)).unwrap_or(0.0));
         let g = self.mean(|s| Some(s.aged(t))).unwrap_or(0.0);
         for entry in entries {
@@ -747,9 +1009,16 @@
             let budget = if inherited { 0.0 } else { first };
             let s = &mut self.servers[entry.server as usize];
             if s.rest.is_zero() || s.entry.started != entry.started {
-                let Server { open, asked, probing, waiting, .. } = std::mem::take(s);
+                let Server {
+                    open,
+                    asked,
+                    probing,
+                    waiting,
+                    ..
+                } = std::mem::take(s);
                 (s.g, s.v, s.t, s.filled, s.budget, s.rest) = (g, v, t, t, budget, REST);
-                (s.open, s.asked, s.unit, s.probing, s.waiting) = (open, asked, entry.unit, probing, waiting);
+                (s.open, s.asked, s.unit, s.probing, s.waiting) =
+                    (open, asked, entry.unit, probing, waiting);
             }
             s.entry = entry;
         }
@@ -805,7 +1074,9 @@
     fn reset(&mut self, now: Duration) {
         self.age(now);
         self.sends.retain(|sent| now.saturating_sub(sent.0) < STALE);
-        self.g = self.counted.map_or(self.g, |counted| counted + self.sends.iter().map(|s| s.1).sum::<f64>());
+        self.g = self.counted.map_or(self.g, |counted| {
+            counted + self.sends.iter().map(|s| s.1).sum::<f64>()
+        });
     }
 }
 
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -40,7 +40,10 @@
             let found = place.and_then(|p| value(p, &self.fields[p]));
             found.filter(|v| v.is_finite() && *v >= 0.0)
         };
-        Load { connections: read(self.connections), asked: read(self.asked) }
+        Load {
+            connections: read(self.connections),
+            asked: read(self.asked),
+        }
     }
 }
 
@@ -48,16 +51,23 @@
 
 impl Pairs<'_> {
     fn text(&self, path: &str) -> Option<&str> {
-        self.0.get(path).copied().filter(|v| !matches!(*v, "" | "null"))
+        self.0
+            .get(path)
+            .copied()
+            .filter(|v| !matches!(*v, "" | "null"))
     }
 
     fn want<T: FromStr>(&self, path: &str) -> Result<Option<T>, String> {
-        let read = |v: &str| v.parse().map_err(|_| format!("setting {path}: cannot read {v:?}"));
+        let read = |v: &str| {
+            v.parse()
+                .map_err(|_| format!("setting {path}: cannot read {v:?}"))
+        };
         self.text(path).map(read).transpose()
     }
 
     fn need<T: FromStr>(&self, path: &str) -> Result<T, String> {
-        self.want(path)?.ok_or_else(|| format!("setting {path} is missing"))
+        self.want(path)?
+            .ok_or_else(|| format!("setting {path} is missing"))
     }
 
     fn or<T: FromStr>(&self, path: &str, absent: T) -> Result<T, String> {
@@ -65,11 +75,16 @@
     }
 
     fn list(&self, path: &str) -> Vec<&str> {
-        self.text(path).map(|v| v.split(',').collect()).unwrap_or_default()
+        self.text(path)
+            .map(|v| v.split(',').collect())
+            .unwrap_or_default()
     }
 
     fn numbers(&self, path: &str) -> Result<Vec<f64>, String> {
-        let read = |v: &str| v.parse().map_err(|_| format!("setting {path}: cannot read {v:?}"));
+        let read = |v: &str| {
+            v.parse()
+                .map_err(|_| format!("setting {path}: cannot read {v:?}"))
+        };
         self.list(path).into_iter().map(read).collect()
     }
 
@@ -84,7 +99,11 @@
     }
 
     fn names(&self, path: &str, count: u32) -> Vec<String> {
-        let name = |i| self.text(&format!("{path}.{i}.name")).unwrap_or_default().to_string();
+        let name = |i| {
+            self.text(&format!("{path}.{i}.name"))
+                .unwrap_or_default()
+                .to_string()
+        };
         (0..count.min(MOST)).map(name).collect()
     }
 }
@@ -98,7 +117,9 @@
 
 /// Microseconds, also where they are written with a fraction.
 fn span(us: f64) -> Option<Duration> {
-    Duration::try_from_secs_f64(us / 1e6).ok().filter(|span| span.as_secs() <= u64::from(u32::MAX))
+    Duration::try_from_secs_f64(us / 1e6)
+        .ok()
+        .filter(|span| span.as_secs() <= u64::from(u32::MAX))
 }
 
 /// Takes paths and values; lists of plain values are joined by commas.
@@ -111,8 +132,13 @@
         .zip(worths)
         .map(|(i, worth)| listener(&pairs, i, aims.get(usize::from(i)).copied(), worth))
         .collect::<Result<_, _>>()?;
-    let waits = (0..count).map(|i| pairs.span_or(&format!("listeners.{i}.give_up"), Duration::ZERO));
-    let longest_wait = waits.collect::<Result<Vec<_>, _>>()?.into_iter().max().unwrap_or_default();
+    let waits =
+        (0..count).map(|i| pairs.span_or(&format!("listeners.{i}.give_up"), Duration::ZERO));
+    let longest_wait = waits
+        .collect::<Result<Vec<_>, _>>()?
+        .into_iter()
+        .max()
+        .unwrap_or_default();
     let ask = match pairs.need::<String>("discovery")?.as_str() {
         "on_request" => Some(pairs.span("rules.must_ask_in")?),
         _ => None,
@@ -140,7 +166,11 @@
         come_back: if retry_after { longest } else { Duration::ZERO },
         passes_through: pairs.text("specifics.mode") == Some("pass"),
     };
-    let fields: Vec<String> = pairs.list("load_info.fields").into_iter().map(String::from).collect();
+    let fields: Vec<String> = pairs
+        .list("load_info.fields")
+        .into_iter()
+        .map(String::from)
+        .collect();
     let place = |name| fields.iter().position(|f| *f == name);
     let asked = place("x0").filter(|_| {
         pairs
@@ -148,15 +178,25 @@
             .is_none_or(|says| says == "load_asked_of_the_server_over_what_it_can_do")
     });
     let members = pairs.names("tenants", pairs.or("tenants.count", 0)?);
-    let portions = (0..members.len()).map(|i| portion(&pairs, i)).collect::<Result<_, _>>()?;
+    let portions = (0..members.len())
+        .map(|i| portion(&pairs, i))
+        .collect::<Result<_, _>>()?;
     let (connections, asked) = (place("outstanding"), asked.or(place("utilization")));
     Ok(Setup {
         deployment,
-        reports: Reports { fields, connections, asked },
+        reports: Reports {
+            fields,
+            connections,
+            asked,
+        },
         listeners: pairs.names("listeners", u32::from(count)),
         members,
         portions,
-        zones: pairs.list("localities").into_iter().map(String::from).collect(),
+        zones: pairs
+            .list("localities")
+            .into_iter()
+            .map(String::from)
+            .collect(),
         connect_within: pairs.span_or("permissions.dial_timeout", CONNECT)?,
         drain_grace: pairs.span_or("rules.drain_grace", Duration::ZERO)?,
         longest_wait,
@@ -172,8 +212,11 @@
             figure => Ok(figure),
         }
     };
-    let (over, free, share) =
-        (figure("rules.counted_over")?, figure("rules.min_extra")?, figure("rules.repeat_ratio")?);
+    let (over, free, share) = (
+        figure("rules.counted_over")?,
+        figure("rules.min_extra")?,
+        figure("rules.repeat_ratio")?,
+    );
     let Some(over) = over.filter(|us| *us > 0.0) else {
         // A rule without its span could only be kept by no further dial at all, or broken.
         let told = free.or(share).is_some_and(|n| n > 0.0);
@@ -184,7 +227,11 @@
         };
     };
     let over = span(over).ok_or("setting rules.counted_over: not a time")?;
-    let rule = DialRule { over, free: free.unwrap_or(0.0), share: share.unwrap_or(0.0) };
+    let rule = DialRule {
+        over,
+        free: free.unwrap_or(0.0),
+        share: share.unwrap_or(0.0),
+    };
     Ok((free.is_some() || share.is_some()).then_some(rule))
 }
 
@@ -205,7 +252,11 @@
     let path = format!("tenants.{i}.portion");
     let told = pairs.or(&path, 0.0)?;
     let allowed = (0.0..=1.0).contains(&told);
-    if allowed { Ok(told) } else { Err(format!("setting {path}: allowed is a number from 0 to 1")) }
+    if allowed {
+        Ok(told)
+    } else {
+        Err(format!("setting {path}: allowed is a number from 0 to 1"))
+    }
 }
 
 /// Each listener's utility as a part of the highest; where nobody says, all are worth the same.
@@ -214,11 +265,20 @@
         let path = format!("listeners.{i}.utility");
         let told = pairs.or(&path, 1.0)?;
         let allowed = (0.0..=1e9).contains(&told);
-        if allowed { Ok(told) } else { Err(format!("setting {path}: allowed is a number from 0 to 1e9")) }
+        if allowed {
+            Ok(told)
+        } else {
+            Err(format!("setting {path}: allowed is a number from 0 to 1e9"))
+        }
     };
-    let utilities = (0..count).map(utility).collect::<Result<Vec<f64>, String>>()?;
+    let utilities = (0..count)
+        .map(utility)
+        .collect::<Result<Vec<f64>, String>>()?;
     let most = utilities.iter().copied().fold(0.0, f64::max);
-    Ok(utilities.into_iter().map(|told| if most > 0.0 { told / most } else { 1.0 }).collect())
+    Ok(utilities
+        .into_iter()
+        .map(|told| if most > 0.0 { told / most } else { 1.0 })
+        .collect())
 }
 
 fn listener(pairs: &Pairs, i: u8, aim: Option<f64>, worth: f64) -> Result<Listener, String> {
@@ -235,7 +295,12 @@
             };
             Kind::Referenced(circle, pairs.span(&at("key_ttl"))?)
         }
-        other => return Err(format!("setting {}: unknown kind {other:?}", at("semantics"))),
+        other => {
+            return Err(format!(
+                "setting {}: unknown kind {other:?}",
+                at("semantics")
+            ));
+        }
     };
     Ok(Listener {
         kind,
--- a/state/src/files.rs
+++ b/state/src/files.rs
@@ -28,7 +28,11 @@
             Err(e) if e.kind() != io::ErrorKind::AlreadyExists => return Err(e),
             _ => {}
         }
-        if path.is_dir() { Ok(Folder(path.to_path_buf())) } else { Err(io::ErrorKind::NotADirectory.into()) }
+        if path.is_dir() {
+            Ok(Folder(path.to_path_buf()))
+        } else {
+            Err(io::ErrorKind::NotADirectory.into())
+        }
     }
 
     /// Keeps others out for as long as the file is held; `None` while somebody else does.
@@ -64,7 +68,12 @@
 
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let path = self.0.join(name);
-        let mut file = OpenOptions::new().create(true).truncate(true).write(true).mode(0o600).open(path)?;
+        let mut file = OpenOptions::new()
+            .create(true)
+            .truncate(true)
+            .write(true)
+            .mode(0o600)
+            .open(path)?;
         file.write_all(bytes)
     }
 
--- a/state/src/snapshot.rs
+++ b/state/src/snapshot.rs
@@ -74,21 +74,36 @@
     if bytes.is_empty() {
         return Err("empty".into());
     }
-    let end =
-        bytes.iter().take(HEAD).position(|b| *b == b'\n').ok_or("no snapshot: its first line is none")?;
-    let head = std::str::from_utf8(&bytes[..end]).map_err(|_| "no snapshot: its first line is none")?;
+    let end = bytes
+        .iter()
+        .take(HEAD)
+        .position(|b| *b == b'\n')
+        .ok_or("no snapshot: its first line is none")?;
+    let head =
+        std::str::from_utf8(&bytes[..end]).map_err(|_| "no snapshot: its first line is none")?;
     let mut words = head.split(' ');
     if words.next() != Some(MAGIC) {
         return Err("no snapshot: its first line is none".into());
     }
-    let mut figure = |key: &str| words.next().and_then(|word| word.strip_prefix(key)).map(String::from);
-    let version = figure("v=").and_then(|v| v.parse::<u32>().ok()).ok_or("its version cannot be read")?;
+    let mut figure = |key: &str| {
+        words
+            .next()
+            .and_then(|word| word.strip_prefix(key))
+            .map(String::from)
+    };
+    let version = figure("v=")
+        .and_then(|v| v.parse::<u32>().ok())
+        .ok_or("its version cannot be read")?;
     match version {
         VERSION => {}
-        newer if newer > VERSION => return Err(format!("of version {newer}, newer than {VERSION}")),
+        newer if newer > VERSION => {
+            return Err(format!("of version {newer}, newer than {VERSION}"));
+        }
         older => return Err(format!("of version {older}, older than {VERSION}")),
     }
-    let len = figure("len=").and_then(|len| len.parse::<usize>().ok()).ok_or("its length cannot be read")?;
+    let len = figure("len=")
+        .and_then(|len| len.parse::<usize>().ok())
+        .ok_or("its length cannot be read")?;
     let crc = figure("crc=").and_then(|crc| u32::from_str_radix(&crc, 16).ok());
     let crc = crc.ok_or("its checksum cannot be read")?;
     let body = &bytes[end + 1..];
@@ -101,7 +116,10 @@
     let snapshot: Snapshot =
         serde_json::from_slice(body).map_err(|e| format!("not as this version writes it: {e}"))?;
     if snapshot.hosts.len() > HOSTS {
-        return Err(format!("{} hosts; {HOSTS} are the most", snapshot.hosts.len()));
+        return Err(format!(
+            "{} hosts; {HOSTS} are the most",
+            snapshot.hosts.len()
+        ));
     }
     Ok(snapshot)
 }
--- a/state/src/store.rs
+++ b/state/src/store.rs
@@ -38,7 +38,10 @@
 
 impl<F: Files> Store<F> {
     pub fn new(files: F) -> Store<F> {
-        Store { files, newest: None }
+        Store {
+            files,
+            newest: None,
+        }
     }
 
     /// Reads both files. A snapshot of another owner's is foreign: it tells of another proxy's hosts.
@@ -72,7 +75,9 @@
     /// Writes a snapshot over the older of the two; once it returns well, the snapshot outlives a loss of power. The
     /// number of bytes written.
     pub fn save(&mut self, snapshot: &mut Snapshot) -> io::Result<usize> {
-        let (seq, slot) = self.newest.map_or((1, 0), |(seq, slot)| (seq + 1, 1 - slot));
+        let (seq, slot) = self
+            .newest
+            .map_or((1, 0), |(seq, slot)| (seq + 1, 1 - slot));
         snapshot.seq = seq;
         let bytes = write(snapshot);
         if bytes.len() > LONGEST {
--- a/state/src/writer.rs
+++ b/state/src/writer.rs
@@ -44,7 +44,9 @@
 
 impl Shared {
     fn desk(&self) -> MutexGuard<'_, Desk> {
-        self.desk.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.desk
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 }
 
@@ -58,8 +60,13 @@
         let shared = Arc::new(Shared::default());
         let own = shared.clone();
         let write = move || work(&own, &folder, &owner);
-        let thread = std::thread::Builder::new().name("state".into()).spawn(write)?;
-        Ok(Writer { shared, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("state".into())
+            .spawn(write)?;
+        Ok(Writer {
+            shared,
+            thread: Some(thread),
+        })
     }
 
     /// Hands a snapshot over, in place of one that was not begun.
@@ -88,7 +95,10 @@
         let (done, told) = (desk.done, std::mem::take(&mut desk.told));
         drop(desk);
         if done {
-            self.thread.take().into_iter().for_each(|thread| drop(thread.join()));
+            self.thread
+                .take()
+                .into_iter()
+                .for_each(|thread| drop(thread.join()));
         }
         told
     }
@@ -105,7 +115,11 @@
     while let Some(mut snapshot) = next(shared).filter(|_| lock.is_some()) {
         let began = Instant::now();
         let told = match store.save(&mut snapshot) {
-            Ok(bytes) => Told::Saved { seq: snapshot.seq, bytes, took: began.elapsed() },
+            Ok(bytes) => Told::Saved {
+                seq: snapshot.seq,
+                bytes,
+                took: began.elapsed(),
+            },
             Err(e) => Told::Failed(e.to_string()),
         };
         shared.desk().told.push(told);
@@ -150,6 +164,9 @@
         if desk.closed {
             return None;
         }
-        desk = shared.turned.wait(desk).unwrap_or_else(|broken| broken.into_inner());
+        desk = shared
+            .turned
+            .wait(desk)
+            .unwrap_or_else(|broken| broken.into_inner());
     }
 }
--- a/state/tests/state/crash.rs
+++ b/state/tests/state/crash.rs
@@ -16,7 +16,10 @@
 }
 
 fn rev(disk: &Disk) -> Option<u64> {
-    Store::new(disk.clone()).load(None).snapshot.map(|found| found.rev)
+    Store::new(disk.clone())
+        .load(None)
+        .snapshot
+        .map(|found| found.rev)
 }
 
 /// Saves of 1, 2, 3 ... one after the other, each cut at every step; what is left of the cut is where the next begins. What is
