--- a/state/tests/state/help.rs
+++ b/state/tests/state/help.rs
@@ -54,7 +54,11 @@
 
     /// The same, losing its power after so many steps more.
     pub fn that_stops(&self, steps: usize) -> Disk {
-        Disk { steps: Some(steps), taken: 0, ..self.clone() }
+        Disk {
+            steps: Some(steps),
+            taken: 0,
+            ..self.clone()
+        }
     }
 
     /// How many changes of the folder are not on disk.
@@ -66,7 +70,12 @@
     /// of bytes that were not, what `torn` says.
     pub fn after(&self, kept: usize, torn: Torn) -> Disk {
         let mut names = self.durable.clone();
-        for (_, change) in self.pending.iter().enumerate().filter(|(nth, _)| kept & (1 << nth) != 0) {
+        for (_, change) in self
+            .pending
+            .iter()
+            .enumerate()
+            .filter(|(nth, _)| kept & (1 << nth) != 0)
+        {
             match change {
                 Pending::Set(name, inode) => drop(names.insert(name.clone(), *inode)),
                 Pending::Rename(from, to, inode) => {
@@ -84,27 +93,46 @@
                 Torn::Empty => Vec::new(),
                 Torn::Zeros => vec![0; inode.bytes.len()],
             };
-            Inode { bytes, synced: true }
+            Inode {
+                bytes,
+                synced: true,
+            }
         };
         let inodes = self.inodes.iter().map(lost).collect();
-        Disk { inodes, durable: names.clone(), names, forgets: self.forgets, ..Disk::default() }
+        Disk {
+            inodes,
+            durable: names.clone(),
+            names,
+            forgets: self.forgets,
+            ..Disk::default()
+        }
     }
 
     pub fn put(&mut self, name: &str, bytes: &[u8]) {
-        self.inodes.push(Inode { bytes: bytes.to_vec(), synced: true });
+        self.inodes.push(Inode {
+            bytes: bytes.to_vec(),
+            synced: true,
+        });
         self.names.insert(name.into(), self.inodes.len() - 1);
         self.durable = self.names.clone();
     }
 
     fn at(&self, name: &str) -> io::Result<usize> {
-        self.names.get(name).copied().ok_or(io::ErrorKind::NotFound.into())
+        self.names
+            .get(name)
+            .copied()
+            .ok_or(io::ErrorKind::NotFound.into())
     }
 }
 
 impl Files for Disk {
     fn read(&mut self, name: &str, most: usize) -> io::Result<Vec<u8>> {
         let bytes = self.inodes[self.at(name)?].bytes.clone();
-        if bytes.len() > most { Err(io::Error::other("too long")) } else { Ok(bytes) }
+        if bytes.len() > most {
+            Err(io::Error::other("too long"))
+        } else {
+            Ok(bytes)
+        }
     }
 
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
@@ -120,7 +148,10 @@
                     inode
                 }
             };
-            self.inodes[inode] = Inode { bytes: bytes.to_vec(), synced: false };
+            self.inodes[inode] = Inode {
+                bytes: bytes.to_vec(),
+                synced: false,
+            };
         }
         Ok(())
     }
@@ -138,7 +169,8 @@
             let inode = self.at(from)?;
             self.names.remove(from);
             self.names.insert(to.into(), inode);
-            self.pending.push(Pending::Rename(from.into(), to.into(), inode));
+            self.pending
+                .push(Pending::Rename(from.into(), to.into(), inode));
         }
         Ok(())
     }
--- a/state/tests/state/main.rs
+++ b/state/tests/state/main.rs
@@ -38,10 +38,19 @@
 #[test_case(with_head("crc=", "crc=z"), "checksum cannot"; "no checksum")]
 fn what_cannot_be_read_says_why_and_the_other_file_serves(bytes: Vec<u8>, why: &str) {
     let found = read(&bytes);
-    assert!(found.as_ref().is_err_and(|said| said.contains(why)), "{found:?}");
+    assert!(
+        found.as_ref().is_err_and(|said| said.contains(why)),
+        "{found:?}"
+    );
     let mut disk = Disk::default();
     disk.put("state.0", &bytes);
-    disk.put("state.1", &write(&Snapshot { seq: 7, ..snapshot(1) }));
+    disk.put(
+        "state.1",
+        &write(&Snapshot {
+            seq: 7,
+            ..snapshot(1)
+        }),
+    );
     let found = Store::new(disk).load(Some(OWNER));
     assert_eq!(found.troubles.len(), 1);
     assert_eq!(found.snapshot.map(|s| s.rev), Some(1));
@@ -57,8 +66,22 @@
 #[test]
 fn the_higher_number_is_the_newer_whatever_the_clock_says() {
     let mut disk = Disk::default();
-    disk.put("state.0", &write(&Snapshot { seq: 9, saved_ms: 5, ..snapshot(9) }));
-    disk.put("state.1", &write(&Snapshot { seq: 8, saved_ms: u64::MAX, ..snapshot(8) }));
+    disk.put(
+        "state.0",
+        &write(&Snapshot {
+            seq: 9,
+            saved_ms: 5,
+            ..snapshot(9)
+        }),
+    );
+    disk.put(
+        "state.1",
+        &write(&Snapshot {
+            seq: 8,
+            saved_ms: u64::MAX,
+            ..snapshot(8)
+        }),
+    );
     assert_eq!(Store::new(disk).load(None).snapshot.map(|s| s.rev), Some(9));
 }
 
@@ -69,7 +92,10 @@
     disk.put("state.1", &vec![b'x'; LONGEST + 1]);
     let found = Store::new(disk).load(Some("127.0.0.1:7001"));
     assert!(found.snapshot.is_none());
-    assert!(found.troubles[0].why.contains("foreign") && found.troubles[1].why.contains("long"), "{found:?}");
+    assert!(
+        found.troubles[0].why.contains("foreign") && found.troubles[1].why.contains("long"),
+        "{found:?}"
+    );
 }
 
 fn folder(name: &str) -> PathBuf {
@@ -101,14 +127,21 @@
     });
     second.save(snapshot(2));
     first.save(snapshot(3));
-    assert!(matches!(first.close().last(), Some(Told::Saved { seq: 2, .. })));
+    assert!(matches!(
+        first.close().last(),
+        Some(Told::Saved { seq: 2, .. })
+    ));
     until(|| {
         told.extend(second.told());
-        told.iter().any(|told| matches!(told, Told::Saved { seq: 3, .. }))
+        told.iter()
+            .any(|told| matches!(told, Told::Saved { seq: 3, .. }))
     });
     assert!(told.contains(&Told::Taken));
     second.close();
-    assert_eq!(Store::new(open()).load(Some(OWNER)).snapshot.map(|s| s.rev), Some(2));
+    assert_eq!(
+        Store::new(open()).load(Some(OWNER)).snapshot.map(|s| s.rev),
+        Some(2)
+    );
     std::fs::remove_dir_all(path).unwrap();
 }
 
@@ -134,7 +167,10 @@
     std::fs::remove_file(path.join("state.0")).unwrap();
     std::fs::create_dir(path.join("state.0")).unwrap();
     let found = store.load(Some(OWNER));
-    assert_eq!((found.troubles.len(), found.snapshot.map(|s| s.rev)), (1, Some(2)));
+    assert_eq!(
+        (found.troubles.len(), found.snapshot.map(|s| s.rev)),
+        (1, Some(2))
+    );
     std::fs::remove_dir(path.join("state.0")).unwrap();
     store.clear().unwrap();
     assert!(store.load(None) == Default::default());
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -25,16 +25,21 @@
     let mut sent = 0;
     for seed in 1..40_u64 {
         let (mut budget, mut chance) = (DialBudget::new(Some(rule)), seed);
-        let (mut now, mut dials, mut taken) = (ms(1_700_000_000_000), Vec::new(), Vec::<Duration>::new());
+        let (mut now, mut dials, mut taken) =
+            (ms(1_700_000_000_000), Vec::new(), Vec::<Duration>::new());
         let mut draw = |n: u64| {
-            chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            chance = chance
+                .wrapping_mul(6_364_136_223_846_793_005)
+                .wrapping_add(1_442_695_040_888_963_407);
             (chance >> 33) % n
         };
         for _ in 0..600 {
             now += match draw(40) {
                 0 => rule.over.min(ms(20_000)) + ms(draw(3)),
                 n if n < 25 => Duration::ZERO,
-                _ => rule.over.min(ms(2_000)) / 16 * draw(4) as u32 + Duration::from_micros(draw(3)),
+                _ => {
+                    rule.over.min(ms(2_000)) / 16 * draw(4) as u32 + Duration::from_micros(draw(3))
+                }
             };
             if draw(3) > 0 {
                 budget.took(now);
@@ -47,12 +52,18 @@
                 let inside = |at: &&Duration| now - **at < rule.over;
                 let limit = rule.free + rule.share * taken.iter().filter(inside).count() as f64;
                 let made = dials.iter().filter(young).count();
-                assert!(made as f64 <= limit + 1e-6, "{made} of {limit}, seed {seed}");
+                assert!(
+                    made as f64 <= limit + 1e-6,
+                    "{made} of {limit}, seed {seed}"
+                );
             }
         }
         sent += dials.len();
     }
-    assert!(sent >= 39 * rule.free as usize, "it lets hardly any out: {sent}");
+    assert!(
+        sent >= 39 * rule.free as usize,
+        "it lets hardly any out: {sent}"
+    );
 }
 
 #[test_case("", Some([1.0, 1.0]); "absent")]
@@ -68,10 +79,20 @@
     let text = "discovery=pushed instances=1 self_index=0 listeners.count=2 rules.cold_share=0.3 rules.cold=1 \
                 rules.tip_multiple=4 listeners.0.semantics=read_like listeners.0.handshake_target=1 \
                 listeners.1.semantics=read_like listeners.1.handshake_target=1";
-    let told: Vec<String> = told.split_whitespace().map(|pair| format!("listeners.{pair}")).collect();
-    let all = text.split_whitespace().chain(told.iter().map(String::as_str));
-    match (setup::read(all.map(|pair| pair.split_once('=').unwrap())), worth) {
-        (Ok(setup), Some(worth)) => assert!(setup.deployment.listeners.iter().map(|l| l.worth).eq(worth)),
+    let told: Vec<String> = told
+        .split_whitespace()
+        .map(|pair| format!("listeners.{pair}"))
+        .collect();
+    let all = text
+        .split_whitespace()
+        .chain(told.iter().map(String::as_str));
+    match (
+        setup::read(all.map(|pair| pair.split_once('=').unwrap())),
+        worth,
+    ) {
+        (Ok(setup), Some(worth)) => {
+            assert!(setup.deployment.listeners.iter().map(|l| l.worth).eq(worth))
+        }
         (Err(why), None) => assert!(why.contains("listeners.0.utility"), "{why}"),
         (read, _) => panic!("{read:?}"),
     }
@@ -99,7 +120,10 @@
 #[test_case("counted_over=2000000 repeat_ratio=NaN", Err("rules.repeat_ratio"); "no number")]
 #[test_case("counted_over=2000000 min_extra=many", Err("rules.min_extra"); "a word")]
 fn settings_are_checked(told: &str, reads: Result<Option<DialRule>, &str>) {
-    let rules: String = told.split_whitespace().map(|pair| format!("rules.{pair} ")).collect();
+    let rules: String = told
+        .split_whitespace()
+        .map(|pair| format!("rules.{pair} "))
+        .collect();
     match (read(&rules), reads) {
         (Ok(setup), Ok(rule)) => assert_eq!(setup.deployment.dial_rule, rule),
         (Err(why), Err(path)) => assert!(why.contains(path), "{why}"),
@@ -117,7 +141,10 @@
 #[test_case("NaN", None; "no number")]
 #[test_case("many", None; "a word")]
 fn planned_connections_are_checked_and_summed(told: &str, sum: Option<f64>) {
-    match (read(&format!("specifics.tenant_quota_connections={told}")), sum) {
+    match (
+        read(&format!("specifics.tenant_quota_connections={told}")),
+        sum,
+    ) {
         (Ok(setup), Some(sum)) => assert_eq!(setup.deployment.planned, sum),
         (Err(why), None) => assert!(why.contains("specifics.tenant_quota_connections"), "{why}"),
         (read, _) => panic!("{read:?}"),
@@ -141,5 +168,8 @@
 #[test_case("rules.overload_for=1", 0; "the smallest")]
 fn the_span_of_the_cold_rule_is_never_nothing(told: &str, span: u64) {
     let over = read(told).unwrap().deployment.cold.over;
-    assert!(!over.is_zero() && over.as_millis() as u64 == span, "{over:?}");
+    assert!(
+        !over.is_zero() && over.as_millis() as u64 == span,
+        "{over:?}"
+    );
 }
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -53,15 +53,29 @@
         proxy.end(*sess, 0, Outcome::Ok, true);
     }
     proxy.now += ms(1_400);
-    assert_eq!(dialled(&proxy.arrive(None).1), Some(1), "connections of 1 end, those of 0 do not");
+    assert_eq!(
+        dialled(&proxy.arrive(None).1),
+        Some(1),
+        "connections of 1 end, those of 0 do not"
+    );
     proxy.probed(1, 30.0, 0.6);
-    assert_eq!(dialled(&proxy.arrive(None).1), Some(0), "the count stands above the aged score");
+    assert_eq!(
+        dialled(&proxy.arrive(None).1),
+        Some(0),
+        "the count stands above the aged score"
+    );
 }
 
 #[test]
 fn weights_decide_how_often_a_server_is_drawn() {
-    let servers =
-        [4.0, 1.0, 1.0, 1.0].iter().zip(0..).map(|(w, id)| Entry { weight: *w, ..entry(id) }).collect();
+    let servers = [4.0, 1.0, 1.0, 1.0]
+        .iter()
+        .zip(0..)
+        .map(|(w, id)| Entry {
+            weight: *w,
+            ..entry(id)
+        })
+        .collect();
     let mut proxy = Proxy::new(deployment(REPEATABLE), 3, servers);
     let mut got = [0; 4];
     for _ in 0..400 {
@@ -85,13 +99,26 @@
 #[test_case(Kind::OnceOnly, Outcome::Full => 'D'; "once-only turned away unseen")]
 #[test_case(Kind::OnceOnly, Outcome::Unreachable => 'D'; "once-only that reached nobody")]
 fn no_effect_twice(kind: Kind, outcome: Outcome) -> char {
-    let servers = vec![Entry { cell: 1, ..entry(0) }, Entry { cell: 2, ..entry(1) }];
+    let servers = vec![
+        Entry {
+            cell: 1,
+            ..entry(0)
+        },
+        Entry {
+            cell: 2,
+            ..entry(1)
+        },
+    ];
     let mut proxy = Proxy::new(deployment(kind), 5, servers);
     let (sess, first) = proxy.arrive(None);
     proxy.now += ms(100);
     let next = proxy.end(sess, 0, outcome, false);
     if kind == BY_CELL && outcome == Outcome::Reset {
-        assert_eq!(dialled(&next), dialled(&first), "the other cell would not know it");
+        assert_eq!(
+            dialled(&next),
+            dialled(&first),
+            "the other cell would not know it"
+        );
     }
     came_to(&next)
 }
@@ -111,8 +138,14 @@
     let mut proxy = Proxy::with(deployment(kind), 3);
     let (sess, _) = proxy.arrive(None);
     proxy.now += ms(4_800);
-    assert_eq!(came_to(&proxy.end(sess, 0, Outcome::TimedOut, false)), answer);
-    for stray in [proxy.end(sess, 0, Outcome::TimedOut, false), proxy.tell(Event::Left { sess })] {
+    assert_eq!(
+        came_to(&proxy.end(sess, 0, Outcome::TimedOut, false)),
+        answer
+    );
+    for stray in [
+        proxy.end(sess, 0, Outcome::TimedOut, false),
+        proxy.tell(Event::Left { sess }),
+    ] {
         assert!(stray.is_empty(), "{stray:?}");
     }
 }
@@ -124,7 +157,10 @@
     assert_eq!(time_out(&did), ms(400));
     let mut seen = vec![dialled(&did).unwrap()];
     assert!(
-        proxy.tell(Event::Tick).iter().all(|a| !matches!(a, Action::Dial { .. })),
+        proxy
+            .tell(Event::Tick)
+            .iter()
+            .all(|a| !matches!(a, Action::Dial { .. })),
         "the first is still out"
     );
     for (dial, wanted) in [(0, 'D'), (1, 'D'), (2, 'R')] {
@@ -143,10 +179,17 @@
 #[test_case(Standing::Gone; "gone")]
 fn nothing_goes_to_a_server_that_drains(standing: Standing) {
     let mut proxy = Proxy::with(deployment(REPEATABLE), 2);
-    proxy.roster(Entry { standing, ..entry(0) });
+    proxy.roster(Entry {
+        standing,
+        ..entry(0)
+    });
     assert!((0..50).all(|_| dialled(&proxy.arrive(None).1) != Some(0)));
     proxy.tell(Event::Roster(Roster::Whole(vec![])));
-    assert_eq!(came_to(&proxy.arrive(None).1), 'R', "a server that a whole list leaves out is gone");
+    assert_eq!(
+        came_to(&proxy.arrive(None).1),
+        'R',
+        "a server that a whole list leaves out is gone"
+    );
 }
 
 #[test_case(1, 1; "one proxy")]
@@ -162,9 +205,14 @@
         facts.number = nonce as u32;
         let mut proxy = Proxy::new(facts.clone(), nonce, (0..4).map(entry).collect());
         let held: Vec<_> = (0..28).map(|_| proxy.open(None).0).collect();
-        held[..7].iter().for_each(|s| drop(proxy.end(*s, 0, Outcome::Ok, true)));
+        held[..7]
+            .iter()
+            .for_each(|s| drop(proxy.end(*s, 0, Outcome::Ok, true)));
         (0..4).for_each(|s| drop(proxy.probed(s, 20.0, 0.7)));
-        proxy.roster(Entry { started: Some(proxy.now), ..entry(9) });
+        proxy.roster(Entry {
+            started: Some(proxy.now),
+            ..entry(9)
+        });
         for step in 0..190 {
             proxy.wait(ms(100));
             proxy.probed(9, 0.0, 0.0);
@@ -177,11 +225,21 @@
     // 29 fill it in the 20 s of its warming, from a quarter of that on; four times as much in two seconds pushes it
     // over. Whole dials by chance may be some more.
     for t in &sent {
-        let window = sent.iter().filter(|u| (*t..*t + 2_000).contains(*u)).count() as f64;
+        let window = sent
+            .iter()
+            .filter(|u| (*t..*t + 2_000).contains(*u))
+            .count() as f64;
         let limit = 4.0 * (0.25 + 0.75 * (*t as f64 + 2_000.0) / 20_000.0) * 29.0 / 20.0 * 2.0;
-        assert!(window <= limit + 1.5 * limit.sqrt(), "{window} from {t} ms on, {limit:.1} is the limit");
+        assert!(
+            window <= limit + 1.5 * limit.sqrt(),
+            "{window} from {t} ms on, {limit:.1} is the limit"
+        );
     }
-    assert!(sent.len() > 12 * instances as usize / proxies as usize, "{} while it warmed", sent.len());
+    assert!(
+        sent.len() > 12 * instances as usize / proxies as usize,
+        "{} while it warmed",
+        sent.len()
+    );
 }
 
 // Until the others' mean is known, few connections tell nothing, rather than that they take nothing.
@@ -190,7 +248,11 @@
     let mut proxy = Proxy::with(deployment(REPEATABLE), 1);
     proxy.probed(0, 20.0, 2.4);
     (0..4).for_each(|_| drop(proxy.probed(0, 7.0, 0.4)));
-    assert_eq!(came_to(&proxy.arrive(None).1), 'R', "seven of an eighth each");
+    assert_eq!(
+        came_to(&proxy.arrive(None).1),
+        'R',
+        "seven of an eighth each"
+    );
 }
 
 #[test]
@@ -199,7 +261,10 @@
     facts.ask_roster = Some(ms(10_000));
     let asks = |did: &[Action]| count(did, |a| *a == Action::Subscribe);
     let mut proxy = Proxy::bare(facts, 1);
-    assert_eq!(asks(&proxy.tell(Event::Roster(Roster::Stale(vec![entry(0)])))), 1);
+    assert_eq!(
+        asks(&proxy.tell(Event::Roster(Roster::Stale(vec![entry(0)])))),
+        1
+    );
     let mut total = 0;
     for _ in 0..200 {
         let did = proxy.tell(Event::Roster(Roster::Failed));
@@ -208,7 +273,11 @@
     }
     assert!(total <= 20, "{total} calls in 40 s");
     let mut proxy = Proxy::with(deployment(REPEATABLE), 1);
-    assert_eq!(asks(&proxy.wait(ms(5_000))), 0, "a pushed roster is not asked");
+    assert_eq!(
+        asks(&proxy.wait(ms(5_000))),
+        0,
+        "a pushed roster is not asked"
+    );
 }
 
 // A roster that answers nobody is called by all proxies of a fleet at a rate that it could serve, and not in step.
@@ -228,20 +297,35 @@
             proxy.tell(Event::Roster(Roster::Failed));
             while !proxy.wait(ms(100)).contains(&Action::Subscribe) {}
             let now = proxy.now - began;
-            assert!(now - last < ms(40_000), "told of nothing for {:?}", now - last);
-            calls.get_mut(now.as_secs() as usize).into_iter().for_each(|calls| *calls += 1);
+            assert!(
+                now - last < ms(40_000),
+                "told of nothing for {:?}",
+                now - last
+            );
+            calls
+                .get_mut(now.as_secs() as usize)
+                .into_iter()
+                .for_each(|calls| *calls += 1);
             last = now;
         }
     }
     let (late, most) = (&calls[30..], calls[30..].iter().max().unwrap_or(&0));
-    assert!(late.iter().sum::<usize>() <= a_second * 30 && *most <= a_second * 2, "{late:?}");
+    assert!(
+        late.iter().sum::<usize>() <= a_second * 30 && *most <= a_second * 2,
+        "{late:?}"
+    );
 }
 
 // What stands behind the servers is short: dials of all proxies, over and over, would keep it so.
 #[test_case(Outcome::Erred; "err")]
 #[test_case(Outcome::TimedOut; "hang")]
-fn where_sessions_fail_wherever_they_go_most_are_answered_at_once_until_one_comes_up(outcome: Outcome) {
-    let facts = Deployment { max_dials: 6, ..deployment(REPEATABLE) };
+fn where_sessions_fail_wherever_they_go_most_are_answered_at_once_until_one_comes_up(
+    outcome: Outcome,
+) {
+    let facts = Deployment {
+        max_dials: 6,
+        ..deployment(REPEATABLE)
+    };
     let mut proxy = Proxy::with(facts, 40);
     let (mut dials, mut sessions) = (0, 0);
     for _ in 0..200 {
@@ -277,8 +361,20 @@
 // A zone whose servers all err is not what stands behind all servers.
 #[test]
 fn where_a_zone_errs_sessions_go_to_another_and_nobody_is_held_back() {
-    let servers = (0..12).map(|s| Entry { zone: (s % 2) as u8, ..entry(s) }).collect();
-    let mut proxy = Proxy::new(Deployment { max_dials: 4, ..deployment(REPEATABLE) }, 7, servers);
+    let servers = (0..12)
+        .map(|s| Entry {
+            zone: (s % 2) as u8,
+            ..entry(s)
+        })
+        .collect();
+    let mut proxy = Proxy::new(
+        Deployment {
+            max_dials: 4,
+            ..deployment(REPEATABLE)
+        },
+        7,
+        servers,
+    );
     for _ in 0..200 {
         let (sess, mut did) = proxy.arrive(None);
         let dials = (0..4).take_while(|dial| {
@@ -299,7 +395,13 @@
 // While others come up, the same failures are those of two servers.
 #[test]
 fn while_others_come_up_a_session_that_fails_twice_holds_nobody_back() {
-    let mut proxy = Proxy::with(Deployment { max_dials: 6, ..deployment(REPEATABLE) }, 40);
+    let mut proxy = Proxy::with(
+        Deployment {
+            max_dials: 6,
+            ..deployment(REPEATABLE)
+        },
+        40,
+    );
     for _ in 0..50 {
         let (sess, did) = proxy.arrive(None);
         assert!(dialled(&did).is_some());
@@ -331,7 +433,11 @@
     }
     let (sess, did) = proxy.arrive(None);
     assert!(dialled(&did).is_some());
-    assert_eq!(came_to(&proxy.end(sess, 0, outcome, false)), 'D', "it goes on elsewhere");
+    assert_eq!(
+        came_to(&proxy.end(sess, 0, outcome, false)),
+        'D',
+        "it goes on elsewhere"
+    );
     proxy.now += ms(50);
     came_to(&proxy.arrive(None).1)
 }
@@ -383,7 +489,12 @@
     let mut proxy = Proxy::with(deployment(REPEATABLE), 10);
     let again = |proxy: &mut Proxy, sess, item| {
         let dial_timeout = proxy.now + ms(4_800);
-        came_to(&proxy.settle(Event::Arrived(Arrival { sess, item, dial_timeout, ..Arrival::default() })))
+        came_to(&proxy.settle(Event::Arrived(Arrival {
+            sess,
+            item,
+            dial_timeout,
+            ..Arrival::default()
+        })))
     };
     assert_eq!(again(&mut proxy, 1, 7), 'D');
     proxy.end(1, 0, Outcome::Erred, false);
@@ -405,7 +516,11 @@
     proxy.end(sess, 0, Outcome::TimedOut, false);
     proxy.end(sess, 1, Outcome::CalledOff, true);
     let (_, did) = proxy.arrive(None);
-    assert!(time_out(&did) >= first * 4, "{:?} after {first:?}", time_out(&did));
+    assert!(
+        time_out(&did) >= first * 4,
+        "{:?} after {first:?}",
+        time_out(&did)
+    );
 }
 
 // Where no report tells what a connection takes, warm servers show it by what they bear, and the settings by what is
@@ -423,7 +538,10 @@
     proxy.open_many(open);
     (0..20).for_each(|_| drop(proxy.wait(ms(100))));
     // All others drain.
-    proxy.tell(Event::Roster(Roster::Whole(vec![Entry { started: Some(proxy.now), ..entry(9) }])));
+    proxy.tell(Event::Roster(Roster::Whole(vec![Entry {
+        started: Some(proxy.now),
+        ..entry(9)
+    }])));
     let mut sent = 0;
     for _ in 0..100 {
         proxy.wait(ms(100));
@@ -472,7 +590,9 @@
         tried.extend(dialled(&proxy.end(sess, dial, outcome, false)));
     }
     assert_eq!(tried.len(), 3);
-    let sought: Vec<_> = (0..100).filter_map(|_| dialled(&proxy.arrive(None).1)).collect();
+    let sought: Vec<_> = (0..100)
+        .filter_map(|_| dialled(&proxy.arrive(None).1))
+        .collect();
     tried.into_iter().filter(|id| !sought.contains(id)).count()
 }
 
@@ -481,8 +601,17 @@
 #[test_case(40, true => 'D'; "all fail, serving goes on as if none did")]
 fn a_proxy_finds_the_servers_that_are_left(lost: u32, fail: bool) -> char {
     let mut proxy = Proxy::with(deployment(REPEATABLE), 40);
-    let drains = |id| Entry { standing: Standing::Draining, ..entry(id) };
-    (0..lost).for_each(|id| drop(if fail { proxy.unanswered(id) } else { proxy.roster(drains(id)) }));
+    let drains = |id| Entry {
+        standing: Standing::Draining,
+        ..entry(id)
+    };
+    (0..lost).for_each(|id| {
+        drop(if fail {
+            proxy.unanswered(id)
+        } else {
+            proxy.roster(drains(id))
+        })
+    });
     let came = came_to(&proxy.arrive(None).1);
     (40..80).for_each(|id| drop(proxy.roster(entry(id))));
     assert_eq!(came_to(&proxy.arrive(None).1), 'D', "a fleet that doubles");
@@ -496,7 +625,10 @@
     let mut proxy = Proxy::with(deployment(REPEATABLE), 2);
     (0..2).for_each(|s| drop(proxy.probed(s, 50.0, asked)));
     let did = proxy.arrive(None).1;
-    assert!(did.iter().all(|a| !matches!(a, Action::Refuse { come_back, .. } if come_back.is_zero())));
+    assert!(
+        did.iter()
+            .all(|a| !matches!(a, Action::Refuse { come_back, .. } if come_back.is_zero()))
+    );
     came_to(&did)
 }
 
@@ -509,10 +641,18 @@
 #[test_case(1.0, 0.2, 0.95 => "RR"; "full")]
 fn what_is_worth_less_leaves_room(first: f64, second: f64, asked: f64) -> String {
     let facts = deployment(REPEATABLE);
-    let listeners = [first, second].map(|worth| Listener { worth, ..facts.listeners[0] }).to_vec();
+    let listeners = [first, second]
+        .map(|worth| Listener {
+            worth,
+            ..facts.listeners[0]
+        })
+        .to_vec();
     let mut proxy = Proxy::with(Deployment { listeners, ..facts }, 2);
     (0..2).for_each(|s| drop(proxy.probed(s, 50.0, asked)));
-    [0, 1].map(|listener| came_to(&proxy.arrive_at(listener, None).1)).iter().collect()
+    [0, 1]
+        .map(|listener| came_to(&proxy.arrive_at(listener, None).1))
+        .iter()
+        .collect()
 }
 
 // Connections on an overloaded or silent server are served nothing until some have gone.
@@ -538,7 +678,11 @@
 fn a_server_that_slows_down_is_relieved_before_it_is_full(asked: &[f64]) -> bool {
     let mut proxy = Proxy::with(deployment(REPEATABLE), 1);
     proxy.open_many(20);
-    asked.iter().any(|asked| count(&proxy.probed(0, 20.0, *asked), |a| matches!(a, Action::Move { .. })) > 0)
+    asked.iter().any(|asked| {
+        count(&proxy.probed(0, 20.0, *asked), |a| {
+            matches!(a, Action::Move { .. })
+        }) > 0
+    })
 }
 
 // Refused for want of room, while one at rest stands idle after an error or two.
@@ -549,7 +693,13 @@
     proxy.probed(0, 50.0, 0.2);
     proxy.probed(1, 50.0, 0.95);
     // Others have come up before; where none ever has, the first failure holds back.
-    proxy.tell(Event::Inherited(Arrival { sess: 99, ..Arrival::default() }, 0));
+    proxy.tell(Event::Inherited(
+        Arrival {
+            sess: 99,
+            ..Arrival::default()
+        },
+        0,
+    ));
     let (sess, did) = proxy.arrive(None);
     assert_eq!(dialled(&did), Some(0));
     proxy.end(sess, 0, Outcome::Reset, false);
@@ -564,7 +714,11 @@
     let mut proxy = Proxy::with(deployment(REPEATABLE), 1);
     let (sess, server) = proxy.open_many(10)[0];
     proxy.probed(0, 10.0, 0.3);
-    let did = proxy.tell(Event::Noted { sess, server, note: Note::Delay(ms(millis)) });
+    let did = proxy.tell(Event::Noted {
+        sess,
+        server,
+        note: Note::Delay(ms(millis)),
+    });
     count(&did, |a| matches!(a, Action::Move { .. })) > 0
 }
 
@@ -578,7 +732,11 @@
     let (sess, server) = proxy.open_many(40)[0];
     (0..2).for_each(|server| drop(proxy.probed(server, 20.0, asked)));
     proxy.now += ms(2_000);
-    let did = proxy.tell(Event::Noted { sess, server, note: Note::Delay(ms(millis)) });
+    let did = proxy.tell(Event::Noted {
+        sess,
+        server,
+        note: Note::Delay(ms(millis)),
+    });
     let held = 20.0;
     (count(&did, |a| matches!(a, Action::Move { .. })) as f64) < 0.35 * held
 }
@@ -589,7 +747,9 @@
     let moved = (0..200).map(|nonce| {
         let mut proxy = Proxy::new(deployment(REPEATABLE), nonce, vec![entry(0)]);
         proxy.open(None);
-        count(&proxy.probed(0, 200.0, 1.0), |a| matches!(a, Action::Move { .. }))
+        count(&proxy.probed(0, 200.0, 1.0), |a| {
+            matches!(a, Action::Move { .. })
+        })
     });
     assert!((15..=50).contains(&moved.sum::<usize>()));
 }
@@ -641,7 +801,12 @@
 // Walking on through a busy zone would leave some of a group on every server there.
 #[test]
 fn a_group_takes_its_first_two_near_by_or_the_agreed_order() {
-    let servers: Vec<Entry> = (0..12).map(|id| Entry { zone: (id % 2) as u8, ..entry(id) }).collect();
+    let servers: Vec<Entry> = (0..12)
+        .map(|id| Entry {
+            zone: (id % 2) as u8,
+            ..entry(id)
+        })
+        .collect();
     let at = |group, near: f64, far: f64, zone| {
         let mut facts = deployment(REPEATABLE);
         facts.zone = zone as u8;
@@ -650,8 +815,15 @@
         (0..12).for_each(|s| drop(proxy.probed(s, 10.0, load(s))));
         proxy.open(group).1
     };
-    assert_eq!([at(Some(5), 0.3, 0.3, 0) % 2, at(Some(5), 0.3, 0.3, 1) % 2], [0, 1]);
-    assert_eq!(at(Some(5), 0.55, 0.55, 0), at(Some(5), 0.55, 0.55, 1), "both zones go by one order");
+    assert_eq!(
+        [at(Some(5), 0.3, 0.3, 0) % 2, at(Some(5), 0.3, 0.3, 1) % 2],
+        [0, 1]
+    );
+    assert_eq!(
+        at(Some(5), 0.55, 0.55, 0),
+        at(Some(5), 0.55, 0.55, 1),
+        "both zones go by one order"
+    );
     assert_eq!(at(None, 0.3, 0.1, 0) % 2, 0, "room in its own zone");
     assert_eq!(at(None, 0.8, 0.1, 0) % 2, 1, "beyond it where that is busy");
 }
@@ -679,7 +851,10 @@
         proxy.probed(0, 10.0, 0.2);
         probes += count(&proxy.wait(ms(100)), IS_PROBE);
     }
-    assert!((at_least..at_least * 3 / 2).contains(&probes), "{probes} in 30 s");
+    assert!(
+        (at_least..at_least * 3 / 2).contains(&probes),
+        "{probes} in 30 s"
+    );
 }
 
 const IS_PROBE: fn(&Action) -> bool = |a| matches!(a, Action::Probe { .. });
@@ -708,7 +883,11 @@
 #[test_case(120; "a hundred and twenty")]
 fn a_session_has_its_two_candidates_asked_and_no_others(servers: u32) {
     let mut proxy = Proxy::with(deployment(REPEATABLE), servers);
-    assert_eq!(count(&proxy.wait(ms(5_000)), IS_PROBE), 0, "nothing held, nothing asked");
+    assert_eq!(
+        count(&proxy.wait(ms(5_000)), IS_PROBE),
+        0,
+        "nothing held, nothing asked"
+    );
     let did = proxy.arrive(None).1;
     assert_eq!((count(&did, IS_PROBE), came_to(&did)), (2, 'D'));
     proxy.now += ms(100);
@@ -720,10 +899,16 @@
 #[test_case(false => 'D'; "probes lost")]
 fn waiting_for_probes_ends(leaves: bool) -> char {
     let mut proxy = Proxy::with(deployment(REPEATABLE), 3);
-    let arrival = Arrival { dial_timeout: proxy.now + ms(4_800), ..Arrival::default() };
+    let arrival = Arrival {
+        dial_timeout: proxy.now + ms(4_800),
+        ..Arrival::default()
+    };
     assert_eq!(came_to(&proxy.tell(Event::Arrived(arrival))), '-');
     if leaves {
-        assert_eq!(proxy.tell(Event::Left { sess: 0 }), [Action::Forget { sess: 0 }]);
+        assert_eq!(
+            proxy.tell(Event::Left { sess: 0 }),
+            [Action::Forget { sess: 0 }]
+        );
     }
     came_to(&proxy.wait(ms(500)))
 }
@@ -736,7 +921,10 @@
     let (sess, did) = proxy.arrive(None);
     assert_eq!(came_to(&did), 'D', "without a single report");
     let did = [proxy.tell(Event::Left { sess }), proxy.wait(ms(5_000))].concat();
-    assert!(did.iter().all(|a| matches!(a, Action::Wake { .. })), "{did:?}");
+    assert!(
+        did.iter().all(|a| matches!(a, Action::Wake { .. })),
+        "{did:?}"
+    );
 }
 
 // Odd but legal settings neither panic nor leave a session without an answer.
@@ -749,15 +937,30 @@
 fn odd_settings_serve(odd: fn(&mut asterramp::Deployment)) {
     let mut facts = deployment(REPEATABLE);
     odd(&mut facts);
-    let servers =
-        vec![Entry { weight: f64::NAN, ..entry(0) }, Entry { weight: 0.0, started: Some(ms(0)), ..entry(1) }];
+    let servers = vec![
+        Entry {
+            weight: f64::NAN,
+            ..entry(0)
+        },
+        Entry {
+            weight: 0.0,
+            started: Some(ms(0)),
+            ..entry(1)
+        },
+    ];
     let mut proxy = Proxy::new(facts, 0, servers);
     proxy.probed(0, 0.0, 0.0);
     proxy.probed(1, 3.0, 0.0);
     proxy.tell(Event::Roster(Roster::Failed));
     proxy.wait(ms(1_000));
     // Others have come up before; where none ever has, the first failure holds back.
-    proxy.tell(Event::Inherited(Arrival { sess: 99, ..Arrival::default() }, 0));
+    proxy.tell(Event::Inherited(
+        Arrival {
+            sess: 99,
+            ..Arrival::default()
+        },
+        0,
+    ));
     for _ in 0..9 {
         let (sess, did) = proxy.arrive(Some(1));
         assert_eq!(came_to(&did), 'D');
@@ -768,17 +971,33 @@
 #[test]
 fn connections_open_at_the_start_count_and_stray_events_are_ignored() {
     let mut proxy = Proxy::with(deployment(Kind::OnceOnly), 2);
-    let arrival = Arrival { sess: 0, ..Arrival::default() };
-    assert!(proxy.tell(Event::Inherited(arrival, 5)).is_empty(), "a server that no list has named");
+    let arrival = Arrival {
+        sess: 0,
+        ..Arrival::default()
+    };
+    assert!(
+        proxy.tell(Event::Inherited(arrival, 5)).is_empty(),
+        "a server that no list has named"
+    );
     let lost = proxy.end(0, 0, Outcome::Reset, true);
     assert_eq!(lost, [Action::Forget { sess: 0 }]);
     let load = Load::default();
     for stray in [
         Event::Began { sess: 99, dial: 0 },
         Event::Began { sess: 0, dial: 3 },
-        Event::Ended { sess: 0, dial: 0, outcome: Outcome::Ok, over: true, load },
+        Event::Ended {
+            sess: 0,
+            dial: 0,
+            outcome: Outcome::Ok,
+            over: true,
+            load,
+        },
         Event::Left { sess: 42 },
-        Event::Probed { server: 77, outcome: Outcome::Ok, load },
+        Event::Probed {
+            server: 77,
+            outcome: Outcome::Ok,
+            load,
+        },
     ] {
         assert!(proxy.tell(stray).is_empty());
     }
@@ -788,7 +1007,9 @@
 fn the_same_events_give_the_same_actions() {
     let run = |nonce| {
         let mut proxy = Proxy::new(deployment(REPEATABLE), nonce, (0..6).map(entry).collect());
-        (0..40).flat_map(|_| [proxy.arrive(None).1, proxy.wait(ms(300))].concat()).collect::<Vec<_>>()
+        (0..40)
+            .flat_map(|_| [proxy.arrive(None).1, proxy.wait(ms(300))].concat())
+            .collect::<Vec<_>>()
     };
     assert_eq!(run(1), run(1));
     assert_ne!(run(1), run(2));
@@ -799,7 +1020,9 @@
 #[test_case(60 => 'R'; "none among them")]
 fn a_session_looks_at_a_few_servers_only(full: u32) -> char {
     let mut proxy = Proxy::with(deployment(REPEATABLE), 64);
-    proxy.loads = (0..64).map(|s| (s, help::load(50.0, if s < full { 0.95 } else { 0.2 }))).collect();
+    proxy.loads = (0..64)
+        .map(|s| (s, help::load(50.0, if s < full { 0.95 } else { 0.2 })))
+        .collect();
     let did = proxy.arrive(Some(3)).1;
     assert!(count(&did, IS_PROBE) <= 32, "{did:?}");
     came_to(&did)
@@ -820,33 +1043,76 @@
 
 #[test]
 fn without_budget_for_a_further_dial_a_session_is_answered_at_once() {
-    let rule = DialRule { over: ms(2_000), free: 1.0, share: 0.0 };
-    let mut proxy = Proxy::with(Deployment { dial_rule: Some(rule), ..deployment(REPEATABLE) }, 3);
+    let rule = DialRule {
+        over: ms(2_000),
+        free: 1.0,
+        share: 0.0,
+    };
+    let mut proxy = Proxy::with(
+        Deployment {
+            dial_rule: Some(rule),
+            ..deployment(REPEATABLE)
+        },
+        3,
+    );
     let (first, _) = proxy.arrive(None);
     let (second, _) = proxy.arrive(None);
     assert!(dialled(&proxy.end(first, 0, Outcome::Unreachable, false)).is_some());
     let did = proxy.end(second, 0, Outcome::Unreachable, false);
-    assert!(matches!(did[..], [Action::Refuse { .. }, Action::Forget { .. }]), "{did:?}");
-    assert!(dialled(&proxy.arrive(None).1).is_some(), "first dials are not counted");
+    assert!(
+        matches!(did[..], [Action::Refuse { .. }, Action::Forget { .. }]),
+        "{did:?}"
+    );
+    assert!(
+        dialled(&proxy.arrive(None).1).is_some(),
+        "first dials are not counted"
+    );
     proxy.now += ms(2_200);
-    assert!(dialled(&proxy.end(first, 1, Outcome::Unreachable, false)).is_some(), "it is there again");
+    assert!(
+        dialled(&proxy.end(first, 1, Outcome::Unreachable, false)).is_some(),
+        "it is there again"
+    );
 }
 
 // What another process of this proxy had of a cold server's budget may be spent this moment.
 #[test]
 fn a_cold_server_that_was_inherited_waits_for_its_whole_budget() {
     let first_dial = |number: u32, inherited: bool| {
-        let mut proxy = Proxy::bare(Deployment { number, proxies: 3, ..deployment(REPEATABLE) }, 7);
-        let cold = vec![Entry { started: Some(proxy.now), ..entry(0) }];
-        proxy.tell(Event::Roster(if inherited { Roster::Inherited(cold) } else { Roster::Whole(cold) }));
+        let mut proxy = Proxy::bare(
+            Deployment {
+                number,
+                proxies: 3,
+                ..deployment(REPEATABLE)
+            },
+            7,
+        );
+        let cold = vec![Entry {
+            started: Some(proxy.now),
+            ..entry(0)
+        }];
+        proxy.tell(Event::Roster(if inherited {
+            Roster::Inherited(cold)
+        } else {
+            Roster::Whole(cold)
+        }));
         (0..600).find(|_| {
             proxy.wait(ms(100));
             dialled(&proxy.arrive(None).1).is_some()
         })
     };
-    let steps: Vec<_> = (0..20).map(|number| (first_dial(number, true), first_dial(number, false))).collect();
-    assert!(steps.iter().all(|(inherited, told)| inherited.is_some() && inherited >= told), "{steps:?}");
+    let steps: Vec<_> = (0..20)
+        .map(|number| (first_dial(number, true), first_dial(number, false)))
+        .collect();
+    assert!(
+        steps
+            .iter()
+            .all(|(inherited, told)| inherited.is_some() && inherited >= told),
+        "{steps:?}"
+    );
     let all = |steps: Vec<Option<i32>>| steps.into_iter().flatten().sum::<i32>();
     let (inherited, told) = steps.into_iter().unzip();
-    assert!(all(inherited) > all(told) + 20, "on the whole it waits longer");
+    assert!(
+        all(inherited) > all(told) + 20,
+        "on the whole it waits longer"
+    );
 }
--- a/tests/choice/cold.rs
+++ b/tests/choice/cold.rs
@@ -27,10 +27,18 @@
     let mut facts = deployment(Kind::Repeatable);
     (facts.proxies, facts.cold.warm_after) = (proxies as u32, ms(WARM));
     let start = ms(1_000_000);
-    let cold = Entry { started: Some(start), mark: 71_284 + seed * 104_729, ..entry(9) };
+    let cold = Entry {
+        started: Some(start),
+        mark: 71_284 + seed * 104_729,
+        ..entry(9)
+    };
     let mut begin = |number: u64, now: Duration| {
         facts.number = number as u32;
-        let mut proxy = Proxy::new(facts.clone(), seed * 1_000 + number, (0..4).map(entry).collect());
+        let mut proxy = Proxy::new(
+            facts.clone(),
+            seed * 1_000 + number,
+            (0..4).map(entry).collect(),
+        );
         proxy.now = now;
         (0..4).for_each(|s| drop(proxy.probed(s, FILL * 0.7, 0.7)));
         proxy.wait(ms(1_100));
@@ -72,7 +80,10 @@
     }
     let mut worst: (f64, f64) = (f64::MIN, 0.0);
     for t in (0..WARM - 1_000).step_by(100) {
-        let count = sent.iter().filter(|at| (t..t + WINDOW).contains(*at)).count() as f64;
+        let count = sent
+            .iter()
+            .filter(|at| (t..t + WINDOW).contains(*at))
+            .count() as f64;
         let warmth = 0.25 + 0.75 * (t as f64 + WINDOW as f64 / 2.0) / WARM as f64;
         let n = 4.0 * warmth * FILL / WARM as f64 * WINDOW as f64;
         let over = (count - n) / (2.0 * n.sqrt() + 2.0);
@@ -93,9 +104,17 @@
     for demand in [Demand::Steady, Demand::Restarts, Demand::Sudden] {
         for seed in 0..seeds {
             let (over, n, sent) = peak(proxies, demand, seed);
-            println!("{proxies} {demand:?} {seed}: {over:.2} of the chance over N = {n:.1}; {sent} sent");
-            assert!(over <= 1.0, "{proxies} proxies, {demand:?}: {over:.2} of the chance over N = {n:.1}");
-            assert!(sent > 40, "{proxies} proxies, {demand:?}: {sent} sent while it warmed");
+            println!(
+                "{proxies} {demand:?} {seed}: {over:.2} of the chance over N = {n:.1}; {sent} sent"
+            );
+            assert!(
+                over <= 1.0,
+                "{proxies} proxies, {demand:?}: {over:.2} of the chance over N = {n:.1}"
+            );
+            assert!(
+                sent > 40,
+                "{proxies} proxies, {demand:?}: {sent} sent while it warmed"
+            );
         }
     }
 }
--- a/tests/choice/places.rs
+++ b/tests/choice/places.rs
@@ -9,9 +9,15 @@
 use test_case::test_case;
 
 fn proxy() -> Proxy {
-    let zoned = |id: ServerId| Entry { zone: (id / 3) as u8, ..entry(id) };
+    let zoned = |id: ServerId| Entry {
+        zone: (id / 3) as u8,
+        ..entry(id)
+    };
     // Nothing is near, so that both zones are drawn alike.
-    let facts = Deployment { zone: 7, ..deployment(Kind::Repeatable) };
+    let facts = Deployment {
+        zone: 7,
+        ..deployment(Kind::Repeatable)
+    };
     Proxy::new(facts, 7, (0..6).map(zoned).collect())
 }
 
@@ -43,12 +49,32 @@
 #[test]
 fn who_is_at_a_lost_zone_is_moved_at_the_next_probe_that_fails_and_nobody_else() {
     let mut proxy = proxy();
-    let there: Vec<u32> = proxy.open_many(40).into_iter().filter(|s| s.1 >= 3).map(|s| s.0).collect();
+    let there: Vec<u32> = proxy
+        .open_many(40)
+        .into_iter()
+        .filter(|s| s.1 >= 3)
+        .map(|s| s.0)
+        .collect();
     assert!(there.len() > 5);
     let moved = |did: &[Action]| count(did, |a| matches!(a, Action::Move { .. }));
-    assert_eq!(moved(&proxy.tell(Event::Place { zone: 1, open: 0.0 })), 0, "no crowd at once");
-    assert_eq!((0..3).map(|server| moved(&proxy.unanswered(server))).sum::<usize>(), 0, "one may be lost");
-    assert_eq!((3..6).map(|server| moved(&proxy.unanswered(server))).sum::<usize>(), there.len());
+    assert_eq!(
+        moved(&proxy.tell(Event::Place { zone: 1, open: 0.0 })),
+        0,
+        "no crowd at once"
+    );
+    assert_eq!(
+        (0..3)
+            .map(|server| moved(&proxy.unanswered(server)))
+            .sum::<usize>(),
+        0,
+        "one may be lost"
+    );
+    assert_eq!(
+        (3..6)
+            .map(|server| moved(&proxy.unanswered(server)))
+            .sum::<usize>(),
+        there.len()
+    );
 }
 
 #[test]
@@ -57,16 +83,30 @@
     let (mut waiting, mut placed) = (0, 0);
     for sess in 0..12 {
         let dial_timeout = proxy.now + Duration::from_secs(4);
-        let did = proxy.tell(Event::Arrived(Arrival { sess, dial_timeout, ..Arrival::default() }));
+        let did = proxy.tell(Event::Arrived(Arrival {
+            sess,
+            dial_timeout,
+            ..Arrival::default()
+        }));
         waiting += usize::from(dialled(&did).is_none());
     }
     for server in 0..3 {
-        placed += count(&proxy.probed(server, 0.0, 0.0), |a| matches!(a, Action::Dial { .. }));
+        placed += count(&proxy.probed(server, 0.0, 0.0), |a| {
+            matches!(a, Action::Dial { .. })
+        });
     }
     let did = proxy.tell(Event::Place { zone: 1, open: 0.0 });
-    assert!(did.iter().all(|a| !matches!(a, Action::Dial { server: 3.., .. })), "{did:?}");
+    assert!(
+        did.iter()
+            .all(|a| !matches!(a, Action::Dial { server: 3.., .. })),
+        "{did:?}"
+    );
     placed += count(&did, |a| matches!(a, Action::Dial { .. }));
-    assert_eq!((waiting, placed), (12, 12), "all waited, and nobody waits for the lost zone any more");
+    assert_eq!(
+        (waiting, placed),
+        (12, 12),
+        "all waited, and nobody waits for the lost zone any more"
+    );
 }
 
 #[test]
--- a/tests/help/mod.rs
+++ b/tests/help/mod.rs
@@ -11,11 +11,21 @@
 }
 
 pub fn deployment(kind: Kind) -> Deployment {
-    let listener = Listener { kind, handshake_target: ms(800), message_target: Some(ms(100)), worth: 1.0 };
+    let listener = Listener {
+        kind,
+        handshake_target: ms(800),
+        message_target: Some(ms(100)),
+        worth: 1.0,
+    };
     Deployment {
         listeners: vec![listener],
         proxies: 1,
-        cold: ColdRule { share: 0.25, warm_after: ms(20_000), multiple: 4.0, over: ms(1_500) },
+        cold: ColdRule {
+            share: 0.25,
+            warm_after: ms(20_000),
+            multiple: 4.0,
+            over: ms(1_500),
+        },
         max_dials: 3,
         may_probe: true,
         may_call_off: true,
@@ -26,7 +36,13 @@
 
 pub fn entry(server: ServerId) -> Entry {
     let mark = u64::from(server) * 7919 + 13;
-    Entry { server, mark, standing: Standing::Ready, weight: 1.0, ..Entry::default() }
+    Entry {
+        server,
+        mark,
+        standing: Standing::Ready,
+        weight: 1.0,
+        ..Entry::default()
+    }
 }
 
 pub struct Proxy {
@@ -74,7 +90,11 @@
         while let Some(action) = out.get(next) {
             if let Action::Probe { server } = *action {
                 let load = self.loads.get(&server).copied().unwrap_or_default();
-                out.extend(self.tell(Event::Probed { server, outcome: Outcome::Ok, load }));
+                out.extend(self.tell(Event::Probed {
+                    server,
+                    outcome: Outcome::Ok,
+                    load,
+                }));
             }
             next += 1;
         }
@@ -100,7 +120,15 @@
         self.next += 1;
         let dial_timeout = self.now + ms(4_800);
         let (again, item) = (self.again, u64::from(sess));
-        let arrival = Arrival { sess, listener, item, group, dial_timeout, again, ..Arrival::default() };
+        let arrival = Arrival {
+            sess,
+            listener,
+            item,
+            group,
+            dial_timeout,
+            again,
+            ..Arrival::default()
+        };
         (sess, self.settle(Event::Arrived(arrival)))
     }
 
@@ -117,17 +145,31 @@
     }
 
     pub fn end(&mut self, sess: SessId, dial: u8, outcome: Outcome, over: bool) -> Vec<Action> {
-        self.settle(Event::Ended { sess, dial, outcome, over, load: Load::default() })
+        self.settle(Event::Ended {
+            sess,
+            dial,
+            outcome,
+            over,
+            load: Load::default(),
+        })
     }
 
     pub fn probed(&mut self, server: ServerId, connections: f64, asked: f64) -> Vec<Action> {
         let load = load(connections, asked);
         self.loads.insert(server, load);
-        self.tell(Event::Probed { server, outcome: Outcome::Ok, load })
+        self.tell(Event::Probed {
+            server,
+            outcome: Outcome::Ok,
+            load,
+        })
     }
 
     pub fn unanswered(&mut self, server: ServerId) -> Vec<Action> {
-        self.tell(Event::Probed { server, outcome: Outcome::TimedOut, load: Load::default() })
+        self.tell(Event::Probed {
+            server,
+            outcome: Outcome::TimedOut,
+            load: Load::default(),
+        })
     }
 
     pub fn roster(&mut self, entry: Entry) -> Vec<Action> {
@@ -136,16 +178,31 @@
 }
 
 pub fn load(connections: f64, asked: f64) -> Load {
-    Load { connections: Some(connections), asked: Some(asked) }
+    Load {
+        connections: Some(connections),
+        asked: Some(asked),
+    }
 }
 
 pub fn dialled(did: &[Action]) -> Option<ServerId> {
-    did.iter().find_map(|a| if let Action::Dial { server, .. } = a { Some(*server) } else { None })
+    did.iter().find_map(|a| {
+        if let Action::Dial { server, .. } = a {
+            Some(*server)
+        } else {
+            None
+        }
+    })
 }
 
 pub fn time_out(did: &[Action]) -> Duration {
     did.iter()
-        .find_map(|a| if let Action::Dial { time_out, .. } = a { Some(*time_out) } else { None })
+        .find_map(|a| {
+            if let Action::Dial { time_out, .. } = a {
+                Some(*time_out)
+            } else {
+                None
+            }
+        })
         .expect("a dial")
 }
 
