--- a/rig/src/judge.rs
+++ b/rig/src/judge.rs
@@ -253,7 +253,7 @@
     for Record { at, seen } in records {
         match seen {
             Seen::ProxyDead { proxy } | Seen::ProxyExited { proxy, .. } => {
-                drop(dead.insert(*proxy))
+                dead.insert(*proxy);
             }
             Seen::ProxyStarted { proxy } | Seen::ProxyServes { proxy } => drop(dead.remove(proxy)),
             Seen::Told { proxy, .. } if dead.contains(proxy) => continue,
