--- a/admit/tests/door.rs
+++ b/crates/admission/tests/door.rs
@@ -1,6 +1,6 @@
 //! The order and the pace, by tables.
 
-use asterramp_admit::{Door, Reason, Terms, Who};
+use asterramp_admission::{Door, Reason, Terms, Who};
 use std::time::Duration;
 use test_case::test_case;
 
--- a/handover/tests/words.rs
+++ b/crates/hot-restart/tests/words.rs
@@ -1,6 +1,6 @@
 //! Words are read as they are written, nothing else is, and each stage takes only what makes sense there.
 
-use asterramp_handover::{Act, Bytes, Host, Input, Pair, Stage, Word};
+use asterramp_hot_restart::{Act, Bytes, Host, Input, Pair, Stage, Word};
 use std::time::Duration;
 use test_case::test_case;
 
--- a/fleet/src/fence.rs
+++ b/crates/leader-lease/src/fence.rs
@@ -1,8 +1,8 @@
 //! What a receiver holds against orders.
 
 use crate::Term;
-#[cfg(feature = "planted")]
-use crate::plant::Plant;
+#[cfg(feature = "injected-faults")]
+use crate::injected_fault::Plant;
 use crate::planted;
 use std::time::Duration;
 
@@ -51,7 +51,7 @@
 pub struct Fence {
     boot: u64,
     highest: Term,
-    #[cfg(feature = "planted")]
+    #[cfg(feature = "injected-faults")]
     pub plant: Option<Plant>,
 }
 
@@ -61,7 +61,7 @@
         Fence {
             boot,
             highest: kept,
-            #[cfg(feature = "planted")]
+            #[cfg(feature = "injected-faults")]
             plant: None,
         }
     }
--- a/fleet/src/owner.rs
+++ b/crates/leader-lease/src/lease.rs
@@ -1,8 +1,8 @@
 //! A candidate at the store.
 
 use crate::fence::{Order, Ticket};
-#[cfg(feature = "planted")]
-use crate::plant::Plant;
+#[cfg(feature = "injected-faults")]
+use crate::injected_fault::Plant;
 use crate::{Term, planted};
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
     lease: Duration,
     /// From when on it may begin though not all have heard it.
     begins: Duration,
-    #[cfg(feature = "planted")]
+    #[cfg(feature = "injected-faults")]
     pub plant: Option<Plant>,
 }
 
@@ -58,7 +58,7 @@
             term: 0,
             lease: Duration::ZERO,
             begins: Duration::ZERO,
-            #[cfg(feature = "planted")]
+            #[cfg(feature = "injected-faults")]
             plant: None,
         }
     }
--- a/fleet/src/lib.rs
+++ b/crates/leader-lease/src/lib.rs
@@ -4,26 +4,26 @@
 //! what a receiver holds against orders. `docs/ownership.md` says which of the two stops which case.
 
 mod fence;
-mod owner;
-#[cfg(feature = "planted")]
-mod plant;
+#[cfg(feature = "injected-faults")]
+mod injected_fault;
+mod lease;
 
 pub use fence::{Fence, Order, Refused, Ticket};
-pub use owner::{Owner, State, Terms};
-#[cfg(feature = "planted")]
-pub use plant::Plant;
+#[cfg(feature = "injected-faults")]
+pub use injected_fault::Plant;
+pub use lease::{Owner, State, Terms};
 
 /// The store's change number of an owner's node; it only grows. 0 is nobody's.
 pub type Term = u64;
 
 /// Whether a bug is planted here; none is, in a build that serves.
-#[cfg(feature = "planted")]
+#[cfg(feature = "injected-faults")]
 macro_rules! planted {
     ($of:expr, $plant:ident) => {
-        $of.plant == Some($crate::plant::Plant::$plant)
+        $of.plant == Some($crate::injected_fault::Plant::$plant)
     };
 }
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "injected-faults"))]
 macro_rules! planted {
     ($of:expr, $plant:ident) => {
         false
--- a/check/src/handover.rs
+++ b/crates/model-checker/src/hot_restart.rs
@@ -1,7 +1,7 @@
 //! Two processes of one proxy and the link between them, in every order of what either does and of their deaths. Who
-//! may touch a connection is decided by `asterramp_handover::Side`, the code that serves; the rest is a model of it.
+//! may touch a connection is decided by `asterramp_hot_restart::Side`, the code that serves; the rest is a model of it.
 
-use asterramp_handover::{Act, Heard, Input, OFFERED, Side, Stage};
+use asterramp_hot_restart::{Act, Heard, Input, OFFERED, Side, Stage};
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
 
--- a/check/src/owner.rs
+++ b/crates/model-checker/src/leader_lease.rs
@@ -1,9 +1,9 @@
 //! Two candidates for the work of a fleet, their store and two receivers, in every order of delays, losses, doubled and late
-//! messages, pauses at any step, expiries and restarts at small size. `asterramp_fleet::Owner` and `Fence`, the code that serves,
+//! messages, pauses at any step, expiries and restarts at small size. `asterramp_leader_lease::Owner` and `Fence`, the code that serves,
 //! decide; the store, the ways and the clocks are modelled here. A pause is any number of other steps between two of one's own.
 
 use crate::search::{self, Explored, Played};
-use asterramp_fleet::{Fence, Order, Owner, State, Term, Terms, Ticket};
+use asterramp_leader_lease::{Fence, Order, Owner, State, Term, Terms, Ticket};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -105,7 +105,7 @@
     accepted: [Term; RECEIVERS],
     on_the_way: BTreeSet<(usize, Term, u64, Duration)>,
     broken: Option<String>,
-    #[cfg(feature = "planted")]
+    #[cfg(feature = "injected-faults")]
     plant: Planted,
 }
 
@@ -123,10 +123,10 @@
             accepted: [0; RECEIVERS],
             on_the_way: BTreeSet::new(),
             broken: None,
-            #[cfg(feature = "planted")]
+            #[cfg(feature = "injected-faults")]
             plant,
         };
-        #[cfg(not(feature = "planted"))]
+        #[cfg(not(feature = "injected-faults"))]
         let () = plant;
         world.candidates = (0..CANDIDATES).map(|_| world.candidate()).collect();
         (0..RECEIVERS).for_each(|_| {
@@ -139,7 +139,7 @@
     fn candidate(&self) -> Candidate {
         #[allow(unused_mut)]
         let mut owner = Owner::new(TERMS);
-        #[cfg(feature = "planted")]
+        #[cfg(feature = "injected-faults")]
         (owner.plant = self.plant);
         let (wanted, made) = ([Wanted::None; RECEIVERS], [None; RECEIVERS]);
         Candidate {
@@ -156,7 +156,7 @@
         self.boots += 1;
         #[allow(unused_mut)]
         let mut fence = Fence::new(self.boots, kept);
-        #[cfg(feature = "planted")]
+        #[cfg(feature = "injected-faults")]
         (fence.plant = self.plant);
         fence
     }
@@ -473,15 +473,15 @@
     }
 }
 
-#[cfg(feature = "planted")]
-type Planted = Option<asterramp_fleet::Plant>;
-#[cfg(not(feature = "planted"))]
+#[cfg(feature = "injected-faults")]
+type Planted = Option<asterramp_leader_lease::Plant>;
+#[cfg(not(feature = "injected-faults"))]
 type Planted = ();
 
 /// No bug is planted.
-#[cfg(feature = "planted")]
+#[cfg(feature = "injected-faults")]
 pub const NONE: Planted = None;
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "injected-faults"))]
 pub const NONE: Planted = ();
 
 /// A candidate is first and has waited until it may begin; it keeps its session meanwhile.
--- a/check/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -3,14 +3,14 @@
 //! what that shows and what it leaves out.
 
 pub mod explore;
-pub mod handover;
-pub mod owner;
+pub mod hot_restart;
+pub mod leader_lease;
 pub mod properties;
-pub mod recovery;
 pub mod search;
 pub mod shape;
-pub mod site;
 pub mod step;
 pub mod trace;
 pub mod walk;
+pub mod warm_start;
 pub mod world;
+pub mod zone_failover;
--- a/check/src/main.rs
+++ b/crates/model-checker/src/main.rs
@@ -1,14 +1,14 @@
 //! The command line of the checker.
 
-use asterramp_check::explore::{Explored, Limits, explore};
-use asterramp_check::handover;
-use asterramp_check::owner;
-use asterramp_check::recovery;
-use asterramp_check::search;
-use asterramp_check::shape::{SHAPES, Shape, WALK};
-use asterramp_check::site;
-use asterramp_check::trace::Trace;
-use asterramp_check::walk::walks;
+use asterramp_model_checker::explore::{Explored, Limits, explore};
+use asterramp_model_checker::hot_restart;
+use asterramp_model_checker::leader_lease;
+use asterramp_model_checker::search;
+use asterramp_model_checker::shape::{SHAPES, Shape, WALK};
+use asterramp_model_checker::trace::Trace;
+use asterramp_model_checker::walk::walks;
+use asterramp_model_checker::warm_start;
+use asterramp_model_checker::zone_failover;
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -145,8 +145,8 @@
             Ok(if stopped { 4 } else { 0 })
         }
         What::Handover => {
-            let explored = handover::explore();
-            let handover::Explored {
+            let explored = hot_restart::explore();
+            let hot_restart::Explored {
                 states,
                 steps,
                 depth,
@@ -163,13 +163,13 @@
                 .for_each(|(nth, step)| println!("{nth:>3}. {step:?}"));
             Ok(1)
         }
-        What::Site { depth } => Ok(told(site::explore(&[], depth.into(), site::NONE))),
-        What::Recovery { depth } => Ok(told(recovery::explore(&[], depth.into(), recovery::NONE))),
+        What::Site { depth } => Ok(told(zone_failover::explore(&[], depth.into(), zone_failover::NONE))),
+        What::Recovery { depth } => Ok(told(warm_start::explore(&[], depth.into(), warm_start::NONE))),
         What::Owner { depth } => {
-            let ways = owner::ways();
+            let ways = leader_lease::ways();
             let codes = ways
                 .iter()
-                .map(|before| told(owner::explore(before, depth.into(), owner::NONE)));
+                .map(|before| told(leader_lease::explore(before, depth.into(), leader_lease::NONE)));
             Ok(codes.max().unwrap_or_default())
         }
         What::Plants { plant } => plants(plant),
@@ -234,30 +234,32 @@
     Ok(1)
 }
 
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "injected-faults"))]
 fn plants(_: Option<String>) -> Result<u8, String> {
-    Err("this build has no planted bugs; build it with --features planted".into())
+    Err("this build has no planted bugs; build it with --features injected-faults".into())
 }
 
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "injected-faults"))]
 fn planted(which: Option<&str>) -> Result<(), String> {
     which.map_or(Ok(()), |which| {
-        Err(format!("plant {which}: build with --features planted"))
+        Err(format!(
+            "plant {which}: build with --features injected-faults"
+        ))
     })
 }
 
-#[cfg(feature = "planted")]
+#[cfg(feature = "injected-faults")]
 fn planted(which: Option<&str>) -> Result<(), String> {
-    use asterramp_proxy::plant::{Plant, plant};
+    use asterramp_proxy::injected_fault::{Plant, plant};
     let find = |name: &str| Plant::ALL.into_iter().find(|p| format!("{p:?}") == name);
     let found = which.map(|name| find(name).ok_or(format!("plant {name:?} is not known")));
     plant(found.transpose()?);
     Ok(())
 }
 
-#[cfg(feature = "planted")]
+#[cfg(feature = "injected-faults")]
 fn plants(only: Option<String>) -> Result<u8, String> {
-    use asterramp_proxy::plant::Plant;
+    use asterramp_proxy::injected_fault::Plant;
     let mut missed = 0;
     for which in Plant::ALL.map(|plant| format!("{plant:?}")) {
         if only.as_ref().is_some_and(|only| *only != which) {
--- a/check/src/properties.rs
+++ b/crates/model-checker/src/properties.rs
@@ -2,8 +2,8 @@
 
 use crate::shape::Shape;
 use crate::world::Host;
-use asterramp::deployment::{Circle, ColdRule, Kind};
-use asterramp::event::{Entry, ServerId, Standing};
+use asterramp_placement::deployment::{Circle, ColdRule, Kind};
+use asterramp_placement::event::{Entry, ServerId, Standing};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
--- a/check/src/shape.rs
+++ b/crates/model-checker/src/shape.rs
@@ -1,7 +1,7 @@
 //! The small worlds that are explored.
 
-use asterramp::Deployment;
-use asterramp::deployment::{Circle, ColdRule, Kind, Listener};
+use asterramp_placement::Deployment;
+use asterramp_placement::deployment::{Circle, ColdRule, Kind, Listener};
 use std::time::Duration;
 
 /// What is explored, and how far. A `Shape` is a bound: nothing beyond it is looked at.
--- a/check/src/trace.rs
+++ b/crates/model-checker/src/trace.rs
@@ -94,7 +94,7 @@
         for (nth, step) in (1..).zip(&self.moves) {
             let _ = writeln!(text, "        \\n{nth}. {step}\\");
         }
-        text += "        \";\n    asterramp_check::trace::Trace::read(trace).unwrap().play(|_| ()).unwrap();\n}\n";
+        text += "        \";\n    asterramp_model_checker::trace::Trace::read(trace).unwrap().play(|_| ()).unwrap();\n}\n";
         text
     }
 }
--- a/check/src/recovery.rs
+++ b/crates/model-checker/src/warm_start.rs
@@ -1,10 +1,10 @@
 //! Starts of three proxies after a power loss, in every order of starts, answers, losses and restarts at small size.
-//! `asterramp_recovery::Recovery`, the code that serves, decides; hosts, discovery and the ways between are modelled here.
+//! `asterramp_warm_start::Recovery`, the code that serves, decides; hosts, discovery and the ways between are modelled here.
 //!
 //! Hosts 0 and 1 are those of before; host 2 now stands at the address of host 1, so one of the two is not there.
 
 use crate::search::{self, Explored, Played};
-use asterramp_recovery::{Age, Effect, Entry, HostId, Recovery, Source, Stage, State, Terms};
+use asterramp_warm_start::{Age, Effect, Entry, HostId, Recovery, Source, Stage, State, Terms};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -91,7 +91,7 @@
     now: Duration,
     proxies: [Option<Proxy>; PROXIES],
     up: [bool; HOSTS],
-    #[cfg(feature = "planted")]
+    #[cfg(feature = "injected-faults")]
     plant: Planted,
     broken: Option<String>,
 }
@@ -104,7 +104,7 @@
 }
 
 impl World {
-    #[cfg(feature = "planted")]
+    #[cfg(feature = "injected-faults")]
     fn new(plant: Planted) -> World {
         World {
             now: ms(1_000_000),
@@ -115,7 +115,7 @@
         }
     }
 
-    #[cfg(not(feature = "planted"))]
+    #[cfg(not(feature = "injected-faults"))]
     fn new((): Planted) -> World {
         World {
             now: ms(1_000_000),
@@ -125,12 +125,12 @@
         }
     }
 
-    #[cfg(feature = "planted")]
+    #[cfg(feature = "injected-faults")]
     fn plant_in(&self, recovery: &mut Recovery) {
         recovery.plant = self.plant;
     }
 
-    #[cfg(not(feature = "planted"))]
+    #[cfg(not(feature = "injected-faults"))]
     fn plant_in(&self, _: &mut Recovery) {}
 
     fn start(&mut self, at: usize, disk: Disk) {
@@ -460,15 +460,15 @@
     }
 }
 
-#[cfg(feature = "planted")]
-type Planted = Option<asterramp_recovery::Plant>;
-#[cfg(not(feature = "planted"))]
+#[cfg(feature = "injected-faults")]
+type Planted = Option<asterramp_warm_start::Plant>;
+#[cfg(not(feature = "injected-faults"))]
 type Planted = ();
 
 /// No bug is planted.
-#[cfg(feature = "planted")]
+#[cfg(feature = "injected-faults")]
 pub const NONE: Planted = None;
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "injected-faults"))]
 pub const NONE: Planted = ();
 
 /// One proxy has started and waits for others; it asks next.
--- a/check/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -4,11 +4,11 @@
 use crate::properties::{Breach, Monitor};
 use crate::shape::Shape;
 use crate::step::{Move, Step, Told, Word};
-use asterramp::Event;
-use asterramp::event::{Arrival, Entry, Load, Outcome, Roster, ServerId, Standing};
 use asterramp_drain::{Drain, Exit, STEP, State, Terms, View};
-use asterramp_proxy::routing::exchange::{Exchange, Task};
-use asterramp_proxy::routing::life::{Answer, Effect, Input, Stage};
+use asterramp_placement::Event;
+use asterramp_placement::event::{Arrival, Entry, Load, Outcome, Roster, ServerId, Standing};
+use asterramp_proxy::routing::session_state::{Answer, Effect, Input, Stage};
+use asterramp_proxy::routing::session_table::{Exchange, Task};
 use asterramp_proxy::transport::{Deadlines, Key, Slots};
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/check/src/site.rs
+++ b/crates/model-checker/src/zone_failover.rs
@@ -1,8 +1,8 @@
 //! What a proxy makes of places, in every order of what it may meet at small size: two places with three servers and one
-//! with two. `asterramp_site::Sites`, the code that serves, decides; the truth, and who answers whom, is modelled here.
+//! with two. `asterramp_zone_failover::Sites`, the code that serves, decides; the truth, and who answers whom, is modelled here.
 
 use crate::search::{self, Explored, Played};
-use asterramp_site::{Effect, Sites, Standing, State, Terms};
+use asterramp_zone_failover::{Effect, Sites, Standing, State, Terms};
 use std::time::Duration;
 
 const fn ms(ms: u64) -> Duration {
@@ -299,22 +299,22 @@
     }
 }
 
-#[cfg(feature = "planted")]
-type Planted = Option<asterramp_site::Plant>;
-#[cfg(not(feature = "planted"))]
+#[cfg(feature = "injected-faults")]
+type Planted = Option<asterramp_zone_failover::Plant>;
+#[cfg(not(feature = "injected-faults"))]
 type Planted = ();
 
 /// No bug is planted.
-#[cfg(feature = "planted")]
+#[cfg(feature = "injected-faults")]
 pub const NONE: Planted = None;
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "injected-faults"))]
 pub const NONE: Planted = ();
 
-#[cfg(feature = "planted")]
+#[cfg(feature = "injected-faults")]
 fn plant_in(sites: &mut Sites, plant: Planted) {
     sites.plant = plant;
 }
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "injected-faults"))]
 fn plant_in(_: &mut Sites, (): Planted) {}
 
 /// A place was given up, has just been used again, and falls once more.
--- a/check/tests/explore.rs
+++ b/crates/model-checker/tests/explore.rs
@@ -1,11 +1,11 @@
 //! The quick shapes hold, walks hold, and traces are read as they are written.
 
-use asterramp_check::explore::{Limits, explore};
-use asterramp_check::shape::{SHAPES, Shape, WALK};
-use asterramp_check::step::{Move, Step};
-use asterramp_check::trace::Trace;
-use asterramp_check::walk::{walk, walks};
-use asterramp_check::world::World;
+use asterramp_model_checker::explore::{Limits, explore};
+use asterramp_model_checker::shape::{SHAPES, Shape, WALK};
+use asterramp_model_checker::step::{Move, Step};
+use asterramp_model_checker::trace::Trace;
+use asterramp_model_checker::walk::{walk, walks};
+use asterramp_model_checker::world::World;
 use std::time::Duration;
 use test_case::test_case;
 
@@ -89,14 +89,14 @@
 
 #[test]
 fn whatever_dies_in_a_handover_each_connection_is_one_process_s() {
-    let explored = asterramp_check::handover::explore();
+    let explored = asterramp_model_checker::hot_restart::explore();
     assert!(explored.found.is_none(), "{:?}", explored.found);
     assert!(explored.states > 300, "{explored:?}");
 }
 
 #[test]
 fn what_is_made_of_places_holds_in_every_order() {
-    use asterramp_check::site::{NONE, RETURNED, explore};
+    use asterramp_model_checker::zone_failover::{NONE, RETURNED, explore};
     for before in [&[], RETURNED] {
         let explored = explore(before, 6, NONE);
         assert!(explored.found.is_none(), "{:?}", explored.found);
@@ -106,7 +106,7 @@
 
 #[test]
 fn starts_after_a_power_loss_hold_in_every_order() {
-    use asterramp_check::recovery::{ASKING, NONE, explore, late};
+    use asterramp_model_checker::warm_start::{ASKING, NONE, explore, late};
     for (before, depth, least) in [
         (Vec::new(), 6, 20_000),
         (ASKING.to_vec(), 4, 3_000),
@@ -120,7 +120,7 @@
 
 #[test]
 fn of_two_candidates_none_harms_in_every_order() {
-    use asterramp_check::owner::{NONE, explore, ways};
+    use asterramp_model_checker::leader_lease::{NONE, explore, ways};
     for before in ways() {
         let explored = explore(&before, 5, NONE);
         assert!(explored.found.is_none(), "{:?}", explored.found);
--- a/check/tests/fuzz.rs
+++ b/crates/model-checker/tests/fuzz.rs
@@ -1,8 +1,8 @@
 //! What reads bytes from outside never panics, keeps its bounds, and reads back what was written in its form.
 
-use asterramp::setup;
-use asterramp_control::Request;
-use asterramp_operator::Operator;
+use asterramp_admin_protocol::Request;
+use asterramp_operator_config::Operator;
+use asterramp_placement::settings;
 use asterramp_proxy::protocol::client::{Greeting, greeting};
 use asterramp_proxy::protocol::http::Answer;
 use asterramp_proxy::protocol::json::{self, Value};
@@ -218,7 +218,7 @@
             pairs[at].1 = value;
         }
         let kept = pairs.iter().filter_map(|(path, value)| Some((*path, value.as_deref()?)));
-        match setup::read(kept) {
+        match settings::read(kept) {
             Ok(read) => {
                 prop_assert!(read.listeners.len() <= 255 && read.longest_wait.as_secs() <= u64::from(u32::MAX));
             }
--- a/check/tests/planted.rs
+++ b/crates/model-checker/tests/injected_faults.rs
@@ -1,13 +1,13 @@
 //! A bug that is planted is found. In a file of its own, since it is planted in the whole process.
-#![cfg(feature = "planted")]
+#![cfg(feature = "injected-faults")]
 
-use asterramp_check::explore::{Limits, explore};
-use asterramp_check::shape::Shape;
-use asterramp_check::trace::Trace;
+use asterramp_model_checker::explore::{Limits, explore};
+use asterramp_model_checker::shape::Shape;
+use asterramp_model_checker::trace::Trace;
 
 #[test]
 fn a_planted_bug_is_found_and_its_trace_replays() {
-    use asterramp_proxy::plant::{Plant, plant};
+    use asterramp_proxy::injected_fault::{Plant, plant};
     plant(Some(Plant::TimeOutProvesNothing));
     let shape = Shape::find("once-only").unwrap();
     let explored = explore(shape, Limits::default());
@@ -41,8 +41,8 @@
 
 #[test]
 fn each_bug_planted_in_what_is_made_of_places_is_found() {
-    use asterramp_check::site::{RETURNED, explore};
-    use asterramp_site::Plant;
+    use asterramp_model_checker::zone_failover::{RETURNED, explore};
+    use asterramp_zone_failover::Plant;
     all_found(&Plant::ALL, |plant| {
         let late = matches!(plant, Plant::HeldForgotten);
         explore(if late { RETURNED } else { &[] }, 7, Some(plant)).found
@@ -51,8 +51,8 @@
 
 #[test]
 fn each_bug_planted_in_starts_is_found() {
-    use asterramp_check::recovery::{ASKING, PROBED, explore, late};
-    use asterramp_recovery::Plant;
+    use asterramp_model_checker::warm_start::{ASKING, PROBED, explore, late};
+    use asterramp_warm_start::Plant;
     all_found(&Plant::ALL, |plant| {
         let (before, depth) = match plant {
             Plant::FutureIsFresh => (late(), 2),
@@ -66,8 +66,8 @@
 
 #[test]
 fn each_bug_planted_in_ownership_is_found() {
-    use asterramp_check::owner::{explore, ways};
-    use asterramp_fleet::Plant;
+    use asterramp_leader_lease::Plant;
+    use asterramp_model_checker::leader_lease::{explore, ways};
     all_found(&Plant::ALL, |plant| {
         ways()
             .into_iter()
--- a/operator/tests/operator.rs
+++ b/crates/operator-config/tests/operator.rs
@@ -1,6 +1,6 @@
 //! Files, good and bad.
 
-use asterramp_operator::{Operator, Takes, parse_span};
+use asterramp_operator_config::{Operator, Takes, parse_span};
 use std::time::Duration;
 use test_case::test_case;
 
--- a/src/choice.rs
+++ b/crates/placement/src/engine.rs
@@ -5,11 +5,11 @@
 //! `deployment.rs`, `event.rs` and `action.rs`; `docs/design.md` tells Charon from what departs from it.
 
 use crate::action::Action;
-use crate::budget::DialBudget;
 use crate::deployment::{Circle, Deployment, Kind};
 use crate::event::{
     Arrival, Entry, Event, Load, Note, Outcome, Roster, ServerId, SessId, Standing,
 };
+use crate::retry_budget::DialBudget;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -3,13 +3,13 @@
 //! [`choice`] decides; [`setup`] reads settings; the others hold the types in which it is asked and answers.
 
 pub mod action;
-pub mod budget;
-pub mod choice;
 pub mod deployment;
+pub mod engine;
 pub mod event;
-pub mod setup;
+pub mod retry_budget;
+pub mod settings;
 
 pub use action::Action;
-pub use choice::Choice;
 pub use deployment::Deployment;
+pub use engine::Choice;
 pub use event::Event;
--- a/tests/choice.rs
+++ b/crates/placement/tests/engine.rs
@@ -1,14 +1,14 @@
 //! The module's decisions, as tables of cases.
 
-#[path = "choice/cold.rs"]
+#[path = "engine/cold.rs"]
 mod cold;
 mod help;
-#[path = "choice/places.rs"]
+#[path = "engine/places.rs"]
 mod places;
 
-use asterramp::deployment::{Circle, DialRule, Kind, Listener};
-use asterramp::event::{Arrival, Entry, Load, Note, Outcome, Roster, ServerId, Standing};
-use asterramp::{Action, Deployment, Event};
+use asterramp_placement::deployment::{Circle, DialRule, Kind, Listener};
+use asterramp_placement::event::{Arrival, Entry, Load, Note, Outcome, Roster, ServerId, Standing};
+use asterramp_placement::{Action, Deployment, Event};
 use help::{Proxy, came_to, count, deployment, dialled, entry, ms, time_out};
 use test_case::test_case;
 
@@ -934,7 +934,7 @@
 #[test_case(|f| (f.cold.warm_after, f.cold.share, f.cold.multiple) = (ms(0), 0.0, 0.0); "no cold rule")]
 #[test_case(|f| f.ask_roster = Some(ms(0)); "a roster asked without a limit")]
 #[test_case(|f| (f.come_back, f.listeners[0].handshake_target) = (ms(0), ms(0)); "no come-back, no target")]
-fn odd_settings_serve(odd: fn(&mut asterramp::Deployment)) {
+fn odd_settings_serve(odd: fn(&mut asterramp_placement::Deployment)) {
     let mut facts = deployment(REPEATABLE);
     odd(&mut facts);
     let servers = vec![
--- a/tests/choice/cold.rs
+++ b/crates/placement/tests/engine/cold.rs
@@ -1,8 +1,8 @@
 //! What all proxies together send a server that started anew, in one simulated clock.
 
 use crate::help::{Proxy, deployment, dialled, entry, ms};
-use asterramp::deployment::Kind;
-use asterramp::event::{Entry, Event, Roster};
+use asterramp_placement::deployment::Kind;
+use asterramp_placement::event::{Entry, Event, Roster};
 use std::time::Duration;
 use test_case::test_case;
 
--- a/tests/choice/places.rs
+++ b/crates/placement/tests/engine/places.rs
@@ -2,9 +2,9 @@
 //! the proxy is, 3 to 5 in zone 1.
 
 use crate::help::{Proxy, count, deployment, dialled, entry};
-use asterramp::deployment::Kind;
-use asterramp::event::{Arrival, Entry, Event, Outcome, ServerId};
-use asterramp::{Action, Deployment};
+use asterramp_placement::deployment::Kind;
+use asterramp_placement::event::{Arrival, Entry, Event, Outcome, ServerId};
+use asterramp_placement::{Action, Deployment};
 use std::time::Duration;
 use test_case::test_case;
 
--- a/tests/help/mod.rs
+++ b/crates/placement/tests/help/mod.rs
@@ -1,8 +1,10 @@
 //! A proxy under test: feeds events to the module and keeps what it did.
 
-use asterramp::deployment::{ColdRule, Kind, Listener};
-use asterramp::event::{Arrival, Entry, Load, Outcome, Roster, ServerId, SessId, Standing};
-use asterramp::{Action, Choice, Deployment, Event};
+use asterramp_placement::deployment::{ColdRule, Kind, Listener};
+use asterramp_placement::event::{
+    Arrival, Entry, Load, Outcome, Roster, ServerId, SessId, Standing,
+};
+use asterramp_placement::{Action, Choice, Deployment, Event};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/tests/budget.rs
+++ b/crates/placement/tests/retry_budget.rs
@@ -1,8 +1,8 @@
 //! The budget of further dials, against an oracle that keeps every dial.
 
-use asterramp::budget::DialBudget;
-use asterramp::deployment::DialRule;
-use asterramp::setup;
+use asterramp_placement::deployment::DialRule;
+use asterramp_placement::retry_budget::DialBudget;
+use asterramp_placement::settings;
 use std::time::Duration;
 use test_case::test_case;
 
@@ -87,7 +87,7 @@
         .split_whitespace()
         .chain(told.iter().map(String::as_str));
     match (
-        setup::read(all.map(|pair| pair.split_once('=').unwrap())),
+        settings::read(all.map(|pair| pair.split_once('=').unwrap())),
         worth,
     ) {
         (Ok(setup), Some(worth)) => {
@@ -99,11 +99,11 @@
 }
 
 /// The least that settings may tell, and what is told beside it.
-fn read(told: &str) -> Result<setup::Setup, String> {
+fn read(told: &str) -> Result<settings::Setup, String> {
     let text = "discovery=pushed instances=1 self_index=0 listeners.count=0 rules.cold_share=0.3 rules.cold=1 \
                 rules.tip_multiple=4";
     let all = text.split_whitespace().chain(told.split_whitespace());
-    setup::read(all.map(|pair| pair.split_once('=').unwrap()))
+    settings::read(all.map(|pair| pair.split_once('=').unwrap()))
 }
 
 #[test_case("", Ok(None); "absent")]
--- a/proxy/src/plant.rs
+++ b/crates/proxy/src/injected_fault.rs
@@ -62,7 +62,7 @@
     ];
 }
 
-#[cfg(feature = "planted")]
+#[cfg(feature = "injected-faults")]
 mod chosen {
     use super::Plant;
     use std::sync::atomic::{AtomicU8, Ordering};
@@ -81,11 +81,11 @@
     }
 }
 
-#[cfg(feature = "planted")]
+#[cfg(feature = "injected-faults")]
 pub use chosen::{plant, planted};
 
 /// Whether this is wrong now.
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "injected-faults"))]
 #[inline(always)]
 pub fn planted(_: Plant) -> bool {
     false
--- a/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,7 @@
 //! The proxy on sockets. Layers, each resting on those before it: [`transport`], [`protocol`], [`routing`],
 //! [`program`]; beside them [`plant`], empty in every build that serves. `docs/architecture.md` follows a request through them.
 
-pub mod plant;
+pub mod injected_fault;
 pub mod program;
 pub mod protocol;
 pub mod routing;
--- a/proxy/src/program/command.rs
+++ b/crates/proxy/src/program/command.rs
@@ -1,11 +1,11 @@
 //! The command line. Without any command the proxy serves, as the platform starts it.
 
-use super::owner::Claim;
+use super::leader_lease::Claim;
 use super::roll::{self, Roll};
 use super::run::run;
 use super::state::{self, StateWhat};
-use asterramp_control::{Client, Request, Status, Verb};
-use asterramp_operator::{Operator, parse_span};
+use asterramp_admin_protocol::{Client, Request, Status, Verb};
+use asterramp_operator_config::{Operator, parse_span};
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/proxy/src/program/config.rs
+++ b/crates/proxy/src/program/config.rs
@@ -1,9 +1,9 @@
-//! The one place where configuration is read; `asterramp::setup` checks the settings in it.
+//! The one place where configuration is read; `asterramp_placement::settings` checks the settings in it.
 
 use crate::protocol::discovery;
 use crate::protocol::json::{self, Value};
 use crate::routing::Start;
-use asterramp::setup;
+use asterramp_placement::settings;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -81,7 +81,7 @@
         .and_then(|seed| u64::from_str_radix(seed, 16).ok());
     let mut pairs = Vec::new();
     need("settings")?.flatten("", &mut pairs);
-    let setup = setup::read(
+    let setup = settings::read(
         pairs
             .iter()
             .map(|(path, value)| (path.as_str(), value.as_str())),
--- a/proxy/src/program/owner.rs
+++ b/crates/proxy/src/program/leader_lease.rs
@@ -1,10 +1,10 @@
 //! A candidate for the work of the fleet, on sockets: a thread keeps its session with the store, so that the lease is renewed
-//! whatever the work waits for. Everything that it decides is `asterramp_fleet::Owner`'s.
+//! whatever the work waits for. Everything that it decides is `asterramp_leader_lease::Owner`'s.
 
-use asterramp_control::{Client, OwnerWords, Request, Status, Verb};
-use asterramp_ephemeral::record::{Refused, Request as Ask};
-use asterramp_ephemeral::session::{Answer, Effect, Session, Terms};
-use asterramp_fleet::{Owner, State, Term, Terms as OwnerTerms, Ticket};
+use asterramp_admin_protocol::{Client, OwnerWords, Request, Status, Verb};
+use asterramp_leader_lease::{Owner, State, Term, Terms as OwnerTerms, Ticket};
+use asterramp_zookeeper::record::{Refused, Request as Ask};
+use asterramp_zookeeper::session::{Answer, Effect, Session, Terms};
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/proxy/src/program/roll.rs
+++ b/crates/proxy/src/program/roll.rs
@@ -1,11 +1,11 @@
 //! A site's proxies patched one after the other, without the front ever losing two.
 
 use super::command::{emptied, told};
-use super::owner::Claim;
-use asterramp_control::{Client, Request, Status, Verb};
-use asterramp_ephemeral::record::{ANY, Request as Ask};
-use asterramp_ephemeral::session::Answer;
-use asterramp_fleet::State;
+use super::leader_lease::Claim;
+use asterramp_admin_protocol::{Client, Request, Status, Verb};
+use asterramp_leader_lease::State;
+use asterramp_zookeeper::record::{ANY, Request as Ask};
+use asterramp_zookeeper::session::Answer;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -9,11 +9,11 @@
 use crate::routing::Router;
 use crate::routing::peers::Others;
 use crate::routing::report::{Code, Report};
-use crate::routing::start::{Anew, Keeping};
-use asterramp::setup::Setup;
+use crate::routing::warm_start::{Anew, Keeping};
 use asterramp_drain::Terms;
-use asterramp_operator::{Operator, Recovery, Site, State, Takes};
-use asterramp_state::{Folder, Snapshot, Store, Writer};
+use asterramp_operator_config::{Operator, Recovery, Site, State, Takes};
+use asterramp_placement::settings::Setup;
+use asterramp_snapshot::{Folder, Snapshot, Store, Writer};
 
 /// Serves until told to leave.
 pub fn run(config: Option<&str>, operator: Option<&str>) -> Result<(), String> {
@@ -108,7 +108,7 @@
 /// The operator's file, or all that is wrong with it in one line.
 fn read(path: &str) -> Result<Operator, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-    let told = |problems: Vec<asterramp_operator::Problem>| {
+    let told = |problems: Vec<asterramp_operator_config::Problem>| {
         let all: Vec<String> = problems.iter().map(ToString::to_string).collect();
         format!("{path}: {}", all.join("; "))
     };
@@ -132,7 +132,7 @@
         // The same is said when it is opened for writing.
         Err(_) => return (None, Vec::new()),
     };
-    let told = |trouble: asterramp_state::Trouble| {
+    let told = |trouble: asterramp_snapshot::Trouble| {
         format!(
             "file={}/{} why={:?}",
             state.folder.display(),
@@ -154,9 +154,9 @@
     }
 }
 
-fn stages(wishes: &Operator, setup: &Setup) -> asterramp_recovery::Terms {
+fn stages(wishes: &Operator, setup: &Setup) -> asterramp_warm_start::Terms {
     let (wish, warm) = (&wishes.recovery, setup.deployment.cold.warm_after);
-    asterramp_recovery::Terms {
+    asterramp_warm_start::Terms {
         look: wish.look,
         probe: wish.probe,
         warm,
@@ -164,7 +164,7 @@
     }
 }
 
-fn sites(wishes: &Operator) -> asterramp_site::Terms {
+fn sites(wishes: &Operator) -> asterramp_zone_failover::Terms {
     let Site {
         look,
         hold,
@@ -172,7 +172,7 @@
         settle,
         ..
     } = wishes.site;
-    asterramp_site::Terms {
+    asterramp_zone_failover::Terms {
         look,
         hold,
         hold_most,
--- a/proxy/src/program/state.rs
+++ b/crates/proxy/src/program/state.rs
@@ -1,6 +1,6 @@
 //! `asterramp state`: what is kept on disk, for whoever looks after it.
 
-use asterramp_state::{Folder, Found, Store};
+use asterramp_snapshot::{Folder, Found, Store};
 use clap::Subcommand;
 use std::path::{Path, PathBuf};
 
--- a/proxy/src/protocol/discovery.rs
+++ b/crates/proxy/src/protocol/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery's lists of servers.
 
 use super::json::{self, Value};
-use asterramp::event::Standing;
+use asterramp_placement::event::Standing;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/proxy/src/protocol/server.rs
+++ b/crates/proxy/src/protocol/server.rs
@@ -1,7 +1,7 @@
 //! What servers say.
 
-use asterramp::event::Load;
-use asterramp::setup::Reports;
+use asterramp_placement::event::Load;
+use asterramp_placement::settings::Reports;
 
 /// A line of a server; those that may end with a load report carry it as text.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/proxy/src/routing/calls.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -1,15 +1,15 @@
 //! Operators' calls: their door, what each does, and callers that say little or read nothing. The door's slots and
 //! descriptors are its own, so that a crowd of clients cannot keep operators out.
 
-use super::figures::Standing;
+use super::metrics::Standing;
 use super::peers;
 use super::{Code, Due, Role, Router};
 use crate::protocol::call::{self, Status};
 use crate::transport::poll::Want;
 use crate::transport::{Key, socket};
-use asterramp::event;
-use asterramp_control::{CALLS, Request, Verb};
+use asterramp_admin_protocol::{CALLS, Request, Verb};
 use asterramp_drain::State;
+use asterramp_placement::event;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -211,9 +211,9 @@
             .places
             .iter()
             .flat_map(|places| places.sites.places());
-        text += &super::figures::places_text(self.setup.zones.iter().zip(places));
-        text += &super::figures::room_text(self.setup.listeners.iter().zip(self.gate.counts()));
-        text += &super::figures::start_text(self.starting(), self.kept());
+        text += &super::metrics::places_text(self.setup.zones.iter().zip(places));
+        text += &super::metrics::room_text(self.setup.listeners.iter().zip(self.gate.counts()));
+        text += &super::metrics::start_text(self.starting(), self.kept());
         text
     }
 }
--- a/proxy/src/routing/control.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -4,14 +4,14 @@
 use super::{Code, Due, Role, Router};
 use crate::transport::poll::Want;
 use crate::transport::{Key, socket};
-use asterramp::event::Standing;
-use asterramp_admit::Reason;
-use asterramp_control::{
+use asterramp_admin_protocol::{
     LONGEST, PlaceStatus, Reply, Request, RoomStatus, StartStatus, Status, Verb,
 };
+use asterramp_admission::Reason;
 use asterramp_drain::{Refusal, State};
-use asterramp_fleet::Order;
-use asterramp_recovery::Source;
+use asterramp_leader_lease::Order;
+use asterramp_placement::event::Standing;
+use asterramp_warm_start::Source;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -230,7 +230,7 @@
                 false_alarms: place.false_alarms,
             });
         }
-        told.sort_by_key(|place| place.state == asterramp_site::State::Whole.name());
+        told.sort_by_key(|place| place.state == asterramp_zone_failover::State::Whole.name());
         told.truncate(16);
         told
     }
--- a/proxy/src/routing/room.rs
+++ b/crates/proxy/src/routing/admission.rs
@@ -1,8 +1,8 @@
 //! How many set-ups there is room for while room is short.
 
 use super::Router;
-use asterramp::event::Standing;
-use asterramp_site::room::{self, Load};
+use asterramp_placement::event::Standing;
+use asterramp_zone_failover::room::{self, Load};
 
 impl Router {
     /// While the clients of a lost place come to those that are left, they are let in by the room that survivors have; each
--- a/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -1,14 +1,14 @@
 //! Clients until they are up: the door, first lines, answers.
 
-use super::figures;
+use super::metrics;
 use super::{Code, Conn, Due, Input, Role, Router, Session, Stage};
 use crate::protocol::client::{self, FAILED, Greeting, Open, PONG, greeting, refusal};
 use crate::protocol::line::{self, Fault};
 use crate::transport::poll::{Ready, Want};
 use crate::transport::{Buffer, End, Key, socket};
-use asterramp::event::Arrival;
-use asterramp::setup::Setup;
-use asterramp_admit::{Refusal, Who};
+use asterramp_admission::{Refusal, Who};
+use asterramp_placement::event::Arrival;
+use asterramp_placement::settings::Setup;
 use rustix::fd::OwnedFd;
 use std::time::Duration;
 
@@ -364,7 +364,7 @@
     fn admit(&mut self, key: Key, arrival: Arrival, failed: bool, own: Session, line: usize) {
         if !self.fits() {
             self.line(Code::Edge, format!("sess={}", own.id()));
-            self.figures.ended(arrival.listener, figures::End::Busy);
+            self.figures.ended(arrival.listener, metrics::End::Busy);
             let come_back = self.setup.deployment.come_back.min(COME_BACK);
             return self.dismiss(key, &[refusal(come_back).as_bytes()]);
         }
@@ -414,7 +414,7 @@
             refusal.reason.name()
         );
         self.line(Code::Short, about);
-        self.figures.ended(arrival.listener, figures::End::Busy);
+        self.figures.ended(arrival.listener, metrics::End::Busy);
         self.dismiss(key, &[client::refusal(refusal.come_back).as_bytes()]);
     }
 
@@ -448,9 +448,9 @@
             self.ended(
                 sess,
                 if code == Code::Refused {
-                    figures::End::Busy
+                    metrics::End::Busy
                 } else {
-                    figures::End::Failure
+                    metrics::End::Failure
                 },
             );
             self.log_end(sess, code);
--- a/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -5,7 +5,7 @@
 use crate::protocol::server::{Said, load, said};
 use crate::transport::poll::{Ready, Want};
 use crate::transport::{Key, socket};
-use asterramp::event::{Load, Outcome, ServerId};
+use asterramp_placement::event::{Load, Outcome, ServerId};
 use rustix::io::Errno;
 use std::time::Duration;
 
--- a/proxy/src/routing/watch.rs
+++ b/crates/proxy/src/routing/discovery_watch.rs
@@ -5,9 +5,9 @@
 use crate::protocol::http::{Answer, watch_request};
 use crate::transport::poll::{Ready, Want};
 use crate::transport::{Key, socket};
-use asterramp::Event;
-use asterramp::event;
-use asterramp::setup::Setup;
+use asterramp_placement::Event;
+use asterramp_placement::event;
+use asterramp_placement::settings::Setup;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/proxy/src/routing/roster.rs
+++ b/crates/proxy/src/routing/endpoints.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::discovery::Listed;
 use crate::transport::Key;
-use asterramp::event::{Entry, Load, ServerId, Standing};
+use asterramp_placement::event::{Entry, Load, ServerId, Standing};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/proxy/src/routing/relay.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -6,8 +6,8 @@
 use crate::protocol::server::{Said, load, said};
 use crate::transport::poll::Want;
 use crate::transport::{Buffer, End, Key};
-use asterramp::Event;
-use asterramp::event::{Load, Note, Outcome};
+use asterramp_placement::Event;
+use asterramp_placement::event::{Load, Note, Outcome};
 use std::time::Duration;
 
 /// How long a server may leave a client's line without any answer.
--- a/proxy/src/routing/leave.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -3,9 +3,9 @@
 use super::{Code, Due, Input, Role, Router, Stage};
 use crate::protocol::client::FAILED;
 use crate::transport::Key;
-use asterramp::deployment::Kind;
-use asterramp::event::Standing;
 use asterramp_drain::{Exit, Refusal, STEP, State, Terms, View};
+use asterramp_placement::deployment::Kind;
+use asterramp_placement::event::Standing;
 use std::time::Duration;
 
 /// The front goes on sending clients for this long.
--- a/proxy/src/routing/kin.rs
+++ b/crates/proxy/src/routing/hot_restart.rs
@@ -1,19 +1,19 @@
 //! Two processes of one proxy, while the younger replaces the elder: who comes to whom, what is handed over. What may
-//! be said when stands in `asterramp_handover`; this carries it out. Whatever goes wrong between them, each is whole:
+//! be said when stands in `asterramp_hot_restart`; this carries it out. Whatever goes wrong between them, each is whole:
 //! the younger binds the clients' address itself, and the elder leaves as at SIGTERM.
 
 use super::client::GREETING;
-use super::exchange::Held;
-use super::roster::MOST;
+use super::endpoints::MOST;
+use super::session_table::Held;
 use super::{Code, Due, Life, Role, Router, Session, Stage as LifeStage};
 use crate::protocol::client::{Greeting, greeting};
 use crate::protocol::discovery::{List, Listed};
 use crate::transport::poll::Want;
 use crate::transport::{Key, Stream, link, socket};
-use asterramp::event::{Outcome, Standing};
-use asterramp_handover::{
+use asterramp_hot_restart::{
     Act, Bytes, HOSTS, Heard, Host, Input, LONGEST, OFFERED, Pair, Side, Stage, Word,
 };
+use asterramp_placement::event::{Outcome, Standing};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::io::Errno;
@@ -510,7 +510,7 @@
                     .of(Due::Session(sess))
                     .filter(|_| held.own.asked);
                 // The other process is told when its client is to be moved, not when its server counts as quiet.
-                let waits = super::relay::rest(self.setup.connect_within);
+                let waits = super::forwarding::rest(self.setup.connect_within);
                 let later = if held.own.quiet {
                     Duration::ZERO
                 } else {
@@ -539,7 +539,7 @@
                     .into_iter()
                     .flatten()
                     .for_each(|key| drop(self.let_out(key)));
-                let load = asterramp::event::Load::default();
+                let load = asterramp_placement::event::Load::default();
                 self.input(
                     sess,
                     super::Input::Closed {
@@ -581,7 +581,7 @@
                     .for_each(|key| watch(self, key));
                 if asked {
                     self.deadlines
-                        .set(Due::Session(sess), self.now + super::relay::SILENCE);
+                        .set(Due::Session(sess), self.now + super::forwarding::SILENCE);
                     self.own(sess).into_iter().for_each(|own| own.quiet = true);
                 }
                 self.relay(sess);
@@ -663,7 +663,7 @@
                     self.own(sess)
                         .into_iter()
                         .for_each(|own| (own.client, own.server) = (None, None));
-                    let load = asterramp::event::Load::default();
+                    let load = asterramp_placement::event::Load::default();
                     return self.input(
                         sess,
                         super::Input::Closed {
--- a/proxy/src/routing/figures.rs
+++ b/crates/proxy/src/routing/metrics.rs
@@ -1,8 +1,8 @@
 //! What operators are told in figures: what each counts, and the one place where it is counted.
 
-use asterramp_admit::Reason;
-use asterramp_recovery::Recovery;
-use asterramp_site::Place;
+use asterramp_admission::Reason;
+use asterramp_warm_start::Recovery;
+use asterramp_zone_failover::Place;
 use std::fmt::Write;
 
 /// The one end that a session comes to, as far as its client is concerned.
--- a/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -1,53 +1,53 @@
 //! Carries out on sockets what the module and the lives of sessions decide. Decides nothing.
 
-mod calls;
+mod admin_http;
+pub mod admin_socket;
+mod admission;
 mod client;
-pub mod control;
 mod dial;
-pub mod exchange;
-pub mod figures;
-mod kin;
-mod leave;
-pub mod life;
+mod discovery_watch;
+mod endpoints;
+mod forwarding;
+mod graceful_shutdown;
+mod hot_restart;
+pub mod metrics;
 pub mod peers;
-pub mod places;
 mod probe;
-mod relay;
 pub mod report;
-mod room;
-mod roster;
-pub mod start;
-mod watch;
+pub mod session_state;
+pub mod session_table;
+pub mod warm_start;
+pub mod zones;
 
 use crate::protocol::client::{FAILED, refusal};
 use crate::protocol::discovery::List;
 use crate::transport::poll::{Ready, Want};
 use crate::transport::{Deadlines, End, Key, Poll, Slots, Stream, socket};
-use asterramp::Event;
-use asterramp::event::{Load, Outcome, ServerId};
-use asterramp::setup::Setup;
-use asterramp_admit::Door;
+use admin_http::Calls;
+use asterramp_admission::Door;
 use asterramp_drain::{Drain, State, Terms};
-use asterramp_fleet::{Fence, Term};
-use asterramp_site::Terms as SiteTerms;
-use calls::Calls;
+use asterramp_leader_lease::{Fence, Term};
+use asterramp_placement::Event;
+use asterramp_placement::event::{Load, Outcome, ServerId};
+use asterramp_placement::settings::Setup;
+use asterramp_zone_failover::Terms as SiteTerms;
 use client::{Budget, Tally};
-use exchange::{Exchange, Held, Task};
-use figures::Figures;
-use kin::{Estate, Kin};
-use life::{Answer, Effect, Input, Life, Stage};
+use discovery_watch::Watch;
+use endpoints::Roster;
+use hot_restart::{Estate, Kin};
+use metrics::Figures;
 use peers::Peers;
-use places::Places;
 use report::{Code, Report};
-use roster::Roster;
 use rustix::fd::OwnedFd;
-use start::{Anew, Keeping, Starting};
+use session_state::{Answer, Effect, Input, Life, Stage};
+use session_table::{Exchange, Held, Task};
 use std::collections::HashSet;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
-use watch::Watch;
+use warm_start::{Anew, Keeping, Starting};
+use zones::Places;
 
 /// How long discovery is waited for before clients are served by the list of old.
 const PATIENCE: Duration = Duration::from_millis(500);
@@ -69,10 +69,10 @@
 }
 
 /// Sessions are refused by what they are worth and whose they are.
-fn gate_terms(setup: &Setup) -> asterramp_admit::Terms {
+fn gate_terms(setup: &Setup) -> asterramp_admission::Terms {
     let worths = setup.deployment.listeners.iter().map(|l| l.worth).collect();
     let (portions, longest) = (setup.portions.clone(), setup.deployment.come_back);
-    asterramp_admit::Terms {
+    asterramp_admission::Terms {
         worths,
         portions,
         longest,
@@ -194,7 +194,7 @@
     /// The drain's state as last told in the log.
     state: State,
     done: bool,
-    control: Option<control::Control>,
+    control: Option<admin_socket::Control>,
     /// Against late orders of the fleet's owners.
     fence: Fence,
     calls: Option<Calls>,
@@ -547,7 +547,7 @@
             Effect::Drop => {
                 let client = self.take_client(sess);
                 if let Some(key) = client {
-                    self.ended(sess, figures::End::Failure);
+                    self.ended(sess, metrics::End::Failure);
                     self.close(key);
                 }
             }
@@ -558,7 +558,7 @@
             Effect::Log(code) => self.log_end(sess, code),
             Effect::Count(code) => {
                 if matches!(code, Code::Up | Code::Restored) {
-                    self.ended(sess, figures::End::Success);
+                    self.ended(sess, metrics::End::Success);
                 }
                 self.count(code);
             }
@@ -568,7 +568,7 @@
     }
 
     /// A session has come to its one end, as its client sees it.
-    fn ended(&mut self, sess: Key, end: figures::End) {
+    fn ended(&mut self, sess: Key, end: metrics::End) {
         let listener = self.life(sess).map(|life| life.arrival.listener);
         listener
             .into_iter()
--- a/proxy/src/routing/peers.rs
+++ b/crates/proxy/src/routing/peers.rs
@@ -5,8 +5,8 @@
 use crate::protocol::discovery::Listed;
 use crate::transport::poll::{Ready, Want};
 use crate::transport::{Key, socket};
-use asterramp::event::Standing;
-use asterramp_recovery::{Age, Source, State, age};
+use asterramp_placement::event::Standing;
+use asterramp_warm_start::{Age, Source, State, age};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 const LONGEST: usize = 128 << 10;
 const ASKED: usize = 8;
 
-/// The call, beside those of `asterramp_control::CALLS`.
+/// The call, beside those of `asterramp_admin_protocol::CALLS`.
 pub const PATH: &str = "/ops/known";
 
 /// Whom to ask, and what tells a fleet's proxies from others.
@@ -239,7 +239,7 @@
         };
         let normal = self
             .starting()
-            .is_none_or(|start| start.stage() == asterramp_recovery::Stage::Normal);
+            .is_none_or(|start| start.stage() == asterramp_warm_start::Stage::Normal);
         let mut hosts: Vec<KnownHost> = (0..)
             .zip(self.roster.lines().zip(self.roster.hosts()))
             .filter(|(id, (line, _))| line.standing == Standing::Ready && (normal || answers(*id)))
--- a/proxy/src/routing/probe.rs
+++ b/crates/proxy/src/routing/probe.rs
@@ -5,8 +5,8 @@
 use crate::protocol::server::{STATS, Said, load, said};
 use crate::transport::poll::{Ready, Want};
 use crate::transport::{Key, socket};
-use asterramp::Event;
-use asterramp::event::{Load, Outcome, ServerId};
+use asterramp_placement::Event;
+use asterramp_placement::event::{Load, Outcome, ServerId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
--- a/proxy/src/routing/life.rs
+++ b/crates/proxy/src/routing/session_state.rs
@@ -2,9 +2,9 @@
 //! with the time, effects go out, and whoever drives it has sockets (the router) or a model of them (a checker).
 
 use super::report::Code;
-use crate::plant::{Plant, planted};
-use asterramp::Event;
-use asterramp::event::{Arrival, Load, Outcome, ServerId, SessId};
+use crate::injected_fault::{Plant, planted};
+use asterramp_placement::Event;
+use asterramp_placement::event::{Arrival, Load, Outcome, ServerId, SessId};
 use std::time::Duration;
 
 /// Pace at which a connection that was open before is tried again, and until when.
--- a/proxy/src/routing/exchange.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -1,12 +1,12 @@
 //! Between the module and the lives of sessions: carries what happens to the one and what it decides to the
 //! other. No I/O; what is to be done on sockets waits in `effects`, in order, for whoever drives it.
 
-use super::life::{Effect, Input, Life, Stage};
-use super::places::{Places, Turn};
-use crate::plant::{Plant, planted};
+use super::session_state::{Effect, Input, Life, Stage};
+use super::zones::{Places, Turn};
+use crate::injected_fault::{Plant, planted};
 use crate::transport::{Key, Slots};
-use asterramp::event::{Arrival, ServerId, SessId};
-use asterramp::{Action, Choice, Deployment, Event};
+use asterramp_placement::event::{Arrival, ServerId, SessId};
+use asterramp_placement::{Action, Choice, Deployment, Event};
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/proxy/src/routing/start.rs
+++ b/crates/proxy/src/routing/warm_start.rs
@@ -1,15 +1,15 @@
-//! A start after a power loss, and what is kept for the next one: carries out what `asterramp_recovery` wants, and hands
+//! A start after a power loss, and what is kept for the next one: carries out what `asterramp_warm_start` wants, and hands
 //! snapshots to the thread that writes them.
 
 use super::peers::Others;
 use super::{Code, Due, Router};
 use crate::protocol::discovery::{List, Listed};
-use asterramp::Event;
-use asterramp::event::{Entry, Outcome, Roster, ServerId, Standing};
-use asterramp_recovery::{
+use asterramp_placement::Event;
+use asterramp_placement::event::{Entry, Outcome, Roster, ServerId, Standing};
+use asterramp_snapshot::{Host, Snapshot, Told, Writer};
+use asterramp_warm_start::{
     Age, Effect, Entry as Way, HostId, Recovery, Source, Stage, Terms, age, fill,
 };
-use asterramp_state::{Host, Snapshot, Told, Writer};
 use std::time::Duration;
 
 /// How many times its least time a snapshot's age may be though nothing is told: what hosts take is learned all the time.
@@ -115,7 +115,7 @@
         let hosts = saved
             .hosts
             .iter()
-            .filter(|host| host.standing == asterramp_state::Standing::Ready);
+            .filter(|host| host.standing == asterramp_snapshot::Standing::Ready);
         let own = hosts.map(|host| (listed(host), Source::Saved, old, saved.rev, host.unit));
         let configured = known
             .lines
@@ -444,7 +444,7 @@
         let all = loads().fold((0.0, 0.0), |sum, load| (sum.0 + load.0, sum.1 + load.1));
         // One that holds few stands for what all take.
         let told = |load: &(f64, f64)| load.1 >= fill::FEW;
-        let host = |(line, host): (Listed, &super::roster::Host)| {
+        let host = |(line, host): (Listed, &super::endpoints::Host)| {
             let own = host.load.asked.zip(host.load.connections).filter(told);
             let unit = own.or(Some(all).filter(told)).map(|load| load.0 / load.1);
             Host {
@@ -453,8 +453,8 @@
                 zone: line.zone,
                 cell: line.cell,
                 standing: match line.standing {
-                    Standing::Draining => asterramp_state::Standing::Draining,
-                    _ => asterramp_state::Standing::Ready,
+                    Standing::Draining => asterramp_snapshot::Standing::Draining,
+                    _ => asterramp_snapshot::Standing::Ready,
                 },
                 weight: if line.weight.is_finite() {
                     line.weight
--- a/proxy/src/routing/places.rs
+++ b/crates/proxy/src/routing/zones.rs
@@ -1,9 +1,9 @@
 //! Between the events of the module and what is made of whole places: what an event shows goes to the one, what it
 //! decides goes back as an event. No I/O.
 
-use asterramp::Event;
-use asterramp::event::{Entry, Outcome, Roster, ServerId, Standing};
-use asterramp_site::{self as site, Effect, Sites, State, Terms};
+use asterramp_placement::Event;
+use asterramp_placement::event::{Entry, Outcome, Roster, ServerId, Standing};
+use asterramp_zone_failover::{self as site, Effect, Sites, State, Terms};
 use std::time::Duration;
 
 /// A place's state changed, and why.
--- a/proxy/src/transport/slots.rs
+++ b/crates/proxy/src/transport/slots.rs
@@ -1,6 +1,6 @@
 //! Numbered slots with generations: a late event for a slot's old tenant does not reach the new one.
 
-use crate::plant::{Plant, planted};
+use crate::injected_fault::{Plant, planted};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
--- a/proxy/tests/operators.rs
+++ b/crates/proxy/tests/operators.rs
@@ -2,7 +2,7 @@
 
 mod help;
 
-use asterramp_handover::{Bytes, Host, LONGEST, Pair, Word};
+use asterramp_hot_restart::{Bytes, Host, LONGEST, Pair, Word};
 use asterramp_proxy::protocol::call::{Call, Status, read};
 use asterramp_proxy::transport::{link, socket};
 use help::{OPEN, Side, World, answered, call};
--- a/proxy/tests/owner.rs
+++ b/crates/proxy/tests/owner.rs
@@ -3,7 +3,7 @@
 
 mod help;
 
-use asterramp_control::{Client, OwnerWords, Request, Status, Verb};
+use asterramp_admin_protocol::{Client, OwnerWords, Request, Status, Verb};
 use help::{SETTINGS, free_address};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
--- a/proxy/tests/parts.rs
+++ b/crates/proxy/tests/parts.rs
@@ -1,14 +1,14 @@
 //! Parsers and tables, as tables of cases.
 
-use asterramp::Event;
-use asterramp::event::{Arrival, Outcome, Standing};
+use asterramp_placement::Event;
+use asterramp_placement::event::{Arrival, Outcome, Standing};
 use asterramp_proxy::protocol::client::{Greeting, greeting, refusal};
 use asterramp_proxy::protocol::http::Answer;
 use asterramp_proxy::protocol::json::{self, Value};
 use asterramp_proxy::protocol::line::{self, Fault};
 use asterramp_proxy::protocol::server::{Said, figure, said};
 use asterramp_proxy::protocol::{discovery, http};
-use asterramp_proxy::routing::life::{Effect, Input, Life};
+use asterramp_proxy::routing::session_state::{Effect, Input, Life};
 use asterramp_proxy::transport::{Buffer, Deadlines, Slots};
 use std::time::Duration;
 use test_case::test_case;
--- a/benchlink/src/link.rs
+++ b/crates/simulator-adapter/src/link.rs
@@ -1,9 +1,11 @@
 //! The table of instances, and the door at which the wire's ids become small indices.
 
 use crate::frame::{self, ACTION, Address, ENTRY, EVENT, Fields, Head, Record};
-use asterramp::event::{Arrival, Entry, Load, Note, Outcome, Roster, ServerId, SessId, Standing};
-use asterramp::setup::{self, Reports};
-use asterramp::{Action, Choice, Event};
+use asterramp_placement::event::{
+    Arrival, Entry, Load, Note, Outcome, Roster, ServerId, SessId, Standing,
+};
+use asterramp_placement::settings::{self, Reports};
+use asterramp_placement::{Action, Choice, Event};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
@@ -81,7 +83,7 @@
             ATTACH => {
                 let text = std::str::from_utf8(at.tail(11, 1, tail)?)
                     .map_err(|e| format!("settings: {e}"))?;
-                let setup = setup::read(text.lines().filter_map(|line| line.split_once('=')))?;
+                let setup = settings::read(text.lines().filter_map(|line| line.split_once('=')))?;
                 let (listeners, reports) = (setup.listeners.len(), setup.reports);
                 let choice = Choice::new(setup.deployment, at.u64(3));
                 self.instances.insert(
--- a/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -13,7 +13,7 @@
     match run(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("asterramp-benchlink: {what}");
+            eprintln!("asterramp-simulator-adapter: {what}");
             ExitCode::FAILURE
         }
     }
--- a/benchlink/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -54,7 +54,7 @@
 }
 
 fn run(input: &[u8]) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_asterramp-benchlink"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_asterramp-simulator-adapter"));
     let piped = command
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
--- a/state/tests/state/crash.rs
+++ b/crates/snapshot/tests/state/crash.rs
@@ -2,7 +2,7 @@
 //! before or the new one, whole, and the new one once the save has returned.
 
 use crate::help::{Disk, TORN, snapshot};
-use asterramp_state::Store;
+use asterramp_snapshot::Store;
 use test_case::test_case;
 
 /// All disks that there may be after power failed at `steps` of a save of `rev`, and whether the save had returned.
--- a/state/tests/state/help.rs
+++ b/crates/snapshot/tests/state/help.rs
@@ -1,6 +1,6 @@
 //! A disk in memory that loses power, and snapshots to write.
 
-use asterramp_state::{Files, Host, Snapshot, Standing};
+use asterramp_snapshot::{Files, Host, Snapshot, Standing};
 use std::collections::BTreeMap;
 use std::io;
 
--- a/state/tests/state/main.rs
+++ b/crates/snapshot/tests/state/main.rs
@@ -3,7 +3,7 @@
 mod crash;
 mod help;
 
-use asterramp_state::{Folder, LONGEST, Snapshot, Store, Told, Writer, read, write};
+use asterramp_snapshot::{Folder, LONGEST, Snapshot, Store, Told, Writer, read, write};
 use help::{Disk, snapshot};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
--- a/rig/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,17 +1,17 @@
 //! The command line of the rig.
 
-use asterramp_rig::baseline::{self, Break, Policy};
-use asterramp_rig::compare::{self, Difference};
-use asterramp_rig::journal::Journal;
-use asterramp_rig::leave::{self, By};
-use asterramp_rig::logs::Logs;
-use asterramp_rig::plan::Plan;
-use asterramp_rig::proxies::Program;
-use asterramp_rig::report::Report;
-use asterramp_rig::run::{Fault, Job, Ran, own_folder, own_proxy, run};
-use asterramp_rig::scale;
-use asterramp_rig::scenario::Scenario;
-use asterramp_rig::shrink;
+use asterramp_testbed::baseline::{self, Break, Policy};
+use asterramp_testbed::compare::{self, Difference};
+use asterramp_testbed::journal::Journal;
+use asterramp_testbed::leave::{self, By};
+use asterramp_testbed::logs::Logs;
+use asterramp_testbed::plan::Plan;
+use asterramp_testbed::proxies::Program;
+use asterramp_testbed::report::Report;
+use asterramp_testbed::run::{Fault, Job, Ran, own_folder, own_proxy, run};
+use asterramp_testbed::scale;
+use asterramp_testbed::scenario::Scenario;
+use asterramp_testbed::shrink;
 use clap::{Args, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -442,7 +442,7 @@
     let (seed, program) = (common.seed.unwrap_or(scenario.seed), program(common)?);
     let all = shrink::drawn(&Plan::new(&scenario, seed, common.chaos).faults);
     let runtime = tokio::runtime::Handle::current();
-    let breaks = |faults: &[asterramp_rig::scenario::Fault]| {
+    let breaks = |faults: &[asterramp_testbed::scenario::Fault]| {
         let scenario = Scenario {
             faults: faults.to_vec(),
             ..scenario.clone()
--- a/rig/src/proxies.rs
+++ b/crates/testbed/src/proxies.rs
@@ -5,7 +5,7 @@
 use crate::roster::Agent;
 use crate::scenario::{Circle, Kind, Known, Scenario};
 use crate::world::World;
-use asterramp_control::{Client, Request, Verb};
+use asterramp_admin_protocol::{Client, Request, Verb};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::net::{IpAddr, SocketAddr, TcpListener};
--- a/rig/tests/breaks.rs
+++ b/crates/testbed/tests/breaks.rs
@@ -2,10 +2,10 @@
 
 mod help;
 
-use asterramp_rig::baseline::{Break, Policy, program};
-use asterramp_rig::judge::Rule;
-use asterramp_rig::ledger::Seen;
-use asterramp_rig::scenario::Scenario;
+use asterramp_testbed::baseline::{Break, Policy, program};
+use asterramp_testbed::judge::Rule;
+use asterramp_testbed::ledger::Seen;
+use asterramp_testbed::scenario::Scenario;
 use std::path::Path;
 use test_case::test_case;
 
--- a/rig/tests/chaos.rs
+++ b/crates/testbed/tests/chaos.rs
@@ -2,7 +2,7 @@
 
 mod help;
 
-use asterramp_rig::ledger::Seen;
+use asterramp_testbed::ledger::Seen;
 use test_case::{test_case, test_matrix};
 
 #[test_matrix([1, 2, 3, 4, 5, 6, 7, 8, 9, 10])]
--- a/rig/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -2,13 +2,13 @@
 
 mod help;
 
-use asterramp_rig::front::Front;
-use asterramp_rig::host::Host;
-use asterramp_rig::lines::{Line, Lines};
-use asterramp_rig::plan::Plan;
-use asterramp_rig::proxies::addresses;
-use asterramp_rig::roster::Agent;
-use asterramp_rig::world::World;
+use asterramp_testbed::front::Front;
+use asterramp_testbed::host::Host;
+use asterramp_testbed::lines::{Line, Lines};
+use asterramp_testbed::plan::Plan;
+use asterramp_testbed::proxies::addresses;
+use asterramp_testbed::roster::Agent;
+use asterramp_testbed::world::World;
 use std::sync::Arc;
 use std::time::Duration;
 use test_case::test_case;
--- a/rig/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -1,8 +1,8 @@
 //! Scenarios and runs that the tests share; none uses all.
 
-use asterramp_rig::proxies::Program;
-use asterramp_rig::run::{Job, Ran, own_folder, own_proxy, run};
-use asterramp_rig::scenario::Scenario;
+use asterramp_testbed::proxies::Program;
+use asterramp_testbed::run::{Job, Ran, own_folder, own_proxy, run};
+use asterramp_testbed::scenario::Scenario;
 
 /// Four hosts, a proxy or two, and terms wide enough that a busy machine changes no verdict.
 pub const BASE: &str = r#"
--- a/rig/tests/parts.rs
+++ b/crates/testbed/tests/parts.rs
@@ -2,15 +2,15 @@
 
 mod help;
 
-use asterramp_rig::compare::Difference;
-use asterramp_rig::journal::Journal;
-use asterramp_rig::judge::{Rule, Terms, Verdict, judge};
-use asterramp_rig::ledger::{Answer, End, Record, Reply, Seen, Standing};
-use asterramp_rig::load::{LoadModel, Nature, Taken};
-use asterramp_rig::logs::Logs;
-use asterramp_rig::plan::{Plan, Struck};
-use asterramp_rig::scenario::{Circle, Kind, Scenario};
-use asterramp_rig::shrink::{drawn, fewest, written};
+use asterramp_testbed::compare::Difference;
+use asterramp_testbed::journal::Journal;
+use asterramp_testbed::judge::{Rule, Terms, Verdict, judge};
+use asterramp_testbed::ledger::{Answer, End, Record, Reply, Seen, Standing};
+use asterramp_testbed::load::{LoadModel, Nature, Taken};
+use asterramp_testbed::logs::Logs;
+use asterramp_testbed::plan::{Plan, Struck};
+use asterramp_testbed::scenario::{Circle, Kind, Scenario};
+use asterramp_testbed::shrink::{drawn, fewest, written};
 use std::time::Duration;
 use test_case::test_case;
 
--- a/rig/tests/recovery.rs
+++ b/crates/testbed/tests/recovery.rs
@@ -4,9 +4,9 @@
 
 mod help;
 
-use asterramp_rig::ledger::{Answer, Reply, Seen};
-use asterramp_rig::run::Ran;
-use asterramp_rig::scenario::Scenario;
+use asterramp_testbed::ledger::{Answer, Reply, Seen};
+use asterramp_testbed::run::Ran;
+use asterramp_testbed::scenario::Scenario;
 use std::time::Duration;
 use test_case::test_case;
 
@@ -116,8 +116,9 @@
     assert!(up(&ran, 6, 10) > least, "{} came up", up(&ran, 6, 10));
     // Nobody is dialled who has not answered.
     let at = (*ran.world.begin.borrow()).unwrap() + Duration::from_secs(5);
-    let dials =
-        |r: &&asterramp_rig::ledger::Record| r.at > at && matches!(r.seen, Seen::Dialled { .. });
+    let dials = |r: &&asterramp_testbed::ledger::Record| {
+        r.at > at && matches!(r.seen, Seen::Dialled { .. })
+    };
     let dials = ran.records.iter().filter(dials).count();
     let ups = up(&ran, 5, 11);
     assert!(
--- a/rig/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -4,9 +4,9 @@
 
 mod help;
 
-use asterramp_rig::ledger::Seen;
-use asterramp_rig::run::Ran;
-use asterramp_rig::scenario::Scenario;
+use asterramp_testbed::ledger::Seen;
+use asterramp_testbed::run::Ran;
+use asterramp_testbed::scenario::Scenario;
 use std::time::Duration;
 use test_case::test_case;
 
@@ -100,7 +100,7 @@
         .iter()
         .filter_map(|r| match r.seen {
             Seen::Answered {
-                answer: asterramp_rig::ledger::Answer::Busy(Some(ms)),
+                answer: asterramp_testbed::ledger::Answer::Busy(Some(ms)),
                 ..
             } => Some(ms / 100),
             _ => None,
@@ -183,7 +183,7 @@
             matches!(
                 seen,
                 Seen::Replied {
-                    reply: asterramp_rig::ledger::Reply::Up,
+                    reply: asterramp_testbed::ledger::Reply::Up,
                     ..
                 }
             )
--- a/recovery/src/hosts.rs
+++ b/crates/warm-start/src/hosts.rs
@@ -1,7 +1,7 @@
 //! On whom sessions may be placed, by who told of a host and how long ago, and by what it answered itself.
 
-#[cfg(feature = "planted")]
-use crate::plant::Plant;
+#[cfg(feature = "injected-faults")]
+use crate::injected_fault::Plant;
 use crate::planted;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -151,7 +151,7 @@
     wishes: Vec<Wish>,
     /// Words that were worth nothing, and hosts that lapsed or were replaced.
     pub dropped: u64,
-    #[cfg(feature = "planted")]
+    #[cfg(feature = "injected-faults")]
     pub plant: Option<Plant>,
 }
 
--- a/recovery/src/lib.rs
+++ b/crates/warm-start/src/lib.rs
@@ -6,13 +6,13 @@
 
 pub mod fill;
 mod hosts;
-#[cfg(feature = "planted")]
-mod plant;
+#[cfg(feature = "injected-faults")]
+mod injected_fault;
 mod stage;
 
 pub use hosts::{Age, HostId, Hosts, Source, State, Trust, age, trust};
-#[cfg(feature = "planted")]
-pub use plant::Plant;
+#[cfg(feature = "injected-faults")]
+pub use injected_fault::Plant;
 pub use stage::{Entry, Stage};
 
 use hosts::Wish;
@@ -21,13 +21,13 @@
 use std::time::Duration;
 
 /// Whether a bug is planted here; none is, in a build that serves.
-#[cfg(feature = "planted")]
+#[cfg(feature = "injected-faults")]
 macro_rules! planted {
     ($of:expr, $plant:ident) => {
-        $of.plant == Some($crate::plant::Plant::$plant)
+        $of.plant == Some($crate::injected_fault::Plant::$plant)
     };
 }
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "injected-faults"))]
 macro_rules! planted {
     ($of:expr, $plant:ident) => {
         false
@@ -89,7 +89,7 @@
     effects: Vec<Effect>,
     /// Whether hosts are asked yet.
     probing: bool,
-    #[cfg(feature = "planted")]
+    #[cfg(feature = "injected-faults")]
     pub plant: Option<Plant>,
 }
 
@@ -193,7 +193,7 @@
 
     /// Asks whom there is to ask, and passes on what that came to.
     fn heed(&mut self, now: Duration) {
-        #[cfg(feature = "planted")]
+        #[cfg(feature = "injected-faults")]
         {
             self.hosts.plant = self.plant;
             self.machine.plant = self.plant;
--- a/recovery/src/stage.rs
+++ b/crates/warm-start/src/stage.rs
@@ -1,8 +1,8 @@
 //! How far a start has come.
 
 use crate::Terms;
-#[cfg(feature = "planted")]
-use crate::plant::Plant;
+#[cfg(feature = "injected-faults")]
+use crate::injected_fault::Plant;
 use crate::planted;
 use std::time::Duration;
 
@@ -123,7 +123,7 @@
     pub stage: Stage,
     pub since: Duration,
     pub due: Option<Duration>,
-    #[cfg(feature = "planted")]
+    #[cfg(feature = "injected-faults")]
     pub plant: Option<Plant>,
 }
 
--- a/site/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -10,19 +10,19 @@
 
 pub mod room;
 
-#[cfg(feature = "planted")]
-mod plant;
-#[cfg(feature = "planted")]
-pub use plant::Plant;
+#[cfg(feature = "injected-faults")]
+mod injected_fault;
+#[cfg(feature = "injected-faults")]
+pub use injected_fault::Plant;
 
 /// Whether a bug is planted here; none is, in a build that serves.
-#[cfg(feature = "planted")]
+#[cfg(feature = "injected-faults")]
 macro_rules! planted {
     ($sites:expr, $plant:ident) => {
         $sites.plant == Some(Plant::$plant)
     };
 }
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "injected-faults"))]
 macro_rules! planted {
     ($sites:expr, $plant:ident) => {
         false
@@ -265,7 +265,7 @@
     effects: Vec<Effect>,
     /// When this proxy was last heard again after it had been cut off itself.
     awake: Option<Duration>,
-    #[cfg(feature = "planted")]
+    #[cfg(feature = "injected-faults")]
     pub plant: Option<Plant>,
 }
 
--- a/site/tests/room.rs
+++ b/crates/zone-failover/tests/room.rs
@@ -1,6 +1,6 @@
 //! What survivors have room for, by tables.
 
-use asterramp_site::room::{Load, pace};
+use asterramp_zone_failover::room::{Load, pace};
 use std::time::Duration;
 use test_case::test_case;
 
--- a/site/tests/site.rs
+++ b/crates/zone-failover/tests/site.rs
@@ -1,6 +1,6 @@
 //! Signs and sounds over a deployment of three places with four servers each, numbered by place.
 
-use asterramp_site::{Effect, PlaceId, Sites, Standing, State, Terms};
+use asterramp_zone_failover::{Effect, PlaceId, Sites, Standing, State, Terms};
 use std::time::Duration;
 use test_case::test_case;
 
--- a/ephemeral/src/main.rs
+++ b/crates/zookeeper/src/main.rs
@@ -3,8 +3,8 @@
 //! `mute` and `speak`: no member answers, and again; `refuse` and `accept`: connections are closed as they come; `expire`: all
 //! sessions end; `drop`: all connections break. It ends with its standard input.
 
-use asterramp_ephemeral::frame::Frames;
-use asterramp_ephemeral::store::{Conn, Effect, Store};
+use asterramp_zookeeper::frame::Frames;
+use asterramp_zookeeper::store::{Conn, Effect, Store};
 use std::collections::HashMap;
 use std::io::{BufRead, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
--- a/ephemeral/tests/codec.rs
+++ b/crates/zookeeper/tests/codec.rs
@@ -1,8 +1,8 @@
 //! Records against bytes worked out by hand from the published format, and back.
 
-use asterramp_ephemeral::frame::{Frames, LONGEST, framed};
-use asterramp_ephemeral::jute::{Fault, Reader};
-use asterramp_ephemeral::record::{
+use asterramp_zookeeper::frame::{Frames, LONGEST, framed};
+use asterramp_zookeeper::jute::{Fault, Reader};
+use asterramp_zookeeper::record::{
     ANY, Change, Connect, Connected, Head, Refused, Request, Stat, Told, XID_EVENT, XID_PING,
 };
 use proptest::prelude::*;
--- a/ephemeral/tests/listing.rs
+++ b/crates/zookeeper/tests/listing.rs
@@ -1,6 +1,6 @@
 //! What vanished, returned, changed and unreadable nodes come to.
 
-use asterramp_ephemeral::listing::{Listing, Node, Remark, Standing, Terms, Told};
+use asterramp_zookeeper::listing::{Listing, Node, Remark, Standing, Terms, Told};
 use std::time::Duration;
 use test_case::test_case;
 
--- a/ephemeral/tests/session.rs
+++ b/crates/zookeeper/tests/session.rs
@@ -1,11 +1,11 @@
 //! A session played against a store that is a few bytes in a test.
 
-use asterramp_ephemeral::frame::{Frames, framed};
-use asterramp_ephemeral::jute::Write;
-use asterramp_ephemeral::record::{
+use asterramp_zookeeper::frame::{Frames, framed};
+use asterramp_zookeeper::jute::Write;
+use asterramp_zookeeper::record::{
     Change, Connect, Connected, Head, Refused, Request, Stat, Told, XID_EVENT,
 };
-use asterramp_ephemeral::session::{Answer, Effect, Session, State, Terms};
+use asterramp_zookeeper::session::{Answer, Effect, Session, State, Terms};
 use std::time::Duration;
 use test_case::test_case;
 
--- a/ephemeral/tests/together.rs
+++ b/crates/zookeeper/tests/together.rs
@@ -1,9 +1,9 @@
 //! Sessions against the stand-in store, over a network that is a list, with a clock that tests move.
 
-use asterramp_ephemeral::frame::Frames;
-use asterramp_ephemeral::record::{ANY, Change, Refused, Request};
-use asterramp_ephemeral::session::{self, Answer, Session, State, Terms};
-use asterramp_ephemeral::store::{Conn, Effect, Store};
+use asterramp_zookeeper::frame::Frames;
+use asterramp_zookeeper::record::{ANY, Change, Refused, Request};
+use asterramp_zookeeper::session::{self, Answer, Session, State, Terms};
+use asterramp_zookeeper::store::{Conn, Effect, Store};
 use std::time::Duration;
 use test_case::test_case;
 
