--- a/crates/placement/src/engine.rs
+++ b/crates/placement/src/engine.rs
@@ -5,11 +5,12 @@
 //! `deployment.rs`, `event.rs` and `action.rs`; `docs/design.md` tells Charon from what departs from it.
 
 use crate::action::Action;
-use crate::deployment::{Circle, Deployment, Kind};
+use crate::deployment::{Deployment, IdempotencyScope, RetrySafety};
 use crate::event::{
-    Arrival, Entry, Event, Load, Note, Outcome, Roster, ServerId, SessId, Standing,
+    Endpoint, EndpointState, EndpointUpdate, Event, Load, Observation, Outcome, ServerId,
+    SessionId, SessionRequest,
 };
-use crate::retry_budget::DialBudget;
+use crate::retry_budget::RetryBudget;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -133,7 +134,7 @@
 #[derive(Clone, Debug, Default)]
 struct Session {
     state: State,
-    arrival: Arrival,
+    arrival: SessionRequest,
     server: ServerId,
     dials: u32,
     dialled: Duration,
@@ -151,7 +152,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Server {
-    entry: Entry,
+    entry: Endpoint,
     /// Charon's score, speed and time of last update.
     g: f64,
     v: f64,
@@ -175,7 +176,7 @@
     filled: Duration,
     asked: Duration,
     probing: bool,
-    waiting: Vec<SessId>,
+    waiting: Vec<SessionId>,
 }
 
 struct Candidate {
@@ -187,13 +188,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Told(SessId),
+    Told(SessionId),
     AskRoster,
     Survey,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Choice {
+pub struct PlacementEngine {
     facts: Deployment,
     chance: u64,
     now: Duration,
@@ -201,7 +202,7 @@
     servers: Vec<Server>,
     due: BTreeSet<(Duration, Due)>,
     calls_failed: u32,
-    dials: DialBudget,
+    dials: RetryBudget,
     /// Pause between sessions dialled; when the next may be, it grew, one came up; what failed last since.
     pause: Duration,
     next: Duration,
@@ -223,17 +224,17 @@
     set_up: Option<Duration>,
 }
 
-impl Choice {
+impl PlacementEngine {
     pub fn new(facts: Deployment, nonce: u64) -> Self {
         let facts = Deployment {
-            proxies: facts.proxies.max(1),
+            proxy_count: facts.proxy_count.max(1),
             ..facts
         };
-        let dials = DialBudget::new(facts.dial_rule);
-        let mut choice = Choice {
+        let dials = RetryBudget::new(facts.retry_budget);
+        let mut choice = PlacementEngine {
             facts,
             dials,
-            ..Choice::default()
+            ..PlacementEngine::default()
         };
         choice.reseed(nonce);
         choice
@@ -249,19 +250,26 @@
         if self.set_up.is_none() {
             self.set_up = Some(Duration::ZERO);
             self.survey();
-            out.push(Action::Wake { after: TICK });
-            out.extend(self.facts.ask_roster.map(|_| Action::Subscribe));
+            out.push(Action::SetTimer { after: TICK });
+            out.extend(
+                self.facts
+                    .endpoint_poll_delay
+                    .map(|_| Action::PollEndpoints),
+            );
         }
         match event {
-            Event::Roster(roster) => self.learn(roster),
-            Event::Arrived(arrival) => self.enter(arrival, None, out),
-            Event::Inherited(arrival, server) => self.enter(arrival, Some(server), out),
-            Event::Began { sess, dial } => self.advance(sess, Some(dial), Input::Began, out),
-            Event::Ended {
-                sess,
+            Event::Endpoints(roster) => self.learn(roster),
+            Event::SessionRequested(arrival) => self.enter(arrival, None, out),
+            Event::SessionInherited(arrival, server) => self.enter(arrival, Some(server), out),
+            Event::SessionOpened {
+                session: sess,
+                dial,
+            } => self.advance(sess, Some(dial), Input::Began, out),
+            Event::AttemptEnded {
+                session: sess,
                 dial,
                 outcome,
-                over,
+                session_over: over,
                 load,
             } => {
                 self.ended(sess, dial, outcome, load);
@@ -272,20 +280,20 @@
                     out,
                 );
             }
-            Event::Noted {
+            Event::Observed {
                 server,
-                note: Note::Delay(span),
+                observation: Observation::Delay(span),
                 ..
             } => self.delayed(server, span, out),
-            Event::Probed {
+            Event::ProbeEnded {
                 server,
                 outcome,
                 load,
             } => self.probed(server, outcome, load, out),
-            Event::Left { sess } => self.advance(sess, None, Input::Left, out),
-            Event::Place { zone, open } => self.narrow(zone, open, out),
-            Event::Doubted { server } if self.facts.may_probe => self.probe(server, out),
-            Event::Doubted { .. } | Event::Noted { .. } => {}
+            Event::ClientLeft { session: sess } => self.advance(sess, None, Input::Left, out),
+            Event::ZoneShare { zone, share: open } => self.narrow(zone, open, out),
+            Event::ProbeRequested { server } if self.facts.may_probe => self.probe(server, out),
+            Event::ProbeRequested { .. } | Event::Observed { .. } => {}
             Event::Tick => self.tick(out),
         }
     }
@@ -312,8 +320,9 @@
     fn narrow(&mut self, zone: u8, open: f64, out: &mut Vec<Action>) {
         self.narrowed.retain(|n| n.0 != zone);
         self.narrowed.extend((open < 1.0).then_some((zone, open)));
-        let there =
-            |s: &Server| open <= 0.0 && s.entry.zone == zone && s.entry.standing == Standing::Ready;
+        let there = |s: &Server| {
+            open <= 0.0 && s.entry.zone == zone && s.entry.state == EndpointState::Ready
+        };
         for id in 0..self.servers.len() {
             if there(&self.servers[id]) {
                 let s = &mut self.servers[id];
@@ -331,14 +340,14 @@
         let listed = self
             .servers
             .iter()
-            .filter(|s| s.entry.standing != Standing::Gone);
+            .filter(|s| s.entry.state != EndpointState::Gone);
         listed
             .filter(|s| s.shut_until > now || s.silent >= SILENT)
             .count()
     }
 
-    fn enter(&mut self, arrival: Arrival, held_by: Option<ServerId>, out: &mut Vec<Action>) {
-        let (at, dialled) = (arrival.sess as usize, self.now);
+    fn enter(&mut self, arrival: SessionRequest, held_by: Option<ServerId>, out: &mut Vec<Action>) {
+        let (at, dialled) = (arrival.session as usize, self.now);
         held_by.is_none().then(|| self.dials.took(dialled));
         grow(&mut self.sessions, at);
         let listener = self.facts.listeners.get(usize::from(arrival.listener));
@@ -368,11 +377,11 @@
             luck,
             ..Session::default()
         };
-        self.advance(arrival.sess, None, input, out);
+        self.advance(arrival.session, None, input, out);
     }
 
     /// Reads the table until a session rests. An input that speaks of an older `dial` is stray.
-    fn advance(&mut self, sess: SessId, dial: Option<u8>, input: Input, out: &mut Vec<Action>) {
+    fn advance(&mut self, sess: SessionId, dial: Option<u8>, input: Input, out: &mut Vec<Action>) {
         let mut next = self.speaks_of(sess, dial).then_some(input);
         while let Some(input) = next {
             let s = &mut self.sessions[sess as usize];
@@ -381,17 +390,17 @@
             };
             s.state = row.2;
             next = self.effect(sess, row.3, out);
-            out.extend((row.2 == State::Over).then_some(Action::Forget { sess }));
+            out.extend((row.2 == State::Over).then_some(Action::Forget { session: sess }));
         }
     }
 
-    fn speaks_of(&self, sess: SessId, dial: Option<u8>) -> bool {
+    fn speaks_of(&self, sess: SessionId, dial: Option<u8>) -> bool {
         self.sessions
             .get(sess as usize)
             .is_some_and(|s| dial.is_none_or(|d| u32::from(d) + 1 == s.dials))
     }
 
-    fn effect(&mut self, sess: SessId, effect: Effect, out: &mut Vec<Action>) -> Option<Input> {
+    fn effect(&mut self, sess: SessionId, effect: Effect, out: &mut Vec<Action>) -> Option<Input> {
         let (now, s) = (self.now, &self.sessions[sess as usize]);
         let (id, dialled, dial) = (
             s.server as usize,
@@ -418,11 +427,10 @@
             }
             Effect::CallOff => {
                 self.take_back(sess);
-                out.extend(
-                    self.facts
-                        .may_call_off
-                        .then_some(Action::CallOff { sess, dial }),
-                );
+                out.extend(self.facts.may_cancel.then_some(Action::Cancel {
+                    session: sess,
+                    dial,
+                }));
             }
             Effect::Release => {
                 let s = &mut self.servers[id];
@@ -451,7 +459,7 @@
         } else {
             f64::MAX
         };
-        theirs.clamp(0.0, f64::from(self.facts.proxies) - 1.0)
+        theirs.clamp(0.0, f64::from(self.facts.proxy_count) - 1.0)
     }
 
     /// What they send a server unseen while a count is as old as it may be.
@@ -462,8 +470,8 @@
 
     /// A bump of the score: a connection, and what the others send to one of two drawn. A client that comes
     /// again is in late counts already, where it was before, and often came from the others.
-    fn bump(&self, sess: SessId) -> f64 {
-        let others = if self.sessions[sess as usize].arrival.again {
+    fn bump(&self, sess: SessionId) -> f64 {
+        let others = if self.sessions[sess as usize].arrival.reconnecting {
             0.0
         } else {
             self.others()
@@ -481,7 +489,7 @@
         );
     }
 
-    fn take_back(&mut self, sess: SessId) {
+    fn take_back(&mut self, sess: SessionId) {
         let (bump, sess) = (self.bump(sess), &self.sessions[sess as usize]);
         let s = &mut self.servers[sess.server as usize];
         s.sends.retain(|sent| sent.0 != sess.dialled);
@@ -490,7 +498,7 @@
     }
 
     /// Charon's choice, then the gate. A candidate whose count is old is asked first.
-    fn place(&mut self, sess: SessId, out: &mut Vec<Action>) -> Input {
+    fn place(&mut self, sess: SessionId, out: &mut Vec<Action>) -> Input {
         let (ask, drawn) = self.draw_two(sess);
         match self.lower(&drawn) {
             Some(_) if ask => self.ask(sess, &drawn, out),
@@ -501,7 +509,7 @@
     }
 
     /// Two candidates of the best pool that is not empty, and whether to ask them first.
-    fn draw_two(&self, sess: SessId) -> (bool, Vec<Candidate>) {
+    fn draw_two(&self, sess: SessionId) -> (bool, Vec<Candidate>) {
         let (crowd, s) = (self.crowd(self.others()), &self.sessions[sess as usize]);
         let asks = if self.facts.may_probe && self.now < s.waits {
             s.asks
@@ -564,7 +572,7 @@
         // the order that all proxies share; walking on would spread it, and each server pays for it anew.
         let pools: [&dyn Fn(ServerId) -> bool; 6] =
             [&near, &holds, &|_| true, &|_| true, &holds, &trial];
-        let worth = self.facts.listeners[usize::from(s.arrival.listener)].worth;
+        let worth = self.facts.listeners[usize::from(s.arrival.listener)].priority_weight;
         let full = FULL * (1.0 - SPARE * (1.0 - worth));
         let limits = [
             (NEAR, hashed),
@@ -596,15 +604,15 @@
     }
 
     /// What all proxies draw alike by.
-    fn hashed(&self, arrival: &Arrival) -> Option<u64> {
-        if self.facts.passes_through {
-            Some(arrival.item)
+    fn hashed(&self, arrival: &SessionRequest) -> Option<u64> {
+        if self.facts.packet_passthrough {
+            Some(arrival.hash_key)
         } else {
             arrival.group
         }
     }
 
-    fn ask(&mut self, sess: SessId, drawn: &[Candidate], out: &mut Vec<Action>) -> Input {
+    fn ask(&mut self, sess: SessionId, drawn: &[Candidate], out: &mut Vec<Action>) -> Input {
         self.due
             .insert((self.sessions[sess as usize].waits, Due::Told(sess)));
         for c in drawn.iter().filter(|c| !c.fresh) {
@@ -618,13 +626,13 @@
     }
 
     /// All servers as a session draws them, by weight; by chance where nothing is hashed.
-    fn order(&self, arrival: &Arrival) -> Vec<ServerId> {
+    fn order(&self, arrival: &SessionRequest) -> Vec<ServerId> {
         let hashed = self.hashed(arrival);
-        let even = hashed.is_some() && self.facts.live_weights;
+        let even = hashed.is_some() && self.facts.weights_reflect_load;
         let rank = |(id, to): (ServerId, &Server)| {
             let weight = if even { 1.0 } else { to.entry.weight.max(1e-6) };
             (
-                -hash_unit(hashed.unwrap_or(self.chance), to.entry.mark)
+                -hash_unit(hashed.unwrap_or(self.chance), to.entry.hash_key)
                     .max(1e-12)
                     .ln()
                     / weight,
@@ -650,7 +658,7 @@
         let ready = self
             .servers
             .iter()
-            .filter(|s| s.entry.standing == Standing::Ready);
+            .filter(|s| s.entry.state == EndpointState::Ready);
         let (sum, n) = ready
             .filter_map(of)
             .fold((0.0, 0.0), |(sum, n), x| (sum + x, n + 1.0));
@@ -659,13 +667,13 @@
 
     /// Share of its capacity that a server has at least.
     fn warmth(&self, s: &Server, now: Duration) -> f64 {
-        let cold = self.facts.cold;
+        let cold = self.facts.slow_start;
         let up = s
             .entry
-            .started
+            .started_at
             .map_or(cold.warm_after, |at| now.saturating_sub(at));
         let part = (up.as_secs_f64() / cold.warm_after.as_secs_f64()).min(1.0);
-        cold.share + (1.0 - cold.share) * part
+        cold.initial_capacity + (1.0 - cold.initial_capacity) * part
     }
 
     /// Dials that a cold server may still be sent: it fills at part of the rule's multiple of its warmth, as
@@ -673,10 +681,10 @@
     fn budget(&self, s: &Server) -> f64 {
         let span = self.now.saturating_sub(s.filled).as_secs_f64();
         let warmth = (self.warmth(s, s.filled) + self.warmth(s, self.now)) / 2.0;
-        let pace = PART * self.facts.cold.multiple * warmth * self.fill;
+        let pace = PART * self.facts.slow_start.max_multiple * warmth * self.fill;
         let (saved, kept) = (
             s.budget + pace * span,
-            pace * self.facts.cold.over.as_secs_f64() * KEPT,
+            pace * self.facts.slow_start.span.as_secs_f64() * KEPT,
         );
         if saved < 1.0 || saved.fract() < kept {
             saved.min(1.0 + saved.fract())
@@ -686,31 +694,35 @@
     }
 
     /// The one gate: each rule stands here, and every dial passes.
-    fn may_send(&self, sess: SessId, id: ServerId) -> bool {
+    fn may_send(&self, sess: SessionId, id: ServerId) -> bool {
         let (s, to) = (&self.sessions[sess as usize], &self.servers[id as usize]);
         let answered = s.state != State::Choosing || self.now >= s.arrival.dial_timeout;
-        let spent =
-            s.dials >= self.facts.max_dials.max(1) || s.dials > 0 && !self.dials.allows(self.now);
+        let spent = s.dials >= self.facts.max_attempts.max(1)
+            || s.dials > 0 && !self.dials.allows(self.now);
         let spent = spent
             || s.failed_by.len() > 1 && self.nowhere(s)
             || s.dials > 0 && self.pause > PAUSES.0 * 4;
-        let drained = to.entry.standing != Standing::Ready;
+        let drained = to.entry.state != EndpointState::Ready;
         let cold = self.warmth(to, self.now) < 1.0 && self.budget(to) < 1.0;
         let twice = s.ran.is_some_and(|(sent, first)| {
             let first = &self.servers[first as usize].entry;
             match self.kind(s) {
-                Kind::Repeatable => false,
-                Kind::OnceOnly => true,
-                Kind::Referenced(_, ttl) if self.now + EDGE >= sent + ttl => true,
-                Kind::Referenced(Circle::All, _) => false,
-                Kind::Referenced(Circle::Zone, _) => first.zone != to.entry.zone,
-                Kind::Referenced(Circle::Cell, _) => first.cell != to.entry.cell,
+                RetrySafety::Idempotent => false,
+                RetrySafety::NotIdempotent => true,
+                RetrySafety::IdempotencyKey(_, ttl) if self.now + EDGE >= sent + ttl => true,
+                RetrySafety::IdempotencyKey(IdempotencyScope::All, _) => false,
+                RetrySafety::IdempotencyKey(IdempotencyScope::Zone, _) => {
+                    first.zone != to.entry.zone
+                }
+                RetrySafety::IdempotencyKey(IdempotencyScope::Cell, _) => {
+                    first.cell != to.entry.cell
+                }
             }
         });
         !(answered || spent || drained || cold || twice)
     }
 
-    fn send(&mut self, sess: SessId, id: ServerId, out: &mut Vec<Action>) -> Input {
+    fn send(&mut self, sess: SessionId, id: ServerId, out: &mut Vec<Action>) -> Input {
         if !self.may_send(sess, id) || self.held_back(&self.sessions[sess as usize]) {
             return Input::GivenUp;
         }
@@ -734,27 +746,30 @@
         // A further dial of a referenced session has to be on its way before its mark is forgotten.
         let s = &self.sessions[sess as usize];
         let within = match (self.kind(s), s.ran) {
-            (Kind::Referenced(_, ttl), Some(first)) => (first.0 + ttl).saturating_sub(now + EDGE),
+            (RetrySafety::IdempotencyKey(_, ttl), Some(first)) => {
+                (first.0 + ttl).saturating_sub(now + EDGE)
+            }
             _ => time_out,
         };
         out.push(Action::Dial {
-            sess,
+            session: sess,
             server: id,
-            time_out,
-            within,
+            timeout: time_out,
+            write_within: within,
         });
         Input::Dialled
     }
 
     /// Sessions fail wherever they go: what stands behind the servers is short, and more dials keep it so.
     /// Most are answered at once, until some come up. Harms where most servers err by themselves.
-    fn hold_back(&mut self, sess: SessId) {
+    fn hold_back(&mut self, sess: SessionId) {
         let s = &self.sessions[sess as usize];
         // Who was dialled before the last pause tells nothing of that; a bad client fails again, alone.
         let since =
             self.came_up + REST <= self.now && s.ran.is_some_and(|first| self.slowed <= first.0);
-        let another = since && self.nowhere(s) && self.doubted != Some(s.arrival.item);
-        if another && (self.doubted.replace(s.arrival.item).is_some() || self.came_up.is_zero()) {
+        let another = since && self.nowhere(s) && self.doubted != Some(s.arrival.hash_key);
+        if another && (self.doubted.replace(s.arrival.hash_key).is_some() || self.came_up.is_zero())
+        {
             let first = if self.came_up.is_zero() {
                 PAUSES.0 * 4
             } else {
@@ -774,7 +789,7 @@
 
     /// A session waits for its turn while there are pauses; who failed last lets others go first.
     fn held_back(&self, s: &Session) -> bool {
-        let again = self.doubted == Some(s.arrival.item) && self.now < self.next + self.pause;
+        let again = self.doubted == Some(s.arrival.hash_key) && self.now < self.next + self.pause;
         s.dials == 0 && !self.pause.is_zero() && (self.now < self.next || again)
     }
 
@@ -799,7 +814,7 @@
             (self.next.min(self.now + self.pause), self.now, None);
     }
 
-    fn half(&self, sess: SessId) -> Duration {
+    fn half(&self, sess: SessionId) -> Duration {
         self.facts.listeners[usize::from(self.sessions[sess as usize].arrival.listener)]
             .handshake_target
             / 2
@@ -807,39 +822,40 @@
 
     /// Half the handshake target at first, so that a second dial can meet it, then twice as long each time.
     /// Where set-ups are slow everywhere it is more, or it would jam them with work that nobody awaits.
-    fn time_out(&self, sess: SessId) -> Duration {
+    fn time_out(&self, sess: SessionId) -> Duration {
         let s = &self.sessions[sess as usize];
         let left = s.arrival.dial_timeout.saturating_sub(self.now);
         let wait =
             (self.half(sess) * (1 << s.dials.min(8))).max(self.set_up.unwrap_or_default() * 2);
-        let last = s.dials + 1 >= self.facts.max_dials || self.pause > PAUSES.0 || self.nowhere(s);
+        let last =
+            s.dials + 1 >= self.facts.max_attempts || self.pause > PAUSES.0 || self.nowhere(s);
         if last { left } else { wait.min(left) }
     }
 
     /// The final answer to a session given up on: a refusal where that promise can be kept, else a teardown.
-    fn answer(&self, sess: SessId) -> Action {
+    fn answer(&self, sess: SessionId) -> Action {
         let s = &self.sessions[sess as usize];
         let harmless = matches!(
             self.kind(s),
-            Kind::Repeatable | Kind::Referenced(Circle::All, _)
+            RetrySafety::Idempotent | RetrySafety::IdempotencyKey(IdempotencyScope::All, _)
         );
-        let refusal = Action::Refuse {
-            sess,
-            come_back: self.facts.come_back.min(REST),
+        let refusal = Action::Reject {
+            session: sess,
+            retry_after: self.facts.max_retry_after.min(REST),
         };
         if harmless || s.ran.is_none() {
             refusal
         } else {
-            Action::TearDown { sess }
+            Action::Fail { session: sess }
         }
     }
 
-    fn kind(&self, s: &Session) -> Kind {
-        self.facts.listeners[usize::from(s.arrival.listener)].kind
+    fn kind(&self, s: &Session) -> RetrySafety {
+        self.facts.listeners[usize::from(s.arrival.listener)].retry_safety
     }
 
     /// What the end of a dial or connection tells of its server.
-    fn ended(&mut self, sess: SessId, dial: u8, outcome: Outcome, load: Load) {
+    fn ended(&mut self, sess: SessionId, dial: u8, outcome: Outcome, load: Load) {
         if !self.speaks_of(sess, Some(dial)) {
             return;
         }
@@ -907,11 +923,11 @@
         self.report(id, load);
         // Reports are late: what slows twice running, by over a tenth each, is by now as much slower again.
         let s = &mut self.servers[id as usize];
-        let share = load.asked.unwrap_or(0.0) / load.connections.unwrap_or(0.0).max(1.0);
+        let share = load.utilization.unwrap_or(0.0) / load.connections.unwrap_or(0.0).max(1.0);
         let slower = s.unit.map_or(1.0, |unit| (share / unit.max(1e-6)).min(2.0));
         let again = std::mem::replace(&mut s.slower, slower).min(slower);
         let more = if again > 1.1 { again * again } else { 1.0 };
-        self.relieve(id, load.asked.map(|asked| asked * more), out);
+        self.relieve(id, load.utilization.map(|asked| asked * more), out);
         waiting
             .into_iter()
             .for_each(|sess| self.advance(sess, None, Input::Told, out));
@@ -925,7 +941,10 @@
         s.counted = Some(connections);
         // What it told of its share while slow must not bar it for ever.
         let tells = |asked: &f64| connections >= FEW || connections >= 1.0 && *asked > NEAR;
-        let told = load.asked.filter(tells).map(|asked| asked / connections);
+        let told = load
+            .utilization
+            .filter(tells)
+            .map(|asked| asked / connections);
         let unit = told.or(s.unit.map(|own| self.unit.unwrap_or(own)));
         s.unit = unit.map(|unit| s.unit.map_or(unit, |before| (before + unit) / 2.0));
         s.reset(now);
@@ -951,64 +970,72 @@
                 .filter(|h| (Some(h.0), h.1) == (s.arrival.group, id))
                 .count()
         };
-        let free =
-            |s: &&Session| (s.state, s.server, self.kind(s)) == (State::Open, id, Kind::Repeatable);
+        let free = |s: &&Session| {
+            (s.state, s.server, self.kind(s)) == (State::Open, id, RetrySafety::Idempotent)
+        };
         let here = self.sessions.iter().filter(free);
-        let mut order: Vec<(usize, SessId)> = here.map(|s| (kin(s), s.arrival.sess)).collect();
+        let mut order: Vec<(usize, SessionId)> =
+            here.map(|s| (kin(s), s.arrival.session)).collect();
         order.sort_unstable();
         for (_, sess) in order.into_iter().take(excess) {
-            out.push(Action::Move { sess });
+            out.push(Action::Migrate { session: sess });
             self.advance(sess, None, Input::Left, out);
         }
     }
 
     fn survey(&mut self) {
         self.unit = self.mean(|s| s.unit).or(self.unit);
-        let warm_after = self.facts.cold.warm_after.as_secs_f64().max(1e-3);
+        let warm_after = self.facts.slow_start.warm_after.as_secs_f64().max(1e-3);
         // Where no report tells it: what a warm one bears of all of us, or each ever listed was planned for.
         let bears = |s: &Server| (self.warmth(s, self.now) >= 1.0).then_some(f64::from(s.open));
         self.bears = self.mean(bears).unwrap_or(self.bears);
-        let proxies = f64::from(self.facts.proxies);
-        let planned = self.facts.planned / self.servers.len().max(1) as f64;
+        let proxies = f64::from(self.facts.proxy_count);
+        let planned = self.facts.planned_connections / self.servers.len().max(1) as f64;
         let bears = (self.bears * proxies).max(planned).max(1.0);
         let unit = self.unit.unwrap_or(1.0 / bears).max(1e-3);
         self.fill = 1.0 / (warm_after * unit) / proxies;
         self.due.insert((self.now + PROBE, Due::Survey));
     }
 
-    fn learn(&mut self, roster: Roster) {
-        let inherited = matches!(roster, Roster::Inherited(_));
+    fn learn(&mut self, roster: EndpointUpdate) {
+        let inherited = matches!(roster, EndpointUpdate::Inherited(_));
         let (entries, whole) = match roster {
-            Roster::Failed => {
+            EndpointUpdate::Failed => {
                 // The roster serves all proxies in turn; calls of many, over and over, would keep it jammed.
                 self.calls_failed = (self.calls_failed + 1).min(4);
-                let longest = (f64::from(self.facts.proxies) / CALLS).max(0.32);
+                let longest = (f64::from(self.facts.proxy_count) / CALLS).max(0.32);
                 let mean = (0.1 * f64::from(1 << self.calls_failed)).min(longest);
                 let part = mean * (0.5 + draw(&mut self.chance));
-                let wait = self.facts.ask_roster.unwrap_or_default().mul_f64(part);
+                let wait = self
+                    .facts
+                    .endpoint_poll_delay
+                    .unwrap_or_default()
+                    .mul_f64(part);
                 self.due.retain(|d| d.1 != Due::AskRoster);
                 self.due.insert((self.now + wait, Due::AskRoster));
                 return;
             }
-            Roster::Changes(entries) => (entries, false),
-            Roster::Whole(list) | Roster::Stale(list) | Roster::Inherited(list) => (list, true),
+            EndpointUpdate::Changes(entries) => (entries, false),
+            EndpointUpdate::Complete(list)
+            | EndpointUpdate::Stale(list)
+            | EndpointUpdate::Inherited(list) => (list, true),
         };
         // Changes of nothing only say that the call waits.
         self.calls_failed *= u32::from(!whole && entries.is_empty());
         self.servers
             .iter_mut()
             .filter(|_| whole)
-            .for_each(|s| s.entry.standing = Standing::Gone);
+            .for_each(|s| s.entry.state = EndpointState::Gone);
         let (t, v) = (self.now, self.mean(|s| Some(s.v)).unwrap_or(0.0));
         let g = self.mean(|s| Some(s.aged(t))).unwrap_or(0.0);
         for entry in entries {
             grow(&mut self.servers, entry.server as usize);
             // One that cannot use all cold servers yet uses those that rank highest by its number and theirs.
             // What another process of this proxy had of it may be spent this moment.
-            let first = hash_unit(u64::from(self.facts.number) + 1, entry.mark);
+            let first = hash_unit(u64::from(self.facts.proxy_index) + 1, entry.hash_key);
             let budget = if inherited { 0.0 } else { first };
             let s = &mut self.servers[entry.server as usize];
-            if s.rest.is_zero() || s.entry.started != entry.started {
+            if s.rest.is_zero() || s.entry.started_at != entry.started_at {
                 let Server {
                     open,
                     asked,
@@ -1018,18 +1045,18 @@
                 } = std::mem::take(s);
                 (s.g, s.v, s.t, s.filled, s.budget, s.rest) = (g, v, t, t, budget, REST);
                 (s.open, s.asked, s.unit, s.probing, s.waiting) =
-                    (open, asked, entry.unit, probing, waiting);
+                    (open, asked, entry.load_per_connection, probing, waiting);
             }
             s.entry = entry;
         }
     }
 
     fn tick(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::Wake { after: TICK });
+        out.push(Action::SetTimer { after: TICK });
         while let Some(&(_, due)) = self.due.first().filter(|d| d.0 <= self.now) {
             self.due.pop_first();
             match due {
-                Due::AskRoster => out.push(Action::Subscribe),
+                Due::AskRoster => out.push(Action::PollEndpoints),
                 Due::Survey => self.survey(),
                 Due::Told(sess) => self.advance(sess, None, Input::Told, out),
             }
@@ -1038,7 +1065,7 @@
         for id in 0..self.servers.len() as ServerId {
             let s = &self.servers[id as usize];
             let pace = PROBE.mul_f64((WORTH / f64::from(s.open.max(1))).max(1.0));
-            let used = self.facts.may_probe && s.open > 0 && s.entry.standing == Standing::Ready;
+            let used = self.facts.may_probe && s.open > 0 && s.entry.state == EndpointState::Ready;
             (used && self.now.saturating_sub(s.asked) >= pace).then(|| self.probe(id, out));
         }
     }
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-pub type SessId = u32;
+pub type SessionId = u32;
 pub type ServerId = u32;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointState {
     Ready,
     Draining,
     #[default]
@@ -15,28 +15,28 @@
 
 /// A line of the roster.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Entry {
+pub struct Endpoint {
     pub server: ServerId,
     /// The same at every proxy, for hashing.
-    pub mark: u64,
+    pub hash_key: u64,
     pub zone: u8,
     pub cell: u16,
-    pub standing: Standing,
+    pub state: EndpointState,
     pub weight: f64,
     /// When its process last started; `None` for long ago.
-    pub started: Option<Duration>,
+    pub started_at: Option<Duration>,
     /// Share of it that a connection took when it was last known; `None` where nobody remembers.
-    pub unit: Option<f64>,
+    pub load_per_connection: Option<f64>,
 }
 
 #[derive(Clone, Debug)]
-pub enum Roster {
-    Changes(Vec<Entry>),
-    Whole(Vec<Entry>),
+pub enum EndpointUpdate {
+    Changes(Vec<Endpoint>),
+    Complete(Vec<Endpoint>),
     /// The list held before a restart.
-    Stale(Vec<Entry>),
+    Stale(Vec<Endpoint>),
     /// The list of a process that this one replaces, which may send yet.
-    Inherited(Vec<Entry>),
+    Inherited(Vec<Endpoint>),
     Failed,
 }
 
@@ -58,11 +58,11 @@
 pub struct Load {
     pub connections: Option<f64>,
     /// Load asked over what the server can do.
-    pub asked: Option<f64>,
+    pub utilization: Option<f64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum Observation {
     /// Work a second that the connection asks for, in microseconds.
     Work(f64),
     /// What a message takes at the server now.
@@ -71,56 +71,56 @@
 
 /// A connection as it arrives.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Arrival {
-    pub sess: SessId,
+pub struct SessionRequest {
+    pub session: SessionId,
     pub listener: u8,
-    pub member: u16,
+    pub tenant: u16,
     /// Connections of one group share work. The same at every proxy.
     pub group: Option<u64>,
     /// What draws are hashed by where a connection outlives its proxy.
-    pub item: u64,
+    pub hash_key: u64,
     /// Its client was connected before, and was cut off or moved.
-    pub again: bool,
+    pub reconnecting: bool,
     pub dial_timeout: Duration,
 }
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    Roster(Roster),
-    Arrived(Arrival),
+    Endpoints(EndpointUpdate),
+    SessionRequested(SessionRequest),
     /// Open already when the proxy started.
-    Inherited(Arrival, ServerId),
-    Began {
-        sess: SessId,
+    SessionInherited(SessionRequest, ServerId),
+    SessionOpened {
+        session: SessionId,
         dial: u8,
     },
-    Ended {
-        sess: SessId,
+    AttemptEnded {
+        session: SessionId,
         dial: u8,
         outcome: Outcome,
-        over: bool,
+        session_over: bool,
         load: Load,
     },
-    Noted {
-        sess: SessId,
+    Observed {
+        session: SessionId,
         server: ServerId,
-        note: Note,
+        observation: Observation,
     },
-    Probed {
+    ProbeEnded {
         server: ServerId,
         outcome: Outcome,
         load: Load,
     },
-    Left {
-        sess: SessId,
+    ClientLeft {
+        session: SessionId,
     },
     /// Another subsystem's word of a whole zone: the part of what would go there that may, 0 to 1.
-    Place {
+    ZoneShare {
         zone: u8,
-        open: f64,
+        share: f64,
     },
     /// It wants to know whether a server answers.
-    Doubted {
+    ProbeRequested {
         server: ServerId,
     },
     Tick,
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,6 +1,13 @@
 //! Placement decisions of asterramp, a balancer for long-lived connections.
 //!
 //! [`choice`] decides; [`setup`] reads settings; the others hold the types in which it is asked and answers.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 pub mod action;
 pub mod deployment;
@@ -11,5 +18,5 @@
 
 pub use action::Action;
 pub use deployment::Deployment;
-pub use engine::Choice;
+pub use engine::PlacementEngine;
 pub use event::Event;
--- a/crates/placement/src/retry_budget.rs
+++ b/crates/placement/src/retry_budget.rs
@@ -1,6 +1,6 @@
 //! The budget of further dials: over any span, only so many, and so many more for each session taken.
 
-use crate::deployment::DialRule;
+use crate::deployment::RetryBudgetRule;
 use std::time::Duration;
 
 /// Parts that the span is counted in, and one more for the edge.
@@ -17,24 +17,24 @@
 /// A ring of counts, whose size does not grow with traffic. Its edges err on the strict side: a dial
 /// counts up to a step too long, a session up to a step too short.
 #[derive(Clone, Debug, Default)]
-pub struct DialBudget {
-    rule: Option<DialRule>,
+pub struct RetryBudget {
+    rule: Option<RetryBudgetRule>,
     ring: [Step; KEPT],
 }
 
-impl DialBudget {
-    pub fn new(rule: Option<DialRule>) -> DialBudget {
-        DialBudget {
+impl RetryBudget {
+    pub fn new(rule: Option<RetryBudgetRule>) -> RetryBudget {
+        RetryBudget {
             rule,
             ring: Default::default(),
         }
     }
 
-    fn step(&self, now: Duration) -> Option<(DialRule, u64)> {
+    fn step(&self, now: Duration) -> Option<(RetryBudgetRule, u64)> {
         let rule = self.rule?;
         Some((
             rule,
-            (now.as_nanos() * u128::from(STEPS) / rule.over.as_nanos().max(1)) as u64,
+            (now.as_nanos() * u128::from(STEPS) / rule.span.as_nanos().max(1)) as u64,
         ))
     }
 
@@ -74,6 +74,6 @@
         };
         let dials: f64 = since(STEPS).map(|step| step.dials).sum();
         let taken: f64 = since(STEPS - 1).map(|step| step.taken).sum();
-        dials + 1.0 <= rule.free + rule.share * taken + 1e-9
+        dials + 1.0 <= rule.free_retries + rule.retries_per_session * taken + 1e-9
     }
 }
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -1,6 +1,8 @@
 //! Reads settings, named as on the simulator's wire, into the facts that decisions rest on.
 
-use crate::deployment::{Circle, ColdRule, Deployment, DialRule, Kind, Listener};
+use crate::deployment::{
+    Deployment, IdempotencyScope, Listener, RetryBudgetRule, RetrySafety, SlowStartRule,
+};
 use crate::event::Load;
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -8,17 +10,17 @@
 
 /// What is told at the start, decoded and checked once.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct Settings {
     pub deployment: Deployment,
-    pub reports: Reports,
+    pub load_reports: LoadReportFormat,
     /// Names as clients and the roster use them; a place in the list is the index.
     pub listeners: Vec<String>,
-    pub members: Vec<String>,
+    pub tenants: Vec<String>,
     /// Portion of each member, 0 to 1; 0 where nobody says.
-    pub portions: Vec<f64>,
+    pub tenant_shares: Vec<f64>,
     pub zones: Vec<String>,
     /// A connection that is not up by then never comes up.
-    pub connect_within: Duration,
+    pub connect_timeout: Duration,
     /// How long after a drain is told a server may still be sent something new.
     pub drain_grace: Duration,
     /// The longest that any client waits for an answer.
@@ -27,13 +29,13 @@
 
 /// Which values of a load report mean what.
 #[derive(Clone, Debug, Default)]
-pub struct Reports {
+pub struct LoadReportFormat {
     fields: Vec<String>,
     connections: Option<usize>,
     asked: Option<usize>,
 }
 
-impl Reports {
+impl LoadReportFormat {
     /// A report whose values are found by their place and name.
     pub fn load(&self, value: impl Fn(usize, &str) -> Option<f64>) -> Load {
         let read = |place: Option<usize>| {
@@ -42,7 +44,7 @@
         };
         Load {
             connections: read(self.connections),
-            asked: read(self.asked),
+            utilization: read(self.asked),
         }
     }
 }
@@ -123,7 +125,7 @@
 }
 
 /// Takes paths and values; lists of plain values are joined by commas.
-pub fn read<'a>(settings: impl Iterator<Item = (&'a str, &'a str)>) -> Result<Setup, String> {
+pub fn read<'a>(settings: impl Iterator<Item = (&'a str, &'a str)>) -> Result<Settings, String> {
     let pairs = Pairs(settings.collect());
     let aims = pairs.numbers("specifics.message_aim")?;
     let count = pairs.need::<u8>("listeners.count")?;
@@ -147,24 +149,24 @@
     let longest = span(pairs.or("permissions.max_retry_after", 0.0)?).unwrap_or_default();
     let deployment = Deployment {
         listeners,
-        proxies: pairs.need("instances")?,
-        number: pairs.need("self_index")?,
+        proxy_count: pairs.need("instances")?,
+        proxy_index: pairs.need("self_index")?,
         zone: pairs.or("zone", 0)?,
-        cold: ColdRule {
-            share: pairs.need("rules.cold_share")?,
+        slow_start: SlowStartRule {
+            initial_capacity: pairs.need("rules.cold_share")?,
             warm_after: pairs.span("rules.cold")?,
-            multiple: pairs.need("rules.tip_multiple")?,
-            over: pairs.span_or("rules.overload_for", OVER)?,
+            max_multiple: pairs.need("rules.tip_multiple")?,
+            span: pairs.span_or("rules.overload_for", OVER)?,
         },
-        planned: planned(&pairs)?,
-        ask_roster: ask,
-        live_weights: pairs.text("weights") == Some("live"),
-        max_dials: pairs.or("permissions.max_dials", 1)?,
-        dial_rule: dial_rule(&pairs)?,
+        planned_connections: planned(&pairs)?,
+        endpoint_poll_delay: ask,
+        weights_reflect_load: pairs.text("weights") == Some("live"),
+        max_attempts: pairs.or("permissions.max_dials", 1)?,
+        retry_budget: dial_rule(&pairs)?,
         may_probe: pairs.or("permissions.may_probe", false)?,
-        may_call_off: pairs.or("permissions.cancelling", false)?,
-        come_back: if retry_after { longest } else { Duration::ZERO },
-        passes_through: pairs.text("specifics.mode") == Some("pass"),
+        may_cancel: pairs.or("permissions.cancelling", false)?,
+        max_retry_after: if retry_after { longest } else { Duration::ZERO },
+        packet_passthrough: pairs.text("specifics.mode") == Some("pass"),
     };
     let fields: Vec<String> = pairs
         .list("load_info.fields")
@@ -182,29 +184,29 @@
         .map(|i| portion(&pairs, i))
         .collect::<Result<_, _>>()?;
     let (connections, asked) = (place("outstanding"), asked.or(place("utilization")));
-    Ok(Setup {
+    Ok(Settings {
         deployment,
-        reports: Reports {
+        load_reports: LoadReportFormat {
             fields,
             connections,
             asked,
         },
         listeners: pairs.names("listeners", u32::from(count)),
-        members,
-        portions,
+        tenants: members,
+        tenant_shares: portions,
         zones: pairs
             .list("localities")
             .into_iter()
             .map(String::from)
             .collect(),
-        connect_within: pairs.span_or("permissions.dial_timeout", CONNECT)?,
+        connect_timeout: pairs.span_or("permissions.dial_timeout", CONNECT)?,
         drain_grace: pairs.span_or("rules.drain_grace", Duration::ZERO)?,
         longest_wait,
     })
 }
 
 /// Further dials are counted only where a span is told; what is not told beside it is nothing.
-fn dial_rule(pairs: &Pairs) -> Result<Option<DialRule>, String> {
+fn dial_rule(pairs: &Pairs) -> Result<Option<RetryBudgetRule>, String> {
     let figure = |path: &str| {
         let told = pairs.want::<f64>(path)?;
         match told.filter(|n| n.is_finite() && *n >= 0.0) {
@@ -227,10 +229,10 @@
         };
     };
     let over = span(over).ok_or("setting rules.counted_over: not a time")?;
-    let rule = DialRule {
-        over,
-        free: free.unwrap_or(0.0),
-        share: share.unwrap_or(0.0),
+    let rule = RetryBudgetRule {
+        span: over,
+        free_retries: free.unwrap_or(0.0),
+        retries_per_session: share.unwrap_or(0.0),
     };
     Ok((free.is_some() || share.is_some()).then_some(rule))
 }
@@ -284,16 +286,16 @@
 fn listener(pairs: &Pairs, i: u8, aim: Option<f64>, worth: f64) -> Result<Listener, String> {
     let at = |key: &str| format!("listeners.{i}.{key}");
     let kind = match pairs.need::<String>(&at("semantics"))?.as_str() {
-        "read_like" => Kind::Repeatable,
-        "non_idempotent" => Kind::OnceOnly,
+        "read_like" => RetrySafety::Idempotent,
+        "non_idempotent" => RetrySafety::NotIdempotent,
         "idempotency_key" => {
             let circle = match pairs.need::<String>(&at("group"))?.as_str() {
-                "all" => Circle::All,
-                "zone" => Circle::Zone,
-                "cell" => Circle::Cell,
+                "all" => IdempotencyScope::All,
+                "zone" => IdempotencyScope::Zone,
+                "cell" => IdempotencyScope::Cell,
                 other => return Err(format!("setting {}: unknown group {other:?}", at("group"))),
             };
-            Kind::Referenced(circle, pairs.span(&at("key_ttl"))?)
+            RetrySafety::IdempotencyKey(circle, pairs.span(&at("key_ttl"))?)
         }
         other => {
             return Err(format!(
@@ -303,9 +305,9 @@
         }
     };
     Ok(Listener {
-        kind,
+        retry_safety: kind,
         handshake_target: pairs.span(&at("handshake_target"))?,
         message_target: aim.and_then(span),
-        worth,
+        priority_weight: worth,
     })
 }
--- a/crates/placement/tests/engine.rs
+++ b/crates/placement/tests/engine.rs
@@ -1,4 +1,11 @@
 //! The module's decisions, as tables of cases.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 #[path = "engine/cold.rs"]
 mod cold;
@@ -6,17 +13,19 @@
 #[path = "engine/places.rs"]
 mod places;
 
-use asterramp_placement::deployment::{Circle, DialRule, Kind, Listener};
-use asterramp_placement::event::{Arrival, Entry, Load, Note, Outcome, Roster, ServerId, Standing};
+use asterramp_placement::deployment::{IdempotencyScope, Listener, RetryBudgetRule, RetrySafety};
+use asterramp_placement::event::{
+    Endpoint, EndpointState, EndpointUpdate, Load, Observation, Outcome, ServerId, SessionRequest,
+};
 use asterramp_placement::{Action, Deployment, Event};
 use help::{Proxy, came_to, count, deployment, dialled, entry, ms, time_out};
 use test_case::test_case;
 
-const REPEATABLE: Kind = Kind::Repeatable;
-const BY_ALL: Kind = Kind::Referenced(Circle::All, ms(5_000));
-const BY_ZONE: Kind = Kind::Referenced(Circle::Zone, ms(5_000));
-const BY_CELL: Kind = Kind::Referenced(Circle::Cell, ms(5_000));
-const SHORT: Kind = Kind::Referenced(Circle::All, ms(50));
+const REPEATABLE: RetrySafety = RetrySafety::Idempotent;
+const BY_ALL: RetrySafety = RetrySafety::IdempotencyKey(IdempotencyScope::All, ms(5_000));
+const BY_ZONE: RetrySafety = RetrySafety::IdempotencyKey(IdempotencyScope::Zone, ms(5_000));
+const BY_CELL: RetrySafety = RetrySafety::IdempotencyKey(IdempotencyScope::Cell, ms(5_000));
+const SHORT: RetrySafety = RetrySafety::IdempotencyKey(IdempotencyScope::All, ms(50));
 
 #[test_case((10.0, 0.2), (20.0, 0.4) => 0; "fewer connections")]
 #[test_case((20.0, 0.4), (10.0, 0.2) => 1; "fewer connections on the second")]
@@ -71,7 +80,7 @@
     let servers = [4.0, 1.0, 1.0, 1.0]
         .iter()
         .zip(0..)
-        .map(|(w, id)| Entry {
+        .map(|(w, id)| Endpoint {
             weight: *w,
             ..entry(id)
         })
@@ -93,18 +102,18 @@
 #[test_case(BY_ZONE, Outcome::Reset => 'D'; "referenced, known in the zone")]
 #[test_case(BY_CELL, Outcome::Reset => 'D'; "referenced, known in a cell of one")]
 #[test_case(BY_CELL, Outcome::Unreachable => 'D'; "referenced that cannot have run")]
-#[test_case(Kind::OnceOnly, Outcome::TimedOut => 'T'; "once-only that timed out")]
-#[test_case(Kind::OnceOnly, Outcome::Erred => 'T'; "once-only that erred")]
-#[test_case(Kind::OnceOnly, Outcome::Reset => 'T'; "once-only that was reset")]
-#[test_case(Kind::OnceOnly, Outcome::Full => 'D'; "once-only turned away unseen")]
-#[test_case(Kind::OnceOnly, Outcome::Unreachable => 'D'; "once-only that reached nobody")]
-fn no_effect_twice(kind: Kind, outcome: Outcome) -> char {
+#[test_case(RetrySafety::NotIdempotent, Outcome::TimedOut => 'T'; "once-only that timed out")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::Erred => 'T'; "once-only that erred")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::Reset => 'T'; "once-only that was reset")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::Full => 'D'; "once-only turned away unseen")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::Unreachable => 'D'; "once-only that reached nobody")]
+fn no_effect_twice(kind: RetrySafety, outcome: Outcome) -> char {
     let servers = vec![
-        Entry {
+        Endpoint {
             cell: 1,
             ..entry(0)
         },
-        Entry {
+        Endpoint {
             cell: 2,
             ..entry(1)
         },
@@ -124,17 +133,17 @@
 }
 
 #[test_case(REPEATABLE, 0 => 'R'; "repeatable, empty roster")]
-#[test_case(Kind::OnceOnly, 0 => 'R'; "once-only, empty roster")]
-#[test_case(Kind::OnceOnly, 1 => 'D'; "once-only, one server")]
-fn answered_at_once_without_a_usable_server(kind: Kind, servers: u32) -> char {
+#[test_case(RetrySafety::NotIdempotent, 0 => 'R'; "once-only, empty roster")]
+#[test_case(RetrySafety::NotIdempotent, 1 => 'D'; "once-only, one server")]
+fn answered_at_once_without_a_usable_server(kind: RetrySafety, servers: u32) -> char {
     came_to(&Proxy::with(deployment(kind), servers).arrive(None).1)
 }
 
 #[test_case(REPEATABLE, 'R'; "repeatable")]
 #[test_case(BY_ALL, 'R'; "referenced")]
 #[test_case(BY_ZONE, 'T'; "referenced in a zone")]
-#[test_case(Kind::OnceOnly, 'T'; "once-only")]
-fn one_answer_and_no_dial_after_the_dial_timeout(kind: Kind, answer: char) {
+#[test_case(RetrySafety::NotIdempotent, 'T'; "once-only")]
+fn one_answer_and_no_dial_after_the_dial_timeout(kind: RetrySafety, answer: char) {
     let mut proxy = Proxy::with(deployment(kind), 3);
     let (sess, _) = proxy.arrive(None);
     proxy.now += ms(4_800);
@@ -144,7 +153,7 @@
     );
     for stray in [
         proxy.end(sess, 0, Outcome::TimedOut, false),
-        proxy.tell(Event::Left { sess }),
+        proxy.tell(Event::ClientLeft { session: sess }),
     ] {
         assert!(stray.is_empty(), "{stray:?}");
     }
@@ -175,16 +184,16 @@
     assert_eq!(seen.len(), 3, "each at another server: {seen:?}");
 }
 
-#[test_case(Standing::Draining; "draining")]
-#[test_case(Standing::Gone; "gone")]
-fn nothing_goes_to_a_server_that_drains(standing: Standing) {
+#[test_case(EndpointState::Draining; "draining")]
+#[test_case(EndpointState::Gone; "gone")]
+fn nothing_goes_to_a_server_that_drains(standing: EndpointState) {
     let mut proxy = Proxy::with(deployment(REPEATABLE), 2);
-    proxy.roster(Entry {
-        standing,
+    proxy.roster(Endpoint {
+        state: standing,
         ..entry(0)
     });
     assert!((0..50).all(|_| dialled(&proxy.arrive(None).1) != Some(0)));
-    proxy.tell(Event::Roster(Roster::Whole(vec![])));
+    proxy.tell(Event::Endpoints(EndpointUpdate::Complete(vec![])));
     assert_eq!(
         came_to(&proxy.arrive(None).1),
         'R',
@@ -199,18 +208,18 @@
 #[test_case(100, 100; "a hundred")]
 fn a_cold_server_is_used_and_not_pushed_over(instances: u64, proxies: u32) {
     let mut facts = deployment(REPEATABLE);
-    facts.proxies = proxies;
+    facts.proxy_count = proxies;
     let mut sent: Vec<u64> = Vec::new();
     for nonce in 0..instances {
-        facts.number = nonce as u32;
+        facts.proxy_index = nonce as u32;
         let mut proxy = Proxy::new(facts.clone(), nonce, (0..4).map(entry).collect());
         let held: Vec<_> = (0..28).map(|_| proxy.open(None).0).collect();
         held[..7]
             .iter()
             .for_each(|s| drop(proxy.end(*s, 0, Outcome::Ok, true)));
         (0..4).for_each(|s| drop(proxy.probed(s, 20.0, 0.7)));
-        proxy.roster(Entry {
-            started: Some(proxy.now),
+        proxy.roster(Endpoint {
+            started_at: Some(proxy.now),
             ..entry(9)
         });
         for step in 0..190 {
@@ -258,16 +267,16 @@
 #[test]
 fn the_roster_is_asked_at_start_and_again_with_measured_pace() {
     let mut facts = deployment(REPEATABLE);
-    facts.ask_roster = Some(ms(10_000));
-    let asks = |did: &[Action]| count(did, |a| *a == Action::Subscribe);
+    facts.endpoint_poll_delay = Some(ms(10_000));
+    let asks = |did: &[Action]| count(did, |a| *a == Action::PollEndpoints);
     let mut proxy = Proxy::bare(facts, 1);
     assert_eq!(
-        asks(&proxy.tell(Event::Roster(Roster::Stale(vec![entry(0)])))),
+        asks(&proxy.tell(Event::Endpoints(EndpointUpdate::Stale(vec![entry(0)])))),
         1
     );
     let mut total = 0;
     for _ in 0..200 {
-        let did = proxy.tell(Event::Roster(Roster::Failed));
+        let did = proxy.tell(Event::Endpoints(EndpointUpdate::Failed));
         assert_eq!(asks(&did), 0, "not in the same breath");
         total += asks(&proxy.wait(ms(200)));
     }
@@ -286,7 +295,7 @@
 #[test_case(300, 30; "three hundred")]
 fn calls_of_a_fleet_to_a_roster_that_fails_abate_and_spread(proxies: u32, a_second: usize) {
     let mut facts = deployment(REPEATABLE);
-    (facts.proxies, facts.ask_roster) = (proxies, Some(ms(10_000)));
+    (facts.proxy_count, facts.endpoint_poll_delay) = (proxies, Some(ms(10_000)));
     let mut calls = [0; 60];
     for nonce in 0..u64::from(proxies) {
         let mut proxy = Proxy::new(facts.clone(), nonce, vec![entry(0)]);
@@ -294,8 +303,8 @@
         while last < ms(58_000) {
             // Each call fails after two seconds in the queue.
             proxy.wait(ms(2_000));
-            proxy.tell(Event::Roster(Roster::Failed));
-            while !proxy.wait(ms(100)).contains(&Action::Subscribe) {}
+            proxy.tell(Event::Endpoints(EndpointUpdate::Failed));
+            while !proxy.wait(ms(100)).contains(&Action::PollEndpoints) {}
             let now = proxy.now - began;
             assert!(
                 now - last < ms(40_000),
@@ -323,7 +332,7 @@
     outcome: Outcome,
 ) {
     let facts = Deployment {
-        max_dials: 6,
+        max_attempts: 6,
         ..deployment(REPEATABLE)
     };
     let mut proxy = Proxy::with(facts, 40);
@@ -349,7 +358,10 @@
     let up = |proxy: &mut Proxy| {
         proxy.wait(ms(100));
         let (sess, did) = proxy.arrive(None);
-        proxy.tell(Event::Began { sess, dial: 0 });
+        proxy.tell(Event::SessionOpened {
+            session: sess,
+            dial: 0,
+        });
         dialled(&did).is_some()
     };
     let since = proxy.now;
@@ -362,14 +374,14 @@
 #[test]
 fn where_a_zone_errs_sessions_go_to_another_and_nobody_is_held_back() {
     let servers = (0..12)
-        .map(|s| Entry {
+        .map(|s| Endpoint {
             zone: (s % 2) as u8,
             ..entry(s)
         })
         .collect();
     let mut proxy = Proxy::new(
         Deployment {
-            max_dials: 4,
+            max_attempts: 4,
             ..deployment(REPEATABLE)
         },
         7,
@@ -383,7 +395,10 @@
             if server.is_multiple_of(2) {
                 did = proxy.end(sess, *dial, Outcome::Erred, false);
             } else {
-                proxy.tell(Event::Began { sess, dial: *dial });
+                proxy.tell(Event::SessionOpened {
+                    session: sess,
+                    dial: *dial,
+                });
             }
             server.is_multiple_of(2)
         });
@@ -397,7 +412,7 @@
 fn while_others_come_up_a_session_that_fails_twice_holds_nobody_back() {
     let mut proxy = Proxy::with(
         Deployment {
-            max_dials: 6,
+            max_attempts: 6,
             ..deployment(REPEATABLE)
         },
         40,
@@ -458,7 +473,10 @@
     let (sess, did) = proxy.arrive(None);
     assert!(dialled(&did).is_some());
     proxy.now += ms(took);
-    proxy.tell(Event::Began { sess, dial: 0 });
+    proxy.tell(Event::SessionOpened {
+        session: sess,
+        dial: 0,
+    });
     // Half of 4 s, or all of it, with the chance of a half to one and a half on top.
     proxy.now += ms(2_000);
     dialled(&proxy.arrive(None).1).is_some()
@@ -489,11 +507,11 @@
     let mut proxy = Proxy::with(deployment(REPEATABLE), 10);
     let again = |proxy: &mut Proxy, sess, item| {
         let dial_timeout = proxy.now + ms(4_800);
-        came_to(&proxy.settle(Event::Arrived(Arrival {
-            sess,
-            item,
+        came_to(&proxy.settle(Event::SessionRequested(SessionRequest {
+            session: sess,
+            hash_key: item,
             dial_timeout,
-            ..Arrival::default()
+            ..SessionRequest::default()
         })))
     };
     assert_eq!(again(&mut proxy, 1, 7), 'D');
@@ -531,15 +549,15 @@
 #[test_case(60, 80.0 => false; "fifteen each, less is planned")]
 fn without_reports_a_cold_server_gets_by_what_warm_ones_bear(open: usize, planned: f64) -> bool {
     let mut facts = deployment(REPEATABLE);
-    (facts.may_probe, facts.proxies, facts.number) = (false, 3, 1);
+    (facts.may_probe, facts.proxy_count, facts.proxy_index) = (false, 3, 1);
     // For the ten servers that numbers up to the new one's stand for, four of which drain.
-    facts.planned = planned;
+    facts.planned_connections = planned;
     let mut proxy = Proxy::with(facts, 4);
     proxy.open_many(open);
     (0..20).for_each(|_| drop(proxy.wait(ms(100))));
     // All others drain.
-    proxy.tell(Event::Roster(Roster::Whole(vec![Entry {
-        started: Some(proxy.now),
+    proxy.tell(Event::Endpoints(EndpointUpdate::Complete(vec![Endpoint {
+        started_at: Some(proxy.now),
         ..entry(9)
     }])));
     let mut sent = 0;
@@ -566,7 +584,10 @@
         if dialled(&did) == Some(0) {
             visits += 1;
             assert_ne!(dialled(&proxy.end(sess, 0, outcome, false)), Some(0));
-            proxy.tell(Event::Began { sess, dial: 1 });
+            proxy.tell(Event::SessionOpened {
+                session: sess,
+                dial: 1,
+            });
             proxy.end(sess, 1, Outcome::Ok, true);
         } else {
             proxy.end(sess, 0, Outcome::CalledOff, true);
@@ -601,8 +622,8 @@
 #[test_case(40, true => 'D'; "all fail, serving goes on as if none did")]
 fn a_proxy_finds_the_servers_that_are_left(lost: u32, fail: bool) -> char {
     let mut proxy = Proxy::with(deployment(REPEATABLE), 40);
-    let drains = |id| Entry {
-        standing: Standing::Draining,
+    let drains = |id| Endpoint {
+        state: EndpointState::Draining,
         ..entry(id)
     };
     (0..lost).for_each(|id| {
@@ -625,10 +646,9 @@
     let mut proxy = Proxy::with(deployment(REPEATABLE), 2);
     (0..2).for_each(|s| drop(proxy.probed(s, 50.0, asked)));
     let did = proxy.arrive(None).1;
-    assert!(
-        did.iter()
-            .all(|a| !matches!(a, Action::Refuse { come_back, .. } if come_back.is_zero()))
-    );
+    assert!(did.iter().all(
+        |a| !matches!(a, Action::Reject { retry_after: come_back, .. } if come_back.is_zero())
+    ));
     came_to(&did)
 }
 
@@ -643,7 +663,7 @@
     let facts = deployment(REPEATABLE);
     let listeners = [first, second]
         .map(|worth| Listener {
-            worth,
+            priority_weight: worth,
             ..facts.listeners[0]
         })
         .to_vec();
@@ -659,15 +679,15 @@
 #[test_case(REPEATABLE, Some(0.8) => 0; "not overloaded")]
 #[test_case(REPEATABLE, Some(1.7) => 5; "twice what it should bear")]
 #[test_case(REPEATABLE, None => 10; "silent")]
-#[test_case(Kind::OnceOnly, None => 0; "once-only connections stay")]
-fn an_overloaded_server_is_relieved(kind: Kind, asked: Option<f64>) -> usize {
+#[test_case(RetrySafety::NotIdempotent, None => 0; "once-only connections stay")]
+fn an_overloaded_server_is_relieved(kind: RetrySafety, asked: Option<f64>) -> usize {
     let mut proxy = Proxy::with(deployment(kind), 1);
     proxy.open_many(10);
     let did = match asked {
         Some(asked) => proxy.probed(0, 10.0, asked),
         None => [proxy.unanswered(0), proxy.unanswered(0)].concat(),
     };
-    count(&did, |a| matches!(a, Action::Move { .. }))
+    count(&did, |a| matches!(a, Action::Migrate { .. }))
 }
 
 // Where a server slows down from report to report, what it can do now is foreseen; one that jumps may jump back.
@@ -680,7 +700,7 @@
     proxy.open_many(20);
     asked.iter().any(|asked| {
         count(&proxy.probed(0, 20.0, *asked), |a| {
-            matches!(a, Action::Move { .. })
+            matches!(a, Action::Migrate { .. })
         }) > 0
     })
 }
@@ -693,10 +713,10 @@
     proxy.probed(0, 50.0, 0.2);
     proxy.probed(1, 50.0, 0.95);
     // Others have come up before; where none ever has, the first failure holds back.
-    proxy.tell(Event::Inherited(
-        Arrival {
-            sess: 99,
-            ..Arrival::default()
+    proxy.tell(Event::SessionInherited(
+        SessionRequest {
+            session: 99,
+            ..SessionRequest::default()
         },
         0,
     ));
@@ -714,12 +734,12 @@
     let mut proxy = Proxy::with(deployment(REPEATABLE), 1);
     let (sess, server) = proxy.open_many(10)[0];
     proxy.probed(0, 10.0, 0.3);
-    let did = proxy.tell(Event::Noted {
-        sess,
+    let did = proxy.tell(Event::Observed {
+        session: sess,
         server,
-        note: Note::Delay(ms(millis)),
+        observation: Observation::Delay(ms(millis)),
     });
-    count(&did, |a| matches!(a, Action::Move { .. })) > 0
+    count(&did, |a| matches!(a, Action::Migrate { .. })) > 0
 }
 
 // What is piled up keeps all messages late: with room elsewhere it pays to move many at once, without it none is better off.
@@ -732,13 +752,13 @@
     let (sess, server) = proxy.open_many(40)[0];
     (0..2).for_each(|server| drop(proxy.probed(server, 20.0, asked)));
     proxy.now += ms(2_000);
-    let did = proxy.tell(Event::Noted {
-        sess,
+    let did = proxy.tell(Event::Observed {
+        session: sess,
         server,
-        note: Note::Delay(ms(millis)),
+        observation: Observation::Delay(ms(millis)),
     });
     let held = 20.0;
-    (count(&did, |a| matches!(a, Action::Move { .. })) as f64) < 0.35 * held
+    (count(&did, |a| matches!(a, Action::Migrate { .. })) as f64) < 0.35 * held
 }
 
 // Where hundreds hold a connection or two each, parts rounded up would empty the server.
@@ -748,7 +768,7 @@
         let mut proxy = Proxy::new(deployment(REPEATABLE), nonce, vec![entry(0)]);
         proxy.open(None);
         count(&proxy.probed(0, 200.0, 1.0), |a| {
-            matches!(a, Action::Move { .. })
+            matches!(a, Action::Migrate { .. })
         })
     });
     assert!((15..=50).contains(&moved.sum::<usize>()));
@@ -758,7 +778,7 @@
 fn relief_waits_until_it_can_show_in_reports() {
     let mut proxy = Proxy::with(deployment(REPEATABLE), 1);
     proxy.open_many(20);
-    let moved = |did: &[Action]| count(did, |a| matches!(a, Action::Move { .. }));
+    let moved = |did: &[Action]| count(did, |a| matches!(a, Action::Migrate { .. }));
     assert!(moved(&proxy.probed(0, 20.0, 1.2)) > 0);
     proxy.now += ms(600);
     assert_eq!(moved(&proxy.probed(0, 20.0, 1.2)), 0);
@@ -774,7 +794,7 @@
 #[test_case(8, 0, true => 'D'; "clients that the others sent away")]
 fn young_sends_count_for_every_proxy(proxies: u32, held: usize, again: bool) -> char {
     let mut facts = deployment(REPEATABLE);
-    facts.proxies = proxies;
+    facts.proxy_count = proxies;
     let mut proxy = Proxy::with(facts, 1);
     proxy.open_many(held);
     proxy.wait(ms(2_000));
@@ -801,8 +821,8 @@
 // Walking on through a busy zone would leave some of a group on every server there.
 #[test]
 fn a_group_takes_its_first_two_near_by_or_the_agreed_order() {
-    let servers: Vec<Entry> = (0..12)
-        .map(|id| Entry {
+    let servers: Vec<Endpoint> = (0..12)
+        .map(|id| Endpoint {
             zone: (id % 2) as u8,
             ..entry(id)
         })
@@ -835,7 +855,10 @@
     for _ in 0..30 {
         let (sess, _) = proxy.arrive(None);
         proxy.now += ms(1_000);
-        proxy.tell(Event::Began { sess, dial: 0 });
+        proxy.tell(Event::SessionOpened {
+            session: sess,
+            dial: 0,
+        });
     }
     assert!(time_out(&proxy.arrive(None).1) > ms(1_500));
 }
@@ -899,15 +922,15 @@
 #[test_case(false => 'D'; "probes lost")]
 fn waiting_for_probes_ends(leaves: bool) -> char {
     let mut proxy = Proxy::with(deployment(REPEATABLE), 3);
-    let arrival = Arrival {
+    let arrival = SessionRequest {
         dial_timeout: proxy.now + ms(4_800),
-        ..Arrival::default()
+        ..SessionRequest::default()
     };
-    assert_eq!(came_to(&proxy.tell(Event::Arrived(arrival))), '-');
+    assert_eq!(came_to(&proxy.tell(Event::SessionRequested(arrival))), '-');
     if leaves {
         assert_eq!(
-            proxy.tell(Event::Left { sess: 0 }),
-            [Action::Forget { sess: 0 }]
+            proxy.tell(Event::ClientLeft { session: 0 }),
+            [Action::Forget { session: 0 }]
         );
     }
     came_to(&proxy.wait(ms(500)))
@@ -916,48 +939,52 @@
 #[test]
 fn no_probe_and_no_calling_off_where_they_are_not_allowed() {
     let mut facts = deployment(REPEATABLE);
-    (facts.may_probe, facts.may_call_off, facts.max_dials) = (false, false, 0);
+    (facts.may_probe, facts.may_cancel, facts.max_attempts) = (false, false, 0);
     let mut proxy = Proxy::with(facts, 2);
     let (sess, did) = proxy.arrive(None);
     assert_eq!(came_to(&did), 'D', "without a single report");
-    let did = [proxy.tell(Event::Left { sess }), proxy.wait(ms(5_000))].concat();
+    let did = [
+        proxy.tell(Event::ClientLeft { session: sess }),
+        proxy.wait(ms(5_000)),
+    ]
+    .concat();
     assert!(
-        did.iter().all(|a| matches!(a, Action::Wake { .. })),
+        did.iter().all(|a| matches!(a, Action::SetTimer { .. })),
         "{did:?}"
     );
 }
 
 // Odd but legal settings neither panic nor leave a session without an answer.
-#[test_case(|f| f.proxies = 0; "no proxy counted")]
-#[test_case(|f| f.passes_through = true; "packets pass through")]
-#[test_case(|f| f.live_weights = true; "weights that sink")]
-#[test_case(|f| (f.cold.warm_after, f.cold.share, f.cold.multiple) = (ms(0), 0.0, 0.0); "no cold rule")]
-#[test_case(|f| f.ask_roster = Some(ms(0)); "a roster asked without a limit")]
-#[test_case(|f| (f.come_back, f.listeners[0].handshake_target) = (ms(0), ms(0)); "no come-back, no target")]
+#[test_case(|f| f.proxy_count = 0; "no proxy counted")]
+#[test_case(|f| f.packet_passthrough = true; "packets pass through")]
+#[test_case(|f| f.weights_reflect_load = true; "weights that sink")]
+#[test_case(|f| (f.slow_start.warm_after, f.slow_start.initial_capacity, f.slow_start.max_multiple) = (ms(0), 0.0, 0.0); "no cold rule")]
+#[test_case(|f| f.endpoint_poll_delay = Some(ms(0)); "a roster asked without a limit")]
+#[test_case(|f| (f.max_retry_after, f.listeners[0].handshake_target) = (ms(0), ms(0)); "no come-back, no target")]
 fn odd_settings_serve(odd: fn(&mut asterramp_placement::Deployment)) {
     let mut facts = deployment(REPEATABLE);
     odd(&mut facts);
     let servers = vec![
-        Entry {
+        Endpoint {
             weight: f64::NAN,
             ..entry(0)
         },
-        Entry {
+        Endpoint {
             weight: 0.0,
-            started: Some(ms(0)),
+            started_at: Some(ms(0)),
             ..entry(1)
         },
     ];
     let mut proxy = Proxy::new(facts, 0, servers);
     proxy.probed(0, 0.0, 0.0);
     proxy.probed(1, 3.0, 0.0);
-    proxy.tell(Event::Roster(Roster::Failed));
+    proxy.tell(Event::Endpoints(EndpointUpdate::Failed));
     proxy.wait(ms(1_000));
     // Others have come up before; where none ever has, the first failure holds back.
-    proxy.tell(Event::Inherited(
-        Arrival {
-            sess: 99,
-            ..Arrival::default()
+    proxy.tell(Event::SessionInherited(
+        SessionRequest {
+            session: 99,
+            ..SessionRequest::default()
         },
         0,
     ));
@@ -970,30 +997,36 @@
 
 #[test]
 fn connections_open_at_the_start_count_and_stray_events_are_ignored() {
-    let mut proxy = Proxy::with(deployment(Kind::OnceOnly), 2);
-    let arrival = Arrival {
-        sess: 0,
-        ..Arrival::default()
+    let mut proxy = Proxy::with(deployment(RetrySafety::NotIdempotent), 2);
+    let arrival = SessionRequest {
+        session: 0,
+        ..SessionRequest::default()
     };
     assert!(
-        proxy.tell(Event::Inherited(arrival, 5)).is_empty(),
+        proxy.tell(Event::SessionInherited(arrival, 5)).is_empty(),
         "a server that no list has named"
     );
     let lost = proxy.end(0, 0, Outcome::Reset, true);
-    assert_eq!(lost, [Action::Forget { sess: 0 }]);
+    assert_eq!(lost, [Action::Forget { session: 0 }]);
     let load = Load::default();
     for stray in [
-        Event::Began { sess: 99, dial: 0 },
-        Event::Began { sess: 0, dial: 3 },
-        Event::Ended {
-            sess: 0,
+        Event::SessionOpened {
+            session: 99,
+            dial: 0,
+        },
+        Event::SessionOpened {
+            session: 0,
+            dial: 3,
+        },
+        Event::AttemptEnded {
+            session: 0,
             dial: 0,
             outcome: Outcome::Ok,
-            over: true,
+            session_over: true,
             load,
         },
-        Event::Left { sess: 42 },
-        Event::Probed {
+        Event::ClientLeft { session: 42 },
+        Event::ProbeEnded {
             server: 77,
             outcome: Outcome::Ok,
             load,
@@ -1043,14 +1076,14 @@
 
 #[test]
 fn without_budget_for_a_further_dial_a_session_is_answered_at_once() {
-    let rule = DialRule {
-        over: ms(2_000),
-        free: 1.0,
-        share: 0.0,
+    let rule = RetryBudgetRule {
+        span: ms(2_000),
+        free_retries: 1.0,
+        retries_per_session: 0.0,
     };
     let mut proxy = Proxy::with(
         Deployment {
-            dial_rule: Some(rule),
+            retry_budget: Some(rule),
             ..deployment(REPEATABLE)
         },
         3,
@@ -1060,7 +1093,7 @@
     assert!(dialled(&proxy.end(first, 0, Outcome::Unreachable, false)).is_some());
     let did = proxy.end(second, 0, Outcome::Unreachable, false);
     assert!(
-        matches!(did[..], [Action::Refuse { .. }, Action::Forget { .. }]),
+        matches!(did[..], [Action::Reject { .. }, Action::Forget { .. }]),
         "{did:?}"
     );
     assert!(
@@ -1080,20 +1113,20 @@
     let first_dial = |number: u32, inherited: bool| {
         let mut proxy = Proxy::bare(
             Deployment {
-                number,
-                proxies: 3,
+                proxy_index: number,
+                proxy_count: 3,
                 ..deployment(REPEATABLE)
             },
             7,
         );
-        let cold = vec![Entry {
-            started: Some(proxy.now),
+        let cold = vec![Endpoint {
+            started_at: Some(proxy.now),
             ..entry(0)
         }];
-        proxy.tell(Event::Roster(if inherited {
-            Roster::Inherited(cold)
+        proxy.tell(Event::Endpoints(if inherited {
+            EndpointUpdate::Inherited(cold)
         } else {
-            Roster::Whole(cold)
+            EndpointUpdate::Complete(cold)
         }));
         (0..600).find(|_| {
             proxy.wait(ms(100));
--- a/crates/placement/tests/engine/cold.rs
+++ b/crates/placement/tests/engine/cold.rs
@@ -1,8 +1,8 @@
 //! What all proxies together send a server that started anew, in one simulated clock.
 
 use crate::help::{Proxy, deployment, dialled, entry, ms};
-use asterramp_placement::deployment::Kind;
-use asterramp_placement::event::{Entry, Event, Roster};
+use asterramp_placement::deployment::RetrySafety;
+use asterramp_placement::event::{Endpoint, EndpointUpdate, Event};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -24,16 +24,16 @@
 
 /// The highest sum over a window, over what may be sent in it beyond the budget; and what was sent in all.
 fn peak(proxies: u64, demand: Demand, seed: u64) -> (f64, f64, usize) {
-    let mut facts = deployment(Kind::Repeatable);
-    (facts.proxies, facts.cold.warm_after) = (proxies as u32, ms(WARM));
+    let mut facts = deployment(RetrySafety::Idempotent);
+    (facts.proxy_count, facts.slow_start.warm_after) = (proxies as u32, ms(WARM));
     let start = ms(1_000_000);
-    let cold = Entry {
-        started: Some(start),
-        mark: 71_284 + seed * 104_729,
+    let cold = Endpoint {
+        started_at: Some(start),
+        hash_key: 71_284 + seed * 104_729,
         ..entry(9)
     };
     let mut begin = |number: u64, now: Duration| {
-        facts.number = number as u32;
+        facts.proxy_index = number as u32;
         let mut proxy = Proxy::new(
             facts.clone(),
             seed * 1_000 + number,
@@ -64,7 +64,7 @@
                 proxy.tell(Event::Tick);
             }
             if demand == Demand::Sudden && at == 5_000 {
-                proxy.tell(Event::Roster(Roster::Whole(vec![cold])));
+                proxy.tell(Event::Endpoints(EndpointUpdate::Complete(vec![cold])));
             }
             if demand == Demand::Sudden && at < 5_000 {
                 continue;
@@ -75,7 +75,7 @@
             if dialled(&did) == Some(9) {
                 sent.push(at);
             }
-            proxy.tell(Event::Left { sess });
+            proxy.tell(Event::ClientLeft { session: sess });
         }
     }
     let mut worst: (f64, f64) = (f64::MIN, 0.0);
--- a/crates/placement/tests/help/mod.rs
+++ b/crates/placement/tests/help/mod.rs
@@ -1,10 +1,10 @@
 //! A proxy under test: feeds events to the module and keeps what it did.
 
-use asterramp_placement::deployment::{ColdRule, Kind, Listener};
+use asterramp_placement::deployment::{Listener, RetrySafety, SlowStartRule};
 use asterramp_placement::event::{
-    Arrival, Entry, Load, Outcome, Roster, ServerId, SessId, Standing,
+    Endpoint, EndpointState, EndpointUpdate, Load, Outcome, ServerId, SessionId, SessionRequest,
 };
-use asterramp_placement::{Action, Choice, Deployment, Event};
+use asterramp_placement::{Action, Deployment, Event, PlacementEngine};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -12,45 +12,45 @@
     Duration::from_millis(n)
 }
 
-pub fn deployment(kind: Kind) -> Deployment {
+pub fn deployment(kind: RetrySafety) -> Deployment {
     let listener = Listener {
-        kind,
+        retry_safety: kind,
         handshake_target: ms(800),
         message_target: Some(ms(100)),
-        worth: 1.0,
+        priority_weight: 1.0,
     };
     Deployment {
         listeners: vec![listener],
-        proxies: 1,
-        cold: ColdRule {
-            share: 0.25,
+        proxy_count: 1,
+        slow_start: SlowStartRule {
+            initial_capacity: 0.25,
             warm_after: ms(20_000),
-            multiple: 4.0,
-            over: ms(1_500),
+            max_multiple: 4.0,
+            span: ms(1_500),
         },
-        max_dials: 3,
+        max_attempts: 3,
         may_probe: true,
-        may_call_off: true,
-        come_back: ms(2_000),
+        may_cancel: true,
+        max_retry_after: ms(2_000),
         ..Deployment::default()
     }
 }
 
-pub fn entry(server: ServerId) -> Entry {
+pub fn entry(server: ServerId) -> Endpoint {
     let mark = u64::from(server) * 7919 + 13;
-    Entry {
+    Endpoint {
         server,
-        mark,
-        standing: Standing::Ready,
+        hash_key: mark,
+        state: EndpointState::Ready,
         weight: 1.0,
-        ..Entry::default()
+        ..Endpoint::default()
     }
 }
 
 pub struct Proxy {
-    pub choice: Choice,
+    pub choice: PlacementEngine,
     pub now: Duration,
-    pub next: SessId,
+    pub next: SessionId,
     /// Whether clients that arrive were connected before.
     pub again: bool,
     /// What servers answer to probes that sessions wait for.
@@ -60,7 +60,7 @@
 impl Proxy {
     pub fn bare(facts: Deployment, nonce: u64) -> Self {
         Proxy {
-            choice: Choice::new(facts, nonce),
+            choice: PlacementEngine::new(facts, nonce),
             now: ms(1_000_000),
             next: 0,
             again: false,
@@ -69,9 +69,9 @@
     }
 
     /// A proxy that has just started and knows the servers given.
-    pub fn new(facts: Deployment, nonce: u64, servers: Vec<Entry>) -> Self {
+    pub fn new(facts: Deployment, nonce: u64, servers: Vec<Endpoint>) -> Self {
         let mut proxy = Self::bare(facts, nonce);
-        proxy.tell(Event::Roster(Roster::Stale(servers)));
+        proxy.tell(Event::Endpoints(EndpointUpdate::Stale(servers)));
         proxy
     }
 
@@ -92,7 +92,7 @@
         while let Some(action) = out.get(next) {
             if let Action::Probe { server } = *action {
                 let load = self.loads.get(&server).copied().unwrap_or_default();
-                out.extend(self.tell(Event::Probed {
+                out.extend(self.tell(Event::ProbeEnded {
                     server,
                     outcome: Outcome::Ok,
                     load,
@@ -113,45 +113,48 @@
         out
     }
 
-    pub fn arrive(&mut self, group: Option<u64>) -> (SessId, Vec<Action>) {
+    pub fn arrive(&mut self, group: Option<u64>) -> (SessionId, Vec<Action>) {
         self.arrive_at(0, group)
     }
 
-    pub fn arrive_at(&mut self, listener: u8, group: Option<u64>) -> (SessId, Vec<Action>) {
+    pub fn arrive_at(&mut self, listener: u8, group: Option<u64>) -> (SessionId, Vec<Action>) {
         let sess = self.next;
         self.next += 1;
         let dial_timeout = self.now + ms(4_800);
         let (again, item) = (self.again, u64::from(sess));
-        let arrival = Arrival {
-            sess,
+        let arrival = SessionRequest {
+            session: sess,
             listener,
-            item,
+            hash_key: item,
             group,
             dial_timeout,
-            again,
-            ..Arrival::default()
+            reconnecting: again,
+            ..SessionRequest::default()
         };
-        (sess, self.settle(Event::Arrived(arrival)))
+        (sess, self.settle(Event::SessionRequested(arrival)))
     }
 
     /// A session set up on the server that was chosen.
-    pub fn open(&mut self, group: Option<u64>) -> (SessId, ServerId) {
+    pub fn open(&mut self, group: Option<u64>) -> (SessionId, ServerId) {
         let (sess, did) = self.arrive(group);
         let server = dialled(&did).expect("a dial");
-        self.tell(Event::Began { sess, dial: 0 });
+        self.tell(Event::SessionOpened {
+            session: sess,
+            dial: 0,
+        });
         (sess, server)
     }
 
-    pub fn open_many(&mut self, n: usize) -> Vec<(SessId, ServerId)> {
+    pub fn open_many(&mut self, n: usize) -> Vec<(SessionId, ServerId)> {
         (0..n).map(|_| self.open(None)).collect()
     }
 
-    pub fn end(&mut self, sess: SessId, dial: u8, outcome: Outcome, over: bool) -> Vec<Action> {
-        self.settle(Event::Ended {
-            sess,
+    pub fn end(&mut self, sess: SessionId, dial: u8, outcome: Outcome, over: bool) -> Vec<Action> {
+        self.settle(Event::AttemptEnded {
+            session: sess,
             dial,
             outcome,
-            over,
+            session_over: over,
             load: Load::default(),
         })
     }
@@ -159,7 +162,7 @@
     pub fn probed(&mut self, server: ServerId, connections: f64, asked: f64) -> Vec<Action> {
         let load = load(connections, asked);
         self.loads.insert(server, load);
-        self.tell(Event::Probed {
+        self.tell(Event::ProbeEnded {
             server,
             outcome: Outcome::Ok,
             load,
@@ -167,22 +170,22 @@
     }
 
     pub fn unanswered(&mut self, server: ServerId) -> Vec<Action> {
-        self.tell(Event::Probed {
+        self.tell(Event::ProbeEnded {
             server,
             outcome: Outcome::TimedOut,
             load: Load::default(),
         })
     }
 
-    pub fn roster(&mut self, entry: Entry) -> Vec<Action> {
-        self.tell(Event::Roster(Roster::Changes(vec![entry])))
+    pub fn roster(&mut self, entry: Endpoint) -> Vec<Action> {
+        self.tell(Event::Endpoints(EndpointUpdate::Changes(vec![entry])))
     }
 }
 
 pub fn load(connections: f64, asked: f64) -> Load {
     Load {
         connections: Some(connections),
-        asked: Some(asked),
+        utilization: Some(asked),
     }
 }
 
@@ -199,7 +202,10 @@
 pub fn time_out(did: &[Action]) -> Duration {
     did.iter()
         .find_map(|a| {
-            if let Action::Dial { time_out, .. } = a {
+            if let Action::Dial {
+                timeout: time_out, ..
+            } = a
+            {
                 Some(*time_out)
             } else {
                 None
@@ -212,8 +218,8 @@
 pub fn came_to(did: &[Action]) -> char {
     let letter = |a: &Action| match a {
         Action::Dial { .. } => Some('D'),
-        Action::Refuse { .. } => Some('R'),
-        Action::TearDown { .. } => Some('T'),
+        Action::Reject { .. } => Some('R'),
+        Action::Fail { .. } => Some('T'),
         _ => None,
     };
     did.iter().find_map(letter).unwrap_or('-')
--- a/crates/placement/tests/retry_budget.rs
+++ b/crates/placement/tests/retry_budget.rs
@@ -1,7 +1,14 @@
 //! The budget of further dials, against an oracle that keeps every dial.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-use asterramp_placement::deployment::DialRule;
-use asterramp_placement::retry_budget::DialBudget;
+use asterramp_placement::deployment::RetryBudgetRule;
+use asterramp_placement::retry_budget::RetryBudget;
 use asterramp_placement::settings;
 use std::time::Duration;
 use test_case::test_case;
@@ -10,8 +17,12 @@
     Duration::from_millis(n)
 }
 
-fn rule(over: Duration, free: f64, share: f64) -> DialRule {
-    DialRule { over, free, share }
+fn rule(over: Duration, free: f64, share: f64) -> RetryBudgetRule {
+    RetryBudgetRule {
+        span: over,
+        free_retries: free,
+        retries_per_session: share,
+    }
 }
 
 /// Traffic in bursts after silence; what the budget lets out must be within the rule at every moment, and, where the
@@ -21,10 +32,10 @@
 #[test_case(rule(ms(2_000), 0.0, 0.1); "none free")]
 #[test_case(rule(ms(7), 2.0, 0.5); "a short span, whose edges are hit")]
 #[test_case(rule(ms(10_000_000), 5.0, 0.01); "a span longer than the run")]
-fn it_stays_within_the_rule_of_an_oracle(rule: DialRule) {
+fn it_stays_within_the_rule_of_an_oracle(rule: RetryBudgetRule) {
     let mut sent = 0;
     for seed in 1..40_u64 {
-        let (mut budget, mut chance) = (DialBudget::new(Some(rule)), seed);
+        let (mut budget, mut chance) = (RetryBudget::new(Some(rule)), seed);
         let (mut now, mut dials, mut taken) =
             (ms(1_700_000_000_000), Vec::new(), Vec::<Duration>::new());
         let mut draw = |n: u64| {
@@ -35,10 +46,10 @@
         };
         for _ in 0..600 {
             now += match draw(40) {
-                0 => rule.over.min(ms(20_000)) + ms(draw(3)),
+                0 => rule.span.min(ms(20_000)) + ms(draw(3)),
                 n if n < 25 => Duration::ZERO,
                 _ => {
-                    rule.over.min(ms(2_000)) / 16 * draw(4) as u32 + Duration::from_micros(draw(3))
+                    rule.span.min(ms(2_000)) / 16 * draw(4) as u32 + Duration::from_micros(draw(3))
                 }
             };
             if draw(3) > 0 {
@@ -48,9 +59,10 @@
                 budget.spent(now);
                 dials.push(now);
                 // Both edges, each the one that is worse for the rule.
-                let young = |at: &&Duration| now - **at <= rule.over;
-                let inside = |at: &&Duration| now - **at < rule.over;
-                let limit = rule.free + rule.share * taken.iter().filter(inside).count() as f64;
+                let young = |at: &&Duration| now - **at <= rule.span;
+                let inside = |at: &&Duration| now - **at < rule.span;
+                let limit = rule.free_retries
+                    + rule.retries_per_session * taken.iter().filter(inside).count() as f64;
                 let made = dials.iter().filter(young).count();
                 assert!(
                     made as f64 <= limit + 1e-6,
@@ -61,7 +73,7 @@
         sent += dials.len();
     }
     assert!(
-        sent >= 39 * rule.free as usize,
+        sent >= 39 * rule.free_retries as usize,
         "it lets hardly any out: {sent}"
     );
 }
@@ -91,7 +103,14 @@
         worth,
     ) {
         (Ok(setup), Some(worth)) => {
-            assert!(setup.deployment.listeners.iter().map(|l| l.worth).eq(worth))
+            assert!(
+                setup
+                    .deployment
+                    .listeners
+                    .iter()
+                    .map(|l| l.priority_weight)
+                    .eq(worth)
+            )
         }
         (Err(why), None) => assert!(why.contains("listeners.0.utility"), "{why}"),
         (read, _) => panic!("{read:?}"),
@@ -99,7 +118,7 @@
 }
 
 /// The least that settings may tell, and what is told beside it.
-fn read(told: &str) -> Result<settings::Setup, String> {
+fn read(told: &str) -> Result<settings::Settings, String> {
     let text = "discovery=pushed instances=1 self_index=0 listeners.count=0 rules.cold_share=0.3 rules.cold=1 \
                 rules.tip_multiple=4";
     let all = text.split_whitespace().chain(told.split_whitespace());
@@ -119,13 +138,13 @@
 #[test_case("counted_over=2000000 repeat_ratio=-0.1", Err("rules.repeat_ratio"); "a negative share")]
 #[test_case("counted_over=2000000 repeat_ratio=NaN", Err("rules.repeat_ratio"); "no number")]
 #[test_case("counted_over=2000000 min_extra=many", Err("rules.min_extra"); "a word")]
-fn settings_are_checked(told: &str, reads: Result<Option<DialRule>, &str>) {
+fn settings_are_checked(told: &str, reads: Result<Option<RetryBudgetRule>, &str>) {
     let rules: String = told
         .split_whitespace()
         .map(|pair| format!("rules.{pair} "))
         .collect();
     match (read(&rules), reads) {
-        (Ok(setup), Ok(rule)) => assert_eq!(setup.deployment.dial_rule, rule),
+        (Ok(setup), Ok(rule)) => assert_eq!(setup.deployment.retry_budget, rule),
         (Err(why), Err(path)) => assert!(why.contains(path), "{why}"),
         (read, _) => panic!("{read:?}"),
     }
@@ -145,7 +164,7 @@
         read(&format!("specifics.tenant_quota_connections={told}")),
         sum,
     ) {
-        (Ok(setup), Some(sum)) => assert_eq!(setup.deployment.planned, sum),
+        (Ok(setup), Some(sum)) => assert_eq!(setup.deployment.planned_connections, sum),
         (Err(why), None) => assert!(why.contains("specifics.tenant_quota_connections"), "{why}"),
         (read, _) => panic!("{read:?}"),
     }
@@ -158,7 +177,7 @@
 #[test_case("permissions.dial_timeout=1", 1; "the smallest")]
 #[test_case("permissions.dial_timeout=4294967295000000", 4_294_967_295_000_000; "the largest")]
 fn a_connection_has_time_to_come_up(told: &str, micros: u128) {
-    assert_eq!(read(told).unwrap().connect_within.as_micros(), micros);
+    assert_eq!(read(told).unwrap().connect_timeout.as_micros(), micros);
 }
 
 // By no span at all a dial that a cold server may be sent would lapse at once, and it would never be used.
@@ -167,7 +186,7 @@
 #[test_case("rules.overload_for=0", 1_000; "zero")]
 #[test_case("rules.overload_for=1", 0; "the smallest")]
 fn the_span_of_the_cold_rule_is_never_nothing(told: &str, span: u64) {
-    let over = read(told).unwrap().deployment.cold.over;
+    let over = read(told).unwrap().deployment.slow_start.span;
     assert!(
         !over.is_zero() && over.as_millis() as u64 == span,
         "{over:?}"
--- a/crates/proxy/src/injected_fault.rs
+++ b/crates/proxy/src/injected_fault.rs
@@ -1,9 +1,9 @@
-//! Bugs planted on purpose, one at a time, so that a checker can show that it finds them. Without the feature
-//! `planted`, which no build that serves has, there are none.
+//! Faults that the model checker injects one at a time, to show that it finds them. Without the feature
+//! `injected-faults`, which no build that serves has, there are none.
 
-/// What may be wrong. Each is of a kind that happens.
+/// A fault of a kind that happens in practice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedFault {
     /// A late `UP` of a dial that timed out is believed.
     LateUpBelieved,
     /// The next dial begins before the last one's connection is closed.
@@ -40,53 +40,53 @@
     GoneAsked,
 }
 
-impl Plant {
-    pub const ALL: [Plant; 17] = [
-        Plant::LateUpBelieved,
-        Plant::DialBeforeClose,
-        Plant::AnswersTwice,
-        Plant::DrainMidDialLost,
-        Plant::StaleSlot,
-        Plant::TimeOutProvesNothing,
-        Plant::ResetProvesNothing,
-        Plant::NoDeadline,
-        Plant::CallOffKept,
-        Plant::NoSocketUntold,
-        Plant::SilentGoingDown,
-        Plant::OpensAlone,
-        Plant::DeadlineTooLate,
-        Plant::Kept,
-        Plant::AnswersWhileOut,
-        Plant::GoneDialled,
-        Plant::GoneAsked,
+impl InjectedFault {
+    pub const ALL: [InjectedFault; 17] = [
+        InjectedFault::LateUpBelieved,
+        InjectedFault::DialBeforeClose,
+        InjectedFault::AnswersTwice,
+        InjectedFault::DrainMidDialLost,
+        InjectedFault::StaleSlot,
+        InjectedFault::TimeOutProvesNothing,
+        InjectedFault::ResetProvesNothing,
+        InjectedFault::NoDeadline,
+        InjectedFault::CallOffKept,
+        InjectedFault::NoSocketUntold,
+        InjectedFault::SilentGoingDown,
+        InjectedFault::OpensAlone,
+        InjectedFault::DeadlineTooLate,
+        InjectedFault::Kept,
+        InjectedFault::AnswersWhileOut,
+        InjectedFault::GoneDialled,
+        InjectedFault::GoneAsked,
     ];
 }
 
 #[cfg(feature = "injected-faults")]
 mod chosen {
-    use super::Plant;
+    use super::InjectedFault;
     use std::sync::atomic::{AtomicU8, Ordering};
 
     static CHOSEN: AtomicU8 = AtomicU8::new(0);
 
     /// Plants one bug from now on, or none.
-    pub fn plant(which: Option<Plant>) {
-        let nth = which.and_then(|which| Plant::ALL.iter().position(|p| *p == which));
+    pub fn inject(which: Option<InjectedFault>) {
+        let nth = which.and_then(|which| InjectedFault::ALL.iter().position(|p| *p == which));
         CHOSEN.store(nth.map_or(0, |nth| nth as u8 + 1), Ordering::SeqCst);
     }
 
-    pub fn planted(which: Plant) -> bool {
+    pub fn is_injected(which: InjectedFault) -> bool {
         let nth = CHOSEN.load(Ordering::Relaxed);
-        nth > 0 && Plant::ALL[usize::from(nth) - 1] == which
+        nth > 0 && InjectedFault::ALL[usize::from(nth) - 1] == which
     }
 }
 
 #[cfg(feature = "injected-faults")]
-pub use chosen::{plant, planted};
+pub use chosen::{inject, is_injected};
 
 /// Whether this is wrong now.
 #[cfg(not(feature = "injected-faults"))]
 #[inline(always)]
-pub fn planted(_: Plant) -> bool {
+pub fn is_injected(_: InjectedFault) -> bool {
     false
 }
--- a/crates/proxy/src/program/command.rs
+++ b/crates/proxy/src/program/command.rs
@@ -1,11 +1,11 @@
 //! The command line. Without any command the proxy serves, as the platform starts it.
 
-use super::leader_lease::Claim;
+use super::leader_lease::LeaderLease;
 use super::roll::{self, Roll};
 use super::run::run;
 use super::state::{self, StateWhat};
-use asterramp_admin_protocol::{Client, Request, Status, Verb};
-use asterramp_operator_config::{Operator, parse_span};
+use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest, ProxyStatus};
+use asterramp_operator_config::{OperatorConfig, parse_span};
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -145,11 +145,11 @@
 fn fleet(what: FleetWhat) -> Result<(), String> {
     let (work, wish) = match what {
         FleetWhat::Status(work) => (work, None),
-        FleetWhat::Pause(work) => (work, Some(roll::Wish::Pause)),
-        FleetWhat::Resume(work) => (work, Some(roll::Wish::GoOn)),
-        FleetWhat::Cancel(work) => (work, Some(roll::Wish::Cancel)),
+        FleetWhat::Pause(work) => (work, Some(roll::RequestedRollState::Pause)),
+        FleetWhat::Resume(work) => (work, Some(roll::RequestedRollState::GoOn)),
+        FleetWhat::Cancel(work) => (work, Some(roll::RequestedRollState::Cancel)),
     };
-    let claim = Claim::look(work.store, Duration::from_secs(6));
+    let claim = LeaderLease::look(work.store, Duration::from_secs(6));
     claim.reached(Duration::from_secs(5))?;
     let done = match wish {
         None => roll::tell(&work.name, &claim),
@@ -191,9 +191,8 @@
             pace,
             wait,
         } => drain(&at.control, deadline, pace, wait),
-        What::Undrain { at } => {
-            ask(&at.control, &Request::new(Verb::Undrain)).map(|s| println!("{}", told(&s)))
-        }
+        What::Undrain { at } => ask(&at.control, &AdminRequest::new(AdminCommand::Undrain))
+            .map(|s| println!("{}", told(&s))),
         What::Roll {
             control,
             deadline,
@@ -255,14 +254,14 @@
 fn validate(files: &Files) -> ExitCode {
     let mut wrong = Vec::new();
     match path(files.config.as_ref(), "LB_CONFIG") {
-        Some(config) => wrong.extend(super::config::Source::open(Some(&config)).err()),
+        Some(config) => wrong.extend(super::config::ConfigFile::open(Some(&config)).err()),
         None => wrong.push("--config: neither it nor LB_CONFIG names a file".into()),
     }
     if let Some(operator) = path(files.operator.as_ref(), "ASTERRAMP_OPERATOR") {
         match std::fs::read_to_string(&operator) {
             Err(e) => wrong.push(format!("{operator}: {e}")),
             Ok(text) => {
-                let problems = Operator::read(&text).err().unwrap_or_default();
+                let problems = OperatorConfig::read(&text).err().unwrap_or_default();
                 wrong.extend(
                     problems
                         .iter()
@@ -279,12 +278,12 @@
     ExitCode::FAILURE
 }
 
-fn ask(control: &Path, request: &Request) -> Result<Status, String> {
-    Client::connect(control)?.ask(request)
+fn ask(control: &Path, request: &AdminRequest) -> Result<ProxyStatus, String> {
+    AdminClient::connect(control)?.ask(request)
 }
 
 /// A status as a line for people.
-pub fn told(s: &Status) -> String {
+pub fn told(s: &ProxyStatus) -> String {
     let mut line = format!(
         "{}  {} open, {} pending, {} moved",
         s.state, s.open, s.pending, s.moved
@@ -349,9 +348,9 @@
 }
 
 fn status(control: &Path, json: bool, watch: bool) -> Result<(), String> {
-    let mut client = Client::connect(control)?;
+    let mut client = AdminClient::connect(control)?;
     loop {
-        let status = client.ask(&Request::new(Verb::Status))?;
+        let status = client.ask(&AdminRequest::new(AdminCommand::Status))?;
         match json {
             true => println!(
                 "{}",
@@ -373,11 +372,11 @@
     wait: bool,
 ) -> Result<(), String> {
     let deadline_ms = deadline.map(|span| span.as_millis() as u64);
-    let mut client = Client::connect(control)?;
-    let status = client.ask(&Request {
+    let mut client = AdminClient::connect(control)?;
+    let status = client.ask(&AdminRequest {
         deadline_ms,
         pace,
-        ..Request::new(Verb::Drain)
+        ..AdminRequest::new(AdminCommand::Drain)
     })?;
     println!("{}", told(&status));
     if wait {
@@ -388,11 +387,11 @@
 }
 
 /// Shows progress until a proxy is empty; the bound is its deadline and a little for what comes up late.
-pub fn emptied(client: &mut Client, deadline: Duration) -> Result<(), String> {
+pub fn emptied(client: &mut AdminClient, deadline: Duration) -> Result<(), String> {
     let until = Instant::now() + deadline + Duration::from_secs(5);
     loop {
         std::thread::sleep(Duration::from_millis(500));
-        let status = client.ask(&Request::new(Verb::Status))?;
+        let status = client.ask(&AdminRequest::new(AdminCommand::Status))?;
         println!("{}", told(&status));
         match status.state.as_str() {
             "empty" => return Ok(()),
--- a/crates/proxy/src/program/config.rs
+++ b/crates/proxy/src/program/config.rs
@@ -17,18 +17,18 @@
 
 /// Where the configuration stands, and what it said at the start.
 #[derive(Debug)]
-pub struct Source {
+pub struct ConfigFile {
     path: String,
     first: Value,
 }
 
-impl Source {
+impl ConfigFile {
     /// Reads the file that `LB_CONFIG` names.
-    pub fn open(path: Option<&str>) -> Result<(Source, Start), String> {
+    pub fn open(path: Option<&str>) -> Result<(ConfigFile, Start), String> {
         let path = path.ok_or("LB_CONFIG is not set")?.to_string();
         let first = file(&path)?;
         let start = parse(&first)?;
-        Ok((Source { path, first }, start))
+        Ok((ConfigFile { path, first }, start))
     }
 
     /// Reads the file again: what it says now, and the keys that it would change but cannot while the proxy
@@ -104,16 +104,16 @@
         return Err("limits.sockets is under 64, too few to serve".into());
     }
     Ok(Start {
-        setup,
+        settings: setup,
         seed: seed.ok_or("seed is no number of up to 16 hexadecimal digits")?,
         listen,
         discovery: address("discovery")?,
-        kin: operator.as_ref().and_then(|_| kin(listen)),
+        hot_restart_socket: operator.as_ref().and_then(|_| kin(listen)),
         operator: operator.transpose()?,
-        known,
-        anew: None,
-        sockets,
-        memory: limit("memory_mb", MEMORY_MB)? << 20,
+        known_endpoints: known,
+        warm_start: None,
+        max_descriptors: sockets,
+        max_memory_mb: limit("memory_mb", MEMORY_MB)? << 20,
     })
 }
 
--- a/crates/proxy/src/program/counters.rs
+++ b/crates/proxy/src/program/counters.rs
@@ -1,14 +1,14 @@
 //! How often each code came up since the start.
 
-use crate::routing::report::{Code, Report};
+use crate::routing::report::{ReasonCode, Report};
 use std::fmt;
 
 #[derive(Debug)]
-pub struct Counters([u64; Code::ALL.len()]);
+pub struct Counters([u64; ReasonCode::ALL.len()]);
 
 impl Default for Counters {
     fn default() -> Self {
-        Counters([0; Code::ALL.len()])
+        Counters([0; ReasonCode::ALL.len()])
     }
 }
 
@@ -20,7 +20,7 @@
         }
     }
 
-    fn add(&mut self, code: Code) {
+    fn add(&mut self, code: ReasonCode) {
         self.0[code as usize] += 1;
     }
 }
@@ -28,7 +28,7 @@
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("counters")?;
-        Code::ALL
+        ReasonCode::ALL
             .iter()
             .zip(&self.0)
             .try_for_each(|(code, n)| write!(f, " {}={n}", code.name()))
--- a/crates/proxy/src/program/leader_lease.rs
+++ b/crates/proxy/src/program/leader_lease.rs
@@ -1,8 +1,10 @@
 //! A candidate for the work of the fleet, on sockets: a thread keeps its session with the store, so that the lease is renewed
 //! whatever the work waits for. Everything that it decides is `asterramp_leader_lease::Owner`'s.
 
-use asterramp_admin_protocol::{Client, OwnerWords, Request, Status, Verb};
-use asterramp_leader_lease::{Owner, State, Term, Terms as OwnerTerms, Ticket};
+use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest, LeaderToken, ProxyStatus};
+use asterramp_leader_lease::{
+    FencingTicket, LeaseCandidate, LeaseSettings as OwnerTerms, LeaseState, Term,
+};
 use asterramp_zookeeper::record::{Refused, Request as Ask};
 use asterramp_zookeeper::session::{Answer, Effect, Session, Terms};
 use std::collections::BTreeMap;
@@ -25,30 +27,30 @@
 type Reply = Result<Answer, Option<Refused>>;
 
 struct Desk {
-    owner: Owner,
+    owner: LeaseCandidate,
     /// What the work asks, and where the answer goes.
     asks: Vec<(Ask, Sender<Reply>)>,
     over: bool,
 }
 
 #[derive(Clone)]
-pub struct Claim {
+pub struct LeaderLease {
     desk: Arc<Mutex<Desk>>,
     began: Instant,
 }
 
-impl Claim {
-    pub fn start(stores: Vec<SocketAddr>, session: Duration) -> Claim {
-        Claim::begin(stores, session, true)
+impl LeaderLease {
+    pub fn start(stores: Vec<SocketAddr>, session: Duration) -> LeaderLease {
+        LeaderLease::begin(stores, session, true)
     }
 
     /// A session that only looks and writes: it queues for nothing.
-    pub fn look(stores: Vec<SocketAddr>, session: Duration) -> Claim {
-        Claim::begin(stores, session, false)
+    pub fn look(stores: Vec<SocketAddr>, session: Duration) -> LeaderLease {
+        LeaderLease::begin(stores, session, false)
     }
 
-    fn begin(stores: Vec<SocketAddr>, session: Duration, joins: bool) -> Claim {
-        let owner = Owner::new(OwnerTerms {
+    fn begin(stores: Vec<SocketAddr>, session: Duration, joins: bool) -> LeaderLease {
+        let owner = LeaseCandidate::new(OwnerTerms {
             timeout: session,
             margin: session / MARGIN,
         });
@@ -57,7 +59,7 @@
             asks: Vec::new(),
             over: false,
         }));
-        let claim = Claim {
+        let claim = LeaderLease {
             desk,
             began: Instant::now(),
         };
@@ -83,7 +85,7 @@
     }
 
     /// Where it stands, and by which term.
-    pub fn state(&self) -> (State, Term) {
+    pub fn state(&self) -> (LeaseState, Term) {
         let now = self.now();
         let mut desk = self.desk();
         desk.owner.tick(now);
@@ -115,25 +117,29 @@
     }
 
     /// Orders a receiver something, if this may act now; `None` where it may not.
-    pub fn order(&self, client: &mut Client, request: Request) -> Result<Option<Status>, String> {
-        let told = client.ask(&Request::new(Verb::Status))?;
+    pub fn order(
+        &self,
+        client: &mut AdminClient,
+        request: AdminRequest,
+    ) -> Result<Option<ProxyStatus>, String> {
+        let told = client.ask(&AdminRequest::new(AdminCommand::Status))?;
         let came = self.now();
-        let ticket = Ticket {
+        let ticket = FencingTicket {
             boot: told.boot,
             clock: Duration::from_micros(told.clock_us),
         };
-        let order = self
-            .desk()
-            .owner
-            .order(self.now(), ticket, came, request.verb == Verb::Hear);
+        let order =
+            self.desk()
+                .owner
+                .order(self.now(), ticket, came, request.verb == AdminCommand::Hear);
         let Some(order) = order else { return Ok(None) };
-        let owner = OwnerWords {
+        let owner = LeaderToken {
             term: order.term,
             boot: order.boot,
             until_us: order.until.as_micros() as u64,
         };
         client
-            .ask(&Request {
+            .ask(&AdminRequest {
                 owner: Some(owner),
                 ..request
             })
@@ -202,7 +208,7 @@
 
 /// One candidate's place at the store.
 struct Seat {
-    claim: Claim,
+    claim: LeaderLease,
     /// Whether it queues for the work.
     joins: bool,
     stores: Vec<SocketAddr>,
@@ -220,7 +226,7 @@
 }
 
 impl Seat {
-    fn new(claim: Claim, stores: Vec<SocketAddr>, timeout: Duration) -> Seat {
+    fn new(claim: LeaderLease, stores: Vec<SocketAddr>, timeout: Duration) -> Seat {
         let seed = u64::from(std::process::id()).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5ca1;
         let (mut out, now) = (Vec::new(), claim.now());
         let session = Session::new(
--- a/crates/proxy/src/program/roll.rs
+++ b/crates/proxy/src/program/roll.rs
@@ -1,9 +1,9 @@
 //! A site's proxies patched one after the other, without the front ever losing two.
 
 use super::command::{emptied, told};
-use super::leader_lease::Claim;
-use asterramp_admin_protocol::{Client, Request, Status, Verb};
-use asterramp_leader_lease::State;
+use super::leader_lease::LeaderLease;
+use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest, ProxyStatus};
+use asterramp_leader_lease::LeaseState;
 use asterramp_zookeeper::record::{ANY, Request as Ask};
 use asterramp_zookeeper::session::Answer;
 use serde::{Deserialize, Serialize};
@@ -42,12 +42,12 @@
     done: bool,
     /// What an operator wants of whoever owns it.
     #[serde(default)]
-    wish: Wish,
+    wish: RequestedRollState,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Wish {
+pub enum RequestedRollState {
     #[default]
     GoOn,
     /// No further proxy is begun.
@@ -56,12 +56,12 @@
     Cancel,
 }
 
-impl Wish {
+impl RequestedRollState {
     fn name(self) -> &'static str {
         match self {
-            Wish::GoOn => "goes on",
-            Wish::Pause => "is paused",
-            Wish::Cancel => "is cancelled",
+            RequestedRollState::GoOn => "goes on",
+            RequestedRollState::Pause => "is paused",
+            RequestedRollState::Cancel => "is cancelled",
         }
     }
 }
@@ -81,7 +81,7 @@
     stores: Vec<SocketAddr>,
     session: Duration,
 ) -> Result<(), String> {
-    let claim = Claim::start(stores, session);
+    let claim = LeaderLease::start(stores, session);
     loop {
         owned(roll, &claim)?;
         match work(roll, name, &claim) {
@@ -100,7 +100,7 @@
 }
 
 /// Waits until the work is ours, with a word whenever that changes.
-fn owned(roll: &Roll, claim: &Claim) -> Result<(), String> {
+fn owned(roll: &Roll, claim: &LeaderLease) -> Result<(), String> {
     let (mut told, mut since) = (None, Instant::now());
     loop {
         let (state, term) = claim.state();
@@ -109,27 +109,29 @@
             since = Instant::now();
         }
         match state {
-            State::Owns => return Ok(()),
+            LeaseState::Owns => return Ok(()),
             // Once all have heard the term, no order of the one before counts anywhere.
-            State::Waiting => {
+            LeaseState::Waiting => {
                 let hears = |control: &PathBuf| {
-                    let mut client = Client::connect(control).ok()?;
-                    claim.order(&mut client, Request::new(Verb::Hear)).ok()?
+                    let mut client = AdminClient::connect(control).ok()?;
+                    claim
+                        .order(&mut client, AdminRequest::new(AdminCommand::Hear))
+                        .ok()?
                 };
                 if roll.control.iter().all(|control| hears(control).is_some()) {
                     claim.all_heard(term);
                 }
             }
-            State::Away if since.elapsed() > roll.patience => {
+            LeaseState::Away if since.elapsed() > roll.patience => {
                 return Err("the store cannot be heard".into());
             }
-            State::Away | State::Queued => {}
+            LeaseState::Away | LeaseState::Queued => {}
         }
         std::thread::sleep(LOOK / 2);
     }
 }
 
-fn work(roll: &Roll, name: &str, claim: &Claim) -> Result<(), String> {
+fn work(roll: &Roll, name: &str, claim: &LeaderLease) -> Result<(), String> {
     let plan = plan(roll, name, claim)?;
     if plan.done {
         println!("{name} was done before");
@@ -165,7 +167,7 @@
 }
 
 /// The plan as it stands at the store, and its version; `None` where there is none.
-fn kept(name: &str, claim: &Claim) -> Result<Option<(Plan, i32)>, String> {
+fn kept(name: &str, claim: &LeaderLease) -> Result<Option<(Plan, i32)>, String> {
     let path = plan_at(name);
     match claim.ask(Ask::GetData {
         path: path.clone(),
@@ -180,24 +182,24 @@
 }
 
 /// Waits while an operator wants a pause; an error where it is cancelled.
-fn wished(name: &str, claim: &Claim) -> Result<(), String> {
-    let mut told = Wish::GoOn;
+fn wished(name: &str, claim: &LeaderLease) -> Result<(), String> {
+    let mut told = RequestedRollState::GoOn;
     loop {
-        let wish = kept(name, claim)?.map_or(Wish::GoOn, |kept| kept.0.wish);
+        let wish = kept(name, claim)?.map_or(RequestedRollState::GoOn, |kept| kept.0.wish);
         if wish != std::mem::replace(&mut told, wish) {
             println!("{name} {}", wish.name());
         }
         match wish {
-            Wish::GoOn => return Ok(()),
-            Wish::Cancel => return Err(format!("{name} was cancelled")),
-            Wish::Pause if !claim.acts() => return Err(LOST.into()),
-            Wish::Pause => std::thread::sleep(LOOK),
+            RequestedRollState::GoOn => return Ok(()),
+            RequestedRollState::Cancel => return Err(format!("{name} was cancelled")),
+            RequestedRollState::Pause if !claim.acts() => return Err(LOST.into()),
+            RequestedRollState::Pause => std::thread::sleep(LOOK),
         }
     }
 }
 
 /// Tells of a roll at the store: who waits for the work, and how far it is.
-pub fn tell(name: &str, claim: &Claim) -> Result<(), String> {
+pub fn tell(name: &str, claim: &LeaderLease) -> Result<(), String> {
     let queue = claim.queue().unwrap_or_default();
     match queue.first() {
         Some((term, owner)) => println!("{owner} owns, term {term}; {} wait", queue.len() - 1),
@@ -229,7 +231,7 @@
 }
 
 /// Wants something of whoever owns a roll; it is heeded before the next proxy.
-pub fn wish(name: &str, claim: &Claim, wish: Wish) -> Result<(), String> {
+pub fn wish(name: &str, claim: &LeaderLease, wish: RequestedRollState) -> Result<(), String> {
     let Some((plan, version)) = kept(name, claim)? else {
         return Err(format!("no roll is called {name}"));
     };
@@ -247,7 +249,7 @@
 }
 
 /// The plan as it stands at the store, or a new one.
-fn plan(roll: &Roll, name: &str, claim: &Claim) -> Result<Plan, String> {
+fn plan(roll: &Roll, name: &str, claim: &LeaderLease) -> Result<Plan, String> {
     let path = plan_at(name);
     if let Some((plan, _)) = kept(name, claim)? {
         let same = plan.pids.keys().collect::<BTreeSet<_>>()
@@ -267,7 +269,7 @@
     let plan = Plan {
         pids: pids.collect::<Result<_, String>>()?,
         done: false,
-        wish: Wish::GoOn,
+        wish: RequestedRollState::GoOn,
     };
     let data = serde_json::to_vec(&plan).map_err(|e| e.to_string())?;
     let made = claim.ask(Ask::Create {
@@ -278,8 +280,8 @@
     made.map(|_| plan).map_err(|_| LOST.to_string())
 }
 
-fn status(control: &Path) -> Result<Status, String> {
-    Client::connect(control)?.ask(&Request::new(Verb::Status))
+fn status(control: &Path) -> Result<ProxyStatus, String> {
+    AdminClient::connect(control)?.ask(&AdminRequest::new(AdminCommand::Status))
 }
 
 /// Looks again and again until something is so; `None` once patience is at its end.
@@ -295,7 +297,11 @@
 }
 
 /// Orders a proxy something, as the owner if there is one; anybody else's word is not an owner's.
-fn order(client: &mut Client, request: Request, claim: Option<&Claim>) -> Result<(), String> {
+fn order(
+    client: &mut AdminClient,
+    request: AdminRequest,
+    claim: Option<&LeaderLease>,
+) -> Result<(), String> {
     match claim {
         None => client.ask(&request).map(drop),
         Some(claim) => match claim.order(client, request)? {
@@ -305,7 +311,11 @@
     }
 }
 
-fn one(roll: &Roll, control: &Path, owner: Option<(&Claim, Option<u32>)>) -> Result<(), String> {
+fn one(
+    roll: &Roll,
+    control: &Path,
+    owner: Option<(&LeaderLease, Option<u32>)>,
+) -> Result<(), String> {
     let claim = owner.map(|owner| owner.0);
     // Each of the others must carry, or the front would lose two.
     for other in roll.control.iter().filter(|other| *other != control) {
@@ -313,7 +323,7 @@
         until(roll.patience, carries)
             .ok_or_else(|| format!("{} does not carry its share", other.display()))?;
     }
-    let connected = Client::connect(control);
+    let connected = AdminClient::connect(control);
     // One that an owner before had told to go is waited for.
     let Ok(mut client) = connected else {
         let away = owner.is_some_and(|owner| owner.1.is_some());
@@ -323,20 +333,20 @@
             connected.map(drop)
         };
     };
-    let before = client.ask(&Request::new(Verb::Status))?;
+    let before = client.ask(&AdminRequest::new(AdminCommand::Status))?;
     println!("{}: draining, {} open", control.display(), before.open);
     let deadline_ms = Some(roll.deadline.as_millis() as u64);
     order(
         &mut client,
-        Request {
+        AdminRequest {
             deadline_ms,
-            ..Request::new(Verb::Drain)
+            ..AdminRequest::new(AdminCommand::Drain)
         },
         claim,
     )?;
     emptied(&mut client, roll.deadline)?;
     if claim.is_some() && roll.restart.is_none() {
-        order(&mut client, Request::new(Verb::Leave), claim)?;
+        order(&mut client, AdminRequest::new(AdminCommand::Leave), claim)?;
     }
     if let Some(command) = &roll.restart {
         // The command is not fenced: an owner that was stopped right here may run it late.
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -1,54 +1,63 @@
 //! The loop.
 
 use super::clock::Clock;
-use super::config::Source;
+use super::config::ConfigFile;
 use super::counters::Counters;
 use super::log::Log;
 use super::signals::Signals;
 use crate::log_line;
 use crate::routing::Router;
-use crate::routing::peers::Others;
-use crate::routing::report::{Code, Report};
-use crate::routing::warm_start::{Anew, Keeping};
-use asterramp_drain::Terms;
-use asterramp_operator_config::{Operator, Recovery, Site, State, Takes};
-use asterramp_placement::settings::Setup;
-use asterramp_snapshot::{Folder, Snapshot, Store, Writer};
+use crate::routing::peers::PeerSettings;
+use crate::routing::report::{ReasonCode, Report};
+use crate::routing::warm_start::{SnapshotSchedule, WarmStartPlan};
+use asterramp_drain::DrainSettings;
+use asterramp_operator_config::{
+    OperatorConfig, SnapshotConfig, TakesEffect, WarmStartConfig, ZoneFailoverConfig,
+};
+use asterramp_placement::settings::Settings;
+use asterramp_snapshot::{Snapshot, SnapshotDirectory, SnapshotStore, SnapshotWriter};
 
 /// Serves until told to leave.
 pub fn run(config: Option<&str>, operator: Option<&str>) -> Result<(), String> {
     let clock = Clock::start();
     let (signals, wakes) = Signals::heed()?;
-    let (source, mut start) = Source::open(config)?;
+    let (source, mut start) = ConfigFile::open(config)?;
     let mut wishes = operator.map(read).transpose()?.unwrap_or_default();
     let owner = start.listen.to_string();
     let (saved, mut troubles) =
         (wishes.state.as_ref()).map_or_else(Default::default, |state| load(state, &owner));
     let term = saved.as_ref().map_or(0, |saved| saved.term);
-    start.anew = wishes.recovery.stages.then(|| Anew {
-        terms: stages(&wishes, &start.setup),
+    start.warm_start = wishes.recovery.stages.then(|| WarmStartPlan {
+        terms: stages(&wishes, &start.settings),
         others: others(&wishes),
         saved,
     });
     let mut router = Router::new(start, clock.now()).map_err(|e| e.to_string())?;
-    router.wake_by(wakes).map_err(|e| format!("signals: {e}"))?;
+    router
+        .add_wake_source(wakes)
+        .map_err(|e| format!("signals: {e}"))?;
     if let Some(state) = &wishes.state {
-        match Folder::open(&state.folder).and_then(|folder| Writer::start(folder, owner.clone())) {
-            Ok(writer) => router.keep_state(Keeping::new(writer, state.every, owner, term)),
+        match SnapshotDirectory::open(&state.folder)
+            .and_then(|folder| SnapshotWriter::start(folder, owner.clone()))
+        {
+            Ok(writer) => {
+                router.enable_snapshots(SnapshotSchedule::new(writer, state.every, owner, term))
+            }
             Err(e) => troubles.push(format!("folder={} why=\"{e}\"", state.folder.display())),
         }
     }
-    router.reports.extend(
+    router.log_events.extend(
         troubles
             .into_iter()
-            .map(|why| Report::Line(Code::StateBad, why)),
+            .map(|why| Report::Line(ReasonCode::StateBad, why)),
     );
-    router.gate_by(wishes.site.pace, wishes.site.by_worth);
-    router.fence_from(term);
-    router.drain_by(terms(&wishes));
-    router.sites_by(wishes.site.watch.then(|| sites(&wishes)));
+    router.configure_admission(wishes.site.pace, wishes.site.by_worth);
+    router.restore_highest_term(term);
+    router.set_drain_settings(terms(&wishes));
+    router.configure_zone_failover(wishes.site.watch.then(|| sites(&wishes)));
     if let Some(control) = &wishes.control {
-        let opened = router.open_control(&control.socket, control.peers, wishes.drain.deadline);
+        let opened =
+            router.open_admin_socket(&control.socket, control.peers, wishes.drain.deadline);
         opened.map_err(|e| format!("control.socket: {}: {e}", control.socket.display()))?;
     }
     let (mut log, mut counters) = (Log::default(), Counters::default());
@@ -57,29 +66,29 @@
             .wait(clock.now())
             .map_err(|e| format!("waiting: {e}"))?;
         let now = clock.now();
-        router.run(now);
+        router.process(now);
         if signals.reloads() {
             match source.again() {
                 Ok((start, kept)) => {
                     for key in kept {
                         router
-                            .reports
-                            .push(Report::Line(Code::ReloadKept, format!("key={key}")));
+                            .log_events
+                            .push(Report::Line(ReasonCode::ReloadKept, format!("key={key}")));
                     }
                     router.reload(now, start.discovery);
                 }
                 Err(why) => router
-                    .reports
-                    .push(Report::Line(Code::ReloadBad, format!("why={why:?}"))),
+                    .log_events
+                    .push(Report::Line(ReasonCode::ReloadBad, format!("why={why:?}"))),
             }
             if let Some(path) = operator {
                 wishes = again(&mut router, path, wishes);
             }
         }
         if signals.leaves() {
-            router.leave(now);
+            router.begin_shutdown(now);
         }
-        for report in router.reports.drain(..) {
+        for report in router.log_events.drain(..) {
             counters.take(&report);
             if let Report::Line(code, about) = report {
                 log_line!(log, now, "{} {about}", code.name());
@@ -91,10 +100,10 @@
         }
     }
     router.close_all();
-    router.close_control();
-    router.shut_kin();
-    router.close_state();
-    for report in router.reports.drain(..) {
+    router.close_admin_socket();
+    router.close_hot_restart();
+    router.close_snapshots();
+    for report in router.log_events.drain(..) {
         counters.take(&report);
         if let Report::Line(code, about) = report {
             log_line!(log, clock.now(), "{} {about}", code.name());
@@ -106,18 +115,18 @@
 }
 
 /// The operator's file, or all that is wrong with it in one line.
-fn read(path: &str) -> Result<Operator, String> {
+fn read(path: &str) -> Result<OperatorConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-    let told = |problems: Vec<asterramp_operator_config::Problem>| {
+    let told = |problems: Vec<asterramp_operator_config::ConfigProblem>| {
         let all: Vec<String> = problems.iter().map(ToString::to_string).collect();
         format!("{path}: {}", all.join("; "))
     };
-    Operator::read(&text).map_err(told)
+    OperatorConfig::read(&text).map_err(told)
 }
 
-fn terms(wishes: &Operator) -> Terms {
+fn terms(wishes: &OperatorConfig) -> DrainSettings {
     let drain = &wishes.drain;
-    Terms {
+    DrainSettings {
         closing: drain.closing,
         quiet: drain.quiet,
         pace: drain.pace,
@@ -126,13 +135,13 @@
 }
 
 /// The newest snapshot of this proxy's, and a line for all that was wrong on the way to it.
-fn load(state: &State, owner: &str) -> (Option<Snapshot>, Vec<String>) {
-    let found = match Folder::open(&state.folder) {
-        Ok(folder) => Store::new(folder).load(Some(owner)),
+fn load(state: &SnapshotConfig, owner: &str) -> (Option<Snapshot>, Vec<String>) {
+    let found = match SnapshotDirectory::open(&state.folder) {
+        Ok(folder) => SnapshotStore::new(folder).load(Some(owner)),
         // The same is said when it is opened for writing.
         Err(_) => return (None, Vec::new()),
     };
-    let told = |trouble: asterramp_snapshot::Trouble| {
+    let told = |trouble: asterramp_snapshot::FileProblem| {
         format!(
             "file={}/{} why={:?}",
             state.folder.display(),
@@ -146,17 +155,17 @@
     )
 }
 
-fn others(wishes: &Operator) -> Others {
-    let Recovery { fleet, others, .. } = &wishes.recovery;
-    Others {
+fn others(wishes: &OperatorConfig) -> PeerSettings {
+    let WarmStartConfig { fleet, others, .. } = &wishes.recovery;
+    PeerSettings {
         fleet: fleet.clone(),
         doors: others.clone(),
     }
 }
 
-fn stages(wishes: &Operator, setup: &Setup) -> asterramp_warm_start::Terms {
-    let (wish, warm) = (&wishes.recovery, setup.deployment.cold.warm_after);
-    asterramp_warm_start::Terms {
+fn stages(wishes: &OperatorConfig, setup: &Settings) -> asterramp_warm_start::WarmStartSettings {
+    let (wish, warm) = (&wishes.recovery, setup.deployment.slow_start.warm_after);
+    asterramp_warm_start::WarmStartSettings {
         look: wish.look,
         probe: wish.probe,
         warm,
@@ -164,15 +173,15 @@
     }
 }
 
-fn sites(wishes: &Operator) -> asterramp_zone_failover::Terms {
-    let Site {
+fn sites(wishes: &OperatorConfig) -> asterramp_zone_failover::ZoneFailoverSettings {
+    let ZoneFailoverConfig {
         look,
         hold,
         hold_most,
         settle,
         ..
     } = wishes.site;
-    asterramp_zone_failover::Terms {
+    asterramp_zone_failover::ZoneFailoverSettings {
         look,
         hold,
         hold_most,
@@ -182,42 +191,42 @@
 }
 
 /// Reads the operator's file again. What takes a restart keeps its value; a bad file changes nothing.
-fn again(router: &mut Router, path: &str, before: Operator) -> Operator {
+fn again(router: &mut Router, path: &str, before: OperatorConfig) -> OperatorConfig {
     let after = match read(path) {
         Ok(after) => after,
         Err(why) => {
             router
-                .reports
-                .push(Report::Line(Code::ReloadBad, format!("why={why:?}")));
+                .log_events
+                .push(Report::Line(ReasonCode::ReloadBad, format!("why={why:?}")));
             return before;
         }
     };
     for (key, takes) in before.changes(&after) {
-        let code = if takes == Takes::AtOnce {
-            Code::Reloaded
+        let code = if takes == TakesEffect::AtOnce {
+            ReasonCode::Reloaded
         } else {
-            Code::ReloadKept
+            ReasonCode::ReloadKept
         };
         router
-            .reports
+            .log_events
             .push(Report::Line(code, format!("key={key}")));
     }
-    router.drain_by(terms(&after));
-    router.control_deadline(after.drain.deadline);
-    let site = Site {
+    router.set_drain_settings(terms(&after));
+    router.set_default_drain_deadline(after.drain.deadline);
+    let site = ZoneFailoverConfig {
         watch: before.site.watch,
         by_worth: before.site.by_worth,
         ..after.site
     };
     let (control, state, recovery) = (before.control, before.state, before.recovery);
-    let after = Operator {
+    let after = OperatorConfig {
         control,
         state,
         recovery,
         site,
         ..after
     };
-    router.gate_by(after.site.pace, after.site.by_worth);
-    router.sites_by(after.site.watch.then(|| sites(&after)));
+    router.configure_admission(after.site.pace, after.site.by_worth);
+    router.configure_zone_failover(after.site.watch.then(|| sites(&after)));
     after
 }
--- a/crates/proxy/src/program/state.rs
+++ b/crates/proxy/src/program/state.rs
@@ -1,6 +1,6 @@
 //! `asterramp state`: what is kept on disk, for whoever looks after it.
 
-use asterramp_snapshot::{Folder, Found, Store};
+use asterramp_snapshot::{LoadedSnapshot, SnapshotDirectory, SnapshotStore};
 use clap::Subcommand;
 use std::path::{Path, PathBuf};
 
@@ -27,16 +27,16 @@
     }
 }
 
-fn at(folder: &Path) -> Result<Folder, String> {
+fn at(folder: &Path) -> Result<SnapshotDirectory, String> {
     if !folder.is_dir() {
         return Err(format!("{}: no folder", folder.display()));
     }
-    Folder::open(folder).map_err(|e| format!("{}: {e}", folder.display()))
+    SnapshotDirectory::open(folder).map_err(|e| format!("{}: {e}", folder.display()))
 }
 
 /// The newest whole snapshot; what is wrong with files goes to standard error.
-fn found(folder: &Path) -> Result<Found, String> {
-    let found = Store::new(at(folder)?).load(None);
+fn found(folder: &Path) -> Result<LoadedSnapshot, String> {
+    let found = SnapshotStore::new(at(folder)?).load(None);
     found
         .troubles
         .iter()
@@ -100,7 +100,7 @@
     let (folder, name) = (at(folder)?, folder.display());
     let lock = folder.lock().map_err(|e| format!("{name}: {e}"))?;
     let held = lock.ok_or_else(|| format!("{name}: a proxy holds it; stop that first"))?;
-    Store::new(folder)
+    SnapshotStore::new(folder)
         .clear()
         .map_err(|e| format!("{name}: {e}"))?;
     drop(held);
--- a/crates/proxy/src/protocol/discovery.rs
+++ b/crates/proxy/src/protocol/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery's lists of servers.
 
 use super::json::{self, Value};
-use asterramp_placement::event::Standing;
+use asterramp_placement::event::EndpointState;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     pub endpoint: SocketAddr,
     pub zone: String,
     pub cell: u16,
-    pub standing: Standing,
+    pub standing: EndpointState,
     pub weight: f64,
     /// Unix time.
     pub started: Option<Duration>,
@@ -66,9 +66,9 @@
 fn listed(target: &Value) -> Result<Listed, &'static str> {
     let text = |key: &'static str| target.get(key).and_then(Value::text).ok_or(key);
     let standing = match text("state")? {
-        "ready" => Standing::Ready,
-        "draining" => Standing::Draining,
-        "gone" => Standing::Gone,
+        "ready" => EndpointState::Ready,
+        "draining" => EndpointState::Draining,
+        "gone" => EndpointState::Gone,
         _ => return Err("state"),
     };
     let number = |key: &'static str| match target.get(key) {
@@ -87,7 +87,7 @@
             .to_string(),
         endpoint: match text("endpoint").ok().and_then(|text| text.parse().ok()) {
             Some(endpoint) => endpoint,
-            None if standing == Standing::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
+            None if standing == EndpointState::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
             None => return Err("endpoint"),
         },
         zone: target
--- a/crates/proxy/src/protocol/server.rs
+++ b/crates/proxy/src/protocol/server.rs
@@ -1,7 +1,7 @@
 //! What servers say.
 
 use asterramp_placement::event::Load;
-use asterramp_placement::settings::Reports;
+use asterramp_placement::settings::LoadReportFormat;
 
 /// A line of a server; those that may end with a load report carry it as text.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -39,7 +39,7 @@
 }
 
 /// What a load report says, by the names that the settings give its figures.
-pub fn load(reports: &Reports, report: &str) -> Load {
+pub fn load(reports: &LoadReportFormat, report: &str) -> Load {
     reports.load(|_, name| figure(report, name))
 }
 
--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -1,14 +1,14 @@
 //! Operators' calls: their door, what each does, and callers that say little or read nothing. The door's slots and
 //! descriptors are its own, so that a crowd of clients cannot keep operators out.
 
-use super::metrics::Standing;
+use super::metrics::GaugeValues;
 use super::peers;
-use super::{Code, Due, Role, Router};
+use super::{ConnectionRole, ReasonCode, Router, TimerKey};
 use crate::protocol::call::{self, Status};
 use crate::transport::poll::Want;
 use crate::transport::{Key, socket};
-use asterramp_admin_protocol::{CALLS, Request, Verb};
-use asterramp_drain::State;
+use asterramp_admin_protocol::{AdminCommand, AdminRequest, CALLS};
+use asterramp_drain::DrainState;
 use asterramp_placement::event;
 use std::io;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 const EMPTY_IN: Duration = Duration::from_millis(3_300);
 
 #[derive(Debug)]
-pub struct Calls {
+pub struct AdminHttp {
     door: Key,
     /// Those there are, the one idle longest first.
     callers: Vec<Key>,
@@ -32,34 +32,39 @@
 
 impl Router {
     /// Listens for operators. Only a start does; what the door holds is taken from what clients may have.
-    pub(super) fn open_calls(&mut self, at: SocketAddr) -> io::Result<()> {
-        let door = self.keep(
+    pub(super) fn open_admin_http(&mut self, at: SocketAddr) -> io::Result<()> {
+        let door = self.register(
             socket::listen(at, false)?,
-            Role::CallDoor,
+            ConnectionRole::AdminHttpListener,
             Want {
                 read: true,
                 write: false,
             },
         );
         let door = door.ok_or_else(|| io::Error::other("it cannot be watched"))?;
-        self.budget = self.budget.without(CALLERS + 1);
-        self.calls = Some(Calls {
+        self.resource_budget = self.resource_budget.without(CALLERS + 1);
+        self.admin_http = Some(AdminHttp {
             door,
             callers: Vec::new(),
         });
         Ok(())
     }
 
-    pub(super) fn accept_calls(&mut self) {
+    pub(super) fn accept_admin_http(&mut self) {
         for _ in 0..TURN {
-            let Some(calls) = &self.calls else { return };
-            let Some(conn) = self.conns.get(calls.door) else {
+            let Some(calls) = &self.admin_http else {
+                return;
+            };
+            let Some(conn) = self.connections.get(calls.door) else {
                 return;
             };
             let fd = match socket::accept(&conn.stream) {
                 Ok(Some(fd)) => fd,
                 Ok(None) => return,
-                Err(e) => return self.line(Code::AcceptFailed, format!("operators error={e}")),
+                Err(e) => {
+                    return self
+                        .log_event(ReasonCode::AcceptFailed, format!("operators error={e}"));
+                }
             };
             let oldest = calls
                 .callers
@@ -67,11 +72,11 @@
                 .copied()
                 .filter(|_| calls.callers.len() >= CALLERS);
             if let Some(oldest) = oldest {
-                self.line(Code::CallBad, "call why=\"crowded out\"");
+                self.log_event(ReasonCode::CallBad, "call why=\"crowded out\"");
                 self.drop_caller(oldest);
             }
-            let role = Role::Caller { answered: false };
-            if let Some(key) = self.keep(
+            let role = ConnectionRole::AdminHttp { answered: false };
+            if let Some(key) = self.register(
                 fd,
                 role,
                 Want {
@@ -79,11 +84,12 @@
                     write: false,
                 },
             ) {
-                self.calls
+                self.admin_http
                     .iter_mut()
                     .for_each(|calls| calls.callers.push(key));
-                self.deadlines.set(Due::Conn(key), self.now + PATIENCE);
-                self.woken(crate::transport::poll::Ready {
+                self.deadlines
+                    .set(TimerKey::Connection(key), self.now + PATIENCE);
+                self.connection_ready(crate::transport::poll::Ready {
                     key,
                     write: false,
                     broken: false,
@@ -92,9 +98,9 @@
         }
     }
 
-    pub(super) fn caller_woken(&mut self, key: Key, answered: bool) {
-        let tells = self.tells_others();
-        let Some(conn) = self.conns.get_mut(key) else {
+    pub(super) fn admin_http_ready(&mut self, key: Key, answered: bool) {
+        let tells = self.answers_peers();
+        let Some(conn) = self.connections.get_mut(key) else {
             return;
         };
         if answered {
@@ -116,7 +122,7 @@
         let (status, text) = match call::read(bytes) {
             Ok(None) if ended.is_none() => {
                 // Who said more is idle since now.
-                self.calls.iter_mut().for_each(|calls| {
+                self.admin_http.iter_mut().for_each(|calls| {
                     calls.callers.retain(|caller| *caller != key);
                     calls.callers.push(key);
                 });
@@ -126,7 +132,7 @@
             Ok(None) => (Status::Bad("the call is not whole"), None),
             Err(status) => (status, None),
             Ok(Some(call)) if call.path == peers::PATH && tells => match call.method {
-                "GET" => (Status::Good, Some(self.told_known())),
+                "GET" => (Status::Good, Some(self.known_endpoints_text())),
                 _ => (Status::WrongMethod("GET"), None),
             },
             Ok(Some(call)) => match CALLS.iter().find(|known| known.1 == call.path) {
@@ -134,7 +140,7 @@
                 Some(known) if known.0 != call.method => (Status::WrongMethod(known.0), None),
                 Some(known) => {
                     let verb = known.2;
-                    self.count(Code::Called);
+                    self.count_event(ReasonCode::Called);
                     self.called(verb)
                 }
             },
@@ -143,7 +149,7 @@
     }
 
     /// A call did not come in time, or its answer was not read.
-    pub(super) fn caller_due(&mut self, key: Key, answered: bool) {
+    pub(super) fn admin_http_deadline(&mut self, key: Key, answered: bool) {
         if answered {
             self.drop_caller(key);
         } else {
@@ -153,67 +159,71 @@
 
     fn answer_call(&mut self, key: Key, status: Status, text: Option<String>) {
         if !matches!(status, Status::Good | Status::Unavailable(_)) {
-            self.line(Code::CallBad, format!("call why={:?}", status.why()));
+            self.log_event(ReasonCode::CallBad, format!("call why={:?}", status.why()));
         }
-        let Some(conn) = self.conns.get_mut(key) else {
+        let Some(conn) = self.connections.get_mut(key) else {
             return;
         };
         conn.stream
             .send(&[call::answer(status, text.as_deref()).as_bytes()]);
-        self.turn(key, Role::Caller { answered: true });
-        self.deadlines.set(Due::Conn(key), self.now + PATIENCE);
-        self.caller_woken(key, true);
+        self.set_role(key, ConnectionRole::AdminHttp { answered: true });
+        self.deadlines
+            .set(TimerKey::Connection(key), self.now + PATIENCE);
+        self.admin_http_ready(key, true);
     }
 
     fn drop_caller(&mut self, key: Key) {
         self.close(key);
-        self.calls
+        self.admin_http
             .iter_mut()
             .for_each(|calls| calls.callers.retain(|caller| *caller != key));
     }
 
     /// Does what is called for. A start or stop said again is a yes, and changes nothing.
-    fn called(&mut self, verb: Verb) -> (Status, Option<String>) {
+    fn called(&mut self, verb: AdminCommand) -> (Status, Option<String>) {
         let deadline_ms = Some(EMPTY_IN.as_millis() as u64);
         let request = match (verb, self.drain.state()) {
-            (Verb::Drain, State::Serving) => Request {
+            (AdminCommand::Drain, DrainState::Serving) => AdminRequest {
                 deadline_ms,
-                ..Request::new(verb)
+                ..AdminRequest::new(verb)
             },
-            (Verb::Drain, _) | (Verb::Undrain, State::Serving) => return (Status::Good, None),
-            _ => Request::new(verb),
+            (AdminCommand::Drain, _) | (AdminCommand::Undrain, DrainState::Serving) => {
+                return (Status::Good, None);
+            }
+            _ => AdminRequest::new(verb),
         };
-        match self.obey(&request) {
+        match self.execute(&request) {
             Ok(reply) => (Status::Good, reply.text),
             Err(why) => (Status::Unavailable(why), None),
         }
     }
 
     /// Whether clients are taken in for as long as they like.
-    pub(super) fn takes(&self) -> bool {
-        self.serving && self.start_serves() && self.drain.state() == State::Serving
+    pub(super) fn accepts_sessions(&self) -> bool {
+        self.serving && self.warm_start_serves() && self.drain.state() == DrainState::Serving
     }
 
-    pub(super) fn told_figures(&self) -> String {
+    pub(super) fn metrics_text(&self) -> String {
         let listed = self
-            .roster
+            .endpoints
             .hosts()
-            .filter(|host| host.standing != event::Standing::Gone)
+            .filter(|host| host.standing != event::EndpointState::Gone)
             .count();
-        let standing = Standing {
-            inflight: self.tally.clients(),
+        let standing = GaugeValues {
+            inflight: self.connection_counts.clients(),
             listed,
-            down: self.exchange.choice.avoided(self.now),
+            down: self.session_table.engine.avoided(self.now),
         };
-        let mut text = self.figures.text(&self.setup.listeners, standing);
+        let mut text = self.metrics.text(&self.settings.listeners, standing);
         let places = self
-            .exchange
-            .places
+            .session_table
+            .zones
             .iter()
             .flat_map(|places| places.sites.places());
-        text += &super::metrics::places_text(self.setup.zones.iter().zip(places));
-        text += &super::metrics::room_text(self.setup.listeners.iter().zip(self.gate.counts()));
-        text += &super::metrics::start_text(self.starting(), self.kept());
+        text += &super::metrics::places_text(self.settings.zones.iter().zip(places));
+        text +=
+            &super::metrics::room_text(self.settings.listeners.iter().zip(self.admission.counts()));
+        text += &super::metrics::start_text(self.warm_start_state(), self.snapshot_counts());
         text
     }
 }
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -1,17 +1,18 @@
 //! The control socket: an operator's questions and orders, a line each, on the loop that serves. Whoever does not
 //! read holds back only its own answers.
 
-use super::{Code, Due, Role, Router};
+use super::{ConnectionRole, ReasonCode, Router, TimerKey};
 use crate::transport::poll::Want;
 use crate::transport::{Key, socket};
 use asterramp_admin_protocol::{
-    LONGEST, PlaceStatus, Reply, Request, RoomStatus, StartStatus, Status, Verb,
+    AdminCommand, AdminReply, AdminRequest, AdmissionStatus, LONGEST, ProxyStatus, WarmStartStatus,
+    ZoneStatus,
 };
-use asterramp_admission::Reason;
-use asterramp_drain::{Refusal, State};
-use asterramp_leader_lease::Order;
-use asterramp_placement::event::Standing;
-use asterramp_warm_start::Source;
+use asterramp_admission::RejectReason;
+use asterramp_drain::{DrainError, DrainState};
+use asterramp_leader_lease::FencedOrder;
+use asterramp_placement::event::EndpointState;
+use asterramp_warm_start::EndpointSource;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -22,7 +23,7 @@
 const TURN: usize = 8;
 
 #[derive(Debug)]
-pub struct Control {
+pub struct AdminSocket {
     path: PathBuf,
     door: Key,
     peers: usize,
@@ -33,19 +34,24 @@
 
 impl Router {
     /// Opens the socket. A file that a crashed proxy left is taken over; one that somebody listens at is not.
-    pub fn open_control(&mut self, path: &Path, most: usize, deadline: Duration) -> io::Result<()> {
+    pub fn open_admin_socket(
+        &mut self,
+        path: &Path,
+        most: usize,
+        deadline: Duration,
+    ) -> io::Result<()> {
         let door = socket::listen_unix(path, socket::SocketType::STREAM)?;
-        let door = self.keep(
+        let door = self.register(
             door,
-            Role::ControlDoor,
+            ConnectionRole::AdminSocketListener,
             Want {
                 read: true,
                 write: false,
             },
         );
         let door = door.ok_or_else(|| io::Error::other("it cannot be watched"))?;
-        self.budget = self.budget.without(most + 1);
-        self.control = Some(Control {
+        self.resource_budget = self.resource_budget.without(most + 1);
+        self.admin_socket = Some(AdminSocket {
             path: path.to_path_buf(),
             door,
             peers: 0,
@@ -55,31 +61,35 @@
         Ok(())
     }
 
-    pub fn control_deadline(&mut self, deadline: Duration) {
-        self.control
+    pub fn set_default_drain_deadline(&mut self, deadline: Duration) {
+        self.admin_socket
             .iter_mut()
             .for_each(|control| control.deadline = deadline);
     }
 
     /// Takes the socket's file away.
-    pub fn close_control(&mut self) {
-        if let Some(control) = self.control.take() {
+    pub fn close_admin_socket(&mut self) {
+        if let Some(control) = self.admin_socket.take() {
             self.close(control.door);
             let _ = std::fs::remove_file(control.path);
         }
     }
 
-    pub(super) fn accept_control(&mut self) {
+    pub(super) fn accept_admin_socket(&mut self) {
         for _ in 0..TURN {
-            let Some(control) = &self.control else { return };
+            let Some(control) = &self.admin_socket else {
+                return;
+            };
             let (door, full) = (control.door, control.peers >= control.most);
-            let Some(conn) = self.conns.get(door) else {
+            let Some(conn) = self.connections.get(door) else {
                 return;
             };
             let fd = match socket::accept_unix(&conn.stream) {
                 Ok(Some(fd)) => fd,
                 Ok(None) => return,
-                Err(e) => return self.line(Code::ControlBad, format!("accept error={e}")),
+                Err(e) => {
+                    return self.log_event(ReasonCode::ControlBad, format!("accept error={e}"));
+                }
             };
             // Dropped, it closes.
             if full || !socket::is_own_user(&fd) {
@@ -88,36 +98,37 @@
                 } else {
                     "another user"
                 };
-                self.line(Code::ControlBad, format!("peer why={why:?}"));
+                self.log_event(ReasonCode::ControlBad, format!("peer why={why:?}"));
                 continue;
             }
-            if let Some(key) = self.keep(
+            if let Some(key) = self.register(
                 fd,
-                Role::Control,
+                ConnectionRole::AdminSocket,
                 Want {
                     read: true,
                     write: false,
                 },
             ) {
-                self.control
+                self.admin_socket
                     .iter_mut()
                     .for_each(|control| control.peers += 1);
-                self.deadlines.set(Due::Conn(key), self.now + SILENT);
+                self.deadlines
+                    .set(TimerKey::Connection(key), self.now + SILENT);
             }
         }
     }
 
-    pub(super) fn control_woken(&mut self, key: Key) {
+    pub(super) fn admin_socket_ready(&mut self, key: Key) {
         loop {
-            let Some(conn) = self.conns.get_mut(key) else {
+            let Some(conn) = self.connections.get_mut(key) else {
                 return;
             };
             if conn.stream.ended.is_some() {
-                return self.drop_control(key);
+                return self.close_admin_connection(key);
             }
             // The next question is looked at once the last one's answer is written.
             if !conn.stream.sent() {
-                return self.want(
+                return self.set_interest(
                     key,
                     Want {
                         read: false,
@@ -132,122 +143,125 @@
                     return self.want_own(key);
                 }
                 conn.stream
-                    .send(&[Reply::error("a request is too long").line().as_bytes()]);
-                self.line(Code::ControlBad, "request why=\"too long\"");
-                return self.drop_control(key);
+                    .send(&[AdminReply::error("a request is too long").line().as_bytes()]);
+                self.log_event(ReasonCode::ControlBad, "request why=\"too long\"");
+                return self.close_admin_connection(key);
             };
-            let request = Request::read(&bytes[..end]);
+            let request = AdminRequest::read(&bytes[..end]);
             conn.stream.inbound.consume(end + 1);
-            self.deadlines.set(Due::Conn(key), self.now + SILENT);
+            self.deadlines
+                .set(TimerKey::Connection(key), self.now + SILENT);
             let reply = match request {
-                Ok(request) => self.obey(&request).unwrap_or_else(Reply::error),
+                Ok(request) => self.execute(&request).unwrap_or_else(AdminReply::error),
                 Err(why) => {
-                    self.line(Code::ControlBad, format!("request why={why:?}"));
-                    Reply::error(why)
+                    self.log_event(ReasonCode::ControlBad, format!("request why={why:?}"));
+                    AdminReply::error(why)
                 }
             };
-            let Some(conn) = self.conns.get_mut(key) else {
+            let Some(conn) = self.connections.get_mut(key) else {
                 return;
             };
             conn.stream.send(&[reply.line().as_bytes()]);
         }
     }
 
-    pub(super) fn drop_control(&mut self, key: Key) {
+    pub(super) fn close_admin_connection(&mut self, key: Key) {
         self.close(key);
-        self.control
+        self.admin_socket
             .iter_mut()
             .for_each(|control| control.peers = control.peers.saturating_sub(1));
     }
 
     /// Does what an operator wants, over whichever door; an error says why it can't.
-    pub(super) fn obey(&mut self, request: &Request) -> Result<Reply, &'static str> {
+    pub(super) fn execute(&mut self, request: &AdminRequest) -> Result<AdminReply, &'static str> {
         if let Some(owner) = request.owner {
             let until = Duration::from_micros(owner.until_us);
-            let order = Order {
+            let order = FencedOrder {
                 term: owner.term,
                 boot: owner.boot,
                 until,
             };
-            let before = self.fence.highest();
-            if let Err(refused) = self.fence.check(self.now, &order) {
-                let (verb, highest) = (request.verb, self.fence.highest());
+            let before = self.fencing_guard.highest();
+            if let Err(refused) = self.fencing_guard.check(self.now, &order) {
+                let (verb, highest) = (request.verb, self.fencing_guard.highest());
                 let about = format!(
                     "order={verb:?} term={} heard={highest} why={:?}",
                     owner.term,
                     refused.why()
                 );
-                self.line(Code::OrderRefused, about);
+                self.log_event(ReasonCode::OrderRefused, about);
                 return Err(refused.why());
             }
-            if self.fence.highest() > before {
-                self.line(Code::OwnerHeard, format!("term={}", owner.term));
-                self.heard_term(owner.term);
+            if self.fencing_guard.highest() > before {
+                self.log_event(ReasonCode::OwnerHeard, format!("term={}", owner.term));
+                self.record_term(owner.term);
             }
         }
         let deadline = self
-            .control
+            .admin_socket
             .as_ref()
             .map_or(Duration::ZERO, |control| control.deadline);
         let done = match request.verb {
-            Verb::Status | Verb::Hear => Ok(()),
-            Verb::Leave => {
-                self.leave(self.now);
+            AdminCommand::Status | AdminCommand::Hear => Ok(()),
+            AdminCommand::Leave => {
+                self.begin_shutdown(self.now);
                 Ok(())
             }
-            Verb::Drain => {
+            AdminCommand::Drain => {
                 let within = request.deadline_ms.map_or(deadline, Duration::from_millis);
                 self.drain(within, request.pace)
             }
-            Verb::Undrain => self.undrain(),
-            Verb::Ready if self.takes() => return Ok(Reply::text("yes\n".into())),
-            Verb::Ready => return Err("no clients are taken in"),
-            Verb::Stats => return Ok(Reply::text(self.told_figures())),
+            AdminCommand::Undrain => self.undrain(),
+            AdminCommand::Ready if self.accepts_sessions() => {
+                return Ok(AdminReply::text("yes\n".into()));
+            }
+            AdminCommand::Ready => return Err("no clients are taken in"),
+            AdminCommand::Stats => return Ok(AdminReply::text(self.metrics_text())),
         };
         match done {
-            Ok(()) => Ok(Reply::status(self.status())),
-            Err(Refusal::Exiting) => Err("the proxy leaves for good"),
-            Err(Refusal::NotDraining) => Err("the proxy is not draining"),
+            Ok(()) => Ok(AdminReply::status(self.status())),
+            Err(DrainError::Exiting) => Err("the proxy leaves for good"),
+            Err(DrainError::NotDraining) => Err("the proxy is not draining"),
         }
     }
 
     /// What is made of places. A reply has its bound, so of many only those that need a look are told.
-    fn places_told(&self) -> Vec<PlaceStatus> {
-        let Some(places) = &self.exchange.places else {
+    fn places_told(&self) -> Vec<ZoneStatus> {
+        let Some(places) = &self.session_table.zones else {
             return Vec::new();
         };
-        let mut told: Vec<PlaceStatus> = Vec::new();
-        for (name, place) in self.setup.zones.iter().zip(places.sites.places()) {
-            told.push(PlaceStatus {
+        let mut told: Vec<ZoneStatus> = Vec::new();
+        for (name, place) in self.settings.zones.iter().zip(places.sites.places()) {
+            told.push(ZoneStatus {
                 name: name.clone(),
                 state: place.state.name().into(),
                 // Whole since the start, it has turned to nothing.
                 since_ms: self
                     .now
-                    .saturating_sub(place.since.max(self.began))
+                    .saturating_sub(place.since.max(self.started_at))
                     .as_millis() as u64,
                 doubts: place.doubts,
                 false_alarms: place.false_alarms,
             });
         }
-        told.sort_by_key(|place| place.state == asterramp_zone_failover::State::Whole.name());
+        told.sort_by_key(|place| place.state == asterramp_zone_failover::ZoneState::Whole.name());
         told.truncate(16);
         told
     }
 
-    fn start_told(&self) -> Option<StartStatus> {
-        let start = self.starting()?;
-        let source = |source: (Source, &str)| {
+    fn start_told(&self) -> Option<WarmStartStatus> {
+        let start = self.warm_start_state()?;
+        let source = |source: (EndpointSource, &str)| {
             let (told, good) = start.hosts().by(source.0);
             (source.1.to_string(), told, good)
         };
         let sources = [
-            (Source::Saved, "saved"),
-            (Source::Configured, "configured"),
-            (Source::Heard, "heard"),
-            (Source::Told, "told"),
+            (EndpointSource::Saved, "saved"),
+            (EndpointSource::Configured, "configured"),
+            (EndpointSource::Heard, "heard"),
+            (EndpointSource::Told, "told"),
         ];
-        Some(StartStatus {
+        Some(WarmStartStatus {
             stage: start.stage().name().into(),
             since_ms: self.now.saturating_sub(start.since()).as_millis() as u64,
             sources: sources
@@ -256,22 +270,22 @@
                 .filter(|told| told.1 > 0)
                 .collect(),
             dropped: start.hosts().dropped,
-            saved: self.kept(),
+            saved: self.snapshot_counts(),
         })
     }
 
     /// Who was refused for want of room, and what is known of what sessions take; of many listeners the first.
-    fn refusals_told(&self) -> Vec<RoomStatus> {
-        let taken = self.gate.taken(self.now);
+    fn refusals_told(&self) -> Vec<AdmissionStatus> {
+        let taken = self.admission.taken(self.now);
         let all = self
-            .setup
+            .settings
             .listeners
             .iter()
-            .zip(self.gate.counts())
+            .zip(self.admission.counts())
             .zip(taken);
-        let told = all.map(|((name, counts), taken)| RoomStatus {
+        let told = all.map(|((name, counts), taken)| AdmissionStatus {
             listener: name.clone(),
-            refused: Reason::ALL
+            refused: RejectReason::ALL
                 .into_iter()
                 .zip(counts)
                 .filter(|(_, n)| **n > 0)
@@ -284,13 +298,13 @@
             .collect()
     }
 
-    fn status(&self) -> Status {
-        let view = self.view();
+    fn status(&self) -> ProxyStatus {
+        let view = self.drain_view();
         let ms = |span: Duration| span.as_millis() as u64;
         let mut left: Vec<(String, usize)> = Vec::new();
-        if self.drain.state() != State::Serving {
-            for (_, held) in self.exchange.sessions.iter() {
-                let name = &self.setup.listeners[usize::from(held.life.arrival.listener)];
+        if self.drain.state() != DrainState::Serving {
+            for (_, held) in self.session_table.sessions.iter() {
+                let name = &self.settings.listeners[usize::from(held.machine.arrival.listener)];
                 match left.iter_mut().find(|l| l.0 == *name) {
                     Some(listener) => listener.1 += 1,
                     None => left.push((name.clone(), 1)),
@@ -299,38 +313,41 @@
         }
         // A reply has its bound; what is left out is in the sum.
         left.truncate(32);
-        Status {
+        ProxyStatus {
             pid: std::process::id(),
             state: self.drain.state().name().into(),
-            up_ms: ms(self.now.saturating_sub(self.began)),
+            up_ms: ms(self.now.saturating_sub(self.started_at)),
             open: view.open,
             pending: view.pending,
-            strangers: self.tally.strangers(),
+            strangers: self.connection_counts.strangers(),
             moved: self.drain.moved(),
             pace: self.drain.pace(&view),
             room: view.room,
             expected_ms: self.drain.expected(self.now, &view).map(ms),
             deadline_ms: self.drain.left(self.now).map(ms),
             carries: self.drain.carries(self.now),
-            taken: self.taken,
+            taken: self.sessions_accepted,
             left,
             hosts_ready: self
-                .roster
+                .endpoints
                 .hosts()
-                .filter(|host| host.standing == Standing::Ready)
+                .filter(|host| host.standing == EndpointState::Ready)
                 .count(),
             hosts: self
-                .roster
+                .endpoints
                 .hosts()
-                .filter(|host| host.standing != Standing::Gone)
+                .filter(|host| host.standing != EndpointState::Gone)
                 .count(),
-            discovery_ms: self.watch.heard().map(|at| ms(self.now.saturating_sub(at))),
+            discovery_ms: self
+                .discovery_watch
+                .last_heard()
+                .map(|at| ms(self.now.saturating_sub(at))),
             places: self.places_told(),
             start: self.start_told(),
             refusals: self.refusals_told(),
-            boot: self.fence.ticket(self.now).boot,
+            boot: self.fencing_guard.ticket(self.now).boot,
             clock_us: self.now.as_micros() as u64,
-            term: self.fence.highest(),
+            term: self.fencing_guard.highest(),
         }
     }
 }
--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -1,14 +1,16 @@
 //! Clients until they are up: the door, first lines, answers.
 
 use super::metrics;
-use super::{Code, Conn, Due, Input, Role, Router, Session, Stage};
+use super::{
+    Connection, ConnectionRole, ReasonCode, Router, Session, SessionInput, SessionState, TimerKey,
+};
 use crate::protocol::client::{self, FAILED, Greeting, Open, PONG, greeting, refusal};
 use crate::protocol::line::{self, Fault};
 use crate::transport::poll::{Ready, Want};
 use crate::transport::{Buffer, End, Key, socket};
-use asterramp_admission::{Refusal, Who};
-use asterramp_placement::event::Arrival;
-use asterramp_placement::settings::Setup;
+use asterramp_admission::{AdmissionRequest, Rejection};
+use asterramp_placement::event::SessionRequest;
+use asterramp_placement::settings::Settings;
 use rustix::fd::OwnedFd;
 use std::time::Duration;
 
@@ -35,7 +37,7 @@
 
 /// What may be held at once, by the limits on descriptors and memory.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
+pub struct ResourceBudget {
     /// Descriptors for clients and their servers.
     held: usize,
     /// Strangers that may come on top of those.
@@ -43,21 +45,21 @@
     pub probes: usize,
 }
 
-impl Budget {
+impl ResourceBudget {
     /// An operator's peers take theirs from what clients would have.
-    pub fn without(self, peers: usize) -> Budget {
-        Budget {
+    pub fn without(self, peers: usize) -> ResourceBudget {
+        ResourceBudget {
             held: self.held.saturating_sub(peers),
             ..self
         }
     }
 
-    pub fn new(sockets: usize, memory: usize) -> Budget {
+    pub fn new(sockets: usize, memory: usize) -> ResourceBudget {
         let probes = (sockets / 8).clamp(1, 64);
         let edge = EDGE.min(sockets / 16);
         let by_sockets = sockets.saturating_sub(BASE + edge + probes);
         let by_memory = PAIR * ((memory / 4 * 3).saturating_sub(PROGRAM) / SESSION);
-        Budget {
+        ResourceBudget {
             held: by_sockets.min(by_memory),
             edge,
             probes,
@@ -67,7 +69,7 @@
 
 /// Connections by what they are for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct ConnectionCounts {
     clients: usize,
     /// Servers of sessions whose client is gone.
     pub lone: usize,
@@ -76,8 +78,8 @@
     pub probes: usize,
 }
 
-impl Tally {
-    pub fn change(&mut self, from: Option<Role>, to: Option<Role>) {
+impl ConnectionCounts {
+    pub fn change(&mut self, from: Option<ConnectionRole>, to: Option<ConnectionRole>) {
         if let Some(count) = from.and_then(|role| self.of(role)) {
             *count -= 1;
         }
@@ -86,19 +88,25 @@
         }
     }
 
-    fn of(&mut self, role: Role) -> Option<&mut usize> {
+    fn of(&mut self, role: ConnectionRole) -> Option<&mut usize> {
         match role {
-            Role::Client(_) => Some(&mut self.clients),
-            Role::Greeting | Role::Lingering { .. } => Some(&mut self.strangers),
-            Role::Probe(..) => Some(&mut self.probes),
+            ConnectionRole::Client(_) => Some(&mut self.clients),
+            ConnectionRole::PendingClient | ConnectionRole::Lingering { .. } => {
+                Some(&mut self.strangers)
+            }
+            ConnectionRole::Probe(..) => Some(&mut self.probes),
             // A client's counts with it, before it is there.
-            Role::Server(_) | Role::Watch | Role::Peer | Role::KinDoor | Role::Kin => None,
-            Role::Door
-            | Role::Wakes
-            | Role::ControlDoor
-            | Role::Control
-            | Role::CallDoor
-            | Role::Caller { .. } => None,
+            ConnectionRole::Server(_)
+            | ConnectionRole::DiscoveryWatch
+            | ConnectionRole::Peer
+            | ConnectionRole::HotRestartListener
+            | ConnectionRole::HotRestart => None,
+            ConnectionRole::Listener
+            | ConnectionRole::SignalPipe
+            | ConnectionRole::AdminSocketListener
+            | ConnectionRole::AdminSocket
+            | ConnectionRole::AdminHttpListener
+            | ConnectionRole::AdminHttp { .. } => None,
         }
     }
 
@@ -121,12 +129,18 @@
     /// Whether one more client can be placed, strangers being sent away for it.
     fn fits(&mut self) -> bool {
         loop {
-            let (clients, strangers) = (self.tally.held(), self.tally.strangers);
+            let (clients, strangers) = (
+                self.connection_counts.held(),
+                self.connection_counts.strangers,
+            );
             debug_assert_eq!((clients, strangers), self.counted(), "the tally is off");
-            let held = self.budget.held.saturating_sub(self.foreign());
+            let held = self
+                .resource_budget
+                .held
+                .saturating_sub(self.descriptors_of_peer());
             // The client is among the strangers still.
             let all = clients + PAIR + strangers.saturating_sub(1);
-            if all <= held + self.budget.edge {
+            if all <= held + self.resource_budget.edge {
                 return clients + PAIR <= held;
             }
             if clients + PAIR > held || !self.make_room() {
@@ -137,18 +151,18 @@
 
     /// The tally's figures counted anew.
     fn counted(&self) -> (usize, usize) {
-        let sessions = &self.exchange.sessions;
+        let sessions = &self.session_table.sessions;
         let unplaced = |sess| {
             sessions
                 .get(sess)
-                .is_none_or(|held| held.own.server.is_none())
+                .is_none_or(|held| held.driver_data.server.is_none())
         };
         let (mut clients, mut strangers) = (0, 0);
-        for (_, conn) in self.conns.iter() {
+        for (_, conn) in self.connections.iter() {
             match conn.role {
-                Role::Client(sess) => clients += 1 + usize::from(unplaced(sess)),
-                Role::Server(_) => clients += 1,
-                Role::Greeting | Role::Lingering { .. } => strangers += 1,
+                ConnectionRole::Client(sess) => clients += 1 + usize::from(unplaced(sess)),
+                ConnectionRole::Server(_) => clients += 1,
+                ConnectionRole::PendingClient | ConnectionRole::Lingering { .. } => strangers += 1,
                 _ => {}
             }
         }
@@ -158,47 +172,47 @@
     /// Closes the stranger that has been here longest, if any has had its time: crowds that say nothing, or
     /// stay when they were told their end, would keep out those that want to be served.
     fn make_room(&mut self) -> bool {
-        let old = |conn: &Conn| match conn.role {
-            Role::Greeting => true,
-            Role::Lingering { .. } => conn.stream.sent(),
+        let old = |conn: &Connection| match conn.role {
+            ConnectionRole::PendingClient => true,
+            ConnectionRole::Lingering { .. } => conn.stream.sent(),
             _ => false,
         };
         let due = self
-            .conns
+            .connections
             .iter()
-            .filter(|(_, conn)| old(conn) && conn.passed + YOUNG <= self.now);
-        let due = due.filter(|(key, _)| !self.is_lent(*key));
-        let Some((key, _)) = due.min_by_key(|(_, conn)| conn.passed) else {
+            .filter(|(_, conn)| old(conn) && conn.last_activity + YOUNG <= self.now);
+        let due = due.filter(|(key, _)| !self.is_on_offer(*key));
+        let Some((key, _)) = due.min_by_key(|(_, conn)| conn.last_activity) else {
             return false;
         };
         if let Some(conn) = self
-            .conns
+            .connections
             .get_mut(key)
-            .filter(|conn| conn.role == Role::Greeting)
+            .filter(|conn| conn.role == ConnectionRole::PendingClient)
         {
             conn.stream.send(&[FAILED]);
-            self.line(Code::CrowdedOut, "client");
+            self.log_event(ReasonCode::CrowdedOut, "client");
         }
         self.close(key);
         true
     }
 
     /// Begins to serve, by what is known of the servers then.
-    pub(super) fn serve(&mut self, by: &str) {
+    pub(super) fn start_serving(&mut self, by: &str) {
         self.serving = true;
-        self.line(Code::Serving, format!("by {by}"));
-        self.open_door();
-        self.serves_kin();
+        self.log_event(ReasonCode::Serving, format!("by {by}"));
+        self.open_listener();
+        self.announce_serving();
     }
 
-    pub(super) fn open_door(&mut self) {
-        self.deadlines.clear(Due::Door);
+    pub(super) fn open_listener(&mut self) {
+        self.deadlines.clear(TimerKey::Listener);
         // The door has one queue, and who follows this process takes from it.
-        if self.is_followed() {
+        if self.has_successor() {
             return;
         }
-        self.door.into_iter().for_each(|door| {
-            self.want(
+        self.listener.into_iter().for_each(|door| {
+            self.set_interest(
                 door,
                 Want {
                     read: true,
@@ -210,16 +224,23 @@
 
     pub(super) fn accept(&mut self) {
         for _ in 0..TURN {
-            let Some(door) = self.door.filter(|_| !self.is_followed()) else {
+            let Some(door) = self.listener.filter(|_| !self.has_successor()) else {
                 return;
             };
             // Strangers may take half of what clients leave, so that who says what it wants finds room.
-            let (clients, strangers) = (self.tally.held(), self.tally.strangers);
+            let (clients, strangers) = (
+                self.connection_counts.held(),
+                self.connection_counts.strangers,
+            );
             debug_assert_eq!((clients, strangers), self.counted(), "the tally is off");
-            let most = (self.budget.held.saturating_sub(self.foreign() + clients) / 2)
-                .max(self.budget.edge);
+            let most = (self
+                .resource_budget
+                .held
+                .saturating_sub(self.descriptors_of_peer() + clients)
+                / 2)
+            .max(self.resource_budget.edge);
             let shut = strangers >= most && !self.make_room();
-            let Some(conn) = self.conns.get(door) else {
+            let Some(conn) = self.connections.get(door) else {
                 return;
             };
             let taken = if shut {
@@ -233,11 +254,11 @@
                 // Asking again at once would spin on what cannot be taken.
                 failed => {
                     if let Err(e) = failed {
-                        self.line(Code::AcceptFailed, format!("door error={e}"));
+                        self.log_event(ReasonCode::AcceptFailed, format!("door error={e}"));
                     }
                     let pause = if failed.is_err() { FAILING } else { SHUT };
-                    self.want(door, Want::default());
-                    self.deadlines.set(Due::Door, self.now + pause);
+                    self.set_interest(door, Want::default());
+                    self.deadlines.set(TimerKey::Listener, self.now + pause);
                     return;
                 }
             }
@@ -248,9 +269,9 @@
     pub(super) fn accept_all(&mut self) {
         for _ in 0..socket::BACKLOG {
             let Some(conn) = self
-                .door
-                .filter(|_| !self.is_followed())
-                .and_then(|door| self.conns.get(door))
+                .listener
+                .filter(|_| !self.has_successor())
+                .and_then(|door| self.connections.get(door))
             else {
                 return;
             };
@@ -262,33 +283,34 @@
     }
 
     fn let_in_stranger(&mut self, fd: OwnedFd) {
-        if let Some(key) = self.keep(
+        if let Some(key) = self.register(
             fd,
-            Role::Greeting,
+            ConnectionRole::PendingClient,
             Want {
                 read: true,
                 write: false,
             },
         ) {
-            self.deadlines.set(Due::Conn(key), self.now + GREETING);
+            self.deadlines
+                .set(TimerKey::Connection(key), self.now + GREETING);
             // What it wants is often there already.
-            self.woken(Ready {
+            self.connection_ready(Ready {
                 key,
                 write: false,
                 broken: false,
             });
-            self.settle();
+            self.run_tasks();
         }
     }
 
-    pub(super) fn greeted(&mut self, key: Key) {
-        let serves = self.start_serves();
-        let Some(conn) = self.conns.get_mut(key) else {
+    pub(super) fn read_greeting(&mut self, key: Key) {
+        let serves = self.warm_start_serves();
+        let Some(conn) = self.connections.get_mut(key) else {
             return;
         };
         // One that asks and takes no answers would pile them up here.
         if !conn.stream.sent() && conn.stream.ended.is_none() {
-            return self.want(
+            return self.set_interest(
                 key,
                 Want {
                     read: false,
@@ -305,31 +327,31 @@
             Ok(None) if ended.is_none() => self.want_own(key),
             Ok(None) if nothing || ended == Some(End::Reset) => {
                 self.close(key);
-                self.line(Code::FrontLeft, "client said nothing more");
+                self.log_event(ReasonCode::FrontLeft, "client said nothing more");
             }
             Ok(None) => self.bad_greeting(key, Fault::Malformed("end of line")),
             Err(fault) => self.bad_greeting(key, fault),
             Ok(Some((Greeting::Ping, n))) => {
                 conn.stream.inbound.consume(n);
                 if !self.drain.answers_pings() || !serves {
-                    return self.dismiss(key, &[FAILED]);
+                    return self.close_gracefully(key, &[FAILED]);
                 }
                 conn.stream.send(&[PONG]);
-                self.count(Code::Pinged);
-                self.greeted(key);
+                self.count_event(ReasonCode::Pinged);
+                self.read_greeting(key);
             }
             // A client waits for its answer before it says more, so this is none.
             Ok(Some((Greeting::Open(_), n))) if n < bytes.len() => {
                 self.bad_greeting(key, Fault::Malformed("more than one line"));
             }
             // The servers would turn it away one after the other, and look unsound by that.
-            Ok(Some((Greeting::Open(open), _))) if self.ids.contains(open.id) => {
+            Ok(Some((Greeting::Open(open), _))) if self.session_ids.contains(open.id) => {
                 self.bad_greeting(key, Fault::Malformed("id: open already"));
             }
-            Ok(Some((Greeting::Open(open), n))) => match places(&self.setup, &open) {
+            Ok(Some((Greeting::Open(open), n))) => match places(&self.settings, &open) {
                 None => self.bad_greeting(key, Fault::Malformed("name")),
                 Some((listener, member)) => {
-                    let arrival = arrival(&open, self.now, listener, member);
+                    let arrival = session_request(&open, self.now, listener, member);
                     let failed = open.failed;
                     let own = Session {
                         client: Some(key),
@@ -349,55 +371,63 @@
 
     fn bad_greeting(&mut self, key: Key, fault: Fault) {
         let said = self
-            .conns
+            .connections
             .get(key)
             .map(|conn| conn.stream.inbound.bytes())
             .unwrap_or_default();
         let said = said[..said.len().min(160)].escape_ascii().to_string();
-        self.line(
-            Code::ClientBad,
+        self.log_event(
+            ReasonCode::ClientBad,
             format!("client fault=\"{fault}\" line=\"{said}\""),
         );
-        self.dismiss(key, &[FAILED]);
+        self.close_gracefully(key, &[FAILED]);
     }
 
-    fn admit(&mut self, key: Key, arrival: Arrival, failed: bool, own: Session, line: usize) {
+    fn admit(
+        &mut self,
+        key: Key,
+        arrival: SessionRequest,
+        failed: bool,
+        own: Session,
+        line: usize,
+    ) {
         if !self.fits() {
-            self.line(Code::Edge, format!("sess={}", own.id()));
-            self.figures.ended(arrival.listener, metrics::End::Busy);
-            let come_back = self.setup.deployment.come_back.min(COME_BACK);
-            return self.dismiss(key, &[refusal(come_back).as_bytes()]);
+            self.log_event(ReasonCode::Edge, format!("sess={}", own.id()));
+            self.metrics
+                .ended(arrival.listener, metrics::SessionEnd::Busy);
+            let come_back = self.settings.deployment.max_retry_after.min(COME_BACK);
+            return self.close_gracefully(key, &[refusal(come_back).as_bytes()]);
         }
         let restored = own.open_at.is_some();
         if !restored && let Err(refusal) = self.let_in(arrival, failed) {
             return self.turn_away(key, arrival, &own, refusal);
         }
-        self.conns
+        self.connections
             .get_mut(key)
             .into_iter()
             .for_each(|conn| conn.stream.inbound.consume(line));
-        self.deadlines.clear(Due::Conn(key));
+        self.deadlines.clear(TimerKey::Connection(key));
         if !restored {
-            self.count(Code::Taken);
+            self.count_event(ReasonCode::Taken);
         }
-        (self.last_came, self.taken) = (self.now, self.taken + 1);
-        self.ids.insert(own.id().to_string());
-        let sess = self.exchange.arrive(self.now, arrival, restored, own);
-        self.turn(key, Role::Client(sess));
-        self.client_woken(sess);
+        (self.last_arrival, self.sessions_accepted) = (self.now, self.sessions_accepted + 1);
+        self.session_ids.insert(own.id().to_string());
+        let sess = self.session_table.arrive(self.now, arrival, restored, own);
+        self.set_role(key, ConnectionRole::Client(sess));
+        self.client_ready(sess);
     }
 
     /// The order in which clients are refused while room is short; nobody is held for it.
-    fn let_in(&mut self, arrival: Arrival, failed: bool) -> Result<(), Refusal> {
-        let Arrival {
+    fn let_in(&mut self, arrival: SessionRequest, failed: bool) -> Result<(), Rejection> {
+        let SessionRequest {
             listener,
-            member,
-            again,
+            tenant: member,
+            reconnecting: again,
             ..
         } = arrival;
-        self.gate.ask(
+        self.admission.ask(
             self.now,
-            Who {
+            AdmissionRequest {
                 listener,
                 member,
                 again,
@@ -406,66 +436,67 @@
         )
     }
 
-    fn turn_away(&mut self, key: Key, arrival: Arrival, own: &Session, refusal: Refusal) {
-        let listener = &self.setup.listeners[usize::from(arrival.listener)];
+    fn turn_away(&mut self, key: Key, arrival: SessionRequest, own: &Session, refusal: Rejection) {
+        let listener = &self.settings.listeners[usize::from(arrival.listener)];
         let about = format!(
             "sess={} listener={listener} why={}",
             own.id(),
             refusal.reason.name()
         );
-        self.line(Code::Short, about);
-        self.figures.ended(arrival.listener, metrics::End::Busy);
-        self.dismiss(key, &[client::refusal(refusal.come_back).as_bytes()]);
+        self.log_event(ReasonCode::Short, about);
+        self.metrics
+            .ended(arrival.listener, metrics::SessionEnd::Busy);
+        self.close_gracefully(key, &[client::refusal(refusal.come_back).as_bytes()]);
     }
 
-    pub(super) fn client_woken(&mut self, sess: Key) {
-        let Some(held) = self.exchange.sessions.get(sess) else {
+    pub(super) fn client_ready(&mut self, sess: Key) {
+        let Some(held) = self.session_table.sessions.get(sess) else {
             return;
         };
-        if held.life.stage == Stage::Open {
-            return self.relay(sess);
+        if held.machine.stage == SessionState::Open {
+            return self.forward(sess);
         }
         let Some((key, conn)) = held
-            .own
+            .driver_data
             .client
-            .and_then(|key| Some((key, self.conns.get(key)?)))
+            .and_then(|key| Some((key, self.connections.get(key)?)))
         else {
             return;
         };
         if !conn.stream.inbound.is_empty() {
-            self.input(sess, Input::Spoke);
+            self.input(sess, SessionInput::Spoke);
         } else if conn.stream.ended.is_some() {
-            self.input(sess, Input::Left);
+            self.input(sess, SessionInput::Left);
         } else {
             self.want_own(key);
         }
     }
 
     /// The final answer to a session that is not up.
-    pub(super) fn answer(&mut self, sess: Key, text: &[u8], code: Code) {
+    pub(super) fn answer_client(&mut self, sess: Key, text: &[u8], code: ReasonCode) {
         let client = self.take_client(sess);
         if let Some(client) = client {
             self.ended(
                 sess,
-                if code == Code::Refused {
-                    metrics::End::Busy
+                if code == ReasonCode::Refused {
+                    metrics::SessionEnd::Busy
                 } else {
-                    metrics::End::Failure
+                    metrics::SessionEnd::Failure
                 },
             );
-            self.log_end(sess, code);
-            self.dismiss(client, &[text]);
+            self.log_session_end(sess, code);
+            self.close_gracefully(client, &[text]);
         }
     }
 
-    pub(super) fn log_end(&mut self, sess: Key, code: Code) {
-        let Some(held) = self.exchange.sessions.get(sess) else {
+    pub(super) fn log_session_end(&mut self, sess: Key, code: ReasonCode) {
+        let Some(held) = self.session_table.sessions.get(sess) else {
             return;
         };
-        let (id, life) = (held.own.id(), &held.life);
-        let listener = &self.setup.listeners[usize::from(life.arrival.listener)];
+        let (id, life) = (held.driver_data.id(), &held.machine);
+        let listener = &self.settings.listeners[usize::from(life.arrival.listener)];
         let server = if life.dials > 0 {
-            self.roster.name(life.to)
+            self.endpoints.name(life.to)
         } else {
             "-"
         };
@@ -474,7 +505,7 @@
             "sess={id} listener={listener} server={server} dials={} ms={ms}",
             life.dials
         );
-        self.line(code, about);
+        self.log_event(code, about);
     }
 }
 
@@ -487,25 +518,30 @@
     }
 }
 
-pub(super) fn arrival(open: &Open, now: Duration, listener: u8, member: u16) -> Arrival {
-    Arrival {
-        sess: 0,
+pub(super) fn session_request(
+    open: &Open,
+    now: Duration,
+    listener: u8,
+    member: u16,
+) -> SessionRequest {
+    SessionRequest {
+        session: 0,
         listener,
-        member,
+        tenant: member,
         group: open.group,
-        item: open.item,
-        again: open.again,
+        hash_key: open.item,
+        reconnecting: open.again,
         dial_timeout: now + open.wait,
     }
 }
 
 /// The places of its listener and its member in the settings.
-pub(super) fn places(setup: &Setup, open: &Open) -> Option<(u8, u16)> {
+pub(super) fn places(setup: &Settings, open: &Open) -> Option<(u8, u16)> {
     let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
     let listener = place(&setup.listeners, open.listener);
     let member = open
         .member
-        .map_or(Some(0), |name| place(&setup.members, name));
+        .map_or(Some(0), |name| place(&setup.tenants, name));
     listener
         .zip(member)
         .map(|(listener, member)| (listener as u8, member as u16))
--- a/crates/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -1,6 +1,6 @@
 //! Dials: from the connection's start to what its server says first.
 
-use super::{Code, Due, Input, Role, Router, Stage};
+use super::{ConnectionRole, ReasonCode, Router, SessionInput, SessionState, TimerKey};
 use crate::protocol::line;
 use crate::protocol::server::{Said, load, said};
 use crate::transport::poll::{Ready, Want};
@@ -18,92 +18,94 @@
             return;
         };
         let connected = self
-            .roster
+            .endpoints
             .address(server)
             .ok_or(Errno::ADDRNOTAVAIL)
             .and_then(socket::connect);
         let kept = match connected {
-            Ok(fd) => self.keep(
+            Ok(fd) => self.register(
                 fd,
-                Role::Server(sess),
+                ConnectionRole::Server(sess),
                 Want {
                     read: false,
                     write: true,
                 },
             ),
             Err(Errno::CONNREFUSED | Errno::NETUNREACH | Errno::HOSTUNREACH) => {
-                return self.input(sess, Input::Unreachable { dial });
+                return self.input(sess, SessionInput::Unreachable { dial });
             }
             Err(_) => None,
         };
         let Some(key) = kept else {
-            return self.input(sess, Input::NoSocket { dial });
+            return self.input(sess, SessionInput::NoSocket { dial });
         };
         let Some(own) = self.own(sess) else { return };
         own.server = Some(key);
         let alone = own.client.is_none();
-        self.tally.lone += usize::from(alone);
+        self.connection_counts.lone += usize::from(alone);
     }
 
     /// Looks at a session's client once more, right before something is sent for it: its end may have come behind
     /// other events of this turn, or with what was read before. For one that has gone nothing is begun.
     fn client_has_gone(&mut self, sess: Key) -> bool {
         let client = self
-            .exchange
+            .session_table
             .sessions
             .get(sess)
-            .and_then(|held| held.own.client);
-        let Some(conn) = client.and_then(|key| self.conns.get_mut(key)) else {
+            .and_then(|held| held.driver_data.client);
+        let Some(conn) = client.and_then(|key| self.connections.get_mut(key)) else {
             return false;
         };
         conn.stream.fill(false);
         let input = match (conn.stream.inbound.is_empty(), conn.stream.ended) {
-            (false, _) => Input::Spoke,
-            (true, Some(_)) => Input::Left,
+            (false, _) => SessionInput::Spoke,
+            (true, Some(_)) => SessionInput::Left,
             (true, None) => return false,
         };
-        self.exchange.found_gone(self.now, sess, input)
+        self.session_table.found_gone(self.now, sess, input)
     }
 
     /// Sends a session that was open before to the server that held it.
     pub(super) fn restore(&mut self, sess: Key) {
-        let Some(held) = self.exchange.sessions.get(sess) else {
+        let Some(held) = self.session_table.sessions.get(sess) else {
             return;
         };
         let (dial, time_out) = (
-            held.life.dial(),
-            held.life.restored_until().saturating_sub(self.now),
+            held.machine.dial(),
+            held.machine.restored_until().saturating_sub(self.now),
         );
         let server = held
-            .own
+            .driver_data
             .open_at
             .as_deref()
-            .and_then(|uid| self.roster.find(uid));
-        let input = server.map_or(Input::NoSocket { dial }, |server| Input::Dial {
-            server,
-            time_out,
-            within: time_out,
+            .and_then(|uid| self.endpoints.find(uid));
+        let input = server.map_or(SessionInput::NoSocket { dial }, |server| {
+            SessionInput::Dial {
+                server,
+                time_out,
+                within: time_out,
+            }
         });
         self.input(sess, input);
     }
 
-    pub(super) fn server_woken(&mut self, sess: Key, event: Ready) {
+    pub(super) fn server_ready(&mut self, sess: Key, event: Ready) {
         let Some((stage, dial)) = self.life(sess).map(|life| (life.stage, life.dial())) else {
             return;
         };
-        let Some(conn) = self.conns.get_mut(event.key) else {
+        let Some(conn) = self.connections.get_mut(event.key) else {
             return;
         };
         match stage {
-            Stage::Open => {
+            SessionState::Open => {
                 conn.stream.fill(event.broken);
-                self.relay(sess);
+                self.forward(sess);
             }
-            Stage::Connecting if !(event.write || event.broken) => {}
-            Stage::Connecting if !conn.stream.is_up() => {
-                self.input(sess, Input::Unreachable { dial })
+            SessionState::Connecting if !(event.write || event.broken) => {}
+            SessionState::Connecting if !conn.stream.is_up() => {
+                self.input(sess, SessionInput::Unreachable { dial })
             }
-            Stage::Connecting => self.input(sess, Input::Connected { dial }),
+            SessionState::Connecting => self.input(sess, SessionInput::Connected { dial }),
             _ => {
                 conn.stream.fill(event.broken);
                 self.answered(sess, event.key);
@@ -112,16 +114,16 @@
     }
 
     /// Writes the client's line, with the wait that this dial has, where the client's own stood.
-    pub(super) fn ask(&mut self, sess: Key, wait: Option<Duration>) {
+    pub(super) fn send_request_line(&mut self, sess: Key, wait: Option<Duration>) {
         if self.client_has_gone(sess) {
             return;
         }
-        let Some(held) = self.exchange.sessions.get_mut(sess) else {
+        let Some(held) = self.session_table.sessions.get_mut(sess) else {
             return;
         };
-        let own = &held.own;
+        let own = &held.driver_data;
         let Some(key) = own.server else { return };
-        let Some(conn) = self.conns.get_mut(key) else {
+        let Some(conn) = self.connections.get_mut(key) else {
             return;
         };
         match wait {
@@ -137,53 +139,53 @@
 
     /// Looks at what a server has said, once the line is written to its last byte.
     fn answered(&mut self, sess: Key, key: Key) {
-        let (Some(conn), Some(life)) = (self.conns.get(key), self.life(sess)) else {
+        let (Some(conn), Some(life)) = (self.connections.get(key), self.life(sess)) else {
             return;
         };
         let (ended, sent) = (conn.stream.ended.is_some(), conn.stream.sent());
-        let (dial, asked) = (life.dial(), life.stage == Stage::Asked);
+        let (dial, asked) = (life.dial(), life.stage == SessionState::Asked);
         if sent && asked {
-            self.figures.written();
-            self.input(sess, Input::Written { dial });
+            self.metrics.written();
+            self.input(sess, SessionInput::Written { dial });
         }
-        let Some(conn) = self.conns.get(key) else {
+        let Some(conn) = self.connections.get(key) else {
             return;
         };
         let line = match line::first(conn.stream.inbound.bytes()) {
             Ok(Some((line, _))) if sent => line,
-            Ok(_) if ended => return self.input(sess, Input::Ended { dial }),
+            Ok(_) if ended => return self.input(sess, SessionInput::Ended { dial }),
             Ok(_) => return self.want_own(key),
             Err(fault) => {
-                self.line(Code::ServerBad, format!("dial line={fault:?}"));
+                self.log_event(ReasonCode::ServerBad, format!("dial line={fault:?}"));
                 return self.input(sess, said_by(dial, Outcome::Erred, Load::default()));
             }
         };
-        let load = |report| load(&self.setup.reports, report);
+        let load = |report| load(&self.settings.load_reports, report);
         let (outcome, load) = match said(line) {
-            Said::Up => return self.input(sess, Input::Up { dial }),
+            Said::Up => return self.input(sess, SessionInput::Up { dial }),
             Said::Full(report) => (Outcome::Full, load(report)),
             Said::Erred(report) | Said::Bye(report) => (Outcome::Erred, load(report)),
             Said::Move => (Outcome::CalledOff, Load::default()),
             _ => {
                 let line: String = line.chars().take(80).collect();
-                self.line(Code::ServerBad, format!("dial line={line:?}"));
+                self.log_event(ReasonCode::ServerBad, format!("dial line={line:?}"));
                 (Outcome::Erred, Load::default())
             }
         };
         self.input(sess, said_by(dial, outcome, load));
     }
 
-    pub(super) fn session_due(&mut self, sess: Key) {
+    pub(super) fn session_deadline(&mut self, sess: Key) {
         match self.life(sess).map(|life| life.stage) {
-            Some(Stage::Open) => self.open_due(sess),
-            Some(_) => self.input(sess, Input::Due),
-            None => self.deadlines.clear(Due::Session(sess)),
+            Some(SessionState::Open) => self.open_session_deadline(sess),
+            Some(_) => self.input(sess, SessionInput::Due),
+            None => self.deadlines.clear(TimerKey::Session(sess)),
         }
     }
 }
 
-fn said_by(dial: u8, outcome: Outcome, load: Load) -> Input {
-    Input::Said {
+fn said_by(dial: u8, outcome: Outcome, load: Load) -> SessionInput {
+    SessionInput::Said {
         dial,
         outcome,
         load,
