--- a/crates/proxy/src/routing/discovery_watch.rs
+++ b/crates/proxy/src/routing/discovery_watch.rs
@@ -1,13 +1,13 @@
 //! The watch on discovery.
 
-use super::{Code, Due, Role, Router};
+use super::{ConnectionRole, ReasonCode, Router, TimerKey};
 use crate::protocol::discovery::{self, List};
 use crate::protocol::http::{Answer, watch_request};
 use crate::transport::poll::{Ready, Want};
 use crate::transport::{Key, socket};
 use asterramp_placement::Event;
 use asterramp_placement::event;
-use asterramp_placement::settings::Setup;
+use asterramp_placement::settings::Settings;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 const LONGEST_PAUSE: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
-pub struct Watch {
+pub struct DiscoveryWatch {
     at: SocketAddr,
     rev: u64,
     key: Option<Key>,
@@ -40,11 +40,11 @@
     heard: Option<Duration>,
 }
 
-impl Watch {
-    pub fn new(at: SocketAddr, rev: u64, setup: &Setup) -> Watch {
+impl DiscoveryWatch {
+    pub fn new(at: SocketAddr, rev: u64, setup: &Settings) -> DiscoveryWatch {
         let longest_pause = (setup.drain_grace / 2).clamp(PAUSE, LONGEST_PAUSE);
-        let by_module = setup.deployment.ask_roster.is_some();
-        Watch {
+        let by_module = setup.deployment.endpoint_poll_delay.is_some();
+        DiscoveryWatch {
             at,
             rev,
             key: None,
@@ -62,7 +62,7 @@
         self.rev
     }
 
-    pub fn heard(&self) -> Option<Duration> {
+    pub fn last_heard(&self) -> Option<Duration> {
         self.heard
     }
 }
@@ -74,50 +74,56 @@
 
 impl Router {
     /// The list as it was before the start, upon which discovery is asked.
-    pub(super) fn known(&mut self, list: List) {
-        self.begin(list, event::Roster::Stale);
+    pub(super) fn apply_known_list(&mut self, list: List) {
+        self.begin(list, event::EndpointUpdate::Stale);
     }
 
     /// The same as the process told it that this one replaces.
-    pub(super) fn told_by_elder(&mut self, list: List) {
-        self.begin(list, event::Roster::Inherited);
+    pub(super) fn apply_inherited_list(&mut self, list: List) {
+        self.begin(list, event::EndpointUpdate::Inherited);
     }
 
-    fn begin(&mut self, list: List, as_told: impl Fn(Vec<event::Entry>) -> event::Roster) {
+    fn begin(
+        &mut self,
+        list: List,
+        as_told: impl Fn(Vec<event::Endpoint>) -> event::EndpointUpdate,
+    ) {
         let entries = list
             .lines
             .into_iter()
-            .filter_map(|line| Some(self.roster.take(line)?.0))
+            .filter_map(|line| Some(self.endpoints.take(line)?.0))
             .collect();
-        self.event(Event::Roster(as_told(entries)));
-        if !self.watch.by_module {
+        self.event(Event::Endpoints(as_told(entries)));
+        if !self.discovery_watch.by_module {
             self.connect_watch();
         }
     }
 
     /// Opens the watch, if none is open.
     pub(super) fn connect_watch(&mut self) {
-        if self.watch.key.is_some() {
+        if self.discovery_watch.key.is_some() {
             return;
         }
-        let fd = socket::connect(self.watch.at).ok();
-        self.watch.key = fd.and_then(|fd| {
-            self.keep(
+        let fd = socket::connect(self.discovery_watch.at).ok();
+        self.discovery_watch.key = fd.and_then(|fd| {
+            self.register(
                 fd,
-                Role::Watch,
+                ConnectionRole::DiscoveryWatch,
                 Want {
                     read: false,
                     write: true,
                 },
             )
         });
-        (self.watch.asked, self.watch.answer) = (false, Answer::default());
-        if self.watch.key.is_some() {
-            self.deadlines
-                .set(Due::Watch, self.now + self.watch.patience);
-            self.watch.patience = (self.watch.patience * 2).min(SILENCE);
+        (self.discovery_watch.asked, self.discovery_watch.answer) = (false, Answer::default());
+        if self.discovery_watch.key.is_some() {
+            self.deadlines.set(
+                TimerKey::DiscoveryWatch,
+                self.now + self.discovery_watch.patience,
+            );
+            self.discovery_watch.patience = (self.discovery_watch.patience * 2).min(SILENCE);
         } else {
-            self.end_watch(Code::WatchEnded, "connect failed");
+            self.end_watch(ReasonCode::WatchEnded, "connect failed");
         }
     }
 
@@ -125,86 +131,94 @@
     /// need not be those of the other, which ends its watches soon and would tell nothing more.
     pub fn reload(&mut self, now: Duration, discovery: SocketAddr) {
         self.now = now;
-        let same = self.watch.at == discovery;
-        self.line(
-            Code::Reloaded,
+        let same = self.discovery_watch.at == discovery;
+        self.log_event(
+            ReasonCode::Reloaded,
             format!("discovery={discovery} changed={}", !same),
         );
         if !same {
-            self.watch
+            self.discovery_watch
                 .key
                 .take()
                 .into_iter()
                 .for_each(|key| drop(self.close(key)));
-            self.watch = Watch {
+            self.discovery_watch = DiscoveryWatch {
                 at: discovery,
                 rev: 0,
                 pause: PAUSE,
                 answer: Answer::default(),
-                ..self.watch
+                ..self.discovery_watch
             };
-            self.watch.patience = first_patience(self.watch.by_module);
+            self.discovery_watch.patience = first_patience(self.discovery_watch.by_module);
             self.connect_watch();
         }
     }
 
-    pub(super) fn watch_due(&mut self) {
-        if self.watch.key.is_some() {
-            self.end_watch(Code::WatchSilent, "silent");
+    pub(super) fn watch_deadline(&mut self) {
+        if self.discovery_watch.key.is_some() {
+            self.end_watch(ReasonCode::WatchSilent, "silent");
         } else {
             self.connect_watch();
         }
     }
 
-    fn end_watch(&mut self, code: Code, why: &str) {
-        self.line(code, format!("watch why={why:?}"));
-        self.watch
+    fn end_watch(&mut self, code: ReasonCode, why: &str) {
+        self.log_event(code, format!("watch why={why:?}"));
+        self.discovery_watch
             .key
             .take()
             .into_iter()
             .for_each(|key| drop(self.close(key)));
-        if self.watch.by_module {
-            self.deadlines.clear(Due::Watch);
-            return self.event(Event::Roster(event::Roster::Failed));
+        if self.discovery_watch.by_module {
+            self.deadlines.clear(TimerKey::DiscoveryWatch);
+            return self.event(Event::Endpoints(event::EndpointUpdate::Failed));
         }
-        self.deadlines.set(Due::Watch, self.now + self.watch.pause);
-        self.watch.pause = (self.watch.pause * 2).min(self.watch.longest_pause);
+        self.deadlines.set(
+            TimerKey::DiscoveryWatch,
+            self.now + self.discovery_watch.pause,
+        );
+        self.discovery_watch.pause =
+            (self.discovery_watch.pause * 2).min(self.discovery_watch.longest_pause);
     }
 
-    pub(super) fn watch_woken(&mut self, event: Ready) {
-        let Some(conn) = self.conns.get_mut(event.key) else {
+    pub(super) fn watch_ready(&mut self, event: Ready) {
+        let Some(conn) = self.connections.get_mut(event.key) else {
             return;
         };
-        if !self.watch.asked {
+        if !self.discovery_watch.asked {
             if !conn.stream.is_up() {
-                return self.end_watch(Code::WatchEnded, "connect failed");
+                return self.end_watch(ReasonCode::WatchEnded, "connect failed");
             }
-            self.watch.asked = true;
-            let request = watch_request(&self.watch.at.to_string(), self.watch.rev);
+            self.discovery_watch.asked = true;
+            let request = watch_request(
+                &self.discovery_watch.at.to_string(),
+                self.discovery_watch.rev,
+            );
             conn.stream.send(&[request.as_bytes()]);
             return self.want_own(event.key);
         }
         conn.stream.fill(event.broken);
         let bytes = conn.stream.inbound.bytes();
         let (n, mut lines) = (bytes.len(), Vec::new());
-        let fed = self.watch.answer.feed(bytes, &mut lines);
-        let ended = conn.stream.ended.is_some() || self.watch.answer.over();
+        let fed = self.discovery_watch.answer.feed(bytes, &mut lines);
+        let ended = conn.stream.ended.is_some() || self.discovery_watch.answer.over();
         conn.stream.inbound.consume(n);
         // Half a line, or an answer without end, would keep a dead watch alive.
         if !lines.is_empty() {
-            self.watch.heard = Some(self.now);
-            self.deadlines.set(Due::Watch, self.now + SILENCE);
-            self.exchange.discovery_lives(self.now);
+            self.discovery_watch.heard = Some(self.now);
+            self.deadlines
+                .set(TimerKey::DiscoveryWatch, self.now + SILENCE);
+            self.session_table.discovery_lives(self.now);
         }
         for line in lines {
             if let Err(why) = self.listed(&line) {
-                self.line(Code::RosterBad, format!("roster why={why:?}"));
-                return self.end_watch(Code::WatchEnded, "bad list");
+                self.log_event(ReasonCode::RosterBad, format!("roster why={why:?}"));
+                return self.end_watch(ReasonCode::WatchEnded, "bad list");
             }
         }
         match fed {
-            Err(fault) => self.end_watch(Code::WatchEnded, &fault.to_string()),
-            Ok(()) if ended => self.end_watch(Code::WatchEnded, "closed"),
+            Err(fault) => self.end_watch(ReasonCode::WatchEnded, &fault.to_string()),
+            Ok(()) if ended => self.end_watch(ReasonCode::WatchEnded, "closed"),
             Ok(()) => self.want_own(event.key),
         }
     }
@@ -218,8 +232,8 @@
             let whole = list.whole && list.bad.is_none();
             let mut entries = Vec::with_capacity(list.lines.len());
             for line in list.lines {
-                let Some((entry, stale)) = self.roster.take(line) else {
-                    self.count(Code::RosterFull);
+                let Some((entry, stale)) = self.endpoints.take(line) else {
+                    self.count_event(ReasonCode::RosterFull);
                     continue;
                 };
                 entries.push(entry);
@@ -228,43 +242,46 @@
                 }
             }
             if self.is_older(list.rev) {
-                self.told_older(list.rev, entries);
+                self.apply_older_list(list.rev, entries);
             } else {
                 self.told(entries, whole);
             }
             list.bad.map_or(Ok(()), Err)?;
-            self.watch.rev = list.rev;
-            self.count(Code::RosterTaken);
-            self.state_changed();
+            self.discovery_watch.rev = list.rev;
+            self.count_event(ReasonCode::RosterTaken);
+            self.mark_snapshot_outdated();
         }
-        (self.watch.pause, self.watch.patience) = (PAUSE, first_patience(self.watch.by_module));
-        if !self.serving && self.starting.is_none() {
-            self.serve("discovery");
+        (self.discovery_watch.pause, self.discovery_watch.patience) =
+            (PAUSE, first_patience(self.discovery_watch.by_module));
+        if !self.serving && self.warm_start.is_none() {
+            self.start_serving("discovery");
         }
         Ok(())
     }
 
-    fn told(&mut self, mut entries: Vec<event::Entry>, whole: bool) {
+    fn told(&mut self, mut entries: Vec<event::Endpoint>, whole: bool) {
         if whole {
-            self.roster.only(&entries);
+            self.endpoints.only(&entries);
         }
-        self.told_start(&mut entries, whole);
+        self.note_listed_endpoints(&mut entries, whole);
         let told = if whole {
-            event::Roster::Whole
+            event::EndpointUpdate::Complete
         } else {
-            event::Roster::Changes
+            event::EndpointUpdate::Changes
         };
-        self.event(Event::Roster(told(entries)));
+        self.event(Event::Endpoints(told(entries)));
     }
 
     /// Its server is gone or stands elsewhere: what is asked there now is answered by nobody.
     fn unneeded_probe(&mut self, server: event::ServerId) {
-        let Some(key) = self.roster.probe(server) else {
+        let Some(key) = self.endpoints.probe(server) else {
             return;
         };
-        match self.conns.get(key).map(|conn| conn.role) {
-            Some(Role::Probe(_, super::probe::Stage::Idle)) => self.drop_probe(server, key),
-            _ => self.probe_ended(server, event::Outcome::CalledOff),
+        match self.connections.get(key).map(|conn| conn.role) {
+            Some(ConnectionRole::Probe(_, super::probe::ProbeStage::Idle)) => {
+                self.close_probe(server, key)
+            }
+            _ => self.finish_probe(server, event::Outcome::CalledOff),
         }
     }
 }
--- a/crates/proxy/src/routing/endpoints.rs
+++ b/crates/proxy/src/routing/endpoints.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::discovery::Listed;
 use crate::transport::Key;
-use asterramp_placement::event::{Entry, Load, ServerId, Standing};
+use asterramp_placement::event::{Endpoint, EndpointState, Load, ServerId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,13 +15,13 @@
     /// As discovery told it last; the endpoint is the last that it stood at.
     line: Listed,
     probe: Option<Key>,
-    host: Host,
+    host: KnownEndpoint,
 }
 
 /// What is known of a server, beside what the module makes of it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Host {
-    pub standing: Standing,
+pub struct KnownEndpoint {
+    pub standing: EndpointState,
     pub started: Option<Duration>,
     /// Its last report, and when it came.
     pub load: Load,
@@ -30,7 +30,7 @@
 
 /// Servers by uid. What stands at an endpoint may change; a uid names one server for ever.
 #[derive(Debug)]
-pub struct Roster {
+pub struct EndpointTable {
     zones: Vec<String>,
     by_uid: BTreeMap<String, ServerId>,
     servers: Vec<Server>,
@@ -43,9 +43,9 @@
     })
 }
 
-impl Roster {
-    pub fn new(zones: Vec<String>) -> Roster {
-        Roster {
+impl EndpointTable {
+    pub fn new(zones: Vec<String>) -> EndpointTable {
+        EndpointTable {
             zones,
             by_uid: BTreeMap::new(),
             servers: Vec::new(),
@@ -54,7 +54,7 @@
 
     /// A line in the module's terms, and whether its server's probe connection is of no use any more; `None`
     /// for a new server past the most.
-    pub fn take(&mut self, line: Listed) -> Option<(Entry, bool)> {
+    pub fn take(&mut self, line: Listed) -> Option<(Endpoint, bool)> {
         if self.servers.len() >= MOST && !self.by_uid.contains_key(&line.uid) {
             return None;
         }
@@ -63,7 +63,7 @@
             self.servers.push(Server {
                 line: line.clone(),
                 probe: None,
-                host: Host::default(),
+                host: KnownEndpoint::default(),
             });
             self.by_uid.insert(line.uid.clone(), id);
             id
@@ -71,7 +71,7 @@
         let known = &mut self.servers[server as usize];
         let before = known.line.endpoint;
         let moved = before != line.endpoint;
-        let endpoint = if line.standing == Standing::Gone {
+        let endpoint = if line.standing == EndpointState::Gone {
             before
         } else {
             line.endpoint
@@ -81,27 +81,27 @@
             ..line.clone()
         };
         (known.host.standing, known.host.started) = (line.standing, line.started);
-        let stale = moved || line.standing == Standing::Gone;
+        let stale = moved || line.standing == EndpointState::Gone;
         let entry = self.entry(server)?;
         Some((entry, stale))
     }
 
     /// A server's line in the module's terms, as it stands.
-    pub fn entry(&self, server: ServerId) -> Option<Entry> {
+    pub fn entry(&self, server: ServerId) -> Option<Endpoint> {
         let known = self.servers.get(server as usize)?;
         let (line, zone) = (
             &known.line,
             self.zones.iter().position(|zone| *zone == known.line.zone),
         );
-        Some(Entry {
+        Some(Endpoint {
             server,
-            mark: mark(&line.uid),
+            hash_key: mark(&line.uid),
             zone: zone.map_or(u8::MAX, |zone| zone as u8),
             cell: line.cell,
-            standing: known.host.standing,
+            state: known.host.standing,
             weight: line.weight,
-            started: line.started,
-            unit: None,
+            started_at: line.started,
+            load_per_connection: None,
         })
     }
 
@@ -113,26 +113,26 @@
             .for_each(|server| server.line.endpoint = endpoint);
     }
 
-    pub fn stands(&mut self, server: ServerId, standing: Standing) {
+    pub fn stands(&mut self, server: ServerId, standing: EndpointState) {
         self.servers
             .get_mut(server as usize)
             .into_iter()
             .for_each(|server| server.host.standing = standing);
     }
 
-    pub fn hosts(&self) -> impl Iterator<Item = &Host> {
+    pub fn hosts(&self) -> impl Iterator<Item = &KnownEndpoint> {
         self.servers.iter().map(|server| &server.host)
     }
 
     /// Each with the name of its place.
-    pub fn placed(&self) -> impl Iterator<Item = (&Host, &str)> {
+    pub fn placed(&self) -> impl Iterator<Item = (&KnownEndpoint, &str)> {
         self.servers
             .iter()
             .map(|server| (&server.host, server.line.zone.as_str()))
     }
 
     /// Those that a whole list leaves out are gone.
-    pub fn only(&mut self, listed: &[Entry]) {
+    pub fn only(&mut self, listed: &[Endpoint]) {
         let mut named = vec![false; self.servers.len()];
         listed
             .iter()
@@ -142,7 +142,7 @@
             .iter_mut()
             .zip(named)
             .filter(|(_, named)| !named);
-        gone.for_each(|(server, _)| server.host.standing = Standing::Gone);
+        gone.for_each(|(server, _)| server.host.standing = EndpointState::Gone);
     }
 
     pub fn reported(&mut self, server: ServerId, load: Load, now: Duration) {
--- a/crates/proxy/src/routing/forwarding.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -1,13 +1,13 @@
 //! Open connections: whole lines both ways, and their ends.
 
-use super::{Code, Due, Input, Router, Stage};
+use super::{ReasonCode, Router, SessionInput, SessionState, TimerKey};
 use crate::protocol::client::{FAILED, MOVE};
 use crate::protocol::line::{self, Fault};
 use crate::protocol::server::{Said, load, said};
 use crate::transport::poll::Want;
 use crate::transport::{Buffer, End, Key};
 use asterramp_placement::Event;
-use asterramp_placement::event::{Load, Note, Outcome};
+use asterramp_placement::event::{Load, Observation, Outcome};
 use std::time::Duration;
 
 /// How long a server may leave a client's line without any answer.
@@ -37,31 +37,32 @@
 
 impl Router {
     /// Passes on what can be passed, both ways, and any end.
-    pub(super) fn relay(&mut self, sess: Key) {
-        let Some(held) = self.exchange.sessions.get(sess) else {
+    pub(super) fn forward(&mut self, sess: Key) {
+        let Some(held) = self.session_table.sessions.get(sess) else {
             return;
         };
-        let (Some(client), Some(server)) = (held.own.client, held.own.server) else {
+        let (Some(client), Some(server)) = (held.driver_data.client, held.driver_data.server)
+        else {
             return;
         };
         if self.is_offered(sess) {
             return;
         }
         if let Err(fault) = self.take_from_server(sess, server) {
-            self.line(Code::ServerBad, format!("server line={fault:?}"));
+            self.log_event(ReasonCode::ServerBad, format!("server line={fault:?}"));
             return self.end(
                 sess,
-                Code::ServerBad,
+                ReasonCode::ServerBad,
                 Outcome::Reset,
                 (Close::Say(MOVE), Close::Fin),
             );
         }
         if let Err(fault) = self.take_from_client(sess, client) {
-            self.line(Code::ClientBad, format!("client line={fault:?}"));
-            self.input(sess, Input::Left);
+            self.log_event(ReasonCode::ClientBad, format!("client line={fault:?}"));
+            self.input(sess, SessionInput::Left);
             return self.end(
                 sess,
-                Code::ClientBad,
+                ReasonCode::ClientBad,
                 Outcome::Ok,
                 (Close::Say(FAILED), Close::Fin),
             );
@@ -74,20 +75,21 @@
     /// Takes in the whole lines that a server sent.
     fn take_from_server(&mut self, sess: Key, server: Key) -> Result<(), Fault> {
         let (Some(conn), Some(held)) = (
-            self.conns.get_mut(server),
-            self.exchange.sessions.get_mut(sess),
+            self.connections.get_mut(server),
+            self.session_table.sessions.get_mut(sess),
         ) else {
             return Ok(());
         };
-        let (s, left, to) = (&mut held.own, held.life.left, held.life.to);
-        let listener = held.life.arrival.listener;
+        let (s, left, to) = (&mut held.driver_data, held.machine.left, held.machine.to);
+        let listener = held.machine.arrival.listener;
         let (mut works, mut heard) = (None, false);
-        while let Some((text, n)) = line::first(&conn.stream.inbound.bytes()[conn.whole..])? {
-            conn.whole += n;
+        while let Some((text, n)) = line::first(&conn.stream.inbound.bytes()[conn.complete_len..])?
+        {
+            conn.complete_len += n;
             match said(text) {
                 Said::Work(work) => works = Some(work),
                 Said::Bye(report) => {
-                    s.farewell = Some((Outcome::Ok, load(&self.setup.reports, report)))
+                    s.farewell = Some((Outcome::Ok, load(&self.settings.load_reports, report)))
                 }
                 Said::Move => s.farewell = Some((Outcome::CalledOff, Load::default())),
                 _ => {}
@@ -99,17 +101,17 @@
             }
         }
         if !s.asked && !left {
-            self.deadlines.clear(Due::Session(sess));
+            self.deadlines.clear(TimerKey::Session(sess));
         }
         if heard {
-            self.exchange.line(self.now, sess, true);
+            self.session_table.line(self.now, sess, true);
         }
         if let Some(work) = works {
-            self.gate.takes(self.now, listener, work);
-            self.event(Event::Noted {
-                sess: sess.slot,
+            self.admission.takes(self.now, listener, work);
+            self.event(Event::Observed {
+                session: sess.slot,
                 server: to,
-                note: Note::Work(work),
+                observation: Observation::Work(work),
             });
         }
         Ok(())
@@ -117,18 +119,19 @@
 
     fn take_from_client(&mut self, sess: Key, client: Key) -> Result<(), Fault> {
         let (Some(conn), Some(held)) = (
-            self.conns.get_mut(client),
-            self.exchange.sessions.get_mut(sess),
+            self.connections.get_mut(client),
+            self.session_table.sessions.get_mut(sess),
         ) else {
             return Ok(());
         };
-        let (s, left) = (&mut held.own, held.life.left);
-        let quiet = quiet(self.setup.connect_within);
-        while let Some((_, n)) = line::first(&conn.stream.inbound.bytes()[conn.whole..])? {
-            conn.whole += n;
+        let (s, left) = (&mut held.driver_data, held.machine.left);
+        let quiet = quiet(self.settings.connect_timeout);
+        while let Some((_, n)) = line::first(&conn.stream.inbound.bytes()[conn.complete_len..])? {
+            conn.complete_len += n;
             if !s.asked && !left {
                 (s.asked, s.quiet) = (true, false);
-                self.deadlines.set(Due::Session(sess), self.now + quiet);
+                self.deadlines
+                    .set(TimerKey::Session(sess), self.now + quiet);
             }
         }
         Ok(())
@@ -137,22 +140,23 @@
     /// Writes whole lines of one side to the other, as far as it takes them; the rest stays where it is, and
     /// no more is read than there is room for.
     fn pass(&mut self, from: Key, to: Key) {
-        let (Some(source), Some(sink)) = (self.conns.get(from), self.conns.get(to)) else {
+        let (Some(source), Some(sink)) = (self.connections.get(from), self.connections.get(to))
+        else {
             return;
         };
-        let bytes = &source.stream.inbound.bytes()[..source.whole];
+        let bytes = &source.stream.inbound.bytes()[..source.complete_len];
         match sink.stream.pass(bytes) {
             Ok(0) => {}
             Ok(n) => {
-                let Some(source) = self.conns.get_mut(from) else {
+                let Some(source) = self.connections.get_mut(from) else {
                     return;
                 };
-                source.whole -= n;
+                source.complete_len -= n;
                 source.stream.inbound.consume(n);
-                source.passed = self.now;
+                source.last_activity = self.now;
             }
             Err(end) => self
-                .conns
+                .connections
                 .get_mut(to)
                 .into_iter()
                 .for_each(|sink| sink.stream.ended = Some(end)),
@@ -161,28 +165,28 @@
 
     fn pass_ends(&mut self, sess: Key, client: Key, server: Key) {
         let (Some(held), Some(c), Some(v)) = (
-            self.exchange.sessions.get(sess),
-            self.conns.get(client),
-            self.conns.get(server),
+            self.session_table.sessions.get(sess),
+            self.connections.get(client),
+            self.connections.get(server),
         ) else {
             return;
         };
-        let left = held.life.left;
-        let (code, outcome) = match held.own.farewell {
-            Some((Outcome::Ok, _)) => (Code::Served, Outcome::Ok),
-            Some(_) => (Code::ServerMoved, Outcome::CalledOff),
-            None => (Code::ServerClosed, Outcome::Reset),
+        let left = held.machine.left;
+        let (code, outcome) = match held.driver_data.farewell {
+            Some((Outcome::Ok, _)) => (ReasonCode::Served, Outcome::Ok),
+            Some(_) => (ReasonCode::ServerMoved, Outcome::CalledOff),
+            None => (ReasonCode::ServerClosed, Outcome::Reset),
         };
         let fin = (Close::Fin, Close::Fin);
         match (c.stream.ended, v.stream.ended) {
             (Some(_), Some(_)) | (Some(End::Reset), _) if left => {
-                return self.end(sess, Code::ClientLeft, Outcome::Ok, fin);
+                return self.end(sess, ReasonCode::ClientLeft, Outcome::Ok, fin);
             }
             (Some(End::Reset), _) => {
-                self.input(sess, Input::Left);
+                self.input(sess, SessionInput::Left);
                 return self.end(
                     sess,
-                    Code::ClientReset,
+                    ReasonCode::ClientReset,
                     Outcome::Ok,
                     (Close::Reset, Close::Reset),
                 );
@@ -190,26 +194,28 @@
             (_, Some(End::Reset)) => {
                 return self.end(
                     sess,
-                    Code::ServerReset,
+                    ReasonCode::ServerReset,
                     Outcome::Reset,
                     (Close::Reset, Close::Reset),
                 );
             }
             (_, Some(End::Fin)) => return self.end(sess, code, outcome, fin),
             (Some(End::Fin), None) if !left => {
-                self.input(sess, Input::Left);
-                self.deadlines.set(Due::Session(sess), self.now + LAST);
+                self.input(sess, SessionInput::Left);
+                self.deadlines.set(TimerKey::Session(sess), self.now + LAST);
             }
             _ => {}
         }
-        let (Some(c), Some(v)) = (self.conns.get(client), self.conns.get(server)) else {
+        let (Some(c), Some(v)) = (self.connections.get(client), self.connections.get(server))
+        else {
             return;
         };
-        if self.life(sess).is_some_and(|life| life.left) && c.whole == 0 {
+        if self.life(sess).is_some_and(|life| life.left) && c.complete_len == 0 {
             v.stream.end_sending();
         }
-        let write =
-            |conn: &super::Conn, other: &super::Conn| !conn.stream.sent() || other.whole > 0;
+        let write = |conn: &super::Connection, other: &super::Connection| {
+            !conn.stream.sent() || other.complete_len > 0
+        };
         let for_client = Want {
             read: c.stream.may_read(),
             write: write(c, v),
@@ -218,20 +224,20 @@
             read: v.stream.may_read(),
             write: write(v, c),
         };
-        self.want(client, for_client);
-        self.want(server, for_server);
+        self.set_interest(client, for_client);
+        self.set_interest(server, for_server);
     }
 
     /// Asks a client to come again.
-    pub(super) fn move_away(&mut self, sess: Key, code: Code) {
-        let outcome = if code == Code::ServerSilent {
+    pub(super) fn migrate(&mut self, sess: Key, code: ReasonCode) {
+        let outcome = if code == ReasonCode::ServerSilent {
             Outcome::Reset
         } else {
             Outcome::CalledOff
         };
         if self
             .life(sess)
-            .is_some_and(|life| life.stage == Stage::Open)
+            .is_some_and(|life| life.stage == SessionState::Open)
             && !self.is_offered(sess)
         {
             self.end(sess, code, outcome, (Close::Say(MOVE), Close::Fin));
@@ -239,46 +245,46 @@
     }
 
     /// An open connection has kept somebody waiting too long.
-    pub(super) fn open_due(&mut self, sess: Key) {
-        let Some(held) = self.exchange.sessions.get(sess) else {
+    pub(super) fn open_session_deadline(&mut self, sess: Key) {
+        let Some(held) = self.session_table.sessions.get(sess) else {
             return;
         };
-        let (left, quiet) = (held.life.left, held.own.quiet);
+        let (left, quiet) = (held.machine.left, held.driver_data.quiet);
         let waits = held
-            .own
+            .driver_data
             .server
-            .and_then(|key| self.conns.get(key))
-            .filter(|conn| conn.whole > 0);
-        let stalls = waits.map(|conn| conn.passed + STALL);
+            .and_then(|key| self.connections.get(key))
+            .filter(|conn| conn.complete_len > 0);
+        let stalls = waits.map(|conn| conn.last_activity + STALL);
         match stalls {
             _ if left => self.end(
                 sess,
-                Code::ClientLeft,
+                ReasonCode::ClientLeft,
                 Outcome::Ok,
                 (Close::Fin, Close::Fin),
             ),
             // The server may well have answered: its lines wait for a client that takes none.
-            Some(until) if self.now < until => {
-                self.deadlines.set(Due::Session(sess), self.now + SILENCE)
-            }
+            Some(until) if self.now < until => self
+                .deadlines
+                .set(TimerKey::Session(sess), self.now + SILENCE),
             Some(_) => {
-                self.input(sess, Input::Left);
+                self.input(sess, SessionInput::Left);
                 self.end(
                     sess,
-                    Code::ClientStalled,
+                    ReasonCode::ClientStalled,
                     Outcome::Ok,
                     (Close::Reset, Close::Reset),
                 );
             }
             None if !quiet => {
                 self.deadlines.set(
-                    Due::Session(sess),
-                    self.now + rest(self.setup.connect_within),
+                    TimerKey::Session(sess),
+                    self.now + rest(self.settings.connect_timeout),
                 );
                 self.own(sess).into_iter().for_each(|own| own.quiet = true);
-                self.exchange.line(self.now, sess, false);
+                self.session_table.line(self.now, sess, false);
             }
-            None => self.move_away(sess, Code::ServerSilent),
+            None => self.migrate(sess, ReasonCode::ServerSilent),
         }
     }
 
@@ -286,15 +292,15 @@
     fn end(
         &mut self,
         sess: Key,
-        code: Code,
+        code: ReasonCode,
         outcome: Outcome,
         (to_client, to_server): (Close, Close),
     ) {
-        self.log_end(sess, code);
+        self.log_session_end(sess, code);
         let Some(s) = self.own(sess) else { return };
         let load = s.farewell.map(|farewell| farewell.1).unwrap_or_default();
         let (client, server) = (self.take_client(sess), self.take_server(sess));
-        self.deadlines.clear(Due::Session(sess));
+        self.deadlines.clear(TimerKey::Session(sess));
         let for_client = server.map(|key| self.waiting(key)).unwrap_or_default();
         let for_server = client.map(|key| self.waiting(key)).unwrap_or_default();
         for (key, close, waiting) in [
@@ -303,21 +309,21 @@
         ] {
             let Some(key) = key else { continue };
             match close {
-                Close::Fin => self.dismiss(key, &[&waiting]),
-                Close::Say(text) => self.dismiss(key, &[&waiting, text]),
+                Close::Fin => self.close_gracefully(key, &[&waiting]),
+                Close::Say(text) => self.close_gracefully(key, &[&waiting, text]),
                 Close::Reset => self
                     .close(key)
                     .into_iter()
                     .for_each(|stream| stream.reset()),
             }
         }
-        self.input(sess, Input::Closed { outcome, load });
+        self.input(sess, SessionInput::Closed { outcome, load });
     }
 
     /// Whole lines that came from one side and are not passed on yet.
     fn waiting(&self, from: Key) -> Vec<u8> {
-        let conn = self.conns.get(from);
-        conn.map(|conn| conn.stream.inbound.bytes()[..conn.whole].to_vec())
+        let conn = self.connections.get(from);
+        conn.map(|conn| conn.stream.inbound.bytes()[..conn.complete_len].to_vec())
             .unwrap_or_default()
     }
 }
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -1,11 +1,11 @@
 //! Emptying the proxy, for good or on request: carries out what `asterramp_drain` advises.
 
-use super::{Code, Due, Input, Role, Router, Stage};
+use super::{ConnectionRole, ReasonCode, Router, SessionInput, SessionState, TimerKey};
 use crate::protocol::client::FAILED;
 use crate::transport::Key;
-use asterramp_drain::{Exit, Refusal, STEP, State, Terms, View};
-use asterramp_placement::deployment::Kind;
-use asterramp_placement::event::Standing;
+use asterramp_drain::{DrainError, DrainExit, DrainSettings, DrainState, DrainView, STEP};
+use asterramp_placement::deployment::RetrySafety;
+use asterramp_placement::event::EndpointState;
 use std::time::Duration;
 
 /// The front goes on sending clients for this long.
@@ -25,12 +25,12 @@
 
 impl Router {
     /// Leaves for good; a drain under way becomes that.
-    pub fn leave(&mut self, now: Duration) {
-        if self.drain.state() == State::Exiting {
+    pub fn begin_shutdown(&mut self, now: Duration) {
+        if self.drain.state() == DrainState::Exiting {
             return;
         }
         self.now = now;
-        let told = Some(self.setup.longest_wait).filter(|wait| !wait.is_zero());
+        let told = Some(self.settings.longest_wait).filter(|wait| !wait.is_zero());
         let told = told.unwrap_or(LONGEST).min(LONGEST);
         // However short their wait, clients come for as long as the front sends them.
         let answered = now + told.max(SERVE_ON);
@@ -42,12 +42,12 @@
         );
         // Another process that takes this one's place shares the address, and is to have all that come. Where none may,
         // whoever comes late is served and moved rather than reset.
-        let door = if self.kin.is_some() {
+        let door = if self.hot_restart.is_some() {
             now + SERVE_ON
         } else {
             answered
         };
-        self.drain.exit(Exit {
+        self.drain.exit(DrainExit {
             serve_on,
             door,
             moving,
@@ -55,86 +55,91 @@
             answered,
             ends,
         });
-        self.deadlines.set(Due::Leave, serve_on);
+        self.deadlines.set(TimerKey::Shutdown, serve_on);
         self.told_state();
     }
 
     /// Begins to empty the proxy for a while, or changes how.
-    pub fn drain(&mut self, within: Duration, pace: Option<f64>) -> Result<(), Refusal> {
+    pub fn drain(&mut self, within: Duration, pace: Option<f64>) -> Result<(), DrainError> {
         self.drain.drain(self.now, within, pace)?;
-        self.deadlines.set(Due::Leave, self.now);
+        self.deadlines.set(TimerKey::Shutdown, self.now);
         self.told_state();
         Ok(())
     }
 
-    pub fn undrain(&mut self) -> Result<(), Refusal> {
+    pub fn undrain(&mut self) -> Result<(), DrainError> {
         self.drain.undrain(self.now)?;
-        self.deadlines.clear(Due::Leave);
+        self.deadlines.clear(TimerKey::Shutdown);
         self.told_state();
         Ok(())
     }
 
-    pub fn drain_by(&mut self, terms: Terms) {
+    pub fn set_drain_settings(&mut self, terms: DrainSettings) {
         self.drain.set_terms(terms);
     }
 
     /// A line for each change of state.
     fn told_state(&mut self) {
         let state = self.drain.state();
-        if state != self.state {
-            self.state = state;
-            let view = self.view();
+        if state != self.logged_drain_state {
+            self.logged_drain_state = state;
+            let view = self.drain_view();
             let (pace, moved) = (self.drain.pace(&view), self.drain.moved());
             let about = format!(
                 "open={} pending={} moved={moved} pace={pace:.1}",
                 view.open, view.pending
             );
-            self.line(Code::DrainState, format!("state={} {about}", state.name()));
+            self.log_event(
+                ReasonCode::DrainState,
+                format!("state={} {about}", state.name()),
+            );
         }
     }
 
-    fn sessions_of(&self, stage: impl Fn(Stage) -> bool) -> Vec<Key> {
-        let sessions = self.exchange.sessions.iter();
-        let those = sessions.filter(|(_, held)| stage(held.life.stage) && !held.life.left);
+    fn sessions_of(&self, stage: impl Fn(SessionState) -> bool) -> Vec<Key> {
+        let sessions = self.session_table.sessions.iter();
+        let those = sessions.filter(|(_, held)| stage(held.machine.stage) && !held.machine.left);
         those
             .map(|(key, _)| key)
             .filter(|key| !self.is_offered(*key))
             .collect()
     }
 
-    pub(super) fn view(&self) -> View {
+    pub(super) fn drain_view(&self) -> DrainView {
         let client = |role| {
             matches!(
                 role,
-                Role::Greeting | Role::Client(_) | Role::Lingering { .. }
+                ConnectionRole::PendingClient
+                    | ConnectionRole::Client(_)
+                    | ConnectionRole::Lingering { .. }
             )
         };
-        View {
-            open: self.sessions_of(|stage| stage == Stage::Open).len(),
-            pending: self.sessions_of(|stage| stage != Stage::Open).len(),
+        DrainView {
+            open: self.sessions_of(|stage| stage == SessionState::Open).len(),
+            pending: self.sessions_of(|stage| stage != SessionState::Open).len(),
             clients: self
-                .conns
+                .connections
                 .iter()
                 .filter(|(_, conn)| client(conn.role))
                 .count(),
-            last_came: self.last_came,
-            room: self.room(),
+            last_came: self.last_arrival,
+            room: self.spare_capacity(),
         }
     }
 
     /// Connections that warm, ready hosts can absorb by what they told of late. Who told of none that it holds
     /// is taken for one whose connections are of the mean size.
-    pub(super) fn room(&self) -> Option<f64> {
-        let cold = self.setup.deployment.cold.warm_after;
+    pub(super) fn spare_capacity(&self) -> Option<f64> {
+        let cold = self.settings.deployment.slow_start.warm_after;
         let warm = |started: Option<Duration>| {
             started.is_none_or(|at| self.now.saturating_sub(at) >= cold)
         };
         let told: Vec<(f64, f64)> = self
-            .roster
+            .endpoints
             .hosts()
-            .filter(|host| host.standing == Standing::Ready && warm(host.started))
+            .filter(|host| host.standing == EndpointState::Ready && warm(host.started))
             .filter(|host| self.now.saturating_sub(host.told) <= TELLS)
-            .filter_map(|host| Some((host.load.connections?, host.load.asked?)))
+            .filter_map(|host| Some((host.load.connections?, host.load.utilization?)))
             .collect();
         let (count, asked) = told
             .iter()
@@ -151,77 +156,77 @@
         Some(told.iter().map(room).sum())
     }
 
-    pub(super) fn leave_on(&mut self) {
-        let exiting = self.drain.state() == State::Exiting;
+    pub(super) fn continue_shutdown(&mut self) {
+        let exiting = self.drain.state() == DrainState::Exiting;
         if self.drain.shuts_door(self.now) {
             self.shut_door();
         }
-        let view = self.view();
+        let view = self.drain_view();
         let advice = self.drain.advise(self.now, &view);
         if advice.move_now > 0 {
-            let mut open = self.sessions_of(|stage| stage == Stage::Open);
+            let mut open = self.sessions_of(|stage| stage == SessionState::Open);
             if !exiting {
                 // Whoever may run again without harm goes first.
                 open.sort_by_key(|sess| self.rank(*sess));
             }
             let code = if exiting {
-                Code::Leaving
+                ReasonCode::Leaving
             } else {
-                Code::Drained
+                ReasonCode::Drained
             };
             open.into_iter()
                 .take(advice.move_now)
-                .for_each(|sess| self.move_away(sess, code));
+                .for_each(|sess| self.migrate(sess, code));
         }
         if advice.answer {
-            let pending = self.sessions_of(|stage| stage != Stage::Open);
+            let pending = self.sessions_of(|stage| stage != SessionState::Open);
             let word = if exiting {
-                Input::GoingDown
+                SessionInput::GoingDown
             } else {
-                Input::TurnedAway
+                SessionInput::TurnedAway
             };
             pending.into_iter().for_each(|sess| self.input(sess, word));
         }
         if advice.answer && exiting {
             let greeting = self
-                .conns
+                .connections
                 .iter()
-                .filter(|(_, conn)| conn.role == Role::Greeting);
+                .filter(|(_, conn)| conn.role == ConnectionRole::PendingClient);
             let late: Vec<Key> = greeting
                 .map(|(key, _)| key)
-                .filter(|key| !self.is_lent(*key))
+                .filter(|key| !self.is_on_offer(*key))
                 .collect();
             late.into_iter()
-                .for_each(|key| self.dismiss(key, &[FAILED]));
+                .for_each(|key| self.close_gracefully(key, &[FAILED]));
         }
         if advice.exit {
             self.shut_door();
             // Who was let in this moment is answered first.
-            self.done = self.view().clients == 0 || advice.late;
+            self.done = self.drain_view().clients == 0 || advice.late;
         }
         self.told_state();
-        if self.drain.state() != State::Serving {
-            self.deadlines.set(Due::Leave, self.now + STEP);
+        if self.drain.state() != DrainState::Serving {
+            self.deadlines.set(TimerKey::Shutdown, self.now + STEP);
         }
     }
 
     /// Who waits at the door has been let in by the front, and would be lost with it.
     fn shut_door(&mut self) {
         self.accept_all();
-        self.shut_kin();
-        self.door
+        self.close_hot_restart();
+        self.listener
             .take()
             .into_iter()
             .for_each(|door| drop(self.close(door)));
-        self.deadlines.clear(Due::Door);
+        self.deadlines.clear(TimerKey::Listener);
     }
 
     /// Closes what is left as the process ends: texts of ours go out as far as their sockets take them, and nothing is
     /// closed over what nobody read.
     pub fn close_all(&mut self) {
-        let keys: Vec<Key> = self.conns.iter().map(|(key, _)| key).collect();
+        let keys: Vec<Key> = self.connections.iter().map(|(key, _)| key).collect();
         for key in keys {
-            self.conns
+            self.connections
                 .get_mut(key)
                 .into_iter()
                 .for_each(|conn| conn.stream.flush());
@@ -234,11 +239,11 @@
             .life(sess)
             .map(|life| usize::from(life.arrival.listener));
         match listener
-            .and_then(|l| self.setup.deployment.listeners.get(l))
-            .map(|l| l.kind)
+            .and_then(|l| self.settings.deployment.listeners.get(l))
+            .map(|l| l.retry_safety)
         {
-            Some(Kind::Repeatable) => 0,
-            Some(Kind::Referenced(..)) => 1,
+            Some(RetrySafety::Idempotent) => 0,
+            Some(RetrySafety::IdempotencyKey(..)) => 1,
             _ => 2,
         }
     }
--- a/crates/proxy/src/routing/hot_restart.rs
+++ b/crates/proxy/src/routing/hot_restart.rs
@@ -4,16 +4,20 @@
 
 use super::client::GREETING;
 use super::endpoints::MOST;
-use super::session_table::Held;
-use super::{Code, Due, Life, Role, Router, Session, Stage as LifeStage};
+use super::session_table::SessionSlot;
+use super::{
+    ConnectionRole, ReasonCode, Router, Session, SessionMachine, SessionState as LifeStage,
+    TimerKey,
+};
 use crate::protocol::client::{Greeting, greeting};
 use crate::protocol::discovery::{List, Listed};
 use crate::transport::poll::Want;
 use crate::transport::{Key, Stream, link, socket};
 use asterramp_hot_restart::{
-    Act, Bytes, HOSTS, Heard, Host, Input, LONGEST, OFFERED, Pair, Side, Stage, Word,
+    BufferedBytes, ConnectionOwnership, Delivery, EndpointRecord, HOSTS, HotRestartEffect,
+    HotRestartInput, HotRestartState, LONGEST, Message, OFFERED, OpenConnection,
 };
-use asterramp_placement::event::{Outcome, Standing};
+use asterramp_placement::event::{EndpointState, Outcome};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::io::Errno;
@@ -36,10 +40,10 @@
 }
 
 #[derive(Debug)]
-pub struct Kin {
+pub struct HotRestartLink {
     path: PathBuf,
     /// Who may touch what.
-    side: Side<Offer, Found>,
+    side: ConnectionOwnership<Offer, Found>,
     door: Option<Key>,
     link: Option<Key>,
     /// Descriptors that the elder holds yet, of those that both may hold.
@@ -47,15 +51,15 @@
 }
 
 /// What an elder told a process that starts.
-pub struct Estate {
+pub struct InheritedListener {
     pub link: OwnedFd,
     pub door: OwnedFd,
     pub list: List,
 }
 
-impl Estate {
+impl InheritedListener {
     /// Asks the elder that listens at `path`, if there is one. This is before the loop: nobody waits for it yet.
-    pub fn ask(path: &Path, listen: SocketAddr) -> Result<Option<Estate>, String> {
+    pub fn ask(path: &Path, listen: SocketAddr) -> Result<Option<InheritedListener>, String> {
         let link = match link::call(path) {
             Ok(link) => link,
             Err(Errno::NOENT | Errno::CONNREFUSED) => return Ok(None),
@@ -65,13 +69,13 @@
             return Err("another user listens there".into());
         }
         let until = Instant::now() + TELLS;
-        link::send(&link, &Word::Hello.write(), &[]).map_err(|e| e.to_string())?;
+        link::send(&link, &Message::Hello.write(), &[]).map_err(|e| e.to_string())?;
         let mut lines = Vec::new();
         loop {
             match link::receive(&link, LONGEST).map_err(|e| e.to_string())? {
                 Some((message, _)) if message.is_empty() => return Err("it hung up".into()),
-                Some((message, mut with)) => match (Word::read(&message)?, with.pop()) {
-                    (Word::Hosts(hosts), None) if lines.len() < MOST => {
+                Some((message, mut with)) => match (Message::read(&message)?, with.pop()) {
+                    (Message::Hosts(hosts), None) if lines.len() < MOST => {
                         lines.extend(
                             hosts
                                 .into_iter()
@@ -79,7 +83,7 @@
                                 .collect::<Result<Vec<_>, _>>()?,
                         );
                     }
-                    (Word::Door { rev }, Some(door)) => {
+                    (Message::Door { rev }, Some(door)) => {
                         let at = rustix::net::getsockname(&door)
                             .ok()
                             .and_then(|at| at.try_into().ok());
@@ -92,7 +96,7 @@
                             lines,
                             bad: None,
                         };
-                        return Ok(Some(Estate { link, door, list }));
+                        return Ok(Some(InheritedListener { link, door, list }));
                     }
                     _ => return Err("it says what makes no sense now".into()),
                 },
@@ -117,11 +121,11 @@
 
 impl Router {
     /// Others that start beside this process may come from now on; `estate` is what this one got from its elder.
-    pub(super) fn meet_kin(&mut self, path: PathBuf, link: Option<OwnedFd>) {
+    pub(super) fn open_hot_restart(&mut self, path: PathBuf, link: Option<OwnedFd>) {
         let link = link.and_then(|fd| {
-            self.keep(
+            self.register(
                 fd,
-                Role::Kin,
+                ConnectionRole::HotRestart,
                 Want {
                     read: true,
                     write: false,
@@ -129,13 +133,13 @@
             )
         });
         let stage = if link.is_some() {
-            Stage::Taking
+            HotRestartState::Taking
         } else {
-            Stage::Alone
+            HotRestartState::Alone
         };
-        self.kin = Some(Kin {
+        self.hot_restart = Some(HotRestartLink {
             path,
-            side: Side::new(stage),
+            side: ConnectionOwnership::new(stage),
             door: None,
             link,
             foreign: 0,
@@ -143,38 +147,43 @@
     }
 
     /// This process serves: its elder hands over, and a younger may come.
-    pub(super) fn serves_kin(&mut self) {
-        if self.kin.as_ref().is_some_and(|kin| kin.link.is_some())
-            && !self.told_kin(&Word::Serves, &[])
+    pub(super) fn announce_serving(&mut self) {
+        if self
+            .hot_restart
+            .as_ref()
+            .is_some_and(|kin| kin.link.is_some())
+            && !self.told_kin(&Message::Serves, &[])
         {
-            self.kin_input(Input::Broke, None, Vec::new());
+            self.kin_input(HotRestartInput::Broke, None, Vec::new());
         }
         self.open_kin();
     }
 
     fn open_kin(&mut self) {
-        let Some(kin) = self.kin.as_ref().filter(|kin| kin.door.is_none()) else {
+        let Some(kin) = self.hot_restart.as_ref().filter(|kin| kin.door.is_none()) else {
             return;
         };
         match socket::listen_unix(&kin.path, socket::SocketType::SEQPACKET) {
             Ok(fd) => {
-                let door = self.keep(
+                let door = self.register(
                     fd,
-                    Role::KinDoor,
+                    ConnectionRole::HotRestartListener,
                     Want {
                         read: true,
                         write: false,
                     },
                 );
-                self.kin.iter_mut().for_each(|kin| kin.door = door);
+                self.hot_restart.iter_mut().for_each(|kin| kin.door = door);
             }
-            Err(e) => self.line(Code::KinBad, format!("door error={e:?}")),
+            Err(e) => self.log_event(ReasonCode::KinBad, format!("door error={e:?}")),
         }
     }
 
     /// Nobody may come any more.
-    pub fn shut_kin(&mut self) {
-        let Some(kin) = &mut self.kin else { return };
+    pub fn close_hot_restart(&mut self) {
+        let Some(kin) = &mut self.hot_restart else {
+            return;
+        };
         if let Some(door) = kin.door.take() {
             let _ = std::fs::remove_file(&kin.path);
             self.close(door);
@@ -182,62 +191,64 @@
     }
 
     /// Whether a younger has taken over.
-    pub(super) fn is_followed(&self) -> bool {
-        self.kin
+    pub(super) fn has_successor(&self) -> bool {
+        self.hot_restart
             .as_ref()
-            .is_some_and(|kin| kin.side.stage == Stage::Handing)
+            .is_some_and(|kin| kin.side.stage == HotRestartState::Handing)
     }
 
     pub(super) fn is_offered(&self, sess: Key) -> bool {
-        self.kin
+        self.hot_restart
             .as_ref()
             .is_some_and(|kin| kin.side.is_offered(&Offer::Pair(sess)))
     }
 
     /// Whether a connection has been offered, and is nobody's to read or write.
-    pub(super) fn is_lent(&self, key: Key) -> bool {
-        let Some(kin) = &self.kin else { return false };
-        match self.conns.get(key).map(|conn| conn.role) {
-            Some(Role::Client(sess) | Role::Server(sess)) => {
+    pub(super) fn is_on_offer(&self, key: Key) -> bool {
+        let Some(kin) = &self.hot_restart else {
+            return false;
+        };
+        match self.connections.get(key).map(|conn| conn.role) {
+            Some(ConnectionRole::Client(sess) | ConnectionRole::Server(sess)) => {
                 kin.side.is_offered(&Offer::Pair(sess))
             }
-            Some(Role::Greeting) => kin.side.is_offered(&Offer::Stranger(key)),
+            Some(ConnectionRole::PendingClient) => kin.side.is_offered(&Offer::Stranger(key)),
             _ => false,
         }
     }
 
     /// Descriptors that the other process holds.
-    pub(super) fn foreign(&self) -> usize {
-        self.kin.as_ref().map_or(0, |kin| kin.foreign)
+    pub(super) fn descriptors_of_peer(&self) -> usize {
+        self.hot_restart.as_ref().map_or(0, |kin| kin.foreign)
     }
 
-    pub(super) fn accept_kin(&mut self) {
-        let door = self.kin.as_ref().and_then(|kin| kin.door);
-        let Some(conn) = door.and_then(|door| self.conns.get(door)) else {
+    pub(super) fn accept_successor(&mut self) {
+        let door = self.hot_restart.as_ref().and_then(|kin| kin.door);
+        let Some(conn) = door.and_then(|door| self.connections.get(door)) else {
             return;
         };
         let Ok(Some(fd)) = socket::accept_unix(&conn.stream) else {
             return;
         };
         if !socket::is_own_user(&fd) {
-            return self.line(Code::KinBad, "caller why=\"another user\"");
+            return self.log_event(ReasonCode::KinBad, "caller why=\"another user\"");
         }
-        self.kin_input(Input::Came, Some(fd), Vec::new());
+        self.kin_input(HotRestartInput::Came, Some(fd), Vec::new());
     }
 
-    pub(super) fn kin_woken(&mut self, key: Key) {
+    pub(super) fn hot_restart_ready(&mut self, key: Key) {
         // Bounded, so that nobody waits for it: what an elder offers is.
         for _ in 0..2 * OFFERED {
-            let Some(conn) = self.conns.get(key) else {
+            let Some(conn) = self.connections.get(key) else {
                 return;
             };
             let (message, with) = match link::receive(&conn.stream, LONGEST) {
                 Ok(None) => return,
                 Ok(Some((message, with))) if !message.is_empty() => (message, with),
-                Ok(_) => return self.kin_input(Input::Over, None, Vec::new()),
-                Err(_) => return self.kin_input(Input::Broke, None, Vec::new()),
+                Ok(_) => return self.kin_input(HotRestartInput::Over, None, Vec::new()),
+                Err(_) => return self.kin_input(HotRestartInput::Broke, None, Vec::new()),
             };
-            let word = Word::read(&message).and_then(|word| {
+            let word = Message::read(&message).and_then(|word| {
                 if word.descriptors() == with.len() {
                     Ok(word)
                 } else {
@@ -245,127 +256,142 @@
                 }
             });
             match word {
-                Ok(Word::Hello) => self.kin_input(Input::Said, None, with),
-                Ok(Word::Serves) => self.kin_input(Input::Serves, None, with),
-                Ok(Word::Taken) => self.kin_input(Input::Taken, None, with),
-                Ok(Word::Kept) => self.kin_input(Input::Kept, None, with),
-                Ok(Word::Holds(n)) => {
-                    self.kin.iter_mut().for_each(|kin| kin.foreign = n as usize);
-                    self.kin_input(Input::Held, None, with);
+                Ok(Message::Hello) => self.kin_input(HotRestartInput::Said, None, with),
+                Ok(Message::Serves) => self.kin_input(HotRestartInput::Serves, None, with),
+                Ok(Message::Taken) => self.kin_input(HotRestartInput::Taken, None, with),
+                Ok(Message::Kept) => self.kin_input(HotRestartInput::Kept, None, with),
+                Ok(Message::Holds(n)) => {
+                    self.hot_restart
+                        .iter_mut()
+                        .for_each(|kin| kin.foreign = n as usize);
+                    self.kin_input(HotRestartInput::Held, None, with);
+                }
+                Ok(word @ (Message::Pair(_) | Message::Stranger(_))) => self.offered(word, with),
+                Ok(Message::Hosts(_) | Message::Door { .. }) => {
+                    self.kin_input(HotRestartInput::Broke, None, with)
                 }
-                Ok(word @ (Word::Pair(_) | Word::Stranger(_))) => self.offered(word, with),
-                Ok(Word::Hosts(_) | Word::Door { .. }) => self.kin_input(Input::Broke, None, with),
                 Err(why) => {
-                    self.line(Code::KinBad, format!("message why={why:?}"));
-                    self.kin_input(Input::Broke, None, with);
+                    self.log_event(ReasonCode::KinBad, format!("message why={why:?}"));
+                    self.kin_input(HotRestartInput::Broke, None, with);
                 }
             }
         }
     }
 
     /// The other was silent for too long.
-    pub(super) fn kin_due(&mut self) {
-        self.line(Code::KinBad, "silent");
-        self.kin_input(Input::Broke, None, Vec::new());
+    pub(super) fn hot_restart_deadline(&mut self) {
+        self.log_event(ReasonCode::KinBad, "silent");
+        self.kin_input(HotRestartInput::Broke, None, Vec::new());
     }
 
-    fn tell_kin(&mut self, word: &Word, with: &[Key]) -> Heard {
-        let link = self.kin.as_ref().and_then(|kin| kin.link);
-        let Some(link) = link.and_then(|link| self.conns.get(link)) else {
-            return Heard::Gone;
+    fn tell_kin(&mut self, word: &Message, with: &[Key]) -> Delivery {
+        let link = self.hot_restart.as_ref().and_then(|kin| kin.link);
+        let Some(link) = link.and_then(|link| self.connections.get(link)) else {
+            return Delivery::Gone;
         };
         let with: Option<Vec<BorrowedFd>> = with
             .iter()
-            .map(|key| Some(self.conns.get(*key)?.stream.as_fd()))
+            .map(|key| Some(self.connections.get(*key)?.stream.as_fd()))
             .collect();
         match with.map(|with| link::send(&link.stream, &word.write(), &with)) {
-            Some(Ok(true)) => Heard::Yes,
+            Some(Ok(true)) => Delivery::Yes,
             Some(Err(Errno::PIPE | Errno::CONNRESET | Errno::CONNREFUSED | Errno::NOTCONN)) => {
-                Heard::Gone
+                Delivery::Gone
             }
-            _ => Heard::Full,
+            _ => Delivery::Full,
         }
     }
 
-    fn told_kin(&mut self, word: &Word, with: &[Key]) -> bool {
-        self.tell_kin(word, with) == Heard::Yes
+    fn told_kin(&mut self, word: &Message, with: &[Key]) -> bool {
+        self.tell_kin(word, with) == Delivery::Yes
     }
 
     /// Reads the table of stages and does what it says.
-    fn kin_input(&mut self, input: Input, caller: Option<OwnedFd>, with: Vec<OwnedFd>) {
+    fn kin_input(&mut self, input: HotRestartInput, caller: Option<OwnedFd>, with: Vec<OwnedFd>) {
         // What came along and is not kept is closed.
         drop(with);
-        let Some(kin) = &mut self.kin else { return };
+        let Some(kin) = &mut self.hot_restart else {
+            return;
+        };
         let (before, act) = (kin.side.stage, kin.side.stage.step(input));
         match act {
-            Act::Nothing => {
+            HotRestartEffect::Nothing => {
                 let link = caller.and_then(|fd| {
-                    self.keep(
+                    self.register(
                         fd,
-                        Role::Kin,
+                        ConnectionRole::HotRestart,
                         Want {
                             read: true,
                             write: false,
                         },
                     )
                 });
-                self.kin.iter_mut().for_each(|kin| kin.link = link);
-                link.into_iter()
-                    .for_each(|key| self.deadlines.set(Due::Conn(key), self.now + SAYS));
+                self.hot_restart.iter_mut().for_each(|kin| kin.link = link);
+                link.into_iter().for_each(|key| {
+                    self.deadlines
+                        .set(TimerKey::Connection(key), self.now + SAYS)
+                });
             }
-            Act::TurnAway => self.line(Code::KinBad, "caller why=\"one replaces this already\""),
-            Act::TellState => {
+            HotRestartEffect::TurnAway => self.log_event(
+                ReasonCode::KinBad,
+                "caller why=\"one replaces this already\"",
+            ),
+            HotRestartEffect::TellState => {
                 let told = self.tell_estate();
-                let link = self.kin.as_ref().and_then(|kin| kin.link);
-                link.into_iter()
-                    .for_each(|key| self.deadlines.set(Due::Conn(key), self.now + SERVES));
+                let link = self.hot_restart.as_ref().and_then(|kin| kin.link);
+                link.into_iter().for_each(|key| {
+                    self.deadlines
+                        .set(TimerKey::Connection(key), self.now + SERVES)
+                });
                 if told {
                     // The path is the younger's from now on.
-                    self.shut_kin();
+                    self.close_hot_restart();
                 } else {
-                    self.kin_input(Input::Broke, None, Vec::new());
+                    self.kin_input(HotRestartInput::Broke, None, Vec::new());
                 }
             }
-            Act::StopTaking => {
-                let link = self.kin.as_ref().and_then(|kin| kin.link);
+            HotRestartEffect::StopTaking => {
+                let link = self.hot_restart.as_ref().and_then(|kin| kin.link);
                 link.into_iter()
-                    .for_each(|key| self.deadlines.clear(Due::Conn(key)));
-                self.door
+                    .for_each(|key| self.deadlines.clear(TimerKey::Connection(key)));
+                self.listener
                     .into_iter()
-                    .for_each(|door| self.want(door, Want::default()));
-                self.deadlines.clear(Due::Door);
-                let holds = Word::Holds(self.conns.len() as u32);
-                let about = format!("by another process, {} descriptors", self.conns.len());
-                self.line(Code::Followed, about);
+                    .for_each(|door| self.set_interest(door, Want::default()));
+                self.deadlines.clear(TimerKey::Listener);
+                let holds = Message::Holds(self.connections.len() as u32);
+                let about = format!("by another process, {} descriptors", self.connections.len());
+                self.log_event(ReasonCode::Followed, about);
                 if self.told_kin(&holds, &[]) {
-                    self.offer_on();
+                    self.continue_offers();
                 } else {
-                    self.kin_input(Input::Broke, None, Vec::new());
+                    self.kin_input(HotRestartInput::Broke, None, Vec::new());
                 }
             }
-            Act::DropOffer => match self.kin.as_mut().and_then(|kin| kin.side.dropped()) {
-                Some(offer) => {
-                    self.let_go(offer);
-                    self.offer_on();
+            HotRestartEffect::DropOffer => {
+                match self.hot_restart.as_mut().and_then(|kin| kin.side.dropped()) {
+                    Some(offer) => {
+                        self.let_go(offer);
+                        self.continue_offers();
+                    }
+                    None => self.kin_input(HotRestartInput::Broke, None, Vec::new()),
                 }
-                None => self.kin_input(Input::Broke, None, Vec::new()),
-            },
-            Act::Heed | Act::Adopt => {}
+            }
+            HotRestartEffect::Heed | HotRestartEffect::Adopt => {}
             // Dropped, they close in this process alone.
-            Act::Leave => drop(kin.side.untold()),
-            Act::HangUp => {
+            HotRestartEffect::Leave => drop(kin.side.untold()),
+            HotRestartEffect::HangUp => {
                 drop(kin.side.untold());
-                self.part(before, Heard::Gone);
+                self.part(before, Delivery::Gone);
             }
-            Act::KeepOn => {
+            HotRestartEffect::KeepOn => {
                 self.hear_out();
-                let told = self.tell_kin(&Word::Kept, &[]);
+                let told = self.tell_kin(&Message::Kept, &[]);
                 self.part(before, told);
             }
-            Act::GoOn => self.part(before, Heard::Gone),
-            Act::Inherit => {
+            HotRestartEffect::GoOn => self.part(before, Delivery::Gone),
+            HotRestartEffect::Inherit => {
                 let untold = kin.side.untold();
-                self.part(before, Heard::Gone);
+                self.part(before, Delivery::Gone);
                 untold.into_iter().for_each(|found| self.adopt(found));
             }
         }
@@ -374,10 +400,10 @@
     /// The younger lives: what it took before this moment is its own, and from now on it can say so no more.
     fn hear_out(&mut self) {
         let link = self
-            .kin
+            .hot_restart
             .as_ref()
             .and_then(|kin| kin.link)
-            .and_then(|link| self.conns.get(link));
+            .and_then(|link| self.connections.get(link));
         let mut taken = 0;
         if let Some(link) = link {
             // It fails only for a link that has ended, which then says nothing more.
@@ -386,24 +412,26 @@
                 if message.is_empty() {
                     break;
                 }
-                taken += usize::from(Word::read(&message) == Ok(Word::Taken));
+                taken += usize::from(Message::read(&message) == Ok(Message::Taken));
             }
         }
         for _ in 0..taken {
-            let offer = self.kin.as_mut().and_then(|kin| kin.side.dropped());
+            let offer = self.hot_restart.as_mut().and_then(|kin| kin.side.dropped());
             offer.into_iter().for_each(|offer| self.let_go(offer));
         }
     }
 
     /// The other is gone, or as good as that.
-    fn part(&mut self, before: Stage, told: Heard) {
-        let Some(kin) = &mut self.kin else { return };
+    fn part(&mut self, before: HotRestartState, told: Delivery) {
+        let Some(kin) = &mut self.hot_restart else {
+            return;
+        };
         kin.foreign = 0;
         let (link, (kept, dropped)) = (kin.link.take(), kin.side.parted(told));
         link.into_iter().for_each(|key| drop(self.close(key)));
-        self.deadlines.clear(Due::Kin);
-        self.line(
-            Code::KinParted,
+        self.deadlines.clear(TimerKey::HotRestart);
+        self.log_event(
+            ReasonCode::KinParted,
             format!(
                 "from={before:?} kept={} dropped={}",
                 kept.len(),
@@ -413,34 +441,36 @@
         kept.into_iter().for_each(|offer| self.take_up(offer));
         dropped.into_iter().for_each(|offer| self.let_go(offer));
         if !self.drain.shuts_door(self.now) && self.serving {
-            self.open_door();
+            self.open_listener();
             self.open_kin();
         }
     }
 
     fn tell_estate(&mut self) -> bool {
-        let hosts: Vec<Host> = self.roster.lines().map(host).collect();
-        let Some(door) = self.door else { return false };
-        let rev = self.watch.rev();
+        let hosts: Vec<EndpointRecord> = self.endpoints.lines().map(host).collect();
+        let Some(door) = self.listener else {
+            return false;
+        };
+        let rev = self.discovery_watch.rev();
         hosts
             .chunks(HOSTS)
-            .all(|hosts| self.told_kin(&Word::Hosts(hosts.to_vec()), &[]))
-            && self.told_kin(&Word::Door { rev }, &[door])
+            .all(|hosts| self.told_kin(&Message::Hosts(hosts.to_vec()), &[]))
+            && self.told_kin(&Message::Door { rev }, &[door])
     }
 
     /// Offers what may be offered, as many at a time as may be held twice.
-    pub(super) fn offer_on(&mut self) {
-        if !self.is_followed() {
+    pub(super) fn continue_offers(&mut self) {
+        if !self.has_successor() {
             return;
         }
-        self.deadlines.set(Due::Kin, self.now + STEP);
-        let room = self.kin.as_ref().map_or(0, |kin| kin.side.room());
-        let strangers = self.conns.iter().filter(|(key, conn)| {
+        self.deadlines.set(TimerKey::HotRestart, self.now + STEP);
+        let room = self.hot_restart.as_ref().map_or(0, |kin| kin.side.room());
+        let strangers = self.connections.iter().filter(|(key, conn)| {
             let offered = self
-                .kin
+                .hot_restart
                 .as_ref()
                 .is_some_and(|kin| kin.side.is_offered(&Offer::Stranger(*key)));
-            conn.role == Role::Greeting
+            conn.role == ConnectionRole::PendingClient
                 && conn.stream.ended.is_none()
                 && conn.stream.sent()
                 && !offered
@@ -450,7 +480,7 @@
             .take(room)
             .collect();
         let sessions = self
-            .exchange
+            .session_table
             .sessions
             .iter()
             .filter(|(key, held)| self.may_offer(*key, held));
@@ -468,62 +498,64 @@
             }
             // Nothing of it is read or written from here on, until it is dropped or taken up again.
             for key in with {
-                self.conns
+                self.connections
                     .get(key)
                     .into_iter()
                     .for_each(|conn| self.poll.forget(&conn.stream));
-                self.deadlines.clear(Due::Conn(key));
+                self.deadlines.clear(TimerKey::Connection(key));
             }
             if let Offer::Pair(sess) = offer {
-                self.deadlines.clear(Due::Session(sess));
+                self.deadlines.clear(TimerKey::Session(sess));
             }
-            self.kin.iter_mut().for_each(|kin| kin.side.offered(offer));
+            self.hot_restart
+                .iter_mut()
+                .for_each(|kin| kin.side.offered(offer));
         }
     }
 
     /// Open on both sides, with nothing half said by this process and no end on its way.
-    fn may_offer(&self, sess: Key, held: &Held<Session>) -> bool {
+    fn may_offer(&self, sess: Key, held: &SessionSlot<Session>) -> bool {
         let clean = |key: Option<Key>| {
-            let conn = key.and_then(|key| self.conns.get(key));
+            let conn = key.and_then(|key| self.connections.get(key));
             conn.is_some_and(|conn| conn.stream.ended.is_none() && conn.stream.sent())
         };
-        let (life, own) = (&held.life, &held.own);
+        let (life, own) = (&held.machine, &held.driver_data);
         let open = life.stage == LifeStage::Open && !life.left && own.farewell.is_none();
         open && clean(own.client) && clean(own.server) && !self.is_offered(sess)
     }
 
-    fn worded(&self, offer: Offer) -> Option<(Word, Vec<Key>)> {
+    fn worded(&self, offer: Offer) -> Option<(Message, Vec<Key>)> {
         let bytes = |key: Key| {
-            let conn = self.conns.get(key)?;
-            Some(Bytes {
-                whole: conn.whole,
+            let conn = self.connections.get(key)?;
+            Some(BufferedBytes {
+                whole: conn.complete_len,
                 bytes: conn.stream.inbound.bytes().to_vec(),
             })
         };
         match offer {
-            Offer::Stranger(key) => Some((Word::Stranger(bytes(key)?), vec![key])),
+            Offer::Stranger(key) => Some((Message::Stranger(bytes(key)?), vec![key])),
             Offer::Pair(sess) => {
-                let held = self.exchange.sessions.get(sess)?;
-                let (client, server) = (held.own.client?, held.own.server?);
+                let held = self.session_table.sessions.get(sess)?;
+                let (client, server) = (held.driver_data.client?, held.driver_data.server?);
                 let due = self
                     .deadlines
-                    .of(Due::Session(sess))
-                    .filter(|_| held.own.asked);
+                    .of(TimerKey::Session(sess))
+                    .filter(|_| held.driver_data.asked);
                 // The other process is told when its client is to be moved, not when its server counts as quiet.
-                let waits = super::forwarding::rest(self.setup.connect_within);
-                let later = if held.own.quiet {
+                let waits = super::forwarding::rest(self.settings.connect_timeout);
+                let later = if held.driver_data.quiet {
                     Duration::ZERO
                 } else {
                     waits
                 };
-                let pair = Pair {
-                    line: held.own.line.clone(),
-                    uid: self.roster.name(held.life.to).into(),
+                let pair = OpenConnection {
+                    line: held.driver_data.line.clone(),
+                    uid: self.endpoints.name(held.machine.to).into(),
                     waits: due.map(|at| at.saturating_sub(self.now) + later),
                     client: bytes(client)?,
                     server: bytes(server)?,
                 };
-                Some((Word::Pair(pair), vec![client, server]))
+                Some((Message::Pair(pair), vec![client, server]))
             }
         }
     }
@@ -533,7 +565,7 @@
         match offer {
             Offer::Stranger(key) => drop(self.let_out(key)),
             Offer::Pair(sess) => {
-                self.count(Code::HandedOver);
+                self.count_event(ReasonCode::HandedOver);
                 let (client, server) = (self.take_client(sess), self.take_server(sess));
                 [client, server]
                     .into_iter()
@@ -542,7 +574,7 @@
                 let load = asterramp_placement::event::Load::default();
                 self.input(
                     sess,
-                    super::Input::Closed {
+                    super::SessionInput::Closed {
                         outcome: Outcome::CalledOff,
                         load,
                     },
@@ -554,7 +586,7 @@
     /// It was not taken: this process goes on with it.
     fn take_up(&mut self, offer: Offer) {
         let watch = |router: &mut Router, key: Key| {
-            if let Some(conn) = router.conns.get_mut(key) {
+            if let Some(conn) = router.connections.get_mut(key) {
                 conn.stream.want = Want {
                     read: true,
                     write: false,
@@ -565,8 +597,9 @@
         match offer {
             Offer::Stranger(key) => {
                 watch(self, key);
-                self.deadlines.set(Due::Conn(key), self.now + GREETING);
-                self.greeted(key);
+                self.deadlines
+                    .set(TimerKey::Connection(key), self.now + GREETING);
+                self.read_greeting(key);
             }
             Offer::Pair(sess) => {
                 let keys = self
@@ -580,41 +613,43 @@
                     .flatten()
                     .for_each(|key| watch(self, key));
                 if asked {
-                    self.deadlines
-                        .set(Due::Session(sess), self.now + super::forwarding::SILENCE);
+                    self.deadlines.set(
+                        TimerKey::Session(sess),
+                        self.now + super::forwarding::SILENCE,
+                    );
                     self.own(sess).into_iter().for_each(|own| own.quiet = true);
                 }
-                self.relay(sess);
+                self.forward(sess);
             }
         }
     }
 
     /// The elder offers something: it is taken only where it is whole and known, and the elder hears that before
     /// anything is done with it.
-    fn offered(&mut self, word: Word, with: Vec<OwnedFd>) {
+    fn offered(&mut self, word: Message, with: Vec<OwnedFd>) {
         let taking = self
-            .kin
+            .hot_restart
             .as_ref()
-            .is_some_and(|kin| kin.side.stage == Stage::Taking);
+            .is_some_and(|kin| kin.side.stage == HotRestartState::Taking);
         let found = if taking {
             self.found(word, with)
         } else {
             Err("nothing may be offered now")
         };
         let taken = found.and_then(|found| {
-            let told = self.tell_kin(&Word::Taken, &[]);
-            self.kin
+            let told = self.tell_kin(&Message::Taken, &[]);
+            self.hot_restart
                 .as_mut()
                 .map_or(Ok(None), |kin| kin.side.read(found, told))
         });
         match taken {
             Ok(found) => {
-                self.kin_input(Input::Offered, None, Vec::new());
+                self.kin_input(HotRestartInput::Offered, None, Vec::new());
                 found.into_iter().for_each(|found| self.adopt(found));
             }
             Err(why) => {
-                self.line(Code::KinBad, format!("offer why={why:?}"));
-                self.kin_input(Input::Broke, None, Vec::new());
+                self.log_event(ReasonCode::KinBad, format!("offer why={why:?}"));
+                self.kin_input(HotRestartInput::Broke, None, Vec::new());
             }
         }
     }
@@ -626,16 +661,18 @@
         } else {
             1
         };
-        self.kin
+        self.hot_restart
             .iter_mut()
             .for_each(|kin| kin.foreign = kin.foreign.saturating_sub(less));
         match found {
             Found::Stranger(stream) => {
-                let Some(key) = self.keep_stream(stream, Role::Greeting, 0) else {
+                let Some(key) = self.register_stream(stream, ConnectionRole::PendingClient, 0)
+                else {
                     return;
                 };
-                self.deadlines.set(Due::Conn(key), self.now + GREETING);
-                self.greeted(key);
+                self.deadlines
+                    .set(TimerKey::Connection(key), self.now + GREETING);
+                self.read_greeting(key);
             }
             Found::Pair(pair) => {
                 let FoundPair {
@@ -645,15 +682,15 @@
                     server,
                     waits,
                 } = *pair;
-                self.ids.insert(own.id().to_string());
+                self.session_ids.insert(own.id().to_string());
                 let asked = own.asked;
-                let sess = self.exchange.adopt(self.now, life, own);
-                let client = self.keep_stream(client.0, Role::Client(sess), client.1);
-                let server = self.keep_stream(server.0, Role::Server(sess), server.1);
+                let sess = self.session_table.adopt(self.now, life, own);
+                let client = self.register_stream(client.0, ConnectionRole::Client(sess), client.1);
+                let server = self.register_stream(server.0, ConnectionRole::Server(sess), server.1);
                 if let Some(own) = self.own(sess) {
                     (own.client, own.server) = (client, server);
                 }
-                self.count(Code::Adopted);
+                self.count_event(ReasonCode::Adopted);
                 if client.is_none() || server.is_none() {
                     // A socket that cannot be watched is closed already; the session must not stay behind.
                     [client, server]
@@ -666,30 +703,32 @@
                     let load = asterramp_placement::event::Load::default();
                     return self.input(
                         sess,
-                        super::Input::Closed {
+                        super::SessionInput::Closed {
                             outcome: Outcome::Reset,
                             load,
                         },
                     );
                 }
                 if asked {
-                    self.deadlines
-                        .set(Due::Session(sess), self.now + waits.unwrap_or_default());
+                    self.deadlines.set(
+                        TimerKey::Session(sess),
+                        self.now + waits.unwrap_or_default(),
+                    );
                 }
-                self.relay(sess);
+                self.forward(sess);
             }
         }
     }
 
-    fn found(&self, word: Word, with: Vec<OwnedFd>) -> Result<Found, &'static str> {
+    fn found(&self, word: Message, with: Vec<OwnedFd>) -> Result<Found, &'static str> {
         let mut with = with.into_iter();
-        let mut stream = |bytes: &Bytes| {
+        let mut stream = |bytes: &BufferedBytes| {
             let fd = with.next().ok_or("a descriptor is missing")?;
             Stream::taken(fd, &bytes.bytes).ok_or("more bytes than may wait")
         };
         match word {
-            Word::Stranger(bytes) => Ok(Found::Stranger(stream(&bytes)?)),
-            Word::Pair(pair) => {
+            Message::Stranger(bytes) => Ok(Found::Stranger(stream(&bytes)?)),
+            Message::Pair(pair) => {
                 let text = pair
                     .line
                     .strip_suffix(b"\r\n")
@@ -698,12 +737,15 @@
                     return Err("its first line is none");
                 };
                 let (listener, member) =
-                    super::client::places(&self.setup, &open).ok_or("a name is unknown")?;
-                let server = self.roster.find(&pair.uid).ok_or("its server is unknown")?;
-                if self.ids.contains(open.id) {
+                    super::client::places(&self.settings, &open).ok_or("a name is unknown")?;
+                let server = self
+                    .endpoints
+                    .find(&pair.uid)
+                    .ok_or("its server is unknown")?;
+                if self.session_ids.contains(open.id) {
                     return Err("it is open here");
                 }
-                let arrival = super::client::arrival(&open, self.now, listener, member);
+                let arrival = super::client::session_request(&open, self.now, listener, member);
                 let own = Session {
                     client: None,
                     server: None,
@@ -714,7 +756,8 @@
                     quiet: true,
                     farewell: None,
                 };
-                let life = Life::open(self.now, arrival, server, self.setup.connect_within);
+                let life =
+                    SessionMachine::open(self.now, arrival, server, self.settings.connect_timeout);
                 let client = (stream(&pair.client)?, pair.client.whole);
                 let server = (stream(&pair.server)?, pair.server.whole);
                 Ok(Found::Pair(Box::new(FoundPair {
@@ -739,7 +782,7 @@
 
 #[derive(Debug)]
 struct FoundPair {
-    life: Life,
+    life: SessionMachine,
     own: Session,
     /// With what of their bytes is whole lines.
     client: (Stream, usize),
@@ -747,8 +790,8 @@
     waits: Option<Duration>,
 }
 
-fn host(line: Listed) -> Host {
-    Host {
+fn host(line: Listed) -> EndpointRecord {
+    EndpointRecord {
         uid: line.uid,
         endpoint: line.endpoint.to_string(),
         zone: line.zone,
@@ -759,8 +802,12 @@
     }
 }
 
-fn listed(host: Host) -> Result<Listed, &'static str> {
-    let standing = [Standing::Ready, Standing::Draining, Standing::Gone];
+fn listed(host: EndpointRecord) -> Result<Listed, &'static str> {
+    let standing = [
+        EndpointState::Ready,
+        EndpointState::Draining,
+        EndpointState::Gone,
+    ];
     Ok(Listed {
         endpoint: host.endpoint.parse().map_err(|_| "an endpoint is none")?,
         standing: *standing
--- a/crates/proxy/src/routing/metrics.rs
+++ b/crates/proxy/src/routing/metrics.rs
@@ -1,13 +1,13 @@
 //! What operators are told in figures: what each counts, and the one place where it is counted.
 
-use asterramp_admission::Reason;
-use asterramp_warm_start::Recovery;
-use asterramp_zone_failover::Place;
+use asterramp_admission::RejectReason;
+use asterramp_warm_start::WarmStart;
+use asterramp_zone_failover::Zone;
 use std::fmt::Write;
 
 /// The one end that a session comes to, as far as its client is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum SessionEnd {
     /// Brought up; also one that was open before this proxy started, once it is up again.
     Success,
     /// Refused.
@@ -16,15 +16,15 @@
     Failure,
 }
 
-const ENDS: [(End, &str); 3] = [
-    (End::Success, "success"),
-    (End::Busy, "busy"),
-    (End::Failure, "failure"),
+const ENDS: [(SessionEnd, &str); 3] = [
+    (SessionEnd::Success, "success"),
+    (SessionEnd::Busy, "busy"),
+    (SessionEnd::Failure, "failure"),
 ];
 
 /// Counts since the start of this process.
 #[derive(Debug)]
-pub struct Figures {
+pub struct Metrics {
     /// By listener and end.
     ends: Vec<[u64; ENDS.len()]>,
     /// Lines written to servers to the last byte.
@@ -33,22 +33,22 @@
 
 /// What stands now, beside the counts.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing {
+pub struct GaugeValues {
     /// Sessions whose client is there.
     pub inflight: usize,
     pub listed: usize,
     pub down: usize,
 }
 
-impl Figures {
-    pub fn new(listeners: usize) -> Figures {
-        Figures {
+impl Metrics {
+    pub fn new(listeners: usize) -> Metrics {
+        Metrics {
             ends: vec![[0; ENDS.len()]; listeners],
             attempts: 0,
         }
     }
 
-    pub fn ended(&mut self, listener: u8, end: End) {
+    pub fn ended(&mut self, listener: u8, end: SessionEnd) {
         self.ends[usize::from(listener)][end as usize] += 1;
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// In the text form that scrapers read.
-    pub fn text(&self, listeners: &[String], standing: Standing) -> String {
+    pub fn text(&self, listeners: &[String], standing: GaugeValues) -> String {
         let mut text = String::from("# TYPE svc_calls_total counter\n");
         // Writing to a string does not fail.
         for (name, counts) in listeners.iter().zip(&self.ends) {
@@ -84,7 +84,7 @@
 }
 
 /// What is made of places: 1 for the state that each is in, and the alarms that were none; nothing where there is one place.
-pub fn places_text<'a>(places: impl Iterator<Item = (&'a String, &'a Place)>) -> String {
+pub fn places_text<'a>(places: impl Iterator<Item = (&'a String, &'a Zone)>) -> String {
     let mut text = String::new();
     for (name, place) in places {
         let (place_name, state) = (escaped(name), place.state.name());
@@ -104,11 +104,15 @@
 
 /// Who was refused for want of room, and why; nothing while nobody was.
 pub fn room_text<'a>(
-    counts: impl Iterator<Item = (&'a String, &'a [u64; Reason::ALL.len()])>,
+    counts: impl Iterator<Item = (&'a String, &'a [u64; RejectReason::ALL.len()])>,
 ) -> String {
     let mut text = String::new();
     for (name, counts) in counts {
-        for (why, n) in Reason::ALL.into_iter().zip(counts).filter(|(_, n)| **n > 0) {
+        for (why, n) in RejectReason::ALL
+            .into_iter()
+            .zip(counts)
+            .filter(|(_, n)| **n > 0)
+        {
             let (tier, why) = (escaped(name), why.name());
             let _ = writeln!(
                 text,
@@ -120,7 +124,7 @@
 }
 
 /// How far a start has come, and what was kept for the next; nothing where neither is wanted.
-pub fn start_text(start: Option<&Recovery>, kept: Option<(u64, u64)>) -> String {
+pub fn start_text(start: Option<&WarmStart>, kept: Option<(u64, u64)>) -> String {
     let mut text = String::new();
     if let Some(start) = start {
         let _ = writeln!(
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -23,31 +23,31 @@
 use crate::protocol::discovery::List;
 use crate::transport::poll::{Ready, Want};
 use crate::transport::{Deadlines, End, Key, Poll, Slots, Stream, socket};
-use admin_http::Calls;
-use asterramp_admission::Door;
-use asterramp_drain::{Drain, State, Terms};
-use asterramp_leader_lease::{Fence, Term};
+use admin_http::AdminHttp;
+use asterramp_admission::AdmissionControl;
+use asterramp_drain::{Drain, DrainSettings, DrainState};
+use asterramp_leader_lease::{FencingGuard, Term};
 use asterramp_placement::Event;
 use asterramp_placement::event::{Load, Outcome, ServerId};
-use asterramp_placement::settings::Setup;
-use asterramp_zone_failover::Terms as SiteTerms;
-use client::{Budget, Tally};
-use discovery_watch::Watch;
-use endpoints::Roster;
-use hot_restart::{Estate, Kin};
-use metrics::Figures;
+use asterramp_placement::settings::Settings;
+use asterramp_zone_failover::ZoneFailoverSettings as SiteTerms;
+use client::{ConnectionCounts, ResourceBudget};
+use discovery_watch::DiscoveryWatch;
+use endpoints::EndpointTable;
+use hot_restart::{HotRestartLink, InheritedListener};
+use metrics::Metrics;
 use peers::Peers;
-use report::{Code, Report};
+use report::{ReasonCode, Report};
 use rustix::fd::OwnedFd;
-use session_state::{Answer, Effect, Input, Life, Stage};
-use session_table::{Exchange, Held, Task};
+use session_state::{FinalAnswer, SessionEffect, SessionInput, SessionMachine, SessionState};
+use session_table::{SessionSlot, SessionTable, SessionTask};
 use std::collections::HashSet;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
-use warm_start::{Anew, Keeping, Starting};
-use zones::Places;
+use warm_start::{SnapshotSchedule, WarmStartPlan, WarmStartProgress};
+use zones::ZoneTracker;
 
 /// How long discovery is waited for before clients are served by the list of old.
 const PATIENCE: Duration = Duration::from_millis(500);
@@ -59,8 +59,8 @@
 const DISCARD: usize = 1 << 20;
 
 /// What is made of whole places goes by the deployment's own figures.
-fn site_terms(setup: &Setup) -> SiteTerms {
-    let probe = setup.connect_within * 3;
+fn site_terms(setup: &Settings) -> SiteTerms {
+    let probe = setup.connect_timeout * 3;
     SiteTerms {
         may_look: setup.deployment.may_probe,
         under_way: probe,
@@ -69,10 +69,18 @@
 }
 
 /// Sessions are refused by what they are worth and whose they are.
-fn gate_terms(setup: &Setup) -> asterramp_admission::Terms {
-    let worths = setup.deployment.listeners.iter().map(|l| l.worth).collect();
-    let (portions, longest) = (setup.portions.clone(), setup.deployment.come_back);
-    asterramp_admission::Terms {
+fn gate_terms(setup: &Settings) -> asterramp_admission::AdmissionSettings {
+    let worths = setup
+        .deployment
+        .listeners
+        .iter()
+        .map(|l| l.priority_weight)
+        .collect();
+    let (portions, longest) = (
+        setup.tenant_shares.clone(),
+        setup.deployment.max_retry_after,
+    );
+    asterramp_admission::AdmissionSettings {
         worths,
         portions,
         longest,
@@ -81,39 +89,39 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum TimerKey {
     Tick,
-    Watch,
-    Door,
-    Start,
-    Leave,
-    Kin,
-    Conn(Key),
+    DiscoveryWatch,
+    Listener,
+    WarmStart,
+    Shutdown,
+    HotRestart,
+    Connection(Key),
     Session(Key),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Role {
-    Door,
+enum ConnectionRole {
+    Listener,
     /// What can be read once a signal has come.
-    Wakes,
-    ControlDoor,
+    SignalPipe,
+    AdminSocketListener,
     /// An operator's.
-    Control,
-    CallDoor,
+    AdminSocket,
+    AdminHttpListener,
     /// Where a process that replaces this one comes; it, or the one that this one replaces.
-    KinDoor,
-    Kin,
+    HotRestartListener,
+    HotRestart,
     /// An operator's, of one call.
-    Caller {
+    AdminHttp {
         answered: bool,
     },
     /// Has not said yet what it wants.
-    Greeting,
+    PendingClient,
     Client(Key),
     Server(Key),
-    Probe(ServerId, probe::Stage),
-    Watch,
+    Probe(ServerId, probe::ProbeStage),
+    DiscoveryWatch,
     /// Another proxy that is asked what it knows.
     Peer,
     /// Has been told its end.
@@ -123,13 +131,13 @@
 }
 
 #[derive(Debug)]
-struct Conn {
+struct Connection {
     stream: Stream,
-    role: Role,
+    role: ConnectionRole,
     /// Bytes at the front of what came that are whole, checked lines.
-    whole: usize,
+    complete_len: usize,
     /// When some of them were last passed on, or the connection came, or was told its end.
-    passed: Duration,
+    last_activity: Duration,
 }
 
 /// What a session has on sockets, beside its life.
@@ -151,122 +159,123 @@
 
 /// What a proxy starts from.
 pub struct Start {
-    pub setup: Setup,
+    pub settings: Settings,
     pub seed: u64,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     /// Where operators call, if they do.
     pub operator: Option<SocketAddr>,
     /// Where the process that replaces this one finds it; none where none may.
-    pub kin: Option<PathBuf>,
-    pub known: List,
+    pub hot_restart_socket: Option<PathBuf>,
+    pub known_endpoints: List,
     /// How a start goes on from what was saved; `None` where discovery and the list of old are believed.
-    pub anew: Option<Anew>,
-    pub sockets: usize,
-    pub memory: usize,
+    pub warm_start: Option<WarmStartPlan>,
+    pub max_descriptors: usize,
+    pub max_memory_mb: usize,
 }
 
 pub struct Router {
-    exchange: Exchange<Session>,
-    setup: Setup,
-    budget: Budget,
+    session_table: SessionTable<Session>,
+    settings: Settings,
+    resource_budget: ResourceBudget,
     poll: Poll,
     ready: Vec<Ready>,
-    conns: Slots<Conn>,
-    roster: Roster,
+    connections: Slots<Connection>,
+    endpoints: EndpointTable,
     /// Ids of the sessions there are, by which a second of the same is known.
-    ids: HashSet<String>,
+    session_ids: HashSet<String>,
     /// What the descriptors are held for; counted as they come and go, since counting them anew for each client
     /// made many clients dear.
-    tally: Tally,
-    watch: Watch,
-    door: Option<Key>,
+    connection_counts: ConnectionCounts,
+    discovery_watch: DiscoveryWatch,
+    listener: Option<Key>,
     /// Whether clients and the front are let in.
     serving: bool,
-    deadlines: Deadlines<Due>,
-    pub reports: Vec<Report>,
+    deadlines: Deadlines<TimerKey>,
+    pub log_events: Vec<Report>,
     now: Duration,
     drain: Drain,
     /// Who is let in while room is short.
-    gate: Door,
+    admission: AdmissionControl,
     /// Whether it is kept at all.
-    gated: bool,
+    admission_enabled: bool,
     /// The drain's state as last told in the log.
-    state: State,
+    logged_drain_state: DrainState,
     done: bool,
-    control: Option<admin_socket::Control>,
+    admin_socket: Option<admin_socket::AdminSocket>,
     /// Against late orders of the fleet's owners.
-    fence: Fence,
-    calls: Option<Calls>,
-    kin: Option<Kin>,
-    starting: Option<Starting>,
+    fencing_guard: FencingGuard,
+    admin_http: Option<AdminHttp>,
+    hot_restart: Option<HotRestartLink>,
+    warm_start: Option<WarmStartProgress>,
     peers: Peers,
-    keeping: Option<Keeping>,
-    figures: Figures,
-    began: Duration,
-    last_came: Duration,
-    taken: u64,
+    snapshots: Option<SnapshotSchedule>,
+    metrics: Metrics,
+    started_at: Duration,
+    last_arrival: Duration,
+    sessions_accepted: u64,
 }
 
 impl Router {
     pub fn new(start: Start, now: Duration) -> io::Result<Router> {
         let Start {
-            setup,
+            settings: setup,
             seed,
             listen,
             discovery,
             operator,
-            kin,
-            known,
-            anew,
-            sockets,
-            memory,
+            hot_restart_socket: kin,
+            known_endpoints: known,
+            warm_start: anew,
+            max_descriptors: sockets,
+            max_memory_mb: memory,
         } = start;
         let estate = kin
             .as_ref()
-            .map(|path| Estate::ask(path, listen))
+            .map(|path| InheritedListener::ask(path, listen))
             .unwrap_or(Ok(None));
         let (estate, why) = estate.map_or_else(|why| (None, Some(why)), |estate| (estate, None));
         let rev = estate.as_ref().map_or(known.rev, |estate| estate.list.rev);
         let mut router = Router {
-            exchange: Exchange::new(setup.deployment.clone(), seed, setup.connect_within),
-            budget: Budget::new(sockets, memory),
+            session_table: SessionTable::new(setup.deployment.clone(), seed, setup.connect_timeout),
+            resource_budget: ResourceBudget::new(sockets, memory),
             poll: Poll::new()?,
             ready: Vec::new(),
-            conns: Slots::default(),
-            ids: HashSet::new(),
-            tally: Tally::default(),
-            roster: Roster::new(setup.zones.clone()),
-            watch: Watch::new(discovery, rev, &setup),
-            door: None,
+            connections: Slots::default(),
+            session_ids: HashSet::new(),
+            connection_counts: ConnectionCounts::default(),
+            endpoints: EndpointTable::new(setup.zones.clone()),
+            discovery_watch: DiscoveryWatch::new(discovery, rev, &setup),
+            listener: None,
             serving: false,
             deadlines: Deadlines::default(),
-            reports: Vec::new(),
+            log_events: Vec::new(),
             now,
-            drain: Drain::new(Terms::default()),
-            gate: Door::new(gate_terms(&setup), seed),
-            gated: true,
-            state: State::Serving,
+            drain: Drain::new(DrainSettings::default()),
+            admission: AdmissionControl::new(gate_terms(&setup), seed),
+            admission_enabled: true,
+            logged_drain_state: DrainState::Serving,
             done: false,
-            control: None,
-            fence: Fence::new(now.as_micros() as u64, 0),
-            calls: None,
-            kin: None,
-            starting: None,
+            admin_socket: None,
+            fencing_guard: FencingGuard::new(now.as_micros() as u64, 0),
+            admin_http: None,
+            hot_restart: None,
+            warm_start: None,
             peers: Peers::default(),
-            keeping: None,
-            figures: Figures::new(setup.listeners.len()),
-            began: now,
-            last_came: Duration::ZERO,
-            taken: 0,
-            setup,
+            snapshots: None,
+            metrics: Metrics::new(setup.listeners.len()),
+            started_at: now,
+            last_arrival: Duration::ZERO,
+            sessions_accepted: 0,
+            settings: setup,
         };
-        router.exchange.places = Places::new(router.setup.zones.len(), site_terms(&router.setup));
+        router.session_table.zones =
+            ZoneTracker::new(router.settings.zones.len(), site_terms(&router.settings));
         let named = |key: &str, at: SocketAddr, e: io::Error| {
             io::Error::new(e.kind(), format!("{key}: {at}: {e}"))
         };
         why.into_iter()
-            .for_each(|why| router.line(Code::KinBad, format!("elder why={why:?}")));
+            .for_each(|why| router.log_event(ReasonCode::KinBad, format!("elder why={why:?}")));
         let (door, link, list) = match estate {
             Some(estate) => (estate.door, Some(estate.link), Some(estate.list)),
             None => {
@@ -279,45 +288,45 @@
             }
         };
         if let Some(path) = kin {
-            router.meet_kin(path, link);
+            router.open_hot_restart(path, link);
         }
-        router.door = router.keep(door, Role::Door, Want::default());
+        router.listener = router.register(door, ConnectionRole::Listener, Want::default());
         if let Some(at) = operator {
             router
-                .open_calls(at)
+                .open_admin_http(at)
                 .map_err(|e| named("operator", at, e))?;
         }
         match list {
             Some(list) => {
-                router.deadlines.set(Due::Door, now + PATIENCE);
-                router.told_by_elder(list);
+                router.deadlines.set(TimerKey::Listener, now + PATIENCE);
+                router.apply_inherited_list(list);
             }
             None => match anew {
                 Some(anew) => {
                     // All is asked for: what changed since a list of old says nothing of a discovery that started anew.
-                    router.watch = Watch::new(discovery, 0, &router.setup);
-                    router.begin_anew(anew, &known);
+                    router.discovery_watch = DiscoveryWatch::new(discovery, 0, &router.settings);
+                    router.begin_warm_start(anew, &known);
                     router.connect_watch();
                 }
                 None => {
-                    router.deadlines.set(Due::Door, now + PATIENCE);
-                    router.known(known);
+                    router.deadlines.set(TimerKey::Listener, now + PATIENCE);
+                    router.apply_known_list(known);
                 }
             },
         }
-        router.settle();
+        router.run_tasks();
         Ok(router)
     }
 
     /// What is made of whole places goes by other terms from now on; by none, if it is not wanted.
-    pub fn sites_by(&mut self, terms: Option<SiteTerms>) {
-        match (&mut self.exchange.places, terms) {
+    pub fn configure_zone_failover(&mut self, terms: Option<SiteTerms>) {
+        match (&mut self.session_table.zones, terms) {
             (Some(places), Some(terms)) => {
                 let SiteTerms {
                     may_look,
                     under_way,
                     ..
-                } = site_terms(&self.setup);
+                } = site_terms(&self.settings);
                 places.sites.terms(SiteTerms {
                     may_look,
                     under_way,
@@ -330,14 +339,14 @@
     }
 
     /// The highest term that the process before this one kept.
-    pub fn fence_from(&mut self, kept: Term) {
-        self.fence = Fence::new(self.began.as_micros() as u64, kept);
+    pub fn restore_highest_term(&mut self, kept: Term) {
+        self.fencing_guard = FencingGuard::new(self.started_at.as_micros() as u64, kept);
     }
 
     /// Whether set-ups are paced while room is short, and whether utility alone orders them where nobody has told more.
-    pub fn gate_by(&mut self, paced: bool, by_worth: bool) {
-        self.gated = paced;
-        self.gate.by_worth(by_worth);
+    pub fn configure_admission(&mut self, paced: bool, by_worth: bool) {
+        self.admission_enabled = paced;
+        self.admission.by_worth(by_worth);
     }
 
     /// Waits for sockets, no longer than until the next deadline.
@@ -350,29 +359,29 @@
     }
 
     /// Takes in what is ready and what is due.
-    pub fn run(&mut self, now: Duration) {
+    pub fn process(&mut self, now: Duration) {
         self.now = now;
         let mut ready = std::mem::take(&mut self.ready);
         // Operators are answered in time whatever else there is to do.
-        if self.calls.is_some() {
+        if self.admin_http.is_some() {
             ready.sort_by_key(|event| !self.is_operators(event.key));
         }
         for event in ready.drain(..) {
-            self.woken(event);
-            self.settle();
+            self.connection_ready(event);
+            self.run_tasks();
         }
         self.ready = ready;
         while let Some(due) = self.deadlines.pop(now) {
-            self.fell_due(due);
-            self.settle();
+            self.deadline_reached(due);
+            self.run_tasks();
         }
     }
 
     /// Wakes at what comes there, whose bytes say nothing.
-    pub fn wake_by(&mut self, wakes: OwnedFd) -> io::Result<()> {
-        let kept = self.keep(
+    pub fn add_wake_source(&mut self, wakes: OwnedFd) -> io::Result<()> {
+        let kept = self.register(
             wakes,
-            Role::Wakes,
+            ConnectionRole::SignalPipe,
             Want {
                 read: true,
                 write: false,
@@ -387,192 +396,202 @@
     }
 
     fn is_operators(&self, key: Key) -> bool {
-        let role = self.conns.get(key).map(|conn| conn.role);
-        matches!(role, Some(Role::CallDoor | Role::Caller { .. }))
+        let role = self.connections.get(key).map(|conn| conn.role);
+        matches!(
+            role,
+            Some(ConnectionRole::AdminHttpListener | ConnectionRole::AdminHttp { .. })
+        )
     }
 
-    fn woken(&mut self, event: Ready) {
+    fn connection_ready(&mut self, event: Ready) {
         // An event of the wake-up in which it was offered: what came is read by one process alone.
-        if self.is_lent(event.key) {
+        if self.is_on_offer(event.key) {
             return;
         }
-        let Some(conn) = self.conns.get_mut(event.key) else {
+        let Some(conn) = self.connections.get_mut(event.key) else {
             return;
         };
-        if conn.role == Role::Door {
+        if conn.role == ConnectionRole::Listener {
             return self.accept();
         }
-        if conn.role == Role::ControlDoor {
-            return self.accept_control();
+        if conn.role == ConnectionRole::AdminSocketListener {
+            return self.accept_admin_socket();
         }
-        if conn.role == Role::KinDoor {
-            return self.accept_kin();
+        if conn.role == ConnectionRole::HotRestartListener {
+            return self.accept_successor();
         }
-        if conn.role == Role::Kin {
-            return self.kin_woken(event.key);
+        if conn.role == ConnectionRole::HotRestart {
+            return self.hot_restart_ready(event.key);
         }
-        if conn.role == Role::CallDoor {
-            return self.accept_calls();
+        if conn.role == ConnectionRole::AdminHttpListener {
+            return self.accept_admin_http();
         }
-        if conn.role == Role::Wakes {
+        if conn.role == ConnectionRole::SignalPipe {
             return conn.stream.discard(UNREAD);
         }
         if event.write {
             conn.stream.flush();
         }
         match conn.role {
-            Role::Server(sess) => self.server_woken(sess, event),
-            Role::Probe(server, stage) => self.probe_woken(server, stage, event),
-            Role::Watch => self.watch_woken(event),
-            Role::Peer => self.peer_woken(event),
+            ConnectionRole::Server(sess) => self.server_ready(sess, event),
+            ConnectionRole::Probe(server, stage) => self.probe_ready(server, stage, event),
+            ConnectionRole::DiscoveryWatch => self.watch_ready(event),
+            ConnectionRole::Peer => self.peer_ready(event),
             role => {
                 conn.stream.fill(event.broken);
                 match role {
-                    Role::Client(sess) => self.client_woken(sess),
-                    Role::Greeting => self.greeted(event.key),
-                    Role::Control => self.control_woken(event.key),
-                    Role::Caller { answered } => self.caller_woken(event.key, answered),
+                    ConnectionRole::Client(sess) => self.client_ready(sess),
+                    ConnectionRole::PendingClient => self.read_greeting(event.key),
+                    ConnectionRole::AdminSocket => self.admin_socket_ready(event.key),
+                    ConnectionRole::AdminHttp { answered } => {
+                        self.admin_http_ready(event.key, answered)
+                    }
                     _ => self.lingered(event.key),
                 }
             }
         }
     }
 
-    fn fell_due(&mut self, due: Due) {
+    fn deadline_reached(&mut self, due: TimerKey) {
         match due {
-            Due::Tick => {
+            TimerKey::Tick => {
                 self.event(Event::Tick);
-                self.weigh_room();
-                self.keep_on();
+                self.update_admission_rate();
+                self.save_snapshot_if_due();
             }
-            Due::Watch => self.watch_due(),
-            Due::Door if !self.serving => self.serve("list of old"),
-            Due::Door => self.open_door(),
-            Due::Start => self.start_due(),
-            Due::Leave => self.leave_on(),
-            Due::Kin => self.offer_on(),
-            Due::Session(sess) => self.session_due(sess),
-            Due::Conn(key) => self.conn_due(key),
+            TimerKey::DiscoveryWatch => self.watch_deadline(),
+            TimerKey::Listener if !self.serving => self.start_serving("list of old"),
+            TimerKey::Listener => self.open_listener(),
+            TimerKey::WarmStart => self.warm_start_deadline(),
+            TimerKey::Shutdown => self.continue_shutdown(),
+            TimerKey::HotRestart => self.continue_offers(),
+            TimerKey::Session(sess) => self.session_deadline(sess),
+            TimerKey::Connection(key) => self.connection_deadline(key),
         }
     }
 
-    fn conn_due(&mut self, key: Key) {
-        match self.conns.get(key).map(|conn| conn.role) {
-            Some(Role::Probe(server, _)) => self.probe_ended(server, Outcome::TimedOut),
-            Some(Role::Greeting) => self.greeting_due(key),
-            Some(Role::Control) => self.drop_control(key),
-            Some(Role::Kin) => self.kin_due(),
-            Some(Role::Peer) => self.peer_ended(key, "it does not answer in time"),
-            Some(Role::Caller { answered }) => self.caller_due(key, answered),
+    fn connection_deadline(&mut self, key: Key) {
+        match self.connections.get(key).map(|conn| conn.role) {
+            Some(ConnectionRole::Probe(server, _)) => self.finish_probe(server, Outcome::TimedOut),
+            Some(ConnectionRole::PendingClient) => self.greeting_due(key),
+            Some(ConnectionRole::AdminSocket) => self.close_admin_connection(key),
+            Some(ConnectionRole::HotRestart) => self.hot_restart_deadline(),
+            Some(ConnectionRole::Peer) => self.peer_closed(key, "it does not answer in time"),
+            Some(ConnectionRole::AdminHttp { answered }) => self.admin_http_deadline(key, answered),
             _ => drop(self.close(key)),
         }
     }
 
     /// A stranger has had its time. What it wants may have come this moment.
     fn greeting_due(&mut self, key: Key) {
-        self.woken(Ready {
+        self.connection_ready(Ready {
             key,
             write: false,
             broken: false,
         });
-        self.settle();
+        self.run_tasks();
         if self
-            .conns
+            .connections
             .get(key)
-            .is_some_and(|conn| conn.role == Role::Greeting)
+            .is_some_and(|conn| conn.role == ConnectionRole::PendingClient)
         {
-            self.line(Code::ClientSilent, "client");
-            self.dismiss(key, &[FAILED]);
+            self.log_event(ReasonCode::ClientSilent, "client");
+            self.close_gracefully(key, &[FAILED]);
         }
     }
 
     /// Something happens to a session.
-    fn input(&mut self, sess: Key, input: Input) {
-        self.exchange.input(self.now, sess, input);
+    fn input(&mut self, sess: Key, input: SessionInput) {
+        self.session_table.input(self.now, sess, input);
     }
 
     /// Something that is no session's own.
     fn event(&mut self, event: Event) {
-        self.exchange.event(self.now, event);
+        self.session_table.event(self.now, event);
     }
 
-    fn life(&self, sess: Key) -> Option<&Life> {
-        self.exchange.sessions.get(sess).map(|held| &held.life)
+    fn life(&self, sess: Key) -> Option<&SessionMachine> {
+        self.session_table
+            .sessions
+            .get(sess)
+            .map(|held| &held.machine)
     }
 
     fn own(&mut self, sess: Key) -> Option<&mut Session> {
-        self.exchange
+        self.session_table
             .sessions
             .get_mut(sess)
-            .map(|held| &mut held.own)
+            .map(|held| &mut held.driver_data)
     }
 
     /// Carries out what there is to do, until there is no more.
-    fn settle(&mut self) {
-        while let Some(task) = self.exchange.task() {
+    fn run_tasks(&mut self) {
+        while let Some(task) = self.session_table.task() {
             match task {
-                Task::Probe(server) => self.probe(server),
-                Task::Subscribe => self.connect_watch(),
-                Task::Turned((place, state, why)) => {
+                SessionTask::Probe(server) => self.probe(server),
+                SessionTask::Subscribe => self.connect_watch(),
+                SessionTask::Turned((place, state, why)) => {
                     let name = self
-                        .setup
+                        .settings
                         .zones
                         .get(usize::from(place))
                         .map_or("-", |name| name.as_str());
-                    self.line(
-                        Code::Place,
+                    self.log_event(
+                        ReasonCode::Place,
                         format!("place={name} state={} why={why:?}", state.name()),
                     );
                 }
-                Task::Wake(after) => self.deadlines.set(Due::Tick, self.now + after),
-                Task::For(sess, effect) => self.carry_out(sess, effect),
+                SessionTask::Wake(after) => self.deadlines.set(TimerKey::Tick, self.now + after),
+                SessionTask::For(sess, effect) => self.carry_out(sess, effect),
             }
         }
     }
 
-    fn carry_out(&mut self, sess: Key, effect: Effect) {
+    fn carry_out(&mut self, sess: Key, effect: SessionEffect) {
         match effect {
-            Effect::Connect { server } => self.dial(sess, server),
-            Effect::Ask { wait } => self.ask(sess, wait),
-            Effect::Close => {
+            SessionEffect::Connect { server } => self.dial(sess, server),
+            SessionEffect::Ask { wait } => self.send_request_line(sess, wait),
+            SessionEffect::Close => {
                 let server = self.take_server(sess);
                 server.into_iter().for_each(|key| drop(self.close(key)));
             }
-            Effect::Watch(Some(at)) => self.deadlines.set(Due::Session(sess), at),
-            Effect::Watch(None) => self.deadlines.clear(Due::Session(sess)),
-            Effect::Answer(Answer::Busy(come_back)) => {
-                self.answer(sess, refusal(come_back).as_bytes(), Code::Refused);
+            SessionEffect::Watch(Some(at)) => self.deadlines.set(TimerKey::Session(sess), at),
+            SessionEffect::Watch(None) => self.deadlines.clear(TimerKey::Session(sess)),
+            SessionEffect::Answer(FinalAnswer::Busy(come_back)) => {
+                self.answer_client(sess, refusal(come_back).as_bytes(), ReasonCode::Refused);
             }
-            Effect::Answer(Answer::Failed(code)) => self.answer(sess, FAILED, code),
-            Effect::Drop => {
+            SessionEffect::Answer(FinalAnswer::Failed(code)) => {
+                self.answer_client(sess, FAILED, code)
+            }
+            SessionEffect::Drop => {
                 let client = self.take_client(sess);
                 if let Some(key) = client {
-                    self.ended(sess, metrics::End::Failure);
+                    self.ended(sess, metrics::SessionEnd::Failure);
                     self.close(key);
                 }
             }
-            Effect::Pass => self.relay(sess),
-            Effect::SendAway => self.move_away(sess, Code::Relieved),
-            Effect::Restore => self.restore(sess),
-            Effect::Forget => self.forget(sess),
-            Effect::Log(code) => self.log_end(sess, code),
-            Effect::Count(code) => {
-                if matches!(code, Code::Up | Code::Restored) {
-                    self.ended(sess, metrics::End::Success);
+            SessionEffect::Pass => self.forward(sess),
+            SessionEffect::SendAway => self.migrate(sess, ReasonCode::Relieved),
+            SessionEffect::Restore => self.restore(sess),
+            SessionEffect::Forget => self.forget(sess),
+            SessionEffect::Log(code) => self.log_session_end(sess, code),
+            SessionEffect::Count(code) => {
+                if matches!(code, ReasonCode::Up | ReasonCode::Restored) {
+                    self.ended(sess, metrics::SessionEnd::Success);
                 }
-                self.count(code);
+                self.count_event(code);
             }
             // The exchange has told it.
-            Effect::Tell(_) => {}
+            SessionEffect::Tell(_) => {}
         }
     }
 
     /// A session has come to its one end, as its client sees it.
-    fn ended(&mut self, sess: Key, end: metrics::End) {
+    fn ended(&mut self, sess: Key, end: metrics::SessionEnd) {
         let listener = self.life(sess).map(|life| life.arrival.listener);
         listener
             .into_iter()
-            .for_each(|listener| self.figures.ended(listener, end));
+            .for_each(|listener| self.metrics.ended(listener, end));
     }
 
     /// Parts a session from its client's connection. A server's that stays behind holds one descriptor, where
@@ -580,22 +599,25 @@
     fn take_client(&mut self, sess: Key) -> Option<Key> {
         let own = self.own(sess)?;
         let (client, alone) = (own.client.take(), own.server.is_some());
-        self.tally.lone += usize::from(client.is_some() && alone);
+        self.connection_counts.lone += usize::from(client.is_some() && alone);
         client
     }
 
     fn take_server(&mut self, sess: Key) -> Option<Key> {
         let own = self.own(sess)?;
         let (server, alone) = (own.server.take(), own.client.is_none());
-        self.tally.lone -= usize::from(server.is_some() && alone);
+        self.connection_counts.lone -= usize::from(server.is_some() && alone);
         server
     }
 
     fn forget(&mut self, sess: Key) {
         let (client, server) = (self.take_client(sess), self.take_server(sess));
-        if let Some(Held { own, .. }) = self.exchange.sessions.remove(sess) {
-            self.deadlines.clear(Due::Session(sess));
-            self.ids.remove(own.id());
+        if let Some(SessionSlot {
+            driver_data: own, ..
+        }) = self.session_table.sessions.remove(sess)
+        {
+            self.deadlines.clear(TimerKey::Session(sess));
+            self.session_ids.remove(own.id());
             for key in [client, server].into_iter().flatten() {
                 self.close(key);
             }
@@ -603,26 +625,31 @@
     }
 
     /// Takes a socket in; `None` if it cannot be watched.
-    fn keep(&mut self, fd: OwnedFd, role: Role, want: Want) -> Option<Key> {
-        self.keep_stream(Stream::new(fd, want), role, 0)
+    fn register(&mut self, fd: OwnedFd, role: ConnectionRole, want: Want) -> Option<Key> {
+        self.register_stream(Stream::new(fd, want), role, 0)
     }
 
     /// The same of one with bytes that came already, the first `whole` of which are checked lines.
-    fn keep_stream(&mut self, stream: Stream, role: Role, whole: usize) -> Option<Key> {
+    fn register_stream(
+        &mut self,
+        stream: Stream,
+        role: ConnectionRole,
+        whole: usize,
+    ) -> Option<Key> {
         let want = stream.want;
-        let conn = Conn {
+        let conn = Connection {
             stream,
             role,
-            whole,
-            passed: self.now,
+            complete_len: whole,
+            last_activity: self.now,
         };
-        let key = self.conns.insert(conn);
-        let added = self.poll.add(&self.conns.get(key)?.stream, key, want);
+        let key = self.connections.insert(conn);
+        let added = self.poll.add(&self.connections.get(key)?.stream, key, want);
         if added.is_err() {
-            self.conns.remove(key);
+            self.connections.remove(key);
             return None;
         }
-        self.tally.change(None, Some(role));
+        self.connection_counts.change(None, Some(role));
         Some(key)
     }
 
@@ -630,11 +657,14 @@
     /// is read before: a close over it would reset the connection, and with it what was written last. Not so where
     /// another process may have it: that one is to read it, and this one's close ends nothing.
     fn close(&mut self, key: Key) -> Option<Stream> {
-        let lent = self.is_lent(key);
+        let lent = self.is_on_offer(key);
         let (role, mut stream) = self.let_out(key)?;
         let theirs = matches!(
             role,
-            Role::Greeting | Role::Client(_) | Role::Lingering { .. } | Role::Caller { .. }
+            ConnectionRole::PendingClient
+                | ConnectionRole::Client(_)
+                | ConnectionRole::Lingering { .. }
+                | ConnectionRole::AdminHttp { .. }
         );
         if theirs && !lent {
             stream.discard(UNREAD);
@@ -643,24 +673,24 @@
     }
 
     /// Takes a connection out of the tables as it is.
-    fn let_out(&mut self, key: Key) -> Option<(Role, Stream)> {
-        self.deadlines.clear(Due::Conn(key));
-        let conn = self.conns.remove(key)?;
-        self.tally.change(Some(conn.role), None);
+    fn let_out(&mut self, key: Key) -> Option<(ConnectionRole, Stream)> {
+        self.deadlines.clear(TimerKey::Connection(key));
+        let conn = self.connections.remove(key)?;
+        self.connection_counts.change(Some(conn.role), None);
         Some((conn.role, conn.stream))
     }
 
     /// What a connection is for from now on.
-    fn turn(&mut self, key: Key, role: Role) {
-        if let Some(conn) = self.conns.get_mut(key) {
+    fn set_role(&mut self, key: Key, role: ConnectionRole) {
+        if let Some(conn) = self.connections.get_mut(key) {
             let before = std::mem::replace(&mut conn.role, role);
-            self.tally.change(Some(before), Some(role));
+            self.connection_counts.change(Some(before), Some(role));
         }
     }
 
-    fn want(&mut self, key: Key, want: Want) {
+    fn set_interest(&mut self, key: Key, want: Want) {
         if let Some(conn) = self
-            .conns
+            .connections
             .get_mut(key)
             .filter(|conn| conn.stream.want != want)
         {
@@ -672,8 +702,8 @@
 
     /// Watches for what a connection that waits for its own texts and answers can do next.
     fn want_own(&mut self, key: Key) {
-        if let Some(conn) = self.conns.get(key) {
-            self.want(
+        if let Some(conn) = self.connections.get(key) {
+            self.set_interest(
                 key,
                 Want {
                     read: conn.stream.may_read(),
@@ -685,21 +715,22 @@
 
     /// Tells one side its end, if there is anything to tell, ends sending and waits a little for it to close:
     /// closing at once would reset the connection over bytes not read yet, and the answer with it.
-    fn dismiss(&mut self, key: Key, text: &[&[u8]]) {
-        if let Some(conn) = self.conns.get_mut(key) {
+    fn close_gracefully(&mut self, key: Key, text: &[&[u8]]) {
+        if let Some(conn) = self.connections.get_mut(key) {
             conn.stream.send(text);
-            conn.passed = self.now;
-            self.turn(key, Role::Lingering { discarded: 0 });
-            self.deadlines.set(Due::Conn(key), self.now + LINGER);
+            conn.last_activity = self.now;
+            self.set_role(key, ConnectionRole::Lingering { discarded: 0 });
+            self.deadlines
+                .set(TimerKey::Connection(key), self.now + LINGER);
             self.lingered(key);
         }
     }
 
     fn lingered(&mut self, key: Key) {
-        let Some(conn) = self.conns.get_mut(key) else {
+        let Some(conn) = self.connections.get_mut(key) else {
             return;
         };
-        let Role::Lingering { discarded } = &mut conn.role else {
+        let ConnectionRole::Lingering { discarded } = &mut conn.role else {
             return;
         };
         let n = conn.stream.inbound.bytes().len();
@@ -716,11 +747,11 @@
         self.want_own(key);
     }
 
-    fn count(&mut self, code: Code) {
-        self.reports.push(Report::Count(code));
+    fn count_event(&mut self, code: ReasonCode) {
+        self.log_events.push(Report::Count(code));
     }
 
-    fn line(&mut self, code: Code, about: impl Into<String>) {
-        self.reports.push(Report::Line(code, about.into()));
+    fn log_event(&mut self, code: ReasonCode, about: impl Into<String>) {
+        self.log_events.push(Report::Line(code, about.into()));
     }
 }
--- a/crates/proxy/src/routing/peers.rs
+++ b/crates/proxy/src/routing/peers.rs
@@ -1,12 +1,12 @@
 //! What other proxies are asked after a power loss, and what this one answers: hosts that answer it, with ages. An answer is
 //! evidence, never an order: whoever it names is asked first, and no more than that can come of a lie.
 
-use super::{Code, Due, Role, Router};
+use super::{ConnectionRole, ReasonCode, Router, TimerKey};
 use crate::protocol::discovery::Listed;
 use crate::transport::poll::{Ready, Want};
 use crate::transport::{Key, socket};
-use asterramp_placement::event::Standing;
-use asterramp_warm_start::{Age, Source, State, age};
+use asterramp_placement::event::EndpointState;
+use asterramp_warm_start::{EndpointSource, EndpointTrustState, InformationAge, age};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 
 /// Whom to ask, and what tells a fleet's proxies from others.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Others {
+pub struct PeerSettings {
     pub fleet: String,
     pub doors: Vec<SocketAddr>,
 }
@@ -58,7 +58,7 @@
 
 /// A question that is out.
 #[derive(Debug, Default)]
-pub struct Asked {
+pub struct PeerQuery {
     asked: bool,
     text: Vec<u8>,
 }
@@ -66,24 +66,24 @@
 /// Questions that are out, by their connections.
 #[derive(Debug, Default)]
 pub struct Peers {
-    pub others: Others,
-    out: Vec<(Key, Asked)>,
+    pub others: PeerSettings,
+    out: Vec<(Key, PeerQuery)>,
     /// With whom the next round begins.
     next: usize,
 }
 
 impl Router {
-    pub fn others_by(&mut self, others: Others) {
+    pub fn configure_peers(&mut self, others: PeerSettings) {
         self.peers = Peers {
-            next: self.setup.deployment.number as usize,
+            next: self.settings.deployment.proxy_index as usize,
             others,
             ..Peers::default()
         };
     }
 
     /// Asks some of the others, others each time.
-    pub(super) fn ask_others(&mut self) {
-        self.drop_peers();
+    pub(super) fn query_peers(&mut self) {
+        self.close_peers();
         let (doors, from) = (self.peers.others.doors.clone(), self.peers.next);
         let round = doors
             .iter()
@@ -92,10 +92,10 @@
             .take(doors.len().min(ASKED));
         for door in round {
             self.peers.next += 1;
-            let role = Role::Peer;
+            let role = ConnectionRole::Peer;
             let fd = socket::connect(*door).ok();
             if let Some(key) = fd.and_then(|fd| {
-                self.keep(
+                self.register(
                     fd,
                     role,
                     Want {
@@ -104,9 +104,11 @@
                     },
                 )
             }) {
-                self.peers.out.push((key, Asked::default()));
-                self.deadlines
-                    .set(Due::Conn(key), self.now + self.setup.connect_within * 2);
+                self.peers.out.push((key, PeerQuery::default()));
+                self.deadlines.set(
+                    TimerKey::Connection(key),
+                    self.now + self.settings.connect_timeout * 2,
+                );
             }
         }
         if self.peers.out.is_empty() {
@@ -116,30 +118,30 @@
 
     fn heard_others(&mut self) {
         let now = self.now;
-        self.starting
+        self.warm_start
             .iter_mut()
             .for_each(|s| s.recovery.heard_others(now));
-        self.heed_start();
+        self.apply_warm_start_effects();
     }
 
     /// Nobody is asked any more.
-    pub(super) fn drop_peers(&mut self) {
+    pub(super) fn close_peers(&mut self) {
         for (key, _) in std::mem::take(&mut self.peers.out) {
             self.close(key);
         }
     }
 
-    pub(super) fn peer_woken(&mut self, event: Ready) {
+    pub(super) fn peer_ready(&mut self, event: Ready) {
         let Some(at) = self.peers.out.iter().position(|out| out.0 == event.key) else {
             return;
         };
-        let Asked { asked, text } = &mut self.peers.out[at].1;
-        let Some(conn) = self.conns.get_mut(event.key) else {
+        let PeerQuery { asked, text } = &mut self.peers.out[at].1;
+        let Some(conn) = self.connections.get_mut(event.key) else {
             return;
         };
         if !*asked {
             if !conn.stream.is_up() {
-                return self.peer_ended(event.key, "it cannot be reached");
+                return self.peer_closed(event.key, "it cannot be reached");
             }
             *asked = true;
             let call = format!("GET {PATH} HTTP/1.1\r\nHost: proxy\r\n\r\n");
@@ -152,7 +154,7 @@
         text.extend_from_slice(bytes);
         conn.stream.inbound.consume(n);
         if text.len() > LONGEST {
-            return self.peer_ended(event.key, "its answer is too long");
+            return self.peer_closed(event.key, "its answer is too long");
         }
         if !ended {
             return self.want_own(event.key);
@@ -161,18 +163,18 @@
         match known(&text, &self.peers.others.fleet) {
             Ok(known) => {
                 self.told_by_other(known);
-                self.peer_ended(event.key, "");
+                self.peer_closed(event.key, "");
             }
-            Err(why) => self.peer_ended(event.key, &why),
+            Err(why) => self.peer_closed(event.key, &why),
         }
     }
 
     /// A question is over; with the last of them the others have been heard.
-    pub(super) fn peer_ended(&mut self, key: Key, why: &str) {
+    pub(super) fn peer_closed(&mut self, key: Key, why: &str) {
         self.peers.out.retain(|out| out.0 != key);
         self.close(key);
         if !why.is_empty() {
-            self.line(Code::PeerBad, format!("peer why={why:?}"));
+            self.log_event(ReasonCode::PeerBad, format!("peer why={why:?}"));
         }
         if self.peers.out.is_empty() {
             self.heard_others();
@@ -181,23 +183,23 @@
 
     fn told_by_other(&mut self, known: Known) {
         let now = self.now;
-        self.count(Code::PeerHeard);
+        self.count_event(ReasonCode::PeerHeard);
         for host in known.hosts {
             // What it says of ages is by its own clock only as far as they are spans.
             let at = now.checked_sub(Duration::from_millis(host.age_ms));
-            let old = at.map_or(Age::Unknown, |at| age(now, Some(at)));
-            let zoned = self.setup.zones.contains(&host.zone);
+            let old = at.map_or(InformationAge::Unknown, |at| age(now, Some(at)));
+            let zoned = self.settings.zones.contains(&host.zone);
             let good =
                 zoned && host.weight.is_finite() && host.weight >= 0.0 && host.uid.len() <= 256;
-            let Some(starting) = self.starting.as_mut().filter(|_| good) else {
+            let Some(starting) = self.warm_start.as_mut().filter(|_| good) else {
                 continue;
             };
             // One that is known already stands where it did: another's word moves nobody.
-            if let Some(id) = self.roster.find(&host.uid) {
-                if let Some(at) = self.roster.address(id).filter(|at| *at == host.endpoint) {
+            if let Some(id) = self.endpoints.find(&host.uid) {
+                if let Some(at) = self.endpoints.address(id).filter(|at| *at == host.endpoint) {
                     starting
                         .recovery
-                        .word(now, id, at, Source::Heard, old, known.rev);
+                        .word(now, id, at, EndpointSource::Heard, old, known.rev);
                 }
                 continue;
             }
@@ -206,16 +208,16 @@
                 endpoint: host.endpoint,
                 zone: host.zone,
                 cell: host.cell,
-                standing: Standing::Gone,
+                standing: EndpointState::Gone,
                 weight: host.weight,
                 started: host.started_ms.map(Duration::from_millis),
             };
             // It does not count as listed before it answers.
-            let Some((entry, _)) = self.roster.take(line) else {
+            let Some((entry, _)) = self.endpoints.take(line) else {
                 continue;
             };
-            self.roster.stands_at(entry.server, host.endpoint);
-            starting.remember(
+            self.endpoints.stands_at(entry.server, host.endpoint);
+            starting.restore_load_per_connection(
                 entry.server,
                 host.unit.filter(|unit| unit.is_finite() && *unit > 0.0),
             );
@@ -223,7 +225,7 @@
                 now,
                 entry.server,
                 host.endpoint,
-                Source::Heard,
+                EndpointSource::Heard,
                 old,
                 known.rev,
             );
@@ -231,18 +233,23 @@
     }
 
     /// What this proxy answers: hosts that answer it, or that discovery calls ready, those last heard first.
-    pub(super) fn told_known(&self) -> String {
+    pub(super) fn known_endpoints_text(&self) -> String {
         let now = self.now;
-        let answers = |id: u32| match self.starting() {
-            Some(start) => matches!(start.hosts().state(id), State::Answers | State::Told),
+        let answers = |id: u32| match self.warm_start_state() {
+            Some(start) => matches!(
+                start.hosts().state(id),
+                EndpointTrustState::Answers | EndpointTrustState::Told
+            ),
             None => true,
         };
         let normal = self
-            .starting()
-            .is_none_or(|start| start.stage() == asterramp_warm_start::Stage::Normal);
+            .warm_start_state()
+            .is_none_or(|start| start.stage() == asterramp_warm_start::WarmStartStage::Normal);
         let mut hosts: Vec<KnownHost> = (0..)
-            .zip(self.roster.lines().zip(self.roster.hosts()))
-            .filter(|(id, (line, _))| line.standing == Standing::Ready && (normal || answers(*id)))
+            .zip(self.endpoints.lines().zip(self.endpoints.hosts()))
+            .filter(|(id, (line, _))| {
+                line.standing == EndpointState::Ready && (normal || answers(*id))
+            })
             .map(|(_, (line, host))| KnownHost {
                 uid: line.uid,
                 endpoint: line.endpoint,
@@ -255,11 +262,14 @@
                 },
                 started_ms: line.started.map(|at| at.as_millis() as u64),
                 age_ms: now
-                    .saturating_sub(host.told.max(self.watch.heard().unwrap_or(self.began)))
+                    .saturating_sub(
+                        host.told
+                            .max(self.discovery_watch.last_heard().unwrap_or(self.started_at)),
+                    )
                     .as_millis() as u64,
                 unit: host
                     .load
-                    .asked
+                    .utilization
                     .zip(host.load.connections)
                     .filter(|load| load.1 >= 8.0)
                     .map(|l| l.0 / l.1),
@@ -271,19 +281,22 @@
             v: VERSION,
             fleet: self.peers.others.fleet.clone(),
             stage: self
-                .starting()
+                .warm_start_state()
                 .map_or("normal", |start| start.stage().name())
                 .into(),
-            rev: self.watch.rev(),
-            told_ms: self.watch.heard().map(|at| at.as_millis() as u64),
-            pending: self.view().pending,
+            rev: self.discovery_watch.rev(),
+            told_ms: self
+                .discovery_watch
+                .last_heard()
+                .map(|at| at.as_millis() as u64),
+            pending: self.drain_view().pending,
             hosts,
         };
         serde_json::to_string(&known).unwrap_or_default() + "\n"
     }
 
     /// Whether others are answered at all.
-    pub(super) fn tells_others(&self) -> bool {
+    pub(super) fn answers_peers(&self) -> bool {
         !self.peers.others.fleet.is_empty()
     }
 }
--- a/crates/proxy/src/routing/probe.rs
+++ b/crates/proxy/src/routing/probe.rs
@@ -1,6 +1,6 @@
 //! Probes, over connections that are kept.
 
-use super::{Code, Due, Role, Router};
+use super::{ConnectionRole, ReasonCode, Router, TimerKey};
 use crate::protocol::line;
 use crate::protocol::server::{STATS, Said, load, said};
 use crate::transport::poll::{Ready, Want};
@@ -9,7 +9,7 @@
 use asterramp_placement::event::{Load, Outcome, ServerId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum ProbeStage {
     Connecting,
     Asked,
     /// The same over a connection that rested before: its server may have ended it just then.
@@ -19,31 +19,34 @@
 
 impl Router {
     pub(super) fn probe(&mut self, server: ServerId) {
-        if let Some(key) = self.roster.probe(server) {
+        if let Some(key) = self.endpoints.probe(server) {
             if self.is_at_rest(key) {
-                return self.ask_stats(server, key, Stage::AskedAgain);
+                return self.ask_stats(server, key, ProbeStage::AskedAgain);
             }
             // Ended meanwhile, or with a late word in it that would be taken for the next answer.
-            self.drop_probe(server, key);
-            self.count(Code::ProbeClosed);
+            self.close_probe(server, key);
+            self.count_event(ReasonCode::ProbeClosed);
         }
-        if self.tally.probes >= self.budget.probes {
-            let spare = self.conns.iter().find_map(|(key, conn)| match conn.role {
-                Role::Probe(other, Stage::Idle) => Some((other, key)),
-                _ => None,
-            });
+        if self.connection_counts.probes >= self.resource_budget.probes {
+            let spare = self
+                .connections
+                .iter()
+                .find_map(|(key, conn)| match conn.role {
+                    ConnectionRole::Probe(other, ProbeStage::Idle) => Some((other, key)),
+                    _ => None,
+                });
             match spare {
-                Some((other, key)) => self.drop_probe(other, key),
+                Some((other, key)) => self.close_probe(other, key),
                 None => return self.probed(server, Outcome::NeverSent, Load::default()),
             }
         }
         let fd = self
-            .roster
+            .endpoints
             .address(server)
             .and_then(|address| socket::connect(address).ok());
-        let role = Role::Probe(server, Stage::Connecting);
+        let role = ConnectionRole::Probe(server, ProbeStage::Connecting);
         match fd.and_then(|fd| {
-            self.keep(
+            self.register(
                 fd,
                 role,
                 Want {
@@ -53,9 +56,11 @@
             )
         }) {
             Some(key) => {
-                self.roster.set_probe(server, Some(key));
-                self.deadlines
-                    .set(Due::Conn(key), self.now + self.setup.connect_within);
+                self.endpoints.set_probe(server, Some(key));
+                self.deadlines.set(
+                    TimerKey::Connection(key),
+                    self.now + self.settings.connect_timeout,
+                );
             }
             None => self.probed(server, Outcome::Unreachable, Load::default()),
         }
@@ -63,44 +68,46 @@
 
     /// Whether a kept connection is up and has said nothing since its last answer.
     fn is_at_rest(&mut self, key: Key) -> bool {
-        let Some(conn) = self.conns.get_mut(key) else {
+        let Some(conn) = self.connections.get_mut(key) else {
             return false;
         };
         conn.stream.fill(false);
         conn.stream.ended.is_none() && conn.stream.inbound.is_empty()
     }
 
-    fn ask_stats(&mut self, server: ServerId, key: Key, stage: Stage) {
-        let Some(conn) = self.conns.get_mut(key) else {
-            self.roster.set_probe(server, None);
+    fn ask_stats(&mut self, server: ServerId, key: Key, stage: ProbeStage) {
+        let Some(conn) = self.connections.get_mut(key) else {
+            self.endpoints.set_probe(server, None);
             return self.probed(server, Outcome::Reset, Load::default());
         };
-        conn.role = Role::Probe(server, stage);
+        conn.role = ConnectionRole::Probe(server, stage);
         conn.stream.send(&[STATS]);
         // Twice as long as a connection may take to come up: a slow server is not yet a silent one.
-        self.deadlines
-            .set(Due::Conn(key), self.now + self.setup.connect_within * 2);
-        self.count(Code::Probed);
+        self.deadlines.set(
+            TimerKey::Connection(key),
+            self.now + self.settings.connect_timeout * 2,
+        );
+        self.count_event(ReasonCode::Probed);
         self.want_own(key);
     }
 
-    pub(super) fn probe_woken(&mut self, server: ServerId, stage: Stage, event: Ready) {
-        let Some(conn) = self.conns.get_mut(event.key) else {
+    pub(super) fn probe_ready(&mut self, server: ServerId, stage: ProbeStage, event: Ready) {
+        let Some(conn) = self.connections.get_mut(event.key) else {
             return;
         };
-        if stage == Stage::Connecting {
+        if stage == ProbeStage::Connecting {
             return match conn.stream.is_up() {
-                true => self.ask_stats(server, event.key, Stage::Asked),
-                false => self.probe_ended(server, Outcome::Unreachable),
+                true => self.ask_stats(server, event.key, ProbeStage::Asked),
+                false => self.finish_probe(server, Outcome::Unreachable),
             };
         }
         conn.stream.fill(event.broken);
         let ended = conn.stream.ended.is_some();
         let found = line::first(conn.stream.inbound.bytes());
-        if stage == Stage::Idle {
+        if stage == ProbeStage::Idle {
             if ended || !matches!(found, Ok(None)) {
-                self.drop_probe(server, event.key);
-                self.count(Code::ProbeClosed);
+                self.close_probe(server, event.key);
+                self.count_event(ReasonCode::ProbeClosed);
             }
             return;
         }
@@ -108,56 +115,56 @@
             Ok(Some(line)) => line,
             Ok(None) if !ended => return self.want_own(event.key),
             // A probe has no effect, and that its connection was ended at rest tells nothing of its server.
-            Ok(None) if stage == Stage::AskedAgain => {
-                self.drop_probe(server, event.key);
-                self.count(Code::ProbeClosed);
+            Ok(None) if stage == ProbeStage::AskedAgain => {
+                self.close_probe(server, event.key);
+                self.count_event(ReasonCode::ProbeClosed);
                 return self.probe(server);
             }
-            Ok(None) => return self.probe_ended(server, Outcome::Reset),
-            Err(_) => return self.probe_ended(server, Outcome::Erred),
+            Ok(None) => return self.finish_probe(server, Outcome::Reset),
+            Err(_) => return self.finish_probe(server, Outcome::Erred),
         };
         let (outcome, load) = match said(text) {
-            Said::Pong(report) => (Outcome::Ok, load(&self.setup.reports, report)),
-            Said::Full(report) => (Outcome::Full, load(&self.setup.reports, report)),
+            Said::Pong(report) => (Outcome::Ok, load(&self.settings.load_reports, report)),
+            Said::Full(report) => (Outcome::Full, load(&self.settings.load_reports, report)),
             _ => (Outcome::Erred, Load::default()),
         };
         conn.stream.inbound.consume(n);
-        conn.role = Role::Probe(server, Stage::Idle);
-        self.deadlines.clear(Due::Conn(event.key));
+        conn.role = ConnectionRole::Probe(server, ProbeStage::Idle);
+        self.deadlines.clear(TimerKey::Connection(event.key));
         if ended {
-            self.drop_probe(server, event.key);
+            self.close_probe(server, event.key);
         }
         self.probed(server, outcome, load);
     }
 
     /// A probe without an answer.
-    pub(super) fn probe_ended(&mut self, server: ServerId, outcome: Outcome) {
+    pub(super) fn finish_probe(&mut self, server: ServerId, outcome: Outcome) {
         let about = format!(
             "probe server={} outcome={outcome:?}",
-            self.roster.name(server)
+            self.endpoints.name(server)
         );
-        self.line(Code::ProbeFailed, about);
-        self.roster
+        self.log_event(ReasonCode::ProbeFailed, about);
+        self.endpoints
             .probe(server)
             .into_iter()
-            .for_each(|key| self.drop_probe(server, key));
+            .for_each(|key| self.close_probe(server, key));
         self.probed(server, outcome, Load::default());
     }
 
-    pub(super) fn drop_probe(&mut self, server: ServerId, key: Key) {
+    pub(super) fn close_probe(&mut self, server: ServerId, key: Key) {
         self.close(key);
-        self.roster.set_probe(server, None);
+        self.endpoints.set_probe(server, None);
     }
 
     fn probed(&mut self, server: ServerId, outcome: Outcome, load: Load) {
         if outcome == Outcome::Ok {
-            self.roster.reported(server, load, self.now);
+            self.endpoints.reported(server, load, self.now);
         }
-        self.event(Event::Probed {
+        self.event(Event::ProbeEnded {
             server,
             outcome,
             load,
         });
-        self.probed_at_start(server, outcome);
+        self.note_warm_start_probe(server, outcome);
     }
 }
--- a/crates/proxy/src/routing/report.rs
+++ b/crates/proxy/src/routing/report.rs
@@ -3,13 +3,13 @@
 macro_rules! codes {
     ($($code:ident $name:literal,)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-        pub enum Code { $($code,)* }
+        pub enum ReasonCode { $($code,)* }
 
-        impl Code {
-            pub const ALL: &[Code] = &[$(Code::$code,)*];
+        impl ReasonCode {
+            pub const ALL: &[ReasonCode] = &[$(ReasonCode::$code,)*];
 
             pub fn name(self) -> &'static str {
-                match self { $(Code::$code => $name,)* }
+                match self { $(ReasonCode::$code => $name,)* }
             }
         }
     };
@@ -96,7 +96,7 @@
 
 #[derive(Debug)]
 pub enum Report {
-    Count(Code),
+    Count(ReasonCode),
     /// Counted too, and worth a line.
-    Line(Code, String),
+    Line(ReasonCode, String),
 }
--- a/crates/proxy/src/routing/session_state.rs
+++ b/crates/proxy/src/routing/session_state.rs
@@ -1,10 +1,10 @@
 //! The life of a session, from its client's first line to its end, as a table. No I/O and no clock: inputs come
 //! with the time, effects go out, and whoever drives it has sockets (the router) or a model of them (a checker).
 
-use super::report::Code;
-use crate::injected_fault::{Plant, planted};
+use super::report::ReasonCode;
+use crate::injected_fault::{InjectedFault, is_injected};
 use asterramp_placement::Event;
-use asterramp_placement::event::{Arrival, Load, Outcome, ServerId, SessId};
+use asterramp_placement::event::{Load, Outcome, ServerId, SessionId, SessionRequest};
 use std::time::Duration;
 
 /// Pace at which a connection that was open before is tried again, and until when.
@@ -12,7 +12,7 @@
 const RESTORED: Duration = Duration::from_secs(38);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Stage {
+pub enum SessionState {
     /// No dial is out.
     Waiting,
     Connecting,
@@ -28,7 +28,7 @@
 
 /// What happens to a session. What speaks of its dial names it, so that a late word of an older one is known.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Input {
+pub enum SessionInput {
     /// The module's word, or, for a session that was open before, where it goes back to.
     Dial {
         server: ServerId,
@@ -85,13 +85,13 @@
 
 /// The final answer that a client is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum FinalAnswer {
     Busy(Duration),
-    Failed(Code),
+    Failed(ReasonCode),
 }
 
 #[derive(Clone, Debug)]
-pub enum Effect {
+pub enum SessionEffect {
     /// Begin the dial's connection.
     Connect {
         server: ServerId,
@@ -104,7 +104,7 @@
     Close,
     /// Call `Due` at that time; not any more.
     Watch(Option<Duration>),
-    Answer(Answer),
+    Answer(FinalAnswer),
     /// The client is gone: close its connection.
     Drop,
     /// Pass lines from now on.
@@ -115,16 +115,16 @@
     Restore,
     /// Nothing more is known of it.
     Forget,
-    Log(Code),
-    Count(Code),
+    Log(ReasonCode),
+    Count(ReasonCode),
     /// The module hears.
     Tell(Event),
 }
 
 #[derive(Clone, Debug)]
-pub struct Life {
-    pub stage: Stage,
-    pub arrival: Arrival,
+pub struct SessionMachine {
+    pub stage: SessionState,
+    pub arrival: SessionRequest,
     pub arrived: Duration,
     pub dials: u8,
     pub to: ServerId,
@@ -143,7 +143,7 @@
 
 /// An input without its figures, and told apart by what it meets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Word {
+enum InputKind {
     Dial,
     CallOff,
     Refuse,
@@ -169,7 +169,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Act {
+enum TransitionEffect {
     Begin,
     Ask,
     ComeUp,
@@ -182,7 +182,7 @@
     TurnAway,
     SendAway,
     Restore,
-    Depart(Code),
+    Depart(ReasonCode),
     Forget,
     TellEnd,
     TellLeft,
@@ -192,217 +192,346 @@
     Unask,
 }
 
-const UNASKED_LEFT: &[Act] = &[Act::Depart(Code::ClientLeft), Act::TellLeft, Act::Unask];
-const UNASKED_BAD: &[Act] = &[Act::Depart(Code::ClientBad), Act::TellLeft, Act::Unask];
+const UNASKED_LEFT: &[TransitionEffect] = &[
+    TransitionEffect::Depart(ReasonCode::ClientLeft),
+    TransitionEffect::TellLeft,
+    TransitionEffect::Unask,
+];
+const UNASKED_BAD: &[TransitionEffect] = &[
+    TransitionEffect::Depart(ReasonCode::ClientBad),
+    TransitionEffect::TellLeft,
+    TransitionEffect::Unask,
+];
 
 /// Stage, input, next stage, what is done. What is not listed is late or stray, and ignored.
-const TABLE: &[(Stage, Word, Stage, &[Act])] = &[
-    (Stage::Waiting, Word::Dial, Stage::Connecting, &[Act::Begin]),
-    (Stage::Waiting, Word::Refuse, Stage::Over, &[Act::Refuse]),
+const TABLE: &[(SessionState, InputKind, SessionState, &[TransitionEffect])] = &[
+    (
+        SessionState::Waiting,
+        InputKind::Dial,
+        SessionState::Connecting,
+        &[TransitionEffect::Begin],
+    ),
+    (
+        SessionState::Waiting,
+        InputKind::Refuse,
+        SessionState::Over,
+        &[TransitionEffect::Refuse],
+    ),
     (
-        Stage::Waiting,
-        Word::TearDown,
-        Stage::Over,
-        &[Act::TearDown],
+        SessionState::Waiting,
+        InputKind::TearDown,
+        SessionState::Over,
+        &[TransitionEffect::TearDown],
     ),
-    (Stage::Waiting, Word::Due, Stage::Waiting, &[Act::Restore]),
     (
-        Stage::Waiting,
-        Word::NoSocket,
-        Stage::Waiting,
-        &[Act::Fail(Outcome::NeverSent)],
+        SessionState::Waiting,
+        InputKind::Due,
+        SessionState::Waiting,
+        &[TransitionEffect::Restore],
     ),
     (
-        Stage::Connecting,
-        Word::NoSocket,
-        Stage::Waiting,
-        &[Act::Fail(Outcome::NeverSent)],
+        SessionState::Waiting,
+        InputKind::NoSocket,
+        SessionState::Waiting,
+        &[TransitionEffect::Fail(Outcome::NeverSent)],
     ),
     (
-        Stage::Connecting,
-        Word::Unreachable,
-        Stage::Waiting,
-        &[Act::Fail(Outcome::Unreachable)],
+        SessionState::Connecting,
+        InputKind::NoSocket,
+        SessionState::Waiting,
+        &[TransitionEffect::Fail(Outcome::NeverSent)],
     ),
     (
-        Stage::Connecting,
-        Word::Due,
-        Stage::Waiting,
-        &[Act::Fail(Outcome::Unreachable)],
+        SessionState::Connecting,
+        InputKind::Unreachable,
+        SessionState::Waiting,
+        &[TransitionEffect::Fail(Outcome::Unreachable)],
     ),
     (
-        Stage::Connecting,
-        Word::CallOff,
-        Stage::Waiting,
-        &[Act::Fail(Outcome::CalledOff)],
+        SessionState::Connecting,
+        InputKind::Due,
+        SessionState::Waiting,
+        &[TransitionEffect::Fail(Outcome::Unreachable)],
     ),
     (
-        Stage::Connecting,
-        Word::Connected,
-        Stage::Asked,
-        &[Act::Ask],
+        SessionState::Connecting,
+        InputKind::CallOff,
+        SessionState::Waiting,
+        &[TransitionEffect::Fail(Outcome::CalledOff)],
+    ),
+    (
+        SessionState::Connecting,
+        InputKind::Connected,
+        SessionState::Asked,
+        &[TransitionEffect::Ask],
+    ),
+    (
+        SessionState::Asked,
+        InputKind::Written,
+        SessionState::Sent,
+        &[],
     ),
-    (Stage::Asked, Word::Written, Stage::Sent, &[]),
     // The line's last byte was never written.
     (
-        Stage::Asked,
-        Word::Ended,
-        Stage::Waiting,
-        &[Act::Fail(Outcome::Unreachable)],
+        SessionState::Asked,
+        InputKind::Ended,
+        SessionState::Waiting,
+        &[TransitionEffect::Fail(Outcome::Unreachable)],
     ),
     (
-        Stage::Asked,
-        Word::Due,
-        Stage::Waiting,
-        &[Act::Fail(Outcome::Unreachable)],
+        SessionState::Asked,
+        InputKind::Due,
+        SessionState::Waiting,
+        &[TransitionEffect::Fail(Outcome::Unreachable)],
     ),
     (
-        Stage::Asked,
-        Word::CallOff,
-        Stage::Waiting,
-        &[Act::Fail(Outcome::CalledOff)],
+        SessionState::Asked,
+        InputKind::CallOff,
+        SessionState::Waiting,
+        &[TransitionEffect::Fail(Outcome::CalledOff)],
     ),
     // The client had gone before the line's first byte was written.
     (
-        Stage::Asked,
-        Word::NoSocket,
-        Stage::Waiting,
-        &[Act::Fail(Outcome::NeverSent)],
+        SessionState::Asked,
+        InputKind::NoSocket,
+        SessionState::Waiting,
+        &[TransitionEffect::Fail(Outcome::NeverSent)],
+    ),
+    (
+        SessionState::Sent,
+        InputKind::Up,
+        SessionState::Open,
+        &[TransitionEffect::ComeUp],
     ),
-    (Stage::Sent, Word::Up, Stage::Open, &[Act::ComeUp]),
     // A client that left while its dial could not be called off.
     (
-        Stage::Sent,
-        Word::UpAlone,
-        Stage::Waiting,
-        &[Act::Fail(Outcome::Ok)],
+        SessionState::Sent,
+        InputKind::UpAlone,
+        SessionState::Waiting,
+        &[TransitionEffect::Fail(Outcome::Ok)],
+    ),
+    (
+        SessionState::Sent,
+        InputKind::Said,
+        SessionState::Waiting,
+        &[TransitionEffect::FailAsSaid],
+    ),
+    (
+        SessionState::Sent,
+        InputKind::Ended,
+        SessionState::Waiting,
+        &[TransitionEffect::Fail(Outcome::Reset)],
+    ),
+    (
+        SessionState::Sent,
+        InputKind::Due,
+        SessionState::Waiting,
+        &[TransitionEffect::Fail(Outcome::TimedOut)],
+    ),
+    (
+        SessionState::Sent,
+        InputKind::CallOff,
+        SessionState::Waiting,
+        &[TransitionEffect::Fail(Outcome::CalledOff)],
+    ),
+    (
+        SessionState::Open,
+        InputKind::Move,
+        SessionState::Open,
+        &[TransitionEffect::SendAway],
     ),
-    (Stage::Sent, Word::Said, Stage::Waiting, &[Act::FailAsSaid]),
     (
-        Stage::Sent,
-        Word::Ended,
-        Stage::Waiting,
-        &[Act::Fail(Outcome::Reset)],
+        SessionState::Open,
+        InputKind::Left,
+        SessionState::Open,
+        &[TransitionEffect::TellLeft],
     ),
     (
-        Stage::Sent,
-        Word::Due,
-        Stage::Waiting,
-        &[Act::Fail(Outcome::TimedOut)],
+        SessionState::Open,
+        InputKind::Closed,
+        SessionState::Over,
+        &[TransitionEffect::TellEnd],
     ),
     (
-        Stage::Sent,
-        Word::CallOff,
-        Stage::Waiting,
-        &[Act::Fail(Outcome::CalledOff)],
+        SessionState::Waiting,
+        InputKind::Left,
+        SessionState::Waiting,
+        &[
+            TransitionEffect::Depart(ReasonCode::ClientLeft),
+            TransitionEffect::TellLeft,
+        ],
     ),
-    (Stage::Open, Word::Move, Stage::Open, &[Act::SendAway]),
-    (Stage::Open, Word::Left, Stage::Open, &[Act::TellLeft]),
-    (Stage::Open, Word::Closed, Stage::Over, &[Act::TellEnd]),
     (
-        Stage::Waiting,
-        Word::Left,
-        Stage::Waiting,
-        &[Act::Depart(Code::ClientLeft), Act::TellLeft],
+        SessionState::Connecting,
+        InputKind::Left,
+        SessionState::Waiting,
+        UNASKED_LEFT,
     ),
-    (Stage::Connecting, Word::Left, Stage::Waiting, UNASKED_LEFT),
-    (Stage::Asked, Word::Left, Stage::Waiting, UNASKED_LEFT),
     (
-        Stage::Sent,
-        Word::Left,
-        Stage::Sent,
-        &[Act::Depart(Code::ClientLeft), Act::TellLeft],
+        SessionState::Asked,
+        InputKind::Left,
+        SessionState::Waiting,
+        UNASKED_LEFT,
+    ),
+    (
+        SessionState::Sent,
+        InputKind::Left,
+        SessionState::Sent,
+        &[
+            TransitionEffect::Depart(ReasonCode::ClientLeft),
+            TransitionEffect::TellLeft,
+        ],
     ),
     // It was to wait for its answer: what it says would reach its server unasked.
     (
-        Stage::Waiting,
-        Word::Spoke,
-        Stage::Waiting,
-        &[Act::Depart(Code::ClientBad), Act::TellLeft],
+        SessionState::Waiting,
+        InputKind::Spoke,
+        SessionState::Waiting,
+        &[
+            TransitionEffect::Depart(ReasonCode::ClientBad),
+            TransitionEffect::TellLeft,
+        ],
+    ),
+    (
+        SessionState::Connecting,
+        InputKind::Spoke,
+        SessionState::Waiting,
+        UNASKED_BAD,
+    ),
+    (
+        SessionState::Asked,
+        InputKind::Spoke,
+        SessionState::Waiting,
+        UNASKED_BAD,
     ),
-    (Stage::Connecting, Word::Spoke, Stage::Waiting, UNASKED_BAD),
-    (Stage::Asked, Word::Spoke, Stage::Waiting, UNASKED_BAD),
     (
-        Stage::Sent,
-        Word::Spoke,
-        Stage::Sent,
-        &[Act::Depart(Code::ClientBad), Act::TellLeft],
+        SessionState::Sent,
+        InputKind::Spoke,
+        SessionState::Sent,
+        &[
+            TransitionEffect::Depart(ReasonCode::ClientBad),
+            TransitionEffect::TellLeft,
+        ],
     ),
     (
-        Stage::Waiting,
-        Word::TurnedAway,
-        Stage::Waiting,
-        &[Act::TurnAway, Act::TellLeft],
+        SessionState::Waiting,
+        InputKind::TurnedAway,
+        SessionState::Waiting,
+        &[TransitionEffect::TurnAway, TransitionEffect::TellLeft],
     ),
     (
-        Stage::Connecting,
-        Word::TurnedAway,
-        Stage::Waiting,
-        &[Act::TurnAway, Act::TellLeft, Act::Unask],
+        SessionState::Connecting,
+        InputKind::TurnedAway,
+        SessionState::Waiting,
+        &[
+            TransitionEffect::TurnAway,
+            TransitionEffect::TellLeft,
+            TransitionEffect::Unask,
+        ],
     ),
     (
-        Stage::Asked,
-        Word::TurnedAway,
-        Stage::Waiting,
-        &[Act::TurnAway, Act::TellLeft, Act::Unask],
+        SessionState::Asked,
+        InputKind::TurnedAway,
+        SessionState::Waiting,
+        &[
+            TransitionEffect::TurnAway,
+            TransitionEffect::TellLeft,
+            TransitionEffect::Unask,
+        ],
     ),
     (
-        Stage::Sent,
-        Word::TurnedAway,
-        Stage::Sent,
-        &[Act::TurnAway, Act::TellLeft],
+        SessionState::Sent,
+        InputKind::TurnedAway,
+        SessionState::Sent,
+        &[TransitionEffect::TurnAway, TransitionEffect::TellLeft],
     ),
     (
-        Stage::Waiting,
-        Word::Unknown,
-        Stage::Over,
-        &[Act::Depart(Code::ClientLeft), Act::Forget],
+        SessionState::Waiting,
+        InputKind::Unknown,
+        SessionState::Over,
+        &[
+            TransitionEffect::Depart(ReasonCode::ClientLeft),
+            TransitionEffect::Forget,
+        ],
     ),
     (
-        Stage::Connecting,
-        Word::Unknown,
-        Stage::Over,
-        &[Act::Depart(Code::ClientLeft), Act::Forget],
+        SessionState::Connecting,
+        InputKind::Unknown,
+        SessionState::Over,
+        &[
+            TransitionEffect::Depart(ReasonCode::ClientLeft),
+            TransitionEffect::Forget,
+        ],
     ),
     (
-        Stage::Asked,
-        Word::Unknown,
-        Stage::Over,
-        &[Act::Depart(Code::ClientLeft), Act::Forget],
+        SessionState::Asked,
+        InputKind::Unknown,
+        SessionState::Over,
+        &[
+            TransitionEffect::Depart(ReasonCode::ClientLeft),
+            TransitionEffect::Forget,
+        ],
     ),
     (
-        Stage::Sent,
-        Word::Unknown,
-        Stage::Over,
-        &[Act::Depart(Code::ClientLeft), Act::Forget],
+        SessionState::Sent,
+        InputKind::Unknown,
+        SessionState::Over,
+        &[
+            TransitionEffect::Depart(ReasonCode::ClientLeft),
+            TransitionEffect::Forget,
+        ],
     ),
-    (Stage::Waiting, Word::GoingDown, Stage::Over, &[Act::GoDown]),
     (
-        Stage::Connecting,
-        Word::GoingDown,
-        Stage::Over,
-        &[Act::GoDown],
+        SessionState::Waiting,
+        InputKind::GoingDown,
+        SessionState::Over,
+        &[TransitionEffect::GoDown],
+    ),
+    (
+        SessionState::Connecting,
+        InputKind::GoingDown,
+        SessionState::Over,
+        &[TransitionEffect::GoDown],
+    ),
+    (
+        SessionState::Asked,
+        InputKind::GoingDown,
+        SessionState::Over,
+        &[TransitionEffect::GoDown],
+    ),
+    (
+        SessionState::Sent,
+        InputKind::GoingDown,
+        SessionState::Over,
+        &[TransitionEffect::GoDown],
     ),
-    (Stage::Asked, Word::GoingDown, Stage::Over, &[Act::GoDown]),
-    (Stage::Sent, Word::GoingDown, Stage::Over, &[Act::GoDown]),
 ];
 
 /// Outcome, whether it proves that the dial never ran, code.
-const ENDS: &[(Outcome, bool, Option<Code>)] = &[
+const ENDS: &[(Outcome, bool, Option<ReasonCode>)] = &[
     (Outcome::Ok, false, None),
-    (Outcome::Erred, false, Some(Code::DialErred)),
-    (Outcome::Full, true, Some(Code::DialFull)),
-    (Outcome::TimedOut, false, Some(Code::DialTimedOut)),
-    (Outcome::Unreachable, true, Some(Code::DialUnreachable)),
-    (Outcome::Reset, false, Some(Code::DialReset)),
-    (Outcome::CalledOff, false, Some(Code::DialCalledOff)),
-    (Outcome::NeverSent, true, Some(Code::DialUnsent)),
+    (Outcome::Erred, false, Some(ReasonCode::DialErred)),
+    (Outcome::Full, true, Some(ReasonCode::DialFull)),
+    (Outcome::TimedOut, false, Some(ReasonCode::DialTimedOut)),
+    (
+        Outcome::Unreachable,
+        true,
+        Some(ReasonCode::DialUnreachable),
+    ),
+    (Outcome::Reset, false, Some(ReasonCode::DialReset)),
+    (Outcome::CalledOff, false, Some(ReasonCode::DialCalledOff)),
+    (Outcome::NeverSent, true, Some(ReasonCode::DialUnsent)),
 ];
 
-impl Life {
-    pub fn new(now: Duration, arrival: Arrival, restored: bool, connect_within: Duration) -> Life {
-        Life {
-            stage: Stage::Waiting,
+impl SessionMachine {
+    pub fn new(
+        now: Duration,
+        arrival: SessionRequest,
+        restored: bool,
+        connect_within: Duration,
+    ) -> SessionMachine {
+        SessionMachine {
+            stage: SessionState::Waiting,
             arrival,
             arrived: now,
             dials: 0,
@@ -417,12 +546,17 @@
     }
 
     /// One that another process of this proxy brought up.
-    pub fn open(now: Duration, arrival: Arrival, to: ServerId, connect_within: Duration) -> Life {
-        Life {
-            stage: Stage::Open,
+    pub fn open(
+        now: Duration,
+        arrival: SessionRequest,
+        to: ServerId,
+        connect_within: Duration,
+    ) -> SessionMachine {
+        SessionMachine {
+            stage: SessionState::Open,
             dials: 1,
             to,
-            ..Life::new(now, arrival, false, connect_within)
+            ..SessionMachine::new(now, arrival, false, connect_within)
         }
     }
 
@@ -436,80 +570,100 @@
         self.arrived + RESTORED
     }
 
-    pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Effect>) {
+    pub fn step(&mut self, now: Duration, input: SessionInput, out: &mut Vec<SessionEffect>) {
         let Some(word) = self.word(now, input) else {
             return;
         };
-        let late_up = planted(Plant::LateUpBelieved) && word == Word::Up;
-        let stage = if late_up && self.stage != Stage::Over {
-            Stage::Sent
+        let late_up = is_injected(InjectedFault::LateUpBelieved) && word == InputKind::Up;
+        let stage = if late_up && self.stage != SessionState::Over {
+            SessionState::Sent
         } else {
             self.stage
         };
         let Some(row) = TABLE.iter().find(|row| row.0 == stage && row.1 == word) else {
             return;
         };
-        if planted(Plant::NoSocketUntold) && word == Word::NoSocket {
-            self.stage = Stage::Waiting;
-            return out.extend([Effect::Close, Effect::Watch(None)]);
+        if is_injected(InjectedFault::NoSocketUntold) && word == InputKind::NoSocket {
+            self.stage = SessionState::Waiting;
+            return out.extend([SessionEffect::Close, SessionEffect::Watch(None)]);
         }
-        if planted(Plant::CallOffKept) && (stage, word) == (Stage::Sent, Word::CallOff) {
+        if is_injected(InjectedFault::CallOffKept)
+            && (stage, word) == (SessionState::Sent, InputKind::CallOff)
+        {
             return;
         }
-        self.stage = if planted(Plant::GoneAsked) && row.3.contains(&Act::Unask) {
-            stage
-        } else {
-            row.2
-        };
+        self.stage =
+            if is_injected(InjectedFault::GoneAsked) && row.3.contains(&TransitionEffect::Unask) {
+                stage
+            } else {
+                row.2
+            };
         row.3.iter().for_each(|act| self.act(now, *act, input, out));
     }
 
     /// `None` for what speaks of an older dial.
-    fn word(&self, now: Duration, input: Input) -> Option<Word> {
+    fn word(&self, now: Duration, input: SessionInput) -> Option<InputKind> {
         let of = |dial: u8, word| {
-            let late_up = planted(Plant::LateUpBelieved) && word == Word::Up;
+            let late_up = is_injected(InjectedFault::LateUpBelieved) && word == InputKind::Up;
             (dial == self.dial() || late_up).then_some(word)
         };
         match input {
-            Input::Dial { .. } => Some(Word::Dial),
-            Input::CallOff => Some(Word::CallOff),
-            Input::Refuse { .. } => Some(Word::Refuse),
-            Input::TearDown => Some(Word::TearDown),
-            Input::Move => Some(Word::Move),
-            Input::NoSocket { dial } => of(dial, Word::NoSocket),
-            Input::Unreachable { dial } => of(dial, Word::Unreachable),
+            SessionInput::Dial { .. } => Some(InputKind::Dial),
+            SessionInput::CallOff => Some(InputKind::CallOff),
+            SessionInput::Refuse { .. } => Some(InputKind::Refuse),
+            SessionInput::TearDown => Some(InputKind::TearDown),
+            SessionInput::Move => Some(InputKind::Move),
+            SessionInput::NoSocket { dial } => of(dial, InputKind::NoSocket),
+            SessionInput::Unreachable { dial } => of(dial, InputKind::Unreachable),
             // What came up too late for its line has met nobody: nothing is sent.
-            Input::Connected { dial } if now >= self.write_by => of(dial, Word::NoSocket),
-            Input::Due if self.stage == Stage::Connecting && now >= self.write_by => {
-                Some(Word::NoSocket)
+            SessionInput::Connected { dial } if now >= self.write_by => {
+                of(dial, InputKind::NoSocket)
             }
-            Input::Connected { dial } => of(dial, Word::Connected),
-            Input::Written { dial } => of(dial, Word::Written),
-            Input::Up { dial } => {
-                let served = self.present || planted(Plant::OpensAlone);
-                of(dial, if served { Word::Up } else { Word::UpAlone })
+            SessionInput::Due if self.stage == SessionState::Connecting && now >= self.write_by => {
+                Some(InputKind::NoSocket)
             }
-            Input::Said { dial, .. } => of(dial, Word::Said),
-            Input::Ended { dial } => of(dial, Word::Ended),
-            Input::Due => Some(Word::Due),
-            Input::Left | Input::Spoke if self.restored && self.stage != Stage::Open => {
-                Some(Word::Unknown)
+            SessionInput::Connected { dial } => of(dial, InputKind::Connected),
+            SessionInput::Written { dial } => of(dial, InputKind::Written),
+            SessionInput::Up { dial } => {
+                let served = self.present || is_injected(InjectedFault::OpensAlone);
+                of(
+                    dial,
+                    if served {
+                        InputKind::Up
+                    } else {
+                        InputKind::UpAlone
+                    },
+                )
+            }
+            SessionInput::Said { dial, .. } => of(dial, InputKind::Said),
+            SessionInput::Ended { dial } => of(dial, InputKind::Ended),
+            SessionInput::Due => Some(InputKind::Due),
+            SessionInput::Left | SessionInput::Spoke
+                if self.restored && self.stage != SessionState::Open =>
+            {
+                Some(InputKind::Unknown)
             }
-            Input::Left | Input::Spoke if self.left => None,
-            Input::Left => Some(Word::Left),
-            Input::Spoke => Some(Word::Spoke),
-            Input::Closed { .. } => Some(Word::Closed),
-            Input::GoingDown => Some(Word::GoingDown),
-            Input::TurnedAway if self.restored => Some(Word::GoingDown),
-            Input::TurnedAway => (!self.left).then_some(Word::TurnedAway),
+            SessionInput::Left | SessionInput::Spoke if self.left => None,
+            SessionInput::Left => Some(InputKind::Left),
+            SessionInput::Spoke => Some(InputKind::Spoke),
+            SessionInput::Closed { .. } => Some(InputKind::Closed),
+            SessionInput::GoingDown => Some(InputKind::GoingDown),
+            SessionInput::TurnedAway if self.restored => Some(InputKind::GoingDown),
+            SessionInput::TurnedAway => (!self.left).then_some(InputKind::TurnedAway),
         }
     }
 
-    fn act(&mut self, now: Duration, act: Act, input: Input, out: &mut Vec<Effect>) {
-        let (sess, dial) = (self.arrival.sess, self.dial());
+    fn act(
+        &mut self,
+        now: Duration,
+        act: TransitionEffect,
+        input: SessionInput,
+        out: &mut Vec<SessionEffect>,
+    ) {
+        let (sess, dial) = (self.arrival.session, self.dial());
         match act {
-            Act::Begin => {
-                let Input::Dial {
+            TransitionEffect::Begin => {
+                let SessionInput::Dial {
                     server,
                     time_out,
                     within,
@@ -519,112 +673,134 @@
                 };
                 (self.to, self.dial_ends, self.write_by) = (server, now + time_out, now + within);
                 self.dials = self.dials.saturating_add(1);
-                if planted(Plant::DeadlineTooLate) {
+                if is_injected(InjectedFault::DeadlineTooLate) {
                     self.dial_ends += Duration::from_millis(400);
                 }
                 let ends = self.dial_ends.min(self.write_by);
-                out.push(Effect::Watch(Some((now + self.connect_within).min(ends))));
-                out.push(Effect::Connect { server });
+                out.push(SessionEffect::Watch(Some(
+                    (now + self.connect_within).min(ends),
+                )));
+                out.push(SessionEffect::Connect { server });
             }
-            Act::Ask => {
+            TransitionEffect::Ask => {
                 let wait = self
                     .dial_ends
                     .saturating_sub(now)
                     .max(Duration::from_millis(1));
-                let watched = (!planted(Plant::NoDeadline)).then_some(self.dial_ends);
-                out.push(Effect::Watch(watched));
-                out.push(Effect::Count(Code::Dialled));
-                out.push(Effect::Ask {
+                let watched = (!is_injected(InjectedFault::NoDeadline)).then_some(self.dial_ends);
+                out.push(SessionEffect::Watch(watched));
+                out.push(SessionEffect::Count(ReasonCode::Dialled));
+                out.push(SessionEffect::Ask {
                     wait: (!self.restored).then_some(wait),
                 });
             }
-            Act::ComeUp => {
-                out.push(Effect::Watch(None));
+            TransitionEffect::ComeUp => {
+                out.push(SessionEffect::Watch(None));
                 if self.restored {
                     self.dials = 1;
-                    out.push(Effect::Count(Code::Restored));
-                    out.push(Effect::Tell(Event::Inherited(self.arrival, self.to)));
+                    out.push(SessionEffect::Count(ReasonCode::Restored));
+                    out.push(SessionEffect::Tell(Event::SessionInherited(
+                        self.arrival,
+                        self.to,
+                    )));
                 } else {
-                    out.push(Effect::Count(Code::Up));
-                    out.push(Effect::Tell(Event::Began { sess, dial }));
+                    out.push(SessionEffect::Count(ReasonCode::Up));
+                    out.push(SessionEffect::Tell(Event::SessionOpened {
+                        session: sess,
+                        dial,
+                    }));
                 }
-                out.push(Effect::Pass);
+                out.push(SessionEffect::Pass);
             }
-            Act::Fail(outcome) => self.fail(now, outcome, Load::default(), out),
-            Act::FailAsSaid => {
-                let Input::Said { outcome, load, .. } = input else {
+            TransitionEffect::Fail(outcome) => self.fail(now, outcome, Load::default(), out),
+            TransitionEffect::FailAsSaid => {
+                let SessionInput::Said { outcome, load, .. } = input else {
                     return;
                 };
                 self.fail(now, outcome, load, out);
             }
-            Act::Refuse => {
-                let Input::Refuse { come_back } = input else {
+            TransitionEffect::Refuse => {
+                let SessionInput::Refuse { come_back } = input else {
                     return;
                 };
-                self.answer(Answer::Busy(come_back), out);
+                self.answer(FinalAnswer::Busy(come_back), out);
+            }
+            TransitionEffect::TurnAway => {
+                self.answer(FinalAnswer::Failed(ReasonCode::TornDown), out)
+            }
+            TransitionEffect::TearDown => {
+                self.answer(FinalAnswer::Failed(ReasonCode::TornDown), out)
+            }
+            TransitionEffect::SendAway => out.push(SessionEffect::SendAway),
+            TransitionEffect::Restore => {
+                out.extend(self.restored.then_some(SessionEffect::Restore))
             }
-            Act::TurnAway => self.answer(Answer::Failed(Code::TornDown), out),
-            Act::TearDown => self.answer(Answer::Failed(Code::TornDown), out),
-            Act::SendAway => out.push(Effect::SendAway),
-            Act::Restore => out.extend(self.restored.then_some(Effect::Restore)),
-            Act::Depart(_) if !self.present => {}
-            Act::Depart(code) => {
-                if input == Input::Spoke {
-                    self.answer(Answer::Failed(Code::ClientBad), out);
+            TransitionEffect::Depart(_) if !self.present => {}
+            TransitionEffect::Depart(code) => {
+                if input == SessionInput::Spoke {
+                    self.answer(FinalAnswer::Failed(ReasonCode::ClientBad), out);
                 } else {
-                    out.extend([Effect::Log(code), Effect::Drop]);
+                    out.extend([SessionEffect::Log(code), SessionEffect::Drop]);
                 }
-                (self.present, self.left) = (planted(Plant::AnswersTwice), true);
+                (self.present, self.left) = (is_injected(InjectedFault::AnswersTwice), true);
             }
-            Act::Forget => out.extend([Effect::Watch(None), Effect::Close, Effect::Forget]),
-            Act::TellEnd => {
-                let Input::Closed { outcome, load } = input else {
+            TransitionEffect::Forget => out.extend([
+                SessionEffect::Watch(None),
+                SessionEffect::Close,
+                SessionEffect::Forget,
+            ]),
+            TransitionEffect::TellEnd => {
+                let SessionInput::Closed { outcome, load } = input else {
                     return;
                 };
-                out.push(Effect::Watch(None));
-                out.push(Effect::Tell(Event::Ended {
-                    sess,
+                out.push(SessionEffect::Watch(None));
+                out.push(SessionEffect::Tell(Event::AttemptEnded {
+                    session: sess,
                     dial,
                     outcome,
-                    over: true,
+                    session_over: true,
                     load,
                 }));
             }
-            Act::Unask if planted(Plant::GoneAsked) => {}
-            Act::Unask => self.fail(now, Outcome::CalledOff, Load::default(), out),
-            Act::TellLeft => {
+            TransitionEffect::Unask if is_injected(InjectedFault::GoneAsked) => {}
+            TransitionEffect::Unask => self.fail(now, Outcome::CalledOff, Load::default(), out),
+            TransitionEffect::TellLeft => {
                 self.left = true;
-                out.push(Effect::Tell(Event::Left { sess }));
+                out.push(SessionEffect::Tell(Event::ClientLeft { session: sess }));
             }
-            Act::GoDown => {
-                out.extend([Effect::Watch(None), Effect::Close]);
-                if !planted(Plant::SilentGoingDown) {
-                    self.answer(Answer::Failed(Code::TornDown), out);
+            TransitionEffect::GoDown => {
+                out.extend([SessionEffect::Watch(None), SessionEffect::Close]);
+                if !is_injected(InjectedFault::SilentGoingDown) {
+                    self.answer(FinalAnswer::Failed(ReasonCode::TornDown), out);
                 }
-                out.push(Effect::Forget);
+                out.push(SessionEffect::Forget);
             }
         }
     }
 
     /// The one way to a final answer, which nobody gets who has one, or who has left.
-    fn answer(&mut self, answer: Answer, out: &mut Vec<Effect>) {
-        let again = planted(Plant::AnswersTwice);
+    fn answer(&mut self, answer: FinalAnswer, out: &mut Vec<SessionEffect>) {
+        let again = is_injected(InjectedFault::AnswersTwice);
         if std::mem::replace(&mut self.present, again) {
-            out.push(Effect::Answer(answer));
+            out.push(SessionEffect::Answer(answer));
         }
     }
 
     /// Closes the dial before anything else is sent for its session, and tells what it came to.
-    fn fail(&mut self, now: Duration, outcome: Outcome, load: Load, out: &mut Vec<Effect>) {
-        if planted(Plant::AnswersWhileOut) && outcome == Outcome::TimedOut && self.present {
-            self.stage = Stage::Sent;
-            return self.answer(Answer::Failed(Code::TornDown), out);
+    fn fail(&mut self, now: Duration, outcome: Outcome, load: Load, out: &mut Vec<SessionEffect>) {
+        if is_injected(InjectedFault::AnswersWhileOut)
+            && outcome == Outcome::TimedOut
+            && self.present
+        {
+            self.stage = SessionState::Sent;
+            return self.answer(FinalAnswer::Failed(ReasonCode::TornDown), out);
         }
-        let open = planted(Plant::DialBeforeClose) && outcome == Outcome::TimedOut;
-        out.extend((!open).then_some(Effect::Close));
-        out.push(Effect::Watch(None));
-        let proves = planted(Plant::TimeOutProvesNothing) && outcome == Outcome::TimedOut
-            || planted(Plant::ResetProvesNothing) && outcome == Outcome::Reset;
+        let open = is_injected(InjectedFault::DialBeforeClose) && outcome == Outcome::TimedOut;
+        out.extend((!open).then_some(SessionEffect::Close));
+        out.push(SessionEffect::Watch(None));
+        let proves = is_injected(InjectedFault::TimeOutProvesNothing)
+            && outcome == Outcome::TimedOut
+            || is_injected(InjectedFault::ResetProvesNothing) && outcome == Outcome::Reset;
         let outcome = if proves {
             Outcome::Unreachable
         } else {
@@ -633,23 +809,23 @@
         let Some((_, unrun, code)) = ENDS.iter().find(|end| end.0 == outcome) else {
             return;
         };
-        out.extend(code.map(Effect::Log));
+        out.extend(code.map(SessionEffect::Log));
         if !self.restored {
-            let (sess, dial, over): (SessId, u8, bool) =
-                (self.arrival.sess, self.dial(), !self.present);
-            out.push(Effect::Tell(Event::Ended {
-                sess,
+            let (sess, dial, over): (SessionId, u8, bool) =
+                (self.arrival.session, self.dial(), !self.present);
+            out.push(SessionEffect::Tell(Event::AttemptEnded {
+                session: sess,
                 dial,
                 outcome,
-                over,
+                session_over: over,
                 load,
             }));
         } else if *unrun && now + AGAIN < self.restored_until() {
-            out.push(Effect::Watch(Some(now + AGAIN)));
+            out.push(SessionEffect::Watch(Some(now + AGAIN)));
         } else {
-            self.stage = Stage::Over;
-            self.answer(Answer::Failed(Code::TornDown), out);
-            out.push(Effect::Forget);
+            self.stage = SessionState::Over;
+            self.answer(FinalAnswer::Failed(ReasonCode::TornDown), out);
+            out.push(SessionEffect::Forget);
         }
     }
 }
