--- a/crates/proxy/src/routing/session_table.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -1,58 +1,58 @@
 //! Between the module and the lives of sessions: carries what happens to the one and what it decides to the
 //! other. No I/O; what is to be done on sockets waits in `effects`, in order, for whoever drives it.
 
-use super::session_state::{Effect, Input, Life, Stage};
-use super::zones::{Places, Turn};
-use crate::injected_fault::{Plant, planted};
+use super::session_state::{SessionEffect, SessionInput, SessionMachine, SessionState};
+use super::zones::{ZoneTracker, ZoneTransition};
+use crate::injected_fault::{InjectedFault, is_injected};
 use crate::transport::{Key, Slots};
-use asterramp_placement::event::{Arrival, ServerId, SessId};
-use asterramp_placement::{Action, Choice, Deployment, Event};
+use asterramp_placement::event::{ServerId, SessionId, SessionRequest};
+use asterramp_placement::{Action, Deployment, Event, PlacementEngine};
 use std::collections::VecDeque;
 use std::time::Duration;
 
 /// Something to do, for a session or for none.
 #[derive(Clone, Debug)]
-pub enum Task {
-    For(Key, Effect),
+pub enum SessionTask {
+    For(Key, SessionEffect),
     Probe(ServerId),
     /// Discovery is to be asked, where it answers only when asked.
     Subscribe,
     /// What is made of a whole place has changed.
-    Turned(Turn),
+    Turned(ZoneTransition),
     /// A `Tick` is due after so long.
     Wake(Duration),
 }
 
 /// A session's life, and what its driver keeps with it.
 #[derive(Clone, Debug)]
-pub struct Held<T> {
-    pub life: Life,
-    pub own: T,
+pub struct SessionSlot<T> {
+    pub machine: SessionMachine,
+    pub driver_data: T,
 }
 
 #[derive(Clone, Debug)]
-pub struct Exchange<T> {
-    pub choice: Choice,
+pub struct SessionTable<T> {
+    pub engine: PlacementEngine,
     /// A slot's number is the module's index of the session.
-    pub sessions: Slots<Held<T>>,
-    connect_within: Duration,
+    pub sessions: Slots<SessionSlot<T>>,
+    connect_timeout: Duration,
     /// What is made of whole places, where there are several.
-    pub places: Option<Places>,
-    turns: Vec<Turn>,
+    pub zones: Option<ZoneTracker>,
+    transitions: Vec<ZoneTransition>,
     events: VecDeque<Event>,
-    tasks: VecDeque<Task>,
+    tasks: VecDeque<SessionTask>,
     actions: Vec<Action>,
-    effects: Vec<Effect>,
+    effects: Vec<SessionEffect>,
 }
 
-impl<T> Exchange<T> {
-    pub fn new(facts: Deployment, nonce: u64, connect_within: Duration) -> Exchange<T> {
-        Exchange {
-            choice: Choice::new(facts, nonce),
+impl<T> SessionTable<T> {
+    pub fn new(facts: Deployment, nonce: u64, connect_within: Duration) -> SessionTable<T> {
+        SessionTable {
+            engine: PlacementEngine::new(facts, nonce),
             sessions: Slots::default(),
-            connect_within,
-            places: None,
-            turns: Vec::new(),
+            connect_timeout: connect_within,
+            zones: None,
+            transitions: Vec::new(),
             events: VecDeque::new(),
             tasks: VecDeque::new(),
             actions: Vec::new(),
@@ -61,16 +61,26 @@
     }
 
     /// A session begins. The module hears of one that was open before only once it is up again.
-    pub fn arrive(&mut self, now: Duration, arrival: Arrival, restored: bool, own: T) -> Key {
-        let life = Life::new(now, arrival, restored, self.connect_within);
-        let key = self.sessions.insert(Held { life, own });
+    pub fn arrive(
+        &mut self,
+        now: Duration,
+        arrival: SessionRequest,
+        restored: bool,
+        own: T,
+    ) -> Key {
+        let life = SessionMachine::new(now, arrival, restored, self.connect_timeout);
+        let key = self.sessions.insert(SessionSlot {
+            machine: life,
+            driver_data: own,
+        });
         if let Some(held) = self.sessions.get_mut(key) {
-            held.life.arrival.sess = key.slot;
+            held.machine.arrival.session = key.slot;
             if restored {
-                self.tasks.push_back(Task::For(key, Effect::Restore));
+                self.tasks
+                    .push_back(SessionTask::For(key, SessionEffect::Restore));
             } else {
-                let arrival = held.life.arrival;
-                self.events.push_back(Event::Arrived(arrival));
+                let arrival = held.machine.arrival;
+                self.events.push_back(Event::SessionRequested(arrival));
             }
         }
         self.settle(now);
@@ -78,27 +88,32 @@
     }
 
     /// One begins that is open already.
-    pub fn adopt(&mut self, now: Duration, life: Life, own: T) -> Key {
-        let key = self.sessions.insert(Held { life, own });
+    pub fn adopt(&mut self, now: Duration, life: SessionMachine, own: T) -> Key {
+        let key = self.sessions.insert(SessionSlot {
+            machine: life,
+            driver_data: own,
+        });
         if let Some(held) = self.sessions.get_mut(key) {
-            held.life.arrival.sess = key.slot;
-            self.events
-                .push_back(Event::Inherited(held.life.arrival, held.life.to));
+            held.machine.arrival.session = key.slot;
+            self.events.push_back(Event::SessionInherited(
+                held.machine.arrival,
+                held.machine.to,
+            ));
         }
         self.settle(now);
         key
     }
 
     /// Something happens to a session; nothing, if it is forgotten.
-    pub fn input(&mut self, now: Duration, sess: Key, input: Input) {
+    pub fn input(&mut self, now: Duration, sess: Key, input: SessionInput) {
         self.step(now, sess, input);
         self.settle(now);
     }
 
     /// The client of a session was found to have gone, or to have spoken, right before something would be sent for it.
     /// Whether nothing is to be sent.
-    pub fn found_gone(&mut self, now: Duration, sess: Key, how: Input) -> bool {
-        if planted(Plant::GoneDialled) {
+    pub fn found_gone(&mut self, now: Duration, sess: Key, how: SessionInput) -> bool {
+        if is_injected(InjectedFault::GoneDialled) {
             return false;
         }
         self.input(now, sess, how);
@@ -107,14 +122,14 @@
 
     /// Something that is no session's own: the roster, a probe's answer, a tick.
     pub fn event(&mut self, now: Duration, event: Event) {
-        let dials = |held: &Held<T>| {
+        let dials = |held: &SessionSlot<T>| {
             matches!(
-                held.life.stage,
-                Stage::Connecting | Stage::Asked | Stage::Sent
+                held.machine.stage,
+                SessionState::Connecting | SessionState::Asked | SessionState::Sent
             )
         };
-        if planted(Plant::DrainMidDialLost)
-            && matches!(event, Event::Roster(_))
+        if is_injected(InjectedFault::DrainMidDialLost)
+            && matches!(event, Event::Endpoints(_))
             && self.sessions.iter().any(|(_, held)| dials(held))
         {
             return;
@@ -125,8 +140,8 @@
 
     /// An open connection's server has left a line without an answer for long, or has said something.
     pub fn line(&mut self, now: Duration, sess: Key, answered: bool) {
-        let to = self.sessions.get(sess).map(|held| held.life.to);
-        if let (Some(places), Some(to)) = (&mut self.places, to) {
+        let to = self.sessions.get(sess).map(|held| held.machine.to);
+        if let (Some(places), Some(to)) = (&mut self.zones, to) {
             match answered {
                 true => places.sites.sound(now, to),
                 false => places.sites.sign(now, to),
@@ -137,7 +152,7 @@
 
     /// Discovery lives, though it has nothing new to tell.
     pub fn discovery_lives(&mut self, now: Duration) {
-        if let Some(places) = &mut self.places {
+        if let Some(places) = &mut self.zones {
             places.sites.told(now);
             self.settle(now);
         }
@@ -145,20 +160,20 @@
 
     /// The next thing to do. Whoever carries out a `Forget` takes the session out; its slot is not used again
     /// before.
-    pub fn task(&mut self) -> Option<Task> {
+    pub fn task(&mut self) -> Option<SessionTask> {
         self.tasks.pop_front()
     }
 
-    fn step(&mut self, now: Duration, sess: Key, input: Input) {
+    fn step(&mut self, now: Duration, sess: Key, input: SessionInput) {
         let Some(held) = self.sessions.get_mut(sess) else {
             return;
         };
         let mut effects = std::mem::take(&mut self.effects);
-        held.life.step(now, input, &mut effects);
+        held.machine.step(now, input, &mut effects);
         for effect in effects.drain(..) {
             match effect {
-                Effect::Tell(event) => self.events.push_back(event),
-                effect => self.tasks.push_back(Task::For(sess, effect)),
+                SessionEffect::Tell(event) => self.events.push_back(event),
+                effect => self.tasks.push_back(SessionTask::For(sess, effect)),
             }
         }
         self.effects = effects;
@@ -166,9 +181,10 @@
 
     /// What is decided of places is for the module to hear, and what changed for the log.
     fn heed_places(&mut self) {
-        if let Some(places) = &mut self.places {
-            places.decide(&mut self.events, &mut self.turns);
-            self.tasks.extend(self.turns.drain(..).map(Task::Turned));
+        if let Some(places) = &mut self.zones {
+            places.decide(&mut self.events, &mut self.transitions);
+            self.tasks
+                .extend(self.transitions.drain(..).map(SessionTask::Turned));
         }
     }
 
@@ -176,19 +192,20 @@
     fn settle(&mut self, now: Duration) {
         self.heed_places();
         while let Some(event) = self.events.pop_front() {
-            if let Some(places) = &mut self.places {
+            if let Some(places) = &mut self.zones {
                 let to = match event {
-                    Event::Began { sess, .. } | Event::Ended { sess, .. } => self.sessions.at(sess),
+                    Event::SessionOpened { session: sess, .. }
+                    | Event::AttemptEnded { session: sess, .. } => self.sessions.at(sess),
                     _ => None,
                 };
                 let to = to
                     .and_then(|key| self.sessions.get(key))
-                    .map(|held| held.life.to);
+                    .map(|held| held.machine.to);
                 places.hears(now, &event, to);
             }
             self.heed_places();
             let mut actions = std::mem::take(&mut self.actions);
-            self.choice.handle(now, event, &mut actions);
+            self.engine.handle(now, event, &mut actions);
             actions.drain(..).for_each(|action| self.act(now, action));
             self.actions = actions;
         }
@@ -197,31 +214,36 @@
     fn act(&mut self, now: Duration, action: Action) {
         let (sess, input) = match action {
             Action::Dial {
-                sess,
+                session: sess,
                 server,
-                time_out,
-                within,
+                timeout: time_out,
+                write_within: within,
             } => (
                 sess,
-                Input::Dial {
+                SessionInput::Dial {
                     server,
                     time_out,
                     within,
                 },
             ),
-            Action::CallOff { sess, .. } => (sess, Input::CallOff),
-            Action::Refuse { sess, come_back } => (sess, Input::Refuse { come_back }),
-            Action::TearDown { sess } => (sess, Input::TearDown),
-            Action::Move { sess } => (sess, Input::Move),
-            Action::Forget { sess } => {
-                let key = self.known(sess).filter(|_| !planted(Plant::Kept));
+            Action::Cancel { session: sess, .. } => (sess, SessionInput::CallOff),
+            Action::Reject {
+                session: sess,
+                retry_after: come_back,
+            } => (sess, SessionInput::Refuse { come_back }),
+            Action::Fail { session: sess } => (sess, SessionInput::TearDown),
+            Action::Migrate { session: sess } => (sess, SessionInput::Move),
+            Action::Forget { session: sess } => {
+                let key = self
+                    .known(sess)
+                    .filter(|_| !is_injected(InjectedFault::Kept));
                 return self
                     .tasks
-                    .extend(key.map(|key| Task::For(key, Effect::Forget)));
+                    .extend(key.map(|key| SessionTask::For(key, SessionEffect::Forget)));
             }
-            Action::Probe { server } => return self.tasks.push_back(Task::Probe(server)),
-            Action::Wake { after } => return self.tasks.push_back(Task::Wake(after)),
-            Action::Subscribe => return self.tasks.push_back(Task::Subscribe),
+            Action::Probe { server } => return self.tasks.push_back(SessionTask::Probe(server)),
+            Action::SetTimer { after } => return self.tasks.push_back(SessionTask::Wake(after)),
+            Action::PollEndpoints => return self.tasks.push_back(SessionTask::Subscribe),
         };
         self.known(sess)
             .into_iter()
@@ -229,7 +251,7 @@
     }
 
     /// The session that the module knows by this index.
-    fn known(&self, sess: SessId) -> Option<Key> {
+    fn known(&self, sess: SessionId) -> Option<Key> {
         self.sessions.at(sess)
     }
 }
--- a/crates/proxy/src/routing/warm_start.rs
+++ b/crates/proxy/src/routing/warm_start.rs
@@ -1,14 +1,15 @@
 //! A start after a power loss, and what is kept for the next one: carries out what `asterramp_warm_start` wants, and hands
 //! snapshots to the thread that writes them.
 
-use super::peers::Others;
-use super::{Code, Due, Router};
+use super::peers::PeerSettings;
+use super::{ReasonCode, Router, TimerKey};
 use crate::protocol::discovery::{List, Listed};
 use asterramp_placement::Event;
-use asterramp_placement::event::{Entry, Outcome, Roster, ServerId, Standing};
-use asterramp_snapshot::{Host, Snapshot, Told, Writer};
+use asterramp_placement::event::{Endpoint, EndpointState, EndpointUpdate, Outcome, ServerId};
+use asterramp_snapshot::{SaveOutcome, SavedEndpoint, Snapshot, SnapshotWriter};
 use asterramp_warm_start::{
-    Age, Effect, Entry as Way, HostId, Recovery, Source, Stage, Terms, age, fill,
+    EndpointId, EndpointSource, InformationAge, StartMode as Way, WarmStart, WarmStartEffect,
+    WarmStartSettings, WarmStartStage, age, fill,
 };
 use std::time::Duration;
 
@@ -17,8 +18,8 @@
 
 /// A start that is under way, or over.
 #[derive(Debug)]
-pub struct Starting {
-    pub(super) recovery: Recovery,
+pub struct WarmStartProgress {
+    pub(super) recovery: WarmStart,
     /// Of the newest list that we had; an older one of discovery's is not taken at its word.
     had: u64,
     /// When discovery told that.
@@ -29,8 +30,8 @@
 }
 
 /// What is kept for the next start.
-pub struct Keeping {
-    pub writer: Writer,
+pub struct SnapshotSchedule {
+    pub writer: SnapshotWriter,
     /// Least time between two snapshots.
     pub every: Duration,
     pub owner: String,
@@ -42,9 +43,14 @@
     written: (u64, u64),
 }
 
-impl Keeping {
-    pub fn new(writer: Writer, every: Duration, owner: String, term: u64) -> Keeping {
-        Keeping {
+impl SnapshotSchedule {
+    pub fn new(
+        writer: SnapshotWriter,
+        every: Duration,
+        owner: String,
+        term: u64,
+    ) -> SnapshotSchedule {
+        SnapshotSchedule {
             writer,
             every,
             owner,
@@ -58,9 +64,9 @@
 
 /// How a start goes on from what was saved.
 #[derive(Clone, Debug)]
-pub struct Anew {
-    pub terms: Terms,
-    pub others: Others,
+pub struct WarmStartPlan {
+    pub terms: WarmStartSettings,
+    pub others: PeerSettings,
     pub saved: Option<Snapshot>,
 }
 
@@ -73,13 +79,13 @@
 }
 
 /// A saved host as discovery would tell it.
-fn listed(host: &Host) -> Listed {
+fn listed(host: &SavedEndpoint) -> Listed {
     Listed {
         uid: host.uid.clone(),
         endpoint: host.endpoint,
         zone: host.zone.clone(),
         cell: host.cell,
-        standing: Standing::Ready,
+        standing: EndpointState::Ready,
         weight: host.weight,
         started: host.started_ms.map(unix),
     }
@@ -87,19 +93,19 @@
 
 impl Router {
     /// Begins by what is known from before: nobody is placed on before it answers, or discovery tells of it.
-    pub(super) fn begin_anew(&mut self, anew: Anew, known: &List) {
+    pub(super) fn begin_warm_start(&mut self, anew: WarmStartPlan, known: &List) {
         let (now, rev) = (self.now, known.rev);
         let others = !anew.others.doors.is_empty();
-        self.budget = self.budget.without(anew.others.doors.len().min(8));
-        self.others_by(anew.others);
-        let terms = Terms {
+        self.resource_budget = self.resource_budget.without(anew.others.doors.len().min(8));
+        self.configure_peers(anew.others);
+        let terms = WarmStartSettings {
             others,
-            probes: self.budget.probes.min(anew.terms.probes).max(1),
+            probes: self.resource_budget.probes.min(anew.terms.probes).max(1),
             ..anew.terms
         };
         let saved = anew.saved.unwrap_or_default();
-        let mut starting = Starting {
-            recovery: Recovery::new(now, terms),
+        let mut starting = WarmStartProgress {
+            recovery: WarmStart::new(now, terms),
             had: rev.max(saved.rev),
             told: saved.told_ms.map(unix),
             units: Vec::new(),
@@ -107,61 +113,81 @@
         };
         // When it was told counts, not when it was written again.
         let told = saved.told_ms.map(unix);
-        let old = if age(now, Some(unix(saved.saved_ms))) == Age::Unknown {
-            Age::Unknown
+        let old = if age(now, Some(unix(saved.saved_ms))) == InformationAge::Unknown {
+            InformationAge::Unknown
         } else {
             age(now, told)
         };
         let hosts = saved
             .hosts
             .iter()
-            .filter(|host| host.standing == asterramp_snapshot::Standing::Ready);
-        let own = hosts.map(|host| (listed(host), Source::Saved, old, saved.rev, host.unit));
+            .filter(|host| host.standing == asterramp_snapshot::SavedEndpointState::Ready);
+        let own = hosts.map(|host| {
+            (
+                listed(host),
+                EndpointSource::Saved,
+                old,
+                saved.rev,
+                host.unit,
+            )
+        });
         let configured = known
             .lines
             .iter()
-            .filter(|line| line.standing == Standing::Ready);
-        let configured =
-            configured.map(|line| (line.clone(), Source::Configured, Age::Unknown, rev, None));
+            .filter(|line| line.standing == EndpointState::Ready);
+        let configured = configured.map(|line| {
+            (
+                line.clone(),
+                EndpointSource::Configured,
+                InformationAge::Unknown,
+                rev,
+                None,
+            )
+        });
         // The newer list is taken in last: where the two differ in an address, its word stands.
         let mut words: Vec<_> = own.chain(configured).collect();
         words.sort_by_key(|word| word.3);
         for (line, source, old, rev, unit) in words {
             let at = line.endpoint;
-            let Some((entry, _)) = self.roster.take(line) else {
+            let Some((entry, _)) = self.endpoints.take(line) else {
                 continue;
             };
-            starting.remember(entry.server, unit);
+            starting.restore_load_per_connection(entry.server, unit);
             starting
                 .recovery
                 .word(now, entry.server, at, source, old, rev);
         }
-        self.starting = Some(starting);
-        self.heed_start();
+        self.warm_start = Some(starting);
+        self.apply_warm_start_effects();
     }
 
     /// Whether the list that discovery tells is older than one that we had, while that may matter.
     pub(super) fn is_older(&self, rev: u64) -> bool {
         let starting = self
-            .starting
+            .warm_start
             .as_ref()
-            .filter(|s| s.recovery.stage() != Stage::Normal);
+            .filter(|s| s.recovery.stage() != WarmStartStage::Normal);
         starting.is_some_and(|starting| rev < starting.had)
     }
 
     /// Of an older list only what keeps sessions away counts at once; whom it calls ready has to answer first.
-    pub(super) fn told_older(&mut self, rev: u64, entries: Vec<Entry>) {
+    pub(super) fn apply_older_list(&mut self, rev: u64, entries: Vec<Endpoint>) {
         let (now, mut away) = (self.now, Vec::new());
         for entry in entries {
-            let at = self.roster.address(entry.server);
-            let Some((starting, at)) = self.starting.as_mut().zip(at) else {
+            let at = self.endpoints.address(entry.server);
+            let Some((starting, at)) = self.warm_start.as_mut().zip(at) else {
                 return;
             };
-            match entry.standing {
-                Standing::Ready => {
-                    starting
-                        .recovery
-                        .word(now, entry.server, at, Source::Told, Age::Old, rev);
+            match entry.state {
+                EndpointState::Ready => {
+                    starting.recovery.word(
+                        now,
+                        entry.server,
+                        at,
+                        EndpointSource::Told,
+                        InformationAge::Old,
+                        rev,
+                    );
                 }
                 _ => {
                     starting.recovery.told(now, entry.server, at, false);
@@ -169,56 +195,56 @@
                 }
             }
         }
-        self.line(
-            Code::RosterOld,
+        self.log_event(
+            ReasonCode::RosterOld,
             format!(
                 "rev={rev} had={}",
-                self.starting.as_ref().map_or(0, |s| s.had)
+                self.warm_start.as_ref().map_or(0, |s| s.had)
             ),
         );
-        self.event(Event::Roster(Roster::Changes(away)));
-        self.heed_start();
+        self.event(Event::Endpoints(EndpointUpdate::Changes(away)));
+        self.apply_warm_start_effects();
     }
 
     /// Discovery has told these, `whole` or changes; the module hears it by itself.
-    pub(super) fn told_start(&mut self, entries: &mut [Entry], whole: bool) {
-        let (now, cold) = (self.now, self.setup.deployment.cold.warm_after);
-        let Some(starting) = &mut self.starting else {
+    pub(super) fn note_listed_endpoints(&mut self, entries: &mut [Endpoint], whole: bool) {
+        let (now, cold) = (self.now, self.settings.deployment.slow_start.warm_after);
+        let Some(starting) = &mut self.warm_start else {
             return;
         };
         entries
             .iter_mut()
-            .for_each(|entry| entry.unit = starting.unit(entry.server));
-        if starting.recovery.stage() == Stage::Normal {
+            .for_each(|entry| entry.load_per_connection = starting.unit(entry.server));
+        if starting.recovery.stage() == WarmStartStage::Normal {
             return;
         }
         for entry in entries.iter() {
-            if let Some(at) = self.roster.address(entry.server) {
+            if let Some(at) = self.endpoints.address(entry.server) {
                 starting
                     .recovery
-                    .told(now, entry.server, at, entry.standing == Standing::Ready);
+                    .told(now, entry.server, at, entry.state == EndpointState::Ready);
             }
         }
         if whole {
             let ready = entries
                 .iter()
-                .filter(|entry| entry.standing == Standing::Ready);
-            let new = |entry: &&Entry| {
+                .filter(|entry| entry.state == EndpointState::Ready);
+            let new = |entry: &&Endpoint| {
                 entry
-                    .started
+                    .started_at
                     .is_some_and(|at| now.saturating_sub(at) < cold)
             };
             let (all, young) = (ready.clone().count(), ready.clone().filter(new).count());
-            let listed: Vec<HostId> = entries.iter().map(|entry| entry.server).collect();
+            let listed: Vec<EndpointId> = entries.iter().map(|entry| entry.server).collect();
             starting.recovery.told_whole(now, &listed, young * 2 > all);
         }
-        self.heed_start();
+        self.apply_warm_start_effects();
     }
 
     /// A probe has ended that the start may have wanted.
-    pub(super) fn probed_at_start(&mut self, server: ServerId, outcome: Outcome) {
+    pub(super) fn note_warm_start_probe(&mut self, server: ServerId, outcome: Outcome) {
         let now = self.now;
-        let Some(starting) = &mut self.starting else {
+        let Some(starting) = &mut self.warm_start else {
             return;
         };
         starting.recovery.answered(
@@ -226,25 +252,25 @@
             server,
             matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Erred),
         );
-        self.heed_start();
+        self.apply_warm_start_effects();
     }
 
-    pub(super) fn start_due(&mut self) {
+    pub(super) fn warm_start_deadline(&mut self) {
         let now = self.now;
-        let Some(starting) = &mut self.starting else {
+        let Some(starting) = &mut self.warm_start else {
             return;
         };
         starting.recovery.tick(now);
-        self.heed_start();
+        self.apply_warm_start_effects();
     }
 
     /// Carries out what the start wants, until there is no more.
-    pub(super) fn heed_start(&mut self) {
+    pub(super) fn apply_warm_start_effects(&mut self) {
         loop {
-            let Some(starting) = &mut self.starting else {
+            let Some(starting) = &mut self.warm_start else {
                 return;
             };
-            let effects: Vec<Effect> = starting.recovery.effects().collect();
+            let effects: Vec<WarmStartEffect> = starting.recovery.effects().collect();
             if effects.is_empty() {
                 break;
             }
@@ -252,75 +278,76 @@
                 .into_iter()
                 .for_each(|effect| self.start_effect(effect));
         }
-        let Some(starting) = &self.starting else {
+        let Some(starting) = &self.warm_start else {
             return;
         };
         match starting.recovery.due() {
-            Some(due) => self.deadlines.set(Due::Start, due),
-            None => self.deadlines.clear(Due::Start),
+            Some(due) => self.deadlines.set(TimerKey::WarmStart, due),
+            None => self.deadlines.clear(TimerKey::WarmStart),
         }
     }
 
-    fn start_effect(&mut self, effect: Effect) {
+    fn start_effect(&mut self, effect: WarmStartEffect) {
         match effect {
-            Effect::Ask => self.ask_others(),
+            WarmStartEffect::Ask => self.query_peers(),
             // Where probes are not allowed, the first dial is the question.
-            Effect::Probe(id) if !self.setup.deployment.may_probe => {
+            WarmStartEffect::Probe(id) if !self.settings.deployment.may_probe => {
                 let now = self.now;
-                self.starting
+                self.warm_start
                     .iter_mut()
                     .for_each(|s| s.recovery.answered(now, id, true));
             }
-            Effect::Probe(id) => self.probe(id),
-            Effect::Use(id) => {
+            WarmStartEffect::Probe(id) => self.probe(id),
+            WarmStartEffect::Use(id) => {
                 let started = Some(self.now);
-                self.roster.stands(id, Standing::Ready);
-                let unit = self.starting.as_ref().and_then(|s| s.unit(id));
-                self.place_on(id, Standing::Ready, started, unit);
+                self.endpoints.stands(id, EndpointState::Ready);
+                let unit = self.warm_start.as_ref().and_then(|s| s.unit(id));
+                self.place_on(id, EndpointState::Ready, started, unit);
             }
-            Effect::Drop(id, why) => {
-                self.line(
-                    Code::HostDropped,
-                    format!("server={} why={why:?}", self.roster.name(id)),
+            WarmStartEffect::Drop(id, why) => {
+                self.log_event(
+                    ReasonCode::HostDropped,
+                    format!("server={} why={why:?}", self.endpoints.name(id)),
                 );
-                self.roster.stands(id, Standing::Gone);
-                self.place_on(id, Standing::Gone, None, None);
+                self.endpoints.stands(id, EndpointState::Gone);
+                self.place_on(id, EndpointState::Gone, None, None);
             }
-            Effect::Door(way) => {
-                self.starting.iter_mut().for_each(|s| s.way = way);
+            WarmStartEffect::Door(way) => {
+                self.warm_start.iter_mut().for_each(|s| s.way = way);
                 if way != Way::Shut && !self.serving {
-                    self.serve("recovery");
+                    self.start_serving("recovery");
                 }
-                self.weigh_room();
-            }
-            Effect::Turned(stage, why) => {
-                self.line(Code::Stage, format!("stage={} why={why:?}", stage.name()))
+                self.update_admission_rate();
             }
+            WarmStartEffect::Turned(stage, why) => self.log_event(
+                ReasonCode::Stage,
+                format!("stage={} why={why:?}", stage.name()),
+            ),
         }
     }
 
     fn place_on(
         &mut self,
-        id: HostId,
-        standing: Standing,
+        id: EndpointId,
+        standing: EndpointState,
         started: Option<Duration>,
         unit: Option<f64>,
     ) {
-        if let Some(entry) = self.roster.entry(id) {
-            let entry = Entry {
-                standing,
-                started,
-                unit,
+        if let Some(entry) = self.endpoints.entry(id) {
+            let entry = Endpoint {
+                state: standing,
+                started_at: started,
+                load_per_connection: unit,
                 ..entry
             };
-            self.event(Event::Roster(Roster::Changes(vec![entry])));
+            self.event(Event::Endpoints(EndpointUpdate::Changes(vec![entry])));
         }
     }
 
     /// Set-ups a second that a start lets in; `None` where it lets in all.
-    pub(super) fn start_pace(&self) -> Option<f64> {
-        let starting = self.starting.as_ref()?;
-        let cold = self.setup.deployment.cold;
+    pub(super) fn warm_start_pace(&self) -> Option<f64> {
+        let starting = self.warm_start.as_ref()?;
+        let cold = self.settings.deployment.slow_start;
         match starting.way {
             Way::Open => None,
             Way::Shut | Way::Refused => Some(0.0),
@@ -329,9 +356,9 @@
                 let unit = starting.units.iter().flatten();
                 let (sum, n) = unit.fold((0.0, 0.0), |(sum, n), unit| (sum + unit, n + 1.0));
                 let told = self
-                    .roster
+                    .endpoints
                     .hosts()
-                    .filter_map(|host| Some((host.load.asked?, host.load.connections?)));
+                    .filter_map(|host| Some((host.load.utilization?, host.load.connections?)));
                 let (asked, held) =
                     told.fold((0.0, 0.0), |sum, load| (sum.0 + load.0, sum.1 + load.1));
                 // What hosts say now goes before what they took before.
@@ -340,16 +367,16 @@
                 } else {
                     (n > 0.0).then(|| sum / n)
                 };
-                let cold = fill::Cold {
-                    share: cold.share,
+                let cold = fill::SlowStartFigures {
+                    share: cold.initial_capacity,
                     warm_after: cold.warm_after,
-                    multiple: cold.multiple,
+                    multiple: cold.max_multiple,
                 };
                 Some(fill::pace(
                     cold,
                     starting.recovery.hosts().usable(),
                     unit,
-                    self.setup.deployment.proxies,
+                    self.settings.deployment.proxy_count,
                     up,
                 ))
             }
@@ -357,39 +384,39 @@
     }
 
     /// Whether it says so when it is asked whether it serves.
-    pub(super) fn start_serves(&self) -> bool {
-        self.starting
+    pub(super) fn warm_start_serves(&self) -> bool {
+        self.warm_start
             .as_ref()
             .is_none_or(|s| !matches!(s.way, Way::Shut | Way::Refused))
     }
 
-    pub(super) fn starting(&self) -> Option<&Recovery> {
-        self.starting.as_ref().map(|starting| &starting.recovery)
+    pub(super) fn warm_start_state(&self) -> Option<&WarmStart> {
+        self.warm_start.as_ref().map(|starting| &starting.recovery)
     }
 
     /// Keeps what is known for the next start from now on.
-    pub fn keep_state(&mut self, keeping: Keeping) {
-        self.keeping = Some(keeping);
+    pub fn enable_snapshots(&mut self, keeping: SnapshotSchedule) {
+        self.snapshots = Some(keeping);
     }
 
     /// An owner's term was heard that is higher than any before; it is kept.
-    pub(super) fn heard_term(&mut self, term: u64) {
-        self.keeping
+    pub(super) fn record_term(&mut self, term: u64) {
+        self.snapshots
             .iter_mut()
             .for_each(|keeping| keeping.term = term);
-        self.state_changed();
+        self.mark_snapshot_outdated();
     }
 
-    pub(super) fn state_changed(&mut self) {
-        self.keeping
+    pub(super) fn mark_snapshot_outdated(&mut self) {
+        self.snapshots
             .iter_mut()
             .for_each(|keeping| keeping.changed = true);
     }
 
     /// Hands a snapshot over, if one is due, and tells how the last ones fared.
-    pub(super) fn keep_on(&mut self) {
+    pub(super) fn save_snapshot_if_due(&mut self) {
         let now = self.now;
-        let Some(keeping) = &mut self.keeping else {
+        let Some(keeping) = &mut self.snapshots else {
             return;
         };
         let told = keeping.writer.told();
@@ -398,7 +425,7 @@
         self.told_of_state(told);
         if due {
             let snapshot = self.snapshot(false);
-            let Some(keeping) = &mut self.keeping else {
+            let Some(keeping) = &mut self.snapshots else {
                 return;
             };
             (keeping.saved, keeping.changed) = (now, false);
@@ -406,29 +433,35 @@
         }
     }
 
-    fn told_of_state(&mut self, told: Vec<Told>) {
+    fn told_of_state(&mut self, told: Vec<SaveOutcome>) {
         for told in told {
             let (wrote, failed) = (
-                matches!(told, Told::Saved { .. }),
-                matches!(told, Told::Failed(_)),
+                matches!(told, SaveOutcome::Saved { .. }),
+                matches!(told, SaveOutcome::Failed(_)),
             );
-            self.keeping.iter_mut().for_each(|keeping| {
+            self.snapshots.iter_mut().for_each(|keeping| {
                 keeping.written.0 += u64::from(wrote);
                 keeping.written.1 += u64::from(failed);
             });
             match told {
-                Told::Saved { .. } => self.count(Code::StateSaved),
-                Told::Failed(why) => self.line(Code::StateBad, format!("save why={why:?}")),
-                Told::Held => self.line(Code::StateBad, "another process holds the folder"),
-                Told::Taken => self.line(Code::StateTaken, "the other process has let go"),
+                SaveOutcome::Saved { .. } => self.count_event(ReasonCode::StateSaved),
+                SaveOutcome::Failed(why) => {
+                    self.log_event(ReasonCode::StateBad, format!("save why={why:?}"))
+                }
+                SaveOutcome::Held => {
+                    self.log_event(ReasonCode::StateBad, "another process holds the folder")
+                }
+                SaveOutcome::Taken => {
+                    self.log_event(ReasonCode::StateTaken, "the other process has let go")
+                }
             }
         }
     }
 
     /// The last snapshot, of a proxy that leaves in good order.
-    pub fn close_state(&mut self) {
+    pub fn close_snapshots(&mut self) {
         let snapshot = self.snapshot(true);
-        if let Some(keeping) = self.keeping.take() {
+        if let Some(keeping) = self.snapshots.take() {
             keeping.writer.save(snapshot);
             let told = keeping.writer.close();
             self.told_of_state(told);
@@ -437,24 +470,28 @@
 
     fn snapshot(&self, clean: bool) -> Snapshot {
         let loads = || {
-            self.roster
+            self.endpoints
                 .hosts()
-                .filter_map(|host| host.load.asked.zip(host.load.connections))
+                .filter_map(|host| host.load.utilization.zip(host.load.connections))
         };
         let all = loads().fold((0.0, 0.0), |sum, load| (sum.0 + load.0, sum.1 + load.1));
         // One that holds few stands for what all take.
         let told = |load: &(f64, f64)| load.1 >= fill::FEW;
-        let host = |(line, host): (Listed, &super::endpoints::Host)| {
-            let own = host.load.asked.zip(host.load.connections).filter(told);
+        let host = |(line, host): (Listed, &super::endpoints::KnownEndpoint)| {
+            let own = host
+                .load
+                .utilization
+                .zip(host.load.connections)
+                .filter(told);
             let unit = own.or(Some(all).filter(told)).map(|load| load.0 / load.1);
-            Host {
+            SavedEndpoint {
                 uid: line.uid,
                 endpoint: line.endpoint,
                 zone: line.zone,
                 cell: line.cell,
                 standing: match line.standing {
-                    Standing::Draining => asterramp_snapshot::Standing::Draining,
-                    _ => asterramp_snapshot::Standing::Ready,
+                    EndpointState::Draining => asterramp_snapshot::SavedEndpointState::Draining,
+                    _ => asterramp_snapshot::SavedEndpointState::Ready,
                 },
                 weight: if line.weight.is_finite() {
                     line.weight
@@ -466,43 +503,42 @@
                 unit: unit.filter(|unit| unit.is_finite()),
             }
         };
-        let lines = self.roster.lines().zip(self.roster.hosts());
-        let keeping = self.keeping.as_ref();
+        let lines = self.endpoints.lines().zip(self.endpoints.hosts());
+        let keeping = self.snapshots.as_ref();
         // What was known before stays so until discovery has told more.
-        let before = self
-            .starting
-            .as_ref()
-            .filter(|s| s.recovery.stage() != Stage::Normal || self.watch.rev() == 0);
+        let before = self.warm_start.as_ref().filter(|s| {
+            s.recovery.stage() != WarmStartStage::Normal || self.discovery_watch.rev() == 0
+        });
         let had = before.map_or(0, |s| s.had);
         let told = self
-            .watch
-            .heard()
-            .or(self.starting.as_ref().and_then(|s| s.told));
+            .discovery_watch
+            .last_heard()
+            .or(self.warm_start.as_ref().and_then(|s| s.told));
         Snapshot {
             owner: keeping
                 .map(|keeping| keeping.owner.clone())
                 .unwrap_or_default(),
             seq: 0,
             saved_ms: ms(self.now),
-            rev: self.watch.rev().max(had),
+            rev: self.discovery_watch.rev().max(had),
             told_ms: told.map(ms),
             term: keeping.map_or(0, |keeping| keeping.term),
             clean,
             hosts: lines
-                .filter(|(line, _)| line.standing != Standing::Gone)
+                .filter(|(line, _)| line.standing != EndpointState::Gone)
                 .map(host)
                 .collect(),
         }
     }
 
     /// Snapshots written and failed, if any are kept.
-    pub(super) fn kept(&self) -> Option<(u64, u64)> {
-        self.keeping.as_ref().map(|keeping| keeping.written)
+    pub(super) fn snapshot_counts(&self) -> Option<(u64, u64)> {
+        self.snapshots.as_ref().map(|keeping| keeping.written)
     }
 }
 
-impl Starting {
-    pub(super) fn remember(&mut self, server: ServerId, unit: Option<f64>) {
+impl WarmStartProgress {
+    pub(super) fn restore_load_per_connection(&mut self, server: ServerId, unit: Option<f64>) {
         if self.units.len() <= server as usize {
             self.units.resize(server as usize + 1, None);
         }
--- a/crates/proxy/src/routing/zones.rs
+++ b/crates/proxy/src/routing/zones.rs
@@ -2,18 +2,20 @@
 //! decides goes back as an event. No I/O.
 
 use asterramp_placement::Event;
-use asterramp_placement::event::{Entry, Outcome, Roster, ServerId, Standing};
-use asterramp_zone_failover::{self as site, Effect, Sites, State, Terms};
+use asterramp_placement::event::{Endpoint, EndpointState, EndpointUpdate, Outcome, ServerId};
+use asterramp_zone_failover::{
+    self as site, ZoneEffect, ZoneFailover, ZoneFailoverSettings, ZoneState,
+};
 use std::time::Duration;
 
 /// A place's state changed, and why.
-pub type Turn = (u8, State, &'static str);
+pub type ZoneTransition = (u8, ZoneState, &'static str);
 
 #[derive(Clone, Debug)]
-pub struct Places {
-    pub sites: Sites,
+pub struct ZoneTracker {
+    pub sites: ZoneFailover,
     /// Servers that discovery has told, by index.
-    listed: Vec<Option<Entry>>,
+    listed: Vec<Option<Endpoint>>,
 }
 
 /// What the end of a dial or probe shows of its server; a reset shows neither, as whoever sends it lives and may
@@ -26,11 +28,11 @@
     }
 }
 
-impl Places {
+impl ZoneTracker {
     /// `None` where there is one place: a proxy has no other to go to.
-    pub fn new(count: usize, terms: Terms) -> Option<Places> {
-        (count > 1).then(|| Places {
-            sites: Sites::new(terms, count),
+    pub fn new(count: usize, terms: ZoneFailoverSettings) -> Option<ZoneTracker> {
+        (count > 1).then(|| ZoneTracker {
+            sites: ZoneFailover::new(terms, count),
             listed: Vec::new(),
         })
     }
@@ -38,36 +40,41 @@
     /// Something that the module is about to hear. `to` is the server of the session that it is about, if any.
     pub fn hears(&mut self, now: Duration, event: &Event, to: Option<ServerId>) {
         match (event, to) {
-            (Event::Roster(Roster::Whole(entries)), _) => {
-                let mut left: Vec<Entry> = self.listed.iter().flatten().copied().collect();
+            (Event::Endpoints(EndpointUpdate::Complete(entries)), _) => {
+                let mut left: Vec<Endpoint> = self.listed.iter().flatten().copied().collect();
                 left.retain(|known| entries.iter().all(|entry| entry.server != known.server));
-                let gone = left.into_iter().map(|known| Entry {
-                    standing: Standing::Gone,
+                let gone = left.into_iter().map(|known| Endpoint {
+                    state: EndpointState::Gone,
                     ..known
                 });
                 gone.for_each(|entry| self.listed(now, entry));
                 entries.iter().for_each(|entry| self.listed(now, *entry));
                 self.sites.told(now);
             }
-            (Event::Roster(Roster::Changes(entries)), _) => {
+            (Event::Endpoints(EndpointUpdate::Changes(entries)), _) => {
                 entries.iter().for_each(|entry| self.listed(now, *entry));
                 self.sites.told(now);
             }
             // A list of old tells where servers stand, and nothing of the present.
-            (Event::Roster(Roster::Stale(entries) | Roster::Inherited(entries)), _) => {
+            (
+                Event::Endpoints(
+                    EndpointUpdate::Stale(entries) | EndpointUpdate::Inherited(entries),
+                ),
+                _,
+            ) => {
                 entries.iter().for_each(|entry| self.listed(now, *entry));
             }
-            (Event::Began { .. }, Some(server)) => self.sites.sound(now, server),
+            (Event::SessionOpened { .. }, Some(server)) => self.sites.sound(now, server),
             (
-                Event::Probed {
+                Event::ProbeEnded {
                     server, outcome, ..
                 },
                 _,
             ) => self.shown(now, *server, *outcome),
             (
-                Event::Ended {
+                Event::AttemptEnded {
                     outcome,
-                    over: false,
+                    session_over: false,
                     ..
                 },
                 Some(server),
@@ -79,19 +86,19 @@
         }
     }
 
-    fn listed(&mut self, now: Duration, entry: Entry) {
+    fn listed(&mut self, now: Duration, entry: Endpoint) {
         let at = entry.server as usize;
         if self.listed.len() <= at {
             self.listed.resize(at + 1, None);
         }
         self.listed[at] = Some(entry);
-        let standing = match entry.standing {
-            Standing::Ready => site::Standing::Ready,
-            Standing::Draining => site::Standing::Draining,
-            Standing::Gone => site::Standing::Gone,
+        let standing = match entry.state {
+            EndpointState::Ready => site::ServerState::Ready,
+            EndpointState::Draining => site::ServerState::Draining,
+            EndpointState::Gone => site::ServerState::Gone,
         };
         self.sites
-            .listed(now, entry.server, entry.zone, standing, entry.started);
+            .listed(now, entry.server, entry.zone, standing, entry.started_at);
     }
 
     fn shown(&mut self, now: Duration, server: ServerId, outcome: Outcome) {
@@ -103,12 +110,14 @@
     }
 
     /// What the module is to hear, and what changed.
-    pub fn decide(&mut self, events: &mut impl Extend<Event>, turns: &mut Vec<Turn>) {
+    pub fn decide(&mut self, events: &mut impl Extend<Event>, turns: &mut Vec<ZoneTransition>) {
         for effect in self.sites.effects() {
             match effect {
-                Effect::Open(zone, open) => events.extend([Event::Place { zone, open }]),
-                Effect::Look(server) => events.extend([Event::Doubted { server }]),
-                Effect::Turned(place, state, why) => turns.push((place, state, why)),
+                ZoneEffect::Open(zone, open) => {
+                    events.extend([Event::ZoneShare { zone, share: open }])
+                }
+                ZoneEffect::Look(server) => events.extend([Event::ProbeRequested { server }]),
+                ZoneEffect::Turned(place, state, why) => turns.push((place, state, why)),
             }
         }
     }
--- a/crates/proxy/src/transport/slots.rs
+++ b/crates/proxy/src/transport/slots.rs
@@ -1,6 +1,6 @@
 //! Numbered slots with generations: a late event for a slot's old tenant does not reach the new one.
 
-use crate::injected_fault::{Plant, planted};
+use crate::injected_fault::{InjectedFault, is_injected};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
@@ -51,8 +51,9 @@
     }
 
     pub fn get(&self, key: Key) -> Option<&T> {
-        let right =
-            |place: &&(u32, Option<T>)| place.0 == key.generation || planted(Plant::StaleSlot);
+        let right = |place: &&(u32, Option<T>)| {
+            place.0 == key.generation || is_injected(InjectedFault::StaleSlot)
+        };
         self.slots.get(key.slot as usize).filter(right)?.1.as_ref()
     }
 
--- a/crates/proxy/tests/moments.rs
+++ b/crates/proxy/tests/moments.rs
@@ -1,5 +1,12 @@
 //! Rare moments, each forced: the proxy is stopped while its sockets are made ready, so that it meets all of it in one
 //! wake-up.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 mod help;
 
--- a/crates/proxy/tests/operators.rs
+++ b/crates/proxy/tests/operators.rs
@@ -1,8 +1,15 @@
 //! Operators' calls, figures, drains that are called for, and processes that replace each other.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 mod help;
 
-use asterramp_hot_restart::{Bytes, Host, LONGEST, Pair, Word};
+use asterramp_hot_restart::{BufferedBytes, EndpointRecord, LONGEST, Message, OpenConnection};
 use asterramp_proxy::protocol::call::{Call, Status, read};
 use asterramp_proxy::transport::{link, socket};
 use help::{OPEN, Side, World, answered, call};
@@ -387,7 +394,7 @@
 }
 
 /// The next word of the other side of a link, with its descriptors; `None` at its end.
-fn word(link: &OwnedFd) -> Option<(Word, Vec<OwnedFd>)> {
+fn word(link: &OwnedFd) -> Option<(Message, Vec<OwnedFd>)> {
     let time = Timespec {
         tv_sec: 3,
         tv_nsec: 0,
@@ -398,18 +405,18 @@
         "it says nothing"
     );
     let (message, with) = link::receive(link, LONGEST).unwrap().expect("a message");
-    (!message.is_empty()).then(|| (Word::read(&message).unwrap(), with))
+    (!message.is_empty()).then(|| (Message::read(&message).unwrap(), with))
 }
 
 /// A younger that is a test: it has come, says that it serves, and is offered what stands.
 fn younger(world: &World, offers: usize) -> (OwnedFd, Vec<Vec<OwnedFd>>) {
     let link = link::call(&world.meeting()).unwrap();
-    assert!(link::send(&link, &Word::Hello.write(), &[]).unwrap());
-    while !matches!(word(&link), Some((Word::Door { .. }, _))) {}
-    assert!(link::send(&link, &Word::Serves.write(), &[]).unwrap());
-    assert!(matches!(word(&link), Some((Word::Holds(_), _))));
+    assert!(link::send(&link, &Message::Hello.write(), &[]).unwrap());
+    while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
+    assert!(link::send(&link, &Message::Serves.write(), &[]).unwrap());
+    assert!(matches!(word(&link), Some((Message::Holds(_), _))));
     let offered = (0..offers).map(|_| match word(&link) {
-        Some((Word::Pair(_), with)) => with,
+        Some((Message::Pair(_), with)) => with,
         other => panic!("{other:?}"),
     });
     let offered = offered.collect();
@@ -436,7 +443,7 @@
         assert!(link::send(&link, b"what is this", &[]).unwrap());
     }
     for _ in taken {
-        assert!(link::send(&link, &Word::Taken.write(), &[]).unwrap());
+        assert!(link::send(&link, &Message::Taken.write(), &[]).unwrap());
         let client = TcpStream::from(offered.remove(0).remove(0));
         assert_eq!(
             Side::of(client).line(),
@@ -451,7 +458,7 @@
     }
     if then != "ends" {
         assert!(
-            matches!(word(&link), Some((Word::Kept, _))),
+            matches!(word(&link), Some((Message::Kept, _))),
             "the elder says what becomes of the rest"
         );
         assert!(word(&link).is_none());
@@ -484,21 +491,21 @@
         (world.client("OPEN 0000"), None)
     };
     let link = link::call(&world.meeting()).unwrap();
-    assert!(link::send(&link, &Word::Hello.write(), &[]).unwrap());
-    while !matches!(word(&link), Some((Word::Door { .. }, _))) {}
+    assert!(link::send(&link, &Message::Hello.write(), &[]).unwrap());
+    while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
     if when == "with the yes" {
         world.signal("STOP");
         std::thread::sleep(Duration::from_millis(30));
     }
-    assert!(link::send(&link, &Word::Serves.write(), &[]).unwrap());
+    assert!(link::send(&link, &Message::Serves.write(), &[]).unwrap());
     if when == "with the yes" {
         client.say("on\r\n");
         world.signal("CONT");
     }
-    assert!(matches!(word(&link), Some((Word::Holds(_), _))));
+    assert!(matches!(word(&link), Some((Message::Holds(_), _))));
     let mut with = match word(&link) {
-        Some((Word::Pair(_), with)) if open => with,
-        Some((Word::Stranger(bytes), with)) if !open => {
+        Some((Message::Pair(_), with)) if open => with,
+        Some((Message::Stranger(bytes), with)) if !open => {
             assert_eq!(bytes.bytes, b"OPEN 0000", "it had been read");
             with
         }
@@ -511,7 +518,7 @@
         world.signal("TERM");
         assert_eq!(world.ends().0, Some(0));
     } else {
-        assert!(link::send(&link, &Word::Taken.write(), &[]).unwrap());
+        assert!(link::send(&link, &Message::Taken.write(), &[]).unwrap());
         // With nothing left to hand over and told to go, it goes.
         world.signal("TERM");
         assert_eq!(world.ends().0, Some(0));
@@ -533,9 +540,9 @@
     let second = world.beside();
     poll(&mut [PollFd::new(&meeting, PollFlags::IN)], None).unwrap();
     let link = socket::accept_unix(&meeting).unwrap().unwrap();
-    assert!(matches!(word(&link), Some((Word::Hello, _))));
+    assert!(matches!(word(&link), Some((Message::Hello, _))));
     let at = world.servers[0].local_addr().unwrap().to_string();
-    let host = Host {
+    let host = EndpointRecord {
         uid: "s-0".into(),
         endpoint: at,
         zone: "a".into(),
@@ -544,11 +551,11 @@
         weight: 1.0,
         started: None,
     };
-    assert!(link::send(&link, &Word::Hosts(vec![host]).write(), &[]).unwrap());
-    assert!(link::send(&link, &Word::Door { rev: 7 }.write(), &[door.as_fd()]).unwrap());
+    assert!(link::send(&link, &Message::Hosts(vec![host]).write(), &[]).unwrap());
+    assert!(link::send(&link, &Message::Door { rev: 7 }.write(), &[door.as_fd()]).unwrap());
     let (_, watch) = world.watches.recv_timeout(help::SOON).expect("a watch");
     watch.send(help::list(8, false, &[])).unwrap();
-    assert!(matches!(word(&link), Some((Word::Serves, _))) && second.says_yes());
+    assert!(matches!(word(&link), Some((Message::Serves, _))) && second.says_yes());
     let to = |what: &str| {
         Command::new("kill")
             .args([what, &second.proxy.id().to_string()])
@@ -565,11 +572,11 @@
         let line = OPEN
             .replace("9b1f03aa5c7e2d41", &format!("00000000000000a{nth}"))
             .into_bytes();
-        let bytes = || Bytes {
+        let bytes = || BufferedBytes {
             whole: 0,
             bytes: Vec::new(),
         };
-        let offer = Pair {
+        let offer = OpenConnection {
             line,
             uid: "s-0".into(),
             waits: None,
@@ -579,7 +586,7 @@
         assert!(
             link::send(
                 &link,
-                &Word::Pair(offer).write(),
+                &Message::Pair(offer).write(),
                 &[inner.as_fd(), outer.as_fd()]
             )
             .unwrap()
@@ -595,7 +602,7 @@
         }
     }
     if keeps {
-        assert!(link::send(&link, &Word::Kept.write(), &[]).unwrap());
+        assert!(link::send(&link, &Message::Kept.write(), &[]).unwrap());
     }
     drop((link, door, meeting));
     assert!(to("-CONT").unwrap().success());
@@ -618,8 +625,8 @@
         "a drain" => assert_eq!(call(world.calls, "POST /ops/drain/start").0, 200),
         "another replacement" => {
             let link = link::call(&world.meeting()).unwrap();
-            assert!(link::send(&link, &Word::Hello.write(), &[]).unwrap());
-            while !matches!(word(&link), Some((Word::Door { .. }, _))) {}
+            assert!(link::send(&link, &Message::Hello.write(), &[]).unwrap());
+            while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
             first = Some(link);
         }
         _ => {}
--- a/crates/proxy/tests/owner.rs
+++ b/crates/proxy/tests/owner.rs
@@ -1,9 +1,16 @@
 //! Rolls under one owner at a time: three processes of the proxy that a supervisor starts again, a store, and owners that are
 //! stopped, killed and woken late. Never are two proxies out, each is replaced once, and a late owner does nothing.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 mod help;
 
-use asterramp_admin_protocol::{Client, OwnerWords, Request, Status, Verb};
+use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest, LeaderToken, ProxyStatus};
 use help::{SETTINGS, free_address};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -140,10 +147,10 @@
     }
 }
 
-fn status(control: &Path) -> Option<Status> {
-    Client::connect(control)
+fn status(control: &Path) -> Option<ProxyStatus> {
+    AdminClient::connect(control)
         .ok()?
-        .ask(&Request::new(Verb::Status))
+        .ask(&AdminRequest::new(AdminCommand::Status))
         .ok()
 }
 
@@ -485,40 +492,46 @@
     let site = Site::start();
     let control = &site.controls[0];
     let told = status(control).unwrap();
-    let say = |verb: Verb, term: u64, boot: u64, left_ms: i64| {
+    let say = |verb: AdminCommand, term: u64, boot: u64, left_ms: i64| {
         let clock = status(control).unwrap().clock_us;
         let until_us = clock.saturating_add_signed(left_ms * 1_000);
-        let owner = Some(OwnerWords {
+        let owner = Some(LeaderToken {
             term,
             boot,
             until_us,
         });
-        Client::connect(control).unwrap().ask(&Request {
+        AdminClient::connect(control).unwrap().ask(&AdminRequest {
             owner,
-            ..Request::new(verb)
+            ..AdminRequest::new(verb)
         })
     };
-    assert_eq!(say(Verb::Hear, 7, told.boot, 2_000).unwrap().term, 7);
-    let refused = |answer: Result<Status, String>, why: &str| {
+    assert_eq!(
+        say(AdminCommand::Hear, 7, told.boot, 2_000).unwrap().term,
+        7
+    );
+    let refused = |answer: Result<ProxyStatus, String>, why: &str| {
         let error = answer.unwrap_err();
         assert!(error.contains(why), "{error}");
     };
     refused(
-        say(Verb::Drain, 6, told.boot, 2_000),
+        say(AdminCommand::Drain, 6, told.boot, 2_000),
         "a later owner has been heard",
     );
-    refused(say(Verb::Drain, 8, told.boot, -1), "time is over");
-    refused(say(Verb::Leave, 8, told.boot + 1, 2_000), "another process");
-    refused(say(Verb::Drain, 0, told.boot, 2_000), "no term");
+    refused(say(AdminCommand::Drain, 8, told.boot, -1), "time is over");
+    refused(
+        say(AdminCommand::Leave, 8, told.boot + 1, 2_000),
+        "another process",
+    );
+    refused(say(AdminCommand::Drain, 0, told.boot, 2_000), "no term");
     refused(
-        Client::connect(control)
+        AdminClient::connect(control)
             .unwrap()
-            .ask(&Request::new(Verb::Leave)),
+            .ask(&AdminRequest::new(AdminCommand::Leave)),
         "owner is missing",
     );
     assert_eq!(status(control).unwrap().state, "serving");
     // It is safe to hear twice, and outlives the process.
-    assert!(say(Verb::Leave, 8, told.boot, 2_000).is_ok());
+    assert!(say(AdminCommand::Leave, 8, told.boot, 2_000).is_ok());
     site.until(1);
     let by = Instant::now() + help::SOON;
     while status(control).is_none_or(|s| s.pid == told.pid) {
--- a/crates/proxy/tests/parts.rs
+++ b/crates/proxy/tests/parts.rs
@@ -1,14 +1,21 @@
 //! Parsers and tables, as tables of cases.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 use asterramp_placement::Event;
-use asterramp_placement::event::{Arrival, Outcome, Standing};
+use asterramp_placement::event::{EndpointState, Outcome, SessionRequest};
 use asterramp_proxy::protocol::client::{Greeting, greeting, refusal};
 use asterramp_proxy::protocol::http::Answer;
 use asterramp_proxy::protocol::json::{self, Value};
 use asterramp_proxy::protocol::line::{self, Fault};
 use asterramp_proxy::protocol::server::{Said, figure, said};
 use asterramp_proxy::protocol::{discovery, http};
-use asterramp_proxy::routing::session_state::{Effect, Input, Life};
+use asterramp_proxy::routing::session_state::{SessionEffect, SessionInput, SessionMachine};
 use asterramp_proxy::transport::{Buffer, Deadlines, Slots};
 use std::time::Duration;
 use test_case::test_case;
@@ -186,7 +193,7 @@
     let list = read
         .into_iter()
         .flat_map(|list| list.lines)
-        .find(|line| line.standing == Standing::Ready);
+        .find(|line| line.standing == EndpointState::Ready);
     assert!(list.is_none_or(|l| l.cell == 3
         && l.started == Some(Duration::from_millis(1500))
         && l.weight == 1.0));
@@ -239,50 +246,51 @@
 #[test_case(39, None; "just before")]
 fn a_line_is_not_written_after_its_time(after: u64, outcome: Option<Outcome>) {
     let ms = Duration::from_millis;
-    let arrival = Arrival {
+    let arrival = SessionRequest {
         dial_timeout: ms(2_000),
-        ..Arrival::default()
+        ..SessionRequest::default()
     };
-    let mut life = Life::new(Duration::ZERO, arrival, false, ms(200));
+    let mut life = SessionMachine::new(Duration::ZERO, arrival, false, ms(200));
     let mut out = Vec::new();
     life.step(
         Duration::ZERO,
-        Input::Dial {
+        SessionInput::Dial {
             server: 1,
             time_out: ms(400),
             within: ms(40),
         },
         &mut out,
     );
-    let watched = |effect: &Effect| matches!(effect, Effect::Watch(Some(at)) if *at == ms(40));
+    let watched =
+        |effect: &SessionEffect| matches!(effect, SessionEffect::Watch(Some(at)) if *at == ms(40));
     assert!(out.iter().any(watched), "{out:?}");
     out.clear();
-    life.step(ms(after), Input::Connected { dial: 0 }, &mut out);
+    life.step(ms(after), SessionInput::Connected { dial: 0 }, &mut out);
     let told = out.iter().find_map(|effect| match effect {
-        Effect::Tell(Event::Ended { outcome, .. }) => Some(*outcome),
+        SessionEffect::Tell(Event::AttemptEnded { outcome, .. }) => Some(*outcome),
         _ => None,
     });
     let asks = out
         .iter()
-        .any(|effect| matches!(effect, Effect::Ask { .. }));
+        .any(|effect| matches!(effect, SessionEffect::Ask { .. }));
     assert_eq!((told, asks), (outcome, outcome.is_none()), "{out:?}");
 }
 
 /// Until its line is at its server nothing runs, so the dial is closed without the module's word, which may not call off.
-#[test_case(&[], Input::Left; "it leaves while its dial connects")]
-#[test_case(&[Input::Connected { dial: 0 }], Input::Left; "it leaves as its dial came up")]
-#[test_case(&[], Input::Spoke; "it speaks while its dial connects")]
-#[test_case(&[Input::Connected { dial: 0 }], Input::Spoke; "it speaks as its dial came up")]
-#[test_case(&[], Input::TurnedAway; "it is turned away while its dial connects")]
-#[test_case(&[Input::Connected { dial: 0 }], Input::TurnedAway; "it is turned away as its dial came up")]
-fn nothing_is_written_for_a_client_that_waits_no_more(before: &[Input], how: Input) {
+#[test_case(&[], SessionInput::Left; "it leaves while its dial connects")]
+#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::Left; "it leaves as its dial came up")]
+#[test_case(&[], SessionInput::Spoke; "it speaks while its dial connects")]
+#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::Spoke; "it speaks as its dial came up")]
+#[test_case(&[], SessionInput::TurnedAway; "it is turned away while its dial connects")]
+#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::TurnedAway; "it is turned away as its dial came up")]
+fn nothing_is_written_for_a_client_that_waits_no_more(before: &[SessionInput], how: SessionInput) {
     let ms = Duration::from_millis;
-    let mut life = Life::new(Duration::ZERO, Arrival::default(), false, ms(200));
+    let mut life = SessionMachine::new(Duration::ZERO, SessionRequest::default(), false, ms(200));
     let mut out = Vec::new();
     let all = ms(400);
     life.step(
         Duration::ZERO,
-        Input::Dial {
+        SessionInput::Dial {
             server: 1,
             time_out: all,
             within: all,
@@ -295,19 +303,19 @@
     out.clear();
     life.step(ms(1), how, &mut out);
     // What was on its way at that moment finds nothing more to do.
-    life.step(ms(1), Input::Connected { dial: 0 }, &mut out);
-    life.step(ms(1), Input::Written { dial: 0 }, &mut out);
-    let told = |effect: &&Effect| {
+    life.step(ms(1), SessionInput::Connected { dial: 0 }, &mut out);
+    life.step(ms(1), SessionInput::Written { dial: 0 }, &mut out);
+    let told = |effect: &&SessionEffect| {
         matches!(
             effect,
-            Effect::Tell(Event::Ended {
-                over: true,
+            SessionEffect::Tell(Event::AttemptEnded {
+                session_over: true,
                 outcome: Outcome::CalledOff,
                 ..
             })
         )
     };
-    let closed = |effect: &&Effect| matches!(effect, Effect::Close);
+    let closed = |effect: &&SessionEffect| matches!(effect, SessionEffect::Close);
     assert_eq!(
         (
             out.iter().filter(told).count(),
@@ -318,7 +326,7 @@
     );
     assert!(
         !out.iter()
-            .any(|effect| matches!(effect, Effect::Ask { .. })),
+            .any(|effect| matches!(effect, SessionEffect::Ask { .. })),
         "{out:?}"
     );
 }
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -1,4 +1,11 @@
 //! A start that may ask other proxies, between others that tell the truth, lie, say too much or nothing.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 mod help;
 
--- a/crates/proxy/tests/state.rs
+++ b/crates/proxy/tests/state.rs
@@ -1,4 +1,11 @@
 //! What a proxy keeps on disk, by the program: kept, read again, spoilt, held by another, looked at from the command line.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 mod help;
 
--- a/crates/simulator-adapter/src/link.rs
+++ b/crates/simulator-adapter/src/link.rs
@@ -2,10 +2,11 @@
 
 use crate::frame::{self, ACTION, Address, ENTRY, EVENT, Fields, Head, Record};
 use asterramp_placement::event::{
-    Arrival, Entry, Load, Note, Outcome, Roster, ServerId, SessId, Standing,
+    Endpoint, EndpointState, EndpointUpdate, Load, Observation, Outcome, ServerId, SessionId,
+    SessionRequest,
 };
-use asterramp_placement::settings::{self, Reports};
-use asterramp_placement::{Action, Choice, Event};
+use asterramp_placement::settings::{self, LoadReportFormat};
+use asterramp_placement::{Action, Event, PlacementEngine};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
@@ -17,33 +18,33 @@
 
 /// One proxy: its decisions and its door. Dropped whole when the proxy is killed.
 struct Instance {
-    choice: Choice,
+    choice: PlacementEngine,
     listeners: usize,
-    reports: Reports,
+    reports: LoadReportFormat,
     door: Door,
 }
 
 #[derive(Default)]
 struct Door {
-    sessions: FxHashMap<u64, SessId>,
+    sessions: FxHashMap<u64, SessionId>,
     handles: Vec<u64>,
-    free: Vec<SessId>,
+    free: Vec<SessionId>,
     servers: FxHashMap<Address, ServerId>,
     addresses: Vec<Address>,
 }
 
 impl Door {
-    fn admit(&mut self, handle: u64) -> SessId {
+    fn admit(&mut self, handle: u64) -> SessionId {
         let sess = self.free.pop().unwrap_or_else(|| {
             self.handles.push(0);
-            (self.handles.len() - 1) as SessId
+            (self.handles.len() - 1) as SessionId
         });
         self.handles[sess as usize] = handle;
         self.sessions.insert(handle, sess);
         sess
     }
 
-    fn forget(&mut self, sess: SessId) {
+    fn forget(&mut self, sess: SessionId) {
         self.sessions.remove(&self.handles[sess as usize]);
         self.free.push(sess);
     }
@@ -84,8 +85,8 @@
                 let text = std::str::from_utf8(at.tail(11, 1, tail)?)
                     .map_err(|e| format!("settings: {e}"))?;
                 let setup = settings::read(text.lines().filter_map(|line| line.split_once('=')))?;
-                let (listeners, reports) = (setup.listeners.len(), setup.reports);
-                let choice = Choice::new(setup.deployment, at.u64(3));
+                let (listeners, reports) = (setup.listeners.len(), setup.load_reports);
+                let choice = PlacementEngine::new(setup.deployment, at.u64(3));
                 self.instances.insert(
                     id,
                     Instance {
@@ -147,50 +148,54 @@
     fn read(&mut self, code: u8, at: Fields, tail: &[u8]) -> Result<Option<Event>, String> {
         let known = |door: &Door| door.sessions.get(&at.u64(3)).copied();
         Ok(match code {
-            VIEW => Some(Event::Roster(self.roster(at, tail)?)),
+            VIEW => Some(Event::Endpoints(self.roster(at, tail)?)),
             INGRESS => {
                 let sess = self.fresh(at)?;
-                Some(Event::Arrived(arrival(sess, at)))
+                Some(Event::SessionRequested(arrival(sess, at)))
             }
             TAKEN_OVER => {
                 let sess = self.fresh(at)?;
-                Some(Event::Inherited(
+                Some(Event::SessionInherited(
                     arrival(sess, at),
                     self.door.server(at.address(43)),
                 ))
             }
-            BEGUN => known(&self.door).map(|sess| Event::Began {
-                sess,
+            BEGUN => known(&self.door).map(|sess| Event::SessionOpened {
+                session: sess,
                 dial: at.u8(11),
             }),
-            RESOLVED => known(&self.door).map(|sess| Event::Ended {
-                sess,
+            RESOLVED => known(&self.door).map(|sess| Event::AttemptEnded {
+                session: sess,
                 dial: at.u8(11),
                 outcome: outcome(at.u16(18)),
-                over: at.u8(24) != 0,
+                session_over: at.u8(24) != 0,
                 load: self.load(at, 25),
             }),
-            VANISHED => known(&self.door).map(|sess| Event::Left { sess }),
+            VANISHED => known(&self.door).map(|sess| Event::ClientLeft { session: sess }),
             HEARTBEAT => {
                 let amount = f64::from(at.f32(12));
                 let note = match at.u8(11) {
-                    1 => Some(Note::Work(amount)),
+                    1 => Some(Observation::Work(amount)),
                     2 => Duration::try_from_secs_f64(amount / 1e3)
                         .ok()
-                        .map(Note::Delay),
+                        .map(Observation::Delay),
                     _ => None,
                 };
                 let server = self.door.servers.get(&at.address(16)).copied();
                 known(&self.door)
                     .zip(server)
                     .zip(note)
-                    .map(|((sess, server), note)| Event::Noted { sess, server, note })
+                    .map(|((sess, server), note)| Event::Observed {
+                        session: sess,
+                        server,
+                        observation: note,
+                    })
             }
             CHECK_RESULT => self
                 .door
                 .servers
                 .get(&at.address(3))
-                .map(|server| Event::Probed {
+                .map(|server| Event::ProbeEnded {
                     server: *server,
                     outcome: outcome(at.u16(9)),
                     load: self.load(at, 15),
@@ -205,7 +210,7 @@
     }
 
     /// The index of a session that comes in.
-    fn fresh(&mut self, at: Fields) -> Result<SessId, String> {
+    fn fresh(&mut self, at: Fields) -> Result<SessionId, String> {
         let (handle, listener) = (at.u64(3), at.u8(11));
         if usize::from(listener) >= self.listeners {
             return Err(format!("byte 11: no listener {listener} in the settings"));
@@ -216,7 +221,7 @@
         Ok(self.door.admit(handle))
     }
 
-    fn roster(&mut self, at: Fields, tail: &[u8]) -> Result<Roster, String> {
+    fn roster(&mut self, at: Fields, tail: &[u8]) -> Result<EndpointUpdate, String> {
         let bytes = at.tail(8, ENTRY, tail)?;
         let mut entries = Vec::with_capacity(bytes.len() / ENTRY);
         for (nth, line) in bytes.chunks_exact(ENTRY).enumerate() {
@@ -225,27 +230,27 @@
             let mut mark = [0; 8];
             mark[..6].copy_from_slice(&address);
             let started = line.u64(16);
-            entries.push(Entry {
-                unit: None,
+            entries.push(Endpoint {
+                load_per_connection: None,
                 server: self.door.server(address),
-                mark: u64::from_le_bytes(mark),
+                hash_key: u64::from_le_bytes(mark),
                 zone: line.u8(6),
                 cell: line.u16(9),
-                standing: match line.u8(11) {
-                    0 => Standing::Gone,
-                    1 => Standing::Ready,
-                    2 => Standing::Draining,
+                state: match line.u8(11) {
+                    0 => EndpointState::Gone,
+                    1 => EndpointState::Ready,
+                    2 => EndpointState::Draining,
                     other => return Err(format!("entry {nth}: unknown state {other}")),
                 },
                 weight: f64::from(line.f32(12)),
-                started: (started != 0).then(|| Duration::from_micros(started)),
+                started_at: (started != 0).then(|| Duration::from_micros(started)),
             });
         }
         Ok(match at.u8(7) {
-            0 => Roster::Changes(entries),
-            1 => Roster::Whole(entries),
-            2 => Roster::Stale(entries),
-            3 => Roster::Failed,
+            0 => EndpointUpdate::Changes(entries),
+            1 => EndpointUpdate::Complete(entries),
+            2 => EndpointUpdate::Stale(entries),
+            3 => EndpointUpdate::Failed,
             other => return Err(format!("unknown list mode {other}")),
         })
     }
@@ -257,14 +262,14 @@
     }
 }
 
-fn arrival(sess: SessId, at: Fields) -> Arrival {
-    Arrival {
-        sess,
+fn arrival(sess: SessionId, at: Fields) -> SessionRequest {
+    SessionRequest {
+        session: sess,
         listener: at.u8(11),
-        member: at.u16(12),
+        tenant: at.u16(12),
         group: Some(at.u64(34)).filter(|g| *g != 0),
-        item: at.u64(14),
-        again: at.u8(42) & AGAIN != 0,
+        hash_key: at.u64(14),
+        reconnecting: at.u8(42) & AGAIN != 0,
         dial_timeout: Duration::from_micros(at.u64(22)),
     }
 }
@@ -290,28 +295,34 @@
 
 impl Door {
     fn write(&mut self, id: u16, action: Action, reply: &mut Vec<u8>) {
-        let about = |code, sess: SessId| {
+        let about = |code, sess: SessionId| {
             Record::new(code, id).put(3, self.handles[sess as usize].to_le_bytes())
         };
         let record = match action {
             Action::Dial {
-                sess,
+                session: sess,
                 server,
-                time_out,
+                timeout: time_out,
                 ..
             } => about(ATTEMPT, sess)
                 .put(11, self.addresses[server as usize])
                 .put(17, micros(time_out)),
-            Action::CallOff { sess, dial } => about(ABORT_ATTEMPT, sess).put(11, [dial]),
-            Action::Refuse { sess, come_back } => about(BUSY, sess).put(11, micros(come_back)),
-            Action::TearDown { sess } => about(FAIL, sess),
-            Action::Move { sess } => about(MOVE, sess),
+            Action::Cancel {
+                session: sess,
+                dial,
+            } => about(ABORT_ATTEMPT, sess).put(11, [dial]),
+            Action::Reject {
+                session: sess,
+                retry_after: come_back,
+            } => about(BUSY, sess).put(11, micros(come_back)),
+            Action::Fail { session: sess } => about(FAIL, sess),
+            Action::Migrate { session: sess } => about(MOVE, sess),
             Action::Probe { server } => {
                 Record::new(TEST, id).put(3, self.addresses[server as usize])
             }
-            Action::Subscribe => Record::new(OBSERVE, id).put(3, [1]),
-            Action::Wake { after } => Record::new(TIMER, id).put(3, micros(after)),
-            Action::Forget { sess } => return self.forget(sess),
+            Action::PollEndpoints => Record::new(OBSERVE, id).put(3, [1]),
+            Action::SetTimer { after } => Record::new(TIMER, id).put(3, micros(after)),
+            Action::Forget { session: sess } => return self.forget(sess),
         };
         record.append(reply);
     }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,11 @@
 //! Carries the bench's batches to the decision modules, one a proxy, and their actions back.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 mod frame;
 mod link;
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,11 @@
 //! Frames on the wire, byte by byte, and what becomes of bad ones.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
--- a/crates/snapshot/src/files.rs
+++ b/crates/snapshot/src/files.rs
@@ -5,7 +5,7 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-pub trait Files {
+pub trait SnapshotFiles {
     /// At most `most` bytes of a file; longer ones are an error.
     fn read(&mut self, name: &str, most: usize) -> io::Result<Vec<u8>>;
     /// A file with these bytes, in place of what it held. Not on disk before `sync`.
@@ -19,17 +19,17 @@
 
 /// A folder of the system's.
 #[derive(Clone, Debug)]
-pub struct Folder(PathBuf);
+pub struct SnapshotDirectory(PathBuf);
 
-impl Folder {
+impl SnapshotDirectory {
     /// The folder itself is made if it is not there; its parent is not.
-    pub fn open(path: &Path) -> io::Result<Folder> {
+    pub fn open(path: &Path) -> io::Result<SnapshotDirectory> {
         match std::fs::create_dir(path) {
             Err(e) if e.kind() != io::ErrorKind::AlreadyExists => return Err(e),
             _ => {}
         }
         if path.is_dir() {
-            Ok(Folder(path.to_path_buf()))
+            Ok(SnapshotDirectory(path.to_path_buf()))
         } else {
             Err(io::ErrorKind::NotADirectory.into())
         }
@@ -51,7 +51,7 @@
     }
 }
 
-impl Files for Folder {
+impl SnapshotFiles for SnapshotDirectory {
     fn read(&mut self, name: &str, most: usize) -> io::Result<Vec<u8>> {
         let file = File::open(self.0.join(name))?;
         if !file.metadata()?.is_file() {
--- a/crates/snapshot/src/snapshot.rs
+++ b/crates/snapshot/src/snapshot.rs
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum SavedEndpointState {
     #[default]
     Ready,
     Draining,
@@ -25,12 +25,12 @@
 /// What was known of a host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Host {
+pub struct SavedEndpoint {
     pub uid: String,
     pub endpoint: SocketAddr,
     pub zone: String,
     pub cell: u16,
-    pub standing: Standing,
+    pub standing: SavedEndpointState,
     pub weight: f64,
     /// When its process started, Unix time in milliseconds; `None` for long ago.
     pub started_ms: Option<u64>,
@@ -56,7 +56,7 @@
     pub term: u64,
     /// Written when the proxy left in good order.
     pub clean: bool,
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<SavedEndpoint>,
 }
 
 /// The bytes of a file.
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -7,7 +7,7 @@
 //! | it is renamed over the older file | both as before, or the new one in place of the older |
 //! | the folder is synced | the new one and the one before it |
 
-use crate::files::Files;
+use crate::files::SnapshotFiles;
 use crate::snapshot::{LONGEST, Snapshot, read, write};
 use std::io;
 
@@ -17,36 +17,36 @@
 
 /// What is wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Trouble {
+pub struct FileProblem {
     pub file: &'static str,
     pub why: String,
 }
 
 /// The newest whole snapshot, and all that was wrong on the way to it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
+pub struct LoadedSnapshot {
     pub snapshot: Option<Snapshot>,
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<FileProblem>,
 }
 
 #[derive(Debug)]
-pub struct Store<F> {
+pub struct SnapshotStore<F> {
     files: F,
     /// Of the newest snapshot on disk, and the file that it is in.
     newest: Option<(u64, usize)>,
 }
 
-impl<F: Files> Store<F> {
-    pub fn new(files: F) -> Store<F> {
-        Store {
+impl<F: SnapshotFiles> SnapshotStore<F> {
+    pub fn new(files: F) -> SnapshotStore<F> {
+        SnapshotStore {
             files,
             newest: None,
         }
     }
 
     /// Reads both files. A snapshot of another owner's is foreign: it tells of another proxy's hosts.
-    pub fn load(&mut self, owner: Option<&str>) -> Found {
-        let mut found = Found::default();
+    pub fn load(&mut self, owner: Option<&str>) -> LoadedSnapshot {
+        let mut found = LoadedSnapshot::default();
         self.newest = None;
         for (slot, file) in SLOTS.into_iter().enumerate() {
             let read = match self.files.read(file, LONGEST) {
@@ -61,7 +61,7 @@
                 _ => Ok(snapshot),
             });
             match own {
-                Err(why) => found.troubles.push(Trouble { file, why }),
+                Err(why) => found.troubles.push(FileProblem { file, why }),
                 Ok(snapshot) if self.newest.is_none_or(|(seq, _)| snapshot.seq > seq) => {
                     self.newest = Some((snapshot.seq, slot));
                     found.snapshot = Some(snapshot);
--- a/crates/snapshot/src/writer.rs
+++ b/crates/snapshot/src/writer.rs
@@ -1,9 +1,9 @@
 //! The thread that writes. It takes the newest snapshot and forgets those that it had not begun, so whoever hands them
 //! over never waits for the disk.
 
-use crate::files::Folder;
+use crate::files::SnapshotDirectory;
 use crate::snapshot::Snapshot;
-use crate::store::Store;
+use crate::store::SnapshotStore;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 
 /// How a snapshot fared.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum SaveOutcome {
     Saved {
         seq: u64,
         bytes: usize,
@@ -28,9 +28,9 @@
 }
 
 #[derive(Default)]
-struct Desk {
+struct PendingSnapshot {
     next: Option<Snapshot>,
-    told: Vec<Told>,
+    told: Vec<SaveOutcome>,
     /// No more will come.
     closed: bool,
     done: bool,
@@ -38,32 +38,32 @@
 
 #[derive(Default)]
 struct Shared {
-    desk: Mutex<Desk>,
+    desk: Mutex<PendingSnapshot>,
     turned: Condvar,
 }
 
 impl Shared {
-    fn desk(&self) -> MutexGuard<'_, Desk> {
+    fn desk(&self) -> MutexGuard<'_, PendingSnapshot> {
         self.desk
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
     }
 }
 
-pub struct Writer {
+pub struct SnapshotWriter {
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Writer {
-    pub fn start(folder: Folder, owner: String) -> std::io::Result<Writer> {
+impl SnapshotWriter {
+    pub fn start(folder: SnapshotDirectory, owner: String) -> std::io::Result<SnapshotWriter> {
         let shared = Arc::new(Shared::default());
         let own = shared.clone();
         let write = move || work(&own, &folder, &owner);
         let thread = std::thread::Builder::new()
             .name("state".into())
             .spawn(write)?;
-        Ok(Writer {
+        Ok(SnapshotWriter {
             shared,
             thread: Some(thread),
         })
@@ -75,12 +75,12 @@
         self.shared.turned.notify_all();
     }
 
-    pub fn told(&self) -> Vec<Told> {
+    pub fn told(&self) -> Vec<SaveOutcome> {
         std::mem::take(&mut self.shared.desk().told)
     }
 
     /// Waits for the last snapshot, but no longer than a second: a disk that hangs must not keep a process.
-    pub fn close(mut self) -> Vec<Told> {
+    pub fn close(mut self) -> Vec<SaveOutcome> {
         let by = Instant::now() + LAST;
         let mut desk = self.shared.desk();
         desk.closed = true;
@@ -104,10 +104,10 @@
     }
 }
 
-fn work(shared: &Shared, folder: &Folder, owner: &str) {
+fn work(shared: &Shared, folder: &SnapshotDirectory, owner: &str) {
     // Held until the thread ends, which the process's end is too.
     let lock = take(shared, folder);
-    let mut store = Store::new(folder.clone());
+    let mut store = SnapshotStore::new(folder.clone());
     if lock.is_some() {
         // Where another process wrote meanwhile, the next is counted from its.
         store.load(Some(owner));
@@ -115,12 +115,12 @@
     while let Some(mut snapshot) = next(shared).filter(|_| lock.is_some()) {
         let began = Instant::now();
         let told = match store.save(&mut snapshot) {
-            Ok(bytes) => Told::Saved {
+            Ok(bytes) => SaveOutcome::Saved {
                 seq: snapshot.seq,
                 bytes,
                 took: began.elapsed(),
             },
-            Err(e) => Told::Failed(e.to_string()),
+            Err(e) => SaveOutcome::Failed(e.to_string()),
         };
         shared.desk().told.push(told);
     }
@@ -130,17 +130,23 @@
 }
 
 /// The folder's lock; `None` if the process ends first, or the lock can't be had at all.
-fn take(shared: &Shared, folder: &Folder) -> Option<std::fs::File> {
+fn take(shared: &Shared, folder: &SnapshotDirectory) -> Option<std::fs::File> {
     let mut held = false;
     loop {
         let told = match folder.lock() {
             Ok(Some(lock)) => {
-                shared.desk().told.extend(held.then_some(Told::Taken));
+                shared
+                    .desk()
+                    .told
+                    .extend(held.then_some(SaveOutcome::Taken));
                 return Some(lock);
             }
-            Ok(None) => (!std::mem::replace(&mut held, true)).then_some(Told::Held),
+            Ok(None) => (!std::mem::replace(&mut held, true)).then_some(SaveOutcome::Held),
             Err(e) => {
-                shared.desk().told.push(Told::Failed(format!("lock: {e}")));
+                shared
+                    .desk()
+                    .told
+                    .push(SaveOutcome::Failed(format!("lock: {e}")));
                 return None;
             }
         };
--- a/crates/snapshot/tests/state/crash.rs
+++ b/crates/snapshot/tests/state/crash.rs
@@ -2,12 +2,12 @@
 //! before or the new one, whole, and the new one once the save has returned.
 
 use crate::help::{Disk, TORN, snapshot};
-use asterramp_snapshot::Store;
+use asterramp_snapshot::SnapshotStore;
 use test_case::test_case;
 
 /// All disks that there may be after power failed at `steps` of a save of `rev`, and whether the save had returned.
 fn cut(disk: &Disk, rev: u64, steps: usize) -> (bool, Vec<Disk>) {
-    let mut store = Store::new(disk.that_stops(steps));
+    let mut store = SnapshotStore::new(disk.that_stops(steps));
     store.load(None);
     let saved = store.save(&mut snapshot(rev)).is_ok();
     let left = store.files().clone();
@@ -16,7 +16,7 @@
 }
 
 fn rev(disk: &Disk) -> Option<u64> {
-    Store::new(disk.clone())
+    SnapshotStore::new(disk.clone())
         .load(None)
         .snapshot
         .map(|found| found.rev)
@@ -62,7 +62,7 @@
 
 #[test]
 fn without_the_second_file_a_bad_block_takes_all() {
-    let mut store = Store::new(Disk::default());
+    let mut store = SnapshotStore::new(Disk::default());
     store.save(&mut snapshot(1)).unwrap();
     store.save(&mut snapshot(2)).unwrap();
     let mut disk = store.files().clone();
--- a/crates/snapshot/tests/state/help.rs
+++ b/crates/snapshot/tests/state/help.rs
@@ -1,6 +1,6 @@
 //! A disk in memory that loses power, and snapshots to write.
 
-use asterramp_snapshot::{Files, Host, Snapshot, Standing};
+use asterramp_snapshot::{SavedEndpoint, SavedEndpointState, Snapshot, SnapshotFiles};
 use std::collections::BTreeMap;
 use std::io;
 
@@ -125,7 +125,7 @@
     }
 }
 
-impl Files for Disk {
+impl SnapshotFiles for Disk {
     fn read(&mut self, name: &str, most: usize) -> io::Result<Vec<u8>> {
         let bytes = self.inodes[self.at(name)?].bytes.clone();
         if bytes.len() > most {
@@ -195,12 +195,12 @@
 
 /// One with something in each field, told from others by `rev`.
 pub fn snapshot(rev: u64) -> Snapshot {
-    let host = |n: u64| Host {
+    let host = |n: u64| SavedEndpoint {
         uid: format!("s-{n}"),
         endpoint: std::net::SocketAddr::from(([127, 0, 0, 1], 4000 + n as u16)),
         zone: "a".into(),
         cell: 1,
-        standing: Standing::Ready,
+        standing: SavedEndpointState::Ready,
         weight: 1.0,
         started_ms: Some(1_000 + n),
         heard_ms: None,
--- a/crates/snapshot/tests/state/main.rs
+++ b/crates/snapshot/tests/state/main.rs
@@ -1,9 +1,18 @@
 //! What is read of bytes of any kind, and the system's folder, lock and thread.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 mod crash;
 mod help;
 
-use asterramp_snapshot::{Folder, LONGEST, Snapshot, Store, Told, Writer, read, write};
+use asterramp_snapshot::{
+    LONGEST, SaveOutcome, Snapshot, SnapshotDirectory, SnapshotStore, SnapshotWriter, read, write,
+};
 use help::{Disk, snapshot};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -51,7 +60,7 @@
             ..snapshot(1)
         }),
     );
-    let found = Store::new(disk).load(Some(OWNER));
+    let found = SnapshotStore::new(disk).load(Some(OWNER));
     assert_eq!(found.troubles.len(), 1);
     assert_eq!(found.snapshot.map(|s| s.rev), Some(1));
 }
@@ -82,7 +91,10 @@
             ..snapshot(8)
         }),
     );
-    assert_eq!(Store::new(disk).load(None).snapshot.map(|s| s.rev), Some(9));
+    assert_eq!(
+        SnapshotStore::new(disk).load(None).snapshot.map(|s| s.rev),
+        Some(9)
+    );
 }
 
 #[test]
@@ -90,7 +102,7 @@
     let mut disk = Disk::default();
     disk.put("state.0", &write(&snapshot(1)));
     disk.put("state.1", &vec![b'x'; LONGEST + 1]);
-    let found = Store::new(disk).load(Some("127.0.0.1:7001"));
+    let found = SnapshotStore::new(disk).load(Some("127.0.0.1:7001"));
     assert!(found.snapshot.is_none());
     assert!(
         found.troubles[0].why.contains("foreign") && found.troubles[1].why.contains("long"),
@@ -115,31 +127,39 @@
 #[test]
 fn a_second_process_writes_once_the_first_has_gone() {
     let path = folder("two");
-    let open = || Folder::open(&path).unwrap();
-    let first = Writer::start(open(), OWNER.into()).unwrap();
+    let open = || SnapshotDirectory::open(&path).unwrap();
+    let first = SnapshotWriter::start(open(), OWNER.into()).unwrap();
     first.save(snapshot(1));
-    until(|| Store::new(open()).load(Some(OWNER)).snapshot.is_some());
-    let second = Writer::start(open(), OWNER.into()).unwrap();
+    until(|| {
+        SnapshotStore::new(open())
+            .load(Some(OWNER))
+            .snapshot
+            .is_some()
+    });
+    let second = SnapshotWriter::start(open(), OWNER.into()).unwrap();
     let mut told = Vec::new();
     until(|| {
         told.extend(second.told());
-        told.contains(&Told::Held)
+        told.contains(&SaveOutcome::Held)
     });
     second.save(snapshot(2));
     first.save(snapshot(3));
     assert!(matches!(
         first.close().last(),
-        Some(Told::Saved { seq: 2, .. })
+        Some(SaveOutcome::Saved { seq: 2, .. })
     ));
     until(|| {
         told.extend(second.told());
         told.iter()
-            .any(|told| matches!(told, Told::Saved { seq: 3, .. }))
+            .any(|told| matches!(told, SaveOutcome::Saved { seq: 3, .. }))
     });
-    assert!(told.contains(&Told::Taken));
+    assert!(told.contains(&SaveOutcome::Taken));
     second.close();
     assert_eq!(
-        Store::new(open()).load(Some(OWNER)).snapshot.map(|s| s.rev),
+        SnapshotStore::new(open())
+            .load(Some(OWNER))
+            .snapshot
+            .map(|s| s.rev),
         Some(2)
     );
     std::fs::remove_dir_all(path).unwrap();
@@ -148,20 +168,24 @@
 #[test]
 fn a_disk_that_cannot_be_written_says_so_and_holds_nobody_up() {
     let path = folder("bad");
-    let writer = Writer::start(Folder::open(&path).unwrap(), OWNER.into()).unwrap();
+    let writer =
+        SnapshotWriter::start(SnapshotDirectory::open(&path).unwrap(), OWNER.into()).unwrap();
     // A folder in place of the part, which no user may write to as a file.
     std::fs::create_dir(path.join("state.part")).unwrap();
     writer.save(snapshot(1));
     let told = writer.close();
-    assert!(matches!(told.last(), Some(Told::Failed(_))), "{told:?}");
+    assert!(
+        matches!(told.last(), Some(SaveOutcome::Failed(_))),
+        "{told:?}"
+    );
     std::fs::remove_dir_all(path).unwrap();
-    assert!(Folder::open(&folder("none").join("deeper")).is_err());
+    assert!(SnapshotDirectory::open(&folder("none").join("deeper")).is_err());
 }
 
 #[test]
 fn what_is_not_a_file_is_a_trouble_and_clear_takes_all() {
     let path = folder("odd");
-    let mut store = Store::new(Folder::open(&path).unwrap());
+    let mut store = SnapshotStore::new(SnapshotDirectory::open(&path).unwrap());
     store.save(&mut snapshot(1)).unwrap();
     store.save(&mut snapshot(2)).unwrap();
     std::fs::remove_file(path.join("state.0")).unwrap();
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,12 @@
 //! A stand-in world for asterramp on loopback: hosts, clients, a front, discovery, faults, and a judge that
 //! holds the rules against what the peers themselves recorded. `docs/rig.md` tells how its parts meet.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 pub mod baseline;
 pub mod calls;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,11 @@
 //! The command line of the rig.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 use asterramp_testbed::baseline::{self, Break, Policy};
 use asterramp_testbed::compare::{self, Difference};
--- a/crates/testbed/src/proxies.rs
+++ b/crates/testbed/src/proxies.rs
@@ -5,7 +5,7 @@
 use crate::roster::Agent;
 use crate::scenario::{Circle, Kind, Known, Scenario};
 use crate::world::World;
-use asterramp_admin_protocol::{Client, Request, Verb};
+use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::net::{IpAddr, SocketAddr, TcpListener};
@@ -436,14 +436,14 @@
                 Some(Order::Replace(killed_after)) => self.replace(&world, killed_after).await?,
                 Some(Order::Drain(within)) => {
                     let deadline_ms = Some(within.as_millis() as u64);
-                    self.ask(Request {
+                    self.ask(AdminRequest {
                         deadline_ms,
-                        ..Request::new(Verb::Drain)
+                        ..AdminRequest::new(AdminCommand::Drain)
                     })
                     .await;
                 }
                 Some(Order::Spoil) => self.spoil(),
-                Some(Order::Undrain) => self.ask(Request::new(Verb::Undrain)).await,
+                Some(Order::Undrain) => self.ask(AdminRequest::new(AdminCommand::Undrain)).await,
                 None => {
                     self.leave(&world).await;
                     // A proxy that was killed has left it.
@@ -455,9 +455,10 @@
     }
 
     /// By the control socket. It may fail where another fault has the proxy down.
-    async fn ask(&self, request: Request) {
+    async fn ask(&self, request: AdminRequest) {
         let at = self.control.clone();
-        let asked = tokio::task::spawn_blocking(move || Client::connect(&at)?.ask(&request)).await;
+        let asked =
+            tokio::task::spawn_blocking(move || AdminClient::connect(&at)?.ask(&request)).await;
         if let Ok(Err(what)) = asked {
             warn!(proxy = self.number, %what);
         }
--- a/crates/warm-start/src/fill.rs
+++ b/crates/warm-start/src/fill.rs
@@ -4,7 +4,7 @@
 
 /// How a host that has just started warms, and what pushes it over.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct SlowStartFigures {
     /// Part of its capacity that it has at once.
     pub share: f64,
     pub warm_after: Duration,
@@ -21,7 +21,13 @@
 
 /// Set-ups a second for one of `proxies`, of what so many hosts that started `up` ago can take together. A host at full strength
 /// is filled in the time that it takes to warm; `unit` is what a connection takes of it.
-pub fn pace(cold: Cold, hosts: usize, unit: Option<f64>, proxies: u32, up: Duration) -> f64 {
+pub fn pace(
+    cold: SlowStartFigures,
+    hosts: usize,
+    unit: Option<f64>,
+    proxies: u32,
+    up: Duration,
+) -> f64 {
     let warm_after = cold.warm_after.as_secs_f64().max(1e-3);
     let warm = cold.share + (1.0 - cold.share) * (up.as_secs_f64() / warm_after).min(1.0);
     let unit = unit
--- a/crates/warm-start/src/hosts.rs
+++ b/crates/warm-start/src/hosts.rs
@@ -1,16 +1,16 @@
 //! On whom sessions may be placed, by who told of a host and how long ago, and by what it answered itself.
 
 #[cfg(feature = "injected-faults")]
-use crate::injected_fault::Plant;
-use crate::planted;
+use crate::injected_fault::InjectedFault;
+use asterramp_injected_faults::is_injected;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-pub type HostId = u32;
+pub type EndpointId = u32;
 
 /// Who told of a host. What a host answered itself is no word but evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Source {
+pub enum EndpointSource {
     /// Another proxy.
     Heard,
     /// The configuration, which has no age.
@@ -22,7 +22,7 @@
 
 /// How old a word is. A clock that went back, or ahead by a day, makes it older, never younger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Age {
+pub enum InformationAge {
     Fresh,
     Old,
     /// Over a day, or nobody can say.
@@ -30,7 +30,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Trust {
+pub enum TrustLevel {
     /// Sessions may be placed on it.
     Place,
     /// It must answer a probe first; one that does not is forgotten after so long. `None`: it is asked for ever, at the slowest
@@ -40,32 +40,52 @@
     Nothing,
 }
 
-const fn probe(seconds: u64) -> Trust {
-    Trust::Probe(Some(Duration::from_secs(seconds)))
+const fn probe(seconds: u64) -> TrustLevel {
+    TrustLevel::Probe(Some(Duration::from_secs(seconds)))
 }
 
 /// Source, age, what it is worth. A word of discovery is `Old` where its list is older than one that we had.
-const TRUST: &[(Source, Age, Trust)] = &[
-    (Source::Told, Age::Fresh, Trust::Place),
-    (Source::Told, Age::Old, probe(600)),
-    (Source::Told, Age::Unknown, probe(600)),
-    (Source::Saved, Age::Fresh, probe(600)),
-    (Source::Saved, Age::Old, probe(300)),
-    (Source::Saved, Age::Unknown, probe(30)),
-    (Source::Configured, Age::Fresh, Trust::Probe(None)),
-    (Source::Configured, Age::Old, Trust::Probe(None)),
-    (Source::Configured, Age::Unknown, Trust::Probe(None)),
-    (Source::Heard, Age::Fresh, probe(60)),
-    (Source::Heard, Age::Old, probe(10)),
-    (Source::Heard, Age::Unknown, Trust::Nothing),
+const TRUST: &[(EndpointSource, InformationAge, TrustLevel)] = &[
+    (
+        EndpointSource::Told,
+        InformationAge::Fresh,
+        TrustLevel::Place,
+    ),
+    (EndpointSource::Told, InformationAge::Old, probe(600)),
+    (EndpointSource::Told, InformationAge::Unknown, probe(600)),
+    (EndpointSource::Saved, InformationAge::Fresh, probe(600)),
+    (EndpointSource::Saved, InformationAge::Old, probe(300)),
+    (EndpointSource::Saved, InformationAge::Unknown, probe(30)),
+    (
+        EndpointSource::Configured,
+        InformationAge::Fresh,
+        TrustLevel::Probe(None),
+    ),
+    (
+        EndpointSource::Configured,
+        InformationAge::Old,
+        TrustLevel::Probe(None),
+    ),
+    (
+        EndpointSource::Configured,
+        InformationAge::Unknown,
+        TrustLevel::Probe(None),
+    ),
+    (EndpointSource::Heard, InformationAge::Fresh, probe(60)),
+    (EndpointSource::Heard, InformationAge::Old, probe(10)),
+    (
+        EndpointSource::Heard,
+        InformationAge::Unknown,
+        TrustLevel::Nothing,
+    ),
 ];
 
 /// What a word is worth.
-pub fn trust(source: Source, age: Age) -> Trust {
+pub fn trust(source: EndpointSource, age: InformationAge) -> TrustLevel {
     TRUST
         .iter()
         .find(|row| (row.0, row.1) == (source, age))
-        .map_or(Trust::Nothing, |row| row.2)
+        .map_or(TrustLevel::Nothing, |row| row.2)
 }
 
 /// Up to which age a word is fresh, and up to which it is old; how far two machines' clocks may be apart.
@@ -74,18 +94,18 @@
 const APART: Duration = Duration::from_secs(5);
 
 /// How old something of `at` is, both Unix time; `None` where nobody noted when.
-pub fn age(now: Duration, at: Option<Duration>) -> Age {
+pub fn age(now: Duration, at: Option<Duration>) -> InformationAge {
     match at {
-        Some(at) if at > now + APART => Age::Unknown,
-        Some(at) if now.saturating_sub(at) <= FRESH => Age::Fresh,
-        Some(at) if now.saturating_sub(at) <= OLD => Age::Old,
-        _ => Age::Unknown,
+        Some(at) if at > now + APART => InformationAge::Unknown,
+        Some(at) if now.saturating_sub(at) <= FRESH => InformationAge::Fresh,
+        Some(at) if now.saturating_sub(at) <= OLD => InformationAge::Old,
+        _ => InformationAge::Unknown,
     }
 }
 
 /// What is made of a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum State {
+pub enum EndpointTrustState {
     /// Nobody has told of it, or what was told has lapsed.
     #[default]
     Unknown,
@@ -120,9 +140,9 @@
 /// What is wanted of whoever drives this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Wish {
-    Ask(HostId),
-    Use(HostId),
-    Drop(HostId, &'static str),
+    Ask(EndpointId),
+    Use(EndpointId),
+    Drop(EndpointId, &'static str),
     /// The same by discovery's own word, which whoever drives this has heard.
     Left,
 }
@@ -133,9 +153,9 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Known {
-    state: State,
+    state: EndpointTrustState,
     at: SocketAddr,
-    source: Source,
+    source: EndpointSource,
     rev: u64,
     /// Until when it is asked for without an answer; `None` for ever.
     until: Option<Duration>,
@@ -145,30 +165,42 @@
 
 /// The hosts that a start knows of.
 #[derive(Clone, Debug, Default)]
-pub struct Hosts {
+pub struct EndpointTrust {
     known: Vec<Option<Known>>,
     out: usize,
     wishes: Vec<Wish>,
     /// Words that were worth nothing, and hosts that lapsed or were replaced.
     pub dropped: u64,
     #[cfg(feature = "injected-faults")]
-    pub plant: Option<Plant>,
+    pub injected_fault: Option<InjectedFault>,
 }
 
-impl Hosts {
-    pub fn state(&self, id: HostId) -> State {
-        self.at(id).map_or(State::Unknown, |known| known.state)
+impl EndpointTrust {
+    pub fn state(&self, id: EndpointId) -> EndpointTrustState {
+        self.at(id)
+            .map_or(EndpointTrustState::Unknown, |known| known.state)
     }
 
     /// How many sessions may be placed on.
     pub fn usable(&self) -> usize {
-        self.count(|known| matches!(known.state, State::Answers | State::Told))
+        self.count(|known| {
+            matches!(
+                known.state,
+                EndpointTrustState::Answers | EndpointTrustState::Told
+            )
+        })
     }
 
     /// How many are told of by a source, and how many of these answer or were told of by discovery since.
-    pub fn by(&self, source: Source) -> (usize, usize) {
-        let of = |known: &Known| known.source == source && known.state != State::Unknown;
-        let good = |known: &Known| matches!(known.state, State::Answers | State::Told);
+    pub fn by(&self, source: EndpointSource) -> (usize, usize) {
+        let of =
+            |known: &Known| known.source == source && known.state != EndpointTrustState::Unknown;
+        let good = |known: &Known| {
+            matches!(
+                known.state,
+                EndpointTrustState::Answers | EndpointTrustState::Told
+            )
+        };
         (self.count(of), self.count(|known| of(known) && good(known)))
     }
 
@@ -180,7 +212,7 @@
             .count()
     }
 
-    fn at(&self, id: HostId) -> Option<&Known> {
+    fn at(&self, id: EndpointId) -> Option<&Known> {
         self.known.get(id as usize)?.as_ref()
     }
 
@@ -216,31 +248,33 @@
     pub(crate) fn word(
         &mut self,
         now: Duration,
-        id: HostId,
+        id: EndpointId,
         at: SocketAddr,
-        source: Source,
-        age: Age,
+        source: EndpointSource,
+        age: InformationAge,
         rev: u64,
     ) {
-        let age = if planted!(self, FutureIsFresh) {
-            Age::Fresh
+        let age = if is_injected!(self, FutureIsFresh) {
+            InformationAge::Fresh
         } else {
             age
         };
         let lasts = match trust(source, age) {
-            Trust::Probe(lasts) => lasts,
+            TrustLevel::Probe(lasts) => lasts,
             // Only discovery's own words place, and those come in by `told`.
-            Trust::Place => return,
-            Trust::Nothing => {
+            TrustLevel::Place => return,
+            TrustLevel::Nothing => {
                 self.dropped += 1;
                 return;
             }
         };
         // The word of a better source, or of a newer list, stands; what a host answered stands above all.
         let stands = self.at(id).is_some_and(|known| {
-            known.state != State::Unknown
-                && (matches!(known.state, State::Answers | State::Told)
-                    || (known.rev, known.source) >= (rev, source))
+            known.state != EndpointTrustState::Unknown
+                && (matches!(
+                    known.state,
+                    EndpointTrustState::Answers | EndpointTrustState::Told
+                ) || (known.rev, known.source) >= (rev, source))
         });
         if stands {
             return;
@@ -249,8 +283,10 @@
         let other = self.rival(id, at);
         if let Some(other) = other {
             let stronger = self.at(other).is_some_and(|known| {
-                matches!(known.state, State::Answers | State::Told)
-                    || (known.rev, known.source) >= (rev, source)
+                matches!(
+                    known.state,
+                    EndpointTrustState::Answers | EndpointTrustState::Told
+                ) || (known.rev, known.source) >= (rev, source)
             });
             if stronger {
                 self.dropped += 1;
@@ -268,8 +304,8 @@
         }
         self.input(now, id, Input::Word);
         let trusted = match source {
-            Source::Saved => planted!(self, SavedIsTrusted),
-            Source::Heard => planted!(self, HeardIsTrusted),
+            EndpointSource::Saved => is_injected!(self, SavedIsTrusted),
+            EndpointSource::Heard => is_injected!(self, HeardIsTrusted),
             _ => false,
         };
         if trusted {
@@ -278,7 +314,7 @@
         }
     }
 
-    pub(crate) fn told(&mut self, now: Duration, id: HostId, at: SocketAddr, ready: bool) {
+    pub(crate) fn told(&mut self, now: Duration, id: EndpointId, at: SocketAddr, ready: bool) {
         if !ready {
             return self.input(now, id, Input::ToldGone);
         }
@@ -289,16 +325,16 @@
                 Input::Gone("another host stands at its address"),
             );
         }
-        self.put(now, id, at, Source::Told, u64::MAX);
+        self.put(now, id, at, EndpointSource::Told, u64::MAX);
         self.input(now, id, Input::Told);
     }
 
     /// Whom discovery leaves out is gone.
-    pub(crate) fn only(&mut self, now: Duration, listed: &[HostId]) {
-        if planted!(self, LeftOutStays) {
+    pub(crate) fn only(&mut self, now: Duration, listed: &[EndpointId]) {
+        if is_injected!(self, LeftOutStays) {
             return;
         }
-        for id in 0..self.known.len() as HostId {
+        for id in 0..self.known.len() as EndpointId {
             if !listed.contains(&id) {
                 self.input(now, id, Input::ToldGone);
             }
@@ -306,23 +342,32 @@
     }
 
     /// Another host that is told of at an address.
-    fn rival(&self, id: HostId, at: SocketAddr) -> Option<HostId> {
-        if planted!(self, TwoAtOneAddress) {
+    fn rival(&self, id: EndpointId, at: SocketAddr) -> Option<EndpointId> {
+        if is_injected!(self, TwoAtOneAddress) {
             return None;
         }
-        let there = |known: &Known| known.at == at && known.state != State::Unknown;
+        let there = |known: &Known| known.at == at && known.state != EndpointTrustState::Unknown;
         (0..)
             .zip(&self.known)
             .find(|(other, known)| *other != id && known.as_ref().is_some_and(there))
             .map(|k| k.0)
     }
 
-    fn put(&mut self, now: Duration, id: HostId, at: SocketAddr, source: Source, rev: u64) {
+    fn put(
+        &mut self,
+        now: Duration,
+        id: EndpointId,
+        at: SocketAddr,
+        source: EndpointSource,
+        rev: u64,
+    ) {
         if self.known.len() <= id as usize {
             self.known.resize(id as usize + 1, None);
         }
         let slot = &mut self.known[id as usize];
-        let state = slot.as_ref().map_or(State::Unknown, |known| known.state);
+        let state = slot
+            .as_ref()
+            .map_or(EndpointTrustState::Unknown, |known| known.state);
         *slot = Some(Known {
             state,
             at,
@@ -334,15 +379,15 @@
         });
     }
 
-    pub(crate) fn answered(&mut self, now: Duration, id: HostId) {
+    pub(crate) fn answered(&mut self, now: Duration, id: EndpointId) {
         self.input(now, id, Input::Yes);
     }
 
-    pub(crate) fn silent(&mut self, now: Duration, id: HostId) {
+    pub(crate) fn silent(&mut self, now: Duration, id: EndpointId) {
         self.input(
             now,
             id,
-            if planted!(self, SilenceIsYes) {
+            if is_injected!(self, SilenceIsYes) {
                 Input::Yes
             } else {
                 Input::No
@@ -356,7 +401,12 @@
         if self.out >= most {
             return None;
         }
-        let waits = |known: &&Known| matches!(known.state, State::Waiting | State::Silent);
+        let waits = |known: &&Known| {
+            matches!(
+                known.state,
+                EndpointTrustState::Waiting | EndpointTrustState::Silent
+            )
+        };
         self.known
             .iter()
             .flatten()
@@ -367,14 +417,18 @@
 
     /// Asks those that are due, of whom so many may be asked at once.
     pub(crate) fn ask(&mut self, now: Duration, most: usize) {
-        for id in 0..self.known.len() as HostId {
-            let Some(known) = self
-                .at(id)
-                .filter(|known| matches!(known.state, State::Waiting | State::Silent))
-            else {
+        for id in 0..self.known.len() as EndpointId {
+            let Some(known) = self.at(id).filter(|known| {
+                matches!(
+                    known.state,
+                    EndpointTrustState::Waiting | EndpointTrustState::Silent
+                )
+            }) else {
                 continue;
             };
-            if known.state == State::Silent && known.until.is_some_and(|until| until <= now) {
+            if known.state == EndpointTrustState::Silent
+                && known.until.is_some_and(|until| until <= now)
+            {
                 self.input(now, id, Input::Lapsed);
             } else if known.due <= now && self.out < most {
                 self.input(now, id, Input::Ask);
@@ -382,31 +436,38 @@
         }
     }
 
-    fn input(&mut self, now: Duration, id: HostId, input: Input) {
+    fn input(&mut self, now: Duration, id: EndpointId, input: Input) {
         let Some(known) = self.known.get_mut(id as usize).and_then(Option::as_mut) else {
             return;
         };
-        let (state, asked) = (known.state, known.state == State::Asked);
+        let (state, asked) = (known.state, known.state == EndpointTrustState::Asked);
         let next = match (state, input) {
-            (State::Unknown | State::Waiting | State::Silent, Input::Word) => State::Waiting,
-            (State::Waiting | State::Silent, Input::Ask) => State::Asked,
-            (State::Asked, Input::Yes) => State::Answers,
-            (State::Asked, Input::No) => State::Silent,
-            (State::Silent, Input::Lapsed) => State::Unknown,
-            (_, Input::Told) => State::Told,
-            (State::Unknown, Input::Gone(_) | Input::ToldGone) => return,
-            (_, Input::Gone(_) | Input::ToldGone) => State::Unknown,
+            (
+                EndpointTrustState::Unknown
+                | EndpointTrustState::Waiting
+                | EndpointTrustState::Silent,
+                Input::Word,
+            ) => EndpointTrustState::Waiting,
+            (EndpointTrustState::Waiting | EndpointTrustState::Silent, Input::Ask) => {
+                EndpointTrustState::Asked
+            }
+            (EndpointTrustState::Asked, Input::Yes) => EndpointTrustState::Answers,
+            (EndpointTrustState::Asked, Input::No) => EndpointTrustState::Silent,
+            (EndpointTrustState::Silent, Input::Lapsed) => EndpointTrustState::Unknown,
+            (_, Input::Told) => EndpointTrustState::Told,
+            (EndpointTrustState::Unknown, Input::Gone(_) | Input::ToldGone) => return,
+            (_, Input::Gone(_) | Input::ToldGone) => EndpointTrustState::Unknown,
             _ => return,
         };
         known.state = next;
-        self.out = self.out + usize::from(next == State::Asked) - usize::from(asked);
+        self.out = self.out + usize::from(next == EndpointTrustState::Asked) - usize::from(asked);
         match (input, next) {
             (Input::Ask, _) => self.wishes.push(Wish::Ask(id)),
             (Input::Yes, _) => self.wishes.push(Wish::Use(id)),
             (Input::No, _) => {
                 known.due = now + (PAUSE * (1 << known.tries.min(8))).min(LONGEST);
                 known.tries += 1;
-                if planted!(self, AskedOnce) {
+                if is_injected!(self, AskedOnce) {
                     self.known[id as usize]
                         .iter_mut()
                         .for_each(|known| known.due = Duration::MAX);
--- a/crates/warm-start/src/injected_fault.rs
+++ b/crates/warm-start/src/injected_fault.rs
@@ -1,8 +1,8 @@
-//! Bugs planted on purpose, so that a checker can show that it finds them.
+//! Faults that the model checker injects, to show that it finds them.
 
-/// What may be wrong. Each is of a kind that happens.
+/// A fault of a kind that happens in practice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedFault {
     /// A saved host is placed on without a probe.
     SavedIsTrusted,
     /// So is one that only another proxy told of.
@@ -25,17 +25,17 @@
     FutureIsFresh,
 }
 
-impl Plant {
-    pub const ALL: [Plant; 10] = [
-        Plant::SavedIsTrusted,
-        Plant::HeardIsTrusted,
-        Plant::SilenceIsYes,
-        Plant::AskedOnce,
-        Plant::LeftOutStays,
-        Plant::TwoAtOneAddress,
-        Plant::AskingHasNoEnd,
-        Plant::OpensAtFirst,
-        Plant::NoneLeftIgnored,
-        Plant::FutureIsFresh,
+impl InjectedFault {
+    pub const ALL: [InjectedFault; 10] = [
+        InjectedFault::SavedIsTrusted,
+        InjectedFault::HeardIsTrusted,
+        InjectedFault::SilenceIsYes,
+        InjectedFault::AskedOnce,
+        InjectedFault::LeftOutStays,
+        InjectedFault::TwoAtOneAddress,
+        InjectedFault::AskingHasNoEnd,
+        InjectedFault::OpensAtFirst,
+        InjectedFault::NoneLeftIgnored,
+        InjectedFault::FutureIsFresh,
     ];
 }
--- a/crates/warm-start/src/lib.rs
+++ b/crates/warm-start/src/lib.rs
@@ -3,6 +3,13 @@
 //!
 //! `hosts.rs` says on whom sessions may be placed, by who told of them and how long ago; `stage.rs` how far a start has come;
 //! `Recovery` is both together, as a proxy drives them.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 pub mod fill;
 mod hosts;
@@ -10,34 +17,22 @@
 mod injected_fault;
 mod stage;
 
-pub use hosts::{Age, HostId, Hosts, Source, State, Trust, age, trust};
+pub use hosts::{
+    EndpointId, EndpointSource, EndpointTrust, EndpointTrustState, InformationAge, TrustLevel, age,
+    trust,
+};
 #[cfg(feature = "injected-faults")]
-pub use injected_fault::Plant;
-pub use stage::{Entry, Stage};
+pub use injected_fault::InjectedFault;
+pub use stage::{StartMode, WarmStartStage};
 
 use hosts::Wish;
 use stage::{Act, Input, Machine};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Whether a bug is planted here; none is, in a build that serves.
-#[cfg(feature = "injected-faults")]
-macro_rules! planted {
-    ($of:expr, $plant:ident) => {
-        $of.plant == Some($crate::injected_fault::Plant::$plant)
-    };
-}
-#[cfg(not(feature = "injected-faults"))]
-macro_rules! planted {
-    ($of:expr, $plant:ident) => {
-        false
-    };
-}
-pub(crate) use planted;
-
 /// What it goes by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct WarmStartSettings {
     /// How long discovery is waited for, then other proxies, then the first host.
     pub look: Duration,
     pub ask: Duration,
@@ -50,9 +45,9 @@
     pub probes: usize,
 }
 
-impl Default for Terms {
+impl Default for WarmStartSettings {
     fn default() -> Self {
-        Terms {
+        WarmStartSettings {
             look: Duration::from_millis(500),
             ask: Duration::from_millis(500),
             probe: Duration::from_secs(2),
@@ -65,45 +60,45 @@
 
 /// What there is to do, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Effect {
+pub enum WarmStartEffect {
     /// Other proxies are asked what they know.
     Ask,
     /// This host is asked whether it is there.
-    Probe(HostId),
+    Probe(EndpointId),
     /// Sessions may be placed on it. Nobody told when it started, so it counts as cold from now.
-    Use(HostId),
+    Use(EndpointId),
     /// They may not any more, or never could; why, in a few words.
-    Drop(HostId, &'static str),
+    Drop(EndpointId, &'static str),
     /// How clients are let in from now on.
-    Door(Entry),
+    Door(StartMode),
     /// The stage changed, and why.
-    Turned(Stage, &'static str),
+    Turned(WarmStartStage, &'static str),
 }
 
 /// A start, from the first moment until service is as it was.
 #[derive(Clone, Debug, Default)]
-pub struct Recovery {
-    terms: Terms,
-    hosts: Hosts,
+pub struct WarmStart {
+    terms: WarmStartSettings,
+    hosts: EndpointTrust,
     machine: Machine,
-    effects: Vec<Effect>,
+    effects: Vec<WarmStartEffect>,
     /// Whether hosts are asked yet.
     probing: bool,
     #[cfg(feature = "injected-faults")]
-    pub plant: Option<Plant>,
+    pub injected_fault: Option<InjectedFault>,
 }
 
-impl Recovery {
-    pub fn new(now: Duration, terms: Terms) -> Recovery {
-        let mut recovery = Recovery {
+impl WarmStart {
+    pub fn new(now: Duration, terms: WarmStartSettings) -> WarmStart {
+        let mut recovery = WarmStart {
             terms,
-            ..Recovery::default()
+            ..WarmStart::default()
         };
         recovery.input(now, Input::Begun, "started");
         recovery
     }
 
-    pub fn stage(&self) -> Stage {
+    pub fn stage(&self) -> WarmStartStage {
         self.machine.stage
     }
 
@@ -112,12 +107,12 @@
         self.machine.since
     }
 
-    pub fn hosts(&self) -> &Hosts {
+    pub fn hosts(&self) -> &EndpointTrust {
         &self.hosts
     }
 
     /// What there is to do, in order.
-    pub fn effects(&mut self) -> std::vec::Drain<'_, Effect> {
+    pub fn effects(&mut self) -> std::vec::Drain<'_, WarmStartEffect> {
         self.effects.drain(..)
     }
 
@@ -125,10 +120,10 @@
     pub fn word(
         &mut self,
         now: Duration,
-        id: HostId,
+        id: EndpointId,
         at: SocketAddr,
-        from: Source,
-        age: Age,
+        from: EndpointSource,
+        age: InformationAge,
         rev: u64,
     ) {
         self.hosts.word(now, id, at, from, age, rev);
@@ -136,7 +131,7 @@
     }
 
     /// Discovery tells of a host, and that sessions may be placed on it, or not.
-    pub fn told(&mut self, now: Duration, id: HostId, at: SocketAddr, ready: bool) {
+    pub fn told(&mut self, now: Duration, id: EndpointId, at: SocketAddr, ready: bool) {
         self.hosts.told(now, id, at, ready);
         self.heed(now);
         if ready {
@@ -146,7 +141,7 @@
 
     /// Discovery has told a whole list: whom it leaves out is gone. `cold` says whether most of those that it calls ready have
     /// just started.
-    pub fn told_whole(&mut self, now: Duration, listed: &[HostId], cold: bool) {
+    pub fn told_whole(&mut self, now: Duration, listed: &[EndpointId], cold: bool) {
         self.hosts.only(now, listed);
         self.heed(now);
         match cold {
@@ -165,7 +160,7 @@
     }
 
     /// A host has answered a probe, or has not.
-    pub fn answered(&mut self, now: Duration, id: HostId, well: bool) {
+    pub fn answered(&mut self, now: Duration, id: EndpointId, well: bool) {
         match well {
             true => self.hosts.answered(now, id),
             false => self.hosts.silent(now, id),
@@ -195,8 +190,8 @@
     fn heed(&mut self, now: Duration) {
         #[cfg(feature = "injected-faults")]
         {
-            self.hosts.plant = self.plant;
-            self.machine.plant = self.plant;
+            self.hosts.injected_fault = self.injected_fault;
+            self.machine.injected_fault = self.injected_fault;
         }
         if self.probing {
             self.hosts.ask(now, self.terms.probes);
@@ -204,9 +199,9 @@
         let (mut found, mut left) = (false, false);
         for wish in self.hosts.wishes() {
             match wish {
-                Wish::Ask(id) => self.effects.push(Effect::Probe(id)),
-                Wish::Use(id) => self.effects.push(Effect::Use(id)),
-                Wish::Drop(id, why) => self.effects.push(Effect::Drop(id, why)),
+                Wish::Ask(id) => self.effects.push(WarmStartEffect::Probe(id)),
+                Wish::Use(id) => self.effects.push(WarmStartEffect::Use(id)),
+                Wish::Drop(id, why) => self.effects.push(WarmStartEffect::Drop(id, why)),
                 Wish::Left => {}
             }
             found |= matches!(wish, Wish::Use(_));
@@ -225,17 +220,19 @@
             return;
         };
         if turned {
-            self.effects.push(Effect::Turned(self.machine.stage, why));
+            self.effects
+                .push(WarmStartEffect::Turned(self.machine.stage, why));
         }
         match act {
-            Act::Wait => self.effects.push(Effect::Door(Entry::Shut)),
+            Act::Wait => self.effects.push(WarmStartEffect::Door(StartMode::Shut)),
             // From here on nobody is kept waiting at the door: a client's patience may be no longer than what has passed.
-            Act::Ask => self
-                .effects
-                .extend([Effect::Door(Entry::Refused), Effect::Ask]),
+            Act::Ask => self.effects.extend([
+                WarmStartEffect::Door(StartMode::Refused),
+                WarmStartEffect::Ask,
+            ]),
             Act::Probe => {
                 self.probing = true;
-                self.effects.push(Effect::Door(Entry::Refused));
+                self.effects.push(WarmStartEffect::Door(StartMode::Refused));
                 self.heed(now);
                 // Discovery may have told of one before.
                 if self.hosts.usable() > 0 {
@@ -244,18 +241,20 @@
             }
             Act::Refuse => {
                 // Others may know by now what they did not.
-                self.effects
-                    .extend((self.terms.others && self.hosts.usable() == 0).then_some(Effect::Ask));
-                self.effects.push(Effect::Door(Entry::Refused));
+                self.effects.extend(
+                    (self.terms.others && self.hosts.usable() == 0).then_some(WarmStartEffect::Ask),
+                );
+                self.effects.push(WarmStartEffect::Door(StartMode::Refused));
                 self.heed(now);
             }
             Act::Limit => {
                 // Others that are known are asked on.
                 self.probing = true;
-                self.effects.push(Effect::Door(Entry::ByDegrees));
+                self.effects
+                    .push(WarmStartEffect::Door(StartMode::ByDegrees));
                 self.heed(now);
             }
-            Act::Open => self.effects.push(Effect::Door(Entry::Open)),
+            Act::Open => self.effects.push(WarmStartEffect::Door(StartMode::Open)),
         }
     }
 }
--- a/crates/warm-start/src/stage.rs
+++ b/crates/warm-start/src/stage.rs
@@ -1,13 +1,13 @@
 //! How far a start has come.
 
-use crate::Terms;
+use crate::WarmStartSettings;
 #[cfg(feature = "injected-faults")]
-use crate::injected_fault::Plant;
-use crate::planted;
+use crate::injected_fault::InjectedFault;
+use asterramp_injected_faults::is_injected;
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Stage {
+pub enum WarmStartStage {
     /// Nothing has been looked at.
     #[default]
     Dark,
@@ -22,31 +22,31 @@
     Normal,
 }
 
-impl Stage {
-    pub const ALL: [Stage; 6] = [
-        Stage::Dark,
-        Stage::Looking,
-        Stage::Asking,
-        Stage::Probing,
-        Stage::Admitting,
-        Stage::Normal,
+impl WarmStartStage {
+    pub const ALL: [WarmStartStage; 6] = [
+        WarmStartStage::Dark,
+        WarmStartStage::Looking,
+        WarmStartStage::Asking,
+        WarmStartStage::Probing,
+        WarmStartStage::Admitting,
+        WarmStartStage::Normal,
     ];
 
     pub fn name(self) -> &'static str {
         match self {
-            Stage::Dark => "dark",
-            Stage::Looking => "looking",
-            Stage::Asking => "asking",
-            Stage::Probing => "probing",
-            Stage::Admitting => "admitting",
-            Stage::Normal => "normal",
+            WarmStartStage::Dark => "dark",
+            WarmStartStage::Looking => "looking",
+            WarmStartStage::Asking => "asking",
+            WarmStartStage::Probing => "probing",
+            WarmStartStage::Admitting => "admitting",
+            WarmStartStage::Normal => "normal",
         }
     }
 }
 
 /// How clients are let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Entry {
+pub enum StartMode {
     /// They wait in the kernel's queue, for as long as discovery is waited for and no longer.
     Shut,
     /// Each is told at once to come back.
@@ -84,53 +84,118 @@
 
 /// Stage, input, next stage, what is done. What is not listed changes nothing. Every stage but the last has a deadline, and
 /// none waits for another proxy longer than its own: two that wait for each other both go on.
-const TABLE: &[(Stage, Input, Stage, Act)] = &[
-    (Stage::Dark, Input::Begun, Stage::Looking, Act::Wait),
-    (Stage::Looking, Input::ToldWarm, Stage::Normal, Act::Open),
+const TABLE: &[(WarmStartStage, Input, WarmStartStage, Act)] = &[
     (
-        Stage::Looking,
+        WarmStartStage::Dark,
+        Input::Begun,
+        WarmStartStage::Looking,
+        Act::Wait,
+    ),
+    (
+        WarmStartStage::Looking,
+        Input::ToldWarm,
+        WarmStartStage::Normal,
+        Act::Open,
+    ),
+    (
+        WarmStartStage::Looking,
+        Input::ToldCold,
+        WarmStartStage::Admitting,
+        Act::Limit,
+    ),
+    (
+        WarmStartStage::Looking,
+        Input::Due,
+        WarmStartStage::Asking,
+        Act::Ask,
+    ),
+    (
+        WarmStartStage::Asking,
+        Input::ToldWarm,
+        WarmStartStage::Normal,
+        Act::Open,
+    ),
+    (
+        WarmStartStage::Asking,
         Input::ToldCold,
-        Stage::Admitting,
+        WarmStartStage::Admitting,
         Act::Limit,
     ),
-    (Stage::Looking, Input::Due, Stage::Asking, Act::Ask),
-    (Stage::Asking, Input::ToldWarm, Stage::Normal, Act::Open),
-    (Stage::Asking, Input::ToldCold, Stage::Admitting, Act::Limit),
-    (Stage::Asking, Input::Heard, Stage::Probing, Act::Probe),
-    (Stage::Asking, Input::Due, Stage::Probing, Act::Probe),
-    (Stage::Probing, Input::ToldWarm, Stage::Normal, Act::Open),
     (
-        Stage::Probing,
+        WarmStartStage::Asking,
+        Input::Heard,
+        WarmStartStage::Probing,
+        Act::Probe,
+    ),
+    (
+        WarmStartStage::Asking,
+        Input::Due,
+        WarmStartStage::Probing,
+        Act::Probe,
+    ),
+    (
+        WarmStartStage::Probing,
+        Input::ToldWarm,
+        WarmStartStage::Normal,
+        Act::Open,
+    ),
+    (
+        WarmStartStage::Probing,
         Input::ToldCold,
-        Stage::Admitting,
+        WarmStartStage::Admitting,
+        Act::Limit,
+    ),
+    (
+        WarmStartStage::Probing,
+        Input::Found,
+        WarmStartStage::Admitting,
         Act::Limit,
     ),
-    (Stage::Probing, Input::Found, Stage::Admitting, Act::Limit),
     // Nobody answers yet: clients are told so, and the asking goes on.
-    (Stage::Probing, Input::Due, Stage::Probing, Act::Refuse),
-    (Stage::Admitting, Input::ToldWarm, Stage::Normal, Act::Open),
     (
-        Stage::Admitting,
+        WarmStartStage::Probing,
+        Input::Due,
+        WarmStartStage::Probing,
+        Act::Refuse,
+    ),
+    (
+        WarmStartStage::Admitting,
+        Input::ToldWarm,
+        WarmStartStage::Normal,
+        Act::Open,
+    ),
+    (
+        WarmStartStage::Admitting,
         Input::NoneLeft,
-        Stage::Probing,
+        WarmStartStage::Probing,
         Act::Refuse,
     ),
-    (Stage::Admitting, Input::Due, Stage::Normal, Act::Open),
+    (
+        WarmStartStage::Admitting,
+        Input::Due,
+        WarmStartStage::Normal,
+        Act::Open,
+    ),
 ];
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Machine {
-    pub stage: Stage,
+    pub stage: WarmStartStage,
     pub since: Duration,
     pub due: Option<Duration>,
     #[cfg(feature = "injected-faults")]
-    pub plant: Option<Plant>,
+    pub injected_fault: Option<InjectedFault>,
 }
 
 impl Machine {
     /// Whether the stage changed, and what is done; `None` where an input changes nothing.
-    pub fn step(&mut self, now: Duration, input: Input, terms: &Terms) -> Option<(bool, Act)> {
-        if planted!(self, NoneLeftIgnored) && input == Input::NoneLeft {
+    pub fn step(
+        &mut self,
+        now: Duration,
+        input: Input,
+        terms: &WarmStartSettings,
+    ) -> Option<(bool, Act)> {
+        if is_injected!(self, NoneLeftIgnored) && input == Input::NoneLeft {
             return None;
         }
         let row = TABLE
@@ -138,23 +203,23 @@
             .find(|row| (row.0, row.1) == (self.stage, input))?;
         let (mut next, mut act) = (row.2, row.3);
         // Who has nobody to ask goes on at once.
-        if next == Stage::Asking && !terms.others {
-            (next, act) = (Stage::Probing, Act::Probe);
+        if next == WarmStartStage::Asking && !terms.others {
+            (next, act) = (WarmStartStage::Probing, Act::Probe);
         }
-        if planted!(self, OpensAtFirst) && next == Stage::Admitting {
-            (next, act) = (Stage::Normal, Act::Open);
+        if is_injected!(self, OpensAtFirst) && next == WarmStartStage::Admitting {
+            (next, act) = (WarmStartStage::Normal, Act::Open);
         }
         let turned = next != self.stage;
         if turned {
             (self.stage, self.since) = (next, now);
         }
         self.due = match next {
-            Stage::Dark | Stage::Normal => None,
-            Stage::Asking if planted!(self, AskingHasNoEnd) => None,
-            Stage::Looking => Some(now + terms.look),
-            Stage::Asking => Some(now + terms.ask),
-            Stage::Probing => Some(now + terms.probe),
-            Stage::Admitting => Some(now + terms.warm),
+            WarmStartStage::Dark | WarmStartStage::Normal => None,
+            WarmStartStage::Asking if is_injected!(self, AskingHasNoEnd) => None,
+            WarmStartStage::Looking => Some(now + terms.look),
+            WarmStartStage::Asking => Some(now + terms.ask),
+            WarmStartStage::Probing => Some(now + terms.probe),
+            WarmStartStage::Admitting => Some(now + terms.warm),
         };
         Some((turned, act))
     }
--- a/crates/zone-failover/src/injected_fault.rs
+++ b/crates/zone-failover/src/injected_fault.rs
@@ -1,8 +1,8 @@
-//! Bugs planted on purpose, so that a checker can show that it finds them.
+//! Faults that the model checker injects, to show that it finds them.
 
-/// What may be wrong. Each is of a kind that happens.
+/// A fault of a kind that happens in practice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedFault {
     /// Answers of a place are not remembered.
     SoundForgotten,
     /// Signs from before the last answer of a place count.
@@ -23,16 +23,16 @@
     NotWeighedAgain,
 }
 
-impl Plant {
-    pub const ALL: [Plant; 9] = [
-        Plant::SoundForgotten,
-        Plant::OldSignsCount,
-        Plant::TwoAreEnough,
-        Plant::GivenUpAlone,
-        Plant::NobodyLeft,
-        Plant::HeldForgotten,
-        Plant::WholeAtOnce,
-        Plant::NeverLooked,
-        Plant::NotWeighedAgain,
+impl InjectedFault {
+    pub const ALL: [InjectedFault; 9] = [
+        InjectedFault::SoundForgotten,
+        InjectedFault::OldSignsCount,
+        InjectedFault::TwoAreEnough,
+        InjectedFault::GivenUpAlone,
+        InjectedFault::NobodyLeft,
+        InjectedFault::HeldForgotten,
+        InjectedFault::WholeAtOnce,
+        InjectedFault::NeverLooked,
+        InjectedFault::NotWeighedAgain,
     ];
 }
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -5,7 +5,15 @@
 //! said. Only signs since the last sound of their place count, so one bad server, or several, beside others of their
 //! place that answer, never make a lost place. And a place is given up only while another still answers, so a proxy
 //! that is cut off itself gives up none.
-
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
+
+use asterramp_injected_faults::is_injected;
 use std::time::Duration;
 
 pub mod room;
@@ -13,28 +21,14 @@
 #[cfg(feature = "injected-faults")]
 mod injected_fault;
 #[cfg(feature = "injected-faults")]
-pub use injected_fault::Plant;
-
-/// Whether a bug is planted here; none is, in a build that serves.
-#[cfg(feature = "injected-faults")]
-macro_rules! planted {
-    ($sites:expr, $plant:ident) => {
-        $sites.plant == Some(Plant::$plant)
-    };
-}
-#[cfg(not(feature = "injected-faults"))]
-macro_rules! planted {
-    ($sites:expr, $plant:ident) => {
-        false
-    };
-}
+pub use injected_fault::InjectedFault;
 
-pub type PlaceId = u8;
+pub type ZoneId = u8;
 pub type ServerId = u32;
 
 /// What discovery says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServerState {
     Ready,
     Draining,
     #[default]
@@ -43,7 +37,7 @@
 
 /// What is made of a place.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum State {
+pub enum ZoneState {
     #[default]
     Whole,
     /// Several of its servers say nothing; others are asked.
@@ -56,28 +50,28 @@
     Returning,
 }
 
-impl State {
-    pub const ALL: [State; 5] = [
-        State::Whole,
-        State::Doubtful,
-        State::Lost,
-        State::CutOff,
-        State::Returning,
+impl ZoneState {
+    pub const ALL: [ZoneState; 5] = [
+        ZoneState::Whole,
+        ZoneState::Doubtful,
+        ZoneState::Lost,
+        ZoneState::CutOff,
+        ZoneState::Returning,
     ];
 
     pub fn name(self) -> &'static str {
         match self {
-            State::Whole => "whole",
-            State::Doubtful => "doubtful",
-            State::Lost => "lost",
-            State::CutOff => "cut-off",
-            State::Returning => "returning",
+            ZoneState::Whole => "whole",
+            ZoneState::Doubtful => "doubtful",
+            ZoneState::Lost => "lost",
+            ZoneState::CutOff => "cut-off",
+            ZoneState::Returning => "returning",
         }
     }
 
     /// Whether nothing is sent there but looks.
     pub fn is_shut(self) -> bool {
-        matches!(self, State::Lost | State::CutOff)
+        matches!(self, ZoneState::Lost | ZoneState::CutOff)
     }
 }
 
@@ -125,47 +119,127 @@
 }
 
 /// State, input, next state, what is done. What is not listed changes nothing.
-const TABLE: &[(State, Input, State, Act)] = &[
-    (State::Whole, Input::Signs, State::Doubtful, Act::Doubt),
-    (State::Whole, Input::ToldGone, State::Lost, Act::Miss),
-    (State::Doubtful, Input::Sound, State::Whole, Act::Clear),
-    (State::Doubtful, Input::Due, State::Whole, Act::Clear),
-    (State::Doubtful, Input::Shown, State::Lost, Act::Shut),
-    (State::Doubtful, Input::ToldGone, State::Lost, Act::Miss),
-    (State::Lost, Input::Due, State::Lost, Act::Look),
-    (State::Lost, Input::Sound, State::Returning, Act::Reopen),
-    (State::Lost, Input::ToldBack, State::Returning, Act::Refill),
-    (State::Lost, Input::ToldThere, State::CutOff, Act::Nothing),
-    (State::Lost, Input::Alone, State::Doubtful, Act::Restore),
-    (State::CutOff, Input::Due, State::CutOff, Act::Look),
-    (State::CutOff, Input::Sound, State::Returning, Act::Reopen),
+const TABLE: &[(ZoneState, Input, ZoneState, Act)] = &[
+    (
+        ZoneState::Whole,
+        Input::Signs,
+        ZoneState::Doubtful,
+        Act::Doubt,
+    ),
+    (
+        ZoneState::Whole,
+        Input::ToldGone,
+        ZoneState::Lost,
+        Act::Miss,
+    ),
+    (
+        ZoneState::Doubtful,
+        Input::Sound,
+        ZoneState::Whole,
+        Act::Clear,
+    ),
     (
-        State::CutOff,
+        ZoneState::Doubtful,
+        Input::Due,
+        ZoneState::Whole,
+        Act::Clear,
+    ),
+    (
+        ZoneState::Doubtful,
+        Input::Shown,
+        ZoneState::Lost,
+        Act::Shut,
+    ),
+    (
+        ZoneState::Doubtful,
+        Input::ToldGone,
+        ZoneState::Lost,
+        Act::Miss,
+    ),
+    (ZoneState::Lost, Input::Due, ZoneState::Lost, Act::Look),
+    (
+        ZoneState::Lost,
+        Input::Sound,
+        ZoneState::Returning,
+        Act::Reopen,
+    ),
+    (
+        ZoneState::Lost,
         Input::ToldBack,
-        State::Returning,
+        ZoneState::Returning,
         Act::Refill,
     ),
-    (State::CutOff, Input::ToldGone, State::Lost, Act::Nothing),
-    (State::CutOff, Input::Alone, State::Doubtful, Act::Restore),
-    (State::Returning, Input::Due, State::Whole, Act::Widen),
-    (State::Returning, Input::Shown, State::Lost, Act::Shut),
-    (State::Returning, Input::ToldGone, State::Lost, Act::Miss),
+    (
+        ZoneState::Lost,
+        Input::ToldThere,
+        ZoneState::CutOff,
+        Act::Nothing,
+    ),
+    (
+        ZoneState::Lost,
+        Input::Alone,
+        ZoneState::Doubtful,
+        Act::Restore,
+    ),
+    (ZoneState::CutOff, Input::Due, ZoneState::CutOff, Act::Look),
+    (
+        ZoneState::CutOff,
+        Input::Sound,
+        ZoneState::Returning,
+        Act::Reopen,
+    ),
+    (
+        ZoneState::CutOff,
+        Input::ToldBack,
+        ZoneState::Returning,
+        Act::Refill,
+    ),
+    (
+        ZoneState::CutOff,
+        Input::ToldGone,
+        ZoneState::Lost,
+        Act::Nothing,
+    ),
+    (
+        ZoneState::CutOff,
+        Input::Alone,
+        ZoneState::Doubtful,
+        Act::Restore,
+    ),
+    (
+        ZoneState::Returning,
+        Input::Due,
+        ZoneState::Whole,
+        Act::Widen,
+    ),
+    (
+        ZoneState::Returning,
+        Input::Shown,
+        ZoneState::Lost,
+        Act::Shut,
+    ),
+    (
+        ZoneState::Returning,
+        Input::ToldGone,
+        ZoneState::Lost,
+        Act::Miss,
+    ),
 ];
 
 /// What there is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Effect {
+pub enum ZoneEffect {
     /// The part of what would go to a place that may: 0 while it is shut, 1 while it is whole.
-    Open(PlaceId, f64),
+    Open(ZoneId, f64),
     /// Ask this server something, to see whether it answers.
     Look(ServerId),
     /// A place's state changed; why, in a few words.
-    Turned(PlaceId, State, &'static str),
+    Turned(ZoneId, ZoneState, &'static str),
 }
 
 /// The figures that it goes by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct ZoneFailoverSettings {
     /// How long a doubt lasts that nothing confirms.
     pub doubt: Duration,
     /// How often a shut place is looked at.
@@ -183,9 +257,9 @@
     pub may_look: bool,
 }
 
-impl Default for Terms {
+impl Default for ZoneFailoverSettings {
     fn default() -> Self {
-        Terms {
+        ZoneFailoverSettings {
             doubt: Duration::from_secs(3),
             look: Duration::from_millis(1500),
             hold: Duration::from_secs(2),
@@ -214,8 +288,8 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Server {
-    place: Option<PlaceId>,
-    standing: Standing,
+    place: Option<ZoneId>,
+    standing: ServerState,
     started: Option<Duration>,
     /// Its first sign since it, and its place, were last heard.
     sign: Option<Duration>,
@@ -225,13 +299,13 @@
 
 impl Server {
     fn is_ready(&self) -> bool {
-        self.standing == Standing::Ready
+        self.standing == ServerState::Ready
     }
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Place {
-    pub state: State,
+pub struct Zone {
+    pub state: ZoneState,
     /// Since when.
     pub since: Duration,
     /// When any of its servers was last heard.
@@ -258,39 +332,39 @@
 
 /// All places of a deployment, as one proxy sees them. Its memory is a few numbers a place and a server.
 #[derive(Clone, Debug, Default)]
-pub struct Sites {
-    terms: Terms,
-    places: Vec<Place>,
+pub struct ZoneFailover {
+    terms: ZoneFailoverSettings,
+    places: Vec<Zone>,
     servers: Vec<Server>,
-    effects: Vec<Effect>,
+    effects: Vec<ZoneEffect>,
     /// When this proxy was last heard again after it had been cut off itself.
     awake: Option<Duration>,
     #[cfg(feature = "injected-faults")]
-    pub plant: Option<Plant>,
+    pub injected_fault: Option<InjectedFault>,
 }
 
-impl Sites {
-    pub fn new(terms: Terms, places: usize) -> Sites {
-        Sites {
+impl ZoneFailover {
+    pub fn new(terms: ZoneFailoverSettings, places: usize) -> ZoneFailover {
+        ZoneFailover {
             terms,
-            places: vec![Place::default(); places],
-            ..Sites::default()
+            places: vec![Zone::default(); places],
+            ..ZoneFailover::default()
         }
     }
 
-    pub fn places(&self) -> &[Place] {
+    pub fn places(&self) -> &[Zone] {
         &self.places
     }
 
     /// Whether the clients of a lost place are coming to those that are left, so that room is short.
     pub fn is_short(&self, now: Duration) -> bool {
-        let short = |place: &Place| place.turned.is_some_and(|at| now < at + SHORT);
-        self.places
-            .iter()
-            .any(|place| place.state.is_shut() || place.state == State::Returning || short(place))
+        let short = |place: &Zone| place.turned.is_some_and(|at| now < at + SHORT);
+        self.places.iter().any(|place| {
+            place.state.is_shut() || place.state == ZoneState::Returning || short(place)
+        })
     }
 
-    pub fn terms(&mut self, terms: Terms) {
+    pub fn terms(&mut self, terms: ZoneFailoverSettings) {
         self.terms = terms;
     }
 
@@ -321,7 +395,7 @@
     }
 
     /// What there is to do, in order.
-    pub fn effects(&mut self) -> std::vec::Drain<'_, Effect> {
+    pub fn effects(&mut self) -> std::vec::Drain<'_, ZoneEffect> {
         self.effects.drain(..)
     }
 
@@ -330,8 +404,8 @@
         &mut self,
         now: Duration,
         id: ServerId,
-        place: PlaceId,
-        standing: Standing,
+        place: ZoneId,
+        standing: ServerState,
         started: Option<Duration>,
     ) {
         if usize::from(place) >= self.places.len() {
@@ -342,9 +416,9 @@
         }
         let server = &mut self.servers[id as usize];
         let known = server.place.is_some();
-        let ready = standing == Standing::Ready;
+        let ready = standing == ServerState::Ready;
         let back = known && ready && (!server.is_ready() || server.started != started);
-        let went = known && server.standing != Standing::Gone && standing == Standing::Gone;
+        let went = known && server.standing != ServerState::Gone && standing == ServerState::Gone;
         *server = Server {
             place: Some(place),
             standing,
@@ -355,7 +429,7 @@
             server.sign = None;
             self.heard_of(now, place, Input::ToldBack, "discovery tells servers again");
         }
-        if went && self.of(place).all(|(_, s)| s.standing == Standing::Gone) {
+        if went && self.of(place).all(|(_, s)| s.standing == ServerState::Gone) {
             self.places[usize::from(place)].missed = true;
             self.input(
                 now,
@@ -369,9 +443,9 @@
 
     /// Discovery said anything at all.
     pub fn told(&mut self, now: Duration) {
-        for place in 0..self.places.len() as PlaceId {
+        for place in 0..self.places.len() as ZoneId {
             let shut = &self.places[usize::from(place)];
-            let late = shut.state == State::Lost
+            let late = shut.state == ZoneState::Lost
                 && !shut.missed
                 && now >= shut.first + self.terms.told_within;
             if late && self.of(place).any(|(_, s)| s.is_ready()) {
@@ -413,8 +487,8 @@
         server.sign = None;
         let Some(place) = server.place else { return };
         let state = &mut self.places[usize::from(place)];
-        let doubted = state.state == State::Doubtful;
-        if !planted!(self, SoundForgotten) {
+        let doubted = state.state == ZoneState::Doubtful;
+        if !is_injected!(self, SoundForgotten) {
             state.heard = Some(now);
         }
         if state.state.is_shut() && state.looks <= 1 && !state.missed && now >= state.held {
@@ -428,21 +502,21 @@
             return others.for_each(|s| s.sign = None);
         }
         // What is doubted may have waited for this: it is not this proxy that is cut off.
-        for other in 0..self.places.len() as PlaceId {
+        for other in 0..self.places.len() as ZoneId {
             let doubted = matches!(
                 self.places[usize::from(other)].state,
-                State::Doubtful | State::Returning
+                ZoneState::Doubtful | ZoneState::Returning
             );
-            if doubted && !planted!(self, NotWeighedAgain) {
+            if doubted && !is_injected!(self, NotWeighedAgain) {
                 self.weigh(now, other);
             }
         }
     }
 
     /// Something speaks for a place; one that is held back is not opened by it.
-    fn heard_of(&mut self, now: Duration, id: PlaceId, input: Input, why: &'static str) {
+    fn heard_of(&mut self, now: Duration, id: ZoneId, input: Input, why: &'static str) {
         let place = &self.places[usize::from(id)];
-        if !place.state.is_shut() || now >= place.held || planted!(self, HeldForgotten) {
+        if !place.state.is_shut() || now >= place.held || is_injected!(self, HeldForgotten) {
             self.input(now, id, input, why);
         }
     }
@@ -453,7 +527,7 @@
     }
 
     pub fn tick(&mut self, now: Duration) {
-        for place in 0..self.places.len() as PlaceId {
+        for place in 0..self.places.len() as ZoneId {
             if self.places[usize::from(place)]
                 .due
                 .is_some_and(|due| due <= now)
@@ -465,20 +539,20 @@
         self.not_alone(now);
     }
 
-    fn fell_due(&mut self, now: Duration, id: PlaceId) {
+    fn fell_due(&mut self, now: Duration, id: ZoneId) {
         let step = self.terms.settle / DEGREES;
         let place = &mut self.places[usize::from(id)];
-        if place.state == State::Returning
+        if place.state == ZoneState::Returning
             && place.degree + 1 < DEGREES
-            && !planted!(self, WholeAtOnce)
+            && !is_injected!(self, WholeAtOnce)
         {
             // A wider part now, the whole at the last.
             place.degree += 1;
             (place.due, place.turned) = (Some(now + step), Some(now));
             let part = f64::from(place.degree + 1) / f64::from(DEGREES);
-            return self.effects.push(Effect::Open(id, part));
+            return self.effects.push(ZoneEffect::Open(id, part));
         }
-        if place.state == State::Doubtful && self.signs(id).0 >= DOUBT {
+        if place.state == ZoneState::Doubtful && self.signs(id).0 >= DOUBT {
             // Nobody has answered: it is asked again.
             self.places[usize::from(id)].due = Some(now + self.terms.doubt);
             return self.look(now, id, ASKED);
@@ -492,7 +566,7 @@
         self.weigh(now, id);
     }
 
-    fn of(&self, place: PlaceId) -> impl Iterator<Item = (ServerId, &Server)> {
+    fn of(&self, place: ZoneId) -> impl Iterator<Item = (ServerId, &Server)> {
         (0..)
             .zip(&self.servers)
             .filter(move |(_, s)| s.place == Some(place))
@@ -500,10 +574,10 @@
 
     /// Signs since a place was last heard, none of the same moment, in which it lived; the first of them, and the
     /// servers that it has.
-    fn signs(&self, place: PlaceId) -> (usize, Option<Duration>, usize) {
+    fn signs(&self, place: ZoneId) -> (usize, Option<Duration>, usize) {
         let heard = self.places[usize::from(place)]
             .heard
-            .filter(|_| !planted!(self, OldSignsCount));
+            .filter(|_| !is_injected!(self, OldSignsCount));
         let ready = || self.of(place).filter(|(_, s)| s.is_ready());
         let counts = || {
             ready().filter_map(|(_, s)| s.sign.filter(|at| heard.is_none_or(|heard| *at > heard)))
@@ -511,37 +585,38 @@
         (counts().count(), counts().min(), ready().count())
     }
 
-    fn weigh(&mut self, now: Duration, id: PlaceId) {
+    fn weigh(&mut self, now: Duration, id: ZoneId) {
         let (signs, first, all) = self.signs(id);
         let Some(first) = first else { return };
         let place = &mut self.places[usize::from(id)];
         if !place.state.is_shut() {
             place.first = first;
         }
-        if place.state == State::Whole && signs >= DOUBT.min(all) {
+        if place.state == ZoneState::Whole && signs >= DOUBT.min(all) {
             self.input(now, id, Input::Signs, "servers say nothing");
         }
         // Where nobody else answers either, it is this proxy that is cut off.
         let others = (0..).zip(&self.places).any(|(other, place)| {
             other != id && !place.state.is_shut() && place.heard.is_some_and(|at| at >= first)
         });
-        let shown = if planted!(self, TwoAreEnough) {
+        let shown = if is_injected!(self, TwoAreEnough) {
             DOUBT
         } else {
             SHOWN.max(all / PART).min(DOUBT + ASKED)
         };
-        if signs >= shown.min(all) && (others || planted!(self, GivenUpAlone)) {
+        if signs >= shown.min(all) && (others || is_injected!(self, GivenUpAlone)) {
             self.input(now, id, Input::Shown, "nobody answers");
         }
     }
 
     /// Where every place that has servers is shut, those are used rather than none.
     fn not_alone(&mut self, now: Duration) {
-        if planted!(self, NobodyLeft) || !self.places.iter().any(|place| place.state.is_shut()) {
+        if is_injected!(self, NobodyLeft) || !self.places.iter().any(|place| place.state.is_shut())
+        {
             return;
         }
-        let has = |place: PlaceId| self.of(place).any(|(_, s)| s.is_ready());
-        let shut: Vec<PlaceId> = (0..self.places.len() as PlaceId)
+        let has = |place: ZoneId| self.of(place).any(|(_, s)| s.is_ready());
+        let shut: Vec<ZoneId> = (0..self.places.len() as ZoneId)
             .filter(|p| has(*p))
             .collect();
         if shut
@@ -554,7 +629,7 @@
         }
     }
 
-    fn input(&mut self, now: Duration, id: PlaceId, input: Input, why: &'static str) {
+    fn input(&mut self, now: Duration, id: ZoneId, input: Input, why: &'static str) {
         let place = &mut self.places[usize::from(id)];
         let Some(row) = TABLE
             .iter()
@@ -564,12 +639,12 @@
         };
         if place.state != row.2 {
             (place.state, place.since) = (row.2, now);
-            self.effects.push(Effect::Turned(id, row.2, why));
+            self.effects.push(ZoneEffect::Turned(id, row.2, why));
         }
         self.act(now, id, row.3);
     }
 
-    fn act(&mut self, now: Duration, id: PlaceId, act: Act) {
+    fn act(&mut self, now: Duration, id: ZoneId, act: Act) {
         let terms = self.terms;
         let place = &mut self.places[usize::from(id)];
         match act {
@@ -592,9 +667,9 @@
                 place.due = Some(place.held.max(now + terms.look));
                 (place.looks, place.degree) = (0, 0);
                 self.effects
-                    .extend((act == Act::Shut).then_some(Effect::Open(id, 0.0)));
+                    .extend((act == Act::Shut).then_some(ZoneEffect::Open(id, 0.0)));
             }
-            Act::Look if planted!(self, NeverLooked) => {}
+            Act::Look if is_injected!(self, NeverLooked) => {}
             Act::Look => {
                 place.due = Some(now + terms.look);
                 place.looks += 1;
@@ -605,7 +680,7 @@
                     (0, false, now, Some(now));
                 place.due = Some(now + terms.settle / DEGREES);
                 self.effects
-                    .push(Effect::Open(id, 1.0 / f64::from(DEGREES)));
+                    .push(ZoneEffect::Open(id, 1.0 / f64::from(DEGREES)));
             }
             Act::Refill => {
                 (place.degree, place.missed, place.whole, place.turned) =
@@ -614,21 +689,21 @@
                 // What they said nothing to was before.
                 let there = self.servers.iter_mut().filter(|s| s.place == Some(id));
                 there.for_each(|s| s.sign = None);
-                self.effects.push(Effect::Open(id, 1.0));
+                self.effects.push(ZoneEffect::Open(id, 1.0));
             }
             Act::Widen => {
                 (place.due, place.whole) = (None, now);
-                self.effects.push(Effect::Open(id, 1.0));
+                self.effects.push(ZoneEffect::Open(id, 1.0));
             }
             Act::Restore => {
                 place.due = Some(now + terms.doubt);
-                self.effects.push(Effect::Open(id, 1.0));
+                self.effects.push(ZoneEffect::Open(id, 1.0));
             }
         }
     }
 
     /// Asks those of a place that were not looked at for the longest, first those that have given no sign.
-    fn look(&mut self, now: Duration, id: PlaceId, most: usize) {
+    fn look(&mut self, now: Duration, id: ZoneId, most: usize) {
         let ready = self.of(id).filter(|(_, s)| s.is_ready());
         let mut order: Vec<(bool, Duration, ServerId)> = ready
             .map(|(server, s)| (s.sign.is_some(), s.looked, server))
@@ -636,7 +711,7 @@
         order.sort_unstable();
         for (_, _, server) in order.into_iter().take(most) {
             self.servers[server as usize].looked = now;
-            self.effects.push(Effect::Look(server));
+            self.effects.push(ZoneEffect::Look(server));
         }
     }
 }
--- a/crates/zone-failover/src/room.rs
+++ b/crates/zone-failover/src/room.rs
@@ -4,7 +4,7 @@
 
 /// What a ready server last said of itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Load {
+pub struct ServerCapacity {
     /// Load asked over what it can do.
     pub asked: f64,
     pub connections: f64,
@@ -29,7 +29,11 @@
 /// It assumes that servers which this proxy does not ask have as much room on average as those that it does, and that
 /// others get as many clients. It is given out three times over, as clients come unevenly and most parts go unused: where they
 /// come evenly, survivors are sent three times their room in the time in which that shows, and no more after it.
-pub fn pace(words: impl Iterator<Item = Load>, ready: usize, proxies: u32) -> Option<f64> {
+pub fn pace(
+    words: impl Iterator<Item = ServerCapacity>,
+    ready: usize,
+    proxies: u32,
+) -> Option<f64> {
     let mut rooms = (0, 0.0);
     let mut units = (0.0, 0.0);
     for word in words.filter(|word| word.age <= OLD && word.asked.is_finite()) {
--- a/crates/zone-failover/tests/room.rs
+++ b/crates/zone-failover/tests/room.rs
@@ -1,11 +1,18 @@
 //! What survivors have room for, by tables.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-use asterramp_zone_failover::room::{Load, pace};
+use asterramp_zone_failover::room::{ServerCapacity, pace};
 use std::time::Duration;
 use test_case::test_case;
 
-fn word(asked: f64, connections: f64, seconds: u64) -> Load {
-    Load {
+fn word(asked: f64, connections: f64, seconds: u64) -> ServerCapacity {
+    ServerCapacity {
         asked,
         connections,
         age: Duration::from_secs(seconds),
@@ -22,6 +29,6 @@
 #[test_case(&[word(0.0, 0.0, 0), word(0.0, 0.0, 0)], 30, 100 => None; "nobody is connected anywhere")]
 #[test_case(&[word(f64::NAN, 30.0, 0), word(0.45, 30.0, 0)], 30, 100 => None; "no number")]
 #[test_case(&[word(0.45, 30.0, 0), word(0.45, 30.0, 0)], 0, 0 => Some(0); "nobody ready")]
-fn the_pace_in_hundredths(words: &[Load], ready: usize, proxies: u32) -> Option<i64> {
+fn the_pace_in_hundredths(words: &[ServerCapacity], ready: usize, proxies: u32) -> Option<i64> {
     pace(words.iter().copied(), ready, proxies).map(|pace| (pace * 100.0).round() as i64)
 }
--- a/crates/zookeeper/src/main.rs
+++ b/crates/zookeeper/src/main.rs
@@ -2,6 +2,13 @@
 //!
 //! `mute` and `speak`: no member answers, and again; `refuse` and `accept`: connections are closed as they come; `expire`: all
 //! sessions end; `drop`: all connections break. It ends with its standard input.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 use asterramp_zookeeper::frame::Frames;
 use asterramp_zookeeper::store::{Conn, Effect, Store};
--- a/crates/zookeeper/tests/codec.rs
+++ b/crates/zookeeper/tests/codec.rs
@@ -1,4 +1,11 @@
 //! Records against bytes worked out by hand from the published format, and back.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 use asterramp_zookeeper::frame::{Frames, LONGEST, framed};
 use asterramp_zookeeper::jute::{Fault, Reader};
--- a/crates/zookeeper/tests/listing.rs
+++ b/crates/zookeeper/tests/listing.rs
@@ -1,4 +1,11 @@
 //! What vanished, returned, changed and unreadable nodes come to.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 use asterramp_zookeeper::listing::{Listing, Node, Remark, Standing, Terms, Told};
 use std::time::Duration;
--- a/crates/zookeeper/tests/session.rs
+++ b/crates/zookeeper/tests/session.rs
@@ -1,4 +1,11 @@
 //! A session played against a store that is a few bytes in a test.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 use asterramp_zookeeper::frame::{Frames, framed};
 use asterramp_zookeeper::jute::Write;
--- a/crates/zookeeper/tests/together.rs
+++ b/crates/zookeeper/tests/together.rs
@@ -1,4 +1,11 @@
 //! Sessions against the stand-in store, over a network that is a list, with a clock that tests move.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    missing_debug_implementations,
+    rust_2018_idioms
+)] // Not yet brought to the workspace lints.
+#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 use asterramp_zookeeper::frame::Frames;
 use asterramp_zookeeper::record::{ANY, Change, Refused, Request};
