--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -259,10 +259,10 @@
             }
         }
         if held.driver_data.client
-            && (shape.clients_stray || held.machine.stage == SessionState::Open)
+            && (shape.clients_stray || held.machine.state == SessionState::Open)
         {
             out.push(Step::Leaves(n));
-            if held.machine.stage != SessionState::Open && !held.driver_data.gone {
+            if held.machine.state != SessionState::Open && !held.driver_data.gone {
                 out.push(Step::Speaks(n));
                 out.extend(shape.unseen.then_some(Step::LeavesUnseen(n)));
             }
@@ -304,7 +304,7 @@
                     gone: false,
                     server: None,
                 };
-                let key = self.exchange.arrive(self.now, arrival, false, own);
+                let key = self.exchange.start_session(self.now, arrival, false, own);
                 self.came[usize::from(n)] = Some(key);
             }
             Step::Connected(n) => self.wire(n, Wire::Up, |dial| SessionInput::Connected { dial }),
@@ -312,9 +312,13 @@
             Step::NoSocket(n) => self.word(n, |dial| SessionInput::NoSocket { dial }),
             Step::Written(n) => {
                 self.monitor.written(n);
-                self.wire(n, Wire::Written, |dial| SessionInput::Written { dial });
+                self.wire(n, Wire::Written, |dial| SessionInput::RequestWritten {
+                    dial,
+                });
+            }
+            Step::Says(n, Word::Up) => {
+                self.wire(n, Wire::Open, |dial| SessionInput::ServerAccepted { dial })
             }
-            Step::Says(n, Word::Up) => self.wire(n, Wire::Open, |dial| SessionInput::Up { dial }),
             Step::Says(n, word) => {
                 let outcome = match word {
                     Word::Busy => Outcome::Full,
@@ -324,7 +328,7 @@
                 if word == Word::Busy {
                     self.monitor.never_ran(n);
                 }
-                self.word(n, |dial| SessionInput::Said {
+                self.word(n, |dial| SessionInput::ServerDeclined {
                     dial,
                     outcome,
                     load: Load::default(),
@@ -335,7 +339,7 @@
                 if open {
                     self.close_both(n, Outcome::Reset);
                 } else {
-                    self.word(n, |dial| SessionInput::Ended { dial });
+                    self.word(n, |dial| SessionInput::ServerEnded { dial });
                 }
             }
             Step::Leaves(n) => {
@@ -346,9 +350,9 @@
                     .exchange
                     .sessions
                     .get(key)
-                    .is_some_and(|held| held.machine.stage == SessionState::Open);
+                    .is_some_and(|held| held.machine.state == SessionState::Open);
                 self.monitor.leaves(n);
-                self.exchange.input(self.now, key, SessionInput::Left);
+                self.exchange.input(self.now, key, SessionInput::ClientLeft);
                 if open {
                     self.close_both(n, Outcome::Ok);
                 }
@@ -357,7 +361,8 @@
                 let Some(key) = self.came[usize::from(n)] else {
                     return;
                 };
-                self.exchange.input(self.now, key, SessionInput::Spoke);
+                self.exchange
+                    .input(self.now, key, SessionInput::ClientSpoke);
             }
             Step::LeavesUnseen(n) => {
                 let held =
@@ -439,7 +444,7 @@
         let of = |open: bool| -> Vec<(Key, u8)> {
             let sessions = self.exchange.sessions.iter();
             let those = sessions.filter(|(_, held)| {
-                (held.machine.stage == SessionState::Open) == open && !held.machine.left
+                (held.machine.state == SessionState::Open) == open && !held.machine.client_left
             });
             those
                 .map(|(key, held)| (key, held.driver_data.number))
@@ -462,9 +467,9 @@
         if advice.answer {
             for (key, _) in pending {
                 let word = if self.leaving() {
-                    SessionInput::GoingDown
+                    SessionInput::ShutdownCutoff
                 } else {
-                    SessionInput::TurnedAway
+                    SessionInput::DrainCutoff
                 };
                 self.exchange.input(self.now, key, word);
             }
@@ -513,7 +518,7 @@
         self.exchange.input(
             self.now,
             key,
-            SessionInput::Closed {
+            SessionInput::SessionClosed {
                 outcome,
                 load: Load::default(),
             },
@@ -554,7 +559,10 @@
         self.now = self.now.max(at);
         match self.deadlines.pop(self.now) {
             Some(Due::Tick) => self.exchange.event(self.now, Event::Tick),
-            Some(Due::Session(key)) => self.exchange.input(self.now, key, SessionInput::Due),
+            Some(Due::Session(key)) => {
+                self.exchange
+                    .input(self.now, key, SessionInput::DeadlineReached)
+            }
             Some(Due::Leave) => self.leave_on(),
             None => {}
         }
@@ -575,28 +583,31 @@
         self.monitor.made_up(conn.number);
         let dial = conn.dial;
         self.exchange
-            .input(self.now, conn.sess, SessionInput::Ended { dial });
+            .input(self.now, conn.sess, SessionInput::ServerEnded { dial });
     }
 
     /// A closed dial's late word, given to the life past the table of connections: it names its dial.
     fn late(&mut self, was: Conn) {
         if was.wire == Wire::Written {
-            self.exchange
-                .input(self.now, was.sess, SessionInput::Up { dial: was.dial });
+            self.exchange.input(
+                self.now,
+                was.sess,
+                SessionInput::ServerAccepted { dial: was.dial },
+            );
         }
     }
 
     /// Carries out what the code wants done, as the router does.
     fn settle(&mut self) {
-        while let Some(task) = self.exchange.task() {
+        while let Some(task) = self.exchange.next_task() {
             match task {
                 SessionTask::Probe(server) => {
                     self.probes.insert(server);
                 }
                 // The lists that it is told are inputs of their own.
-                SessionTask::Subscribe | SessionTask::Turned(_) => {}
-                SessionTask::Wake(after) => self.deadlines.set(Due::Tick, self.now + after),
-                SessionTask::For(key, effect) => self.carry_out(key, effect),
+                SessionTask::PollEndpoints | SessionTask::ZoneChanged(_) => {}
+                SessionTask::SetTimer(after) => self.deadlines.set(Due::Tick, self.now + after),
+                SessionTask::Session(key, effect) => self.carry_out(key, effect),
             }
         }
     }
@@ -611,18 +622,21 @@
             held.driver_data.gone && held.driver_data.client,
         );
         match &effect {
-            SessionEffect::Watch(_) | SessionEffect::Count(_) | SessionEffect::Log(_) => {}
+            SessionEffect::SetDeadline(_) | SessionEffect::Count(_) | SessionEffect::Log(_) => {}
             effect => self.done.push(format!("session {n}: {effect:?}")),
         }
         // As the router does, who is to be sent something for is looked at once more.
         if gone
             && matches!(
                 effect,
-                SessionEffect::Connect { .. } | SessionEffect::Ask { .. }
+                SessionEffect::Connect { .. } | SessionEffect::SendRequest { .. }
             )
         {
             self.monitor.leaves(n);
-            if self.exchange.found_gone(self.now, key, SessionInput::Left) {
+            if self
+                .exchange
+                .found_gone(self.now, key, SessionInput::ClientLeft)
+            {
                 return;
             }
         }
@@ -641,8 +655,8 @@
                 };
                 held.driver_data.server = Some(self.conns.insert(conn));
             }
-            SessionEffect::Ask { wait } => self.monitor.asked(n, self.now, wait),
-            SessionEffect::Close => {
+            SessionEffect::SendRequest { wait } => self.monitor.asked(n, self.now, wait),
+            SessionEffect::CloseServer => {
                 if let Some(server) = held.driver_data.server.take()
                     && let Some(conn) = self.conns.remove(server)
                 {
@@ -652,23 +666,23 @@
                     self.monitor.closed(n);
                 }
             }
-            SessionEffect::Watch(Some(at)) => self.deadlines.set(Due::Session(key), at),
-            SessionEffect::Watch(None) => self.deadlines.clear(Due::Session(key)),
-            SessionEffect::Answer(answer) => {
+            SessionEffect::SetDeadline(Some(at)) => self.deadlines.set(Due::Session(key), at),
+            SessionEffect::SetDeadline(None) => self.deadlines.clear(Due::Session(key)),
+            SessionEffect::AnswerClient(answer) => {
                 if std::mem::replace(&mut held.driver_data.client, false) {
                     self.monitor
-                        .answers(n, self.now, matches!(answer, FinalAnswer::Busy(_)));
+                        .answers(n, self.now, matches!(answer, FinalAnswer::Rejected(_)));
                 } else {
                     self.monitor.answers_nobody(n);
                 }
             }
-            SessionEffect::Drop => held.driver_data.client = false,
-            SessionEffect::Pass => {
+            SessionEffect::DropClient => held.driver_data.client = false,
+            SessionEffect::StartForwarding => {
                 let open = held.driver_data.server.is_some();
                 self.monitor
                     .opens(n, self.now, open, held.driver_data.client);
             }
-            SessionEffect::SendAway => {
+            SessionEffect::Migrate => {
                 self.close_both(n, Outcome::CalledOff);
             }
             SessionEffect::Forget => {
@@ -684,7 +698,7 @@
             SessionEffect::Restore
             | SessionEffect::Log(_)
             | SessionEffect::Count(_)
-            | SessionEffect::Tell(_) => {}
+            | SessionEffect::Notify(_) => {}
         }
     }
 
@@ -730,7 +744,7 @@
         self.exchange
             .sessions
             .iter()
-            .all(|(_, held)| held.machine.stage == SessionState::Open)
+            .all(|(_, held)| held.machine.state == SessionState::Open)
     }
 }
 
--- a/crates/proxy/src/program/counters.rs
+++ b/crates/proxy/src/program/counters.rs
@@ -1,6 +1,6 @@
 //! How often each code came up since the start.
 
-use crate::routing::report::{ReasonCode, Report};
+use crate::routing::report::{ReasonCode, RouterEvent};
 use std::fmt;
 
 #[derive(Debug)]
@@ -14,9 +14,9 @@
 
 impl Counters {
     /// Counts a report, whether it is worth a line or not.
-    pub fn take(&mut self, report: &Report) {
+    pub fn take(&mut self, report: &RouterEvent) {
         match report {
-            Report::Count(code) | Report::Line(code, _) => self.add(*code),
+            RouterEvent::Count(code) | RouterEvent::Log(code, _) => self.add(*code),
         }
     }
 
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -8,7 +8,7 @@
 use crate::log_line;
 use crate::routing::Router;
 use crate::routing::peers::PeerSettings;
-use crate::routing::report::{ReasonCode, Report};
+use crate::routing::report::{ReasonCode, RouterEvent};
 use crate::routing::warm_start::{SnapshotSchedule, WarmStartPlan};
 use asterramp_drain::DrainSettings;
 use asterramp_operator_config::{
@@ -49,7 +49,7 @@
     router.log_events.extend(
         troubles
             .into_iter()
-            .map(|why| Report::Line(ReasonCode::StateBad, why)),
+            .map(|why| RouterEvent::Log(ReasonCode::SnapshotFailed, why)),
     );
     router.configure_admission(wishes.site.pace, wishes.site.by_worth);
     router.restore_highest_term(term);
@@ -71,15 +71,17 @@
             match source.again() {
                 Ok((start, kept)) => {
                     for key in kept {
-                        router
-                            .log_events
-                            .push(Report::Line(ReasonCode::ReloadKept, format!("key={key}")));
+                        router.log_events.push(RouterEvent::Log(
+                            ReasonCode::ConfigUnchanged,
+                            format!("key={key}"),
+                        ));
                     }
                     router.reload(now, start.discovery);
                 }
-                Err(why) => router
-                    .log_events
-                    .push(Report::Line(ReasonCode::ReloadBad, format!("why={why:?}"))),
+                Err(why) => router.log_events.push(RouterEvent::Log(
+                    ReasonCode::ConfigReloadFailed,
+                    format!("why={why:?}"),
+                )),
             }
             if let Some(path) = operator {
                 wishes = again(&mut router, path, wishes);
@@ -90,7 +92,7 @@
         }
         for report in router.log_events.drain(..) {
             counters.take(&report);
-            if let Report::Line(code, about) = report {
+            if let RouterEvent::Log(code, about) = report {
                 log_line!(log, now, "{} {about}", code.name());
             }
         }
@@ -105,7 +107,7 @@
     router.close_snapshots();
     for report in router.log_events.drain(..) {
         counters.take(&report);
-        if let Report::Line(code, about) = report {
+        if let RouterEvent::Log(code, about) = report {
             log_line!(log, clock.now(), "{} {about}", code.name());
         }
     }
@@ -195,21 +197,22 @@
     let after = match read(path) {
         Ok(after) => after,
         Err(why) => {
-            router
-                .log_events
-                .push(Report::Line(ReasonCode::ReloadBad, format!("why={why:?}")));
+            router.log_events.push(RouterEvent::Log(
+                ReasonCode::ConfigReloadFailed,
+                format!("why={why:?}"),
+            ));
             return before;
         }
     };
     for (key, takes) in before.changes(&after) {
         let code = if takes == TakesEffect::AtOnce {
-            ReasonCode::Reloaded
+            ReasonCode::ConfigReloaded
         } else {
-            ReasonCode::ReloadKept
+            ReasonCode::ConfigUnchanged
         };
         router
             .log_events
-            .push(Report::Line(code, format!("key={key}")));
+            .push(RouterEvent::Log(code, format!("key={key}")));
     }
     router.set_drain_settings(terms(&after));
     router.set_default_drain_deadline(after.drain.deadline);
--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -72,7 +72,7 @@
                 .copied()
                 .filter(|_| calls.callers.len() >= CALLERS);
             if let Some(oldest) = oldest {
-                self.log_event(ReasonCode::CallBad, "call why=\"crowded out\"");
+                self.log_event(ReasonCode::AdminRequestFailed, "call why=\"crowded out\"");
                 self.drop_caller(oldest);
             }
             let role = ConnectionRole::AdminHttp { answered: false };
@@ -116,7 +116,7 @@
             if sent {
                 conn.stream.end_sending();
             }
-            return self.want_own(key);
+            return self.watch_own_io(key);
         }
         let (bytes, ended) = (conn.stream.inbound.bytes(), conn.stream.ended);
         let (status, text) = match call::read(bytes) {
@@ -126,7 +126,7 @@
                     calls.callers.retain(|caller| *caller != key);
                     calls.callers.push(key);
                 });
-                return self.want_own(key);
+                return self.watch_own_io(key);
             }
             Ok(None) if bytes.is_empty() => return self.drop_caller(key),
             Ok(None) => (Status::Bad("the call is not whole"), None),
@@ -140,7 +140,7 @@
                 Some(known) if known.0 != call.method => (Status::WrongMethod(known.0), None),
                 Some(known) => {
                     let verb = known.2;
-                    self.count_event(ReasonCode::Called);
+                    self.count_event(ReasonCode::AdminRequestServed);
                     self.called(verb)
                 }
             },
@@ -159,7 +159,10 @@
 
     fn answer_call(&mut self, key: Key, status: Status, text: Option<String>) {
         if !matches!(status, Status::Good | Status::Unavailable(_)) {
-            self.log_event(ReasonCode::CallBad, format!("call why={:?}", status.why()));
+            self.log_event(
+                ReasonCode::AdminRequestFailed,
+                format!("call why={:?}", status.why()),
+            );
         }
         let Some(conn) = self.connections.get_mut(key) else {
             return;
@@ -220,10 +223,11 @@
             .zones
             .iter()
             .flat_map(|places| places.sites.places());
-        text += &super::metrics::places_text(self.settings.zones.iter().zip(places));
-        text +=
-            &super::metrics::room_text(self.settings.listeners.iter().zip(self.admission.counts()));
-        text += &super::metrics::start_text(self.warm_start_state(), self.snapshot_counts());
+        text += &super::metrics::zones_text(self.settings.zones.iter().zip(places));
+        text += &super::metrics::load_shed_text(
+            self.settings.listeners.iter().zip(self.admission.counts()),
+        );
+        text += &super::metrics::warm_start_text(self.warm_start_state(), self.snapshot_counts());
         text
     }
 }
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -88,7 +88,8 @@
                 Ok(Some(fd)) => fd,
                 Ok(None) => return,
                 Err(e) => {
-                    return self.log_event(ReasonCode::ControlBad, format!("accept error={e}"));
+                    return self
+                        .log_event(ReasonCode::AdminSocketError, format!("accept error={e}"));
                 }
             };
             // Dropped, it closes.
@@ -98,7 +99,7 @@
                 } else {
                     "another user"
                 };
-                self.log_event(ReasonCode::ControlBad, format!("peer why={why:?}"));
+                self.log_event(ReasonCode::AdminSocketError, format!("peer why={why:?}"));
                 continue;
             }
             if let Some(key) = self.register(
@@ -140,11 +141,11 @@
             let end = bytes.iter().take(LONGEST).position(|b| *b == b'\n');
             let Some(end) = end else {
                 if bytes.len() < LONGEST {
-                    return self.want_own(key);
+                    return self.watch_own_io(key);
                 }
                 conn.stream
                     .send(&[AdminReply::error("a request is too long").line().as_bytes()]);
-                self.log_event(ReasonCode::ControlBad, "request why=\"too long\"");
+                self.log_event(ReasonCode::AdminSocketError, "request why=\"too long\"");
                 return self.close_admin_connection(key);
             };
             let request = AdminRequest::read(&bytes[..end]);
@@ -154,7 +155,7 @@
             let reply = match request {
                 Ok(request) => self.execute(&request).unwrap_or_else(AdminReply::error),
                 Err(why) => {
-                    self.log_event(ReasonCode::ControlBad, format!("request why={why:?}"));
+                    self.log_event(ReasonCode::AdminSocketError, format!("request why={why:?}"));
                     AdminReply::error(why)
                 }
             };
@@ -189,11 +190,11 @@
                     owner.term,
                     refused.why()
                 );
-                self.log_event(ReasonCode::OrderRefused, about);
+                self.log_event(ReasonCode::CommandFenced, about);
                 return Err(refused.why());
             }
             if self.fencing_guard.highest() > before {
-                self.log_event(ReasonCode::OwnerHeard, format!("term={}", owner.term));
+                self.log_event(ReasonCode::LeaderAccepted, format!("term={}", owner.term));
                 self.record_term(owner.term);
             }
         }
@@ -304,7 +305,7 @@
         let mut left: Vec<(String, usize)> = Vec::new();
         if self.drain.state() != DrainState::Serving {
             for (_, held) in self.session_table.sessions.iter() {
-                let name = &self.settings.listeners[usize::from(held.machine.arrival.listener)];
+                let name = &self.settings.listeners[usize::from(held.machine.request.listener)];
                 match left.iter_mut().find(|l| l.0 == *name) {
                     Some(listener) => listener.1 += 1,
                     None => left.push((name.clone(), 1)),
@@ -319,7 +320,7 @@
             up_ms: ms(self.now.saturating_sub(self.started_at)),
             open: view.open,
             pending: view.pending,
-            strangers: self.connection_counts.strangers(),
+            strangers: self.connection_counts.pending(),
             moved: self.drain.moved(),
             pace: self.drain.pace(&view),
             room: view.room,
--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// How long a stranger may take to say what it wants, however often it asks for other things.
-pub(super) const GREETING: Duration = Duration::from_secs(2);
+pub(super) const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
 /// Connections taken in a turn.
 const TURN: usize = 64;
 /// How long the door stays shut when nothing more can be taken in, and when taking in failed.
@@ -110,7 +110,7 @@
         }
     }
 
-    pub fn strangers(&self) -> usize {
+    pub fn pending(&self) -> usize {
         self.strangers
     }
 
@@ -191,7 +191,7 @@
             .filter(|conn| conn.role == ConnectionRole::PendingClient)
         {
             conn.stream.send(&[FAILED]);
-            self.log_event(ReasonCode::CrowdedOut, "client");
+            self.log_event(ReasonCode::PendingClientEvicted, "client");
         }
         self.close(key);
         true
@@ -292,7 +292,7 @@
             },
         ) {
             self.deadlines
-                .set(TimerKey::Connection(key), self.now + GREETING);
+                .set(TimerKey::Connection(key), self.now + GREETING_TIMEOUT);
             // What it wants is often there already.
             self.connection_ready(Ready {
                 key,
@@ -324,10 +324,10 @@
         let asked =
             found.and_then(|line| line.map(|(text, n)| Ok((greeting(text)?, n))).transpose());
         match asked {
-            Ok(None) if ended.is_none() => self.want_own(key),
+            Ok(None) if ended.is_none() => self.watch_own_io(key),
             Ok(None) if nothing || ended == Some(End::Reset) => {
                 self.close(key);
-                self.log_event(ReasonCode::FrontLeft, "client said nothing more");
+                self.log_event(ReasonCode::ClosedBeforeRequest, "client said nothing more");
             }
             Ok(None) => self.bad_greeting(key, Fault::Malformed("end of line")),
             Err(fault) => self.bad_greeting(key, fault),
@@ -337,7 +337,7 @@
                     return self.close_gracefully(key, &[FAILED]);
                 }
                 conn.stream.send(&[PONG]);
-                self.count_event(ReasonCode::Pinged);
+                self.count_event(ReasonCode::PingAnswered);
                 self.read_greeting(key);
             }
             // A client waits for its answer before it says more, so this is none.
@@ -348,7 +348,8 @@
             Ok(Some((Greeting::Open(open), _))) if self.session_ids.contains(open.id) => {
                 self.bad_greeting(key, Fault::Malformed("id: open already"));
             }
-            Ok(Some((Greeting::Open(open), n))) => match places(&self.settings, &open) {
+            Ok(Some((Greeting::Open(open), n))) => match listener_and_tenant(&self.settings, &open)
+            {
                 None => self.bad_greeting(key, Fault::Malformed("name")),
                 Some((listener, member)) => {
                     let arrival = session_request(&open, self.now, listener, member);
@@ -356,12 +357,12 @@
                     let own = Session {
                         client: Some(key),
                         server: None,
-                        line: bytes[..n].to_vec(),
+                        request_line: bytes[..n].to_vec(),
                         wait_at: open.wait_at.clone(),
                         open_at: open.open_at.map(String::from),
-                        asked: false,
-                        quiet: false,
-                        farewell: None,
+                        awaiting_response: false,
+                        server_quiet: false,
+                        announced_end: None,
                     };
                     self.admit(key, arrival, failed, own, n);
                 }
@@ -377,7 +378,7 @@
             .unwrap_or_default();
         let said = said[..said.len().min(160)].escape_ascii().to_string();
         self.log_event(
-            ReasonCode::ClientBad,
+            ReasonCode::ClientProtocolError,
             format!("client fault=\"{fault}\" line=\"{said}\""),
         );
         self.close_gracefully(key, &[FAILED]);
@@ -392,9 +393,9 @@
         line: usize,
     ) {
         if !self.fits() {
-            self.log_event(ReasonCode::Edge, format!("sess={}", own.id()));
+            self.log_event(ReasonCode::AtConnectionLimit, format!("sess={}", own.id()));
             self.metrics
-                .ended(arrival.listener, metrics::SessionEnd::Busy);
+                .count_session_end(arrival.listener, metrics::SessionEnd::Rejected);
             let come_back = self.settings.deployment.max_retry_after.min(COME_BACK);
             return self.close_gracefully(key, &[refusal(come_back).as_bytes()]);
         }
@@ -408,11 +409,13 @@
             .for_each(|conn| conn.stream.inbound.consume(line));
         self.deadlines.clear(TimerKey::Connection(key));
         if !restored {
-            self.count_event(ReasonCode::Taken);
+            self.count_event(ReasonCode::SessionAccepted);
         }
         (self.last_arrival, self.sessions_accepted) = (self.now, self.sessions_accepted + 1);
         self.session_ids.insert(own.id().to_string());
-        let sess = self.session_table.arrive(self.now, arrival, restored, own);
+        let sess = self
+            .session_table
+            .start_session(self.now, arrival, restored, own);
         self.set_role(key, ConnectionRole::Client(sess));
         self.client_ready(sess);
     }
@@ -443,9 +446,9 @@
             own.id(),
             refusal.reason.name()
         );
-        self.log_event(ReasonCode::Short, about);
+        self.log_event(ReasonCode::LoadShed, about);
         self.metrics
-            .ended(arrival.listener, metrics::SessionEnd::Busy);
+            .count_session_end(arrival.listener, metrics::SessionEnd::Rejected);
         self.close_gracefully(key, &[client::refusal(refusal.come_back).as_bytes()]);
     }
 
@@ -453,7 +456,7 @@
         let Some(held) = self.session_table.sessions.get(sess) else {
             return;
         };
-        if held.machine.stage == SessionState::Open {
+        if held.machine.state == SessionState::Open {
             return self.forward(sess);
         }
         let Some((key, conn)) = held
@@ -464,11 +467,11 @@
             return;
         };
         if !conn.stream.inbound.is_empty() {
-            self.input(sess, SessionInput::Spoke);
+            self.input(sess, SessionInput::ClientSpoke);
         } else if conn.stream.ended.is_some() {
-            self.input(sess, SessionInput::Left);
+            self.input(sess, SessionInput::ClientLeft);
         } else {
-            self.want_own(key);
+            self.watch_own_io(key);
         }
     }
 
@@ -476,10 +479,10 @@
     pub(super) fn answer_client(&mut self, sess: Key, text: &[u8], code: ReasonCode) {
         let client = self.take_client(sess);
         if let Some(client) = client {
-            self.ended(
+            self.count_session_end(
                 sess,
-                if code == ReasonCode::Refused {
-                    metrics::SessionEnd::Busy
+                if code == ReasonCode::Rejected {
+                    metrics::SessionEnd::Rejected
                 } else {
                     metrics::SessionEnd::Failure
                 },
@@ -494,13 +497,13 @@
             return;
         };
         let (id, life) = (held.driver_data.id(), &held.machine);
-        let listener = &self.settings.listeners[usize::from(life.arrival.listener)];
+        let listener = &self.settings.listeners[usize::from(life.request.listener)];
         let server = if life.dials > 0 {
-            self.endpoints.name(life.to)
+            self.endpoints.name(life.server)
         } else {
             "-"
         };
-        let ms = self.now.saturating_sub(life.arrived).as_millis();
+        let ms = self.now.saturating_sub(life.requested_at).as_millis();
         let about = format!(
             "sess={id} listener={listener} server={server} dials={} ms={ms}",
             life.dials
@@ -511,7 +514,7 @@
 
 impl Session {
     pub(super) fn id(&self) -> &str {
-        std::str::from_utf8(&self.line)
+        std::str::from_utf8(&self.request_line)
             .ok()
             .and_then(|line| line.split(' ').nth(1))
             .unwrap_or_default()
@@ -536,7 +539,7 @@
 }
 
 /// The places of its listener and its member in the settings.
-pub(super) fn places(setup: &Settings, open: &Open) -> Option<(u8, u16)> {
+pub(super) fn listener_and_tenant(setup: &Settings, open: &Open) -> Option<(u8, u16)> {
     let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
     let listener = place(&setup.listeners, open.listener);
     let member = open
--- a/crates/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -14,7 +14,7 @@
         if self.client_has_gone(sess) {
             return;
         }
-        let Some(dial) = self.life(sess).map(|life| life.dial()) else {
+        let Some(dial) = self.session_machine(sess).map(|life| life.dial()) else {
             return;
         };
         let connected = self
@@ -39,7 +39,9 @@
         let Some(key) = kept else {
             return self.input(sess, SessionInput::NoSocket { dial });
         };
-        let Some(own) = self.own(sess) else { return };
+        let Some(own) = self.session_mut(sess) else {
+            return;
+        };
         own.server = Some(key);
         let alone = own.client.is_none();
         self.connection_counts.lone += usize::from(alone);
@@ -58,8 +60,8 @@
         };
         conn.stream.fill(false);
         let input = match (conn.stream.inbound.is_empty(), conn.stream.ended) {
-            (false, _) => SessionInput::Spoke,
-            (true, Some(_)) => SessionInput::Left,
+            (false, _) => SessionInput::ClientSpoke,
+            (true, Some(_)) => SessionInput::ClientLeft,
             (true, None) => return false,
         };
         self.session_table.found_gone(self.now, sess, input)
@@ -82,15 +84,18 @@
         let input = server.map_or(SessionInput::NoSocket { dial }, |server| {
             SessionInput::Dial {
                 server,
-                time_out,
-                within: time_out,
+                timeout: time_out,
+                write_within: time_out,
             }
         });
         self.input(sess, input);
     }
 
     pub(super) fn server_ready(&mut self, sess: Key, event: Ready) {
-        let Some((stage, dial)) = self.life(sess).map(|life| (life.stage, life.dial())) else {
+        let Some((stage, dial)) = self
+            .session_machine(sess)
+            .map(|life| (life.state, life.dial()))
+        else {
             return;
         };
         let Some(conn) = self.connections.get_mut(event.key) else {
@@ -127,9 +132,12 @@
             return;
         };
         match wait {
-            None => conn.stream.send(&[&own.line]),
+            None => conn.stream.send(&[&own.request_line]),
             Some(wait) => {
-                let (head, tail) = (&own.line[..own.wait_at.start], &own.line[own.wait_at.end..]);
+                let (head, tail) = (
+                    &own.request_line[..own.wait_at.start],
+                    &own.request_line[own.wait_at.end..],
+                );
                 conn.stream
                     .send(&[head, wait.as_millis().to_string().as_bytes(), tail]);
             }
@@ -139,36 +147,43 @@
 
     /// Looks at what a server has said, once the line is written to its last byte.
     fn answered(&mut self, sess: Key, key: Key) {
-        let (Some(conn), Some(life)) = (self.connections.get(key), self.life(sess)) else {
+        let (Some(conn), Some(life)) = (self.connections.get(key), self.session_machine(sess))
+        else {
             return;
         };
         let (ended, sent) = (conn.stream.ended.is_some(), conn.stream.sent());
-        let (dial, asked) = (life.dial(), life.stage == SessionState::Asked);
+        let (dial, asked) = (life.dial(), life.state == SessionState::SendingRequest);
         if sent && asked {
-            self.metrics.written();
-            self.input(sess, SessionInput::Written { dial });
+            self.metrics.count_attempt();
+            self.input(sess, SessionInput::RequestWritten { dial });
         }
         let Some(conn) = self.connections.get(key) else {
             return;
         };
         let line = match line::first(conn.stream.inbound.bytes()) {
             Ok(Some((line, _))) if sent => line,
-            Ok(_) if ended => return self.input(sess, SessionInput::Ended { dial }),
-            Ok(_) => return self.want_own(key),
+            Ok(_) if ended => return self.input(sess, SessionInput::ServerEnded { dial }),
+            Ok(_) => return self.watch_own_io(key),
             Err(fault) => {
-                self.log_event(ReasonCode::ServerBad, format!("dial line={fault:?}"));
+                self.log_event(
+                    ReasonCode::ServerProtocolError,
+                    format!("dial line={fault:?}"),
+                );
                 return self.input(sess, said_by(dial, Outcome::Erred, Load::default()));
             }
         };
         let load = |report| load(&self.settings.load_reports, report);
         let (outcome, load) = match said(line) {
-            Said::Up => return self.input(sess, SessionInput::Up { dial }),
+            Said::Up => return self.input(sess, SessionInput::ServerAccepted { dial }),
             Said::Full(report) => (Outcome::Full, load(report)),
             Said::Erred(report) | Said::Bye(report) => (Outcome::Erred, load(report)),
             Said::Move => (Outcome::CalledOff, Load::default()),
             _ => {
                 let line: String = line.chars().take(80).collect();
-                self.log_event(ReasonCode::ServerBad, format!("dial line={line:?}"));
+                self.log_event(
+                    ReasonCode::ServerProtocolError,
+                    format!("dial line={line:?}"),
+                );
                 (Outcome::Erred, Load::default())
             }
         };
@@ -176,16 +191,16 @@
     }
 
     pub(super) fn session_deadline(&mut self, sess: Key) {
-        match self.life(sess).map(|life| life.stage) {
+        match self.session_machine(sess).map(|life| life.state) {
             Some(SessionState::Open) => self.open_session_deadline(sess),
-            Some(_) => self.input(sess, SessionInput::Due),
+            Some(_) => self.input(sess, SessionInput::DeadlineReached),
             None => self.deadlines.clear(TimerKey::Session(sess)),
         }
     }
 }
 
 fn said_by(dial: u8, outcome: Outcome, load: Load) -> SessionInput {
-    SessionInput::Said {
+    SessionInput::ServerDeclined {
         dial,
         outcome,
         load,
--- a/crates/proxy/src/routing/discovery_watch.rs
+++ b/crates/proxy/src/routing/discovery_watch.rs
@@ -133,7 +133,7 @@
         self.now = now;
         let same = self.discovery_watch.at == discovery;
         self.log_event(
-            ReasonCode::Reloaded,
+            ReasonCode::ConfigReloaded,
             format!("discovery={discovery} changed={}", !same),
         );
         if !same {
@@ -195,7 +195,7 @@
                 self.discovery_watch.rev,
             );
             conn.stream.send(&[request.as_bytes()]);
-            return self.want_own(event.key);
+            return self.watch_own_io(event.key);
         }
         conn.stream.fill(event.broken);
         let bytes = conn.stream.inbound.bytes();
@@ -208,18 +208,21 @@
             self.discovery_watch.heard = Some(self.now);
             self.deadlines
                 .set(TimerKey::DiscoveryWatch, self.now + SILENCE);
-            self.session_table.discovery_lives(self.now);
+            self.session_table.note_discovery_alive(self.now);
         }
         for line in lines {
             if let Err(why) = self.listed(&line) {
-                self.log_event(ReasonCode::RosterBad, format!("roster why={why:?}"));
+                self.log_event(
+                    ReasonCode::EndpointListInvalid,
+                    format!("roster why={why:?}"),
+                );
                 return self.end_watch(ReasonCode::WatchEnded, "bad list");
             }
         }
         match fed {
             Err(fault) => self.end_watch(ReasonCode::WatchEnded, &fault.to_string()),
             Ok(()) if ended => self.end_watch(ReasonCode::WatchEnded, "closed"),
-            Ok(()) => self.want_own(event.key),
+            Ok(()) => self.watch_own_io(event.key),
         }
     }
 
@@ -233,7 +236,7 @@
             let mut entries = Vec::with_capacity(list.lines.len());
             for line in list.lines {
                 let Some((entry, stale)) = self.endpoints.take(line) else {
-                    self.count_event(ReasonCode::RosterFull);
+                    self.count_event(ReasonCode::EndpointTableFull);
                     continue;
                 };
                 entries.push(entry);
@@ -248,7 +251,7 @@
             }
             list.bad.map_or(Ok(()), Err)?;
             self.discovery_watch.rev = list.rev;
-            self.count_event(ReasonCode::RosterTaken);
+            self.count_event(ReasonCode::EndpointsApplied);
             self.mark_snapshot_outdated();
         }
         (self.discovery_watch.pause, self.discovery_watch.patience) =
--- a/crates/proxy/src/routing/forwarding.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// How long a server may leave a client's line without any answer.
-pub(super) const SILENCE: Duration = Duration::from_secs(4);
+pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// How long a server may take to end what its client has ended.
 const LAST: Duration = Duration::from_millis(900);
 /// How long a client may take none of the lines that wait for it.
@@ -19,12 +19,12 @@
 
 /// How long a line may wait until its server counts as quiet: as long as a probe has to come up and be answered.
 fn quiet(connect_within: Duration) -> Duration {
-    (connect_within * 3).min(SILENCE / 2)
+    (connect_within * 3).min(RESPONSE_TIMEOUT / 2)
 }
 
 /// How much longer it may wait, once it is quiet, until its client is moved.
-pub(super) fn rest(connect_within: Duration) -> Duration {
-    SILENCE - quiet(connect_within)
+pub(super) fn time_from_quiet_to_migration(connect_within: Duration) -> Duration {
+    RESPONSE_TIMEOUT - quiet(connect_within)
 }
 
 /// How one side of a connection is ended; whole lines that wait for it go out before.
@@ -49,20 +49,26 @@
             return;
         }
         if let Err(fault) = self.take_from_server(sess, server) {
-            self.log_event(ReasonCode::ServerBad, format!("server line={fault:?}"));
+            self.log_event(
+                ReasonCode::ServerProtocolError,
+                format!("server line={fault:?}"),
+            );
             return self.end(
                 sess,
-                ReasonCode::ServerBad,
+                ReasonCode::ServerProtocolError,
                 Outcome::Reset,
                 (Close::Say(MOVE), Close::Fin),
             );
         }
         if let Err(fault) = self.take_from_client(sess, client) {
-            self.log_event(ReasonCode::ClientBad, format!("client line={fault:?}"));
-            self.input(sess, SessionInput::Left);
+            self.log_event(
+                ReasonCode::ClientProtocolError,
+                format!("client line={fault:?}"),
+            );
+            self.input(sess, SessionInput::ClientLeft);
             return self.end(
                 sess,
-                ReasonCode::ClientBad,
+                ReasonCode::ClientProtocolError,
                 Outcome::Ok,
                 (Close::Say(FAILED), Close::Fin),
             );
@@ -80,8 +86,12 @@
         ) else {
             return Ok(());
         };
-        let (s, left, to) = (&mut held.driver_data, held.machine.left, held.machine.to);
-        let listener = held.machine.arrival.listener;
+        let (s, left, to) = (
+            &mut held.driver_data,
+            held.machine.client_left,
+            held.machine.server,
+        );
+        let listener = held.machine.request.listener;
         let (mut works, mut heard) = (None, false);
         while let Some((text, n)) = line::first(&conn.stream.inbound.bytes()[conn.complete_len..])?
         {
@@ -89,22 +99,23 @@
             match said(text) {
                 Said::Work(work) => works = Some(work),
                 Said::Bye(report) => {
-                    s.farewell = Some((Outcome::Ok, load(&self.settings.load_reports, report)))
+                    s.announced_end = Some((Outcome::Ok, load(&self.settings.load_reports, report)))
                 }
-                Said::Move => s.farewell = Some((Outcome::CalledOff, Load::default())),
+                Said::Move => s.announced_end = Some((Outcome::CalledOff, Load::default())),
                 _ => {}
             }
-            (s.asked, heard) = (false, true);
-            if s.farewell.is_some() {
+            (s.awaiting_response, heard) = (false, true);
+            if s.announced_end.is_some() {
                 conn.stream.ended = conn.stream.ended.or(Some(End::Fin));
                 break;
             }
         }
-        if !s.asked && !left {
+        if !s.awaiting_response && !left {
             self.deadlines.clear(TimerKey::Session(sess));
         }
         if heard {
-            self.session_table.line(self.now, sess, true);
+            self.session_table
+                .note_server_activity(self.now, sess, true);
         }
         if let Some(work) = works {
             self.admission.takes(self.now, listener, work);
@@ -124,12 +135,12 @@
         ) else {
             return Ok(());
         };
-        let (s, left) = (&mut held.driver_data, held.machine.left);
+        let (s, left) = (&mut held.driver_data, held.machine.client_left);
         let quiet = quiet(self.settings.connect_timeout);
         while let Some((_, n)) = line::first(&conn.stream.inbound.bytes()[conn.complete_len..])? {
             conn.complete_len += n;
-            if !s.asked && !left {
-                (s.asked, s.quiet) = (true, false);
+            if !s.awaiting_response && !left {
+                (s.awaiting_response, s.server_quiet) = (true, false);
                 self.deadlines
                     .set(TimerKey::Session(sess), self.now + quiet);
             }
@@ -171,10 +182,10 @@
         ) else {
             return;
         };
-        let left = held.machine.left;
-        let (code, outcome) = match held.driver_data.farewell {
-            Some((Outcome::Ok, _)) => (ReasonCode::Served, Outcome::Ok),
-            Some(_) => (ReasonCode::ServerMoved, Outcome::CalledOff),
+        let left = held.machine.client_left;
+        let (code, outcome) = match held.driver_data.announced_end {
+            Some((Outcome::Ok, _)) => (ReasonCode::ServerFinished, Outcome::Ok),
+            Some(_) => (ReasonCode::ServerMigrated, Outcome::CalledOff),
             None => (ReasonCode::ServerClosed, Outcome::Reset),
         };
         let fin = (Close::Fin, Close::Fin);
@@ -183,7 +194,7 @@
                 return self.end(sess, ReasonCode::ClientLeft, Outcome::Ok, fin);
             }
             (Some(End::Reset), _) => {
-                self.input(sess, SessionInput::Left);
+                self.input(sess, SessionInput::ClientLeft);
                 return self.end(
                     sess,
                     ReasonCode::ClientReset,
@@ -201,7 +212,7 @@
             }
             (_, Some(End::Fin)) => return self.end(sess, code, outcome, fin),
             (Some(End::Fin), None) if !left => {
-                self.input(sess, SessionInput::Left);
+                self.input(sess, SessionInput::ClientLeft);
                 self.deadlines.set(TimerKey::Session(sess), self.now + LAST);
             }
             _ => {}
@@ -210,7 +221,11 @@
         else {
             return;
         };
-        if self.life(sess).is_some_and(|life| life.left) && c.complete_len == 0 {
+        if self
+            .session_machine(sess)
+            .is_some_and(|life| life.client_left)
+            && c.complete_len == 0
+        {
             v.stream.end_sending();
         }
         let write = |conn: &super::Connection, other: &super::Connection| {
@@ -236,8 +251,8 @@
             Outcome::CalledOff
         };
         if self
-            .life(sess)
-            .is_some_and(|life| life.stage == SessionState::Open)
+            .session_machine(sess)
+            .is_some_and(|life| life.state == SessionState::Open)
             && !self.is_offered(sess)
         {
             self.end(sess, code, outcome, (Close::Say(MOVE), Close::Fin));
@@ -249,7 +264,7 @@
         let Some(held) = self.session_table.sessions.get(sess) else {
             return;
         };
-        let (left, quiet) = (held.machine.left, held.driver_data.quiet);
+        let (left, quiet) = (held.machine.client_left, held.driver_data.server_quiet);
         let waits = held
             .driver_data
             .server
@@ -266,9 +281,9 @@
             // The server may well have answered: its lines wait for a client that takes none.
             Some(until) if self.now < until => self
                 .deadlines
-                .set(TimerKey::Session(sess), self.now + SILENCE),
+                .set(TimerKey::Session(sess), self.now + RESPONSE_TIMEOUT),
             Some(_) => {
-                self.input(sess, SessionInput::Left);
+                self.input(sess, SessionInput::ClientLeft);
                 self.end(
                     sess,
                     ReasonCode::ClientStalled,
@@ -279,10 +294,13 @@
             None if !quiet => {
                 self.deadlines.set(
                     TimerKey::Session(sess),
-                    self.now + rest(self.settings.connect_timeout),
+                    self.now + time_from_quiet_to_migration(self.settings.connect_timeout),
                 );
-                self.own(sess).into_iter().for_each(|own| own.quiet = true);
-                self.session_table.line(self.now, sess, false);
+                self.session_mut(sess)
+                    .into_iter()
+                    .for_each(|own| own.server_quiet = true);
+                self.session_table
+                    .note_server_activity(self.now, sess, false);
             }
             None => self.migrate(sess, ReasonCode::ServerSilent),
         }
@@ -297,8 +315,13 @@
         (to_client, to_server): (Close, Close),
     ) {
         self.log_session_end(sess, code);
-        let Some(s) = self.own(sess) else { return };
-        let load = s.farewell.map(|farewell| farewell.1).unwrap_or_default();
+        let Some(s) = self.session_mut(sess) else {
+            return;
+        };
+        let load = s
+            .announced_end
+            .map(|farewell| farewell.1)
+            .unwrap_or_default();
         let (client, server) = (self.take_client(sess), self.take_server(sess));
         self.deadlines.clear(TimerKey::Session(sess));
         let for_client = server.map(|key| self.waiting(key)).unwrap_or_default();
@@ -317,7 +340,7 @@
                     .for_each(|stream| stream.reset()),
             }
         }
-        self.input(sess, SessionInput::Closed { outcome, load });
+        self.input(sess, SessionInput::SessionClosed { outcome, load });
     }
 
     /// Whole lines that came from one side and are not passed on yet.
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -90,7 +90,7 @@
                 view.open, view.pending
             );
             self.log_event(
-                ReasonCode::DrainState,
+                ReasonCode::DrainStateChanged,
                 format!("state={} {about}", state.name()),
             );
         }
@@ -98,7 +98,8 @@
 
     fn sessions_of(&self, stage: impl Fn(SessionState) -> bool) -> Vec<Key> {
         let sessions = self.session_table.sessions.iter();
-        let those = sessions.filter(|(_, held)| stage(held.machine.stage) && !held.machine.left);
+        let those =
+            sessions.filter(|(_, held)| stage(held.machine.state) && !held.machine.client_left);
         those
             .map(|(key, _)| key)
             .filter(|key| !self.is_offered(*key))
@@ -170,9 +171,9 @@
                 open.sort_by_key(|sess| self.rank(*sess));
             }
             let code = if exiting {
-                ReasonCode::Leaving
+                ReasonCode::ShuttingDown
             } else {
-                ReasonCode::Drained
+                ReasonCode::Draining
             };
             open.into_iter()
                 .take(advice.move_now)
@@ -181,9 +182,9 @@
         if advice.answer {
             let pending = self.sessions_of(|stage| stage != SessionState::Open);
             let word = if exiting {
-                SessionInput::GoingDown
+                SessionInput::ShutdownCutoff
             } else {
-                SessionInput::TurnedAway
+                SessionInput::DrainCutoff
             };
             pending.into_iter().for_each(|sess| self.input(sess, word));
         }
@@ -236,8 +237,8 @@
 
     fn rank(&self, sess: Key) -> u8 {
         let listener = self
-            .life(sess)
-            .map(|life| usize::from(life.arrival.listener));
+            .session_machine(sess)
+            .map(|life| usize::from(life.request.listener));
         match listener
             .and_then(|l| self.settings.deployment.listeners.get(l))
             .map(|l| l.retry_safety)
--- a/crates/proxy/src/routing/hot_restart.rs
+++ b/crates/proxy/src/routing/hot_restart.rs
@@ -2,7 +2,7 @@
 //! be said when stands in `asterramp_hot_restart`; this carries it out. Whatever goes wrong between them, each is whole:
 //! the younger binds the clients' address itself, and the elder leaves as at SIGTERM.
 
-use super::client::GREETING;
+use super::client::GREETING_TIMEOUT;
 use super::endpoints::MOST;
 use super::session_table::SessionSlot;
 use super::{
@@ -175,7 +175,7 @@
                 );
                 self.hot_restart.iter_mut().for_each(|kin| kin.door = door);
             }
-            Err(e) => self.log_event(ReasonCode::KinBad, format!("door error={e:?}")),
+            Err(e) => self.log_event(ReasonCode::HotRestartFailed, format!("door error={e:?}")),
         }
     }
 
@@ -231,7 +231,7 @@
             return;
         };
         if !socket::is_own_user(&fd) {
-            return self.log_event(ReasonCode::KinBad, "caller why=\"another user\"");
+            return self.log_event(ReasonCode::HotRestartFailed, "caller why=\"another user\"");
         }
         self.kin_input(HotRestartInput::Came, Some(fd), Vec::new());
     }
@@ -271,7 +271,7 @@
                     self.kin_input(HotRestartInput::Broke, None, with)
                 }
                 Err(why) => {
-                    self.log_event(ReasonCode::KinBad, format!("message why={why:?}"));
+                    self.log_event(ReasonCode::HotRestartFailed, format!("message why={why:?}"));
                     self.kin_input(HotRestartInput::Broke, None, with);
                 }
             }
@@ -280,7 +280,7 @@
 
     /// The other was silent for too long.
     pub(super) fn hot_restart_deadline(&mut self) {
-        self.log_event(ReasonCode::KinBad, "silent");
+        self.log_event(ReasonCode::HotRestartFailed, "silent");
         self.kin_input(HotRestartInput::Broke, None, Vec::new());
     }
 
@@ -333,7 +333,7 @@
                 });
             }
             HotRestartEffect::TurnAway => self.log_event(
-                ReasonCode::KinBad,
+                ReasonCode::HotRestartFailed,
                 "caller why=\"one replaces this already\"",
             ),
             HotRestartEffect::TellState => {
@@ -360,7 +360,7 @@
                 self.deadlines.clear(TimerKey::Listener);
                 let holds = Message::Holds(self.connections.len() as u32);
                 let about = format!("by another process, {} descriptors", self.connections.len());
-                self.log_event(ReasonCode::Followed, about);
+                self.log_event(ReasonCode::SuccessorServing, about);
                 if self.told_kin(&holds, &[]) {
                     self.continue_offers();
                 } else {
@@ -431,7 +431,7 @@
         link.into_iter().for_each(|key| drop(self.close(key)));
         self.deadlines.clear(TimerKey::HotRestart);
         self.log_event(
-            ReasonCode::KinParted,
+            ReasonCode::HotRestartEnded,
             format!(
                 "from={before:?} kept={} dropped={}",
                 kept.len(),
@@ -520,7 +520,8 @@
             conn.is_some_and(|conn| conn.stream.ended.is_none() && conn.stream.sent())
         };
         let (life, own) = (&held.machine, &held.driver_data);
-        let open = life.stage == LifeStage::Open && !life.left && own.farewell.is_none();
+        let open =
+            life.state == LifeStage::Open && !life.client_left && own.announced_end.is_none();
         open && clean(own.client) && clean(own.server) && !self.is_offered(sess)
     }
 
@@ -540,17 +541,18 @@
                 let due = self
                     .deadlines
                     .of(TimerKey::Session(sess))
-                    .filter(|_| held.driver_data.asked);
+                    .filter(|_| held.driver_data.awaiting_response);
                 // The other process is told when its client is to be moved, not when its server counts as quiet.
-                let waits = super::forwarding::rest(self.settings.connect_timeout);
-                let later = if held.driver_data.quiet {
+                let waits =
+                    super::forwarding::time_from_quiet_to_migration(self.settings.connect_timeout);
+                let later = if held.driver_data.server_quiet {
                     Duration::ZERO
                 } else {
                     waits
                 };
                 let pair = OpenConnection {
-                    line: held.driver_data.line.clone(),
-                    uid: self.endpoints.name(held.machine.to).into(),
+                    line: held.driver_data.request_line.clone(),
+                    uid: self.endpoints.name(held.machine.server).into(),
                     waits: due.map(|at| at.saturating_sub(self.now) + later),
                     client: bytes(client)?,
                     server: bytes(server)?,
@@ -563,18 +565,18 @@
     /// The younger has it: this process drops its own unread, which ends nothing.
     fn let_go(&mut self, offer: Offer) {
         match offer {
-            Offer::Stranger(key) => drop(self.let_out(key)),
+            Offer::Stranger(key) => drop(self.unregister(key)),
             Offer::Pair(sess) => {
-                self.count_event(ReasonCode::HandedOver);
+                self.count_event(ReasonCode::SessionHandedOver);
                 let (client, server) = (self.take_client(sess), self.take_server(sess));
                 [client, server]
                     .into_iter()
                     .flatten()
-                    .for_each(|key| drop(self.let_out(key)));
+                    .for_each(|key| drop(self.unregister(key)));
                 let load = asterramp_placement::event::Load::default();
                 self.input(
                     sess,
-                    super::SessionInput::Closed {
+                    super::SessionInput::SessionClosed {
                         outcome: Outcome::CalledOff,
                         load,
                     },
@@ -598,13 +600,13 @@
             Offer::Stranger(key) => {
                 watch(self, key);
                 self.deadlines
-                    .set(TimerKey::Connection(key), self.now + GREETING);
+                    .set(TimerKey::Connection(key), self.now + GREETING_TIMEOUT);
                 self.read_greeting(key);
             }
             Offer::Pair(sess) => {
                 let keys = self
-                    .own(sess)
-                    .map(|own| (own.client, own.server, own.asked));
+                    .session_mut(sess)
+                    .map(|own| (own.client, own.server, own.awaiting_response));
                 let Some((client, server, asked)) = keys else {
                     return;
                 };
@@ -615,9 +617,11 @@
                 if asked {
                     self.deadlines.set(
                         TimerKey::Session(sess),
-                        self.now + super::forwarding::SILENCE,
+                        self.now + super::forwarding::RESPONSE_TIMEOUT,
                     );
-                    self.own(sess).into_iter().for_each(|own| own.quiet = true);
+                    self.session_mut(sess)
+                        .into_iter()
+                        .for_each(|own| own.server_quiet = true);
                 }
                 self.forward(sess);
             }
@@ -648,7 +652,7 @@
                 found.into_iter().for_each(|found| self.adopt(found));
             }
             Err(why) => {
-                self.log_event(ReasonCode::KinBad, format!("offer why={why:?}"));
+                self.log_event(ReasonCode::HotRestartFailed, format!("offer why={why:?}"));
                 self.kin_input(HotRestartInput::Broke, None, Vec::new());
             }
         }
@@ -671,7 +675,7 @@
                     return;
                 };
                 self.deadlines
-                    .set(TimerKey::Connection(key), self.now + GREETING);
+                    .set(TimerKey::Connection(key), self.now + GREETING_TIMEOUT);
                 self.read_greeting(key);
             }
             Found::Pair(pair) => {
@@ -683,27 +687,27 @@
                     waits,
                 } = *pair;
                 self.session_ids.insert(own.id().to_string());
-                let asked = own.asked;
-                let sess = self.session_table.adopt(self.now, life, own);
+                let asked = own.awaiting_response;
+                let sess = self.session_table.inherit_session(self.now, life, own);
                 let client = self.register_stream(client.0, ConnectionRole::Client(sess), client.1);
                 let server = self.register_stream(server.0, ConnectionRole::Server(sess), server.1);
-                if let Some(own) = self.own(sess) {
+                if let Some(own) = self.session_mut(sess) {
                     (own.client, own.server) = (client, server);
                 }
-                self.count_event(ReasonCode::Adopted);
+                self.count_event(ReasonCode::SessionAdopted);
                 if client.is_none() || server.is_none() {
                     // A socket that cannot be watched is closed already; the session must not stay behind.
                     [client, server]
                         .into_iter()
                         .flatten()
                         .for_each(|key| drop(self.close(key)));
-                    self.own(sess)
+                    self.session_mut(sess)
                         .into_iter()
                         .for_each(|own| (own.client, own.server) = (None, None));
                     let load = asterramp_placement::event::Load::default();
                     return self.input(
                         sess,
-                        super::SessionInput::Closed {
+                        super::SessionInput::SessionClosed {
                             outcome: Outcome::Reset,
                             load,
                         },
@@ -736,8 +740,8 @@
                 let Some(Ok(Greeting::Open(open))) = text.map(greeting) else {
                     return Err("its first line is none");
                 };
-                let (listener, member) =
-                    super::client::places(&self.settings, &open).ok_or("a name is unknown")?;
+                let (listener, member) = super::client::listener_and_tenant(&self.settings, &open)
+                    .ok_or("a name is unknown")?;
                 let server = self
                     .endpoints
                     .find(&pair.uid)
@@ -749,12 +753,12 @@
                 let own = Session {
                     client: None,
                     server: None,
-                    line: pair.line.clone(),
+                    request_line: pair.line.clone(),
                     wait_at: open.wait_at.clone(),
                     open_at: None,
-                    asked: pair.waits.is_some(),
-                    quiet: true,
-                    farewell: None,
+                    awaiting_response: pair.waits.is_some(),
+                    server_quiet: true,
+                    announced_end: None,
                 };
                 let life =
                     SessionMachine::open(self.now, arrival, server, self.settings.connect_timeout);
--- a/crates/proxy/src/routing/metrics.rs
+++ b/crates/proxy/src/routing/metrics.rs
@@ -11,14 +11,14 @@
     /// Brought up; also one that was open before this proxy started, once it is up again.
     Success,
     /// Refused.
-    Busy,
+    Rejected,
     /// Torn down, or its client left or spoke before it was answered.
     Failure,
 }
 
 const ENDS: [(SessionEnd, &str); 3] = [
     (SessionEnd::Success, "success"),
-    (SessionEnd::Busy, "busy"),
+    (SessionEnd::Rejected, "busy"),
     (SessionEnd::Failure, "failure"),
 ];
 
@@ -48,11 +48,11 @@
         }
     }
 
-    pub fn ended(&mut self, listener: u8, end: SessionEnd) {
+    pub fn count_session_end(&mut self, listener: u8, end: SessionEnd) {
         self.ends[usize::from(listener)][end as usize] += 1;
     }
 
-    pub fn written(&mut self) {
+    pub fn count_attempt(&mut self) {
         self.attempts += 1;
     }
 
@@ -84,7 +84,7 @@
 }
 
 /// What is made of places: 1 for the state that each is in, and the alarms that were none; nothing where there is one place.
-pub fn places_text<'a>(places: impl Iterator<Item = (&'a String, &'a Zone)>) -> String {
+pub fn zones_text<'a>(places: impl Iterator<Item = (&'a String, &'a Zone)>) -> String {
     let mut text = String::new();
     for (name, place) in places {
         let (place_name, state) = (escaped(name), place.state.name());
@@ -103,7 +103,7 @@
 }
 
 /// Who was refused for want of room, and why; nothing while nobody was.
-pub fn room_text<'a>(
+pub fn load_shed_text<'a>(
     counts: impl Iterator<Item = (&'a String, &'a [u64; RejectReason::ALL.len()])>,
 ) -> String {
     let mut text = String::new();
@@ -124,7 +124,7 @@
 }
 
 /// How far a start has come, and what was kept for the next; nothing where neither is wanted.
-pub fn start_text(start: Option<&WarmStart>, kept: Option<(u64, u64)>) -> String {
+pub fn warm_start_text(start: Option<&WarmStart>, kept: Option<(u64, u64)>) -> String {
     let mut text = String::new();
     if let Some(start) = start {
         let _ = writeln!(
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -37,7 +37,7 @@
 use hot_restart::{HotRestartLink, InheritedListener};
 use metrics::Metrics;
 use peers::Peers;
-use report::{ReasonCode, Report};
+use report::{ReasonCode, RouterEvent};
 use rustix::fd::OwnedFd;
 use session_state::{FinalAnswer, SessionEffect, SessionInput, SessionMachine, SessionState};
 use session_table::{SessionSlot, SessionTable, SessionTask};
@@ -145,16 +145,16 @@
 struct Session {
     client: Option<Key>,
     server: Option<Key>,
-    line: Vec<u8>,
+    request_line: Vec<u8>,
     wait_at: std::ops::Range<usize>,
     /// Where it was open before this proxy started.
     open_at: Option<String>,
     /// The client has sent a line that the server has not answered yet.
-    asked: bool,
+    awaiting_response: bool,
     /// It has left that line for longer than one that lives does.
-    quiet: bool,
+    server_quiet: bool,
     /// What the server said of the end.
-    farewell: Option<(Outcome, Load)>,
+    announced_end: Option<(Outcome, Load)>,
 }
 
 /// What a proxy starts from.
@@ -192,7 +192,7 @@
     /// Whether clients and the front are let in.
     serving: bool,
     deadlines: Deadlines<TimerKey>,
-    pub log_events: Vec<Report>,
+    pub log_events: Vec<RouterEvent>,
     now: Duration,
     drain: Drain,
     /// Who is let in while room is short.
@@ -274,8 +274,9 @@
         let named = |key: &str, at: SocketAddr, e: io::Error| {
             io::Error::new(e.kind(), format!("{key}: {at}: {e}"))
         };
-        why.into_iter()
-            .for_each(|why| router.log_event(ReasonCode::KinBad, format!("elder why={why:?}")));
+        why.into_iter().for_each(|why| {
+            router.log_event(ReasonCode::HotRestartFailed, format!("elder why={why:?}"))
+        });
         let (door, link, list) = match estate {
             Some(estate) => (estate.door, Some(estate.link), Some(estate.list)),
             None => {
@@ -446,7 +447,7 @@
                     ConnectionRole::AdminHttp { answered } => {
                         self.admin_http_ready(event.key, answered)
                     }
-                    _ => self.lingered(event.key),
+                    _ => self.lingering_ready(event.key),
                 }
             }
         }
@@ -510,14 +511,14 @@
         self.session_table.event(self.now, event);
     }
 
-    fn life(&self, sess: Key) -> Option<&SessionMachine> {
+    fn session_machine(&self, sess: Key) -> Option<&SessionMachine> {
         self.session_table
             .sessions
             .get(sess)
             .map(|held| &held.machine)
     }
 
-    fn own(&mut self, sess: Key) -> Option<&mut Session> {
+    fn session_mut(&mut self, sess: Key) -> Option<&mut Session> {
         self.session_table
             .sessions
             .get_mut(sess)
@@ -526,23 +527,25 @@
 
     /// Carries out what there is to do, until there is no more.
     fn run_tasks(&mut self) {
-        while let Some(task) = self.session_table.task() {
+        while let Some(task) = self.session_table.next_task() {
             match task {
                 SessionTask::Probe(server) => self.probe(server),
-                SessionTask::Subscribe => self.connect_watch(),
-                SessionTask::Turned((place, state, why)) => {
+                SessionTask::PollEndpoints => self.connect_watch(),
+                SessionTask::ZoneChanged((place, state, why)) => {
                     let name = self
                         .settings
                         .zones
                         .get(usize::from(place))
                         .map_or("-", |name| name.as_str());
                     self.log_event(
-                        ReasonCode::Place,
+                        ReasonCode::ZoneStateChanged,
                         format!("place={name} state={} why={why:?}", state.name()),
                     );
                 }
-                SessionTask::Wake(after) => self.deadlines.set(TimerKey::Tick, self.now + after),
-                SessionTask::For(sess, effect) => self.carry_out(sess, effect),
+                SessionTask::SetTimer(after) => {
+                    self.deadlines.set(TimerKey::Tick, self.now + after)
+                }
+                SessionTask::Session(sess, effect) => self.carry_out(sess, effect),
             }
         }
     }
@@ -550,61 +553,64 @@
     fn carry_out(&mut self, sess: Key, effect: SessionEffect) {
         match effect {
             SessionEffect::Connect { server } => self.dial(sess, server),
-            SessionEffect::Ask { wait } => self.send_request_line(sess, wait),
-            SessionEffect::Close => {
+            SessionEffect::SendRequest { wait } => self.send_request_line(sess, wait),
+            SessionEffect::CloseServer => {
                 let server = self.take_server(sess);
                 server.into_iter().for_each(|key| drop(self.close(key)));
             }
-            SessionEffect::Watch(Some(at)) => self.deadlines.set(TimerKey::Session(sess), at),
-            SessionEffect::Watch(None) => self.deadlines.clear(TimerKey::Session(sess)),
-            SessionEffect::Answer(FinalAnswer::Busy(come_back)) => {
-                self.answer_client(sess, refusal(come_back).as_bytes(), ReasonCode::Refused);
+            SessionEffect::SetDeadline(Some(at)) => self.deadlines.set(TimerKey::Session(sess), at),
+            SessionEffect::SetDeadline(None) => self.deadlines.clear(TimerKey::Session(sess)),
+            SessionEffect::AnswerClient(FinalAnswer::Rejected(come_back)) => {
+                self.answer_client(sess, refusal(come_back).as_bytes(), ReasonCode::Rejected);
             }
-            SessionEffect::Answer(FinalAnswer::Failed(code)) => {
+            SessionEffect::AnswerClient(FinalAnswer::Failed(code)) => {
                 self.answer_client(sess, FAILED, code)
             }
-            SessionEffect::Drop => {
+            SessionEffect::DropClient => {
                 let client = self.take_client(sess);
                 if let Some(key) = client {
-                    self.ended(sess, metrics::SessionEnd::Failure);
+                    self.count_session_end(sess, metrics::SessionEnd::Failure);
                     self.close(key);
                 }
             }
-            SessionEffect::Pass => self.forward(sess),
-            SessionEffect::SendAway => self.migrate(sess, ReasonCode::Relieved),
+            SessionEffect::StartForwarding => self.forward(sess),
+            SessionEffect::Migrate => self.migrate(sess, ReasonCode::Rebalanced),
             SessionEffect::Restore => self.restore(sess),
             SessionEffect::Forget => self.forget(sess),
             SessionEffect::Log(code) => self.log_session_end(sess, code),
             SessionEffect::Count(code) => {
-                if matches!(code, ReasonCode::Up | ReasonCode::Restored) {
-                    self.ended(sess, metrics::SessionEnd::Success);
+                if matches!(
+                    code,
+                    ReasonCode::SessionOpened | ReasonCode::SessionRestored
+                ) {
+                    self.count_session_end(sess, metrics::SessionEnd::Success);
                 }
                 self.count_event(code);
             }
             // The exchange has told it.
-            SessionEffect::Tell(_) => {}
+            SessionEffect::Notify(_) => {}
         }
     }
 
     /// A session has come to its one end, as its client sees it.
-    fn ended(&mut self, sess: Key, end: metrics::SessionEnd) {
-        let listener = self.life(sess).map(|life| life.arrival.listener);
+    fn count_session_end(&mut self, sess: Key, end: metrics::SessionEnd) {
+        let listener = self.session_machine(sess).map(|life| life.request.listener);
         listener
             .into_iter()
-            .for_each(|listener| self.metrics.ended(listener, end));
+            .for_each(|listener| self.metrics.count_session_end(listener, end));
     }
 
     /// Parts a session from its client's connection. A server's that stays behind holds one descriptor, where
     /// the two held two, as a client alone does.
     fn take_client(&mut self, sess: Key) -> Option<Key> {
-        let own = self.own(sess)?;
+        let own = self.session_mut(sess)?;
         let (client, alone) = (own.client.take(), own.server.is_some());
         self.connection_counts.lone += usize::from(client.is_some() && alone);
         client
     }
 
     fn take_server(&mut self, sess: Key) -> Option<Key> {
-        let own = self.own(sess)?;
+        let own = self.session_mut(sess)?;
         let (server, alone) = (own.server.take(), own.client.is_none());
         self.connection_counts.lone -= usize::from(server.is_some() && alone);
         server
@@ -658,7 +664,7 @@
     /// another process may have it: that one is to read it, and this one's close ends nothing.
     fn close(&mut self, key: Key) -> Option<Stream> {
         let lent = self.is_on_offer(key);
-        let (role, mut stream) = self.let_out(key)?;
+        let (role, mut stream) = self.unregister(key)?;
         let theirs = matches!(
             role,
             ConnectionRole::PendingClient
@@ -673,7 +679,7 @@
     }
 
     /// Takes a connection out of the tables as it is.
-    fn let_out(&mut self, key: Key) -> Option<(ConnectionRole, Stream)> {
+    fn unregister(&mut self, key: Key) -> Option<(ConnectionRole, Stream)> {
         self.deadlines.clear(TimerKey::Connection(key));
         let conn = self.connections.remove(key)?;
         self.connection_counts.change(Some(conn.role), None);
@@ -701,7 +707,7 @@
     }
 
     /// Watches for what a connection that waits for its own texts and answers can do next.
-    fn want_own(&mut self, key: Key) {
+    fn watch_own_io(&mut self, key: Key) {
         if let Some(conn) = self.connections.get(key) {
             self.set_interest(
                 key,
@@ -722,11 +728,11 @@
             self.set_role(key, ConnectionRole::Lingering { discarded: 0 });
             self.deadlines
                 .set(TimerKey::Connection(key), self.now + LINGER);
-            self.lingered(key);
+            self.lingering_ready(key);
         }
     }
 
-    fn lingered(&mut self, key: Key) {
+    fn lingering_ready(&mut self, key: Key) {
         let Some(conn) = self.connections.get_mut(key) else {
             return;
         };
@@ -744,14 +750,14 @@
         if conn.stream.sent() {
             conn.stream.end_sending();
         }
-        self.want_own(key);
+        self.watch_own_io(key);
     }
 
     fn count_event(&mut self, code: ReasonCode) {
-        self.log_events.push(Report::Count(code));
+        self.log_events.push(RouterEvent::Count(code));
     }
 
     fn log_event(&mut self, code: ReasonCode, about: impl Into<String>) {
-        self.log_events.push(Report::Line(code, about.into()));
+        self.log_events.push(RouterEvent::Log(code, about.into()));
     }
 }
--- a/crates/proxy/src/routing/peers.rs
+++ b/crates/proxy/src/routing/peers.rs
@@ -146,7 +146,7 @@
             *asked = true;
             let call = format!("GET {PATH} HTTP/1.1\r\nHost: proxy\r\n\r\n");
             conn.stream.send(&[call.as_bytes()]);
-            return self.want_own(event.key);
+            return self.watch_own_io(event.key);
         }
         conn.stream.fill(event.broken);
         let bytes = conn.stream.inbound.bytes();
@@ -157,7 +157,7 @@
             return self.peer_closed(event.key, "its answer is too long");
         }
         if !ended {
-            return self.want_own(event.key);
+            return self.watch_own_io(event.key);
         }
         let text = std::mem::take(text);
         match known(&text, &self.peers.others.fleet) {
@@ -174,7 +174,7 @@
         self.peers.out.retain(|out| out.0 != key);
         self.close(key);
         if !why.is_empty() {
-            self.log_event(ReasonCode::PeerBad, format!("peer why={why:?}"));
+            self.log_event(ReasonCode::PeerFailed, format!("peer why={why:?}"));
         }
         if self.peers.out.is_empty() {
             self.heard_others();
@@ -183,7 +183,7 @@
 
     fn told_by_other(&mut self, known: Known) {
         let now = self.now;
-        self.count_event(ReasonCode::PeerHeard);
+        self.count_event(ReasonCode::PeerAnswered);
         for host in known.hosts {
             // What it says of ages is by its own clock only as far as they are spans.
             let at = now.checked_sub(Duration::from_millis(host.age_ms));
--- a/crates/proxy/src/routing/probe.rs
+++ b/crates/proxy/src/routing/probe.rs
@@ -87,8 +87,8 @@
             TimerKey::Connection(key),
             self.now + self.settings.connect_timeout * 2,
         );
-        self.count_event(ReasonCode::Probed);
-        self.want_own(key);
+        self.count_event(ReasonCode::ProbeSent);
+        self.watch_own_io(key);
     }
 
     pub(super) fn probe_ready(&mut self, server: ServerId, stage: ProbeStage, event: Ready) {
@@ -113,7 +113,7 @@
         }
         let (text, n) = match found {
             Ok(Some(line)) => line,
-            Ok(None) if !ended => return self.want_own(event.key),
+            Ok(None) if !ended => return self.watch_own_io(event.key),
             // A probe has no effect, and that its connection was ended at rest tells nothing of its server.
             Ok(None) if stage == ProbeStage::AskedAgain => {
                 self.close_probe(server, event.key);
--- a/crates/proxy/src/routing/session_state.rs
+++ b/crates/proxy/src/routing/session_state.rs
@@ -14,16 +14,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SessionState {
     /// No dial is out.
-    Waiting,
+    Idle,
     Connecting,
     /// The connection is up and the line is being written.
-    Asked,
+    SendingRequest,
     /// Its last byte is written: it may run.
-    Sent,
+    AwaitingAnswer,
     /// Lines pass.
     Open,
     /// Answered, or its open connection has ended.
-    Over,
+    Ended,
 }
 
 /// What happens to a session. What speaks of its dial names it, so that a late word of an older one is known.
@@ -32,16 +32,16 @@
     /// The module's word, or, for a session that was open before, where it goes back to.
     Dial {
         server: ServerId,
-        time_out: Duration,
+        timeout: Duration,
         /// How long the line may take to be written, or nothing of it is.
-        within: Duration,
+        write_within: Duration,
     },
-    CallOff,
-    Refuse {
-        come_back: Duration,
+    Cancel,
+    Reject {
+        retry_after: Duration,
     },
-    TearDown,
-    Move,
+    Fail,
+    Migrate,
     /// The dial: there was no socket for it; it was refused or never came up; it is up; its line is written
     /// to the last byte; its server said that it is up, or something that ends it; its connection ended.
     NoSocket {
@@ -53,40 +53,40 @@
     Connected {
         dial: u8,
     },
-    Written {
+    RequestWritten {
         dial: u8,
     },
-    Up {
+    ServerAccepted {
         dial: u8,
     },
-    Said {
+    ServerDeclined {
         dial: u8,
         outcome: Outcome,
         load: Load,
     },
-    Ended {
+    ServerEnded {
         dial: u8,
     },
     /// The deadline that was watched for.
-    Due,
+    DeadlineReached,
     /// The client ended its side, or spoke before it was answered.
-    Left,
-    Spoke,
+    ClientLeft,
+    ClientSpoke,
     /// The open connection is over on both sides.
-    Closed {
+    SessionClosed {
         outcome: Outcome,
         load: Load,
     },
     /// The proxy waits no longer, and ends.
-    GoingDown,
+    ShutdownCutoff,
     /// The proxy waits no longer, and serves on: the module must hear of it, or it would keep the session's place.
-    TurnedAway,
+    DrainCutoff,
 }
 
 /// The final answer that a client is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    Busy(Duration),
+    Rejected(Duration),
     Failed(ReasonCode),
 }
 
@@ -97,20 +97,20 @@
         server: ServerId,
     },
     /// Write the line, with the wait that this dial has; unchanged for one that was open before.
-    Ask {
+    SendRequest {
         wait: Option<Duration>,
     },
     /// Close the dial's connection, before anything else is done for the session.
-    Close,
+    CloseServer,
     /// Call `Due` at that time; not any more.
-    Watch(Option<Duration>),
-    Answer(FinalAnswer),
+    SetDeadline(Option<Duration>),
+    AnswerClient(FinalAnswer),
     /// The client is gone: close its connection.
-    Drop,
+    DropClient,
     /// Pass lines from now on.
-    Pass,
+    StartForwarding,
     /// Ask the client of an open connection to come again, and end both sides.
-    SendAway,
+    Migrate,
     /// Ask where it was open, and dial there again.
     Restore,
     /// Nothing more is known of it.
@@ -118,27 +118,27 @@
     Log(ReasonCode),
     Count(ReasonCode),
     /// The module hears.
-    Tell(Event),
+    Notify(Event),
 }
 
 #[derive(Clone, Debug)]
 pub struct SessionMachine {
-    pub stage: SessionState,
-    pub arrival: SessionRequest,
-    pub arrived: Duration,
+    pub state: SessionState,
+    pub request: SessionRequest,
+    pub requested_at: Duration,
     pub dials: u8,
-    pub to: ServerId,
-    pub dial_ends: Duration,
+    pub server: ServerId,
+    pub dial_deadline: Duration,
     /// From when on the present dial's line is not written any more.
-    pub write_by: Duration,
+    pub write_deadline: Duration,
     /// The client is there and not answered.
-    pub present: bool,
+    pub client_waiting: bool,
     /// The client has ended its side.
-    pub left: bool,
+    pub client_left: bool,
     /// It was open before this proxy started.
     pub restored: bool,
     /// Longest that a connection may take to come up.
-    connect_within: Duration,
+    connect_timeout: Duration,
 }
 
 /// An input without its figures, and told apart by what it meets.
@@ -198,7 +198,7 @@
     TransitionEffect::Unask,
 ];
 const UNASKED_BAD: &[TransitionEffect] = &[
-    TransitionEffect::Depart(ReasonCode::ClientBad),
+    TransitionEffect::Depart(ReasonCode::ClientProtocolError),
     TransitionEffect::TellLeft,
     TransitionEffect::Unask,
 ];
@@ -206,132 +206,132 @@
 /// Stage, input, next stage, what is done. What is not listed is late or stray, and ignored.
 const TABLE: &[(SessionState, InputKind, SessionState, &[TransitionEffect])] = &[
     (
-        SessionState::Waiting,
+        SessionState::Idle,
         InputKind::Dial,
         SessionState::Connecting,
         &[TransitionEffect::Begin],
     ),
     (
-        SessionState::Waiting,
+        SessionState::Idle,
         InputKind::Refuse,
-        SessionState::Over,
+        SessionState::Ended,
         &[TransitionEffect::Refuse],
     ),
     (
-        SessionState::Waiting,
+        SessionState::Idle,
         InputKind::TearDown,
-        SessionState::Over,
+        SessionState::Ended,
         &[TransitionEffect::TearDown],
     ),
     (
-        SessionState::Waiting,
+        SessionState::Idle,
         InputKind::Due,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::Restore],
     ),
     (
-        SessionState::Waiting,
+        SessionState::Idle,
         InputKind::NoSocket,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::Fail(Outcome::NeverSent)],
     ),
     (
         SessionState::Connecting,
         InputKind::NoSocket,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::Fail(Outcome::NeverSent)],
     ),
     (
         SessionState::Connecting,
         InputKind::Unreachable,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::Fail(Outcome::Unreachable)],
     ),
     (
         SessionState::Connecting,
         InputKind::Due,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::Fail(Outcome::Unreachable)],
     ),
     (
         SessionState::Connecting,
         InputKind::CallOff,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::Fail(Outcome::CalledOff)],
     ),
     (
         SessionState::Connecting,
         InputKind::Connected,
-        SessionState::Asked,
+        SessionState::SendingRequest,
         &[TransitionEffect::Ask],
     ),
     (
-        SessionState::Asked,
+        SessionState::SendingRequest,
         InputKind::Written,
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         &[],
     ),
     // The line's last byte was never written.
     (
-        SessionState::Asked,
+        SessionState::SendingRequest,
         InputKind::Ended,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::Fail(Outcome::Unreachable)],
     ),
     (
-        SessionState::Asked,
+        SessionState::SendingRequest,
         InputKind::Due,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::Fail(Outcome::Unreachable)],
     ),
     (
-        SessionState::Asked,
+        SessionState::SendingRequest,
         InputKind::CallOff,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::Fail(Outcome::CalledOff)],
     ),
     // The client had gone before the line's first byte was written.
     (
-        SessionState::Asked,
+        SessionState::SendingRequest,
         InputKind::NoSocket,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::Fail(Outcome::NeverSent)],
     ),
     (
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         InputKind::Up,
         SessionState::Open,
         &[TransitionEffect::ComeUp],
     ),
     // A client that left while its dial could not be called off.
     (
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         InputKind::UpAlone,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::Fail(Outcome::Ok)],
     ),
     (
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         InputKind::Said,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::FailAsSaid],
     ),
     (
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         InputKind::Ended,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::Fail(Outcome::Reset)],
     ),
     (
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         InputKind::Due,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::Fail(Outcome::TimedOut)],
     ),
     (
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         InputKind::CallOff,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::Fail(Outcome::CalledOff)],
     ),
     (
@@ -349,13 +349,13 @@
     (
         SessionState::Open,
         InputKind::Closed,
-        SessionState::Over,
+        SessionState::Ended,
         &[TransitionEffect::TellEnd],
     ),
     (
-        SessionState::Waiting,
+        SessionState::Idle,
         InputKind::Left,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[
             TransitionEffect::Depart(ReasonCode::ClientLeft),
             TransitionEffect::TellLeft,
@@ -364,19 +364,19 @@
     (
         SessionState::Connecting,
         InputKind::Left,
-        SessionState::Waiting,
+        SessionState::Idle,
         UNASKED_LEFT,
     ),
     (
-        SessionState::Asked,
+        SessionState::SendingRequest,
         InputKind::Left,
-        SessionState::Waiting,
+        SessionState::Idle,
         UNASKED_LEFT,
     ),
     (
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         InputKind::Left,
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         &[
             TransitionEffect::Depart(ReasonCode::ClientLeft),
             TransitionEffect::TellLeft,
@@ -384,45 +384,45 @@
     ),
     // It was to wait for its answer: what it says would reach its server unasked.
     (
-        SessionState::Waiting,
+        SessionState::Idle,
         InputKind::Spoke,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[
-            TransitionEffect::Depart(ReasonCode::ClientBad),
+            TransitionEffect::Depart(ReasonCode::ClientProtocolError),
             TransitionEffect::TellLeft,
         ],
     ),
     (
         SessionState::Connecting,
         InputKind::Spoke,
-        SessionState::Waiting,
+        SessionState::Idle,
         UNASKED_BAD,
     ),
     (
-        SessionState::Asked,
+        SessionState::SendingRequest,
         InputKind::Spoke,
-        SessionState::Waiting,
+        SessionState::Idle,
         UNASKED_BAD,
     ),
     (
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         InputKind::Spoke,
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         &[
-            TransitionEffect::Depart(ReasonCode::ClientBad),
+            TransitionEffect::Depart(ReasonCode::ClientProtocolError),
             TransitionEffect::TellLeft,
         ],
     ),
     (
-        SessionState::Waiting,
+        SessionState::Idle,
         InputKind::TurnedAway,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[TransitionEffect::TurnAway, TransitionEffect::TellLeft],
     ),
     (
         SessionState::Connecting,
         InputKind::TurnedAway,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[
             TransitionEffect::TurnAway,
             TransitionEffect::TellLeft,
@@ -430,9 +430,9 @@
         ],
     ),
     (
-        SessionState::Asked,
+        SessionState::SendingRequest,
         InputKind::TurnedAway,
-        SessionState::Waiting,
+        SessionState::Idle,
         &[
             TransitionEffect::TurnAway,
             TransitionEffect::TellLeft,
@@ -440,15 +440,15 @@
         ],
     ),
     (
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         InputKind::TurnedAway,
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         &[TransitionEffect::TurnAway, TransitionEffect::TellLeft],
     ),
     (
-        SessionState::Waiting,
+        SessionState::Idle,
         InputKind::Unknown,
-        SessionState::Over,
+        SessionState::Ended,
         &[
             TransitionEffect::Depart(ReasonCode::ClientLeft),
             TransitionEffect::Forget,
@@ -457,52 +457,52 @@
     (
         SessionState::Connecting,
         InputKind::Unknown,
-        SessionState::Over,
+        SessionState::Ended,
         &[
             TransitionEffect::Depart(ReasonCode::ClientLeft),
             TransitionEffect::Forget,
         ],
     ),
     (
-        SessionState::Asked,
+        SessionState::SendingRequest,
         InputKind::Unknown,
-        SessionState::Over,
+        SessionState::Ended,
         &[
             TransitionEffect::Depart(ReasonCode::ClientLeft),
             TransitionEffect::Forget,
         ],
     ),
     (
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         InputKind::Unknown,
-        SessionState::Over,
+        SessionState::Ended,
         &[
             TransitionEffect::Depart(ReasonCode::ClientLeft),
             TransitionEffect::Forget,
         ],
     ),
     (
-        SessionState::Waiting,
+        SessionState::Idle,
         InputKind::GoingDown,
-        SessionState::Over,
+        SessionState::Ended,
         &[TransitionEffect::GoDown],
     ),
     (
         SessionState::Connecting,
         InputKind::GoingDown,
-        SessionState::Over,
+        SessionState::Ended,
         &[TransitionEffect::GoDown],
     ),
     (
-        SessionState::Asked,
+        SessionState::SendingRequest,
         InputKind::GoingDown,
-        SessionState::Over,
+        SessionState::Ended,
         &[TransitionEffect::GoDown],
     ),
     (
-        SessionState::Sent,
+        SessionState::AwaitingAnswer,
         InputKind::GoingDown,
-        SessionState::Over,
+        SessionState::Ended,
         &[TransitionEffect::GoDown],
     ),
 ];
@@ -510,17 +510,17 @@
 /// Outcome, whether it proves that the dial never ran, code.
 const ENDS: &[(Outcome, bool, Option<ReasonCode>)] = &[
     (Outcome::Ok, false, None),
-    (Outcome::Erred, false, Some(ReasonCode::DialErred)),
-    (Outcome::Full, true, Some(ReasonCode::DialFull)),
-    (Outcome::TimedOut, false, Some(ReasonCode::DialTimedOut)),
+    (Outcome::Erred, false, Some(ReasonCode::AttemptErred)),
+    (Outcome::Full, true, Some(ReasonCode::AttemptServerFull)),
+    (Outcome::TimedOut, false, Some(ReasonCode::AttemptTimedOut)),
     (
         Outcome::Unreachable,
         true,
-        Some(ReasonCode::DialUnreachable),
+        Some(ReasonCode::AttemptUnreachable),
     ),
-    (Outcome::Reset, false, Some(ReasonCode::DialReset)),
-    (Outcome::CalledOff, false, Some(ReasonCode::DialCalledOff)),
-    (Outcome::NeverSent, true, Some(ReasonCode::DialUnsent)),
+    (Outcome::Reset, false, Some(ReasonCode::AttemptReset)),
+    (Outcome::CalledOff, false, Some(ReasonCode::AttemptCanceled)),
+    (Outcome::NeverSent, true, Some(ReasonCode::AttemptNotSent)),
 ];
 
 impl SessionMachine {
@@ -531,17 +531,17 @@
         connect_within: Duration,
     ) -> SessionMachine {
         SessionMachine {
-            stage: SessionState::Waiting,
-            arrival,
-            arrived: now,
+            state: SessionState::Idle,
+            request: arrival,
+            requested_at: now,
             dials: 0,
-            to: 0,
-            dial_ends: now,
-            write_by: now,
-            present: true,
-            left: false,
+            server: 0,
+            dial_deadline: now,
+            write_deadline: now,
+            client_waiting: true,
+            client_left: false,
             restored,
-            connect_within,
+            connect_timeout: connect_within,
         }
     }
 
@@ -553,9 +553,9 @@
         connect_within: Duration,
     ) -> SessionMachine {
         SessionMachine {
-            stage: SessionState::Open,
+            state: SessionState::Open,
             dials: 1,
-            to,
+            server: to,
             ..SessionMachine::new(now, arrival, false, connect_within)
         }
     }
@@ -567,7 +567,7 @@
 
     /// Until when one that was open before is tried again.
     pub fn restored_until(&self) -> Duration {
-        self.arrived + RESTORED
+        self.requested_at + RESTORED
     }
 
     pub fn step(&mut self, now: Duration, input: SessionInput, out: &mut Vec<SessionEffect>) {
@@ -575,24 +575,24 @@
             return;
         };
         let late_up = is_injected(InjectedFault::LateUpBelieved) && word == InputKind::Up;
-        let stage = if late_up && self.stage != SessionState::Over {
-            SessionState::Sent
+        let stage = if late_up && self.state != SessionState::Ended {
+            SessionState::AwaitingAnswer
         } else {
-            self.stage
+            self.state
         };
         let Some(row) = TABLE.iter().find(|row| row.0 == stage && row.1 == word) else {
             return;
         };
         if is_injected(InjectedFault::NoSocketUntold) && word == InputKind::NoSocket {
-            self.stage = SessionState::Waiting;
-            return out.extend([SessionEffect::Close, SessionEffect::Watch(None)]);
+            self.state = SessionState::Idle;
+            return out.extend([SessionEffect::CloseServer, SessionEffect::SetDeadline(None)]);
         }
         if is_injected(InjectedFault::CallOffKept)
-            && (stage, word) == (SessionState::Sent, InputKind::CallOff)
+            && (stage, word) == (SessionState::AwaitingAnswer, InputKind::CallOff)
         {
             return;
         }
-        self.stage =
+        self.state =
             if is_injected(InjectedFault::GoneAsked) && row.3.contains(&TransitionEffect::Unask) {
                 stage
             } else {
@@ -609,23 +609,25 @@
         };
         match input {
             SessionInput::Dial { .. } => Some(InputKind::Dial),
-            SessionInput::CallOff => Some(InputKind::CallOff),
-            SessionInput::Refuse { .. } => Some(InputKind::Refuse),
-            SessionInput::TearDown => Some(InputKind::TearDown),
-            SessionInput::Move => Some(InputKind::Move),
+            SessionInput::Cancel => Some(InputKind::CallOff),
+            SessionInput::Reject { .. } => Some(InputKind::Refuse),
+            SessionInput::Fail => Some(InputKind::TearDown),
+            SessionInput::Migrate => Some(InputKind::Move),
             SessionInput::NoSocket { dial } => of(dial, InputKind::NoSocket),
             SessionInput::Unreachable { dial } => of(dial, InputKind::Unreachable),
             // What came up too late for its line has met nobody: nothing is sent.
-            SessionInput::Connected { dial } if now >= self.write_by => {
+            SessionInput::Connected { dial } if now >= self.write_deadline => {
                 of(dial, InputKind::NoSocket)
             }
-            SessionInput::Due if self.stage == SessionState::Connecting && now >= self.write_by => {
+            SessionInput::DeadlineReached
+                if self.state == SessionState::Connecting && now >= self.write_deadline =>
+            {
                 Some(InputKind::NoSocket)
             }
             SessionInput::Connected { dial } => of(dial, InputKind::Connected),
-            SessionInput::Written { dial } => of(dial, InputKind::Written),
-            SessionInput::Up { dial } => {
-                let served = self.present || is_injected(InjectedFault::OpensAlone);
+            SessionInput::RequestWritten { dial } => of(dial, InputKind::Written),
+            SessionInput::ServerAccepted { dial } => {
+                let served = self.client_waiting || is_injected(InjectedFault::OpensAlone);
                 of(
                     dial,
                     if served {
@@ -635,21 +637,21 @@
                     },
                 )
             }
-            SessionInput::Said { dial, .. } => of(dial, InputKind::Said),
-            SessionInput::Ended { dial } => of(dial, InputKind::Ended),
-            SessionInput::Due => Some(InputKind::Due),
-            SessionInput::Left | SessionInput::Spoke
-                if self.restored && self.stage != SessionState::Open =>
+            SessionInput::ServerDeclined { dial, .. } => of(dial, InputKind::Said),
+            SessionInput::ServerEnded { dial } => of(dial, InputKind::Ended),
+            SessionInput::DeadlineReached => Some(InputKind::Due),
+            SessionInput::ClientLeft | SessionInput::ClientSpoke
+                if self.restored && self.state != SessionState::Open =>
             {
                 Some(InputKind::Unknown)
             }
-            SessionInput::Left | SessionInput::Spoke if self.left => None,
-            SessionInput::Left => Some(InputKind::Left),
-            SessionInput::Spoke => Some(InputKind::Spoke),
-            SessionInput::Closed { .. } => Some(InputKind::Closed),
-            SessionInput::GoingDown => Some(InputKind::GoingDown),
-            SessionInput::TurnedAway if self.restored => Some(InputKind::GoingDown),
-            SessionInput::TurnedAway => (!self.left).then_some(InputKind::TurnedAway),
+            SessionInput::ClientLeft | SessionInput::ClientSpoke if self.client_left => None,
+            SessionInput::ClientLeft => Some(InputKind::Left),
+            SessionInput::ClientSpoke => Some(InputKind::Spoke),
+            SessionInput::SessionClosed { .. } => Some(InputKind::Closed),
+            SessionInput::ShutdownCutoff => Some(InputKind::GoingDown),
+            SessionInput::DrainCutoff if self.restored => Some(InputKind::GoingDown),
+            SessionInput::DrainCutoff => (!self.client_left).then_some(InputKind::TurnedAway),
         }
     }
 
@@ -660,101 +662,107 @@
         input: SessionInput,
         out: &mut Vec<SessionEffect>,
     ) {
-        let (sess, dial) = (self.arrival.session, self.dial());
+        let (sess, dial) = (self.request.session, self.dial());
         match act {
             TransitionEffect::Begin => {
                 let SessionInput::Dial {
                     server,
-                    time_out,
-                    within,
+                    timeout: time_out,
+                    write_within: within,
                 } = input
                 else {
                     return;
                 };
-                (self.to, self.dial_ends, self.write_by) = (server, now + time_out, now + within);
+                (self.server, self.dial_deadline, self.write_deadline) =
+                    (server, now + time_out, now + within);
                 self.dials = self.dials.saturating_add(1);
                 if is_injected(InjectedFault::DeadlineTooLate) {
-                    self.dial_ends += Duration::from_millis(400);
+                    self.dial_deadline += Duration::from_millis(400);
                 }
-                let ends = self.dial_ends.min(self.write_by);
-                out.push(SessionEffect::Watch(Some(
-                    (now + self.connect_within).min(ends),
+                let ends = self.dial_deadline.min(self.write_deadline);
+                out.push(SessionEffect::SetDeadline(Some(
+                    (now + self.connect_timeout).min(ends),
                 )));
                 out.push(SessionEffect::Connect { server });
             }
             TransitionEffect::Ask => {
                 let wait = self
-                    .dial_ends
+                    .dial_deadline
                     .saturating_sub(now)
                     .max(Duration::from_millis(1));
-                let watched = (!is_injected(InjectedFault::NoDeadline)).then_some(self.dial_ends);
-                out.push(SessionEffect::Watch(watched));
-                out.push(SessionEffect::Count(ReasonCode::Dialled));
-                out.push(SessionEffect::Ask {
+                let watched =
+                    (!is_injected(InjectedFault::NoDeadline)).then_some(self.dial_deadline);
+                out.push(SessionEffect::SetDeadline(watched));
+                out.push(SessionEffect::Count(ReasonCode::AttemptSent));
+                out.push(SessionEffect::SendRequest {
                     wait: (!self.restored).then_some(wait),
                 });
             }
             TransitionEffect::ComeUp => {
-                out.push(SessionEffect::Watch(None));
+                out.push(SessionEffect::SetDeadline(None));
                 if self.restored {
                     self.dials = 1;
-                    out.push(SessionEffect::Count(ReasonCode::Restored));
-                    out.push(SessionEffect::Tell(Event::SessionInherited(
-                        self.arrival,
-                        self.to,
+                    out.push(SessionEffect::Count(ReasonCode::SessionRestored));
+                    out.push(SessionEffect::Notify(Event::SessionInherited(
+                        self.request,
+                        self.server,
                     )));
                 } else {
-                    out.push(SessionEffect::Count(ReasonCode::Up));
-                    out.push(SessionEffect::Tell(Event::SessionOpened {
+                    out.push(SessionEffect::Count(ReasonCode::SessionOpened));
+                    out.push(SessionEffect::Notify(Event::SessionOpened {
                         session: sess,
                         dial,
                     }));
                 }
-                out.push(SessionEffect::Pass);
+                out.push(SessionEffect::StartForwarding);
             }
             TransitionEffect::Fail(outcome) => self.fail(now, outcome, Load::default(), out),
             TransitionEffect::FailAsSaid => {
-                let SessionInput::Said { outcome, load, .. } = input else {
+                let SessionInput::ServerDeclined { outcome, load, .. } = input else {
                     return;
                 };
                 self.fail(now, outcome, load, out);
             }
             TransitionEffect::Refuse => {
-                let SessionInput::Refuse { come_back } = input else {
+                let SessionInput::Reject {
+                    retry_after: come_back,
+                } = input
+                else {
                     return;
                 };
-                self.answer(FinalAnswer::Busy(come_back), out);
+                self.answer(FinalAnswer::Rejected(come_back), out);
             }
             TransitionEffect::TurnAway => {
-                self.answer(FinalAnswer::Failed(ReasonCode::TornDown), out)
+                self.answer(FinalAnswer::Failed(ReasonCode::SessionFailed), out)
             }
             TransitionEffect::TearDown => {
-                self.answer(FinalAnswer::Failed(ReasonCode::TornDown), out)
+                self.answer(FinalAnswer::Failed(ReasonCode::SessionFailed), out)
             }
-            TransitionEffect::SendAway => out.push(SessionEffect::SendAway),
+            TransitionEffect::SendAway => out.push(SessionEffect::Migrate),
             TransitionEffect::Restore => {
                 out.extend(self.restored.then_some(SessionEffect::Restore))
             }
-            TransitionEffect::Depart(_) if !self.present => {}
+            TransitionEffect::Depart(_) if !self.client_waiting => {}
             TransitionEffect::Depart(code) => {
-                if input == SessionInput::Spoke {
-                    self.answer(FinalAnswer::Failed(ReasonCode::ClientBad), out);
+                if input == SessionInput::ClientSpoke {
+                    self.answer(FinalAnswer::Failed(ReasonCode::ClientProtocolError), out);
                 } else {
-                    out.extend([SessionEffect::Log(code), SessionEffect::Drop]);
+                    out.extend([SessionEffect::Log(code), SessionEffect::DropClient]);
                 }
-                (self.present, self.left) = (is_injected(InjectedFault::AnswersTwice), true);
+                (self.client_waiting, self.client_left) =
+                    (is_injected(InjectedFault::AnswersTwice), true);
             }
             TransitionEffect::Forget => out.extend([
-                SessionEffect::Watch(None),
-                SessionEffect::Close,
+                SessionEffect::SetDeadline(None),
+                SessionEffect::CloseServer,
                 SessionEffect::Forget,
             ]),
             TransitionEffect::TellEnd => {
-                let SessionInput::Closed { outcome, load } = input else {
+                let SessionInput::SessionClosed { outcome, load } = input else {
                     return;
                 };
-                out.push(SessionEffect::Watch(None));
-                out.push(SessionEffect::Tell(Event::AttemptEnded {
+                out.push(SessionEffect::SetDeadline(None));
+                out.push(SessionEffect::Notify(Event::AttemptEnded {
                     session: sess,
                     dial,
                     outcome,
@@ -765,13 +773,13 @@
             TransitionEffect::Unask if is_injected(InjectedFault::GoneAsked) => {}
             TransitionEffect::Unask => self.fail(now, Outcome::CalledOff, Load::default(), out),
             TransitionEffect::TellLeft => {
-                self.left = true;
-                out.push(SessionEffect::Tell(Event::ClientLeft { session: sess }));
+                self.client_left = true;
+                out.push(SessionEffect::Notify(Event::ClientLeft { session: sess }));
             }
             TransitionEffect::GoDown => {
-                out.extend([SessionEffect::Watch(None), SessionEffect::Close]);
+                out.extend([SessionEffect::SetDeadline(None), SessionEffect::CloseServer]);
                 if !is_injected(InjectedFault::SilentGoingDown) {
-                    self.answer(FinalAnswer::Failed(ReasonCode::TornDown), out);
+                    self.answer(FinalAnswer::Failed(ReasonCode::SessionFailed), out);
                 }
                 out.push(SessionEffect::Forget);
             }
@@ -781,8 +789,8 @@
     /// The one way to a final answer, which nobody gets who has one, or who has left.
     fn answer(&mut self, answer: FinalAnswer, out: &mut Vec<SessionEffect>) {
         let again = is_injected(InjectedFault::AnswersTwice);
-        if std::mem::replace(&mut self.present, again) {
-            out.push(SessionEffect::Answer(answer));
+        if std::mem::replace(&mut self.client_waiting, again) {
+            out.push(SessionEffect::AnswerClient(answer));
         }
     }
 
@@ -790,14 +798,14 @@
     fn fail(&mut self, now: Duration, outcome: Outcome, load: Load, out: &mut Vec<SessionEffect>) {
         if is_injected(InjectedFault::AnswersWhileOut)
             && outcome == Outcome::TimedOut
-            && self.present
+            && self.client_waiting
         {
-            self.stage = SessionState::Sent;
-            return self.answer(FinalAnswer::Failed(ReasonCode::TornDown), out);
+            self.state = SessionState::AwaitingAnswer;
+            return self.answer(FinalAnswer::Failed(ReasonCode::SessionFailed), out);
         }
         let open = is_injected(InjectedFault::DialBeforeClose) && outcome == Outcome::TimedOut;
-        out.extend((!open).then_some(SessionEffect::Close));
-        out.push(SessionEffect::Watch(None));
+        out.extend((!open).then_some(SessionEffect::CloseServer));
+        out.push(SessionEffect::SetDeadline(None));
         let proves = is_injected(InjectedFault::TimeOutProvesNothing)
             && outcome == Outcome::TimedOut
             || is_injected(InjectedFault::ResetProvesNothing) && outcome == Outcome::Reset;
@@ -812,8 +820,8 @@
         out.extend(code.map(SessionEffect::Log));
         if !self.restored {
             let (sess, dial, over): (SessionId, u8, bool) =
-                (self.arrival.session, self.dial(), !self.present);
-            out.push(SessionEffect::Tell(Event::AttemptEnded {
+                (self.request.session, self.dial(), !self.client_waiting);
+            out.push(SessionEffect::Notify(Event::AttemptEnded {
                 session: sess,
                 dial,
                 outcome,
@@ -821,10 +829,10 @@
                 load,
             }));
         } else if *unrun && now + AGAIN < self.restored_until() {
-            out.push(SessionEffect::Watch(Some(now + AGAIN)));
+            out.push(SessionEffect::SetDeadline(Some(now + AGAIN)));
         } else {
-            self.stage = SessionState::Over;
-            self.answer(FinalAnswer::Failed(ReasonCode::TornDown), out);
+            self.state = SessionState::Ended;
+            self.answer(FinalAnswer::Failed(ReasonCode::SessionFailed), out);
             out.push(SessionEffect::Forget);
         }
     }
--- a/crates/proxy/src/routing/session_table.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -13,14 +13,14 @@
 /// Something to do, for a session or for none.
 #[derive(Clone, Debug)]
 pub enum SessionTask {
-    For(Key, SessionEffect),
+    Session(Key, SessionEffect),
     Probe(ServerId),
     /// Discovery is to be asked, where it answers only when asked.
-    Subscribe,
+    PollEndpoints,
     /// What is made of a whole place has changed.
-    Turned(ZoneTransition),
+    ZoneChanged(ZoneTransition),
     /// A `Tick` is due after so long.
-    Wake(Duration),
+    SetTimer(Duration),
 }
 
 /// A session's life, and what its driver keeps with it.
@@ -61,7 +61,7 @@
     }
 
     /// A session begins. The module hears of one that was open before only once it is up again.
-    pub fn arrive(
+    pub fn start_session(
         &mut self,
         now: Duration,
         arrival: SessionRequest,
@@ -74,12 +74,12 @@
             driver_data: own,
         });
         if let Some(held) = self.sessions.get_mut(key) {
-            held.machine.arrival.session = key.slot;
+            held.machine.request.session = key.slot;
             if restored {
                 self.tasks
-                    .push_back(SessionTask::For(key, SessionEffect::Restore));
+                    .push_back(SessionTask::Session(key, SessionEffect::Restore));
             } else {
-                let arrival = held.machine.arrival;
+                let arrival = held.machine.request;
                 self.events.push_back(Event::SessionRequested(arrival));
             }
         }
@@ -88,16 +88,16 @@
     }
 
     /// One begins that is open already.
-    pub fn adopt(&mut self, now: Duration, life: SessionMachine, own: T) -> Key {
+    pub fn inherit_session(&mut self, now: Duration, life: SessionMachine, own: T) -> Key {
         let key = self.sessions.insert(SessionSlot {
             machine: life,
             driver_data: own,
         });
         if let Some(held) = self.sessions.get_mut(key) {
-            held.machine.arrival.session = key.slot;
+            held.machine.request.session = key.slot;
             self.events.push_back(Event::SessionInherited(
-                held.machine.arrival,
-                held.machine.to,
+                held.machine.request,
+                held.machine.server,
             ));
         }
         self.settle(now);
@@ -124,8 +124,10 @@
     pub fn event(&mut self, now: Duration, event: Event) {
         let dials = |held: &SessionSlot<T>| {
             matches!(
-                held.machine.stage,
-                SessionState::Connecting | SessionState::Asked | SessionState::Sent
+                held.machine.state,
+                SessionState::Connecting
+                    | SessionState::SendingRequest
+                    | SessionState::AwaitingAnswer
             )
         };
         if is_injected(InjectedFault::DrainMidDialLost)
@@ -139,8 +141,8 @@
     }
 
     /// An open connection's server has left a line without an answer for long, or has said something.
-    pub fn line(&mut self, now: Duration, sess: Key, answered: bool) {
-        let to = self.sessions.get(sess).map(|held| held.machine.to);
+    pub fn note_server_activity(&mut self, now: Duration, sess: Key, answered: bool) {
+        let to = self.sessions.get(sess).map(|held| held.machine.server);
         if let (Some(places), Some(to)) = (&mut self.zones, to) {
             match answered {
                 true => places.sites.sound(now, to),
@@ -151,7 +153,7 @@
     }
 
     /// Discovery lives, though it has nothing new to tell.
-    pub fn discovery_lives(&mut self, now: Duration) {
+    pub fn note_discovery_alive(&mut self, now: Duration) {
         if let Some(places) = &mut self.zones {
             places.sites.told(now);
             self.settle(now);
@@ -160,7 +162,7 @@
 
     /// The next thing to do. Whoever carries out a `Forget` takes the session out; its slot is not used again
     /// before.
-    pub fn task(&mut self) -> Option<SessionTask> {
+    pub fn next_task(&mut self) -> Option<SessionTask> {
         self.tasks.pop_front()
     }
 
@@ -172,8 +174,8 @@
         held.machine.step(now, input, &mut effects);
         for effect in effects.drain(..) {
             match effect {
-                SessionEffect::Tell(event) => self.events.push_back(event),
-                effect => self.tasks.push_back(SessionTask::For(sess, effect)),
+                SessionEffect::Notify(event) => self.events.push_back(event),
+                effect => self.tasks.push_back(SessionTask::Session(sess, effect)),
             }
         }
         self.effects = effects;
@@ -184,7 +186,7 @@
         if let Some(places) = &mut self.zones {
             places.decide(&mut self.events, &mut self.transitions);
             self.tasks
-                .extend(self.transitions.drain(..).map(SessionTask::Turned));
+                .extend(self.transitions.drain(..).map(SessionTask::ZoneChanged));
         }
     }
 
@@ -200,7 +202,7 @@
                 };
                 let to = to
                     .and_then(|key| self.sessions.get(key))
-                    .map(|held| held.machine.to);
+                    .map(|held| held.machine.server);
                 places.hears(now, &event, to);
             }
             self.heed_places();
@@ -222,28 +224,35 @@
                 sess,
                 SessionInput::Dial {
                     server,
-                    time_out,
-                    within,
+                    timeout: time_out,
+                    write_within: within,
                 },
             ),
-            Action::Cancel { session: sess, .. } => (sess, SessionInput::CallOff),
+            Action::Cancel { session: sess, .. } => (sess, SessionInput::Cancel),
             Action::Reject {
                 session: sess,
                 retry_after: come_back,
-            } => (sess, SessionInput::Refuse { come_back }),
-            Action::Fail { session: sess } => (sess, SessionInput::TearDown),
-            Action::Migrate { session: sess } => (sess, SessionInput::Move),
+            } => (
+                sess,
+                SessionInput::Reject {
+                    retry_after: come_back,
+                },
+            ),
+            Action::Fail { session: sess } => (sess, SessionInput::Fail),
+            Action::Migrate { session: sess } => (sess, SessionInput::Migrate),
             Action::Forget { session: sess } => {
                 let key = self
                     .known(sess)
                     .filter(|_| !is_injected(InjectedFault::Kept));
                 return self
                     .tasks
-                    .extend(key.map(|key| SessionTask::For(key, SessionEffect::Forget)));
+                    .extend(key.map(|key| SessionTask::Session(key, SessionEffect::Forget)));
             }
             Action::Probe { server } => return self.tasks.push_back(SessionTask::Probe(server)),
-            Action::SetTimer { after } => return self.tasks.push_back(SessionTask::Wake(after)),
-            Action::PollEndpoints => return self.tasks.push_back(SessionTask::Subscribe),
+            Action::SetTimer { after } => {
+                return self.tasks.push_back(SessionTask::SetTimer(after));
+            }
+            Action::PollEndpoints => return self.tasks.push_back(SessionTask::PollEndpoints),
         };
         self.known(sess)
             .into_iter()
--- a/crates/proxy/src/routing/warm_start.rs
+++ b/crates/proxy/src/routing/warm_start.rs
@@ -196,7 +196,7 @@
             }
         }
         self.log_event(
-            ReasonCode::RosterOld,
+            ReasonCode::EndpointListOutdated,
             format!(
                 "rev={rev} had={}",
                 self.warm_start.as_ref().map_or(0, |s| s.had)
@@ -306,7 +306,7 @@
             }
             WarmStartEffect::Drop(id, why) => {
                 self.log_event(
-                    ReasonCode::HostDropped,
+                    ReasonCode::EndpointDropped,
                     format!("server={} why={why:?}", self.endpoints.name(id)),
                 );
                 self.endpoints.stands(id, EndpointState::Gone);
@@ -320,7 +320,7 @@
                 self.update_admission_rate();
             }
             WarmStartEffect::Turned(stage, why) => self.log_event(
-                ReasonCode::Stage,
+                ReasonCode::WarmStartStageChanged,
                 format!("stage={} why={why:?}", stage.name()),
             ),
         }
@@ -444,16 +444,18 @@
                 keeping.written.1 += u64::from(failed);
             });
             match told {
-                SaveOutcome::Saved { .. } => self.count_event(ReasonCode::StateSaved),
+                SaveOutcome::Saved { .. } => self.count_event(ReasonCode::SnapshotSaved),
                 SaveOutcome::Failed(why) => {
-                    self.log_event(ReasonCode::StateBad, format!("save why={why:?}"))
-                }
-                SaveOutcome::Held => {
-                    self.log_event(ReasonCode::StateBad, "another process holds the folder")
-                }
-                SaveOutcome::Taken => {
-                    self.log_event(ReasonCode::StateTaken, "the other process has let go")
+                    self.log_event(ReasonCode::SnapshotFailed, format!("save why={why:?}"))
                 }
+                SaveOutcome::Held => self.log_event(
+                    ReasonCode::SnapshotFailed,
+                    "another process holds the folder",
+                ),
+                SaveOutcome::Taken => self.log_event(
+                    ReasonCode::SnapshotLockAcquired,
+                    "the other process has let go",
+                ),
             }
         }
     }
--- a/crates/proxy/tests/parts.rs
+++ b/crates/proxy/tests/parts.rs
@@ -256,33 +256,32 @@
         Duration::ZERO,
         SessionInput::Dial {
             server: 1,
-            time_out: ms(400),
-            within: ms(40),
+            timeout: ms(400),
+            write_within: ms(40),
         },
         &mut out,
     );
-    let watched =
-        |effect: &SessionEffect| matches!(effect, SessionEffect::Watch(Some(at)) if *at == ms(40));
+    let watched = |effect: &SessionEffect| matches!(effect, SessionEffect::SetDeadline(Some(at)) if *at == ms(40));
     assert!(out.iter().any(watched), "{out:?}");
     out.clear();
     life.step(ms(after), SessionInput::Connected { dial: 0 }, &mut out);
     let told = out.iter().find_map(|effect| match effect {
-        SessionEffect::Tell(Event::AttemptEnded { outcome, .. }) => Some(*outcome),
+        SessionEffect::Notify(Event::AttemptEnded { outcome, .. }) => Some(*outcome),
         _ => None,
     });
     let asks = out
         .iter()
-        .any(|effect| matches!(effect, SessionEffect::Ask { .. }));
+        .any(|effect| matches!(effect, SessionEffect::SendRequest { .. }));
     assert_eq!((told, asks), (outcome, outcome.is_none()), "{out:?}");
 }
 
 /// Until its line is at its server nothing runs, so the dial is closed without the module's word, which may not call off.
-#[test_case(&[], SessionInput::Left; "it leaves while its dial connects")]
-#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::Left; "it leaves as its dial came up")]
-#[test_case(&[], SessionInput::Spoke; "it speaks while its dial connects")]
-#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::Spoke; "it speaks as its dial came up")]
-#[test_case(&[], SessionInput::TurnedAway; "it is turned away while its dial connects")]
-#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::TurnedAway; "it is turned away as its dial came up")]
+#[test_case(&[], SessionInput::ClientLeft; "it leaves while its dial connects")]
+#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::ClientLeft; "it leaves as its dial came up")]
+#[test_case(&[], SessionInput::ClientSpoke; "it speaks while its dial connects")]
+#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::ClientSpoke; "it speaks as its dial came up")]
+#[test_case(&[], SessionInput::DrainCutoff; "it is turned away while its dial connects")]
+#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::DrainCutoff; "it is turned away as its dial came up")]
 fn nothing_is_written_for_a_client_that_waits_no_more(before: &[SessionInput], how: SessionInput) {
     let ms = Duration::from_millis;
     let mut life = SessionMachine::new(Duration::ZERO, SessionRequest::default(), false, ms(200));
@@ -292,8 +291,8 @@
         Duration::ZERO,
         SessionInput::Dial {
             server: 1,
-            time_out: all,
-            within: all,
+            timeout: all,
+            write_within: all,
         },
         &mut out,
     );
@@ -304,18 +303,18 @@
     life.step(ms(1), how, &mut out);
     // What was on its way at that moment finds nothing more to do.
     life.step(ms(1), SessionInput::Connected { dial: 0 }, &mut out);
-    life.step(ms(1), SessionInput::Written { dial: 0 }, &mut out);
+    life.step(ms(1), SessionInput::RequestWritten { dial: 0 }, &mut out);
     let told = |effect: &&SessionEffect| {
         matches!(
             effect,
-            SessionEffect::Tell(Event::AttemptEnded {
+            SessionEffect::Notify(Event::AttemptEnded {
                 session_over: true,
                 outcome: Outcome::CalledOff,
                 ..
             })
         )
     };
-    let closed = |effect: &&SessionEffect| matches!(effect, SessionEffect::Close);
+    let closed = |effect: &&SessionEffect| matches!(effect, SessionEffect::CloseServer);
     assert_eq!(
         (
             out.iter().filter(told).count(),
@@ -326,7 +325,7 @@
     );
     assert!(
         !out.iter()
-            .any(|effect| matches!(effect, SessionEffect::Ask { .. })),
+            .any(|effect| matches!(effect, SessionEffect::SendRequest { .. })),
         "{out:?}"
     );
 }
