--- a/crates/proxy/src/routing/session_table.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -1,56 +1,69 @@
-//! Between the module and the lives of sessions: carries what happens to the one and what it decides to the
-//! other. No I/O; what is to be done on sockets waits in `effects`, in order, for whoever drives it.
+//! All sessions, and the placement engine that decides about them: carries what happens to sessions to the engine,
+//! and the engine's actions to the sessions. No I/O: what is to be done on sockets waits as [`SessionTask`]s, in order,
+//! for whoever drives the table.
 
 use super::session_state::{SessionEffect, SessionInput, SessionMachine, SessionState};
 use super::zones::{ZoneTracker, ZoneTransition};
 use crate::injected_fault::{InjectedFault, is_injected};
 use crate::transport::{Key, Slots};
-use asterramp_placement::event::{ServerId, SessionId, SessionRequest};
+use asterramp_placement::event::{ServerId, SessionRequest};
 use asterramp_placement::{Action, Deployment, Event, PlacementEngine};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Something to do, for a session or for none.
+/// Something to be done, for a session or for none.
 #[derive(Clone, Debug)]
 pub enum SessionTask {
+    /// An effect of a session's state machine; never [`SessionEffect::Notify`], which stays in the table.
     Session(Key, SessionEffect),
+    /// Probe a server.
     Probe(ServerId),
-    /// Discovery is to be asked, where it answers only when asked.
+    /// Ask discovery for the endpoint list, where it answers only when asked.
     PollEndpoints,
-    /// What is made of a whole place has changed.
+    /// A zone's state has changed, for the log.
     ZoneChanged(ZoneTransition),
-    /// A `Tick` is due after so long.
+    /// Give [`Event::Tick`] after so long.
     SetTimer(Duration),
 }
 
-/// A session's life, and what its driver keeps with it.
+/// A session's state machine, and what its driver keeps with it.
 #[derive(Clone, Debug)]
 pub struct SessionSlot<T> {
+    /// The session's state.
     pub machine: SessionMachine,
+    /// The driver's own, which the table does not look at.
     pub driver_data: T,
 }
 
+/// The sessions of a proxy, by key; `T` is what the driver keeps with each.
 #[derive(Clone, Debug)]
 pub struct SessionTable<T> {
+    /// Decides where sessions go.
     pub engine: PlacementEngine,
-    /// A slot's number is the module's index of the session.
+    /// The sessions. A slot's number is the engine's id of its session.
     pub sessions: Slots<SessionSlot<T>>,
     connect_timeout: Duration,
-    /// What is made of whole places, where there are several.
+    /// The states of zones, where there are several.
     pub zones: Option<ZoneTracker>,
+    /// Scratch space for zone transitions, kept for its allocation.
     transitions: Vec<ZoneTransition>,
+    /// Events that the engine has not heard yet.
     events: VecDeque<Event>,
     tasks: VecDeque<SessionTask>,
+    /// Scratch space for the engine's actions.
     actions: Vec<Action>,
+    /// Scratch space for one session's effects.
     effects: Vec<SessionEffect>,
 }
 
 impl<T> SessionTable<T> {
-    pub fn new(facts: Deployment, nonce: u64, connect_within: Duration) -> SessionTable<T> {
+    /// An empty table. `nonce` seeds the engine's draws; `connect_timeout` is the longest that a connection to a server
+    /// may take to come up.
+    pub fn new(deployment: Deployment, nonce: u64, connect_timeout: Duration) -> SessionTable<T> {
         SessionTable {
-            engine: PlacementEngine::new(facts, nonce),
+            engine: PlacementEngine::new(deployment, nonce),
             sessions: Slots::default(),
-            connect_timeout: connect_within,
+            connect_timeout,
             zones: None,
             transitions: Vec::new(),
             events: VecDeque::new(),
@@ -60,79 +73,77 @@
         }
     }
 
-    /// A session begins. The module hears of one that was open before only once it is up again.
+    /// A client asks for a session. The engine hears of a `restored` one, which was open before this proxy started,
+    /// only once it is open again.
     pub fn start_session(
         &mut self,
         now: Duration,
-        arrival: SessionRequest,
+        request: SessionRequest,
         restored: bool,
-        own: T,
+        driver_data: T,
     ) -> Key {
-        let life = SessionMachine::new(now, arrival, restored, self.connect_timeout);
-        let key = self.sessions.insert(SessionSlot {
-            machine: life,
-            driver_data: own,
-        });
-        if let Some(held) = self.sessions.get_mut(key) {
-            held.machine.request.session = key.slot;
-            if restored {
-                self.tasks
-                    .push_back(SessionTask::Session(key, SessionEffect::Restore));
-            } else {
-                let arrival = held.machine.request;
-                self.events.push_back(Event::SessionRequested(arrival));
-            }
+        let machine = SessionMachine::new(now, request, restored, self.connect_timeout);
+        let (key, request) = self.insert(machine, driver_data);
+        if restored {
+            self.tasks
+                .push_back(SessionTask::Session(key, SessionEffect::Restore));
+        } else {
+            self.events.push_back(Event::SessionRequested(request));
         }
         self.settle(now);
         key
     }
 
-    /// One begins that is open already.
-    pub fn inherit_session(&mut self, now: Duration, life: SessionMachine, own: T) -> Key {
+    /// A session begins that another process has opened already.
+    pub fn inherit_session(
+        &mut self,
+        now: Duration,
+        machine: SessionMachine,
+        driver_data: T,
+    ) -> Key {
+        let server = machine.server;
+        let (key, request) = self.insert(machine, driver_data);
+        self.events
+            .push_back(Event::SessionInherited(request, server));
+        self.settle(now);
+        key
+    }
+
+    /// Puts a session into a slot and its number into the request.
+    fn insert(&mut self, machine: SessionMachine, driver_data: T) -> (Key, SessionRequest) {
+        let mut request = machine.request;
         let key = self.sessions.insert(SessionSlot {
-            machine: life,
-            driver_data: own,
+            machine,
+            driver_data,
         });
-        if let Some(held) = self.sessions.get_mut(key) {
-            held.machine.request.session = key.slot;
-            self.events.push_back(Event::SessionInherited(
-                held.machine.request,
-                held.machine.server,
-            ));
+        request.session = key.slot;
+        if let Some(slot) = self.sessions.get_mut(key) {
+            slot.machine.request = request;
         }
-        self.settle(now);
-        key
+        (key, request)
     }
 
-    /// Something happens to a session; nothing, if it is forgotten.
-    pub fn input(&mut self, now: Duration, sess: Key, input: SessionInput) {
-        self.step(now, sess, input);
+    /// Something happens to a session; ignored if the session is gone.
+    pub fn input(&mut self, now: Duration, session: Key, input: SessionInput) {
+        self.step(now, session, input);
         self.settle(now);
     }
 
-    /// The client of a session was found to have gone, or to have spoken, right before something would be sent for it.
-    /// Whether nothing is to be sent.
-    pub fn found_gone(&mut self, now: Duration, sess: Key, how: SessionInput) -> bool {
+    /// The client of a session was found to have left, or to have spoken, right before something would be sent for
+    /// it. Whether nothing is to be sent.
+    pub fn found_gone(&mut self, now: Duration, session: Key, how: SessionInput) -> bool {
         if is_injected(InjectedFault::GoneDialled) {
             return false;
         }
-        self.input(now, sess, how);
+        self.input(now, session, how);
         true
     }
 
-    /// Something that is no session's own: the roster, a probe's answer, a tick.
+    /// Something happens that is no session's own: the endpoint list, a probe's answer, a tick.
     pub fn event(&mut self, now: Duration, event: Event) {
-        let dials = |held: &SessionSlot<T>| {
-            matches!(
-                held.machine.state,
-                SessionState::Connecting
-                    | SessionState::SendingRequest
-                    | SessionState::AwaitingAnswer
-            )
-        };
         if is_injected(InjectedFault::DrainMidDialLost)
             && matches!(event, Event::Endpoints(_))
-            && self.sessions.iter().any(|(_, held)| dials(held))
+            && self.sessions.iter().any(|(_, slot)| is_dialling(slot))
         {
             return;
         }
@@ -140,113 +151,120 @@
         self.settle(now);
     }
 
-    /// An open connection's server has left a line without an answer for long, or has said something.
-    pub fn note_server_activity(&mut self, now: Duration, sess: Key, answered: bool) {
-        let to = self.sessions.get(sess).map(|held| held.machine.server);
-        if let (Some(places), Some(to)) = (&mut self.zones, to) {
-            match answered {
-                true => places.sites.sound(now, to),
-                false => places.sites.sign(now, to),
+    /// The server of an open session has sent a line (`answered`), or has left a line without an answer for long.
+    pub fn note_server_activity(&mut self, now: Duration, session: Key, answered: bool) {
+        let server = self.sessions.get(session).map(|slot| slot.machine.server);
+        if let (Some(zones), Some(server)) = (&mut self.zones, server) {
+            if answered {
+                zones.sites.sound(now, server);
+            } else {
+                zones.sites.sign(now, server);
             }
             self.settle(now);
         }
     }
 
-    /// Discovery lives, though it has nothing new to tell.
+    /// Discovery is alive, though it has nothing new to say.
     pub fn note_discovery_alive(&mut self, now: Duration) {
-        if let Some(places) = &mut self.zones {
-            places.sites.told(now);
+        if let Some(zones) = &mut self.zones {
+            zones.sites.told(now);
             self.settle(now);
         }
     }
 
-    /// The next thing to do. Whoever carries out a `Forget` takes the session out; its slot is not used again
-    /// before.
+    /// The next thing to do, if any. Whoever carries out a [`SessionEffect::Forget`] takes the session out of
+    /// `sessions`; its slot is not used again before.
     pub fn next_task(&mut self) -> Option<SessionTask> {
         self.tasks.pop_front()
     }
 
-    fn step(&mut self, now: Duration, sess: Key, input: SessionInput) {
-        let Some(held) = self.sessions.get_mut(sess) else {
+    fn step(&mut self, now: Duration, session: Key, input: SessionInput) {
+        let Some(slot) = self.sessions.get_mut(session) else {
             return;
         };
         let mut effects = std::mem::take(&mut self.effects);
-        held.machine.step(now, input, &mut effects);
+        slot.machine.step(now, input, &mut effects);
         for effect in effects.drain(..) {
             match effect {
                 SessionEffect::Notify(event) => self.events.push_back(event),
-                effect => self.tasks.push_back(SessionTask::Session(sess, effect)),
+                effect => self.tasks.push_back(SessionTask::Session(session, effect)),
             }
         }
         self.effects = effects;
     }
 
-    /// What is decided of places is for the module to hear, and what changed for the log.
-    fn heed_places(&mut self) {
-        if let Some(places) = &mut self.zones {
-            places.decide(&mut self.events, &mut self.transitions);
+    /// Queues what was decided of zones: events for the engine, changes of state for the log.
+    fn collect_zone_decisions(&mut self) {
+        if let Some(zones) = &mut self.zones {
+            zones.decide(&mut self.events, &mut self.transitions);
             self.tasks
                 .extend(self.transitions.drain(..).map(SessionTask::ZoneChanged));
         }
     }
 
-    /// Tells the module until it has no more to decide.
+    /// Gives the engine events and carries out its actions until there are no more of either.
     fn settle(&mut self, now: Duration) {
-        self.heed_places();
+        self.collect_zone_decisions();
         while let Some(event) = self.events.pop_front() {
-            if let Some(places) = &mut self.zones {
-                let to = match event {
-                    Event::SessionOpened { session: sess, .. }
-                    | Event::AttemptEnded { session: sess, .. } => self.sessions.at(sess),
-                    _ => None,
-                };
-                let to = to
-                    .and_then(|key| self.sessions.get(key))
-                    .map(|held| held.machine.server);
-                places.hears(now, &event, to);
-            }
-            self.heed_places();
+            self.show_zones(now, &event);
+            self.collect_zone_decisions();
             let mut actions = std::mem::take(&mut self.actions);
             self.engine.handle(now, event, &mut actions);
-            actions.drain(..).for_each(|action| self.act(now, action));
+            for action in actions.drain(..) {
+                self.apply(now, action);
+            }
             self.actions = actions;
         }
     }
 
-    fn act(&mut self, now: Duration, action: Action) {
-        let (sess, input) = match action {
+    /// Lets the zone tracker see an event before the engine does.
+    fn show_zones(&mut self, now: Duration, event: &Event) {
+        let Some(zones) = &mut self.zones else {
+            return;
+        };
+        let key = match event {
+            Event::SessionOpened { session, .. } | Event::AttemptEnded { session, .. } => {
+                self.sessions.at(*session)
+            }
+            _ => None,
+        };
+        let server = key
+            .and_then(|key| self.sessions.get(key))
+            .map(|slot| slot.machine.server);
+        zones.hears(now, event, server);
+    }
+
+    /// Carries out an action of the engine, on its session or as a task.
+    fn apply(&mut self, now: Duration, action: Action) {
+        let (session, input) = match action {
             Action::Dial {
-                session: sess,
+                session,
                 server,
-                timeout: time_out,
-                write_within: within,
+                timeout,
+                write_within,
             } => (
-                sess,
+                session,
                 SessionInput::Dial {
                     server,
-                    timeout: time_out,
-                    write_within: within,
+                    timeout,
+                    write_within,
                 },
             ),
-            Action::Cancel { session: sess, .. } => (sess, SessionInput::Cancel),
+            Action::Cancel { session, .. } => (session, SessionInput::Cancel),
             Action::Reject {
-                session: sess,
-                retry_after: come_back,
-            } => (
-                sess,
-                SessionInput::Reject {
-                    retry_after: come_back,
-                },
-            ),
-            Action::Fail { session: sess } => (sess, SessionInput::Fail),
-            Action::Migrate { session: sess } => (sess, SessionInput::Migrate),
-            Action::Forget { session: sess } => {
-                let key = self
-                    .known(sess)
-                    .filter(|_| !is_injected(InjectedFault::Kept));
-                return self
-                    .tasks
-                    .extend(key.map(|key| SessionTask::Session(key, SessionEffect::Forget)));
+                session,
+                retry_after,
+            } => (session, SessionInput::Reject { retry_after }),
+            Action::Fail { session } => (session, SessionInput::Fail),
+            Action::Migrate { session } => (session, SessionInput::Migrate),
+            Action::Forget { session } => {
+                if let Some(key) = self.sessions.at(session)
+                    && !is_injected(InjectedFault::Kept)
+                {
+                    self.tasks
+                        .push_back(SessionTask::Session(key, SessionEffect::Forget));
+                }
+                return;
             }
             Action::Probe { server } => return self.tasks.push_back(SessionTask::Probe(server)),
             Action::SetTimer { after } => {
@@ -254,13 +272,16 @@
             }
             Action::PollEndpoints => return self.tasks.push_back(SessionTask::PollEndpoints),
         };
-        self.known(sess)
-            .into_iter()
-            .for_each(|key| self.step(now, key, input));
+        if let Some(key) = self.sessions.at(session) {
+            self.step(now, key, input);
+        }
     }
+}
 
-    /// The session that the module knows by this index.
-    fn known(&self, sess: SessionId) -> Option<Key> {
-        self.sessions.at(sess)
-    }
+/// Whether a dial of the session is under way.
+fn is_dialling<T>(slot: &SessionSlot<T>) -> bool {
+    matches!(
+        slot.machine.state,
+        SessionState::Connecting | SessionState::SendingRequest | SessionState::AwaitingAnswer
+    )
 }
