--- a/crates/proxy/src/program/config.rs
+++ b/crates/proxy/src/program/config.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::discovery;
 use crate::protocol::json::{self, Value};
-use crate::routing::Start;
+use crate::routing::RouterOptions;
 use asterramp_placement::settings;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 
 impl ConfigFile {
     /// Reads the file that `LB_CONFIG` names.
-    pub fn open(path: Option<&str>) -> Result<(ConfigFile, Start), String> {
+    pub fn open(path: Option<&str>) -> Result<(ConfigFile, RouterOptions), String> {
         let path = path.ok_or("LB_CONFIG is not set")?.to_string();
         let first = file(&path)?;
         let start = parse(&first)?;
@@ -33,7 +33,7 @@
 
     /// Reads the file again: what it says now, and the keys that it would change but cannot while the proxy
     /// runs. A bad file changes nothing.
-    pub fn again(&self) -> Result<(Start, Vec<String>), String> {
+    pub fn again(&self) -> Result<(RouterOptions, Vec<String>), String> {
         let value = file(&self.path)?;
         let start = parse(&value)?;
         let keys: BTreeSet<&str> = keys(&self.first).chain(keys(&value)).collect();
@@ -58,7 +58,7 @@
     json::read(&bytes).map_err(|e| format!("configuration: {e}"))
 }
 
-fn parse(value: &Value) -> Result<Start, String> {
+fn parse(value: &Value) -> Result<RouterOptions, String> {
     // Older configurations have no such key; the variable says the same.
     let operator = match value.get("operator") {
         None | Some(Value::Null) => std::env::var("LB_OPERATOR")
@@ -103,7 +103,7 @@
     if sockets < 64 {
         return Err("limits.sockets is under 64, too few to serve".into());
     }
-    Ok(Start {
+    Ok(RouterOptions {
         settings: setup,
         seed: seed.ok_or("seed is no number of up to 16 hexadecimal digits")?,
         listen,
@@ -113,7 +113,7 @@
         known_endpoints: known,
         warm_start: None,
         max_descriptors: sockets,
-        max_memory_mb: limit("memory_mb", MEMORY_MB)? << 20,
+        max_memory_bytes: limit("memory_mb", MEMORY_MB)? << 20,
     })
 }
 
--- a/crates/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -44,7 +44,7 @@
         };
         own.server = Some(key);
         let alone = own.client.is_none();
-        self.connection_counts.lone += usize::from(alone);
+        self.connection_counts.lone_servers += usize::from(alone);
     }
 
     /// Looks at a session's client once more, right before something is sent for it: its end may have come behind
--- /dev/null
+++ b/crates/proxy/src/routing/event_loop.rs
@@ -0,0 +1,164 @@
+//! The event loop: waits for sockets and deadlines, and hands each to what it is for.
+
+use super::connections::MAX_DISCARD_AT_CLOSE;
+use super::report::ReasonCode;
+use super::types::{ConnectionRole, READ_ONLY, TimerKey};
+use super::{LISTENER_DELAY, Router};
+use crate::protocol::client::FAILED;
+use crate::transport::Key;
+use crate::transport::poll::Ready;
+use asterramp_placement::Event;
+use asterramp_placement::event::Outcome;
+use rustix::fd::OwnedFd;
+use std::io;
+use std::time::Duration;
+
+impl Router {
+    /// Waits for sockets, no longer than until the next deadline.
+    ///
+    /// # Errors
+    ///
+    /// What epoll fails with.
+    pub fn wait(&mut self, now: Duration) -> io::Result<()> {
+        let timeout = self
+            .deadlines
+            .next()
+            .map_or(LISTENER_DELAY, |at| at.saturating_sub(now));
+        Ok(self.poll.wait(timeout, &mut self.ready)?)
+    }
+
+    /// Takes in what is ready and what is due.
+    pub fn process(&mut self, now: Duration) {
+        self.now = now;
+        let mut ready = std::mem::take(&mut self.ready);
+        // Operators are answered in time whatever else there is to do.
+        if self.admin_http.is_some() {
+            ready.sort_by_key(|event| !self.is_admin_http(event.key));
+        }
+        for event in ready.drain(..) {
+            self.connection_ready(event);
+            self.run_tasks();
+        }
+        self.ready = ready;
+        while let Some(due) = self.deadlines.pop(now) {
+            self.deadline_reached(due);
+            self.run_tasks();
+        }
+    }
+
+    /// Wakes [`Router::wait`] when there is something to read from a descriptor, whose bytes say nothing.
+    ///
+    /// # Errors
+    ///
+    /// If the descriptor cannot be watched.
+    pub fn add_wake_source(&mut self, wakes: OwnedFd) -> io::Result<()> {
+        self.register(wakes, ConnectionRole::SignalPipe, READ_ONLY)
+            .map(drop)
+            .ok_or_else(|| io::Error::other("it cannot be watched"))
+    }
+
+    /// Whether a shutdown is over and the process may end.
+    pub fn is_done(&self) -> bool {
+        self.done
+    }
+
+    fn is_admin_http(&self, key: Key) -> bool {
+        let role = self.connections.get(key).map(|connection| connection.role);
+        matches!(
+            role,
+            Some(ConnectionRole::AdminHttpListener | ConnectionRole::AdminHttp { .. })
+        )
+    }
+
+    pub(super) fn connection_ready(&mut self, event: Ready) {
+        // An event of the wake-up in which the connection was offered to another process: what came is read by one
+        // process alone.
+        if self.is_on_offer(event.key) {
+            return;
+        }
+        let Some(connection) = self.connections.get_mut(event.key) else {
+            return;
+        };
+        match connection.role {
+            ConnectionRole::Listener => return self.accept(),
+            ConnectionRole::AdminSocketListener => return self.accept_admin_socket(),
+            ConnectionRole::HotRestartListener => return self.accept_successor(),
+            ConnectionRole::HotRestart => return self.hot_restart_ready(event.key),
+            ConnectionRole::AdminHttpListener => return self.accept_admin_http(),
+            ConnectionRole::SignalPipe => return connection.stream.discard(MAX_DISCARD_AT_CLOSE),
+            _ => {}
+        }
+        if event.write {
+            connection.stream.flush();
+        }
+        match connection.role {
+            ConnectionRole::Server(session) => self.server_ready(session, event),
+            ConnectionRole::Probe(server, stage) => self.probe_ready(server, stage, event),
+            ConnectionRole::DiscoveryWatch => self.watch_ready(event),
+            ConnectionRole::Peer => self.peer_ready(event),
+            role => {
+                connection.stream.fill(event.broken);
+                self.caller_ready(event.key, role);
+            }
+        }
+    }
+
+    /// Something came on a connection that another side has opened.
+    fn caller_ready(&mut self, key: Key, role: ConnectionRole) {
+        match role {
+            ConnectionRole::Client(session) => self.client_ready(session),
+            ConnectionRole::PendingClient => self.read_greeting(key),
+            ConnectionRole::AdminSocket => self.admin_socket_ready(key),
+            ConnectionRole::AdminHttp { answered } => self.admin_http_ready(key, answered),
+            _ => self.lingering_ready(key),
+        }
+    }
+
+    fn deadline_reached(&mut self, due: TimerKey) {
+        match due {
+            TimerKey::Tick => {
+                self.event(Event::Tick);
+                self.update_admission_rate();
+                self.save_snapshot_if_due();
+            }
+            TimerKey::DiscoveryWatch => self.watch_deadline(),
+            TimerKey::Listener if !self.serving => self.start_serving("list of old"),
+            TimerKey::Listener => self.open_listener(),
+            TimerKey::WarmStart => self.warm_start_deadline(),
+            TimerKey::Shutdown => self.continue_shutdown(),
+            TimerKey::HotRestart => self.continue_offers(),
+            TimerKey::Session(session) => self.session_deadline(session),
+            TimerKey::Connection(key) => self.connection_deadline(key),
+        }
+    }
+
+    fn connection_deadline(&mut self, key: Key) {
+        match self.connections.get(key).map(|connection| connection.role) {
+            Some(ConnectionRole::Probe(server, _)) => self.finish_probe(server, Outcome::TimedOut),
+            Some(ConnectionRole::PendingClient) => self.greeting_deadline(key),
+            Some(ConnectionRole::AdminSocket) => self.close_admin_connection(key),
+            Some(ConnectionRole::HotRestart) => self.hot_restart_deadline(),
+            Some(ConnectionRole::Peer) => self.peer_closed(key, "it does not answer in time"),
+            Some(ConnectionRole::AdminHttp { answered }) => self.admin_http_deadline(key, answered),
+            _ => drop(self.close(key)),
+        }
+    }
+
+    /// A pending client has had its time; what it wants may have come this moment.
+    fn greeting_deadline(&mut self, key: Key) {
+        self.connection_ready(Ready {
+            key,
+            write: false,
+            broken: false,
+        });
+        self.run_tasks();
+        if self
+            .connections
+            .get(key)
+            .is_some_and(|connection| connection.role == ConnectionRole::PendingClient)
+        {
+            self.log_event(ReasonCode::ClientSilent, "client");
+            self.close_gracefully(key, &[FAILED]);
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/routing/session_tasks.rs
@@ -0,0 +1,156 @@
+//! Carries out on sockets what the session table wants done.
+
+use super::Router;
+use super::metrics::SessionEnd;
+use super::report::ReasonCode;
+use super::session_state::{FinalAnswer, SessionEffect, SessionInput, SessionMachine};
+use super::session_table::SessionTask;
+use super::types::{Session, TimerKey};
+use super::zones::ZoneTransition;
+use crate::protocol::client::{FAILED, refusal};
+use crate::transport::Key;
+use asterramp_placement::Event;
+
+impl Router {
+    /// Something happens to a session.
+    pub(super) fn input(&mut self, session: Key, input: SessionInput) {
+        self.session_table.input(self.now, session, input);
+    }
+
+    /// Something happens that is no session's own.
+    pub(super) fn event(&mut self, event: Event) {
+        self.session_table.event(self.now, event);
+    }
+
+    /// A session's state machine.
+    pub(super) fn session_machine(&self, session: Key) -> Option<&SessionMachine> {
+        self.session_table
+            .sessions
+            .get(session)
+            .map(|slot| &slot.machine)
+    }
+
+    /// What the router keeps with a session.
+    pub(super) fn session_mut(&mut self, session: Key) -> Option<&mut Session> {
+        self.session_table
+            .sessions
+            .get_mut(session)
+            .map(|slot| &mut slot.driver_data)
+    }
+
+    /// Carries out what there is to do, until there is no more.
+    pub(super) fn run_tasks(&mut self) {
+        while let Some(task) = self.session_table.next_task() {
+            match task {
+                SessionTask::Probe(server) => self.probe(server),
+                SessionTask::PollEndpoints => self.connect_watch(),
+                SessionTask::ZoneChanged(transition) => self.log_zone_change(transition),
+                SessionTask::SetTimer(after) => {
+                    self.deadlines.set(TimerKey::Tick, self.now + after);
+                }
+                SessionTask::Session(session, effect) => self.perform_effect(session, effect),
+            }
+        }
+    }
+
+    fn log_zone_change(&mut self, (zone, state, why): ZoneTransition) {
+        let name = self
+            .settings
+            .zones
+            .get(usize::from(zone))
+            .map_or("-", |name| name.as_str());
+        let about = format!("place={name} state={} why={why:?}", state.name());
+        self.log_event(ReasonCode::ZoneStateChanged, about);
+    }
+
+    fn perform_effect(&mut self, session: Key, effect: SessionEffect) {
+        match effect {
+            SessionEffect::Connect { server } => self.dial(session, server),
+            SessionEffect::SendRequest { wait } => self.send_request_line(session, wait),
+            SessionEffect::CloseServer => {
+                if let Some(key) = self.take_server(session) {
+                    self.close(key);
+                }
+            }
+            SessionEffect::SetDeadline(Some(at)) => {
+                self.deadlines.set(TimerKey::Session(session), at);
+            }
+            SessionEffect::SetDeadline(None) => self.deadlines.clear(TimerKey::Session(session)),
+            SessionEffect::AnswerClient(FinalAnswer::Rejected(retry_after)) => {
+                let text = refusal(retry_after);
+                self.answer_client(session, text.as_bytes(), ReasonCode::Rejected);
+            }
+            SessionEffect::AnswerClient(FinalAnswer::Failed(code)) => {
+                self.answer_client(session, FAILED, code);
+            }
+            SessionEffect::DropClient => {
+                if let Some(key) = self.take_client(session) {
+                    self.count_session_end(session, SessionEnd::Failure);
+                    self.close(key);
+                }
+            }
+            SessionEffect::StartForwarding => self.forward(session),
+            SessionEffect::Migrate => self.migrate(session, ReasonCode::Rebalanced),
+            SessionEffect::Restore => self.restore(session),
+            SessionEffect::Forget => self.forget(session),
+            SessionEffect::Log(code) => self.log_session_end(session, code),
+            SessionEffect::Count(code) => {
+                if matches!(
+                    code,
+                    ReasonCode::SessionOpened | ReasonCode::SessionRestored
+                ) {
+                    self.count_session_end(session, SessionEnd::Success);
+                }
+                self.count_event(code);
+            }
+            // The session table has given it to the engine.
+            SessionEffect::Notify(_) => {}
+        }
+    }
+
+    /// A session has come to its one end, as its client sees it.
+    pub(super) fn count_session_end(&mut self, session: Key, end: SessionEnd) {
+        let listener = self
+            .session_machine(session)
+            .map(|machine| machine.request.listener);
+        if let Some(listener) = listener {
+            self.metrics.count_session_end(listener, end);
+        }
+    }
+
+    /// Parts a session from its client's connection. A server's that stays behind holds one descriptor, where
+    /// the two held two, as a client alone does.
+    pub(super) fn take_client(&mut self, session: Key) -> Option<Key> {
+        let data = self.session_mut(session)?;
+        let client = data.client.take();
+        let has_server = data.server.is_some();
+        if client.is_some() && has_server {
+            self.connection_counts.lone_servers += 1;
+        }
+        client
+    }
+
+    /// Parts a session from its server's connection.
+    pub(super) fn take_server(&mut self, session: Key) -> Option<Key> {
+        let data = self.session_mut(session)?;
+        let server = data.server.take();
+        let has_client = data.client.is_some();
+        if server.is_some() && !has_client {
+            self.connection_counts.lone_servers -= 1;
+        }
+        server
+    }
+
+    /// Takes a session out of the tables and closes what it has.
+    fn forget(&mut self, session: Key) {
+        let client = self.take_client(session);
+        let server = self.take_server(session);
+        if let Some(slot) = self.session_table.sessions.remove(session) {
+            self.deadlines.clear(TimerKey::Session(session));
+            self.session_ids.remove(slot.driver_data.id());
+            for key in [client, server].into_iter().flatten() {
+                self.close(key);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/routing/types.rs
@@ -0,0 +1,121 @@
+//! What the router keeps for each connection and session, and what its timers are for.
+
+use super::probe::ProbeStage;
+use crate::transport::poll::Want;
+use crate::transport::{Key, Stream};
+use asterramp_placement::event::{Load, Outcome, ServerId};
+use std::ops::Range;
+use std::time::Duration;
+
+/// Watches a socket for bytes to read.
+pub(super) const READ_ONLY: Want = Want {
+    read: true,
+    write: false,
+};
+/// Watches a socket for room to write, or for its connection to come up.
+pub(super) const WRITE_ONLY: Want = Want {
+    read: false,
+    write: true,
+};
+
+/// What a deadline is for; each has one deadline at most.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum TimerKey {
+    /// The placement engine's tick.
+    Tick,
+    /// The watch on discovery.
+    DiscoveryWatch,
+    /// The client listener opens, at the start or after a pause.
+    Listener,
+    /// The next step of a warm start.
+    WarmStart,
+    /// The next step of a drain or shutdown.
+    Shutdown,
+    /// The next offers to the process that replaces this one.
+    HotRestart,
+    /// A connection has kept somebody waiting.
+    Connection(Key),
+    /// A session has.
+    Session(Key),
+}
+
+/// What a descriptor that the router watches is for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ConnectionRole {
+    /// Where clients connect.
+    Listener,
+    /// Can be read once a signal has come.
+    SignalPipe,
+    /// Where operators' commands connect.
+    AdminSocketListener,
+    /// An operator's command.
+    AdminSocket,
+    /// Where HTTP calls connect.
+    AdminHttpListener,
+    /// Where a process that replaces this one connects.
+    HotRestartListener,
+    /// The process that replaces this one, or that this one replaces.
+    HotRestart,
+    /// An HTTP call.
+    AdminHttp {
+        /// Its answer has been written.
+        answered: bool,
+    },
+    /// A client that has not said yet what it wants.
+    PendingClient,
+    /// The client of a session.
+    Client(Key),
+    /// The server of a session.
+    Server(Key),
+    /// A health check's connection.
+    Probe(ServerId, ProbeStage),
+    /// The watch on discovery.
+    DiscoveryWatch,
+    /// Another proxy that is asked what it knows.
+    Peer,
+    /// Has been sent its last text and is given a moment to close.
+    Lingering {
+        /// Bytes that it has sent since.
+        discarded: usize,
+    },
+}
+
+/// A descriptor that the router watches.
+#[derive(Debug)]
+pub(super) struct Connection {
+    pub(super) stream: Stream,
+    pub(super) role: ConnectionRole,
+    /// How many bytes at the front of `stream.inbound` are complete, checked lines.
+    pub(super) complete_len: usize,
+    /// When some of them were last forwarded, or the connection came, or was sent its last text.
+    pub(super) last_activity: Duration,
+}
+
+/// What the router keeps with a session, beside its state machine.
+#[derive(Debug)]
+pub(super) struct Session {
+    pub(super) client: Option<Key>,
+    pub(super) server: Option<Key>,
+    /// The client's request line, as it came.
+    pub(super) request_line: Vec<u8>,
+    /// Where in `request_line` the client's wait stands, in milliseconds.
+    pub(super) wait_at: Range<usize>,
+    /// Uid of the server that held the session before this proxy started, if one did.
+    pub(super) open_at: Option<String>,
+    /// The client has sent a line that the server has not answered yet.
+    pub(super) awaiting_response: bool,
+    /// The server has left that line for longer than a live one does.
+    pub(super) server_quiet: bool,
+    /// What the server announced of the session's end.
+    pub(super) announced_end: Option<(Outcome, Load)>,
+}
+
+impl Session {
+    /// The client's id of the session; empty if the request line holds none.
+    pub(super) fn id(&self) -> &str {
+        std::str::from_utf8(&self.request_line)
+            .ok()
+            .and_then(|line| line.split(' ').nth(1))
+            .unwrap_or_default()
+    }
+}
