--- a/crates/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -1,20 +1,31 @@
-//! Dials: from the connection's start to what its server says first.
+//! Dials: one attempt to open a session at a server, from its connection's start to the server's first answer.
 
-use super::{ConnectionRole, ReasonCode, Router, SessionInput, SessionState, TimerKey};
+use super::Router;
+use super::report::ReasonCode;
+use super::session_state::{SessionInput, SessionState};
+use super::types::{ConnectionRole, TimerKey, WRITE_ONLY};
 use crate::protocol::line;
 use crate::protocol::server::{Said, load, said};
-use crate::transport::poll::{Ready, Want};
+use crate::transport::poll::Ready;
 use crate::transport::{Key, socket};
 use asterramp_placement::event::{Load, Outcome, ServerId};
+use asterramp_placement::settings::LoadReportFormat;
 use rustix::io::Errno;
 use std::time::Duration;
 
+/// Characters of an answer that makes no sense that are logged.
+const LOGGED_ANSWER_CHARS: usize = 80;
+
+/// An answer that makes no sense, as the log shows it.
+struct MalformedAnswer(String);
+
 impl Router {
-    pub(super) fn dial(&mut self, sess: Key, server: ServerId) {
-        if self.client_has_gone(sess) {
+    /// Begins a dial's connection.
+    pub(super) fn dial(&mut self, session: Key, server: ServerId) {
+        if self.client_has_gone(session) {
             return;
         }
-        let Some(dial) = self.session_machine(sess).map(|life| life.dial()) else {
+        let Some(dial) = self.session_machine(session).map(|machine| machine.dial()) else {
             return;
         };
         let connected = self
@@ -22,184 +33,193 @@
             .address(server)
             .ok_or(Errno::ADDRNOTAVAIL)
             .and_then(socket::connect);
-        let kept = match connected {
-            Ok(fd) => self.register(
-                fd,
-                ConnectionRole::Server(sess),
-                Want {
-                    read: false,
-                    write: true,
-                },
-            ),
+        let registered = match connected {
+            Ok(fd) => self.register(fd, ConnectionRole::Server(session), WRITE_ONLY),
             Err(Errno::CONNREFUSED | Errno::NETUNREACH | Errno::HOSTUNREACH) => {
-                return self.input(sess, SessionInput::Unreachable { dial });
+                return self.input(session, SessionInput::Unreachable { dial });
             }
             Err(_) => None,
         };
-        let Some(key) = kept else {
-            return self.input(sess, SessionInput::NoSocket { dial });
+        let Some(key) = registered else {
+            return self.input(session, SessionInput::NoSocket { dial });
         };
-        let Some(own) = self.session_mut(sess) else {
+        let Some(data) = self.session_mut(session) else {
             return;
         };
-        own.server = Some(key);
-        let alone = own.client.is_none();
-        self.connection_counts.lone_servers += usize::from(alone);
+        data.server = Some(key);
+        if data.client.is_none() {
+            self.connection_counts.lone_servers += 1;
+        }
     }
 
     /// Looks at a session's client once more, right before something is sent for it: its end may have come behind
     /// other events of this turn, or with what was read before. For one that has gone nothing is begun.
-    fn client_has_gone(&mut self, sess: Key) -> bool {
+    fn client_has_gone(&mut self, session: Key) -> bool {
         let client = self
             .session_table
             .sessions
-            .get(sess)
-            .and_then(|held| held.driver_data.client);
-        let Some(conn) = client.and_then(|key| self.connections.get_mut(key)) else {
+            .get(session)
+            .and_then(|slot| slot.driver_data.client);
+        let Some(connection) = client.and_then(|key| self.connections.get_mut(key)) else {
             return false;
         };
-        conn.stream.fill(false);
-        let input = match (conn.stream.inbound.is_empty(), conn.stream.ended) {
-            (false, _) => SessionInput::ClientSpoke,
-            (true, Some(_)) => SessionInput::ClientLeft,
-            (true, None) => return false,
+        let stream = &mut connection.stream;
+        stream.fill(false);
+        let input = if !stream.inbound.is_empty() {
+            SessionInput::ClientSpoke
+        } else if stream.ended.is_some() {
+            SessionInput::ClientLeft
+        } else {
+            return false;
         };
-        self.session_table.found_gone(self.now, sess, input)
+        self.session_table.found_gone(self.now, session, input)
     }
 
-    /// Sends a session that was open before to the server that held it.
-    pub(super) fn restore(&mut self, sess: Key) {
-        let Some(held) = self.session_table.sessions.get(sess) else {
+    /// Dials the server that held a session before this proxy started.
+    pub(super) fn restore(&mut self, session: Key) {
+        let Some(slot) = self.session_table.sessions.get(session) else {
             return;
         };
-        let (dial, time_out) = (
-            held.machine.dial(),
-            held.machine.restored_until().saturating_sub(self.now),
-        );
-        let server = held
+        let remaining = slot.machine.restored_until().saturating_sub(self.now);
+        let server = slot
             .driver_data
             .open_at
             .as_deref()
             .and_then(|uid| self.endpoints.find(uid));
-        let input = server.map_or(SessionInput::NoSocket { dial }, |server| {
-            SessionInput::Dial {
+        let input = match server {
+            Some(server) => SessionInput::Dial {
                 server,
-                timeout: time_out,
-                write_within: time_out,
-            }
-        });
-        self.input(sess, input);
+                timeout: remaining,
+                write_within: remaining,
+            },
+            None => SessionInput::NoSocket {
+                dial: slot.machine.dial(),
+            },
+        };
+        self.input(session, input);
     }
 
-    pub(super) fn server_ready(&mut self, sess: Key, event: Ready) {
-        let Some((stage, dial)) = self
-            .session_machine(sess)
-            .map(|life| (life.state, life.dial()))
-        else {
+    /// Something happened on the connection of a session's server.
+    pub(super) fn server_ready(&mut self, session: Key, event: Ready) {
+        let Some(machine) = self.session_machine(session) else {
             return;
         };
-        let Some(conn) = self.connections.get_mut(event.key) else {
+        let state = machine.state;
+        let dial = machine.dial();
+        let Some(connection) = self.connections.get_mut(event.key) else {
             return;
         };
-        match stage {
+        match state {
             SessionState::Open => {
-                conn.stream.fill(event.broken);
-                self.forward(sess);
+                connection.stream.fill(event.broken);
+                self.forward(session);
             }
             SessionState::Connecting if !(event.write || event.broken) => {}
-            SessionState::Connecting if !conn.stream.is_up() => {
-                self.input(sess, SessionInput::Unreachable { dial })
+            SessionState::Connecting if !connection.stream.is_up() => {
+                self.input(session, SessionInput::Unreachable { dial });
             }
-            SessionState::Connecting => self.input(sess, SessionInput::Connected { dial }),
+            SessionState::Connecting => self.input(session, SessionInput::Connected { dial }),
             _ => {
-                conn.stream.fill(event.broken);
-                self.answered(sess, event.key);
+                connection.stream.fill(event.broken);
+                self.continue_dial(session, event.key);
             }
         }
     }
 
-    /// Writes the client's line, with the wait that this dial has, where the client's own stood.
-    pub(super) fn send_request_line(&mut self, sess: Key, wait: Option<Duration>) {
-        if self.client_has_gone(sess) {
+    /// Writes the client's request line; `wait` is how long this dial may still take, and stands in place of the
+    /// client's own.
+    pub(super) fn send_request_line(&mut self, session: Key, wait: Option<Duration>) {
+        if self.client_has_gone(session) {
             return;
         }
-        let Some(held) = self.session_table.sessions.get_mut(sess) else {
+        let Some(slot) = self.session_table.sessions.get(session) else {
             return;
         };
-        let own = &held.driver_data;
-        let Some(key) = own.server else { return };
-        let Some(conn) = self.connections.get_mut(key) else {
+        let data = &slot.driver_data;
+        let Some(key) = data.server else {
+            return;
+        };
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         match wait {
-            None => conn.stream.send(&[&own.request_line]),
+            None => connection.stream.send(&[&data.request_line]),
             Some(wait) => {
-                let (head, tail) = (
-                    &own.request_line[..own.wait_at.start],
-                    &own.request_line[own.wait_at.end..],
-                );
-                conn.stream
-                    .send(&[head, wait.as_millis().to_string().as_bytes(), tail]);
+                let before = &data.request_line[..data.wait_at.start];
+                let after = &data.request_line[data.wait_at.end..];
+                let wait_ms = wait.as_millis().to_string();
+                connection.stream.send(&[before, wait_ms.as_bytes(), after]);
             }
         }
-        self.answered(sess, key);
+        self.continue_dial(session, key);
     }
 
-    /// Looks at what a server has said, once the line is written to its last byte.
-    fn answered(&mut self, sess: Key, key: Key) {
-        let (Some(conn), Some(life)) = (self.connections.get(key), self.session_machine(sess))
+    /// Sees whether the request is written to its last byte, and what the server has answered since.
+    fn continue_dial(&mut self, session: Key, key: Key) {
+        let (Some(connection), Some(machine)) =
+            (self.connections.get(key), self.session_machine(session))
         else {
             return;
         };
-        let (ended, sent) = (conn.stream.ended.is_some(), conn.stream.sent());
-        let (dial, asked) = (life.dial(), life.state == SessionState::SendingRequest);
-        if sent && asked {
+        let has_ended = connection.stream.ended.is_some();
+        let is_written = connection.stream.sent();
+        let dial = machine.dial();
+        if is_written && machine.state == SessionState::SendingRequest {
             self.metrics.count_attempt();
-            self.input(sess, SessionInput::RequestWritten { dial });
+            self.input(session, SessionInput::RequestWritten { dial });
         }
-        let Some(conn) = self.connections.get(key) else {
+        let Some(connection) = self.connections.get(key) else {
             return;
         };
-        let line = match line::first(conn.stream.inbound.bytes()) {
-            Ok(Some((line, _))) if sent => line,
-            Ok(_) if ended => return self.input(sess, SessionInput::ServerEnded { dial }),
-            Ok(_) => return self.watch_own_io(key),
-            Err(fault) => {
-                self.log_event(
-                    ReasonCode::ServerProtocolError,
-                    format!("dial line={fault:?}"),
-                );
-                return self.input(sess, said_by(dial, Outcome::Erred, Load::default()));
-            }
-        };
-        let load = |report| load(&self.settings.load_reports, report);
-        let (outcome, load) = match said(line) {
-            Said::Up => return self.input(sess, SessionInput::ServerAccepted { dial }),
-            Said::Full(report) => (Outcome::Full, load(report)),
-            Said::Erred(report) | Said::Bye(report) => (Outcome::Erred, load(report)),
-            Said::Move => (Outcome::CalledOff, Load::default()),
-            _ => {
-                let line: String = line.chars().take(80).collect();
-                self.log_event(
-                    ReasonCode::ServerProtocolError,
-                    format!("dial line={line:?}"),
-                );
-                (Outcome::Erred, Load::default())
+        let answer = match line::first(connection.stream.inbound.bytes()) {
+            Ok(Some((text, _))) if is_written => {
+                read_answer(dial, text, &self.settings.load_reports)
             }
+            Ok(_) if has_ended => Ok(SessionInput::ServerEnded { dial }),
+            Ok(_) => return self.watch_own_io(key),
+            Err(fault) => Err(MalformedAnswer(format!("{fault:?}"))),
         };
-        self.input(sess, said_by(dial, outcome, load));
+        let input = answer.unwrap_or_else(|MalformedAnswer(shown)| {
+            self.log_event(
+                ReasonCode::ServerProtocolError,
+                format!("dial line={shown}"),
+            );
+            declined(dial, Outcome::Erred, Load::default())
+        });
+        self.input(session, input);
     }
 
-    pub(super) fn session_deadline(&mut self, sess: Key) {
-        match self.session_machine(sess).map(|life| life.state) {
-            Some(SessionState::Open) => self.open_session_deadline(sess),
-            Some(_) => self.input(sess, SessionInput::DeadlineReached),
-            None => self.deadlines.clear(TimerKey::Session(sess)),
+    /// A session's deadline has passed.
+    pub(super) fn session_deadline(&mut self, session: Key) {
+        match self.session_machine(session).map(|machine| machine.state) {
+            Some(SessionState::Open) => self.open_session_deadline(session),
+            Some(_) => self.input(session, SessionInput::DeadlineReached),
+            None => self.deadlines.clear(TimerKey::Session(session)),
+        }
+    }
+}
+
+/// What a server's first line says of its dial.
+fn read_answer(
+    dial: u8,
+    text: &str,
+    reports: &LoadReportFormat,
+) -> Result<SessionInput, MalformedAnswer> {
+    match said(text) {
+        Said::Up => Ok(SessionInput::ServerAccepted { dial }),
+        Said::Full(report) => Ok(declined(dial, Outcome::Full, load(reports, report))),
+        Said::Erred(report) | Said::Bye(report) => {
+            Ok(declined(dial, Outcome::Erred, load(reports, report)))
+        }
+        Said::Move => Ok(declined(dial, Outcome::CalledOff, Load::default())),
+        _ => {
+            let start: String = text.chars().take(LOGGED_ANSWER_CHARS).collect();
+            Err(MalformedAnswer(format!("{start:?}")))
         }
     }
 }
 
-fn said_by(dial: u8, outcome: Outcome, load: Load) -> SessionInput {
+fn declined(dial: u8, outcome: Outcome, load: Load) -> SessionInput {
     SessionInput::ServerDeclined {
         dial,
         outcome,
--- a/crates/proxy/src/routing/forwarding.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -1,6 +1,9 @@
-//! Open connections: whole lines both ways, and their ends.
+//! Open sessions: complete lines are forwarded both ways, and the end of one side ends the other.
 
-use super::{ReasonCode, Router, SessionInput, SessionState, TimerKey};
+use super::Router;
+use super::report::ReasonCode;
+use super::session_state::{SessionInput, SessionState};
+use super::types::{Connection, TimerKey};
 use crate::protocol::client::{FAILED, MOVE};
 use crate::protocol::line::{self, Fault};
 use crate::protocol::server::{Said, load, said};
@@ -13,144 +16,184 @@
 /// How long a server may leave a client's line without any answer.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// How long a server may take to end what its client has ended.
-const LAST: Duration = Duration::from_millis(900);
+const SERVER_CLOSE_TIMEOUT: Duration = Duration::from_millis(900);
 /// How long a client may take none of the lines that wait for it.
-const STALL: Duration = Duration::from_secs(30);
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a line may wait until its server counts as quiet: as long as a probe has to come up and be answered.
-fn quiet(connect_within: Duration) -> Duration {
-    (connect_within * 3).min(RESPONSE_TIMEOUT / 2)
+/// A complete line always fits beside one that waits.
+const _: () = assert!(Buffer::LIMIT >= 2 * line::LONGEST);
+
+/// How long a line may wait for an answer until its server counts as quiet: as long as a probe has to connect and be
+/// answered.
+fn quiet_timeout(connect_timeout: Duration) -> Duration {
+    (connect_timeout * 3).min(RESPONSE_TIMEOUT / 2)
 }
 
-/// How much longer it may wait, once it is quiet, until its client is moved.
-pub(super) fn time_from_quiet_to_migration(connect_within: Duration) -> Duration {
-    RESPONSE_TIMEOUT - quiet(connect_within)
+/// How much longer it may wait, once the server is quiet, until its client is migrated.
+pub(super) fn time_from_quiet_to_migration(connect_timeout: Duration) -> Duration {
+    RESPONSE_TIMEOUT - quiet_timeout(connect_timeout)
 }
 
-/// How one side of a connection is ended; whole lines that wait for it go out before.
+/// How one side of a session is closed; complete lines that wait for it go out before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Close {
+enum CloseWith {
     Fin,
     Reset,
-    Say(&'static [u8]),
+    Text(&'static [u8]),
+}
+
+/// Why a session ends, and how each side is closed.
+#[derive(Clone, Copy, Debug)]
+struct SessionClose {
+    code: ReasonCode,
+    outcome: Outcome,
+    to_client: CloseWith,
+    to_server: CloseWith,
+}
+
+impl SessionClose {
+    /// Both sides end in order.
+    fn fin(code: ReasonCode, outcome: Outcome) -> SessionClose {
+        SessionClose {
+            code,
+            outcome,
+            to_client: CloseWith::Fin,
+            to_server: CloseWith::Fin,
+        }
+    }
+
+    /// Both sides are reset.
+    fn reset(code: ReasonCode, outcome: Outcome) -> SessionClose {
+        SessionClose {
+            code,
+            outcome,
+            to_client: CloseWith::Reset,
+            to_server: CloseWith::Reset,
+        }
+    }
+
+    /// The client is sent a last text.
+    fn text(code: ReasonCode, outcome: Outcome, text: &'static [u8]) -> SessionClose {
+        SessionClose {
+            code,
+            outcome,
+            to_client: CloseWith::Text(text),
+            to_server: CloseWith::Fin,
+        }
+    }
 }
 
 impl Router {
-    /// Passes on what can be passed, both ways, and any end.
-    pub(super) fn forward(&mut self, sess: Key) {
-        let Some(held) = self.session_table.sessions.get(sess) else {
+    /// Forwards what can be forwarded, both ways, and any end.
+    pub(super) fn forward(&mut self, session: Key) {
+        let Some(slot) = self.session_table.sessions.get(session) else {
             return;
         };
-        let (Some(client), Some(server)) = (held.driver_data.client, held.driver_data.server)
+        let (Some(client), Some(server)) = (slot.driver_data.client, slot.driver_data.server)
         else {
             return;
         };
-        if self.is_offered(sess) {
+        if self.is_offered(session) {
             return;
         }
-        if let Err(fault) = self.take_from_server(sess, server) {
-            self.log_event(
-                ReasonCode::ServerProtocolError,
-                format!("server line={fault:?}"),
-            );
-            return self.end(
-                sess,
-                ReasonCode::ServerProtocolError,
-                Outcome::Reset,
-                (Close::Say(MOVE), Close::Fin),
-            );
+        if let Err(fault) = self.read_server_lines(session, server) {
+            let code = ReasonCode::ServerProtocolError;
+            self.log_event(code, format!("server line={fault:?}"));
+            return self.end_session(session, SessionClose::text(code, Outcome::Reset, MOVE));
+        }
+        if let Err(fault) = self.read_client_lines(session, client) {
+            let code = ReasonCode::ClientProtocolError;
+            self.log_event(code, format!("client line={fault:?}"));
+            self.input(session, SessionInput::ClientLeft);
+            return self.end_session(session, SessionClose::text(code, Outcome::Ok, FAILED));
         }
-        if let Err(fault) = self.take_from_client(sess, client) {
-            self.log_event(
-                ReasonCode::ClientProtocolError,
-                format!("client line={fault:?}"),
-            );
-            self.input(sess, SessionInput::ClientLeft);
-            return self.end(
-                sess,
-                ReasonCode::ClientProtocolError,
-                Outcome::Ok,
-                (Close::Say(FAILED), Close::Fin),
-            );
+        self.forward_lines(server, client);
+        self.forward_lines(client, server);
+        if self.forward_end(session, client, server) {
+            return;
         }
-        self.pass(server, client);
-        self.pass(client, server);
-        self.pass_ends(sess, client, server);
+        self.watch_both_sides(session, client, server);
     }
 
-    /// Takes in the whole lines that a server sent.
-    fn take_from_server(&mut self, sess: Key, server: Key) -> Result<(), Fault> {
-        let (Some(conn), Some(held)) = (
+    /// Checks the complete lines that a server sent, and takes note of what they say to the proxy.
+    fn read_server_lines(&mut self, session: Key, server: Key) -> Result<(), Fault> {
+        let (Some(connection), Some(slot)) = (
             self.connections.get_mut(server),
-            self.session_table.sessions.get_mut(sess),
+            self.session_table.sessions.get_mut(session),
         ) else {
             return Ok(());
         };
-        let (s, left, to) = (
-            &mut held.driver_data,
-            held.machine.client_left,
-            held.machine.server,
-        );
-        let listener = held.machine.request.listener;
-        let (mut works, mut heard) = (None, false);
-        while let Some((text, n)) = line::first(&conn.stream.inbound.bytes()[conn.complete_len..])?
+        let data = &mut slot.driver_data;
+        let client_left = slot.machine.client_left;
+        let server_id = slot.machine.server;
+        let listener = slot.machine.request.listener;
+        let mut last_work = None;
+        let mut has_answered = false;
+        while let Some((text, line_len)) =
+            line::first(&connection.stream.inbound.bytes()[connection.complete_len..])?
         {
-            conn.complete_len += n;
+            connection.complete_len += line_len;
             match said(text) {
-                Said::Work(work) => works = Some(work),
+                Said::Work(work) => last_work = Some(work),
                 Said::Bye(report) => {
-                    s.announced_end = Some((Outcome::Ok, load(&self.settings.load_reports, report)))
+                    let load = load(&self.settings.load_reports, report);
+                    data.announced_end = Some((Outcome::Ok, load));
                 }
-                Said::Move => s.announced_end = Some((Outcome::CalledOff, Load::default())),
+                Said::Move => data.announced_end = Some((Outcome::CalledOff, Load::default())),
                 _ => {}
             }
-            (s.awaiting_response, heard) = (false, true);
-            if s.announced_end.is_some() {
-                conn.stream.ended = conn.stream.ended.or(Some(End::Fin));
+            data.awaiting_response = false;
+            has_answered = true;
+            if data.announced_end.is_some() {
+                connection.stream.ended = connection.stream.ended.or(Some(End::Fin));
                 break;
             }
         }
-        if !s.awaiting_response && !left {
-            self.deadlines.clear(TimerKey::Session(sess));
+        if !data.awaiting_response && !client_left {
+            self.deadlines.clear(TimerKey::Session(session));
         }
-        if heard {
+        if has_answered {
             self.session_table
-                .note_server_activity(self.now, sess, true);
+                .note_server_activity(self.now, session, true);
         }
-        if let Some(work) = works {
+        if let Some(work) = last_work {
             self.admission.takes(self.now, listener, work);
             self.event(Event::Observed {
-                session: sess.slot,
-                server: to,
+                session: session.slot,
+                server: server_id,
                 observation: Observation::Work(work),
             });
         }
         Ok(())
     }
 
-    fn take_from_client(&mut self, sess: Key, client: Key) -> Result<(), Fault> {
-        let (Some(conn), Some(held)) = (
+    /// Checks the complete lines that a client sent, and waits for an answer to the first.
+    fn read_client_lines(&mut self, session: Key, client: Key) -> Result<(), Fault> {
+        let (Some(connection), Some(slot)) = (
             self.connections.get_mut(client),
-            self.session_table.sessions.get_mut(sess),
+            self.session_table.sessions.get_mut(session),
         ) else {
             return Ok(());
         };
-        let (s, left) = (&mut held.driver_data, held.machine.client_left);
-        let quiet = quiet(self.settings.connect_timeout);
-        while let Some((_, n)) = line::first(&conn.stream.inbound.bytes()[conn.complete_len..])? {
-            conn.complete_len += n;
-            if !s.awaiting_response && !left {
-                (s.awaiting_response, s.server_quiet) = (true, false);
-                self.deadlines
-                    .set(TimerKey::Session(sess), self.now + quiet);
+        let data = &mut slot.driver_data;
+        let client_left = slot.machine.client_left;
+        let quiet_at = self.now + quiet_timeout(self.settings.connect_timeout);
+        while let Some((_, line_len)) =
+            line::first(&connection.stream.inbound.bytes()[connection.complete_len..])?
+        {
+            connection.complete_len += line_len;
+            if !data.awaiting_response && !client_left {
+                data.awaiting_response = true;
+                data.server_quiet = false;
+                self.deadlines.set(TimerKey::Session(session), quiet_at);
             }
         }
         Ok(())
     }
 
-    /// Writes whole lines of one side to the other, as far as it takes them; the rest stays where it is, and
-    /// no more is read than there is room for.
-    fn pass(&mut self, from: Key, to: Key) {
+    /// Writes complete lines of one side to the other, as far as it takes them; the rest stays where it is, and
+    /// no more is read than there is space for.
+    fn forward_lines(&mut self, from: Key, to: Key) {
         let (Some(source), Some(sink)) = (self.connections.get(from), self.connections.get(to))
         else {
             return;
@@ -158,198 +201,180 @@
         let bytes = &source.stream.inbound.bytes()[..source.complete_len];
         match sink.stream.pass(bytes) {
             Ok(0) => {}
-            Ok(n) => {
-                let Some(source) = self.connections.get_mut(from) else {
-                    return;
-                };
-                source.complete_len -= n;
-                source.stream.inbound.consume(n);
-                source.last_activity = self.now;
+            Ok(written) => {
+                if let Some(source) = self.connections.get_mut(from) {
+                    source.complete_len -= written;
+                    source.stream.inbound.consume(written);
+                    source.last_activity = self.now;
+                }
+            }
+            Err(end) => {
+                if let Some(sink) = self.connections.get_mut(to) {
+                    sink.stream.ended = Some(end);
+                }
             }
-            Err(end) => self
-                .connections
-                .get_mut(to)
-                .into_iter()
-                .for_each(|sink| sink.stream.ended = Some(end)),
         }
     }
 
-    fn pass_ends(&mut self, sess: Key, client: Key, server: Key) {
-        let (Some(held), Some(c), Some(v)) = (
-            self.session_table.sessions.get(sess),
+    /// Ends a session of which a side has ended. Whether it has.
+    fn forward_end(&mut self, session: Key, client: Key, server: Key) -> bool {
+        let (Some(slot), Some(client), Some(server)) = (
+            self.session_table.sessions.get(session),
             self.connections.get(client),
             self.connections.get(server),
         ) else {
-            return;
-        };
-        let left = held.machine.client_left;
-        let (code, outcome) = match held.driver_data.announced_end {
-            Some((Outcome::Ok, _)) => (ReasonCode::ServerFinished, Outcome::Ok),
-            Some(_) => (ReasonCode::ServerMigrated, Outcome::CalledOff),
-            None => (ReasonCode::ServerClosed, Outcome::Reset),
+            return true;
         };
-        let fin = (Close::Fin, Close::Fin);
-        match (c.stream.ended, v.stream.ended) {
-            (Some(_), Some(_)) | (Some(End::Reset), _) if left => {
-                return self.end(sess, ReasonCode::ClientLeft, Outcome::Ok, fin);
+        let client_left = slot.machine.client_left;
+        let announced = slot.driver_data.announced_end.map(|(outcome, _)| outcome);
+        let close = match (client.stream.ended, server.stream.ended) {
+            (Some(_), Some(_)) | (Some(End::Reset), _) if client_left => {
+                SessionClose::fin(ReasonCode::ClientLeft, Outcome::Ok)
             }
             (Some(End::Reset), _) => {
-                self.input(sess, SessionInput::ClientLeft);
-                return self.end(
-                    sess,
-                    ReasonCode::ClientReset,
-                    Outcome::Ok,
-                    (Close::Reset, Close::Reset),
-                );
+                self.input(session, SessionInput::ClientLeft);
+                SessionClose::reset(ReasonCode::ClientReset, Outcome::Ok)
             }
-            (_, Some(End::Reset)) => {
-                return self.end(
-                    sess,
-                    ReasonCode::ServerReset,
-                    Outcome::Reset,
-                    (Close::Reset, Close::Reset),
-                );
-            }
-            (_, Some(End::Fin)) => return self.end(sess, code, outcome, fin),
-            (Some(End::Fin), None) if !left => {
-                self.input(sess, SessionInput::ClientLeft);
-                self.deadlines.set(TimerKey::Session(sess), self.now + LAST);
+            (_, Some(End::Reset)) => SessionClose::reset(ReasonCode::ServerReset, Outcome::Reset),
+            (_, Some(End::Fin)) => match announced {
+                Some(Outcome::Ok) => SessionClose::fin(ReasonCode::ServerFinished, Outcome::Ok),
+                Some(_) => SessionClose::fin(ReasonCode::ServerMigrated, Outcome::CalledOff),
+                None => SessionClose::fin(ReasonCode::ServerClosed, Outcome::Reset),
+            },
+            (Some(End::Fin), None) if !client_left => {
+                self.input(session, SessionInput::ClientLeft);
+                self.deadlines
+                    .set(TimerKey::Session(session), self.now + SERVER_CLOSE_TIMEOUT);
+                return false;
             }
-            _ => {}
-        }
-        let (Some(c), Some(v)) = (self.connections.get(client), self.connections.get(server))
-        else {
+            _ => return false,
+        };
+        self.end_session(session, close);
+        true
+    }
+
+    /// Watches both sides for what can be forwarded next; a client's end is passed on once its lines are.
+    fn watch_both_sides(&mut self, session: Key, client_key: Key, server_key: Key) {
+        let (Some(client), Some(server)) = (
+            self.connections.get(client_key),
+            self.connections.get(server_key),
+        ) else {
             return;
         };
-        if self
-            .session_machine(sess)
-            .is_some_and(|life| life.client_left)
-            && c.complete_len == 0
-        {
-            v.stream.end_sending();
+        let client_left = self
+            .session_machine(session)
+            .is_some_and(|machine| machine.client_left);
+        if client_left && client.complete_len == 0 {
+            server.stream.end_sending();
         }
-        let write = |conn: &super::Connection, other: &super::Connection| {
-            !conn.stream.sent() || other.complete_len > 0
-        };
-        let for_client = Want {
-            read: c.stream.may_read(),
-            write: write(c, v),
-        };
-        let for_server = Want {
-            read: v.stream.may_read(),
-            write: write(v, c),
-        };
-        self.set_interest(client, for_client);
-        self.set_interest(server, for_server);
+        let for_client = forwarding_interest(client, server);
+        let for_server = forwarding_interest(server, client);
+        self.set_interest(client_key, for_client);
+        self.set_interest(server_key, for_server);
     }
 
-    /// Asks a client to come again.
-    pub(super) fn migrate(&mut self, sess: Key, code: ReasonCode) {
+    /// Asks the client of an open session to come again, unless another process may have it.
+    pub(super) fn migrate(&mut self, session: Key, code: ReasonCode) {
         let outcome = if code == ReasonCode::ServerSilent {
             Outcome::Reset
         } else {
             Outcome::CalledOff
         };
-        if self
-            .session_machine(sess)
-            .is_some_and(|life| life.state == SessionState::Open)
-            && !self.is_offered(sess)
-        {
-            self.end(sess, code, outcome, (Close::Say(MOVE), Close::Fin));
+        let is_open = self
+            .session_machine(session)
+            .is_some_and(|machine| machine.state == SessionState::Open);
+        if is_open && !self.is_offered(session) {
+            self.end_session(session, SessionClose::text(code, outcome, MOVE));
         }
     }
 
-    /// An open connection has kept somebody waiting too long.
-    pub(super) fn open_session_deadline(&mut self, sess: Key) {
-        let Some(held) = self.session_table.sessions.get(sess) else {
+    /// One side of an open session has kept the other waiting too long.
+    pub(super) fn open_session_deadline(&mut self, session: Key) {
+        let Some(slot) = self.session_table.sessions.get(session) else {
             return;
         };
-        let (left, quiet) = (held.machine.client_left, held.driver_data.server_quiet);
-        let waits = held
+        if slot.machine.client_left {
+            let close = SessionClose::fin(ReasonCode::ClientLeft, Outcome::Ok);
+            return self.end_session(session, close);
+        }
+        let server_quiet = slot.driver_data.server_quiet;
+        let stalled_at = slot
             .driver_data
             .server
             .and_then(|key| self.connections.get(key))
-            .filter(|conn| conn.complete_len > 0);
-        let stalls = waits.map(|conn| conn.last_activity + STALL);
-        match stalls {
-            _ if left => self.end(
-                sess,
-                ReasonCode::ClientLeft,
-                Outcome::Ok,
-                (Close::Fin, Close::Fin),
-            ),
+            .filter(|server| server.complete_len > 0)
+            .map(|server| server.last_activity + CLIENT_STALL_TIMEOUT);
+        match stalled_at {
             // The server may well have answered: its lines wait for a client that takes none.
-            Some(until) if self.now < until => self
-                .deadlines
-                .set(TimerKey::Session(sess), self.now + RESPONSE_TIMEOUT),
-            Some(_) => {
-                self.input(sess, SessionInput::ClientLeft);
-                self.end(
-                    sess,
-                    ReasonCode::ClientStalled,
-                    Outcome::Ok,
-                    (Close::Reset, Close::Reset),
-                );
+            Some(at) if self.now < at => {
+                self.deadlines
+                    .set(TimerKey::Session(session), self.now + RESPONSE_TIMEOUT);
             }
-            None if !quiet => {
-                self.deadlines.set(
-                    TimerKey::Session(sess),
-                    self.now + time_from_quiet_to_migration(self.settings.connect_timeout),
-                );
-                self.session_mut(sess)
-                    .into_iter()
-                    .for_each(|own| own.server_quiet = true);
-                self.session_table
-                    .note_server_activity(self.now, sess, false);
+            Some(_) => {
+                self.input(session, SessionInput::ClientLeft);
+                let close = SessionClose::reset(ReasonCode::ClientStalled, Outcome::Ok);
+                self.end_session(session, close);
             }
-            None => self.migrate(sess, ReasonCode::ServerSilent),
+            None if server_quiet => self.migrate(session, ReasonCode::ServerSilent),
+            None => self.mark_server_quiet(session),
+        }
+    }
+
+    fn mark_server_quiet(&mut self, session: Key) {
+        let migrate_at = self.now + time_from_quiet_to_migration(self.settings.connect_timeout);
+        self.deadlines.set(TimerKey::Session(session), migrate_at);
+        if let Some(data) = self.session_mut(session) {
+            data.server_quiet = true;
         }
+        self.session_table
+            .note_server_activity(self.now, session, false);
+    }
+
+    /// Closes both sides of an open session and gives its state machine the end.
+    fn end_session(&mut self, session: Key, close: SessionClose) {
+        self.log_session_end(session, close.code);
+        let Some(data) = self.session_mut(session) else {
+            return;
+        };
+        let load = data.announced_end.map(|(_, load)| load).unwrap_or_default();
+        let client = self.take_client(session);
+        let server = self.take_server(session);
+        self.deadlines.clear(TimerKey::Session(session));
+        let for_client = self.complete_lines(server);
+        let for_server = self.complete_lines(client);
+        self.close_side(client, close.to_client, &for_client);
+        self.close_side(server, close.to_server, &for_server);
+        let outcome = close.outcome;
+        self.input(session, SessionInput::SessionClosed { outcome, load });
     }
 
-    /// Ends both sides of an open connection and tells the module.
-    fn end(
-        &mut self,
-        sess: Key,
-        code: ReasonCode,
-        outcome: Outcome,
-        (to_client, to_server): (Close, Close),
-    ) {
-        self.log_session_end(sess, code);
-        let Some(s) = self.session_mut(sess) else {
+    fn close_side(&mut self, key: Option<Key>, close: CloseWith, lines: &[u8]) {
+        let Some(key) = key else {
             return;
         };
-        let load = s
-            .announced_end
-            .map(|farewell| farewell.1)
-            .unwrap_or_default();
-        let (client, server) = (self.take_client(sess), self.take_server(sess));
-        self.deadlines.clear(TimerKey::Session(sess));
-        let for_client = server.map(|key| self.waiting(key)).unwrap_or_default();
-        let for_server = client.map(|key| self.waiting(key)).unwrap_or_default();
-        for (key, close, waiting) in [
-            (client, to_client, for_client),
-            (server, to_server, for_server),
-        ] {
-            let Some(key) = key else { continue };
-            match close {
-                Close::Fin => self.close_gracefully(key, &[&waiting]),
-                Close::Say(text) => self.close_gracefully(key, &[&waiting, text]),
-                Close::Reset => self
-                    .close(key)
-                    .into_iter()
-                    .for_each(|stream| stream.reset()),
+        match close {
+            CloseWith::Fin => self.close_gracefully(key, &[lines]),
+            CloseWith::Text(text) => self.close_gracefully(key, &[lines, text]),
+            CloseWith::Reset => {
+                if let Some(stream) = self.close(key) {
+                    stream.reset();
+                }
             }
         }
-        self.input(sess, SessionInput::SessionClosed { outcome, load });
     }
 
-    /// Whole lines that came from one side and are not passed on yet.
-    fn waiting(&self, from: Key) -> Vec<u8> {
-        let conn = self.connections.get(from);
-        conn.map(|conn| conn.stream.inbound.bytes()[..conn.complete_len].to_vec())
+    /// Complete lines that came from one side and are not forwarded yet.
+    fn complete_lines(&self, from: Option<Key>) -> Vec<u8> {
+        from.and_then(|key| self.connections.get(key))
+            .map(|connection| connection.stream.inbound.bytes()[..connection.complete_len].to_vec())
             .unwrap_or_default()
     }
 }
 
-/// A whole line always fits beside one that waits.
-const _: () = assert!(Buffer::LIMIT >= 2 * line::LONGEST);
+/// What one side is watched for, given the other.
+fn forwarding_interest(side: &Connection, other: &Connection) -> Want {
+    Want {
+        read: side.stream.may_read(),
+        write: !side.stream.sent() || other.complete_len > 0,
+    }
+}
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -1,113 +1,157 @@
-//! Emptying the proxy, for good or on request: carries out what `asterramp_drain` advises.
+//! Draining and shutting down: carries out on sockets what `asterramp_drain` advises.
 
-use super::{ConnectionRole, ReasonCode, Router, SessionInput, SessionState, TimerKey};
+use super::Router;
+use super::report::ReasonCode;
+use super::session_state::{SessionInput, SessionState};
+use super::types::{ConnectionRole, TimerKey};
 use crate::protocol::client::FAILED;
 use crate::transport::Key;
 use asterramp_drain::{DrainError, DrainExit, DrainSettings, DrainState, DrainView, STEP};
 use asterramp_placement::deployment::RetrySafety;
-use asterramp_placement::event::EndpointState;
+use asterramp_placement::event::{EndpointState, Load};
 use std::time::Duration;
 
-/// The front goes on sending clients for this long.
-const SERVE_ON: Duration = Duration::from_millis(500);
-/// Who does not go by itself is killed, though not before the longest wait of a client, or this, and some
+/// The load balancer before this proxy goes on sending clients for this long after SIGTERM.
+const FRONT_DELAY: Duration = Duration::from_millis(500);
+/// A process that does not end by itself is killed, though not before the longest wait of a client, or this, and some
 /// tenths of a second more have passed.
-const LONGEST: Duration = Duration::from_secs(3);
-const AFTER: Duration = Duration::from_millis(500);
+const KILL_DELAY: Duration = Duration::from_secs(3);
+/// How long after the longest wait the process goes on, for what is under way.
+const EXIT_MARGIN: Duration = Duration::from_millis(500);
 /// How long whoever was answered last has to close, at least.
-const CLOSES: Duration = Duration::from_millis(100);
-/// Parts of that time between which all that were open are moved: as late as it may be, since the other
-/// proxies, which are to take them, may have been restarted just before, and the front is slow to see them.
-const MOVING: (f64, f64) = (0.7, 1.05);
-/// How old a host's report may be to tell its room, and up to what share of it that room goes.
-const TELLS: Duration = Duration::from_secs(5);
-const FULL: f64 = 0.85;
+const LAST_CLOSE: Duration = Duration::from_millis(100);
+/// The parts of the time until the last answers at which migrating begins and ends: as late as may be, since the other
+/// proxies, which are to take the sessions, may have been restarted just before, and the load balancer is slow to see
+/// them.
+const MIGRATION_START: f64 = 0.7;
+const MIGRATION_END: f64 = 1.05;
+/// How old a server's load report may be to count for its capacity.
+const LOAD_REPORT_MAX_AGE: Duration = Duration::from_secs(5);
+/// The utilization that migrated sessions may fill a server to.
+const FULL_UTILIZATION: f64 = 0.85;
+/// A server's connections count for at least the mean divided by this: what is migrated to it may be heavier than what
+/// it holds.
+const LIGHTEST_DIVISOR: f64 = 4.0;
+
+/// The load of a server that has reported all of it.
+#[derive(Clone, Copy, Debug)]
+struct ReportedLoad {
+    connections: f64,
+    utilization: f64,
+}
 
 impl Router {
-    /// Leaves for good; a drain under way becomes that.
+    /// Begins to leave for good; a drain under way becomes that.
     pub fn begin_shutdown(&mut self, now: Duration) {
         if self.drain.state() == DrainState::Exiting {
             return;
         }
         self.now = now;
-        let told = Some(self.settings.longest_wait).filter(|wait| !wait.is_zero());
-        let told = told.unwrap_or(LONGEST).min(LONGEST);
-        // However short their wait, clients come for as long as the front sends them.
-        let answered = now + told.max(SERVE_ON);
+        let exit = self.exit_times();
+        let serve_on = exit.serve_on;
+        self.drain.exit(exit);
+        self.deadlines.set(TimerKey::Shutdown, serve_on);
+        self.log_drain_state();
+    }
+
+    /// When each step of a shutdown that begins now is due.
+    fn exit_times(&self) -> DrainExit {
+        let now = self.now;
+        let longest_wait = match self.settings.longest_wait {
+            wait if wait.is_zero() => KILL_DELAY,
+            wait => wait.min(KILL_DELAY),
+        };
+        // However short their wait, clients come for as long as the load balancer sends them.
+        let answered = now + longest_wait.max(FRONT_DELAY);
         let part = |part| now + (answered - now).mul_f64(part);
-        let (moving, moved) = (part(MOVING.0), part(MOVING.1));
-        let (serve_on, ends) = (
-            (now + SERVE_ON).min(moving),
-            (now + told + AFTER).max(answered + CLOSES),
-        );
+        let moving = part(MIGRATION_START);
         // Another process that takes this one's place shares the address, and is to have all that come. Where none may,
-        // whoever comes late is served and moved rather than reset.
+        // whoever comes late is served and migrated rather than reset.
         let door = if self.hot_restart.is_some() {
-            now + SERVE_ON
+            now + FRONT_DELAY
         } else {
             answered
         };
-        self.drain.exit(DrainExit {
-            serve_on,
+        DrainExit {
+            serve_on: (now + FRONT_DELAY).min(moving),
             door,
             moving,
-            moved,
+            moved: part(MIGRATION_END),
             answered,
-            ends,
-        });
-        self.deadlines.set(TimerKey::Shutdown, serve_on);
-        self.told_state();
+            ends: (now + longest_wait + EXIT_MARGIN).max(answered + LAST_CLOSE),
+        }
     }
 
-    /// Begins to empty the proxy for a while, or changes how.
+    /// Begins to drain within so long, or changes how; `pace` is in sessions a second.
+    ///
+    /// # Errors
+    ///
+    /// If the drain's state or settings do not allow it.
     pub fn drain(&mut self, within: Duration, pace: Option<f64>) -> Result<(), DrainError> {
         self.drain.drain(self.now, within, pace)?;
         self.deadlines.set(TimerKey::Shutdown, self.now);
-        self.told_state();
+        self.log_drain_state();
         Ok(())
     }
 
+    /// Ends a drain; the proxy serves on.
+    ///
+    /// # Errors
+    ///
+    /// If the drain's state does not allow it.
     pub fn undrain(&mut self) -> Result<(), DrainError> {
         self.drain.undrain(self.now)?;
         self.deadlines.clear(TimerKey::Shutdown);
-        self.told_state();
+        self.log_drain_state();
         Ok(())
     }
 
-    pub fn set_drain_settings(&mut self, terms: DrainSettings) {
-        self.drain.set_terms(terms);
+    /// Changes how drains go from now on.
+    pub fn set_drain_settings(&mut self, settings: DrainSettings) {
+        self.drain.set_terms(settings);
     }
 
-    /// A line for each change of state.
-    fn told_state(&mut self) {
+    /// Logs a line for each change of the drain's state.
+    fn log_drain_state(&mut self) {
         let state = self.drain.state();
-        if state != self.logged_drain_state {
-            self.logged_drain_state = state;
-            let view = self.drain_view();
-            let (pace, moved) = (self.drain.pace(&view), self.drain.moved());
-            let about = format!(
-                "open={} pending={} moved={moved} pace={pace:.1}",
-                view.open, view.pending
-            );
-            self.log_event(
-                ReasonCode::DrainStateChanged,
-                format!("state={} {about}", state.name()),
-            );
-        }
-    }
-
-    fn sessions_of(&self, stage: impl Fn(SessionState) -> bool) -> Vec<Key> {
-        let sessions = self.session_table.sessions.iter();
-        let those =
-            sessions.filter(|(_, held)| stage(held.machine.state) && !held.machine.client_left);
-        those
+        if state == self.logged_drain_state {
+            return;
+        }
+        self.logged_drain_state = state;
+        let view = self.drain_view();
+        let about = format!(
+            "state={} open={} pending={} moved={} pace={:.1}",
+            state.name(),
+            view.open,
+            view.pending,
+            self.drain.moved(),
+            self.drain.pace(&view)
+        );
+        self.log_event(ReasonCode::DrainStateChanged, about);
+    }
+
+    fn open_sessions(&self) -> Vec<Key> {
+        self.sessions_with_client(|state| state == SessionState::Open)
+    }
+
+    fn pending_sessions(&self) -> Vec<Key> {
+        self.sessions_with_client(|state| state != SessionState::Open)
+    }
+
+    /// The sessions in a state whose client is there and that are not offered to another process.
+    fn sessions_with_client(&self, is_wanted: impl Fn(SessionState) -> bool) -> Vec<Key> {
+        self.session_table
+            .sessions
+            .iter()
+            .filter(|(_, slot)| is_wanted(slot.machine.state) && !slot.machine.client_left)
             .map(|(key, _)| key)
             .filter(|key| !self.is_offered(*key))
             .collect()
     }
 
+    /// What the drain goes by now.
     pub(super) fn drain_view(&self) -> DrainView {
-        let client = |role| {
+        let is_client = |role| {
             matches!(
                 role,
                 ConnectionRole::PendingClient
@@ -116,136 +160,167 @@
             )
         };
         DrainView {
-            open: self.sessions_of(|stage| stage == SessionState::Open).len(),
-            pending: self.sessions_of(|stage| stage != SessionState::Open).len(),
+            open: self.open_sessions().len(),
+            pending: self.pending_sessions().len(),
             clients: self
                 .connections
                 .iter()
-                .filter(|(_, conn)| client(conn.role))
+                .filter(|(_, connection)| is_client(connection.role))
                 .count(),
             last_came: self.last_arrival,
             room: self.spare_capacity(),
         }
     }
 
-    /// Connections that warm, ready hosts can absorb by what they told of late. Who told of none that it holds
-    /// is taken for one whose connections are of the mean size.
+    /// Connections that warm, ready servers can absorb by their load reports of late; `None` where the reports do not
+    /// say. A server that holds none is taken for one whose connections are of the mean size.
     pub(super) fn spare_capacity(&self) -> Option<f64> {
-        let cold = self.settings.deployment.slow_start.warm_after;
-        let warm = |started: Option<Duration>| {
-            started.is_none_or(|at| self.now.saturating_sub(at) >= cold)
+        let reports = self.recent_loads();
+        let (connections, utilization) = reports.iter().fold((0.0, 0.0), |sum, report| {
+            (sum.0 + report.connections, sum.1 + report.utilization)
+        });
+        let mean = (connections >= 1.0 && utilization > 0.0).then(|| utilization / connections)?;
+        let spare = reports.iter().map(|report| report.spare_connections(mean));
+        Some(spare.sum())
+    }
+
+    /// What warm, ready servers have reported of late.
+    fn recent_loads(&self) -> Vec<ReportedLoad> {
+        let warm_after = self.settings.deployment.slow_start.warm_after;
+        let is_warm = |started: Option<Duration>| {
+            started.is_none_or(|at| self.now.saturating_sub(at) >= warm_after)
         };
-        let told: Vec<(f64, f64)> = self
-            .endpoints
+        self.endpoints
             .hosts()
-            .filter(|host| host.standing == EndpointState::Ready && warm(host.started))
-            .filter(|host| self.now.saturating_sub(host.told) <= TELLS)
-            .filter_map(|host| Some((host.load.connections?, host.load.utilization?)))
-            .collect();
-        let (count, asked) = told
-            .iter()
-            .fold((0.0, 0.0), |sum, host| (sum.0 + host.0, sum.1 + host.1));
-        let mean = (count >= 1.0 && asked > 0.0).then(|| asked / count)?;
-        let room = |(count, asked): &(f64, f64)| {
-            let unit = if *count >= 1.0 {
-                (asked / count).max(mean / 4.0)
-            } else {
-                mean
-            };
-            ((FULL - asked) / unit).max(0.0)
-        };
-        Some(told.iter().map(room).sum())
+            .filter(|host| host.standing == EndpointState::Ready && is_warm(host.started))
+            .filter(|host| self.now.saturating_sub(host.told) <= LOAD_REPORT_MAX_AGE)
+            .filter_map(|host| ReportedLoad::of(host.load))
+            .collect()
     }
 
+    /// Takes the next step of a drain or shutdown.
     pub(super) fn continue_shutdown(&mut self) {
         let exiting = self.drain.state() == DrainState::Exiting;
         if self.drain.shuts_door(self.now) {
-            self.shut_door();
+            self.close_listener();
         }
         let view = self.drain_view();
         let advice = self.drain.advise(self.now, &view);
         if advice.move_now > 0 {
-            let mut open = self.sessions_of(|stage| stage == SessionState::Open);
-            if !exiting {
-                // Whoever may run again without harm goes first.
-                open.sort_by_key(|sess| self.rank(*sess));
-            }
-            let code = if exiting {
-                ReasonCode::ShuttingDown
-            } else {
-                ReasonCode::Draining
-            };
-            open.into_iter()
-                .take(advice.move_now)
-                .for_each(|sess| self.migrate(sess, code));
+            self.migrate_sessions(advice.move_now, exiting);
         }
         if advice.answer {
-            let pending = self.sessions_of(|stage| stage != SessionState::Open);
-            let word = if exiting {
-                SessionInput::ShutdownCutoff
-            } else {
-                SessionInput::DrainCutoff
-            };
-            pending.into_iter().for_each(|sess| self.input(sess, word));
+            self.answer_pending_sessions(exiting);
         }
         if advice.answer && exiting {
-            let greeting = self
-                .connections
-                .iter()
-                .filter(|(_, conn)| conn.role == ConnectionRole::PendingClient);
-            let late: Vec<Key> = greeting
-                .map(|(key, _)| key)
-                .filter(|key| !self.is_on_offer(*key))
-                .collect();
-            late.into_iter()
-                .for_each(|key| self.close_gracefully(key, &[FAILED]));
+            self.answer_pending_clients();
         }
         if advice.exit {
-            self.shut_door();
-            // Who was let in this moment is answered first.
+            self.close_listener();
+            // Whoever was let in this moment is answered first.
             self.done = self.drain_view().clients == 0 || advice.late;
         }
-        self.told_state();
+        self.log_drain_state();
         if self.drain.state() != DrainState::Serving {
             self.deadlines.set(TimerKey::Shutdown, self.now + STEP);
         }
     }
 
-    /// Who waits at the door has been let in by the front, and would be lost with it.
-    fn shut_door(&mut self) {
+    /// Migrates so many open sessions; a drain, which has time, begins with those that may run again without harm.
+    fn migrate_sessions(&mut self, count: usize, exiting: bool) {
+        let mut open = self.open_sessions();
+        let code = if exiting {
+            ReasonCode::ShuttingDown
+        } else {
+            open.sort_by_key(|session| self.retry_risk(*session));
+            ReasonCode::Draining
+        };
+        for session in open.into_iter().take(count) {
+            self.migrate(session, code);
+        }
+    }
+
+    /// Gives every session that is not open its final answer.
+    fn answer_pending_sessions(&mut self, exiting: bool) {
+        let cutoff = if exiting {
+            SessionInput::ShutdownCutoff
+        } else {
+            SessionInput::DrainCutoff
+        };
+        for session in self.pending_sessions() {
+            self.input(session, cutoff);
+        }
+    }
+
+    /// Fails every client that has not said yet what it wants.
+    fn answer_pending_clients(&mut self) {
+        let pending: Vec<Key> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.role == ConnectionRole::PendingClient)
+            .map(|(key, _)| key)
+            .filter(|key| !self.is_on_offer(*key))
+            .collect();
+        for key in pending {
+            self.close_gracefully(key, &[FAILED]);
+        }
+    }
+
+    /// Closes the listener; whoever waits there has been sent by the load balancer, and would be lost with it.
+    fn close_listener(&mut self) {
         self.accept_all();
         self.close_hot_restart();
-        self.listener
-            .take()
-            .into_iter()
-            .for_each(|door| drop(self.close(door)));
+        if let Some(listener) = self.listener.take() {
+            self.close(listener);
+        }
         self.deadlines.clear(TimerKey::Listener);
     }
 
-    /// Closes what is left as the process ends: texts of ours go out as far as their sockets take them, and nothing is
-    /// closed over what nobody read.
+    /// Closes what is left as the process ends: the router's own texts go out as far as their sockets take them, and
+    /// nothing is closed over what nobody read.
     pub fn close_all(&mut self) {
         let keys: Vec<Key> = self.connections.iter().map(|(key, _)| key).collect();
         for key in keys {
-            self.connections
-                .get_mut(key)
-                .into_iter()
-                .for_each(|conn| conn.stream.flush());
+            if let Some(connection) = self.connections.get_mut(key) {
+                connection.stream.flush();
+            }
             self.close(key);
         }
     }
 
-    fn rank(&self, sess: Key) -> u8 {
-        let listener = self
-            .session_machine(sess)
-            .map(|life| usize::from(life.request.listener));
-        match listener
-            .and_then(|l| self.settings.deployment.listeners.get(l))
-            .map(|l| l.retry_safety)
-        {
+    /// How much harm it may do to run a session's request again, from 0.
+    fn retry_risk(&self, session: Key) -> u8 {
+        let retry_safety = self
+            .session_machine(session)
+            .and_then(|machine| {
+                let listener = usize::from(machine.request.listener);
+                self.settings.deployment.listeners.get(listener)
+            })
+            .map(|listener| listener.retry_safety);
+        match retry_safety {
             Some(RetrySafety::Idempotent) => 0,
             Some(RetrySafety::IdempotencyKey(..)) => 1,
             _ => 2,
         }
     }
 }
+
+impl ReportedLoad {
+    /// `None` unless both figures are reported.
+    fn of(load: Load) -> Option<ReportedLoad> {
+        Some(ReportedLoad {
+            connections: load.connections?,
+            utilization: load.utilization?,
+        })
+    }
+
+    /// How many connections more fill the server, where one is of its own mean size or, if it has none, of `mean`.
+    fn spare_connections(self, mean: f64) -> f64 {
+        let per_connection = if self.connections >= 1.0 {
+            (self.utilization / self.connections).max(mean / LIGHTEST_DIVISOR)
+        } else {
+            mean
+        };
+        ((FULL_UTILIZATION - self.utilization) / per_connection).max(0.0)
+    }
+}
--- a/crates/proxy/src/routing/metrics.rs
+++ b/crates/proxy/src/routing/metrics.rs
@@ -1,148 +1,155 @@
-//! What operators are told in figures: what each counts, and the one place where it is counted.
+//! The metrics that operators scrape: what each counts, and their text.
+//!
+//! Metric and label names are part of the operators' interface and do not change.
 
 use asterramp_admission::RejectReason;
 use asterramp_warm_start::WarmStart;
 use asterramp_zone_failover::Zone;
 use std::fmt::Write;
 
-/// The one end that a session comes to, as far as its client is concerned.
+/// The one end that a session comes to, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionEnd {
-    /// Brought up; also one that was open before this proxy started, once it is up again.
+    /// Opened; also one that was open before this proxy started, once it is open again.
     Success,
-    /// Refused.
+    /// Rejected, with a Retry-After.
     Rejected,
-    /// Torn down, or its client left or spoke before it was answered.
+    /// Failed, or its client left or broke the protocol before it was answered.
     Failure,
 }
 
-const ENDS: [(SessionEnd, &str); 3] = [
+/// Ends with the label value of each.
+const SESSION_ENDS: [(SessionEnd, &str); 3] = [
     (SessionEnd::Success, "success"),
     (SessionEnd::Rejected, "busy"),
     (SessionEnd::Failure, "failure"),
 ];
 
-/// Counts since the start of this process.
+/// Counts since the start of the process.
 #[derive(Debug)]
 pub struct Metrics {
-    /// By listener and end.
-    ends: Vec<[u64; ENDS.len()]>,
-    /// Lines written to servers to the last byte.
+    /// Sessions by listener and end.
+    session_ends: Vec<[u64; SESSION_ENDS.len()]>,
+    /// Requests written to servers to the last byte.
     attempts: u64,
 }
 
-/// What stands now, beside the counts.
+/// Gauges: what is so now, beside the counts.
 #[derive(Clone, Copy, Debug)]
 pub struct GaugeValues {
     /// Sessions whose client is there.
     pub inflight: usize,
+    /// Servers that discovery lists.
     pub listed: usize,
+    /// Those among them that count as down.
     pub down: usize,
 }
 
 impl Metrics {
+    /// No counts yet, for so many listeners.
     pub fn new(listeners: usize) -> Metrics {
         Metrics {
-            ends: vec![[0; ENDS.len()]; listeners],
+            session_ends: vec![[0; SESSION_ENDS.len()]; listeners],
             attempts: 0,
         }
     }
 
+    /// A session came to its end. `listener` is its index, below the number given to [`Metrics::new`].
     pub fn count_session_end(&mut self, listener: u8, end: SessionEnd) {
-        self.ends[usize::from(listener)][end as usize] += 1;
+        self.session_ends[usize::from(listener)][end as usize] += 1;
     }
 
+    /// A request was written to a server to the last byte.
     pub fn count_attempt(&mut self) {
         self.attempts += 1;
     }
 
-    /// In the text form that scrapers read.
-    pub fn text(&self, listeners: &[String], standing: GaugeValues) -> String {
+    /// The metrics in the text form that scrapers read.
+    pub fn text(&self, listeners: &[String], gauges: GaugeValues) -> String {
         let mut text = String::from("# TYPE svc_calls_total counter\n");
         // Writing to a string does not fail.
-        for (name, counts) in listeners.iter().zip(&self.ends) {
+        for (name, counts) in listeners.iter().zip(&self.session_ends) {
             let tier = escaped(name);
-            for (end, code) in ENDS {
-                let n = counts[end as usize];
+            for (end, code) in SESSION_ENDS {
+                let count = counts[end as usize];
                 let _ = writeln!(
                     text,
-                    "svc_calls_total{{tier=\"{tier}\",code=\"{code}\"}} {n}"
+                    "svc_calls_total{{tier=\"{tier}\",code=\"{code}\"}} {count}"
                 );
             }
         }
         let rest = [
             ("svc_backend_calls_total", "counter", self.attempts),
-            ("svc_inflight", "gauge", standing.inflight as u64),
-            ("svc_hosts_listed", "gauge", standing.listed as u64),
-            ("svc_hosts_down", "gauge", standing.down as u64),
+            ("svc_inflight", "gauge", gauges.inflight as u64),
+            ("svc_hosts_listed", "gauge", gauges.listed as u64),
+            ("svc_hosts_down", "gauge", gauges.down as u64),
         ];
-        for (name, kind, n) in rest {
-            let _ = writeln!(text, "# TYPE {name} {kind}\n{name} {n}");
+        for (name, kind, value) in rest {
+            let _ = writeln!(text, "# TYPE {name} {kind}\n{name} {value}");
         }
         text
     }
 }
 
-/// What is made of places: 1 for the state that each is in, and the alarms that were none; nothing where there is one place.
-pub fn zones_text<'a>(places: impl Iterator<Item = (&'a String, &'a Zone)>) -> String {
+/// The state of each zone, and its false alarms by kind; empty where there is one zone.
+pub fn zones_text<'a>(zones: impl Iterator<Item = (&'a String, &'a Zone)>) -> String {
     let mut text = String::new();
-    for (name, place) in places {
-        let (place_name, state) = (escaped(name), place.state.name());
+    for (name, zone) in zones {
+        let label = escaped(name);
         let _ = writeln!(
             text,
-            "svc_place_state{{place=\"{place_name}\",state=\"{state}\"}} 1"
+            "svc_place_state{{place=\"{label}\",state=\"{}\"}} 1",
+            zone.state.name()
         );
-        for (kind, n) in [("doubt", place.doubts), ("given-up", place.false_alarms)] {
+        for (kind, count) in [("doubt", zone.doubts), ("given-up", zone.false_alarms)] {
             let _ = writeln!(
                 text,
-                "svc_place_false_alarms_total{{place=\"{place_name}\",kind=\"{kind}\"}} {n}"
+                "svc_place_false_alarms_total{{place=\"{label}\",kind=\"{kind}\"}} {count}"
             );
         }
     }
     text
 }
 
-/// Who was refused for want of room, and why; nothing while nobody was.
+/// Sessions rejected because capacity is short, by listener and reason; empty while there are none.
 pub fn load_shed_text<'a>(
     counts: impl Iterator<Item = (&'a String, &'a [u64; RejectReason::ALL.len()])>,
 ) -> String {
     let mut text = String::new();
     for (name, counts) in counts {
-        for (why, n) in RejectReason::ALL
-            .into_iter()
-            .zip(counts)
-            .filter(|(_, n)| **n > 0)
-        {
-            let (tier, why) = (escaped(name), why.name());
-            let _ = writeln!(
-                text,
-                "svc_room_refused_total{{tier=\"{tier}\",why=\"{why}\"}} {n}"
-            );
+        let tier = escaped(name);
+        for (reason, count) in RejectReason::ALL.into_iter().zip(counts) {
+            if *count > 0 {
+                let _ = writeln!(
+                    text,
+                    "svc_room_refused_total{{tier=\"{tier}\",why=\"{}\"}} {count}",
+                    reason.name()
+                );
+            }
         }
     }
     text
 }
 
-/// How far a start has come, and what was kept for the next; nothing where neither is wanted.
-pub fn warm_start_text(start: Option<&WarmStart>, kept: Option<(u64, u64)>) -> String {
+/// How far a warm start has come, and how many snapshots were saved and how many failed; empty where neither is wanted.
+pub fn warm_start_text(warm_start: Option<&WarmStart>, snapshots: Option<(u64, u64)>) -> String {
     let mut text = String::new();
-    if let Some(start) = start {
+    if let Some(warm_start) = warm_start {
         let _ = writeln!(
             text,
             "svc_start_stage{{stage=\"{}\"}} 1",
-            start.stage().name()
+            warm_start.stage().name()
         );
         let _ = writeln!(
             text,
             "svc_start_hosts_dropped_total {}",
-            start.hosts().dropped
+            warm_start.hosts().dropped
         );
     }
-    for (what, n) in kept
-        .iter()
-        .flat_map(|kept| [("saved", kept.0), ("failed", kept.1)])
-    {
-        let _ = writeln!(text, "svc_state_snapshots_total{{end=\"{what}\"}} {n}");
+    if let Some((saved, failed)) = snapshots {
+        for (end, count) in [("saved", saved), ("failed", failed)] {
+            let _ = writeln!(text, "svc_state_snapshots_total{{end=\"{end}\"}} {count}");
+        }
     }
     text
 }
