--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -13,7 +13,7 @@
     FinalAnswer, SessionEffect, SessionInput, SessionState,
 };
 use asterramp_proxy::routing::session_table::{SessionTable, SessionTask};
-use asterramp_proxy::transport::{Deadlines, Key, Slots};
+use asterramp_proxy::transport::{Deadlines, SlotKey, SlotMap};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
     Tick,
     /// The drain is asked what to do now.
     Leave,
-    Session(Key),
+    Session(SlotKey),
 }
 
 /// Where a dial's connection stands.
@@ -52,7 +52,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Conn {
-    sess: Key,
+    sess: SlotKey,
     number: u8,
     dial: u8,
     wire: Wire,
@@ -65,7 +65,7 @@
     client: bool,
     /// The client has gone, and nobody has looked yet.
     gone: bool,
-    server: Option<Key>,
+    server: Option<SlotKey>,
 }
 
 #[derive(Clone, Debug)]
@@ -80,15 +80,15 @@
 pub struct World {
     pub now: Duration,
     exchange: SessionTable<Own>,
-    conns: Slots<Conn>,
+    conns: SlotMap<Conn>,
     deadlines: Deadlines<Due>,
     pub hosts: Vec<Host>,
     uids: ServerId,
     /// Sessions by number, once they have come.
-    came: Vec<Option<Key>>,
+    came: Vec<Option<SlotKey>>,
     probes: BTreeSet<ServerId>,
     /// Connections closed in this turn, with whose they were and what they might still say.
-    closed: Vec<(Key, Conn)>,
+    closed: Vec<(SlotKey, Conn)>,
     told_left: u8,
     stale_left: u8,
     orders_left: u8,
@@ -126,7 +126,7 @@
         let mut world = World {
             now: START,
             exchange: SessionTable::new(shape.deployment(), 0, shape.connect_within()),
-            conns: Slots::default(),
+            conns: SlotMap::default(),
             deadlines: Deadlines::default(),
             hosts: (0..shape.hosts).map(host).collect(),
             uids: ServerId::from(shape.hosts),
@@ -225,12 +225,12 @@
         if shape.sigterm && !self.leaving() && self.came.iter().any(Option::is_some) {
             out.push(Step::Sigterm);
         }
-        if self.deadlines.next().is_some() && self.now < START + HORIZON {
+        if self.deadlines.next_due().is_some() && self.now < START + HORIZON {
             out.push(Step::Due);
         }
     }
 
-    fn session_steps(&self, shape: &Shape, n: u8, key: Key, out: &mut Vec<Step>) {
+    fn session_steps(&self, shape: &Shape, n: u8, key: SlotKey, out: &mut Vec<Step>) {
         let Some(held) = self
             .exchange
             .sessions
@@ -436,7 +436,7 @@
 
     /// The drain's next advice, carried out.
     fn leave_on(&mut self) {
-        let of = |open: bool| -> Vec<(Key, u8)> {
+        let of = |open: bool| -> Vec<(SlotKey, u8)> {
             let sessions = self.exchange.sessions.iter();
             let those = sessions.filter(|(_, held)| {
                 (held.machine.stage == SessionState::Open) == open && !held.machine.left
@@ -548,11 +548,11 @@
     }
 
     fn due(&mut self) {
-        let Some(at) = self.deadlines.next() else {
+        let Some(at) = self.deadlines.next_due() else {
             return;
         };
         self.now = self.now.max(at);
-        match self.deadlines.pop(self.now) {
+        match self.deadlines.pop_due(self.now) {
             Some(Due::Tick) => self.exchange.event(self.now, Event::Tick),
             Some(Due::Session(key)) => self.exchange.input(self.now, key, SessionInput::Due),
             Some(Due::Leave) => self.leave_on(),
@@ -601,7 +601,7 @@
         }
     }
 
-    fn carry_out(&mut self, key: Key, effect: SessionEffect) {
+    fn carry_out(&mut self, key: SlotKey, effect: SessionEffect) {
         let Some(held) = self.exchange.sessions.get_mut(key) else {
             return;
         };
@@ -723,7 +723,7 @@
 
     fn watched(&self, which: impl Fn(Due) -> bool) -> bool {
         let mut deadlines = self.deadlines.clone();
-        std::iter::from_fn(|| deadlines.pop(Duration::MAX)).any(which)
+        std::iter::from_fn(|| deadlines.pop_due(Duration::MAX)).any(which)
     }
 
     fn over_or_open(&self) -> bool {
--- a/crates/model-checker/tests/fuzz.rs
+++ b/crates/model-checker/tests/fuzz.rs
@@ -10,12 +10,12 @@
 use asterramp_admin_protocol::AdminRequest;
 use asterramp_operator_config::OperatorConfig;
 use asterramp_placement::settings;
-use asterramp_proxy::protocol::client::{Greeting, greeting};
-use asterramp_proxy::protocol::http::Answer;
-use asterramp_proxy::protocol::json::{self, Value};
-use asterramp_proxy::protocol::line::{self, LONGEST};
-use asterramp_proxy::protocol::server::{Said, figure, said};
-use asterramp_proxy::protocol::{discovery, http};
+use asterramp_proxy::protocol::client::{ClientGreeting, parse_greeting};
+use asterramp_proxy::protocol::http_client::ChunkedResponse;
+use asterramp_proxy::protocol::json::{self, JsonValue};
+use asterramp_proxy::protocol::line::{self, MAX_LINE_LENGTH};
+use asterramp_proxy::protocol::server::{ServerLine, parse_server_line, report_value};
+use asterramp_proxy::protocol::{discovery, http_client};
 use proptest::prelude::*;
 
 /// JSON as text, nested a little, with odd numbers and strings.
@@ -70,10 +70,10 @@
         })
 }
 
-fn within(value: &Value, depth: usize) -> bool {
+fn within(value: &JsonValue, depth: usize) -> bool {
     match value {
-        Value::List(all) => depth > 0 && all.iter().all(|v| within(v, depth - 1)),
-        Value::Object(all) => depth > 0 && all.iter().all(|(_, v)| within(v, depth - 1)),
+        JsonValue::Array(all) => depth > 0 && all.iter().all(|v| within(v, depth - 1)),
+        JsonValue::Object(all) => depth > 0 && all.iter().all(|(_, v)| within(v, depth - 1)),
         _ => true,
     }
 }
@@ -130,60 +130,60 @@
     fn a_first_line_ends_in_crlf_and_is_no_longer_than_the_longest(
         bytes in prop::collection::vec(prop_oneof![any::<u8>(), Just(b'\r'), Just(b'\n')], 0..5000)
     ) {
-        if let Ok(Some((text, n))) = line::first(&bytes) {
-            prop_assert!(n <= LONGEST && n <= bytes.len() && text.len() + 2 == n);
+        if let Ok(Some((text, n))) = line::first_line(&bytes) {
+            prop_assert!(n <= MAX_LINE_LENGTH && n <= bytes.len() && text.len() + 2 == n);
             prop_assert!(bytes[..n].ends_with(b"\r\n") && !text.contains('\n'));
         }
     }
 
     #[test]
     fn a_greeting_says_only_what_stands_in_its_line(text in prop_oneof![open_line(), any::<String>()]) {
-        if let Ok(Greeting::Open(open)) = greeting(&text) {
+        if let Ok(ClientGreeting::Open(open)) = parse_greeting(&text) {
             prop_assert!(text.contains(open.id) && !open.id.is_empty());
             prop_assert!(open.wait.as_secs() <= 3_600);
-            let wait: f64 = text[open.wait_at.clone()].parse().unwrap_or(0.0);
-            prop_assert!(open.open_at.is_some() || (wait / 1e3 - open.wait.as_secs_f64()).abs() < 1e-6);
+            let wait: f64 = text[open.wait_range.clone()].parse().unwrap_or(0.0);
+            prop_assert!(open.inherited_from.is_some() || (wait / 1e3 - open.wait.as_secs_f64()).abs() < 1e-6);
         }
     }
 
     #[test]
     fn a_server_says_no_figure_that_is_not_one(text in any::<String>(), name in "[a-z0-9]{1,6}") {
-        if let Said::Work(work) = said(&text) {
+        if let ServerLine::Load(work) = parse_server_line(&text) {
             prop_assert!(work.is_finite());
         }
-        prop_assert!(figure(&text, &name).is_none_or(|x| x.is_finite() && x >= 0.0));
+        prop_assert!(report_value(&text, &name).is_none_or(|x| x.is_finite() && x >= 0.0));
     }
 
     #[test]
     fn json_is_read_whole_or_refused(text in json_text(), cut in 0usize..400) {
-        let whole = json::read(text.as_bytes());
+        let whole = json::parse(text.as_bytes());
         if let Ok(value) = &whole {
             prop_assert!(within(value, 64));
             let mut pairs = Vec::new();
             value.flatten("", &mut pairs);
         }
         let cut = cut.min(text.len());
-        let _ = json::read(&text.as_bytes()[..cut]);
+        let _ = json::parse(&text.as_bytes()[..cut]);
         if let Some(part) = text.as_bytes().get(..cut).filter(|_| cut < text.len() && text.starts_with('{')) {
-            prop_assert!(json::read(part).is_err(), "half an object was read");
+            prop_assert!(json::parse(part).is_err(), "half an object was read");
         }
     }
 
     #[test]
     fn any_bytes_are_no_trouble(bytes in prop::collection::vec(any::<u8>(), 0..2000)) {
-        let _ = json::read(&bytes);
-        let _ = discovery::read(&bytes);
+        let _ = json::parse(&bytes);
+        let _ = discovery::parse(&bytes);
         let mut lines = Vec::new();
-        let _ = Answer::default().feed(&bytes, &mut lines);
+        let _ = ChunkedResponse::default().feed(&bytes, &mut lines);
     }
 
     #[test]
     fn a_list_keeps_what_can_be_read_of_it(targets in prop::collection::vec(target(), 0..20), rev in any::<u32>()) {
         let text = format!(r#"{{"rev":{rev},"all":true,"targets":[{}]}}"#, targets.join(","));
-        let list = discovery::read(text.as_bytes()).unwrap();
-        prop_assert_eq!(list.rev, u64::from(rev));
-        prop_assert!(list.lines.len() <= targets.len());
-        prop_assert_eq!(list.bad.is_none(), list.lines.len() == targets.len());
+        let list = discovery::parse(text.as_bytes()).unwrap();
+        prop_assert_eq!(list.revision, u64::from(rev));
+        prop_assert!(list.endpoints.len() <= targets.len());
+        prop_assert_eq!(list.first_error.is_none(), list.endpoints.len() == targets.len());
     }
 
     #[test]
@@ -200,7 +200,7 @@
             text += &format!("{n:x}\r\n{}\r\n", &rest[..n]);
             rest = &rest[n..];
         }
-        let (mut answer, mut found, mut bytes) = (Answer::default(), Vec::new(), text.as_bytes());
+        let (mut answer, mut found, mut bytes) = (ChunkedResponse::default(), Vec::new(), text.as_bytes());
         for cut in cuts.iter().cycle() {
             let n = (*cut).min(bytes.len());
             answer.feed(&bytes[..n], &mut found).unwrap();
@@ -265,6 +265,6 @@
 
 #[test]
 fn a_watch_request_has_no_line_of_its_own_making() {
-    let text = http::watch_request("127.0.0.1:1", u64::MAX);
+    let text = http_client::watch_request("127.0.0.1:1", u64::MAX);
     assert_eq!(text.matches("\r\n").count(), 3);
 }
--- a/crates/proxy/src/program/config.rs
+++ b/crates/proxy/src/program/config.rs
@@ -1,7 +1,7 @@
 //! The one place where configuration is read; `asterramp_placement::settings` checks the settings in it.
 
 use crate::protocol::discovery;
-use crate::protocol::json::{self, Value};
+use crate::protocol::json::{self, JsonValue};
 use crate::routing::Start;
 use asterramp_placement::settings;
 use std::collections::BTreeSet;
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub struct ConfigFile {
     path: String,
-    first: Value,
+    first: JsonValue,
 }
 
 impl ConfigFile {
@@ -44,8 +44,8 @@
     }
 }
 
-fn keys(value: &Value) -> impl Iterator<Item = &str> {
-    let pairs = if let Value::Object(pairs) = value {
+fn keys(value: &JsonValue) -> impl Iterator<Item = &str> {
+    let pairs = if let JsonValue::Object(pairs) = value {
         pairs.as_slice()
     } else {
         &[]
@@ -53,18 +53,18 @@
     pairs.iter().map(|pair| pair.0.as_str())
 }
 
-fn file(path: &str) -> Result<Value, String> {
+fn file(path: &str) -> Result<JsonValue, String> {
     let bytes = std::fs::read(path).map_err(|e| format!("LB_CONFIG: {path}: {e}"))?;
-    json::read(&bytes).map_err(|e| format!("configuration: {e}"))
+    json::parse(&bytes).map_err(|e| format!("configuration: {e}"))
 }
 
-fn parse(value: &Value) -> Result<Start, String> {
+fn parse(value: &JsonValue) -> Result<Start, String> {
     // Older configurations have no such key; the variable says the same.
     let operator = match value.get("operator") {
-        None | Some(Value::Null) => std::env::var("LB_OPERATOR")
+        None | Some(JsonValue::Null) => std::env::var("LB_OPERATOR")
             .ok()
             .map(|at| ("LB_OPERATOR", at)),
-        Some(at) => Some(("operator", at.text().unwrap_or_default().to_string())),
+        Some(at) => Some(("operator", at.as_str().unwrap_or_default().to_string())),
     };
     let operator = operator.map(|(key, at)| {
         at.parse()
@@ -72,12 +72,12 @@
     });
     let need = |key: &str| value.get(key).ok_or_else(|| format!("{key} is missing"));
     let address = |key: &str| -> Result<SocketAddr, String> {
-        let text = need(key)?.text();
+        let text = need(key)?.as_str();
         text.and_then(|text| text.parse().ok())
             .ok_or_else(|| format!("{key} is no address"))
     };
     let seed = need("seed")?
-        .text()
+        .as_str()
         .and_then(|seed| u64::from_str_radix(seed, 16).ok());
     let mut pairs = Vec::new();
     need("settings")?.flatten("", &mut pairs);
@@ -88,15 +88,17 @@
     )?;
     let limit =
         |key: &str, absent: usize| match value.get("limits").and_then(|limits| limits.get(key)) {
-            None | Some(Value::Null) => Ok(absent),
+            None | Some(JsonValue::Null) => Ok(absent),
             Some(limit) => {
-                let read = limit.number::<f64>().filter(|n| *n >= 1.0 && *n <= 1e9);
+                let read = limit
+                    .parse_number::<f64>()
+                    .filter(|n| *n >= 1.0 && *n <= 1e9);
                 read.map(|n| n as usize)
                     .ok_or_else(|| format!("limits.{key} is no limit"))
             }
         };
-    let known =
-        discovery::list(need("known")?).and_then(|list| list.bad.clone().map_or(Ok(list), Err));
+    let known = discovery::from_json(need("known")?)
+        .and_then(|list| list.first_error.clone().map_or(Ok(list), Err));
     let known = known.map_err(|e| format!("known: {e}"))?;
     let listen = address("listen")?;
     let sockets = limit("sockets", SOCKETS)?;
--- a/crates/proxy/src/protocol/client.rs
+++ b/crates/proxy/src/protocol/client.rs
@@ -1,6 +1,6 @@
 //! What clients and the front say first, and what they are told.
 
-use super::line::Fault;
+use super::line::LineError;
 use std::ops::Range;
 use std::time::Duration;
 
@@ -8,35 +8,35 @@
 const LONGEST_WAIT: f64 = 3_600_000.0;
 
 #[derive(Debug, PartialEq)]
-pub enum Greeting<'a> {
+pub enum ClientGreeting<'a> {
     Ping,
-    Open(Open<'a>),
+    Open(OpenRequest<'a>),
 }
 
 #[derive(Debug, PartialEq)]
-pub struct Open<'a> {
+pub struct OpenRequest<'a> {
     pub id: &'a str,
-    pub item: u64,
+    pub key: u64,
     pub listener: &'a str,
-    pub member: Option<&'a str>,
+    pub tenant: Option<&'a str>,
     /// How long the client waits, and where that stands in the line; only a connection that was open before
     /// may come without.
     pub wait: Duration,
-    pub wait_at: Range<usize>,
+    pub wait_range: Range<usize>,
     pub group: Option<u64>,
     /// The client was connected before.
-    pub again: bool,
+    pub reconnecting: bool,
     /// It says that an earlier try failed.
-    pub failed: bool,
+    pub earlier_attempt_failed: bool,
     /// The server at which the connection was open before this proxy started.
-    pub open_at: Option<&'a str>,
+    pub inherited_from: Option<&'a str>,
 }
 
-pub const PONG: &[u8] = b"PONG\r\n";
-pub const FAILED: &[u8] = b"ERR\r\n";
-pub const MOVE: &[u8] = b"MOVE\r\n";
+pub const PONG_LINE: &[u8] = b"PONG\r\n";
+pub const ERROR_LINE: &[u8] = b"ERR\r\n";
+pub const MOVE_LINE: &[u8] = b"MOVE\r\n";
 
-pub fn refusal(come_back: Duration) -> String {
+pub fn busy_line(come_back: Duration) -> String {
     match come_back.as_millis() {
         0 => "BUSY\r\n".into(),
         ms => format!("BUSY {ms}\r\n"),
@@ -50,29 +50,29 @@
 }
 
 /// Figures that this program does not use may follow under names of their own.
-pub fn greeting(line: &str) -> Result<Greeting<'_>, Fault> {
+pub fn parse_greeting(line: &str) -> Result<ClientGreeting<'_>, LineError> {
     if line == "PING" {
-        return Ok(Greeting::Ping);
+        return Ok(ClientGreeting::Ping);
     }
-    let rest = line.strip_prefix("OPEN ").ok_or(Fault::Unknown)?;
-    let (id, rest) = rest.split_once(' ').ok_or(Fault::Malformed("id"))?;
-    let (item, list) = rest.split_once(' ').ok_or(Fault::Malformed("key"))?;
+    let rest = line.strip_prefix("OPEN ").ok_or(LineError::Unknown)?;
+    let (id, rest) = rest.split_once(' ').ok_or(LineError::Malformed("id"))?;
+    let (item, list) = rest.split_once(' ').ok_or(LineError::Malformed("key"))?;
     if id.is_empty() || list.contains(' ') {
-        return Err(Fault::Malformed("list"));
+        return Err(LineError::Malformed("list"));
     }
-    let item = number(item).ok_or(Fault::Malformed("key"))?;
+    let item = number(item).ok_or(LineError::Malformed("key"))?;
     let (mut listener, mut member, mut wait, mut group, mut open_at) =
         (None, None, None, None, None);
     let (mut again, mut failed) = (false, false);
     let mut at = line.len() - list.len();
     for pair in list.split(',') {
-        let (name, value) = pair.split_once('=').ok_or(Fault::Malformed("pair"))?;
+        let (name, value) = pair.split_once('=').ok_or(LineError::Malformed("pair"))?;
         let value_at = at + name.len() + 1..at + pair.len();
         at += pair.len() + 1;
         match name {
             "c" => listener = Some(value),
             "t" => member = Some(value),
-            "g" => group = Some(number(value).ok_or(Fault::Malformed("g"))?),
+            "g" => group = Some(number(value).ok_or(LineError::Malformed("g"))?),
             "again" => again = value == "1",
             "r" => failed = value == "1",
             "at" => open_at = Some(value),
@@ -82,7 +82,7 @@
                     .parse()
                     .ok()
                     .filter(|ms: &f64| digits && ms.is_finite());
-                wait = Some((ms.ok_or(Fault::Malformed("d"))?, value_at));
+                wait = Some((ms.ok_or(LineError::Malformed("d"))?, value_at));
             }
             _ => {}
         }
@@ -90,19 +90,19 @@
     // One that was open before waits for nothing.
     let wait = wait.or(open_at.map(|_| (0.0, 0..0)));
     let meant = wait.filter(|(ms, _)| *ms <= LONGEST_WAIT || open_at.is_some());
-    let (ms, wait_at) = meant.ok_or(Fault::Malformed("d"))?;
+    let (ms, wait_at) = meant.ok_or(LineError::Malformed("d"))?;
     let wait = Duration::from_secs_f64(ms.min(LONGEST_WAIT) / 1e3);
-    let listener = listener.ok_or(Fault::Malformed("c"))?;
-    Ok(Greeting::Open(Open {
+    let listener = listener.ok_or(LineError::Malformed("c"))?;
+    Ok(ClientGreeting::Open(OpenRequest {
         id,
-        item,
+        key: item,
         listener,
-        member,
+        tenant: member,
         wait,
-        wait_at,
+        wait_range: wait_at,
         group,
-        again,
-        failed,
-        open_at,
+        reconnecting: again,
+        earlier_attempt_failed: failed,
+        inherited_from: open_at,
     }))
 }
--- a/crates/proxy/src/protocol/http.rs
+++ b/crates/proxy/src/protocol/http_client.rs
@@ -1,6 +1,6 @@
 //! As much of HTTP/1.1 as a watch needs: a request, and a chunked answer taken apart into lines.
 
-use super::line::Fault;
+use super::line::LineError;
 
 const LONGEST_HEAD: usize = 8192;
 /// Longest line of the body: a list of some ten thousand servers.
@@ -24,24 +24,24 @@
 
 /// A chunked answer as it comes, in pieces of any size.
 #[derive(Debug, Default)]
-pub struct Answer {
+pub struct ChunkedResponse {
     part: Part,
     text: Vec<u8>,
     line: Vec<u8>,
 }
 
-impl Answer {
+impl ChunkedResponse {
     /// Whether the head is read and was good.
-    pub fn begun(&self) -> bool {
+    pub fn has_head(&self) -> bool {
         self.part != Part::Head
     }
 
-    pub fn over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.part == Part::Over
     }
 
     /// Takes bytes in and adds the lines that they complete, blank ones too.
-    pub fn feed(&mut self, mut bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), Fault> {
+    pub fn feed(&mut self, mut bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), LineError> {
         while let Some(&byte) = bytes.first() {
             if let Part::Data(left) = self.part {
                 let (data, rest) = bytes.split_at(left.min(bytes.len()));
@@ -60,7 +60,7 @@
             }
             self.text.push(byte);
             if self.text.len() > LONGEST_HEAD {
-                return Err(Fault::TooLong);
+                return Err(LineError::TooLong);
             }
             let whole = if self.part == Part::Head {
                 &b"\r\n\r\n"[..]
@@ -69,14 +69,14 @@
             };
             if self.text.ends_with(whole) {
                 let text = std::mem::take(&mut self.text);
-                let text = std::str::from_utf8(&text).map_err(|_| Fault::NotText)?;
+                let text = std::str::from_utf8(&text).map_err(|_| LineError::NotText)?;
                 self.part = self.next(text.trim_end())?;
             }
         }
         Ok(())
     }
 
-    fn next(&self, text: &str) -> Result<Part, Fault> {
+    fn next(&self, text: &str) -> Result<Part, LineError> {
         match self.part {
             Part::Head => {
                 let mut lines = text.split("\r\n");
@@ -91,14 +91,14 @@
                     });
                 match status {
                     Some(200) if chunked => Ok(Part::Size),
-                    Some(status) if status != 200 => Err(Fault::Status(status)),
-                    _ => Err(Fault::Malformed("head")),
+                    Some(status) if status != 200 => Err(LineError::Status(status)),
+                    _ => Err(LineError::Malformed("head")),
                 }
             }
             Part::Size => {
                 let digits = text.split(';').next().unwrap_or_default().trim();
                 let size = usize::from_str_radix(digits, 16)
-                    .map_err(|_| Fault::Malformed("chunk size"))?;
+                    .map_err(|_| LineError::Malformed("chunk size"))?;
                 Ok(if size == 0 {
                     Part::Over
                 } else {
@@ -106,14 +106,14 @@
                 })
             }
             _ if text.is_empty() => Ok(Part::Size),
-            _ => Err(Fault::Malformed("chunk end")),
+            _ => Err(LineError::Malformed("chunk end")),
         }
     }
 
-    fn data(&mut self, data: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), Fault> {
+    fn data(&mut self, data: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), LineError> {
         for piece in data.split_inclusive(|b| *b == b'\n') {
             if self.line.len() + piece.len() > LONGEST_LINE {
-                return Err(Fault::TooLong);
+                return Err(LineError::TooLong);
             }
             self.line.extend_from_slice(piece);
             if self.line.last() == Some(&b'\n') {
--- a/crates/proxy/src/protocol/json.rs
+++ b/crates/proxy/src/protocol/json.rs
@@ -4,42 +4,42 @@
 const DEPTH: usize = 24;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Value {
+pub enum JsonValue {
     Null,
     Bool(bool),
     /// As it was written, so that whoever wants it chooses its type.
     Number(String),
-    Text(String),
-    List(Vec<Value>),
-    Object(Vec<(String, Value)>),
+    String(String),
+    Array(Vec<JsonValue>),
+    Object(Vec<(String, JsonValue)>),
 }
 
-impl Value {
-    pub fn get(&self, name: &str) -> Option<&Value> {
-        let Value::Object(pairs) = self else {
+impl JsonValue {
+    pub fn get(&self, name: &str) -> Option<&JsonValue> {
+        let JsonValue::Object(pairs) = self else {
             return None;
         };
         pairs.iter().find(|pair| pair.0 == name).map(|pair| &pair.1)
     }
 
-    pub fn text(&self) -> Option<&str> {
-        if let Value::Text(text) = self {
+    pub fn as_str(&self) -> Option<&str> {
+        if let JsonValue::String(text) = self {
             Some(text)
         } else {
             None
         }
     }
 
-    pub fn number<T: std::str::FromStr>(&self) -> Option<T> {
-        if let Value::Number(text) = self {
+    pub fn parse_number<T: std::str::FromStr>(&self) -> Option<T> {
+        if let JsonValue::Number(text) = self {
             text.parse().ok()
         } else {
             None
         }
     }
 
-    pub fn list(&self) -> Option<&[Value]> {
-        if let Value::List(items) = self {
+    pub fn as_array(&self) -> Option<&[JsonValue]> {
+        if let JsonValue::Array(items) = self {
             Some(items)
         } else {
             None
@@ -57,13 +57,13 @@
             }
         };
         match self {
-            Value::Object(pairs) => pairs
+            JsonValue::Object(pairs) => pairs
                 .iter()
                 .for_each(|(name, value)| value.flatten(&under(name), out)),
-            Value::List(items)
+            JsonValue::Array(items)
                 if items
                     .iter()
-                    .any(|i| matches!(i, Value::Object(_) | Value::List(_))) =>
+                    .any(|i| matches!(i, JsonValue::Object(_) | JsonValue::Array(_))) =>
             {
                 out.push((under("count"), items.len().to_string()));
                 items
@@ -71,8 +71,8 @@
                     .enumerate()
                     .for_each(|(nth, item)| item.flatten(&under(&nth.to_string()), out));
             }
-            Value::List(items) => {
-                let plain: Vec<String> = items.iter().map(Value::plain).collect();
+            JsonValue::Array(items) => {
+                let plain: Vec<String> = items.iter().map(JsonValue::plain).collect();
                 out.push((path.to_string(), plain.join(",")));
             }
             plain => out.push((path.to_string(), plain.plain())),
@@ -81,15 +81,15 @@
 
     fn plain(&self) -> String {
         match self {
-            Value::Bool(flag) => flag.to_string(),
-            Value::Number(number) => number.clone(),
-            Value::Text(text) => text.replace([' ', ','], "_"),
+            JsonValue::Bool(flag) => flag.to_string(),
+            JsonValue::Number(number) => number.clone(),
+            JsonValue::String(text) => text.replace([' ', ','], "_"),
             _ => String::new(),
         }
     }
 }
 
-pub fn read(bytes: &[u8]) -> Result<Value, String> {
+pub fn parse(bytes: &[u8]) -> Result<JsonValue, String> {
     let text = std::str::from_utf8(bytes).map_err(|e| e.to_string())?;
     let mut reader = Reader { text, at: 0 };
     let value = reader.value(0)?;
@@ -128,19 +128,19 @@
         is
     }
 
-    fn value(&mut self, depth: usize) -> Result<Value, String> {
+    fn value(&mut self, depth: usize) -> Result<JsonValue, String> {
         self.space();
         match self.peek() {
             Some(b'{' | b'[') if depth == DEPTH => Err(self.wrong("too deep")),
             Some(b'{') => self.object(depth + 1),
             Some(b'[') => self.list(depth + 1),
-            Some(b'"') => self.string().map(Value::Text),
+            Some(b'"') => self.string().map(JsonValue::String),
             Some(b'-' | b'0'..=b'9') => self.number(),
             _ => {
                 let words = [
-                    ("null", Value::Null),
-                    ("true", Value::Bool(true)),
-                    ("false", Value::Bool(false)),
+                    ("null", JsonValue::Null),
+                    ("true", JsonValue::Bool(true)),
+                    ("false", JsonValue::Bool(false)),
                 ];
                 let rest = &self.text[self.at..];
                 let found = words.into_iter().find(|word| rest.starts_with(word.0));
@@ -151,7 +151,7 @@
         }
     }
 
-    fn object(&mut self, depth: usize) -> Result<Value, String> {
+    fn object(&mut self, depth: usize) -> Result<JsonValue, String> {
         let pair = |reader: &mut Self| {
             reader.space();
             let name = reader.string()?;
@@ -160,12 +160,12 @@
             }
             Ok((name, reader.value(depth)?))
         };
-        self.items(b'}', pair).map(Value::Object)
+        self.items(b'}', pair).map(JsonValue::Object)
     }
 
-    fn list(&mut self, depth: usize) -> Result<Value, String> {
+    fn list(&mut self, depth: usize) -> Result<JsonValue, String> {
         self.items(b']', |reader| reader.value(depth))
-            .map(Value::List)
+            .map(JsonValue::Array)
     }
 
     /// What stands between brackets, with commas between.
@@ -190,7 +190,7 @@
         }
     }
 
-    fn number(&mut self) -> Result<Value, String> {
+    fn number(&mut self) -> Result<JsonValue, String> {
         let rest = &self.text[self.at..];
         let end = rest.find(|c: char| !matches!(c, '0'..='9' | '+' | '-' | '.' | 'e' | 'E'));
         let number = &rest[..end.unwrap_or(rest.len())];
@@ -198,7 +198,7 @@
             return Err(self.wrong("no number"));
         }
         self.at += number.len();
-        Ok(Value::Number(number.to_string()))
+        Ok(JsonValue::Number(number.to_string()))
     }
 
     fn string(&mut self) -> Result<String, String> {
--- a/crates/proxy/src/protocol/line.rs
+++ b/crates/proxy/src/protocol/line.rs
@@ -3,11 +3,11 @@
 use std::fmt;
 
 /// Longest line, its end included.
-pub const LONGEST: usize = 4096;
+pub const MAX_LINE_LENGTH: usize = 4096;
 
 /// What is wrong with bytes from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum LineError {
     TooLong,
     NotText,
     Unknown,
@@ -16,31 +16,31 @@
     Status(u16),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for LineError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::TooLong => f.write_str("too long"),
-            Fault::NotText => f.write_str("not text"),
-            Fault::Unknown => f.write_str("unknown"),
-            Fault::Malformed(what) => write!(f, "malformed {what}"),
-            Fault::Status(status) => write!(f, "status {status}"),
+            LineError::TooLong => f.write_str("too long"),
+            LineError::NotText => f.write_str("not text"),
+            LineError::Unknown => f.write_str("unknown"),
+            LineError::Malformed(what) => write!(f, "malformed {what}"),
+            LineError::Status(status) => write!(f, "status {status}"),
         }
     }
 }
 
 /// The first line without its end, and its length with it; `None` while it is incomplete.
-pub fn first(bytes: &[u8]) -> Result<Option<(&str, usize)>, Fault> {
-    let within = &bytes[..bytes.len().min(LONGEST)];
+pub fn first_line(bytes: &[u8]) -> Result<Option<(&str, usize)>, LineError> {
+    let within = &bytes[..bytes.len().min(MAX_LINE_LENGTH)];
     let Some(end) = within.iter().position(|b| *b == b'\n') else {
-        return if bytes.len() >= LONGEST {
-            Err(Fault::TooLong)
+        return if bytes.len() >= MAX_LINE_LENGTH {
+            Err(LineError::TooLong)
         } else {
             Ok(None)
         };
     };
     let line = within[..end]
         .strip_suffix(b"\r")
-        .ok_or(Fault::Malformed("line end"))?;
-    let text = std::str::from_utf8(line).map_err(|_| Fault::NotText)?;
+        .ok_or(LineError::Malformed("line end"))?;
+    let text = std::str::from_utf8(line).map_err(|_| LineError::NotText)?;
     Ok(Some((text, end + 1)))
 }
--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -4,9 +4,9 @@
 use super::metrics::GaugeValues;
 use super::peers;
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
-use crate::protocol::call::{self, Status};
-use crate::transport::poll::Want;
-use crate::transport::{Key, socket};
+use crate::protocol::http_server::{self, HttpStatus};
+use crate::transport::poller::Interest;
+use crate::transport::{SlotKey, socket};
 use asterramp_admin_protocol::{AdminCommand, AdminRequest, CALLS};
 use asterramp_drain::DrainState;
 use asterramp_placement::event;
@@ -25,9 +25,9 @@
 
 #[derive(Debug)]
 pub struct AdminHttp {
-    door: Key,
+    door: SlotKey,
     /// Those there are, the one idle longest first.
-    callers: Vec<Key>,
+    callers: Vec<SlotKey>,
 }
 
 impl Router {
@@ -36,7 +36,7 @@
         let door = self.register(
             socket::listen(at, false)?,
             ConnectionRole::AdminHttpListener,
-            Want {
+            Interest {
                 read: true,
                 write: false,
             },
@@ -79,7 +79,7 @@
             if let Some(key) = self.register(
                 fd,
                 role,
-                Want {
+                Interest {
                     read: true,
                     write: false,
                 },
@@ -89,16 +89,16 @@
                     .for_each(|calls| calls.callers.push(key));
                 self.deadlines
                     .set(TimerKey::Connection(key), self.now + PATIENCE);
-                self.connection_ready(crate::transport::poll::Ready {
+                self.connection_ready(crate::transport::poller::ReadyEvent {
                     key,
-                    write: false,
-                    broken: false,
+                    writable: false,
+                    failed: false,
                 });
             }
         }
     }
 
-    pub(super) fn admin_http_ready(&mut self, key: Key, answered: bool) {
+    pub(super) fn admin_http_ready(&mut self, key: SlotKey, answered: bool) {
         let tells = self.answers_peers();
         let Some(conn) = self.connections.get_mut(key) else {
             return;
@@ -107,19 +107,19 @@
             // What comes behind the call is not looked at.
             let n = conn.stream.inbound.bytes().len();
             conn.stream.inbound.consume(n);
-            let sent = conn.stream.sent();
+            let sent = conn.stream.is_flushed();
             if conn.stream.ended.is_some() && sent
-                || conn.stream.ended == Some(crate::transport::End::Reset)
+                || conn.stream.ended == Some(crate::transport::StreamEnd::Reset)
             {
                 return self.drop_caller(key);
             }
             if sent {
-                conn.stream.end_sending();
+                conn.stream.shutdown_write();
             }
             return self.want_own(key);
         }
         let (bytes, ended) = (conn.stream.inbound.bytes(), conn.stream.ended);
-        let (status, text) = match call::read(bytes) {
+        let (status, text) = match http_server::parse(bytes) {
             Ok(None) if ended.is_none() => {
                 // Who said more is idle since now.
                 self.admin_http.iter_mut().for_each(|calls| {
@@ -129,15 +129,17 @@
                 return self.want_own(key);
             }
             Ok(None) if bytes.is_empty() => return self.drop_caller(key),
-            Ok(None) => (Status::Bad("the call is not whole"), None),
+            Ok(None) => (HttpStatus::BadRequest("the call is not whole"), None),
             Err(status) => (status, None),
             Ok(Some(call)) if call.path == peers::PATH && tells => match call.method {
-                "GET" => (Status::Good, Some(self.known_endpoints_text())),
-                _ => (Status::WrongMethod("GET"), None),
+                "GET" => (HttpStatus::Ok, Some(self.known_endpoints_text())),
+                _ => (HttpStatus::MethodNotAllowed("GET"), None),
             },
             Ok(Some(call)) => match CALLS.iter().find(|known| known.1 == call.path) {
-                None => (Status::NotFound, None),
-                Some(known) if known.0 != call.method => (Status::WrongMethod(known.0), None),
+                None => (HttpStatus::NotFound, None),
+                Some(known) if known.0 != call.method => {
+                    (HttpStatus::MethodNotAllowed(known.0), None)
+                }
                 Some(known) => {
                     let verb = known.2;
                     self.count_event(ReasonCode::Called);
@@ -149,30 +151,33 @@
     }
 
     /// A call did not come in time, or its answer was not read.
-    pub(super) fn admin_http_deadline(&mut self, key: Key, answered: bool) {
+    pub(super) fn admin_http_deadline(&mut self, key: SlotKey, answered: bool) {
         if answered {
             self.drop_caller(key);
         } else {
-            self.answer_call(key, Status::TooLate, None);
+            self.answer_call(key, HttpStatus::RequestTimeout, None);
         }
     }
 
-    fn answer_call(&mut self, key: Key, status: Status, text: Option<String>) {
-        if !matches!(status, Status::Good | Status::Unavailable(_)) {
-            self.log_event(ReasonCode::CallBad, format!("call why={:?}", status.why()));
+    fn answer_call(&mut self, key: SlotKey, status: HttpStatus, text: Option<String>) {
+        if !matches!(status, HttpStatus::Ok | HttpStatus::ServiceUnavailable(_)) {
+            self.log_event(
+                ReasonCode::CallBad,
+                format!("call why={:?}", status.explanation()),
+            );
         }
         let Some(conn) = self.connections.get_mut(key) else {
             return;
         };
         conn.stream
-            .send(&[call::answer(status, text.as_deref()).as_bytes()]);
+            .send(&[http_server::response_text(status, text.as_deref()).as_bytes()]);
         self.set_role(key, ConnectionRole::AdminHttp { answered: true });
         self.deadlines
             .set(TimerKey::Connection(key), self.now + PATIENCE);
         self.admin_http_ready(key, true);
     }
 
-    fn drop_caller(&mut self, key: Key) {
+    fn drop_caller(&mut self, key: SlotKey) {
         self.close(key);
         self.admin_http
             .iter_mut()
@@ -180,7 +185,7 @@
     }
 
     /// Does what is called for. A start or stop said again is a yes, and changes nothing.
-    fn called(&mut self, verb: AdminCommand) -> (Status, Option<String>) {
+    fn called(&mut self, verb: AdminCommand) -> (HttpStatus, Option<String>) {
         let deadline_ms = Some(EMPTY_IN.as_millis() as u64);
         let request = match (verb, self.drain.state()) {
             (AdminCommand::Drain, DrainState::Serving) => AdminRequest {
@@ -188,13 +193,13 @@
                 ..AdminRequest::new(verb)
             },
             (AdminCommand::Drain, _) | (AdminCommand::Undrain, DrainState::Serving) => {
-                return (Status::Good, None);
+                return (HttpStatus::Ok, None);
             }
             _ => AdminRequest::new(verb),
         };
         match self.execute(&request) {
-            Ok(reply) => (Status::Good, reply.text),
-            Err(why) => (Status::Unavailable(why), None),
+            Ok(reply) => (HttpStatus::Ok, reply.text),
+            Err(why) => (HttpStatus::ServiceUnavailable(why), None),
         }
     }
 
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -2,8 +2,8 @@
 //! read holds back only its own answers.
 
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
-use crate::transport::poll::Want;
-use crate::transport::{Key, socket};
+use crate::transport::poller::Interest;
+use crate::transport::{SlotKey, socket};
 use asterramp_admin_protocol::{
     AdminCommand, AdminReply, AdminRequest, AdmissionStatus, LONGEST, ProxyStatus, WarmStartStatus,
     ZoneStatus,
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct AdminSocket {
     path: PathBuf,
-    door: Key,
+    door: SlotKey,
     peers: usize,
     most: usize,
     /// Within how long a drain empties the proxy where nobody says.
@@ -44,7 +44,7 @@
         let door = self.register(
             door,
             ConnectionRole::AdminSocketListener,
-            Want {
+            Interest {
                 read: true,
                 write: false,
             },
@@ -92,7 +92,7 @@
                 }
             };
             // Dropped, it closes.
-            if full || !socket::is_own_user(&fd) {
+            if full || !socket::peer_is_same_user(&fd) {
                 let why = if full {
                     "too many peers"
                 } else {
@@ -104,7 +104,7 @@
             if let Some(key) = self.register(
                 fd,
                 ConnectionRole::AdminSocket,
-                Want {
+                Interest {
                     read: true,
                     write: false,
                 },
@@ -118,7 +118,7 @@
         }
     }
 
-    pub(super) fn admin_socket_ready(&mut self, key: Key) {
+    pub(super) fn admin_socket_ready(&mut self, key: SlotKey) {
         loop {
             let Some(conn) = self.connections.get_mut(key) else {
                 return;
@@ -127,10 +127,10 @@
                 return self.close_admin_connection(key);
             }
             // The next question is looked at once the last one's answer is written.
-            if !conn.stream.sent() {
+            if !conn.stream.is_flushed() {
                 return self.set_interest(
                     key,
-                    Want {
+                    Interest {
                         read: false,
                         write: true,
                     },
@@ -165,7 +165,7 @@
         }
     }
 
-    pub(super) fn close_admin_connection(&mut self, key: Key) {
+    pub(super) fn close_admin_connection(&mut self, key: SlotKey) {
         self.close(key);
         self.admin_socket
             .iter_mut()
--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -4,10 +4,12 @@
 use super::{
     Connection, ConnectionRole, ReasonCode, Router, Session, SessionInput, SessionState, TimerKey,
 };
-use crate::protocol::client::{self, FAILED, Greeting, Open, PONG, greeting, refusal};
-use crate::protocol::line::{self, Fault};
-use crate::transport::poll::{Ready, Want};
-use crate::transport::{Buffer, End, Key, socket};
+use crate::protocol::client::{
+    self, ClientGreeting, ERROR_LINE, OpenRequest, PONG_LINE, busy_line, parse_greeting,
+};
+use crate::protocol::line::{self, LineError};
+use crate::transport::poller::{Interest, ReadyEvent};
+use crate::transport::{ReadBuffer, SlotKey, StreamEnd, socket};
 use asterramp_admission::{AdmissionRequest, Rejection};
 use asterramp_placement::event::SessionRequest;
 use asterramp_placement::settings::Settings;
@@ -29,7 +31,7 @@
 const PAIR: usize = 2;
 /// Memory of the program without sessions, and of a session at most.
 const PROGRAM: usize = 24 << 20;
-const SESSION: usize = 2 * Buffer::LIMIT + 24 * 1024;
+const SESSION: usize = 2 * ReadBuffer::CAPACITY + 24 * 1024;
 /// Come-back time of a client turned away at the limit.
 const COME_BACK: Duration = Duration::from_secs(1);
 /// How long a stranger is safe from others who want its place: time for a line that is on its way.
@@ -174,7 +176,7 @@
     fn make_room(&mut self) -> bool {
         let old = |conn: &Connection| match conn.role {
             ConnectionRole::PendingClient => true,
-            ConnectionRole::Lingering { .. } => conn.stream.sent(),
+            ConnectionRole::Lingering { .. } => conn.stream.is_flushed(),
             _ => false,
         };
         let due = self
@@ -190,7 +192,7 @@
             .get_mut(key)
             .filter(|conn| conn.role == ConnectionRole::PendingClient)
         {
-            conn.stream.send(&[FAILED]);
+            conn.stream.send(&[ERROR_LINE]);
             self.log_event(ReasonCode::CrowdedOut, "client");
         }
         self.close(key);
@@ -214,7 +216,7 @@
         self.listener.into_iter().for_each(|door| {
             self.set_interest(
                 door,
-                Want {
+                Interest {
                     read: true,
                     write: false,
                 },
@@ -257,7 +259,7 @@
                         self.log_event(ReasonCode::AcceptFailed, format!("door error={e}"));
                     }
                     let pause = if failed.is_err() { FAILING } else { SHUT };
-                    self.set_interest(door, Want::default());
+                    self.set_interest(door, Interest::default());
                     self.deadlines.set(TimerKey::Listener, self.now + pause);
                     return;
                 }
@@ -267,7 +269,7 @@
 
     /// Takes in all that wait at a door about to be closed: its close would reset them. Who finds no room is refused.
     pub(super) fn accept_all(&mut self) {
-        for _ in 0..socket::BACKLOG {
+        for _ in 0..socket::LISTEN_BACKLOG {
             let Some(conn) = self
                 .listener
                 .filter(|_| !self.has_successor())
@@ -286,7 +288,7 @@
         if let Some(key) = self.register(
             fd,
             ConnectionRole::PendingClient,
-            Want {
+            Interest {
                 read: true,
                 write: false,
             },
@@ -294,71 +296,73 @@
             self.deadlines
                 .set(TimerKey::Connection(key), self.now + GREETING);
             // What it wants is often there already.
-            self.connection_ready(Ready {
+            self.connection_ready(ReadyEvent {
                 key,
-                write: false,
-                broken: false,
+                writable: false,
+                failed: false,
             });
             self.run_tasks();
         }
     }
 
-    pub(super) fn read_greeting(&mut self, key: Key) {
+    pub(super) fn read_greeting(&mut self, key: SlotKey) {
         let serves = self.warm_start_serves();
         let Some(conn) = self.connections.get_mut(key) else {
             return;
         };
         // One that asks and takes no answers would pile them up here.
-        if !conn.stream.sent() && conn.stream.ended.is_none() {
+        if !conn.stream.is_flushed() && conn.stream.ended.is_none() {
             return self.set_interest(
                 key,
-                Want {
+                Interest {
                     read: false,
                     write: true,
                 },
             );
         }
         let (ended, bytes) = (conn.stream.ended, conn.stream.inbound.bytes());
-        let found = line::first(bytes);
+        let found = line::first_line(bytes);
         let nothing = bytes.is_empty();
-        let asked =
-            found.and_then(|line| line.map(|(text, n)| Ok((greeting(text)?, n))).transpose());
+        let asked = found.and_then(|line| {
+            line.map(|(text, n)| Ok((parse_greeting(text)?, n)))
+                .transpose()
+        });
         match asked {
             Ok(None) if ended.is_none() => self.want_own(key),
-            Ok(None) if nothing || ended == Some(End::Reset) => {
+            Ok(None) if nothing || ended == Some(StreamEnd::Reset) => {
                 self.close(key);
                 self.log_event(ReasonCode::FrontLeft, "client said nothing more");
             }
-            Ok(None) => self.bad_greeting(key, Fault::Malformed("end of line")),
+            Ok(None) => self.bad_greeting(key, LineError::Malformed("end of line")),
             Err(fault) => self.bad_greeting(key, fault),
-            Ok(Some((Greeting::Ping, n))) => {
+            Ok(Some((ClientGreeting::Ping, n))) => {
                 conn.stream.inbound.consume(n);
                 if !self.drain.answers_pings() || !serves {
-                    return self.close_gracefully(key, &[FAILED]);
+                    return self.close_gracefully(key, &[ERROR_LINE]);
                 }
-                conn.stream.send(&[PONG]);
+                conn.stream.send(&[PONG_LINE]);
                 self.count_event(ReasonCode::Pinged);
                 self.read_greeting(key);
             }
             // A client waits for its answer before it says more, so this is none.
-            Ok(Some((Greeting::Open(_), n))) if n < bytes.len() => {
-                self.bad_greeting(key, Fault::Malformed("more than one line"));
+            Ok(Some((ClientGreeting::Open(_), n))) if n < bytes.len() => {
+                self.bad_greeting(key, LineError::Malformed("more than one line"));
             }
             // The servers would turn it away one after the other, and look unsound by that.
-            Ok(Some((Greeting::Open(open), _))) if self.session_ids.contains(open.id) => {
-                self.bad_greeting(key, Fault::Malformed("id: open already"));
+            Ok(Some((ClientGreeting::Open(open), _))) if self.session_ids.contains(open.id) => {
+                self.bad_greeting(key, LineError::Malformed("id: open already"));
             }
-            Ok(Some((Greeting::Open(open), n))) => match places(&self.settings, &open) {
-                None => self.bad_greeting(key, Fault::Malformed("name")),
+            Ok(Some((ClientGreeting::Open(open), n))) => match places(&self.settings, &open) {
+                None => self.bad_greeting(key, LineError::Malformed("name")),
                 Some((listener, member)) => {
                     let arrival = session_request(&open, self.now, listener, member);
-                    let failed = open.failed;
+                    let failed = open.earlier_attempt_failed;
                     let own = Session {
                         client: Some(key),
                         server: None,
                         line: bytes[..n].to_vec(),
-                        wait_at: open.wait_at.clone(),
-                        open_at: open.open_at.map(String::from),
+                        wait_at: open.wait_range.clone(),
+                        open_at: open.inherited_from.map(String::from),
                         asked: false,
                         quiet: false,
                         farewell: None,
@@ -369,7 +373,7 @@
         }
     }
 
-    fn bad_greeting(&mut self, key: Key, fault: Fault) {
+    fn bad_greeting(&mut self, key: SlotKey, fault: LineError) {
         let said = self
             .connections
             .get(key)
@@ -380,12 +384,12 @@
             ReasonCode::ClientBad,
             format!("client fault=\"{fault}\" line=\"{said}\""),
         );
-        self.close_gracefully(key, &[FAILED]);
+        self.close_gracefully(key, &[ERROR_LINE]);
     }
 
     fn admit(
         &mut self,
-        key: Key,
+        key: SlotKey,
         arrival: SessionRequest,
         failed: bool,
         own: Session,
@@ -396,7 +400,7 @@
             self.metrics
                 .ended(arrival.listener, metrics::SessionEnd::Busy);
             let come_back = self.settings.deployment.max_retry_after.min(COME_BACK);
-            return self.close_gracefully(key, &[refusal(come_back).as_bytes()]);
+            return self.close_gracefully(key, &[busy_line(come_back).as_bytes()]);
         }
         let restored = own.open_at.is_some();
         if !restored && let Err(refusal) = self.let_in(arrival, failed) {
@@ -436,7 +440,13 @@
         )
     }
 
-    fn turn_away(&mut self, key: Key, arrival: SessionRequest, own: &Session, refusal: Rejection) {
+    fn turn_away(
+        &mut self,
+        key: SlotKey,
+        arrival: SessionRequest,
+        own: &Session,
+        refusal: Rejection,
+    ) {
         let listener = &self.settings.listeners[usize::from(arrival.listener)];
         let about = format!(
             "sess={} listener={listener} why={}",
@@ -446,10 +456,10 @@
         self.log_event(ReasonCode::Short, about);
         self.metrics
             .ended(arrival.listener, metrics::SessionEnd::Busy);
-        self.close_gracefully(key, &[client::refusal(refusal.come_back).as_bytes()]);
+        self.close_gracefully(key, &[client::busy_line(refusal.come_back).as_bytes()]);
     }
 
-    pub(super) fn client_ready(&mut self, sess: Key) {
+    pub(super) fn client_ready(&mut self, sess: SlotKey) {
         let Some(held) = self.session_table.sessions.get(sess) else {
             return;
         };
@@ -473,7 +483,7 @@
     }
 
     /// The final answer to a session that is not up.
-    pub(super) fn answer_client(&mut self, sess: Key, text: &[u8], code: ReasonCode) {
+    pub(super) fn answer_client(&mut self, sess: SlotKey, text: &[u8], code: ReasonCode) {
         let client = self.take_client(sess);
         if let Some(client) = client {
             self.ended(
@@ -489,7 +499,7 @@
         }
     }
 
-    pub(super) fn log_session_end(&mut self, sess: Key, code: ReasonCode) {
+    pub(super) fn log_session_end(&mut self, sess: SlotKey, code: ReasonCode) {
         let Some(held) = self.session_table.sessions.get(sess) else {
             return;
         };
@@ -519,7 +529,7 @@
 }
 
 pub(super) fn session_request(
-    open: &Open,
+    open: &OpenRequest,
     now: Duration,
     listener: u8,
     member: u16,
@@ -529,18 +539,18 @@
         listener,
         tenant: member,
         group: open.group,
-        hash_key: open.item,
-        reconnecting: open.again,
+        hash_key: open.key,
+        reconnecting: open.reconnecting,
         dial_timeout: now + open.wait,
     }
 }
 
 /// The places of its listener and its member in the settings.
-pub(super) fn places(setup: &Settings, open: &Open) -> Option<(u8, u16)> {
+pub(super) fn places(setup: &Settings, open: &OpenRequest) -> Option<(u8, u16)> {
     let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
     let listener = place(&setup.listeners, open.listener);
     let member = open
-        .member
+        .tenant
         .map_or(Some(0), |name| place(&setup.tenants, name));
     listener
         .zip(member)
--- a/crates/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -2,15 +2,15 @@
 
 use super::{ConnectionRole, ReasonCode, Router, SessionInput, SessionState, TimerKey};
 use crate::protocol::line;
-use crate::protocol::server::{Said, load, said};
-use crate::transport::poll::{Ready, Want};
-use crate::transport::{Key, socket};
+use crate::protocol::server::{ServerLine, load_from_report, parse_server_line};
+use crate::transport::poller::{Interest, ReadyEvent};
+use crate::transport::{SlotKey, socket};
 use asterramp_placement::event::{Load, Outcome, ServerId};
 use rustix::io::Errno;
 use std::time::Duration;
 
 impl Router {
-    pub(super) fn dial(&mut self, sess: Key, server: ServerId) {
+    pub(super) fn dial(&mut self, sess: SlotKey, server: ServerId) {
         if self.client_has_gone(sess) {
             return;
         }
@@ -26,7 +26,7 @@
             Ok(fd) => self.register(
                 fd,
                 ConnectionRole::Server(sess),
-                Want {
+                Interest {
                     read: false,
                     write: true,
                 },
@@ -47,7 +47,7 @@
 
     /// Looks at a session's client once more, right before something is sent for it: its end may have come behind
     /// other events of this turn, or with what was read before. For one that has gone nothing is begun.
-    fn client_has_gone(&mut self, sess: Key) -> bool {
+    fn client_has_gone(&mut self, sess: SlotKey) -> bool {
         let client = self
             .session_table
             .sessions
@@ -56,7 +56,7 @@
         let Some(conn) = client.and_then(|key| self.connections.get_mut(key)) else {
             return false;
         };
-        conn.stream.fill(false);
+        conn.stream.read_once(false);
         let input = match (conn.stream.inbound.is_empty(), conn.stream.ended) {
             (false, _) => SessionInput::Spoke,
             (true, Some(_)) => SessionInput::Left,
@@ -66,7 +66,7 @@
     }
 
     /// Sends a session that was open before to the server that held it.
-    pub(super) fn restore(&mut self, sess: Key) {
+    pub(super) fn restore(&mut self, sess: SlotKey) {
         let Some(held) = self.session_table.sessions.get(sess) else {
             return;
         };
@@ -89,7 +89,7 @@
         self.input(sess, input);
     }
 
-    pub(super) fn server_ready(&mut self, sess: Key, event: Ready) {
+    pub(super) fn server_ready(&mut self, sess: SlotKey, event: ReadyEvent) {
         let Some((stage, dial)) = self.life(sess).map(|life| (life.stage, life.dial())) else {
             return;
         };
@@ -98,23 +98,23 @@
         };
         match stage {
             SessionState::Open => {
-                conn.stream.fill(event.broken);
+                conn.stream.read_once(event.failed);
                 self.forward(sess);
             }
-            SessionState::Connecting if !(event.write || event.broken) => {}
-            SessionState::Connecting if !conn.stream.is_up() => {
+            SessionState::Connecting if !(event.writable || event.failed) => {}
+            SessionState::Connecting if !conn.stream.is_connected() => {
                 self.input(sess, SessionInput::Unreachable { dial })
             }
             SessionState::Connecting => self.input(sess, SessionInput::Connected { dial }),
             _ => {
-                conn.stream.fill(event.broken);
+                conn.stream.read_once(event.failed);
                 self.answered(sess, event.key);
             }
         }
     }
 
     /// Writes the client's line, with the wait that this dial has, where the client's own stood.
-    pub(super) fn send_request_line(&mut self, sess: Key, wait: Option<Duration>) {
+    pub(super) fn send_request_line(&mut self, sess: SlotKey, wait: Option<Duration>) {
         if self.client_has_gone(sess) {
             return;
         }
@@ -138,11 +138,11 @@
     }
 
     /// Looks at what a server has said, once the line is written to its last byte.
-    fn answered(&mut self, sess: Key, key: Key) {
+    fn answered(&mut self, sess: SlotKey, key: SlotKey) {
         let (Some(conn), Some(life)) = (self.connections.get(key), self.life(sess)) else {
             return;
         };
-        let (ended, sent) = (conn.stream.ended.is_some(), conn.stream.sent());
+        let (ended, sent) = (conn.stream.ended.is_some(), conn.stream.is_flushed());
         let (dial, asked) = (life.dial(), life.stage == SessionState::Asked);
         if sent && asked {
             self.metrics.written();
@@ -151,7 +151,7 @@
         let Some(conn) = self.connections.get(key) else {
             return;
         };
-        let line = match line::first(conn.stream.inbound.bytes()) {
+        let line = match line::first_line(conn.stream.inbound.bytes()) {
             Ok(Some((line, _))) if sent => line,
             Ok(_) if ended => return self.input(sess, SessionInput::Ended { dial }),
             Ok(_) => return self.want_own(key),
@@ -160,12 +160,12 @@
                 return self.input(sess, said_by(dial, Outcome::Erred, Load::default()));
             }
         };
-        let load = |report| load(&self.settings.load_reports, report);
-        let (outcome, load) = match said(line) {
-            Said::Up => return self.input(sess, SessionInput::Up { dial }),
-            Said::Full(report) => (Outcome::Full, load(report)),
-            Said::Erred(report) | Said::Bye(report) => (Outcome::Erred, load(report)),
-            Said::Move => (Outcome::CalledOff, Load::default()),
+        let load = |report| load_from_report(&self.settings.load_reports, report);
+        let (outcome, load) = match parse_server_line(line) {
+            ServerLine::Up => return self.input(sess, SessionInput::Up { dial }),
+            ServerLine::Busy(report) => (Outcome::Full, load(report)),
+            ServerLine::Error(report) | ServerLine::Bye(report) => (Outcome::Erred, load(report)),
+            ServerLine::Move => (Outcome::CalledOff, Load::default()),
             _ => {
                 let line: String = line.chars().take(80).collect();
                 self.log_event(ReasonCode::ServerBad, format!("dial line={line:?}"));
@@ -175,7 +175,7 @@
         self.input(sess, said_by(dial, outcome, load));
     }
 
-    pub(super) fn session_deadline(&mut self, sess: Key) {
+    pub(super) fn session_deadline(&mut self, sess: SlotKey) {
         match self.life(sess).map(|life| life.stage) {
             Some(SessionState::Open) => self.open_session_deadline(sess),
             Some(_) => self.input(sess, SessionInput::Due),
--- a/crates/proxy/src/routing/discovery_watch.rs
+++ b/crates/proxy/src/routing/discovery_watch.rs
@@ -1,10 +1,10 @@
 //! The watch on discovery.
 
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
-use crate::protocol::discovery::{self, List};
-use crate::protocol::http::{Answer, watch_request};
-use crate::transport::poll::{Ready, Want};
-use crate::transport::{Key, socket};
+use crate::protocol::discovery::{self, EndpointList};
+use crate::protocol::http_client::{ChunkedResponse, watch_request};
+use crate::transport::poller::{Interest, ReadyEvent};
+use crate::transport::{SlotKey, socket};
 use asterramp_placement::Event;
 use asterramp_placement::event;
 use asterramp_placement::settings::Settings;
@@ -25,9 +25,9 @@
 pub struct DiscoveryWatch {
     at: SocketAddr,
     rev: u64,
-    key: Option<Key>,
+    key: Option<SlotKey>,
     asked: bool,
-    answer: Answer,
+    answer: ChunkedResponse,
     pause: Duration,
     /// How long the next may take to say its first line.
     patience: Duration,
@@ -49,7 +49,7 @@
             rev,
             key: None,
             asked: false,
-            answer: Answer::default(),
+            answer: ChunkedResponse::default(),
             pause: PAUSE,
             patience: first_patience(by_module),
             longest_pause,
@@ -74,22 +74,22 @@
 
 impl Router {
     /// The list as it was before the start, upon which discovery is asked.
-    pub(super) fn apply_known_list(&mut self, list: List) {
+    pub(super) fn apply_known_list(&mut self, list: EndpointList) {
         self.begin(list, event::EndpointUpdate::Stale);
     }
 
     /// The same as the process told it that this one replaces.
-    pub(super) fn apply_inherited_list(&mut self, list: List) {
+    pub(super) fn apply_inherited_list(&mut self, list: EndpointList) {
         self.begin(list, event::EndpointUpdate::Inherited);
     }
 
     fn begin(
         &mut self,
-        list: List,
+        list: EndpointList,
         as_told: impl Fn(Vec<event::Endpoint>) -> event::EndpointUpdate,
     ) {
         let entries = list
-            .lines
+            .endpoints
             .into_iter()
             .filter_map(|line| Some(self.endpoints.take(line)?.0))
             .collect();
@@ -109,13 +109,14 @@
             self.register(
                 fd,
                 ConnectionRole::DiscoveryWatch,
-                Want {
+                Interest {
                     read: false,
                     write: true,
                 },
             )
         });
-        (self.discovery_watch.asked, self.discovery_watch.answer) = (false, Answer::default());
+        (self.discovery_watch.asked, self.discovery_watch.answer) =
+            (false, ChunkedResponse::default());
         if self.discovery_watch.key.is_some() {
             self.deadlines.set(
                 TimerKey::DiscoveryWatch,
@@ -146,7 +147,7 @@
                 at: discovery,
                 rev: 0,
                 pause: PAUSE,
-                answer: Answer::default(),
+                answer: ChunkedResponse::default(),
                 ..self.discovery_watch
             };
             self.discovery_watch.patience = first_patience(self.discovery_watch.by_module);
@@ -181,12 +182,12 @@
             (self.discovery_watch.pause * 2).min(self.discovery_watch.longest_pause);
     }
 
-    pub(super) fn watch_ready(&mut self, event: Ready) {
+    pub(super) fn watch_ready(&mut self, event: ReadyEvent) {
         let Some(conn) = self.connections.get_mut(event.key) else {
             return;
         };
         if !self.discovery_watch.asked {
-            if !conn.stream.is_up() {
+            if !conn.stream.is_connected() {
                 return self.end_watch(ReasonCode::WatchEnded, "connect failed");
             }
             self.discovery_watch.asked = true;
@@ -197,11 +198,11 @@
             conn.stream.send(&[request.as_bytes()]);
             return self.want_own(event.key);
         }
-        conn.stream.fill(event.broken);
+        conn.stream.read_once(event.failed);
         let bytes = conn.stream.inbound.bytes();
         let (n, mut lines) = (bytes.len(), Vec::new());
         let fed = self.discovery_watch.answer.feed(bytes, &mut lines);
-        let ended = conn.stream.ended.is_some() || self.discovery_watch.answer.over();
+        let ended = conn.stream.ended.is_some() || self.discovery_watch.answer.is_complete();
         conn.stream.inbound.consume(n);
         // Half a line, or an answer without end, would keep a dead watch alive.
         if !lines.is_empty() {
@@ -228,10 +229,10 @@
     /// out is not gone.
     fn listed(&mut self, line: &[u8]) -> Result<(), String> {
         if !line.is_empty() {
-            let list = discovery::read(line)?;
-            let whole = list.whole && list.bad.is_none();
-            let mut entries = Vec::with_capacity(list.lines.len());
-            for line in list.lines {
+            let list = discovery::parse(line)?;
+            let whole = list.complete && list.first_error.is_none();
+            let mut entries = Vec::with_capacity(list.endpoints.len());
+            for line in list.endpoints {
                 let Some((entry, stale)) = self.endpoints.take(line) else {
                     self.count_event(ReasonCode::RosterFull);
                     continue;
@@ -241,13 +242,13 @@
                     self.unneeded_probe(entry.server);
                 }
             }
-            if self.is_older(list.rev) {
-                self.apply_older_list(list.rev, entries);
+            if self.is_older(list.revision) {
+                self.apply_older_list(list.revision, entries);
             } else {
                 self.told(entries, whole);
             }
-            list.bad.map_or(Ok(()), Err)?;
-            self.discovery_watch.rev = list.rev;
+            list.first_error.map_or(Ok(()), Err)?;
+            self.discovery_watch.rev = list.revision;
             self.count_event(ReasonCode::RosterTaken);
             self.mark_snapshot_outdated();
         }
--- a/crates/proxy/src/routing/endpoints.rs
+++ b/crates/proxy/src/routing/endpoints.rs
@@ -1,7 +1,7 @@
 //! The door at which servers' names become indices.
 
-use crate::protocol::discovery::Listed;
-use crate::transport::Key;
+use crate::protocol::discovery::ListedEndpoint;
+use crate::transport::SlotKey;
 use asterramp_placement::event::{Endpoint, EndpointState, Load, ServerId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,8 +13,8 @@
 #[derive(Debug)]
 struct Server {
     /// As discovery told it last; the endpoint is the last that it stood at.
-    line: Listed,
-    probe: Option<Key>,
+    line: ListedEndpoint,
+    probe: Option<SlotKey>,
     host: KnownEndpoint,
 }
 
@@ -54,7 +54,7 @@
 
     /// A line in the module's terms, and whether its server's probe connection is of no use any more; `None`
     /// for a new server past the most.
-    pub fn take(&mut self, line: Listed) -> Option<(Endpoint, bool)> {
+    pub fn take(&mut self, line: ListedEndpoint) -> Option<(Endpoint, bool)> {
         if self.servers.len() >= MOST && !self.by_uid.contains_key(&line.uid) {
             return None;
         }
@@ -69,19 +69,19 @@
             id
         });
         let known = &mut self.servers[server as usize];
-        let before = known.line.endpoint;
-        let moved = before != line.endpoint;
-        let endpoint = if line.standing == EndpointState::Gone {
+        let before = known.line.address;
+        let moved = before != line.address;
+        let endpoint = if line.state == EndpointState::Gone {
             before
         } else {
-            line.endpoint
+            line.address
         };
-        known.line = Listed {
-            endpoint,
+        known.line = ListedEndpoint {
+            address: endpoint,
             ..line.clone()
         };
-        (known.host.standing, known.host.started) = (line.standing, line.started);
-        let stale = moved || line.standing == EndpointState::Gone;
+        (known.host.standing, known.host.started) = (line.state, line.started_at);
+        let stale = moved || line.state == EndpointState::Gone;
         let entry = self.entry(server)?;
         Some((entry, stale))
     }
@@ -100,7 +100,7 @@
             cell: line.cell,
             state: known.host.standing,
             weight: line.weight,
-            started_at: line.started,
+            started_at: line.started_at,
             load_per_connection: None,
         })
     }
@@ -110,7 +110,7 @@
         self.servers
             .get_mut(server as usize)
             .into_iter()
-            .for_each(|server| server.line.endpoint = endpoint);
+            .for_each(|server| server.line.address = endpoint);
     }
 
     pub fn stands(&mut self, server: ServerId, standing: EndpointState) {
@@ -152,9 +152,9 @@
     }
 
     /// All that was ever listed, as it stands.
-    pub fn lines(&self) -> impl Iterator<Item = Listed> {
-        let stands = |server: &Server| Listed {
-            standing: server.host.standing,
+    pub fn lines(&self) -> impl Iterator<Item = ListedEndpoint> {
+        let stands = |server: &Server| ListedEndpoint {
+            state: server.host.standing,
             ..server.line.clone()
         };
         self.servers.iter().map(stands)
@@ -167,7 +167,7 @@
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.servers
             .get(server as usize)
-            .map(|server| server.line.endpoint)
+            .map(|server| server.line.address)
     }
 
     pub fn name(&self, server: ServerId) -> &str {
@@ -176,11 +176,11 @@
             .map_or("-", |server| &server.line.uid)
     }
 
-    pub fn probe(&self, server: ServerId) -> Option<Key> {
+    pub fn probe(&self, server: ServerId) -> Option<SlotKey> {
         self.servers.get(server as usize)?.probe
     }
 
-    pub fn set_probe(&mut self, server: ServerId, key: Option<Key>) {
+    pub fn set_probe(&mut self, server: ServerId, key: Option<SlotKey>) {
         self.servers
             .get_mut(server as usize)
             .into_iter()
--- a/crates/proxy/src/routing/forwarding.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -1,11 +1,11 @@
 //! Open connections: whole lines both ways, and their ends.
 
 use super::{ReasonCode, Router, SessionInput, SessionState, TimerKey};
-use crate::protocol::client::{FAILED, MOVE};
-use crate::protocol::line::{self, Fault};
-use crate::protocol::server::{Said, load, said};
-use crate::transport::poll::Want;
-use crate::transport::{Buffer, End, Key};
+use crate::protocol::client::{ERROR_LINE, MOVE_LINE};
+use crate::protocol::line::{self, LineError};
+use crate::protocol::server::{ServerLine, load_from_report, parse_server_line};
+use crate::transport::poller::Interest;
+use crate::transport::{ReadBuffer, SlotKey, StreamEnd};
 use asterramp_placement::Event;
 use asterramp_placement::event::{Load, Observation, Outcome};
 use std::time::Duration;
@@ -37,7 +37,7 @@
 
 impl Router {
     /// Passes on what can be passed, both ways, and any end.
-    pub(super) fn forward(&mut self, sess: Key) {
+    pub(super) fn forward(&mut self, sess: SlotKey) {
         let Some(held) = self.session_table.sessions.get(sess) else {
             return;
         };
@@ -54,7 +54,7 @@
                 sess,
                 ReasonCode::ServerBad,
                 Outcome::Reset,
-                (Close::Say(MOVE), Close::Fin),
+                (Close::Say(MOVE_LINE), Close::Fin),
             );
         }
         if let Err(fault) = self.take_from_client(sess, client) {
@@ -64,7 +64,7 @@
                 sess,
                 ReasonCode::ClientBad,
                 Outcome::Ok,
-                (Close::Say(FAILED), Close::Fin),
+                (Close::Say(ERROR_LINE), Close::Fin),
             );
         }
         self.pass(server, client);
@@ -73,7 +73,7 @@
     }
 
     /// Takes in the whole lines that a server sent.
-    fn take_from_server(&mut self, sess: Key, server: Key) -> Result<(), Fault> {
+    fn take_from_server(&mut self, sess: SlotKey, server: SlotKey) -> Result<(), LineError> {
         let (Some(conn), Some(held)) = (
             self.connections.get_mut(server),
             self.session_table.sessions.get_mut(sess),
@@ -83,20 +83,24 @@
         let (s, left, to) = (&mut held.driver_data, held.machine.left, held.machine.to);
         let listener = held.machine.arrival.listener;
         let (mut works, mut heard) = (None, false);
-        while let Some((text, n)) = line::first(&conn.stream.inbound.bytes()[conn.complete_len..])?
+        while let Some((text, n)) =
+            line::first_line(&conn.stream.inbound.bytes()[conn.complete_len..])?
         {
             conn.complete_len += n;
-            match said(text) {
-                Said::Work(work) => works = Some(work),
-                Said::Bye(report) => {
-                    s.farewell = Some((Outcome::Ok, load(&self.settings.load_reports, report)))
+            match parse_server_line(text) {
+                ServerLine::Load(work) => works = Some(work),
+                ServerLine::Bye(report) => {
+                    s.farewell = Some((
+                        Outcome::Ok,
+                        load_from_report(&self.settings.load_reports, report),
+                    ))
                 }
-                Said::Move => s.farewell = Some((Outcome::CalledOff, Load::default())),
+                ServerLine::Move => s.farewell = Some((Outcome::CalledOff, Load::default())),
                 _ => {}
             }
             (s.asked, heard) = (false, true);
             if s.farewell.is_some() {
-                conn.stream.ended = conn.stream.ended.or(Some(End::Fin));
+                conn.stream.ended = conn.stream.ended.or(Some(StreamEnd::Fin));
                 break;
             }
         }
@@ -117,7 +121,7 @@
         Ok(())
     }
 
-    fn take_from_client(&mut self, sess: Key, client: Key) -> Result<(), Fault> {
+    fn take_from_client(&mut self, sess: SlotKey, client: SlotKey) -> Result<(), LineError> {
         let (Some(conn), Some(held)) = (
             self.connections.get_mut(client),
             self.session_table.sessions.get_mut(sess),
@@ -126,7 +130,9 @@
         };
         let (s, left) = (&mut held.driver_data, held.machine.left);
         let quiet = quiet(self.settings.connect_timeout);
-        while let Some((_, n)) = line::first(&conn.stream.inbound.bytes()[conn.complete_len..])? {
+        while let Some((_, n)) =
+            line::first_line(&conn.stream.inbound.bytes()[conn.complete_len..])?
+        {
             conn.complete_len += n;
             if !s.asked && !left {
                 (s.asked, s.quiet) = (true, false);
@@ -139,13 +145,13 @@
 
     /// Writes whole lines of one side to the other, as far as it takes them; the rest stays where it is, and
     /// no more is read than there is room for.
-    fn pass(&mut self, from: Key, to: Key) {
+    fn pass(&mut self, from: SlotKey, to: SlotKey) {
         let (Some(source), Some(sink)) = (self.connections.get(from), self.connections.get(to))
         else {
             return;
         };
         let bytes = &source.stream.inbound.bytes()[..source.complete_len];
-        match sink.stream.pass(bytes) {
+        match sink.stream.forward(bytes) {
             Ok(0) => {}
             Ok(n) => {
                 let Some(source) = self.connections.get_mut(from) else {
@@ -163,7 +169,7 @@
         }
     }
 
-    fn pass_ends(&mut self, sess: Key, client: Key, server: Key) {
+    fn pass_ends(&mut self, sess: SlotKey, client: SlotKey, server: SlotKey) {
         let (Some(held), Some(c), Some(v)) = (
             self.session_table.sessions.get(sess),
             self.connections.get(client),
@@ -179,10 +185,10 @@
         };
         let fin = (Close::Fin, Close::Fin);
         match (c.stream.ended, v.stream.ended) {
-            (Some(_), Some(_)) | (Some(End::Reset), _) if left => {
+            (Some(_), Some(_)) | (Some(StreamEnd::Reset), _) if left => {
                 return self.end(sess, ReasonCode::ClientLeft, Outcome::Ok, fin);
             }
-            (Some(End::Reset), _) => {
+            (Some(StreamEnd::Reset), _) => {
                 self.input(sess, SessionInput::Left);
                 return self.end(
                     sess,
@@ -191,7 +197,7 @@
                     (Close::Reset, Close::Reset),
                 );
             }
-            (_, Some(End::Reset)) => {
+            (_, Some(StreamEnd::Reset)) => {
                 return self.end(
                     sess,
                     ReasonCode::ServerReset,
@@ -199,8 +205,8 @@
                     (Close::Reset, Close::Reset),
                 );
             }
-            (_, Some(End::Fin)) => return self.end(sess, code, outcome, fin),
-            (Some(End::Fin), None) if !left => {
+            (_, Some(StreamEnd::Fin)) => return self.end(sess, code, outcome, fin),
+            (Some(StreamEnd::Fin), None) if !left => {
                 self.input(sess, SessionInput::Left);
                 self.deadlines.set(TimerKey::Session(sess), self.now + LAST);
             }
@@ -211,17 +217,17 @@
             return;
         };
         if self.life(sess).is_some_and(|life| life.left) && c.complete_len == 0 {
-            v.stream.end_sending();
+            v.stream.shutdown_write();
         }
         let write = |conn: &super::Connection, other: &super::Connection| {
-            !conn.stream.sent() || other.complete_len > 0
+            !conn.stream.is_flushed() || other.complete_len > 0
         };
-        let for_client = Want {
-            read: c.stream.may_read(),
+        let for_client = Interest {
+            read: c.stream.can_read(),
             write: write(c, v),
         };
-        let for_server = Want {
-            read: v.stream.may_read(),
+        let for_server = Interest {
+            read: v.stream.can_read(),
             write: write(v, c),
         };
         self.set_interest(client, for_client);
@@ -229,7 +235,7 @@
     }
 
     /// Asks a client to come again.
-    pub(super) fn migrate(&mut self, sess: Key, code: ReasonCode) {
+    pub(super) fn migrate(&mut self, sess: SlotKey, code: ReasonCode) {
         let outcome = if code == ReasonCode::ServerSilent {
             Outcome::Reset
         } else {
@@ -240,12 +246,12 @@
             .is_some_and(|life| life.stage == SessionState::Open)
             && !self.is_offered(sess)
         {
-            self.end(sess, code, outcome, (Close::Say(MOVE), Close::Fin));
+            self.end(sess, code, outcome, (Close::Say(MOVE_LINE), Close::Fin));
         }
     }
 
     /// An open connection has kept somebody waiting too long.
-    pub(super) fn open_session_deadline(&mut self, sess: Key) {
+    pub(super) fn open_session_deadline(&mut self, sess: SlotKey) {
         let Some(held) = self.session_table.sessions.get(sess) else {
             return;
         };
@@ -291,7 +297,7 @@
     /// Ends both sides of an open connection and tells the module.
     fn end(
         &mut self,
-        sess: Key,
+        sess: SlotKey,
         code: ReasonCode,
         outcome: Outcome,
         (to_client, to_server): (Close, Close),
@@ -321,7 +327,7 @@
     }
 
     /// Whole lines that came from one side and are not passed on yet.
-    fn waiting(&self, from: Key) -> Vec<u8> {
+    fn waiting(&self, from: SlotKey) -> Vec<u8> {
         let conn = self.connections.get(from);
         conn.map(|conn| conn.stream.inbound.bytes()[..conn.complete_len].to_vec())
             .unwrap_or_default()
@@ -329,4 +335,4 @@
 }
 
 /// A whole line always fits beside one that waits.
-const _: () = assert!(Buffer::LIMIT >= 2 * line::LONGEST);
+const _: () = assert!(ReadBuffer::CAPACITY >= 2 * line::MAX_LINE_LENGTH);
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -1,8 +1,8 @@
 //! Emptying the proxy, for good or on request: carries out what `asterramp_drain` advises.
 
 use super::{ConnectionRole, ReasonCode, Router, SessionInput, SessionState, TimerKey};
-use crate::protocol::client::FAILED;
-use crate::transport::Key;
+use crate::protocol::client::ERROR_LINE;
+use crate::transport::SlotKey;
 use asterramp_drain::{DrainError, DrainExit, DrainSettings, DrainState, DrainView, STEP};
 use asterramp_placement::deployment::RetrySafety;
 use asterramp_placement::event::EndpointState;
@@ -96,7 +96,7 @@
         }
     }
 
-    fn sessions_of(&self, stage: impl Fn(SessionState) -> bool) -> Vec<Key> {
+    fn sessions_of(&self, stage: impl Fn(SessionState) -> bool) -> Vec<SlotKey> {
         let sessions = self.session_table.sessions.iter();
         let those = sessions.filter(|(_, held)| stage(held.machine.stage) && !held.machine.left);
         those
@@ -192,12 +192,12 @@
                 .connections
                 .iter()
                 .filter(|(_, conn)| conn.role == ConnectionRole::PendingClient);
-            let late: Vec<Key> = greeting
+            let late: Vec<SlotKey> = greeting
                 .map(|(key, _)| key)
                 .filter(|key| !self.is_on_offer(*key))
                 .collect();
             late.into_iter()
-                .for_each(|key| self.close_gracefully(key, &[FAILED]));
+                .for_each(|key| self.close_gracefully(key, &[ERROR_LINE]));
         }
         if advice.exit {
             self.shut_door();
@@ -224,7 +224,7 @@
     /// Closes what is left as the process ends: texts of ours go out as far as their sockets take them, and nothing is
     /// closed over what nobody read.
     pub fn close_all(&mut self) {
-        let keys: Vec<Key> = self.connections.iter().map(|(key, _)| key).collect();
+        let keys: Vec<SlotKey> = self.connections.iter().map(|(key, _)| key).collect();
         for key in keys {
             self.connections
                 .get_mut(key)
@@ -234,7 +234,7 @@
         }
     }
 
-    fn rank(&self, sess: Key) -> u8 {
+    fn rank(&self, sess: SlotKey) -> u8 {
         let listener = self
             .life(sess)
             .map(|life| usize::from(life.arrival.listener));
--- a/crates/proxy/src/routing/hot_restart.rs
+++ b/crates/proxy/src/routing/hot_restart.rs
@@ -9,10 +9,10 @@
     ConnectionRole, ReasonCode, Router, Session, SessionMachine, SessionState as LifeStage,
     TimerKey,
 };
-use crate::protocol::client::{Greeting, greeting};
-use crate::protocol::discovery::{List, Listed};
-use crate::transport::poll::Want;
-use crate::transport::{Key, Stream, link, socket};
+use crate::protocol::client::{ClientGreeting, parse_greeting};
+use crate::protocol::discovery::{EndpointList, ListedEndpoint};
+use crate::transport::poller::Interest;
+use crate::transport::{BufferedStream, SlotKey, seqpacket, socket};
 use asterramp_hot_restart::{
     BufferedBytes, ConnectionOwnership, Delivery, EndpointRecord, HOSTS, HotRestartEffect,
     HotRestartInput, HotRestartState, LONGEST, Message, OFFERED, OpenConnection,
@@ -35,8 +35,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Offer {
-    Pair(Key),
-    Stranger(Key),
+    Pair(SlotKey),
+    Stranger(SlotKey),
 }
 
 #[derive(Debug)]
@@ -44,8 +44,8 @@
     path: PathBuf,
     /// Who may touch what.
     side: ConnectionOwnership<Offer, Found>,
-    door: Option<Key>,
-    link: Option<Key>,
+    door: Option<SlotKey>,
+    link: Option<SlotKey>,
     /// Descriptors that the elder holds yet, of those that both may hold.
     pub foreign: usize,
 }
@@ -54,25 +54,25 @@
 pub struct InheritedListener {
     pub link: OwnedFd,
     pub door: OwnedFd,
-    pub list: List,
+    pub list: EndpointList,
 }
 
 impl InheritedListener {
     /// Asks the elder that listens at `path`, if there is one. This is before the loop: nobody waits for it yet.
     pub fn ask(path: &Path, listen: SocketAddr) -> Result<Option<InheritedListener>, String> {
-        let link = match link::call(path) {
+        let link = match seqpacket::connect(path) {
             Ok(link) => link,
             Err(Errno::NOENT | Errno::CONNREFUSED) => return Ok(None),
             Err(e) => return Err(e.to_string()),
         };
-        if !socket::is_own_user(&link) {
+        if !socket::peer_is_same_user(&link) {
             return Err("another user listens there".into());
         }
         let until = Instant::now() + TELLS;
-        link::send(&link, &Message::Hello.write(), &[]).map_err(|e| e.to_string())?;
+        seqpacket::send(&link, &Message::Hello.write(), &[]).map_err(|e| e.to_string())?;
         let mut lines = Vec::new();
         loop {
-            match link::receive(&link, LONGEST).map_err(|e| e.to_string())? {
+            match seqpacket::receive(&link, LONGEST).map_err(|e| e.to_string())? {
                 Some((message, _)) if message.is_empty() => return Err("it hung up".into()),
                 Some((message, mut with)) => match (Message::read(&message)?, with.pop()) {
                     (Message::Hosts(hosts), None) if lines.len() < MOST => {
@@ -87,14 +87,14 @@
                         let at = rustix::net::getsockname(&door)
                             .ok()
                             .and_then(|at| at.try_into().ok());
-                        if at != Some(listen) || !socket::is_door(&door) {
+                        if at != Some(listen) || !socket::is_listening(&door) {
                             return Err("its door is another".into());
                         }
-                        let list = List {
-                            rev,
-                            whole: true,
-                            lines,
-                            bad: None,
+                        let list = EndpointList {
+                            revision: rev,
+                            complete: true,
+                            endpoints: lines,
+                            first_error: None,
                         };
                         return Ok(Some(InheritedListener { link, door, list }));
                     }
@@ -126,7 +126,7 @@
             self.register(
                 fd,
                 ConnectionRole::HotRestart,
-                Want {
+                Interest {
                     read: true,
                     write: false,
                 },
@@ -168,7 +168,7 @@
                 let door = self.register(
                     fd,
                     ConnectionRole::HotRestartListener,
-                    Want {
+                    Interest {
                         read: true,
                         write: false,
                     },
@@ -197,14 +197,14 @@
             .is_some_and(|kin| kin.side.stage == HotRestartState::Handing)
     }
 
-    pub(super) fn is_offered(&self, sess: Key) -> bool {
+    pub(super) fn is_offered(&self, sess: SlotKey) -> bool {
         self.hot_restart
             .as_ref()
             .is_some_and(|kin| kin.side.is_offered(&Offer::Pair(sess)))
     }
 
     /// Whether a connection has been offered, and is nobody's to read or write.
-    pub(super) fn is_on_offer(&self, key: Key) -> bool {
+    pub(super) fn is_on_offer(&self, key: SlotKey) -> bool {
         let Some(kin) = &self.hot_restart else {
             return false;
         };
@@ -230,19 +230,19 @@
         let Ok(Some(fd)) = socket::accept_unix(&conn.stream) else {
             return;
         };
-        if !socket::is_own_user(&fd) {
+        if !socket::peer_is_same_user(&fd) {
             return self.log_event(ReasonCode::KinBad, "caller why=\"another user\"");
         }
         self.kin_input(HotRestartInput::Came, Some(fd), Vec::new());
     }
 
-    pub(super) fn hot_restart_ready(&mut self, key: Key) {
+    pub(super) fn hot_restart_ready(&mut self, key: SlotKey) {
         // Bounded, so that nobody waits for it: what an elder offers is.
         for _ in 0..2 * OFFERED {
             let Some(conn) = self.connections.get(key) else {
                 return;
             };
-            let (message, with) = match link::receive(&conn.stream, LONGEST) {
+            let (message, with) = match seqpacket::receive(&conn.stream, LONGEST) {
                 Ok(None) => return,
                 Ok(Some((message, with))) if !message.is_empty() => (message, with),
                 Ok(_) => return self.kin_input(HotRestartInput::Over, None, Vec::new()),
@@ -284,7 +284,7 @@
         self.kin_input(HotRestartInput::Broke, None, Vec::new());
     }
 
-    fn tell_kin(&mut self, word: &Message, with: &[Key]) -> Delivery {
+    fn tell_kin(&mut self, word: &Message, with: &[SlotKey]) -> Delivery {
         let link = self.hot_restart.as_ref().and_then(|kin| kin.link);
         let Some(link) = link.and_then(|link| self.connections.get(link)) else {
             return Delivery::Gone;
@@ -293,7 +293,7 @@
             .iter()
             .map(|key| Some(self.connections.get(*key)?.stream.as_fd()))
             .collect();
-        match with.map(|with| link::send(&link.stream, &word.write(), &with)) {
+        match with.map(|with| seqpacket::send(&link.stream, &word.write(), &with)) {
             Some(Ok(true)) => Delivery::Yes,
             Some(Err(Errno::PIPE | Errno::CONNRESET | Errno::CONNREFUSED | Errno::NOTCONN)) => {
                 Delivery::Gone
@@ -302,7 +302,7 @@
         }
     }
 
-    fn told_kin(&mut self, word: &Message, with: &[Key]) -> bool {
+    fn told_kin(&mut self, word: &Message, with: &[SlotKey]) -> bool {
         self.tell_kin(word, with) == Delivery::Yes
     }
 
@@ -320,7 +320,7 @@
                     self.register(
                         fd,
                         ConnectionRole::HotRestart,
-                        Want {
+                        Interest {
                             read: true,
                             write: false,
                         },
@@ -356,7 +356,7 @@
                     .for_each(|key| self.deadlines.clear(TimerKey::Connection(key)));
                 self.listener
                     .into_iter()
-                    .for_each(|door| self.set_interest(door, Want::default()));
+                    .for_each(|door| self.set_interest(door, Interest::default()));
                 self.deadlines.clear(TimerKey::Listener);
                 let holds = Message::Holds(self.connections.len() as u32);
                 let about = format!("by another process, {} descriptors", self.connections.len());
@@ -407,8 +407,8 @@
         let mut taken = 0;
         if let Some(link) = link {
             // It fails only for a link that has ended, which then says nothing more.
-            let _ = link::hear_no_more(&link.stream);
-            while let Ok(Some((message, _))) = link::receive(&link.stream, LONGEST) {
+            let _ = seqpacket::shutdown_read(&link.stream);
+            while let Ok(Some((message, _))) = seqpacket::receive(&link.stream, LONGEST) {
                 if message.is_empty() {
                     break;
                 }
@@ -472,7 +472,7 @@
                 .is_some_and(|kin| kin.side.is_offered(&Offer::Stranger(*key)));
             conn.role == ConnectionRole::PendingClient
                 && conn.stream.ended.is_none()
-                && conn.stream.sent()
+                && conn.stream.is_flushed()
                 && !offered
         });
         let mut offers: Vec<Offer> = strangers
@@ -514,18 +514,18 @@
     }
 
     /// Open on both sides, with nothing half said by this process and no end on its way.
-    fn may_offer(&self, sess: Key, held: &SessionSlot<Session>) -> bool {
-        let clean = |key: Option<Key>| {
+    fn may_offer(&self, sess: SlotKey, held: &SessionSlot<Session>) -> bool {
+        let clean = |key: Option<SlotKey>| {
             let conn = key.and_then(|key| self.connections.get(key));
-            conn.is_some_and(|conn| conn.stream.ended.is_none() && conn.stream.sent())
+            conn.is_some_and(|conn| conn.stream.ended.is_none() && conn.stream.is_flushed())
         };
         let (life, own) = (&held.machine, &held.driver_data);
         let open = life.stage == LifeStage::Open && !life.left && own.farewell.is_none();
         open && clean(own.client) && clean(own.server) && !self.is_offered(sess)
     }
 
-    fn worded(&self, offer: Offer) -> Option<(Message, Vec<Key>)> {
-        let bytes = |key: Key| {
+    fn worded(&self, offer: Offer) -> Option<(Message, Vec<SlotKey>)> {
+        let bytes = |key: SlotKey| {
             let conn = self.connections.get(key)?;
             Some(BufferedBytes {
                 whole: conn.complete_len,
@@ -539,7 +539,7 @@
                 let (client, server) = (held.driver_data.client?, held.driver_data.server?);
                 let due = self
                     .deadlines
-                    .of(TimerKey::Session(sess))
+                    .get(TimerKey::Session(sess))
                     .filter(|_| held.driver_data.asked);
                 // The other process is told when its client is to be moved, not when its server counts as quiet.
                 let waits = super::forwarding::rest(self.settings.connect_timeout);
@@ -585,13 +585,13 @@
 
     /// It was not taken: this process goes on with it.
     fn take_up(&mut self, offer: Offer) {
-        let watch = |router: &mut Router, key: Key| {
+        let watch = |router: &mut Router, key: SlotKey| {
             if let Some(conn) = router.connections.get_mut(key) {
-                conn.stream.want = Want {
+                conn.stream.interest = Interest {
                     read: true,
                     write: false,
                 };
-                let _ = router.poll.add(&conn.stream, key, conn.stream.want);
+                let _ = router.poll.add(&conn.stream, key, conn.stream.interest);
             }
         };
         match offer {
@@ -724,7 +724,7 @@
         let mut with = with.into_iter();
         let mut stream = |bytes: &BufferedBytes| {
             let fd = with.next().ok_or("a descriptor is missing")?;
-            Stream::taken(fd, &bytes.bytes).ok_or("more bytes than may wait")
+            BufferedStream::inherited(fd, &bytes.bytes).ok_or("more bytes than may wait")
         };
         match word {
             Message::Stranger(bytes) => Ok(Found::Stranger(stream(&bytes)?)),
@@ -733,7 +733,7 @@
                     .line
                     .strip_suffix(b"\r\n")
                     .and_then(|line| std::str::from_utf8(line).ok());
-                let Some(Ok(Greeting::Open(open))) = text.map(greeting) else {
+                let Some(Ok(ClientGreeting::Open(open))) = text.map(parse_greeting) else {
                     return Err("its first line is none");
                 };
                 let (listener, member) =
@@ -750,7 +750,7 @@
                     client: None,
                     server: None,
                     line: pair.line.clone(),
-                    wait_at: open.wait_at.clone(),
+                    wait_at: open.wait_range.clone(),
                     open_at: None,
                     asked: pair.waits.is_some(),
                     quiet: true,
@@ -776,7 +776,7 @@
 /// An offer that was read and holds.
 #[derive(Debug)]
 enum Found {
-    Stranger(Stream),
+    Stranger(BufferedStream),
     Pair(Box<FoundPair>),
 }
 
@@ -785,38 +785,38 @@
     life: SessionMachine,
     own: Session,
     /// With what of their bytes is whole lines.
-    client: (Stream, usize),
-    server: (Stream, usize),
+    client: (BufferedStream, usize),
+    server: (BufferedStream, usize),
     waits: Option<Duration>,
 }
 
-fn host(line: Listed) -> EndpointRecord {
+fn host(line: ListedEndpoint) -> EndpointRecord {
     EndpointRecord {
         uid: line.uid,
-        endpoint: line.endpoint.to_string(),
+        endpoint: line.address.to_string(),
         zone: line.zone,
         cell: line.cell,
-        standing: line.standing as u8,
+        standing: line.state as u8,
         weight: line.weight,
-        started: line.started,
+        started: line.started_at,
     }
 }
 
-fn listed(host: EndpointRecord) -> Result<Listed, &'static str> {
+fn listed(host: EndpointRecord) -> Result<ListedEndpoint, &'static str> {
     let standing = [
         EndpointState::Ready,
         EndpointState::Draining,
         EndpointState::Gone,
     ];
-    Ok(Listed {
-        endpoint: host.endpoint.parse().map_err(|_| "an endpoint is none")?,
-        standing: *standing
+    Ok(ListedEndpoint {
+        address: host.endpoint.parse().map_err(|_| "an endpoint is none")?,
+        state: *standing
             .get(usize::from(host.standing))
             .ok_or("a standing is none")?,
         uid: host.uid,
         zone: host.zone,
         cell: host.cell,
         weight: host.weight,
-        started: host.started,
+        started_at: host.started,
     })
 }
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -19,10 +19,10 @@
 pub mod warm_start;
 pub mod zones;
 
-use crate::protocol::client::{FAILED, refusal};
-use crate::protocol::discovery::List;
-use crate::transport::poll::{Ready, Want};
-use crate::transport::{Deadlines, End, Key, Poll, Slots, Stream, socket};
+use crate::protocol::client::{ERROR_LINE, busy_line};
+use crate::protocol::discovery::EndpointList;
+use crate::transport::poller::{Interest, ReadyEvent};
+use crate::transport::{BufferedStream, Deadlines, Poller, SlotKey, SlotMap, StreamEnd, socket};
 use admin_http::AdminHttp;
 use asterramp_admission::AdmissionControl;
 use asterramp_drain::{Drain, DrainSettings, DrainState};
@@ -96,8 +96,8 @@
     WarmStart,
     Shutdown,
     HotRestart,
-    Connection(Key),
-    Session(Key),
+    Connection(SlotKey),
+    Session(SlotKey),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -118,8 +118,8 @@
     },
     /// Has not said yet what it wants.
     PendingClient,
-    Client(Key),
-    Server(Key),
+    Client(SlotKey),
+    Server(SlotKey),
     Probe(ServerId, probe::ProbeStage),
     DiscoveryWatch,
     /// Another proxy that is asked what it knows.
@@ -132,7 +132,7 @@
 
 #[derive(Debug)]
 struct Connection {
-    stream: Stream,
+    stream: BufferedStream,
     role: ConnectionRole,
     /// Bytes at the front of what came that are whole, checked lines.
     complete_len: usize,
@@ -143,8 +143,8 @@
 /// What a session has on sockets, beside its life.
 #[derive(Debug)]
 struct Session {
-    client: Option<Key>,
-    server: Option<Key>,
+    client: Option<SlotKey>,
+    server: Option<SlotKey>,
     line: Vec<u8>,
     wait_at: std::ops::Range<usize>,
     /// Where it was open before this proxy started.
@@ -167,7 +167,7 @@
     pub operator: Option<SocketAddr>,
     /// Where the process that replaces this one finds it; none where none may.
     pub hot_restart_socket: Option<PathBuf>,
-    pub known_endpoints: List,
+    pub known_endpoints: EndpointList,
     /// How a start goes on from what was saved; `None` where discovery and the list of old are believed.
     pub warm_start: Option<WarmStartPlan>,
     pub max_descriptors: usize,
@@ -178,9 +178,9 @@
     session_table: SessionTable<Session>,
     settings: Settings,
     resource_budget: ResourceBudget,
-    poll: Poll,
-    ready: Vec<Ready>,
-    connections: Slots<Connection>,
+    poll: Poller,
+    ready: Vec<ReadyEvent>,
+    connections: SlotMap<Connection>,
     endpoints: EndpointTable,
     /// Ids of the sessions there are, by which a second of the same is known.
     session_ids: HashSet<String>,
@@ -188,7 +188,7 @@
     /// made many clients dear.
     connection_counts: ConnectionCounts,
     discovery_watch: DiscoveryWatch,
-    listener: Option<Key>,
+    listener: Option<SlotKey>,
     /// Whether clients and the front are let in.
     serving: bool,
     deadlines: Deadlines<TimerKey>,
@@ -235,13 +235,15 @@
             .map(|path| InheritedListener::ask(path, listen))
             .unwrap_or(Ok(None));
         let (estate, why) = estate.map_or_else(|why| (None, Some(why)), |estate| (estate, None));
-        let rev = estate.as_ref().map_or(known.rev, |estate| estate.list.rev);
+        let rev = estate
+            .as_ref()
+            .map_or(known.revision, |estate| estate.list.revision);
         let mut router = Router {
             session_table: SessionTable::new(setup.deployment.clone(), seed, setup.connect_timeout),
             resource_budget: ResourceBudget::new(sockets, memory),
-            poll: Poll::new()?,
+            poll: Poller::new()?,
             ready: Vec::new(),
-            connections: Slots::default(),
+            connections: SlotMap::default(),
             session_ids: HashSet::new(),
             connection_counts: ConnectionCounts::default(),
             endpoints: EndpointTable::new(setup.zones.clone()),
@@ -290,7 +292,7 @@
         if let Some(path) = kin {
             router.open_hot_restart(path, link);
         }
-        router.listener = router.register(door, ConnectionRole::Listener, Want::default());
+        router.listener = router.register(door, ConnectionRole::Listener, Interest::default());
         if let Some(at) = operator {
             router
                 .open_admin_http(at)
@@ -353,7 +355,7 @@
     pub fn wait(&mut self, now: Duration) -> io::Result<()> {
         let next = self
             .deadlines
-            .next()
+            .next_due()
             .map_or(PATIENCE, |at| at.saturating_sub(now));
         Ok(self.poll.wait(next, &mut self.ready)?)
     }
@@ -371,7 +373,7 @@
             self.run_tasks();
         }
         self.ready = ready;
-        while let Some(due) = self.deadlines.pop(now) {
+        while let Some(due) = self.deadlines.pop_due(now) {
             self.deadline_reached(due);
             self.run_tasks();
         }
@@ -382,7 +384,7 @@
         let kept = self.register(
             wakes,
             ConnectionRole::SignalPipe,
-            Want {
+            Interest {
                 read: true,
                 write: false,
             },
@@ -395,7 +397,7 @@
         self.done
     }
 
-    fn is_operators(&self, key: Key) -> bool {
+    fn is_operators(&self, key: SlotKey) -> bool {
         let role = self.connections.get(key).map(|conn| conn.role);
         matches!(
             role,
@@ -403,7 +405,7 @@
         )
     }
 
-    fn connection_ready(&mut self, event: Ready) {
+    fn connection_ready(&mut self, event: ReadyEvent) {
         // An event of the wake-up in which it was offered: what came is read by one process alone.
         if self.is_on_offer(event.key) {
             return;
@@ -427,9 +429,9 @@
             return self.accept_admin_http();
         }
         if conn.role == ConnectionRole::SignalPipe {
-            return conn.stream.discard(UNREAD);
+            return conn.stream.discard_input(UNREAD);
         }
-        if event.write {
+        if event.writable {
             conn.stream.flush();
         }
         match conn.role {
@@ -438,7 +440,7 @@
             ConnectionRole::DiscoveryWatch => self.watch_ready(event),
             ConnectionRole::Peer => self.peer_ready(event),
             role => {
-                conn.stream.fill(event.broken);
+                conn.stream.read_once(event.failed);
                 match role {
                     ConnectionRole::Client(sess) => self.client_ready(sess),
                     ConnectionRole::PendingClient => self.read_greeting(event.key),
@@ -470,7 +472,7 @@
         }
     }
 
-    fn connection_deadline(&mut self, key: Key) {
+    fn connection_deadline(&mut self, key: SlotKey) {
         match self.connections.get(key).map(|conn| conn.role) {
             Some(ConnectionRole::Probe(server, _)) => self.finish_probe(server, Outcome::TimedOut),
             Some(ConnectionRole::PendingClient) => self.greeting_due(key),
@@ -483,11 +485,11 @@
     }
 
     /// A stranger has had its time. What it wants may have come this moment.
-    fn greeting_due(&mut self, key: Key) {
-        self.connection_ready(Ready {
+    fn greeting_due(&mut self, key: SlotKey) {
+        self.connection_ready(ReadyEvent {
             key,
-            write: false,
-            broken: false,
+            writable: false,
+            failed: false,
         });
         self.run_tasks();
         if self
@@ -496,12 +498,12 @@
             .is_some_and(|conn| conn.role == ConnectionRole::PendingClient)
         {
             self.log_event(ReasonCode::ClientSilent, "client");
-            self.close_gracefully(key, &[FAILED]);
+            self.close_gracefully(key, &[ERROR_LINE]);
         }
     }
 
     /// Something happens to a session.
-    fn input(&mut self, sess: Key, input: SessionInput) {
+    fn input(&mut self, sess: SlotKey, input: SessionInput) {
         self.session_table.input(self.now, sess, input);
     }
 
@@ -510,14 +512,14 @@
         self.session_table.event(self.now, event);
     }
 
-    fn life(&self, sess: Key) -> Option<&SessionMachine> {
+    fn life(&self, sess: SlotKey) -> Option<&SessionMachine> {
         self.session_table
             .sessions
             .get(sess)
             .map(|held| &held.machine)
     }
 
-    fn own(&mut self, sess: Key) -> Option<&mut Session> {
+    fn own(&mut self, sess: SlotKey) -> Option<&mut Session> {
         self.session_table
             .sessions
             .get_mut(sess)
@@ -547,7 +549,7 @@
         }
     }
 
-    fn carry_out(&mut self, sess: Key, effect: SessionEffect) {
+    fn carry_out(&mut self, sess: SlotKey, effect: SessionEffect) {
         match effect {
             SessionEffect::Connect { server } => self.dial(sess, server),
             SessionEffect::Ask { wait } => self.send_request_line(sess, wait),
@@ -558,10 +560,10 @@
             SessionEffect::Watch(Some(at)) => self.deadlines.set(TimerKey::Session(sess), at),
             SessionEffect::Watch(None) => self.deadlines.clear(TimerKey::Session(sess)),
             SessionEffect::Answer(FinalAnswer::Busy(come_back)) => {
-                self.answer_client(sess, refusal(come_back).as_bytes(), ReasonCode::Refused);
+                self.answer_client(sess, busy_line(come_back).as_bytes(), ReasonCode::Refused);
             }
             SessionEffect::Answer(FinalAnswer::Failed(code)) => {
-                self.answer_client(sess, FAILED, code)
+                self.answer_client(sess, ERROR_LINE, code)
             }
             SessionEffect::Drop => {
                 let client = self.take_client(sess);
@@ -587,7 +589,7 @@
     }
 
     /// A session has come to its one end, as its client sees it.
-    fn ended(&mut self, sess: Key, end: metrics::SessionEnd) {
+    fn ended(&mut self, sess: SlotKey, end: metrics::SessionEnd) {
         let listener = self.life(sess).map(|life| life.arrival.listener);
         listener
             .into_iter()
@@ -596,21 +598,21 @@
 
     /// Parts a session from its client's connection. A server's that stays behind holds one descriptor, where
     /// the two held two, as a client alone does.
-    fn take_client(&mut self, sess: Key) -> Option<Key> {
+    fn take_client(&mut self, sess: SlotKey) -> Option<SlotKey> {
         let own = self.own(sess)?;
         let (client, alone) = (own.client.take(), own.server.is_some());
         self.connection_counts.lone += usize::from(client.is_some() && alone);
         client
     }
 
-    fn take_server(&mut self, sess: Key) -> Option<Key> {
+    fn take_server(&mut self, sess: SlotKey) -> Option<SlotKey> {
         let own = self.own(sess)?;
         let (server, alone) = (own.server.take(), own.client.is_none());
         self.connection_counts.lone -= usize::from(server.is_some() && alone);
         server
     }
 
-    fn forget(&mut self, sess: Key) {
+    fn forget(&mut self, sess: SlotKey) {
         let (client, server) = (self.take_client(sess), self.take_server(sess));
         if let Some(SessionSlot {
             driver_data: own, ..
@@ -625,18 +627,18 @@
     }
 
     /// Takes a socket in; `None` if it cannot be watched.
-    fn register(&mut self, fd: OwnedFd, role: ConnectionRole, want: Want) -> Option<Key> {
-        self.register_stream(Stream::new(fd, want), role, 0)
+    fn register(&mut self, fd: OwnedFd, role: ConnectionRole, want: Interest) -> Option<SlotKey> {
+        self.register_stream(BufferedStream::new(fd, want), role, 0)
     }
 
     /// The same of one with bytes that came already, the first `whole` of which are checked lines.
     fn register_stream(
         &mut self,
-        stream: Stream,
+        stream: BufferedStream,
         role: ConnectionRole,
         whole: usize,
-    ) -> Option<Key> {
-        let want = stream.want;
+    ) -> Option<SlotKey> {
+        let want = stream.interest;
         let conn = Connection {
             stream,
             role,
@@ -656,7 +658,7 @@
     /// Takes a connection out of the tables; dropped, it closes. What a client or the front has said and nobody read
     /// is read before: a close over it would reset the connection, and with it what was written last. Not so where
     /// another process may have it: that one is to read it, and this one's close ends nothing.
-    fn close(&mut self, key: Key) -> Option<Stream> {
+    fn close(&mut self, key: SlotKey) -> Option<BufferedStream> {
         let lent = self.is_on_offer(key);
         let (role, mut stream) = self.let_out(key)?;
         let theirs = matches!(
@@ -667,13 +669,13 @@
                 | ConnectionRole::AdminHttp { .. }
         );
         if theirs && !lent {
-            stream.discard(UNREAD);
+            stream.discard_input(UNREAD);
         }
         Some(stream)
     }
 
     /// Takes a connection out of the tables as it is.
-    fn let_out(&mut self, key: Key) -> Option<(ConnectionRole, Stream)> {
+    fn let_out(&mut self, key: SlotKey) -> Option<(ConnectionRole, BufferedStream)> {
         self.deadlines.clear(TimerKey::Connection(key));
         let conn = self.connections.remove(key)?;
         self.connection_counts.change(Some(conn.role), None);
@@ -681,33 +683,33 @@
     }
 
     /// What a connection is for from now on.
-    fn set_role(&mut self, key: Key, role: ConnectionRole) {
+    fn set_role(&mut self, key: SlotKey, role: ConnectionRole) {
         if let Some(conn) = self.connections.get_mut(key) {
             let before = std::mem::replace(&mut conn.role, role);
             self.connection_counts.change(Some(before), Some(role));
         }
     }
 
-    fn set_interest(&mut self, key: Key, want: Want) {
+    fn set_interest(&mut self, key: SlotKey, want: Interest) {
         if let Some(conn) = self
             .connections
             .get_mut(key)
-            .filter(|conn| conn.stream.want != want)
+            .filter(|conn| conn.stream.interest != want)
         {
-            conn.stream.want = want;
+            conn.stream.interest = want;
             // It fails only for a socket that is not watched, and all kept ones are.
             let _ = self.poll.change(&conn.stream, key, want);
         }
     }
 
     /// Watches for what a connection that waits for its own texts and answers can do next.
-    fn want_own(&mut self, key: Key) {
+    fn want_own(&mut self, key: SlotKey) {
         if let Some(conn) = self.connections.get(key) {
             self.set_interest(
                 key,
-                Want {
-                    read: conn.stream.may_read(),
-                    write: !conn.stream.sent(),
+                Interest {
+                    read: conn.stream.can_read(),
+                    write: !conn.stream.is_flushed(),
                 },
             );
         }
@@ -715,7 +717,7 @@
 
     /// Tells one side its end, if there is anything to tell, ends sending and waits a little for it to close:
     /// closing at once would reset the connection over bytes not read yet, and the answer with it.
-    fn close_gracefully(&mut self, key: Key, text: &[&[u8]]) {
+    fn close_gracefully(&mut self, key: SlotKey, text: &[&[u8]]) {
         if let Some(conn) = self.connections.get_mut(key) {
             conn.stream.send(text);
             conn.last_activity = self.now;
@@ -726,7 +728,7 @@
         }
     }
 
-    fn lingered(&mut self, key: Key) {
+    fn lingered(&mut self, key: SlotKey) {
         let Some(conn) = self.connections.get_mut(key) else {
             return;
         };
@@ -736,13 +738,13 @@
         let n = conn.stream.inbound.bytes().len();
         conn.stream.inbound.consume(n);
         *discarded += n;
-        let over = conn.stream.ended.is_some() && conn.stream.sent() || *discarded > DISCARD;
-        if over || conn.stream.ended == Some(End::Reset) {
+        let over = conn.stream.ended.is_some() && conn.stream.is_flushed() || *discarded > DISCARD;
+        if over || conn.stream.ended == Some(StreamEnd::Reset) {
             self.close(key);
             return;
         }
-        if conn.stream.sent() {
-            conn.stream.end_sending();
+        if conn.stream.is_flushed() {
+            conn.stream.shutdown_write();
         }
         self.want_own(key);
     }
--- a/crates/proxy/src/routing/peers.rs
+++ b/crates/proxy/src/routing/peers.rs
@@ -2,9 +2,9 @@
 //! evidence, never an order: whoever it names is asked first, and no more than that can come of a lie.
 
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
-use crate::protocol::discovery::Listed;
-use crate::transport::poll::{Ready, Want};
-use crate::transport::{Key, socket};
+use crate::protocol::discovery::ListedEndpoint;
+use crate::transport::poller::{Interest, ReadyEvent};
+use crate::transport::{SlotKey, socket};
 use asterramp_placement::event::EndpointState;
 use asterramp_warm_start::{EndpointSource, EndpointTrustState, InformationAge, age};
 use serde::{Deserialize, Serialize};
@@ -67,7 +67,7 @@
 #[derive(Debug, Default)]
 pub struct Peers {
     pub others: PeerSettings,
-    out: Vec<(Key, PeerQuery)>,
+    out: Vec<(SlotKey, PeerQuery)>,
     /// With whom the next round begins.
     next: usize,
 }
@@ -98,7 +98,7 @@
                 self.register(
                     fd,
                     role,
-                    Want {
+                    Interest {
                         read: false,
                         write: true,
                     },
@@ -131,7 +131,7 @@
         }
     }
 
-    pub(super) fn peer_ready(&mut self, event: Ready) {
+    pub(super) fn peer_ready(&mut self, event: ReadyEvent) {
         let Some(at) = self.peers.out.iter().position(|out| out.0 == event.key) else {
             return;
         };
@@ -140,7 +140,7 @@
             return;
         };
         if !*asked {
-            if !conn.stream.is_up() {
+            if !conn.stream.is_connected() {
                 return self.peer_closed(event.key, "it cannot be reached");
             }
             *asked = true;
@@ -148,7 +148,7 @@
             conn.stream.send(&[call.as_bytes()]);
             return self.want_own(event.key);
         }
-        conn.stream.fill(event.broken);
+        conn.stream.read_once(event.failed);
         let bytes = conn.stream.inbound.bytes();
         let (n, ended) = (bytes.len(), conn.stream.ended.is_some());
         text.extend_from_slice(bytes);
@@ -170,7 +170,7 @@
     }
 
     /// A question is over; with the last of them the others have been heard.
-    pub(super) fn peer_closed(&mut self, key: Key, why: &str) {
+    pub(super) fn peer_closed(&mut self, key: SlotKey, why: &str) {
         self.peers.out.retain(|out| out.0 != key);
         self.close(key);
         if !why.is_empty() {
@@ -203,14 +203,14 @@
                 }
                 continue;
             }
-            let line = Listed {
+            let line = ListedEndpoint {
                 uid: host.uid,
-                endpoint: host.endpoint,
+                address: host.endpoint,
                 zone: host.zone,
                 cell: host.cell,
-                standing: EndpointState::Gone,
+                state: EndpointState::Gone,
                 weight: host.weight,
-                started: host.started_ms.map(Duration::from_millis),
+                started_at: host.started_ms.map(Duration::from_millis),
             };
             // It does not count as listed before it answers.
             let Some((entry, _)) = self.endpoints.take(line) else {
@@ -248,11 +248,11 @@
         let mut hosts: Vec<KnownHost> = (0..)
             .zip(self.endpoints.lines().zip(self.endpoints.hosts()))
             .filter(|(id, (line, _))| {
-                line.standing == EndpointState::Ready && (normal || answers(*id))
+                line.state == EndpointState::Ready && (normal || answers(*id))
             })
             .map(|(_, (line, host))| KnownHost {
                 uid: line.uid,
-                endpoint: line.endpoint,
+                endpoint: line.address,
                 zone: line.zone,
                 cell: line.cell,
                 weight: if line.weight.is_finite() {
@@ -260,7 +260,7 @@
                 } else {
                     1.0
                 },
-                started_ms: line.started.map(|at| at.as_millis() as u64),
+                started_ms: line.started_at.map(|at| at.as_millis() as u64),
                 age_ms: now
                     .saturating_sub(
                         host.told
--- a/crates/proxy/src/routing/probe.rs
+++ b/crates/proxy/src/routing/probe.rs
@@ -2,9 +2,9 @@
 
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
 use crate::protocol::line;
-use crate::protocol::server::{STATS, Said, load, said};
-use crate::transport::poll::{Ready, Want};
-use crate::transport::{Key, socket};
+use crate::protocol::server::{STATS_LINE, ServerLine, load_from_report, parse_server_line};
+use crate::transport::poller::{Interest, ReadyEvent};
+use crate::transport::{SlotKey, socket};
 use asterramp_placement::Event;
 use asterramp_placement::event::{Load, Outcome, ServerId};
 
@@ -49,7 +49,7 @@
             self.register(
                 fd,
                 role,
-                Want {
+                Interest {
                     read: false,
                     write: true,
                 },
@@ -67,21 +67,21 @@
     }
 
     /// Whether a kept connection is up and has said nothing since its last answer.
-    fn is_at_rest(&mut self, key: Key) -> bool {
+    fn is_at_rest(&mut self, key: SlotKey) -> bool {
         let Some(conn) = self.connections.get_mut(key) else {
             return false;
         };
-        conn.stream.fill(false);
+        conn.stream.read_once(false);
         conn.stream.ended.is_none() && conn.stream.inbound.is_empty()
     }
 
-    fn ask_stats(&mut self, server: ServerId, key: Key, stage: ProbeStage) {
+    fn ask_stats(&mut self, server: ServerId, key: SlotKey, stage: ProbeStage) {
         let Some(conn) = self.connections.get_mut(key) else {
             self.endpoints.set_probe(server, None);
             return self.probed(server, Outcome::Reset, Load::default());
         };
         conn.role = ConnectionRole::Probe(server, stage);
-        conn.stream.send(&[STATS]);
+        conn.stream.send(&[STATS_LINE]);
         // Twice as long as a connection may take to come up: a slow server is not yet a silent one.
         self.deadlines.set(
             TimerKey::Connection(key),
@@ -91,19 +91,19 @@
         self.want_own(key);
     }
 
-    pub(super) fn probe_ready(&mut self, server: ServerId, stage: ProbeStage, event: Ready) {
+    pub(super) fn probe_ready(&mut self, server: ServerId, stage: ProbeStage, event: ReadyEvent) {
         let Some(conn) = self.connections.get_mut(event.key) else {
             return;
         };
         if stage == ProbeStage::Connecting {
-            return match conn.stream.is_up() {
+            return match conn.stream.is_connected() {
                 true => self.ask_stats(server, event.key, ProbeStage::Asked),
                 false => self.finish_probe(server, Outcome::Unreachable),
             };
         }
-        conn.stream.fill(event.broken);
+        conn.stream.read_once(event.failed);
         let ended = conn.stream.ended.is_some();
-        let found = line::first(conn.stream.inbound.bytes());
+        let found = line::first_line(conn.stream.inbound.bytes());
         if stage == ProbeStage::Idle {
             if ended || !matches!(found, Ok(None)) {
                 self.close_probe(server, event.key);
@@ -123,9 +123,15 @@
             Ok(None) => return self.finish_probe(server, Outcome::Reset),
             Err(_) => return self.finish_probe(server, Outcome::Erred),
         };
-        let (outcome, load) = match said(text) {
-            Said::Pong(report) => (Outcome::Ok, load(&self.settings.load_reports, report)),
-            Said::Full(report) => (Outcome::Full, load(&self.settings.load_reports, report)),
+        let (outcome, load) = match parse_server_line(text) {
+            ServerLine::Pong(report) => (
+                Outcome::Ok,
+                load_from_report(&self.settings.load_reports, report),
+            ),
+            ServerLine::Busy(report) => (
+                Outcome::Full,
+                load_from_report(&self.settings.load_reports, report),
+            ),
             _ => (Outcome::Erred, Load::default()),
         };
         conn.stream.inbound.consume(n);
@@ -151,7 +157,7 @@
         self.probed(server, outcome, Load::default());
     }
 
-    pub(super) fn close_probe(&mut self, server: ServerId, key: Key) {
+    pub(super) fn close_probe(&mut self, server: ServerId, key: SlotKey) {
         self.close(key);
         self.endpoints.set_probe(server, None);
     }
--- a/crates/proxy/src/routing/session_table.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -4,7 +4,7 @@
 use super::session_state::{SessionEffect, SessionInput, SessionMachine, SessionState};
 use super::zones::{ZoneTracker, ZoneTransition};
 use crate::injected_fault::{InjectedFault, is_injected};
-use crate::transport::{Key, Slots};
+use crate::transport::{SlotKey, SlotMap};
 use asterramp_placement::event::{ServerId, SessionId, SessionRequest};
 use asterramp_placement::{Action, Deployment, Event, PlacementEngine};
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
 /// Something to do, for a session or for none.
 #[derive(Clone, Debug)]
 pub enum SessionTask {
-    For(Key, SessionEffect),
+    For(SlotKey, SessionEffect),
     Probe(ServerId),
     /// Discovery is to be asked, where it answers only when asked.
     Subscribe,
@@ -34,7 +34,7 @@
 pub struct SessionTable<T> {
     pub engine: PlacementEngine,
     /// A slot's number is the module's index of the session.
-    pub sessions: Slots<SessionSlot<T>>,
+    pub sessions: SlotMap<SessionSlot<T>>,
     connect_timeout: Duration,
     /// What is made of whole places, where there are several.
     pub zones: Option<ZoneTracker>,
@@ -49,7 +49,7 @@
     pub fn new(facts: Deployment, nonce: u64, connect_within: Duration) -> SessionTable<T> {
         SessionTable {
             engine: PlacementEngine::new(facts, nonce),
-            sessions: Slots::default(),
+            sessions: SlotMap::default(),
             connect_timeout: connect_within,
             zones: None,
             transitions: Vec::new(),
@@ -67,7 +67,7 @@
         arrival: SessionRequest,
         restored: bool,
         own: T,
-    ) -> Key {
+    ) -> SlotKey {
         let life = SessionMachine::new(now, arrival, restored, self.connect_timeout);
         let key = self.sessions.insert(SessionSlot {
             machine: life,
@@ -88,7 +88,7 @@
     }
 
     /// One begins that is open already.
-    pub fn adopt(&mut self, now: Duration, life: SessionMachine, own: T) -> Key {
+    pub fn adopt(&mut self, now: Duration, life: SessionMachine, own: T) -> SlotKey {
         let key = self.sessions.insert(SessionSlot {
             machine: life,
             driver_data: own,
@@ -105,14 +105,14 @@
     }
 
     /// Something happens to a session; nothing, if it is forgotten.
-    pub fn input(&mut self, now: Duration, sess: Key, input: SessionInput) {
+    pub fn input(&mut self, now: Duration, sess: SlotKey, input: SessionInput) {
         self.step(now, sess, input);
         self.settle(now);
     }
 
     /// The client of a session was found to have gone, or to have spoken, right before something would be sent for it.
     /// Whether nothing is to be sent.
-    pub fn found_gone(&mut self, now: Duration, sess: Key, how: SessionInput) -> bool {
+    pub fn found_gone(&mut self, now: Duration, sess: SlotKey, how: SessionInput) -> bool {
         if is_injected(InjectedFault::GoneDialled) {
             return false;
         }
@@ -139,7 +139,7 @@
     }
 
     /// An open connection's server has left a line without an answer for long, or has said something.
-    pub fn line(&mut self, now: Duration, sess: Key, answered: bool) {
+    pub fn line(&mut self, now: Duration, sess: SlotKey, answered: bool) {
         let to = self.sessions.get(sess).map(|held| held.machine.to);
         if let (Some(places), Some(to)) = (&mut self.zones, to) {
             match answered {
@@ -164,7 +164,7 @@
         self.tasks.pop_front()
     }
 
-    fn step(&mut self, now: Duration, sess: Key, input: SessionInput) {
+    fn step(&mut self, now: Duration, sess: SlotKey, input: SessionInput) {
         let Some(held) = self.sessions.get_mut(sess) else {
             return;
         };
@@ -195,7 +195,7 @@
             if let Some(places) = &mut self.zones {
                 let to = match event {
                     Event::SessionOpened { session: sess, .. }
-                    | Event::AttemptEnded { session: sess, .. } => self.sessions.at(sess),
+                    | Event::AttemptEnded { session: sess, .. } => self.sessions.key_at(sess),
                     _ => None,
                 };
                 let to = to
@@ -251,7 +251,7 @@
     }
 
     /// The session that the module knows by this index.
-    fn known(&self, sess: SessionId) -> Option<Key> {
-        self.sessions.at(sess)
+    fn known(&self, sess: SessionId) -> Option<SlotKey> {
+        self.sessions.key_at(sess)
     }
 }
--- a/crates/proxy/src/routing/warm_start.rs
+++ b/crates/proxy/src/routing/warm_start.rs
@@ -3,7 +3,7 @@
 
 use super::peers::PeerSettings;
 use super::{ReasonCode, Router, TimerKey};
-use crate::protocol::discovery::{List, Listed};
+use crate::protocol::discovery::{EndpointList, ListedEndpoint};
 use asterramp_placement::Event;
 use asterramp_placement::event::{Endpoint, EndpointState, EndpointUpdate, Outcome, ServerId};
 use asterramp_snapshot::{SaveOutcome, SavedEndpoint, Snapshot, SnapshotWriter};
@@ -79,22 +79,22 @@
 }
 
 /// A saved host as discovery would tell it.
-fn listed(host: &SavedEndpoint) -> Listed {
-    Listed {
+fn listed(host: &SavedEndpoint) -> ListedEndpoint {
+    ListedEndpoint {
         uid: host.uid.clone(),
-        endpoint: host.endpoint,
+        address: host.endpoint,
         zone: host.zone.clone(),
         cell: host.cell,
-        standing: EndpointState::Ready,
+        state: EndpointState::Ready,
         weight: host.weight,
-        started: host.started_ms.map(unix),
+        started_at: host.started_ms.map(unix),
     }
 }
 
 impl Router {
     /// Begins by what is known from before: nobody is placed on before it answers, or discovery tells of it.
-    pub(super) fn begin_warm_start(&mut self, anew: WarmStartPlan, known: &List) {
-        let (now, rev) = (self.now, known.rev);
+    pub(super) fn begin_warm_start(&mut self, anew: WarmStartPlan, known: &EndpointList) {
+        let (now, rev) = (self.now, known.revision);
         let others = !anew.others.doors.is_empty();
         self.resource_budget = self.resource_budget.without(anew.others.doors.len().min(8));
         self.configure_peers(anew.others);
@@ -132,9 +132,9 @@
             )
         });
         let configured = known
-            .lines
+            .endpoints
             .iter()
-            .filter(|line| line.standing == EndpointState::Ready);
+            .filter(|line| line.state == EndpointState::Ready);
         let configured = configured.map(|line| {
             (
                 line.clone(),
@@ -148,7 +148,7 @@
         let mut words: Vec<_> = own.chain(configured).collect();
         words.sort_by_key(|word| word.3);
         for (line, source, old, rev, unit) in words {
-            let at = line.endpoint;
+            let at = line.address;
             let Some((entry, _)) = self.endpoints.take(line) else {
                 continue;
             };
@@ -477,7 +477,7 @@
         let all = loads().fold((0.0, 0.0), |sum, load| (sum.0 + load.0, sum.1 + load.1));
         // One that holds few stands for what all take.
         let told = |load: &(f64, f64)| load.1 >= fill::FEW;
-        let host = |(line, host): (Listed, &super::endpoints::KnownEndpoint)| {
+        let host = |(line, host): (ListedEndpoint, &super::endpoints::KnownEndpoint)| {
             let own = host
                 .load
                 .utilization
@@ -486,10 +486,10 @@
             let unit = own.or(Some(all).filter(told)).map(|load| load.0 / load.1);
             SavedEndpoint {
                 uid: line.uid,
-                endpoint: line.endpoint,
+                endpoint: line.address,
                 zone: line.zone,
                 cell: line.cell,
-                standing: match line.standing {
+                standing: match line.state {
                     EndpointState::Draining => asterramp_snapshot::SavedEndpointState::Draining,
                     _ => asterramp_snapshot::SavedEndpointState::Ready,
                 },
@@ -498,7 +498,7 @@
                 } else {
                     1.0
                 },
-                started_ms: line.started.map(ms),
+                started_ms: line.started_at.map(ms),
                 heard_ms: (!host.told.is_zero()).then(|| ms(host.told)),
                 unit: unit.filter(|unit| unit.is_finite()),
             }
@@ -525,7 +525,7 @@
             term: keeping.map_or(0, |keeping| keeping.term),
             clean,
             hosts: lines
-                .filter(|(line, _)| line.standing != EndpointState::Gone)
+                .filter(|(line, _)| line.state != EndpointState::Gone)
                 .map(host)
                 .collect(),
         }
--- a/crates/proxy/src/transport/buffer.rs
+++ b/crates/proxy/src/transport/buffer.rs
@@ -1,14 +1,14 @@
 //! Bytes read and not yet passed on; bounded.
 
 #[derive(Debug, Default)]
-pub struct Buffer {
+pub struct ReadBuffer {
     bytes: Vec<u8>,
     start: usize,
 }
 
-impl Buffer {
+impl ReadBuffer {
     /// Two of the longest lines.
-    pub const LIMIT: usize = 8192;
+    pub const CAPACITY: usize = 8192;
 
     pub fn bytes(&self) -> &[u8] {
         &self.bytes[self.start..]
@@ -18,11 +18,11 @@
         self.start == self.bytes.len()
     }
 
-    pub fn room(&self) -> usize {
-        Self::LIMIT.saturating_sub(self.bytes.len() - self.start)
+    pub fn free_space(&self) -> usize {
+        Self::CAPACITY.saturating_sub(self.bytes.len() - self.start)
     }
 
-    pub fn push(&mut self, more: &[u8]) {
+    pub fn append(&mut self, more: &[u8]) {
         if self.start > 0 {
             self.bytes.drain(..self.start);
             self.start = 0;
--- a/crates/proxy/src/transport/deadlines.rs
+++ b/crates/proxy/src/transport/deadlines.rs
@@ -32,16 +32,16 @@
     }
 
     /// When it is due, if it waits.
-    pub fn of(&self, key: K) -> Option<Duration> {
+    pub fn get(&self, key: K) -> Option<Duration> {
         self.of.get(&key).copied()
     }
 
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_due(&self) -> Option<Duration> {
         self.due.first().map(|first| first.0)
     }
 
     /// Takes out the first that has passed.
-    pub fn pop(&mut self, now: Duration) -> Option<K> {
+    pub fn pop_due(&mut self, now: Duration) -> Option<K> {
         let (_, key) = *self.due.first().filter(|first| first.0 <= now)?;
         self.clear(key);
         Some(key)
--- a/crates/proxy/src/transport/mod.rs
+++ b/crates/proxy/src/transport/mod.rs
@@ -2,14 +2,14 @@
 
 pub mod buffer;
 pub mod deadlines;
-pub mod link;
-pub mod poll;
+pub mod poller;
+pub mod seqpacket;
 pub mod slots;
 pub mod socket;
 pub mod stream;
 
-pub use buffer::Buffer;
+pub use buffer::ReadBuffer;
 pub use deadlines::Deadlines;
-pub use poll::Poll;
-pub use slots::{Key, Slots};
-pub use stream::{End, Stream};
+pub use poller::Poller;
+pub use slots::{SlotKey, SlotMap};
+pub use stream::{BufferedStream, StreamEnd};
--- a/crates/proxy/src/transport/poll.rs
+++ b/crates/proxy/src/transport/poller.rs
@@ -1,6 +1,6 @@
 //! Level-triggered epoll.
 
-use super::slots::Key;
+use super::slots::SlotKey;
 use rustix::buffer::spare_capacity;
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
 use rustix::fd::{AsFd, OwnedFd};
@@ -11,12 +11,12 @@
 const TURN: usize = 256;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Want {
+pub struct Interest {
     pub read: bool,
     pub write: bool,
 }
 
-impl Want {
+impl Interest {
     fn flags(self) -> EventFlags {
         let mut flags = EventFlags::empty();
         flags.set(EventFlags::IN, self.read);
@@ -26,40 +26,40 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Ready {
-    pub key: Key,
-    pub write: bool,
+pub struct ReadyEvent {
+    pub key: SlotKey,
+    pub writable: bool,
     /// The connection broke, or ended both ways.
-    pub broken: bool,
+    pub failed: bool,
 }
 
-pub struct Poll {
+pub struct Poller {
     epoll: OwnedFd,
     events: Vec<epoll::Event>,
 }
 
-impl Poll {
-    pub fn new() -> Result<Poll> {
-        Ok(Poll {
+impl Poller {
+    pub fn new() -> Result<Poller> {
+        Ok(Poller {
             epoll: epoll::create(CreateFlags::CLOEXEC)?,
             events: Vec::with_capacity(TURN),
         })
     }
 
-    pub fn add(&self, fd: impl AsFd, key: Key, want: Want) -> Result<()> {
+    pub fn add(&self, fd: impl AsFd, key: SlotKey, want: Interest) -> Result<()> {
         epoll::add(
             &self.epoll,
             fd,
-            EventData::new_u64(key.bits()),
+            EventData::new_u64(key.to_bits()),
             want.flags(),
         )
     }
 
-    pub fn change(&self, fd: impl AsFd, key: Key, want: Want) -> Result<()> {
+    pub fn change(&self, fd: impl AsFd, key: SlotKey, want: Interest) -> Result<()> {
         epoll::modify(
             &self.epoll,
             fd,
-            EventData::new_u64(key.bits()),
+            EventData::new_u64(key.to_bits()),
             want.flags(),
         )
     }
@@ -70,7 +70,7 @@
     }
 
     /// Waits until something is ready, the time is up or a signal comes.
-    pub fn wait(&mut self, up_to: Duration, ready: &mut Vec<Ready>) -> Result<()> {
+    pub fn wait(&mut self, up_to: Duration, ready: &mut Vec<ReadyEvent>) -> Result<()> {
         let time = rustix::event::Timespec {
             tv_sec: up_to.as_secs().min(3600) as i64,
             tv_nsec: i64::from(up_to.subsec_nanos()),
@@ -83,10 +83,10 @@
         ready.clear();
         ready.extend(self.events.iter().map(|event| {
             let (flags, data) = (event.flags, event.data);
-            Ready {
-                key: Key::of_bits(data.u64()),
-                write: flags.contains(EventFlags::OUT),
-                broken: flags.intersects(EventFlags::ERR | EventFlags::HUP),
+            ReadyEvent {
+                key: SlotKey::from_bits(data.u64()),
+                writable: flags.contains(EventFlags::OUT),
+                failed: flags.intersects(EventFlags::ERR | EventFlags::HUP),
             }
         }));
         Ok(())
--- a/crates/proxy/src/transport/link.rs
+++ b/crates/proxy/src/transport/seqpacket.rs
@@ -14,11 +14,11 @@
 const MOST: usize = 2;
 
 /// Calls the process that listens at a path.
-pub fn call(at: &Path) -> Result<OwnedFd> {
+pub fn connect(at: &Path) -> Result<OwnedFd> {
     let fd = net::socket_with(
         AddressFamily::UNIX,
         SocketType::SEQPACKET,
-        super::socket::FLAGS,
+        super::socket::SOCKET_FLAGS,
         None,
     )?;
     net::connect(&fd, &SocketAddrUnix::new(at)?)?;
@@ -47,7 +47,7 @@
 }
 
 /// Whoever sends from now on hears that it is in vain; what was sent before can be read still.
-pub fn hear_no_more(link: impl AsFd) -> Result<()> {
+pub fn shutdown_read(link: impl AsFd) -> Result<()> {
     net::shutdown(link, net::Shutdown::Read)
 }
 
--- a/crates/proxy/src/transport/slots.rs
+++ b/crates/proxy/src/transport/slots.rs
@@ -3,18 +3,18 @@
 use crate::injected_fault::{InjectedFault, is_injected};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key {
+pub struct SlotKey {
     pub slot: u32,
     generation: u32,
 }
 
-impl Key {
-    pub fn bits(self) -> u64 {
+impl SlotKey {
+    pub fn to_bits(self) -> u64 {
         u64::from(self.generation) << 32 | u64::from(self.slot)
     }
 
-    pub fn of_bits(bits: u64) -> Key {
-        Key {
+    pub fn from_bits(bits: u64) -> SlotKey {
+        SlotKey {
             slot: bits as u32,
             generation: (bits >> 32) as u32,
         }
@@ -22,42 +22,42 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Slots<T> {
+pub struct SlotMap<T> {
     slots: Vec<(u32, Option<T>)>,
     free: Vec<u32>,
 }
 
-impl<T> Default for Slots<T> {
+impl<T> Default for SlotMap<T> {
     fn default() -> Self {
-        Slots {
+        SlotMap {
             slots: Vec::new(),
             free: Vec::new(),
         }
     }
 }
 
-impl<T> Slots<T> {
-    pub fn insert(&mut self, item: T) -> Key {
+impl<T> SlotMap<T> {
+    pub fn insert(&mut self, item: T) -> SlotKey {
         let slot = self.free.pop().unwrap_or_else(|| {
             self.slots.push((0, None));
             (self.slots.len() - 1) as u32
         });
         let place = &mut self.slots[slot as usize];
         place.1 = Some(item);
-        Key {
+        SlotKey {
             slot,
             generation: place.0,
         }
     }
 
-    pub fn get(&self, key: Key) -> Option<&T> {
+    pub fn get(&self, key: SlotKey) -> Option<&T> {
         let right = |place: &&(u32, Option<T>)| {
             place.0 == key.generation || is_injected(InjectedFault::StaleSlot)
         };
         self.slots.get(key.slot as usize).filter(right)?.1.as_ref()
     }
 
-    pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
+    pub fn get_mut(&mut self, key: SlotKey) -> Option<&mut T> {
         self.slots
             .get_mut(key.slot as usize)
             .filter(|place| place.0 == key.generation)?
@@ -65,7 +65,7 @@
             .as_mut()
     }
 
-    pub fn remove(&mut self, key: Key) -> Option<T> {
+    pub fn remove(&mut self, key: SlotKey) -> Option<T> {
         let place = self
             .slots
             .get_mut(key.slot as usize)
@@ -77,21 +77,21 @@
     }
 
     /// Who holds a slot now.
-    pub fn at(&self, slot: u32) -> Option<Key> {
+    pub fn key_at(&self, slot: u32) -> Option<SlotKey> {
         let place = self.slots.get(slot as usize)?;
-        place.1.as_ref().map(|_| Key {
+        place.1.as_ref().map(|_| SlotKey {
             slot,
             generation: place.0,
         })
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (Key, &T)> {
+    pub fn iter(&self) -> impl Iterator<Item = (SlotKey, &T)> {
         (0..)
             .zip(&self.slots)
             .filter_map(|(slot, (generation, item))| {
                 item.as_ref().map(|item| {
                     (
-                        Key {
+                        SlotKey {
                             slot,
                             generation: *generation,
                         },
--- a/crates/proxy/src/transport/socket.rs
+++ b/crates/proxy/src/transport/socket.rs
@@ -11,9 +11,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-pub const FLAGS: SocketFlags = SocketFlags::NONBLOCK.union(SocketFlags::CLOEXEC);
+pub const SOCKET_FLAGS: SocketFlags = SocketFlags::NONBLOCK.union(SocketFlags::CLOEXEC);
 /// Connections that may wait at a door.
-pub const BACKLOG: i32 = 1024;
+pub const LISTEN_BACKLOG: i32 = 1024;
 
 fn open(to: SocketAddr) -> Result<OwnedFd> {
     let family = if to.is_ipv4() {
@@ -21,7 +21,7 @@
     } else {
         AddressFamily::INET6
     };
-    net::socket_with(family, SocketType::STREAM, FLAGS, None)
+    net::socket_with(family, SocketType::STREAM, SOCKET_FLAGS, None)
 }
 
 /// Listens; `shared` with others of this user that do so too.
@@ -30,13 +30,13 @@
     sockopt::set_socket_reuseaddr(&fd, true)?;
     sockopt::set_socket_reuseport(&fd, shared)?;
     net::bind(&fd, &at)?;
-    net::listen(&fd, BACKLOG)?;
+    net::listen(&fd, LISTEN_BACKLOG)?;
     Ok(fd)
 }
 
 /// A connection that waits, if any does.
 pub fn accept(door: impl AsFd) -> Result<Option<OwnedFd>> {
-    match net::accept_with(door, FLAGS) {
+    match net::accept_with(door, SOCKET_FLAGS) {
         Ok(fd) => {
             // It fails only where the connection is gone already, which reading shows.
             let _ = sockopt::set_tcp_nodelay(&fd, true);
@@ -49,7 +49,7 @@
 }
 
 /// Whether it takes connections in.
-pub fn is_door(fd: impl AsFd) -> bool {
+pub fn is_listening(fd: impl AsFd) -> bool {
     sockopt::socket_acceptconn(fd).unwrap_or(false)
 }
 
@@ -64,17 +64,17 @@
 }
 
 /// Why a connection broke, if it did.
-pub fn fault(fd: impl AsFd) -> Result<()> {
+pub fn take_error(fd: impl AsFd) -> Result<()> {
     sockopt::socket_error(fd)?
 }
 
-pub fn end_sending(fd: impl AsFd) {
+pub fn shutdown_write(fd: impl AsFd) {
     // It fails only where the connection is gone already.
     let _ = net::shutdown(fd, Shutdown::Write);
 }
 
 /// Closes with a reset.
-pub fn reset(fd: OwnedFd) {
+pub fn close_with_reset(fd: OwnedFd) {
     let _ = sockopt::set_socket_linger(&fd, Some(Duration::ZERO));
 }
 
@@ -82,7 +82,7 @@
 /// listens at, or that is no socket, is left alone.
 pub fn listen_unix(at: &Path, kind: SocketType) -> io::Result<OwnedFd> {
     let address = SocketAddrUnix::new(at)?;
-    let fd = net::socket_with(AddressFamily::UNIX, kind, FLAGS, None)?;
+    let fd = net::socket_with(AddressFamily::UNIX, kind, SOCKET_FLAGS, None)?;
     if let Ok(found) = std::fs::symlink_metadata(at) {
         if !found.file_type().is_socket() {
             return Err(io::Error::new(
@@ -90,7 +90,7 @@
                 "there is a file that is no socket",
             ));
         }
-        let asks = net::socket_with(AddressFamily::UNIX, kind, FLAGS, None)?;
+        let asks = net::socket_with(AddressFamily::UNIX, kind, SOCKET_FLAGS, None)?;
         match net::connect(&asks, &address) {
             Err(Errno::CONNREFUSED) => std::fs::remove_file(at)?,
             _ => {
@@ -109,7 +109,7 @@
 }
 
 pub fn accept_unix(door: impl AsFd) -> Result<Option<OwnedFd>> {
-    match net::accept_with(door, FLAGS) {
+    match net::accept_with(door, SOCKET_FLAGS) {
         Ok(fd) => Ok(Some(fd)),
         Err(Errno::AGAIN | Errno::CONNABORTED | Errno::INTR) => Ok(None),
         Err(e) => Err(e),
@@ -117,7 +117,7 @@
 }
 
 /// Whether the other end is a process of this user, or of the machine's.
-pub fn is_own_user(fd: impl AsFd) -> bool {
+pub fn peer_is_same_user(fd: impl AsFd) -> bool {
     let own = rustix::process::geteuid();
     sockopt::socket_peercred(fd).is_ok_and(|peer| peer.uid == own || peer.uid.is_root())
 }
--- a/crates/proxy/src/transport/stream.rs
+++ b/crates/proxy/src/transport/stream.rs
@@ -1,7 +1,7 @@
 //! One connection: its socket, what came and waits to be passed on, what waits to be written.
 
-use super::buffer::Buffer;
-use super::poll::Want;
+use super::buffer::ReadBuffer;
+use super::poller::Interest;
 use super::socket;
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::io::{Errno, read, write, writev};
@@ -9,100 +9,100 @@
 
 /// How the other side ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum StreamEnd {
     Fin,
     Reset,
 }
 
 #[derive(Debug)]
-pub struct Stream {
+pub struct BufferedStream {
     fd: OwnedFd,
-    pub inbound: Buffer,
+    pub inbound: ReadBuffer,
     /// Rest of texts of our own that the socket did not take at once.
     unsent: Vec<u8>,
     /// What is watched for.
-    pub want: Want,
-    pub ended: Option<End>,
+    pub interest: Interest,
+    pub ended: Option<StreamEnd>,
 }
 
-impl AsFd for Stream {
+impl AsFd for BufferedStream {
     fn as_fd(&self) -> BorrowedFd<'_> {
         self.fd.as_fd()
     }
 }
 
-impl Stream {
-    pub fn new(fd: OwnedFd, want: Want) -> Stream {
-        Stream {
+impl BufferedStream {
+    pub fn new(fd: OwnedFd, want: Interest) -> BufferedStream {
+        BufferedStream {
             fd,
-            inbound: Buffer::default(),
+            inbound: ReadBuffer::default(),
             unsent: Vec::new(),
-            want,
+            interest: want,
             ended: None,
         }
     }
 
     /// One that another process held, with what it had read and not passed on.
-    pub fn taken(fd: OwnedFd, bytes: &[u8]) -> Option<Stream> {
-        let mut stream = Stream::new(
+    pub fn inherited(fd: OwnedFd, bytes: &[u8]) -> Option<BufferedStream> {
+        let mut stream = BufferedStream::new(
             fd,
-            Want {
+            Interest {
                 read: true,
                 write: false,
             },
         );
-        (bytes.len() <= Buffer::LIMIT)
-            .then(|| stream.inbound.push(bytes))
+        (bytes.len() <= ReadBuffer::CAPACITY)
+            .then(|| stream.inbound.append(bytes))
             .map(|()| stream)
     }
 
     /// One read, so that a turn of the loop is bounded for each connection. A break that reading does not
     /// show, as nothing may be read for want of room, is taken note of too.
-    pub fn fill(&mut self, broken: bool) {
-        let mut bytes = [0; Buffer::LIMIT];
-        let room = self.inbound.room();
+    pub fn read_once(&mut self, broken: bool) {
+        let mut bytes = [0; ReadBuffer::CAPACITY];
+        let room = self.inbound.free_space();
         if self.ended.is_none() && room > 0 {
             match read(&self.fd, &mut bytes[..room]) {
-                Ok(0) => self.ended = Some(End::Fin),
-                Ok(n) => self.inbound.push(&bytes[..n]),
+                Ok(0) => self.ended = Some(StreamEnd::Fin),
+                Ok(n) => self.inbound.append(&bytes[..n]),
                 Err(Errno::AGAIN | Errno::INTR) => {}
-                Err(_) => self.ended = Some(End::Reset),
+                Err(_) => self.ended = Some(StreamEnd::Reset),
             }
         }
-        if broken && !self.is_up() {
-            self.ended = Some(End::Reset);
+        if broken && !self.is_connected() {
+            self.ended = Some(StreamEnd::Reset);
         }
     }
 
     /// Reads what is there, up to so many bytes, and forgets it.
-    pub fn discard(&mut self, most: usize) {
-        let mut bytes = [0; Buffer::LIMIT];
+    pub fn discard_input(&mut self, most: usize) {
+        let mut bytes = [0; ReadBuffer::CAPACITY];
         for _ in 0..most.div_ceil(bytes.len()) {
             if self.ended.is_some() {
                 return;
             }
             match read(&self.fd, &mut bytes) {
-                Ok(0) => self.ended = Some(End::Fin),
+                Ok(0) => self.ended = Some(StreamEnd::Fin),
                 Ok(_) | Err(Errno::INTR) => {}
                 Err(Errno::AGAIN) => return,
-                Err(_) => self.ended = Some(End::Reset),
+                Err(_) => self.ended = Some(StreamEnd::Reset),
             }
         }
     }
 
     /// Whether more may come and there is room for it.
-    pub fn may_read(&self) -> bool {
-        self.ended.is_none() && self.inbound.room() > 0
+    pub fn can_read(&self) -> bool {
+        self.ended.is_none() && self.inbound.free_space() > 0
     }
 
     /// Writes what the socket takes of another stream's bytes.
-    pub fn pass(&self, bytes: &[u8]) -> Result<usize, End> {
+    pub fn forward(&self, bytes: &[u8]) -> Result<usize, StreamEnd> {
         if !self.unsent.is_empty() || bytes.is_empty() {
             return Ok(0);
         }
         match write(&self.fd, bytes) {
             Err(Errno::AGAIN | Errno::INTR) => Ok(0),
-            written => written.map_err(|_| End::Reset),
+            written => written.map_err(|_| StreamEnd::Reset),
         }
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// Whether all texts of ours are written to the last byte.
-    pub fn sent(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.unsent.is_empty()
     }
 
@@ -138,21 +138,21 @@
         match written {
             Ok(n) => return n,
             Err(Errno::AGAIN | Errno::INTR) => {}
-            Err(_) => self.ended = Some(End::Reset),
+            Err(_) => self.ended = Some(StreamEnd::Reset),
         }
         0
     }
 
     /// Whether nothing broke it, or, asked once it can be written to, whether it came up.
-    pub fn is_up(&self) -> bool {
-        socket::fault(&self.fd).is_ok()
+    pub fn is_connected(&self) -> bool {
+        socket::take_error(&self.fd).is_ok()
     }
 
-    pub fn end_sending(&self) {
-        socket::end_sending(&self.fd);
+    pub fn shutdown_write(&self) {
+        socket::shutdown_write(&self.fd);
     }
 
     pub fn reset(self) {
-        socket::reset(self.fd);
+        socket::close_with_reset(self.fd);
     }
 }
--- a/crates/proxy/tests/operators.rs
+++ b/crates/proxy/tests/operators.rs
@@ -10,8 +10,8 @@
 mod help;
 
 use asterramp_hot_restart::{BufferedBytes, EndpointRecord, LONGEST, Message, OpenConnection};
-use asterramp_proxy::protocol::call::{Call, Status, read};
-use asterramp_proxy::transport::{link, socket};
+use asterramp_proxy::protocol::http_server::{HttpRequest, HttpStatus, parse};
+use asterramp_proxy::transport::{seqpacket, socket};
 use help::{OPEN, Side, World, answered, call};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::fd::{AsFd, OwnedFd};
@@ -50,18 +50,18 @@
 #[test]
 fn a_call_is_read_once_it_is_whole_and_not_before() {
     let text = "POST /ops/drain/stop HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}";
-    (0..text.len()).for_each(|n| assert_eq!(read(&text.as_bytes()[..n]), Ok(None), "cut at {n}"));
+    (0..text.len()).for_each(|n| assert_eq!(parse(&text.as_bytes()[..n]), Ok(None), "cut at {n}"));
     assert_eq!(
-        read(text.as_bytes()),
-        Ok(Some(Call {
+        parse(text.as_bytes()),
+        Ok(Some(HttpRequest {
             method: "POST",
             path: "/ops/drain/stop"
         }))
     );
-    assert_eq!(read(&[b'x'; 5_000]), Err(Status::HeadTooLong));
+    assert_eq!(parse(&[b'x'; 5_000]), Err(HttpStatus::HeaderFieldsTooLarge));
     assert_eq!(
-        read(b"GET \xff HTTP/1.1\r\nHost: a\r\n\r\n"),
-        Err(Status::Bad("the head is not text"))
+        parse(b"GET \xff HTTP/1.1\r\nHost: a\r\n\r\n"),
+        Err(HttpStatus::BadRequest("the head is not text"))
     );
 }
 
@@ -376,7 +376,7 @@
         if finds == "silent" {
             std::thread::sleep(Duration::from_millis(900));
         } else if !text.is_empty() {
-            link::send(&peer, text, &[]).unwrap();
+            seqpacket::send(&peer, text, &[]).unwrap();
         }
     }
     let (_, watch) = world.watches.recv_timeout(help::SOON).expect("a watch");
@@ -404,16 +404,18 @@
         Ok(1),
         "it says nothing"
     );
-    let (message, with) = link::receive(link, LONGEST).unwrap().expect("a message");
+    let (message, with) = seqpacket::receive(link, LONGEST)
+        .unwrap()
+        .expect("a message");
     (!message.is_empty()).then(|| (Message::read(&message).unwrap(), with))
 }
 
 /// A younger that is a test: it has come, says that it serves, and is offered what stands.
 fn younger(world: &World, offers: usize) -> (OwnedFd, Vec<Vec<OwnedFd>>) {
-    let link = link::call(&world.meeting()).unwrap();
-    assert!(link::send(&link, &Message::Hello.write(), &[]).unwrap());
+    let link = seqpacket::connect(&world.meeting()).unwrap();
+    assert!(seqpacket::send(&link, &Message::Hello.write(), &[]).unwrap());
     while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
-    assert!(link::send(&link, &Message::Serves.write(), &[]).unwrap());
+    assert!(seqpacket::send(&link, &Message::Serves.write(), &[]).unwrap());
     assert!(matches!(word(&link), Some((Message::Holds(_), _))));
     let offered = (0..offers).map(|_| match word(&link) {
         Some((Message::Pair(_), with)) => with,
@@ -440,10 +442,10 @@
     }
     if then == "babbles first" {
         world.signal("STOP");
-        assert!(link::send(&link, b"what is this", &[]).unwrap());
+        assert!(seqpacket::send(&link, b"what is this", &[]).unwrap());
     }
     for _ in taken {
-        assert!(link::send(&link, &Message::Taken.write(), &[]).unwrap());
+        assert!(seqpacket::send(&link, &Message::Taken.write(), &[]).unwrap());
         let client = TcpStream::from(offered.remove(0).remove(0));
         assert_eq!(
             Side::of(client).line(),
@@ -454,7 +456,7 @@
     if then == "babbles first" {
         world.signal("CONT");
     } else if then == "babbles" {
-        assert!(link::send(&link, b"what is this", &[]).unwrap());
+        assert!(seqpacket::send(&link, b"what is this", &[]).unwrap());
     }
     if then != "ends" {
         assert!(
@@ -490,14 +492,14 @@
     } else {
         (world.client("OPEN 0000"), None)
     };
-    let link = link::call(&world.meeting()).unwrap();
-    assert!(link::send(&link, &Message::Hello.write(), &[]).unwrap());
+    let link = seqpacket::connect(&world.meeting()).unwrap();
+    assert!(seqpacket::send(&link, &Message::Hello.write(), &[]).unwrap());
     while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
     if when == "with the yes" {
         world.signal("STOP");
         std::thread::sleep(Duration::from_millis(30));
     }
-    assert!(link::send(&link, &Message::Serves.write(), &[]).unwrap());
+    assert!(seqpacket::send(&link, &Message::Serves.write(), &[]).unwrap());
     if when == "with the yes" {
         client.say("on\r\n");
         world.signal("CONT");
@@ -518,7 +520,7 @@
         world.signal("TERM");
         assert_eq!(world.ends().0, Some(0));
     } else {
-        assert!(link::send(&link, &Message::Taken.write(), &[]).unwrap());
+        assert!(seqpacket::send(&link, &Message::Taken.write(), &[]).unwrap());
         // With nothing left to hand over and told to go, it goes.
         world.signal("TERM");
         assert_eq!(world.ends().0, Some(0));
@@ -551,8 +553,8 @@
         weight: 1.0,
         started: None,
     };
-    assert!(link::send(&link, &Message::Hosts(vec![host]).write(), &[]).unwrap());
-    assert!(link::send(&link, &Message::Door { rev: 7 }.write(), &[door.as_fd()]).unwrap());
+    assert!(seqpacket::send(&link, &Message::Hosts(vec![host]).write(), &[]).unwrap());
+    assert!(seqpacket::send(&link, &Message::Door { rev: 7 }.write(), &[door.as_fd()]).unwrap());
     let (_, watch) = world.watches.recv_timeout(help::SOON).expect("a watch");
     watch.send(help::list(8, false, &[])).unwrap();
     assert!(matches!(word(&link), Some((Message::Serves, _))) && second.says_yes());
@@ -584,7 +586,7 @@
             server: bytes(),
         };
         assert!(
-            link::send(
+            seqpacket::send(
                 &link,
                 &Message::Pair(offer).write(),
                 &[inner.as_fd(), outer.as_fd()]
@@ -602,7 +604,7 @@
         }
     }
     if keeps {
-        assert!(link::send(&link, &Message::Kept.write(), &[]).unwrap());
+        assert!(seqpacket::send(&link, &Message::Kept.write(), &[]).unwrap());
     }
     drop((link, door, meeting));
     assert!(to("-CONT").unwrap().success());
@@ -624,8 +626,8 @@
     match meets {
         "a drain" => assert_eq!(call(world.calls, "POST /ops/drain/start").0, 200),
         "another replacement" => {
-            let link = link::call(&world.meeting()).unwrap();
-            assert!(link::send(&link, &Message::Hello.write(), &[]).unwrap());
+            let link = seqpacket::connect(&world.meeting()).unwrap();
+            assert!(seqpacket::send(&link, &Message::Hello.write(), &[]).unwrap());
             while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
             first = Some(link);
         }
--- a/crates/proxy/tests/parts.rs
+++ b/crates/proxy/tests/parts.rs
@@ -9,43 +9,43 @@
 
 use asterramp_placement::Event;
 use asterramp_placement::event::{EndpointState, Outcome, SessionRequest};
-use asterramp_proxy::protocol::client::{Greeting, greeting, refusal};
-use asterramp_proxy::protocol::http::Answer;
-use asterramp_proxy::protocol::json::{self, Value};
-use asterramp_proxy::protocol::line::{self, Fault};
-use asterramp_proxy::protocol::server::{Said, figure, said};
-use asterramp_proxy::protocol::{discovery, http};
+use asterramp_proxy::protocol::client::{ClientGreeting, busy_line, parse_greeting};
+use asterramp_proxy::protocol::http_client::ChunkedResponse;
+use asterramp_proxy::protocol::json::{self, JsonValue};
+use asterramp_proxy::protocol::line::{self, LineError};
+use asterramp_proxy::protocol::server::{ServerLine, parse_server_line, report_value};
+use asterramp_proxy::protocol::{discovery, http_client};
 use asterramp_proxy::routing::session_state::{SessionEffect, SessionInput, SessionMachine};
-use asterramp_proxy::transport::{Buffer, Deadlines, Slots};
+use asterramp_proxy::transport::{Deadlines, ReadBuffer, SlotMap};
 use std::time::Duration;
 use test_case::test_case;
 
 #[test_case(b"PING\r\nrest", Ok(Some(("PING", 6))); "whole")]
 #[test_case(b"PING\r", Ok(None); "incomplete")]
-#[test_case(b"PI\nNG\r\n", Err(Fault::Malformed("line end")); "line feed alone")]
-#[test_case(b"\xc3\x28\r\n", Err(Fault::NotText); "not text")]
+#[test_case(b"PI\nNG\r\n", Err(LineError::Malformed("line end")); "line feed alone")]
+#[test_case(b"\xc3\x28\r\n", Err(LineError::NotText); "not text")]
 #[test_case(&[b'a'; 4095], Ok(None); "may still end in time")]
-#[test_case(&[b'a'; 4096], Err(Fault::TooLong); "cannot end in time")]
-fn first_lines(bytes: &[u8], found: Result<Option<(&str, usize)>, Fault>) {
-    assert_eq!(line::first(bytes), found);
+#[test_case(&[b'a'; 4096], Err(LineError::TooLong); "cannot end in time")]
+fn first_lines(bytes: &[u8], found: Result<Option<(&str, usize)>, LineError>) {
+    assert_eq!(line::first_line(bytes), found);
 }
 
 #[test]
 fn greetings_say_what_they_hold() {
     let text = "OPEN 9b1f 7f3a c=feed,h=1.5,d=250,t=acme,g=ff,again=1,at=s-1";
-    let Ok(Greeting::Open(open)) = greeting(text) else {
-        panic!("{:?}", greeting(text))
+    let Ok(ClientGreeting::Open(open)) = parse_greeting(text) else {
+        panic!("{:?}", parse_greeting(text))
     };
     assert_eq!(
-        (open.id, open.item, open.listener, open.member),
+        (open.id, open.key, open.listener, open.tenant),
         ("9b1f", 0x7f3a, "feed", Some("acme"))
     );
     assert_eq!(
-        (open.wait, open.group, open.open_at),
+        (open.wait, open.group, open.inherited_from),
         (Duration::from_millis(250), Some(255), Some("s-1"))
     );
-    assert_eq!((&text[open.wait_at], open.again), ("250", true));
-    assert_eq!(greeting("PING"), Ok(Greeting::Ping));
+    assert_eq!((&text[open.wait_range], open.reconnecting), ("250", true));
+    assert_eq!(parse_greeting("PING"), Ok(ClientGreeting::Ping));
 }
 
 #[test_case("OPEN"; "nothing")]
@@ -61,17 +61,17 @@
 #[test_case("open 1 2 c=a,d=1"; "lower case")]
 #[test_case("PING "; "something behind")]
 fn bad_greetings(text: &str) {
-    assert!(greeting(text).is_err());
+    assert!(parse_greeting(text).is_err());
 }
 
-#[test_case("UP 5" => Said::Up; "up")]
-#[test_case("BYE x0=1" => Said::Bye("x0=1"); "served")]
-#[test_case("BUSY" => Said::Full(""); "full")]
-#[test_case("LOAD 2.5" => Said::Work(2.5); "work")]
-#[test_case("LOAD inf" => Said::Other; "work without bound")]
-#[test_case("UPPER" => Said::Other; "longer word")]
-fn words_of_servers(line: &str) -> Said<'_> {
-    said(line)
+#[test_case("UP 5" => ServerLine::Up; "up")]
+#[test_case("BYE x0=1" => ServerLine::Bye("x0=1"); "served")]
+#[test_case("BUSY" => ServerLine::Busy(""); "full")]
+#[test_case("LOAD 2.5" => ServerLine::Load(2.5); "work")]
+#[test_case("LOAD inf" => ServerLine::Other; "work without bound")]
+#[test_case("UPPER" => ServerLine::Other; "longer word")]
+fn words_of_servers(line: &str) -> ServerLine<'_> {
+    parse_server_line(line)
 }
 
 #[test_case("x0=0.5,queue=2", "queue" => Some(2.0); "named")]
@@ -80,18 +80,18 @@
 #[test_case("x0=-1", "x0" => None; "negative")]
 #[test_case("x0", "x0" => None; "no value")]
 fn figures_of_reports(report: &str, name: &str) -> Option<f64> {
-    figure(report, name)
+    report_value(report, name)
 }
 
 #[test_case(0 => "BUSY\r\n"; "none")]
 #[test_case(1_500 => "BUSY 1500\r\n"; "some")]
 fn come_back_times(ms: u64) -> String {
-    refusal(Duration::from_millis(ms))
+    busy_line(Duration::from_millis(ms))
 }
 
 /// Feeds an answer in pieces of one size; its lines, or that it is bad.
 fn fed(text: &str, size: usize) -> Option<Vec<String>> {
-    let (mut answer, mut lines) = (Answer::default(), Vec::new());
+    let (mut answer, mut lines) = (ChunkedResponse::default(), Vec::new());
     for piece in text.as_bytes().chunks(size) {
         answer.feed(piece, &mut lines).ok()?;
     }
@@ -129,7 +129,7 @@
 fn bad_heads(head: &str) {
     assert_eq!(fed(head, 100), None);
     assert!(
-        http::watch_request("h:1", 41)
+        http_client::watch_request("h:1", 41)
             .starts_with("GET /discovery/hosts?stream=1&index=41 HTTP/1.1\r\n")
     );
 }
@@ -146,15 +146,15 @@
 #[test_case("", false; "nothing")]
 #[test_case(&"[".repeat(100_000), false; "too deep")]
 fn json_is_read_or_refused(text: &str, good: bool) {
-    assert_eq!(json::read(text.as_bytes()).is_ok(), good);
+    assert_eq!(json::parse(text.as_bytes()).is_ok(), good);
     let cut = (1..text.len().min(200)).filter(|n| text.is_char_boundary(*n));
-    cut.for_each(|n| drop(json::read(&text.as_bytes()[..n])));
+    cut.for_each(|n| drop(json::parse(&text.as_bytes()[..n])));
 }
 
 #[test]
 fn nested_settings_become_flat_ones() {
     let text = r#"{"a":{"b":[1,2.0]},"l":[{"n":"x y,z"},{"n":null}],"t":true,"s":"\ud83d\ude00"}"#;
-    let value = json::read(text.as_bytes()).unwrap();
+    let value = json::parse(text.as_bytes()).unwrap();
     let mut pairs = Vec::new();
     value.flatten("", &mut pairs);
     let flat: Vec<String> = pairs
@@ -172,7 +172,7 @@
             "s=\u{1f600}"
         ]
     );
-    assert_eq!(value.get("t"), Some(&Value::Bool(true)));
+    assert_eq!(value.get("t"), Some(&JsonValue::Bool(true)));
 }
 
 #[test_case(r#""uid":"s","endpoint":"127.0.0.1:1","state":"ready","pod_group":3,"boot_ms":1500"#, true; "a")]
@@ -183,32 +183,33 @@
 #[test_case(r#""uid":"s","endpoint":"127.0.0.1:1","state":"ready","boot_ms":-1"#, false; "negative time")]
 #[test_case(r#""uid":"s","endpoint":"127.0.0.1:1","state":"ready","boot_ms":1e300"#, false; "endless")]
 fn lists_of_servers(target: &str, good: bool) {
-    let read = discovery::read(
+    let read = discovery::parse(
         format!("{{\"rev\":4,\"all\":true,\"targets\":[{{{target}}}]}}").as_bytes(),
     );
     assert!(
-        read.as_ref().is_ok_and(|list| list.bad.is_none() == good),
+        read.as_ref()
+            .is_ok_and(|list| list.first_error.is_none() == good),
         "{read:?}"
     );
     let list = read
         .into_iter()
-        .flat_map(|list| list.lines)
-        .find(|line| line.standing == EndpointState::Ready);
+        .flat_map(|list| list.endpoints)
+        .find(|line| line.state == EndpointState::Ready);
     assert!(list.is_none_or(|l| l.cell == 3
-        && l.started == Some(Duration::from_millis(1500))
+        && l.started_at == Some(Duration::from_millis(1500))
         && l.weight == 1.0));
 }
 
 #[test]
 fn a_slot_used_again_does_not_answer_to_its_former_key() {
-    let mut slots = Slots::default();
+    let mut slots = SlotMap::default();
     let first = slots.insert("first");
     slots.remove(first);
     let second = slots.insert("second");
     assert_eq!((first.slot, slots.get(first)), (second.slot, None));
     assert_eq!(slots.remove(first), None);
     assert_eq!(
-        (slots.get(second), slots.at(second.slot), slots.len()),
+        (slots.get(second), slots.key_at(second.slot), slots.len()),
         (Some(&"second"), Some(second), 1)
     );
 }
@@ -220,25 +221,25 @@
         .into_iter()
         .for_each(|(key, s)| due.set(key, at(s)));
     due.clear('c');
-    assert_eq!((due.next(), due.pop(at(0))), (Some(at(1)), None));
+    assert_eq!((due.next_due(), due.pop_due(at(0))), (Some(at(1)), None));
     assert_eq!(
-        [due.pop(at(5)), due.pop(at(5)), due.pop(at(5))],
+        [due.pop_due(at(5)), due.pop_due(at(5)), due.pop_due(at(5))],
         [Some('b'), Some('a'), None]
     );
 }
 
 #[test]
 fn a_buffer_keeps_order_and_its_bound() {
-    let mut buffer = Buffer::default();
-    buffer.push(&[1; 8_000]);
+    let mut buffer = ReadBuffer::default();
+    buffer.append(&[1; 8_000]);
     buffer.consume(7_999);
-    buffer.push(&[2; 100]);
+    buffer.append(&[2; 100]);
     assert_eq!(
-        (buffer.bytes()[0], buffer.bytes()[1], buffer.room()),
-        (1, 2, Buffer::LIMIT - 101)
+        (buffer.bytes()[0], buffer.bytes()[1], buffer.free_space()),
+        (1, 2, ReadBuffer::CAPACITY - 101)
     );
     buffer.consume(1_000_000);
-    assert!(buffer.is_empty() && buffer.room() == Buffer::LIMIT);
+    assert!(buffer.is_empty() && buffer.free_space() == ReadBuffer::CAPACITY);
 }
 
 // A further dial of a referenced session has to be on its way before its mark is forgotten.
