--- a/crates/proxy/src/transport/deadlines.rs
+++ b/crates/proxy/src/transport/deadlines.rs
@@ -1,48 +1,52 @@
-//! All deadlines, in one ordered structure; each thing that waits has one at most.
+//! Deadlines in the order in which they fall due, at most one for each key.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+/// Pending deadlines; times are counted from the process's start.
 #[derive(Clone, Debug)]
 pub struct Deadlines<K> {
-    due: BTreeSet<(Duration, K)>,
-    of: BTreeMap<K, Duration>,
+    by_time: BTreeSet<(Duration, K)>,
+    by_key: BTreeMap<K, Duration>,
 }
 
 impl<K: Ord + Copy> Default for Deadlines<K> {
     fn default() -> Self {
         Deadlines {
-            due: BTreeSet::new(),
-            of: BTreeMap::new(),
+            by_time: BTreeSet::new(),
+            by_key: BTreeMap::new(),
         }
     }
 }
 
 impl<K: Ord + Copy> Deadlines<K> {
+    /// Sets the key's deadline in place of any that it had.
     pub fn set(&mut self, key: K, at: Duration) {
         self.clear(key);
-        self.of.insert(key, at);
-        self.due.insert((at, key));
+        self.by_key.insert(key, at);
+        self.by_time.insert((at, key));
     }
 
+    /// Removes the key's deadline, if it has one.
     pub fn clear(&mut self, key: K) {
-        if let Some(at) = self.of.remove(&key) {
-            self.due.remove(&(at, key));
+        if let Some(at) = self.by_key.remove(&key) {
+            self.by_time.remove(&(at, key));
         }
     }
 
-    /// When it is due, if it waits.
+    /// The key's deadline, if it has one.
     pub fn get(&self, key: K) -> Option<Duration> {
-        self.of.get(&key).copied()
+        self.by_key.get(&key).copied()
     }
 
+    /// When the earliest deadline falls due.
     pub fn next_due(&self) -> Option<Duration> {
-        self.due.first().map(|first| first.0)
+        self.by_time.first().map(|(at, _)| *at)
     }
 
-    /// Takes out the first that has passed.
+    /// Removes the earliest deadline and gives its key, if it is due at `now`.
     pub fn pop_due(&mut self, now: Duration) -> Option<K> {
-        let (_, key) = *self.due.first().filter(|first| first.0 <= now)?;
+        let (_, key) = *self.by_time.first().filter(|(at, _)| *at <= now)?;
         self.clear(key);
         Some(key)
     }
--- a/crates/proxy/src/transport/seqpacket.rs
+++ b/crates/proxy/src/transport/seqpacket.rs
@@ -1,95 +1,99 @@
-//! A link between two processes of one machine: whole messages, with descriptors beside them.
+//! Unix sockets of type `SOCK_SEQPACKET`: whole messages between two processes of one machine, with file descriptors
+//! attached.
 
 use rustix::cmsg_space;
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::io::{Errno, IoSlice, IoSliceMut, Result};
 use rustix::net::{
-    self, AddressFamily, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, ReturnFlags,
-    SendAncillaryBuffer, SendAncillaryMessage, SendFlags, SocketAddrUnix, SocketType,
+    self, AddressFamily, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, RecvMsg,
+    ReturnFlags, SendAncillaryBuffer, SendAncillaryMessage, SendFlags, SocketAddrUnix, SocketType,
 };
 use std::mem::MaybeUninit;
 use std::path::Path;
 
-/// Most descriptors that go with a message.
-const MOST: usize = 2;
+/// Most descriptors attached to a message: both ends of a forwarded connection.
+const MAX_DESCRIPTORS: usize = 2;
 
-/// Calls the process that listens at a path.
-pub fn connect(at: &Path) -> Result<OwnedFd> {
+/// A received message: its bytes, empty at the connection's end, and the descriptors attached to it.
+pub type ReceivedMessage = (Vec<u8>, Vec<OwnedFd>);
+
+/// Connects to the process that listens on a path. Fails where none does.
+pub fn connect(path: &Path) -> Result<OwnedFd> {
     let fd = net::socket_with(
         AddressFamily::UNIX,
         SocketType::SEQPACKET,
         super::socket::SOCKET_FLAGS,
         None,
     )?;
-    net::connect(&fd, &SocketAddrUnix::new(at)?)?;
+    net::connect(&fd, &SocketAddrUnix::new(path)?)?;
     Ok(fd)
 }
 
-/// Whether the message went; not, where the other end does not keep up.
-pub fn send(link: impl AsFd, message: &[u8], with: &[BorrowedFd]) -> Result<bool> {
-    let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(MOST))];
+/// Sends a message with at most two descriptors. Returns whether it was sent: `false` where the peer doesn't keep up
+/// and the message has to be sent again later.
+pub fn send(socket: impl AsFd, message: &[u8], descriptors: &[BorrowedFd<'_>]) -> Result<bool> {
+    let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
     let mut control = SendAncillaryBuffer::new(&mut space);
-    if !with.is_empty() && !control.push(SendAncillaryMessage::ScmRights(with)) {
+    if !descriptors.is_empty() && !control.push(SendAncillaryMessage::ScmRights(descriptors)) {
         return Err(Errno::INVAL);
     }
     match net::sendmsg(
-        link,
+        socket,
         &[IoSlice::new(message)],
         &mut control,
         SendFlags::NOSIGNAL | SendFlags::DONTWAIT,
     ) {
-        Ok(n) if n == message.len() => Ok(true),
+        Ok(sent) if sent == message.len() => Ok(true),
         Ok(_) => Err(Errno::MSGSIZE),
-        // The kernel keeps only so many descriptors that nobody has read yet.
+        // The kernel holds only a limited number of descriptors that are sent and not yet received.
         Err(Errno::AGAIN | Errno::INTR | Errno::TOOMANYREFS) => Ok(false),
-        Err(e) => Err(e),
+        Err(error) => Err(error),
     }
 }
 
-/// Whoever sends from now on hears that it is in vain; what was sent before can be read still.
-pub fn shutdown_read(link: impl AsFd) -> Result<()> {
-    net::shutdown(link, net::Shutdown::Read)
+/// Ends the receiving direction: the peer's later sends fail, and what it sent before can still be received.
+pub fn shutdown_read(socket: impl AsFd) -> Result<()> {
+    net::shutdown(socket, net::Shutdown::Read)
 }
 
-/// The next message, if one is there; an empty one is the link's end. Where the other ended with messages unread, the
-/// kernel says so once, before what it said itself, which is read still.
-pub fn receive(link: impl AsFd, longest: usize) -> Result<Option<(Vec<u8>, Vec<OwnedFd>)>> {
-    let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(MOST))];
+/// Receives the next message of up to `max_length` bytes, if there is one; an empty one is the connection's end.
+///
+/// Fails with `MSGSIZE` where the message or its descriptors had to be cut. Where the peer closed with messages
+/// unread, the kernel reports that once, as a reset, before the messages that the peer had sent; these are still
+/// received.
+pub fn receive(socket: impl AsFd, max_length: usize) -> Result<Option<ReceivedMessage>> {
+    let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
-    let mut bytes = vec![0; longest];
-    let flags = RecvFlags::DONTWAIT | RecvFlags::CMSG_CLOEXEC;
-    let link = link.as_fd();
-    let mut got = net::recvmsg(
-        link,
-        &mut [IoSliceMut::new(&mut bytes)],
-        &mut control,
-        flags,
-    );
-    if got.as_ref().err() == Some(&Errno::CONNRESET) {
-        got = net::recvmsg(
-            link,
-            &mut [IoSliceMut::new(&mut bytes)],
-            &mut control,
-            flags,
-        );
+    let mut bytes = vec![0; max_length];
+    let socket = socket.as_fd();
+    let mut received = receive_once(socket, &mut bytes, &mut control);
+    if received.as_ref().err() == Some(&Errno::CONNRESET) {
+        received = receive_once(socket, &mut bytes, &mut control);
     }
-    let got = match got {
-        Ok(got) => got,
+    let received = match received {
+        Ok(received) => received,
         Err(Errno::AGAIN | Errno::INTR) => return Ok(None),
-        Err(e) => return Err(e),
+        Err(error) => return Err(error),
     };
-    let mut with = Vec::new();
+    let mut descriptors = Vec::new();
     for message in control.drain() {
-        if let RecvAncillaryMessage::ScmRights(fds) = message {
-            with.extend(fds);
+        if let RecvAncillaryMessage::ScmRights(attached) = message {
+            descriptors.extend(attached);
         }
     }
-    if got
-        .flags
-        .intersects(ReturnFlags::TRUNC | ReturnFlags::CTRUNC)
-    {
+    let cut = ReturnFlags::TRUNC | ReturnFlags::CTRUNC;
+    if received.flags.intersects(cut) {
         return Err(Errno::MSGSIZE);
     }
-    bytes.truncate(got.bytes);
-    Ok(Some((bytes, with)))
+    bytes.truncate(received.bytes);
+    Ok(Some((bytes, descriptors)))
+}
+
+fn receive_once(
+    socket: BorrowedFd<'_>,
+    bytes: &mut [u8],
+    control: &mut RecvAncillaryBuffer<'_>,
+) -> Result<RecvMsg> {
+    let flags = RecvFlags::DONTWAIT | RecvFlags::CMSG_CLOEXEC;
+    net::recvmsg(socket, &mut [IoSliceMut::new(bytes)], control, flags)
 }
--- a/crates/proxy/src/transport/socket.rs
+++ b/crates/proxy/src/transport/socket.rs
@@ -1,4 +1,4 @@
-//! The calls on sockets.
+//! The system calls on TCP and Unix stream sockets. Every socket is non-blocking and closed on exec.
 
 use rustix::fd::{AsFd, OwnedFd};
 use rustix::io::{Errno, Result};
@@ -11,12 +11,17 @@
 use std::path::Path;
 use std::time::Duration;
 
-pub const SOCKET_FLAGS: SocketFlags = SocketFlags::NONBLOCK.union(SocketFlags::CLOEXEC);
-/// Connections that may wait at a door.
+/// Flags of every socket that the proxy opens or accepts.
+pub(super) const SOCKET_FLAGS: SocketFlags = SocketFlags::NONBLOCK.union(SocketFlags::CLOEXEC);
+/// Connections that may wait to be accepted at a TCP listener.
 pub const LISTEN_BACKLOG: i32 = 1024;
+/// The same at a Unix listener, which only processes of this machine connect to.
+const UNIX_LISTEN_BACKLOG: i32 = 32;
+/// Permissions of a Unix listener's file: read and write for its owner alone.
+const UNIX_SOCKET_MODE: u32 = 0o600;
 
-fn open(to: SocketAddr) -> Result<OwnedFd> {
-    let family = if to.is_ipv4() {
+fn open_tcp(address: SocketAddr) -> Result<OwnedFd> {
+    let family = if address.is_ipv4() {
         AddressFamily::INET
     } else {
         AddressFamily::INET6
@@ -24,99 +29,107 @@
     net::socket_with(family, SocketType::STREAM, SOCKET_FLAGS, None)
 }
 
-/// Listens; `shared` with others of this user that do so too.
-pub fn listen(at: SocketAddr, shared: bool) -> Result<OwnedFd> {
-    let fd = open(at)?;
+/// Listens on a TCP address; with `shared`, other processes of this user may listen on it at the same time.
+pub fn listen(address: SocketAddr, shared: bool) -> Result<OwnedFd> {
+    let fd = open_tcp(address)?;
     sockopt::set_socket_reuseaddr(&fd, true)?;
     sockopt::set_socket_reuseport(&fd, shared)?;
-    net::bind(&fd, &at)?;
+    net::bind(&fd, &address)?;
     net::listen(&fd, LISTEN_BACKLOG)?;
     Ok(fd)
 }
 
-/// A connection that waits, if any does.
-pub fn accept(door: impl AsFd) -> Result<Option<OwnedFd>> {
-    match net::accept_with(door, SOCKET_FLAGS) {
-        Ok(fd) => {
-            // It fails only where the connection is gone already, which reading shows.
-            let _ = sockopt::set_tcp_nodelay(&fd, true);
-            Ok(Some(fd))
-        }
-        // One that broke while it waited is nobody's trouble.
-        Err(Errno::AGAIN | Errno::CONNABORTED | Errno::INTR) => Ok(None),
-        Err(e) => Err(e),
+/// Accepts a pending connection, if there is one. Fails where no descriptor is left.
+pub fn accept(listener: impl AsFd) -> Result<Option<OwnedFd>> {
+    let accepted = accept_unix(listener)?;
+    if let Some(fd) = &accepted {
+        // This fails only where the connection is gone already, which reading shows.
+        let _ = sockopt::set_tcp_nodelay(fd, true);
     }
+    Ok(accepted)
 }
 
-/// Whether it takes connections in.
+/// Whether the socket is a listener.
 pub fn is_listening(fd: impl AsFd) -> bool {
     sockopt::socket_acceptconn(fd).unwrap_or(false)
 }
 
-/// Begins a connection; it is up, or has failed, when it can be written to.
-pub fn connect(to: SocketAddr) -> Result<OwnedFd> {
-    let fd = open(to)?;
+/// Begins to connect; the connection is established, or has failed, when it becomes writable.
+pub fn connect(address: SocketAddr) -> Result<OwnedFd> {
+    let fd = open_tcp(address)?;
     sockopt::set_tcp_nodelay(&fd, true)?;
-    match net::connect(&fd, &to) {
+    match net::connect(&fd, &address) {
         Ok(()) | Err(Errno::INPROGRESS | Errno::INTR) => Ok(fd),
-        Err(e) => Err(e),
+        Err(error) => Err(error),
     }
 }
 
-/// Why a connection broke, if it did.
+/// Takes the error with which a connection broke, if it did: the kernel reports it once.
 pub fn take_error(fd: impl AsFd) -> Result<()> {
     sockopt::socket_error(fd)?
 }
 
+/// Ends the sending direction, so that the peer reads an end of file.
 pub fn shutdown_write(fd: impl AsFd) {
-    // It fails only where the connection is gone already.
+    // This fails only where the connection is gone already.
     let _ = net::shutdown(fd, Shutdown::Write);
 }
 
-/// Closes with a reset.
+/// Closes a connection with a reset.
 pub fn close_with_reset(fd: OwnedFd) {
     let _ = sockopt::set_socket_linger(&fd, Some(Duration::ZERO));
 }
 
-/// Listens at a path, for this user alone. A file that nobody listens at any more is taken over; one that somebody
-/// listens at, or that is no socket, is left alone.
-pub fn listen_unix(at: &Path, kind: SocketType) -> io::Result<OwnedFd> {
-    let address = SocketAddrUnix::new(at)?;
+/// Listens on a path, for this user alone.
+///
+/// A socket file on which nobody listens any more is replaced. Fails with `AddrInUse` where somebody does listen, and
+/// with `AlreadyExists` where the file is no socket.
+pub fn listen_unix(path: &Path, kind: SocketType) -> io::Result<OwnedFd> {
+    let address = SocketAddrUnix::new(path)?;
     let fd = net::socket_with(AddressFamily::UNIX, kind, SOCKET_FLAGS, None)?;
-    if let Ok(found) = std::fs::symlink_metadata(at) {
-        if !found.file_type().is_socket() {
-            return Err(io::Error::new(
-                io::ErrorKind::AlreadyExists,
-                "there is a file that is no socket",
-            ));
-        }
-        let asks = net::socket_with(AddressFamily::UNIX, kind, SOCKET_FLAGS, None)?;
-        match net::connect(&asks, &address) {
-            Err(Errno::CONNREFUSED) => std::fs::remove_file(at)?,
-            _ => {
-                return Err(io::Error::new(
-                    io::ErrorKind::AddrInUse,
-                    "somebody listens there",
-                ));
-            }
-        }
-    }
+    remove_abandoned_socket(path, &address, kind)?;
     net::bind(&fd, &address)?;
-    // Nobody can connect before it listens.
-    std::fs::set_permissions(at, std::fs::Permissions::from_mode(0o600))?;
-    net::listen(&fd, 32)?;
+    // Nobody can connect before it listens, so the permissions hold from the first connection on.
+    std::fs::set_permissions(path, std::fs::Permissions::from_mode(UNIX_SOCKET_MODE))?;
+    net::listen(&fd, UNIX_LISTEN_BACKLOG)?;
     Ok(fd)
 }
 
-pub fn accept_unix(door: impl AsFd) -> Result<Option<OwnedFd>> {
-    match net::accept_with(door, SOCKET_FLAGS) {
+fn remove_abandoned_socket(
+    path: &Path,
+    address: &SocketAddrUnix,
+    kind: SocketType,
+) -> io::Result<()> {
+    let Ok(found) = std::fs::symlink_metadata(path) else {
+        return Ok(());
+    };
+    if !found.file_type().is_socket() {
+        return Err(io::Error::new(
+            io::ErrorKind::AlreadyExists,
+            "there is a file that is no socket",
+        ));
+    }
+    let probe = net::socket_with(AddressFamily::UNIX, kind, SOCKET_FLAGS, None)?;
+    match net::connect(&probe, address) {
+        Err(Errno::CONNREFUSED) => std::fs::remove_file(path),
+        _ => Err(io::Error::new(
+            io::ErrorKind::AddrInUse,
+            "somebody listens there",
+        )),
+    }
+}
+
+/// Accepts a pending connection at a Unix listener, if there is one. Fails where no descriptor is left.
+pub fn accept_unix(listener: impl AsFd) -> Result<Option<OwnedFd>> {
+    match net::accept_with(listener, SOCKET_FLAGS) {
         Ok(fd) => Ok(Some(fd)),
+        // A connection that broke while it was pending concerns nobody.
         Err(Errno::AGAIN | Errno::CONNABORTED | Errno::INTR) => Ok(None),
-        Err(e) => Err(e),
+        Err(error) => Err(error),
     }
 }
 
-/// Whether the other end is a process of this user, or of the machine's.
+/// Whether the peer of a Unix socket is a process of this user or of root.
 pub fn peer_is_same_user(fd: impl AsFd) -> bool {
     let own = rustix::process::geteuid();
     sockopt::socket_peercred(fd).is_ok_and(|peer| peer.uid == own || peer.uid.is_root())
--- a/crates/proxy/src/transport/stream.rs
+++ b/crates/proxy/src/transport/stream.rs
@@ -1,4 +1,5 @@
-//! One connection: its socket, what came and waits to be passed on, what waits to be written.
+//! One non-blocking connection: its socket, the input that waits to be consumed and the output that waits to be
+//! written.
 
 use super::buffer::ReadBuffer;
 use super::poller::Interest;
@@ -7,21 +8,26 @@
 use rustix::io::{Errno, read, write, writev};
 use std::io::IoSlice;
 
-/// How the other side ended a connection.
+/// How the peer ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
+    /// In good order, with an end of file.
     Fin,
+    /// With a reset, or by another error.
     Reset,
 }
 
+/// A connection with its buffers. Errors of the socket show as [`ended`](BufferedStream::ended).
 #[derive(Debug)]
 pub struct BufferedStream {
     fd: OwnedFd,
+    /// Input not yet consumed, within [`ReadBuffer::CAPACITY`].
     pub inbound: ReadBuffer,
-    /// Rest of texts of our own that the socket did not take at once.
+    /// The part of the proxy's own messages that the socket did not take at once.
     unsent: Vec<u8>,
-    /// What is watched for.
+    /// What the socket is registered for at the poller.
     pub interest: Interest,
+    /// How the peer ended the connection, once it has.
     pub ended: Option<StreamEnd>,
 }
 
@@ -32,52 +38,51 @@
 }
 
 impl BufferedStream {
-    pub fn new(fd: OwnedFd, want: Interest) -> BufferedStream {
+    /// A connection with empty buffers.
+    pub fn new(fd: OwnedFd, interest: Interest) -> BufferedStream {
         BufferedStream {
             fd,
             inbound: ReadBuffer::default(),
             unsent: Vec::new(),
-            interest: want,
+            interest,
             ended: None,
         }
     }
 
-    /// One that another process held, with what it had read and not passed on.
-    pub fn inherited(fd: OwnedFd, bytes: &[u8]) -> Option<BufferedStream> {
-        let mut stream = BufferedStream::new(
-            fd,
-            Interest {
-                read: true,
-                write: false,
-            },
-        );
-        (bytes.len() <= ReadBuffer::CAPACITY)
-            .then(|| stream.inbound.append(bytes))
-            .map(|()| stream)
+    /// A connection inherited from another process, with the input that it had read and not consumed. `None` where
+    /// that is more than [`ReadBuffer::CAPACITY`].
+    pub fn inherited(fd: OwnedFd, inbound: &[u8]) -> Option<BufferedStream> {
+        if inbound.len() > ReadBuffer::CAPACITY {
+            return None;
+        }
+        let mut stream = BufferedStream::new(fd, Interest::READ);
+        stream.inbound.append(inbound);
+        Some(stream)
     }
 
-    /// One read, so that a turn of the loop is bounded for each connection. A break that reading does not
-    /// show, as nothing may be read for want of room, is taken note of too.
-    pub fn read_once(&mut self, broken: bool) {
+    /// Reads once, so that one turn of the event loop is bounded for each connection.
+    ///
+    /// With `failed`, the socket's error is looked at as well: reading doesn't show it where the buffer is full.
+    pub fn read_once(&mut self, failed: bool) {
         let mut bytes = [0; ReadBuffer::CAPACITY];
-        let room = self.inbound.free_space();
-        if self.ended.is_none() && room > 0 {
-            match read(&self.fd, &mut bytes[..room]) {
+        let free_space = self.inbound.free_space();
+        if self.ended.is_none() && free_space > 0 {
+            match read(&self.fd, &mut bytes[..free_space]) {
                 Ok(0) => self.ended = Some(StreamEnd::Fin),
-                Ok(n) => self.inbound.append(&bytes[..n]),
+                Ok(count) => self.inbound.append(&bytes[..count]),
                 Err(Errno::AGAIN | Errno::INTR) => {}
                 Err(_) => self.ended = Some(StreamEnd::Reset),
             }
         }
-        if broken && !self.is_connected() {
+        if failed && !self.is_connected() {
             self.ended = Some(StreamEnd::Reset);
         }
     }
 
-    /// Reads what is there, up to so many bytes, and forgets it.
-    pub fn discard_input(&mut self, most: usize) {
+    /// Reads and drops input, at most `max_bytes` rounded up to whole reads.
+    pub fn discard_input(&mut self, max_bytes: usize) {
         let mut bytes = [0; ReadBuffer::CAPACITY];
-        for _ in 0..most.div_ceil(bytes.len()) {
+        for _ in 0..max_bytes.div_ceil(bytes.len()) {
             if self.ended.is_some() {
                 return;
             }
@@ -90,12 +95,12 @@
         }
     }
 
-    /// Whether more may come and there is room for it.
+    /// Whether more input may come and there is space for it.
     pub fn can_read(&self) -> bool {
         self.ended.is_none() && self.inbound.free_space() > 0
     }
 
-    /// Writes what the socket takes of another stream's bytes.
+    /// Writes forwarded bytes and returns how many the socket took: none while messages of the proxy's own are unsent.
     pub fn forward(&self, bytes: &[u8]) -> Result<usize, StreamEnd> {
         if !self.unsent.is_empty() || bytes.is_empty() {
             return Ok(0);
@@ -106,52 +111,58 @@
         }
     }
 
-    /// Writes a text of ours, given in parts, and keeps what the socket does not take.
+    /// Writes a message of the proxy's own, given in parts, and keeps what the socket does not take.
     pub fn send(&mut self, parts: &[&[u8]]) {
-        let mut done = 0;
+        let mut written = 0;
         if self.unsent.is_empty() && parts.iter().any(|part| !part.is_empty()) {
-            let slices: Vec<IoSlice> = parts.iter().map(|part| IoSlice::new(part)).collect();
-            let written = writev(&self.fd, &slices);
-            done = self.count(written);
+            let slices: Vec<IoSlice<'_>> = parts.iter().map(|part| IoSlice::new(part)).collect();
+            let result = writev(&self.fd, &slices);
+            written = self.written_bytes(result);
         }
         for part in parts {
-            let skip = done.min(part.len());
-            done -= skip;
-            self.unsent.extend_from_slice(&part[skip..]);
+            let skipped = written.min(part.len());
+            written -= skipped;
+            self.unsent.extend_from_slice(&part[skipped..]);
         }
     }
 
+    /// Writes what the socket takes of the messages that are unsent.
     pub fn flush(&mut self) {
         if !self.unsent.is_empty() {
-            let written = write(&self.fd, &self.unsent);
-            let done = self.count(written);
-            self.unsent.drain(..done);
+            let result = write(&self.fd, &self.unsent);
+            let written = self.written_bytes(result);
+            self.unsent.drain(..written);
         }
     }
 
-    /// Whether all texts of ours are written to the last byte.
+    /// Whether all messages of the proxy's own are written to the last byte.
     pub fn is_flushed(&self) -> bool {
         self.unsent.is_empty()
     }
 
-    fn count(&mut self, written: Result<usize, Errno>) -> usize {
-        match written {
-            Ok(n) => return n,
-            Err(Errno::AGAIN | Errno::INTR) => {}
-            Err(_) => self.ended = Some(StreamEnd::Reset),
+    /// How many bytes a write took; an error of the connection is noted as its end.
+    fn written_bytes(&mut self, result: Result<usize, Errno>) -> usize {
+        match result {
+            Ok(count) => count,
+            Err(Errno::AGAIN | Errno::INTR) => 0,
+            Err(_) => {
+                self.ended = Some(StreamEnd::Reset);
+                0
+            }
         }
-        0
     }
 
-    /// Whether nothing broke it, or, asked once it can be written to, whether it came up.
+    /// Whether no error has broken the connection; asked at its first writability, whether it was established.
     pub fn is_connected(&self) -> bool {
         socket::take_error(&self.fd).is_ok()
     }
 
+    /// Ends the sending direction.
     pub fn shutdown_write(&self) {
         socket::shutdown_write(&self.fd);
     }
 
+    /// Closes with a reset.
     pub fn reset(self) {
         socket::close_with_reset(self.fd);
     }
