--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -5,9 +5,11 @@
 use super::report::ReasonCode;
 use super::session_state::{SessionInput, SessionState};
 use super::types::{ConnectionRole, Session, TimerKey, WRITE_ONLY};
-use crate::protocol::client::{FAILED, Greeting, Open, PONG, greeting, refusal};
-use crate::protocol::line::{self, Fault};
-use crate::transport::{End, Key};
+use crate::protocol::client::{
+    ClientGreeting, ERROR_LINE, OpenRequest, PONG_LINE, busy_line, parse_greeting,
+};
+use crate::protocol::line::{self, LineError};
+use crate::transport::{SlotKey, StreamEnd};
 use asterramp_admission::{AdmissionRequest, Rejection};
 use asterramp_placement::event::SessionRequest;
 use asterramp_placement::settings::Settings;
@@ -32,28 +34,28 @@
 
 impl Router {
     /// Reads what a pending client wants.
-    pub(super) fn read_greeting(&mut self, key: Key) {
+    pub(super) fn read_greeting(&mut self, key: SlotKey) {
         let Some(connection) = self.connections.get(key) else {
             return;
         };
         let stream = &connection.stream;
         // One that asks and takes no answers would pile them up here.
-        if !stream.sent() && stream.ended.is_none() {
+        if !stream.is_flushed() && stream.ended.is_none() {
             return self.set_interest(key, WRITE_ONLY);
         }
         let ended = stream.ended;
         let bytes = stream.inbound.bytes();
         let is_empty = bytes.is_empty();
-        match parse_greeting(bytes) {
+        match parse_first_line(bytes) {
             Ok(None) if ended.is_none() => self.watch_own_io(key),
-            Ok(None) if is_empty || ended == Some(End::Reset) => {
+            Ok(None) if is_empty || ended == Some(StreamEnd::Reset) => {
                 self.close(key);
                 self.log_event(ReasonCode::ClosedBeforeRequest, "client said nothing more");
             }
-            Ok(None) => self.reject_malformed(key, Fault::Malformed("end of line")),
+            Ok(None) => self.reject_malformed(key, LineError::Malformed("end of line")),
             Err(fault) => self.reject_malformed(key, fault),
-            Ok(Some((Greeting::Ping, line_len))) => self.answer_ping(key, line_len),
-            Ok(Some((Greeting::Open(open), line_len))) => {
+            Ok(Some((ClientGreeting::Ping, line_len))) => self.answer_ping(key, line_len),
+            Ok(Some((ClientGreeting::Open(open), line_len))) => {
                 match self.client_request(key, bytes, &open, line_len) {
                     Ok(request) => self.admit(key, request),
                     Err(fault) => self.reject_malformed(key, fault),
@@ -63,16 +65,16 @@
     }
 
     /// Answers a front's ping, and reads on; a proxy that wants no sessions fails it.
-    fn answer_ping(&mut self, key: Key, line_len: usize) {
+    fn answer_ping(&mut self, key: SlotKey, line_len: usize) {
         let accepts_sessions = self.drain.answers_pings() && self.warm_start_serves();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         connection.stream.inbound.consume(line_len);
         if !accepts_sessions {
-            return self.close_gracefully(key, &[FAILED]);
+            return self.close_gracefully(key, &[ERROR_LINE]);
         }
-        connection.stream.send(&[PONG]);
+        connection.stream.send(&[PONG_LINE]);
         self.count_event(ReasonCode::PingAnswered);
         self.read_greeting(key);
     }
@@ -80,31 +82,31 @@
     /// A request to open a session, checked against the settings and the sessions there are.
     fn client_request(
         &self,
-        client: Key,
+        client: SlotKey,
         bytes: &[u8],
-        open: &Open<'_>,
+        open: &OpenRequest<'_>,
         line_len: usize,
-    ) -> Result<ClientRequest, Fault> {
+    ) -> Result<ClientRequest, LineError> {
         // A client waits for its answer before it says more, so this is none.
         if line_len < bytes.len() {
-            return Err(Fault::Malformed("more than one line"));
+            return Err(LineError::Malformed("more than one line"));
         }
         // The servers would reject it one after the other, and look unsound by that.
         if self.session_ids.contains(open.id) {
-            return Err(Fault::Malformed("id: open already"));
+            return Err(LineError::Malformed("id: open already"));
         }
         let Some((listener, tenant)) = listener_and_tenant(&self.settings, open) else {
-            return Err(Fault::Malformed("name"));
+            return Err(LineError::Malformed("name"));
         };
         Ok(ClientRequest {
             request: session_request(open, self.now, listener, tenant),
-            failed: open.failed,
+            failed: open.earlier_attempt_failed,
             data: Session {
                 client: Some(client),
                 server: None,
                 request_line: bytes[..line_len].to_vec(),
-                wait_at: open.wait_at.clone(),
-                open_at: open.open_at.map(String::from),
+                wait_at: open.wait_range.clone(),
+                open_at: open.inherited_from.map(String::from),
                 awaiting_response: false,
                 server_quiet: false,
                 announced_end: None,
@@ -113,7 +115,7 @@
         })
     }
 
-    fn reject_malformed(&mut self, key: Key, fault: Fault) {
+    fn reject_malformed(&mut self, key: SlotKey, fault: LineError) {
         let bytes = self
             .connections
             .get(key)
@@ -126,11 +128,11 @@
             ReasonCode::ClientProtocolError,
             format!("client fault=\"{fault}\" line=\"{line}\""),
         );
-        self.close_gracefully(key, &[FAILED]);
+        self.close_gracefully(key, &[ERROR_LINE]);
     }
 
     /// Begins a session for a client, or rejects it for want of descriptors or capacity.
-    fn admit(&mut self, key: Key, client: ClientRequest) {
+    fn admit(&mut self, key: SlotKey, client: ClientRequest) {
         let ClientRequest {
             request,
             failed,
@@ -173,7 +175,7 @@
     }
 
     /// No more connections can be held.
-    fn reject_at_limit(&mut self, key: Key, request: SessionRequest, data: &Session) {
+    fn reject_at_limit(&mut self, key: SlotKey, request: SessionRequest, data: &Session) {
         self.log_event(ReasonCode::AtConnectionLimit, format!("sess={}", data.id()));
         self.metrics
             .count_session_end(request.listener, SessionEnd::Rejected);
@@ -182,13 +184,13 @@
             .deployment
             .max_retry_after
             .min(FULL_RETRY_AFTER);
-        self.close_gracefully(key, &[refusal(retry_after).as_bytes()]);
+        self.close_gracefully(key, &[busy_line(retry_after).as_bytes()]);
     }
 
     /// Capacity is short, and others go first.
     fn shed_load(
         &mut self,
-        key: Key,
+        key: SlotKey,
         request: SessionRequest,
         data: &Session,
         rejection: Rejection,
@@ -202,11 +204,11 @@
         self.log_event(ReasonCode::LoadShed, about);
         self.metrics
             .count_session_end(request.listener, SessionEnd::Rejected);
-        self.close_gracefully(key, &[refusal(rejection.come_back).as_bytes()]);
+        self.close_gracefully(key, &[busy_line(rejection.come_back).as_bytes()]);
     }
 
     /// Something came on the connection of a session's client.
-    pub(super) fn client_ready(&mut self, session: Key) {
+    pub(super) fn client_ready(&mut self, session: SlotKey) {
         let Some(slot) = self.session_table.sessions.get(session) else {
             return;
         };
@@ -229,7 +231,7 @@
     }
 
     /// Sends the final answer to the client of a session that is not open.
-    pub(super) fn answer_client(&mut self, session: Key, text: &[u8], code: ReasonCode) {
+    pub(super) fn answer_client(&mut self, session: SlotKey, text: &[u8], code: ReasonCode) {
         let Some(client) = self.take_client(session) else {
             return;
         };
@@ -244,7 +246,7 @@
     }
 
     /// Logs an end that a session or one of its dials has come to.
-    pub(super) fn log_session_end(&mut self, session: Key, code: ReasonCode) {
+    pub(super) fn log_session_end(&mut self, session: SlotKey, code: ReasonCode) {
         let Some(slot) = self.session_table.sessions.get(session) else {
             return;
         };
@@ -266,16 +268,16 @@
 }
 
 /// The first line of what a client sent, read, and its length in bytes; `None` if the line is not complete.
-fn parse_greeting(bytes: &[u8]) -> Result<Option<(Greeting<'_>, usize)>, Fault> {
-    let Some((text, line_len)) = line::first(bytes)? else {
+fn parse_first_line(bytes: &[u8]) -> Result<Option<(ClientGreeting<'_>, usize)>, LineError> {
+    let Some((text, line_len)) = line::first_line(bytes)? else {
         return Ok(None);
     };
-    Ok(Some((greeting(text)?, line_len)))
+    Ok(Some((parse_greeting(text)?, line_len)))
 }
 
 /// A client's request in the placement engine's terms, its wait counted from `now`; the session has no number yet.
 pub(super) fn session_request(
-    open: &Open<'_>,
+    open: &OpenRequest<'_>,
     now: Duration,
     listener: u8,
     tenant: u16,
@@ -285,16 +287,19 @@
         listener,
         tenant,
         group: open.group,
-        hash_key: open.item,
-        reconnecting: open.again,
+        hash_key: open.key,
+        reconnecting: open.reconnecting,
         dial_timeout: now + open.wait,
     }
 }
 
 /// The indices of a request's listener and tenant in the settings; `None` if either is unknown.
-pub(super) fn listener_and_tenant(settings: &Settings, open: &Open<'_>) -> Option<(u8, u16)> {
+pub(super) fn listener_and_tenant(
+    settings: &Settings,
+    open: &OpenRequest<'_>,
+) -> Option<(u8, u16)> {
     let listener = index_of(&settings.listeners, open.listener)?;
-    let tenant = match open.member {
+    let tenant = match open.tenant {
         Some(name) => index_of(&settings.tenants, name)?,
         None => 0,
     };
--- a/crates/proxy/src/routing/listener.rs
+++ b/crates/proxy/src/routing/listener.rs
@@ -4,7 +4,7 @@
 use super::client::GREETING_TIMEOUT;
 use super::report::ReasonCode;
 use super::types::{ConnectionRole, READ_ONLY, TimerKey};
-use crate::transport::poll::{Ready, Want};
+use crate::transport::poller::{Interest, ReadyEvent};
 use crate::transport::socket;
 use rustix::fd::OwnedFd;
 use std::time::Duration;
@@ -63,7 +63,7 @@
 
     fn pause_accepting(&mut self, pause: Duration) {
         if let Some(listener) = self.listener {
-            self.set_interest(listener, Want::default());
+            self.set_interest(listener, Interest::default());
             self.deadlines.set(TimerKey::Listener, self.now + pause);
         }
     }
@@ -71,7 +71,7 @@
     /// Accepts all that waits at a listener about to be closed, which would reset it. Whoever finds no place is
     /// rejected.
     pub(super) fn accept_all(&mut self) {
-        for _ in 0..socket::BACKLOG {
+        for _ in 0..socket::LISTEN_BACKLOG {
             let Some(connection) = self
                 .listener
                 .filter(|_| !self.has_successor())
@@ -91,10 +91,10 @@
             self.deadlines
                 .set(TimerKey::Connection(key), self.now + GREETING_TIMEOUT);
             // What it wants is often there already.
-            self.connection_ready(Ready {
+            self.connection_ready(ReadyEvent {
                 key,
-                write: false,
-                broken: false,
+                writable: false,
+                failed: false,
             });
             self.run_tasks();
         }
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -31,8 +31,8 @@
 
 pub use startup::RouterOptions;
 
-use crate::transport::poll::Ready;
-use crate::transport::{Deadlines, Key, Poll, Slots};
+use crate::transport::poller::ReadyEvent;
+use crate::transport::{Deadlines, Poller, SlotKey, SlotMap};
 use admin_http::AdminHttp;
 use asterramp_admission::AdmissionControl;
 use asterramp_drain::{Drain, DrainState};
@@ -62,16 +62,16 @@
     session_table: SessionTable<Session>,
     settings: Settings,
     resource_budget: ResourceBudget,
-    poll: Poll,
+    poll: Poller,
     /// What [`Router::wait`] found ready.
-    ready: Vec<Ready>,
-    connections: Slots<Connection>,
+    ready: Vec<ReadyEvent>,
+    connections: SlotMap<Connection>,
     endpoints: EndpointTable,
     /// Ids of the sessions there are, by which a second of the same is known.
     session_ids: HashSet<String>,
     connection_counts: ConnectionCounts,
     discovery_watch: DiscoveryWatch,
-    listener: Option<Key>,
+    listener: Option<SlotKey>,
     /// Whether clients are let in.
     serving: bool,
     deadlines: Deadlines<TimerKey>,
--- a/crates/proxy/src/routing/session_tasks.rs
+++ b/crates/proxy/src/routing/session_tasks.rs
@@ -7,13 +7,13 @@
 use super::session_table::SessionTask;
 use super::types::{Session, TimerKey};
 use super::zones::ZoneTransition;
-use crate::protocol::client::{FAILED, refusal};
-use crate::transport::Key;
+use crate::protocol::client::{ERROR_LINE, busy_line};
+use crate::transport::SlotKey;
 use asterramp_placement::Event;
 
 impl Router {
     /// Something happens to a session.
-    pub(super) fn input(&mut self, session: Key, input: SessionInput) {
+    pub(super) fn input(&mut self, session: SlotKey, input: SessionInput) {
         self.session_table.input(self.now, session, input);
     }
 
@@ -23,7 +23,7 @@
     }
 
     /// A session's state machine.
-    pub(super) fn session_machine(&self, session: Key) -> Option<&SessionMachine> {
+    pub(super) fn session_machine(&self, session: SlotKey) -> Option<&SessionMachine> {
         self.session_table
             .sessions
             .get(session)
@@ -31,7 +31,7 @@
     }
 
     /// What the router keeps with a session.
-    pub(super) fn session_mut(&mut self, session: Key) -> Option<&mut Session> {
+    pub(super) fn session_mut(&mut self, session: SlotKey) -> Option<&mut Session> {
         self.session_table
             .sessions
             .get_mut(session)
@@ -63,7 +63,7 @@
         self.log_event(ReasonCode::ZoneStateChanged, about);
     }
 
-    fn perform_effect(&mut self, session: Key, effect: SessionEffect) {
+    fn perform_effect(&mut self, session: SlotKey, effect: SessionEffect) {
         match effect {
             SessionEffect::Connect { server } => self.dial(session, server),
             SessionEffect::SendRequest { wait } => self.send_request_line(session, wait),
@@ -77,11 +77,11 @@
             }
             SessionEffect::SetDeadline(None) => self.deadlines.clear(TimerKey::Session(session)),
             SessionEffect::AnswerClient(FinalAnswer::Rejected(retry_after)) => {
-                let text = refusal(retry_after);
+                let text = busy_line(retry_after);
                 self.answer_client(session, text.as_bytes(), ReasonCode::Rejected);
             }
             SessionEffect::AnswerClient(FinalAnswer::Failed(code)) => {
-                self.answer_client(session, FAILED, code);
+                self.answer_client(session, ERROR_LINE, code);
             }
             SessionEffect::DropClient => {
                 if let Some(key) = self.take_client(session) {
@@ -109,7 +109,7 @@
     }
 
     /// A session has come to its one end, as its client sees it.
-    pub(super) fn count_session_end(&mut self, session: Key, end: SessionEnd) {
+    pub(super) fn count_session_end(&mut self, session: SlotKey, end: SessionEnd) {
         let listener = self
             .session_machine(session)
             .map(|machine| machine.request.listener);
@@ -120,7 +120,7 @@
 
     /// Parts a session from its client's connection. A server's that stays behind holds one descriptor, where
     /// the two held two, as a client alone does.
-    pub(super) fn take_client(&mut self, session: Key) -> Option<Key> {
+    pub(super) fn take_client(&mut self, session: SlotKey) -> Option<SlotKey> {
         let data = self.session_mut(session)?;
         let client = data.client.take();
         let has_server = data.server.is_some();
@@ -131,7 +131,7 @@
     }
 
     /// Parts a session from its server's connection.
-    pub(super) fn take_server(&mut self, session: Key) -> Option<Key> {
+    pub(super) fn take_server(&mut self, session: SlotKey) -> Option<SlotKey> {
         let data = self.session_mut(session)?;
         let server = data.server.take();
         let has_client = data.client.is_some();
@@ -142,7 +142,7 @@
     }
 
     /// Takes a session out of the tables and closes what it has.
-    fn forget(&mut self, session: Key) {
+    fn forget(&mut self, session: SlotKey) {
         let client = self.take_client(session);
         let server = self.take_server(session);
         if let Some(slot) = self.session_table.sessions.remove(session) {
--- a/crates/proxy/src/routing/types.rs
+++ b/crates/proxy/src/routing/types.rs
@@ -1,19 +1,19 @@
 //! What the router keeps for each connection and session, and what its timers are for.
 
 use super::probe::ProbeStage;
-use crate::transport::poll::Want;
-use crate::transport::{Key, Stream};
+use crate::transport::poller::Interest;
+use crate::transport::{BufferedStream, SlotKey};
 use asterramp_placement::event::{Load, Outcome, ServerId};
 use std::ops::Range;
 use std::time::Duration;
 
 /// Watches a socket for bytes to read.
-pub(super) const READ_ONLY: Want = Want {
+pub(super) const READ_ONLY: Interest = Interest {
     read: true,
     write: false,
 };
 /// Watches a socket for room to write, or for its connection to come up.
-pub(super) const WRITE_ONLY: Want = Want {
+pub(super) const WRITE_ONLY: Interest = Interest {
     read: false,
     write: true,
 };
@@ -34,9 +34,9 @@
     /// The next offers to the process that replaces this one.
     HotRestart,
     /// A connection has kept somebody waiting.
-    Connection(Key),
+    Connection(SlotKey),
     /// A session has.
-    Session(Key),
+    Session(SlotKey),
 }
 
 /// What a descriptor that the router watches is for.
@@ -64,9 +64,9 @@
     /// A client that has not said yet what it wants.
     PendingClient,
     /// The client of a session.
-    Client(Key),
+    Client(SlotKey),
     /// The server of a session.
-    Server(Key),
+    Server(SlotKey),
     /// A health check's connection.
     Probe(ServerId, ProbeStage),
     /// The watch on discovery.
@@ -83,7 +83,7 @@
 /// A descriptor that the router watches.
 #[derive(Debug)]
 pub(super) struct Connection {
-    pub(super) stream: Stream,
+    pub(super) stream: BufferedStream,
     pub(super) role: ConnectionRole,
     /// How many bytes at the front of `stream.inbound` are complete, checked lines.
     pub(super) complete_len: usize,
@@ -94,8 +94,8 @@
 /// What the router keeps with a session, beside its state machine.
 #[derive(Debug)]
 pub(super) struct Session {
-    pub(super) client: Option<Key>,
-    pub(super) server: Option<Key>,
+    pub(super) client: Option<SlotKey>,
+    pub(super) server: Option<SlotKey>,
     /// The client's request line, as it came.
     pub(super) request_line: Vec<u8>,
     /// Where in `request_line` the client's wait stands, in milliseconds.
