--- a/crates/placement/src/engine.rs
+++ b/crates/placement/src/engine.rs
@@ -10,8 +10,10 @@
     Endpoint, EndpointState, EndpointUpdate, Event, Load, Observation, Outcome, ServerId,
     SessionId, SessionRequest,
 };
+use crate::random::{RandomSource, hash_to_unit};
 use crate::retry_budget::RetryBudget;
-use std::collections::BTreeSet;
+use crate::session::{Attempt, Session, SessionEffect, SessionInput, SessionState};
+use crate::timers::{Timer, TimerQueue};
 use std::time::Duration;
 
 /// Span over which rates are averaged, in seconds.
@@ -53,103 +55,6 @@
 /// How long a server that failed is left alone, at first.
 const REST: Duration = Duration::from_millis(1000);
 
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum State {
-    Choosing,
-    Asking,
-    Dialling,
-    Open,
-    Parting,
-    #[default]
-    Over,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Input {
-    Arrived,
-    Asked,
-    Told,
-    Dialled,
-    GivenUp,
-    Began,
-    Failed,
-    Closed,
-    Left,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Effect {
-    Nothing,
-    Place,
-    Answer,
-    Stand,
-    CallOff,
-    Release,
-}
-
-/// State, input, next state, effect. What is not listed is late or stray, and ignored.
-const TABLE: &[(State, Input, State, Effect)] = &[
-    (
-        State::Choosing,
-        Input::Arrived,
-        State::Choosing,
-        Effect::Place,
-    ),
-    (
-        State::Choosing,
-        Input::Dialled,
-        State::Dialling,
-        Effect::Nothing,
-    ),
-    (State::Choosing, Input::GivenUp, State::Over, Effect::Answer),
-    (
-        State::Choosing,
-        Input::Asked,
-        State::Asking,
-        Effect::Nothing,
-    ),
-    (State::Asking, Input::Told, State::Choosing, Effect::Place),
-    (State::Asking, Input::Left, State::Over, Effect::Nothing),
-    (State::Dialling, Input::Began, State::Open, Effect::Stand),
-    (
-        State::Dialling,
-        Input::Failed,
-        State::Choosing,
-        Effect::Place,
-    ),
-    (State::Dialling, Input::Closed, State::Over, Effect::Nothing),
-    (
-        State::Dialling,
-        Input::Left,
-        State::Parting,
-        Effect::CallOff,
-    ),
-    (State::Open, Input::Left, State::Parting, Effect::Release),
-    (State::Open, Input::Failed, State::Over, Effect::Release),
-    (State::Open, Input::Closed, State::Over, Effect::Release),
-    (State::Parting, Input::Failed, State::Over, Effect::Nothing),
-    (State::Parting, Input::Closed, State::Over, Effect::Nothing),
-];
-
-#[derive(Clone, Debug, Default)]
-struct Session {
-    state: State,
-    arrival: SessionRequest,
-    server: ServerId,
-    dials: u32,
-    dialled: Duration,
-    order: Vec<ServerId>,
-    /// The first dial that may have run.
-    ran: Option<(Duration, ServerId)>,
-    /// Servers that failed it at once; more than one, and it is at fault, or it would leave none to others.
-    failed_by: Vec<ServerId>,
-    /// Servers asked for its sake, and until when it waits for what they say.
-    asks: u32,
-    waits: Duration,
-    /// Decides for it where a zone is used by degrees.
-    luck: f64,
-}
-
 #[derive(Clone, Debug, Default)]
 struct Server {
     entry: Endpoint,
@@ -186,21 +91,14 @@
     fresh: bool,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Told(SessionId),
-    AskRoster,
-    Survey,
-}
-
 #[derive(Clone, Debug, Default)]
 pub struct PlacementEngine {
     facts: Deployment,
-    chance: u64,
+    random: RandomSource,
     now: Duration,
     sessions: Vec<Session>,
     servers: Vec<Server>,
-    due: BTreeSet<(Duration, Due)>,
+    timers: TimerQueue,
     calls_failed: u32,
     dials: RetryBudget,
     /// Pause between sessions dialled; when the next may be, it grew, one came up; what failed last since.
@@ -242,7 +140,7 @@
 
     /// Draws by another nonce from now on.
     pub fn reseed(&mut self, nonce: u64) {
-        self.chance = (nonce ^ (nonce >> 32)) & 0xffff_ffff | 1 << 32;
+        self.random = RandomSource::seeded(nonce);
     }
 
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
@@ -264,7 +162,7 @@
             Event::SessionOpened {
                 session: sess,
                 dial,
-            } => self.advance(sess, Some(dial), Input::Began, out),
+            } => self.advance(sess, Some(dial), SessionInput::Opened, out),
             Event::AttemptEnded {
                 session: sess,
                 dial,
@@ -276,7 +174,11 @@
                 self.advance(
                     sess,
                     Some(dial),
-                    if over { Input::Closed } else { Input::Failed },
+                    if over {
+                        SessionInput::Closed
+                    } else {
+                        SessionInput::AttemptFailed
+                    },
                     out,
                 );
             }
@@ -290,7 +192,9 @@
                 outcome,
                 load,
             } => self.probed(server, outcome, load, out),
-            Event::ClientLeft { session: sess } => self.advance(sess, None, Input::Left, out),
+            Event::ClientLeft { session: sess } => {
+                self.advance(sess, None, SessionInput::ClientLeft, out)
+            }
             Event::ZoneShare { zone, share: open } => self.narrow(zone, open, out),
             Event::ProbeRequested { server } if self.facts.may_probe => self.probe(server, out),
             Event::ProbeRequested { .. } | Event::Observed { .. } => {}
@@ -330,7 +234,7 @@
                 let waiting = std::mem::take(&mut s.waiting);
                 waiting
                     .into_iter()
-                    .for_each(|sess| self.advance(sess, None, Input::Told, out));
+                    .for_each(|sess| self.advance(sess, None, SessionInput::ProbesAnswered, out));
             }
         }
     }
@@ -351,16 +255,18 @@
         held_by.is_none().then(|| self.dials.took(dialled));
         grow(&mut self.sessions, at);
         let listener = self.facts.listeners.get(usize::from(arrival.listener));
-        let Some(listener) = listener.filter(|_| self.sessions[at].state == State::Over) else {
+        let Some(listener) = listener.filter(|_| self.sessions[at].state == SessionState::Over)
+        else {
             return;
         };
         let (server, dials) = (held_by.unwrap_or_default(), u32::from(held_by.is_some()));
         grow(&mut self.servers, server as usize);
         let waits = (dialled + listener.handshake_target / 2)
             .min(arrival.dial_timeout.saturating_sub(TICK * 2));
-        let fresh = (State::Choosing, Input::Arrived);
-        let (state, input) = held_by.map_or(fresh, |_| (State::Dialling, Input::Began));
-        let luck = draw(&mut self.chance);
+        let fresh = (SessionState::Selecting, SessionInput::Requested);
+        let (state, input) =
+            held_by.map_or(fresh, |_| (SessionState::Dialing, SessionInput::Opened));
+        let luck = self.random.next_unit();
         let order = if held_by.is_none() {
             self.order(&arrival)
         } else {
@@ -368,55 +274,64 @@
         };
         self.sessions[at] = Session {
             state,
-            arrival,
+            request: arrival,
             server,
-            dials,
-            dialled,
-            order,
-            waits,
-            luck,
+            attempts: dials,
+            dialed_at: dialled,
+            ranked_servers: order,
+            probe_deadline: waits,
+            zone_draw: luck,
             ..Session::default()
         };
         self.advance(arrival.session, None, input, out);
     }
 
     /// Reads the table until a session rests. An input that speaks of an older `dial` is stray.
-    fn advance(&mut self, sess: SessionId, dial: Option<u8>, input: Input, out: &mut Vec<Action>) {
+    fn advance(
+        &mut self,
+        sess: SessionId,
+        dial: Option<u8>,
+        input: SessionInput,
+        out: &mut Vec<Action>,
+    ) {
         let mut next = self.speaks_of(sess, dial).then_some(input);
         while let Some(input) = next {
             let s = &mut self.sessions[sess as usize];
-            let Some(row) = TABLE.iter().find(|row| row.0 == s.state && row.1 == input) else {
+            let Some(effect) = s.transition(input) else {
                 return;
             };
-            s.state = row.2;
-            next = self.effect(sess, row.3, out);
-            out.extend((row.2 == State::Over).then_some(Action::Forget { session: sess }));
+            let is_over = s.state == SessionState::Over;
+            next = self.effect(sess, effect, out);
+            if is_over {
+                out.push(Action::Forget { session: sess });
+            }
         }
     }
 
     fn speaks_of(&self, sess: SessionId, dial: Option<u8>) -> bool {
         self.sessions
             .get(sess as usize)
-            .is_some_and(|s| dial.is_none_or(|d| u32::from(d) + 1 == s.dials))
+            .is_some_and(|s| dial.is_none_or(|d| u32::from(d) + 1 == s.attempts))
     }
 
-    fn effect(&mut self, sess: SessionId, effect: Effect, out: &mut Vec<Action>) -> Option<Input> {
+    fn effect(
+        &mut self,
+        sess: SessionId,
+        effect: SessionEffect,
+        out: &mut Vec<Action>,
+    ) -> Option<SessionInput> {
         let (now, s) = (self.now, &self.sessions[sess as usize]);
-        let (id, dialled, dial) = (
-            s.server as usize,
-            s.dialled,
-            s.dials.saturating_sub(1) as u8,
-        );
-        let group = s.arrival.group;
+        let (id, dialled, dial) = (s.server as usize, s.dialed_at, s.attempt_number());
+        let group = s.request.group;
         match effect {
-            Effect::Nothing => {}
-            Effect::Place => return Some(self.place(sess, out)),
-            Effect::Answer => {
-                (now >= s.arrival.dial_timeout || !self.pause.is_zero())
+            SessionEffect::Nothing => {}
+            SessionEffect::SelectServer => return Some(self.place(sess, out)),
+            SessionEffect::SendFinalAnswer => {
+                (now >= s.request.dial_timeout || !self.pause.is_zero())
                     .then(|| self.hold_back(sess));
                 out.push(self.answer(sess));
             }
-            Effect::Stand => {
+            SessionEffect::RecordOpened => {
                 let span = now.saturating_sub(dialled);
                 self.go_on(span > self.half(sess));
                 self.set_up = self.set_up.map(|before| (before * 7 + span) / 8);
@@ -425,14 +340,14 @@
                 s.reset(now);
                 self.held.extend(group.map(|group| (group, id as ServerId)));
             }
-            Effect::CallOff => {
+            SessionEffect::CancelAttempt => {
                 self.take_back(sess);
                 out.extend(self.facts.may_cancel.then_some(Action::Cancel {
                     session: sess,
                     dial,
                 }));
             }
-            Effect::Release => {
+            SessionEffect::ReleaseConnection => {
                 let s = &mut self.servers[id];
                 s.age(now);
                 s.open = s.open.saturating_sub(1);
@@ -471,7 +386,7 @@
     /// A bump of the score: a connection, and what the others send to one of two drawn. A client that comes
     /// again is in late counts already, where it was before, and often came from the others.
     fn bump(&self, sess: SessionId) -> f64 {
-        let others = if self.sessions[sess as usize].arrival.reconnecting {
+        let others = if self.sessions[sess as usize].request.reconnecting {
             0.0
         } else {
             self.others()
@@ -483,7 +398,7 @@
         let Some(s) = self.servers.get_mut(id as usize) else {
             return;
         };
-        s.asked = self.now + TICK.mul_f64(2.0 * draw(&mut self.chance));
+        s.asked = self.now + TICK.mul_f64(2.0 * self.random.next_unit());
         out.extend(
             (!std::mem::replace(&mut s.probing, true)).then_some(Action::Probe { server: id }),
         );
@@ -492,31 +407,31 @@
     fn take_back(&mut self, sess: SessionId) {
         let (bump, sess) = (self.bump(sess), &self.sessions[sess as usize]);
         let s = &mut self.servers[sess.server as usize];
-        s.sends.retain(|sent| sent.0 != sess.dialled);
+        s.sends.retain(|sent| sent.0 != sess.dialed_at);
         s.age(self.now);
         s.g = (s.g - bump).max(0.0);
     }
 
     /// Charon's choice, then the gate. A candidate whose count is old is asked first.
-    fn place(&mut self, sess: SessionId, out: &mut Vec<Action>) -> Input {
+    fn place(&mut self, sess: SessionId, out: &mut Vec<Action>) -> SessionInput {
         let (ask, drawn) = self.draw_two(sess);
         match self.lower(&drawn) {
             Some(_) if ask => self.ask(sess, &drawn, out),
             Some(chosen) => self.send(sess, chosen, out),
             // One more session would spoil those that stand.
-            None => Input::GivenUp,
+            None => SessionInput::GivenUp,
         }
     }
 
     /// Two candidates of the best pool that is not empty, and whether to ask them first.
     fn draw_two(&self, sess: SessionId) -> (bool, Vec<Candidate>) {
         let (crowd, s) = (self.crowd(self.others()), &self.sessions[sess as usize]);
-        let asks = if self.facts.may_probe && self.now < s.waits {
-            s.asks
+        let asks = if self.facts.may_probe && self.now < s.probe_deadline {
+            s.probes_requested
         } else {
             u32::MAX
         };
-        let (group, hashed) = (s.arrival.group, self.hashed(&s.arrival).is_some());
+        let (group, hashed) = (s.request.group, self.hashed(&s.request).is_some());
         let holders: Vec<ServerId> = self
             .held
             .iter()
@@ -529,28 +444,28 @@
         // would be waited for again; that harms where slow ones would serve all the same.
         let quiet = |to: &Server| to.probing && self.now >= to.asked + TICK;
         let zone = |id: ServerId| self.servers[id as usize].entry.zone;
-        let erred = |id| s.failed_by.iter().any(|&f| zone(f) == zone(id));
+        let erred = |id| s.failed_servers.iter().any(|&f| zone(f) == zone(id));
         let away = self.nowhere(s)
-            && s.order
+            && s.ranked_servers
                 .iter()
                 .any(|&id| !erred(id) && self.may_send(sess, id));
         let rested = |id| {
             let to: &Server = &self.servers[id as usize];
-            let left = s.failed_by.contains(&id) || away && erred(id);
+            let left = s.failed_servers.contains(&id) || away && erred(id);
             to.shut_until <= self.now && !quiet(to) && !left
         };
         let open = |id: ServerId| {
             self.narrowed
                 .iter()
-                .all(|n| n.0 != zone(id) || s.luck < n.1)
+                .all(|n| n.0 != zone(id) || s.zone_draw < n.1)
         };
         let all_rest = !s
-            .order
+            .ranked_servers
             .iter()
             .any(|&id| open(id) && rested(id) && self.may_send(sess, id));
         // Before a session is refused, one at rest that answers probes may take it.
         let trial =
-            |id: ServerId| self.servers[id as usize].silent == 0 && !s.failed_by.contains(&id);
+            |id: ServerId| self.servers[id as usize].silent == 0 && !s.failed_servers.contains(&id);
         let usable =
             |id, nth| open(id) && (nth == 6 || all_rest || rested(id)) && self.may_send(sess, id);
         let candidate = |id: ServerId| {
@@ -572,7 +487,7 @@
         // the order that all proxies share; walking on would spread it, and each server pays for it anew.
         let pools: [&dyn Fn(ServerId) -> bool; 6] =
             [&near, &holds, &|_| true, &|_| true, &holds, &trial];
-        let worth = self.facts.listeners[usize::from(s.arrival.listener)].priority_weight;
+        let worth = self.facts.listeners[usize::from(s.request.listener)].priority_weight;
         let full = FULL * (1.0 - SPARE * (1.0 - worth));
         let limits = [
             (NEAR, hashed),
@@ -586,7 +501,7 @@
             let may_ask = asks < ASKS * nth;
             let room = |c: &Candidate| c.load < limit || may_ask && !c.fresh;
             let reach = s
-                .order
+                .ranked_servers
                 .iter()
                 .copied()
                 .filter(|id| fits(*id) && usable(*id, nth))
@@ -612,17 +527,17 @@
         }
     }
 
-    fn ask(&mut self, sess: SessionId, drawn: &[Candidate], out: &mut Vec<Action>) -> Input {
-        self.due
-            .insert((self.sessions[sess as usize].waits, Due::Told(sess)));
+    fn ask(&mut self, sess: SessionId, drawn: &[Candidate], out: &mut Vec<Action>) -> SessionInput {
+        let deadline = self.sessions[sess as usize].probe_deadline;
+        self.timers.schedule(deadline, Timer::ProbeWaitOver(sess));
         for c in drawn.iter().filter(|c| !c.fresh) {
             let waiting = &mut self.servers[c.id as usize].waiting;
             let new = (!waiting.contains(&sess)).then_some(sess);
             waiting.extend(new);
-            self.sessions[sess as usize].asks += u32::from(new.is_some());
+            self.sessions[sess as usize].probes_requested += u32::from(new.is_some());
             self.probe(c.id, out);
         }
-        Input::Asked
+        SessionInput::ProbesSent
     }
 
     /// All servers as a session draws them, by weight; by chance where nothing is hashed.
@@ -632,7 +547,7 @@
         let rank = |(id, to): (ServerId, &Server)| {
             let weight = if even { 1.0 } else { to.entry.weight.max(1e-6) };
             (
-                -hash_unit(hashed.unwrap_or(self.chance), to.entry.hash_key)
+                -hash_to_unit(hashed.unwrap_or(self.random.state()), to.entry.hash_key)
                     .max(1e-12)
                     .ln()
                     / weight,
@@ -650,7 +565,7 @@
         let (first, second) = (drawn.first()?, drawn.last()?);
         let cost = |c: &Candidate| (!c.holds, c.load);
         let order = cost(first).partial_cmp(&cost(second));
-        let wins = order.is_some_and(|o| o.is_lt() || o.is_eq() && draw(&mut self.chance) < 0.5);
+        let wins = order.is_some_and(|o| o.is_lt() || o.is_eq() && self.random.next_unit() < 0.5);
         Some(if wins { first.id } else { second.id })
     }
 
@@ -696,16 +611,17 @@
     /// The one gate: each rule stands here, and every dial passes.
     fn may_send(&self, sess: SessionId, id: ServerId) -> bool {
         let (s, to) = (&self.sessions[sess as usize], &self.servers[id as usize]);
-        let answered = s.state != State::Choosing || self.now >= s.arrival.dial_timeout;
-        let spent = s.dials >= self.facts.max_attempts.max(1)
-            || s.dials > 0 && !self.dials.allows(self.now);
+        let answered = s.state != SessionState::Selecting || self.now >= s.request.dial_timeout;
+        let spent = s.attempts >= self.facts.max_attempts.max(1)
+            || s.attempts > 0 && !self.dials.allows(self.now);
         let spent = spent
-            || s.failed_by.len() > 1 && self.nowhere(s)
-            || s.dials > 0 && self.pause > PAUSES.0 * 4;
+            || s.failed_servers.len() > 1 && self.nowhere(s)
+            || s.attempts > 0 && self.pause > PAUSES.0 * 4;
         let drained = to.entry.state != EndpointState::Ready;
         let cold = self.warmth(to, self.now) < 1.0 && self.budget(to) < 1.0;
-        let twice = s.ran.is_some_and(|(sent, first)| {
-            let first = &self.servers[first as usize].entry;
+        let twice = s.first_execution.is_some_and(|first| {
+            let sent = first.dialed_at;
+            let first = &self.servers[first.server as usize].entry;
             match self.kind(s) {
                 RetrySafety::Idempotent => false,
                 RetrySafety::NotIdempotent => true,
@@ -722,9 +638,9 @@
         !(answered || spent || drained || cold || twice)
     }
 
-    fn send(&mut self, sess: SessionId, id: ServerId, out: &mut Vec<Action>) -> Input {
+    fn send(&mut self, sess: SessionId, id: ServerId, out: &mut Vec<Action>) -> SessionInput {
         if !self.may_send(sess, id) || self.held_back(&self.sessions[sess as usize]) {
-            return Input::GivenUp;
+            return SessionInput::GivenUp;
         }
         let (now, bump, time_out) = (self.now, self.bump(sess), self.time_out(sess));
         let budget = self.budget(&self.servers[id as usize]);
@@ -733,11 +649,11 @@
         to.g += bump;
         to.sends.push((now, bump));
         (to.budget, to.filled) = (budget - 1.0, now);
-        (self.sessions[sess as usize].dials > 0).then(|| self.dials.spent(now));
+        (self.sessions[sess as usize].attempts > 0).then(|| self.dials.spent(now));
         let s = &mut self.sessions[sess as usize];
-        (s.server, s.dials, s.dialled) = (id, s.dials + 1, now);
-        let pause = self.pause.mul_f64(0.9 + 0.2 * draw(&mut self.chance));
-        self.next = if self.sessions[sess as usize].dials == 1 {
+        (s.server, s.attempts, s.dialed_at) = (id, s.attempts + 1, now);
+        let pause = self.pause.mul_f64(0.9 + 0.2 * self.random.next_unit());
+        self.next = if self.sessions[sess as usize].attempts == 1 {
             now + pause
         } else {
             self.next
@@ -745,9 +661,9 @@
         (self.pace, self.sent) = (self.pace * fade(now, self.sent) + 1.0 / CHURN, now);
         // A further dial of a referenced session has to be on its way before its mark is forgotten.
         let s = &self.sessions[sess as usize];
-        let within = match (self.kind(s), s.ran) {
+        let within = match (self.kind(s), s.first_execution) {
             (RetrySafety::IdempotencyKey(_, ttl), Some(first)) => {
-                (first.0 + ttl).saturating_sub(now + EDGE)
+                (first.dialed_at + ttl).saturating_sub(now + EDGE)
             }
             _ => time_out,
         };
@@ -757,7 +673,7 @@
             timeout: time_out,
             write_within: within,
         });
-        Input::Dialled
+        SessionInput::Dialed
     }
 
     /// Sessions fail wherever they go: what stands behind the servers is short, and more dials keep it so.
@@ -765,10 +681,11 @@
     fn hold_back(&mut self, sess: SessionId) {
         let s = &self.sessions[sess as usize];
         // Who was dialled before the last pause tells nothing of that; a bad client fails again, alone.
-        let since =
-            self.came_up + REST <= self.now && s.ran.is_some_and(|first| self.slowed <= first.0);
-        let another = since && self.nowhere(s) && self.doubted != Some(s.arrival.hash_key);
-        if another && (self.doubted.replace(s.arrival.hash_key).is_some() || self.came_up.is_zero())
+        let since = self.came_up + REST <= self.now
+            && s.first_execution
+                .is_some_and(|first| self.slowed <= first.dialed_at);
+        let another = since && self.nowhere(s) && self.doubted != Some(s.request.hash_key);
+        if another && (self.doubted.replace(s.request.hash_key).is_some() || self.came_up.is_zero())
         {
             let first = if self.came_up.is_zero() {
                 PAUSES.0 * 4
@@ -783,19 +700,20 @@
                 },
                 self.now,
             );
-            self.next = self.now + self.pause.mul_f64(0.9 + 0.2 * draw(&mut self.chance));
+            self.next = self.now + self.pause.mul_f64(0.9 + 0.2 * self.random.next_unit());
         }
     }
 
     /// A session waits for its turn while there are pauses; who failed last lets others go first.
     fn held_back(&self, s: &Session) -> bool {
-        let again = self.doubted == Some(s.arrival.hash_key) && self.now < self.next + self.pause;
-        s.dials == 0 && !self.pause.is_zero() && (self.now < self.next || again)
+        let again = self.doubted == Some(s.request.hash_key) && self.now < self.next + self.pause;
+        s.attempts == 0 && !self.pause.is_zero() && (self.now < self.next || again)
     }
 
     /// Whether a dial of it failed that may have run, and nothing came up anywhere since.
     fn nowhere(&self, s: &Session) -> bool {
-        s.ran.is_some_and(|first| self.came_up <= first.0)
+        s.first_execution
+            .is_some_and(|first| self.came_up <= first.dialed_at)
     }
 
     /// One came up. One that took long shows that others wait there, and that more would only wait longer.
@@ -815,7 +733,7 @@
     }
 
     fn half(&self, sess: SessionId) -> Duration {
-        self.facts.listeners[usize::from(self.sessions[sess as usize].arrival.listener)]
+        self.facts.listeners[usize::from(self.sessions[sess as usize].request.listener)]
             .handshake_target
             / 2
     }
@@ -824,11 +742,11 @@
     /// Where set-ups are slow everywhere it is more, or it would jam them with work that nobody awaits.
     fn time_out(&self, sess: SessionId) -> Duration {
         let s = &self.sessions[sess as usize];
-        let left = s.arrival.dial_timeout.saturating_sub(self.now);
+        let left = s.request.dial_timeout.saturating_sub(self.now);
         let wait =
-            (self.half(sess) * (1 << s.dials.min(8))).max(self.set_up.unwrap_or_default() * 2);
+            (self.half(sess) * (1 << s.attempts.min(8))).max(self.set_up.unwrap_or_default() * 2);
         let last =
-            s.dials + 1 >= self.facts.max_attempts || self.pause > PAUSES.0 || self.nowhere(s);
+            s.attempts + 1 >= self.facts.max_attempts || self.pause > PAUSES.0 || self.nowhere(s);
         if last { left } else { wait.min(left) }
     }
 
@@ -843,7 +761,7 @@
             session: sess,
             retry_after: self.facts.max_retry_after.min(REST),
         };
-        if harmless || s.ran.is_none() {
+        if harmless || s.first_execution.is_none() {
             refusal
         } else {
             Action::Fail { session: sess }
@@ -851,7 +769,7 @@
     }
 
     fn kind(&self, s: &Session) -> RetrySafety {
-        self.facts.listeners[usize::from(s.arrival.listener)].retry_safety
+        self.facts.listeners[usize::from(s.request.listener)].retry_safety
     }
 
     /// What the end of a dial or connection tells of its server.
@@ -862,15 +780,18 @@
         let (now, s) = (self.now, &mut self.sessions[sess as usize]);
         let (id, setting_up, waited) = (
             s.server,
-            s.state == State::Dialling,
-            now.saturating_sub(s.dialled),
+            s.state == SessionState::Dialing,
+            now.saturating_sub(s.dialed_at),
         );
         let unrun = matches!(
             outcome,
             Outcome::Full | Outcome::Unreachable | Outcome::NeverSent
         );
         if setting_up {
-            s.ran = s.ran.or((!unrun).then_some((s.dialled, id)));
+            s.first_execution = s.first_execution.or((!unrun).then_some(Attempt {
+                dialed_at: s.dialed_at,
+                server: id,
+            }));
             self.take_back(sess);
             // Slow for one is slow for the next: thin traffic would learn it too late from a mean.
             self.set_up = self
@@ -878,7 +799,7 @@
                 .max((outcome == Outcome::TimedOut).then_some(waited * 2));
             let failed = matches!(outcome, Outcome::Erred | Outcome::TimedOut | Outcome::Reset);
             (failed && (dial > 0 || self.came_up.is_zero())).then(|| self.hold_back(sess));
-            let tried = &mut self.sessions[sess as usize].failed_by;
+            let tried = &mut self.sessions[sess as usize].failed_servers;
             let first = tried.first().copied();
             tried.extend(matches!(outcome, Outcome::Erred | Outcome::Reset).then_some(id));
             match (outcome, first) {
@@ -930,7 +851,7 @@
         self.relieve(id, load.utilization.map(|asked| asked * more), out);
         waiting
             .into_iter()
-            .for_each(|sess| self.advance(sess, None, Input::Told, out));
+            .for_each(|sess| self.advance(sess, None, SessionInput::ProbesAnswered, out));
     }
 
     fn report(&mut self, id: ServerId, load: Load) {
@@ -963,23 +884,22 @@
             _ => return,
         };
         s.relieved = self.now + STALE;
-        let excess = (f64::from(s.open) * (1.0 - keep) + draw(&mut self.chance)) as usize;
+        let excess = (f64::from(s.open) * (1.0 - keep) + self.random.next_unit()) as usize;
         let kin = |s: &Session| {
             self.held
                 .iter()
-                .filter(|h| (Some(h.0), h.1) == (s.arrival.group, id))
+                .filter(|h| (Some(h.0), h.1) == (s.request.group, id))
                 .count()
         };
         let free = |s: &&Session| {
-            (s.state, s.server, self.kind(s)) == (State::Open, id, RetrySafety::Idempotent)
+            (s.state, s.server, self.kind(s)) == (SessionState::Open, id, RetrySafety::Idempotent)
         };
         let here = self.sessions.iter().filter(free);
-        let mut order: Vec<(usize, SessionId)> =
-            here.map(|s| (kin(s), s.arrival.session)).collect();
+        let mut order: Vec<(usize, SessionId)> = here.map(|s| (kin(s), s.id())).collect();
         order.sort_unstable();
         for (_, sess) in order.into_iter().take(excess) {
             out.push(Action::Migrate { session: sess });
-            self.advance(sess, None, Input::Left, out);
+            self.advance(sess, None, SessionInput::ClientLeft, out);
         }
     }
 
@@ -994,7 +914,8 @@
         let bears = (self.bears * proxies).max(planned).max(1.0);
         let unit = self.unit.unwrap_or(1.0 / bears).max(1e-3);
         self.fill = 1.0 / (warm_after * unit) / proxies;
-        self.due.insert((self.now + PROBE, Due::Survey));
+        self.timers
+            .schedule(self.now + PROBE, Timer::RefreshAverages);
     }
 
     fn learn(&mut self, roster: EndpointUpdate) {
@@ -1005,14 +926,14 @@
                 self.calls_failed = (self.calls_failed + 1).min(4);
                 let longest = (f64::from(self.facts.proxy_count) / CALLS).max(0.32);
                 let mean = (0.1 * f64::from(1 << self.calls_failed)).min(longest);
-                let part = mean * (0.5 + draw(&mut self.chance));
+                let part = mean * (0.5 + self.random.next_unit());
                 let wait = self
                     .facts
                     .endpoint_poll_delay
                     .unwrap_or_default()
                     .mul_f64(part);
-                self.due.retain(|d| d.1 != Due::AskRoster);
-                self.due.insert((self.now + wait, Due::AskRoster));
+                self.timers
+                    .reschedule(self.now + wait, Timer::PollEndpoints);
                 return;
             }
             EndpointUpdate::Changes(entries) => (entries, false),
@@ -1032,7 +953,7 @@
             grow(&mut self.servers, entry.server as usize);
             // One that cannot use all cold servers yet uses those that rank highest by its number and theirs.
             // What another process of this proxy had of it may be spent this moment.
-            let first = hash_unit(u64::from(self.facts.proxy_index) + 1, entry.hash_key);
+            let first = hash_to_unit(u64::from(self.facts.proxy_index) + 1, entry.hash_key);
             let budget = if inherited { 0.0 } else { first };
             let s = &mut self.servers[entry.server as usize];
             if s.rest.is_zero() || s.entry.started_at != entry.started_at {
@@ -1053,12 +974,13 @@
 
     fn tick(&mut self, out: &mut Vec<Action>) {
         out.push(Action::SetTimer { after: TICK });
-        while let Some(&(_, due)) = self.due.first().filter(|d| d.0 <= self.now) {
-            self.due.pop_first();
-            match due {
-                Due::AskRoster => out.push(Action::PollEndpoints),
-                Due::Survey => self.survey(),
-                Due::Told(sess) => self.advance(sess, None, Input::Told, out),
+        while let Some(timer) = self.timers.pop_due(self.now) {
+            match timer {
+                Timer::PollEndpoints => out.push(Action::PollEndpoints),
+                Timer::RefreshAverages => self.survey(),
+                Timer::ProbeWaitOver(sess) => {
+                    self.advance(sess, None, SessionInput::ProbesAnswered, out)
+                }
             }
         }
         // A server that holds connections of ours is probed, the more it holds, the sooner.
@@ -1071,12 +993,6 @@
     }
 }
 
-/// Multiply-with-carry.
-fn draw(chance: &mut u64) -> f64 {
-    *chance = (*chance & 0xffff_ffff) * 0xfffe_b81b + (*chance >> 32);
-    (*chance & 0xffff_ffff) as f64 / 4_294_967_296.0
-}
-
 fn grow<T: Clone + Default>(list: &mut Vec<T>, at: usize) {
     if list.len() <= at {
         list.resize(at + 1, T::default());
@@ -1106,12 +1022,3 @@
         });
     }
 }
-
-/// A number in [0, 1) that every proxy finds for the same pair.
-fn hash_unit(a: u64, b: u64) -> f64 {
-    let mut x = a ^ b.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    for _ in 0..2 {
-        x = (x ^ (x >> 31)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    }
-    ((x ^ (x >> 29)) >> 11) as f64 / (1u64 << 53) as f64
-}
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -13,8 +13,11 @@
 pub mod deployment;
 pub mod engine;
 pub mod event;
+mod random;
 pub mod retry_budget;
+mod session;
 pub mod settings;
+mod timers;
 
 pub use action::Action;
 pub use deployment::Deployment;
