--- a/crates/placement/src/engine.rs
+++ b/crates/placement/src/engine.rs
@@ -7,26 +7,23 @@
 use crate::action::Action;
 use crate::deployment::{Deployment, IdempotencyScope, RetrySafety};
 use crate::event::{
-    Endpoint, EndpointState, EndpointUpdate, Event, Load, Observation, Outcome, ServerId,
-    SessionId, SessionRequest,
+    EndpointState, EndpointUpdate, Event, Load, Observation, Outcome, ServerId, SessionId,
+    SessionRequest,
 };
+use crate::load_estimate::{LoadEstimate, MAX_REPORT_AGE, RATE_WINDOW, decay};
+use crate::outlier_ejection::BASE_EJECTION;
 use crate::random::{RandomSource, hash_to_unit};
 use crate::retry_budget::RetryBudget;
+use crate::server::Server;
 use crate::session::{Attempt, Session, SessionEffect, SessionInput, SessionState};
+use crate::slow_start::{DialAllowance, SlowStart};
 use crate::timers::{Timer, TimerQueue};
 use std::time::Duration;
 
-/// Span over which rates are averaged, in seconds.
-const CHURN: f64 = 10.0;
 const TICK: Duration = Duration::from_millis(100);
 /// Pace at which a server in use is probed, and from how many connections of our own it is kept.
 const PROBE: Duration = Duration::from_millis(1000);
-const WORTH: f64 = 6.0;
-/// How old a count may be to choose by, and how many servers of a pool are looked at: more spread a group.
-const FRESH: Duration = Duration::from_millis(1500);
 const ASKS: u32 = 8;
-/// How old a count may be when a probe brings it; sends younger than that are added to it.
-const STALE: Duration = Duration::from_millis(1000);
 /// Share of a server from which it is not preferred for being near and takes a group only as one of its
 /// first two, and from which not even then.
 const NEAR: f64 = 0.5;
@@ -38,51 +35,12 @@
 const CLEAR: f64 = 3.0;
 /// Part of the last room that is kept from sessions worth nothing, and in proportion from those worth less.
 const SPARE: f64 = 0.1;
-/// Unanswered probes in a row that make a server silent.
-const SILENT: u32 = 2;
-/// Connections from which a report tells what one takes; fewer pay more for groups, and all would look full.
-const FEW: f64 = 8.0;
 /// Failing calls of a large fleet to a roster that must be asked, in the span after which one is deemed told.
 const CALLS: f64 = 125.0;
-/// Part of the rule's multiple that all proxies together may send a cold server.
-const PART: f64 = 0.75;
 /// Least and longest pause between sessions dialled, once some failed everywhere: an attempt within each 4 s.
 const PAUSES: (Duration, Duration) = (Duration::from_millis(250), Duration::from_millis(3_000));
-/// For which part of the rule's span a dial that a cold server may be sent is kept.
-const KEPT: f64 = 2.0 / 3.0;
 /// How much sooner than its servers forget it a referenced session is sent no more: the platform's slack.
 const EDGE: Duration = Duration::from_millis(50);
-/// How long a server that failed is left alone, at first.
-const REST: Duration = Duration::from_millis(1000);
-
-#[derive(Clone, Debug, Default)]
-struct Server {
-    entry: Endpoint,
-    /// Charon's score, speed and time of last update.
-    g: f64,
-    v: f64,
-    t: Duration,
-    /// Share of the server that a connection takes, by its reports.
-    unit: Option<f64>,
-    /// Last probed count, and our sends too young to be in it, with their bumps.
-    counted: Option<f64>,
-    heard: Option<Duration>,
-    sends: Vec<(Duration, f64)>,
-    open: u32,
-    /// Not relieved again before its reports can show it.
-    relieved: Duration,
-    /// How much slower its last report showed it.
-    slower: f64,
-    silent: u32,
-    rest: Duration,
-    shut_until: Duration,
-    /// What may still be sent to it while it is cold, as of when.
-    budget: f64,
-    filled: Duration,
-    asked: Duration,
-    probing: bool,
-    waiting: Vec<SessionId>,
-}
 
 struct Candidate {
     id: ServerId,
@@ -115,8 +73,7 @@
     /// What a connection takes of a server, over all that told, and how many of ours warm ones bear.
     unit: Option<f64>,
     bears: f64,
-    /// Connections a second that fill a server as it warms, divided by the proxies: all keep the cold rule.
-    fill: f64,
+    slow_start: SlowStart,
     /// Zones that take less than they would, and which part.
     narrowed: Vec<(u8, f64)>,
     set_up: Option<Duration>,
@@ -129,8 +86,10 @@
             ..facts
         };
         let dials = RetryBudget::new(facts.retry_budget);
+        let slow_start = SlowStart::new(facts.slow_start);
         let mut choice = PlacementEngine {
             facts,
+            slow_start,
             dials,
             ..PlacementEngine::default()
         };
@@ -212,7 +171,7 @@
             .any(|l| l.message_target.is_some_and(|target| span > target))
         {
             let load = self
-                .mean(|s| Some(s.unit? * s.aged(self.now)))
+                .mean(|s| Some(s.load.load_per_connection()? * s.load.aged_score(self.now)))
                 .unwrap_or(NEAR);
             let piled = CLEAR * (FULL - load).max(0.0) * span.as_secs_f64();
             self.relieve(server, Some(1.0 + piled), out);
@@ -224,14 +183,12 @@
     fn narrow(&mut self, zone: u8, open: f64, out: &mut Vec<Action>) {
         self.narrowed.retain(|n| n.0 != zone);
         self.narrowed.extend((open < 1.0).then_some((zone, open)));
-        let there = |s: &Server| {
-            open <= 0.0 && s.entry.zone == zone && s.entry.state == EndpointState::Ready
-        };
+        let there = |s: &Server| open <= 0.0 && s.endpoint.zone == zone && s.is_ready();
         for id in 0..self.servers.len() {
             if there(&self.servers[id]) {
                 let s = &mut self.servers[id];
-                s.silent = s.silent.max(SILENT);
-                let waiting = std::mem::take(&mut s.waiting);
+                s.probes.mark_unresponsive();
+                let waiting = s.probes.take_waiting();
                 waiting
                     .into_iter()
                     .for_each(|sess| self.advance(sess, None, SessionInput::ProbesAnswered, out));
@@ -244,9 +201,9 @@
         let listed = self
             .servers
             .iter()
-            .filter(|s| s.entry.state != EndpointState::Gone);
+            .filter(|s| s.endpoint.state != EndpointState::Gone);
         listed
-            .filter(|s| s.shut_until > now || s.silent >= SILENT)
+            .filter(|s| s.ejection.is_active(now) || s.probes.is_unresponsive())
             .count()
     }
 
@@ -336,8 +293,9 @@
                 self.go_on(span > self.half(sess));
                 self.set_up = self.set_up.map(|before| (before * 7 + span) / 8);
                 let s = &mut self.servers[id];
-                (s.open, s.rest) = (s.open + 1, REST);
-                s.reset(now);
+                s.open_connections += 1;
+                s.ejection.record_success();
+                s.load.reset_to_report(now);
                 self.held.extend(group.map(|group| (group, id as ServerId)));
             }
             SessionEffect::CancelAttempt => {
@@ -349,9 +307,8 @@
             }
             SessionEffect::ReleaseConnection => {
                 let s = &mut self.servers[id];
-                s.age(now);
-                s.open = s.open.saturating_sub(1);
-                s.v += 1.0 / CHURN;
+                s.open_connections = s.open_connections.saturating_sub(1);
+                s.load.record_completion(now);
                 let at = self
                     .held
                     .iter()
@@ -364,10 +321,12 @@
 
     /// How many others are as busy as we are, by the connections that they hold: who leaves sends no more.
     fn others(&self) -> f64 {
-        let counts = self
-            .servers
-            .iter()
-            .filter_map(|s| Some((s.counted?, f64::from(s.open))));
+        let counts = self.servers.iter().filter_map(|s| {
+            Some((
+                s.load.reported_connections()?,
+                f64::from(s.open_connections),
+            ))
+        });
         let (all, ours) = counts.fold((0.0, 0.0), |sum, s| (sum.0 + s.0, sum.1 + s.1));
         let theirs = if all > 0.0 {
             (all - ours) / ours.max(1.0)
@@ -379,7 +338,7 @@
 
     /// What they send a server unseen while a count is as old as it may be.
     fn crowd(&self, others: f64) -> f64 {
-        let young = self.pace * fade(self.now, self.sent) * STALE.as_secs_f64();
+        let young = self.pace * decay(self.now, self.sent) * MAX_REPORT_AGE.as_secs_f64();
         others * young / self.servers.len().max(1) as f64
     }
 
@@ -398,18 +357,16 @@
         let Some(s) = self.servers.get_mut(id as usize) else {
             return;
         };
-        s.asked = self.now + TICK.mul_f64(2.0 * self.random.next_unit());
-        out.extend(
-            (!std::mem::replace(&mut s.probing, true)).then_some(Action::Probe { server: id }),
-        );
+        let jitter = TICK.mul_f64(2.0 * self.random.next_unit());
+        if s.probes.request(self.now + jitter) {
+            out.push(Action::Probe { server: id });
+        }
     }
 
     fn take_back(&mut self, sess: SessionId) {
         let (bump, sess) = (self.bump(sess), &self.sessions[sess as usize]);
         let s = &mut self.servers[sess.server as usize];
-        s.sends.retain(|sent| sent.0 != sess.dialed_at);
-        s.age(self.now);
-        s.g = (s.g - bump).max(0.0);
+        s.load.take_back_dial(self.now, sess.dialed_at, bump);
     }
 
     /// Charon's choice, then the gate. A candidate whose count is old is asked first.
@@ -438,12 +395,12 @@
             .filter(|h| Some(h.0) == group)
             .map(|h| h.1)
             .collect();
-        let near = |id: ServerId| self.servers[id as usize].entry.zone == self.facts.zone;
+        let near = |id: ServerId| self.servers[id as usize].endpoint.zone == self.facts.zone;
         let holds = |id: ServerId| group.is_none() || holders.contains(&id);
         // A server that fails or hangs rests, or its zone, unless all do. One that leaves a probe unanswered
         // would be waited for again; that harms where slow ones would serve all the same.
-        let quiet = |to: &Server| to.probing && self.now >= to.asked + TICK;
-        let zone = |id: ServerId| self.servers[id as usize].entry.zone;
+        let quiet = |to: &Server| to.probes.is_late(self.now);
+        let zone = |id: ServerId| self.servers[id as usize].endpoint.zone;
         let erred = |id| s.failed_servers.iter().any(|&f| zone(f) == zone(id));
         let away = self.nowhere(s)
             && s.ranked_servers
@@ -452,7 +409,7 @@
         let rested = |id| {
             let to: &Server = &self.servers[id as usize];
             let left = s.failed_servers.contains(&id) || away && erred(id);
-            to.shut_until <= self.now && !quiet(to) && !left
+            !to.ejection.is_active(self.now) && !quiet(to) && !left
         };
         let open = |id: ServerId| {
             self.narrowed
@@ -464,21 +421,23 @@
             .iter()
             .any(|&id| open(id) && rested(id) && self.may_send(sess, id));
         // Before a session is refused, one at rest that answers probes may take it.
-        let trial =
-            |id: ServerId| self.servers[id as usize].silent == 0 && !s.failed_servers.contains(&id);
+        let trial = |id: ServerId| {
+            self.servers[id as usize].probes.last_was_answered() && !s.failed_servers.contains(&id)
+        };
         let usable =
             |id, nth| open(id) && (nth == 6 || all_rest || rested(id)) && self.may_send(sess, id);
         let candidate = |id: ServerId| {
             let to = &self.servers[id as usize];
             // A cold server can do less, so its connections take larger shares.
             let mean = self.unit.unwrap_or(f64::EPSILON);
-            let unit = to.unit.unwrap_or(mean / self.warmth(to, self.now));
-            let fresh = to
-                .heard
-                .is_some_and(|at| self.now.saturating_sub(at) <= FRESH);
+            let unit = to
+                .load
+                .load_per_connection()
+                .unwrap_or(mean / self.warmth(to, self.now));
+            let fresh = to.probes.has_fresh_answer(self.now);
             Candidate {
                 id,
-                load: (to.aged(self.now) + crowd + 1.0) * unit,
+                load: (to.load.aged_score(self.now) + crowd + 1.0) * unit,
                 holds: holds(id),
                 fresh,
             }
@@ -531,10 +490,9 @@
         let deadline = self.sessions[sess as usize].probe_deadline;
         self.timers.schedule(deadline, Timer::ProbeWaitOver(sess));
         for c in drawn.iter().filter(|c| !c.fresh) {
-            let waiting = &mut self.servers[c.id as usize].waiting;
-            let new = (!waiting.contains(&sess)).then_some(sess);
-            waiting.extend(new);
-            self.sessions[sess as usize].probes_requested += u32::from(new.is_some());
+            if self.servers[c.id as usize].probes.add_waiting(sess) {
+                self.sessions[sess as usize].probes_requested += 1;
+            }
             self.probe(c.id, out);
         }
         SessionInput::ProbesSent
@@ -545,9 +503,13 @@
         let hashed = self.hashed(arrival);
         let even = hashed.is_some() && self.facts.weights_reflect_load;
         let rank = |(id, to): (ServerId, &Server)| {
-            let weight = if even { 1.0 } else { to.entry.weight.max(1e-6) };
+            let weight = if even {
+                1.0
+            } else {
+                to.endpoint.weight.max(1e-6)
+            };
             (
-                -hash_to_unit(hashed.unwrap_or(self.random.state()), to.entry.hash_key)
+                -hash_to_unit(hashed.unwrap_or(self.random.state()), to.endpoint.hash_key)
                     .max(1e-12)
                     .ln()
                     / weight,
@@ -570,10 +532,7 @@
     }
 
     fn mean(&self, of: impl Fn(&Server) -> Option<f64>) -> Option<f64> {
-        let ready = self
-            .servers
-            .iter()
-            .filter(|s| s.entry.state == EndpointState::Ready);
+        let ready = self.servers.iter().filter(|s| s.is_ready());
         let (sum, n) = ready
             .filter_map(of)
             .fold((0.0, 0.0), |(sum, n), x| (sum + x, n + 1.0));
@@ -582,30 +541,7 @@
 
     /// Share of its capacity that a server has at least.
     fn warmth(&self, s: &Server, now: Duration) -> f64 {
-        let cold = self.facts.slow_start;
-        let up = s
-            .entry
-            .started_at
-            .map_or(cold.warm_after, |at| now.saturating_sub(at));
-        let part = (up.as_secs_f64() / cold.warm_after.as_secs_f64()).min(1.0);
-        cold.initial_capacity + (1.0 - cold.initial_capacity) * part
-    }
-
-    /// Dials that a cold server may still be sent: it fills at part of the rule's multiple of its warmth, as
-    /// sums scatter. What is not used is soon lost, or all could send at once what each has saved.
-    fn budget(&self, s: &Server) -> f64 {
-        let span = self.now.saturating_sub(s.filled).as_secs_f64();
-        let warmth = (self.warmth(s, s.filled) + self.warmth(s, self.now)) / 2.0;
-        let pace = PART * self.facts.slow_start.max_multiple * warmth * self.fill;
-        let (saved, kept) = (
-            s.budget + pace * span,
-            pace * self.facts.slow_start.span.as_secs_f64() * KEPT,
-        );
-        if saved < 1.0 || saved.fract() < kept {
-            saved.min(1.0 + saved.fract())
-        } else {
-            saved.fract()
-        }
+        self.slow_start.warmth(s.endpoint.started_at, now)
     }
 
     /// The one gate: each rule stands here, and every dial passes.
@@ -617,21 +553,24 @@
         let spent = spent
             || s.failed_servers.len() > 1 && self.nowhere(s)
             || s.attempts > 0 && self.pause > PAUSES.0 * 4;
-        let drained = to.entry.state != EndpointState::Ready;
-        let cold = self.warmth(to, self.now) < 1.0 && self.budget(to) < 1.0;
+        let drained = !to.is_ready();
+        let started_at = to.endpoint.started_at;
+        let cold = self
+            .slow_start
+            .is_exhausted(&to.allowance, started_at, self.now);
         let twice = s.first_execution.is_some_and(|first| {
             let sent = first.dialed_at;
-            let first = &self.servers[first.server as usize].entry;
+            let first = &self.servers[first.server as usize].endpoint;
             match self.kind(s) {
                 RetrySafety::Idempotent => false,
                 RetrySafety::NotIdempotent => true,
                 RetrySafety::IdempotencyKey(_, ttl) if self.now + EDGE >= sent + ttl => true,
                 RetrySafety::IdempotencyKey(IdempotencyScope::All, _) => false,
                 RetrySafety::IdempotencyKey(IdempotencyScope::Zone, _) => {
-                    first.zone != to.entry.zone
+                    first.zone != to.endpoint.zone
                 }
                 RetrySafety::IdempotencyKey(IdempotencyScope::Cell, _) => {
-                    first.cell != to.entry.cell
+                    first.cell != to.endpoint.cell
                 }
             }
         });
@@ -643,12 +582,10 @@
             return SessionInput::GivenUp;
         }
         let (now, bump, time_out) = (self.now, self.bump(sess), self.time_out(sess));
-        let budget = self.budget(&self.servers[id as usize]);
         let to = &mut self.servers[id as usize];
-        to.age(now);
-        to.g += bump;
-        to.sends.push((now, bump));
-        (to.budget, to.filled) = (budget - 1.0, now);
+        to.load.record_dial(now, bump);
+        let started_at = to.endpoint.started_at;
+        to.allowance = self.slow_start.after_dial(&to.allowance, started_at, now);
         (self.sessions[sess as usize].attempts > 0).then(|| self.dials.spent(now));
         let s = &mut self.sessions[sess as usize];
         (s.server, s.attempts, s.dialed_at) = (id, s.attempts + 1, now);
@@ -658,7 +595,7 @@
         } else {
             self.next
         };
-        (self.pace, self.sent) = (self.pace * fade(now, self.sent) + 1.0 / CHURN, now);
+        (self.pace, self.sent) = (self.pace * decay(now, self.sent) + 1.0 / RATE_WINDOW, now);
         // A further dial of a referenced session has to be on its way before its mark is forgotten.
         let s = &self.sessions[sess as usize];
         let within = match (self.kind(s), s.first_execution) {
@@ -681,7 +618,7 @@
     fn hold_back(&mut self, sess: SessionId) {
         let s = &self.sessions[sess as usize];
         // Who was dialled before the last pause tells nothing of that; a bad client fails again, alone.
-        let since = self.came_up + REST <= self.now
+        let since = self.came_up + BASE_EJECTION <= self.now
             && s.first_execution
                 .is_some_and(|first| self.slowed <= first.dialed_at);
         let another = since && self.nowhere(s) && self.doubted != Some(s.request.hash_key);
@@ -759,7 +696,7 @@
         );
         let refusal = Action::Reject {
             session: sess,
-            retry_after: self.facts.max_retry_after.min(REST),
+            retry_after: self.facts.max_retry_after.min(BASE_EJECTION),
         };
         if harmless || s.first_execution.is_none() {
             refusal
@@ -805,22 +742,14 @@
             match (outcome, first) {
                 (Outcome::Ok | Outcome::CalledOff | Outcome::NeverSent, _) => {}
                 (Outcome::Erred | Outcome::Reset, Some(first)) => {
-                    self.servers[first as usize].shut_until = now
+                    self.servers[first as usize].ejection.end(now);
                 }
-                _ => self.strike(id),
+                _ => self.servers[id as usize].ejection.record_failure(now),
             }
         }
         self.report(id, load);
     }
 
-    /// A dial or probe failed, or met a full server: it rests, longer each time.
-    fn strike(&mut self, id: ServerId) {
-        let s = &mut self.servers[id as usize];
-        if s.shut_until <= self.now {
-            (s.shut_until, s.rest) = (self.now + s.rest, (s.rest * 2).min(REST * 8));
-        }
-    }
-
     fn probed(&mut self, id: ServerId, outcome: Outcome, load: Load, out: &mut Vec<Action>) {
         let Some(s) = self.servers.get_mut(id as usize) else {
             return;
@@ -829,24 +758,22 @@
             outcome,
             Outcome::TimedOut | Outcome::Unreachable | Outcome::Reset
         );
-        (s.silent, s.heard) = if failed {
-            (s.silent + 1, s.heard)
+        if failed {
+            s.probes.record_failure();
         } else {
-            (0, Some(self.now))
-        };
-        s.probing = false;
-        let (again, waiting) = (
-            failed && s.silent < SILENT && s.open > 0,
-            std::mem::take(&mut s.waiting),
-        );
-        failed.then(|| self.strike(id));
+            s.probes.record_answer(self.now);
+        }
+        let again = failed && !s.probes.is_unresponsive() && s.open_connections > 0;
+        let waiting = s.probes.take_waiting();
+        if failed {
+            s.ejection.record_failure(self.now);
+        }
         again.then(|| self.probe(id, out));
         self.report(id, load);
         // Reports are late: what slows twice running, by over a tenth each, is by now as much slower again.
         let s = &mut self.servers[id as usize];
         let share = load.utilization.unwrap_or(0.0) / load.connections.unwrap_or(0.0).max(1.0);
-        let slower = s.unit.map_or(1.0, |unit| (share / unit.max(1e-6)).min(2.0));
-        let again = std::mem::replace(&mut s.slower, slower).min(slower);
+        let again = s.update_slowdown(share);
         let more = if again > 1.1 { again * again } else { 1.0 };
         self.relieve(id, load.utilization.map(|asked| asked * more), out);
         waiting
@@ -855,20 +782,10 @@
     }
 
     fn report(&mut self, id: ServerId, load: Load) {
-        let Some(connections) = load.connections else {
-            return;
-        };
-        let (now, s) = (self.now, &mut self.servers[id as usize]);
-        s.counted = Some(connections);
-        // What it told of its share while slow must not bar it for ever.
-        let tells = |asked: &f64| connections >= FEW || connections >= 1.0 && *asked > NEAR;
-        let told = load
-            .utilization
-            .filter(tells)
-            .map(|asked| asked / connections);
-        let unit = told.or(s.unit.map(|own| self.unit.unwrap_or(own)));
-        s.unit = unit.map(|unit| s.unit.map_or(unit, |before| (before + unit) / 2.0));
-        s.reset(now);
+        let (now, mean) = (self.now, self.unit);
+        self.servers[id as usize]
+            .load
+            .record_report(now, load, mean);
     }
 
     /// A server asked for more than it can do, or gone silent, serves none of its connections in time until
@@ -878,13 +795,14 @@
             return;
         };
         let keep = match asked {
-            _ if s.relieved > self.now => return,
-            _ if s.silent >= SILENT => 0.0,
+            _ if s.next_relief_at > self.now => return,
+            _ if s.probes.is_unresponsive() => 0.0,
             Some(asked) if asked > OVER => FULL / asked,
             _ => return,
         };
-        s.relieved = self.now + STALE;
-        let excess = (f64::from(s.open) * (1.0 - keep) + self.random.next_unit()) as usize;
+        s.next_relief_at = self.now + MAX_REPORT_AGE;
+        let excess =
+            (f64::from(s.open_connections) * (1.0 - keep) + self.random.next_unit()) as usize;
         let kin = |s: &Session| {
             self.held
                 .iter()
@@ -904,16 +822,16 @@
     }
 
     fn survey(&mut self) {
-        self.unit = self.mean(|s| s.unit).or(self.unit);
-        let warm_after = self.facts.slow_start.warm_after.as_secs_f64().max(1e-3);
+        self.unit = self.mean(|s| s.load.load_per_connection()).or(self.unit);
         // Where no report tells it: what a warm one bears of all of us, or each ever listed was planned for.
-        let bears = |s: &Server| (self.warmth(s, self.now) >= 1.0).then_some(f64::from(s.open));
+        let bears =
+            |s: &Server| (self.warmth(s, self.now) >= 1.0).then_some(f64::from(s.open_connections));
         self.bears = self.mean(bears).unwrap_or(self.bears);
         let proxies = f64::from(self.facts.proxy_count);
         let planned = self.facts.planned_connections / self.servers.len().max(1) as f64;
         let bears = (self.bears * proxies).max(planned).max(1.0);
         let unit = self.unit.unwrap_or(1.0 / bears).max(1e-3);
-        self.fill = 1.0 / (warm_after * unit) / proxies;
+        self.slow_start.set_fill_rate(unit, proxies);
         self.timers
             .schedule(self.now + PROBE, Timer::RefreshAverages);
     }
@@ -946,9 +864,12 @@
         self.servers
             .iter_mut()
             .filter(|_| whole)
-            .for_each(|s| s.entry.state = EndpointState::Gone);
-        let (t, v) = (self.now, self.mean(|s| Some(s.v)).unwrap_or(0.0));
-        let g = self.mean(|s| Some(s.aged(t))).unwrap_or(0.0);
+            .for_each(|s| s.endpoint.state = EndpointState::Gone);
+        let (t, v) = (
+            self.now,
+            self.mean(|s| Some(s.load.completion_rate())).unwrap_or(0.0),
+        );
+        let g = self.mean(|s| Some(s.load.aged_score(t))).unwrap_or(0.0);
         for entry in entries {
             grow(&mut self.servers, entry.server as usize);
             // One that cannot use all cold servers yet uses those that rank highest by its number and theirs.
@@ -956,19 +877,12 @@
             let first = hash_to_unit(u64::from(self.facts.proxy_index) + 1, entry.hash_key);
             let budget = if inherited { 0.0 } else { first };
             let s = &mut self.servers[entry.server as usize];
-            if s.rest.is_zero() || s.entry.started_at != entry.started_at {
-                let Server {
-                    open,
-                    asked,
-                    probing,
-                    waiting,
-                    ..
-                } = std::mem::take(s);
-                (s.g, s.v, s.t, s.filled, s.budget, s.rest) = (g, v, t, t, budget, REST);
-                (s.open, s.asked, s.unit, s.probing, s.waiting) =
-                    (open, asked, entry.load_per_connection, probing, waiting);
+            let restarted = s.endpoint.started_at != entry.started_at;
+            if restarted || !s.ejection.was_listed() {
+                let load = LoadEstimate::starting_at(t, g, v, entry.load_per_connection);
+                s.restart(load, DialAllowance::starting_at(t, budget));
             }
-            s.entry = entry;
+            s.endpoint = entry;
         }
     }
 
@@ -986,9 +900,8 @@
         // A server that holds connections of ours is probed, the more it holds, the sooner.
         for id in 0..self.servers.len() as ServerId {
             let s = &self.servers[id as usize];
-            let pace = PROBE.mul_f64((WORTH / f64::from(s.open.max(1))).max(1.0));
-            let used = self.facts.may_probe && s.open > 0 && s.entry.state == EndpointState::Ready;
-            (used && self.now.saturating_sub(s.asked) >= pace).then(|| self.probe(id, out));
+            let used = self.facts.may_probe && s.open_connections > 0 && s.is_ready();
+            (used && s.probes.is_due(self.now, s.open_connections)).then(|| self.probe(id, out));
         }
     }
 }
@@ -998,27 +911,3 @@
         list.resize(at + 1, T::default());
     }
 }
-
-fn fade(now: Duration, then: Duration) -> f64 {
-    (-now.saturating_sub(then).as_secs_f64() / CHURN).exp()
-}
-
-impl Server {
-    /// g' = max(0, g - v (now - t))
-    fn aged(&self, now: Duration) -> f64 {
-        (self.g - self.v * now.saturating_sub(self.t).as_secs_f64()).max(0.0)
-    }
-
-    fn age(&mut self, now: Duration) {
-        (self.g, self.v, self.t) = (self.aged(now), self.v * fade(now, self.t), now);
-    }
-
-    /// The score becomes the last probed count and what we have sent since.
-    fn reset(&mut self, now: Duration) {
-        self.age(now);
-        self.sends.retain(|sent| now.saturating_sub(sent.0) < STALE);
-        self.g = self.counted.map_or(self.g, |counted| {
-            counted + self.sends.iter().map(|s| s.1).sum::<f64>()
-        });
-    }
-}
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,6 +1,6 @@
 //! Placement decisions of asterramp, a balancer for long-lived connections.
 //!
-//! [`choice`] decides; [`setup`] reads settings; the others hold the types in which it is asked and answers.
+//! [`engine`] decides; [`settings`] reads settings; the others hold the types in which it is asked and answers.
 #![allow(
     missing_docs,
     unreachable_pub,
@@ -13,10 +13,15 @@
 pub mod deployment;
 pub mod engine;
 pub mod event;
+mod load_estimate;
+mod outlier_ejection;
+mod probing;
 mod random;
 pub mod retry_budget;
+mod server;
 mod session;
 pub mod settings;
+mod slow_start;
 mod timers;
 
 pub use action::Action;
