--- a/crates/placement/src/engine.rs
+++ b/crates/placement/src/engine.rs
@@ -6,18 +6,23 @@
 
 use crate::action::Action;
 use crate::deployment::{Deployment, IdempotencyScope, RetrySafety};
+use crate::endpoint_polling::{PollBackoff, poll_wait};
 use crate::event::{
     EndpointState, EndpointUpdate, Event, Load, Observation, Outcome, ServerId, SessionId,
     SessionRequest,
 };
-use crate::load_estimate::{LoadEstimate, MAX_REPORT_AGE, RATE_WINDOW, decay};
+use crate::group_table::GroupTable;
+use crate::load_estimate::{LoadEstimate, MAX_REPORT_AGE};
 use crate::outlier_ejection::BASE_EJECTION;
+use crate::peer_traffic::DialRate;
 use crate::random::{RandomSource, hash_to_unit};
 use crate::retry_budget::RetryBudget;
 use crate::server::Server;
 use crate::session::{Attempt, Session, SessionEffect, SessionInput, SessionState};
+use crate::session_pacing::SessionPacing;
 use crate::slow_start::{DialAllowance, SlowStart};
 use crate::timers::{Timer, TimerQueue};
+use crate::zone_shares::ZoneShares;
 use std::time::Duration;
 
 const TICK: Duration = Duration::from_millis(100);
@@ -35,10 +40,6 @@
 const CLEAR: f64 = 3.0;
 /// Part of the last room that is kept from sessions worth nothing, and in proportion from those worth less.
 const SPARE: f64 = 0.1;
-/// Failing calls of a large fleet to a roster that must be asked, in the span after which one is deemed told.
-const CALLS: f64 = 125.0;
-/// Least and longest pause between sessions dialled, once some failed everywhere: an attempt within each 4 s.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(250), Duration::from_millis(3_000));
 /// How much sooner than its servers forget it a referenced session is sent no more: the platform's slack.
 const EDGE: Duration = Duration::from_millis(50);
 
@@ -57,25 +58,16 @@
     sessions: Vec<Session>,
     servers: Vec<Server>,
     timers: TimerQueue,
-    calls_failed: u32,
+    poll_backoff: PollBackoff,
     dials: RetryBudget,
-    /// Pause between sessions dialled; when the next may be, it grew, one came up; what failed last since.
-    pause: Duration,
-    next: Duration,
-    slowed: Duration,
-    came_up: Duration,
-    doubted: Option<u64>,
-    /// Rate of our dials, smoothed, and its last update.
-    pace: f64,
-    sent: Duration,
-    /// Group and server of each open connection; a group costs its server once.
-    held: Vec<(u64, ServerId)>,
+    pacing: SessionPacing,
+    dial_rate: DialRate,
+    groups: GroupTable,
     /// What a connection takes of a server, over all that told, and how many of ours warm ones bear.
     unit: Option<f64>,
     bears: f64,
     slow_start: SlowStart,
-    /// Zones that take less than they would, and which part.
-    narrowed: Vec<(u8, f64)>,
+    zone_shares: ZoneShares,
     set_up: Option<Duration>,
 }
 
@@ -181,8 +173,7 @@
     /// A zone is lost, or used again by degrees: each session goes there by its own number. Of a lost one all
     /// are silent. Who is there leaves at the next failing probe: all at once would spread groups more.
     fn narrow(&mut self, zone: u8, open: f64, out: &mut Vec<Action>) {
-        self.narrowed.retain(|n| n.0 != zone);
-        self.narrowed.extend((open < 1.0).then_some((zone, open)));
+        self.zone_shares.set(zone, open);
         let there = |s: &Server| open <= 0.0 && s.endpoint.zone == zone && s.is_ready();
         for id in 0..self.servers.len() {
             if there(&self.servers[id]) {
@@ -284,19 +275,20 @@
             SessionEffect::Nothing => {}
             SessionEffect::SelectServer => return Some(self.place(sess, out)),
             SessionEffect::SendFinalAnswer => {
-                (now >= s.request.dial_timeout || !self.pause.is_zero())
+                (now >= s.request.dial_timeout || self.pacing.is_active())
                     .then(|| self.hold_back(sess));
                 out.push(self.answer(sess));
             }
             SessionEffect::RecordOpened => {
                 let span = now.saturating_sub(dialled);
-                self.go_on(span > self.half(sess));
+                let was_slow = span > self.half(sess);
+                self.pacing.record_opened(now, was_slow);
                 self.set_up = self.set_up.map(|before| (before * 7 + span) / 8);
                 let s = &mut self.servers[id];
                 s.open_connections += 1;
                 s.ejection.record_success();
                 s.load.reset_to_report(now);
-                self.held.extend(group.map(|group| (group, id as ServerId)));
+                self.groups.add(group, id as ServerId);
             }
             SessionEffect::CancelAttempt => {
                 self.take_back(sess);
@@ -309,11 +301,7 @@
                 let s = &mut self.servers[id];
                 s.open_connections = s.open_connections.saturating_sub(1);
                 s.load.record_completion(now);
-                let at = self
-                    .held
-                    .iter()
-                    .position(|held| Some(held.0) == group && held.1 as usize == id);
-                at.map(|at| self.held.swap_remove(at));
+                self.groups.remove(group, id as ServerId);
             }
         }
         None
@@ -338,8 +326,8 @@
 
     /// What they send a server unseen while a count is as old as it may be.
     fn crowd(&self, others: f64) -> f64 {
-        let young = self.pace * decay(self.now, self.sent) * MAX_REPORT_AGE.as_secs_f64();
-        others * young / self.servers.len().max(1) as f64
+        self.dial_rate
+            .unreported_per_server(self.now, others, self.servers.len())
     }
 
     /// A bump of the score: a connection, and what the others send to one of two drawn. A client that comes
@@ -389,12 +377,7 @@
             u32::MAX
         };
         let (group, hashed) = (s.request.group, self.hashed(&s.request).is_some());
-        let holders: Vec<ServerId> = self
-            .held
-            .iter()
-            .filter(|h| Some(h.0) == group)
-            .map(|h| h.1)
-            .collect();
+        let holders = self.groups.holders(group);
         let near = |id: ServerId| self.servers[id as usize].endpoint.zone == self.facts.zone;
         let holds = |id: ServerId| group.is_none() || holders.contains(&id);
         // A server that fails or hangs rests, or its zone, unless all do. One that leaves a probe unanswered
@@ -402,7 +385,7 @@
         let quiet = |to: &Server| to.probes.is_late(self.now);
         let zone = |id: ServerId| self.servers[id as usize].endpoint.zone;
         let erred = |id| s.failed_servers.iter().any(|&f| zone(f) == zone(id));
-        let away = self.nowhere(s)
+        let away = self.pacing.failed_everywhere(s)
             && s.ranked_servers
                 .iter()
                 .any(|&id| !erred(id) && self.may_send(sess, id));
@@ -411,11 +394,7 @@
             let left = s.failed_servers.contains(&id) || away && erred(id);
             !to.ejection.is_active(self.now) && !quiet(to) && !left
         };
-        let open = |id: ServerId| {
-            self.narrowed
-                .iter()
-                .all(|n| n.0 != zone(id) || s.zone_draw < n.1)
-        };
+        let open = |id: ServerId| self.zone_shares.admits(zone(id), s.zone_draw);
         let all_rest = !s
             .ranked_servers
             .iter()
@@ -551,8 +530,8 @@
         let spent = s.attempts >= self.facts.max_attempts.max(1)
             || s.attempts > 0 && !self.dials.allows(self.now);
         let spent = spent
-            || s.failed_servers.len() > 1 && self.nowhere(s)
-            || s.attempts > 0 && self.pause > PAUSES.0 * 4;
+            || s.failed_servers.len() > 1 && self.pacing.failed_everywhere(s)
+            || s.attempts > 0 && self.pacing.forbids_retries();
         let drained = !to.is_ready();
         let started_at = to.endpoint.started_at;
         let cold = self
@@ -578,7 +557,11 @@
     }
 
     fn send(&mut self, sess: SessionId, id: ServerId, out: &mut Vec<Action>) -> SessionInput {
-        if !self.may_send(sess, id) || self.held_back(&self.sessions[sess as usize]) {
+        if !self.may_send(sess, id)
+            || self
+                .pacing
+                .holds_back(&self.sessions[sess as usize], self.now)
+        {
             return SessionInput::GivenUp;
         }
         let (now, bump, time_out) = (self.now, self.bump(sess), self.time_out(sess));
@@ -589,13 +572,11 @@
         (self.sessions[sess as usize].attempts > 0).then(|| self.dials.spent(now));
         let s = &mut self.sessions[sess as usize];
         (s.server, s.attempts, s.dialed_at) = (id, s.attempts + 1, now);
-        let pause = self.pause.mul_f64(0.9 + 0.2 * self.random.next_unit());
-        self.next = if self.sessions[sess as usize].attempts == 1 {
-            now + pause
-        } else {
-            self.next
-        };
-        (self.pace, self.sent) = (self.pace * decay(now, self.sent) + 1.0 / RATE_WINDOW, now);
+        let pause = self.pacing.jittered_pause(&mut self.random);
+        if self.sessions[sess as usize].attempts == 1 {
+            self.pacing.record_first_dial(now, pause);
+        }
+        self.dial_rate.record(now);
         // A further dial of a referenced session has to be on its way before its mark is forgotten.
         let s = &self.sessions[sess as usize];
         let within = match (self.kind(s), s.first_execution) {
@@ -613,60 +594,9 @@
         SessionInput::Dialed
     }
 
-    /// Sessions fail wherever they go: what stands behind the servers is short, and more dials keep it so.
-    /// Most are answered at once, until some come up. Harms where most servers err by themselves.
     fn hold_back(&mut self, sess: SessionId) {
         let s = &self.sessions[sess as usize];
-        // Who was dialled before the last pause tells nothing of that; a bad client fails again, alone.
-        let since = self.came_up + BASE_EJECTION <= self.now
-            && s.first_execution
-                .is_some_and(|first| self.slowed <= first.dialed_at);
-        let another = since && self.nowhere(s) && self.doubted != Some(s.request.hash_key);
-        if another && (self.doubted.replace(s.request.hash_key).is_some() || self.came_up.is_zero())
-        {
-            let first = if self.came_up.is_zero() {
-                PAUSES.0 * 4
-            } else {
-                PAUSES.0
-            };
-            (self.pause, self.slowed) = (
-                if self.pause.is_zero() {
-                    first
-                } else {
-                    PAUSES.1
-                },
-                self.now,
-            );
-            self.next = self.now + self.pause.mul_f64(0.9 + 0.2 * self.random.next_unit());
-        }
-    }
-
-    /// A session waits for its turn while there are pauses; who failed last lets others go first.
-    fn held_back(&self, s: &Session) -> bool {
-        let again = self.doubted == Some(s.request.hash_key) && self.now < self.next + self.pause;
-        s.attempts == 0 && !self.pause.is_zero() && (self.now < self.next || again)
-    }
-
-    /// Whether a dial of it failed that may have run, and nothing came up anywhere since.
-    fn nowhere(&self, s: &Session) -> bool {
-        s.first_execution
-            .is_some_and(|first| self.came_up <= first.dialed_at)
-    }
-
-    /// One came up. One that took long shows that others wait there, and that more would only wait longer.
-    fn go_on(&mut self, late: bool) {
-        let less = if self.pause > PAUSES.0 {
-            self.pause / 2
-        } else {
-            Duration::ZERO
-        };
-        self.pause = if late {
-            (self.pause * 2).min(PAUSES.1)
-        } else {
-            less
-        };
-        (self.next, self.came_up, self.doubted) =
-            (self.next.min(self.now + self.pause), self.now, None);
+        self.pacing.record_failure(s, self.now, &mut self.random);
     }
 
     fn half(&self, sess: SessionId) -> Duration {
@@ -682,8 +612,9 @@
         let left = s.request.dial_timeout.saturating_sub(self.now);
         let wait =
             (self.half(sess) * (1 << s.attempts.min(8))).max(self.set_up.unwrap_or_default() * 2);
-        let last =
-            s.attempts + 1 >= self.facts.max_attempts || self.pause > PAUSES.0 || self.nowhere(s);
+        let last = s.attempts + 1 >= self.facts.max_attempts
+            || self.pacing.lets_attempts_wait()
+            || self.pacing.failed_everywhere(s);
         if last { left } else { wait.min(left) }
     }
 
@@ -735,7 +666,8 @@
                 .set_up
                 .max((outcome == Outcome::TimedOut).then_some(waited * 2));
             let failed = matches!(outcome, Outcome::Erred | Outcome::TimedOut | Outcome::Reset);
-            (failed && (dial > 0 || self.came_up.is_zero())).then(|| self.hold_back(sess));
+            (failed && (dial > 0 || self.pacing.nothing_opened_yet()))
+                .then(|| self.hold_back(sess));
             let tried = &mut self.sessions[sess as usize].failed_servers;
             let first = tried.first().copied();
             tried.extend(matches!(outcome, Outcome::Erred | Outcome::Reset).then_some(id));
@@ -803,12 +735,7 @@
         s.next_relief_at = self.now + MAX_REPORT_AGE;
         let excess =
             (f64::from(s.open_connections) * (1.0 - keep) + self.random.next_unit()) as usize;
-        let kin = |s: &Session| {
-            self.held
-                .iter()
-                .filter(|h| (Some(h.0), h.1) == (s.request.group, id))
-                .count()
-        };
+        let kin = |s: &Session| self.groups.count(s.request.group, id);
         let free = |s: &&Session| {
             (s.state, s.server, self.kind(s)) == (SessionState::Open, id, RetrySafety::Idempotent)
         };
@@ -840,16 +767,10 @@
         let inherited = matches!(roster, EndpointUpdate::Inherited(_));
         let (entries, whole) = match roster {
             EndpointUpdate::Failed => {
-                // The roster serves all proxies in turn; calls of many, over and over, would keep it jammed.
-                self.calls_failed = (self.calls_failed + 1).min(4);
-                let longest = (f64::from(self.facts.proxy_count) / CALLS).max(0.32);
-                let mean = (0.1 * f64::from(1 << self.calls_failed)).min(longest);
-                let part = mean * (0.5 + self.random.next_unit());
-                let wait = self
-                    .facts
-                    .endpoint_poll_delay
-                    .unwrap_or_default()
-                    .mul_f64(part);
+                let part = self
+                    .poll_backoff
+                    .record_failure(self.facts.proxy_count, &mut self.random);
+                let wait = poll_wait(self.facts.endpoint_poll_delay, part);
                 self.timers
                     .reschedule(self.now + wait, Timer::PollEndpoints);
                 return;
@@ -860,7 +781,9 @@
             | EndpointUpdate::Inherited(list) => (list, true),
         };
         // Changes of nothing only say that the call waits.
-        self.calls_failed *= u32::from(!whole && entries.is_empty());
+        if whole || !entries.is_empty() {
+            self.poll_backoff.record_success();
+        }
         self.servers
             .iter_mut()
             .filter(|_| whole)
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -11,18 +11,23 @@
 
 pub mod action;
 pub mod deployment;
+mod endpoint_polling;
 pub mod engine;
 pub mod event;
+mod group_table;
 mod load_estimate;
 mod outlier_ejection;
+mod peer_traffic;
 mod probing;
 mod random;
 pub mod retry_budget;
 mod server;
 mod session;
+mod session_pacing;
 pub mod settings;
 mod slow_start;
 mod timers;
+mod zone_shares;
 
 pub use action::Action;
 pub use deployment::Deployment;
