--- /dev/null
+++ b/crates/placement/src/engine/attempts.rs
@@ -0,0 +1,135 @@
+//! Attempts to open a session: their start, and what their ends tell.
+
+use super::PlacementEngine;
+use crate::action::Action;
+use crate::event::{Load, Outcome, ServerId, SessionId};
+use crate::session::{Attempt, SessionInput, SessionState};
+
+impl PlacementEngine {
+    pub(super) fn dial(
+        &mut self,
+        id: SessionId,
+        server_id: ServerId,
+        out: &mut Vec<Action>,
+    ) -> SessionInput {
+        let session = self.session(id);
+        if !self.may_dial(session, server_id) || self.pacing.holds_back(session, self.now) {
+            return SessionInput::GivenUp;
+        }
+        let is_retry = session.attempts > 0;
+        let timeout = self.attempt_timeout(id);
+        self.record_dial_at_server(id, server_id);
+        self.record_dial_of_session(id, server_id);
+        let jittered_pause = self.pacing.jittered_pause(&mut self.random);
+        if is_retry {
+            self.retry_budget.record_retry(self.now);
+        } else {
+            self.pacing.record_first_dial(self.now, jittered_pause);
+        }
+        self.dial_rate.record(self.now);
+        out.push(Action::Dial {
+            session: id,
+            server: server_id,
+            timeout,
+            write_within: self.write_deadline(self.session(id), timeout),
+        });
+        SessionInput::Dialed
+    }
+
+    fn record_dial_at_server(&mut self, id: SessionId, server_id: ServerId) {
+        let now = self.now;
+        let bump = self.score_bump(id);
+        let server = &mut self.servers[server_id as usize];
+        server.load.record_dial(now, bump);
+        let started_at = server.endpoint.started_at;
+        server.allowance = self
+            .slow_start
+            .after_dial(&server.allowance, started_at, now);
+    }
+
+    fn record_dial_of_session(&mut self, id: SessionId, server_id: ServerId) {
+        let now = self.now;
+        let session = self.session_mut(id);
+        session.server = server_id;
+        session.attempts += 1;
+        session.dialed_at = now;
+    }
+
+    /// The latest attempt opened nothing, so its server's score loses what it gained.
+    pub(super) fn take_back_dial(&mut self, id: SessionId) {
+        let now = self.now;
+        let bump = self.score_bump(id);
+        let session = self.session(id);
+        let dialed_at = session.dialed_at;
+        let server = session.server;
+        self.server_mut(server)
+            .load
+            .take_back_dial(now, dialed_at, bump);
+    }
+
+    /// What the end of an attempt or connection tells of its server.
+    pub(super) fn record_attempt_end(
+        &mut self,
+        id: SessionId,
+        attempt: u8,
+        outcome: Outcome,
+        load: Load,
+    ) {
+        if !self.is_latest_attempt(id, attempt) {
+            return;
+        }
+        let session = self.session(id);
+        let server = session.server;
+        if session.state == SessionState::Dialing {
+            self.record_failed_attempt(id, attempt, outcome);
+            self.eject_by_outcome(id, server, outcome);
+        }
+        self.record_load(server, load);
+    }
+
+    fn record_failed_attempt(&mut self, id: SessionId, attempt: u8, outcome: Outcome) {
+        let now = self.now;
+        let session = self.session_mut(id);
+        let waited = now.saturating_sub(session.dialed_at);
+        let may_have_executed = !matches!(
+            outcome,
+            Outcome::Full | Outcome::Unreachable | Outcome::NeverSent
+        );
+        if may_have_executed && session.first_execution.is_none() {
+            session.first_execution = Some(Attempt {
+                dialed_at: session.dialed_at,
+                server: session.server,
+            });
+        }
+        self.take_back_dial(id);
+        if outcome == Outcome::TimedOut {
+            // Slow for one is slow for the next; with little traffic a mean would show it too late.
+            self.setup_time = self.setup_time.max(waited * 2);
+        }
+        let failed = matches!(outcome, Outcome::Erred | Outcome::TimedOut | Outcome::Reset);
+        if failed && (attempt > 0 || self.pacing.nothing_opened_yet()) {
+            self.pace_after_failure(id);
+        }
+    }
+
+    /// Ejects a server that failed an attempt. If another failed the same session before, the session is taken to
+    /// be at fault and that server's ejection ends.
+    fn eject_by_outcome(&mut self, id: SessionId, server: ServerId, outcome: Outcome) {
+        let now = self.now;
+        let failed_servers = &mut self.session_mut(id).failed_servers;
+        let first_failed = failed_servers.first().copied();
+        let failed_at_once = matches!(outcome, Outcome::Erred | Outcome::Reset);
+        if failed_at_once {
+            failed_servers.push(server);
+        }
+        match outcome {
+            Outcome::Ok | Outcome::CalledOff | Outcome::NeverSent => {}
+            Outcome::Erred | Outcome::Reset if first_failed.is_some() => {
+                if let Some(first_failed) = first_failed {
+                    self.server_mut(first_failed).ejection.end(now);
+                }
+            }
+            _ => self.server_mut(server).ejection.record_failure(now),
+        }
+    }
+}
--- /dev/null
+++ b/crates/placement/src/engine/probes.rs
@@ -0,0 +1,91 @@
+//! Probes and what their ends tell.
+
+use super::{PlacementEngine, TICK_INTERVAL};
+use crate::action::Action;
+use crate::event::{Load, Outcome, ServerId};
+use crate::session::SessionInput;
+
+/// A slowdown that counts; less is the swing of what connections ask for.
+const MIN_SLOWDOWN: f64 = 1.1;
+
+impl PlacementEngine {
+    pub(super) fn send_probe(&mut self, id: ServerId, out: &mut Vec<Action>) {
+        let Some(server) = self.servers.get_mut(id as usize) else {
+            return;
+        };
+        let jitter = TICK_INTERVAL.mul_f64(2.0 * self.random.next_unit());
+        if server.probes.request(self.now + jitter) {
+            out.push(Action::Probe { server: id });
+        }
+    }
+
+    /// Probes the servers that hold connections of this proxy.
+    pub(super) fn send_regular_probes(&mut self, out: &mut Vec<Action>) {
+        if !self.deployment.may_probe {
+            return;
+        }
+        for id in 0..self.servers.len() as ServerId {
+            let server = self.server(id);
+            let is_used = server.open_connections > 0 && server.is_ready();
+            if is_used && server.probes.is_due(self.now, server.open_connections) {
+                self.send_probe(id, out);
+            }
+        }
+    }
+
+    pub(super) fn record_probe_end(
+        &mut self,
+        id: ServerId,
+        outcome: Outcome,
+        load: Load,
+        out: &mut Vec<Action>,
+    ) {
+        let now = self.now;
+        let Some(server) = self.servers.get_mut(id as usize) else {
+            return;
+        };
+        let failed = matches!(
+            outcome,
+            Outcome::TimedOut | Outcome::Unreachable | Outcome::Reset
+        );
+        if failed {
+            server.probes.record_failure();
+        } else {
+            server.probes.record_answer(now);
+        }
+        let waiting = server.probes.take_waiting();
+        if failed {
+            let probe_again = !server.probes.is_unresponsive() && server.open_connections > 0;
+            server.ejection.record_failure(now);
+            if probe_again {
+                self.send_probe(id, out);
+            }
+        }
+        self.record_load(id, load);
+        self.relieve_by_report(id, load, out);
+        for session in waiting {
+            self.advance(session, SessionInput::ProbesAnswered, out);
+        }
+    }
+
+    /// Takes in what a server reported of itself.
+    pub(super) fn record_load(&mut self, id: ServerId, load: Load) {
+        let now = self.now;
+        let mean = self.mean_load_per_connection;
+        self.server_mut(id).load.record_report(now, load, mean);
+    }
+
+    /// Reports are late: a server that slowed down twice running has by now slowed down as much again.
+    fn relieve_by_report(&mut self, id: ServerId, load: Load, out: &mut Vec<Action>) {
+        let connections = load.connections.unwrap_or(0.0).max(1.0);
+        let load_per_connection = load.utilization.unwrap_or(0.0) / connections;
+        let slowdown = self.server_mut(id).update_slowdown(load_per_connection);
+        let foreseen = if slowdown > MIN_SLOWDOWN {
+            slowdown * slowdown
+        } else {
+            1.0
+        };
+        let utilization = load.utilization.map(|utilization| utilization * foreseen);
+        self.relieve(id, utilization, out);
+    }
+}
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,6 +1,6 @@
 //! Placement decisions of asterramp, a balancer for long-lived connections.
 //!
-//! [`engine`] decides; [`settings`] reads settings; the others hold the types in which it is asked and answers.
+//! [`choice`] decides; [`setup`] reads settings; the others hold the types in which it is asked and answers.
 #![allow(
     missing_docs,
     unreachable_pub,
--- a/crates/placement/src/retry_budget.rs
+++ b/crates/placement/src/retry_budget.rs
@@ -53,12 +53,12 @@
     }
 
     /// A session came, whatever becomes of it.
-    pub fn took(&mut self, now: Duration) {
+    pub fn record_session(&mut self, now: Duration) {
         self.at(now).into_iter().for_each(|step| step.taken += 1.0);
     }
 
     /// A further dial was sent.
-    pub fn spent(&mut self, now: Duration) {
+    pub fn record_retry(&mut self, now: Duration) {
         self.at(now).into_iter().for_each(|step| step.dials += 1.0);
     }
 
--- a/crates/placement/tests/retry_budget.rs
+++ b/crates/placement/tests/retry_budget.rs
@@ -53,10 +53,10 @@
                 }
             };
             if draw(3) > 0 {
-                budget.took(now);
+                budget.record_session(now);
                 taken.push(now);
             } else if budget.allows(now) {
-                budget.spent(now);
+                budget.record_retry(now);
                 dials.push(now);
                 // Both edges, each the one that is worse for the rule.
                 let young = |at: &&Duration| now - **at <= rule.span;
