--- a/crates/placement/src/engine/attempt_rules.rs
+++ b/crates/placement/src/engine/attempt_rules.rs
@@ -43,7 +43,7 @@
             return false;
         }
         let is_first = session.attempts == 0;
-        is_first || self.retry_budget.allows(self.now) && !self.pacing.forbids_retries()
+        is_first || self.retry_budget.allows_retry(self.now) && !self.pacing.forbids_retries()
     }
 
     fn is_cold_and_exhausted(&self, server: &Server) -> bool {
--- a/crates/placement/src/retry_budget.rs
+++ b/crates/placement/src/retry_budget.rs
@@ -1,79 +1,91 @@
-//! The budget of further dials: over any span, only so many, and so many more for each session taken.
+//! The budget of retries: over any span only so many, and so many more for each session.
 
 use crate::deployment::RetryBudgetRule;
 use std::time::Duration;
 
-/// Parts that the span is counted in, and one more for the edge.
-const STEPS: u64 = 16;
-const KEPT: usize = STEPS as usize + 1;
+/// Parts that the span is counted in.
+const PARTS_PER_SPAN: u64 = 16;
+/// Parts that are kept: those of the span, and the one that is not over yet.
+const KEPT_PARTS: usize = PARTS_PER_SPAN as usize + 1;
+/// Rounding error of the sums, in retries.
+const ROUNDING_MARGIN: f64 = 1e-9;
 
+/// What was counted in one part of the span.
 #[derive(Clone, Copy, Debug, Default)]
-struct Step {
-    nth: u64,
-    dials: f64,
-    taken: f64,
+struct PartCount {
+    /// Number of the part since the clock began.
+    number: u64,
+    retries: f64,
+    sessions: f64,
 }
 
-/// A ring of counts, whose size does not grow with traffic. Its edges err on the strict side: a dial
-/// counts up to a step too long, a session up to a step too short.
+/// Counts retries and sessions in a ring whose size doesn't grow with traffic. Its edges err on the strict side:
+/// a retry counts for up to a part of the span too long, a session for up to a part too short.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
+    /// `None` where retries aren't limited.
     rule: Option<RetryBudgetRule>,
-    ring: [Step; KEPT],
+    parts: [PartCount; KEPT_PARTS],
 }
 
 impl RetryBudget {
+    /// A budget with nothing counted yet; one that allows every retry without a rule.
     pub fn new(rule: Option<RetryBudgetRule>) -> RetryBudget {
         RetryBudget {
             rule,
-            ring: Default::default(),
+            parts: Default::default(),
         }
     }
 
-    fn step(&self, now: Duration) -> Option<(RetryBudgetRule, u64)> {
-        let rule = self.rule?;
-        Some((
-            rule,
-            (now.as_nanos() * u128::from(STEPS) / rule.span.as_nanos().max(1)) as u64,
-        ))
-    }
-
-    fn at(&mut self, now: Duration) -> Option<&mut Step> {
-        let (_, nth) = self.step(now)?;
-        let step = &mut self.ring[(nth % KEPT as u64) as usize];
-        *step = if step.nth == nth {
-            *step
-        } else {
-            Step {
-                nth,
-                ..Step::default()
-            }
-        };
-        Some(step)
-    }
-
-    /// A session came, whatever becomes of it.
+    /// A session came, whatever becomes of it. `now` is the time since the clock began.
     pub fn record_session(&mut self, now: Duration) {
-        self.at(now).into_iter().for_each(|step| step.taken += 1.0);
+        if let Some(part) = self.part_mut(now) {
+            part.sessions += 1.0;
+        }
     }
 
-    /// A further dial was sent.
+    /// A retry was sent.
     pub fn record_retry(&mut self, now: Duration) {
-        self.at(now).into_iter().for_each(|step| step.dials += 1.0);
+        if let Some(part) = self.part_mut(now) {
+            part.retries += 1.0;
+        }
     }
 
-    /// Whether one more may be sent.
-    pub fn allows(&self, now: Duration) -> bool {
-        let Some((rule, nth)) = self.step(now) else {
+    /// Whether one more retry may be sent.
+    pub fn allows_retry(&self, now: Duration) -> bool {
+        let Some(rule) = self.rule else {
             return true;
         };
-        let since = |steps: u64| {
-            self.ring
-                .iter()
-                .filter(move |step| step.nth + steps >= nth && step.nth <= nth)
-        };
-        let dials: f64 = since(STEPS).map(|step| step.dials).sum();
-        let taken: f64 = since(STEPS - 1).map(|step| step.taken).sum();
-        dials + 1.0 <= rule.free_retries + rule.retries_per_session * taken + 1e-9
+        let current = part_number(rule, now);
+        let mut retries = 0.0;
+        let mut sessions = 0.0;
+        for part in self.parts.iter().filter(|part| part.number <= current) {
+            if part.number + PARTS_PER_SPAN >= current {
+                retries += part.retries;
+            }
+            if part.number + PARTS_PER_SPAN > current {
+                sessions += part.sessions;
+            }
+        }
+        let allowed = rule.free_retries + rule.retries_per_session * sessions;
+        retries + 1.0 <= allowed + ROUNDING_MARGIN
     }
+
+    /// The part that `now` falls in, empty if it has just begun; `None` without a rule.
+    fn part_mut(&mut self, now: Duration) -> Option<&mut PartCount> {
+        let number = part_number(self.rule?, now);
+        let part = &mut self.parts[(number % KEPT_PARTS as u64) as usize];
+        if part.number != number {
+            *part = PartCount {
+                number,
+                ..PartCount::default()
+            };
+        }
+        Some(part)
+    }
+}
+
+fn part_number(rule: RetryBudgetRule, now: Duration) -> u64 {
+    let span = rule.span.as_nanos().max(1);
+    (now.as_nanos() * u128::from(PARTS_PER_SPAN) / span) as u64
 }
--- a/crates/placement/tests/retry_budget.rs
+++ b/crates/placement/tests/retry_budget.rs
@@ -55,7 +55,7 @@
             if draw(3) > 0 {
                 budget.record_session(now);
                 taken.push(now);
-            } else if budget.allows(now) {
+            } else if budget.allows_retry(now) {
                 budget.record_retry(now);
                 dials.push(now);
                 // Both edges, each the one that is worse for the rule.
