--- a/crates/model-checker/tests/fuzz.rs
+++ b/crates/model-checker/tests/fuzz.rs
@@ -229,7 +229,8 @@
             Ok(read) => {
                 prop_assert!(read.listeners.len() <= 255 && read.longest_wait.as_secs() <= u64::from(u32::MAX));
             }
-            Err(what) => {
+            Err(error) => {
+                let what = error.to_string();
                 let named = changes.iter().any(|(at, _)| {
                     let path = SETTINGS[*at].0;
                     what.contains(path) || path.ends_with(".count") && what.contains("listeners")
--- /dev/null
+++ b/crates/placement/src/settings/listeners.rs
@@ -0,0 +1,95 @@
+//! The settings of the listeners.
+
+use super::error::{AllowedRange, SettingsError};
+use super::out_of_range;
+use super::values::{SettingValues, time_from_microseconds};
+use crate::deployment::{IdempotencyScope, Listener, RetrySafety};
+use std::time::Duration;
+
+/// Highest utility of a listener.
+const MAX_UTILITY: f64 = 1e9;
+
+pub(super) fn read_listeners(values: &SettingValues) -> Result<Vec<Listener>, SettingsError> {
+    let message_targets = values.numbers("specifics.message_aim")?;
+    let count = values.required::<u8>("listeners.count")?;
+    let priority_weights = priority_weights(values, count)?;
+    let mut listeners = Vec::new();
+    for (index, priority_weight) in (0..count).zip(priority_weights) {
+        let message_target = message_targets.get(usize::from(index)).copied();
+        listeners.push(Listener {
+            retry_safety: retry_safety(values, index)?,
+            handshake_target: values.time(&format!("listeners.{index}.handshake_target"))?,
+            message_target: message_target.and_then(time_from_microseconds),
+            priority_weight,
+        });
+    }
+    Ok(listeners)
+}
+
+/// The longest that a client of any listener waits for an answer; zero where no setting says it.
+pub(super) fn longest_wait(
+    values: &SettingValues,
+    count: usize,
+) -> Result<Duration, SettingsError> {
+    let mut longest = Duration::ZERO;
+    for index in 0..count {
+        let path = format!("listeners.{index}.give_up");
+        longest = longest.max(values.time_or(&path, Duration::ZERO)?);
+    }
+    Ok(longest)
+}
+
+/// Each listener's utility as a part of the highest; all have the same weight where no setting says it.
+fn priority_weights(values: &SettingValues, count: u8) -> Result<Vec<f64>, SettingsError> {
+    let utilities = (0..count)
+        .map(|index| utility(values, index))
+        .collect::<Result<Vec<f64>, SettingsError>>()?;
+    let highest = utilities.iter().copied().fold(0.0, f64::max);
+    let weight = |utility: f64| {
+        if highest > 0.0 {
+            utility / highest
+        } else {
+            1.0
+        }
+    };
+    Ok(utilities.into_iter().map(weight).collect())
+}
+
+fn utility(values: &SettingValues, index: u8) -> Result<f64, SettingsError> {
+    let path = format!("listeners.{index}.utility");
+    let utility = values.or(&path, 1.0)?;
+    if (0.0..=MAX_UTILITY).contains(&utility) {
+        Ok(utility)
+    } else {
+        Err(out_of_range(&path, AllowedRange::UpToBillion))
+    }
+}
+
+fn retry_safety(values: &SettingValues, index: u8) -> Result<RetrySafety, SettingsError> {
+    let path = format!("listeners.{index}.semantics");
+    let semantics: String = values.required(&path)?;
+    match semantics.as_str() {
+        "read_like" => Ok(RetrySafety::Idempotent),
+        "non_idempotent" => Ok(RetrySafety::NotIdempotent),
+        "idempotency_key" => {
+            let scope = idempotency_scope(values, index)?;
+            let key_lifetime = values.time(&format!("listeners.{index}.key_ttl"))?;
+            Ok(RetrySafety::IdempotencyKey(scope, key_lifetime))
+        }
+        _ => Err(SettingsError::UnknownSemantics {
+            path,
+            value: semantics,
+        }),
+    }
+}
+
+fn idempotency_scope(values: &SettingValues, index: u8) -> Result<IdempotencyScope, SettingsError> {
+    let path = format!("listeners.{index}.group");
+    let scope: String = values.required(&path)?;
+    match scope.as_str() {
+        "all" => Ok(IdempotencyScope::All),
+        "zone" => Ok(IdempotencyScope::Zone),
+        "cell" => Ok(IdempotencyScope::Cell),
+        _ => Err(SettingsError::UnknownScope { path, value: scope }),
+    }
+}
--- a/crates/placement/tests/retry_budget.rs
+++ b/crates/placement/tests/retry_budget.rs
@@ -112,13 +112,13 @@
                     .eq(worth)
             )
         }
-        (Err(why), None) => assert!(why.contains("listeners.0.utility"), "{why}"),
+        (Err(why), None) => assert!(why.to_string().contains("listeners.0.utility"), "{why}"),
         (read, _) => panic!("{read:?}"),
     }
 }
 
 /// The least that settings may tell, and what is told beside it.
-fn read(told: &str) -> Result<settings::Settings, String> {
+fn read(told: &str) -> Result<settings::Settings, settings::SettingsError> {
     let text = "discovery=pushed instances=1 self_index=0 listeners.count=0 rules.cold_share=0.3 rules.cold=1 \
                 rules.tip_multiple=4";
     let all = text.split_whitespace().chain(told.split_whitespace());
@@ -145,7 +145,7 @@
         .collect();
     match (read(&rules), reads) {
         (Ok(setup), Ok(rule)) => assert_eq!(setup.deployment.retry_budget, rule),
-        (Err(why), Err(path)) => assert!(why.contains(path), "{why}"),
+        (Err(why), Err(path)) => assert!(why.to_string().contains(path), "{why}"),
         (read, _) => panic!("{read:?}"),
     }
 }
@@ -165,7 +165,11 @@
         sum,
     ) {
         (Ok(setup), Some(sum)) => assert_eq!(setup.deployment.planned_connections, sum),
-        (Err(why), None) => assert!(why.contains("specifics.tenant_quota_connections"), "{why}"),
+        (Err(why), None) => assert!(
+            why.to_string()
+                .contains("specifics.tenant_quota_connections"),
+            "{why}"
+        ),
         (read, _) => panic!("{read:?}"),
     }
 }
