--- a/crates/placement/src/deployment.rs
+++ b/crates/placement/src/deployment.rs
@@ -1,76 +1,97 @@
-//! What a proxy is told once, when it starts.
+//! The facts of a deployment, as a proxy knows them at its start.
 
 use std::time::Duration;
 
-/// Whether a session of a listener may run more than once.
+/// Whether a session of a listener may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
+    /// It may.
     Idempotent,
-    /// Repeats are discarded within the circle, for as long as given, counted from the first that may have
-    /// run.
+    /// The servers of the scope execute it once: they discard repeats for this long, counted from the first
+    /// attempt that may have been executed.
     IdempotencyKey(IdempotencyScope, Duration),
+    /// It must not.
     NotIdempotent,
 }
 
-/// The servers that recognise each other's referenced sessions.
+/// The servers that know each other's idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
+    /// All of the deployment.
     All,
+    /// Those of one zone.
     Zone,
+    /// Those of one cell.
     Cell,
 }
 
+/// What is promised to the clients of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct Listener {
+    /// Whether its sessions may be executed more than once.
     pub retry_safety: RetrySafety,
+    /// Time in which a session should be open.
     pub handshake_target: Duration,
-    /// Longest that a message on an open connection may take; `None` where nobody said.
+    /// Longest that a message on an open connection should take; `None` where no target is set.
     pub message_target: Option<Duration>,
-    /// Utility of its sessions, as a part of the highest of all listeners'; 1 where nobody said.
+    /// Utility of its sessions as a part of the highest of all listeners, 0 to 1.
     pub priority_weight: f64,
 }
 
-/// How a freshly started server warms, and what pushes it over.
+/// How a freshly started server warms up, and what overloads it meanwhile.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStartRule {
+    /// Part of its capacity that it has at its start, 0 to 1.
     pub initial_capacity: f64,
+    /// Time from its start to its whole capacity.
     pub warm_after: Duration,
-    /// How often its present capacity may be sent to it, over which span.
+    /// How often its present capacity may be sent to it over `span`, by all proxies.
     pub max_multiple: f64,
+    /// Span over which that is counted.
     pub span: Duration,
 }
 
-/// How many dials beyond each session's first a proxy may make over any `over`.
+/// How many retries, which are attempts beyond a session's first, a proxy may make over any `span`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetRule {
+    /// Span over which retries and sessions are counted.
     pub span: Duration,
+    /// Retries that are allowed whatever the traffic.
     pub free_retries: f64,
-    /// For each session that it took in that time.
+    /// Further retries for each session that came in the span.
     pub retries_per_session: f64,
 }
 
-/// The facts of a deployment that decisions rest on.
+/// The facts that decisions rest on.
 #[derive(Clone, Debug, Default)]
 pub struct Deployment {
+    /// By index.
     pub listeners: Vec<Listener>,
+    /// Proxies of the deployment, this one included.
     pub proxy_count: u32,
-    /// The number of this proxy among them.
+    /// Index of this proxy among them.
     pub proxy_index: u32,
+    /// Index of this proxy's zone.
     pub zone: u8,
+    /// How servers warm up.
     pub slow_start: SlowStartRule,
-    /// Connections that all members together may have open within their shares; 0 where nobody said.
+    /// Connections that all tenants together may have open within their quotas; 0 where that isn't known.
     pub planned_connections: f64,
-    /// How late a roster that must be asked may be; `None` where it is pushed.
+    /// Time after which a proxy is taken to know of a change of an endpoint list that must be polled; `None` where
+    /// the list is pushed.
     pub endpoint_poll_delay: Option<Duration>,
-    /// Members of the roster carry weights that sink as they fill.
+    /// Whether the weights on the endpoint list sink as servers fill.
     pub weights_reflect_load: bool,
+    /// Attempts that a session may have.
     pub max_attempts: u32,
-    /// `None` where nobody counts them.
+    /// `None` where retries aren't counted.
     pub retry_budget: Option<RetryBudgetRule>,
+    /// Whether servers may be probed.
     pub may_probe: bool,
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Longest come-back time that a client heeds; zero where none may be given.
+    /// Longest time to come again that a client heeds; zero where none may be given.
     pub max_retry_after: Duration,
-    /// Packets pass through, so a connection outlives the proxy that placed it.
+    /// Whether packets pass through, so that a connection outlives the proxy that placed it.
     pub packet_passthrough: bool,
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,13 +1,8 @@
-//! Placement decisions of asterramp, a balancer for long-lived connections.
+//! Placement decisions of asterramp, a balancer for long-lived connections: to which server a session goes, when
+//! it is retried, rejected or migrated, and which servers are probed.
 //!
-//! [`choice`] decides; [`setup`] reads settings; the others hold the types in which it is asked and answers.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
+//! [`PlacementEngine`] takes [`Event`]s and answers with [`Action`]s; it does no I/O and reads no clock. It decides
+//! by the facts of a [`Deployment`], which [`settings`] reads. `docs/design.md` gives the reasons of each rule.
 
 pub mod action;
 pub mod deployment;
--- a/crates/placement/src/session.rs
+++ b/crates/placement/src/session.rs
@@ -66,90 +66,25 @@
 
 /// What is not listed is late or stray, and ignored.
 const TRANSITIONS: &[Transition] = {
-    use SessionEffect as Effect;
-    use SessionInput as Input;
-    use SessionState as State;
+    use SessionEffect::*;
+    use SessionInput::*;
+    use SessionState::*;
     &[
-        on(
-            State::Selecting,
-            Input::Requested,
-            State::Selecting,
-            Effect::SelectServer,
-        ),
-        on(
-            State::Selecting,
-            Input::Dialed,
-            State::Dialing,
-            Effect::Nothing,
-        ),
-        on(
-            State::Selecting,
-            Input::GivenUp,
-            State::Over,
-            Effect::SendFinalAnswer,
-        ),
-        on(
-            State::Selecting,
-            Input::ProbesSent,
-            State::AwaitingProbes,
-            Effect::Nothing,
-        ),
-        on(
-            State::AwaitingProbes,
-            Input::ProbesAnswered,
-            State::Selecting,
-            Effect::SelectServer,
-        ),
-        on(
-            State::AwaitingProbes,
-            Input::ClientLeft,
-            State::Over,
-            Effect::Nothing,
-        ),
-        on(
-            State::Dialing,
-            Input::Opened,
-            State::Open,
-            Effect::RecordOpened,
-        ),
-        on(
-            State::Dialing,
-            Input::AttemptFailed,
-            State::Selecting,
-            Effect::SelectServer,
-        ),
-        on(State::Dialing, Input::Closed, State::Over, Effect::Nothing),
-        on(
-            State::Dialing,
-            Input::ClientLeft,
-            State::Closing,
-            Effect::CancelAttempt,
-        ),
-        on(
-            State::Open,
-            Input::ClientLeft,
-            State::Closing,
-            Effect::ReleaseConnection,
-        ),
-        on(
-            State::Open,
-            Input::AttemptFailed,
-            State::Over,
-            Effect::ReleaseConnection,
-        ),
-        on(
-            State::Open,
-            Input::Closed,
-            State::Over,
-            Effect::ReleaseConnection,
-        ),
-        on(
-            State::Closing,
-            Input::AttemptFailed,
-            State::Over,
-            Effect::Nothing,
-        ),
-        on(State::Closing, Input::Closed, State::Over, Effect::Nothing),
+        on(Selecting, Requested, Selecting, SelectServer),
+        on(Selecting, Dialed, Dialing, Nothing),
+        on(Selecting, GivenUp, Over, SendFinalAnswer),
+        on(Selecting, ProbesSent, AwaitingProbes, Nothing),
+        on(AwaitingProbes, ProbesAnswered, Selecting, SelectServer),
+        on(AwaitingProbes, ClientLeft, Over, Nothing),
+        on(Dialing, Opened, Open, RecordOpened),
+        on(Dialing, AttemptFailed, Selecting, SelectServer),
+        on(Dialing, Closed, Over, Nothing),
+        on(Dialing, ClientLeft, Closing, CancelAttempt),
+        on(Open, ClientLeft, Closing, ReleaseConnection),
+        on(Open, AttemptFailed, Over, ReleaseConnection),
+        on(Open, Closed, Over, ReleaseConnection),
+        on(Closing, AttemptFailed, Over, Nothing),
+        on(Closing, Closed, Over, Nothing),
     ]
 };
 
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -102,7 +102,7 @@
 }
 
 /// All of it but the listeners.
-fn read_deployment(values: &SettingValues) -> Result<Deployment, SettingsError> {
+fn read_deployment(values: &SettingValues<'_>) -> Result<Deployment, SettingsError> {
     let endpoint_poll_delay = endpoint_poll_delay(values)?;
     let max_retry_after = max_retry_after(values)?;
     Ok(Deployment {
@@ -128,7 +128,7 @@
     })
 }
 
-fn endpoint_poll_delay(values: &SettingValues) -> Result<Option<Duration>, SettingsError> {
+fn endpoint_poll_delay(values: &SettingValues<'_>) -> Result<Option<Duration>, SettingsError> {
     let discovery: String = values.required("discovery")?;
     if discovery == "on_request" {
         Ok(Some(values.time("rules.must_ask_in")?))
@@ -137,7 +137,7 @@
     }
 }
 
-fn max_retry_after(values: &SettingValues) -> Result<Duration, SettingsError> {
+fn max_retry_after(values: &SettingValues<'_>) -> Result<Duration, SettingsError> {
     let is_allowed = values.or("permissions.retry_after", false)?;
     let longest = values.or("permissions.max_retry_after", 0.0)?;
     Ok(if is_allowed {
@@ -148,7 +148,7 @@
 }
 
 /// Retries are counted only where a span is set. Of the others, what isn't set is nothing.
-fn retry_budget(values: &SettingValues) -> Result<Option<RetryBudgetRule>, SettingsError> {
+fn retry_budget(values: &SettingValues<'_>) -> Result<Option<RetryBudgetRule>, SettingsError> {
     let span_path = "rules.counted_over";
     let span = not_negative(values, span_path)?;
     let free_retries = not_negative(values, "rules.min_extra")?;
@@ -173,7 +173,7 @@
     }))
 }
 
-fn not_negative(values: &SettingValues, path: &str) -> Result<Option<f64>, SettingsError> {
+fn not_negative(values: &SettingValues<'_>, path: &str) -> Result<Option<f64>, SettingsError> {
     let number = values.optional::<f64>(path)?;
     if number.is_some_and(|number| !number.is_finite() || number < 0.0) {
         return Err(out_of_range(path, AllowedRange::NotNegative));
@@ -182,7 +182,7 @@
 }
 
 /// The sum of the connections that each tenant's quota allows; 0 where no setting says it.
-fn planned_connections(values: &SettingValues) -> Result<f64, SettingsError> {
+fn planned_connections(values: &SettingValues<'_>) -> Result<f64, SettingsError> {
     let path = "specifics.tenant_quota_connections";
     let quotas = values.numbers(path)?;
     if quotas.iter().all(|quota| (0.0..=MAX_QUOTA).contains(quota)) {
@@ -192,7 +192,7 @@
     }
 }
 
-fn tenant_share(values: &SettingValues, index: usize) -> Result<f64, SettingsError> {
+fn tenant_share(values: &SettingValues<'_>, index: usize) -> Result<f64, SettingsError> {
     let path = format!("tenants.{index}.portion");
     let share = values.or(&path, 0.0)?;
     if (0.0..=1.0).contains(&share) {
@@ -202,7 +202,7 @@
     }
 }
 
-fn load_report_format(values: &SettingValues) -> LoadReportFormat {
+fn load_report_format(values: &SettingValues<'_>) -> LoadReportFormat {
     let fields = owned(values.list("load_info.fields"));
     let index_of = |name| fields.iter().position(|field| *field == name);
     // `x0` is a free field; where its meaning is told, it must be the utilization.
--- a/crates/placement/src/settings/listeners.rs
+++ b/crates/placement/src/settings/listeners.rs
@@ -9,7 +9,7 @@
 /// Highest utility of a listener.
 const MAX_UTILITY: f64 = 1e9;
 
-pub(super) fn read_listeners(values: &SettingValues) -> Result<Vec<Listener>, SettingsError> {
+pub(super) fn read_listeners(values: &SettingValues<'_>) -> Result<Vec<Listener>, SettingsError> {
     let message_targets = values.numbers("specifics.message_aim")?;
     let count = values.required::<u8>("listeners.count")?;
     let priority_weights = priority_weights(values, count)?;
@@ -28,7 +28,7 @@
 
 /// The longest that a client of any listener waits for an answer; zero where no setting says it.
 pub(super) fn longest_wait(
-    values: &SettingValues,
+    values: &SettingValues<'_>,
     count: usize,
 ) -> Result<Duration, SettingsError> {
     let mut longest = Duration::ZERO;
@@ -40,7 +40,7 @@
 }
 
 /// Each listener's utility as a part of the highest; all have the same weight where no setting says it.
-fn priority_weights(values: &SettingValues, count: u8) -> Result<Vec<f64>, SettingsError> {
+fn priority_weights(values: &SettingValues<'_>, count: u8) -> Result<Vec<f64>, SettingsError> {
     let utilities = (0..count)
         .map(|index| utility(values, index))
         .collect::<Result<Vec<f64>, SettingsError>>()?;
@@ -55,7 +55,7 @@
     Ok(utilities.into_iter().map(weight).collect())
 }
 
-fn utility(values: &SettingValues, index: u8) -> Result<f64, SettingsError> {
+fn utility(values: &SettingValues<'_>, index: u8) -> Result<f64, SettingsError> {
     let path = format!("listeners.{index}.utility");
     let utility = values.or(&path, 1.0)?;
     if (0.0..=MAX_UTILITY).contains(&utility) {
@@ -65,7 +65,7 @@
     }
 }
 
-fn retry_safety(values: &SettingValues, index: u8) -> Result<RetrySafety, SettingsError> {
+fn retry_safety(values: &SettingValues<'_>, index: u8) -> Result<RetrySafety, SettingsError> {
     let path = format!("listeners.{index}.semantics");
     let semantics: String = values.required(&path)?;
     match semantics.as_str() {
@@ -83,7 +83,10 @@
     }
 }
 
-fn idempotency_scope(values: &SettingValues, index: u8) -> Result<IdempotencyScope, SettingsError> {
+fn idempotency_scope(
+    values: &SettingValues<'_>,
+    index: u8,
+) -> Result<IdempotencyScope, SettingsError> {
     let path = format!("listeners.{index}.group");
     let scope: String = values.required(&path)?;
     match scope.as_str() {
