--- /dev/null
+++ b/crates/placement/tests/engine/endpoint_list.rs
@@ -0,0 +1,84 @@
+//! The endpoint list: who is on it, and when it is polled.
+
+use crate::support::{IDEMPOTENT, Proxy, came_to, count, deployment, dialled, entry, ms};
+use asterramp_placement::event::{Endpoint, EndpointState, EndpointUpdate};
+use asterramp_placement::{Action, Event};
+use test_case::test_case;
+
+#[test_case(EndpointState::Draining; "draining")]
+#[test_case(EndpointState::Gone; "gone")]
+fn nothing_goes_to_a_draining_server(standing: EndpointState) {
+    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 2);
+    proxy.roster(Endpoint {
+        state: standing,
+        ..entry(0)
+    });
+    assert!((0..50).all(|_| dialled(&proxy.arrive(None).1) != Some(0)));
+    proxy.tell(Event::Endpoints(EndpointUpdate::Complete(vec![])));
+    assert_eq!(
+        came_to(&proxy.arrive(None).1),
+        'R',
+        "a server that a whole list leaves out is gone"
+    );
+}
+
+#[test]
+fn the_endpoint_list_is_polled_at_start_and_again_with_backoff() {
+    let mut facts = deployment(IDEMPOTENT);
+    facts.endpoint_poll_delay = Some(ms(10_000));
+    let asks = |did: &[Action]| count(did, |a| *a == Action::PollEndpoints);
+    let mut proxy = Proxy::bare(facts, 1);
+    assert_eq!(
+        asks(&proxy.tell(Event::Endpoints(EndpointUpdate::Stale(vec![entry(0)])))),
+        1
+    );
+    let mut total = 0;
+    for _ in 0..200 {
+        let did = proxy.tell(Event::Endpoints(EndpointUpdate::Failed));
+        assert_eq!(asks(&did), 0, "not in the same breath");
+        total += asks(&proxy.wait(ms(200)));
+    }
+    assert!(total <= 20, "{total} calls in 40 s");
+    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 1);
+    assert_eq!(
+        asks(&proxy.wait(ms(5_000))),
+        0,
+        "a pushed roster is not asked"
+    );
+}
+
+// A roster that answers nobody is called by all proxies of a fleet at a rate that it could serve, and not in step.
+#[test_case(3, 2; "three")]
+#[test_case(100, 20; "a hundred")]
+#[test_case(300, 30; "three hundred")]
+fn calls_of_a_fleet_to_a_roster_that_fails_abate_and_spread(proxies: u32, a_second: usize) {
+    let mut facts = deployment(IDEMPOTENT);
+    (facts.proxy_count, facts.endpoint_poll_delay) = (proxies, Some(ms(10_000)));
+    let mut calls = [0; 60];
+    for nonce in 0..u64::from(proxies) {
+        let mut proxy = Proxy::new(facts.clone(), nonce, vec![entry(0)]);
+        let (began, mut last) = (proxy.now, ms(0));
+        while last < ms(58_000) {
+            // Each call fails after two seconds in the queue.
+            proxy.wait(ms(2_000));
+            proxy.tell(Event::Endpoints(EndpointUpdate::Failed));
+            while !proxy.wait(ms(100)).contains(&Action::PollEndpoints) {}
+            let now = proxy.now - began;
+            assert!(
+                now - last < ms(40_000),
+                "told of nothing for {:?}",
+                now - last
+            );
+            calls
+                .get_mut(now.as_secs() as usize)
+                .into_iter()
+                .for_each(|calls| *calls += 1);
+            last = now;
+        }
+    }
+    let (late, most) = (&calls[30..], calls[30..].iter().max().unwrap_or(&0));
+    assert!(
+        late.iter().sum::<usize>() <= a_second * 30 && *most <= a_second * 2,
+        "{late:?}"
+    );
+}
--- a/crates/placement/tests/engine/cold.rs
+++ b/crates/placement/tests/engine/fleet_slow_start.rs
@@ -1,6 +1,6 @@
 //! What all proxies together send a server that started anew, in one simulated clock.
 
-use crate::help::{Proxy, deployment, dialled, entry, ms};
+use crate::support::{Proxy, deployment, dialled, entry, ms};
 use asterramp_placement::deployment::RetrySafety;
 use asterramp_placement::event::{Endpoint, EndpointUpdate, Event};
 use std::time::Duration;
@@ -78,6 +78,12 @@
             proxy.tell(Event::ClientLeft { session: sess });
         }
     }
+    let (over, n) = worst_window(&sent);
+    (over, n, sent.len())
+}
+
+/// The most that was sent over any window, over what chance adds to the budget; and that budget.
+fn worst_window(sent: &[u64]) -> (f64, f64) {
     let mut worst: (f64, f64) = (f64::MIN, 0.0);
     for t in (0..WARM - 1_000).step_by(100) {
         let count = sent
@@ -91,7 +97,7 @@
             worst = (over, n);
         }
     }
-    (worst.0, worst.1, sent.len())
+    worst
 }
 
 // Beyond the budget of N only 2 root N + 2 is chance, however many proxies there are and whatever each knows of the others.
--- /dev/null
+++ b/crates/placement/tests/engine/main.rs
@@ -0,0 +1,15 @@
+//! The engine's decisions, as tables of cases.
+
+mod attempts;
+mod endpoint_list;
+mod fleet_slow_start;
+mod load_estimate;
+mod outlier_ejection;
+mod probing;
+mod rebalancing;
+mod robustness;
+mod selection;
+mod session_pacing;
+mod slow_start;
+mod support;
+mod zone_shares;
--- /dev/null
+++ b/crates/placement/tests/engine/session_pacing.rs
@@ -0,0 +1,202 @@
+//! Pauses between new sessions while sessions fail wherever they go.
+
+use crate::support::{IDEMPOTENT, Proxy, came_to, deployment, dialled, entry, ms};
+use asterramp_placement::event::{Endpoint, Outcome, SessionRequest};
+use asterramp_placement::{Deployment, Event};
+use test_case::test_case;
+
+// What stands behind the servers is short: dials of all proxies, over and over, would keep it so.
+#[test_case(Outcome::Erred; "err")]
+#[test_case(Outcome::TimedOut; "hang")]
+fn while_all_sessions_fail_most_are_rejected_at_once_until_one_opens(outcome: Outcome) {
+    let facts = Deployment {
+        max_attempts: 6,
+        ..deployment(IDEMPOTENT)
+    };
+    let mut proxy = Proxy::with(facts, 40);
+    let (mut dials, mut sessions) = (0, 0);
+    for _ in 0..200 {
+        proxy.wait(ms(100));
+        let (sess, mut did) = proxy.arrive(None);
+        for dial in 0.. {
+            if dialled(&did).is_none() {
+                break;
+            }
+            (dials, sessions) = (dials + 1, sessions + usize::from(dial == 0));
+            proxy.now += ms(10);
+            did = proxy.end(sess, dial, outcome, false);
+        }
+        assert_eq!(came_to(&did), 'R');
+    }
+    assert!(
+        (5..=24).contains(&sessions) && dials <= sessions + 10,
+        "{dials} dials, {sessions} sessions in 20 s"
+    );
+    // The first that comes up lets half as long a pause follow, and so on.
+    let up = |proxy: &mut Proxy| {
+        proxy.wait(ms(100));
+        let (sess, did) = proxy.arrive(None);
+        proxy.tell(Event::SessionOpened {
+            session: sess,
+            dial: 0,
+        });
+        dialled(&did).is_some()
+    };
+    let since = proxy.now;
+    while !(0..10).all(|_| up(&mut proxy)) {
+        assert!(proxy.now < since + ms(15_000), "they are not dialled again");
+    }
+}
+
+// A zone whose servers all err is not what stands behind all servers.
+#[test]
+fn where_a_zone_fails_sessions_go_to_another_and_none_are_paced() {
+    let servers = (0..12)
+        .map(|s| Endpoint {
+            zone: (s % 2) as u8,
+            ..entry(s)
+        })
+        .collect();
+    let mut proxy = Proxy::new(
+        Deployment {
+            max_attempts: 4,
+            ..deployment(IDEMPOTENT)
+        },
+        7,
+        servers,
+    );
+    for _ in 0..200 {
+        let (sess, mut did) = proxy.arrive(None);
+        let dials = (0..4).take_while(|dial| {
+            proxy.now += ms(10);
+            let server = dialled(&did).expect("a dial");
+            if server.is_multiple_of(2) {
+                did = proxy.end(sess, *dial, Outcome::Erred, false);
+            } else {
+                proxy.tell(Event::SessionOpened {
+                    session: sess,
+                    dial: *dial,
+                });
+            }
+            server.is_multiple_of(2)
+        });
+        assert!(dials.count() <= 1, "one error shows it");
+        proxy.wait(ms(500));
+    }
+}
+
+// While others come up, the same failures are those of two servers.
+#[test]
+fn while_others_open_a_session_that_fails_twice_paces_nobody() {
+    let mut proxy = Proxy::with(
+        Deployment {
+            max_attempts: 6,
+            ..deployment(IDEMPOTENT)
+        },
+        40,
+    );
+    for _ in 0..50 {
+        let (sess, did) = proxy.arrive(None);
+        assert!(dialled(&did).is_some());
+        for dial in 0..3 {
+            proxy.now += ms(10);
+            proxy.open(None);
+            let did = proxy.end(sess, dial, Outcome::Erred, false);
+            assert!(dialled(&did).is_some(), "dial {dial}");
+        }
+        proxy.end(sess, 3, Outcome::CalledOff, true);
+        proxy.wait(ms(100));
+    }
+}
+
+// A process that nothing has come up at yet, as after a restart, holds others back at its first failure; that session
+// itself is dialled elsewhere. What says nothing of what stands behind the servers does not count.
+#[test_case(Outcome::Erred, false => 'R'; "errs")]
+#[test_case(Outcome::TimedOut, false => 'R'; "times out")]
+#[test_case(Outcome::Reset, false => 'R'; "is reset")]
+#[test_case(Outcome::Full, false => 'D'; "is turned away")]
+#[test_case(Outcome::Unreachable, false => 'D'; "cannot connect")]
+#[test_case(Outcome::CalledOff, false => 'D'; "is sent away")]
+#[test_case(Outcome::Erred, true => 'D'; "errs where another has come up")]
+fn a_fresh_process_paces_sessions_after_its_first_failure(outcome: Outcome, served: bool) -> char {
+    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 10);
+    if served {
+        proxy.open(None);
+        proxy.now += ms(2_000);
+    }
+    let (sess, did) = proxy.arrive(None);
+    assert!(dialled(&did).is_some());
+    assert_eq!(
+        came_to(&proxy.end(sess, 0, outcome, false)),
+        'D',
+        "it goes on elsewhere"
+    );
+    proxy.now += ms(50);
+    came_to(&proxy.arrive(None).1)
+}
+
+// While sessions are held back, one that came up at once lets the next go sooner, one that took long later.
+#[test_case(5 => true; "at once")]
+#[test_case(500 => false; "after long")]
+fn a_session_that_opens_slowly_lengthens_the_pause(took: u64) -> bool {
+    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 10);
+    // Two clients fail everywhere: the pause is its longest.
+    for _ in 0..2 {
+        let (sess, did) = proxy.arrive(None);
+        assert!(dialled(&did).is_some());
+        proxy.end(sess, 0, Outcome::Erred, false);
+        proxy.end(sess, 1, Outcome::Erred, false);
+        proxy.now += ms(7_000);
+    }
+    let (sess, did) = proxy.arrive(None);
+    assert!(dialled(&did).is_some());
+    proxy.now += ms(took);
+    proxy.tell(Event::SessionOpened {
+        session: sess,
+        dial: 0,
+    });
+    // Half of 4 s, or all of it, with the chance of a half to one and a half on top.
+    proxy.now += ms(2_000);
+    dialled(&proxy.arrive(None).1).is_some()
+}
+
+// However long nothing comes up, whoever looks at a proxy for 4 s sees it try.
+#[test]
+fn paced_sessions_are_tried_within_four_seconds() {
+    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 10);
+    let (mut last, mut gaps) = (proxy.now, Vec::new());
+    for _ in 0..600 {
+        proxy.wait(ms(100));
+        let (sess, did) = proxy.arrive(None);
+        if dialled(&did).is_some() {
+            gaps.push(proxy.now - last);
+            last = proxy.now;
+            proxy.end(sess, 0, Outcome::Erred, false);
+            proxy.end(sess, 1, Outcome::Erred, false);
+        }
+    }
+    assert!(gaps.iter().all(|gap| *gap < ms(4_000)), "{gaps:?}");
+    assert!(gaps.len() < 40, "{} of 600 are tried", gaps.len());
+}
+
+// Who failed last lets others go first, but where nobody else comes is tried again.
+#[test]
+fn a_client_that_fails_alone_is_tried_again() {
+    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 10);
+    let again = |proxy: &mut Proxy, sess, item| {
+        let dial_timeout = proxy.now + ms(4_800);
+        came_to(&proxy.settle(Event::SessionRequested(SessionRequest {
+            session: sess,
+            hash_key: item,
+            dial_timeout,
+            ..SessionRequest::default()
+        })))
+    };
+    assert_eq!(again(&mut proxy, 1, 7), 'D');
+    proxy.end(1, 0, Outcome::Erred, false);
+    proxy.end(1, 1, Outcome::Erred, false);
+    proxy.now += ms(1_500);
+    assert_eq!(again(&mut proxy, 2, 7), 'R', "others go first");
+    proxy.now += ms(1_000);
+    assert_eq!(again(&mut proxy, 3, 7), 'D', "nobody else came");
+}
--- a/crates/placement/tests/help/mod.rs
+++ b/crates/placement/tests/engine/support.rs
@@ -1,6 +1,6 @@
 //! A proxy under test: feeds events to the module and keeps what it did.
 
-use asterramp_placement::deployment::{Listener, RetrySafety, SlowStartRule};
+use asterramp_placement::deployment::{IdempotencyScope, Listener, RetrySafety, SlowStartRule};
 use asterramp_placement::event::{
     Endpoint, EndpointState, EndpointUpdate, Load, Outcome, ServerId, SessionId, SessionRequest,
 };
@@ -8,11 +8,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub const fn ms(n: u64) -> Duration {
+pub(crate) const IDEMPOTENT: RetrySafety = RetrySafety::Idempotent;
+pub(crate) const KEY_KNOWN_BY_ALL: RetrySafety =
+    RetrySafety::IdempotencyKey(IdempotencyScope::All, ms(5_000));
+pub(crate) const KEY_KNOWN_BY_ZONE: RetrySafety =
+    RetrySafety::IdempotencyKey(IdempotencyScope::Zone, ms(5_000));
+pub(crate) const KEY_KNOWN_BY_CELL: RetrySafety =
+    RetrySafety::IdempotencyKey(IdempotencyScope::Cell, ms(5_000));
+pub(crate) const SHORT_KEY: RetrySafety =
+    RetrySafety::IdempotencyKey(IdempotencyScope::All, ms(50));
+pub(crate) const IS_PROBE: fn(&Action) -> bool = |a| matches!(a, Action::Probe { .. });
+
+pub(crate) const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-pub fn deployment(kind: RetrySafety) -> Deployment {
+pub(crate) fn deployment(kind: RetrySafety) -> Deployment {
     let listener = Listener {
         retry_safety: kind,
         handshake_target: ms(800),
@@ -36,7 +47,7 @@
     }
 }
 
-pub fn entry(server: ServerId) -> Endpoint {
+pub(crate) fn entry(server: ServerId) -> Endpoint {
     let mark = u64::from(server) * 7919 + 13;
     Endpoint {
         server,
@@ -47,18 +58,18 @@
     }
 }
 
-pub struct Proxy {
-    pub choice: PlacementEngine,
-    pub now: Duration,
-    pub next: SessionId,
+pub(crate) struct Proxy {
+    pub(crate) choice: PlacementEngine,
+    pub(crate) now: Duration,
+    pub(crate) next: SessionId,
     /// Whether clients that arrive were connected before.
-    pub again: bool,
+    pub(crate) again: bool,
     /// What servers answer to probes that sessions wait for.
-    pub loads: BTreeMap<ServerId, Load>,
+    pub(crate) loads: BTreeMap<ServerId, Load>,
 }
 
 impl Proxy {
-    pub fn bare(facts: Deployment, nonce: u64) -> Self {
+    pub(crate) fn bare(facts: Deployment, nonce: u64) -> Self {
         Proxy {
             choice: PlacementEngine::new(facts, nonce),
             now: ms(1_000_000),
@@ -69,25 +80,25 @@
     }
 
     /// A proxy that has just started and knows the servers given.
-    pub fn new(facts: Deployment, nonce: u64, servers: Vec<Endpoint>) -> Self {
+    pub(crate) fn new(facts: Deployment, nonce: u64, servers: Vec<Endpoint>) -> Self {
         let mut proxy = Self::bare(facts, nonce);
         proxy.tell(Event::Endpoints(EndpointUpdate::Stale(servers)));
         proxy
     }
 
     /// One with so many ready servers.
-    pub fn with(facts: Deployment, servers: u32) -> Self {
+    pub(crate) fn with(facts: Deployment, servers: u32) -> Self {
         Self::new(facts, 7, (0..servers).map(entry).collect())
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn tell(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.choice.handle(self.now, event, &mut out);
         out
     }
 
     /// The same, with the probes answered that follow at once.
-    pub fn settle(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn settle(&mut self, event: Event) -> Vec<Action> {
         let (mut out, mut next) = (self.tell(event), 0);
         while let Some(action) = out.get(next) {
             if let Action::Probe { server } = *action {
@@ -104,7 +115,7 @@
     }
 
     /// Lets time pass, with the timer ringing every tenth of a second and probes answered.
-    pub fn wait(&mut self, span: Duration) -> Vec<Action> {
+    pub(crate) fn wait(&mut self, span: Duration) -> Vec<Action> {
         let (end, mut out) = (self.now + span, Vec::new());
         while self.now < end {
             self.now += ms(100);
@@ -113,11 +124,15 @@
         out
     }
 
-    pub fn arrive(&mut self, group: Option<u64>) -> (SessionId, Vec<Action>) {
+    pub(crate) fn arrive(&mut self, group: Option<u64>) -> (SessionId, Vec<Action>) {
         self.arrive_at(0, group)
     }
 
-    pub fn arrive_at(&mut self, listener: u8, group: Option<u64>) -> (SessionId, Vec<Action>) {
+    pub(crate) fn arrive_at(
+        &mut self,
+        listener: u8,
+        group: Option<u64>,
+    ) -> (SessionId, Vec<Action>) {
         let sess = self.next;
         self.next += 1;
         let dial_timeout = self.now + ms(4_800);
@@ -135,7 +150,7 @@
     }
 
     /// A session set up on the server that was chosen.
-    pub fn open(&mut self, group: Option<u64>) -> (SessionId, ServerId) {
+    pub(crate) fn open(&mut self, group: Option<u64>) -> (SessionId, ServerId) {
         let (sess, did) = self.arrive(group);
         let server = dialled(&did).expect("a dial");
         self.tell(Event::SessionOpened {
@@ -145,11 +160,17 @@
         (sess, server)
     }
 
-    pub fn open_many(&mut self, n: usize) -> Vec<(SessionId, ServerId)> {
+    pub(crate) fn open_many(&mut self, n: usize) -> Vec<(SessionId, ServerId)> {
         (0..n).map(|_| self.open(None)).collect()
     }
 
-    pub fn end(&mut self, sess: SessionId, dial: u8, outcome: Outcome, over: bool) -> Vec<Action> {
+    pub(crate) fn end(
+        &mut self,
+        sess: SessionId,
+        dial: u8,
+        outcome: Outcome,
+        over: bool,
+    ) -> Vec<Action> {
         self.settle(Event::AttemptEnded {
             session: sess,
             dial,
@@ -159,7 +180,7 @@
         })
     }
 
-    pub fn probed(&mut self, server: ServerId, connections: f64, asked: f64) -> Vec<Action> {
+    pub(crate) fn probed(&mut self, server: ServerId, connections: f64, asked: f64) -> Vec<Action> {
         let load = load(connections, asked);
         self.loads.insert(server, load);
         self.tell(Event::ProbeEnded {
@@ -169,7 +190,7 @@
         })
     }
 
-    pub fn unanswered(&mut self, server: ServerId) -> Vec<Action> {
+    pub(crate) fn unanswered(&mut self, server: ServerId) -> Vec<Action> {
         self.tell(Event::ProbeEnded {
             server,
             outcome: Outcome::TimedOut,
@@ -177,19 +198,19 @@
         })
     }
 
-    pub fn roster(&mut self, entry: Endpoint) -> Vec<Action> {
+    pub(crate) fn roster(&mut self, entry: Endpoint) -> Vec<Action> {
         self.tell(Event::Endpoints(EndpointUpdate::Changes(vec![entry])))
     }
 }
 
-pub fn load(connections: f64, asked: f64) -> Load {
+pub(crate) fn load(connections: f64, asked: f64) -> Load {
     Load {
         connections: Some(connections),
         utilization: Some(asked),
     }
 }
 
-pub fn dialled(did: &[Action]) -> Option<ServerId> {
+pub(crate) fn dialled(did: &[Action]) -> Option<ServerId> {
     did.iter().find_map(|a| {
         if let Action::Dial { server, .. } = a {
             Some(*server)
@@ -199,7 +220,7 @@
     })
 }
 
-pub fn time_out(did: &[Action]) -> Duration {
+pub(crate) fn time_out(did: &[Action]) -> Duration {
     did.iter()
         .find_map(|a| {
             if let Action::Dial {
@@ -215,7 +236,7 @@
 }
 
 /// What a session came to: `D` dialled, `R` refused, `T` torn down, `-` nothing.
-pub fn came_to(did: &[Action]) -> char {
+pub(crate) fn came_to(did: &[Action]) -> char {
     let letter = |a: &Action| match a {
         Action::Dial { .. } => Some('D'),
         Action::Reject { .. } => Some('R'),
@@ -225,6 +246,6 @@
     did.iter().find_map(letter).unwrap_or('-')
 }
 
-pub fn count(did: &[Action], of: fn(&Action) -> bool) -> usize {
+pub(crate) fn count(did: &[Action], of: fn(&Action) -> bool) -> usize {
     did.iter().filter(|a| of(a)).count()
 }
--- a/crates/placement/tests/engine/places.rs
+++ b/crates/placement/tests/engine/zone_shares.rs
@@ -1,7 +1,7 @@
 //! What another subsystem says of whole zones, and what the module makes of it. Servers 0 to 2 stand in zone 0, where
 //! the proxy is, 3 to 5 in zone 1.
 
-use crate::help::{Proxy, count, deployment, dialled, entry};
+use crate::support::{Proxy, count, deployment, dialled, entry};
 use asterramp_placement::deployment::RetrySafety;
 use asterramp_placement::event::{Endpoint, Event, Outcome, ServerId, SessionRequest};
 use asterramp_placement::{Action, Deployment};
