--- a/crates/placement/tests/engine/attempts.rs
+++ b/crates/placement/tests/engine/attempts.rs
@@ -1,8 +1,8 @@
 //! Attempts and final answers: how many, where, for how long.
 
 use crate::support::{
-    IDEMPOTENT, KEY_KNOWN_BY_ALL, KEY_KNOWN_BY_CELL, KEY_KNOWN_BY_ZONE, Proxy, SHORT_KEY, came_to,
-    deployment, dialled, entry, ms, time_out,
+    IDEMPOTENT, KEY_KNOWN_BY_ALL, KEY_KNOWN_BY_CELL, KEY_KNOWN_BY_ZONE, Proxy, SHORT_KEY,
+    deployment, dial_timeout_of, dialed_server, endpoint, ms, outcome_letter,
 };
 use asterramp_placement::deployment::{RetryBudgetRule, RetrySafety};
 use asterramp_placement::event::{Endpoint, Outcome};
@@ -10,64 +10,68 @@
 use test_case::test_case;
 
 // Each rule on every kind: what follows a failed dial.
-#[test_case(IDEMPOTENT, Outcome::TimedOut => 'D'; "repeatable that may have run")]
-#[test_case(KEY_KNOWN_BY_ALL, Outcome::Erred => 'D'; "referenced, known everywhere")]
-#[test_case(SHORT_KEY, Outcome::Erred => 'R'; "referenced, forgotten by now")]
-#[test_case(KEY_KNOWN_BY_ZONE, Outcome::Reset => 'D'; "referenced, known in the zone")]
-#[test_case(KEY_KNOWN_BY_CELL, Outcome::Reset => 'D'; "referenced, known in a cell of one")]
-#[test_case(KEY_KNOWN_BY_CELL, Outcome::Unreachable => 'D'; "referenced that cannot have run")]
-#[test_case(RetrySafety::NotIdempotent, Outcome::TimedOut => 'T'; "once-only that timed out")]
-#[test_case(RetrySafety::NotIdempotent, Outcome::Erred => 'T'; "once-only that erred")]
-#[test_case(RetrySafety::NotIdempotent, Outcome::Reset => 'T'; "once-only that was reset")]
-#[test_case(RetrySafety::NotIdempotent, Outcome::Full => 'D'; "once-only turned away unseen")]
-#[test_case(RetrySafety::NotIdempotent, Outcome::Unreachable => 'D'; "once-only that reached nobody")]
+#[test_case(IDEMPOTENT, Outcome::TimedOut => 'D'; "idempotent that may have run")]
+#[test_case(KEY_KNOWN_BY_ALL, Outcome::Erred => 'D'; "keyed, known everywhere")]
+#[test_case(SHORT_KEY, Outcome::Erred => 'R'; "keyed, forgotten by now")]
+#[test_case(KEY_KNOWN_BY_ZONE, Outcome::Reset => 'D'; "keyed, known in the zone")]
+#[test_case(KEY_KNOWN_BY_CELL, Outcome::Reset => 'D'; "keyed, known in a cell of one")]
+#[test_case(KEY_KNOWN_BY_CELL, Outcome::Unreachable => 'D'; "keyed that cannot have run")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::TimedOut => 'T'; "not idempotent that timed out")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::Erred => 'T'; "not idempotent that erred")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::Reset => 'T'; "not idempotent that was reset")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::Full => 'D'; "not idempotent turned away unseen")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::Unreachable => 'D'; "not idempotent that reached nobody")]
 fn nothing_is_executed_twice(kind: RetrySafety, outcome: Outcome) -> char {
     let servers = vec![
         Endpoint {
             cell: 1,
-            ..entry(0)
+            ..endpoint(0)
         },
         Endpoint {
             cell: 2,
-            ..entry(1)
+            ..endpoint(1)
         },
     ];
     let mut proxy = Proxy::new(deployment(kind), 5, servers);
-    let (sess, first) = proxy.arrive(None);
+    let (session, first) = proxy.request_session(None);
     proxy.now += ms(100);
-    let next = proxy.end(sess, 0, outcome, false);
+    let next = proxy.end_attempt(session, 0, outcome, false);
     if kind == KEY_KNOWN_BY_CELL && outcome == Outcome::Reset {
         assert_eq!(
-            dialled(&next),
-            dialled(&first),
+            dialed_server(&next),
+            dialed_server(&first),
             "the other cell would not know it"
         );
     }
-    came_to(&next)
+    outcome_letter(&next)
 }
 
-#[test_case(IDEMPOTENT, 0 => 'R'; "repeatable, empty roster")]
-#[test_case(RetrySafety::NotIdempotent, 0 => 'R'; "once-only, empty roster")]
-#[test_case(RetrySafety::NotIdempotent, 1 => 'D'; "once-only, one server")]
+#[test_case(IDEMPOTENT, 0 => 'R'; "idempotent, no server")]
+#[test_case(RetrySafety::NotIdempotent, 0 => 'R'; "not idempotent, no server")]
+#[test_case(RetrySafety::NotIdempotent, 1 => 'D'; "not idempotent, one server")]
 fn answered_at_once_without_a_usable_server(kind: RetrySafety, servers: u32) -> char {
-    came_to(&Proxy::with(deployment(kind), servers).arrive(None).1)
+    outcome_letter(
+        &Proxy::with(deployment(kind), servers)
+            .request_session(None)
+            .1,
+    )
 }
 
-#[test_case(IDEMPOTENT, 'R'; "repeatable")]
-#[test_case(KEY_KNOWN_BY_ALL, 'R'; "referenced")]
-#[test_case(KEY_KNOWN_BY_ZONE, 'T'; "referenced in a zone")]
-#[test_case(RetrySafety::NotIdempotent, 'T'; "once-only")]
+#[test_case(IDEMPOTENT, 'R'; "idempotent")]
+#[test_case(KEY_KNOWN_BY_ALL, 'R'; "keyed")]
+#[test_case(KEY_KNOWN_BY_ZONE, 'T'; "keyed in a zone")]
+#[test_case(RetrySafety::NotIdempotent, 'T'; "not idempotent")]
 fn one_answer_and_no_dial_after_the_dial_timeout(kind: RetrySafety, answer: char) {
     let mut proxy = Proxy::with(deployment(kind), 3);
-    let (sess, _) = proxy.arrive(None);
+    let (session, _) = proxy.request_session(None);
     proxy.now += ms(4_800);
     assert_eq!(
-        came_to(&proxy.end(sess, 0, Outcome::TimedOut, false)),
+        outcome_letter(&proxy.end_attempt(session, 0, Outcome::TimedOut, false)),
         answer
     );
     for stray in [
-        proxy.end(sess, 0, Outcome::TimedOut, false),
-        proxy.tell(Event::ClientLeft { session: sess }),
+        proxy.end_attempt(session, 0, Outcome::TimedOut, false),
+        proxy.handle(Event::ClientLeft { session }),
     ] {
         assert!(stray.is_empty(), "{stray:?}");
     }
@@ -76,12 +80,12 @@
 #[test]
 fn attempts_are_few_and_one_at_a_time_and_leave_time_for_the_next() {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 6);
-    let (sess, did) = proxy.arrive(None);
-    assert_eq!(time_out(&did), ms(400));
-    let mut seen = vec![dialled(&did).unwrap()];
+    let (session, actions) = proxy.request_session(None);
+    assert_eq!(dial_timeout_of(&actions), ms(400));
+    let mut seen = vec![dialed_server(&actions).unwrap()];
     assert!(
         proxy
-            .tell(Event::Tick)
+            .handle(Event::Tick)
             .iter()
             .all(|a| !matches!(a, Action::Dial { .. })),
         "the first is still out"
@@ -89,10 +93,10 @@
     for (dial, wanted) in [(0, 'D'), (1, 'D'), (2, 'R')] {
         proxy.now += ms(400);
         // Others come up meanwhile, or the fault would not be the servers'.
-        proxy.open(None);
-        let did = proxy.end(sess, dial, Outcome::Erred, false);
-        assert_eq!(came_to(&did), wanted);
-        seen.extend(dialled(&did));
+        proxy.open_session(None);
+        let actions = proxy.end_attempt(session, dial, Outcome::Erred, false);
+        assert_eq!(outcome_letter(&actions), wanted);
+        seen.extend(dialed_server(&actions));
     }
     seen.dedup();
     assert_eq!(seen.len(), 3, "each at another server: {seen:?}");
@@ -102,17 +106,17 @@
 #[test]
 fn after_a_timeout_the_next_attempt_waits_longer() {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 10);
-    proxy.open(None);
-    let (sess, did) = proxy.arrive(None);
-    let first = time_out(&did);
+    proxy.open_session(None);
+    let (session, actions) = proxy.request_session(None);
+    let first = dial_timeout_of(&actions);
     proxy.now += first;
-    proxy.end(sess, 0, Outcome::TimedOut, false);
-    proxy.end(sess, 1, Outcome::CalledOff, true);
-    let (_, did) = proxy.arrive(None);
+    proxy.end_attempt(session, 0, Outcome::TimedOut, false);
+    proxy.end_attempt(session, 1, Outcome::CalledOff, true);
+    let (_, actions) = proxy.request_session(None);
     assert!(
-        time_out(&did) >= first * 4,
+        dial_timeout_of(&actions) >= first * 4,
         "{:?} after {first:?}",
-        time_out(&did)
+        dial_timeout_of(&actions)
     );
 }
 
@@ -121,14 +125,11 @@
 fn time_outs_follow_what_set_ups_take() {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 4);
     for _ in 0..30 {
-        let (sess, _) = proxy.arrive(None);
+        let (session, _) = proxy.request_session(None);
         proxy.now += ms(1_000);
-        proxy.tell(Event::SessionOpened {
-            session: sess,
-            dial: 0,
-        });
+        proxy.handle(Event::SessionOpened { session, dial: 0 });
     }
-    assert!(time_out(&proxy.arrive(None).1) > ms(1_500));
+    assert!(dial_timeout_of(&proxy.request_session(None).1) > ms(1_500));
 }
 
 #[test]
@@ -145,21 +146,21 @@
         },
         3,
     );
-    let (first, _) = proxy.arrive(None);
-    let (second, _) = proxy.arrive(None);
-    assert!(dialled(&proxy.end(first, 0, Outcome::Unreachable, false)).is_some());
-    let did = proxy.end(second, 0, Outcome::Unreachable, false);
+    let (first, _) = proxy.request_session(None);
+    let (second, _) = proxy.request_session(None);
+    assert!(dialed_server(&proxy.end_attempt(first, 0, Outcome::Unreachable, false)).is_some());
+    let actions = proxy.end_attempt(second, 0, Outcome::Unreachable, false);
     assert!(
-        matches!(did[..], [Action::Reject { .. }, Action::Forget { .. }]),
-        "{did:?}"
+        matches!(actions[..], [Action::Reject { .. }, Action::Forget { .. }]),
+        "{actions:?}"
     );
     assert!(
-        dialled(&proxy.arrive(None).1).is_some(),
+        dialed_server(&proxy.request_session(None).1).is_some(),
         "first dials are not counted"
     );
     proxy.now += ms(2_200);
     assert!(
-        dialled(&proxy.end(first, 1, Outcome::Unreachable, false)).is_some(),
+        dialed_server(&proxy.end_attempt(first, 1, Outcome::Unreachable, false)).is_some(),
         "it is there again"
     );
 }
--- a/crates/placement/tests/engine/endpoint_list.rs
+++ b/crates/placement/tests/engine/endpoint_list.rs
@@ -1,6 +1,8 @@
 //! The endpoint list: who is on it, and when it is polled.
 
-use crate::support::{IDEMPOTENT, Proxy, came_to, count, deployment, dialled, entry, ms};
+use crate::support::{
+    IDEMPOTENT, Proxy, count, deployment, dialed_server, endpoint, ms, outcome_letter,
+};
 use asterramp_placement::event::{Endpoint, EndpointState, EndpointUpdate};
 use asterramp_placement::{Action, Event};
 use test_case::test_case;
@@ -9,14 +11,14 @@
 #[test_case(EndpointState::Gone; "gone")]
 fn nothing_goes_to_a_draining_server(standing: EndpointState) {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 2);
-    proxy.roster(Endpoint {
+    proxy.update_endpoint(Endpoint {
         state: standing,
-        ..entry(0)
+        ..endpoint(0)
     });
-    assert!((0..50).all(|_| dialled(&proxy.arrive(None).1) != Some(0)));
-    proxy.tell(Event::Endpoints(EndpointUpdate::Complete(vec![])));
+    assert!((0..50).all(|_| dialed_server(&proxy.request_session(None).1) != Some(0)));
+    proxy.handle(Event::Endpoints(EndpointUpdate::Complete(vec![])));
     assert_eq!(
-        came_to(&proxy.arrive(None).1),
+        outcome_letter(&proxy.request_session(None).1),
         'R',
         "a server that a whole list leaves out is gone"
     );
@@ -26,16 +28,16 @@
 fn the_endpoint_list_is_polled_at_start_and_again_with_backoff() {
     let mut facts = deployment(IDEMPOTENT);
     facts.endpoint_poll_delay = Some(ms(10_000));
-    let asks = |did: &[Action]| count(did, |a| *a == Action::PollEndpoints);
-    let mut proxy = Proxy::bare(facts, 1);
+    let asks = |actions: &[Action]| count(actions, |a| *a == Action::PollEndpoints);
+    let mut proxy = Proxy::without_endpoints(facts, 1);
     assert_eq!(
-        asks(&proxy.tell(Event::Endpoints(EndpointUpdate::Stale(vec![entry(0)])))),
+        asks(&proxy.handle(Event::Endpoints(EndpointUpdate::Stale(vec![endpoint(0)])))),
         1
     );
     let mut total = 0;
     for _ in 0..200 {
-        let did = proxy.tell(Event::Endpoints(EndpointUpdate::Failed));
-        assert_eq!(asks(&did), 0, "not in the same breath");
+        let actions = proxy.handle(Event::Endpoints(EndpointUpdate::Failed));
+        assert_eq!(asks(&actions), 0, "not in the same breath");
         total += asks(&proxy.wait(ms(200)));
     }
     assert!(total <= 20, "{total} calls in 40 s");
@@ -43,11 +45,11 @@
     assert_eq!(
         asks(&proxy.wait(ms(5_000))),
         0,
-        "a pushed roster is not asked"
+        "a pushed list is not polled"
     );
 }
 
-// A roster that answers nobody is called by all proxies of a fleet at a rate that it could serve, and not in step.
+// Discovery that answers nobody is polled by all proxies of a fleet at a rate that it could serve, and not in step.
 #[test_case(3, 2; "three")]
 #[test_case(100, 20; "a hundred")]
 #[test_case(300, 30; "three hundred")]
@@ -56,12 +58,12 @@
     (facts.proxy_count, facts.endpoint_poll_delay) = (proxies, Some(ms(10_000)));
     let mut calls = [0; 60];
     for nonce in 0..u64::from(proxies) {
-        let mut proxy = Proxy::new(facts.clone(), nonce, vec![entry(0)]);
+        let mut proxy = Proxy::new(facts.clone(), nonce, vec![endpoint(0)]);
         let (began, mut last) = (proxy.now, ms(0));
         while last < ms(58_000) {
             // Each call fails after two seconds in the queue.
             proxy.wait(ms(2_000));
-            proxy.tell(Event::Endpoints(EndpointUpdate::Failed));
+            proxy.handle(Event::Endpoints(EndpointUpdate::Failed));
             while !proxy.wait(ms(100)).contains(&Action::PollEndpoints) {}
             let now = proxy.now - began;
             assert!(
--- a/crates/placement/tests/engine/fleet_slow_start.rs
+++ b/crates/placement/tests/engine/fleet_slow_start.rs
@@ -1,6 +1,6 @@
 //! What all proxies together send a server that started anew, in one simulated clock.
 
-use crate::support::{Proxy, deployment, dialled, entry, ms};
+use crate::support::{Proxy, deployment, dialed_server, endpoint, ms};
 use asterramp_placement::deployment::RetrySafety;
 use asterramp_placement::event::{Endpoint, EndpointUpdate, Event};
 use std::time::Duration;
@@ -30,24 +30,24 @@
     let cold = Endpoint {
         started_at: Some(start),
         hash_key: 71_284 + seed * 104_729,
-        ..entry(9)
+        ..endpoint(9)
     };
     let mut begin = |number: u64, now: Duration| {
         facts.proxy_index = number as u32;
         let mut proxy = Proxy::new(
             facts.clone(),
             seed * 1_000 + number,
-            (0..4).map(entry).collect(),
+            (0..4).map(endpoint).collect(),
         );
         proxy.now = now;
-        (0..4).for_each(|s| drop(proxy.probed(s, FILL * 0.7, 0.7)));
+        (0..4).for_each(|s| drop(proxy.report_load(s, FILL * 0.7, 0.7)));
         proxy.wait(ms(1_100));
         proxy.now = now;
         proxy
     };
     let mut all: Vec<Proxy> = (0..proxies).map(|number| begin(number, start)).collect();
     for proxy in &mut all {
-        proxy.roster(cold);
+        proxy.update_endpoint(cold);
     }
     let (mut sent, mut next) = (Vec::new(), 0);
     for at in (0..WARM - 1_000).step_by(STEP as usize) {
@@ -56,26 +56,26 @@
             let nth = next % proxies;
             next += 1;
             all[nth as usize] = begin(nth, now);
-            all[nth as usize].roster(cold);
+            all[nth as usize].update_endpoint(cold);
         }
         for proxy in &mut all {
             proxy.now = now;
             if at.is_multiple_of(100) {
-                proxy.tell(Event::Tick);
+                proxy.handle(Event::Tick);
             }
             if demand == Demand::Sudden && at == 5_000 {
-                proxy.tell(Event::Endpoints(EndpointUpdate::Complete(vec![cold])));
+                proxy.handle(Event::Endpoints(EndpointUpdate::Complete(vec![cold])));
             }
             if demand == Demand::Sudden && at < 5_000 {
                 continue;
             }
-            proxy.probed(9, 0.0, 0.0);
-            (0..4).for_each(|s| drop(proxy.probed(s, FILL, 1.0)));
-            let (sess, did) = proxy.arrive(None);
-            if dialled(&did) == Some(9) {
+            proxy.report_load(9, 0.0, 0.0);
+            (0..4).for_each(|s| drop(proxy.report_load(s, FILL, 1.0)));
+            let (session, actions) = proxy.request_session(None);
+            if dialed_server(&actions) == Some(9) {
                 sent.push(at);
             }
-            proxy.tell(Event::ClientLeft { session: sess });
+            proxy.handle(Event::ClientLeft { session });
         }
     }
     let (over, n) = worst_window(&sent);
--- a/crates/placement/tests/engine/outlier_ejection.rs
+++ b/crates/placement/tests/engine/outlier_ejection.rs
@@ -1,6 +1,6 @@
 //! Ejection of servers that fail.
 
-use crate::support::{IDEMPOTENT, Proxy, came_to, deployment, dialled, ms};
+use crate::support::{IDEMPOTENT, Proxy, deployment, dialed_server, ms, outcome_letter};
 use asterramp_placement::Event;
 use asterramp_placement::event::{Outcome, SessionRequest};
 use test_case::test_case;
@@ -15,17 +15,17 @@
     let mut visits = 0;
     for _ in 0..200 {
         proxy.wait(ms(100));
-        let (sess, did) = proxy.arrive(None);
-        if dialled(&did) == Some(0) {
+        let (session, actions) = proxy.request_session(None);
+        if dialed_server(&actions) == Some(0) {
             visits += 1;
-            assert_ne!(dialled(&proxy.end(sess, 0, outcome, false)), Some(0));
-            proxy.tell(Event::SessionOpened {
-                session: sess,
-                dial: 1,
-            });
-            proxy.end(sess, 1, Outcome::Ok, true);
+            assert_ne!(
+                dialed_server(&proxy.end_attempt(session, 0, outcome, false)),
+                Some(0)
+            );
+            proxy.handle(Event::SessionOpened { session, dial: 1 });
+            proxy.end_attempt(session, 1, Outcome::Ok, true);
         } else {
-            proxy.end(sess, 0, Outcome::CalledOff, true);
+            proxy.end_attempt(session, 0, Outcome::CalledOff, true);
         }
     }
     assert!((2..=12).contains(&visits), "{visits} visits in 20 s");
@@ -37,39 +37,41 @@
 #[test_case(Outcome::TimedOut => 3; "hangs everywhere")]
 fn a_session_that_fails_everywhere_ejects_no_server(outcome: Outcome) -> usize {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 4);
-    let (sess, first) = proxy.arrive(None);
-    let mut tried = vec![dialled(&first).unwrap()];
+    let (session, first) = proxy.request_session(None);
+    let mut tried = vec![dialed_server(&first).unwrap()];
     for dial in 0..3 {
         // Others come up meanwhile, or the fault would not be its own.
         proxy.now += ms(1);
-        proxy.open(None);
-        tried.extend(dialled(&proxy.end(sess, dial, outcome, false)));
+        proxy.open_session(None);
+        tried.extend(dialed_server(
+            &proxy.end_attempt(session, dial, outcome, false),
+        ));
     }
     assert_eq!(tried.len(), 3);
     let sought: Vec<_> = (0..100)
-        .filter_map(|_| dialled(&proxy.arrive(None).1))
+        .filter_map(|_| dialed_server(&proxy.request_session(None).1))
         .collect();
     tried.into_iter().filter(|id| !sought.contains(id)).count()
 }
 
-// Refused for want of room, while one at rest stands idle after an error or two.
+// Rejected for want of room, while an ejected server is idle after an error or two.
 #[test_case(true => 'D'; "it answers probes")]
 #[test_case(false => 'R'; "it does not")]
 fn an_ejected_server_is_tried_before_a_session_is_rejected(answers: bool) -> char {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 2);
-    proxy.probed(0, 50.0, 0.2);
-    proxy.probed(1, 50.0, 0.95);
+    proxy.report_load(0, 50.0, 0.2);
+    proxy.report_load(1, 50.0, 0.95);
     // Others have come up before; where none ever has, the first failure holds back.
-    proxy.tell(Event::SessionInherited(
+    proxy.handle(Event::SessionInherited(
         SessionRequest {
             session: 99,
             ..SessionRequest::default()
         },
         0,
     ));
-    let (sess, did) = proxy.arrive(None);
-    assert_eq!(dialled(&did), Some(0));
-    proxy.end(sess, 0, Outcome::Reset, false);
-    (!answers).then(|| proxy.unanswered(0));
-    came_to(&proxy.arrive(None).1)
+    let (session, actions) = proxy.request_session(None);
+    assert_eq!(dialed_server(&actions), Some(0));
+    proxy.end_attempt(session, 0, Outcome::Reset, false);
+    (!answers).then(|| proxy.fail_probe(0));
+    outcome_letter(&proxy.request_session(None).1)
 }
--- a/crates/placement/tests/engine/probing.rs
+++ b/crates/placement/tests/engine/probing.rs
@@ -1,6 +1,6 @@
 //! When servers are probed, and who waits for the answers.
 
-use crate::support::{IDEMPOTENT, IS_PROBE, Proxy, came_to, count, deployment, ms};
+use crate::support::{IDEMPOTENT, IS_PROBE, Proxy, count, deployment, ms, outcome_letter};
 use asterramp_placement::event::SessionRequest;
 use asterramp_placement::{Action, Event};
 use test_case::test_case;
@@ -10,10 +10,10 @@
 #[test_case(8, 22; "eight")]
 fn servers_in_use_are_probed_every_few_seconds(held: usize, at_least: usize) {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 1);
-    proxy.open_many(held);
+    proxy.open_sessions(held);
     let mut probes = 0;
     for _ in 0..300 {
-        proxy.probed(0, 10.0, 0.2);
+        proxy.report_load(0, 10.0, 0.2);
         probes += count(&proxy.wait(ms(100)), IS_PROBE);
     }
     assert!(
@@ -26,9 +26,9 @@
 #[test]
 fn a_server_that_fills_is_probed_within_a_second_or_so() {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 1);
-    proxy.open(None);
+    proxy.open_session(None);
     proxy.wait(ms(300));
-    proxy.open_many(20);
+    proxy.open_sessions(20);
     assert!(count(&proxy.wait(ms(1_300)), IS_PROBE) > 0);
 }
 
@@ -41,10 +41,13 @@
         0,
         "nothing held, nothing asked"
     );
-    let did = proxy.arrive(None).1;
-    assert_eq!((count(&did, IS_PROBE), came_to(&did)), (2, 'D'));
+    let actions = proxy.request_session(None).1;
+    assert_eq!(
+        (count(&actions, IS_PROBE), outcome_letter(&actions)),
+        (2, 'D')
+    );
     proxy.now += ms(100);
-    assert!(count(&proxy.arrive(None).1, IS_PROBE) <= 2);
+    assert!(count(&proxy.request_session(None).1, IS_PROBE) <= 2);
 }
 
 // A session waits for probes for part of its time only, and one that leaves meanwhile is owed nothing.
@@ -56,14 +59,17 @@
         dial_timeout: proxy.now + ms(4_800),
         ..SessionRequest::default()
     };
-    assert_eq!(came_to(&proxy.tell(Event::SessionRequested(arrival))), '-');
+    assert_eq!(
+        outcome_letter(&proxy.handle(Event::SessionRequested(arrival))),
+        '-'
+    );
     if leaves {
         assert_eq!(
-            proxy.tell(Event::ClientLeft { session: 0 }),
+            proxy.handle(Event::ClientLeft { session: 0 }),
             [Action::Forget { session: 0 }]
         );
     }
-    came_to(&proxy.wait(ms(500)))
+    outcome_letter(&proxy.wait(ms(500)))
 }
 
 #[test]
@@ -71,15 +77,15 @@
     let mut facts = deployment(IDEMPOTENT);
     (facts.may_probe, facts.may_cancel, facts.max_attempts) = (false, false, 0);
     let mut proxy = Proxy::with(facts, 2);
-    let (sess, did) = proxy.arrive(None);
-    assert_eq!(came_to(&did), 'D', "without a single report");
-    let did = [
-        proxy.tell(Event::ClientLeft { session: sess }),
+    let (session, actions) = proxy.request_session(None);
+    assert_eq!(outcome_letter(&actions), 'D', "without a single report");
+    let actions = [
+        proxy.handle(Event::ClientLeft { session }),
         proxy.wait(ms(5_000)),
     ]
     .concat();
     assert!(
-        did.iter().all(|a| matches!(a, Action::SetTimer { .. })),
-        "{did:?}"
+        actions.iter().all(|a| matches!(a, Action::SetTimer { .. })),
+        "{actions:?}"
     );
 }
--- a/crates/placement/tests/engine/rebalancing.rs
+++ b/crates/placement/tests/engine/rebalancing.rs
@@ -1,6 +1,6 @@
 //! Migration away from overloaded or unresponsive servers.
 
-use crate::support::{IDEMPOTENT, Proxy, count, deployment, entry, ms};
+use crate::support::{IDEMPOTENT, Proxy, count, deployment, endpoint, ms};
 use asterramp_placement::deployment::RetrySafety;
 use asterramp_placement::event::Observation;
 use asterramp_placement::{Action, Event};
@@ -10,15 +10,15 @@
 #[test_case(IDEMPOTENT, Some(0.8) => 0; "not overloaded")]
 #[test_case(IDEMPOTENT, Some(1.7) => 5; "twice what it should bear")]
 #[test_case(IDEMPOTENT, None => 10; "silent")]
-#[test_case(RetrySafety::NotIdempotent, None => 0; "once-only connections stay")]
+#[test_case(RetrySafety::NotIdempotent, None => 0; "not idempotent connections stay")]
 fn an_overloaded_server_is_relieved(kind: RetrySafety, asked: Option<f64>) -> usize {
     let mut proxy = Proxy::with(deployment(kind), 1);
-    proxy.open_many(10);
-    let did = match asked {
-        Some(asked) => proxy.probed(0, 10.0, asked),
-        None => [proxy.unanswered(0), proxy.unanswered(0)].concat(),
+    proxy.open_sessions(10);
+    let actions = match asked {
+        Some(asked) => proxy.report_load(0, 10.0, asked),
+        None => [proxy.fail_probe(0), proxy.fail_probe(0)].concat(),
     };
-    count(&did, |a| matches!(a, Action::Migrate { .. }))
+    count(&actions, |a| matches!(a, Action::Migrate { .. }))
 }
 
 // Where a server slows down from report to report, what it can do now is foreseen; one that jumps may jump back.
@@ -28,9 +28,9 @@
 #[test_case(&[0.75, 0.82, 0.9] => false; "a little slower twice running")]
 fn a_server_that_slows_down_is_relieved_before_it_is_full(asked: &[f64]) -> bool {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 1);
-    proxy.open_many(20);
+    proxy.open_sessions(20);
     asked.iter().any(|asked| {
-        count(&proxy.probed(0, 20.0, *asked), |a| {
+        count(&proxy.report_load(0, 20.0, *asked), |a| {
             matches!(a, Action::Migrate { .. })
         }) > 0
     })
@@ -41,14 +41,14 @@
 #[test_case(120 => true; "over it")]
 fn slow_messages_relieve_a_server(millis: u64) -> bool {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 1);
-    let (sess, server) = proxy.open_many(10)[0];
-    proxy.probed(0, 10.0, 0.3);
-    let did = proxy.tell(Event::Observed {
-        session: sess,
+    let (session, server) = proxy.open_sessions(10)[0];
+    proxy.report_load(0, 10.0, 0.3);
+    let actions = proxy.handle(Event::Observed {
+        session,
         server,
         observation: Observation::Delay(ms(millis)),
     });
-    count(&did, |a| matches!(a, Action::Migrate { .. })) > 0
+    count(&actions, |a| matches!(a, Action::Migrate { .. })) > 0
 }
 
 // What is piled up keeps all messages late: with room elsewhere it pays to move many at once, without it none is better off.
@@ -57,26 +57,26 @@
 #[test_case(0.9, 900 => true; "much, no room")]
 fn a_late_server_keeps_most_of_its_connections(asked: f64, millis: u64) -> bool {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 2);
-    (0..2).for_each(|server| drop(proxy.probed(server, 40.0, asked.min(0.4))));
-    let (sess, server) = proxy.open_many(40)[0];
-    (0..2).for_each(|server| drop(proxy.probed(server, 20.0, asked)));
+    (0..2).for_each(|server| drop(proxy.report_load(server, 40.0, asked.min(0.4))));
+    let (session, server) = proxy.open_sessions(40)[0];
+    (0..2).for_each(|server| drop(proxy.report_load(server, 20.0, asked)));
     proxy.now += ms(2_000);
-    let did = proxy.tell(Event::Observed {
-        session: sess,
+    let actions = proxy.handle(Event::Observed {
+        session,
         server,
         observation: Observation::Delay(ms(millis)),
     });
     let held = 20.0;
-    (count(&did, |a| matches!(a, Action::Migrate { .. })) as f64) < 0.35 * held
+    (count(&actions, |a| matches!(a, Action::Migrate { .. })) as f64) < 0.35 * held
 }
 
 // Where hundreds hold a connection or two each, parts rounded up would empty the server.
 #[test]
 fn proxies_with_few_connections_move_the_excess_together() {
     let moved = (0..200).map(|nonce| {
-        let mut proxy = Proxy::new(deployment(IDEMPOTENT), nonce, vec![entry(0)]);
-        proxy.open(None);
-        count(&proxy.probed(0, 200.0, 1.0), |a| {
+        let mut proxy = Proxy::new(deployment(IDEMPOTENT), nonce, vec![endpoint(0)]);
+        proxy.open_session(None);
+        count(&proxy.report_load(0, 200.0, 1.0), |a| {
             matches!(a, Action::Migrate { .. })
         })
     });
@@ -86,11 +86,11 @@
 #[test]
 fn relief_waits_until_it_can_show_in_reports() {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 1);
-    proxy.open_many(20);
-    let moved = |did: &[Action]| count(did, |a| matches!(a, Action::Migrate { .. }));
-    assert!(moved(&proxy.probed(0, 20.0, 1.2)) > 0);
+    proxy.open_sessions(20);
+    let moved = |actions: &[Action]| count(actions, |a| matches!(a, Action::Migrate { .. }));
+    assert!(moved(&proxy.report_load(0, 20.0, 1.2)) > 0);
     proxy.now += ms(600);
-    assert_eq!(moved(&proxy.probed(0, 20.0, 1.2)), 0);
+    assert_eq!(moved(&proxy.report_load(0, 20.0, 1.2)), 0);
     proxy.now += ms(600);
-    assert!(moved(&proxy.probed(0, 18.0, 1.1)) > 0);
+    assert!(moved(&proxy.report_load(0, 18.0, 1.1)) > 0);
 }
--- a/crates/placement/tests/engine/robustness.rs
+++ b/crates/placement/tests/engine/robustness.rs
@@ -1,6 +1,6 @@
 //! Odd settings, stray events, and the same actions for the same events.
 
-use crate::support::{IDEMPOTENT, Proxy, came_to, deployment, entry, ms};
+use crate::support::{IDEMPOTENT, Proxy, deployment, endpoint, ms, outcome_letter};
 use asterramp_placement::deployment::RetrySafety;
 use asterramp_placement::event::{Endpoint, EndpointUpdate, Load, Outcome, SessionRequest};
 use asterramp_placement::{Action, Deployment, Event};
@@ -11,7 +11,7 @@
 #[test_case(|f| f.packet_passthrough = true; "packets pass through")]
 #[test_case(|f| f.weights_reflect_load = true; "weights that sink")]
 #[test_case(|f| (f.slow_start.warm_after, f.slow_start.initial_capacity, f.slow_start.max_multiple) = (ms(0), 0.0, 0.0); "no cold rule")]
-#[test_case(|f| f.endpoint_poll_delay = Some(ms(0)); "a roster asked without a limit")]
+#[test_case(|f| f.endpoint_poll_delay = Some(ms(0)); "an endpoint list polled without a limit")]
 #[test_case(|f| (f.max_retry_after, f.listeners[0].handshake_target) = (ms(0), ms(0)); "no come-back, no target")]
 fn odd_settings_serve(odd: fn(&mut Deployment)) {
     let mut facts = deployment(IDEMPOTENT);
@@ -19,21 +19,21 @@
     let servers = vec![
         Endpoint {
             weight: f64::NAN,
-            ..entry(0)
+            ..endpoint(0)
         },
         Endpoint {
             weight: 0.0,
             started_at: Some(ms(0)),
-            ..entry(1)
+            ..endpoint(1)
         },
     ];
     let mut proxy = Proxy::new(facts, 0, servers);
-    proxy.probed(0, 0.0, 0.0);
-    proxy.probed(1, 3.0, 0.0);
-    proxy.tell(Event::Endpoints(EndpointUpdate::Failed));
+    proxy.report_load(0, 0.0, 0.0);
+    proxy.report_load(1, 3.0, 0.0);
+    proxy.handle(Event::Endpoints(EndpointUpdate::Failed));
     proxy.wait(ms(1_000));
     // Others have come up before; where none ever has, the first failure holds back.
-    proxy.tell(Event::SessionInherited(
+    proxy.handle(Event::SessionInherited(
         SessionRequest {
             session: 99,
             ..SessionRequest::default()
@@ -41,9 +41,12 @@
         0,
     ));
     for _ in 0..9 {
-        let (sess, did) = proxy.arrive(Some(1));
-        assert_eq!(came_to(&did), 'D');
-        assert_ne!(came_to(&proxy.end(sess, 0, Outcome::TimedOut, false)), '-');
+        let (session, actions) = proxy.request_session(Some(1));
+        assert_eq!(outcome_letter(&actions), 'D');
+        assert_ne!(
+            outcome_letter(&proxy.end_attempt(session, 0, Outcome::TimedOut, false)),
+            '-'
+        );
     }
 }
 
@@ -55,10 +58,10 @@
         ..SessionRequest::default()
     };
     assert!(
-        proxy.tell(Event::SessionInherited(arrival, 5)).is_empty(),
+        proxy.handle(Event::SessionInherited(arrival, 5)).is_empty(),
         "a server that no list has named"
     );
-    let lost = proxy.end(0, 0, Outcome::Reset, true);
+    let lost = proxy.end_attempt(0, 0, Outcome::Reset, true);
     assert_eq!(lost, [Action::Forget { session: 0 }]);
     let load = Load::default();
     for stray in [
@@ -84,16 +87,20 @@
             load,
         },
     ] {
-        assert!(proxy.tell(stray).is_empty());
+        assert!(proxy.handle(stray).is_empty());
     }
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = |nonce| {
-        let mut proxy = Proxy::new(deployment(IDEMPOTENT), nonce, (0..6).map(entry).collect());
+        let mut proxy = Proxy::new(
+            deployment(IDEMPOTENT),
+            nonce,
+            (0..6).map(endpoint).collect(),
+        );
         (0..40)
-            .flat_map(|_| [proxy.arrive(None).1, proxy.wait(ms(300))].concat())
+            .flat_map(|_| [proxy.request_session(None).1, proxy.wait(ms(300))].concat())
             .collect::<Vec<_>>()
     };
     assert_eq!(run(1), run(1));
--- a/crates/placement/tests/engine/selection.rs
+++ b/crates/placement/tests/engine/selection.rs
@@ -1,8 +1,8 @@
 //! Which server a session goes to.
 
 use crate::support::{
-    IDEMPOTENT, IS_PROBE, Proxy, came_to, count, deployment, dialled, entry, load as load_report,
-    ms,
+    IDEMPOTENT, IS_PROBE, Proxy, count, deployment, dialed_server, endpoint, load as load_report,
+    ms, outcome_letter,
 };
 use asterramp_placement::deployment::Listener;
 use asterramp_placement::event::{Endpoint, EndpointState, ServerId};
@@ -14,9 +14,9 @@
 #[test_case((20.0, 0.2), (10.0, 0.4) => 0; "a stronger server with more connections")]
 fn the_less_loaded_candidate_wins(a: (f64, f64), b: (f64, f64)) -> ServerId {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 2);
-    proxy.probed(0, a.0, a.1);
-    proxy.probed(1, b.0, b.1);
-    dialled(&proxy.arrive(None).1).unwrap()
+    proxy.report_load(0, a.0, a.1);
+    proxy.report_load(1, b.0, b.1);
+    dialed_server(&proxy.request_session(None).1).unwrap()
 }
 
 #[test]
@@ -26,15 +26,15 @@
         .zip(0..)
         .map(|(w, id)| Endpoint {
             weight: *w,
-            ..entry(id)
+            ..endpoint(id)
         })
         .collect();
     let mut proxy = Proxy::new(deployment(IDEMPOTENT), 3, servers);
     let mut got = [0; 4];
     for _ in 0..400 {
-        (0..4).for_each(|s| drop(proxy.probed(s, 10.0, 0.2)));
+        (0..4).for_each(|s| drop(proxy.report_load(s, 10.0, 0.2)));
         proxy.now += ms(2_000);
-        got[dialled(&proxy.arrive(None).1).unwrap() as usize] += 1;
+        got[dialed_server(&proxy.request_session(None).1).unwrap() as usize] += 1;
     }
     assert!(got[0] > 130 && got.iter().all(|n| *n > 40), "{got:?}");
 }
@@ -46,18 +46,22 @@
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 40);
     let drains = |id| Endpoint {
         state: EndpointState::Draining,
-        ..entry(id)
+        ..endpoint(id)
     };
     (0..lost).for_each(|id| {
         drop(if fail {
-            proxy.unanswered(id)
+            proxy.fail_probe(id)
         } else {
-            proxy.roster(drains(id))
+            proxy.update_endpoint(drains(id))
         })
     });
-    let came = came_to(&proxy.arrive(None).1);
-    (40..80).for_each(|id| drop(proxy.roster(entry(id))));
-    assert_eq!(came_to(&proxy.arrive(None).1), 'D', "a fleet that doubles");
+    let came = outcome_letter(&proxy.request_session(None).1);
+    (40..80).for_each(|id| drop(proxy.update_endpoint(endpoint(id))));
+    assert_eq!(
+        outcome_letter(&proxy.request_session(None).1),
+        'D',
+        "a fleet that doubles"
+    );
     came
 }
 
@@ -66,20 +70,21 @@
 #[test_case(0.95 => 'R'; "full")]
 fn refused_where_no_server_has_room(asked: f64) -> char {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 2);
-    (0..2).for_each(|s| drop(proxy.probed(s, 50.0, asked)));
-    let did = proxy.arrive(None).1;
-    assert!(did.iter().all(
+    (0..2).for_each(|s| drop(proxy.report_load(s, 50.0, asked)));
+    let actions = proxy.request_session(None).1;
+    assert!(actions.iter().all(
         |a| !matches!(a, Action::Reject { retry_after: come_back, .. } if come_back.is_zero())
     ));
-    came_to(&did)
+    outcome_letter(&actions)
 }
 
-// When room runs out, what is worth less is refused first; with room, or where all are worth the same, nothing differs.
+// When room runs out, sessions of lower priority are rejected first; with room, or where all priorities are alike, nothing
+// differs.
 #[test_case(1.0, 1.0, 0.80 => "DD"; "alike, hardly any room")]
-#[test_case(1.0, 0.2, 0.60 => "DD"; "worth less, room")]
-#[test_case(1.0, 0.2, 0.80 => "DR"; "worth less, hardly any room")]
-#[test_case(0.2, 1.0, 0.80 => "RD"; "worth more, hardly any room")]
-#[test_case(1.0, 0.0, 0.60 => "DD"; "worth nothing, room")]
+#[test_case(1.0, 0.2, 0.60 => "DD"; "lower priority, room")]
+#[test_case(1.0, 0.2, 0.80 => "DR"; "lower priority, hardly any room")]
+#[test_case(0.2, 1.0, 0.80 => "RD"; "higher priority, hardly any room")]
+#[test_case(1.0, 0.0, 0.60 => "DD"; "no priority, room")]
 #[test_case(1.0, 0.2, 0.95 => "RR"; "full")]
 fn lower_priority_is_rejected_first(first: f64, second: f64, asked: f64) -> String {
     let facts = deployment(IDEMPOTENT);
@@ -90,9 +95,9 @@
         })
         .to_vec();
     let mut proxy = Proxy::with(Deployment { listeners, ..facts }, 2);
-    (0..2).for_each(|s| drop(proxy.probed(s, 50.0, asked)));
+    (0..2).for_each(|s| drop(proxy.report_load(s, 50.0, asked)));
     [0, 1]
-        .map(|listener| came_to(&proxy.arrive_at(listener, None).1))
+        .map(|listener| outcome_letter(&proxy.request_session_at(listener, None).1))
         .iter()
         .collect()
 }
@@ -101,9 +106,15 @@
 #[test]
 fn a_group_stays_together_and_proxies_agree_on_where() {
     let home = |nonce| {
-        let mut proxy = Proxy::new(deployment(IDEMPOTENT), nonce, (0..8).map(entry).collect());
-        (0..8).for_each(|s| drop(proxy.probed(s, 10.0 + f64::from(s), 0.2 + 0.01 * f64::from(s))));
-        let got: Vec<ServerId> = (0..6).map(|_| proxy.open(Some(77)).1).collect();
+        let mut proxy = Proxy::new(
+            deployment(IDEMPOTENT),
+            nonce,
+            (0..8).map(endpoint).collect(),
+        );
+        (0..8).for_each(|s| {
+            drop(proxy.report_load(s, 10.0 + f64::from(s), 0.2 + 0.01 * f64::from(s)))
+        });
+        let got: Vec<ServerId> = (0..6).map(|_| proxy.open_session(Some(77)).1).collect();
         assert!(got.iter().all(|s| *s == got[0]), "{got:?}");
         got[0]
     };
@@ -116,7 +127,7 @@
     let servers: Vec<Endpoint> = (0..12)
         .map(|id| Endpoint {
             zone: (id % 2) as u8,
-            ..entry(id)
+            ..endpoint(id)
         })
         .collect();
     let at = |group, near: f64, far: f64, zone| {
@@ -124,8 +135,8 @@
         facts.zone = zone as u8;
         let mut proxy = Proxy::new(facts, 1, servers.clone());
         let load = |s| if s % 2 == zone { near } else { far } + 0.01 * f64::from(s);
-        (0..12).for_each(|s| drop(proxy.probed(s, 10.0, load(s))));
-        proxy.open(group).1
+        (0..12).for_each(|s| drop(proxy.report_load(s, 10.0, load(s))));
+        proxy.open_session(group).1
     };
     assert_eq!(
         [at(Some(5), 0.3, 0.3, 0) % 2, at(Some(5), 0.3, 0.3, 1) % 2],
@@ -148,7 +159,7 @@
     proxy.loads = (0..64)
         .map(|s| (s, load_report(50.0, if s < full { 0.95 } else { 0.2 })))
         .collect();
-    let did = proxy.arrive(Some(3)).1;
-    assert!(count(&did, IS_PROBE) <= 32, "{did:?}");
-    came_to(&did)
+    let actions = proxy.request_session(Some(3)).1;
+    assert!(count(&actions, IS_PROBE) <= 32, "{actions:?}");
+    outcome_letter(&actions)
 }
--- a/crates/placement/tests/engine/session_pacing.rs
+++ b/crates/placement/tests/engine/session_pacing.rs
@@ -1,6 +1,6 @@
 //! Pauses between new sessions while sessions fail wherever they go.
 
-use crate::support::{IDEMPOTENT, Proxy, came_to, deployment, dialled, entry, ms};
+use crate::support::{IDEMPOTENT, Proxy, deployment, dialed_server, endpoint, ms, outcome_letter};
 use asterramp_placement::event::{Endpoint, Outcome, SessionRequest};
 use asterramp_placement::{Deployment, Event};
 use test_case::test_case;
@@ -17,16 +17,16 @@
     let (mut dials, mut sessions) = (0, 0);
     for _ in 0..200 {
         proxy.wait(ms(100));
-        let (sess, mut did) = proxy.arrive(None);
+        let (session, mut actions) = proxy.request_session(None);
         for dial in 0.. {
-            if dialled(&did).is_none() {
+            if dialed_server(&actions).is_none() {
                 break;
             }
             (dials, sessions) = (dials + 1, sessions + usize::from(dial == 0));
             proxy.now += ms(10);
-            did = proxy.end(sess, dial, outcome, false);
+            actions = proxy.end_attempt(session, dial, outcome, false);
         }
-        assert_eq!(came_to(&did), 'R');
+        assert_eq!(outcome_letter(&actions), 'R');
     }
     assert!(
         (5..=24).contains(&sessions) && dials <= sessions + 10,
@@ -35,16 +35,13 @@
     // The first that comes up lets half as long a pause follow, and so on.
     let up = |proxy: &mut Proxy| {
         proxy.wait(ms(100));
-        let (sess, did) = proxy.arrive(None);
-        proxy.tell(Event::SessionOpened {
-            session: sess,
-            dial: 0,
-        });
-        dialled(&did).is_some()
+        let (session, actions) = proxy.request_session(None);
+        proxy.handle(Event::SessionOpened { session, dial: 0 });
+        dialed_server(&actions).is_some()
     };
     let since = proxy.now;
     while !(0..10).all(|_| up(&mut proxy)) {
-        assert!(proxy.now < since + ms(15_000), "they are not dialled again");
+        assert!(proxy.now < since + ms(15_000), "they are not dialed again");
     }
 }
 
@@ -54,7 +51,7 @@
     let servers = (0..12)
         .map(|s| Endpoint {
             zone: (s % 2) as u8,
-            ..entry(s)
+            ..endpoint(s)
         })
         .collect();
     let mut proxy = Proxy::new(
@@ -66,15 +63,15 @@
         servers,
     );
     for _ in 0..200 {
-        let (sess, mut did) = proxy.arrive(None);
+        let (session, mut actions) = proxy.request_session(None);
         let dials = (0..4).take_while(|dial| {
             proxy.now += ms(10);
-            let server = dialled(&did).expect("a dial");
+            let server = dialed_server(&actions).expect("a dial");
             if server.is_multiple_of(2) {
-                did = proxy.end(sess, *dial, Outcome::Erred, false);
+                actions = proxy.end_attempt(session, *dial, Outcome::Erred, false);
             } else {
-                proxy.tell(Event::SessionOpened {
-                    session: sess,
+                proxy.handle(Event::SessionOpened {
+                    session,
                     dial: *dial,
                 });
             }
@@ -96,21 +93,21 @@
         40,
     );
     for _ in 0..50 {
-        let (sess, did) = proxy.arrive(None);
-        assert!(dialled(&did).is_some());
+        let (session, actions) = proxy.request_session(None);
+        assert!(dialed_server(&actions).is_some());
         for dial in 0..3 {
             proxy.now += ms(10);
-            proxy.open(None);
-            let did = proxy.end(sess, dial, Outcome::Erred, false);
-            assert!(dialled(&did).is_some(), "dial {dial}");
+            proxy.open_session(None);
+            let actions = proxy.end_attempt(session, dial, Outcome::Erred, false);
+            assert!(dialed_server(&actions).is_some(), "dial {dial}");
         }
-        proxy.end(sess, 3, Outcome::CalledOff, true);
+        proxy.end_attempt(session, 3, Outcome::CalledOff, true);
         proxy.wait(ms(100));
     }
 }
 
 // A process that nothing has come up at yet, as after a restart, holds others back at its first failure; that session
-// itself is dialled elsewhere. What says nothing of what stands behind the servers does not count.
+// itself is dialed elsewhere. What says nothing of what stands behind the servers does not count.
 #[test_case(Outcome::Erred, false => 'R'; "errs")]
 #[test_case(Outcome::TimedOut, false => 'R'; "times out")]
 #[test_case(Outcome::Reset, false => 'R'; "is reset")]
@@ -121,18 +118,18 @@
 fn a_fresh_process_paces_sessions_after_its_first_failure(outcome: Outcome, served: bool) -> char {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 10);
     if served {
-        proxy.open(None);
+        proxy.open_session(None);
         proxy.now += ms(2_000);
     }
-    let (sess, did) = proxy.arrive(None);
-    assert!(dialled(&did).is_some());
+    let (session, actions) = proxy.request_session(None);
+    assert!(dialed_server(&actions).is_some());
     assert_eq!(
-        came_to(&proxy.end(sess, 0, outcome, false)),
+        outcome_letter(&proxy.end_attempt(session, 0, outcome, false)),
         'D',
         "it goes on elsewhere"
     );
     proxy.now += ms(50);
-    came_to(&proxy.arrive(None).1)
+    outcome_letter(&proxy.request_session(None).1)
 }
 
 // While sessions are held back, one that came up at once lets the next go sooner, one that took long later.
@@ -142,22 +139,19 @@
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 10);
     // Two clients fail everywhere: the pause is its longest.
     for _ in 0..2 {
-        let (sess, did) = proxy.arrive(None);
-        assert!(dialled(&did).is_some());
-        proxy.end(sess, 0, Outcome::Erred, false);
-        proxy.end(sess, 1, Outcome::Erred, false);
+        let (session, actions) = proxy.request_session(None);
+        assert!(dialed_server(&actions).is_some());
+        proxy.end_attempt(session, 0, Outcome::Erred, false);
+        proxy.end_attempt(session, 1, Outcome::Erred, false);
         proxy.now += ms(7_000);
     }
-    let (sess, did) = proxy.arrive(None);
-    assert!(dialled(&did).is_some());
+    let (session, actions) = proxy.request_session(None);
+    assert!(dialed_server(&actions).is_some());
     proxy.now += ms(took);
-    proxy.tell(Event::SessionOpened {
-        session: sess,
-        dial: 0,
-    });
+    proxy.handle(Event::SessionOpened { session, dial: 0 });
     // Half of 4 s, or all of it, with the chance of a half to one and a half on top.
     proxy.now += ms(2_000);
-    dialled(&proxy.arrive(None).1).is_some()
+    dialed_server(&proxy.request_session(None).1).is_some()
 }
 
 // However long nothing comes up, whoever looks at a proxy for 4 s sees it try.
@@ -167,12 +161,12 @@
     let (mut last, mut gaps) = (proxy.now, Vec::new());
     for _ in 0..600 {
         proxy.wait(ms(100));
-        let (sess, did) = proxy.arrive(None);
-        if dialled(&did).is_some() {
+        let (session, actions) = proxy.request_session(None);
+        if dialed_server(&actions).is_some() {
             gaps.push(proxy.now - last);
             last = proxy.now;
-            proxy.end(sess, 0, Outcome::Erred, false);
-            proxy.end(sess, 1, Outcome::Erred, false);
+            proxy.end_attempt(session, 0, Outcome::Erred, false);
+            proxy.end_attempt(session, 1, Outcome::Erred, false);
         }
     }
     assert!(gaps.iter().all(|gap| *gap < ms(4_000)), "{gaps:?}");
@@ -183,18 +177,20 @@
 #[test]
 fn a_client_that_fails_alone_is_tried_again() {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 10);
-    let again = |proxy: &mut Proxy, sess, item| {
+    let again = |proxy: &mut Proxy, session, item| {
         let dial_timeout = proxy.now + ms(4_800);
-        came_to(&proxy.settle(Event::SessionRequested(SessionRequest {
-            session: sess,
-            hash_key: item,
-            dial_timeout,
-            ..SessionRequest::default()
-        })))
+        outcome_letter(
+            &proxy.handle_and_answer_probes(Event::SessionRequested(SessionRequest {
+                session,
+                hash_key: item,
+                dial_timeout,
+                ..SessionRequest::default()
+            })),
+        )
     };
     assert_eq!(again(&mut proxy, 1, 7), 'D');
-    proxy.end(1, 0, Outcome::Erred, false);
-    proxy.end(1, 1, Outcome::Erred, false);
+    proxy.end_attempt(1, 0, Outcome::Erred, false);
+    proxy.end_attempt(1, 1, Outcome::Erred, false);
     proxy.now += ms(1_500);
     assert_eq!(again(&mut proxy, 2, 7), 'R', "others go first");
     proxy.now += ms(1_000);
--- a/crates/placement/tests/engine/slow_start.rs
+++ b/crates/placement/tests/engine/slow_start.rs
@@ -1,6 +1,6 @@
 //! Slow start of freshly started servers.
 
-use crate::support::{IDEMPOTENT, Proxy, deployment, dialled, entry, ms};
+use crate::support::{IDEMPOTENT, Proxy, deployment, dialed_server, endpoint, ms};
 use asterramp_placement::event::{Endpoint, EndpointUpdate, Outcome};
 use asterramp_placement::{Deployment, Event};
 use test_case::test_case;
@@ -16,22 +16,22 @@
     let mut sent: Vec<u64> = Vec::new();
     for nonce in 0..instances {
         facts.proxy_index = nonce as u32;
-        let mut proxy = Proxy::new(facts.clone(), nonce, (0..4).map(entry).collect());
-        let held: Vec<_> = (0..28).map(|_| proxy.open(None).0).collect();
+        let mut proxy = Proxy::new(facts.clone(), nonce, (0..4).map(endpoint).collect());
+        let held: Vec<_> = (0..28).map(|_| proxy.open_session(None).0).collect();
         held[..7]
             .iter()
-            .for_each(|s| drop(proxy.end(*s, 0, Outcome::Ok, true)));
-        (0..4).for_each(|s| drop(proxy.probed(s, 20.0, 0.7)));
-        proxy.roster(Endpoint {
+            .for_each(|s| drop(proxy.end_attempt(*s, 0, Outcome::Ok, true)));
+        (0..4).for_each(|s| drop(proxy.report_load(s, 20.0, 0.7)));
+        proxy.update_endpoint(Endpoint {
             started_at: Some(proxy.now),
-            ..entry(9)
+            ..endpoint(9)
         });
         for step in 0..190 {
             proxy.wait(ms(100));
-            proxy.probed(9, 0.0, 0.0);
-            let (sess, did) = proxy.arrive(None);
-            sent.extend((dialled(&did) == Some(9)).then_some(step * 100));
-            proxy.end(sess, 0, Outcome::CalledOff, true);
+            proxy.report_load(9, 0.0, 0.0);
+            let (session, actions) = proxy.request_session(None);
+            sent.extend((dialed_server(&actions) == Some(9)).then_some(step * 100));
+            proxy.end_attempt(session, 0, Outcome::CalledOff, true);
         }
     }
     sent.sort_unstable();
@@ -67,17 +67,19 @@
     // For the ten servers that numbers up to the new one's stand for, four of which drain.
     facts.planned_connections = planned;
     let mut proxy = Proxy::with(facts, 4);
-    proxy.open_many(open);
+    proxy.open_sessions(open);
     (0..20).for_each(|_| drop(proxy.wait(ms(100))));
     // All others drain.
-    proxy.tell(Event::Endpoints(EndpointUpdate::Complete(vec![Endpoint {
+    proxy.handle(Event::Endpoints(EndpointUpdate::Complete(vec![Endpoint {
         started_at: Some(proxy.now),
-        ..entry(9)
+        ..endpoint(9)
     }])));
     let mut sent = 0;
     for _ in 0..100 {
         proxy.wait(ms(100));
-        (0..4).for_each(|_| sent += usize::from(dialled(&proxy.arrive(None).1).is_some()));
+        (0..4).for_each(|_| {
+            sent += usize::from(dialed_server(&proxy.request_session(None).1).is_some())
+        });
     }
     // Fifteen in the 20 s of its warming, at three quarters of four times its warmth.
     assert!(sent <= 11, "{sent}");
@@ -88,7 +90,7 @@
 #[test]
 fn an_inherited_cold_server_starts_without_allowance() {
     let first_dial = |number: u32, inherited: bool| {
-        let mut proxy = Proxy::bare(
+        let mut proxy = Proxy::without_endpoints(
             Deployment {
                 proxy_index: number,
                 proxy_count: 3,
@@ -98,16 +100,16 @@
         );
         let cold = vec![Endpoint {
             started_at: Some(proxy.now),
-            ..entry(0)
+            ..endpoint(0)
         }];
-        proxy.tell(Event::Endpoints(if inherited {
+        proxy.handle(Event::Endpoints(if inherited {
             EndpointUpdate::Inherited(cold)
         } else {
             EndpointUpdate::Complete(cold)
         }));
         (0..600).find(|_| {
             proxy.wait(ms(100));
-            dialled(&proxy.arrive(None).1).is_some()
+            dialed_server(&proxy.request_session(None).1).is_some()
         })
     };
     let steps: Vec<_> = (0..20)
--- a/crates/placement/tests/engine/support.rs
+++ b/crates/placement/tests/engine/support.rs
@@ -1,4 +1,4 @@
-//! A proxy under test: feeds events to the module and keeps what it did.
+//! A proxy under test, which hands events to its engine and returns the actions.
 
 use asterramp_placement::deployment::{IdempotencyScope, Listener, RetrySafety, SlowStartRule};
 use asterramp_placement::event::{
@@ -47,11 +47,10 @@
     }
 }
 
-pub(crate) fn entry(server: ServerId) -> Endpoint {
-    let mark = u64::from(server) * 7919 + 13;
+pub(crate) fn endpoint(server: ServerId) -> Endpoint {
     Endpoint {
         server,
-        hash_key: mark,
+        hash_key: u64::from(server) * 7919 + 13,
         state: EndpointState::Ready,
         weight: 1.0,
         ..Endpoint::default()
@@ -59,51 +58,52 @@
 }
 
 pub(crate) struct Proxy {
-    pub(crate) choice: PlacementEngine,
+    pub(crate) engine: PlacementEngine,
     pub(crate) now: Duration,
-    pub(crate) next: SessionId,
-    /// Whether clients that arrive were connected before.
-    pub(crate) again: bool,
+    pub(crate) next_session: SessionId,
+    /// Whether clients were connected before.
+    pub(crate) reconnecting: bool,
     /// What servers answer to probes that sessions wait for.
     pub(crate) loads: BTreeMap<ServerId, Load>,
 }
 
 impl Proxy {
-    pub(crate) fn bare(facts: Deployment, nonce: u64) -> Self {
+    pub(crate) fn without_endpoints(facts: Deployment, nonce: u64) -> Self {
         Proxy {
-            choice: PlacementEngine::new(facts, nonce),
+            engine: PlacementEngine::new(facts, nonce),
             now: ms(1_000_000),
-            next: 0,
-            again: false,
+            next_session: 0,
+            reconnecting: false,
             loads: BTreeMap::new(),
         }
     }
 
     /// A proxy that has just started and knows the servers given.
     pub(crate) fn new(facts: Deployment, nonce: u64, servers: Vec<Endpoint>) -> Self {
-        let mut proxy = Self::bare(facts, nonce);
-        proxy.tell(Event::Endpoints(EndpointUpdate::Stale(servers)));
+        let mut proxy = Self::without_endpoints(facts, nonce);
+        proxy.handle(Event::Endpoints(EndpointUpdate::Stale(servers)));
         proxy
     }
 
     /// One with so many ready servers.
     pub(crate) fn with(facts: Deployment, servers: u32) -> Self {
-        Self::new(facts, 7, (0..servers).map(entry).collect())
+        Self::new(facts, 7, (0..servers).map(endpoint).collect())
     }
 
-    pub(crate) fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.choice.handle(self.now, event, &mut out);
+        self.engine.handle(self.now, event, &mut out);
         out
     }
 
     /// The same, with the probes answered that follow at once.
-    pub(crate) fn settle(&mut self, event: Event) -> Vec<Action> {
-        let (mut out, mut next) = (self.tell(event), 0);
+    pub(crate) fn handle_and_answer_probes(&mut self, event: Event) -> Vec<Action> {
+        let mut out = self.handle(event);
+        let mut next = 0;
         while let Some(action) = out.get(next) {
             if let Action::Probe { server } = *action {
                 let load = self.loads.get(&server).copied().unwrap_or_default();
-                out.extend(self.tell(Event::ProbeEnded {
+                out.extend(self.handle(Event::ProbeEnded {
                     server,
                     outcome: Outcome::Ok,
                     load,
@@ -116,63 +116,61 @@
 
     /// Lets time pass, with the timer ringing every tenth of a second and probes answered.
     pub(crate) fn wait(&mut self, span: Duration) -> Vec<Action> {
-        let (end, mut out) = (self.now + span, Vec::new());
+        let end = self.now + span;
+        let mut out = Vec::new();
         while self.now < end {
             self.now += ms(100);
-            out.extend(self.settle(Event::Tick));
+            out.extend(self.handle_and_answer_probes(Event::Tick));
         }
         out
     }
 
-    pub(crate) fn arrive(&mut self, group: Option<u64>) -> (SessionId, Vec<Action>) {
-        self.arrive_at(0, group)
+    pub(crate) fn request_session(&mut self, group: Option<u64>) -> (SessionId, Vec<Action>) {
+        self.request_session_at(0, group)
     }
 
-    pub(crate) fn arrive_at(
+    pub(crate) fn request_session_at(
         &mut self,
         listener: u8,
         group: Option<u64>,
     ) -> (SessionId, Vec<Action>) {
-        let sess = self.next;
-        self.next += 1;
+        let session = self.next_session;
+        self.next_session += 1;
         let dial_timeout = self.now + ms(4_800);
-        let (again, item) = (self.again, u64::from(sess));
-        let arrival = SessionRequest {
-            session: sess,
+        let request = SessionRequest {
+            session,
             listener,
-            hash_key: item,
+            hash_key: u64::from(session),
             group,
             dial_timeout,
-            reconnecting: again,
+            reconnecting: self.reconnecting,
             ..SessionRequest::default()
         };
-        (sess, self.settle(Event::SessionRequested(arrival)))
+        let actions = self.handle_and_answer_probes(Event::SessionRequested(request));
+        (session, actions)
     }
 
-    /// A session set up on the server that was chosen.
-    pub(crate) fn open(&mut self, group: Option<u64>) -> (SessionId, ServerId) {
-        let (sess, did) = self.arrive(group);
-        let server = dialled(&did).expect("a dial");
-        self.tell(Event::SessionOpened {
-            session: sess,
-            dial: 0,
-        });
-        (sess, server)
+    /// A session that opened at the server that was selected.
+    pub(crate) fn open_session(&mut self, group: Option<u64>) -> (SessionId, ServerId) {
+        let (session, actions) = self.request_session(group);
+        let server = dialed_server(&actions).expect("a dial");
+        self.handle(Event::SessionOpened { session, dial: 0 });
+        (session, server)
     }
 
-    pub(crate) fn open_many(&mut self, n: usize) -> Vec<(SessionId, ServerId)> {
-        (0..n).map(|_| self.open(None)).collect()
+    pub(crate) fn open_sessions(&mut self, n: usize) -> Vec<(SessionId, ServerId)> {
+        (0..n).map(|_| self.open_session(None)).collect()
     }
 
-    pub(crate) fn end(
+    pub(crate) fn end_attempt(
         &mut self,
-        sess: SessionId,
+        session: SessionId,
         dial: u8,
         outcome: Outcome,
         over: bool,
     ) -> Vec<Action> {
-        self.settle(Event::AttemptEnded {
-            session: sess,
+        self.handle_and_answer_probes(Event::AttemptEnded {
+            session,
             dial,
             outcome,
             session_over: over,
@@ -180,38 +178,43 @@
         })
     }
 
-    pub(crate) fn probed(&mut self, server: ServerId, connections: f64, asked: f64) -> Vec<Action> {
-        let load = load(connections, asked);
+    pub(crate) fn report_load(
+        &mut self,
+        server: ServerId,
+        connections: f64,
+        utilization: f64,
+    ) -> Vec<Action> {
+        let load = load(connections, utilization);
         self.loads.insert(server, load);
-        self.tell(Event::ProbeEnded {
+        self.handle(Event::ProbeEnded {
             server,
             outcome: Outcome::Ok,
             load,
         })
     }
 
-    pub(crate) fn unanswered(&mut self, server: ServerId) -> Vec<Action> {
-        self.tell(Event::ProbeEnded {
+    pub(crate) fn fail_probe(&mut self, server: ServerId) -> Vec<Action> {
+        self.handle(Event::ProbeEnded {
             server,
             outcome: Outcome::TimedOut,
             load: Load::default(),
         })
     }
 
-    pub(crate) fn roster(&mut self, entry: Endpoint) -> Vec<Action> {
-        self.tell(Event::Endpoints(EndpointUpdate::Changes(vec![entry])))
+    pub(crate) fn update_endpoint(&mut self, endpoint: Endpoint) -> Vec<Action> {
+        self.handle(Event::Endpoints(EndpointUpdate::Changes(vec![endpoint])))
     }
 }
 
-pub(crate) fn load(connections: f64, asked: f64) -> Load {
+pub(crate) fn load(connections: f64, utilization: f64) -> Load {
     Load {
         connections: Some(connections),
-        utilization: Some(asked),
+        utilization: Some(utilization),
     }
 }
 
-pub(crate) fn dialled(did: &[Action]) -> Option<ServerId> {
-    did.iter().find_map(|a| {
+pub(crate) fn dialed_server(actions: &[Action]) -> Option<ServerId> {
+    actions.iter().find_map(|a| {
         if let Action::Dial { server, .. } = a {
             Some(*server)
         } else {
@@ -220,14 +223,12 @@
     })
 }
 
-pub(crate) fn time_out(did: &[Action]) -> Duration {
-    did.iter()
+pub(crate) fn dial_timeout_of(actions: &[Action]) -> Duration {
+    actions
+        .iter()
         .find_map(|a| {
-            if let Action::Dial {
-                timeout: time_out, ..
-            } = a
-            {
-                Some(*time_out)
+            if let Action::Dial { timeout, .. } = a {
+                Some(*timeout)
             } else {
                 None
             }
@@ -235,17 +236,17 @@
         .expect("a dial")
 }
 
-/// What a session came to: `D` dialled, `R` refused, `T` torn down, `-` nothing.
-pub(crate) fn came_to(did: &[Action]) -> char {
+/// What a session came to: `D` dialed, `R` rejected, `T` failed, `-` nothing.
+pub(crate) fn outcome_letter(actions: &[Action]) -> char {
     let letter = |a: &Action| match a {
         Action::Dial { .. } => Some('D'),
         Action::Reject { .. } => Some('R'),
         Action::Fail { .. } => Some('T'),
         _ => None,
     };
-    did.iter().find_map(letter).unwrap_or('-')
+    actions.iter().find_map(letter).unwrap_or('-')
 }
 
-pub(crate) fn count(did: &[Action], of: fn(&Action) -> bool) -> usize {
-    did.iter().filter(|a| of(a)).count()
+pub(crate) fn count(actions: &[Action], of: fn(&Action) -> bool) -> usize {
+    actions.iter().filter(|a| of(a)).count()
 }
--- a/crates/placement/tests/engine/zone_shares.rs
+++ b/crates/placement/tests/engine/zone_shares.rs
@@ -1,7 +1,7 @@
-//! What another subsystem says of whole zones, and what the module makes of it. Servers 0 to 2 stand in zone 0, where
+//! Shares of zones that another subsystem sets, and what the engine makes of them. Servers 0 to 2 stand in zone 0, where
 //! the proxy is, 3 to 5 in zone 1.
 
-use crate::support::{Proxy, count, deployment, dialled, entry};
+use crate::support::{Proxy, count, deployment, dialed_server, endpoint};
 use asterramp_placement::deployment::RetrySafety;
 use asterramp_placement::event::{Endpoint, Event, Outcome, ServerId, SessionRequest};
 use asterramp_placement::{Action, Deployment};
@@ -11,7 +11,7 @@
 fn proxy() -> Proxy {
     let zoned = |id: ServerId| Endpoint {
         zone: (id / 3) as u8,
-        ..entry(id)
+        ..endpoint(id)
     };
     // Nothing is near, so that both zones are drawn alike.
     let facts = Deployment {
@@ -22,15 +22,17 @@
 }
 
 fn goes_there(proxy: &mut Proxy, sessions: usize) -> usize {
-    (0..sessions).filter(|_| proxy.open(None).1 >= 3).count()
+    (0..sessions)
+        .filter(|_| proxy.open_session(None).1 >= 3)
+        .count()
 }
 
 #[test_case(1.0, 60..140; "whole")]
 #[test_case(0.5, 30..101; "by half, though it fills less")]
 #[test_case(0.0, 0..1; "lost")]
-fn a_zone_takes_the_part_that_it_is_open_for(open: f64, sessions: std::ops::Range<usize>) {
+fn a_zone_gets_its_share(open: f64, sessions: std::ops::Range<usize>) {
     let mut proxy = proxy();
-    proxy.tell(Event::ZoneShare {
+    proxy.handle(Event::ZoneShare {
         zone: 1,
         share: open,
     });
@@ -39,32 +41,32 @@
 }
 
 #[test]
-fn one_that_is_whole_again_is_used_as_before() {
+fn a_restored_zone_is_used_as_before() {
     let mut proxy = proxy();
     for open in [0.0, 0.5, 1.0] {
-        proxy.tell(Event::ZoneShare {
+        proxy.handle(Event::ZoneShare {
             zone: 1,
             share: open,
         });
     }
     // Its servers were silent; they answer again.
-    (3..6).for_each(|server| drop(proxy.probed(server, 0.0, 0.0)));
+    (3..6).for_each(|server| drop(proxy.report_load(server, 0.0, 0.0)));
     assert!((60..140).contains(&goes_there(&mut proxy, 200)));
 }
 
 #[test]
-fn who_is_at_a_lost_zone_is_moved_at_the_next_probe_that_fails_and_nobody_else() {
+fn sessions_at_a_lost_zone_migrate_at_the_next_failed_probe_and_no_others() {
     let mut proxy = proxy();
     let there: Vec<u32> = proxy
-        .open_many(40)
+        .open_sessions(40)
         .into_iter()
         .filter(|s| s.1 >= 3)
         .map(|s| s.0)
         .collect();
     assert!(there.len() > 5);
-    let moved = |did: &[Action]| count(did, |a| matches!(a, Action::Migrate { .. }));
+    let moved = |actions: &[Action]| count(actions, |a| matches!(a, Action::Migrate { .. }));
     assert_eq!(
-        moved(&proxy.tell(Event::ZoneShare {
+        moved(&proxy.handle(Event::ZoneShare {
             zone: 1,
             share: 0.0
         })),
@@ -73,47 +75,48 @@
     );
     assert_eq!(
         (0..3)
-            .map(|server| moved(&proxy.unanswered(server)))
+            .map(|server| moved(&proxy.fail_probe(server)))
             .sum::<usize>(),
         0,
         "one may be lost"
     );
     assert_eq!(
         (3..6)
-            .map(|server| moved(&proxy.unanswered(server)))
+            .map(|server| moved(&proxy.fail_probe(server)))
             .sum::<usize>(),
         there.len()
     );
 }
 
 #[test]
-fn who_waits_for_a_lost_server_is_placed_elsewhere_at_once() {
+fn sessions_that_wait_for_a_lost_server_are_placed_elsewhere_at_once() {
     let mut proxy = proxy();
     let (mut waiting, mut placed) = (0, 0);
-    for sess in 0..12 {
+    for session in 0..12 {
         let dial_timeout = proxy.now + Duration::from_secs(4);
-        let did = proxy.tell(Event::SessionRequested(SessionRequest {
-            session: sess,
+        let actions = proxy.handle(Event::SessionRequested(SessionRequest {
+            session,
             dial_timeout,
             ..SessionRequest::default()
         }));
-        waiting += usize::from(dialled(&did).is_none());
+        waiting += usize::from(dialed_server(&actions).is_none());
     }
     for server in 0..3 {
-        placed += count(&proxy.probed(server, 0.0, 0.0), |a| {
+        placed += count(&proxy.report_load(server, 0.0, 0.0), |a| {
             matches!(a, Action::Dial { .. })
         });
     }
-    let did = proxy.tell(Event::ZoneShare {
+    let actions = proxy.handle(Event::ZoneShare {
         zone: 1,
         share: 0.0,
     });
     assert!(
-        did.iter()
+        actions
+            .iter()
             .all(|a| !matches!(a, Action::Dial { server: 3.., .. })),
-        "{did:?}"
+        "{actions:?}"
     );
-    placed += count(&did, |a| matches!(a, Action::Dial { .. }));
+    placed += count(&actions, |a| matches!(a, Action::Dial { .. }));
     assert_eq!(
         (waiting, placed),
         (12, 12),
@@ -122,44 +125,46 @@
 }
 
 #[test]
-fn a_lost_zone_is_not_tried_though_all_others_rest() {
+fn a_lost_zone_is_not_tried_though_all_other_servers_are_ejected() {
     let mut proxy = proxy();
-    proxy.tell(Event::ZoneShare {
+    proxy.handle(Event::ZoneShare {
         zone: 1,
         share: 0.0,
     });
     for _ in 0..8 {
-        let (sess, mut did) = proxy.arrive(None);
+        let (session, mut actions) = proxy.request_session(None);
         for dial in 0..4 {
-            let Some(server) = dialled(&did) else { break };
-            assert!(server < 3, "dialled at {server}");
-            did = proxy.end(sess, dial, Outcome::Unreachable, false);
+            let Some(server) = dialed_server(&actions) else {
+                break;
+            };
+            assert!(server < 3, "dialed at {server}");
+            actions = proxy.end_attempt(session, dial, Outcome::Unreachable, false);
         }
     }
 }
 
 #[test]
-fn a_doubted_server_is_asked_once() {
+fn a_requested_probe_is_sent_once() {
     let mut proxy = proxy();
-    let asks = |did: Vec<Action>| count(&did, |a| matches!(a, Action::Probe { server: 4 }));
-    assert_eq!(asks(proxy.tell(Event::ProbeRequested { server: 4 })), 1);
-    assert_eq!(asks(proxy.tell(Event::ProbeRequested { server: 4 })), 0);
-    assert_eq!(proxy.tell(Event::ProbeRequested { server: 400 }), []);
+    let asks = |actions: Vec<Action>| count(&actions, |a| matches!(a, Action::Probe { server: 4 }));
+    assert_eq!(asks(proxy.handle(Event::ProbeRequested { server: 4 })), 1);
+    assert_eq!(asks(proxy.handle(Event::ProbeRequested { server: 4 })), 0);
+    assert_eq!(proxy.handle(Event::ProbeRequested { server: 400 }), []);
 }
 
 #[test]
-fn who_leaves_a_probe_unanswered_is_not_dialled_while_another_can_be() {
+fn a_server_with_a_late_probe_is_not_dialed_while_another_can_be() {
     let mut proxy = Proxy::with(deployment(RetrySafety::Idempotent), 2);
-    proxy.tell(Event::ProbeRequested { server: 1 });
+    proxy.handle(Event::ProbeRequested { server: 1 });
     proxy.now += Duration::from_millis(400);
     for _ in 0..20 {
-        assert_eq!(dialled(&proxy.arrive(None).1), Some(0));
+        assert_eq!(dialed_server(&proxy.request_session(None).1), Some(0));
     }
     // Alone, it is tried all the same.
     let mut proxy = Proxy::with(deployment(RetrySafety::Idempotent), 1);
-    proxy.tell(Event::ProbeRequested { server: 0 });
+    proxy.handle(Event::ProbeRequested { server: 0 });
     proxy.now += Duration::from_millis(400);
-    let (_, did) = proxy.arrive(None);
+    let (_, actions) = proxy.request_session(None);
     let waited = proxy.wait(Duration::from_millis(500));
-    assert_eq!(dialled(&[did, waited].concat()), Some(0));
+    assert_eq!(dialed_server(&[actions, waited].concat()), Some(0));
 }
