--- a/crates/placement/src/endpoint_polling.rs
+++ b/crates/placement/src/endpoint_polling.rs
@@ -5,11 +5,11 @@
 use crate::random::RandomSource;
 use std::time::Duration;
 
-/// Failing polls of all proxies, in the time after which one must have been told.
+/// Failing polls of all proxies in the poll delay, the time after which a proxy is taken to know of a change.
 const FLEET_POLLS: f64 = 125.0;
-/// Longest mean wait of a small fleet, as a part of that time.
+/// Longest mean wait of a small fleet, as a part of the poll delay.
 const SMALL_FLEET_WAIT: f64 = 0.32;
-/// Half the first mean wait, as a part of that time; it doubles with each failure.
+/// Half the first mean wait, as a part of the poll delay; the wait doubles with each failure.
 const HALF_FIRST_WAIT: f64 = 0.1;
 /// Failures after which the wait grows no more.
 const MAX_DOUBLINGS: u32 = 4;
@@ -20,7 +20,7 @@
 }
 
 impl PollBackoff {
-    /// A poll failed; how long to wait, as a part of the time in which a proxy must have been told.
+    /// A poll failed; returns how long to wait, as a part of the poll delay.
     pub(crate) fn record_failure(&mut self, proxy_count: u32, random: &mut RandomSource) -> f64 {
         self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
         let longest = (f64::from(proxy_count) / FLEET_POLLS).max(SMALL_FLEET_WAIT);
--- a/crates/placement/src/engine.rs
+++ b/crates/placement/src/engine.rs
@@ -1,8 +1,8 @@
 //! The placement engine: every decision of one proxy, without I/O.
 //!
 //! Make one [`PlacementEngine`] for a proxy from its [`Deployment`] and a nonce, hand it each [`Event`] with the
-//! time since the clock began, and carry out the [`Action`]s that it appends, in order. `docs/design.md` tells
-//! Charon's rules from what departs from them.
+//! time since the clock began, and carry out the [`Action`]s that it appends, in order. `docs/design.md` gives
+//! the reason of each rule, and what departs from the Charon paper.
 //!
 //! Each concern has a module: the ones below decide, those beside this file hold the state that they decide by.
 
@@ -55,7 +55,7 @@
     dial_rate: DialRate,
     slow_start: SlowStart,
     zone_shares: ZoneShares,
-    /// What one connection takes of a server, over all servers that told it.
+    /// Share of a server that one connection takes, on average over the servers that report it.
     mean_load_per_connection: Option<f64>,
     /// Connections of this proxy that a warm server holds, on average.
     connections_per_warm_server: f64,
@@ -171,9 +171,9 @@
         self.send_regular_probes(out);
     }
 
-    /// A zone gets this part of its sessions from now on. Of a lost one all servers are unresponsive, and whoever
-    /// waits for them is placed elsewhere. Its open sessions leave at the next probe that fails: all at once
-    /// would spread groups more.
+    /// A zone gets this part of its sessions from now on. Of a lost one all servers are unresponsive, and the
+    /// sessions that wait for their probes are placed elsewhere. Its open sessions migrate at the next probe that
+    /// fails: all at once would spread groups more.
     fn set_zone_share(&mut self, zone: u8, share: f64, out: &mut Vec<Action>) {
         self.zone_shares.set(zone, share);
         let is_lost = share <= 0.0;
--- a/crates/placement/src/engine/attempts.rs
+++ b/crates/placement/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts to open a session: their start, and what their ends tell.
+//! Attempts to open a session: their start, and what is learned from their results.
 
 use super::PlacementEngine;
 use crate::action::Action;
@@ -67,7 +67,7 @@
             .take_back_dial(now, dialed_at, bump);
     }
 
-    /// What the end of an attempt or connection tells of its server.
+    /// Takes in how an attempt or a connection ended, and the load that its server reported.
     pub(super) fn record_attempt_end(
         &mut self,
         id: SessionId,
--- a/crates/placement/src/engine/averages.rs
+++ b/crates/placement/src/engine/averages.rs
@@ -12,7 +12,7 @@
 const MIN_LOAD_PER_CONNECTION: f64 = 1e-3;
 
 impl PlacementEngine {
-    /// Mean over the servers that are ready and for which `value` tells one.
+    /// Mean of `value` over the ready servers for which it is known.
     pub(super) fn mean_over_ready(&self, value: impl Fn(&Server) -> Option<f64>) -> Option<f64> {
         let mut sum = 0.0;
         let mut count = 0.0;
@@ -51,8 +51,8 @@
             .schedule(self.now + REFRESH_INTERVAL, Timer::RefreshAverages);
     }
 
-    /// Connections that a server bears, where no report tells it: what a warm one holds of all proxies, or, if
-    /// more, what the settings plan for each server ever listed.
+    /// Estimate of the connections that a server can hold, for when no server reports its utilization: what a warm
+    /// one holds of all proxies, or, if more, what the settings plan for each server ever listed.
     fn connections_per_server(&self, proxy_count: f64) -> f64 {
         let planned = self.deployment.planned_connections / self.servers.len().max(1) as f64;
         (self.connections_per_warm_server * proxy_count)
--- a/crates/placement/src/engine/probes.rs
+++ b/crates/placement/src/engine/probes.rs
@@ -1,4 +1,4 @@
-//! Probes and what their ends tell.
+//! Sending of probes, and what is learned from their results.
 
 use super::{PlacementEngine, TICK_INTERVAL};
 use crate::action::Action;
--- a/crates/placement/src/engine/rebalancing.rs
+++ b/crates/placement/src/engine/rebalancing.rs
@@ -11,13 +11,14 @@
 
 /// Utilization over which a server is relieved, down to [`FULL_LOAD`].
 const OVERLOAD: f64 = 0.95;
-/// How often its capacity a server whose messages are late is relieved of more, for each second that they are
-/// late and by the room that the others have.
+/// How much more than its excess a server with late messages is relieved of: this many times its capacity, for
+/// each second of delay and in proportion to the mean room of the servers.
 const BACKLOG_RELIEF: f64 = 3.0;
 
 impl PlacementEngine {
-    /// Messages over their target are of no use to the client, though reports may not show it, or show it late.
-    /// What has piled up keeps them late, so the more it is, the more sessions leave, as far as others have room.
+    /// Relieves a server whose messages take longer than a listener's target, which its reports may not show, or
+    /// show late. The backlog keeps messages late until it is worked off, so the longer the delay, the more
+    /// sessions migrate, as far as other servers have room.
     pub(super) fn record_message_delay(
         &mut self,
         server: ServerId,
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -1,5 +1,5 @@
-//! What the engine is told. Sessions and servers have small ids, which the caller gives out; the engine keeps lists
-//! that are indexed by them.
+//! The engine's input. Sessions and servers have small ids, which the caller assigns; the engine keeps lists that are
+//! indexed by them.
 
 use std::time::Duration;
 
@@ -114,7 +114,7 @@
     pub dial_timeout: Duration,
 }
 
-/// One thing that the engine is told.
+/// One event that the engine handles.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the endpoint list.
--- a/crates/placement/src/load_estimate.rs
+++ b/crates/placement/src/load_estimate.rs
@@ -10,8 +10,8 @@
 pub(crate) const RATE_WINDOW: f64 = 10.0;
 /// How old a connection count may be when a probe brings it. Dials younger than that may be missing from it.
 pub(crate) const MAX_REPORT_AGE: Duration = Duration::from_millis(1000);
-/// Connections from which a report tells what one takes. Fewer pay more for what their groups share, and the
-/// server would look full.
+/// Connections from which the load of one is computed from a report. Fewer carry a larger part of what their
+/// groups share, and the server would look full.
 const MIN_CONNECTIONS_TO_RATE: f64 = 8.0;
 /// Utilization over which a report of fewer connections counts all the same.
 const MIN_UTILIZATION_TO_RATE: f64 = 0.5;
@@ -71,7 +71,7 @@
         self.completion_rate
     }
 
-    /// Share of the server that one connection takes; `None` where no report told it.
+    /// Share of the server that one connection takes; `None` where no report gave it.
     pub(crate) fn load_per_connection(&self) -> Option<f64> {
         self.load_per_connection
     }
@@ -119,7 +119,7 @@
     }
 
     /// Takes in a report. A server whose report can't be rated drifts to `mean_load_per_connection`, so that
-    /// what it told while it was slow doesn't bar it for ever.
+    /// a report from while it was slow doesn't keep sessions away for ever.
     pub(crate) fn record_report(
         &mut self,
         now: Duration,
@@ -130,9 +130,9 @@
             return;
         };
         self.reported_connections = Some(connections);
-        let told = rated_load_per_connection(connections, load.utilization);
+        let reported = rated_load_per_connection(connections, load.utilization);
         let own = self.load_per_connection;
-        let latest = told.or(own.map(|own| mean_load_per_connection.unwrap_or(own)));
+        let latest = reported.or(own.map(|own| mean_load_per_connection.unwrap_or(own)));
         if let Some(latest) = latest {
             let smoothed = own.map_or(latest, |before| (before + latest) / 2.0);
             self.load_per_connection = Some(smoothed);
@@ -141,7 +141,7 @@
     }
 }
 
-/// What one connection takes, where the report holds enough of them to tell.
+/// Share of the server that one connection takes, where the report counts enough of them.
 fn rated_load_per_connection(connections: f64, utilization: Option<f64>) -> Option<f64> {
     let utilization = utilization?;
     let is_rated = connections >= MIN_CONNECTIONS_TO_RATE
--- a/crates/placement/src/outlier_ejection.rs
+++ b/crates/placement/src/outlier_ejection.rs
@@ -31,7 +31,7 @@
         self.until > now
     }
 
-    /// A dial or probe failed, or met a full server. One that is ejected already stays so no longer for it.
+    /// A dial or probe failed, or met a full server. It doesn't prolong an ejection that is active.
     pub(crate) fn record_failure(&mut self, now: Duration) {
         if !self.is_active(now) {
             self.until = now + self.next_span;
--- a/crates/placement/src/probing.rs
+++ b/crates/placement/src/probing.rs
@@ -27,7 +27,7 @@
 }
 
 impl ProbeState {
-    /// After a restart of the server: what it answered before tells nothing of it.
+    /// After a restart of the server, whose earlier answers no longer count.
     pub(crate) fn after_restart(self) -> ProbeState {
         ProbeState {
             unanswered: 0,
--- a/crates/placement/src/server.rs
+++ b/crates/placement/src/server.rs
@@ -9,7 +9,7 @@
 
 /// Most by which one report is taken to show a server slower.
 const MAX_SLOWDOWN: f64 = 2.0;
-/// Least share that a slowdown is counted from.
+/// Least load of one connection that a slowdown is computed from.
 const MIN_LOAD_PER_CONNECTION: f64 = 1e-6;
 
 #[derive(Clone, Debug, Default)]
@@ -23,7 +23,7 @@
     pub(crate) open_connections: u32,
     /// It is not relieved before, so that its reports can show the last relief.
     pub(crate) next_relief_at: Duration,
-    /// How often as much each connection took by the last report as by those before.
+    /// By what factor the last report showed the server slower than those before.
     slowdown: f64,
 }
 
@@ -45,7 +45,8 @@
         self.endpoint.state == EndpointState::Ready
     }
 
-    /// Takes in how much slower a report shows the server, and tells what the last two both show, as a factor.
+    /// Takes in the load of one connection by a report, and returns by what factor the server slowed down in both
+    /// of the last two reports.
     pub(crate) fn update_slowdown(&mut self, load_per_connection: f64) -> f64 {
         let known = self.load.load_per_connection();
         let latest = known.map_or(1.0, |known| {
--- a/crates/placement/src/session_pacing.rs
+++ b/crates/placement/src/session_pacing.rs
@@ -1,7 +1,7 @@
 //! Pauses between new sessions, once sessions fail wherever they go.
 //!
-//! What stands behind the servers is short then, and dials of all proxies would keep it so. Sessions are dialed
-//! one at a time, with a pause between them, and the others are rejected at once, until some open.
+//! What the servers depend on is then taken to be overloaded, and dials of all proxies would keep it so. Sessions
+//! are dialed one at a time, with a pause between them, and the others are rejected at once, until some open.
 
 use crate::outlier_ejection::BASE_EJECTION;
 use crate::random::RandomSource;
@@ -10,7 +10,7 @@
 
 /// First pause: about what a first dial and its answer take.
 const MIN_PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause: whoever watches a proxy for 4 s sees an attempt, and n proxies try n / 3 times a second.
+/// Longest pause: each proxy tries at least once in 4 s, and n proxies try n / 3 times a second.
 const MAX_PAUSE: Duration = Duration::from_millis(3_000);
 /// First pause of a process at which nothing ever opened, as it knows of no better time. Above it, a session
 /// gets no retry.
@@ -81,7 +81,7 @@
         random: &mut RandomSource,
     ) {
         let nothing_opens = self.last_opened_at + BASE_EJECTION <= now;
-        // An attempt from before the last pause tells nothing of that pause.
+        // An attempt from before the pause last grew says nothing of whether that was enough.
         let dialed_since = session
             .first_execution
             .is_some_and(|first| self.lengthened_at <= first.dialed_at);
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -205,7 +205,7 @@
 fn load_report_format(values: &SettingValues<'_>) -> LoadReportFormat {
     let fields = owned(values.list("load_info.fields"));
     let index_of = |name| fields.iter().position(|field| *field == name);
-    // `x0` is a free field; where its meaning is told, it must be the utilization.
+    // `x0` is a free field; where its meaning is set, it must be the utilization.
     let meaning = values.text("specifics.report_x0");
     let x0_is_utilization =
         meaning.is_none_or(|meaning| meaning == "load_asked_of_the_server_over_what_it_can_do");
