--- a/crates/placement/tests/engine/endpoint_list.rs
+++ b/crates/placement/tests/engine/endpoint_list.rs
@@ -55,11 +55,13 @@
 #[test_case(300, 30; "three hundred")]
 fn calls_of_a_fleet_to_a_roster_that_fails_abate_and_spread(proxies: u32, a_second: usize) {
     let mut facts = deployment(IDEMPOTENT);
-    (facts.proxy_count, facts.endpoint_poll_delay) = (proxies, Some(ms(10_000)));
+    facts.proxy_count = proxies;
+    facts.endpoint_poll_delay = Some(ms(10_000));
     let mut calls = [0; 60];
     for nonce in 0..u64::from(proxies) {
         let mut proxy = Proxy::new(facts.clone(), nonce, vec![endpoint(0)]);
-        let (began, mut last) = (proxy.now, ms(0));
+        let began = proxy.now;
+        let mut last = ms(0);
         while last < ms(58_000) {
             // Each call fails after two seconds in the queue.
             proxy.wait(ms(2_000));
@@ -71,14 +73,14 @@
                 "told of nothing for {:?}",
                 now - last
             );
-            calls
-                .get_mut(now.as_secs() as usize)
-                .into_iter()
-                .for_each(|calls| *calls += 1);
+            if let Some(calls) = calls.get_mut(now.as_secs() as usize) {
+                *calls += 1;
+            }
             last = now;
         }
     }
-    let (late, most) = (&calls[30..], calls[30..].iter().max().unwrap_or(&0));
+    let late = &calls[30..];
+    let most = late.iter().max().unwrap_or(&0);
     assert!(
         late.iter().sum::<usize>() <= a_second * 30 && *most <= a_second * 2,
         "{late:?}"
--- a/crates/placement/tests/engine/fleet_slow_start.rs
+++ b/crates/placement/tests/engine/fleet_slow_start.rs
@@ -1,6 +1,7 @@
 //! What all proxies together send a server that started anew, in one simulated clock.
 
 use crate::support::{Proxy, deployment, dialed_server, endpoint, ms};
+use asterramp_placement::Deployment;
 use asterramp_placement::deployment::RetrySafety;
 use asterramp_placement::event::{Endpoint, EndpointUpdate, Event};
 use std::time::Duration;
@@ -22,34 +23,41 @@
     Sudden,
 }
 
+/// One of the proxies, which has just started and knows how loaded the warm servers are.
+fn started_proxy(facts: &Deployment, seed: u64, number: u64, now: Duration) -> Proxy {
+    let facts = Deployment {
+        proxy_index: number as u32,
+        ..facts.clone()
+    };
+    let nonce = seed * 1_000 + number;
+    let mut proxy = Proxy::new(facts, nonce, (0..4).map(endpoint).collect());
+    proxy.now = now;
+    for server in 0..4 {
+        proxy.report_load(server, FILL * 0.7, 0.7);
+    }
+    proxy.wait(ms(1_100));
+    proxy.now = now;
+    proxy
+}
+
 /// The highest sum over a window, over what may be sent in it beyond the budget; and what was sent in all.
 fn peak(proxies: u64, demand: Demand, seed: u64) -> (f64, f64, usize) {
     let mut facts = deployment(RetrySafety::Idempotent);
-    (facts.proxy_count, facts.slow_start.warm_after) = (proxies as u32, ms(WARM));
+    facts.proxy_count = proxies as u32;
+    facts.slow_start.warm_after = ms(WARM);
     let start = ms(1_000_000);
     let cold = Endpoint {
         started_at: Some(start),
         hash_key: 71_284 + seed * 104_729,
         ..endpoint(9)
     };
-    let mut begin = |number: u64, now: Duration| {
-        facts.proxy_index = number as u32;
-        let mut proxy = Proxy::new(
-            facts.clone(),
-            seed * 1_000 + number,
-            (0..4).map(endpoint).collect(),
-        );
-        proxy.now = now;
-        (0..4).for_each(|s| drop(proxy.report_load(s, FILL * 0.7, 0.7)));
-        proxy.wait(ms(1_100));
-        proxy.now = now;
-        proxy
-    };
+    let begin = |number, now| started_proxy(&facts, seed, number, now);
     let mut all: Vec<Proxy> = (0..proxies).map(|number| begin(number, start)).collect();
     for proxy in &mut all {
         proxy.update_endpoint(cold);
     }
-    let (mut sent, mut next) = (Vec::new(), 0);
+    let mut sent = Vec::new();
+    let mut next = 0;
     for at in (0..WARM - 1_000).step_by(STEP as usize) {
         let now = start + ms(at);
         if demand == Demand::Restarts && at.is_multiple_of(200) {
@@ -70,7 +78,9 @@
                 continue;
             }
             proxy.report_load(9, 0.0, 0.0);
-            (0..4).for_each(|s| drop(proxy.report_load(s, FILL, 1.0)));
+            for s in 0..4 {
+                proxy.report_load(s, FILL, 1.0);
+            }
             let (session, actions) = proxy.request_session(None);
             if dialed_server(&actions) == Some(9) {
                 sent.push(at);
--- a/crates/placement/tests/engine/load_estimate.rs
+++ b/crates/placement/tests/engine/load_estimate.rs
@@ -47,7 +47,9 @@
 fn the_share_of_few_connections_is_not_forgotten_before_the_first_survey() {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 1);
     proxy.report_load(0, 20.0, 2.4);
-    (0..4).for_each(|_| drop(proxy.report_load(0, 7.0, 0.4)));
+    for _ in 0..4 {
+        proxy.report_load(0, 7.0, 0.4);
+    }
     assert_eq!(
         outcome_letter(&proxy.request_session(None).1),
         'R',
@@ -69,7 +71,9 @@
     proxy.wait(ms(2_000));
     proxy.report_load(0, 50.0, 0.5);
     proxy.reconnecting = again;
-    (0..12).for_each(|_| drop(proxy.request_session(None)));
+    for _ in 0..12 {
+        proxy.request_session(None);
+    }
     proxy.report_load(0, 50.0, 0.5);
     outcome_letter(&proxy.request_session(None).1)
 }
@@ -79,8 +83,12 @@
 #[test_case(8.0 => 'R'; "enough to tell")]
 fn a_few_connections_do_not_tell_what_one_takes(counted: f64) -> char {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 2);
-    (0..2).for_each(|s| drop(proxy.report_load(s, counted, counted * 0.08)));
-    (0..30).for_each(|_| drop(proxy.request_session(None)));
+    for s in 0..2 {
+        proxy.report_load(s, counted, counted * 0.08);
+    }
+    for _ in 0..30 {
+        proxy.request_session(None);
+    }
     outcome_letter(&proxy.request_session(None).1)
 }
 
@@ -89,10 +97,16 @@
 #[test_case(12 => 'D'; "empty for a while")]
 fn a_slow_server_that_emptied_is_not_filled_again(reports: usize) -> char {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 2);
-    (0..8).for_each(|_| drop(proxy.report_load(1, 60.0, 0.9)));
-    (0..8).for_each(|_| drop(proxy.report_load(0, 1.0, 1.5)));
+    for _ in 0..8 {
+        proxy.report_load(1, 60.0, 0.9);
+    }
+    for _ in 0..8 {
+        proxy.report_load(0, 1.0, 1.5);
+    }
     proxy.wait(ms(1_100));
-    (0..=reports).for_each(|_| drop(proxy.report_load(0, 0.0, 0.0)));
+    for _ in 0..=reports {
+        proxy.report_load(0, 0.0, 0.0);
+    }
     proxy.report_load(1, 60.0, 0.9);
     outcome_letter(&proxy.request_session(None).1)
 }
--- a/crates/placement/tests/engine/outlier_ejection.rs
+++ b/crates/placement/tests/engine/outlier_ejection.rs
@@ -72,6 +72,8 @@
     let (session, actions) = proxy.request_session(None);
     assert_eq!(dialed_server(&actions), Some(0));
     proxy.end_attempt(session, 0, Outcome::Reset, false);
-    (!answers).then(|| proxy.fail_probe(0));
+    if !answers {
+        proxy.fail_probe(0);
+    }
     outcome_letter(&proxy.request_session(None).1)
 }
--- a/crates/placement/tests/engine/probing.rs
+++ b/crates/placement/tests/engine/probing.rs
@@ -75,7 +75,9 @@
 #[test]
 fn no_probe_and_no_cancel_where_they_are_not_allowed() {
     let mut facts = deployment(IDEMPOTENT);
-    (facts.may_probe, facts.may_cancel, facts.max_attempts) = (false, false, 0);
+    facts.may_probe = false;
+    facts.may_cancel = false;
+    facts.max_attempts = 0;
     let mut proxy = Proxy::with(facts, 2);
     let (session, actions) = proxy.request_session(None);
     assert_eq!(outcome_letter(&actions), 'D', "without a single report");
--- a/crates/placement/tests/engine/rebalancing.rs
+++ b/crates/placement/tests/engine/rebalancing.rs
@@ -57,9 +57,13 @@
 #[test_case(0.9, 900 => true; "much, no room")]
 fn a_late_server_keeps_most_of_its_connections(asked: f64, millis: u64) -> bool {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 2);
-    (0..2).for_each(|server| drop(proxy.report_load(server, 40.0, asked.min(0.4))));
+    for server in 0..2 {
+        proxy.report_load(server, 40.0, asked.min(0.4));
+    }
     let (session, server) = proxy.open_sessions(40)[0];
-    (0..2).for_each(|server| drop(proxy.report_load(server, 20.0, asked)));
+    for server in 0..2 {
+        proxy.report_load(server, 20.0, asked);
+    }
     proxy.now += ms(2_000);
     let actions = proxy.handle(Event::Observed {
         session,
--- a/crates/placement/tests/engine/selection.rs
+++ b/crates/placement/tests/engine/selection.rs
@@ -32,7 +32,9 @@
     let mut proxy = Proxy::new(deployment(IDEMPOTENT), 3, servers);
     let mut got = [0; 4];
     for _ in 0..400 {
-        (0..4).for_each(|s| drop(proxy.report_load(s, 10.0, 0.2)));
+        for s in 0..4 {
+            proxy.report_load(s, 10.0, 0.2);
+        }
         proxy.now += ms(2_000);
         got[dialed_server(&proxy.request_session(None).1).unwrap() as usize] += 1;
     }
@@ -48,15 +50,17 @@
         state: EndpointState::Draining,
         ..endpoint(id)
     };
-    (0..lost).for_each(|id| {
-        drop(if fail {
-            proxy.fail_probe(id)
+    for id in 0..lost {
+        if fail {
+            proxy.fail_probe(id);
         } else {
-            proxy.update_endpoint(drains(id))
-        })
-    });
+            proxy.update_endpoint(drains(id));
+        }
+    }
     let came = outcome_letter(&proxy.request_session(None).1);
-    (40..80).for_each(|id| drop(proxy.update_endpoint(endpoint(id))));
+    for id in 40..80 {
+        proxy.update_endpoint(endpoint(id));
+    }
     assert_eq!(
         outcome_letter(&proxy.request_session(None).1),
         'D',
@@ -70,7 +74,9 @@
 #[test_case(0.95 => 'R'; "full")]
 fn refused_where_no_server_has_room(asked: f64) -> char {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 2);
-    (0..2).for_each(|s| drop(proxy.report_load(s, 50.0, asked)));
+    for s in 0..2 {
+        proxy.report_load(s, 50.0, asked);
+    }
     let actions = proxy.request_session(None).1;
     assert!(actions.iter().all(
         |a| !matches!(a, Action::Reject { retry_after: come_back, .. } if come_back.is_zero())
@@ -95,7 +101,9 @@
         })
         .to_vec();
     let mut proxy = Proxy::with(Deployment { listeners, ..facts }, 2);
-    (0..2).for_each(|s| drop(proxy.report_load(s, 50.0, asked)));
+    for s in 0..2 {
+        proxy.report_load(s, 50.0, asked);
+    }
     [0, 1]
         .map(|listener| outcome_letter(&proxy.request_session_at(listener, None).1))
         .iter()
@@ -111,9 +119,9 @@
             nonce,
             (0..8).map(endpoint).collect(),
         );
-        (0..8).for_each(|s| {
-            drop(proxy.report_load(s, 10.0 + f64::from(s), 0.2 + 0.01 * f64::from(s)))
-        });
+        for s in 0..8 {
+            proxy.report_load(s, 10.0 + f64::from(s), 0.2 + 0.01 * f64::from(s));
+        }
         let got: Vec<ServerId> = (0..6).map(|_| proxy.open_session(Some(77)).1).collect();
         assert!(got.iter().all(|s| *s == got[0]), "{got:?}");
         got[0]
@@ -135,7 +143,9 @@
         facts.zone = zone as u8;
         let mut proxy = Proxy::new(facts, 1, servers.clone());
         let load = |s| if s % 2 == zone { near } else { far } + 0.01 * f64::from(s);
-        (0..12).for_each(|s| drop(proxy.report_load(s, 10.0, load(s))));
+        for s in 0..12 {
+            proxy.report_load(s, 10.0, load(s));
+        }
         proxy.open_session(group).1
     };
     assert_eq!(
--- a/crates/placement/tests/engine/session_pacing.rs
+++ b/crates/placement/tests/engine/session_pacing.rs
@@ -14,7 +14,8 @@
         ..deployment(IDEMPOTENT)
     };
     let mut proxy = Proxy::with(facts, 40);
-    let (mut dials, mut sessions) = (0, 0);
+    let mut dials = 0;
+    let mut sessions = 0;
     for _ in 0..200 {
         proxy.wait(ms(100));
         let (session, mut actions) = proxy.request_session(None);
@@ -22,7 +23,8 @@
             if dialed_server(&actions).is_none() {
                 break;
             }
-            (dials, sessions) = (dials + 1, sessions + usize::from(dial == 0));
+            dials += 1;
+            sessions += usize::from(dial == 0);
             proxy.now += ms(10);
             actions = proxy.end_attempt(session, dial, outcome, false);
         }
@@ -158,7 +160,8 @@
 #[test]
 fn paced_sessions_are_tried_within_four_seconds() {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 10);
-    let (mut last, mut gaps) = (proxy.now, Vec::new());
+    let mut last = proxy.now;
+    let mut gaps = Vec::new();
     for _ in 0..600 {
         proxy.wait(ms(100));
         let (session, actions) = proxy.request_session(None);
--- a/crates/placement/tests/engine/slow_start.rs
+++ b/crates/placement/tests/engine/slow_start.rs
@@ -18,10 +18,12 @@
         facts.proxy_index = nonce as u32;
         let mut proxy = Proxy::new(facts.clone(), nonce, (0..4).map(endpoint).collect());
         let held: Vec<_> = (0..28).map(|_| proxy.open_session(None).0).collect();
-        held[..7]
-            .iter()
-            .for_each(|s| drop(proxy.end_attempt(*s, 0, Outcome::Ok, true)));
-        (0..4).for_each(|s| drop(proxy.report_load(s, 20.0, 0.7)));
+        for session in &held[..7] {
+            proxy.end_attempt(*session, 0, Outcome::Ok, true);
+        }
+        for s in 0..4 {
+            proxy.report_load(s, 20.0, 0.7);
+        }
         proxy.update_endpoint(Endpoint {
             started_at: Some(proxy.now),
             ..endpoint(9)
@@ -63,12 +65,16 @@
 #[test_case(60, 80.0 => false; "fifteen each, less is planned")]
 fn without_reports_warm_servers_show_what_a_cold_one_can_take(open: usize, planned: f64) -> bool {
     let mut facts = deployment(IDEMPOTENT);
-    (facts.may_probe, facts.proxy_count, facts.proxy_index) = (false, 3, 1);
+    facts.may_probe = false;
+    facts.proxy_count = 3;
+    facts.proxy_index = 1;
     // For the ten servers that numbers up to the new one's stand for, four of which drain.
     facts.planned_connections = planned;
     let mut proxy = Proxy::with(facts, 4);
     proxy.open_sessions(open);
-    (0..20).for_each(|_| drop(proxy.wait(ms(100))));
+    for _ in 0..20 {
+        proxy.wait(ms(100));
+    }
     // All others drain.
     proxy.handle(Event::Endpoints(EndpointUpdate::Complete(vec![Endpoint {
         started_at: Some(proxy.now),
@@ -77,9 +83,9 @@
     let mut sent = 0;
     for _ in 0..100 {
         proxy.wait(ms(100));
-        (0..4).for_each(|_| {
-            sent += usize::from(dialed_server(&proxy.request_session(None).1).is_some())
-        });
+        for _ in 0..4 {
+            sent += usize::from(dialed_server(&proxy.request_session(None).1).is_some());
+        }
     }
     // Fifteen in the 20 s of its warming, at three quarters of four times its warmth.
     assert!(sent <= 11, "{sent}");
--- a/crates/placement/tests/engine/zone_shares.rs
+++ b/crates/placement/tests/engine/zone_shares.rs
@@ -50,7 +50,9 @@
         });
     }
     // Its servers were silent; they answer again.
-    (3..6).for_each(|server| drop(proxy.report_load(server, 0.0, 0.0)));
+    for server in 3..6 {
+        proxy.report_load(server, 0.0, 0.0);
+    }
     assert!((60..140).contains(&goes_there(&mut proxy, 200)));
 }
 
@@ -91,7 +93,8 @@
 #[test]
 fn sessions_that_wait_for_a_lost_server_are_placed_elsewhere_at_once() {
     let mut proxy = proxy();
-    let (mut waiting, mut placed) = (0, 0);
+    let mut waiting = 0;
+    let mut placed = 0;
     for session in 0..12 {
         let dial_timeout = proxy.now + Duration::from_secs(4);
         let actions = proxy.handle(Event::SessionRequested(SessionRequest {
--- a/crates/placement/tests/retry_budget.rs
+++ b/crates/placement/tests/retry_budget.rs
@@ -27,9 +27,11 @@
 fn it_stays_within_the_rule_of_an_oracle(rule: RetryBudgetRule) {
     let mut sent = 0;
     for seed in 1..40_u64 {
-        let (mut budget, mut chance) = (RetryBudget::new(Some(rule)), seed);
-        let (mut now, mut dials, mut taken) =
-            (ms(1_700_000_000_000), Vec::new(), Vec::<Duration>::new());
+        let mut budget = RetryBudget::new(Some(rule));
+        let mut chance = seed;
+        let mut now = ms(1_700_000_000_000);
+        let mut retries = Vec::new();
+        let mut sessions = Vec::<Duration>::new();
         let mut draw = |n: u64| {
             chance = chance
                 .wrapping_mul(6_364_136_223_846_793_005)
@@ -46,23 +48,23 @@
             };
             if draw(3) > 0 {
                 budget.record_session(now);
-                taken.push(now);
+                sessions.push(now);
             } else if budget.allows_retry(now) {
                 budget.record_retry(now);
-                dials.push(now);
+                retries.push(now);
                 // Both edges, each the one that is worse for the rule.
                 let young = |at: &&Duration| now - **at <= rule.span;
                 let inside = |at: &&Duration| now - **at < rule.span;
                 let limit = rule.free_retries
-                    + rule.retries_per_session * taken.iter().filter(inside).count() as f64;
-                let made = dials.iter().filter(young).count();
+                    + rule.retries_per_session * sessions.iter().filter(inside).count() as f64;
+                let made = retries.iter().filter(young).count();
                 assert!(
                     made as f64 <= limit + 1e-6,
                     "{made} of {limit}, seed {seed}"
                 );
             }
         }
-        sent += dials.len();
+        sent += retries.len();
     }
     assert!(
         sent >= 39 * rule.free_retries as usize,
