--- a/crates/model-checker/src/zone_failover.rs
+++ b/crates/model-checker/src/zone_failover.rs
@@ -1,5 +1,5 @@
-//! What a proxy makes of places, in every order of what it may meet at small size: two places with three servers and one
-//! with two. `asterramp_zone_failover::Sites`, the code that serves, decides; the truth, and who answers whom, is modelled here.
+//! Zone failover in every order of what a proxy may observe, at small size: two zones with three servers and one with two.
+//! [`ZoneFailover`], the code that serves, decides; which servers really respond is modelled here.
 
 use crate::search::{self, Explored, Played};
 use asterramp_zone_failover::{
@@ -11,16 +11,16 @@
     Duration::from_millis(ms)
 }
 
-/// Round figures, so that worlds meet again.
-const TERMS: ZoneFailoverSettings = ZoneFailoverSettings {
-    doubt: ms(2_000),
-    look: ms(1_000),
-    hold: ms(2_000),
-    hold_most: ms(4_000),
-    settle: ms(3_000),
-    told_within: ms(2_000),
-    under_way: ms(0),
-    may_look: true,
+/// Round figures, so that different orders of steps lead to equal worlds.
+const SETTINGS: ZoneFailoverSettings = ZoneFailoverSettings {
+    suspicion_timeout: ms(2_000),
+    probe_interval: ms(1_000),
+    hold_down: ms(2_000),
+    hold_down_max: ms(4_000),
+    recovery_ramp: ms(3_000),
+    discovery_delay: ms(2_000),
+    in_flight_timeout: ms(0),
+    probing_allowed: true,
 };
 const STEP: Duration = ms(500);
 /// Place of each server.
@@ -45,7 +45,7 @@
 
 #[derive(Clone, Debug)]
 struct World {
-    sites: ZoneFailover,
+    failover: ZoneFailover,
     now: Duration,
     answers: [bool; 8],
     listed: [bool; 3],
@@ -66,16 +66,16 @@
 
 impl World {
     fn new(injected_fault: FaultChoice) -> World {
-        let mut sites = ZoneFailover::new(TERMS, COUNT.into());
-        inject_into(&mut sites, injected_fault);
+        let mut failover = ZoneFailover::new(SETTINGS, COUNT.into());
+        inject_into(&mut failover, injected_fault);
         let now = ms(1_000_000);
-        for (server, place) in (0..).zip(PLACES) {
-            sites.listed(now, server, place, ServerState::Ready, None);
-            sites.sound(now, server);
+        for (server, zone) in (0..).zip(PLACES) {
+            failover.server_listed(now, server, zone, ServerState::Ready, None);
+            failover.server_responded(now, server);
         }
-        sites.effects();
+        failover.drain_effects();
         World {
-            sites,
+            failover,
             now,
             answers: [true; 8],
             listed: [true; 3],
@@ -103,7 +103,10 @@
         let ages = (self.heard, self.first);
         let ages = [ages.0, ages.1].map(|of| of.map(|at| (self.now - at).as_millis()));
         let fell = self.fell.map(|at| at.map(|at| (self.now - at).as_millis()));
-        format!("{}{own:?}{fell:?}{ages:?}", self.sites.aged(self.now))
+        format!(
+            "{}{own:?}{fell:?}{ages:?}",
+            self.failover.state_key(self.now)
+        )
     }
 
     fn steps(&self) -> impl Iterator<Item = Step> + '_ {
@@ -139,14 +142,15 @@
                 };
                 for (server, of) in (0..).zip(PLACES).filter(|(_, of)| *of == place) {
                     self.silent[server as usize] = false;
-                    self.sites.listed(self.now, server, of, standing, started);
+                    self.failover
+                        .server_listed(self.now, server, of, standing, started);
                 }
-                self.sites.told(self.now);
+                self.failover.discovery_responded(self.now);
                 self.carry_out();
             }
             Step::Passes => {
                 self.now += STEP;
-                self.sites.tick(self.now);
+                self.failover.tick(self.now);
                 self.carry_out();
             }
         }
@@ -161,7 +165,7 @@
         if self.answers[server as usize] {
             (self.silent[server as usize], self.signs[place]) = (false, 0);
             self.heard[place] = self.now;
-            self.sites.sound(self.now, server);
+            self.failover.server_responded(self.now, server);
         } else {
             if self.signs[place] == 0 {
                 // Servers that were silent before the place was last heard show it anew.
@@ -172,20 +176,20 @@
             }
             self.signs[place] += u8::from(!self.silent[server as usize]);
             self.silent[server as usize] = true;
-            self.sites.sign(self.now, server);
+            self.failover.server_failed(self.now, server);
         }
         self.carry_out();
     }
 
     /// What is wanted is done: looks are answered within the step.
     fn carry_out(&mut self) {
-        let effects: Vec<ZoneEffect> = self.sites.effects().collect();
+        let effects: Vec<ZoneEffect> = self.failover.drain_effects().collect();
         let mut looks = Vec::new();
         for effect in effects {
             match effect {
-                ZoneEffect::Open(place, part) => self.opens(usize::from(place), part),
-                ZoneEffect::Look(server) => looks.push(server),
-                ZoneEffect::Turned(..) => {}
+                ZoneEffect::SetShare { zone, share } => self.opens(usize::from(zone), share),
+                ZoneEffect::Probe { server } => looks.push(server),
+                ZoneEffect::StateChanged { .. } => {}
             }
         }
         self.looks += looks.len();
@@ -219,7 +223,7 @@
             self.fell[place] = Some(self.now);
         } else if before <= 0.0 {
             let least = if self.falls[place] > 1 {
-                TERMS.hold
+                SETTINGS.hold_down
             } else {
                 Duration::ZERO
             };
@@ -228,7 +232,9 @@
             if self.fell[place].is_some_and(|at| self.now < at + least) && !all && part < 1.0 {
                 self.breaks(format!("place {place} fell again and is opened at once"));
             }
-        } else if before < 0.2 && part > 0.4 && self.sites.places()[place].state == ZoneState::Whole
+        } else if before < 0.2
+            && part > 0.4
+            && self.failover.zones()[place].state == ZoneState::Healthy
         {
             self.breaks(format!("place {place} goes from {before:.2} to {part:.2}"));
         }
@@ -241,12 +247,12 @@
     /// What must hold after each step.
     fn wrong(&self) -> Option<String> {
         let has = |place: &usize| self.listed[*place];
-        let shut = |place: usize| self.sites.places()[place].state.is_shut();
+        let shut = |place: usize| self.failover.zones()[place].state.is_closed();
         let listed: Vec<usize> = (0..usize::from(COUNT)).filter(has).collect();
         let none_left = !listed.is_empty() && listed.iter().all(|place| shut(*place));
         let odd = (0..usize::from(COUNT)).find(|place| {
-            let state = self.sites.places()[*place].state;
-            state == ZoneState::Whole && self.open[*place] < 1.0
+            let state = self.failover.zones()[*place].state;
+            state == ZoneState::Healthy && self.open[*place] < 1.0
         });
         None.or(none_left.then(|| "all places are shut".to_string()))
             .or(odd.map(|place| {
@@ -275,8 +281,8 @@
         [0, 1, 2, 3]
             .into_iter()
             .for_each(|server| world.meets(server));
-        let state = world.sites.places()[0].state;
-        (!state.is_shut())
+        let state = world.failover.zones()[0].state;
+        (!state.is_closed())
             .then(|| format!("place 0 stays {} though nobody there answers", state.name()))
     }
 
@@ -291,13 +297,13 @@
             world.make(Step::Passes);
         }
         let left = world
-            .sites
-            .places()
+            .failover
+            .zones()
             .iter()
-            .position(|place| place.state != ZoneState::Whole)?;
+            .position(|place| place.state != ZoneState::Healthy)?;
         Some(format!(
             "place {left} stays {} though all answer",
-            world.sites.places()[left].state.name()
+            world.failover.zones()[left].state.name()
         ))
     }
 }
@@ -314,8 +320,8 @@
 pub const NONE: FaultChoice = ();
 
 #[cfg(feature = "injected-faults")]
-fn inject_into(sites: &mut ZoneFailover, injected_fault: FaultChoice) {
-    sites.injected_fault = injected_fault;
+fn inject_into(failover: &mut ZoneFailover, injected_fault: FaultChoice) {
+    failover.injected_fault = injected_fault;
 }
 #[cfg(not(feature = "injected-faults"))]
 fn inject_into(_: &mut ZoneFailover, (): FaultChoice) {}
--- a/crates/model-checker/tests/injected_faults.rs
+++ b/crates/model-checker/tests/injected_faults.rs
@@ -51,7 +51,7 @@
     use asterramp_model_checker::zone_failover::{RETURNED, explore};
     use asterramp_zone_failover::InjectedFault;
     all_found(&InjectedFault::ALL, |injected_fault| {
-        let late = matches!(injected_fault, InjectedFault::HeldForgotten);
+        let late = matches!(injected_fault, InjectedFault::HoldDownSkipped);
         explore(if late { RETURNED } else { &[] }, 7, Some(injected_fault)).found
     });
 }
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -182,10 +182,10 @@
         ..
     } = wishes.site;
     asterramp_zone_failover::ZoneFailoverSettings {
-        look,
-        hold,
-        hold_most,
-        settle,
+        probe_interval: look,
+        hold_down: hold,
+        hold_down_max: hold_most,
+        recovery_ramp: settle,
         ..Default::default()
     }
 }
--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -219,7 +219,7 @@
             .session_table
             .zones
             .iter()
-            .flat_map(|places| places.sites.places());
+            .flat_map(|places| places.failover.zones());
         text += &super::metrics::places_text(self.settings.zones.iter().zip(places));
         text +=
             &super::metrics::room_text(self.settings.listeners.iter().zip(self.admission.counts()));
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -231,7 +231,7 @@
             return Vec::new();
         };
         let mut told: Vec<ZoneStatus> = Vec::new();
-        for (name, place) in self.settings.zones.iter().zip(places.sites.places()) {
+        for (name, place) in self.settings.zones.iter().zip(places.failover.zones()) {
             told.push(ZoneStatus {
                 name: name.clone(),
                 state: place.state.name().into(),
@@ -240,11 +240,11 @@
                     .now
                     .saturating_sub(place.since.max(self.started_at))
                     .as_millis() as u64,
-                doubts: place.doubts,
+                doubts: place.dropped_suspicions,
                 false_alarms: place.false_alarms,
             });
         }
-        told.sort_by_key(|place| place.state == asterramp_zone_failover::ZoneState::Whole.name());
+        told.sort_by_key(|place| place.state == asterramp_zone_failover::ZoneState::Healthy.name());
         told.truncate(16);
         told
     }
--- a/crates/proxy/src/routing/admission.rs
+++ b/crates/proxy/src/routing/admission.rs
@@ -1,60 +1,62 @@
-//! How many set-ups there is room for while room is short.
+//! Session setups per second that this proxy admits while capacity is short.
 
 use super::Router;
+use super::endpoints::KnownEndpoint;
 use asterramp_placement::event::EndpointState;
-use asterramp_zone_failover::room::{self, ServerCapacity};
+use asterramp_zone_failover::capacity::{self, ServerLoadReport};
 
 impl Router {
-    /// While the clients of a lost place come to those that are left, they are let in by the room that survivors have; each
-    /// proxy letting in all that come, by counts a second old, pushes over whom they choose, and those come again.
+    /// Sets the admission rate: that of the warm start while it lasts, or that of the remaining zones while a zone's clients
+    /// move to them, or none.
+    ///
+    /// Without a limit, proxies that admit all clients by load reports a second old overload the servers they choose, and
+    /// those clients come again.
     pub(super) fn update_admission_rate(&mut self) {
-        if let Some(pace) = self.warm_start_pace() {
-            return self.admission.pace(self.now, Some(pace));
+        let rate = self.warm_start_pace().or_else(|| self.failover_rate());
+        self.admission.pace(self.now, rate);
+    }
+
+    /// `None` while capacity is not short, or too little is known of it.
+    fn failover_rate(&self) -> Option<f64> {
+        let zones = self.session_table.zones.as_ref()?;
+        if !self.admission_enabled || !zones.failover.is_capacity_short(self.now) {
+            return None;
         }
-        let short = self.admission_enabled
-            && self
-                .session_table
-                .zones
-                .as_ref()
-                .is_some_and(|p| p.sites.is_short(self.now));
-        if !short {
-            return self.admission.pace(self.now, None);
+        let mut ready_servers = 0;
+        let mut reports = Vec::new();
+        for (endpoint, zone_name) in self.endpoints.placed() {
+            if endpoint.standing != EndpointState::Ready || self.is_zone_closed(zone_name) {
+                continue;
+            }
+            ready_servers += 1;
+            reports.extend(self.load_report(endpoint));
         }
-        let cold = self.settings.deployment.slow_start.warm_after;
-        let warm = |started| self.now.saturating_sub(started) >= cold;
-        let shut = |zone: &str| {
-            let place = self.settings.zones.iter().position(|name| name == zone);
-            let places = self
-                .session_table
-                .zones
-                .iter()
-                .flat_map(|places| places.sites.places());
-            places
-                .enumerate()
-                .any(|(nth, p)| Some(nth) == place && p.state.is_shut())
+        let proxies = self.settings.deployment.proxy_count;
+        capacity::setup_rate(reports.into_iter(), ready_servers, proxies)
+    }
+
+    fn is_zone_closed(&self, name: &str) -> bool {
+        let Some(zones) = &self.session_table.zones else {
+            return false;
         };
-        let ready = self
-            .endpoints
-            .placed()
-            .filter(|(host, zone)| host.standing == EndpointState::Ready && !shut(zone));
-        let (mut count, mut words) = (0, Vec::new());
-        for (host, _) in ready {
-            count += 1;
-            if let (Some(asked), Some(connections)) = (host.load.utilization, host.load.connections)
-                && host.started.is_none_or(warm)
-            {
-                words.push(ServerCapacity {
-                    asked,
-                    connections,
-                    age: self.now.saturating_sub(host.told),
-                });
-            }
+        let index = self.settings.zones.iter().position(|zone| zone == name);
+        index
+            .and_then(|index| zones.failover.zones().get(index))
+            .is_some_and(|zone| zone.state.is_closed())
+    }
+
+    /// What a server last reported; `None` before the first report and while the server is warming up, when its load says
+    /// nothing of its capacity.
+    fn load_report(&self, endpoint: &KnownEndpoint) -> Option<ServerLoadReport> {
+        let warm_after = self.settings.deployment.slow_start.warm_after;
+        let is_warm = |started_at| self.now.saturating_sub(started_at) >= warm_after;
+        if !endpoint.started.is_none_or(is_warm) {
+            return None;
         }
-        let pace = room::pace(
-            words.into_iter(),
-            count,
-            self.settings.deployment.proxy_count,
-        );
-        self.admission.pace(self.now, pace);
+        Some(ServerLoadReport {
+            utilization: endpoint.load.utilization?,
+            connections: endpoint.load.connections?,
+            age: self.now.saturating_sub(endpoint.told),
+        })
     }
 }
--- a/crates/proxy/src/routing/metrics.rs
+++ b/crates/proxy/src/routing/metrics.rs
@@ -92,7 +92,10 @@
             text,
             "svc_place_state{{place=\"{place_name}\",state=\"{state}\"}} 1"
         );
-        for (kind, n) in [("doubt", place.doubts), ("given-up", place.false_alarms)] {
+        for (kind, n) in [
+            ("doubt", place.dropped_suspicions),
+            ("given-up", place.false_alarms),
+        ] {
             let _ = writeln!(
                 text,
                 "svc_place_false_alarms_total{{place=\"{place_name}\",kind=\"{kind}\"}} {n}"
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -47,7 +47,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 use warm_start::{SnapshotSchedule, WarmStartPlan, WarmStartProgress};
-use zones::ZoneTracker;
+use zones::{ZoneTracker, ZoneTransition};
 
 /// How long discovery is waited for before clients are served by the list of old.
 const PATIENCE: Duration = Duration::from_millis(500);
@@ -62,8 +62,8 @@
 fn site_terms(setup: &Settings) -> SiteTerms {
     let probe = setup.connect_timeout * 3;
     SiteTerms {
-        may_look: setup.deployment.may_probe,
-        under_way: probe,
+        probing_allowed: setup.deployment.may_probe,
+        in_flight_timeout: probe,
         ..SiteTerms::default()
     }
 }
@@ -323,13 +323,13 @@
         match (&mut self.session_table.zones, terms) {
             (Some(places), Some(terms)) => {
                 let SiteTerms {
-                    may_look,
-                    under_way,
+                    probing_allowed: may_look,
+                    in_flight_timeout: under_way,
                     ..
                 } = site_terms(&self.settings);
-                places.sites.terms(SiteTerms {
-                    may_look,
-                    under_way,
+                places.failover.set_settings(SiteTerms {
+                    probing_allowed: may_look,
+                    in_flight_timeout: under_way,
                     ..terms
                 });
             }
@@ -530,12 +530,13 @@
             match task {
                 SessionTask::Probe(server) => self.probe(server),
                 SessionTask::Subscribe => self.connect_watch(),
-                SessionTask::Turned((place, state, why)) => {
+                SessionTask::Turned(ZoneTransition { zone, state, cause }) => {
                     let name = self
                         .settings
                         .zones
-                        .get(usize::from(place))
+                        .get(usize::from(zone))
                         .map_or("-", |name| name.as_str());
+                    let why = cause.reason();
                     self.log_event(
                         ReasonCode::Place,
                         format!("place={name} state={} why={why:?}", state.name()),
--- a/crates/proxy/src/routing/session_table.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -143,8 +143,8 @@
         let to = self.sessions.get(sess).map(|held| held.machine.to);
         if let (Some(places), Some(to)) = (&mut self.zones, to) {
             match answered {
-                true => places.sites.sound(now, to),
-                false => places.sites.sign(now, to),
+                true => places.failover.server_responded(now, to),
+                false => places.failover.server_failed(now, to),
             }
             self.settle(now);
         }
@@ -153,7 +153,7 @@
     /// Discovery lives, though it has nothing new to tell.
     pub fn discovery_lives(&mut self, now: Duration) {
         if let Some(places) = &mut self.zones {
-            places.sites.told(now);
+            places.failover.discovery_responded(now);
             self.settle(now);
         }
     }
@@ -182,7 +182,7 @@
     /// What is decided of places is for the module to hear, and what changed for the log.
     fn heed_places(&mut self) {
         if let Some(places) = &mut self.zones {
-            places.decide(&mut self.events, &mut self.transitions);
+            places.take_decisions(&mut self.events, &mut self.transitions);
             self.tasks
                 .extend(self.transitions.drain(..).map(SessionTask::Turned));
         }
@@ -201,7 +201,7 @@
                 let to = to
                     .and_then(|key| self.sessions.get(key))
                     .map(|held| held.machine.to);
-                places.hears(now, &event, to);
+                places.observe(now, &event, to);
             }
             self.heed_places();
             let mut actions = std::mem::take(&mut self.actions);
--- a/crates/proxy/src/routing/zones.rs
+++ b/crates/proxy/src/routing/zones.rs
@@ -1,123 +1,174 @@
-//! Between the events of the module and what is made of whole places: what an event shows goes to the one, what it
-//! decides goes back as an event. No I/O.
+//! Connects the placement engine with zone failover: what an event shows about a server goes to [`ZoneFailover`], and
+//! what that decides goes to the engine as events. No I/O.
 
 use asterramp_placement::Event;
 use asterramp_placement::event::{Endpoint, EndpointState, EndpointUpdate, Outcome, ServerId};
 use asterramp_zone_failover::{
-    self as site, ZoneEffect, ZoneFailover, ZoneFailoverSettings, ZoneState,
+    ServerState, ZoneEffect, ZoneFailover, ZoneFailoverSettings, ZoneId, ZoneInput, ZoneState,
 };
 use std::time::Duration;
 
-/// A place's state changed, and why.
-pub type ZoneTransition = (u8, ZoneState, &'static str);
+/// A change of a zone's state, to be logged.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ZoneTransition {
+    /// The zone.
+    pub zone: ZoneId,
+    /// Its new state.
+    pub state: ZoneState,
+    /// What led to it.
+    pub cause: ZoneInput,
+}
 
+/// Zone failover, with the endpoint list that it needs to tell which servers a complete list leaves out.
 #[derive(Clone, Debug)]
 pub struct ZoneTracker {
-    pub sites: ZoneFailover,
-    /// Servers that discovery has told, by index.
-    listed: Vec<Option<Endpoint>>,
+    /// State of each zone.
+    pub failover: ZoneFailover,
+    /// Last entry of each server that discovery has listed, by index.
+    endpoints: Vec<Option<Endpoint>>,
+}
+
+/// What the end of an attempt or probe shows about its server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ServerSign {
+    Response,
+    Failure,
+    /// Neither.
+    Unclear,
 }
 
-/// What the end of a dial or probe shows of its server; a reset shows neither, as whoever sends it lives and may
-/// have let go of this connection alone.
-fn shows(outcome: Outcome) -> Option<bool> {
+/// A reset shows neither: whoever sends it is up, and may have dropped this connection alone.
+fn sign_of(outcome: Outcome) -> ServerSign {
     match outcome {
-        Outcome::Ok | Outcome::Erred | Outcome::Full => Some(true),
-        Outcome::TimedOut | Outcome::Unreachable => Some(false),
-        Outcome::Reset | Outcome::CalledOff | Outcome::NeverSent => None,
+        Outcome::Ok | Outcome::Erred | Outcome::Full => ServerSign::Response,
+        Outcome::TimedOut | Outcome::Unreachable => ServerSign::Failure,
+        Outcome::Reset | Outcome::CalledOff | Outcome::NeverSent => ServerSign::Unclear,
+    }
+}
+
+fn server_state(state: EndpointState) -> ServerState {
+    match state {
+        EndpointState::Ready => ServerState::Ready,
+        EndpointState::Draining => ServerState::Draining,
+        EndpointState::Gone => ServerState::Gone,
     }
 }
 
 impl ZoneTracker {
-    /// `None` where there is one place: a proxy has no other to go to.
-    pub fn new(count: usize, terms: ZoneFailoverSettings) -> Option<ZoneTracker> {
-        (count > 1).then(|| ZoneTracker {
-            sites: ZoneFailover::new(terms, count),
-            listed: Vec::new(),
+    /// `None` where there is only one zone: a proxy then has no other to use.
+    pub fn new(zone_count: usize, settings: ZoneFailoverSettings) -> Option<ZoneTracker> {
+        if zone_count <= 1 {
+            return None;
+        }
+        Some(ZoneTracker {
+            failover: ZoneFailover::new(settings, zone_count),
+            endpoints: Vec::new(),
         })
     }
 
-    /// Something that the module is about to hear. `to` is the server of the session that it is about, if any.
-    pub fn hears(&mut self, now: Duration, event: &Event, to: Option<ServerId>) {
-        match (event, to) {
-            (Event::Endpoints(EndpointUpdate::Complete(entries)), _) => {
-                let mut left: Vec<Endpoint> = self.listed.iter().flatten().copied().collect();
-                left.retain(|known| entries.iter().all(|entry| entry.server != known.server));
-                let gone = left.into_iter().map(|known| Endpoint {
-                    state: EndpointState::Gone,
-                    ..known
-                });
-                gone.for_each(|entry| self.listed(now, entry));
-                entries.iter().for_each(|entry| self.listed(now, *entry));
-                self.sites.told(now);
-            }
-            (Event::Endpoints(EndpointUpdate::Changes(entries)), _) => {
-                entries.iter().for_each(|entry| self.listed(now, *entry));
-                self.sites.told(now);
+    /// Observes an event before the engine handles it. `session_server` is the server of the event's session, if any.
+    pub fn observe(&mut self, now: Duration, event: &Event, session_server: Option<ServerId>) {
+        match event {
+            Event::Endpoints(update) => self.observe_update(now, update),
+            Event::SessionOpened { .. } => {
+                if let Some(server) = session_server {
+                    self.failover.server_responded(now, server);
+                }
             }
-            // A list of old tells where servers stand, and nothing of the present.
-            (
-                Event::Endpoints(
-                    EndpointUpdate::Stale(entries) | EndpointUpdate::Inherited(entries),
-                ),
-                _,
-            ) => {
-                entries.iter().for_each(|entry| self.listed(now, *entry));
+            Event::ProbeEnded {
+                server, outcome, ..
+            } => self.observe_outcome(now, *server, *outcome),
+            Event::AttemptEnded {
+                outcome,
+                session_over: false,
+                ..
+            } => {
+                if let Some(server) = session_server {
+                    self.observe_outcome(now, server, *outcome);
+                }
             }
-            (Event::SessionOpened { .. }, Some(server)) => self.sites.sound(now, server),
-            (
-                Event::ProbeEnded {
-                    server, outcome, ..
-                },
-                _,
-            ) => self.shown(now, *server, *outcome),
-            (
-                Event::AttemptEnded {
-                    outcome,
-                    session_over: false,
-                    ..
-                },
-                Some(server),
-            ) => self.shown(now, server, *outcome),
-            (Event::Tick, _) if self.sites.due().is_some_and(|due| due <= now) => {
-                self.sites.tick(now)
+            Event::Tick => {
+                let is_due = self.failover.next_timer().is_some_and(|due| due <= now);
+                if is_due {
+                    self.failover.tick(now);
+                }
             }
             _ => {}
         }
     }
 
-    fn listed(&mut self, now: Duration, entry: Endpoint) {
-        let at = entry.server as usize;
-        if self.listed.len() <= at {
-            self.listed.resize(at + 1, None);
+    fn observe_update(&mut self, now: Duration, update: &EndpointUpdate) {
+        match update {
+            EndpointUpdate::Complete(entries) => {
+                self.mark_unlisted_as_gone(now, entries);
+                self.observe_entries(now, entries);
+                self.failover.discovery_responded(now);
+            }
+            EndpointUpdate::Changes(entries) => {
+                self.observe_entries(now, entries);
+                self.failover.discovery_responded(now);
+            }
+            // A saved list says which servers there are, but is no sign that discovery is up.
+            EndpointUpdate::Stale(entries) | EndpointUpdate::Inherited(entries) => {
+                self.observe_entries(now, entries);
+            }
+            EndpointUpdate::Failed => {}
+        }
+    }
+
+    /// Servers that a complete list leaves out are gone.
+    fn mark_unlisted_as_gone(&mut self, now: Duration, entries: &[Endpoint]) {
+        let mut unlisted: Vec<Endpoint> = self.endpoints.iter().flatten().copied().collect();
+        unlisted.retain(|known| entries.iter().all(|entry| entry.server != known.server));
+        for known in unlisted {
+            let gone = Endpoint {
+                state: EndpointState::Gone,
+                ..known
+            };
+            self.observe_entry(now, gone);
+        }
+    }
+
+    fn observe_entries(&mut self, now: Duration, entries: &[Endpoint]) {
+        for entry in entries {
+            self.observe_entry(now, *entry);
+        }
+    }
+
+    fn observe_entry(&mut self, now: Duration, entry: Endpoint) {
+        let index = entry.server as usize;
+        if self.endpoints.len() <= index {
+            self.endpoints.resize(index + 1, None);
         }
-        self.listed[at] = Some(entry);
-        let standing = match entry.state {
-            EndpointState::Ready => site::ServerState::Ready,
-            EndpointState::Draining => site::ServerState::Draining,
-            EndpointState::Gone => site::ServerState::Gone,
-        };
-        self.sites
-            .listed(now, entry.server, entry.zone, standing, entry.started_at);
+        self.endpoints[index] = Some(entry);
+        let state = server_state(entry.state);
+        self.failover
+            .server_listed(now, entry.server, entry.zone, state, entry.started_at);
     }
 
-    fn shown(&mut self, now: Duration, server: ServerId, outcome: Outcome) {
-        match shows(outcome) {
-            Some(true) => self.sites.sound(now, server),
-            Some(false) => self.sites.sign(now, server),
-            None => {}
+    fn observe_outcome(&mut self, now: Duration, server: ServerId, outcome: Outcome) {
+        match sign_of(outcome) {
+            ServerSign::Response => self.failover.server_responded(now, server),
+            ServerSign::Failure => self.failover.server_failed(now, server),
+            ServerSign::Unclear => {}
         }
     }
 
-    /// What the module is to hear, and what changed.
-    pub fn decide(&mut self, events: &mut impl Extend<Event>, turns: &mut Vec<ZoneTransition>) {
-        for effect in self.sites.effects() {
+    /// Moves what was decided to `events`, which the engine handles, and to `transitions`, which are logged.
+    pub fn take_decisions(
+        &mut self,
+        events: &mut impl Extend<Event>,
+        transitions: &mut Vec<ZoneTransition>,
+    ) {
+        for effect in self.failover.drain_effects() {
             match effect {
-                ZoneEffect::Open(zone, open) => {
-                    events.extend([Event::ZoneShare { zone, share: open }])
+                ZoneEffect::SetShare { zone, share } => {
+                    events.extend([Event::ZoneShare { zone, share }]);
+                }
+                ZoneEffect::Probe { server } => events.extend([Event::ProbeRequested { server }]),
+                ZoneEffect::StateChanged { zone, state, cause } => {
+                    transitions.push(ZoneTransition { zone, state, cause });
                 }
-                ZoneEffect::Look(server) => events.extend([Event::ProbeRequested { server }]),
-                ZoneEffect::Turned(place, state, why) => turns.push((place, state, why)),
             }
         }
     }
--- /dev/null
+++ b/crates/zone-failover/src/failover.rs
@@ -0,0 +1,439 @@
+//! All zones of a deployment: takes inputs, keeps timers, and carries out the actions of the state machine.
+
+use crate::evidence::{ListingChange, ServerTable, ZoneEvidence};
+use crate::state::{ZoneAction, transition};
+use crate::zone::{LOSS_MEMORY, RAMP_STEPS, Zone};
+use crate::{ServerId, ServerState, ZoneFailoverSettings, ZoneId, ZoneInput, ZoneState};
+use asterramp_injected_faults::is_injected;
+use std::time::Duration;
+
+/// Silent servers from which a zone is suspected, or all of its servers if it has fewer.
+const SUSPECT_AT: usize = 2;
+/// Silent servers from which a zone is given up, or all of its servers if it has fewer.
+const CONFIRM_AT: usize = 3;
+/// In a large zone, the part of its servers (one in so many) that must be silent for it to be given up.
+const CONFIRM_ONE_IN: usize = 4;
+/// Servers probed at once when a zone is suspected.
+const SUSPICION_PROBES: usize = 4;
+
+/// What the caller has to do.
+#[derive(Clone, Debug, PartialEq)]
+pub enum ZoneEffect {
+    /// Send the zone this part of the traffic that would go to it.
+    SetShare {
+        /// The zone.
+        zone: ZoneId,
+        /// 0 while it is closed, 1 while it is in full use.
+        share: f64,
+    },
+    /// Probe a server.
+    Probe {
+        /// The server.
+        server: ServerId,
+    },
+    /// A zone's state changed; to be logged.
+    StateChanged {
+        /// The zone.
+        zone: ZoneId,
+        /// Its new state.
+        state: ZoneState,
+        /// What led to it.
+        cause: ZoneInput,
+    },
+}
+
+/// All zones of a deployment as one proxy sees them. Memory is a few numbers for each zone and server.
+#[derive(Clone, Debug, Default)]
+pub struct ZoneFailover {
+    settings: ZoneFailoverSettings,
+    zones: Vec<Zone>,
+    servers: ServerTable,
+    effects: Vec<ZoneEffect>,
+    /// When this proxy first got a response again after it had been disconnected itself.
+    reconnected_at: Option<Duration>,
+    /// The fault that the model checker injects.
+    #[cfg(feature = "injected-faults")]
+    pub injected_fault: Option<crate::InjectedFault>,
+}
+
+impl ZoneFailover {
+    /// All `zone_count` zones healthy, and no server known.
+    pub fn new(settings: ZoneFailoverSettings, zone_count: usize) -> ZoneFailover {
+        ZoneFailover {
+            settings,
+            zones: vec![Zone::default(); zone_count],
+            ..ZoneFailover::default()
+        }
+    }
+
+    /// All zones, by index.
+    pub fn zones(&self) -> &[Zone] {
+        &self.zones
+    }
+
+    /// Whether clients of a lost zone are coming to the others, so that capacity may be short.
+    pub fn is_capacity_short(&self, now: Duration) -> bool {
+        self.zones.iter().any(|zone| zone.displaces_clients(now))
+    }
+
+    /// Replaces the settings; timers that run already keep their time.
+    pub fn set_settings(&mut self, settings: ZoneFailoverSettings) {
+        self.settings = settings;
+    }
+
+    /// The whole state as text, with ages in place of times: two values with equal text behave alike from then on. For
+    /// the model checker, which compares many of them.
+    pub fn state_key(&self, now: Duration) -> String {
+        let age = |at: Duration| now.saturating_sub(at).min(LOSS_MEMORY).as_millis();
+        let remaining = |at: Duration| at.saturating_sub(now).as_millis();
+        let mut key = format!("{:?}", self.reconnected_at.map(age));
+        for zone in &self.zones {
+            let last_response = zone.last_response.map(age);
+            let timer = zone.timer.map(remaining);
+            let spans = (
+                age(zone.since),
+                age(zone.first_failure),
+                remaining(zone.held_down_until),
+                age(zone.in_use_since),
+            );
+            let counts = (zone.ramp_step, zone.recent_losses, zone.was_unlisted);
+            key += &format!(
+                "{:?}{last_response:?}{timer:?}{spans:?}{counts:?}",
+                zone.state
+            );
+        }
+        for server in self.servers.records() {
+            let first_failure = server.first_failure.map(age);
+            let last_probe = age(server.last_probe);
+            key += &format!(
+                "{:?}{:?}{first_failure:?}{last_probe}",
+                server.state, server.started_at
+            );
+        }
+        key
+    }
+
+    /// Takes out the effects of the inputs so far, in order.
+    pub fn drain_effects(&mut self) -> std::vec::Drain<'_, ZoneEffect> {
+        self.effects.drain(..)
+    }
+
+    /// Discovery lists a server. One that is ready again or was restarted speaks for its zone like a response. A zone that
+    /// is not in the deployment is ignored.
+    pub fn server_listed(
+        &mut self,
+        now: Duration,
+        server: ServerId,
+        zone: ZoneId,
+        state: ServerState,
+        started_at: Option<Duration>,
+    ) {
+        if usize::from(zone) >= self.zones.len() {
+            return;
+        }
+        match self.servers.update(server, zone, state, started_at) {
+            ListingChange::ReadyAgain => {
+                self.apply_unless_held_down(now, zone, ZoneInput::ServerListedAgain);
+            }
+            ListingChange::Left if self.servers.all_gone(zone) => {
+                self.zone_mut(zone).was_unlisted = true;
+                self.apply(now, zone, ZoneInput::AllServersGone);
+            }
+            ListingChange::Left | ListingChange::Other => {}
+        }
+        self.ensure_zone_in_use(now);
+    }
+
+    /// Discovery sent anything at all, so what it lists is current.
+    pub fn discovery_responded(&mut self, now: Duration) {
+        for id in self.zone_ids() {
+            let zone = self.zone(id);
+            let listing_is_late = zone.state == ZoneState::Lost
+                && !zone.was_unlisted
+                && now >= zone.first_failure + self.settings.discovery_delay;
+            if listing_is_late && self.servers.any_ready(id) {
+                self.apply(now, id, ZoneInput::ServersStillListed);
+            }
+        }
+    }
+
+    /// A server did not respond in time, or refused the connection.
+    pub fn server_failed(&mut self, now: Duration, server: ServerId) {
+        // A request that was in flight while this proxy was disconnected itself proves nothing about its server.
+        let was_disconnected = self
+            .reconnected_at
+            .is_some_and(|at| now < at + self.settings.in_flight_timeout);
+        if was_disconnected {
+            return;
+        }
+        let zones = &self.zones;
+        let last_response_of = |zone: ZoneId| zones[usize::from(zone)].last_response;
+        if let Some(zone) = self.servers.record_failure(now, server, last_response_of) {
+            self.weigh_evidence(now, zone);
+        }
+    }
+
+    /// A server sent anything.
+    pub fn server_responded(&mut self, now: Duration, server: ServerId) {
+        let Some(record) = self.servers.get_mut(server) else {
+            return;
+        };
+        record.first_failure = None;
+        let Some(id) = record.zone else {
+            return;
+        };
+        let forgets_response = is_injected!(self, ResponseForgotten);
+        let zone = self.zone_mut(id);
+        let was_suspected = zone.state == ZoneState::Suspected;
+        if !forgets_response {
+            zone.last_response = Some(now);
+        }
+        let closed_and_free = zone.state.is_closed() && !zone.is_held_down(now);
+        if closed_and_free && zone.probes <= 1 && !zone.was_unlisted {
+            zone.false_alarms += 1;
+        }
+        self.apply_unless_held_down(now, id, ZoneInput::Response);
+        if was_suspected {
+            // No zone responded until now: this proxy was disconnected, and the failures it saw prove nothing.
+            self.reconnected_at = Some(now);
+            self.servers.forget_failures_outside(id);
+            return;
+        }
+        self.weigh_other_suspects(now);
+    }
+
+    /// Suspected zones may have waited for a response of another one, which shows that this proxy is connected.
+    fn weigh_other_suspects(&mut self, now: Duration) {
+        for id in self.zone_ids() {
+            let state = self.zone(id).state;
+            let may_be_lost = matches!(state, ZoneState::Suspected | ZoneState::Recovering);
+            if may_be_lost && !is_injected!(self, SuspectsNotWeighedAgain) {
+                self.weigh_evidence(now, id);
+            }
+        }
+    }
+
+    /// When [`ZoneFailover::tick`] is next due; `None` while no timer runs.
+    pub fn next_timer(&self) -> Option<Duration> {
+        self.zones.iter().filter_map(|zone| zone.timer).min()
+    }
+
+    /// Handles all timers that have expired.
+    pub fn tick(&mut self, now: Duration) {
+        for id in self.zone_ids() {
+            let zone = self.zone_mut(id);
+            if zone.timer.is_some_and(|timer| timer <= now) {
+                zone.timer = None;
+                self.timer_expired(now, id);
+            }
+        }
+        self.ensure_zone_in_use(now);
+    }
+
+    fn timer_expired(&mut self, now: Duration, id: ZoneId) {
+        let zone = self.zone(id);
+        let ramp_goes_on = zone.state == ZoneState::Recovering && !zone.is_ramp_complete();
+        if ramp_goes_on && !is_injected!(self, RampSkipped) {
+            return self.raise_share(now, id);
+        }
+        let zone = self.zone(id);
+        if zone.state == ZoneState::Suspected && self.evidence(id).silent_servers >= SUSPECT_AT {
+            // Still no response: probe again.
+            let next_probes = now + self.settings.suspicion_timeout;
+            self.zone_mut(id).timer = Some(next_probes);
+            return self.probe(now, id, SUSPICION_PROBES);
+        }
+        if zone.state.is_closed() && !self.settings.probing_allowed {
+            return self.apply(now, id, ZoneInput::TrialDue);
+        }
+        self.apply(now, id, ZoneInput::TimerExpired);
+        // Failure signs that came during the recovery count against a healthy zone now.
+        self.weigh_evidence(now, id);
+    }
+
+    /// Takes one step of the recovery ramp; the last one is taken by the state machine.
+    fn raise_share(&mut self, now: Duration, id: ZoneId) {
+        let next_step = now + self.settings.recovery_ramp / RAMP_STEPS;
+        let zone = self.zone_mut(id);
+        zone.ramp_step += 1;
+        zone.timer = Some(next_step);
+        zone.share_changed_at = Some(now);
+        let share = f64::from(zone.ramp_step + 1) / f64::from(RAMP_STEPS);
+        self.set_share(id, share);
+    }
+
+    fn zone_ids(&self) -> std::ops::Range<ZoneId> {
+        0..self.zones.len() as ZoneId
+    }
+
+    fn zone(&self, id: ZoneId) -> &Zone {
+        &self.zones[usize::from(id)]
+    }
+
+    fn zone_mut(&mut self, id: ZoneId) -> &mut Zone {
+        &mut self.zones[usize::from(id)]
+    }
+
+    fn evidence(&self, id: ZoneId) -> ZoneEvidence {
+        let last_response = self
+            .zone(id)
+            .last_response
+            .filter(|_| !is_injected!(self, OldFailuresCount));
+        self.servers.evidence(id, last_response)
+    }
+
+    /// Suspects a zone, or gives it up, if its failure signs suffice.
+    fn weigh_evidence(&mut self, now: Duration, id: ZoneId) {
+        let evidence = self.evidence(id);
+        let Some(first_failure) = evidence.first_failure else {
+            return;
+        };
+        let zone = self.zone_mut(id);
+        if !zone.state.is_closed() {
+            zone.first_failure = first_failure;
+        }
+        let suspect_at = SUSPECT_AT.min(evidence.ready_servers);
+        if zone.state == ZoneState::Healthy && evidence.silent_servers >= suspect_at {
+            self.apply(now, id, ZoneInput::ServersSilent);
+        }
+        let confirm_at = self.silent_servers_to_confirm(evidence.ready_servers);
+        // Where no other zone responds either, it is this proxy that is disconnected.
+        let connected =
+            self.another_zone_responded(id, first_failure) || is_injected!(self, GivenUpAlone);
+        if evidence.silent_servers >= confirm_at && connected {
+            self.apply(now, id, ZoneInput::LossConfirmed);
+        }
+    }
+
+    /// Silent servers from which a zone with so many ready servers is given up. Bounded by the number that the probes of a
+    /// suspicion can show to be silent.
+    fn silent_servers_to_confirm(&self, ready_servers: usize) -> usize {
+        let wanted = if is_injected!(self, TwoServersSuffice) {
+            SUSPECT_AT
+        } else {
+            CONFIRM_AT
+                .max(ready_servers / CONFIRM_ONE_IN)
+                .min(SUSPECT_AT + SUSPICION_PROBES)
+        };
+        wanted.min(ready_servers)
+    }
+
+    /// Whether an open zone other than `id` has responded at `since` or later.
+    fn another_zone_responded(&self, id: ZoneId, since: Duration) -> bool {
+        let responded = |zone: &Zone| {
+            !zone.state.is_closed() && zone.last_response.is_some_and(|response| response >= since)
+        };
+        (0..)
+            .zip(&self.zones)
+            .any(|(other, zone): (ZoneId, &Zone)| other != id && responded(zone))
+    }
+
+    /// Where every zone that has ready servers is closed, uses them all rather than none.
+    fn ensure_zone_in_use(&mut self, now: Duration) {
+        let any_closed = self.zones.iter().any(|zone| zone.state.is_closed());
+        if !any_closed || is_injected!(self, AllLeftClosed) {
+            return;
+        }
+        let with_servers: Vec<ZoneId> = self
+            .zone_ids()
+            .filter(|id| self.servers.any_ready(*id))
+            .collect();
+        let all_closed = with_servers
+            .iter()
+            .all(|id| self.zone(*id).state.is_closed());
+        if all_closed {
+            for id in with_servers {
+                self.apply(now, id, ZoneInput::NoZoneLeft);
+            }
+        }
+    }
+
+    /// Applies an input that speaks for a zone, except during its hold-down.
+    fn apply_unless_held_down(&mut self, now: Duration, id: ZoneId, input: ZoneInput) {
+        if !self.zone(id).is_held_down(now) || is_injected!(self, HoldDownSkipped) {
+            self.apply(now, id, input);
+        }
+    }
+
+    fn apply(&mut self, now: Duration, id: ZoneId, input: ZoneInput) {
+        let zone = self.zone_mut(id);
+        let Some((state, action)) = transition(zone.state, input) else {
+            return;
+        };
+        if zone.state != state {
+            zone.state = state;
+            zone.since = now;
+            self.effects.push(ZoneEffect::StateChanged {
+                zone: id,
+                state,
+                cause: input,
+            });
+        }
+        self.perform(now, id, action);
+    }
+
+    fn perform(&mut self, now: Duration, id: ZoneId, action: ZoneAction) {
+        let settings = self.settings;
+        match action {
+            ZoneAction::Nothing => {}
+            ZoneAction::StartSuspicion => {
+                self.zone_mut(id).timer = Some(now + settings.suspicion_timeout);
+                self.probe(now, id, SUSPICION_PROBES);
+            }
+            ZoneAction::DropSuspicion => self.zone_mut(id).drop_suspicion(now),
+            ZoneAction::Close => {
+                self.zone_mut(id).hold_down(now, &settings);
+                self.set_share(id, 0.0);
+            }
+            ZoneAction::NoteAbsence => self.zone_mut(id).hold_down(now, &settings),
+            ZoneAction::Probe => self.probe_closed(now, id),
+            ZoneAction::StartRamp => {
+                let next_step = settings.recovery_ramp / RAMP_STEPS;
+                self.zone_mut(id).reopen(now, 0, next_step);
+                self.set_share(id, 1.0 / f64::from(RAMP_STEPS));
+            }
+            ZoneAction::OpenInFull => {
+                let all_steps = RAMP_STEPS;
+                self.zone_mut(id)
+                    .reopen(now, all_steps, settings.recovery_ramp);
+                // The failure signs are those of the servers before their restart.
+                self.servers.forget_failures_in(id);
+                self.set_share(id, 1.0);
+            }
+            ZoneAction::FinishRamp => {
+                let zone = self.zone_mut(id);
+                zone.timer = None;
+                zone.in_use_since = now;
+                self.set_share(id, 1.0);
+            }
+            ZoneAction::UseAsLastResort => {
+                self.zone_mut(id).timer = Some(now + settings.suspicion_timeout);
+                self.set_share(id, 1.0);
+            }
+        }
+    }
+
+    fn set_share(&mut self, zone: ZoneId, share: f64) {
+        self.effects.push(ZoneEffect::SetShare { zone, share });
+    }
+
+    fn probe_closed(&mut self, now: Duration, id: ZoneId) {
+        if is_injected!(self, ClosedZoneNotProbed) {
+            return;
+        }
+        let next_probe = now + self.settings.probe_interval;
+        let zone = self.zone_mut(id);
+        zone.timer = Some(next_probe);
+        zone.probes += 1;
+        self.probe(now, id, 1);
+    }
+
+    fn probe(&mut self, now: Duration, id: ZoneId, limit: usize) {
+        for server in self.servers.probe_candidates(id, limit) {
+            if let Some(record) = self.servers.get_mut(server) {
+                record.last_probe = now;
+            }
+            self.effects.push(ZoneEffect::Probe { server });
+        }
+    }
+}
--- a/crates/zone-failover/src/injected_fault.rs
+++ b/crates/zone-failover/src/injected_fault.rs
@@ -1,38 +1,39 @@
 //! Faults that the model checker injects, to show that it finds them.
 
-/// A fault of a kind that happens in practice.
+/// A mistake of a kind that happens in practice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// Answers of a place are not remembered.
-    SoundForgotten,
-    /// Signs from before the last answer of a place count.
-    OldSignsCount,
-    /// Two servers are enough.
-    TwoAreEnough,
-    /// A place is given up where nobody else answers either.
+    /// Responses of a zone are not remembered.
+    ResponseForgotten,
+    /// Failure signs from before the last response of a zone count.
+    OldFailuresCount,
+    /// Two silent servers suffice to give a zone up.
+    TwoServersSuffice,
+    /// A zone is given up although no other responds.
     GivenUpAlone,
-    /// All places are left shut.
-    NobodyLeft,
-    /// A place that fell again is opened by the first answer.
-    HeldForgotten,
-    /// A place that answers is used whole at once.
-    WholeAtOnce,
-    /// A shut place is never looked at.
-    NeverLooked,
-    /// That another place answers is not held against one that is doubted.
-    NotWeighedAgain,
+    /// All zones are left closed.
+    AllLeftClosed,
+    /// A zone that was lost again is opened by the first response.
+    HoldDownSkipped,
+    /// A zone that responds gets its full share at once.
+    RampSkipped,
+    /// A closed zone is never probed.
+    ClosedZoneNotProbed,
+    /// A response of another zone does not lead to a suspected one being weighed again.
+    SuspectsNotWeighedAgain,
 }
 
 impl InjectedFault {
+    /// All faults.
     pub const ALL: [InjectedFault; 9] = [
-        InjectedFault::SoundForgotten,
-        InjectedFault::OldSignsCount,
-        InjectedFault::TwoAreEnough,
+        InjectedFault::ResponseForgotten,
+        InjectedFault::OldFailuresCount,
+        InjectedFault::TwoServersSuffice,
         InjectedFault::GivenUpAlone,
-        InjectedFault::NobodyLeft,
-        InjectedFault::HeldForgotten,
-        InjectedFault::WholeAtOnce,
-        InjectedFault::NeverLooked,
-        InjectedFault::NotWeighedAgain,
+        InjectedFault::AllLeftClosed,
+        InjectedFault::HoldDownSkipped,
+        InjectedFault::RampSkipped,
+        InjectedFault::ClosedZoneNotProbed,
+        InjectedFault::SuspectsNotWeighedAgain,
     ];
 }
