--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -221,8 +221,12 @@
             .iter()
             .flat_map(|places| places.failover.zones());
         text += &super::metrics::places_text(self.settings.zones.iter().zip(places));
-        text +=
-            &super::metrics::room_text(self.settings.listeners.iter().zip(self.admission.counts()));
+        text += &super::metrics::room_text(
+            self.settings
+                .listeners
+                .iter()
+                .zip(self.admission.rejection_counts()),
+        );
         text += &super::metrics::start_text(self.warm_start_state(), self.snapshot_counts());
         text
     }
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -276,12 +276,12 @@
 
     /// Who was refused for want of room, and what is known of what sessions take; of many listeners the first.
     fn refusals_told(&self) -> Vec<AdmissionStatus> {
-        let taken = self.admission.taken(self.now);
+        let taken = self.admission.session_costs(self.now);
         let all = self
             .settings
             .listeners
             .iter()
-            .zip(self.admission.counts())
+            .zip(self.admission.rejection_counts())
             .zip(taken);
         let told = all.map(|((name, counts), taken)| AdmissionStatus {
             listener: name.clone(),
@@ -291,7 +291,7 @@
                 .filter(|(_, n)| **n > 0)
                 .map(|(why, n)| (why.name().into(), *n))
                 .collect(),
-            takes: taken.map(|t| (t.mean, t.off, t.age.as_millis() as u64)),
+            takes: taken.map(|t| (t.mean, t.mean_deviation, t.age.as_millis() as u64)),
         });
         told.filter(|room| !room.refused.is_empty() || room.takes.is_some())
             .take(16)
--- a/crates/proxy/src/routing/admission.rs
+++ b/crates/proxy/src/routing/admission.rs
@@ -13,7 +13,7 @@
     /// those clients come again.
     pub(super) fn update_admission_rate(&mut self) {
         let rate = self.warm_start_pace().or_else(|| self.failover_rate());
-        self.admission.pace(self.now, rate);
+        self.admission.set_rate(self.now, rate);
     }
 
     /// `None` while capacity is not short, or too little is known of it.
--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -425,13 +425,13 @@
             reconnecting: again,
             ..
         } = arrival;
-        self.admission.ask(
+        self.admission.admit(
             self.now,
             AdmissionRequest {
                 listener,
-                member,
-                again,
-                failed,
+                tenant: member,
+                reconnecting: again,
+                failed_before: failed,
             },
         )
     }
@@ -446,7 +446,7 @@
         self.log_event(ReasonCode::Short, about);
         self.metrics
             .ended(arrival.listener, metrics::SessionEnd::Busy);
-        self.close_gracefully(key, &[client::refusal(refusal.come_back).as_bytes()]);
+        self.close_gracefully(key, &[client::refusal(refusal.retry_after).as_bytes()]);
     }
 
     pub(super) fn client_ready(&mut self, sess: Key) {
--- a/crates/proxy/src/routing/forwarding.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -107,7 +107,7 @@
             self.session_table.line(self.now, sess, true);
         }
         if let Some(work) = works {
-            self.admission.takes(self.now, listener, work);
+            self.admission.record_session_cost(self.now, listener, work);
             self.event(Event::Observed {
                 session: sess.slot,
                 server: to,
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -81,10 +81,10 @@
         setup.deployment.max_retry_after,
     );
     asterramp_admission::AdmissionSettings {
-        worths,
-        portions,
-        longest,
-        by_worth: false,
+        priority_weights: worths,
+        quotas: portions,
+        max_retry_after: longest,
+        rank_by_weight_alone: false,
     }
 }
 
@@ -346,7 +346,7 @@
     /// Whether set-ups are paced while room is short, and whether utility alone orders them where nobody has told more.
     pub fn configure_admission(&mut self, paced: bool, by_worth: bool) {
         self.admission_enabled = paced;
-        self.admission.by_worth(by_worth);
+        self.admission.set_rank_by_weight_alone(by_worth);
     }
 
     /// Waits for sockets, no longer than until the next deadline.
