--- a/crates/proxy/src/routing/connections.rs
+++ b/crates/proxy/src/routing/connections.rs
@@ -2,8 +2,8 @@
 
 use super::Router;
 use super::types::{Connection, ConnectionRole, TimerKey};
-use crate::transport::poll::Want;
-use crate::transport::{End, Key, Stream};
+use crate::transport::poller::Interest;
+use crate::transport::{BufferedStream, SlotKey, StreamEnd};
 use rustix::fd::OwnedFd;
 use std::time::Duration;
 
@@ -20,19 +20,19 @@
         &mut self,
         fd: OwnedFd,
         role: ConnectionRole,
-        want: Want,
-    ) -> Option<Key> {
-        self.register_stream(Stream::new(fd, want), role, 0)
+        want: Interest,
+    ) -> Option<SlotKey> {
+        self.register_stream(BufferedStream::new(fd, want), role, 0)
     }
 
     /// The same for a stream with bytes that came already, the first `complete_len` of which are checked lines.
     pub(super) fn register_stream(
         &mut self,
-        stream: Stream,
+        stream: BufferedStream,
         role: ConnectionRole,
         complete_len: usize,
-    ) -> Option<Key> {
-        let want = stream.want;
+    ) -> Option<SlotKey> {
+        let want = stream.interest;
         let connection = Connection {
             stream,
             role,
@@ -54,7 +54,7 @@
     /// What a client or an HTTP caller has sent and nobody read is read before: a close over it would reset the
     /// connection, and with it what was written last. Not so where another process may hold the connection too: that
     /// one is to read it, and this one's close ends nothing.
-    pub(super) fn close(&mut self, key: Key) -> Option<Stream> {
+    pub(super) fn close(&mut self, key: SlotKey) -> Option<BufferedStream> {
         let on_offer = self.is_on_offer(key);
         let (role, mut stream) = self.unregister(key)?;
         let callers = matches!(
@@ -65,13 +65,13 @@
                 | ConnectionRole::AdminHttp { .. }
         );
         if callers && !on_offer {
-            stream.discard(MAX_DISCARD_AT_CLOSE);
+            stream.discard_input(MAX_DISCARD_AT_CLOSE);
         }
         Some(stream)
     }
 
     /// Takes a connection out of the tables as it is.
-    pub(super) fn unregister(&mut self, key: Key) -> Option<(ConnectionRole, Stream)> {
+    pub(super) fn unregister(&mut self, key: SlotKey) -> Option<(ConnectionRole, BufferedStream)> {
         self.deadlines.clear(TimerKey::Connection(key));
         let connection = self.connections.remove(key)?;
         self.connection_counts.change(Some(connection.role), None);
@@ -79,7 +79,7 @@
     }
 
     /// Changes what a connection is for.
-    pub(super) fn set_role(&mut self, key: Key, role: ConnectionRole) {
+    pub(super) fn set_role(&mut self, key: SlotKey, role: ConnectionRole) {
         if let Some(connection) = self.connections.get_mut(key) {
             let before = std::mem::replace(&mut connection.role, role);
             self.connection_counts.change(Some(before), Some(role));
@@ -87,24 +87,24 @@
     }
 
     /// Changes what a connection is watched for.
-    pub(super) fn set_interest(&mut self, key: Key, want: Want) {
+    pub(super) fn set_interest(&mut self, key: SlotKey, want: Interest) {
         if let Some(connection) = self
             .connections
             .get_mut(key)
-            .filter(|connection| connection.stream.want != want)
+            .filter(|connection| connection.stream.interest != want)
         {
-            connection.stream.want = want;
+            connection.stream.interest = want;
             // It fails only for a socket that is not watched, and all registered ones are.
             let _ = self.poll.change(&connection.stream, key, want);
         }
     }
 
     /// Watches a connection that exchanges texts with the router itself for what it can do next.
-    pub(super) fn watch_own_io(&mut self, key: Key) {
+    pub(super) fn watch_own_io(&mut self, key: SlotKey) {
         if let Some(connection) = self.connections.get(key) {
-            let want = Want {
-                read: connection.stream.may_read(),
-                write: !connection.stream.sent(),
+            let want = Interest {
+                read: connection.stream.can_read(),
+                write: !connection.stream.is_flushed(),
             };
             self.set_interest(key, want);
         }
@@ -112,7 +112,7 @@
 
     /// Sends a last text, ends sending and waits a little for the other side to close: closing at once would reset
     /// the connection over bytes not read yet, and lose the text with it.
-    pub(super) fn close_gracefully(&mut self, key: Key, text: &[&[u8]]) {
+    pub(super) fn close_gracefully(&mut self, key: SlotKey, text: &[&[u8]]) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.stream.send(text);
             connection.last_activity = self.now;
@@ -124,7 +124,7 @@
     }
 
     /// Discards what a lingering connection sent, and closes it once both sides are done.
-    pub(super) fn lingering_ready(&mut self, key: Key) {
+    pub(super) fn lingering_ready(&mut self, key: SlotKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -135,13 +135,13 @@
         let came = stream.inbound.bytes().len();
         stream.inbound.consume(came);
         *discarded += came;
-        let done = stream.ended.is_some() && stream.sent() || *discarded > MAX_LINGER_BYTES;
-        if done || stream.ended == Some(End::Reset) {
+        let done = stream.ended.is_some() && stream.is_flushed() || *discarded > MAX_LINGER_BYTES;
+        if done || stream.ended == Some(StreamEnd::Reset) {
             self.close(key);
             return;
         }
-        if stream.sent() {
-            stream.end_sending();
+        if stream.is_flushed() {
+            stream.shutdown_write();
         }
         self.watch_own_io(key);
     }
--- a/crates/proxy/src/routing/forwarding.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -1,11 +1,11 @@
 //! Open connections: whole lines both ways, and their ends.
 
 use super::{ReasonCode, Router, SessionInput, SessionState, TimerKey};
-use crate::protocol::client::{FAILED, MOVE};
-use crate::protocol::line::{self, Fault};
-use crate::protocol::server::{Said, load, said};
-use crate::transport::poll::Want;
-use crate::transport::{Buffer, End, Key};
+use crate::protocol::client::{ERROR_LINE, MOVE_LINE};
+use crate::protocol::line::{self, LineError};
+use crate::protocol::server::{ServerLine, load_from_report, parse_server_line};
+use crate::transport::poller::Interest;
+use crate::transport::{ReadBuffer, SlotKey, StreamEnd};
 use asterramp_placement::Event;
 use asterramp_placement::event::{Load, Observation, Outcome};
 use std::time::Duration;
@@ -37,7 +37,7 @@
 
 impl Router {
     /// Passes on what can be passed, both ways, and any end.
-    pub(super) fn forward(&mut self, sess: Key) {
+    pub(super) fn forward(&mut self, sess: SlotKey) {
         let Some(held) = self.session_table.sessions.get(sess) else {
             return;
         };
@@ -57,7 +57,7 @@
                 sess,
                 ReasonCode::ServerProtocolError,
                 Outcome::Reset,
-                (Close::Say(MOVE), Close::Fin),
+                (Close::Say(MOVE_LINE), Close::Fin),
             );
         }
         if let Err(fault) = self.take_from_client(sess, client) {
@@ -70,7 +70,7 @@
                 sess,
                 ReasonCode::ClientProtocolError,
                 Outcome::Ok,
-                (Close::Say(FAILED), Close::Fin),
+                (Close::Say(ERROR_LINE), Close::Fin),
             );
         }
         self.pass(server, client);
@@ -79,7 +79,7 @@
     }
 
     /// Takes in the whole lines that a server sent.
-    fn take_from_server(&mut self, sess: Key, server: Key) -> Result<(), Fault> {
+    fn take_from_server(&mut self, sess: SlotKey, server: SlotKey) -> Result<(), LineError> {
         let (Some(conn), Some(held)) = (
             self.connections.get_mut(server),
             self.session_table.sessions.get_mut(sess),
@@ -93,20 +93,24 @@
         );
         let listener = held.machine.request.listener;
         let (mut works, mut heard) = (None, false);
-        while let Some((text, n)) = line::first(&conn.stream.inbound.bytes()[conn.complete_len..])?
+        while let Some((text, n)) =
+            line::first_line(&conn.stream.inbound.bytes()[conn.complete_len..])?
         {
             conn.complete_len += n;
-            match said(text) {
-                Said::Work(work) => works = Some(work),
-                Said::Bye(report) => {
-                    s.announced_end = Some((Outcome::Ok, load(&self.settings.load_reports, report)))
+            match parse_server_line(text) {
+                ServerLine::Load(work) => works = Some(work),
+                ServerLine::Bye(report) => {
+                    s.announced_end = Some((
+                        Outcome::Ok,
+                        load_from_report(&self.settings.load_reports, report),
+                    ))
                 }
-                Said::Move => s.announced_end = Some((Outcome::CalledOff, Load::default())),
+                ServerLine::Move => s.announced_end = Some((Outcome::CalledOff, Load::default())),
                 _ => {}
             }
             (s.awaiting_response, heard) = (false, true);
             if s.announced_end.is_some() {
-                conn.stream.ended = conn.stream.ended.or(Some(End::Fin));
+                conn.stream.ended = conn.stream.ended.or(Some(StreamEnd::Fin));
                 break;
             }
         }
@@ -128,7 +132,7 @@
         Ok(())
     }
 
-    fn take_from_client(&mut self, sess: Key, client: Key) -> Result<(), Fault> {
+    fn take_from_client(&mut self, sess: SlotKey, client: SlotKey) -> Result<(), LineError> {
         let (Some(conn), Some(held)) = (
             self.connections.get_mut(client),
             self.session_table.sessions.get_mut(sess),
@@ -137,7 +141,9 @@
         };
         let (s, left) = (&mut held.driver_data, held.machine.client_left);
         let quiet = quiet(self.settings.connect_timeout);
-        while let Some((_, n)) = line::first(&conn.stream.inbound.bytes()[conn.complete_len..])? {
+        while let Some((_, n)) =
+            line::first_line(&conn.stream.inbound.bytes()[conn.complete_len..])?
+        {
             conn.complete_len += n;
             if !s.awaiting_response && !left {
                 (s.awaiting_response, s.server_quiet) = (true, false);
@@ -150,13 +156,13 @@
 
     /// Writes whole lines of one side to the other, as far as it takes them; the rest stays where it is, and
     /// no more is read than there is room for.
-    fn pass(&mut self, from: Key, to: Key) {
+    fn pass(&mut self, from: SlotKey, to: SlotKey) {
         let (Some(source), Some(sink)) = (self.connections.get(from), self.connections.get(to))
         else {
             return;
         };
         let bytes = &source.stream.inbound.bytes()[..source.complete_len];
-        match sink.stream.pass(bytes) {
+        match sink.stream.forward(bytes) {
             Ok(0) => {}
             Ok(n) => {
                 let Some(source) = self.connections.get_mut(from) else {
@@ -174,7 +180,7 @@
         }
     }
 
-    fn pass_ends(&mut self, sess: Key, client: Key, server: Key) {
+    fn pass_ends(&mut self, sess: SlotKey, client: SlotKey, server: SlotKey) {
         let (Some(held), Some(c), Some(v)) = (
             self.session_table.sessions.get(sess),
             self.connections.get(client),
@@ -190,10 +196,10 @@
         };
         let fin = (Close::Fin, Close::Fin);
         match (c.stream.ended, v.stream.ended) {
-            (Some(_), Some(_)) | (Some(End::Reset), _) if left => {
+            (Some(_), Some(_)) | (Some(StreamEnd::Reset), _) if left => {
                 return self.end(sess, ReasonCode::ClientLeft, Outcome::Ok, fin);
             }
-            (Some(End::Reset), _) => {
+            (Some(StreamEnd::Reset), _) => {
                 self.input(sess, SessionInput::ClientLeft);
                 return self.end(
                     sess,
@@ -202,7 +208,7 @@
                     (Close::Reset, Close::Reset),
                 );
             }
-            (_, Some(End::Reset)) => {
+            (_, Some(StreamEnd::Reset)) => {
                 return self.end(
                     sess,
                     ReasonCode::ServerReset,
@@ -210,8 +216,8 @@
                     (Close::Reset, Close::Reset),
                 );
             }
-            (_, Some(End::Fin)) => return self.end(sess, code, outcome, fin),
-            (Some(End::Fin), None) if !left => {
+            (_, Some(StreamEnd::Fin)) => return self.end(sess, code, outcome, fin),
+            (Some(StreamEnd::Fin), None) if !left => {
                 self.input(sess, SessionInput::ClientLeft);
                 self.deadlines.set(TimerKey::Session(sess), self.now + LAST);
             }
@@ -226,17 +232,17 @@
             .is_some_and(|life| life.client_left)
             && c.complete_len == 0
         {
-            v.stream.end_sending();
+            v.stream.shutdown_write();
         }
         let write = |conn: &super::Connection, other: &super::Connection| {
-            !conn.stream.sent() || other.complete_len > 0
+            !conn.stream.is_flushed() || other.complete_len > 0
         };
-        let for_client = Want {
-            read: c.stream.may_read(),
+        let for_client = Interest {
+            read: c.stream.can_read(),
             write: write(c, v),
         };
-        let for_server = Want {
-            read: v.stream.may_read(),
+        let for_server = Interest {
+            read: v.stream.can_read(),
             write: write(v, c),
         };
         self.set_interest(client, for_client);
@@ -244,7 +250,7 @@
     }
 
     /// Asks a client to come again.
-    pub(super) fn migrate(&mut self, sess: Key, code: ReasonCode) {
+    pub(super) fn migrate(&mut self, sess: SlotKey, code: ReasonCode) {
         let outcome = if code == ReasonCode::ServerSilent {
             Outcome::Reset
         } else {
@@ -255,12 +261,12 @@
             .is_some_and(|life| life.state == SessionState::Open)
             && !self.is_offered(sess)
         {
-            self.end(sess, code, outcome, (Close::Say(MOVE), Close::Fin));
+            self.end(sess, code, outcome, (Close::Say(MOVE_LINE), Close::Fin));
         }
     }
 
     /// An open connection has kept somebody waiting too long.
-    pub(super) fn open_session_deadline(&mut self, sess: Key) {
+    pub(super) fn open_session_deadline(&mut self, sess: SlotKey) {
         let Some(held) = self.session_table.sessions.get(sess) else {
             return;
         };
@@ -309,7 +315,7 @@
     /// Ends both sides of an open connection and tells the module.
     fn end(
         &mut self,
-        sess: Key,
+        sess: SlotKey,
         code: ReasonCode,
         outcome: Outcome,
         (to_client, to_server): (Close, Close),
@@ -344,7 +350,7 @@
     }
 
     /// Whole lines that came from one side and are not passed on yet.
-    fn waiting(&self, from: Key) -> Vec<u8> {
+    fn waiting(&self, from: SlotKey) -> Vec<u8> {
         let conn = self.connections.get(from);
         conn.map(|conn| conn.stream.inbound.bytes()[..conn.complete_len].to_vec())
             .unwrap_or_default()
@@ -352,4 +358,4 @@
 }
 
 /// A whole line always fits beside one that waits.
-const _: () = assert!(Buffer::LIMIT >= 2 * line::LONGEST);
+const _: () = assert!(ReadBuffer::CAPACITY >= 2 * line::MAX_LINE_LENGTH);
--- a/crates/proxy/src/routing/resource_budget.rs
+++ b/crates/proxy/src/routing/resource_budget.rs
@@ -4,8 +4,8 @@
 use super::Router;
 use super::report::ReasonCode;
 use super::types::{Connection, ConnectionRole};
-use crate::protocol::client::FAILED;
-use crate::transport::Buffer;
+use crate::protocol::client::ERROR_LINE;
+use crate::transport::ReadBuffer;
 use std::time::Duration;
 
 /// Descriptors beside connections: standard streams, epoll, the listeners, the watch, signals, and some to spare.
@@ -23,7 +23,7 @@
 /// Memory of the program without sessions, in bytes.
 const PROGRAM_BYTES: usize = 24 << 20;
 /// Memory of a session at most, in bytes: both sides' buffers, and what tables and the kernel keep.
-const SESSION_BYTES: usize = 2 * Buffer::LIMIT + 24 * 1024;
+const SESSION_BYTES: usize = 2 * ReadBuffer::CAPACITY + 24 * 1024;
 /// How long a pending client is safe from others that want its place: time for a line that is on its way.
 const PENDING_GRACE: Duration = Duration::from_millis(20);
 
@@ -215,7 +215,7 @@
             .get_mut(key)
             .filter(|connection| connection.role == ConnectionRole::PendingClient)
         {
-            connection.stream.send(&[FAILED]);
+            connection.stream.send(&[ERROR_LINE]);
             self.log_event(ReasonCode::PendingClientEvicted, "client");
         }
         self.close(key);
@@ -227,7 +227,7 @@
 fn is_evictable(connection: &Connection) -> bool {
     match connection.role {
         ConnectionRole::PendingClient => true,
-        ConnectionRole::Lingering { .. } => connection.stream.sent(),
+        ConnectionRole::Lingering { .. } => connection.stream.is_flushed(),
         _ => false,
     }
 }
--- a/crates/proxy/src/routing/session_table.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -5,7 +5,7 @@
 use super::session_state::{SessionEffect, SessionInput, SessionMachine, SessionState};
 use super::zones::{ZoneTracker, ZoneTransition};
 use crate::injected_fault::{InjectedFault, is_injected};
-use crate::transport::{Key, Slots};
+use crate::transport::{SlotKey, SlotMap};
 use asterramp_placement::event::{ServerId, SessionRequest};
 use asterramp_placement::{Action, Deployment, Event, PlacementEngine};
 use std::collections::VecDeque;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub enum SessionTask {
     /// An effect of a session's state machine; never [`SessionEffect::Notify`], which stays in the table.
-    Session(Key, SessionEffect),
+    Session(SlotKey, SessionEffect),
     /// Probe a server.
     Probe(ServerId),
     /// Ask discovery for the endpoint list, where it answers only when asked.
@@ -41,7 +41,7 @@
     /// Decides where sessions go.
     pub engine: PlacementEngine,
     /// The sessions. A slot's number is the engine's id of its session.
-    pub sessions: Slots<SessionSlot<T>>,
+    pub sessions: SlotMap<SessionSlot<T>>,
     connect_timeout: Duration,
     /// The states of zones, where there are several.
     pub zones: Option<ZoneTracker>,
@@ -62,7 +62,7 @@
     pub fn new(deployment: Deployment, nonce: u64, connect_timeout: Duration) -> SessionTable<T> {
         SessionTable {
             engine: PlacementEngine::new(deployment, nonce),
-            sessions: Slots::default(),
+            sessions: SlotMap::default(),
             connect_timeout,
             zones: None,
             transitions: Vec::new(),
@@ -81,7 +81,7 @@
         request: SessionRequest,
         restored: bool,
         driver_data: T,
-    ) -> Key {
+    ) -> SlotKey {
         let machine = SessionMachine::new(now, request, restored, self.connect_timeout);
         let (key, request) = self.insert(machine, driver_data);
         if restored {
@@ -100,7 +100,7 @@
         now: Duration,
         machine: SessionMachine,
         driver_data: T,
-    ) -> Key {
+    ) -> SlotKey {
         let server = machine.server;
         let (key, request) = self.insert(machine, driver_data);
         self.events
@@ -110,7 +110,7 @@
     }
 
     /// Puts a session into a slot and its number into the request.
-    fn insert(&mut self, machine: SessionMachine, driver_data: T) -> (Key, SessionRequest) {
+    fn insert(&mut self, machine: SessionMachine, driver_data: T) -> (SlotKey, SessionRequest) {
         let mut request = machine.request;
         let key = self.sessions.insert(SessionSlot {
             machine,
@@ -124,14 +124,14 @@
     }
 
     /// Something happens to a session; ignored if the session is gone.
-    pub fn input(&mut self, now: Duration, session: Key, input: SessionInput) {
+    pub fn input(&mut self, now: Duration, session: SlotKey, input: SessionInput) {
         self.step(now, session, input);
         self.settle(now);
     }
 
     /// The client of a session was found to have left, or to have spoken, right before something would be sent for
     /// it. Whether nothing is to be sent.
-    pub fn found_gone(&mut self, now: Duration, session: Key, how: SessionInput) -> bool {
+    pub fn found_gone(&mut self, now: Duration, session: SlotKey, how: SessionInput) -> bool {
         if is_injected(InjectedFault::GoneDialled) {
             return false;
         }
@@ -152,7 +152,7 @@
     }
 
     /// The server of an open session has sent a line (`answered`), or has left a line without an answer for long.
-    pub fn note_server_activity(&mut self, now: Duration, session: Key, answered: bool) {
+    pub fn note_server_activity(&mut self, now: Duration, session: SlotKey, answered: bool) {
         let server = self.sessions.get(session).map(|slot| slot.machine.server);
         if let (Some(zones), Some(server)) = (&mut self.zones, server) {
             if answered {
@@ -178,7 +178,7 @@
         self.tasks.pop_front()
     }
 
-    fn step(&mut self, now: Duration, session: Key, input: SessionInput) {
+    fn step(&mut self, now: Duration, session: SlotKey, input: SessionInput) {
         let Some(slot) = self.sessions.get_mut(session) else {
             return;
         };
@@ -224,7 +224,7 @@
         };
         let key = match event {
             Event::SessionOpened { session, .. } | Event::AttemptEnded { session, .. } => {
-                self.sessions.at(*session)
+                self.sessions.key_at(*session)
             }
             _ => None,
         };
@@ -258,7 +258,7 @@
             Action::Fail { session } => (session, SessionInput::Fail),
             Action::Migrate { session } => (session, SessionInput::Migrate),
             Action::Forget { session } => {
-                if let Some(key) = self.sessions.at(session)
+                if let Some(key) = self.sessions.key_at(session)
                     && !is_injected(InjectedFault::Kept)
                 {
                     self.tasks
@@ -272,7 +272,7 @@
             }
             Action::PollEndpoints => return self.tasks.push_back(SessionTask::PollEndpoints),
         };
-        if let Some(key) = self.sessions.at(session) {
+        if let Some(key) = self.sessions.key_at(session) {
             self.step(now, key, input);
         }
     }
--- a/crates/proxy/src/routing/startup.rs
+++ b/crates/proxy/src/routing/startup.rs
@@ -12,9 +12,9 @@
     DiscoveryWatch, EndpointTable, LISTENER_DELAY, Router, SessionTable, admission_settings,
     zone_failover_settings,
 };
-use crate::protocol::discovery::List;
-use crate::transport::poll::Want;
-use crate::transport::{Deadlines, Poll, Slots, socket};
+use crate::protocol::discovery::EndpointList;
+use crate::transport::poller::Interest;
+use crate::transport::{Deadlines, Poller, SlotMap, socket};
 use asterramp_admission::AdmissionControl;
 use asterramp_drain::{Drain, DrainSettings, DrainState};
 use asterramp_leader_lease::FencingGuard;
@@ -42,7 +42,7 @@
     /// The Unix socket at which the process that replaces this one finds it; `None` where none may.
     pub hot_restart_socket: Option<PathBuf>,
     /// The endpoint list of the last run.
-    pub known_endpoints: List,
+    pub known_endpoints: EndpointList,
     /// How a start goes on from what was saved; `None` where discovery and `known_endpoints` are believed.
     pub warm_start: Option<WarmStartPlan>,
     /// Most descriptors that the process may hold.
@@ -57,7 +57,7 @@
     /// The connection to the process that handed it over.
     predecessor: Option<OwnedFd>,
     /// The endpoint list of that process.
-    list: Option<List>,
+    list: Option<EndpointList>,
 }
 
 impl Router {
@@ -82,7 +82,9 @@
         let (inherited, failure) = ask_predecessor(hot_restart_socket.as_deref(), listen);
         let revision = inherited
             .as_ref()
-            .map_or(known_endpoints.rev, |inherited| inherited.list.rev);
+            .map_or(known_endpoints.revision, |inherited| {
+                inherited.list.revision
+            });
         let budget = ResourceBudget::new(max_descriptors, max_memory_bytes);
         let watch = DiscoveryWatch::new(discovery, revision, &settings);
         let mut router = Router::without_connections(settings, seed, budget, watch, now)?;
@@ -96,7 +98,8 @@
         if let Some(path) = hot_restart_socket {
             router.open_hot_restart(path, listener.predecessor);
         }
-        router.listener = router.register(listener.fd, ConnectionRole::Listener, Want::default());
+        router.listener =
+            router.register(listener.fd, ConnectionRole::Listener, Interest::default());
         if let Some(address) = operator {
             router
                 .open_admin_http(address)
@@ -137,9 +140,9 @@
         Ok(Router {
             session_table,
             resource_budget,
-            poll: Poll::new()?,
+            poll: Poller::new()?,
             ready: Vec::new(),
-            connections: Slots::default(),
+            connections: SlotMap::default(),
             session_ids: HashSet::new(),
             connection_counts: ConnectionCounts::default(),
             endpoints: EndpointTable::new(settings.zones.clone()),
