--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -211,8 +211,8 @@
     pub(super) fn metrics_text(&self) -> String {
         let listed = self
             .endpoints
-            .hosts()
-            .filter(|host| host.standing != event::EndpointState::Gone)
+            .known_endpoints()
+            .filter(|host| host.state != event::EndpointState::Gone)
             .count();
         let standing = GaugeValues {
             inflight: self.connection_counts.clients(),
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -331,13 +331,13 @@
             left,
             hosts_ready: self
                 .endpoints
-                .hosts()
-                .filter(|host| host.standing == EndpointState::Ready)
+                .known_endpoints()
+                .filter(|host| host.state == EndpointState::Ready)
                 .count(),
             hosts: self
                 .endpoints
-                .hosts()
-                .filter(|host| host.standing != EndpointState::Gone)
+                .known_endpoints()
+                .filter(|host| host.state != EndpointState::Gone)
                 .count(),
             discovery_ms: self
                 .discovery_watch
--- a/crates/proxy/src/routing/admission.rs
+++ b/crates/proxy/src/routing/admission.rs
@@ -24,8 +24,8 @@
         }
         let mut ready_servers = 0;
         let mut reports = Vec::new();
-        for (endpoint, zone_name) in self.endpoints.placed() {
-            if endpoint.standing != EndpointState::Ready || self.is_zone_closed(zone_name) {
+        for (endpoint, zone_name) in self.endpoints.known_with_zone() {
+            if endpoint.state != EndpointState::Ready || self.is_zone_closed(zone_name) {
                 continue;
             }
             ready_servers += 1;
@@ -50,13 +50,13 @@
     fn load_report(&self, endpoint: &KnownEndpoint) -> Option<ServerLoadReport> {
         let warm_after = self.settings.deployment.slow_start.warm_after;
         let is_warm = |started_at| self.now.saturating_sub(started_at) >= warm_after;
-        if !endpoint.started.is_none_or(is_warm) {
+        if !endpoint.started_at.is_none_or(is_warm) {
             return None;
         }
         Some(ServerLoadReport {
             utilization: endpoint.load.utilization?,
             connections: endpoint.load.connections?,
-            age: self.now.saturating_sub(endpoint.told),
+            age: self.now.saturating_sub(endpoint.reported_at),
         })
     }
 }
--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -253,7 +253,7 @@
         let machine = &slot.machine;
         let listener = &self.settings.listeners[usize::from(machine.request.listener)];
         let server = if machine.dials > 0 {
-            self.endpoints.name(machine.server)
+            self.endpoints.uid(machine.server)
         } else {
             "-"
         };
--- a/crates/proxy/src/routing/discovery_watch.rs
+++ b/crates/proxy/src/routing/discovery_watch.rs
@@ -91,7 +91,7 @@
         let entries = list
             .endpoints
             .into_iter()
-            .filter_map(|line| Some(self.endpoints.take(line)?.0))
+            .filter_map(|line| Some(self.endpoints.update(line)?.endpoint))
             .collect();
         self.event(Event::Endpoints(as_told(entries)));
         if !self.discovery_watch.by_module {
@@ -236,13 +236,13 @@
             let whole = list.complete && list.first_error.is_none();
             let mut entries = Vec::with_capacity(list.endpoints.len());
             for line in list.endpoints {
-                let Some((entry, stale)) = self.endpoints.take(line) else {
+                let Some(change) = self.endpoints.update(line) else {
                     self.count_event(ReasonCode::EndpointTableFull);
                     continue;
                 };
-                entries.push(entry);
-                if stale {
-                    self.unneeded_probe(entry.server);
+                entries.push(change.endpoint);
+                if change.is_probe_stale {
+                    self.unneeded_probe(change.endpoint.server);
                 }
             }
             if self.is_older(list.revision) {
@@ -265,7 +265,7 @@
 
     fn told(&mut self, mut entries: Vec<event::Endpoint>, whole: bool) {
         if whole {
-            self.endpoints.only(&entries);
+            self.endpoints.mark_unlisted_as_gone(&entries);
         }
         self.note_listed_endpoints(&mut entries, whole);
         let told = if whole {
@@ -285,7 +285,7 @@
             Some(ConnectionRole::Probe(_, super::probe::ProbeStage::Idle)) => {
                 self.close_probe(server, key)
             }
-            _ => self.finish_probe(server, event::Outcome::CalledOff),
+            _ => self.fail_probe(server, event::Outcome::CalledOff),
         }
     }
 }
--- a/crates/proxy/src/routing/endpoints.rs
+++ b/crates/proxy/src/routing/endpoints.rs
@@ -1,4 +1,4 @@
-//! The door at which servers' names become indices.
+//! The endpoint table: all servers that this proxy knows, and the indices by which the placement engine names them.
 
 use crate::protocol::discovery::ListedEndpoint;
 use crate::transport::SlotKey;
@@ -7,183 +7,210 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most servers that are ever known; a name is never forgotten, so something has to end the table.
-pub(super) const MOST: usize = 4096;
+/// Servers that the table holds at most. A uid is never forgotten, so the table needs a bound.
+pub(super) const MAX_ENDPOINTS: usize = 4096;
+
+/// Offset basis and prime of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
 #[derive(Debug)]
-struct Server {
-    /// As discovery told it last; the endpoint is the last that it stood at.
-    line: ListedEndpoint,
+struct EndpointEntry {
+    /// As discovery last listed it; the address is the last one that it was listed as ready or draining at.
+    listed: ListedEndpoint,
+    /// The connection kept for probes.
     probe: Option<SlotKey>,
-    host: KnownEndpoint,
+    known: KnownEndpoint,
 }
 
-/// What is known of a server, beside what the module makes of it.
+/// What the router itself knows of a server, beside what the placement engine keeps.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KnownEndpoint {
-    pub standing: EndpointState,
-    pub started: Option<Duration>,
-    /// Its last report, and when it came.
+    /// State as listed, or as a warm start found it.
+    pub state: EndpointState,
+    /// Unix time of the server's start, where it is listed.
+    pub started_at: Option<Duration>,
+    /// Its last load report.
     pub load: Load,
-    pub told: Duration,
+    /// When the last load report came; zero before the first.
+    pub reported_at: Duration,
+}
+
+/// What a discovery entry led to.
+#[derive(Clone, Copy, Debug)]
+pub struct EndpointChange {
+    /// The entry in the placement engine's terms.
+    pub endpoint: Endpoint,
+    /// The connection kept for probes is of no use any more: the server is gone, or listed at another address.
+    pub is_probe_stale: bool,
 }
 
-/// Servers by uid. What stands at an endpoint may change; a uid names one server for ever.
+/// Servers by uid. Another server may take over an address; a uid names the same server for ever.
 #[derive(Debug)]
 pub struct EndpointTable {
     zones: Vec<String>,
     by_uid: BTreeMap<String, ServerId>,
-    servers: Vec<Server>,
+    entries: Vec<EndpointEntry>,
 }
 
-/// FNV-1a: the same at every proxy.
-fn mark(uid: &str) -> u64 {
-    uid.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
+/// FNV-1a hash of a uid, which is the same at every proxy.
+fn hash_key(uid: &str) -> u64 {
+    uid.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     })
 }
 
 impl EndpointTable {
+    /// An empty table; an endpoint's zone is its index in `zones`.
     pub fn new(zones: Vec<String>) -> EndpointTable {
         EndpointTable {
             zones,
             by_uid: BTreeMap::new(),
-            servers: Vec::new(),
+            entries: Vec::new(),
+        }
+    }
+
+    /// Takes in a discovery entry; `None` for a new server when the table is full.
+    pub fn update(&mut self, listed: ListedEndpoint) -> Option<EndpointChange> {
+        let server = self.find_or_insert(&listed)?;
+        let entry = self.entries.get_mut(server as usize)?;
+        let previous_address = entry.listed.address;
+        let has_moved = previous_address != listed.address;
+        let is_gone = listed.state == EndpointState::Gone;
+        entry.known.state = listed.state;
+        entry.known.started_at = listed.started_at;
+        entry.listed = listed;
+        if is_gone {
+            entry.listed.address = previous_address;
         }
+        Some(EndpointChange {
+            endpoint: self.endpoint(server)?,
+            is_probe_stale: has_moved || is_gone,
+        })
     }
 
-    /// A line in the module's terms, and whether its server's probe connection is of no use any more; `None`
-    /// for a new server past the most.
-    pub fn take(&mut self, line: ListedEndpoint) -> Option<(Endpoint, bool)> {
-        if self.servers.len() >= MOST && !self.by_uid.contains_key(&line.uid) {
+    fn find_or_insert(&mut self, listed: &ListedEndpoint) -> Option<ServerId> {
+        if let Some(server) = self.find(&listed.uid) {
+            return Some(server);
+        }
+        if self.entries.len() >= MAX_ENDPOINTS {
             return None;
         }
-        let server = self.by_uid.get(&line.uid).copied().unwrap_or_else(|| {
-            let id = self.servers.len() as ServerId;
-            self.servers.push(Server {
-                line: line.clone(),
-                probe: None,
-                host: KnownEndpoint::default(),
-            });
-            self.by_uid.insert(line.uid.clone(), id);
-            id
+        let server = self.entries.len() as ServerId;
+        self.entries.push(EndpointEntry {
+            listed: listed.clone(),
+            probe: None,
+            known: KnownEndpoint::default(),
         });
-        let known = &mut self.servers[server as usize];
-        let before = known.line.address;
-        let moved = before != line.address;
-        let endpoint = if line.state == EndpointState::Gone {
-            before
-        } else {
-            line.address
-        };
-        known.line = ListedEndpoint {
-            address: endpoint,
-            ..line.clone()
-        };
-        (known.host.standing, known.host.started) = (line.state, line.started_at);
-        let stale = moved || line.state == EndpointState::Gone;
-        let entry = self.entry(server)?;
-        Some((entry, stale))
+        self.by_uid.insert(listed.uid.clone(), server);
+        Some(server)
     }
 
-    /// A server's line in the module's terms, as it stands.
-    pub fn entry(&self, server: ServerId) -> Option<Endpoint> {
-        let known = self.servers.get(server as usize)?;
-        let (line, zone) = (
-            &known.line,
-            self.zones.iter().position(|zone| *zone == known.line.zone),
-        );
+    fn entry(&self, server: ServerId) -> Option<&EndpointEntry> {
+        self.entries.get(server as usize)
+    }
+
+    fn entry_mut(&mut self, server: ServerId) -> Option<&mut EndpointEntry> {
+        self.entries.get_mut(server as usize)
+    }
+
+    /// A server in the placement engine's terms, in its present state. A zone that is not in the deployment has the highest
+    /// index.
+    pub fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
+        let entry = self.entry(server)?;
+        let listed = &entry.listed;
+        let zone = self.zones.iter().position(|zone| *zone == listed.zone);
         Some(Endpoint {
             server,
-            hash_key: mark(&line.uid),
+            hash_key: hash_key(&listed.uid),
             zone: zone.map_or(u8::MAX, |zone| zone as u8),
-            cell: line.cell,
-            state: known.host.standing,
-            weight: line.weight,
-            started_at: line.started_at,
+            cell: listed.cell,
+            state: entry.known.state,
+            weight: listed.weight,
+            started_at: listed.started_at,
             load_per_connection: None,
         })
     }
 
-    /// Where one stands that nobody has listed yet.
-    pub fn stands_at(&mut self, server: ServerId, endpoint: SocketAddr) {
-        self.servers
-            .get_mut(server as usize)
-            .into_iter()
-            .for_each(|server| server.line.address = endpoint);
+    /// Sets the address of a server that discovery has not listed yet.
+    pub fn set_address(&mut self, server: ServerId, address: SocketAddr) {
+        if let Some(entry) = self.entry_mut(server) {
+            entry.listed.address = address;
+        }
     }
 
-    pub fn stands(&mut self, server: ServerId, standing: EndpointState) {
-        self.servers
-            .get_mut(server as usize)
-            .into_iter()
-            .for_each(|server| server.host.standing = standing);
+    /// Sets the state of a server.
+    pub fn set_state(&mut self, server: ServerId, state: EndpointState) {
+        if let Some(entry) = self.entry_mut(server) {
+            entry.known.state = state;
+        }
     }
 
-    pub fn hosts(&self) -> impl Iterator<Item = &KnownEndpoint> {
-        self.servers.iter().map(|server| &server.host)
+    /// What is known of each server, by index.
+    pub fn known_endpoints(&self) -> impl Iterator<Item = &KnownEndpoint> {
+        self.entries.iter().map(|entry| &entry.known)
     }
 
-    /// Each with the name of its place.
-    pub fn placed(&self) -> impl Iterator<Item = (&KnownEndpoint, &str)> {
-        self.servers
+    /// What is known of each server, with the name of its zone.
+    pub fn known_with_zone(&self) -> impl Iterator<Item = (&KnownEndpoint, &str)> {
+        self.entries
             .iter()
-            .map(|server| (&server.host, server.line.zone.as_str()))
+            .map(|entry| (&entry.known, entry.listed.zone.as_str()))
     }
 
-    /// Those that a whole list leaves out are gone.
-    pub fn only(&mut self, listed: &[Endpoint]) {
-        let mut named = vec![false; self.servers.len()];
-        listed
-            .iter()
-            .for_each(|entry| named[entry.server as usize] = true);
-        let gone = self
-            .servers
-            .iter_mut()
-            .zip(named)
-            .filter(|(_, named)| !named);
-        gone.for_each(|(server, _)| server.host.standing = EndpointState::Gone);
-    }
-
-    pub fn reported(&mut self, server: ServerId, load: Load, now: Duration) {
-        if let Some(server) = self.servers.get_mut(server as usize) {
-            (server.host.load, server.host.told) = (load, now);
+    /// Marks servers as gone that a complete list leaves out.
+    pub fn mark_unlisted_as_gone(&mut self, listed: &[Endpoint]) {
+        let mut is_listed = vec![false; self.entries.len()];
+        for endpoint in listed {
+            is_listed[endpoint.server as usize] = true;
+        }
+        for (entry, is_listed) in self.entries.iter_mut().zip(is_listed) {
+            if !is_listed {
+                entry.known.state = EndpointState::Gone;
+            }
         }
     }
 
-    /// All that was ever listed, as it stands.
-    pub fn lines(&self) -> impl Iterator<Item = ListedEndpoint> {
-        let stands = |server: &Server| ListedEndpoint {
-            state: server.host.standing,
-            ..server.line.clone()
-        };
-        self.servers.iter().map(stands)
+    /// Records a load report that came at `now`.
+    pub fn record_load(&mut self, server: ServerId, load: Load, now: Duration) {
+        if let Some(entry) = self.entry_mut(server) {
+            entry.known.load = load;
+            entry.known.reported_at = now;
+        }
     }
 
+    /// Each server as it was last listed, in its present state, by index.
+    pub fn listed_endpoints(&self) -> impl Iterator<Item = ListedEndpoint> {
+        self.entries.iter().map(|entry| ListedEndpoint {
+            state: entry.known.state,
+            ..entry.listed.clone()
+        })
+    }
+
+    /// The index of a server.
     pub fn find(&self, uid: &str) -> Option<ServerId> {
         self.by_uid.get(uid).copied()
     }
 
+    /// The address of a server.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.servers
-            .get(server as usize)
-            .map(|server| server.line.address)
+        self.entry(server).map(|entry| entry.listed.address)
     }
 
-    pub fn name(&self, server: ServerId) -> &str {
-        self.servers
-            .get(server as usize)
-            .map_or("-", |server| &server.line.uid)
+    /// The uid of a server, for log lines; `-` if it is not known.
+    pub fn uid(&self, server: ServerId) -> &str {
+        self.entry(server).map_or("-", |entry| &entry.listed.uid)
     }
 
+    /// The connection kept for a server's probes.
     pub fn probe(&self, server: ServerId) -> Option<SlotKey> {
-        self.servers.get(server as usize)?.probe
+        self.entry(server)?.probe
     }
 
+    /// Keeps a connection for a server's probes, or none.
     pub fn set_probe(&mut self, server: ServerId, key: Option<SlotKey>) {
-        self.servers
-            .get_mut(server as usize)
-            .into_iter()
-            .for_each(|server| server.probe = key);
+        if let Some(entry) = self.entry_mut(server) {
+            entry.probe = key;
+        }
     }
 }
--- a/crates/proxy/src/routing/event_loop.rs
+++ b/crates/proxy/src/routing/event_loop.rs
@@ -136,7 +136,7 @@
 
     fn connection_deadline(&mut self, key: SlotKey) {
         match self.connections.get(key).map(|connection| connection.role) {
-            Some(ConnectionRole::Probe(server, _)) => self.finish_probe(server, Outcome::TimedOut),
+            Some(ConnectionRole::Probe(server, _)) => self.fail_probe(server, Outcome::TimedOut),
             Some(ConnectionRole::PendingClient) => self.greeting_deadline(key),
             Some(ConnectionRole::AdminSocket) => self.close_admin_connection(key),
             Some(ConnectionRole::HotRestart) => self.hot_restart_deadline(),
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -137,9 +137,9 @@
         };
         let told: Vec<(f64, f64)> = self
             .endpoints
-            .hosts()
-            .filter(|host| host.standing == EndpointState::Ready && warm(host.started))
-            .filter(|host| self.now.saturating_sub(host.told) <= TELLS)
+            .known_endpoints()
+            .filter(|host| host.state == EndpointState::Ready && warm(host.started_at))
+            .filter(|host| self.now.saturating_sub(host.reported_at) <= TELLS)
             .filter_map(|host| Some((host.load.connections?, host.load.utilization?)))
             .collect();
         let (count, asked) = told
--- a/crates/proxy/src/routing/hot_restart.rs
+++ b/crates/proxy/src/routing/hot_restart.rs
@@ -3,7 +3,7 @@
 //! the younger binds the clients' address itself, and the elder leaves as at SIGTERM.
 
 use super::client::GREETING_TIMEOUT;
-use super::endpoints::MOST;
+use super::endpoints::MAX_ENDPOINTS;
 use super::session_table::SessionSlot;
 use super::{
     ConnectionRole, ReasonCode, Router, Session, SessionMachine, SessionState as LifeStage,
@@ -75,7 +75,7 @@
             match seqpacket::receive(&link, LONGEST).map_err(|e| e.to_string())? {
                 Some((message, _)) if message.is_empty() => return Err("it hung up".into()),
                 Some((message, mut with)) => match (Message::read(&message)?, with.pop()) {
-                    (Message::Hosts(hosts), None) if lines.len() < MOST => {
+                    (Message::Hosts(hosts), None) if lines.len() < MAX_ENDPOINTS => {
                         lines.extend(
                             hosts
                                 .into_iter()
@@ -447,7 +447,7 @@
     }
 
     fn tell_estate(&mut self) -> bool {
-        let hosts: Vec<EndpointRecord> = self.endpoints.lines().map(host).collect();
+        let hosts: Vec<EndpointRecord> = self.endpoints.listed_endpoints().map(host).collect();
         let Some(door) = self.listener else {
             return false;
         };
@@ -552,7 +552,7 @@
                 };
                 let pair = OpenConnection {
                     line: held.driver_data.request_line.clone(),
-                    uid: self.endpoints.name(held.machine.server).into(),
+                    uid: self.endpoints.uid(held.machine.server).into(),
                     waits: due.map(|at| at.saturating_sub(self.now) + later),
                     client: bytes(client)?,
                     server: bytes(server)?,
--- a/crates/proxy/src/routing/peers.rs
+++ b/crates/proxy/src/routing/peers.rs
@@ -213,10 +213,10 @@
                 started_at: host.started_ms.map(Duration::from_millis),
             };
             // It does not count as listed before it answers.
-            let Some((entry, _)) = self.endpoints.take(line) else {
+            let Some(entry) = self.endpoints.update(line).map(|change| change.endpoint) else {
                 continue;
             };
-            self.endpoints.stands_at(entry.server, host.endpoint);
+            self.endpoints.set_address(entry.server, host.endpoint);
             starting.restore_load_per_connection(
                 entry.server,
                 host.unit.filter(|unit| unit.is_finite() && *unit > 0.0),
@@ -246,7 +246,11 @@
             .warm_start_state()
             .is_none_or(|start| start.stage() == asterramp_warm_start::WarmStartStage::Normal);
         let mut hosts: Vec<KnownHost> = (0..)
-            .zip(self.endpoints.lines().zip(self.endpoints.hosts()))
+            .zip(
+                self.endpoints
+                    .listed_endpoints()
+                    .zip(self.endpoints.known_endpoints()),
+            )
             .filter(|(id, (line, _))| {
                 line.state == EndpointState::Ready && (normal || answers(*id))
             })
@@ -263,7 +267,7 @@
                 started_ms: line.started_at.map(|at| at.as_millis() as u64),
                 age_ms: now
                     .saturating_sub(
-                        host.told
+                        host.reported_at
                             .max(self.discovery_watch.last_heard().unwrap_or(self.started_at)),
                     )
                     .as_millis() as u64,
--- a/crates/proxy/src/routing/warm_start.rs
+++ b/crates/proxy/src/routing/warm_start.rs
@@ -149,7 +149,7 @@
         words.sort_by_key(|word| word.3);
         for (line, source, old, rev, unit) in words {
             let at = line.address;
-            let Some((entry, _)) = self.endpoints.take(line) else {
+            let Some(entry) = self.endpoints.update(line).map(|change| change.endpoint) else {
                 continue;
             };
             starting.restore_load_per_connection(entry.server, unit);
@@ -300,16 +300,16 @@
             WarmStartEffect::Probe(id) => self.probe(id),
             WarmStartEffect::Use(id) => {
                 let started = Some(self.now);
-                self.endpoints.stands(id, EndpointState::Ready);
+                self.endpoints.set_state(id, EndpointState::Ready);
                 let unit = self.warm_start.as_ref().and_then(|s| s.unit(id));
                 self.place_on(id, EndpointState::Ready, started, unit);
             }
             WarmStartEffect::Drop(id, why) => {
                 self.log_event(
                     ReasonCode::EndpointDropped,
-                    format!("server={} why={why:?}", self.endpoints.name(id)),
+                    format!("server={} why={why:?}", self.endpoints.uid(id)),
                 );
-                self.endpoints.stands(id, EndpointState::Gone);
+                self.endpoints.set_state(id, EndpointState::Gone);
                 self.place_on(id, EndpointState::Gone, None, None);
             }
             WarmStartEffect::Door(way) => {
@@ -333,7 +333,7 @@
         started: Option<Duration>,
         unit: Option<f64>,
     ) {
-        if let Some(entry) = self.endpoints.entry(id) {
+        if let Some(entry) = self.endpoints.endpoint(id) {
             let entry = Endpoint {
                 state: standing,
                 started_at: started,
@@ -357,7 +357,7 @@
                 let (sum, n) = unit.fold((0.0, 0.0), |(sum, n), unit| (sum + unit, n + 1.0));
                 let told = self
                     .endpoints
-                    .hosts()
+                    .known_endpoints()
                     .filter_map(|host| Some((host.load.utilization?, host.load.connections?)));
                 let (asked, held) =
                     told.fold((0.0, 0.0), |sum, load| (sum.0 + load.0, sum.1 + load.1));
@@ -473,7 +473,7 @@
     fn snapshot(&self, clean: bool) -> Snapshot {
         let loads = || {
             self.endpoints
-                .hosts()
+                .known_endpoints()
                 .filter_map(|host| host.load.utilization.zip(host.load.connections))
         };
         let all = loads().fold((0.0, 0.0), |sum, load| (sum.0 + load.0, sum.1 + load.1));
@@ -501,11 +501,14 @@
                     1.0
                 },
                 started_ms: line.started_at.map(ms),
-                heard_ms: (!host.told.is_zero()).then(|| ms(host.told)),
+                heard_ms: (!host.reported_at.is_zero()).then(|| ms(host.reported_at)),
                 unit: unit.filter(|unit| unit.is_finite()),
             }
         };
-        let lines = self.endpoints.lines().zip(self.endpoints.hosts());
+        let lines = self
+            .endpoints
+            .listed_endpoints()
+            .zip(self.endpoints.known_endpoints());
         let keeping = self.snapshots.as_ref();
         // What was known before stays so until discovery has told more.
         let before = self.warm_start.as_ref().filter(|s| {
