--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -161,7 +161,7 @@
     let WarmStartConfig { fleet, others, .. } = &wishes.recovery;
     PeerSettings {
         fleet: fleet.clone(),
-        doors: others.clone(),
+        addresses: others.clone(),
     }
 }
 
--- a/crates/proxy/src/routing/endpoints.rs
+++ b/crates/proxy/src/routing/endpoints.rs
@@ -25,29 +25,29 @@
 
 /// What the router itself knows of a server, beside what the placement engine keeps.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct KnownEndpoint {
+pub(super) struct KnownEndpoint {
     /// State as listed, or as a warm start found it.
-    pub state: EndpointState,
+    pub(super) state: EndpointState,
     /// Unix time of the server's start, where it is listed.
-    pub started_at: Option<Duration>,
+    pub(super) started_at: Option<Duration>,
     /// Its last load report.
-    pub load: Load,
+    pub(super) load: Load,
     /// When the last load report came; zero before the first.
-    pub reported_at: Duration,
+    pub(super) reported_at: Duration,
 }
 
 /// What a discovery entry led to.
 #[derive(Clone, Copy, Debug)]
-pub struct EndpointChange {
+pub(super) struct EndpointChange {
     /// The entry in the placement engine's terms.
-    pub endpoint: Endpoint,
+    pub(super) endpoint: Endpoint,
     /// The connection kept for probes is of no use any more: the server is gone, or listed at another address.
-    pub is_probe_stale: bool,
+    pub(super) is_probe_stale: bool,
 }
 
 /// Servers by uid. Another server may take over an address; a uid names the same server for ever.
 #[derive(Debug)]
-pub struct EndpointTable {
+pub(super) struct EndpointTable {
     zones: Vec<String>,
     by_uid: BTreeMap<String, ServerId>,
     entries: Vec<EndpointEntry>,
@@ -62,7 +62,7 @@
 
 impl EndpointTable {
     /// An empty table; an endpoint's zone is its index in `zones`.
-    pub fn new(zones: Vec<String>) -> EndpointTable {
+    pub(super) fn new(zones: Vec<String>) -> EndpointTable {
         EndpointTable {
             zones,
             by_uid: BTreeMap::new(),
@@ -71,7 +71,7 @@
     }
 
     /// Takes in a discovery entry; `None` for a new server when the table is full.
-    pub fn update(&mut self, listed: ListedEndpoint) -> Option<EndpointChange> {
+    pub(super) fn update(&mut self, listed: ListedEndpoint) -> Option<EndpointChange> {
         let server = self.find_or_insert(&listed)?;
         let entry = self.entries.get_mut(server as usize)?;
         let previous_address = entry.listed.address;
@@ -116,7 +116,7 @@
 
     /// A server in the placement engine's terms, in its present state. A zone that is not in the deployment has the highest
     /// index.
-    pub fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
+    pub(super) fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
         let entry = self.entry(server)?;
         let listed = &entry.listed;
         let zone = self.zones.iter().position(|zone| *zone == listed.zone);
@@ -133,33 +133,33 @@
     }
 
     /// Sets the address of a server that discovery has not listed yet.
-    pub fn set_address(&mut self, server: ServerId, address: SocketAddr) {
+    pub(super) fn set_address(&mut self, server: ServerId, address: SocketAddr) {
         if let Some(entry) = self.entry_mut(server) {
             entry.listed.address = address;
         }
     }
 
     /// Sets the state of a server.
-    pub fn set_state(&mut self, server: ServerId, state: EndpointState) {
+    pub(super) fn set_state(&mut self, server: ServerId, state: EndpointState) {
         if let Some(entry) = self.entry_mut(server) {
             entry.known.state = state;
         }
     }
 
     /// What is known of each server, by index.
-    pub fn known_endpoints(&self) -> impl Iterator<Item = &KnownEndpoint> {
+    pub(super) fn known_endpoints(&self) -> impl Iterator<Item = &KnownEndpoint> {
         self.entries.iter().map(|entry| &entry.known)
     }
 
     /// What is known of each server, with the name of its zone.
-    pub fn known_with_zone(&self) -> impl Iterator<Item = (&KnownEndpoint, &str)> {
+    pub(super) fn known_with_zone(&self) -> impl Iterator<Item = (&KnownEndpoint, &str)> {
         self.entries
             .iter()
             .map(|entry| (&entry.known, entry.listed.zone.as_str()))
     }
 
     /// Marks servers as gone that a complete list leaves out.
-    pub fn mark_unlisted_as_gone(&mut self, listed: &[Endpoint]) {
+    pub(super) fn mark_unlisted_as_gone(&mut self, listed: &[Endpoint]) {
         let mut is_listed = vec![false; self.entries.len()];
         for endpoint in listed {
             is_listed[endpoint.server as usize] = true;
@@ -172,7 +172,7 @@
     }
 
     /// Records a load report that came at `now`.
-    pub fn record_load(&mut self, server: ServerId, load: Load, now: Duration) {
+    pub(super) fn record_load(&mut self, server: ServerId, load: Load, now: Duration) {
         if let Some(entry) = self.entry_mut(server) {
             entry.known.load = load;
             entry.known.reported_at = now;
@@ -180,7 +180,7 @@
     }
 
     /// Each server as it was last listed, in its present state, by index.
-    pub fn listed_endpoints(&self) -> impl Iterator<Item = ListedEndpoint> {
+    pub(super) fn listed_endpoints(&self) -> impl Iterator<Item = ListedEndpoint> {
         self.entries.iter().map(|entry| ListedEndpoint {
             state: entry.known.state,
             ..entry.listed.clone()
@@ -188,27 +188,27 @@
     }
 
     /// The index of a server.
-    pub fn find(&self, uid: &str) -> Option<ServerId> {
+    pub(super) fn find(&self, uid: &str) -> Option<ServerId> {
         self.by_uid.get(uid).copied()
     }
 
     /// The address of a server.
-    pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
+    pub(super) fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.entry(server).map(|entry| entry.listed.address)
     }
 
     /// The uid of a server, for log lines; `-` if it is not known.
-    pub fn uid(&self, server: ServerId) -> &str {
+    pub(super) fn uid(&self, server: ServerId) -> &str {
         self.entry(server).map_or("-", |entry| &entry.listed.uid)
     }
 
     /// The connection kept for a server's probes.
-    pub fn probe(&self, server: ServerId) -> Option<SlotKey> {
+    pub(super) fn probe(&self, server: ServerId) -> Option<SlotKey> {
         self.entry(server)?.probe
     }
 
     /// Keeps a connection for a server's probes, or none.
-    pub fn set_probe(&mut self, server: ServerId, key: Option<SlotKey>) {
+    pub(super) fn set_probe(&mut self, server: ServerId, key: Option<SlotKey>) {
         if let Some(entry) = self.entry_mut(server) {
             entry.probe = key;
         }
--- a/crates/proxy/src/routing/event_loop.rs
+++ b/crates/proxy/src/routing/event_loop.rs
@@ -1,6 +1,7 @@
 //! The event loop: waits for sockets and deadlines, and hands each to what it is for.
 
 use super::connections::MAX_DISCARD_AT_CLOSE;
+use super::peers::PeerError;
 use super::report::ReasonCode;
 use super::types::{ConnectionRole, READ_ONLY, TimerKey};
 use super::{LISTENER_DELAY, Router};
@@ -140,7 +141,7 @@
             Some(ConnectionRole::PendingClient) => self.greeting_deadline(key),
             Some(ConnectionRole::AdminSocket) => self.close_admin_connection(key),
             Some(ConnectionRole::HotRestart) => self.hot_restart_deadline(),
-            Some(ConnectionRole::Peer) => self.peer_closed(key, "it does not answer in time"),
+            Some(ConnectionRole::Peer) => self.fail_peer_query(key, &PeerError::TimedOut),
             Some(ConnectionRole::AdminHttp { answered }) => self.admin_http_deadline(key, answered),
             _ => drop(self.close(key)),
         }
--- /dev/null
+++ b/crates/proxy/src/routing/peers/answer.rs
@@ -0,0 +1,95 @@
+//! What this proxy answers to other ones that ask.
+
+use super::message::{Known, KnownHost, MAX_ENDPOINTS_IN_ANSWER, MESSAGE_VERSION};
+use crate::protocol::discovery::ListedEndpoint;
+use crate::routing::Router;
+use crate::routing::endpoints::KnownEndpoint;
+use asterramp_placement::event::{EndpointState, Load, ServerId};
+use asterramp_warm_start::{EndpointTrustState, WarmStartStage};
+use std::time::Duration;
+
+/// Connections from which a server's load shows the load of each.
+const MIN_CONNECTIONS: f64 = 8.0;
+/// Weight that is told of an endpoint whose own is not a number that JSON can express.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+impl Router {
+    /// Whether other proxies are answered at all.
+    pub(in crate::routing) fn answers_peers(&self) -> bool {
+        !self.peers.settings.fleet.is_empty()
+    }
+
+    /// The answer's body: ready endpoints that responded or that discovery lists, those with the latest news first.
+    pub(in crate::routing) fn known_endpoints_text(&self) -> String {
+        let known = Known {
+            version: MESSAGE_VERSION,
+            fleet: self.peers.settings.fleet.clone(),
+            stage: self
+                .warm_start_state()
+                .map_or("normal", |start| start.stage().name())
+                .into(),
+            list_revision: self.discovery_watch.rev(),
+            discovery_responded_ms: self.discovery_watch.last_heard().map(milliseconds),
+            pending_sessions: self.drain_view().pending,
+            hosts: self.endpoints_for_peers(),
+        };
+        serde_json::to_string(&known).unwrap_or_default() + "\n"
+    }
+
+    fn endpoints_for_peers(&self) -> Vec<KnownHost> {
+        let listed = self.endpoints.listed_endpoints();
+        let known = self.endpoints.known_endpoints();
+        let mut hosts: Vec<KnownHost> = (0..)
+            .zip(listed.zip(known))
+            .filter(|(server, (listed, _))| {
+                listed.state == EndpointState::Ready && self.is_confirmed(*server)
+            })
+            .map(|(_, (listed, known))| self.host_for_peers(listed, known))
+            .collect();
+        hosts.sort_by_key(|host| host.age_ms);
+        hosts.truncate(MAX_ENDPOINTS_IN_ANSWER);
+        hosts
+    }
+
+    /// Whether an endpoint responded to this proxy or is listed by discovery, and not only known from before a warm start.
+    fn is_confirmed(&self, server: ServerId) -> bool {
+        let Some(start) = self.warm_start_state() else {
+            return true;
+        };
+        let is_trusted = matches!(
+            start.hosts().state(server),
+            EndpointTrustState::Answers | EndpointTrustState::Told
+        );
+        start.stage() == WarmStartStage::Normal || is_trusted
+    }
+
+    fn host_for_peers(&self, listed: ListedEndpoint, known: &KnownEndpoint) -> KnownHost {
+        let discovery_responded_at = self.discovery_watch.last_heard().unwrap_or(self.started_at);
+        let last_news = known.reported_at.max(discovery_responded_at);
+        let weight = if listed.weight.is_finite() {
+            listed.weight
+        } else {
+            DEFAULT_WEIGHT
+        };
+        KnownHost {
+            uid: listed.uid,
+            address: listed.address,
+            zone: listed.zone,
+            cell: listed.cell,
+            weight,
+            started_ms: listed.started_at.map(milliseconds),
+            age_ms: milliseconds(self.now.saturating_sub(last_news)),
+            load_per_connection: load_per_connection(&known.load),
+        }
+    }
+}
+
+fn load_per_connection(load: &Load) -> Option<f64> {
+    let utilization = load.utilization?;
+    let connections = load.connections.filter(|n| *n >= MIN_CONNECTIONS)?;
+    Some(utilization / connections)
+}
+
+fn milliseconds(time: Duration) -> u64 {
+    time.as_millis() as u64
+}
--- a/crates/proxy/src/routing/warm_start.rs
+++ b/crates/proxy/src/routing/warm_start.rs
@@ -95,8 +95,10 @@
     /// Begins by what is known from before: nobody is placed on before it answers, or discovery tells of it.
     pub(super) fn begin_warm_start(&mut self, anew: WarmStartPlan, known: &EndpointList) {
         let (now, rev) = (self.now, known.revision);
-        let others = !anew.others.doors.is_empty();
-        self.resource_budget = self.resource_budget.without(anew.others.doors.len().min(8));
+        let others = !anew.others.addresses.is_empty();
+        self.resource_budget = self
+            .resource_budget
+            .without(anew.others.addresses.len().min(8));
         self.configure_peers(anew.others);
         let terms = WarmStartSettings {
             others,
