--- a/crates/proxy/src/routing/peers/answer.rs
+++ b/crates/proxy/src/routing/peers/answer.rs
@@ -10,7 +10,7 @@
 
 /// Connections from which a server's load shows the load of each.
 const MIN_CONNECTIONS: f64 = 8.0;
-/// Weight that is told of an endpoint whose own is not a number that JSON can express.
+/// Weight given for an endpoint whose own JSON cannot express.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 impl Router {
