--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -211,8 +211,8 @@
     pub(super) fn metrics_text(&self) -> String {
         let listed = self
             .endpoints
-            .hosts()
-            .filter(|host| host.standing != event::EndpointState::Gone)
+            .known_endpoints()
+            .filter(|host| host.state != event::EndpointState::Gone)
             .count();
         let standing = GaugeValues {
             inflight: self.connection_counts.clients(),
@@ -224,10 +224,13 @@
             .session_table
             .zones
             .iter()
-            .flat_map(|places| places.sites.places());
+            .flat_map(|places| places.failover.zones());
         text += &super::metrics::zones_text(self.settings.zones.iter().zip(places));
         text += &super::metrics::load_shed_text(
-            self.settings.listeners.iter().zip(self.admission.counts()),
+            self.settings
+                .listeners
+                .iter()
+                .zip(self.admission.rejection_counts()),
         );
         text += &super::metrics::warm_start_text(self.warm_start_state(), self.snapshot_counts());
         text
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -232,7 +232,7 @@
             return Vec::new();
         };
         let mut told: Vec<ZoneStatus> = Vec::new();
-        for (name, place) in self.settings.zones.iter().zip(places.sites.places()) {
+        for (name, place) in self.settings.zones.iter().zip(places.failover.zones()) {
             told.push(ZoneStatus {
                 name: name.clone(),
                 state: place.state.name().into(),
@@ -241,11 +241,11 @@
                     .now
                     .saturating_sub(place.since.max(self.started_at))
                     .as_millis() as u64,
-                doubts: place.doubts,
+                doubts: place.dropped_suspicions,
                 false_alarms: place.false_alarms,
             });
         }
-        told.sort_by_key(|place| place.state == asterramp_zone_failover::ZoneState::Whole.name());
+        told.sort_by_key(|place| place.state == asterramp_zone_failover::ZoneState::Healthy.name());
         told.truncate(16);
         told
     }
@@ -277,12 +277,12 @@
 
     /// Who was refused for want of room, and what is known of what sessions take; of many listeners the first.
     fn refusals_told(&self) -> Vec<AdmissionStatus> {
-        let taken = self.admission.taken(self.now);
+        let taken = self.admission.session_costs(self.now);
         let all = self
             .settings
             .listeners
             .iter()
-            .zip(self.admission.counts())
+            .zip(self.admission.rejection_counts())
             .zip(taken);
         let told = all.map(|((name, counts), taken)| AdmissionStatus {
             listener: name.clone(),
@@ -292,7 +292,7 @@
                 .filter(|(_, n)| **n > 0)
                 .map(|(why, n)| (why.name().into(), *n))
                 .collect(),
-            takes: taken.map(|t| (t.mean, t.off, t.age.as_millis() as u64)),
+            takes: taken.map(|t| (t.mean, t.mean_deviation, t.age.as_millis() as u64)),
         });
         told.filter(|room| !room.refused.is_empty() || room.takes.is_some())
             .take(16)
@@ -331,13 +331,13 @@
             left,
             hosts_ready: self
                 .endpoints
-                .hosts()
-                .filter(|host| host.standing == EndpointState::Ready)
+                .known_endpoints()
+                .filter(|host| host.state == EndpointState::Ready)
                 .count(),
             hosts: self
                 .endpoints
-                .hosts()
-                .filter(|host| host.standing != EndpointState::Gone)
+                .known_endpoints()
+                .filter(|host| host.state != EndpointState::Gone)
                 .count(),
             discovery_ms: self
                 .discovery_watch
--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -167,11 +167,11 @@
     fn ask_admission(&mut self, request: SessionRequest, failed: bool) -> Result<(), Rejection> {
         let admission_request = AdmissionRequest {
             listener: request.listener,
-            member: request.tenant,
-            again: request.reconnecting,
-            failed,
+            tenant: request.tenant,
+            reconnecting: request.reconnecting,
+            failed_before: failed,
         };
-        self.admission.ask(self.now, admission_request)
+        self.admission.admit(self.now, admission_request)
     }
 
     /// No more connections can be held.
@@ -204,7 +204,7 @@
         self.log_event(ReasonCode::LoadShed, about);
         self.metrics
             .count_session_end(request.listener, SessionEnd::Rejected);
-        self.close_gracefully(key, &[busy_line(rejection.come_back).as_bytes()]);
+        self.close_gracefully(key, &[busy_line(rejection.retry_after).as_bytes()]);
     }
 
     /// Something came on the connection of a session's client.
@@ -253,7 +253,7 @@
         let machine = &slot.machine;
         let listener = &self.settings.listeners[usize::from(machine.request.listener)];
         let server = if machine.dials > 0 {
-            self.endpoints.name(machine.server)
+            self.endpoints.uid(machine.server)
         } else {
             "-"
         };
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -119,9 +119,9 @@
         match (&mut self.session_table.zones, settings) {
             (Some(zones), Some(settings)) => {
                 let own = zone_failover_settings(&self.settings);
-                zones.sites.terms(ZoneFailoverSettings {
-                    may_look: own.may_look,
-                    under_way: own.under_way,
+                zones.failover.set_settings(ZoneFailoverSettings {
+                    probing_allowed: own.probing_allowed,
+                    in_flight_timeout: own.in_flight_timeout,
                     ..settings
                 });
             }
@@ -139,7 +139,7 @@
     /// clients where nothing more is known of them.
     pub fn configure_admission(&mut self, enabled: bool, by_priority_weight: bool) {
         self.admission_enabled = enabled;
-        self.admission.by_worth(by_priority_weight);
+        self.admission.set_rank_by_weight_alone(by_priority_weight);
     }
 
     fn count_event(&mut self, code: ReasonCode) {
@@ -154,25 +154,25 @@
 /// Zone failover's settings as the deployment's own figures have them.
 fn zone_failover_settings(settings: &Settings) -> ZoneFailoverSettings {
     ZoneFailoverSettings {
-        may_look: settings.deployment.may_probe,
+        probing_allowed: settings.deployment.may_probe,
         // A probe has so long to connect, and twice as long to answer.
-        under_way: settings.connect_timeout * 3,
+        in_flight_timeout: settings.connect_timeout * 3,
         ..ZoneFailoverSettings::default()
     }
 }
 
 /// Admission control's settings: sessions are admitted by their listener's priority weight and their tenant's share.
 fn admission_settings(settings: &Settings) -> asterramp_admission::AdmissionSettings {
-    let worths = settings
+    let priority_weights = settings
         .deployment
         .listeners
         .iter()
         .map(|listener| listener.priority_weight)
         .collect();
     asterramp_admission::AdmissionSettings {
-        worths,
-        portions: settings.tenant_shares.clone(),
-        longest: settings.deployment.max_retry_after,
-        by_worth: false,
+        priority_weights,
+        quotas: settings.tenant_shares.clone(),
+        max_retry_after: settings.deployment.max_retry_after,
+        rank_by_weight_alone: false,
     }
 }
--- a/crates/proxy/src/routing/session_table.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -156,9 +156,9 @@
         let server = self.sessions.get(session).map(|slot| slot.machine.server);
         if let (Some(zones), Some(server)) = (&mut self.zones, server) {
             if answered {
-                zones.sites.sound(now, server);
+                zones.failover.server_responded(now, server);
             } else {
-                zones.sites.sign(now, server);
+                zones.failover.server_failed(now, server);
             }
             self.settle(now);
         }
@@ -167,7 +167,7 @@
     /// Discovery is alive, though it has nothing new to say.
     pub fn note_discovery_alive(&mut self, now: Duration) {
         if let Some(zones) = &mut self.zones {
-            zones.sites.told(now);
+            zones.failover.discovery_responded(now);
             self.settle(now);
         }
     }
@@ -196,7 +196,7 @@
     /// Queues what was decided of zones: events for the engine, changes of state for the log.
     fn collect_zone_decisions(&mut self) {
         if let Some(zones) = &mut self.zones {
-            zones.decide(&mut self.events, &mut self.transitions);
+            zones.take_decisions(&mut self.events, &mut self.transitions);
             self.tasks
                 .extend(self.transitions.drain(..).map(SessionTask::ZoneChanged));
         }
@@ -231,7 +231,7 @@
         let server = key
             .and_then(|key| self.sessions.get(key))
             .map(|slot| slot.machine.server);
-        zones.hears(now, event, server);
+        zones.observe(now, event, server);
     }
 
     /// Carries out an action of the engine, on its session or as a task.
--- a/crates/proxy/src/routing/session_tasks.rs
+++ b/crates/proxy/src/routing/session_tasks.rs
@@ -53,12 +53,14 @@
         }
     }
 
-    fn log_zone_change(&mut self, (zone, state, why): ZoneTransition) {
+    fn log_zone_change(&mut self, transition: ZoneTransition) {
+        let ZoneTransition { zone, state, cause } = transition;
         let name = self
             .settings
             .zones
             .get(usize::from(zone))
             .map_or("-", |name| name.as_str());
+        let why = cause.reason();
         let about = format!("place={name} state={} why={why:?}", state.name());
         self.log_event(ReasonCode::ZoneStateChanged, about);
     }
