--- a/crates/proxy/src/protocol/client.rs
+++ b/crates/proxy/src/protocol/client.rs
@@ -1,108 +1,160 @@
-//! What clients and the front say first, and what they are told.
+//! The first line of a client or of the front proxy, and the lines that they are answered with.
 
 use super::line::LineError;
 use std::ops::Range;
 use std::time::Duration;
 
-/// Longer waits than this nobody means; servers turn them away.
-const LONGEST_WAIT: f64 = 3_600_000.0;
+/// Longest wait in milliseconds, an hour: no client means a longer one, and servers reject it.
+const MAX_WAIT_MS: f64 = 3_600_000.0;
+/// Most digits of a hexadecimal number of 64 bits.
+const MAX_HEX_DIGITS: usize = 16;
 
+/// What a connection begins with.
 #[derive(Debug, PartialEq)]
 pub enum ClientGreeting<'a> {
+    /// The front's health check.
     Ping,
+    /// A client's request for a session.
     Open(OpenRequest<'a>),
 }
 
+/// A client's request for a session: `OPEN <id> <key> <name>=<value>,...`.
 #[derive(Debug, PartialEq)]
 pub struct OpenRequest<'a> {
+    /// The client's name for the session.
     pub id: &'a str,
+    /// By which the choice of a server is hashed.
     pub key: u64,
+    /// The listener's name (`c`).
     pub listener: &'a str,
+    /// The tenant's name (`t`).
     pub tenant: Option<&'a str>,
-    /// How long the client waits, and where that stands in the line; only a connection that was open before
-    /// may come without.
+    /// How long the client waits (`d`); may be absent only in a session that was open before the proxy started, and
+    /// is zero then.
     pub wait: Duration,
+    /// Where the value of `d` is in the line.
     pub wait_range: Range<usize>,
+    /// Connections of one group share work (`g`).
     pub group: Option<u64>,
-    /// The client was connected before.
+    /// The client was connected before (`again`).
     pub reconnecting: bool,
-    /// It says that an earlier try failed.
+    /// The client says that an earlier attempt failed (`r`).
     pub earlier_attempt_failed: bool,
-    /// The server at which the connection was open before this proxy started.
+    /// The server at which the session was open before the proxy started (`at`).
     pub inherited_from: Option<&'a str>,
 }
 
+/// The answer to a health check.
 pub const PONG_LINE: &[u8] = b"PONG\r\n";
+/// The request failed.
 pub const ERROR_LINE: &[u8] = b"ERR\r\n";
+/// The client shall connect again elsewhere.
 pub const MOVE_LINE: &[u8] = b"MOVE\r\n";
 
-pub fn busy_line(come_back: Duration) -> String {
-    match come_back.as_millis() {
+/// The rejection of a request, with the time after which to retry in milliseconds unless that is zero.
+pub fn busy_line(retry_after: Duration) -> String {
+    match retry_after.as_millis() {
         0 => "BUSY\r\n".into(),
         ms => format!("BUSY {ms}\r\n"),
     }
 }
 
-fn number(hex: &str) -> Option<u64> {
-    u64::from_str_radix(hex, 16)
-        .ok()
-        .filter(|_| hex.len() <= 16)
-}
-
-/// Figures that this program does not use may follow under names of their own.
+/// Parses a connection's first line, which comes without its end.
+///
+/// Fields of names that the proxy doesn't use are passed over. Fails where the line is none of the greetings, or names
+/// the field that is missing or wrong.
 pub fn parse_greeting(line: &str) -> Result<ClientGreeting<'_>, LineError> {
     if line == "PING" {
         return Ok(ClientGreeting::Ping);
     }
     let rest = line.strip_prefix("OPEN ").ok_or(LineError::Unknown)?;
     let (id, rest) = rest.split_once(' ').ok_or(LineError::Malformed("id"))?;
-    let (item, list) = rest.split_once(' ').ok_or(LineError::Malformed("key"))?;
+    let (key, list) = rest.split_once(' ').ok_or(LineError::Malformed("key"))?;
     if id.is_empty() || list.contains(' ') {
         return Err(LineError::Malformed("list"));
     }
-    let item = number(item).ok_or(LineError::Malformed("key"))?;
-    let (mut listener, mut member, mut wait, mut group, mut open_at) =
-        (None, None, None, None, None);
-    let (mut again, mut failed) = (false, false);
-    let mut at = line.len() - list.len();
+    let key = parse_hex(key).ok_or(LineError::Malformed("key"))?;
+    let fields = parse_fields(line, list)?;
+    let (wait, wait_range) = fields.wait()?;
+    Ok(ClientGreeting::Open(OpenRequest {
+        id,
+        key,
+        listener: fields.listener.ok_or(LineError::Malformed("c"))?,
+        tenant: fields.tenant,
+        wait,
+        wait_range,
+        group: fields.group,
+        reconnecting: fields.reconnecting,
+        earlier_attempt_failed: fields.earlier_attempt_failed,
+        inherited_from: fields.inherited_from,
+    }))
+}
+
+/// The fields of a request in any order; of a repeated one the last.
+#[derive(Default)]
+struct OpenFields<'a> {
+    listener: Option<&'a str>,
+    tenant: Option<&'a str>,
+    wait_ms: Option<(f64, Range<usize>)>,
+    group: Option<u64>,
+    reconnecting: bool,
+    earlier_attempt_failed: bool,
+    inherited_from: Option<&'a str>,
+}
+
+/// Parses the fields in `list`, with which `line` ends.
+fn parse_fields<'a>(line: &str, list: &'a str) -> Result<OpenFields<'a>, LineError> {
+    let mut fields = OpenFields::default();
+    let mut offset = line.len() - list.len();
     for pair in list.split(',') {
         let (name, value) = pair.split_once('=').ok_or(LineError::Malformed("pair"))?;
-        let value_at = at + name.len() + 1..at + pair.len();
-        at += pair.len() + 1;
+        let value_range = offset + name.len() + 1..offset + pair.len();
+        offset += pair.len() + 1;
         match name {
-            "c" => listener = Some(value),
-            "t" => member = Some(value),
-            "g" => group = Some(number(value).ok_or(LineError::Malformed("g"))?),
-            "again" => again = value == "1",
-            "r" => failed = value == "1",
-            "at" => open_at = Some(value),
+            "c" => fields.listener = Some(value),
+            "t" => fields.tenant = Some(value),
+            "g" => fields.group = Some(parse_hex(value).ok_or(LineError::Malformed("g"))?),
+            "again" => fields.reconnecting = value == "1",
+            "r" => fields.earlier_attempt_failed = value == "1",
+            "at" => fields.inherited_from = Some(value),
             "d" => {
-                let digits = value.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-                let ms = value
-                    .parse()
-                    .ok()
-                    .filter(|ms: &f64| digits && ms.is_finite());
-                wait = Some((ms.ok_or(LineError::Malformed("d"))?, value_at));
+                let wait_ms = parse_milliseconds(value).ok_or(LineError::Malformed("d"))?;
+                fields.wait_ms = Some((wait_ms, value_range));
             }
             _ => {}
         }
     }
-    // One that was open before waits for nothing.
-    let wait = wait.or(open_at.map(|_| (0.0, 0..0)));
-    let meant = wait.filter(|(ms, _)| *ms <= LONGEST_WAIT || open_at.is_some());
-    let (ms, wait_at) = meant.ok_or(LineError::Malformed("d"))?;
-    let wait = Duration::from_secs_f64(ms.min(LONGEST_WAIT) / 1e3);
-    let listener = listener.ok_or(LineError::Malformed("c"))?;
-    Ok(ClientGreeting::Open(OpenRequest {
-        id,
-        key: item,
-        listener,
-        tenant: member,
-        wait,
-        wait_range: wait_at,
-        group,
-        reconnecting: again,
-        earlier_attempt_failed: failed,
-        inherited_from: open_at,
-    }))
+    Ok(fields)
+}
+
+impl OpenFields<'_> {
+    /// How long the client waits, and where that is in the line.
+    fn wait(&self) -> Result<(Duration, Range<usize>), LineError> {
+        let inherited = self.inherited_from.is_some();
+        let (wait_ms, range) = match &self.wait_ms {
+            Some((wait_ms, range)) => (*wait_ms, range.clone()),
+            // A session that is open already waits for nothing.
+            None if inherited => (0.0, 0..0),
+            None => return Err(LineError::Malformed("d")),
+        };
+        if wait_ms > MAX_WAIT_MS && !inherited {
+            return Err(LineError::Malformed("d"));
+        }
+        let wait = Duration::from_secs_f64(wait_ms.min(MAX_WAIT_MS) / 1e3);
+        Ok((wait, range))
+    }
+}
+
+fn parse_hex(digits: &str) -> Option<u64> {
+    let number = u64::from_str_radix(digits, 16).ok()?;
+    Some(number).filter(|_| digits.len() <= MAX_HEX_DIGITS)
+}
+
+/// A plain decimal number; signs, exponents and words such as `inf` are none.
+fn parse_milliseconds(text: &str) -> Option<f64> {
+    let plain = text
+        .bytes()
+        .all(|byte| byte.is_ascii_digit() || byte == b'.');
+    let milliseconds: f64 = text.parse().ok()?;
+    Some(milliseconds).filter(|value| plain && value.is_finite())
 }
--- a/crates/proxy/src/protocol/http_client.rs
+++ b/crates/proxy/src/protocol/http_client.rs
@@ -1,125 +1,170 @@
-//! As much of HTTP/1.1 as a watch needs: a request, and a chunked answer taken apart into lines.
+//! As much of HTTP/1.1 as a discovery watch needs: its request, and a chunked response taken apart into lines.
 
-use super::line::LineError;
+use thiserror::Error;
 
-const LONGEST_HEAD: usize = 8192;
-/// Longest line of the body: a list of some ten thousand servers.
-const LONGEST_LINE: usize = 4 << 20;
+/// Longest head, and longest line between two chunks, in bytes.
+const MAX_HEAD_LENGTH: usize = 8192;
+/// Longest line of the body in bytes: a list of some ten thousand endpoints.
+const MAX_BODY_LINE_LENGTH: usize = 4 << 20;
+/// The end of a head.
+const HEAD_END: &[u8] = b"\r\n\r\n";
+/// The end of a line between chunks.
+const LINE_END: &[u8] = b"\r\n";
+/// The only status with which a watch goes on.
+const STATUS_OK: u16 = 200;
 
-pub fn watch_request(host: &str, after: u64) -> String {
-    format!("GET /discovery/hosts?stream=1&index={after} HTTP/1.1\r\nHost: {host}\r\n\r\n")
+/// The request for a watch that tells of changes after a revision.
+pub fn watch_request(host: &str, after_revision: u64) -> String {
+    format!("GET /discovery/hosts?stream=1&index={after_revision} HTTP/1.1\r\nHost: {host}\r\n\r\n")
 }
 
+/// Why a response can't be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum HttpResponseError {
+    /// The head, a line between chunks or a line of the body is longer than its bound.
+    #[error("too long")]
+    TooLong,
+    /// The head or a line between chunks is not UTF-8.
+    #[error("not text")]
+    NotText,
+    /// The named part can't be parsed.
+    #[error("malformed {0}")]
+    Malformed(&'static str),
+    /// Another status than 200.
+    #[error("status {0}")]
+    Status(u16),
+}
+
+/// What comes next in a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Part {
+enum ResponseState {
     #[default]
     Head,
-    Size,
-    Data(usize),
+    ChunkSize,
+    /// So many bytes of a chunk's data.
+    ChunkData(usize),
     /// The line end behind a chunk's data.
-    DataEnd,
-    /// What follows the last chunk.
-    Over,
+    ChunkEnd,
+    /// Nothing that counts: the last chunk has come.
+    Complete,
 }
 
-/// A chunked answer as it comes, in pieces of any size.
+/// Parses a chunked response as it comes, in pieces of any size.
 #[derive(Debug, Default)]
 pub struct ChunkedResponse {
-    part: Part,
-    text: Vec<u8>,
-    line: Vec<u8>,
+    state: ResponseState,
+    /// The incomplete head, or the incomplete line between chunks.
+    framing: Vec<u8>,
+    /// The incomplete line of the body.
+    body_line: Vec<u8>,
 }
 
 impl ChunkedResponse {
-    /// Whether the head is read and was good.
-    pub fn has_head(&self) -> bool {
-        self.part != Part::Head
-    }
-
+    /// Whether the last chunk has come.
     pub fn is_complete(&self) -> bool {
-        self.part == Part::Over
+        self.state == ResponseState::Complete
     }
 
-    /// Takes bytes in and adds the lines that they complete, blank ones too.
-    pub fn feed(&mut self, mut bytes: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), LineError> {
-        while let Some(&byte) = bytes.first() {
-            if let Part::Data(left) = self.part {
-                let (data, rest) = bytes.split_at(left.min(bytes.len()));
-                self.data(data, lines)?;
-                bytes = rest;
-                self.part = if data.len() == left {
-                    Part::DataEnd
-                } else {
-                    Part::Data(left - data.len())
-                };
-                continue;
-            }
-            bytes = &bytes[1..];
-            if self.part == Part::Over {
-                continue;
-            }
-            self.text.push(byte);
-            if self.text.len() > LONGEST_HEAD {
-                return Err(LineError::TooLong);
-            }
-            let whole = if self.part == Part::Head {
-                &b"\r\n\r\n"[..]
-            } else {
-                &b"\r\n"[..]
-            };
-            if self.text.ends_with(whole) {
-                let text = std::mem::take(&mut self.text);
-                let text = std::str::from_utf8(&text).map_err(|_| LineError::NotText)?;
-                self.part = self.next(text.trim_end())?;
+    /// Takes bytes in and adds the lines of the body that they complete, without white space around them and blank
+    /// ones too. After an error the response is of no more use.
+    pub fn feed(
+        &mut self,
+        mut bytes: &[u8],
+        lines: &mut Vec<Vec<u8>>,
+    ) -> Result<(), HttpResponseError> {
+        while let Some((&byte, after)) = bytes.split_first() {
+            match self.state {
+                ResponseState::ChunkData(expected) => {
+                    let (data, rest) = bytes.split_at(expected.min(bytes.len()));
+                    self.take_data(data, lines)?;
+                    bytes = rest;
+                    self.state = if data.len() == expected {
+                        ResponseState::ChunkEnd
+                    } else {
+                        ResponseState::ChunkData(expected - data.len())
+                    };
+                }
+                ResponseState::Complete => return Ok(()),
+                ResponseState::Head | ResponseState::ChunkSize | ResponseState::ChunkEnd => {
+                    self.take_framing(byte)?;
+                    bytes = after;
+                }
             }
         }
         Ok(())
     }
 
-    fn next(&self, text: &str) -> Result<Part, LineError> {
-        match self.part {
-            Part::Head => {
-                let mut lines = text.split("\r\n");
-                let status = lines
-                    .next()
-                    .and_then(|line| line.split(' ').nth(1)?.parse().ok());
-                let chunked = lines
-                    .filter_map(|line| line.split_once(':'))
-                    .any(|(name, value)| {
-                        name.eq_ignore_ascii_case("transfer-encoding")
-                            && value.trim().eq_ignore_ascii_case("chunked")
-                    });
-                match status {
-                    Some(200) if chunked => Ok(Part::Size),
-                    Some(status) if status != 200 => Err(LineError::Status(status)),
-                    _ => Err(LineError::Malformed("head")),
-                }
-            }
-            Part::Size => {
-                let digits = text.split(';').next().unwrap_or_default().trim();
-                let size = usize::from_str_radix(digits, 16)
-                    .map_err(|_| LineError::Malformed("chunk size"))?;
-                Ok(if size == 0 {
-                    Part::Over
-                } else {
-                    Part::Data(size)
-                })
-            }
-            _ if text.is_empty() => Ok(Part::Size),
-            _ => Err(LineError::Malformed("chunk end")),
+    /// Takes one byte of the head or of a line between chunks.
+    fn take_framing(&mut self, byte: u8) -> Result<(), HttpResponseError> {
+        self.framing.push(byte);
+        if self.framing.len() > MAX_HEAD_LENGTH {
+            return Err(HttpResponseError::TooLong);
+        }
+        let end = if self.state == ResponseState::Head {
+            HEAD_END
+        } else {
+            LINE_END
+        };
+        if self.framing.ends_with(end) {
+            let text = std::mem::take(&mut self.framing);
+            let text = std::str::from_utf8(&text).map_err(|_| HttpResponseError::NotText)?;
+            self.state = self.state_after(text.trim_end())?;
+        }
+        Ok(())
+    }
+
+    fn state_after(&self, text: &str) -> Result<ResponseState, HttpResponseError> {
+        match self.state {
+            ResponseState::Head => check_head(text).map(|()| ResponseState::ChunkSize),
+            ResponseState::ChunkSize => Ok(match parse_chunk_size(text)? {
+                0 => ResponseState::Complete,
+                size => ResponseState::ChunkData(size),
+            }),
+            _ if text.is_empty() => Ok(ResponseState::ChunkSize),
+            _ => Err(HttpResponseError::Malformed("chunk end")),
         }
     }
 
-    fn data(&mut self, data: &[u8], lines: &mut Vec<Vec<u8>>) -> Result<(), LineError> {
-        for piece in data.split_inclusive(|b| *b == b'\n') {
-            if self.line.len() + piece.len() > LONGEST_LINE {
-                return Err(LineError::TooLong);
+    fn take_data(
+        &mut self,
+        data: &[u8],
+        lines: &mut Vec<Vec<u8>>,
+    ) -> Result<(), HttpResponseError> {
+        for piece in data.split_inclusive(|byte| *byte == b'\n') {
+            if self.body_line.len() + piece.len() > MAX_BODY_LINE_LENGTH {
+                return Err(HttpResponseError::TooLong);
             }
-            self.line.extend_from_slice(piece);
-            if self.line.last() == Some(&b'\n') {
-                lines.push(std::mem::take(&mut self.line).trim_ascii().to_vec());
+            self.body_line.extend_from_slice(piece);
+            if self.body_line.last() == Some(&b'\n') {
+                let line = std::mem::take(&mut self.body_line);
+                lines.push(line.trim_ascii().to_vec());
             }
         }
         Ok(())
     }
 }
+
+/// A head is good where its status is 200 and its body chunked.
+fn check_head(head: &str) -> Result<(), HttpResponseError> {
+    let mut lines = head.split("\r\n");
+    let status: Option<u16> = lines
+        .next()
+        .and_then(|line| line.split(' ').nth(1)?.parse().ok());
+    let chunked = lines
+        .filter_map(|line| line.split_once(':'))
+        .any(|(name, value)| {
+            name.eq_ignore_ascii_case("transfer-encoding")
+                && value.trim().eq_ignore_ascii_case("chunked")
+        });
+    match status {
+        Some(STATUS_OK) if chunked => Ok(()),
+        Some(status) if status != STATUS_OK => Err(HttpResponseError::Status(status)),
+        _ => Err(HttpResponseError::Malformed("head")),
+    }
+}
+
+/// The size in a chunk's first line; extensions behind it don't count.
+fn parse_chunk_size(line: &str) -> Result<usize, HttpResponseError> {
+    let digits = line.split(';').next().unwrap_or_default().trim();
+    usize::from_str_radix(digits, 16).map_err(|_| HttpResponseError::Malformed("chunk size"))
+}
--- a/crates/proxy/src/protocol/http_server.rs
+++ b/crates/proxy/src/protocol/http_server.rs
@@ -1,150 +1,189 @@
-//! Operators' calls: HTTP/1.1, one a connection. A second call behind the first is not looked at.
+//! Operators' calls: requests and responses of HTTP/1.1, one for each connection. A second request behind the first is
+//! not looked at.
 
-/// Longest head, and longest body.
+use thiserror::Error;
+
+/// Longest head of a request, in bytes without its end.
 pub const MAX_HEAD_LENGTH: usize = 4096;
-const LONGEST_BODY: usize = 2048;
-const END: &[u8] = b"\r\n\r\n";
+/// Longest body of a request, in bytes.
+const MAX_BODY_LENGTH: usize = 2048;
+/// The end of a head.
+const HEAD_END: &[u8] = b"\r\n\r\n";
+/// The only version that is spoken.
+const HTTP_VERSION: &str = "HTTP/1.1";
 
+/// A request, whose body has come and is not looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpRequest<'a> {
+    /// The method, in capital letters.
     pub method: &'a str,
-    /// Without a query.
+    /// The path without a query.
     pub path: &'a str,
 }
 
-/// An answer's status; its text is all that the answer's body says beside figures.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// A response's status. As an error it shows its explanation, which is also the body of a response that has no other.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpStatus {
+    /// 200.
+    #[error("yes")]
     Ok,
+    /// 400, and why.
+    #[error("{0}")]
     BadRequest(&'static str),
+    /// 404.
+    #[error("nothing is called by this path")]
     NotFound,
-    /// The method that the path is called with.
+    /// 405, and the method that the path has.
+    #[error("another method is allowed")]
     MethodNotAllowed(&'static str),
+    /// 408.
+    #[error("the call did not come in time")]
     RequestTimeout,
+    /// 411.
+    #[error("a body needs its length")]
     LengthRequired,
+    /// 413: the body is longer than two KiB.
+    #[error("the body is too long")]
     ContentTooLarge,
+    /// 431: the head is longer than [`MAX_HEAD_LENGTH`].
+    #[error("the head is too long")]
     HeaderFieldsTooLarge,
+    /// 503, and why.
+    #[error("{0}")]
     ServiceUnavailable(&'static str),
+    /// 505: another version than 1.1.
+    #[error("only HTTP/1.1 is spoken")]
     VersionNotSupported,
 }
 
+const BAD_REQUEST_LINE: HttpStatus =
+    HttpStatus::BadRequest("the first line is not a method, a path and a version");
+const BAD_LENGTH: HttpStatus = HttpStatus::BadRequest("the body's length is none");
+
 impl HttpStatus {
-    fn parts(self) -> (u16, &'static str, &'static str) {
+    /// The status's number and its standard phrase.
+    fn code_and_phrase(self) -> (u16, &'static str) {
         match self {
-            HttpStatus::Ok => (200, "OK", "yes"),
-            HttpStatus::BadRequest(why) => (400, "Bad Request", why),
-            HttpStatus::NotFound => (404, "Not Found", "nothing is called by this path"),
-            HttpStatus::MethodNotAllowed(_) => {
-                (405, "Method Not Allowed", "another method is allowed")
-            }
-            HttpStatus::RequestTimeout => (408, "Request Timeout", "the call did not come in time"),
-            HttpStatus::LengthRequired => (411, "Length Required", "a body needs its length"),
-            HttpStatus::ContentTooLarge => (413, "Content Too Large", "the body is too long"),
-            HttpStatus::HeaderFieldsTooLarge => (
-                431,
-                "Request Header Fields Too Large",
-                "the head is too long",
-            ),
-            HttpStatus::ServiceUnavailable(why) => (503, "Service Unavailable", why),
-            HttpStatus::VersionNotSupported => {
-                (505, "HTTP Version Not Supported", "only HTTP/1.1 is spoken")
-            }
+            HttpStatus::Ok => (200, "OK"),
+            HttpStatus::BadRequest(_) => (400, "Bad Request"),
+            HttpStatus::NotFound => (404, "Not Found"),
+            HttpStatus::MethodNotAllowed(_) => (405, "Method Not Allowed"),
+            HttpStatus::RequestTimeout => (408, "Request Timeout"),
+            HttpStatus::LengthRequired => (411, "Length Required"),
+            HttpStatus::ContentTooLarge => (413, "Content Too Large"),
+            HttpStatus::HeaderFieldsTooLarge => (431, "Request Header Fields Too Large"),
+            HttpStatus::ServiceUnavailable(_) => (503, "Service Unavailable"),
+            HttpStatus::VersionNotSupported => (505, "HTTP Version Not Supported"),
         }
     }
 
-    pub fn explanation(self) -> &'static str {
-        self.parts().2
+    /// What the status means, in a few words.
+    pub fn explanation(self) -> String {
+        self.to_string()
     }
 }
 
-/// A whole answer; without a text it says what the status means.
-pub fn response_text(status: HttpStatus, text: Option<&str>) -> String {
-    let (code, reason, why) = status.parts();
-    let allow = if let HttpStatus::MethodNotAllowed(method) = status {
-        format!("Allow: {method}\r\n")
-    } else {
-        "".into()
+/// A complete response; without a body of its own it has the status's explanation as one.
+pub fn response_text(status: HttpStatus, body: Option<&str>) -> String {
+    let (code, phrase) = status.code_and_phrase();
+    let allow = match status {
+        HttpStatus::MethodNotAllowed(method) => format!("Allow: {method}\r\n"),
+        _ => String::new(),
     };
-    let body = text.map_or_else(|| format!("{why}\n"), String::from);
-    let (kind, n) = ("Content-Type: text/plain; charset=utf-8", body.len());
+    let body = body.map_or_else(|| format!("{status}\n"), String::from);
+    let length = body.len();
     format!(
-        "HTTP/1.1 {code} {reason}\r\n{kind}\r\nContent-Length: {n}\r\n{allow}Connection: close\r\n\r\n{body}"
+        "{HTTP_VERSION} {code} {phrase}\r\nContent-Type: text/plain; charset=utf-8\r\n\
+         Content-Length: {length}\r\n{allow}Connection: close\r\n\r\n{body}"
     )
 }
 
-/// The call in `bytes`, once it is whole with its body; `None` while it is not.
+/// Parses the request in `bytes` once it has come with its body; `None` while it has not.
+///
+/// Fails with the status to respond with.
 pub fn parse(bytes: &[u8]) -> Result<Option<HttpRequest<'_>>, HttpStatus> {
-    let Some(end) = bytes.windows(END.len()).position(|four| four == END) else {
-        return if bytes.len() > MAX_HEAD_LENGTH {
-            Err(HttpStatus::HeaderFieldsTooLarge)
-        } else {
-            Ok(None)
-        };
-    };
-    if end > MAX_HEAD_LENGTH {
+    let head_length = bytes
+        .windows(HEAD_END.len())
+        .position(|window| window == HEAD_END);
+    if head_length.unwrap_or(bytes.len()) > MAX_HEAD_LENGTH {
         return Err(HttpStatus::HeaderFieldsTooLarge);
     }
-    let head = std::str::from_utf8(&bytes[..end])
+    let Some(head_length) = head_length else {
+        return Ok(None);
+    };
+    let head = std::str::from_utf8(&bytes[..head_length])
         .map_err(|_| HttpStatus::BadRequest("the head is not text"))?;
     let mut lines = head.split("\r\n");
-    let mut words = lines.next().unwrap_or_default().split(' ');
-    let (Some(method), Some(path), Some(version), None) =
+    let (method, target) = parse_request_line(lines.next().unwrap_or_default())?;
+    let body_length = parse_body_length(lines)?;
+    if body_length > MAX_BODY_LENGTH {
+        return Err(HttpStatus::ContentTooLarge);
+    }
+    let received = bytes.len() - head_length - HEAD_END.len();
+    if received < body_length {
+        return Ok(None);
+    }
+    let path = target.split('?').next().unwrap_or_default();
+    Ok(Some(HttpRequest { method, path }))
+}
+
+/// The method and the target in a request's first line.
+fn parse_request_line(line: &str) -> Result<(&str, &str), HttpStatus> {
+    let mut words = line.split(' ');
+    let (Some(method), Some(target), Some(version), None) =
         (words.next(), words.next(), words.next(), words.next())
     else {
-        return Err(HttpStatus::BadRequest(
-            "the first line is not a method, a path and a version",
-        ));
+        return Err(BAD_REQUEST_LINE);
     };
-    if version != "HTTP/1.1" {
-        let known = version.starts_with("HTTP/");
-        return Err(if known {
+    if version != HTTP_VERSION {
+        return Err(if version.starts_with("HTTP/") {
             HttpStatus::VersionNotSupported
         } else {
             HttpStatus::BadRequest("the version is none")
         });
     }
-    if method.is_empty()
-        || !method.bytes().all(|b| b.is_ascii_uppercase())
-        || !path.starts_with('/')
-    {
-        return Err(HttpStatus::BadRequest(
-            "the first line is not a method, a path and a version",
-        ));
+    let is_method = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase());
+    if !is_method || !target.starts_with('/') {
+        return Err(BAD_REQUEST_LINE);
     }
-    let (mut hosts, mut length) = (0, None);
-    for line in lines {
-        let (name, value) = line
+    Ok((method, target))
+}
+
+/// The body's length that the headers name, or zero; checks the headers on the way.
+fn parse_body_length<'a>(headers: impl Iterator<Item = &'a str>) -> Result<usize, HttpStatus> {
+    let mut host_headers = 0;
+    let mut body_length = None;
+    for header in headers {
+        let (name, value) = header
             .split_once(':')
             .ok_or(HttpStatus::BadRequest("a header has no colon"))?;
-        if name.is_empty() || name.bytes().any(|b| b.is_ascii_whitespace()) {
+        if name.is_empty() || name.bytes().any(|byte| byte.is_ascii_whitespace()) {
             return Err(HttpStatus::BadRequest("a header's name is none"));
         }
-        let (is, value) = (|known: &str| name.eq_ignore_ascii_case(known), value.trim());
-        if is("host") {
-            hosts += 1;
-        } else if is("transfer-encoding") {
+        if name.eq_ignore_ascii_case("host") {
+            host_headers += 1;
+        } else if name.eq_ignore_ascii_case("transfer-encoding") {
             return Err(HttpStatus::LengthRequired);
-        } else if is("content-length") {
-            let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
-            let bad = HttpStatus::BadRequest("the body's length is none");
-            let told = if digits {
-                value.parse::<usize>().unwrap_or(usize::MAX)
-            } else {
-                return Err(bad);
-            };
-            if length.replace(told).is_some_and(|before| before != told) {
-                return Err(bad);
+        } else if name.eq_ignore_ascii_case("content-length") {
+            let length = parse_content_length(value.trim())?;
+            if body_length
+                .replace(length)
+                .is_some_and(|before| before != length)
+            {
+                return Err(BAD_LENGTH);
             }
         }
     }
-    if hosts != 1 {
+    if host_headers != 1 {
         return Err(HttpStatus::BadRequest("a call names its host once"));
     }
-    let length = length.unwrap_or(0);
-    if length > LONGEST_BODY {
-        return Err(HttpStatus::ContentTooLarge);
+    Ok(body_length.unwrap_or(0))
+}
+
+fn parse_content_length(digits: &str) -> Result<usize, HttpStatus> {
+    if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
+        return Err(BAD_LENGTH);
     }
-    let whole = bytes.len() - end - END.len() >= length;
-    let path = path.split('?').next().unwrap_or_default();
-    Ok(whole.then_some(HttpRequest { method, path }))
+    // A number that doesn't fit is a body that is too long.
+    Ok(digits.parse().unwrap_or(usize::MAX))
 }
--- a/crates/proxy/src/protocol/json.rs
+++ b/crates/proxy/src/protocol/json.rs
@@ -1,20 +1,33 @@
-//! The one reader of JSON: discovery's lists and the configuration.
+//! A JSON parser for input from outside: discovery's lists and the configuration.
+//!
+//! Unlike a parser into fixed types it keeps numbers as they are written, so that the reader of a value chooses its
+//! type, and bounds the depth.
 
-/// How deep values may lie in each other.
-const DEPTH: usize = 24;
+use std::str::{FromStr, Utf8Error};
+use thiserror::Error;
 
+/// How deep lists and objects may be nested, so that the recursion is bounded.
+const MAX_DEPTH: usize = 24;
+
+/// A JSON value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JsonValue {
+    /// `null`.
     Null,
+    /// `true` or `false`.
     Bool(bool),
-    /// As it was written, so that whoever wants it chooses its type.
+    /// A number as it is written.
     Number(String),
+    /// A text without its escapes.
     String(String),
+    /// A list.
     Array(Vec<JsonValue>),
+    /// Pairs in the order in which they are written.
     Object(Vec<(String, JsonValue)>),
 }
 
 impl JsonValue {
+    /// The value under a name, of several the first; `None` where this is no object or has none.
     pub fn get(&self, name: &str) -> Option<&JsonValue> {
         let JsonValue::Object(pairs) = self else {
             return None;
@@ -22,239 +35,324 @@
         pairs.iter().find(|pair| pair.0 == name).map(|pair| &pair.1)
     }
 
+    /// The text, if this is one.
     pub fn as_str(&self) -> Option<&str> {
-        if let JsonValue::String(text) = self {
-            Some(text)
-        } else {
-            None
+        match self {
+            JsonValue::String(text) => Some(text),
+            _ => None,
         }
     }
 
-    pub fn parse_number<T: std::str::FromStr>(&self) -> Option<T> {
-        if let JsonValue::Number(text) = self {
-            text.parse().ok()
-        } else {
-            None
+    /// The number, if this is one that the type can hold.
+    pub fn parse_number<T: FromStr>(&self) -> Option<T> {
+        match self {
+            JsonValue::Number(text) => text.parse().ok(),
+            _ => None,
         }
     }
 
+    /// The items, if this is a list.
     pub fn as_array(&self) -> Option<&[JsonValue]> {
-        if let JsonValue::Array(items) = self {
-            Some(items)
-        } else {
-            None
+        match self {
+            JsonValue::Array(items) => Some(items),
+            _ => None,
         }
     }
 
-    /// Paths and values as the settings' flat form has them: items of a list stand under their numbers with
-    /// the `count` beside them, plain ones in one value joined by commas.
+    /// Appends paths and values in the settings' flat form.
+    ///
+    /// A list of lists or objects becomes its items under their indices and their `count`; any other list becomes one
+    /// value, joined by commas.
     pub fn flatten(&self, path: &str, out: &mut Vec<(String, String)>) {
-        let under = |name: &str| {
-            if path.is_empty() {
-                name.to_string()
-            } else {
-                format!("{path}.{name}")
-            }
-        };
         match self {
-            JsonValue::Object(pairs) => pairs
-                .iter()
-                .for_each(|(name, value)| value.flatten(&under(name), out)),
-            JsonValue::Array(items)
-                if items
-                    .iter()
-                    .any(|i| matches!(i, JsonValue::Object(_) | JsonValue::Array(_))) =>
-            {
-                out.push((under("count"), items.len().to_string()));
-                items
-                    .iter()
-                    .enumerate()
-                    .for_each(|(nth, item)| item.flatten(&under(&nth.to_string()), out));
+            JsonValue::Object(pairs) => {
+                for (name, value) in pairs {
+                    value.flatten(&join_path(path, name), out);
+                }
+            }
+            JsonValue::Array(items) if items.iter().any(JsonValue::is_nested) => {
+                out.push((join_path(path, "count"), items.len().to_string()));
+                for (index, item) in items.iter().enumerate() {
+                    item.flatten(&join_path(path, &index.to_string()), out);
+                }
             }
             JsonValue::Array(items) => {
-                let plain: Vec<String> = items.iter().map(JsonValue::plain).collect();
-                out.push((path.to_string(), plain.join(",")));
+                let texts: Vec<String> = items.iter().map(JsonValue::flat_text).collect();
+                out.push((path.to_string(), texts.join(",")));
             }
-            plain => out.push((path.to_string(), plain.plain())),
+            scalar => out.push((path.to_string(), scalar.flat_text())),
         }
     }
 
-    fn plain(&self) -> String {
+    fn is_nested(&self) -> bool {
+        matches!(self, JsonValue::Object(_) | JsonValue::Array(_))
+    }
+
+    /// A scalar in the settings' flat form, which has no spaces and no commas within a value.
+    fn flat_text(&self) -> String {
         match self {
             JsonValue::Bool(flag) => flag.to_string(),
             JsonValue::Number(number) => number.clone(),
             JsonValue::String(text) => text.replace([' ', ','], "_"),
-            _ => String::new(),
+            JsonValue::Null | JsonValue::Array(_) | JsonValue::Object(_) => String::new(),
         }
     }
 }
 
-pub fn parse(bytes: &[u8]) -> Result<JsonValue, String> {
-    let text = std::str::from_utf8(bytes).map_err(|e| e.to_string())?;
-    let mut reader = Reader { text, at: 0 };
-    let value = reader.value(0)?;
-    reader.space();
-    if reader.at < text.len() {
-        Err(reader.wrong("more than one value"))
+fn join_path(path: &str, name: &str) -> String {
+    if path.is_empty() {
+        name.to_string()
     } else {
-        Ok(value)
+        format!("{path}.{name}")
+    }
+}
+
+/// Why a text is no JSON.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum JsonError {
+    /// It is not UTF-8.
+    #[error(transparent)]
+    NotUtf8(#[from] Utf8Error),
+    /// It breaks the grammar or a bound.
+    #[error("{problem} at byte {offset}")]
+    Syntax {
+        /// What is wrong.
+        problem: JsonProblem,
+        /// Where, in bytes from the beginning.
+        offset: usize,
+    },
+}
+
+// Temporary, until the callers' own errors are typed.
+impl From<JsonError> for String {
+    fn from(error: JsonError) -> String {
+        error.to_string()
     }
 }
 
-struct Reader<'a> {
+/// How a text breaks JSON's grammar or a bound.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum JsonProblem {
+    /// Something follows the value.
+    #[error("more than one value")]
+    TrailingInput,
+    /// Lists and objects are nested deeper than 24.
+    #[error("too deep")]
+    TooDeep,
+    /// A value is missing.
+    #[error("no value")]
+    NoValue,
+    /// A colon is missing behind a name.
+    #[error("no colon")]
+    NoColon,
+    /// A comma or the closing bracket is missing behind an item.
+    #[error("no comma")]
+    NoComma,
+    /// A number can't be parsed.
+    #[error("no number")]
+    NoNumber,
+    /// A name doesn't begin with a quotation mark.
+    #[error("no text")]
+    NoString,
+    /// A text has no closing quotation mark.
+    #[error("text without end")]
+    UnterminatedString,
+    /// A text contains a control character.
+    #[error("control character")]
+    ControlCharacter,
+    /// A text contains an escape that JSON doesn't have.
+    #[error("unknown escape")]
+    UnknownEscape,
+}
+
+/// Parses a text that is one JSON value.
+pub fn parse(bytes: &[u8]) -> Result<JsonValue, JsonError> {
+    let text = std::str::from_utf8(bytes)?;
+    let mut parser = Parser { text, offset: 0 };
+    let value = parser.value(0)?;
+    parser.skip_whitespace();
+    if parser.offset < text.len() {
+        return Err(parser.error(JsonProblem::TrailingInput));
+    }
+    Ok(value)
+}
+
+struct Parser<'a> {
     text: &'a str,
-    at: usize,
+    /// Bytes of the text that are parsed.
+    offset: usize,
 }
 
-impl Reader<'_> {
-    fn wrong(&self, what: &str) -> String {
-        format!("{what} at byte {}", self.at)
+impl<'a> Parser<'a> {
+    fn error(&self, problem: JsonProblem) -> JsonError {
+        JsonError::Syntax {
+            problem,
+            offset: self.offset,
+        }
+    }
+
+    /// What is not parsed yet.
+    fn rest(&self) -> &'a str {
+        &self.text[self.offset..]
     }
 
     fn peek(&self) -> Option<u8> {
-        self.text.as_bytes().get(self.at).copied()
+        self.text.as_bytes().get(self.offset).copied()
     }
 
-    fn space(&mut self) {
+    fn skip_whitespace(&mut self) {
         while matches!(self.peek(), Some(b' ' | b'\t' | b'\r' | b'\n')) {
-            self.at += 1;
+            self.offset += 1;
         }
     }
 
+    /// Takes a byte behind white space, if it is the next.
     fn take(&mut self, byte: u8) -> bool {
-        self.space();
-        let is = self.peek() == Some(byte);
-        self.at += usize::from(is);
-        is
+        self.skip_whitespace();
+        let found = self.peek() == Some(byte);
+        self.offset += usize::from(found);
+        found
     }
 
-    fn value(&mut self, depth: usize) -> Result<JsonValue, String> {
-        self.space();
+    fn value(&mut self, depth: usize) -> Result<JsonValue, JsonError> {
+        self.skip_whitespace();
         match self.peek() {
-            Some(b'{' | b'[') if depth == DEPTH => Err(self.wrong("too deep")),
+            Some(b'{' | b'[') if depth == MAX_DEPTH => Err(self.error(JsonProblem::TooDeep)),
             Some(b'{') => self.object(depth + 1),
-            Some(b'[') => self.list(depth + 1),
+            Some(b'[') => self.array(depth + 1),
             Some(b'"') => self.string().map(JsonValue::String),
             Some(b'-' | b'0'..=b'9') => self.number(),
-            _ => {
-                let words = [
-                    ("null", JsonValue::Null),
-                    ("true", JsonValue::Bool(true)),
-                    ("false", JsonValue::Bool(false)),
-                ];
-                let rest = &self.text[self.at..];
-                let found = words.into_iter().find(|word| rest.starts_with(word.0));
-                let (word, value) = found.ok_or_else(|| self.wrong("no value"))?;
-                self.at += word.len();
-                Ok(value)
-            }
+            _ => self.keyword(),
         }
     }
 
-    fn object(&mut self, depth: usize) -> Result<JsonValue, String> {
-        let pair = |reader: &mut Self| {
-            reader.space();
-            let name = reader.string()?;
-            if !reader.take(b':') {
-                return Err(reader.wrong("no colon"));
+    fn keyword(&mut self) -> Result<JsonValue, JsonError> {
+        let keywords = [
+            ("null", JsonValue::Null),
+            ("true", JsonValue::Bool(true)),
+            ("false", JsonValue::Bool(false)),
+        ];
+        let rest = self.rest();
+        let found = keywords
+            .into_iter()
+            .find(|(keyword, _)| rest.starts_with(keyword));
+        let (keyword, value) = found.ok_or_else(|| self.error(JsonProblem::NoValue))?;
+        self.offset += keyword.len();
+        Ok(value)
+    }
+
+    fn object(&mut self, depth: usize) -> Result<JsonValue, JsonError> {
+        let pair = |parser: &mut Self| {
+            parser.skip_whitespace();
+            let name = parser.string()?;
+            if !parser.take(b':') {
+                return Err(parser.error(JsonProblem::NoColon));
             }
-            Ok((name, reader.value(depth)?))
+            Ok((name, parser.value(depth)?))
         };
         self.items(b'}', pair).map(JsonValue::Object)
     }
 
-    fn list(&mut self, depth: usize) -> Result<JsonValue, String> {
-        self.items(b']', |reader| reader.value(depth))
+    fn array(&mut self, depth: usize) -> Result<JsonValue, JsonError> {
+        self.items(b']', |parser| parser.value(depth))
             .map(JsonValue::Array)
     }
 
-    /// What stands between brackets, with commas between.
+    /// Parses what is between brackets, separated by commas.
     fn items<T>(
         &mut self,
-        end: u8,
-        item: impl Fn(&mut Self) -> Result<T, String>,
-    ) -> Result<Vec<T>, String> {
-        self.at += 1;
+        closing_bracket: u8,
+        item: impl Fn(&mut Self) -> Result<T, JsonError>,
+    ) -> Result<Vec<T>, JsonError> {
+        self.offset += 1;
         let mut items = Vec::new();
-        if self.take(end) {
+        if self.take(closing_bracket) {
             return Ok(items);
         }
         loop {
             items.push(item(self)?);
-            if self.take(end) {
+            if self.take(closing_bracket) {
                 return Ok(items);
             }
             if !self.take(b',') {
-                return Err(self.wrong("no comma"));
+                return Err(self.error(JsonProblem::NoComma));
             }
         }
     }
 
-    fn number(&mut self) -> Result<JsonValue, String> {
-        let rest = &self.text[self.at..];
+    fn number(&mut self) -> Result<JsonValue, JsonError> {
+        let rest = self.rest();
         let end = rest.find(|c: char| !matches!(c, '0'..='9' | '+' | '-' | '.' | 'e' | 'E'));
         let number = &rest[..end.unwrap_or(rest.len())];
         if number.parse::<f64>().is_err() {
-            return Err(self.wrong("no number"));
+            return Err(self.error(JsonProblem::NoNumber));
         }
-        self.at += number.len();
+        self.offset += number.len();
         Ok(JsonValue::Number(number.to_string()))
     }
 
-    fn string(&mut self) -> Result<String, String> {
+    fn string(&mut self) -> Result<String, JsonError> {
         if self.peek() != Some(b'"') {
-            return Err(self.wrong("no text"));
+            return Err(self.error(JsonProblem::NoString));
         }
-        self.at += 1;
+        self.offset += 1;
         let mut text = String::new();
         loop {
-            let rest = &self.text[self.at..];
-            let stop = rest.find(|c: char| c == '"' || c == '\\' || c < ' ');
-            let stop = stop.ok_or_else(|| self.wrong("text without end"))?;
+            let rest = self.rest();
+            let stop = rest
+                .find(|c: char| c == '"' || c == '\\' || c < ' ')
+                .ok_or_else(|| self.error(JsonProblem::UnterminatedString))?;
             text.push_str(&rest[..stop]);
-            self.at += stop + 1;
+            self.offset += stop + 1;
             match rest.as_bytes()[stop] {
                 b'"' => return Ok(text),
-                b'\\' => text.push(self.escaped()?),
-                _ => return Err(self.wrong("control character")),
+                b'\\' => text.push(self.escaped_character()?),
+                _ => return Err(self.error(JsonProblem::ControlCharacter)),
             }
         }
     }
 
-    fn escaped(&mut self) -> Result<char, String> {
-        let byte = self.peek().ok_or_else(|| self.wrong("text without end"))?;
-        self.at += 1;
-        Ok(match byte {
-            b'"' | b'\\' | b'/' => char::from(byte),
-            b'b' => '\u{8}',
-            b'f' => '\u{c}',
-            b'n' => '\n',
-            b'r' => '\r',
-            b't' => '\t',
-            b'u' => {
-                let high = self.unit()?;
-                let pair =
-                    matches!(high, 0xd800..0xdc00) && self.text[self.at..].starts_with("\\u");
-                let code = if pair {
-                    self.at += 2;
-                    let low = self.unit()?.wrapping_sub(0xdc00);
-                    0x1_0000 + ((high - 0xd800) << 10) + (low & 0x3ff)
-                } else {
-                    high
-                };
-                char::from_u32(code).unwrap_or(char::REPLACEMENT_CHARACTER)
-            }
-            _ => return Err(self.wrong("unknown escape")),
-        })
+    /// What is behind a backslash.
+    fn escaped_character(&mut self) -> Result<char, JsonError> {
+        let byte = self
+            .peek()
+            .ok_or_else(|| self.error(JsonProblem::UnterminatedString))?;
+        self.offset += 1;
+        match byte {
+            b'"' | b'\\' | b'/' => Ok(char::from(byte)),
+            b'b' => Ok('\u{8}'),
+            b'f' => Ok('\u{c}'),
+            b'n' => Ok('\n'),
+            b'r' => Ok('\r'),
+            b't' => Ok('\t'),
+            b'u' => self.unicode_escape(),
+            _ => Err(self.error(JsonProblem::UnknownEscape)),
+        }
+    }
+
+    /// What is behind `\u`: one code unit of UTF-16, or two that make one character. Half a pair becomes the
+    /// replacement character.
+    fn unicode_escape(&mut self) -> Result<char, JsonError> {
+        let unit = self.code_unit()?;
+        let is_pair = matches!(unit, 0xd800..0xdc00) && self.rest().starts_with("\\u");
+        let code = if is_pair {
+            self.offset += "\\u".len();
+            let low = self.code_unit()?.wrapping_sub(0xdc00);
+            0x1_0000 + ((unit - 0xd800) << 10) + (low & 0x3ff)
+        } else {
+            unit
+        };
+        Ok(char::from_u32(code).unwrap_or(char::REPLACEMENT_CHARACTER))
     }
 
-    fn unit(&mut self) -> Result<u32, String> {
+    /// Four hexadecimal digits.
+    fn code_unit(&mut self) -> Result<u32, JsonError> {
         let digits = self
             .text
-            .get(self.at..self.at + 4)
-            .filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()));
-        let unit = digits.and_then(|d| u32::from_str_radix(d, 16).ok());
-        self.at += 4;
-        unit.ok_or_else(|| self.wrong("unknown escape"))
+            .get(self.offset..self.offset + 4)
+            .filter(|digits| digits.bytes().all(|byte| byte.is_ascii_hexdigit()));
+        let unit = digits.and_then(|digits| u32::from_str_radix(digits, 16).ok());
+        self.offset += 4;
+        unit.ok_or_else(|| self.error(JsonProblem::UnknownEscape))
     }
 }
--- a/crates/proxy/src/protocol/line.rs
+++ b/crates/proxy/src/protocol/line.rs
@@ -1,37 +1,33 @@
-//! Lines of text, each ended by CRLF.
+//! Lines of UTF-8 text, each ended by CRLF.
 
-use std::fmt;
+use thiserror::Error;
 
-/// Longest line, its end included.
+/// Longest line in bytes, its end included; the protocol's bound.
 pub const MAX_LINE_LENGTH: usize = 4096;
 
-/// What is wrong with bytes from outside.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a line can't be used. Log lines show the debug form too.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LineError {
+    /// Longer than [`MAX_LINE_LENGTH`].
+    #[error("too long")]
     TooLong,
+    /// Not UTF-8.
+    #[error("not text")]
     NotText,
+    /// No line that the protocol has.
+    #[error("unknown")]
     Unknown,
+    /// The named part is missing or wrong.
+    #[error("malformed {0}")]
     Malformed(&'static str),
-    /// An HTTP answer of another status than wanted.
-    Status(u16),
-}
-
-impl fmt::Display for LineError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            LineError::TooLong => f.write_str("too long"),
-            LineError::NotText => f.write_str("not text"),
-            LineError::Unknown => f.write_str("unknown"),
-            LineError::Malformed(what) => write!(f, "malformed {what}"),
-            LineError::Status(status) => write!(f, "status {status}"),
-        }
-    }
 }
 
 /// The first line without its end, and its length with it; `None` while it is incomplete.
+///
+/// Fails where the line is longer than [`MAX_LINE_LENGTH`], ends in a line feed alone or is not UTF-8.
 pub fn first_line(bytes: &[u8]) -> Result<Option<(&str, usize)>, LineError> {
     let within = &bytes[..bytes.len().min(MAX_LINE_LENGTH)];
-    let Some(end) = within.iter().position(|b| *b == b'\n') else {
+    let Some(end) = within.iter().position(|byte| *byte == b'\n') else {
         return if bytes.len() >= MAX_LINE_LENGTH {
             Err(LineError::TooLong)
         } else {
