--- a/crates/placement/src/engine.rs
+++ b/crates/placement/src/engine.rs
@@ -1,1117 +1,217 @@
-//! Every decision of a proxy: where a session is dialled, when again, refused or torn down; what is asked.
+//! The placement engine: every decision of one proxy, without I/O.
 //!
-//! Make one `Choice` a proxy from its `Deployment` and a nonce, hand it each `Event` with the time since the
-//! clock began, and carry out the `Action`s that it appends, in order. The interface is those three types, in
-//! `deployment.rs`, `event.rs` and `action.rs`; `docs/design.md` tells Charon from what departs from it.
+//! Make one [`PlacementEngine`] for a proxy from its [`Deployment`] and a nonce, hand it each [`Event`] with the
+//! time since the clock began, and carry out the [`Action`]s that it appends, in order. `docs/design.md` gives
+//! the reason of each rule, and what departs from the Charon paper.
+//!
+//! Each concern has a module: the ones below decide, those beside this file hold the state that they decide by.
+
+mod attempt_rules;
+mod attempts;
+mod averages;
+mod endpoint_list;
+mod probes;
+mod rebalancing;
+mod selection;
+mod sessions;
 
 use crate::action::Action;
-use crate::deployment::{Deployment, IdempotencyScope, RetrySafety};
-use crate::event::{
-    Endpoint, EndpointState, EndpointUpdate, Event, Load, Observation, Outcome, ServerId,
-    SessionId, SessionRequest,
-};
+use crate::deployment::Deployment;
+use crate::endpoint_polling::PollBackoff;
+use crate::event::{EndpointState, Event, Observation, ServerId, SessionId};
+use crate::group_table::GroupTable;
+use crate::peer_traffic::DialRate;
+use crate::random::RandomSource;
 use crate::retry_budget::RetryBudget;
-use std::collections::BTreeSet;
+use crate::server::Server;
+use crate::session::{Session, SessionInput};
+use crate::session_pacing::SessionPacing;
+use crate::slow_start::SlowStart;
+use crate::timers::{Timer, TimerQueue};
+use crate::zone_shares::ZoneShares;
 use std::time::Duration;
 
-/// Span over which rates are averaged, in seconds.
-const CHURN: f64 = 10.0;
-const TICK: Duration = Duration::from_millis(100);
-/// Pace at which a server in use is probed, and from how many connections of our own it is kept.
-const PROBE: Duration = Duration::from_millis(1000);
-const WORTH: f64 = 6.0;
-/// How old a count may be to choose by, and how many servers of a pool are looked at: more spread a group.
-const FRESH: Duration = Duration::from_millis(1500);
-const ASKS: u32 = 8;
-/// How old a count may be when a probe brings it; sends younger than that are added to it.
-const STALE: Duration = Duration::from_millis(1000);
-/// Share of a server from which it is not preferred for being near and takes a group only as one of its
-/// first two, and from which not even then.
-const NEAR: f64 = 0.5;
-const ROOM: f64 = 0.75;
-/// Share from which it takes no more, and from which it is relieved down to that.
-const FULL: f64 = 0.85;
-const OVER: f64 = 0.95;
-/// Times its capacity that a late server is relieved of for each second piled up, by others' room.
-const CLEAR: f64 = 3.0;
-/// Part of the last room that is kept from sessions worth nothing, and in proportion from those worth less.
-const SPARE: f64 = 0.1;
-/// Unanswered probes in a row that make a server silent.
-const SILENT: u32 = 2;
-/// Connections from which a report tells what one takes; fewer pay more for groups, and all would look full.
-const FEW: f64 = 8.0;
-/// Failing calls of a large fleet to a roster that must be asked, in the span after which one is deemed told.
-const CALLS: f64 = 125.0;
-/// Part of the rule's multiple that all proxies together may send a cold server.
-const PART: f64 = 0.75;
-/// Least and longest pause between sessions dialled, once some failed everywhere: an attempt within each 4 s.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(250), Duration::from_millis(3_000));
-/// For which part of the rule's span a dial that a cold server may be sent is kept.
-const KEPT: f64 = 2.0 / 3.0;
-/// How much sooner than its servers forget it a referenced session is sent no more: the platform's slack.
-const EDGE: Duration = Duration::from_millis(50);
-/// How long a server that failed is left alone, at first.
-const REST: Duration = Duration::from_millis(1000);
-
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum State {
-    Choosing,
-    Asking,
-    Dialling,
-    Open,
-    Parting,
-    #[default]
-    Over,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Input {
-    Arrived,
-    Asked,
-    Told,
-    Dialled,
-    GivenUp,
-    Began,
-    Failed,
-    Closed,
-    Left,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Effect {
-    Nothing,
-    Place,
-    Answer,
-    Stand,
-    CallOff,
-    Release,
-}
-
-/// State, input, next state, effect. What is not listed is late or stray, and ignored.
-const TABLE: &[(State, Input, State, Effect)] = &[
-    (
-        State::Choosing,
-        Input::Arrived,
-        State::Choosing,
-        Effect::Place,
-    ),
-    (
-        State::Choosing,
-        Input::Dialled,
-        State::Dialling,
-        Effect::Nothing,
-    ),
-    (State::Choosing, Input::GivenUp, State::Over, Effect::Answer),
-    (
-        State::Choosing,
-        Input::Asked,
-        State::Asking,
-        Effect::Nothing,
-    ),
-    (State::Asking, Input::Told, State::Choosing, Effect::Place),
-    (State::Asking, Input::Left, State::Over, Effect::Nothing),
-    (State::Dialling, Input::Began, State::Open, Effect::Stand),
-    (
-        State::Dialling,
-        Input::Failed,
-        State::Choosing,
-        Effect::Place,
-    ),
-    (State::Dialling, Input::Closed, State::Over, Effect::Nothing),
-    (
-        State::Dialling,
-        Input::Left,
-        State::Parting,
-        Effect::CallOff,
-    ),
-    (State::Open, Input::Left, State::Parting, Effect::Release),
-    (State::Open, Input::Failed, State::Over, Effect::Release),
-    (State::Open, Input::Closed, State::Over, Effect::Release),
-    (State::Parting, Input::Failed, State::Over, Effect::Nothing),
-    (State::Parting, Input::Closed, State::Over, Effect::Nothing),
-];
-
-#[derive(Clone, Debug, Default)]
-struct Session {
-    state: State,
-    arrival: SessionRequest,
-    server: ServerId,
-    dials: u32,
-    dialled: Duration,
-    order: Vec<ServerId>,
-    /// The first dial that may have run.
-    ran: Option<(Duration, ServerId)>,
-    /// Servers that failed it at once; more than one, and it is at fault, or it would leave none to others.
-    failed_by: Vec<ServerId>,
-    /// Servers asked for its sake, and until when it waits for what they say.
-    asks: u32,
-    waits: Duration,
-    /// Decides for it where a zone is used by degrees.
-    luck: f64,
-}
-
-#[derive(Clone, Debug, Default)]
-struct Server {
-    entry: Endpoint,
-    /// Charon's score, speed and time of last update.
-    g: f64,
-    v: f64,
-    t: Duration,
-    /// Share of the server that a connection takes, by its reports.
-    unit: Option<f64>,
-    /// Last probed count, and our sends too young to be in it, with their bumps.
-    counted: Option<f64>,
-    heard: Option<Duration>,
-    sends: Vec<(Duration, f64)>,
-    open: u32,
-    /// Not relieved again before its reports can show it.
-    relieved: Duration,
-    /// How much slower its last report showed it.
-    slower: f64,
-    silent: u32,
-    rest: Duration,
-    shut_until: Duration,
-    /// What may still be sent to it while it is cold, as of when.
-    budget: f64,
-    filled: Duration,
-    asked: Duration,
-    probing: bool,
-    waiting: Vec<SessionId>,
-}
-
-struct Candidate {
-    id: ServerId,
-    load: f64,
-    holds: bool,
-    fresh: bool,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Told(SessionId),
-    AskRoster,
-    Survey,
-}
+/// How often the engine asks to be called. Whatever it waits for is noticed this much late at most.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
+/// Places the sessions of one proxy.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementEngine {
-    facts: Deployment,
-    chance: u64,
+    deployment: Deployment,
+    random: RandomSource,
+    /// Time of the event that is being handled.
     now: Duration,
+    /// Whether the first event has come.
+    started: bool,
+    /// By session id.
     sessions: Vec<Session>,
+    /// By server id.
     servers: Vec<Server>,
-    due: BTreeSet<(Duration, Due)>,
-    calls_failed: u32,
-    dials: RetryBudget,
-    /// Pause between sessions dialled; when the next may be, it grew, one came up; what failed last since.
-    pause: Duration,
-    next: Duration,
-    slowed: Duration,
-    came_up: Duration,
-    doubted: Option<u64>,
-    /// Rate of our dials, smoothed, and its last update.
-    pace: f64,
-    sent: Duration,
-    /// Group and server of each open connection; a group costs its server once.
-    held: Vec<(u64, ServerId)>,
-    /// What a connection takes of a server, over all that told, and how many of ours warm ones bear.
-    unit: Option<f64>,
-    bears: f64,
-    /// Connections a second that fill a server as it warms, divided by the proxies: all keep the cold rule.
-    fill: f64,
-    /// Zones that take less than they would, and which part.
-    narrowed: Vec<(u8, f64)>,
-    set_up: Option<Duration>,
+    groups: GroupTable,
+    timers: TimerQueue,
+    poll_backoff: PollBackoff,
+    retry_budget: RetryBudget,
+    pacing: SessionPacing,
+    dial_rate: DialRate,
+    slow_start: SlowStart,
+    zone_shares: ZoneShares,
+    /// Share of a server that one connection takes, on average over the servers that report it.
+    mean_load_per_connection: Option<f64>,
+    /// Connections of this proxy that a warm server holds, on average.
+    connections_per_warm_server: f64,
+    /// How long it takes to open a session, smoothed over the latest.
+    setup_time: Duration,
 }
 
 impl PlacementEngine {
-    pub fn new(facts: Deployment, nonce: u64) -> Self {
-        let facts = Deployment {
-            proxy_count: facts.proxy_count.max(1),
-            ..facts
-        };
-        let dials = RetryBudget::new(facts.retry_budget);
-        let mut choice = PlacementEngine {
-            facts,
-            dials,
+    /// An engine whose random draws are seeded by `nonce`.
+    pub fn new(deployment: Deployment, nonce: u64) -> Self {
+        let deployment = Deployment {
+            proxy_count: deployment.proxy_count.max(1),
+            ..deployment
+        };
+        PlacementEngine {
+            retry_budget: RetryBudget::new(deployment.retry_budget),
+            slow_start: SlowStart::new(deployment.slow_start),
+            random: RandomSource::seeded(nonce),
+            deployment,
             ..PlacementEngine::default()
-        };
-        choice.reseed(nonce);
-        choice
+        }
     }
 
     /// Draws by another nonce from now on.
     pub fn reseed(&mut self, nonce: u64) {
-        self.chance = (nonce ^ (nonce >> 32)) & 0xffff_ffff | 1 << 32;
+        self.random = RandomSource::seeded(nonce);
     }
 
+    /// Handles one event and appends what has to be done to `out`. `now` is the time since the clock began and
+    /// must not go back.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         self.now = now;
-        if self.set_up.is_none() {
-            self.set_up = Some(Duration::ZERO);
-            self.survey();
-            out.push(Action::SetTimer { after: TICK });
-            out.extend(
-                self.facts
-                    .endpoint_poll_delay
-                    .map(|_| Action::PollEndpoints),
-            );
+        if !self.started {
+            self.start(out);
         }
         match event {
-            Event::Endpoints(roster) => self.learn(roster),
-            Event::SessionRequested(arrival) => self.enter(arrival, None, out),
-            Event::SessionInherited(arrival, server) => self.enter(arrival, Some(server), out),
-            Event::SessionOpened {
-                session: sess,
-                dial,
-            } => self.advance(sess, Some(dial), Input::Began, out),
+            Event::Endpoints(update) => self.update_endpoints(update),
+            Event::SessionRequested(request) => self.accept_session(request, out),
+            Event::SessionInherited(request, server) => self.inherit_session(request, server, out),
+            Event::SessionOpened { session, dial } => {
+                self.advance_attempt(session, dial, SessionInput::Opened, out);
+            }
             Event::AttemptEnded {
-                session: sess,
+                session,
                 dial,
                 outcome,
-                session_over: over,
+                session_over,
                 load,
             } => {
-                self.ended(sess, dial, outcome, load);
-                self.advance(
-                    sess,
-                    Some(dial),
-                    if over { Input::Closed } else { Input::Failed },
-                    out,
-                );
+                self.record_attempt_end(session, dial, outcome, load);
+                let input = if session_over {
+                    SessionInput::Closed
+                } else {
+                    SessionInput::AttemptFailed
+                };
+                self.advance_attempt(session, dial, input, out);
             }
             Event::Observed {
                 server,
-                observation: Observation::Delay(span),
+                observation: Observation::Delay(delay),
                 ..
-            } => self.delayed(server, span, out),
+            } => self.record_message_delay(server, delay, out),
             Event::ProbeEnded {
                 server,
                 outcome,
                 load,
-            } => self.probed(server, outcome, load, out),
-            Event::ClientLeft { session: sess } => self.advance(sess, None, Input::Left, out),
-            Event::ZoneShare { zone, share: open } => self.narrow(zone, open, out),
-            Event::ProbeRequested { server } if self.facts.may_probe => self.probe(server, out),
+            } => self.record_probe_end(server, outcome, load, out),
+            Event::ClientLeft { session } => self.advance(session, SessionInput::ClientLeft, out),
+            Event::ZoneShare { zone, share } => self.set_zone_share(zone, share, out),
+            Event::ProbeRequested { server } if self.deployment.may_probe => {
+                self.send_probe(server, out);
+            }
             Event::ProbeRequested { .. } | Event::Observed { .. } => {}
             Event::Tick => self.tick(out),
         }
     }
 
-    /// Messages over their target are served nothing, though reports may not say so, or say it late. What is
-    /// piled up there keeps them late, so the more it is, the more leave, as far as others have room.
-    fn delayed(&mut self, server: ServerId, span: Duration, out: &mut Vec<Action>) {
-        if self
-            .facts
-            .listeners
-            .iter()
-            .any(|l| l.message_target.is_some_and(|target| span > target))
-        {
-            let load = self
-                .mean(|s| Some(s.unit? * s.aged(self.now)))
-                .unwrap_or(NEAR);
-            let piled = CLEAR * (FULL - load).max(0.0) * span.as_secs_f64();
-            self.relieve(server, Some(1.0 + piled), out);
-        }
-    }
-
-    /// A zone is lost, or used again by degrees: each session goes there by its own number. Of a lost one all
-    /// are silent. Who is there leaves at the next failing probe: all at once would spread groups more.
-    fn narrow(&mut self, zone: u8, open: f64, out: &mut Vec<Action>) {
-        self.narrowed.retain(|n| n.0 != zone);
-        self.narrowed.extend((open < 1.0).then_some((zone, open)));
-        let there = |s: &Server| {
-            open <= 0.0 && s.entry.zone == zone && s.entry.state == EndpointState::Ready
-        };
-        for id in 0..self.servers.len() {
-            if there(&self.servers[id]) {
-                let s = &mut self.servers[id];
-                s.silent = s.silent.max(SILENT);
-                let waiting = std::mem::take(&mut s.waiting);
-                waiting
-                    .into_iter()
-                    .for_each(|sess| self.advance(sess, None, Input::Told, out));
-            }
-        }
-    }
-
-    /// How many servers that are listed it leaves alone for now, as they fail or say nothing.
+    /// Servers on the endpoint list that get no sessions for now, as they fail or answer no probe.
     pub fn avoided(&self, now: Duration) -> usize {
         let listed = self
             .servers
             .iter()
-            .filter(|s| s.entry.state != EndpointState::Gone);
+            .filter(|server| server.endpoint.state != EndpointState::Gone);
         listed
-            .filter(|s| s.shut_until > now || s.silent >= SILENT)
+            .filter(|server| server.ejection.is_active(now) || server.probes.is_unresponsive())
             .count()
     }
 
-    fn enter(&mut self, arrival: SessionRequest, held_by: Option<ServerId>, out: &mut Vec<Action>) {
-        let (at, dialled) = (arrival.session as usize, self.now);
-        held_by.is_none().then(|| self.dials.took(dialled));
-        grow(&mut self.sessions, at);
-        let listener = self.facts.listeners.get(usize::from(arrival.listener));
-        let Some(listener) = listener.filter(|_| self.sessions[at].state == State::Over) else {
-            return;
-        };
-        let (server, dials) = (held_by.unwrap_or_default(), u32::from(held_by.is_some()));
-        grow(&mut self.servers, server as usize);
-        let waits = (dialled + listener.handshake_target / 2)
-            .min(arrival.dial_timeout.saturating_sub(TICK * 2));
-        let fresh = (State::Choosing, Input::Arrived);
-        let (state, input) = held_by.map_or(fresh, |_| (State::Dialling, Input::Began));
-        let luck = draw(&mut self.chance);
-        let order = if held_by.is_none() {
-            self.order(&arrival)
-        } else {
-            Vec::new()
-        };
-        self.sessions[at] = Session {
-            state,
-            arrival,
-            server,
-            dials,
-            dialled,
-            order,
-            waits,
-            luck,
-            ..Session::default()
-        };
-        self.advance(arrival.session, None, input, out);
-    }
-
-    /// Reads the table until a session rests. An input that speaks of an older `dial` is stray.
-    fn advance(&mut self, sess: SessionId, dial: Option<u8>, input: Input, out: &mut Vec<Action>) {
-        let mut next = self.speaks_of(sess, dial).then_some(input);
-        while let Some(input) = next {
-            let s = &mut self.sessions[sess as usize];
-            let Some(row) = TABLE.iter().find(|row| row.0 == s.state && row.1 == input) else {
-                return;
-            };
-            s.state = row.2;
-            next = self.effect(sess, row.3, out);
-            out.extend((row.2 == State::Over).then_some(Action::Forget { session: sess }));
-        }
-    }
-
-    fn speaks_of(&self, sess: SessionId, dial: Option<u8>) -> bool {
-        self.sessions
-            .get(sess as usize)
-            .is_some_and(|s| dial.is_none_or(|d| u32::from(d) + 1 == s.dials))
-    }
-
-    fn effect(&mut self, sess: SessionId, effect: Effect, out: &mut Vec<Action>) -> Option<Input> {
-        let (now, s) = (self.now, &self.sessions[sess as usize]);
-        let (id, dialled, dial) = (
-            s.server as usize,
-            s.dialled,
-            s.dials.saturating_sub(1) as u8,
-        );
-        let group = s.arrival.group;
-        match effect {
-            Effect::Nothing => {}
-            Effect::Place => return Some(self.place(sess, out)),
-            Effect::Answer => {
-                (now >= s.arrival.dial_timeout || !self.pause.is_zero())
-                    .then(|| self.hold_back(sess));
-                out.push(self.answer(sess));
-            }
-            Effect::Stand => {
-                let span = now.saturating_sub(dialled);
-                self.go_on(span > self.half(sess));
-                self.set_up = self.set_up.map(|before| (before * 7 + span) / 8);
-                let s = &mut self.servers[id];
-                (s.open, s.rest) = (s.open + 1, REST);
-                s.reset(now);
-                self.held.extend(group.map(|group| (group, id as ServerId)));
-            }
-            Effect::CallOff => {
-                self.take_back(sess);
-                out.extend(self.facts.may_cancel.then_some(Action::Cancel {
-                    session: sess,
-                    dial,
-                }));
-            }
-            Effect::Release => {
-                let s = &mut self.servers[id];
-                s.age(now);
-                s.open = s.open.saturating_sub(1);
-                s.v += 1.0 / CHURN;
-                let at = self
-                    .held
-                    .iter()
-                    .position(|held| Some(held.0) == group && held.1 as usize == id);
-                at.map(|at| self.held.swap_remove(at));
-            }
-        }
-        None
-    }
-
-    /// How many others are as busy as we are, by the connections that they hold: who leaves sends no more.
-    fn others(&self) -> f64 {
-        let counts = self
-            .servers
-            .iter()
-            .filter_map(|s| Some((s.counted?, f64::from(s.open))));
-        let (all, ours) = counts.fold((0.0, 0.0), |sum, s| (sum.0 + s.0, sum.1 + s.1));
-        let theirs = if all > 0.0 {
-            (all - ours) / ours.max(1.0)
-        } else {
-            f64::MAX
-        };
-        theirs.clamp(0.0, f64::from(self.facts.proxy_count) - 1.0)
-    }
-
-    /// What they send a server unseen while a count is as old as it may be.
-    fn crowd(&self, others: f64) -> f64 {
-        let young = self.pace * fade(self.now, self.sent) * STALE.as_secs_f64();
-        others * young / self.servers.len().max(1) as f64
-    }
-
-    /// A bump of the score: a connection, and what the others send to one of two drawn. A client that comes
-    /// again is in late counts already, where it was before, and often came from the others.
-    fn bump(&self, sess: SessionId) -> f64 {
-        let others = if self.sessions[sess as usize].arrival.reconnecting {
-            0.0
-        } else {
-            self.others()
-        };
-        1.0 + (2.0 * self.crowd(others)).min(others)
-    }
-
-    fn probe(&mut self, id: ServerId, out: &mut Vec<Action>) {
-        let Some(s) = self.servers.get_mut(id as usize) else {
-            return;
-        };
-        s.asked = self.now + TICK.mul_f64(2.0 * draw(&mut self.chance));
-        out.extend(
-            (!std::mem::replace(&mut s.probing, true)).then_some(Action::Probe { server: id }),
-        );
-    }
-
-    fn take_back(&mut self, sess: SessionId) {
-        let (bump, sess) = (self.bump(sess), &self.sessions[sess as usize]);
-        let s = &mut self.servers[sess.server as usize];
-        s.sends.retain(|sent| sent.0 != sess.dialled);
-        s.age(self.now);
-        s.g = (s.g - bump).max(0.0);
-    }
-
-    /// Charon's choice, then the gate. A candidate whose count is old is asked first.
-    fn place(&mut self, sess: SessionId, out: &mut Vec<Action>) -> Input {
-        let (ask, drawn) = self.draw_two(sess);
-        match self.lower(&drawn) {
-            Some(_) if ask => self.ask(sess, &drawn, out),
-            Some(chosen) => self.send(sess, chosen, out),
-            // One more session would spoil those that stand.
-            None => Input::GivenUp,
-        }
-    }
-
-    /// Two candidates of the best pool that is not empty, and whether to ask them first.
-    fn draw_two(&self, sess: SessionId) -> (bool, Vec<Candidate>) {
-        let (crowd, s) = (self.crowd(self.others()), &self.sessions[sess as usize]);
-        let asks = if self.facts.may_probe && self.now < s.waits {
-            s.asks
-        } else {
-            u32::MAX
-        };
-        let (group, hashed) = (s.arrival.group, self.hashed(&s.arrival).is_some());
-        let holders: Vec<ServerId> = self
-            .held
-            .iter()
-            .filter(|h| Some(h.0) == group)
-            .map(|h| h.1)
-            .collect();
-        let near = |id: ServerId| self.servers[id as usize].entry.zone == self.facts.zone;
-        let holds = |id: ServerId| group.is_none() || holders.contains(&id);
-        // A server that fails or hangs rests, or its zone, unless all do. One that leaves a probe unanswered
-        // would be waited for again; that harms where slow ones would serve all the same.
-        let quiet = |to: &Server| to.probing && self.now >= to.asked + TICK;
-        let zone = |id: ServerId| self.servers[id as usize].entry.zone;
-        let erred = |id| s.failed_by.iter().any(|&f| zone(f) == zone(id));
-        let away = self.nowhere(s)
-            && s.order
-                .iter()
-                .any(|&id| !erred(id) && self.may_send(sess, id));
-        let rested = |id| {
-            let to: &Server = &self.servers[id as usize];
-            let left = s.failed_by.contains(&id) || away && erred(id);
-            to.shut_until <= self.now && !quiet(to) && !left
-        };
-        let open = |id: ServerId| {
-            self.narrowed
-                .iter()
-                .all(|n| n.0 != zone(id) || s.luck < n.1)
-        };
-        let all_rest = !s
-            .order
-            .iter()
-            .any(|&id| open(id) && rested(id) && self.may_send(sess, id));
-        // Before a session is refused, one at rest that answers probes may take it.
-        let trial =
-            |id: ServerId| self.servers[id as usize].silent == 0 && !s.failed_by.contains(&id);
-        let usable =
-            |id, nth| open(id) && (nth == 6 || all_rest || rested(id)) && self.may_send(sess, id);
-        let candidate = |id: ServerId| {
-            let to = &self.servers[id as usize];
-            // A cold server can do less, so its connections take larger shares.
-            let mean = self.unit.unwrap_or(f64::EPSILON);
-            let unit = to.unit.unwrap_or(mean / self.warmth(to, self.now));
-            let fresh = to
-                .heard
-                .is_some_and(|at| self.now.saturating_sub(at) <= FRESH);
-            Candidate {
-                id,
-                load: (to.aged(self.now) + crowd + 1.0) * unit,
-                holds: holds(id),
-                fresh,
-            }
-        };
-        // A group takes its first two near by, then any server that we know to hold it, then the first two of
-        // the order that all proxies share; walking on would spread it, and each server pays for it anew.
-        let pools: [&dyn Fn(ServerId) -> bool; 6] =
-            [&near, &holds, &|_| true, &|_| true, &holds, &trial];
-        let worth = self.facts.listeners[usize::from(s.arrival.listener)].priority_weight;
-        let full = FULL * (1.0 - SPARE * (1.0 - worth));
-        let limits = [
-            (NEAR, hashed),
-            (ROOM, false),
-            (ROOM, hashed),
-            (NEAR, false),
-            (full, false),
-            (NEAR, false),
-        ];
-        for (nth, (fits, (limit, first_two))) in (1..).zip(pools.into_iter().zip(limits)) {
-            let may_ask = asks < ASKS * nth;
-            let room = |c: &Candidate| c.load < limit || may_ask && !c.fresh;
-            let reach = s
-                .order
-                .iter()
-                .copied()
-                .filter(|id| fits(*id) && usable(*id, nth))
-                .take(ASKS as usize);
-            let two = reach
-                .map(candidate)
-                .filter(|c| first_two || room(c))
-                .take(2);
-            let drawn: Vec<Candidate> = two.filter(room).collect();
-            if !drawn.is_empty() {
-                return (may_ask && drawn.iter().any(|c| !c.fresh), drawn);
-            }
-        }
-        (false, Vec::new())
-    }
-
-    /// What all proxies draw alike by.
-    fn hashed(&self, arrival: &SessionRequest) -> Option<u64> {
-        if self.facts.packet_passthrough {
-            Some(arrival.hash_key)
-        } else {
-            arrival.group
-        }
-    }
-
-    fn ask(&mut self, sess: SessionId, drawn: &[Candidate], out: &mut Vec<Action>) -> Input {
-        self.due
-            .insert((self.sessions[sess as usize].waits, Due::Told(sess)));
-        for c in drawn.iter().filter(|c| !c.fresh) {
-            let waiting = &mut self.servers[c.id as usize].waiting;
-            let new = (!waiting.contains(&sess)).then_some(sess);
-            waiting.extend(new);
-            self.sessions[sess as usize].asks += u32::from(new.is_some());
-            self.probe(c.id, out);
-        }
-        Input::Asked
-    }
-
-    /// All servers as a session draws them, by weight; by chance where nothing is hashed.
-    fn order(&self, arrival: &SessionRequest) -> Vec<ServerId> {
-        let hashed = self.hashed(arrival);
-        let even = hashed.is_some() && self.facts.weights_reflect_load;
-        let rank = |(id, to): (ServerId, &Server)| {
-            let weight = if even { 1.0 } else { to.entry.weight.max(1e-6) };
-            (
-                -hash_unit(hashed.unwrap_or(self.chance), to.entry.hash_key)
-                    .max(1e-12)
-                    .ln()
-                    / weight,
-                id,
-            )
-        };
-        let mut ranked: Vec<(f64, ServerId)> = (0..).zip(&self.servers).map(rank).collect();
-        ranked.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
-        ranked.into_iter().map(|r| r.1).collect()
-    }
-
-    /// The one of the two with the lower aged score, counted in its units.
-    fn lower(&mut self, drawn: &[Candidate]) -> Option<ServerId> {
-        // Each server that holds any of a group pays for it once.
-        let (first, second) = (drawn.first()?, drawn.last()?);
-        let cost = |c: &Candidate| (!c.holds, c.load);
-        let order = cost(first).partial_cmp(&cost(second));
-        let wins = order.is_some_and(|o| o.is_lt() || o.is_eq() && draw(&mut self.chance) < 0.5);
-        Some(if wins { first.id } else { second.id })
-    }
-
-    fn mean(&self, of: impl Fn(&Server) -> Option<f64>) -> Option<f64> {
-        let ready = self
-            .servers
-            .iter()
-            .filter(|s| s.entry.state == EndpointState::Ready);
-        let (sum, n) = ready
-            .filter_map(of)
-            .fold((0.0, 0.0), |(sum, n), x| (sum + x, n + 1.0));
-        (n > 0.0).then_some(sum / n)
-    }
-
-    /// Share of its capacity that a server has at least.
-    fn warmth(&self, s: &Server, now: Duration) -> f64 {
-        let cold = self.facts.slow_start;
-        let up = s
-            .entry
-            .started_at
-            .map_or(cold.warm_after, |at| now.saturating_sub(at));
-        let part = (up.as_secs_f64() / cold.warm_after.as_secs_f64()).min(1.0);
-        cold.initial_capacity + (1.0 - cold.initial_capacity) * part
-    }
-
-    /// Dials that a cold server may still be sent: it fills at part of the rule's multiple of its warmth, as
-    /// sums scatter. What is not used is soon lost, or all could send at once what each has saved.
-    fn budget(&self, s: &Server) -> f64 {
-        let span = self.now.saturating_sub(s.filled).as_secs_f64();
-        let warmth = (self.warmth(s, s.filled) + self.warmth(s, self.now)) / 2.0;
-        let pace = PART * self.facts.slow_start.max_multiple * warmth * self.fill;
-        let (saved, kept) = (
-            s.budget + pace * span,
-            pace * self.facts.slow_start.span.as_secs_f64() * KEPT,
-        );
-        if saved < 1.0 || saved.fract() < kept {
-            saved.min(1.0 + saved.fract())
-        } else {
-            saved.fract()
-        }
-    }
-
-    /// The one gate: each rule stands here, and every dial passes.
-    fn may_send(&self, sess: SessionId, id: ServerId) -> bool {
-        let (s, to) = (&self.sessions[sess as usize], &self.servers[id as usize]);
-        let answered = s.state != State::Choosing || self.now >= s.arrival.dial_timeout;
-        let spent = s.dials >= self.facts.max_attempts.max(1)
-            || s.dials > 0 && !self.dials.allows(self.now);
-        let spent = spent
-            || s.failed_by.len() > 1 && self.nowhere(s)
-            || s.dials > 0 && self.pause > PAUSES.0 * 4;
-        let drained = to.entry.state != EndpointState::Ready;
-        let cold = self.warmth(to, self.now) < 1.0 && self.budget(to) < 1.0;
-        let twice = s.ran.is_some_and(|(sent, first)| {
-            let first = &self.servers[first as usize].entry;
-            match self.kind(s) {
-                RetrySafety::Idempotent => false,
-                RetrySafety::NotIdempotent => true,
-                RetrySafety::IdempotencyKey(_, ttl) if self.now + EDGE >= sent + ttl => true,
-                RetrySafety::IdempotencyKey(IdempotencyScope::All, _) => false,
-                RetrySafety::IdempotencyKey(IdempotencyScope::Zone, _) => {
-                    first.zone != to.entry.zone
-                }
-                RetrySafety::IdempotencyKey(IdempotencyScope::Cell, _) => {
-                    first.cell != to.entry.cell
-                }
-            }
-        });
-        !(answered || spent || drained || cold || twice)
-    }
-
-    fn send(&mut self, sess: SessionId, id: ServerId, out: &mut Vec<Action>) -> Input {
-        if !self.may_send(sess, id) || self.held_back(&self.sessions[sess as usize]) {
-            return Input::GivenUp;
-        }
-        let (now, bump, time_out) = (self.now, self.bump(sess), self.time_out(sess));
-        let budget = self.budget(&self.servers[id as usize]);
-        let to = &mut self.servers[id as usize];
-        to.age(now);
-        to.g += bump;
-        to.sends.push((now, bump));
-        (to.budget, to.filled) = (budget - 1.0, now);
-        (self.sessions[sess as usize].dials > 0).then(|| self.dials.spent(now));
-        let s = &mut self.sessions[sess as usize];
-        (s.server, s.dials, s.dialled) = (id, s.dials + 1, now);
-        let pause = self.pause.mul_f64(0.9 + 0.2 * draw(&mut self.chance));
-        self.next = if self.sessions[sess as usize].dials == 1 {
-            now + pause
-        } else {
-            self.next
-        };
-        (self.pace, self.sent) = (self.pace * fade(now, self.sent) + 1.0 / CHURN, now);
-        // A further dial of a referenced session has to be on its way before its mark is forgotten.
-        let s = &self.sessions[sess as usize];
-        let within = match (self.kind(s), s.ran) {
-            (RetrySafety::IdempotencyKey(_, ttl), Some(first)) => {
-                (first.0 + ttl).saturating_sub(now + EDGE)
-            }
-            _ => time_out,
-        };
-        out.push(Action::Dial {
-            session: sess,
-            server: id,
-            timeout: time_out,
-            write_within: within,
+    fn start(&mut self, out: &mut Vec<Action>) {
+        self.started = true;
+        self.refresh_averages();
+        out.push(Action::SetTimer {
+            after: TICK_INTERVAL,
         });
-        Input::Dialled
-    }
-
-    /// Sessions fail wherever they go: what stands behind the servers is short, and more dials keep it so.
-    /// Most are answered at once, until some come up. Harms where most servers err by themselves.
-    fn hold_back(&mut self, sess: SessionId) {
-        let s = &self.sessions[sess as usize];
-        // Who was dialled before the last pause tells nothing of that; a bad client fails again, alone.
-        let since =
-            self.came_up + REST <= self.now && s.ran.is_some_and(|first| self.slowed <= first.0);
-        let another = since && self.nowhere(s) && self.doubted != Some(s.arrival.hash_key);
-        if another && (self.doubted.replace(s.arrival.hash_key).is_some() || self.came_up.is_zero())
-        {
-            let first = if self.came_up.is_zero() {
-                PAUSES.0 * 4
-            } else {
-                PAUSES.0
-            };
-            (self.pause, self.slowed) = (
-                if self.pause.is_zero() {
-                    first
-                } else {
-                    PAUSES.1
-                },
-                self.now,
-            );
-            self.next = self.now + self.pause.mul_f64(0.9 + 0.2 * draw(&mut self.chance));
+        if self.deployment.endpoint_poll_delay.is_some() {
+            out.push(Action::PollEndpoints);
         }
     }
 
-    /// A session waits for its turn while there are pauses; who failed last lets others go first.
-    fn held_back(&self, s: &Session) -> bool {
-        let again = self.doubted == Some(s.arrival.hash_key) && self.now < self.next + self.pause;
-        s.dials == 0 && !self.pause.is_zero() && (self.now < self.next || again)
-    }
-
-    /// Whether a dial of it failed that may have run, and nothing came up anywhere since.
-    fn nowhere(&self, s: &Session) -> bool {
-        s.ran.is_some_and(|first| self.came_up <= first.0)
-    }
-
-    /// One came up. One that took long shows that others wait there, and that more would only wait longer.
-    fn go_on(&mut self, late: bool) {
-        let less = if self.pause > PAUSES.0 {
-            self.pause / 2
-        } else {
-            Duration::ZERO
-        };
-        self.pause = if late {
-            (self.pause * 2).min(PAUSES.1)
-        } else {
-            less
-        };
-        (self.next, self.came_up, self.doubted) =
-            (self.next.min(self.now + self.pause), self.now, None);
-    }
-
-    fn half(&self, sess: SessionId) -> Duration {
-        self.facts.listeners[usize::from(self.sessions[sess as usize].arrival.listener)]
-            .handshake_target
-            / 2
-    }
-
-    /// Half the handshake target at first, so that a second dial can meet it, then twice as long each time.
-    /// Where set-ups are slow everywhere it is more, or it would jam them with work that nobody awaits.
-    fn time_out(&self, sess: SessionId) -> Duration {
-        let s = &self.sessions[sess as usize];
-        let left = s.arrival.dial_timeout.saturating_sub(self.now);
-        let wait =
-            (self.half(sess) * (1 << s.dials.min(8))).max(self.set_up.unwrap_or_default() * 2);
-        let last =
-            s.dials + 1 >= self.facts.max_attempts || self.pause > PAUSES.0 || self.nowhere(s);
-        if last { left } else { wait.min(left) }
-    }
-
-    /// The final answer to a session given up on: a refusal where that promise can be kept, else a teardown.
-    fn answer(&self, sess: SessionId) -> Action {
-        let s = &self.sessions[sess as usize];
-        let harmless = matches!(
-            self.kind(s),
-            RetrySafety::Idempotent | RetrySafety::IdempotencyKey(IdempotencyScope::All, _)
-        );
-        let refusal = Action::Reject {
-            session: sess,
-            retry_after: self.facts.max_retry_after.min(REST),
-        };
-        if harmless || s.ran.is_none() {
-            refusal
-        } else {
-            Action::Fail { session: sess }
-        }
-    }
-
-    fn kind(&self, s: &Session) -> RetrySafety {
-        self.facts.listeners[usize::from(s.arrival.listener)].retry_safety
-    }
-
-    /// What the end of a dial or connection tells of its server.
-    fn ended(&mut self, sess: SessionId, dial: u8, outcome: Outcome, load: Load) {
-        if !self.speaks_of(sess, Some(dial)) {
-            return;
-        }
-        let (now, s) = (self.now, &mut self.sessions[sess as usize]);
-        let (id, setting_up, waited) = (
-            s.server,
-            s.state == State::Dialling,
-            now.saturating_sub(s.dialled),
-        );
-        let unrun = matches!(
-            outcome,
-            Outcome::Full | Outcome::Unreachable | Outcome::NeverSent
-        );
-        if setting_up {
-            s.ran = s.ran.or((!unrun).then_some((s.dialled, id)));
-            self.take_back(sess);
-            // Slow for one is slow for the next: thin traffic would learn it too late from a mean.
-            self.set_up = self
-                .set_up
-                .max((outcome == Outcome::TimedOut).then_some(waited * 2));
-            let failed = matches!(outcome, Outcome::Erred | Outcome::TimedOut | Outcome::Reset);
-            (failed && (dial > 0 || self.came_up.is_zero())).then(|| self.hold_back(sess));
-            let tried = &mut self.sessions[sess as usize].failed_by;
-            let first = tried.first().copied();
-            tried.extend(matches!(outcome, Outcome::Erred | Outcome::Reset).then_some(id));
-            match (outcome, first) {
-                (Outcome::Ok | Outcome::CalledOff | Outcome::NeverSent, _) => {}
-                (Outcome::Erred | Outcome::Reset, Some(first)) => {
-                    self.servers[first as usize].shut_until = now
+    fn tick(&mut self, out: &mut Vec<Action>) {
+        out.push(Action::SetTimer {
+            after: TICK_INTERVAL,
+        });
+        while let Some(timer) = self.timers.pop_due(self.now) {
+            match timer {
+                Timer::PollEndpoints => out.push(Action::PollEndpoints),
+                Timer::RefreshAverages => self.refresh_averages(),
+                Timer::ProbeWaitOver(session) => {
+                    self.advance(session, SessionInput::ProbesAnswered, out);
                 }
-                _ => self.strike(id),
             }
         }
-        self.report(id, load);
-    }
-
-    /// A dial or probe failed, or met a full server: it rests, longer each time.
-    fn strike(&mut self, id: ServerId) {
-        let s = &mut self.servers[id as usize];
-        if s.shut_until <= self.now {
-            (s.shut_until, s.rest) = (self.now + s.rest, (s.rest * 2).min(REST * 8));
-        }
+        self.send_regular_probes(out);
     }
 
-    fn probed(&mut self, id: ServerId, outcome: Outcome, load: Load, out: &mut Vec<Action>) {
-        let Some(s) = self.servers.get_mut(id as usize) else {
+    /// A zone gets this part of its sessions from now on. Of a lost one all servers are unresponsive, and the
+    /// sessions that wait for their probes are placed elsewhere. Its open sessions migrate at the next probe that
+    /// fails: all at once would spread groups more.
+    fn set_zone_share(&mut self, zone: u8, share: f64, out: &mut Vec<Action>) {
+        self.zone_shares.set(zone, share);
+        let is_lost = share <= 0.0;
+        if !is_lost {
             return;
-        };
-        let failed = matches!(
-            outcome,
-            Outcome::TimedOut | Outcome::Unreachable | Outcome::Reset
-        );
-        (s.silent, s.heard) = if failed {
-            (s.silent + 1, s.heard)
-        } else {
-            (0, Some(self.now))
-        };
-        s.probing = false;
-        let (again, waiting) = (
-            failed && s.silent < SILENT && s.open > 0,
-            std::mem::take(&mut s.waiting),
-        );
-        failed.then(|| self.strike(id));
-        again.then(|| self.probe(id, out));
-        self.report(id, load);
-        // Reports are late: what slows twice running, by over a tenth each, is by now as much slower again.
-        let s = &mut self.servers[id as usize];
-        let share = load.utilization.unwrap_or(0.0) / load.connections.unwrap_or(0.0).max(1.0);
-        let slower = s.unit.map_or(1.0, |unit| (share / unit.max(1e-6)).min(2.0));
-        let again = std::mem::replace(&mut s.slower, slower).min(slower);
-        let more = if again > 1.1 { again * again } else { 1.0 };
-        self.relieve(id, load.utilization.map(|asked| asked * more), out);
-        waiting
-            .into_iter()
-            .for_each(|sess| self.advance(sess, None, Input::Told, out));
-    }
-
-    fn report(&mut self, id: ServerId, load: Load) {
-        let Some(connections) = load.connections else {
-            return;
-        };
-        let (now, s) = (self.now, &mut self.servers[id as usize]);
-        s.counted = Some(connections);
-        // What it told of its share while slow must not bar it for ever.
-        let tells = |asked: &f64| connections >= FEW || connections >= 1.0 && *asked > NEAR;
-        let told = load
-            .utilization
-            .filter(tells)
-            .map(|asked| asked / connections);
-        let unit = told.or(s.unit.map(|own| self.unit.unwrap_or(own)));
-        s.unit = unit.map(|unit| s.unit.map_or(unit, |before| (before + unit) / 2.0));
-        s.reset(now);
-    }
-
-    /// A server asked for more than it can do, or gone silent, serves none of its connections in time until
-    /// some leave: each proxy moves its part of the excess, rounded by chance, smallest groups first.
-    fn relieve(&mut self, id: ServerId, asked: Option<f64>, out: &mut Vec<Action>) {
-        let Some(s) = self.servers.get_mut(id as usize) else {
-            return;
-        };
-        let keep = match asked {
-            _ if s.relieved > self.now => return,
-            _ if s.silent >= SILENT => 0.0,
-            Some(asked) if asked > OVER => FULL / asked,
-            _ => return,
-        };
-        s.relieved = self.now + STALE;
-        let excess = (f64::from(s.open) * (1.0 - keep) + draw(&mut self.chance)) as usize;
-        let kin = |s: &Session| {
-            self.held
-                .iter()
-                .filter(|h| (Some(h.0), h.1) == (s.arrival.group, id))
-                .count()
-        };
-        let free = |s: &&Session| {
-            (s.state, s.server, self.kind(s)) == (State::Open, id, RetrySafety::Idempotent)
-        };
-        let here = self.sessions.iter().filter(free);
-        let mut order: Vec<(usize, SessionId)> =
-            here.map(|s| (kin(s), s.arrival.session)).collect();
-        order.sort_unstable();
-        for (_, sess) in order.into_iter().take(excess) {
-            out.push(Action::Migrate { session: sess });
-            self.advance(sess, None, Input::Left, out);
         }
-    }
-
-    fn survey(&mut self) {
-        self.unit = self.mean(|s| s.unit).or(self.unit);
-        let warm_after = self.facts.slow_start.warm_after.as_secs_f64().max(1e-3);
-        // Where no report tells it: what a warm one bears of all of us, or each ever listed was planned for.
-        let bears = |s: &Server| (self.warmth(s, self.now) >= 1.0).then_some(f64::from(s.open));
-        self.bears = self.mean(bears).unwrap_or(self.bears);
-        let proxies = f64::from(self.facts.proxy_count);
-        let planned = self.facts.planned_connections / self.servers.len().max(1) as f64;
-        let bears = (self.bears * proxies).max(planned).max(1.0);
-        let unit = self.unit.unwrap_or(1.0 / bears).max(1e-3);
-        self.fill = 1.0 / (warm_after * unit) / proxies;
-        self.due.insert((self.now + PROBE, Due::Survey));
-    }
-
-    fn learn(&mut self, roster: EndpointUpdate) {
-        let inherited = matches!(roster, EndpointUpdate::Inherited(_));
-        let (entries, whole) = match roster {
-            EndpointUpdate::Failed => {
-                // The roster serves all proxies in turn; calls of many, over and over, would keep it jammed.
-                self.calls_failed = (self.calls_failed + 1).min(4);
-                let longest = (f64::from(self.facts.proxy_count) / CALLS).max(0.32);
-                let mean = (0.1 * f64::from(1 << self.calls_failed)).min(longest);
-                let part = mean * (0.5 + draw(&mut self.chance));
-                let wait = self
-                    .facts
-                    .endpoint_poll_delay
-                    .unwrap_or_default()
-                    .mul_f64(part);
-                self.due.retain(|d| d.1 != Due::AskRoster);
-                self.due.insert((self.now + wait, Due::AskRoster));
-                return;
+        for id in 0..self.servers.len() {
+            let server = &mut self.servers[id];
+            if server.endpoint.zone != zone || !server.is_ready() {
+                continue;
             }
-            EndpointUpdate::Changes(entries) => (entries, false),
-            EndpointUpdate::Complete(list)
-            | EndpointUpdate::Stale(list)
-            | EndpointUpdate::Inherited(list) => (list, true),
-        };
-        // Changes of nothing only say that the call waits.
-        self.calls_failed *= u32::from(!whole && entries.is_empty());
-        self.servers
-            .iter_mut()
-            .filter(|_| whole)
-            .for_each(|s| s.entry.state = EndpointState::Gone);
-        let (t, v) = (self.now, self.mean(|s| Some(s.v)).unwrap_or(0.0));
-        let g = self.mean(|s| Some(s.aged(t))).unwrap_or(0.0);
-        for entry in entries {
-            grow(&mut self.servers, entry.server as usize);
-            // One that cannot use all cold servers yet uses those that rank highest by its number and theirs.
-            // What another process of this proxy had of it may be spent this moment.
-            let first = hash_unit(u64::from(self.facts.proxy_index) + 1, entry.hash_key);
-            let budget = if inherited { 0.0 } else { first };
-            let s = &mut self.servers[entry.server as usize];
-            if s.rest.is_zero() || s.entry.started_at != entry.started_at {
-                let Server {
-                    open,
-                    asked,
-                    probing,
-                    waiting,
-                    ..
-                } = std::mem::take(s);
-                (s.g, s.v, s.t, s.filled, s.budget, s.rest) = (g, v, t, t, budget, REST);
-                (s.open, s.asked, s.unit, s.probing, s.waiting) =
-                    (open, asked, entry.load_per_connection, probing, waiting);
+            server.probes.mark_unresponsive();
+            for session in server.probes.take_waiting() {
+                self.advance(session, SessionInput::ProbesAnswered, out);
             }
-            s.entry = entry;
         }
     }
 
-    fn tick(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer { after: TICK });
-        while let Some(&(_, due)) = self.due.first().filter(|d| d.0 <= self.now) {
-            self.due.pop_first();
-            match due {
-                Due::AskRoster => out.push(Action::PollEndpoints),
-                Due::Survey => self.survey(),
-                Due::Told(sess) => self.advance(sess, None, Input::Told, out),
-            }
-        }
-        // A server that holds connections of ours is probed, the more it holds, the sooner.
-        for id in 0..self.servers.len() as ServerId {
-            let s = &self.servers[id as usize];
-            let pace = PROBE.mul_f64((WORTH / f64::from(s.open.max(1))).max(1.0));
-            let used = self.facts.may_probe && s.open > 0 && s.entry.state == EndpointState::Ready;
-            (used && self.now.saturating_sub(s.asked) >= pace).then(|| self.probe(id, out));
-        }
-    }
-}
-
-/// Multiply-with-carry.
-fn draw(chance: &mut u64) -> f64 {
-    *chance = (*chance & 0xffff_ffff) * 0xfffe_b81b + (*chance >> 32);
-    (*chance & 0xffff_ffff) as f64 / 4_294_967_296.0
-}
-
-fn grow<T: Clone + Default>(list: &mut Vec<T>, at: usize) {
-    if list.len() <= at {
-        list.resize(at + 1, T::default());
+    fn session(&self, id: SessionId) -> &Session {
+        &self.sessions[id as usize]
     }
-}
 
-fn fade(now: Duration, then: Duration) -> f64 {
-    (-now.saturating_sub(then).as_secs_f64() / CHURN).exp()
-}
-
-impl Server {
-    /// g' = max(0, g - v (now - t))
-    fn aged(&self, now: Duration) -> f64 {
-        (self.g - self.v * now.saturating_sub(self.t).as_secs_f64()).max(0.0)
+    fn session_mut(&mut self, id: SessionId) -> &mut Session {
+        &mut self.sessions[id as usize]
     }
 
-    fn age(&mut self, now: Duration) {
-        (self.g, self.v, self.t) = (self.aged(now), self.v * fade(now, self.t), now);
+    fn server(&self, id: ServerId) -> &Server {
+        &self.servers[id as usize]
     }
 
-    /// The score becomes the last probed count and what we have sent since.
-    fn reset(&mut self, now: Duration) {
-        self.age(now);
-        self.sends.retain(|sent| now.saturating_sub(sent.0) < STALE);
-        self.g = self.counted.map_or(self.g, |counted| {
-            counted + self.sends.iter().map(|s| s.1).sum::<f64>()
-        });
+    fn server_mut(&mut self, id: ServerId) -> &mut Server {
+        &mut self.servers[id as usize]
     }
 }
 
-/// A number in [0, 1) that every proxy finds for the same pair.
-fn hash_unit(a: u64, b: u64) -> f64 {
-    let mut x = a ^ b.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    for _ in 0..2 {
-        x = (x ^ (x >> 31)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+/// Makes the list long enough to hold the index.
+fn grow_to_hold<T: Clone + Default>(list: &mut Vec<T>, index: usize) {
+    if list.len() <= index {
+        list.resize(index + 1, T::default());
     }
-    ((x ^ (x >> 29)) >> 11) as f64 / (1u64 << 53) as f64
 }
--- /dev/null
+++ b/crates/placement/tests/engine/support.rs
@@ -0,0 +1,252 @@
+//! A proxy under test, which hands events to its engine and returns the actions.
+
+use asterramp_placement::deployment::{IdempotencyScope, Listener, RetrySafety, SlowStartRule};
+use asterramp_placement::event::{
+    Endpoint, EndpointState, EndpointUpdate, Load, Outcome, ServerId, SessionId, SessionRequest,
+};
+use asterramp_placement::{Action, Deployment, Event, PlacementEngine};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+pub(crate) const IDEMPOTENT: RetrySafety = RetrySafety::Idempotent;
+pub(crate) const KEY_KNOWN_BY_ALL: RetrySafety =
+    RetrySafety::IdempotencyKey(IdempotencyScope::All, ms(5_000));
+pub(crate) const KEY_KNOWN_BY_ZONE: RetrySafety =
+    RetrySafety::IdempotencyKey(IdempotencyScope::Zone, ms(5_000));
+pub(crate) const KEY_KNOWN_BY_CELL: RetrySafety =
+    RetrySafety::IdempotencyKey(IdempotencyScope::Cell, ms(5_000));
+pub(crate) const SHORT_KEY: RetrySafety =
+    RetrySafety::IdempotencyKey(IdempotencyScope::All, ms(50));
+pub(crate) const IS_PROBE: fn(&Action) -> bool = |a| matches!(a, Action::Probe { .. });
+
+pub(crate) const fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
+}
+
+pub(crate) fn deployment(kind: RetrySafety) -> Deployment {
+    let listener = Listener {
+        retry_safety: kind,
+        handshake_target: ms(800),
+        message_target: Some(ms(100)),
+        priority_weight: 1.0,
+    };
+    Deployment {
+        listeners: vec![listener],
+        proxy_count: 1,
+        slow_start: SlowStartRule {
+            initial_capacity: 0.25,
+            warm_after: ms(20_000),
+            max_multiple: 4.0,
+            span: ms(1_500),
+        },
+        max_attempts: 3,
+        may_probe: true,
+        may_cancel: true,
+        max_retry_after: ms(2_000),
+        ..Deployment::default()
+    }
+}
+
+pub(crate) fn endpoint(server: ServerId) -> Endpoint {
+    Endpoint {
+        server,
+        hash_key: u64::from(server) * 7919 + 13,
+        state: EndpointState::Ready,
+        weight: 1.0,
+        ..Endpoint::default()
+    }
+}
+
+pub(crate) struct Proxy {
+    pub(crate) engine: PlacementEngine,
+    pub(crate) now: Duration,
+    pub(crate) next_session: SessionId,
+    /// Whether clients were connected before.
+    pub(crate) reconnecting: bool,
+    /// What servers answer to probes that sessions wait for.
+    pub(crate) loads: BTreeMap<ServerId, Load>,
+}
+
+impl Proxy {
+    pub(crate) fn without_endpoints(facts: Deployment, nonce: u64) -> Self {
+        Proxy {
+            engine: PlacementEngine::new(facts, nonce),
+            now: ms(1_000_000),
+            next_session: 0,
+            reconnecting: false,
+            loads: BTreeMap::new(),
+        }
+    }
+
+    /// A proxy that has just started and knows the servers given.
+    pub(crate) fn new(facts: Deployment, nonce: u64, servers: Vec<Endpoint>) -> Self {
+        let mut proxy = Self::without_endpoints(facts, nonce);
+        proxy.handle(Event::Endpoints(EndpointUpdate::Stale(servers)));
+        proxy
+    }
+
+    /// One with so many ready servers.
+    pub(crate) fn with(facts: Deployment, servers: u32) -> Self {
+        Self::new(facts, 7, (0..servers).map(endpoint).collect())
+    }
+
+    pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut out = Vec::new();
+        self.engine.handle(self.now, event, &mut out);
+        out
+    }
+
+    /// The same, with the probes answered that follow at once.
+    pub(crate) fn handle_and_answer_probes(&mut self, event: Event) -> Vec<Action> {
+        let mut out = self.handle(event);
+        let mut next = 0;
+        while let Some(action) = out.get(next) {
+            if let Action::Probe { server } = *action {
+                let load = self.loads.get(&server).copied().unwrap_or_default();
+                out.extend(self.handle(Event::ProbeEnded {
+                    server,
+                    outcome: Outcome::Ok,
+                    load,
+                }));
+            }
+            next += 1;
+        }
+        out
+    }
+
+    /// Lets time pass, with the timer ringing every tenth of a second and probes answered.
+    pub(crate) fn wait(&mut self, span: Duration) -> Vec<Action> {
+        let end = self.now + span;
+        let mut out = Vec::new();
+        while self.now < end {
+            self.now += ms(100);
+            out.extend(self.handle_and_answer_probes(Event::Tick));
+        }
+        out
+    }
+
+    pub(crate) fn request_session(&mut self, group: Option<u64>) -> (SessionId, Vec<Action>) {
+        self.request_session_at(0, group)
+    }
+
+    pub(crate) fn request_session_at(
+        &mut self,
+        listener: u8,
+        group: Option<u64>,
+    ) -> (SessionId, Vec<Action>) {
+        let session = self.next_session;
+        self.next_session += 1;
+        let dial_timeout = self.now + ms(4_800);
+        let request = SessionRequest {
+            session,
+            listener,
+            hash_key: u64::from(session),
+            group,
+            dial_timeout,
+            reconnecting: self.reconnecting,
+            ..SessionRequest::default()
+        };
+        let actions = self.handle_and_answer_probes(Event::SessionRequested(request));
+        (session, actions)
+    }
+
+    /// A session that opened at the server that was selected.
+    pub(crate) fn open_session(&mut self, group: Option<u64>) -> (SessionId, ServerId) {
+        let (session, actions) = self.request_session(group);
+        let server = dialed_server(&actions).expect("a dial");
+        self.handle(Event::SessionOpened { session, dial: 0 });
+        (session, server)
+    }
+
+    pub(crate) fn open_sessions(&mut self, n: usize) -> Vec<(SessionId, ServerId)> {
+        (0..n).map(|_| self.open_session(None)).collect()
+    }
+
+    pub(crate) fn end_attempt(
+        &mut self,
+        session: SessionId,
+        dial: u8,
+        outcome: Outcome,
+        over: bool,
+    ) -> Vec<Action> {
+        self.handle_and_answer_probes(Event::AttemptEnded {
+            session,
+            dial,
+            outcome,
+            session_over: over,
+            load: Load::default(),
+        })
+    }
+
+    pub(crate) fn report_load(
+        &mut self,
+        server: ServerId,
+        connections: f64,
+        utilization: f64,
+    ) -> Vec<Action> {
+        let load = load(connections, utilization);
+        self.loads.insert(server, load);
+        self.handle(Event::ProbeEnded {
+            server,
+            outcome: Outcome::Ok,
+            load,
+        })
+    }
+
+    pub(crate) fn fail_probe(&mut self, server: ServerId) -> Vec<Action> {
+        self.handle(Event::ProbeEnded {
+            server,
+            outcome: Outcome::TimedOut,
+            load: Load::default(),
+        })
+    }
+
+    pub(crate) fn update_endpoint(&mut self, endpoint: Endpoint) -> Vec<Action> {
+        self.handle(Event::Endpoints(EndpointUpdate::Changes(vec![endpoint])))
+    }
+}
+
+pub(crate) fn load(connections: f64, utilization: f64) -> Load {
+    Load {
+        connections: Some(connections),
+        utilization: Some(utilization),
+    }
+}
+
+pub(crate) fn dialed_server(actions: &[Action]) -> Option<ServerId> {
+    actions.iter().find_map(|a| {
+        if let Action::Dial { server, .. } = a {
+            Some(*server)
+        } else {
+            None
+        }
+    })
+}
+
+pub(crate) fn dial_timeout_of(actions: &[Action]) -> Duration {
+    actions
+        .iter()
+        .find_map(|a| {
+            if let Action::Dial { timeout, .. } = a {
+                Some(*timeout)
+            } else {
+                None
+            }
+        })
+        .expect("a dial")
+}
+
+/// What a session came to: `D` dialed, `R` rejected, `T` failed, `-` nothing.
+pub(crate) fn outcome_letter(actions: &[Action]) -> char {
+    let letter = |a: &Action| match a {
+        Action::Dial { .. } => Some('D'),
+        Action::Reject { .. } => Some('R'),
+        Action::Fail { .. } => Some('T'),
+        _ => None,
+    };
+    actions.iter().find_map(letter).unwrap_or('-')
+}
+
+pub(crate) fn count(actions: &[Action], of: fn(&Action) -> bool) -> usize {
+    actions.iter().filter(|a| of(a)).count()
+}
--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -72,7 +72,7 @@
                 .copied()
                 .filter(|_| calls.callers.len() >= CALLERS);
             if let Some(oldest) = oldest {
-                self.log_event(ReasonCode::CallBad, "call why=\"crowded out\"");
+                self.log_event(ReasonCode::AdminRequestFailed, "call why=\"crowded out\"");
                 self.drop_caller(oldest);
             }
             let role = ConnectionRole::AdminHttp { answered: false };
@@ -116,7 +116,7 @@
             if sent {
                 conn.stream.shutdown_write();
             }
-            return self.want_own(key);
+            return self.watch_own_io(key);
         }
         let (bytes, ended) = (conn.stream.inbound.bytes(), conn.stream.ended);
         let (status, text) = match http_server::parse(bytes) {
@@ -126,7 +126,7 @@
                     calls.callers.retain(|caller| *caller != key);
                     calls.callers.push(key);
                 });
-                return self.want_own(key);
+                return self.watch_own_io(key);
             }
             Ok(None) if bytes.is_empty() => return self.drop_caller(key),
             Ok(None) => (HttpStatus::BadRequest("the call is not whole"), None),
@@ -142,7 +142,7 @@
                 }
                 Some(known) => {
                     let verb = known.2;
-                    self.count_event(ReasonCode::Called);
+                    self.count_event(ReasonCode::AdminRequestServed);
                     self.called(verb)
                 }
             },
@@ -162,7 +162,7 @@
     fn answer_call(&mut self, key: SlotKey, status: HttpStatus, text: Option<String>) {
         if !matches!(status, HttpStatus::Ok | HttpStatus::ServiceUnavailable(_)) {
             self.log_event(
-                ReasonCode::CallBad,
+                ReasonCode::AdminRequestFailed,
                 format!("call why={:?}", status.explanation()),
             );
         }
@@ -225,10 +225,11 @@
             .zones
             .iter()
             .flat_map(|places| places.sites.places());
-        text += &super::metrics::places_text(self.settings.zones.iter().zip(places));
-        text +=
-            &super::metrics::room_text(self.settings.listeners.iter().zip(self.admission.counts()));
-        text += &super::metrics::start_text(self.warm_start_state(), self.snapshot_counts());
+        text += &super::metrics::zones_text(self.settings.zones.iter().zip(places));
+        text += &super::metrics::load_shed_text(
+            self.settings.listeners.iter().zip(self.admission.counts()),
+        );
+        text += &super::metrics::warm_start_text(self.warm_start_state(), self.snapshot_counts());
         text
     }
 }
