--- a/crates/proxy/src/protocol/discovery.rs
+++ b/crates/proxy/src/protocol/discovery.rs
@@ -65,13 +65,6 @@
     },
 }
 
-// Temporary, until the callers' own errors are typed.
-impl From<EndpointListError> for String {
-    fn from(error: EndpointListError) -> String {
-        error.to_string()
-    }
-}
-
 /// Parses a list from JSON text.
 pub fn parse(bytes: &[u8]) -> Result<EndpointList, EndpointListError> {
     from_json(&json::parse(bytes)?)
--- a/crates/proxy/src/protocol/json.rs
+++ b/crates/proxy/src/protocol/json.rs
@@ -123,13 +123,6 @@
     },
 }
 
-// Temporary, until the callers' own errors are typed.
-impl From<JsonError> for String {
-    fn from(error: JsonError) -> String {
-        error.to_string()
-    }
-}
-
 /// How a text breaks JSON's grammar or a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum JsonProblem {
--- a/crates/proxy/src/routing/discovery_watch.rs
+++ b/crates/proxy/src/routing/discovery_watch.rs
@@ -1,291 +1,350 @@
-//! The watch on discovery.
+//! The watch on discovery: a long-lived HTTP request whose response brings endpoint lists, one on each line.
+//!
+//! The watch is opened again whenever it ends or falls silent. Where discovery has to be polled, the placement engine
+//! says when; otherwise the delay between two watches grows up to a bound.
 
+use super::probe::ProbeStage;
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
-use crate::protocol::discovery::{self, EndpointList};
+use crate::protocol::discovery::{self, EndpointList, EndpointListError};
 use crate::protocol::http_client::{ChunkedResponse, watch_request};
 use crate::transport::poller::{Interest, ReadyEvent};
 use crate::transport::{SlotKey, socket};
 use asterramp_placement::Event;
-use asterramp_placement::event;
+use asterramp_placement::event::{Endpoint, EndpointUpdate, Outcome, ServerId};
 use asterramp_placement::settings::Settings;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Blank lines come every 2 s, by the protocol; without a whole line for this long the watch is dead, whatever else its
-/// socket says.
-const SILENCE: Duration = Duration::from_secs(3);
-/// How long a new one may take to come up and say its first line, at first and at most. What changes while a watch is
-/// dead counts as told 6 s after it fell silent, by the protocol: `SILENCE`, two tries and their pauses fit in that.
-const ANSWER: Duration = Duration::from_secs(1);
-/// Pause before it is opened again, at first and at most.
-const PAUSE: Duration = Duration::from_millis(25);
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+/// After so long without a complete line the watch counts as dead, whatever else its socket shows. By the protocol
+/// discovery sends at least a blank line every 2 s.
+const MAX_SILENCE: Duration = Duration::from_secs(3);
+/// How long the first line of a watch may take at the first attempt; it doubles up to [`MAX_SILENCE`].
+///
+/// By the protocol the proxy has to know of a change 6 s after its watch fell silent. The silence itself, two attempts
+/// and the delays between them fit in that.
+const FIRST_LINE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before the watch is opened again, at first; it doubles up to at most [`MAX_RECONNECT_DELAY`].
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(25);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
+/// The state of the watch; one is open at most.
 #[derive(Debug)]
-pub struct DiscoveryWatch {
-    at: SocketAddr,
-    rev: u64,
-    key: Option<SlotKey>,
-    asked: bool,
-    answer: ChunkedResponse,
-    pause: Duration,
-    /// How long the next may take to say its first line.
-    patience: Duration,
-    /// What discovery tells meanwhile counts as told, so the longest pause leaves time to heed it.
-    longest_pause: Duration,
-    /// Where discovery answers only when asked, each call waits in one queue with those of all other proxies, and the
-    /// module says when to call again; a pause that knows of no others keeps the queue jammed.
-    by_module: bool,
-    /// When it last said anything.
-    heard: Option<Duration>,
+pub(super) struct DiscoveryWatch {
+    address: SocketAddr,
+    /// The revision after which changes are asked for.
+    revision: u64,
+    /// The open watch's connection.
+    connection: Option<SlotKey>,
+    request_sent: bool,
+    response: ChunkedResponse,
+    /// Delay before the next attempt.
+    reconnect_delay: Duration,
+    /// The bound of that delay. The proxy counts as knowing what discovery says meanwhile, so that half of the time
+    /// in which it has to act on it is left.
+    max_reconnect_delay: Duration,
+    /// How long the first line of the next attempt may take.
+    first_line_timeout: Duration,
+    /// Discovery answers only when polled: requests wait in one queue with those of all other proxies, and the
+    /// placement engine paces them. A delay of the proxy's own, which knows of no others, would keep that queue full.
+    paced_by_engine: bool,
+    /// When the last complete line came.
+    last_line_at: Option<Duration>,
 }
 
 impl DiscoveryWatch {
-    pub fn new(at: SocketAddr, rev: u64, setup: &Settings) -> DiscoveryWatch {
-        let longest_pause = (setup.drain_grace / 2).clamp(PAUSE, LONGEST_PAUSE);
-        let by_module = setup.deployment.endpoint_poll_delay.is_some();
+    /// A watch that is not open yet and asks for changes after a revision.
+    pub(super) fn new(address: SocketAddr, revision: u64, settings: &Settings) -> DiscoveryWatch {
+        let paced_by_engine = settings.deployment.endpoint_poll_delay.is_some();
         DiscoveryWatch {
-            at,
-            rev,
-            key: None,
-            asked: false,
-            answer: ChunkedResponse::default(),
-            pause: PAUSE,
-            patience: first_patience(by_module),
-            longest_pause,
-            by_module,
-            heard: None,
+            address,
+            revision,
+            connection: None,
+            request_sent: false,
+            response: ChunkedResponse::default(),
+            reconnect_delay: MIN_RECONNECT_DELAY,
+            max_reconnect_delay: (settings.drain_grace / 2)
+                .clamp(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY),
+            first_line_timeout: first_line_timeout(paced_by_engine),
+            paced_by_engine,
+            last_line_at: None,
         }
     }
 
-    pub fn rev(&self) -> u64 {
-        self.rev
+    /// The revision of the last list that could be read whole.
+    pub(super) fn rev(&self) -> u64 {
+        self.revision
     }
 
-    pub fn last_heard(&self) -> Option<Duration> {
-        self.heard
+    /// When discovery last sent a complete line.
+    pub(super) fn last_heard(&self) -> Option<Duration> {
+        self.last_line_at
+    }
+
+    /// Asks another discovery from now on, for everything that it has: its revisions need not be those of the former.
+    fn change_address(&mut self, address: SocketAddr) {
+        self.address = address;
+        self.revision = 0;
+        self.response = ChunkedResponse::default();
+        self.reset_delays();
+    }
+
+    fn reset_delays(&mut self) {
+        self.reconnect_delay = MIN_RECONNECT_DELAY;
+        self.first_line_timeout = first_line_timeout(self.paced_by_engine);
+    }
+
+    /// How long the attempt that begins now may take to its first line; the next may take twice as long.
+    fn take_first_line_timeout(&mut self) -> Duration {
+        let timeout = self.first_line_timeout;
+        self.first_line_timeout = (timeout * 2).min(MAX_SILENCE);
+        timeout
+    }
+
+    /// The delay before the next attempt; the one after that waits twice as long.
+    fn take_reconnect_delay(&mut self) -> Duration {
+        let delay = self.reconnect_delay;
+        self.reconnect_delay = (delay * 2).min(self.max_reconnect_delay);
+        delay
     }
 }
 
-/// An agent on the proxy's own machine answers at once; a discovery that is asked has a queue.
-fn first_patience(by_module: bool) -> Duration {
-    if by_module { SILENCE } else { ANSWER }
+/// An agent on the proxy's own machine answers at once; a discovery that is polled has a queue.
+fn first_line_timeout(paced_by_engine: bool) -> Duration {
+    if paced_by_engine {
+        MAX_SILENCE
+    } else {
+        FIRST_LINE_TIMEOUT
+    }
 }
 
 impl Router {
-    /// The list as it was before the start, upon which discovery is asked.
+    /// Begins with the list known from before the start, and asks discovery for changes.
     pub(super) fn apply_known_list(&mut self, list: EndpointList) {
-        self.begin(list, event::EndpointUpdate::Stale);
+        self.apply_first_list(list, EndpointUpdate::Stale);
     }
 
-    /// The same as the process told it that this one replaces.
+    /// Begins with the list of the process that this one replaces, and asks discovery for changes.
     pub(super) fn apply_inherited_list(&mut self, list: EndpointList) {
-        self.begin(list, event::EndpointUpdate::Inherited);
+        self.apply_first_list(list, EndpointUpdate::Inherited);
     }
 
-    fn begin(
+    fn apply_first_list(
         &mut self,
         list: EndpointList,
-        as_told: impl Fn(Vec<event::Endpoint>) -> event::EndpointUpdate,
+        as_update: impl Fn(Vec<Endpoint>) -> EndpointUpdate,
     ) {
-        let entries = list
+        let endpoints = list
             .endpoints
             .into_iter()
-            .filter_map(|line| Some(self.endpoints.take(line)?.0))
+            .filter_map(|listed| Some(self.endpoints.take(listed)?.0))
             .collect();
-        self.event(Event::Endpoints(as_told(entries)));
-        if !self.discovery_watch.by_module {
+        self.event(Event::Endpoints(as_update(endpoints)));
+        if !self.discovery_watch.paced_by_engine {
             self.connect_watch();
         }
     }
 
     /// Opens the watch, if none is open.
     pub(super) fn connect_watch(&mut self) {
-        if self.discovery_watch.key.is_some() {
+        if self.discovery_watch.connection.is_some() {
             return;
         }
-        let fd = socket::connect(self.discovery_watch.at).ok();
-        self.discovery_watch.key = fd.and_then(|fd| {
-            self.register(
-                fd,
-                ConnectionRole::DiscoveryWatch,
-                Interest {
-                    read: false,
-                    write: true,
-                },
-            )
-        });
-        (self.discovery_watch.asked, self.discovery_watch.answer) =
-            (false, ChunkedResponse::default());
-        if self.discovery_watch.key.is_some() {
-            self.deadlines.set(
-                TimerKey::DiscoveryWatch,
-                self.now + self.discovery_watch.patience,
-            );
-            self.discovery_watch.patience = (self.discovery_watch.patience * 2).min(SILENCE);
-        } else {
+        let connection = socket::connect(self.discovery_watch.address)
+            .ok()
+            .and_then(|fd| self.register(fd, ConnectionRole::DiscoveryWatch, Interest::WRITE));
+        self.discovery_watch.connection = connection;
+        self.discovery_watch.request_sent = false;
+        self.discovery_watch.response = ChunkedResponse::default();
+        if connection.is_none() {
             self.end_watch(ReasonCode::WatchEnded, "connect failed");
+            return;
         }
+        let timeout = self.discovery_watch.take_first_line_timeout();
+        self.deadlines
+            .set(TimerKey::DiscoveryWatch, self.now + timeout);
     }
 
-    /// Discovery may stand elsewhere from now on. What its agent there has is asked for whole, as its versions
-    /// need not be those of the other, which ends its watches soon and would tell nothing more.
+    /// Applies a configuration that was read again: discovery may be at another address from now on. The former one's
+    /// watch is closed, as that agent will end and say nothing more.
     pub fn reload(&mut self, now: Duration, discovery: SocketAddr) {
         self.now = now;
-        let same = self.discovery_watch.at == discovery;
+        let changed = self.discovery_watch.address != discovery;
         self.log_event(
             ReasonCode::ConfigReloaded,
-            format!("discovery={discovery} changed={}", !same),
+            format!("discovery={discovery} changed={changed}"),
         );
-        if !same {
-            self.discovery_watch
-                .key
-                .take()
-                .into_iter()
-                .for_each(|key| drop(self.close(key)));
-            self.discovery_watch = DiscoveryWatch {
-                at: discovery,
-                rev: 0,
-                pause: PAUSE,
-                answer: ChunkedResponse::default(),
-                ..self.discovery_watch
-            };
-            self.discovery_watch.patience = first_patience(self.discovery_watch.by_module);
+        if changed {
+            self.close_watch();
+            self.discovery_watch.change_address(discovery);
             self.connect_watch();
         }
     }
 
+    fn close_watch(&mut self) {
+        if let Some(connection) = self.discovery_watch.connection.take() {
+            self.close(connection);
+        }
+    }
+
+    /// The watch's deadline has passed: an open one is silent, and a closed one is to be opened again.
     pub(super) fn watch_deadline(&mut self) {
-        if self.discovery_watch.key.is_some() {
+        if self.discovery_watch.connection.is_some() {
             self.end_watch(ReasonCode::WatchSilent, "silent");
         } else {
             self.connect_watch();
         }
     }
 
-    fn end_watch(&mut self, code: ReasonCode, why: &str) {
-        self.log_event(code, format!("watch why={why:?}"));
-        self.discovery_watch
-            .key
-            .take()
-            .into_iter()
-            .for_each(|key| drop(self.close(key)));
-        if self.discovery_watch.by_module {
+    /// Closes the watch and arranges for the next.
+    fn end_watch(&mut self, code: ReasonCode, reason: &str) {
+        self.log_event(code, format!("watch why={reason:?}"));
+        self.close_watch();
+        if self.discovery_watch.paced_by_engine {
             self.deadlines.clear(TimerKey::DiscoveryWatch);
-            return self.event(Event::Endpoints(event::EndpointUpdate::Failed));
+            self.event(Event::Endpoints(EndpointUpdate::Failed));
+            return;
         }
-        self.deadlines.set(
-            TimerKey::DiscoveryWatch,
-            self.now + self.discovery_watch.pause,
-        );
-        self.discovery_watch.pause =
-            (self.discovery_watch.pause * 2).min(self.discovery_watch.longest_pause);
+        let delay = self.discovery_watch.take_reconnect_delay();
+        self.deadlines
+            .set(TimerKey::DiscoveryWatch, self.now + delay);
     }
 
+    /// The watch's connection is ready: at first to send the request, afterwards with input.
     pub(super) fn watch_ready(&mut self, event: ReadyEvent) {
-        let Some(conn) = self.connections.get_mut(event.key) else {
+        if !self.discovery_watch.request_sent {
+            return self.send_watch_request(event.key);
+        }
+        let Some(input) = self.read_watch(event) else {
             return;
         };
-        if !self.discovery_watch.asked {
-            if !conn.stream.is_connected() {
-                return self.end_watch(ReasonCode::WatchEnded, "connect failed");
-            }
-            self.discovery_watch.asked = true;
-            let request = watch_request(
-                &self.discovery_watch.at.to_string(),
-                self.discovery_watch.rev,
-            );
-            conn.stream.send(&[request.as_bytes()]);
-            return self.watch_own_io(event.key);
-        }
-        conn.stream.read_once(event.failed);
-        let bytes = conn.stream.inbound.bytes();
-        let (n, mut lines) = (bytes.len(), Vec::new());
-        let fed = self.discovery_watch.answer.feed(bytes, &mut lines);
-        let ended = conn.stream.ended.is_some() || self.discovery_watch.answer.is_complete();
-        conn.stream.inbound.consume(n);
-        // Half a line, or an answer without end, would keep a dead watch alive.
-        if !lines.is_empty() {
-            self.discovery_watch.heard = Some(self.now);
+        // Half a line, or a response without end, must not keep a dead watch alive.
+        if !input.lines.is_empty() {
+            self.discovery_watch.last_line_at = Some(self.now);
             self.deadlines
-                .set(TimerKey::DiscoveryWatch, self.now + SILENCE);
+                .set(TimerKey::DiscoveryWatch, self.now + MAX_SILENCE);
             self.session_table.note_discovery_alive(self.now);
         }
-        for line in lines {
-            if let Err(why) = self.listed(&line) {
+        for line in input.lines {
+            if let Err(error) = self.apply_watch_line(&line) {
                 self.log_event(
                     ReasonCode::EndpointListInvalid,
-                    format!("roster why={why:?}"),
+                    format!("roster why={:?}", error.to_string()),
                 );
                 return self.end_watch(ReasonCode::WatchEnded, "bad list");
             }
         }
-        match fed {
-            Err(fault) => self.end_watch(ReasonCode::WatchEnded, &fault.to_string()),
-            Ok(()) if ended => self.end_watch(ReasonCode::WatchEnded, "closed"),
-            Ok(()) => self.watch_own_io(event.key),
+        match input.end {
+            Some(reason) => self.end_watch(ReasonCode::WatchEnded, &reason),
+            None => self.watch_own_io(event.key),
+        }
+    }
+
+    /// Sends the request at the connection's first writability, unless that shows that it failed.
+    fn send_watch_request(&mut self, key: SlotKey) {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        if !connection.stream.is_connected() {
+            return self.end_watch(ReasonCode::WatchEnded, "connect failed");
         }
+        self.discovery_watch.request_sent = true;
+        let request = watch_request(
+            &self.discovery_watch.address.to_string(),
+            self.discovery_watch.revision,
+        );
+        connection.stream.send(&[request.as_bytes()]);
+        self.watch_own_io(key);
     }
 
-    /// One line of the watch; blank ones only show that discovery lives. Of a list with a bad entry the rest is
-    /// heeded, as a drain may be in it, but it is asked for again from the version before, and what it leaves
-    /// out is not gone.
-    fn listed(&mut self, line: &[u8]) -> Result<(), String> {
+    /// Reads the watch's connection once; `None` where it is gone.
+    fn read_watch(&mut self, event: ReadyEvent) -> Option<WatchInput> {
+        let stream = &mut self.connections.get_mut(event.key)?.stream;
+        let response = &mut self.discovery_watch.response;
+        stream.read_once(event.failed);
+        let bytes = stream.inbound.bytes();
+        let read = bytes.len();
+        let mut lines = Vec::new();
+        let fed = response.feed(bytes, &mut lines);
+        stream.inbound.consume(read);
+        let end = match fed {
+            Err(error) => Some(error.to_string()),
+            Ok(()) if stream.ended.is_some() || response.is_complete() => Some("closed".into()),
+            Ok(()) => None,
+        };
+        Some(WatchInput { lines, end })
+    }
+
+    /// Applies one line of the watch; a blank one only shows that discovery is alive.
+    ///
+    /// A list with an invalid entry fails. The rest of it is applied nevertheless, as a drain may be in it, but what
+    /// it leaves out is not gone, and it is asked for again from the revision before.
+    fn apply_watch_line(&mut self, line: &[u8]) -> Result<(), EndpointListError> {
         if !line.is_empty() {
-            let list = discovery::parse(line)?;
-            let whole = list.complete && list.first_error.is_none();
-            let mut entries = Vec::with_capacity(list.endpoints.len());
-            for line in list.endpoints {
-                let Some((entry, stale)) = self.endpoints.take(line) else {
-                    self.count_event(ReasonCode::EndpointTableFull);
-                    continue;
-                };
-                entries.push(entry);
-                if stale {
-                    self.unneeded_probe(entry.server);
-                }
-            }
-            if self.is_older(list.revision) {
-                self.apply_older_list(list.revision, entries);
-            } else {
-                self.told(entries, whole);
-            }
-            list.first_error.map_or(Ok(()), Err)?;
-            self.discovery_watch.rev = list.revision;
-            self.count_event(ReasonCode::EndpointsApplied);
-            self.mark_snapshot_outdated();
+            self.apply_watch_list(discovery::parse(line)?)?;
         }
-        (self.discovery_watch.pause, self.discovery_watch.patience) =
-            (PAUSE, first_patience(self.discovery_watch.by_module));
+        self.discovery_watch.reset_delays();
         if !self.serving && self.warm_start.is_none() {
             self.start_serving("discovery");
         }
         Ok(())
     }
 
-    fn told(&mut self, mut entries: Vec<event::Endpoint>, whole: bool) {
-        if whole {
-            self.endpoints.only(&entries);
+    fn apply_watch_list(&mut self, list: EndpointList) -> Result<(), EndpointListError> {
+        let complete = list.complete && list.first_error.is_none();
+        let mut endpoints = Vec::with_capacity(list.endpoints.len());
+        for listed in list.endpoints {
+            let Some((endpoint, stale)) = self.endpoints.take(listed) else {
+                self.count_event(ReasonCode::EndpointTableFull);
+                continue;
+            };
+            endpoints.push(endpoint);
+            if stale {
+                self.cancel_stale_probe(endpoint.server);
+            }
+        }
+        if self.is_older(list.revision) {
+            self.apply_older_list(list.revision, endpoints);
+        } else {
+            self.apply_endpoints(endpoints, complete);
+        }
+        if let Some(error) = list.first_error {
+            return Err(error);
+        }
+        self.discovery_watch.revision = list.revision;
+        self.count_event(ReasonCode::EndpointsApplied);
+        self.mark_snapshot_outdated();
+        Ok(())
+    }
+
+    fn apply_endpoints(&mut self, mut endpoints: Vec<Endpoint>, complete: bool) {
+        if complete {
+            self.endpoints.only(&endpoints);
         }
-        self.note_listed_endpoints(&mut entries, whole);
-        let told = if whole {
-            event::EndpointUpdate::Complete
+        self.note_listed_endpoints(&mut endpoints, complete);
+        let update = if complete {
+            EndpointUpdate::Complete(endpoints)
         } else {
-            event::EndpointUpdate::Changes
+            EndpointUpdate::Changes(endpoints)
         };
-        self.event(Event::Endpoints(told(entries)));
+        self.event(Event::Endpoints(update));
     }
 
-    /// Its server is gone or stands elsewhere: what is asked there now is answered by nobody.
-    fn unneeded_probe(&mut self, server: event::ServerId) {
+    /// Ends the health check of a server that is gone or has moved: nobody will answer it.
+    fn cancel_stale_probe(&mut self, server: ServerId) {
         let Some(key) = self.endpoints.probe(server) else {
             return;
         };
-        match self.connections.get(key).map(|conn| conn.role) {
-            Some(ConnectionRole::Probe(_, super::probe::ProbeStage::Idle)) => {
-                self.close_probe(server, key)
-            }
-            _ => self.finish_probe(server, event::Outcome::CalledOff),
+        match self.connections.get(key).map(|connection| connection.role) {
+            Some(ConnectionRole::Probe(_, ProbeStage::Idle)) => self.close_probe(server, key),
+            _ => self.finish_probe(server, Outcome::CalledOff),
         }
     }
 }
+
+/// What one read of the watch brought.
+struct WatchInput {
+    /// Complete lines of the response's body.
+    lines: Vec<Vec<u8>>,
+    /// Why the watch can't go on, if it can't.
+    end: Option<String>,
+}
