--- a/crates/model-checker/tests/injected_faults.rs
+++ b/crates/model-checker/tests/injected_faults.rs
@@ -15,7 +15,7 @@
 #[test]
 fn an_injected_fault_is_found_and_its_trace_replays() {
     use asterramp_proxy::injected_fault::{InjectedFault, inject};
-    inject(Some(InjectedFault::TimeOutProvesNothing));
+    inject(Some(InjectedFault::TimeoutReportedAsNeverRun));
     let shape = Shape::find("once-only").unwrap();
     let explored = explore(shape, Limits::default());
     let trace = Trace::of(shape, None, explored.found.as_ref().expect("it is found"));
--- a/crates/proxy/src/injected_fault.rs
+++ b/crates/proxy/src/injected_fault.rs
@@ -1,90 +1,93 @@
 //! Faults that the model checker injects one at a time, to show that it finds them. Without the feature
-//! `injected-faults`, which no build that serves has, there are none.
+//! `injected-faults`, which no build that serves traffic has, there are none.
 
-/// A fault of a kind that happens in practice.
+/// A mistake of a kind that happens in practice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// A late `UP` of a dial that timed out is believed.
-    LateUpBelieved,
+    /// An `UP` that comes after its dial timed out is accepted.
+    LateUpAccepted,
     /// The next dial begins before the last one's connection is closed.
-    DialBeforeClose,
-    /// A client that speaks too early is answered, and again by what its dial comes to.
-    AnswersTwice,
-    /// Changes of the roster that come while a dial is out are lost.
-    DrainMidDialLost,
-    /// A slot used again answers to its former key.
-    StaleSlot,
-    /// A dial that timed out is told as one that never ran.
-    TimeOutProvesNothing,
-    /// A reset behind the last byte is told as a connection that never came up.
-    ResetProvesNothing,
-    /// A line that was written has no deadline.
-    NoDeadline,
-    /// A dial that is called off stays open.
-    CallOffKept,
-    /// A dial for which there was no socket is told to nobody.
-    NoSocketUntold,
-    /// Who still waits when the proxy goes down hears nothing.
-    SilentGoingDown,
+    DialBeforePreviousClosed,
+    /// A client that speaks too early is answered, and again by the outcome of its dial.
+    ClientAnsweredTwice,
+    /// Changes of endpoints that come during a dial are lost.
+    ChangeDuringDialLost,
+    /// A slot that was used again is found by its former key.
+    StaleSlotKeyAccepted,
+    /// A dial that timed out is reported as one that never ran.
+    TimeoutReportedAsNeverRun,
+    /// A reset behind the last byte is reported as a connection that was never established.
+    ResetReportedAsNeverConnected,
+    /// A request that was written has no deadline.
+    NoResponseDeadline,
+    /// The connection of a cancelled dial stays open.
+    CancelledDialLeftOpen,
+    /// A dial for which there was no socket is not reported.
+    NoSocketNotReported,
+    /// Clients that still wait when the proxy shuts down are not answered.
+    WaitingClientsNotAnswered,
     /// A session is opened for a client that has left.
-    OpensAlone,
-    /// A dial is given longer than the client waits.
-    DeadlineTooLate,
-    /// What the module forgets is kept.
-    Kept,
-    /// A session is answered while its dial is still out.
-    AnswersWhileOut,
-    /// A client that is found to have gone right before a dial or its line is dialled for all the same.
-    GoneDialled,
-    /// The line of a client that went while its dial came up is sent.
-    GoneAsked,
+    SessionOpenedWithoutClient,
+    /// A dial may take longer than the client waits.
+    DialOutlastsClientWait,
+    /// A session that the placement engine forgets is kept.
+    ForgottenSessionKept,
+    /// A client is answered while its dial is still open.
+    ClientAnsweredDuringDial,
+    /// A client that is found to have left right before a dial or its request is dialled for all the same.
+    DialForGoneClient,
+    /// The request of a client that left as its dial was established is sent.
+    RequestSentForGoneClient,
 }
 
 impl InjectedFault {
+    /// All faults.
     pub const ALL: [InjectedFault; 17] = [
-        InjectedFault::LateUpBelieved,
-        InjectedFault::DialBeforeClose,
-        InjectedFault::AnswersTwice,
-        InjectedFault::DrainMidDialLost,
-        InjectedFault::StaleSlot,
-        InjectedFault::TimeOutProvesNothing,
-        InjectedFault::ResetProvesNothing,
-        InjectedFault::NoDeadline,
-        InjectedFault::CallOffKept,
-        InjectedFault::NoSocketUntold,
-        InjectedFault::SilentGoingDown,
-        InjectedFault::OpensAlone,
-        InjectedFault::DeadlineTooLate,
-        InjectedFault::Kept,
-        InjectedFault::AnswersWhileOut,
-        InjectedFault::GoneDialled,
-        InjectedFault::GoneAsked,
+        InjectedFault::LateUpAccepted,
+        InjectedFault::DialBeforePreviousClosed,
+        InjectedFault::ClientAnsweredTwice,
+        InjectedFault::ChangeDuringDialLost,
+        InjectedFault::StaleSlotKeyAccepted,
+        InjectedFault::TimeoutReportedAsNeverRun,
+        InjectedFault::ResetReportedAsNeverConnected,
+        InjectedFault::NoResponseDeadline,
+        InjectedFault::CancelledDialLeftOpen,
+        InjectedFault::NoSocketNotReported,
+        InjectedFault::WaitingClientsNotAnswered,
+        InjectedFault::SessionOpenedWithoutClient,
+        InjectedFault::DialOutlastsClientWait,
+        InjectedFault::ForgottenSessionKept,
+        InjectedFault::ClientAnsweredDuringDial,
+        InjectedFault::DialForGoneClient,
+        InjectedFault::RequestSentForGoneClient,
     ];
 }
 
 #[cfg(feature = "injected-faults")]
-mod chosen {
+mod selection {
     use super::InjectedFault;
     use std::sync::atomic::{AtomicU8, Ordering};
 
-    static CHOSEN: AtomicU8 = AtomicU8::new(0);
+    /// One more than the fault's index in [`InjectedFault::ALL`]; 0 for none. The checker's threads share it.
+    static SELECTED: AtomicU8 = AtomicU8::new(0);
 
-    /// Plants one bug from now on, or none.
-    pub fn inject(which: Option<InjectedFault>) {
-        let nth = which.and_then(|which| InjectedFault::ALL.iter().position(|p| *p == which));
-        CHOSEN.store(nth.map_or(0, |nth| nth as u8 + 1), Ordering::SeqCst);
+    /// Injects one fault from now on, or none, in the whole process.
+    pub fn inject(fault: Option<InjectedFault>) {
+        let index = fault.and_then(|fault| InjectedFault::ALL.iter().position(|f| *f == fault));
+        SELECTED.store(index.map_or(0, |index| index as u8 + 1), Ordering::SeqCst);
     }
 
-    pub fn is_injected(which: InjectedFault) -> bool {
-        let nth = CHOSEN.load(Ordering::Relaxed);
-        nth > 0 && InjectedFault::ALL[usize::from(nth) - 1] == which
+    /// Whether this fault is injected now.
+    pub fn is_injected(fault: InjectedFault) -> bool {
+        let selected = SELECTED.load(Ordering::Relaxed);
+        selected > 0 && InjectedFault::ALL[usize::from(selected) - 1] == fault
     }
 }
 
 #[cfg(feature = "injected-faults")]
-pub use chosen::{inject, is_injected};
+pub use selection::{inject, is_injected};
 
-/// Whether this is wrong now.
+/// Whether this fault is injected now: never, in a build without the feature `injected-faults`.
 #[cfg(not(feature = "injected-faults"))]
 #[inline(always)]
 pub fn is_injected(_: InjectedFault) -> bool {
--- a/crates/proxy/src/routing/session_state/machine.rs
+++ b/crates/proxy/src/routing/session_state/machine.rs
@@ -98,7 +98,7 @@
             return;
         };
         let late_answer =
-            is_injected(InjectedFault::LateUpBelieved) && kind == InputKind::ServerAccepted;
+            is_injected(InjectedFault::LateUpAccepted) && kind == InputKind::ServerAccepted;
         let state = if late_answer && self.state != SessionState::Ended {
             SessionState::AwaitingAnswer
         } else {
@@ -110,7 +110,7 @@
         if self.replaced_by_fault(state, kind, out) {
             return;
         }
-        let keeps_dial = is_injected(InjectedFault::GoneAsked)
+        let keeps_dial = is_injected(InjectedFault::RequestSentForGoneClient)
             && transition
                 .effects
                 .contains(&TransitionEffect::AbandonUnsentDial);
@@ -127,13 +127,13 @@
         kind: InputKind,
         out: &mut Vec<SessionEffect>,
     ) -> bool {
-        if is_injected(InjectedFault::NoSocketUntold) && kind == InputKind::NoSocket {
+        if is_injected(InjectedFault::NoSocketNotReported) && kind == InputKind::NoSocket {
             self.state = SessionState::Idle;
             out.push(SessionEffect::CloseServer);
             out.push(SessionEffect::SetDeadline(None));
             return true;
         }
-        is_injected(InjectedFault::CallOffKept)
+        is_injected(InjectedFault::CancelledDialLeftOpen)
             && state == SessionState::AwaitingAnswer
             && kind == InputKind::Cancel
     }
@@ -175,12 +175,12 @@
     /// `kind` if it is about the present dial.
     fn of_dial(&self, dial: u8, kind: InputKind) -> Option<InputKind> {
         let late_answer =
-            is_injected(InjectedFault::LateUpBelieved) && kind == InputKind::ServerAccepted;
+            is_injected(InjectedFault::LateUpAccepted) && kind == InputKind::ServerAccepted;
         (dial == self.dial() || late_answer).then_some(kind)
     }
 
     fn acceptance(&self) -> InputKind {
-        if self.client_waiting || is_injected(InjectedFault::OpensAlone) {
+        if self.client_waiting || is_injected(InjectedFault::SessionOpenedWithoutClient) {
             InputKind::ServerAccepted
         } else {
             InputKind::ServerAcceptedForNobody
@@ -253,7 +253,7 @@
             }
             TransitionEffect::ShutDown => self.shut_down(out),
             TransitionEffect::AbandonUnsentDial => {
-                if !is_injected(InjectedFault::GoneAsked) {
+                if !is_injected(InjectedFault::RequestSentForGoneClient) {
                     self.end_dial(now, Outcome::CalledOff, Load::default(), out);
                 }
             }
@@ -273,7 +273,7 @@
         self.dial_deadline = now + timeout;
         self.write_deadline = now + write_within;
         self.dials = self.dials.saturating_add(1);
-        if is_injected(InjectedFault::DeadlineTooLate) {
+        if is_injected(InjectedFault::DialOutlastsClientWait) {
             self.dial_deadline += INJECTED_DELAY;
         }
         let connect_deadline = (now + self.connect_timeout)
@@ -285,7 +285,8 @@
 
     fn send_request(&self, now: Duration, out: &mut Vec<SessionEffect>) {
         let remaining = self.dial_deadline.saturating_sub(now).max(SHORTEST_WAIT);
-        let deadline = (!is_injected(InjectedFault::NoDeadline)).then_some(self.dial_deadline);
+        let deadline =
+            (!is_injected(InjectedFault::NoResponseDeadline)).then_some(self.dial_deadline);
         out.push(SessionEffect::SetDeadline(deadline));
         out.push(SessionEffect::Count(ReasonCode::AttemptSent));
         out.push(SessionEffect::SendRequest {
@@ -322,7 +323,7 @@
             out.push(SessionEffect::Log(ReasonCode::ClientLeft));
             out.push(SessionEffect::DropClient);
         }
-        self.client_waiting = is_injected(InjectedFault::AnswersTwice);
+        self.client_waiting = is_injected(InjectedFault::ClientAnsweredTwice);
         self.client_left = true;
     }
 
@@ -343,7 +344,7 @@
     fn shut_down(&mut self, out: &mut Vec<SessionEffect>) {
         out.push(SessionEffect::SetDeadline(None));
         out.push(SessionEffect::CloseServer);
-        if !is_injected(InjectedFault::SilentGoingDown) {
+        if !is_injected(InjectedFault::WaitingClientsNotAnswered) {
             self.answer(FinalAnswer::Failed(ReasonCode::SessionFailed), out);
         }
         out.push(SessionEffect::Forget);
@@ -354,7 +355,7 @@
         if self.client_waiting {
             out.push(SessionEffect::AnswerClient(answer));
         }
-        self.client_waiting = is_injected(InjectedFault::AnswersTwice);
+        self.client_waiting = is_injected(InjectedFault::ClientAnsweredTwice);
     }
 
     /// Closes the dial before anything else is sent for its session, and notifies the engine how it ended.
@@ -366,11 +367,12 @@
         out: &mut Vec<SessionEffect>,
     ) {
         let timed_out = outcome == Outcome::TimedOut;
-        if is_injected(InjectedFault::AnswersWhileOut) && timed_out && self.client_waiting {
+        if is_injected(InjectedFault::ClientAnsweredDuringDial) && timed_out && self.client_waiting
+        {
             self.state = SessionState::AwaitingAnswer;
             return self.answer(FinalAnswer::Failed(ReasonCode::SessionFailed), out);
         }
-        if !(is_injected(InjectedFault::DialBeforeClose) && timed_out) {
+        if !(is_injected(InjectedFault::DialBeforePreviousClosed) && timed_out) {
             out.push(SessionEffect::CloseServer);
         }
         out.push(SessionEffect::SetDeadline(None));
@@ -412,8 +414,8 @@
 /// The outcome as the engine hears it; another than the true one only where a fault is injected.
 fn outcome_with_faults(outcome: Outcome) -> Outcome {
     let hidden = match outcome {
-        Outcome::TimedOut => is_injected(InjectedFault::TimeOutProvesNothing),
-        Outcome::Reset => is_injected(InjectedFault::ResetProvesNothing),
+        Outcome::TimedOut => is_injected(InjectedFault::TimeoutReportedAsNeverRun),
+        Outcome::Reset => is_injected(InjectedFault::ResetReportedAsNeverConnected),
         _ => false,
     };
     if hidden {
--- a/crates/proxy/src/routing/session_table.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -132,7 +132,7 @@
     /// The client of a session was found to have left, or to have spoken, right before something would be sent for
     /// it. Whether nothing is to be sent.
     pub fn found_gone(&mut self, now: Duration, session: SlotKey, how: SessionInput) -> bool {
-        if is_injected(InjectedFault::GoneDialled) {
+        if is_injected(InjectedFault::DialForGoneClient) {
             return false;
         }
         self.input(now, session, how);
@@ -141,7 +141,7 @@
 
     /// Something happens that is no session's own: the endpoint list, a probe's answer, a tick.
     pub fn event(&mut self, now: Duration, event: Event) {
-        if is_injected(InjectedFault::DrainMidDialLost)
+        if is_injected(InjectedFault::ChangeDuringDialLost)
             && matches!(event, Event::Endpoints(_))
             && self.sessions.iter().any(|(_, slot)| is_dialling(slot))
         {
@@ -259,7 +259,7 @@
             Action::Migrate { session } => (session, SessionInput::Migrate),
             Action::Forget { session } => {
                 if let Some(key) = self.sessions.key_at(session)
-                    && !is_injected(InjectedFault::Kept)
+                    && !is_injected(InjectedFault::ForgottenSessionKept)
                 {
                     self.tasks
                         .push_back(SessionTask::Session(key, SessionEffect::Forget));
--- a/crates/proxy/src/transport/slots.rs
+++ b/crates/proxy/src/transport/slots.rs
@@ -70,7 +70,7 @@
     /// The item under a key, if it is still there.
     pub fn get(&self, key: SlotKey) -> Option<&T> {
         let slot = self.slots.get(key.slot as usize)?;
-        if slot.generation != key.generation && !is_injected(InjectedFault::StaleSlot) {
+        if slot.generation != key.generation && !is_injected(InjectedFault::StaleSlotKeyAccepted) {
             return None;
         }
         slot.item.as_ref()
