--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -7,9 +7,8 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-mod help;
+mod support;
 
-use help::{OPEN, SETTINGS, Side, World, list, target};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -17,10 +16,11 @@
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
+use support::{LineConnection, OPEN_LINE, ProxyHarness, SETTINGS, endpoint_json, list_line};
 use test_case::test_case;
 
 struct Site {
-    world: World,
+    world: ProxyHarness,
     socket: PathBuf,
     operator: PathBuf,
 }
@@ -52,7 +52,7 @@
     fn at(socket: PathBuf, more: &str) -> Site {
         let operator = path("toml");
         std::fs::write(&operator, wishes(&socket, more)).unwrap();
-        let world = World::started(1, SETTINGS, (512, 1024), Some(&operator));
+        let world = ProxyHarness::with_operator_file(1, SETTINGS, (512, 1024), Some(&operator));
         Site {
             world,
             socket,
@@ -63,7 +63,7 @@
     /// A connection to the control socket, and what it says to a line.
     fn peer(&self) -> BufReader<UnixStream> {
         let stream = UnixStream::connect(&self.socket).unwrap();
-        stream.set_read_timeout(Some(help::SOON)).unwrap();
+        stream.set_read_timeout(Some(support::TIMEOUT)).unwrap();
         BufReader::new(stream)
     }
 
@@ -88,7 +88,7 @@
     }
 
     fn until(&self, state: &str) -> String {
-        let until = Instant::now() + help::SOON;
+        let until = Instant::now() + support::TIMEOUT;
         loop {
             let answer = self.say(r#"{"v":1,"do":"status"}"#);
             if answer.contains(&format!("\"state\":\"{state}\"")) {
@@ -100,7 +100,7 @@
     }
 
     fn pinged(&self) -> String {
-        self.world.client("PING\r\n").line()
+        self.world.connect("PING\r\n").read_line()
     }
 }
 
@@ -111,7 +111,8 @@
 #[test]
 fn a_drain_moves_all_serves_whoever_still_comes_and_is_taken_back() {
     let mut site = Site::new("");
-    let mut pairs: Vec<(Side, Side)> = (0..12).map(|_| site.world.up()).collect();
+    let mut pairs: Vec<(LineConnection, LineConnection)> =
+        (0..12).map(|_| site.world.open_session()).collect();
     assert!(
         site.command(&["drain", "--deadline", "3s"])
             .status
@@ -119,40 +120,40 @@
     );
     assert_eq!(site.pinged(), "ERR", "the front is told");
     // Whom the front still sends is served.
-    pairs.push(site.world.up());
+    pairs.push(site.world.open_session());
     for (client, server) in &mut pairs {
-        assert_eq!([client.line(), client.line()], ["MOVE", "FIN"]);
-        assert_eq!(server.line(), "FIN");
+        assert_eq!([client.read_line(), client.read_line()], ["MOVE", "FIN"]);
+        assert_eq!(server.read_line(), "FIN");
     }
     let answer = site.until("empty");
     assert!(
         answer.contains("\"moved\":13") && answer.contains("\"carries\":false"),
         "{answer}"
     );
-    let late = site.world.up();
+    let late = site.world.open_session();
     let (mut client, _server) = late;
     assert_eq!(
-        client.line(),
+        client.read_line(),
         "MOVE",
         "who comes while it is empty is moved too"
     );
     let since = Instant::now();
     assert!(site.command(&["undrain"]).status.success());
     assert_eq!(site.pinged(), "PONG");
-    let (mut client, mut server) = site.world.up();
+    let (mut client, mut server) = site.world.open_session();
     assert!(
         since.elapsed() < Duration::from_secs(1),
         "back within a second"
     );
-    client.say("a\r\n");
-    assert_eq!(server.line(), "a");
-    assert!(client.quiet());
+    client.send("a\r\n");
+    assert_eq!(server.read_line(), "a");
+    assert!(client.is_quiet());
     assert!(
         !site.command(&["undrain"]).status.success(),
         "it does not drain any more"
     );
-    site.world.signal("TERM");
-    let (code, log) = site.world.ends();
+    site.world.send_signal("TERM");
+    let (code, log) = site.world.wait_for_exit();
     let states: Vec<&str> = log
         .lines()
         .filter_map(|l| l.strip_prefix("drain-state state="))
@@ -169,22 +170,23 @@
 #[test]
 fn a_session_that_waits_is_answered_by_its_own_time_and_an_undrain_halfway_leaves_the_rest() {
     let site = Site::new("pace = 10\n");
-    let mut pairs: Vec<(Side, Side)> = (0..20).map(|_| site.world.up()).collect();
-    let mut waits = site.world.client(&OPEN.replace("feed", "order"));
-    let (mut host, _) = site.world.dialled(0);
+    let mut pairs: Vec<(LineConnection, LineConnection)> =
+        (0..20).map(|_| site.world.open_session()).collect();
+    let mut waits = site.world.connect(&OPEN_LINE.replace("feed", "order"));
+    let (mut host, _) = site.world.accept_at(0);
     assert!(
         site.command(&["drain", "--deadline", "60s"])
             .status
             .success()
     );
     // It is answered as ever, by what its host says within its own time.
-    host.say("UP r9\r\n");
-    assert_eq!(waits.line(), "UP r9");
+    host.send("UP r9\r\n");
+    assert_eq!(waits.read_line(), "UP r9");
     std::thread::sleep(Duration::from_millis(1_000));
     assert!(site.command(&["undrain"]).status.success());
     let still = pairs
         .iter_mut()
-        .filter_map(|(client, _)| client.quiet().then_some(()))
+        .filter_map(|(client, _)| client.is_quiet().then_some(()))
         .count();
     assert!((8..20).contains(&still), "{still}");
 }
@@ -192,7 +194,8 @@
 #[test]
 fn a_second_drain_changes_the_deadline_and_sigterm_ends_it_for_good() {
     let mut site = Site::new("pace = 1\n");
-    let mut pairs: Vec<(Side, Side)> = (0..10).map(|_| site.world.up()).collect();
+    let mut pairs: Vec<(LineConnection, LineConnection)> =
+        (0..10).map(|_| site.world.open_session()).collect();
     assert!(
         site.command(&["drain", "--deadline", "60s"])
             .status
@@ -202,22 +205,23 @@
     let output = site.command(&["drain", "--deadline", "1s"]);
     assert!(output.status.success());
     site.until("late");
-    site.world.signal("TERM");
+    site.world.send_signal("TERM");
     site.until("exiting");
     assert!(
         !site.command(&["undrain"]).status.success() && !site.command(&["drain"]).status.success()
     );
     for (client, _) in &mut pairs {
-        assert_eq!(client.line(), "MOVE");
+        assert_eq!(client.read_line(), "MOVE");
     }
     drop(pairs);
-    assert_eq!(site.world.ends().0, Some(0));
+    assert_eq!(site.world.wait_for_exit().0, Some(0));
 }
 
 #[test]
 fn a_drain_goes_on_while_discovery_is_down_and_while_the_configuration_is_read_again() {
     let site = Site::new("pace = 20\n");
-    let mut pairs: Vec<(Side, Side)> = (0..10).map(|_| site.world.up()).collect();
+    let mut pairs: Vec<(LineConnection, LineConnection)> =
+        (0..10).map(|_| site.world.open_session()).collect();
     site.world.watch.send(String::new()).unwrap();
     assert!(
         site.command(&["drain", "--deadline", "20s"])
@@ -230,9 +234,9 @@
         wishes(&site.socket, "pace = 500\nback = \"0s\"\n"),
     )
     .unwrap();
-    site.world.signal("HUP");
+    site.world.send_signal("HUP");
     for (client, _) in &mut pairs {
-        assert_eq!(client.line(), "MOVE");
+        assert_eq!(client.read_line(), "MOVE");
     }
     site.until("empty");
     site.command(&["undrain"]);
@@ -285,7 +289,7 @@
         assert!(line.contains("serving"));
     }
     let since = Instant::now();
-    site.world.up();
+    site.world.open_session();
     assert!(since.elapsed() < Duration::from_millis(500));
     let _last = site.peer();
     let mut one_more = site.peer();
@@ -313,8 +317,8 @@
     for (at, says) in [(&site.socket, "somebody listens"), (&plain, "no socket")] {
         let operator = path("toml");
         std::fs::write(&operator, wishes(at, "")).unwrap();
-        let text = std::fs::read_to_string(&site.world.config).unwrap();
-        let own = text.replace(&site.world.listen.to_string(), "127.0.0.1:0");
+        let text = std::fs::read_to_string(&site.world.config_path).unwrap();
+        let own = text.replace(&site.world.listen_address.to_string(), "127.0.0.1:0");
         let config = path("json");
         std::fs::write(&config, own).unwrap();
         let mut second = Command::new(env!("CARGO_BIN_EXE_asterramp"));
@@ -346,7 +350,7 @@
     std::fs::write(&operator, bad).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_asterramp"));
     command
-        .env("LB_CONFIG", &site.world.config)
+        .env("LB_CONFIG", &site.world.config_path)
         .env("ASTERRAMP_OPERATOR", &operator);
     for args in [vec!["serve"], vec!["validate"]] {
         let output = command.args(&args).output().unwrap();
@@ -357,16 +361,16 @@
         );
         command = Command::new(env!("CARGO_BIN_EXE_asterramp"));
         command
-            .env("LB_CONFIG", &site.world.config)
+            .env("LB_CONFIG", &site.world.config_path)
             .env("ASTERRAMP_OPERATOR", &operator);
     }
     std::fs::remove_file(operator).unwrap();
     std::fs::write(&site.operator, bad).unwrap();
-    site.world.signal("HUP");
+    site.world.send_signal("HUP");
     std::thread::sleep(Duration::from_millis(200));
     site.until("serving");
-    site.world.signal("TERM");
-    let log = site.world.ends().1;
+    site.world.send_signal("TERM");
+    let log = site.world.wait_for_exit().1;
     assert!(
         log.contains("reload-bad why=") && log.contains("drain.pase"),
         "{log}"
@@ -376,16 +380,16 @@
 #[test]
 fn inherited_sessions_are_moved_like_others() {
     let site = Site::new("");
-    let mut client = site.world.client("OPEN 1 2 c=feed,t=acme,d=9,at=s-0\r\n");
-    let (mut server, _) = site.world.dialled(0);
-    server.say("UP r\r\n");
-    assert_eq!(client.line(), "UP r");
+    let mut client = site.world.connect("OPEN 1 2 c=feed,t=acme,d=9,at=s-0\r\n");
+    let (mut server, _) = site.world.accept_at(0);
+    server.send("UP r\r\n");
+    assert_eq!(client.read_line(), "UP r");
     site.world
         .watch
-        .send(list(
+        .send(list_line(
             9,
             false,
-            &[target(
+            &[endpoint_json(
                 0,
                 site.world.servers[0].local_addr().unwrap(),
                 "draining",
@@ -397,13 +401,13 @@
             .status
             .success()
     );
-    assert_eq!([client.line(), client.line()], ["MOVE", "FIN"]);
+    assert_eq!([client.read_line(), client.read_line()], ["MOVE", "FIN"]);
 }
 
 #[test]
 fn status_is_told_to_people_and_programs_and_completions_are_printed() {
     let site = Site::new("");
-    let _pair = site.world.up();
+    let _pair = site.world.open_session();
     let line = text(site.command(&["status"]));
     assert!(
         line.starts_with("serving  1 open") && line.contains("1 of 1 hosts ready"),
--- a/crates/proxy/tests/moments.rs
+++ b/crates/proxy/tests/moments.rs
@@ -8,25 +8,27 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-mod help;
+mod support;
 
-use help::{OPEN, SETTINGS, SOON, Side, World, list, target};
 use rustix::net::sockopt::set_socket_linger;
 use std::io::Write;
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
+use support::{
+    LineConnection, OPEN_LINE, ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, list_line,
+};
 use test_case::test_case;
 
 /// Makes sockets ready while the proxy stands still.
-fn at_once(world: &World, makes_ready: impl FnOnce()) {
-    world.signal("STOP");
+fn at_once(world: &ProxyHarness, makes_ready: impl FnOnce()) {
+    world.send_signal("STOP");
     std::thread::sleep(Duration::from_millis(30));
     makes_ready();
     std::thread::sleep(Duration::from_millis(30));
-    world.signal("CONT");
+    world.send_signal("CONT");
 }
 
-fn no_dial(world: &World) {
+fn no_dial(world: &ProxyHarness) {
     std::thread::sleep(Duration::from_millis(150));
     let door = &world.servers[0];
     door.set_nonblocking(true).unwrap();
@@ -34,7 +36,7 @@
 }
 
 /// Ends a client's connection: in good order, by a reset, or behind bytes that nobody has read.
-fn leaves(mut client: Side, how: &str) {
+fn leaves(mut client: LineConnection, how: &str) {
     let stream = client.0.get_mut();
     match how {
         "FIN" => stream.shutdown(Shutdown::Write).unwrap(),
@@ -50,16 +52,16 @@
 #[test_case("RST"; "by reset")]
 #[test_case("bytes"; "behind bytes")]
 fn a_client_that_left_before_its_line_was_read_is_not_dialled_for(how: &str) {
-    let world = World::new(1);
-    let client = world.client("");
+    let world = ProxyHarness::new(1);
+    let client = world.connect("");
     std::thread::sleep(Duration::from_millis(50));
     at_once(&world, || {
         let mut client = client;
-        client.say(OPEN);
+        client.send(OPEN_LINE);
         leaves(client, how);
     });
     no_dial(&world);
-    world.up();
+    world.open_session();
 }
 
 // The word that ends the first dial comes in the same wake-up, before the client's end.
@@ -68,26 +70,26 @@
 #[test_case("ERR\r\n", "bytes"; "erred, behind bytes")]
 #[test_case("", "FIN"; "ended, in good order")]
 fn a_client_that_left_between_two_dials_gets_no_second(says: &str, how: &str) {
-    let world = World::new(1);
+    let world = ProxyHarness::new(1);
     // A process at which nothing has come up yet would hold others back at the first failure.
-    let _open = world.up();
-    let client = world.client(OPEN);
-    let (server, _) = world.dialled(0);
+    let _open = world.open_session();
+    let client = world.connect(OPEN_LINE);
+    let (server, _) = world.accept_at(0);
     at_once(&world, || {
         let mut server = server;
-        server.say(says);
+        server.send(says);
         drop(server);
         leaves(client, how);
     });
     no_dial(&world);
-    world.up();
+    world.open_session();
 }
 
 // Bytes without end of a line keep no watch alive.
 #[test_case("{\"rev\":9,"; "half a line")]
 #[test_case(" "; "spaces")]
 fn a_watch_that_trickles_is_opened_again(says: &str) {
-    let world = World::new(1);
+    let world = ProxyHarness::new(1);
     let since = Instant::now();
     let (request, _watch) = loop {
         let _ = world.watch.send(says.into());
@@ -111,24 +113,24 @@
 #[test_case(1; "the next is silent too")]
 #[test_case(2; "the two next")]
 fn what_a_silent_watch_misses_is_known_in_time(silent: usize) {
-    let world = World::new(2);
+    let world = ProxyHarness::new(2);
     let since = Instant::now();
     let mut kept = Vec::new();
     for _ in 0..silent {
         kept.push(
             world
                 .watches
-                .recv_timeout(SOON + SOON)
+                .recv_timeout(TIMEOUT + TIMEOUT)
                 .expect("another watch"),
         );
     }
     let (_, watch) = world
         .watches
-        .recv_timeout(SOON + SOON)
+        .recv_timeout(TIMEOUT + TIMEOUT)
         .expect("another watch");
     let at = |n: usize| world.servers[n].local_addr().unwrap();
     watch
-        .send(list(9, false, &[target(0, at(0), "draining")]))
+        .send(list_line(9, false, &[endpoint_json(0, at(0), "draining")]))
         .unwrap();
     std::thread::sleep(Duration::from_millis(50));
     assert!(
@@ -137,18 +139,22 @@
         since.elapsed()
     );
     for _ in 0..6 {
-        world.up_at(&[1]);
+        world.open_session_at(&[1]);
     }
 }
 
 #[test]
 fn a_watch_that_ends_over_and_over_is_opened_again_without_long_pauses() {
-    let world = World::new(1);
+    let world = ProxyHarness::new(1);
     let (since, mut watch) = (Instant::now(), world.watch.clone());
     let mut last = since;
     for _ in 0..12 {
         let _ = watch.send(String::new());
-        watch = world.watches.recv_timeout(SOON).expect("another watch").1;
+        watch = world
+            .watches
+            .recv_timeout(TIMEOUT)
+            .expect("another watch")
+            .1;
         assert!(
             last.elapsed() < Duration::from_millis(800),
             "{:?}",
@@ -160,16 +166,16 @@
 
 #[test]
 fn two_signals_at_once_are_both_heeded() {
-    let mut world = World::new(1);
-    let (mut client, _server) = world.up();
+    let mut world = ProxyHarness::new(1);
+    let (mut client, _server) = world.open_session();
     at_once(&world, || {
         ["HUP", "USR1", "TERM"]
             .iter()
-            .for_each(|name| world.signal(name))
+            .for_each(|name| world.send_signal(name))
     });
-    assert_eq!([client.line(), client.line()], ["MOVE", "FIN"]);
+    assert_eq!([client.read_line(), client.read_line()], ["MOVE", "FIN"]);
     drop(client);
-    let (code, log) = world.ends();
+    let (code, log) = world.wait_for_exit();
     let printed = log
         .lines()
         .filter(|line| line.starts_with("counters "))
@@ -188,40 +194,40 @@
         std::process::id()
     ));
     std::fs::write(&operator, "").unwrap();
-    let mut world = World::lonely(SETTINGS, &operator);
-    world.signal(first);
-    world.signal("TERM");
-    let (code, log) = world.ends();
+    let mut world = ProxyHarness::without_endpoints(SETTINGS, &operator);
+    world.send_signal(first);
+    world.send_signal("TERM");
+    let (code, log) = world.wait_for_exit();
     std::fs::remove_file(&operator).unwrap();
     assert_eq!(code, Some(0), "{log}");
 }
 
 #[test]
 fn who_waits_at_the_door_as_it_closes_is_answered() {
-    let world = World::new(1);
+    let world = ProxyHarness::new(1);
     // One stays, or it would have ended before.
-    let (_open, _server) = world.up();
-    world.signal("TERM");
+    let (_open, _server) = world.open_session();
+    world.send_signal("TERM");
     std::thread::sleep(Duration::from_millis(1_300));
     let mut crowd = Vec::new();
-    world.signal("STOP");
-    crowd.extend((0..200).map(|_| world.client(OPEN)));
+    world.send_signal("STOP");
+    crowd.extend((0..200).map(|_| world.connect(OPEN_LINE)));
     std::thread::sleep(Duration::from_millis(800));
-    world.signal("CONT");
-    let told: Vec<String> = crowd.iter_mut().map(Side::line).collect();
+    world.send_signal("CONT");
+    let told: Vec<String> = crowd.iter_mut().map(LineConnection::read_line).collect();
     let answered = |line: &&String| line.starts_with("BUSY") || *line == "ERR";
     assert_eq!(told.iter().filter(answered).count(), 200, "{told:?}");
-    assert!(crowd.iter_mut().all(|client| client.line() == "FIN"));
+    assert!(crowd.iter_mut().all(|client| client.read_line() == "FIN"));
 }
 
 #[test]
 fn who_comes_long_after_the_front_should_have_stopped_is_served_and_moved() {
-    let world = World::new(1);
-    let (_open, _server) = world.up();
-    world.signal("TERM");
+    let world = ProxyHarness::new(1);
+    let (_open, _server) = world.open_session();
+    world.send_signal("TERM");
     std::thread::sleep(Duration::from_millis(900));
-    let (mut late, _late_server) = world.up();
-    assert_eq!([late.line(), late.line()], ["MOVE", "FIN"]);
+    let (mut late, _late_server) = world.open_session();
+    assert_eq!([late.read_line(), late.read_line()], ["MOVE", "FIN"]);
 }
 
 /// The front sends clients for up to 0.4 s after SIGTERM, however short their longest wait is, from nothing told to the
@@ -239,18 +245,18 @@
 ) {
     let settings = SETTINGS.replace("\"give_up\":2000000", &format!("\"give_up\":{wait}"));
     let mut world = match operators {
-        true => World::with_door(1, &settings, None),
-        false => World::with(1, &settings, 512, 1024),
+        true => ProxyHarness::with_admin_http_and_file(1, &settings, None),
+        false => ProxyHarness::with_descriptors(1, &settings, 512, 1024),
     };
-    let (mut open, _server) = world.up();
+    let (mut open, _server) = world.open_session();
     let since = Instant::now();
-    world.signal("TERM");
+    world.send_signal("TERM");
     std::thread::sleep(Duration::from_millis(400).saturating_sub(since.elapsed()));
-    let (mut late, _late_server) = world.up();
-    assert_eq!([late.line(), late.line()], ["MOVE", "FIN"]);
-    assert_eq!([open.line(), open.line()], ["MOVE", "FIN"]);
+    let (mut late, _late_server) = world.open_session();
+    assert_eq!([late.read_line(), late.read_line()], ["MOVE", "FIN"]);
+    assert_eq!([open.read_line(), open.read_line()], ["MOVE", "FIN"]);
     drop((open, late));
-    assert_eq!(world.ends().0, Some(0));
+    assert_eq!(world.wait_for_exit().0, Some(0));
     assert!(
         since.elapsed() < Duration::from_millis(killed),
         "{:?}",
@@ -262,40 +268,40 @@
 #[test_case(""; "rests")]
 #[test_case("OPEN 1 2 c=feed"; "half a line")]
 fn who_rests_until_the_end_is_told_and_nothing_is_sent_on(says: &str) {
-    let mut world = World::new(1);
-    let (_open, _server) = world.up();
-    world.signal("TERM");
+    let mut world = ProxyHarness::new(1);
+    let (_open, _server) = world.open_session();
+    world.send_signal("TERM");
     std::thread::sleep(Duration::from_millis(1_300));
-    let mut rests = world.client(says);
+    let mut rests = world.connect(says);
     // Whoever waits is answered after 2 s, the longest wait of these settings.
     std::thread::sleep(Duration::from_millis(950));
-    rests.say(if says.is_empty() {
-        OPEN
+    rests.send(if says.is_empty() {
+        OPEN_LINE
     } else {
         ",t=acme,d=2000\r\n"
     });
-    assert_eq!([rests.line(), rests.line()], ["ERR", "FIN"]);
+    assert_eq!([rests.read_line(), rests.read_line()], ["ERR", "FIN"]);
     no_dial(&world);
     drop(rests);
-    assert_eq!(world.ends().0, Some(0));
+    assert_eq!(world.wait_for_exit().0, Some(0));
 }
 
 // The place of the stranger that has been there longest is needed in the moment in which it speaks.
 #[test]
 fn who_is_crowded_out_as_it_speaks_is_told_and_not_reset() {
-    let world = World::with(1, SETTINGS, 64, 1024);
-    let mut strangers: Vec<Side> = (0..18).map(|_| world.client("")).collect();
+    let world = ProxyHarness::with_descriptors(1, SETTINGS, 64, 1024);
+    let mut strangers: Vec<LineConnection> = (0..18).map(|_| world.connect("")).collect();
     std::thread::sleep(Duration::from_millis(100));
     let mut client = None;
     at_once(&world, || {
-        client = Some(world.client(OPEN));
+        client = Some(world.connect(OPEN_LINE));
         strangers
             .iter_mut()
-            .for_each(|stranger| stranger.say("half"));
+            .for_each(|stranger| stranger.send("half"));
     });
-    world.dialled(0).0.say("UP r\r\n");
-    assert_eq!(client.unwrap().line(), "UP r");
-    let told = [strangers[0].line(), strangers[0].line()];
+    world.accept_at(0).0.send("UP r\r\n");
+    assert_eq!(client.unwrap().read_line(), "UP r");
+    let told = [strangers[0].read_line(), strangers[0].read_line()];
     assert_eq!(told, ["ERR", "FIN"]);
 }
 
@@ -305,49 +311,49 @@
 #[test_case("", true; "its end")]
 fn a_resting_connection_is_looked_at_before_it_is_used(says: &str, ends: bool) {
     let settings = SETTINGS.replace("\"may_probe\":false", "\"may_probe\":true");
-    let world = World::with(1, &settings, 512, 1024);
-    let mut first = world.client(OPEN);
-    let (mut probe, line) = world.dialled(0);
+    let world = ProxyHarness::with_descriptors(1, &settings, 512, 1024);
+    let mut first = world.connect(OPEN_LINE);
+    let (mut probe, line) = world.accept_at(0);
     assert_eq!(line, "STATS");
-    probe.say("PONG x0=0.1,outstanding=3\r\n");
-    let (mut server, _) = world.dialled(0);
-    server.say("ERR\r\n");
-    let (mut server, _) = world.dialled(0);
-    server.say("ERR\r\n");
-    assert_eq!(first.line(), "BUSY 1000");
+    probe.send("PONG x0=0.1,outstanding=3\r\n");
+    let (mut server, _) = world.accept_at(0);
+    server.send("ERR\r\n");
+    let (mut server, _) = world.accept_at(0);
+    server.send("ERR\r\n");
+    assert_eq!(first.read_line(), "BUSY 1000");
     // Until its count is old and another asks for it.
     std::thread::sleep(Duration::from_millis(2_300));
     let mut next = None;
     at_once(&world, || {
-        next = Some(world.client(OPEN));
-        probe.say(says);
+        next = Some(world.connect(OPEN_LINE));
+        probe.send(says);
         if ends {
             probe.0.get_mut().shutdown(Shutdown::Both).unwrap();
         }
     });
-    let (mut other, line) = world.dialled(0);
+    let (mut other, line) = world.accept_at(0);
     assert_eq!(line, "STATS", "over a connection of its own");
-    other.say("PONG x0=0.1,outstanding=3\r\n");
-    world.dialled(0).0.say("UP r\r\n");
-    assert_eq!(next.unwrap().line(), "UP r");
+    other.send("PONG x0=0.1,outstanding=3\r\n");
+    world.accept_at(0).0.send("UP r\r\n");
+    assert_eq!(next.unwrap().read_line(), "UP r");
 }
 
 // Clients that rest hold every descriptor that they may, while the watch is down.
 #[test]
 fn idle_clients_keep_no_list_and_no_dial_away() {
-    let world = World::with(2, SETTINGS, 128, 128);
-    let pairs: Vec<_> = (0..30).map(|_| world.up_at(&[0, 1])).collect();
-    let crowd: Vec<Side> = (0..300).map(|_| world.client("")).collect();
+    let world = ProxyHarness::with_descriptors(2, SETTINGS, 128, 128);
+    let pairs: Vec<_> = (0..30).map(|_| world.open_session_at(&[0, 1])).collect();
+    let crowd: Vec<LineConnection> = (0..300).map(|_| world.connect("")).collect();
     world.watch.send(String::new()).unwrap();
     let since = Instant::now();
-    let (_, watch) = world.watches.recv_timeout(SOON).expect("another watch");
+    let (_, watch) = world.watches.recv_timeout(TIMEOUT).expect("another watch");
     let at = |n: usize| world.servers[n].local_addr().unwrap();
     watch
-        .send(list(9, false, &[target(0, at(0), "draining")]))
+        .send(list_line(9, false, &[endpoint_json(0, at(0), "draining")]))
         .unwrap();
     std::thread::sleep(Duration::from_millis(50));
     for _ in 0..6 {
-        world.up_at(&[1]);
+        world.open_session_at(&[1]);
     }
     assert!(
         since.elapsed() < Duration::from_secs(2),
@@ -364,8 +370,8 @@
 #[test_case("is silent"; "discovery takes calls and says nothing")]
 #[test_case("is down"; "discovery refuses")]
 fn restarted_processes_are_ready_in_time(discovery: &str) {
-    let world = World::new(1);
-    let text = std::fs::read_to_string(&world.config).unwrap();
+    let world = ProxyHarness::new(1);
+    let text = std::fs::read_to_string(&world.config_path).unwrap();
     let door = TcpListener::bind("127.0.0.1:0").unwrap();
     let agent = door.local_addr().unwrap();
     let _silent = match discovery {
@@ -376,7 +382,7 @@
         "is silent" => Some(door),
         _ => {
             let (watches, pause) = (
-                help::discovery(door),
+                support::serve_discovery(door),
                 if discovery == "is slow" { 3 } else { 0 },
             );
             std::thread::spawn(move || {
@@ -387,7 +393,7 @@
                     } else {
                         0
                     }));
-                    let _ = watch.send(help::list(8, false, &[]));
+                    let _ = watch.send(support::list_line(8, false, &[]));
                     open.push(watch);
                 }
             });
@@ -396,9 +402,9 @@
     };
     let since = Instant::now();
     let started = (0..30).map(|nth| {
-        let listen = help::free_address(20_000 + nth);
-        let config = world.folder.join(format!("{nth}-{}.json", agent.port()));
-        let own = text.replace(&world.listen.to_string(), &listen.to_string());
+        let listen = support::free_address(20_000 + nth);
+        let config = world.directory.join(format!("{nth}-{}.json", agent.port()));
+        let own = text.replace(&world.listen_address.to_string(), &listen.to_string());
         let from = own.find("\"discovery\":\"127").unwrap();
         let to = from + own[from..].find(',').unwrap();
         std::fs::write(
@@ -420,9 +426,9 @@
     while !waits.is_empty() && since.elapsed() < Duration::from_secs(12) {
         waits.retain(|listen| {
             let answer = TcpStream::connect(listen).map(|stream| {
-                let mut side = Side::of(stream);
-                side.say("PING\r\n");
-                side.line_within(Duration::from_millis(100))
+                let mut side = LineConnection::of(stream);
+                side.send("PING\r\n");
+                side.read_line_within(Duration::from_millis(100))
             });
             let yes = matches!(answer, Ok(Some(line)) if line == "PONG");
             yes.then(|| ready.push(since.elapsed()));
--- a/crates/proxy/tests/operators.rs
+++ b/crates/proxy/tests/operators.rs
@@ -7,18 +7,18 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-mod help;
+mod support;
 
 use asterramp_hot_restart::{BufferedBytes, EndpointRecord, LONGEST, Message, OpenConnection};
 use asterramp_proxy::protocol::http_server::{HttpRequest, HttpStatus, parse};
 use asterramp_proxy::transport::{seqpacket, socket};
-use help::{OPEN, Side, World, answered, call};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::fd::{AsFd, OwnedFd};
 use std::io::Write;
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::process::Command;
 use std::time::{Duration, Instant};
+use support::{LineConnection, OPEN_LINE, ProxyHarness, http_call, read_response};
 use test_case::test_case;
 
 const GOOD: &str = "GET /ops/stats?of=all HTTP/1.1\r\nHost: a\r\nAccept: */*\r\n\r\n";
@@ -40,11 +40,11 @@
 #[test_case("GET /ops/drain/start HTTP/1.1\r\nHost: a\r\n\r\n", 405; "a drain is posted")]
 #[test_case(GOOD, 200; "good")]
 fn calls_get_one_answer_and_a_close(says: &str, status: u16) {
-    let world = World::operated(1);
-    let mut stream = TcpStream::connect(world.calls).unwrap();
+    let world = ProxyHarness::with_admin_http(1);
+    let mut stream = TcpStream::connect(world.admin_http).unwrap();
     // A second call behind it is not looked at.
     stream.write_all([says, GOOD].concat().as_bytes()).unwrap();
-    assert_eq!(answered(stream).0, status);
+    assert_eq!(read_response(stream).0, status);
 }
 
 #[test]
@@ -67,38 +67,38 @@
 
 #[test]
 fn callers_that_say_little_or_never_read_keep_nobody_out() {
-    let world = World::operated(1);
+    let world = ProxyHarness::with_admin_http(1);
     let caller = |says: &str| {
-        let mut stream = TcpStream::connect(world.calls).unwrap();
-        stream.set_read_timeout(Some(help::SOON)).unwrap();
+        let mut stream = TcpStream::connect(world.admin_http).unwrap();
+        stream.set_read_timeout(Some(support::TIMEOUT)).unwrap();
         stream.write_all(says.as_bytes()).unwrap();
         stream
     };
-    let _clients: Vec<Side> = (0..400).map(|_| world.client("")).collect();
+    let _clients: Vec<LineConnection> = (0..400).map(|_| world.connect("")).collect();
     let half = caller("GET /ops/stats HT");
     let _idle: Vec<TcpStream> = (0..60)
         .map(|n| caller(["", "GET /ops/re", GOOD][n % 3]))
         .collect();
     let since = Instant::now();
-    assert_eq!(call(world.calls, "GET /ops/readiness").0, 200);
+    assert_eq!(http_call(world.admin_http, "GET /ops/readiness").0, 200);
     assert!(
         since.elapsed() < Duration::from_millis(500),
         "{:?}",
         since.elapsed()
     );
-    assert_eq!(answered(half).0, 0, "the one idle longest goes first");
+    assert_eq!(read_response(half).0, 0, "the one idle longest goes first");
     assert_eq!(
-        answered(caller("GET /ops/stats HT")).0,
+        read_response(caller("GET /ops/stats HT")).0,
         408,
         "half a call meets its deadline"
     );
     let cut = caller("GET /ops/stats HT");
     cut.shutdown(Shutdown::Write).unwrap();
-    assert_eq!(answered(cut).0, 400);
+    assert_eq!(read_response(cut).0, 400);
 }
 
-fn figure(world: &World, name: &str) -> f64 {
-    let (status, text) = call(world.calls, "GET /ops/stats");
+fn figure(world: &ProxyHarness, name: &str) -> f64 {
+    let (status, text) = http_call(world.admin_http, "GET /ops/stats");
     let found = text
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
@@ -106,7 +106,7 @@
     found.unwrap_or_else(|| panic!("no {name} in {text}"))
 }
 
-fn ends(world: &World, tier: &str) -> [f64; 3] {
+fn ends(world: &ProxyHarness, tier: &str) -> [f64; 3] {
     ["success", "busy", "failure"].map(|code| {
         figure(
             world,
@@ -116,7 +116,7 @@
 }
 
 fn until(what: &str, so: impl Fn() -> bool) {
-    let end = Instant::now() + help::SOON;
+    let end = Instant::now() + support::TIMEOUT;
     while !so() {
         assert!(Instant::now() < end, "never: {what}");
         std::thread::sleep(Duration::from_millis(10));
@@ -135,7 +135,7 @@
     counts: [f64; 3],
     attempts: f64,
 ) {
-    let world = World::operated(2);
+    let world = ProxyHarness::with_admin_http(2);
     assert_eq!(
         (ends(&world, "feed"), ends(&world, "order")),
         ([0.0; 3], [0.0; 3]),
@@ -152,8 +152,8 @@
         figure(&world, "svc_place_state{place=\"b\",state=\"whole\"}"),
         1.0
     );
-    let mut client = world.client(OPEN);
-    let (mut server, _) = world.dialled_any(&[0, 1]);
+    let mut client = world.connect(OPEN_LINE);
+    let (mut server, _) = world.accept_at_any(&[0, 1]);
     assert_eq!(
         (
             figure(&world, "svc_inflight"),
@@ -161,31 +161,31 @@
         ),
         (1.0, 1.0)
     );
-    let up = |client: &mut Side, server: &mut Side| {
-        server.say("UP r\r\n");
-        assert_eq!(client.line(), "UP r");
+    let up = |client: &mut LineConnection, server: &mut LineConnection| {
+        server.send("UP r\r\n");
+        assert_eq!(client.read_line(), "UP r");
     };
     match how {
         "served" => {
             up(&mut client, &mut server);
-            server.say("BYE\r\n");
+            server.send("BYE\r\n");
         }
         "client resets" => {
             up(&mut client, &mut server);
-            client.end("RST", &mut server);
+            client.close("RST", &mut server);
         }
         "moved" => {
             up(&mut client, &mut server);
-            assert_eq!(call(world.calls, "POST /ops/drain/start").0, 200);
-            assert_eq!(client.line(), "MOVE");
+            assert_eq!(http_call(world.admin_http, "POST /ops/drain/start").0, 200);
+            assert_eq!(client.read_line(), "MOVE");
         }
         "refused" => {
-            server.say("BUSY\r\n");
-            world.dialled_any(&[0, 1]).0.say("BUSY\r\n");
-            assert!(client.line().starts_with("BUSY"));
+            server.send("BUSY\r\n");
+            world.accept_at_any(&[0, 1]).0.send("BUSY\r\n");
+            assert!(client.read_line().starts_with("BUSY"));
         }
-        "left in set-up" => client.end("FIN", &mut server),
-        _ => client.say("early\r\n"),
+        "left in set-up" => client.close("FIN", &mut server),
+        _ => client.send("early\r\n"),
     }
     until(how, || figure(&world, "svc_inflight") == 0.0);
     assert_eq!(
@@ -197,30 +197,30 @@
 
 #[test]
 fn a_drain_that_is_called_for_empties_the_proxy_in_time_and_is_taken_back() {
-    let world = World::operated(1);
-    let start = || call(world.calls, "POST /ops/drain/start").0;
-    let stop = || call(world.calls, "POST /ops/drain/stop").0;
-    let ready = || call(world.calls, "GET /ops/readiness").0;
+    let world = ProxyHarness::with_admin_http(1);
+    let start = || http_call(world.admin_http, "POST /ops/drain/start").0;
+    let stop = || http_call(world.admin_http, "POST /ops/drain/stop").0;
+    let ready = || http_call(world.admin_http, "GET /ops/readiness").0;
     assert_eq!((stop(), ready()), (200, 200), "nothing to stop is a yes");
-    let mut pairs: Vec<_> = (0..8).map(|_| world.up()).collect();
+    let mut pairs: Vec<_> = (0..8).map(|_| world.open_session()).collect();
     // Its server says nothing, and it would wait for longer than the drain may take.
-    let mut waits = world.client(&OPEN.replace("d=2000", "d=60000"));
-    let _silent = [world.dialled(0), world.dialled(0)];
-    let (half, mut host) = world.up();
-    host.say("hal");
+    let mut waits = world.connect(&OPEN_LINE.replace("d=2000", "d=60000"));
+    let _silent = [world.accept_at(0), world.accept_at(0)];
+    let (half, mut host) = world.open_session();
+    host.send("hal");
     let since = Instant::now();
     assert_eq!((start(), start(), ready()), (200, 200, 503));
-    assert_eq!(world.client("PING\r\n").line(), "ERR");
-    let late = world.up();
+    assert_eq!(world.connect("PING\r\n").read_line(), "ERR");
+    let late = world.open_session();
     for (client, _) in pairs.iter_mut().chain([&mut (half, late.1)]) {
         assert_eq!(
-            [client.line(), client.line()],
+            [client.read_line(), client.read_line()],
             ["MOVE", "FIN"],
             "no line is cut, nobody cut off"
         );
     }
     assert_eq!(
-        waits.line(),
+        waits.read_line(),
         "ERR",
         "whoever waits at the deadline is answered"
     );
@@ -230,12 +230,12 @@
         since.elapsed()
     );
     assert_eq!((stop(), stop(), ready()), (200, 200, 200));
-    assert_eq!(world.client("PING\r\n").line(), "PONG");
+    assert_eq!(world.connect("PING\r\n").read_line(), "PONG");
     // The places of all that were moved or answered are free again.
-    (0..12).for_each(|_| drop(world.up()));
-    let (mut stays, _server) = world.up();
-    assert!(stays.quiet(), "no move is left over");
-    world.signal("TERM");
+    (0..12).for_each(|_| drop(world.open_session()));
+    let (mut stays, _server) = world.open_session();
+    assert!(stays.is_quiet(), "no move is left over");
+    world.send_signal("TERM");
     std::thread::sleep(Duration::from_millis(50));
     assert_eq!(
         (start(), stop(), ready()),
@@ -246,46 +246,46 @@
 
 #[test]
 fn a_second_process_takes_over_the_door_the_strangers_and_what_stands() {
-    let mut world = World::operated(2);
-    let mut pairs: Vec<_> = (0..40).map(|_| world.up_at(&[0, 1])).collect();
-    let mut stranger = world.client("OPEN 00000000000000ff 1 c=feed,t=ac");
+    let mut world = ProxyHarness::with_admin_http(2);
+    let mut pairs: Vec<_> = (0..40).map(|_| world.open_session_at(&[0, 1])).collect();
+    let mut stranger = world.connect("OPEN 00000000000000ff 1 c=feed,t=ac");
     // A line half sent, on both sides, and one that no one has answered.
-    pairs[0].0.say("one\r\ntw");
-    pairs[0].1.say("UPDATE 1\r\nUPDA");
+    pairs[0].0.send("one\r\ntw");
+    pairs[0].1.send("UPDATE 1\r\nUPDA");
     assert_eq!(
-        (pairs[0].1.line(), pairs[0].0.line()),
+        (pairs[0].1.read_line(), pairs[0].0.read_line()),
         ("one".into(), "UPDATE 1".into())
     );
-    let mut set_up = world.client(OPEN);
-    let (mut slow, _) = world.dialled_any(&[0, 1]);
-    let (second, _watch) = world.follows();
-    pairs[0].0.say("o\r\n");
-    pairs[0].1.say("TE 2\r\n");
+    let mut set_up = world.connect(OPEN_LINE);
+    let (mut slow, _) = world.accept_at_any(&[0, 1]);
+    let (second, _watch) = world.start_ready_process();
+    pairs[0].0.send("o\r\n");
+    pairs[0].1.send("TE 2\r\n");
     assert_eq!(
-        (pairs[0].1.line(), pairs[0].0.line()),
+        (pairs[0].1.read_line(), pairs[0].0.read_line()),
         ("two".into(), "UPDATE 2".into())
     );
-    world.signal("TERM");
-    slow.say("UP late\r\n");
-    assert_eq!(set_up.line(), "UP late", "set up by the elder");
-    stranger.say("me,d=2000\r\n");
-    let (mut server, _) = world.dialled_any(&[0, 1]);
-    server.say("UP s\r\n");
-    assert_eq!(stranger.line(), "UP s");
-    let (code, log) = world.ends();
+    world.send_signal("TERM");
+    slow.send("UP late\r\n");
+    assert_eq!(set_up.read_line(), "UP late", "set up by the elder");
+    stranger.send("me,d=2000\r\n");
+    let (mut server, _) = world.accept_at_any(&[0, 1]);
+    server.send("UP s\r\n");
+    assert_eq!(stranger.read_line(), "UP s");
+    let (code, log) = world.wait_for_exit();
     assert!(
         code == Some(0) && log.contains("followed") && !log.contains("proxy-leaving sess"),
         "{log}"
     );
     pairs.extend([(set_up, slow), (stranger, server)]);
     for (n, (client, server)) in pairs.iter_mut().enumerate() {
-        client.say(&format!("to {n}\r\n"));
-        assert_eq!(server.line(), format!("to {n}"));
-        server.say(&format!("from {n}\r\n"));
-        assert_eq!(client.line(), format!("from {n}"), "nobody is moved");
+        client.send(&format!("to {n}\r\n"));
+        assert_eq!(server.read_line(), format!("to {n}"));
+        server.send(&format!("from {n}\r\n"));
+        assert_eq!(client.read_line(), format!("from {n}"), "nobody is moved");
     }
-    assert_eq!(world.client("PING\r\n").line(), "PONG");
-    world.calls = second.calls;
+    assert_eq!(world.connect("PING\r\n").read_line(), "PONG");
+    world.admin_http = second.admin_http;
     assert_eq!(figure(&world, "svc_inflight"), 42.0);
     assert_eq!(
         ends(&world, "feed")[0],
@@ -293,15 +293,15 @@
         "counts are of this process: the stranger's alone"
     );
     // And a third from the second.
-    let (third, _watch) = world.follows();
-    world.calls = third.calls;
+    let (third, _watch) = world.start_ready_process();
+    world.admin_http = third.admin_http;
     until("all are the third's", || {
         figure(&world, "svc_inflight") == 42.0
     });
     drop(second);
     for (client, server) in &mut pairs {
-        client.say("on\r\n");
-        assert_eq!(server.line(), "on");
+        client.send("on\r\n");
+        assert_eq!(server.read_line(), "on");
     }
 }
 
@@ -310,34 +310,37 @@
 #[test_case("second killed as it serves")]
 #[test_case("first told to go before the yes")]
 fn a_broken_replacement_cuts_nobody_off(how: &str) {
-    let world = World::operated(1);
-    let mut pairs: Vec<_> = (0..20).map(|_| world.up()).collect();
-    let mut second = world.beside();
-    let (_, watch) = world.watches.recv_timeout(help::SOON).expect("a watch");
+    let world = ProxyHarness::with_admin_http(1);
+    let mut pairs: Vec<_> = (0..20).map(|_| world.open_session()).collect();
+    let mut second = world.start_second_process();
+    let (_, watch) = world
+        .watches
+        .recv_timeout(support::TIMEOUT)
+        .expect("a watch");
     let first_goes = how.starts_with("first");
     if first_goes {
-        world.signal("TERM");
+        world.send_signal("TERM");
         std::thread::sleep(Duration::from_millis(100));
     }
     if how.ends_with("as it serves") || first_goes {
-        watch.send(help::list(8, false, &[])).unwrap();
-        assert!(second.says_yes());
+        watch.send(support::list_line(8, false, &[])).unwrap();
+        assert!(second.becomes_ready());
     }
     if !first_goes {
-        second.proxy.kill().unwrap();
-        second.proxy.wait().unwrap();
+        second.process.kill().unwrap();
+        second.process.wait().unwrap();
         // Those that the second had taken end with it; it took none before it served.
         if how.ends_with("as it serves") {
-            let (client, server) = world.up();
+            let (client, server) = world.open_session();
             pairs = vec![(client, server)];
         }
     }
     for (client, server) in &mut pairs {
-        client.say("on\r\n");
-        assert_eq!(server.line(), "on");
+        client.send("on\r\n");
+        assert_eq!(server.read_line(), "on");
     }
-    assert_eq!(world.client("PING\r\n").line(), "PONG");
-    drop(world.up());
+    assert_eq!(world.connect("PING\r\n").read_line(), "PONG");
+    drop(world.open_session());
 }
 
 /// What a second process may find where it looks for the first.
@@ -350,9 +353,9 @@
 #[test_case("nonsense")]
 #[test_case("another version")]
 fn a_second_process_starts_by_itself_where_the_first_is_no_help(finds: &str) {
-    let world = World::operated(1);
-    let (mut client, mut server) = world.up();
-    let at = world.meeting();
+    let world = ProxyHarness::with_admin_http(1);
+    let (mut client, mut server) = world.open_session();
+    let at = world.hot_restart_socket();
     std::fs::remove_file(&at).unwrap();
     let mut door = None;
     match finds {
@@ -364,7 +367,7 @@
         }
         _ => door = Some(socket::listen_unix(&at, socket::SocketType::SEQPACKET).unwrap()),
     }
-    let second = world.beside();
+    let second = world.start_second_process();
     if let Some(door) = door.filter(|_| finds != "another kind") {
         let text: &[u8] = match finds {
             "nonsense" => &[b'x'; 100],
@@ -379,18 +382,21 @@
             seqpacket::send(&peer, text, &[]).unwrap();
         }
     }
-    let (_, watch) = world.watches.recv_timeout(help::SOON).expect("a watch");
-    watch.send(help::list(8, false, &[])).unwrap();
-    assert!(second.says_yes());
-    assert_eq!(world.client("PING\r\n").line(), "PONG");
-    world.signal("TERM");
-    client.say("on\r\n");
+    let (_, watch) = world
+        .watches
+        .recv_timeout(support::TIMEOUT)
+        .expect("a watch");
+    watch.send(support::list_line(8, false, &[])).unwrap();
+    assert!(second.becomes_ready());
+    assert_eq!(world.connect("PING\r\n").read_line(), "PONG");
+    world.send_signal("TERM");
+    client.send("on\r\n");
     assert_eq!(
-        (server.line(), client.line()),
+        (server.read_line(), client.read_line()),
         ("on".into(), "MOVE".into()),
         "the first leaves as ever"
     );
-    (0..4).for_each(|_| drop(world.up()));
+    (0..4).for_each(|_| drop(world.open_session()));
 }
 
 /// The next word of the other side of a link, with its descriptors; `None` at its end.
@@ -411,8 +417,8 @@
 }
 
 /// A younger that is a test: it has come, says that it serves, and is offered what stands.
-fn younger(world: &World, offers: usize) -> (OwnedFd, Vec<Vec<OwnedFd>>) {
-    let link = seqpacket::connect(&world.meeting()).unwrap();
+fn younger(world: &ProxyHarness, offers: usize) -> (OwnedFd, Vec<Vec<OwnedFd>>) {
+    let link = seqpacket::connect(&world.hot_restart_socket()).unwrap();
     assert!(seqpacket::send(&link, &Message::Hello.write(), &[]).unwrap());
     while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
     assert!(seqpacket::send(&link, &Message::Serves.write(), &[]).unwrap());
@@ -433,28 +439,31 @@
 #[test_case(&[0], "babbles"; "one taken, it babbles")]
 #[test_case(&[0], "babbles first"; "it babbles, and takes one before that is heard")]
 fn an_offer_is_nobodys_until_it_is_taken(taken: &[usize], then: &str) {
-    let world = World::operated(1);
-    let mut pairs: Vec<_> = (0..2).map(|_| world.up()).collect();
+    let world = ProxyHarness::with_admin_http(1);
+    let mut pairs: Vec<_> = (0..2).map(|_| world.open_session()).collect();
     let (link, mut offered) = younger(&world, 2);
     for (client, server) in &mut pairs {
-        client.say("while nobody's\r\n");
-        assert!(server.quiet(), "the elder leaves alone what it has offered");
+        client.send("while nobody's\r\n");
+        assert!(
+            server.is_quiet(),
+            "the elder leaves alone what it has offered"
+        );
     }
     if then == "babbles first" {
-        world.signal("STOP");
+        world.send_signal("STOP");
         assert!(seqpacket::send(&link, b"what is this", &[]).unwrap());
     }
     for _ in taken {
         assert!(seqpacket::send(&link, &Message::Taken.write(), &[]).unwrap());
         let client = TcpStream::from(offered.remove(0).remove(0));
         assert_eq!(
-            Side::of(client).line(),
+            LineConnection::of(client).read_line(),
             "while nobody's",
             "it is the younger's to read"
         );
     }
     if then == "babbles first" {
-        world.signal("CONT");
+        world.send_signal("CONT");
     } else if then == "babbles" {
         assert!(seqpacket::send(&link, b"what is this", &[]).unwrap());
     }
@@ -468,12 +477,12 @@
     drop((link, offered));
     for (nth, (client, server)) in pairs.iter_mut().enumerate() {
         if taken.contains(&nth) {
-            assert_eq!(client.line(), "FIN", "it ended with the younger");
+            assert_eq!(client.read_line(), "FIN", "it ended with the younger");
             continue;
         }
-        assert_eq!(server.line(), "while nobody's");
-        server.say("on\r\n");
-        assert_eq!(client.line(), "on");
+        assert_eq!(server.read_line(), "while nobody's");
+        server.send("on\r\n");
+        assert_eq!(client.read_line(), "on");
     }
 }
 
@@ -485,24 +494,24 @@
 #[test_case("before the end", true; "a session, before the elder ends without hearing")]
 #[test_case("before the end", false; "a stranger, before the elder ends without hearing")]
 fn what_comes_in_a_handover_is_the_youngers_to_read(when: &str, open: bool) {
-    let mut world = World::operated(1);
+    let mut world = ProxyHarness::with_admin_http(1);
     let (mut client, _server) = if open {
-        let (client, server) = world.up();
+        let (client, server) = world.open_session();
         (client, Some(server))
     } else {
-        (world.client("OPEN 0000"), None)
+        (world.connect("OPEN 0000"), None)
     };
-    let link = seqpacket::connect(&world.meeting()).unwrap();
+    let link = seqpacket::connect(&world.hot_restart_socket()).unwrap();
     assert!(seqpacket::send(&link, &Message::Hello.write(), &[]).unwrap());
     while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
     if when == "with the yes" {
-        world.signal("STOP");
+        world.send_signal("STOP");
         std::thread::sleep(Duration::from_millis(30));
     }
     assert!(seqpacket::send(&link, &Message::Serves.write(), &[]).unwrap());
     if when == "with the yes" {
-        client.say("on\r\n");
-        world.signal("CONT");
+        client.send("on\r\n");
+        world.send_signal("CONT");
     }
     assert!(matches!(word(&link), Some((Message::Holds(_), _))));
     let mut with = match word(&link) {
@@ -514,18 +523,21 @@
         other => panic!("{other:?}"),
     };
     if when != "with the yes" {
-        client.say("on\r\n");
+        client.send("on\r\n");
     }
     if when == "before the end" {
-        world.signal("TERM");
-        assert_eq!(world.ends().0, Some(0));
+        world.send_signal("TERM");
+        assert_eq!(world.wait_for_exit().0, Some(0));
     } else {
         assert!(seqpacket::send(&link, &Message::Taken.write(), &[]).unwrap());
         // With nothing left to hand over and told to go, it goes.
-        world.signal("TERM");
-        assert_eq!(world.ends().0, Some(0));
+        world.send_signal("TERM");
+        assert_eq!(world.wait_for_exit().0, Some(0));
     }
-    assert_eq!(Side::of(TcpStream::from(with.remove(0))).line(), "on");
+    assert_eq!(
+        LineConnection::of(TcpStream::from(with.remove(0))).read_line(),
+        "on"
+    );
 }
 
 /// An elder that is a test, and dies with offers in the link. The younger takes them, unless the elder said that it
@@ -533,13 +545,14 @@
 #[test_case(false, &["on", "on"]; "it dies")]
 #[test_case(true, &["FIN", "FIN"]; "it keeps them")]
 fn offers_of_a_dead_elder_are_the_youngers(keeps: bool, hear: &[&str]) {
-    let mut world = World::operated(1);
-    world.proxy.kill().unwrap();
-    world.proxy.wait().unwrap();
-    std::fs::remove_file(world.meeting()).unwrap();
-    let door = socket::listen(world.listen, true).unwrap();
-    let meeting = socket::listen_unix(&world.meeting(), socket::SocketType::SEQPACKET).unwrap();
-    let second = world.beside();
+    let mut world = ProxyHarness::with_admin_http(1);
+    world.process.kill().unwrap();
+    world.process.wait().unwrap();
+    std::fs::remove_file(world.hot_restart_socket()).unwrap();
+    let door = socket::listen(world.listen_address, true).unwrap();
+    let meeting =
+        socket::listen_unix(&world.hot_restart_socket(), socket::SocketType::SEQPACKET).unwrap();
+    let second = world.start_second_process();
     poll(&mut [PollFd::new(&meeting, PollFlags::IN)], None).unwrap();
     let link = socket::accept_unix(&meeting).unwrap().unwrap();
     assert!(matches!(word(&link), Some((Message::Hello, _))));
@@ -555,23 +568,26 @@
     };
     assert!(seqpacket::send(&link, &Message::Hosts(vec![host]).write(), &[]).unwrap());
     assert!(seqpacket::send(&link, &Message::Door { rev: 7 }.write(), &[door.as_fd()]).unwrap());
-    let (_, watch) = world.watches.recv_timeout(help::SOON).expect("a watch");
-    watch.send(help::list(8, false, &[])).unwrap();
-    assert!(matches!(word(&link), Some((Message::Serves, _))) && second.says_yes());
+    let (_, watch) = world
+        .watches
+        .recv_timeout(support::TIMEOUT)
+        .expect("a watch");
+    watch.send(support::list_line(8, false, &[])).unwrap();
+    assert!(matches!(word(&link), Some((Message::Serves, _))) && second.becomes_ready());
     let to = |what: &str| {
         Command::new("kill")
-            .args([what, &second.proxy.id().to_string()])
+            .args([what, &second.process.id().to_string()])
             .status()
     };
     let pair = || {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let outer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        (Side::of(outer), listener.accept().unwrap().0)
+        (LineConnection::of(outer), listener.accept().unwrap().0)
     };
     let mut ends = Vec::new();
     for nth in 0..=hear.len() {
         let ((client, inner), (server, outer)) = (pair(), pair());
-        let line = OPEN
+        let line = OPEN_LINE
             .replace("9b1f03aa5c7e2d41", &format!("00000000000000a{nth}"))
             .into_bytes();
         let bytes = || BufferedBytes {
@@ -598,8 +614,8 @@
             // This one is taken, and the elder never reads that it is. From then on the younger does not run, so it can
             // say nothing more before the elder is dead.
             let (client, server) = &mut ends[0];
-            server.say("first\r\n");
-            assert_eq!(client.line(), "first");
+            server.send("first\r\n");
+            assert_eq!(client.read_line(), "first");
             assert!(to("-STOP").unwrap().success());
         }
     }
@@ -610,9 +626,9 @@
     assert!(to("-CONT").unwrap().success());
     for ((client, server), hears) in ends.iter_mut().zip([&["on"], hear].concat()) {
         let _ = server.0.get_mut().write_all(b"on\r\n");
-        assert_eq!(client.line(), hears);
+        assert_eq!(client.read_line(), hears);
     }
-    assert_eq!(world.client("PING\r\n").line(), "PONG");
+    assert_eq!(world.connect("PING\r\n").read_line(), "PONG");
 }
 
 /// What may go on at the first process while a second takes over.
@@ -620,36 +636,39 @@
 #[test_case("another replacement"; "one replaces it already")]
 #[test_case("no discovery"; "discovery is silent")]
 fn a_replacement_meets_what_goes_on(meets: &str) {
-    let world = World::operated(1);
-    let (mut client, mut server) = world.up();
+    let world = ProxyHarness::with_admin_http(1);
+    let (mut client, mut server) = world.open_session();
     let mut first = None;
     match meets {
-        "a drain" => assert_eq!(call(world.calls, "POST /ops/drain/start").0, 200),
+        "a drain" => assert_eq!(http_call(world.admin_http, "POST /ops/drain/start").0, 200),
         "another replacement" => {
-            let link = seqpacket::connect(&world.meeting()).unwrap();
+            let link = seqpacket::connect(&world.hot_restart_socket()).unwrap();
             assert!(seqpacket::send(&link, &Message::Hello.write(), &[]).unwrap());
             while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
             first = Some(link);
         }
         _ => {}
     }
-    let second = world.beside();
-    let (_, watch) = world.watches.recv_timeout(help::SOON).expect("a watch");
+    let second = world.start_second_process();
+    let (_, watch) = world
+        .watches
+        .recv_timeout(support::TIMEOUT)
+        .expect("a watch");
     if meets != "no discovery" {
-        watch.send(help::list(8, false, &[])).unwrap();
+        watch.send(support::list_line(8, false, &[])).unwrap();
     }
-    assert!(second.says_yes(), "it serves whatever goes on there");
-    assert_eq!(world.client("PING\r\n").line(), "PONG");
-    world.signal("TERM");
-    client.say("on\r\n");
-    assert_eq!(server.line(), "on", "what stands is not cut off");
+    assert!(second.becomes_ready(), "it serves whatever goes on there");
+    assert_eq!(world.connect("PING\r\n").read_line(), "PONG");
+    world.send_signal("TERM");
+    client.send("on\r\n");
+    assert_eq!(server.read_line(), "on", "what stands is not cut off");
     if meets == "another replacement" {
         // The one that came first never serves, so what stands is moved as at any leaving.
         drop(first);
-        assert_eq!(client.line(), "MOVE");
+        assert_eq!(client.read_line(), "MOVE");
     } else {
-        server.say("still\r\n");
-        assert_eq!(client.line(), "still", "it was handed over");
+        server.send("still\r\n");
+        assert_eq!(client.read_line(), "still", "it was handed over");
     }
-    drop(world.up());
+    drop(world.open_session());
 }
--- a/crates/proxy/tests/owner.rs
+++ b/crates/proxy/tests/owner.rs
@@ -8,10 +8,9 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-mod help;
+mod support;
 
 use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest, LeaderToken, ProxyStatus};
-use help::{SETTINGS, free_address};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -21,6 +20,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
+use support::{SETTINGS, free_address};
 use test_case::test_case;
 
 const PROXIES: usize = 3;
@@ -199,7 +199,7 @@
             .map(|control| Way::open(&control.with_extension("way"), control));
         site.ways = ways.collect();
         let (over, most, controls) = (site.over.clone(), site.most.clone(), site.controls.clone());
-        let until = Instant::now() + help::SOON;
+        let until = Instant::now() + support::TIMEOUT;
         while !controls.iter().all(|control| status(control).is_some()) {
             assert!(Instant::now() < until, "the proxies do not start");
             std::thread::sleep(Duration::from_millis(20));
@@ -533,7 +533,7 @@
     // It is safe to hear twice, and outlives the process.
     assert!(say(AdminCommand::Leave, 8, told.boot, 2_000).is_ok());
     site.until(1);
-    let by = Instant::now() + help::SOON;
+    let by = Instant::now() + support::TIMEOUT;
     while status(control).is_none_or(|s| s.pid == told.pid) {
         assert!(Instant::now() < by);
         std::thread::sleep(Duration::from_millis(20));
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -7,14 +7,14 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-mod help;
+mod support;
 
-use help::{OPEN, SETTINGS, SOON, World, free_address, target};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
+use support::{OPEN_LINE, ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, free_address};
 use test_case::test_case;
 
 const KNOWN: &str =
@@ -97,24 +97,24 @@
 }
 
 /// A proxy with nothing known of its own and no discovery that answers; its log once it has been told to leave.
-fn play(others: &[SocketAddr], during: impl Fn(&mut World)) -> String {
+fn play(others: &[SocketAddr], during: impl Fn(&mut ProxyHarness)) -> String {
     let file = operator(others);
     let settings = SETTINGS.replace("\"may_probe\":false", "\"may_probe\":true");
-    let mut world = World::lonely(&settings, &file);
+    let mut world = ProxyHarness::without_endpoints(&settings, &file);
     during(&mut world);
-    world.signal("TERM");
-    let (code, log) = world.ends();
+    world.send_signal("TERM");
+    let (code, log) = world.wait_for_exit();
     std::fs::remove_file(file).unwrap();
     assert_eq!(code, Some(0), "{log}");
     log
 }
 
 /// Whether a client is served by whom the others named, within some seconds.
-fn is_served(world: &World, within: Duration) -> bool {
+fn is_served(world: &ProxyHarness, within: Duration) -> bool {
     let until = Instant::now() + within;
     while Instant::now() < until {
-        let mut client = world.client(OPEN);
-        match client.line_within(SOON).as_deref() {
+        let mut client = world.connect(OPEN_LINE);
+        match client.read_line_within(TIMEOUT).as_deref() {
             Some("UP r9") => return true,
             Some(busy) => assert!(busy.starts_with("BUSY"), "{busy}"),
             None => {}
@@ -130,7 +130,7 @@
     let log = play(
         &[other(None), other(good(&host("s-9", at, "a", 100)))],
         |world| {
-            assert!(is_served(world, SOON + SOON), "nobody is served");
+            assert!(is_served(world, TIMEOUT + TIMEOUT), "nobody is served");
         },
     );
     assert!(asked.load(Ordering::Relaxed) > 0);
@@ -177,15 +177,15 @@
 #[test]
 fn a_proxy_answers_its_fleet_and_nobody_where_it_has_none() {
     let file = operator(&[free_address(78)]);
-    let mut world = World::with_door(2, SETTINGS, Some(&file));
-    let ready = (0..2).map(|n| target(n, world.servers[n].local_addr().unwrap(), "ready"));
+    let mut world = ProxyHarness::with_admin_http_and_file(2, SETTINGS, Some(&file));
+    let ready = (0..2).map(|n| endpoint_json(n, world.servers[n].local_addr().unwrap(), "ready"));
     world
         .watch
-        .send(help::list(9, true, &ready.collect::<Vec<_>>()))
+        .send(support::list_line(9, true, &ready.collect::<Vec<_>>()))
         .unwrap();
-    let until = Instant::now() + SOON;
+    let until = Instant::now() + TIMEOUT;
     loop {
-        let (status, body) = help::call(world.calls, "GET /ops/known");
+        let (status, body) = support::http_call(world.admin_http, "GET /ops/known");
         let known: serde_json::Value = serde_json::from_str(&body).unwrap();
         assert_eq!((status, known["fleet"].as_str()), (200, Some("lake")));
         if known["hosts"].as_array().unwrap().len() == 2 && known["stage"] == "normal" {
@@ -194,10 +194,16 @@
         assert!(Instant::now() < until, "{body}");
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(help::call(world.calls, "POST /ops/known").0, 405);
-    world.signal("TERM");
-    world.ends();
+    assert_eq!(
+        support::http_call(world.admin_http, "POST /ops/known").0,
+        405
+    );
+    world.send_signal("TERM");
+    world.wait_for_exit();
     std::fs::remove_file(file).unwrap();
-    let alone = World::operated(1);
-    assert_eq!(help::call(alone.calls, "GET /ops/known").0, 404);
+    let alone = ProxyHarness::with_admin_http(1);
+    assert_eq!(
+        support::http_call(alone.admin_http, "GET /ops/known").0,
+        404
+    );
 }
--- a/crates/proxy/tests/state.rs
+++ b/crates/proxy/tests/state.rs
@@ -7,13 +7,13 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-mod help;
+mod support;
 
-use help::{OPEN, SETTINGS, SOON, World, list, target};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
+use support::{OPEN_LINE, ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, list_line};
 use test_case::test_case;
 
 /// A folder and an operator's file that names it; both go with the test.
@@ -48,32 +48,33 @@
         disk
     }
 
-    fn world(&self) -> World {
-        World::started(2, SETTINGS, (512, 1024), Some(&self.operator))
+    fn world(&self) -> ProxyHarness {
+        ProxyHarness::with_operator_file(2, SETTINGS, (512, 1024), Some(&self.operator))
     }
 
     /// One whose discovery tells hosts that are warm, and which serves.
-    fn served(&self) -> World {
+    fn served(&self) -> ProxyHarness {
         let world = self.world();
-        let ready = (0..2).map(|n| target(n, world.servers[n].local_addr().unwrap(), "ready"));
+        let ready =
+            (0..2).map(|n| endpoint_json(n, world.servers[n].local_addr().unwrap(), "ready"));
         world
             .watch
-            .send(list(9, true, &ready.collect::<Vec<_>>()))
+            .send(list_line(9, true, &ready.collect::<Vec<_>>()))
             .unwrap();
         // Its cold budgets are over with the stages.
         std::thread::sleep(Duration::from_millis(100));
-        drop(world.up_at(&[0, 1]));
+        drop(world.open_session_at(&[0, 1]));
         world
     }
 
     /// What a proxy of another address is told once it is started anew at this one's.
-    fn owned_by(&self, world: &World) {
-        let until = Instant::now() + SOON;
+    fn owned_by(&self, world: &ProxyHarness) {
+        let until = Instant::now() + TIMEOUT;
         while !self.folder.join("state.0").exists() {
             assert!(Instant::now() < until, "nothing is kept");
             std::thread::sleep(Duration::from_millis(10));
         }
-        assert!(said(&state(&["show"], &self.folder)).contains(&world.listen.to_string()));
+        assert!(said(&state(&["show"], &self.folder)).contains(&world.listen_address.to_string()));
     }
 
     fn put(&self, file: &str, bytes: &[u8]) {
@@ -103,10 +104,13 @@
     let at = |n: usize| world.servers[n].local_addr().unwrap();
     world
         .watch
-        .send(list(
+        .send(list_line(
             9,
             true,
-            &[target(0, at(0), "ready"), target(1, at(1), "draining")],
+            &[
+                endpoint_json(0, at(0), "ready"),
+                endpoint_json(1, at(1), "draining"),
+            ],
         ))
         .unwrap();
     disk.owned_by(&world);
@@ -117,8 +121,8 @@
         "{}",
         said(&held)
     );
-    world.signal("TERM");
-    let (code, log) = world.ends();
+    world.send_signal("TERM");
+    let (code, log) = world.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
     assert!(
         log.contains("stage stage=normal why=\"discovery tells hosts that are warm\""),
@@ -162,8 +166,8 @@
         said(&verified)
     );
     let mut world = disk.served();
-    world.signal("TERM");
-    let (code, log) = world.ends();
+    world.send_signal("TERM");
+    let (code, log) = world.wait_for_exit();
     let lines: Vec<&str> = log
         .lines()
         .filter(|line| line.contains("state-bad file="))
@@ -177,8 +181,8 @@
     let disk = Disk::new();
     std::fs::write(&disk.folder, "a file").unwrap();
     let mut world = disk.served();
-    world.signal("TERM");
-    let (code, log) = world.ends();
+    world.send_signal("TERM");
+    let (code, log) = world.wait_for_exit();
     assert_eq!(
         (code, log.matches("state-bad ").count()),
         (Some(0), 1),
@@ -193,14 +197,14 @@
     let first = disk.world();
     disk.owned_by(&first);
     let mut second = disk.served();
-    second.signal("TERM");
-    let (code, log) = second.ends();
+    second.send_signal("TERM");
+    let (code, log) = second.wait_for_exit();
     assert_eq!(code, Some(0));
     assert!(
         log.contains("foreign") && log.contains("another process holds the folder"),
         "{log}"
     );
-    assert!(said(&state(&["show"], &disk.folder)).contains(&first.listen.to_string()));
+    assert!(said(&state(&["show"], &disk.folder)).contains(&first.listen_address.to_string()));
 }
 
 #[test]
@@ -209,10 +213,10 @@
     // The configuration's list is what is known; discovery is never heard with one of its own.
     let mut world = disk.world();
     // They count as cold, so the first clients are told to come again.
-    let until = Instant::now() + SOON + SOON;
+    let until = Instant::now() + TIMEOUT + TIMEOUT;
     loop {
-        let mut client = world.client(OPEN);
-        let told = client.line_within(Duration::from_millis(300));
+        let mut client = world.connect(OPEN_LINE);
+        let told = client.read_line_within(Duration::from_millis(300));
         match told.as_deref() {
             Some(busy) => assert!(busy.starts_with("BUSY "), "{busy}"),
             None => break,
@@ -220,8 +224,8 @@
         assert!(Instant::now() < until, "nobody is let in");
         std::thread::sleep(Duration::from_millis(100));
     }
-    world.signal("TERM");
-    let (_, log) = world.ends();
+    world.send_signal("TERM");
+    let (_, log) = world.wait_for_exit();
     let stage = |line: &'_ str| {
         Some(
             line.strip_prefix("stage stage=")?
