--- a/crates/proxy/src/protocol/mod.rs
+++ b/crates/proxy/src/protocol/mod.rs
@@ -1,6 +1,6 @@
 //! The wire formats: parsers and writers as pure functions with bounds, without I/O.
 //!
-//! - [`line`] finds lines ended by CRLF; [`client`] and [`server`] are what these say.
+//! - [`mod@line`] finds lines ended by CRLF; [`client`] and [`server`] are what these say.
 //! - [`discovery`] is the endpoint list, written in [`json`] and carried by [`http_client`].
 //! - [`http_server`] is what operators call.
 
