--- a/crates/proxy/src/program/leader_lease.rs
+++ b/crates/proxy/src/program/leader_lease.rs
@@ -5,8 +5,10 @@
 use asterramp_leader_lease::{
     FencingTicket, LeaseCandidate, LeaseSettings as OwnerTerms, LeaseState, Term,
 };
-use asterramp_zookeeper::record::{Refused, Request as Ask};
-use asterramp_zookeeper::session::{Answer, Effect, Session, Terms};
+use asterramp_zookeeper::record::{StoreError, StoreRequest as Ask};
+use asterramp_zookeeper::session::{
+    ClientSession, ClientSessionEffect, ClientSessionSettings, StoreResponse,
+};
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -24,7 +26,7 @@
 const MARGIN: u32 = 6;
 const LOOKS: u32 = 8;
 
-type Reply = Result<Answer, Option<Refused>>;
+type Reply = Result<StoreResponse, Option<StoreError>>;
 
 struct Desk {
     owner: LeaseCandidate,
@@ -106,7 +108,7 @@
     }
 
     /// Asks the store for the work's sake.
-    pub fn ask(&self, ask: Ask) -> Result<Answer, String> {
+    pub fn ask(&self, ask: Ask) -> Result<StoreResponse, String> {
         let (send, answer) = channel();
         self.desk().asks.push((ask, send));
         match answer.recv_timeout(PATIENCE) {
@@ -152,7 +154,7 @@
             path: QUEUE.into(),
             watch: false,
         })? {
-            Answer::Children(names, _) => names,
+            StoreResponse::Children(names, _) => names,
             _ => Vec::new(),
         };
         let mut queue = Vec::new();
@@ -161,8 +163,8 @@
                 path: format!("{QUEUE}/{name}"),
                 watch: false,
             });
-            if let Ok(Answer::Stat(stat)) = found {
-                queue.push((stat.created as Term, name));
+            if let Ok(StoreResponse::Stat(stat)) = found {
+                queue.push((stat.created_zxid as Term, name));
             }
         }
         queue.sort_unstable();
@@ -212,7 +214,7 @@
     /// Whether it queues for the work.
     joins: bool,
     stores: Vec<SocketAddr>,
-    session: Session,
+    session: ClientSession,
     stream: Option<TcpStream>,
     node: String,
     questions: BTreeMap<i32, For>,
@@ -222,17 +224,17 @@
     stands: bool,
     looked: Duration,
     every: Duration,
-    out: Vec<Effect>,
+    out: Vec<ClientSessionEffect>,
 }
 
 impl Seat {
     fn new(claim: LeaderLease, stores: Vec<SocketAddr>, timeout: Duration) -> Seat {
         let seed = u64::from(std::process::id()).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5ca1;
         let (mut out, now) = (Vec::new(), claim.now());
-        let session = Session::new(
+        let session = ClientSession::new(
             now,
-            Terms {
-                addresses: stores.len(),
+            ClientSessionSettings {
+                address_count: stores.len(),
                 timeout,
                 auth: None,
             },
@@ -264,7 +266,7 @@
                 self.session.close(now, &mut self.out);
                 return self.carry_out();
             }
-            if self.session.due() <= now {
+            if self.session.next_tick_due() <= now {
                 self.session.tick(now, &mut self.out);
             }
             self.ask_for_work(now);
@@ -285,7 +287,7 @@
     }
 
     fn ask(&mut self, now: Duration, ask: Ask, what: For) {
-        match self.session.ask(now, ask, &mut self.out) {
+        match self.session.request(now, ask, &mut self.out) {
             Some(xid) => drop(self.questions.insert(xid, what)),
             None => lost(what),
         }
@@ -305,14 +307,14 @@
         let read = stream.read(&mut bytes);
         let now = self.claim.now();
         match read {
-            Ok(0) => self.session.broken(now, &mut self.out),
-            Ok(n) => self.session.bytes(now, &bytes[..n], &mut self.out),
+            Ok(0) => self.session.connection_failed(now, &mut self.out),
+            Ok(n) => self.session.receive(now, &bytes[..n], &mut self.out),
             Err(e)
                 if matches!(
                     e.kind(),
                     ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted
                 ) => {}
-            Err(_) => self.session.broken(now, &mut self.out),
+            Err(_) => self.session.connection_failed(now, &mut self.out),
         }
     }
 
@@ -324,10 +326,10 @@
         }
     }
 
-    fn effect(&mut self, effect: Effect) {
+    fn effect(&mut self, effect: ClientSessionEffect) {
         let now = self.claim.now();
         match effect {
-            Effect::Connect(nth) => {
+            ClientSessionEffect::Connect(nth) => {
                 let stream =
                     TcpStream::connect_timeout(&self.stores[nth % self.stores.len()], TURN * 25);
                 let ready = stream.and_then(|stream| {
@@ -340,20 +342,21 @@
                 match ready {
                     Ok(stream) => {
                         self.stream = Some(stream);
-                        self.session.connected(now, &mut self.out);
+                        self.session.connection_opened(now, &mut self.out);
                     }
-                    Err(_) => self.session.broken(now, &mut self.out),
+                    Err(_) => self.session.connection_failed(now, &mut self.out),
                 }
             }
-            Effect::Send(bytes) => {
+            ClientSessionEffect::Send(bytes) => {
                 let written = self.stream.as_mut().map(|stream| stream.write_all(&bytes));
                 if matches!(written, Some(Err(_))) {
-                    self.session.broken(self.claim.now(), &mut self.out);
+                    self.session
+                        .connection_failed(self.claim.now(), &mut self.out);
                 }
             }
-            Effect::Drop => self.stream = None,
-            Effect::Up { new: true } if !self.joins => {}
-            Effect::Up { new: true } => {
+            ClientSessionEffect::CloseConnection => self.stream = None,
+            ClientSessionEffect::Established { new: true } if !self.joins => {}
+            ClientSessionEffect::Established { new: true } => {
                 for path in [ROOT, QUEUE] {
                     let make = Ask::Create {
                         path: path.into(),
@@ -369,40 +372,45 @@
                 };
                 self.ask(now, make, For::Node);
             }
-            Effect::Up { new: false } => self.looked = Duration::ZERO,
+            ClientSessionEffect::Established { new: false } => self.looked = Duration::ZERO,
             // The lease goes on to its end by itself, and no further.
-            Effect::Down => (self.left, self.lowest) = (0, None),
-            Effect::Expired => {
+            ClientSessionEffect::ConnectionLost => (self.left, self.lowest) = (0, None),
+            ClientSessionEffect::Expired => {
                 self.claim.desk().owner.expired();
                 (self.stands, self.left) = (false, 0);
             }
-            Effect::Answered { xid, answer } => {
+            ClientSessionEffect::Responded {
+                xid,
+                response: answer,
+            } => {
                 let what = self.questions.remove(&xid);
                 what.into_iter()
                     .for_each(|what| self.answered(now, what, answer.clone()));
             }
-            Effect::Lost { xid } => self.questions.remove(&xid).into_iter().for_each(lost),
-            Effect::Told(_) | Effect::Bad(_) => {}
+            ClientSessionEffect::ResponseLost { xid } => {
+                self.questions.remove(&xid).into_iter().for_each(lost)
+            }
+            ClientSessionEffect::WatchFired(_) | ClientSessionEffect::ProtocolError(_) => {}
         }
     }
 
-    fn answered(&mut self, now: Duration, what: For, answer: Result<Answer, Refused>) {
+    fn answered(&mut self, now: Duration, what: For, answer: Result<StoreResponse, StoreError>) {
         match (what, answer) {
             (For::Work(to), answer) => drop(to.send(answer.map_err(Some))),
             (For::Folder, _) => {}
-            (For::Node, Ok(_)) | (For::Node, Err(Refused::NodeExists)) => {
+            (For::Node, Ok(_)) | (For::Node, Err(StoreError::NodeExists)) => {
                 let path = self.node.clone();
                 self.ask(now, Ask::Exists { path, watch: false }, For::Own(now));
             }
             (For::Node, Err(_)) => {}
-            (For::Own(asked), Ok(Answer::Stat(stat))) => {
+            (For::Own(asked), Ok(StoreResponse::Stat(stat))) => {
                 self.claim
                     .desk()
                     .owner
-                    .joined(now, asked, stat.created as Term);
+                    .joined(now, asked, stat.created_zxid as Term);
                 self.stands = true;
             }
-            (For::Queue(asked), Ok(Answer::Children(names, _))) => {
+            (For::Queue(asked), Ok(StoreResponse::Children(names, _))) => {
                 (self.left, self.lowest) = (names.len(), None);
                 for name in names {
                     let path = format!("{QUEUE}/{name}");
@@ -410,8 +418,8 @@
                 }
             }
             (For::Child(asked), answer) => {
-                if let Ok(Answer::Stat(stat)) = answer {
-                    let created = stat.created as Term;
+                if let Ok(StoreResponse::Stat(stat)) = answer {
+                    let created = stat.created_zxid as Term;
                     self.lowest = Some(self.lowest.map_or(created, |lowest| lowest.min(created)));
                 }
                 self.left = self.left.saturating_sub(1);
--- a/crates/proxy/src/program/roll.rs
+++ b/crates/proxy/src/program/roll.rs
@@ -4,8 +4,8 @@
 use super::leader_lease::LeaderLease;
 use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest, ProxyStatus};
 use asterramp_leader_lease::LeaseState;
-use asterramp_zookeeper::record::{ANY, Request as Ask};
-use asterramp_zookeeper::session::Answer;
+use asterramp_zookeeper::record::{ANY_VERSION, StoreRequest as Ask};
+use asterramp_zookeeper::session::StoreResponse;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -161,7 +161,7 @@
     let told = claim.ask(Ask::SetData {
         path: plan_at(name),
         data,
-        version: ANY,
+        version: ANY_VERSION,
     });
     told.map(drop).map_err(|_| LOST.to_string())
 }
@@ -173,7 +173,7 @@
         path: path.clone(),
         watch: false,
     }) {
-        Ok(Answer::Data(data, stat)) => {
+        Ok(StoreResponse::Data(data, stat)) => {
             let plan = serde_json::from_slice(&data).map_err(|e| format!("{path}: {e}"))?;
             Ok(Some((plan, stat.version)))
         }
--- a/crates/zookeeper/src/jute.rs
+++ b/crates/zookeeper/src/jute.rs
@@ -5,125 +5,131 @@
 
 /// What is wrong with bytes from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum DecodeError {
     /// The record ends before it is whole.
-    Short,
+    Truncated,
     /// A length or count below -1, or above its bound.
-    Length(i32),
-    NotText,
+    InvalidLength(i32),
+    NotUtf8,
     /// Bytes are left behind the record.
-    Left(usize),
+    TrailingBytes(usize),
     /// A value that the field cannot have.
-    Value(i32),
+    InvalidValue(i32),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Short => f.write_str("the record is cut short"),
-            Fault::Length(n) => write!(f, "a length of {n}"),
-            Fault::NotText => f.write_str("a string that is not text"),
-            Fault::Left(n) => write!(f, "{n} bytes behind the record"),
-            Fault::Value(n) => write!(f, "a value of {n}"),
+            DecodeError::Truncated => f.write_str("the record is cut short"),
+            DecodeError::InvalidLength(n) => write!(f, "a length of {n}"),
+            DecodeError::NotUtf8 => f.write_str("a string that is not text"),
+            DecodeError::TrailingBytes(n) => write!(f, "{n} bytes behind the record"),
+            DecodeError::InvalidValue(n) => write!(f, "a value of {n}"),
         }
     }
 }
 
 /// Most entries of a vector, whatever its count says.
-pub const MOST: i32 = 100_000;
+pub const MAX_VECTOR_LENGTH: i32 = 100_000;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Reader<'a> {
+pub struct JuteReader<'a> {
     bytes: &'a [u8],
 }
 
-impl<'a> Reader<'a> {
-    pub fn new(bytes: &'a [u8]) -> Reader<'a> {
-        Reader { bytes }
+impl<'a> JuteReader<'a> {
+    pub fn new(bytes: &'a [u8]) -> JuteReader<'a> {
+        JuteReader { bytes }
     }
 
-    pub fn left(&self) -> usize {
+    pub fn remaining(&self) -> usize {
         self.bytes.len()
     }
 
-    fn take(&mut self, n: usize) -> Result<&'a [u8], Fault> {
-        let (taken, rest) = self.bytes.split_at_checked(n).ok_or(Fault::Short)?;
+    fn take(&mut self, n: usize) -> Result<&'a [u8], DecodeError> {
+        let (taken, rest) = self
+            .bytes
+            .split_at_checked(n)
+            .ok_or(DecodeError::Truncated)?;
         self.bytes = rest;
         Ok(taken)
     }
 
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], Fault> {
-        let (taken, rest) = self.bytes.split_first_chunk::<N>().ok_or(Fault::Short)?;
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
+        let (taken, rest) = self
+            .bytes
+            .split_first_chunk::<N>()
+            .ok_or(DecodeError::Truncated)?;
         self.bytes = rest;
         Ok(*taken)
     }
 
-    pub fn int(&mut self) -> Result<i32, Fault> {
+    pub fn int(&mut self) -> Result<i32, DecodeError> {
         Ok(i32::from_be_bytes(self.array()?))
     }
 
-    pub fn long(&mut self) -> Result<i64, Fault> {
+    pub fn long(&mut self) -> Result<i64, DecodeError> {
         Ok(i64::from_be_bytes(self.array()?))
     }
 
-    pub fn boolean(&mut self) -> Result<bool, Fault> {
+    pub fn boolean(&mut self) -> Result<bool, DecodeError> {
         match self.array::<1>()?[0] {
             0 => Ok(false),
             1 => Ok(true),
-            n => Err(Fault::Value(i32::from(n))),
+            n => Err(DecodeError::InvalidValue(i32::from(n))),
         }
     }
 
     /// `None` where the length is -1.
-    pub fn buffer(&mut self) -> Result<Option<&'a [u8]>, Fault> {
+    pub fn buffer(&mut self) -> Result<Option<&'a [u8]>, DecodeError> {
         match self.int()? {
             -1 => Ok(None),
-            n if n < 0 => Err(Fault::Length(n)),
-            n if n as usize > self.left() => Err(Fault::Short),
+            n if n < 0 => Err(DecodeError::InvalidLength(n)),
+            n if n as usize > self.remaining() => Err(DecodeError::Truncated),
             n => self.take(n as usize).map(Some),
         }
     }
 
-    pub fn text(&mut self) -> Result<&'a str, Fault> {
+    pub fn string(&mut self) -> Result<&'a str, DecodeError> {
         let bytes = self.buffer()?.unwrap_or_default();
-        std::str::from_utf8(bytes).map_err(|_| Fault::NotText)
+        std::str::from_utf8(bytes).map_err(|_| DecodeError::NotUtf8)
     }
 
     /// A vector, each entry read by `one`; none at all counts as empty.
     pub fn vector<T>(
         &mut self,
-        one: impl Fn(&mut Self) -> Result<T, Fault>,
-    ) -> Result<Vec<T>, Fault> {
+        one: impl Fn(&mut Self) -> Result<T, DecodeError>,
+    ) -> Result<Vec<T>, DecodeError> {
         match self.int()? {
             -1 => Ok(Vec::new()),
-            n if !(0..=MOST).contains(&n) => Err(Fault::Length(n)),
+            n if !(0..=MAX_VECTOR_LENGTH).contains(&n) => Err(DecodeError::InvalidLength(n)),
             // No entry takes less than four bytes.
-            n if n as usize * 4 > self.left() => Err(Fault::Short),
+            n if n as usize * 4 > self.remaining() => Err(DecodeError::Truncated),
             n => (0..n).map(|_| one(self)).collect(),
         }
     }
 
     /// Nothing may be left.
-    pub fn end(&self) -> Result<(), Fault> {
+    pub fn finish(&self) -> Result<(), DecodeError> {
         if self.bytes.is_empty() {
             Ok(())
         } else {
-            Err(Fault::Left(self.left()))
+            Err(DecodeError::TrailingBytes(self.remaining()))
         }
     }
 }
 
 /// What is written, appended to bytes.
-pub trait Write {
+pub trait JuteWrite {
     fn int(&mut self, value: i32);
     fn long(&mut self, value: i64);
     fn boolean(&mut self, value: bool);
     fn buffer(&mut self, value: Option<&[u8]>);
-    fn text(&mut self, value: &str);
+    fn string(&mut self, value: &str);
     fn vector<T>(&mut self, all: &[T], one: impl Fn(&mut Self, &T));
 }
 
-impl Write for Vec<u8> {
+impl JuteWrite for Vec<u8> {
     fn int(&mut self, value: i32) {
         self.extend(value.to_be_bytes());
     }
@@ -146,7 +152,7 @@
         }
     }
 
-    fn text(&mut self, value: &str) {
+    fn string(&mut self, value: &str) {
         self.buffer(Some(value.as_bytes()));
     }
 
--- a/crates/zookeeper/src/listing.rs
+++ b/crates/zookeeper/src/listing.rs
@@ -11,19 +11,19 @@
 
 /// What a host's node says of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Node {
+pub struct ListedNode {
     /// Who it is, whatever its node is called.
     pub uid: String,
     pub address: String,
-    pub place: String,
+    pub zone: String,
     pub weight: f64,
     /// When it last started, Unix time; none for long ago.
-    pub boot: Option<Duration>,
+    pub started_at: Option<Duration>,
     pub draining: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ListedState {
     Ready,
     Draining,
     Gone,
@@ -31,49 +31,49 @@
 
 /// What a proxy is told of a host.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct ListedChange {
     pub uid: String,
-    pub standing: Standing,
+    pub state: ListedState,
     /// `None` with `Gone`.
-    pub node: Option<Node>,
+    pub node: Option<ListedNode>,
 }
 
 /// What becomes of a host in a proxy's eyes; each is counted and worth a line.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Remark {
+pub enum ListingRemark {
     /// Its node can't be read: it stays as it was last told.
     Unreadable(String),
     /// Two nodes name the same host: the one that started last counts.
-    Twice(String),
+    DuplicateUid(String),
     /// It has come and gone so often of late that it is held as gone until it stays.
-    Flaps(String),
+    Flapping(String),
     /// All nodes went in one event.
     AllGone,
 }
 
 /// Terms of an installation.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct ListingSettings {
     /// So many comings within `flap_span` make a host one that flaps; it must stay so long to be taken again.
-    pub flaps: usize,
-    pub flap_span: Duration,
-    pub stays: Duration,
+    pub flap_count: usize,
+    pub flap_window: Duration,
+    pub settle_time: Duration,
 }
 
-impl Default for Terms {
+impl Default for ListingSettings {
     fn default() -> Self {
-        Terms {
-            flaps: 4,
-            flap_span: Duration::from_secs(20),
-            stays: Duration::from_secs(5),
+        ListingSettings {
+            flap_count: 4,
+            flap_window: Duration::from_secs(20),
+            settle_time: Duration::from_secs(5),
         }
     }
 }
 
 #[derive(Clone, Debug)]
 struct Known {
-    node: Node,
-    told: Standing,
+    node: ListedNode,
+    told: ListedState,
     /// Nodes by name that now speak for it.
     names: BTreeSet<String>,
     /// When it came, of late.
@@ -83,12 +83,12 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Listing {
-    terms: Terms,
+pub struct NodeListing {
+    terms: ListingSettings,
     /// Hosts by uid; those gone are kept, since a return must be known as one.
     hosts: BTreeMap<String, Known>,
     /// Which host each node names, and what it said.
-    nodes: BTreeMap<String, Node>,
+    nodes: BTreeMap<String, ListedNode>,
     unreadable: BTreeSet<String>,
     /// When the store was last heard to speak of the whole list.
     heard: Option<Duration>,
@@ -99,11 +99,11 @@
 /// Most hosts that are remembered once they are gone.
 const GONE: usize = 4_096;
 
-impl Listing {
-    pub fn new(terms: Terms) -> Listing {
-        Listing {
+impl NodeListing {
+    pub fn new(terms: ListingSettings) -> NodeListing {
+        NodeListing {
             terms,
-            ..Listing::default()
+            ..NodeListing::default()
         }
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// The store cannot be heard, or our own session has lapsed: nothing is known to have changed.
-    pub fn store_away(&mut self, now: Duration) {
+    pub fn store_unavailable(&mut self, now: Duration) {
         if std::mem::replace(&mut self.up, false) {
             self.heard = Some(now);
         }
@@ -126,12 +126,12 @@
 
     /// The whole list as a session that stands has just read it: each child with its data, or none where the data
     /// could not be read.
-    pub fn whole(
+    pub fn replace_all(
         &mut self,
         now: Duration,
-        children: &[(String, Option<Node>)],
-        told: &mut Vec<Told>,
-        remarks: &mut Vec<Remark>,
+        children: &[(String, Option<ListedNode>)],
+        told: &mut Vec<ListedChange>,
+        remarks: &mut Vec<ListingRemark>,
     ) {
         (self.heard, self.up) = (Some(now), true);
         let there: BTreeSet<&String> = children.iter().map(|child| &child.0).collect();
@@ -149,7 +149,7 @@
                 // One that was read before stays what it was; one that never was names nobody.
                 None => {
                     if self.unreadable.insert(name.clone()) {
-                        remarks.push(Remark::Unreadable(name.clone()));
+                        remarks.push(ListingRemark::Unreadable(name.clone()));
                     }
                 }
             }
@@ -161,19 +161,19 @@
             self.nodes.remove(name);
         }
         if before > 1 && gone.len() == before && self.nodes.is_empty() {
-            remarks.push(Remark::AllGone);
+            remarks.push(ListingRemark::AllGone);
         }
         self.settle(now, told, remarks);
     }
 
     /// One node's data, read again because it changed; none where it could not be read.
-    pub fn changed(
+    pub fn node_changed(
         &mut self,
         now: Duration,
         name: &str,
-        node: Option<Node>,
-        told: &mut Vec<Told>,
-        remarks: &mut Vec<Remark>,
+        node: Option<ListedNode>,
+        told: &mut Vec<ListedChange>,
+        remarks: &mut Vec<ListingRemark>,
     ) {
         match node {
             Some(node) => {
@@ -181,7 +181,7 @@
                 self.nodes.insert(name.to_string(), node);
             }
             None if self.unreadable.insert(name.to_string()) => {
-                remarks.push(Remark::Unreadable(name.to_string()));
+                remarks.push(ListingRemark::Unreadable(name.to_string()));
             }
             None => {}
         }
@@ -189,12 +189,12 @@
     }
 
     /// One node was deleted.
-    pub fn deleted(
+    pub fn node_deleted(
         &mut self,
         now: Duration,
         name: &str,
-        told: &mut Vec<Told>,
-        remarks: &mut Vec<Remark>,
+        told: &mut Vec<ListedChange>,
+        remarks: &mut Vec<ListingRemark>,
     ) {
         self.nodes.remove(name);
         self.unreadable.remove(name);
@@ -202,20 +202,30 @@
     }
 
     /// Time goes on: hosts that flapped and stayed are taken again. To be called now and then.
-    pub fn tick(&mut self, now: Duration, told: &mut Vec<Told>, remarks: &mut Vec<Remark>) {
+    pub fn tick(
+        &mut self,
+        now: Duration,
+        told: &mut Vec<ListedChange>,
+        remarks: &mut Vec<ListingRemark>,
+    ) {
         self.settle(now, told, remarks);
     }
 
     /// Tells what differs from what was told.
-    fn settle(&mut self, now: Duration, told: &mut Vec<Told>, remarks: &mut Vec<Remark>) {
+    fn settle(
+        &mut self,
+        now: Duration,
+        told: &mut Vec<ListedChange>,
+        remarks: &mut Vec<ListingRemark>,
+    ) {
         // Of several nodes of one host the one that started last speaks, the higher name where that ties.
-        let mut speaks: BTreeMap<&String, (&String, &Node)> = BTreeMap::new();
+        let mut speaks: BTreeMap<&String, (&String, &ListedNode)> = BTreeMap::new();
         let mut names: BTreeMap<&String, BTreeSet<String>> = BTreeMap::new();
         for (name, node) in &self.nodes {
             names.entry(&node.uid).or_default().insert(name.clone());
             let newer = speaks
                 .get(&node.uid)
-                .is_none_or(|(_, other)| node.boot >= other.boot);
+                .is_none_or(|(_, other)| node.started_at >= other.started_at);
             if newer {
                 speaks.insert(&node.uid, (name, node));
             }
@@ -224,23 +234,23 @@
             let own = names.remove(uid).unwrap_or_default();
             let known = self.hosts.entry((*uid).clone()).or_insert_with(|| Known {
                 node: (*node).clone(),
-                told: Standing::Gone,
+                told: ListedState::Gone,
                 names: BTreeSet::new(),
                 came: Vec::new(),
                 held_until: None,
             });
             if own.len() > 1 && known.names.len() <= 1 {
-                remarks.push(Remark::Twice((*uid).clone()));
+                remarks.push(ListingRemark::DuplicateUid((*uid).clone()));
             }
             // It comes, by its first node, or by another process under its name.
             if known.names.is_empty() {
                 known
                     .came
-                    .retain(|at| now.saturating_sub(*at) < self.terms.flap_span);
+                    .retain(|at| now.saturating_sub(*at) < self.terms.flap_window);
                 known.came.push(now);
-                if known.came.len() >= self.terms.flaps {
-                    known.held_until = Some(now + self.terms.stays);
-                    remarks.push(Remark::Flaps((*uid).clone()));
+                if known.came.len() >= self.terms.flap_count {
+                    known.held_until = Some(now + self.terms.settle_time);
+                    remarks.push(ListingRemark::Flapping((*uid).clone()));
                 }
             }
             known.names = own;
@@ -248,17 +258,17 @@
                 known.held_until = None;
             }
             let standing = match (known.held_until, node.draining) {
-                (Some(_), _) => Standing::Gone,
-                (None, true) => Standing::Draining,
-                (None, false) => Standing::Ready,
+                (Some(_), _) => ListedState::Gone,
+                (None, true) => ListedState::Draining,
+                (None, false) => ListedState::Ready,
             };
             let same =
-                known.told == standing && (standing == Standing::Gone || known.node == **node);
+                known.told == standing && (standing == ListedState::Gone || known.node == **node);
             if !same {
-                let shown = (standing != Standing::Gone).then(|| (*node).clone());
-                told.push(Told {
+                let shown = (standing != ListedState::Gone).then(|| (*node).clone());
+                told.push(ListedChange {
                     uid: (*uid).clone(),
-                    standing,
+                    state: standing,
                     node: shown,
                 });
             }
@@ -266,16 +276,16 @@
         }
         let gone = self.hosts.iter_mut().filter(|(uid, known)| {
             let named = speaks.contains_key(uid);
-            !named && (known.told != Standing::Gone || !known.names.is_empty())
+            !named && (known.told != ListedState::Gone || !known.names.is_empty())
         });
         for (uid, known) in gone {
             known.names.clear();
             known.held_until = None;
-            if known.told != Standing::Gone {
-                known.told = Standing::Gone;
-                told.push(Told {
+            if known.told != ListedState::Gone {
+                known.told = ListedState::Gone;
+                told.push(ListedChange {
                     uid: uid.clone(),
-                    standing: Standing::Gone,
+                    state: ListedState::Gone,
                     node: None,
                 });
             }
@@ -288,13 +298,13 @@
         if self.hosts.len() <= GONE {
             return;
         }
-        let span = self.terms.flap_span;
+        let span = self.terms.flap_window;
         self.hosts.retain(|_, known| {
             let young = known
                 .came
                 .last()
                 .is_some_and(|at| now.saturating_sub(*at) < span);
-            known.told != Standing::Gone || !known.names.is_empty() || young
+            known.told != ListedState::Gone || !known.names.is_empty() || young
         });
     }
 }
--- a/crates/zookeeper/src/main.rs
+++ b/crates/zookeeper/src/main.rs
@@ -10,8 +10,8 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-use asterramp_zookeeper::frame::Frames;
-use asterramp_zookeeper::store::{Conn, Effect, Store};
+use asterramp_zookeeper::frame::FrameReader;
+use asterramp_zookeeper::store::{ConnectionId, StoreEffect, StubStore};
 use std::collections::HashMap;
 use std::io::{BufRead, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -26,9 +26,9 @@
 const CONNS: usize = 1_000;
 
 struct Desk {
-    store: Store,
-    conns: HashMap<Conn, TcpStream>,
-    next: Conn,
+    store: StubStore,
+    conns: HashMap<ConnectionId, TcpStream>,
+    next: ConnectionId,
     mute: bool,
     refuse: bool,
 }
@@ -48,10 +48,10 @@
 
 impl Desk {
     /// What the store wants done. A client that does not read is not waited for.
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn carry_out(&mut self, effects: Vec<StoreEffect>) {
         for effect in effects {
             match effect {
-                Effect::Send(conn, frame) if !self.mute => {
+                StoreEffect::Send(conn, frame) if !self.mute => {
                     let mut bytes = (frame.len() as u32).to_be_bytes().to_vec();
                     bytes.extend(frame);
                     let written = self
@@ -62,41 +62,41 @@
                         self.close(conn);
                     }
                 }
-                Effect::Send(..) => {}
-                Effect::Close(conn) => self.close(conn),
+                StoreEffect::Send(..) => {}
+                StoreEffect::CloseConnection(conn) => self.close(conn),
             }
         }
     }
 
-    fn close(&mut self, conn: Conn) {
+    fn close(&mut self, conn: ConnectionId) {
         if let Some(stream) = self.conns.remove(&conn) {
             let _ = stream.shutdown(Shutdown::Both);
         }
-        self.store.gone(conn);
+        self.store.connection_closed(conn);
     }
 }
 
-fn serve(shared: &Shared, conn: Conn, mut stream: TcpStream) {
-    let (mut frames, mut bytes) = (Frames::default(), [0; 4096]);
+fn serve(shared: &Shared, conn: ConnectionId, mut stream: TcpStream) {
+    let (mut frames, mut bytes) = (FrameReader::default(), [0; 4096]);
     while let Ok(n) = stream.read(&mut bytes) {
         if n == 0 {
             break;
         }
-        frames.push(&bytes[..n]);
+        frames.append(&bytes[..n]);
         let mut desk = shared.desk();
         if desk.mute {
             // What comes meanwhile is lost, as at a store that hangs and is then restarted.
-            frames = Frames::default();
+            frames = FrameReader::default();
             continue;
         }
         loop {
-            let frame = match frames.take() {
+            let frame = match frames.next_frame() {
                 Ok(Some(frame)) => frame.to_vec(),
                 Ok(None) => break,
                 Err(_) => return desk.close(conn),
             };
             let (now, mut out) = (shared.began.elapsed(), Vec::new());
-            let read = desk.store.frame(now, conn, &frame, &mut out);
+            let read = desk.store.receive_frame(now, conn, &frame, &mut out);
             desk.carry_out(out);
             if read.is_err() {
                 return desk.close(conn);
@@ -132,7 +132,7 @@
         eprintln!("asterramp-store: wants addresses to listen at, as in 127.0.0.1:2181");
         std::process::exit(2);
     }
-    let store = Store::new(LEAST, MOST);
+    let store = StubStore::new(LEAST, MOST);
     let desk = Desk {
         store,
         conns: HashMap::new(),
@@ -181,7 +181,7 @@
                 let (sessions, mut out) = (desk.store.sessions().collect::<Vec<_>>(), Vec::new());
                 sessions
                     .into_iter()
-                    .for_each(|id| desk.store.end(id, &mut out));
+                    .for_each(|id| desk.store.end_session(id, &mut out));
                 desk.carry_out(out);
             }
             "drop" => desk
--- a/crates/zookeeper/src/record.rs
+++ b/crates/zookeeper/src/record.rs
@@ -1,19 +1,19 @@
 //! The records, both ways: what a client asks, what a store answers, and what it tells unasked.
 
-use crate::jute::{Fault, Reader, Write};
+use crate::jute::{DecodeError, JuteReader, JuteWrite};
 
 /// Numbers of requests that are no request's own.
 pub const XID_EVENT: i32 = -1;
 pub const XID_PING: i32 = -2;
 pub const XID_AUTH: i32 = -4;
-pub const XID_WATCHES: i32 = -8;
+pub const XID_SET_WATCHES: i32 = -8;
 
 /// Any version of a node.
-pub const ANY: i32 = -1;
+pub const ANY_VERSION: i32 = -1;
 
 /// The first thing a client says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Connect {
+pub struct ConnectRequest {
     pub last_zxid: i64,
     /// Milliseconds after which the store ends a session that says nothing.
     pub timeout: i32,
@@ -22,7 +22,7 @@
     pub password: Vec<u8>,
 }
 
-impl Connect {
+impl ConnectRequest {
     pub fn write(&self, out: &mut Vec<u8>) {
         out.int(0);
         out.long(self.last_zxid);
@@ -33,16 +33,16 @@
     }
 
     /// Older clients leave the last byte out.
-    pub fn read(bytes: &[u8]) -> Result<Connect, Fault> {
-        let mut r = Reader::new(bytes);
+    pub fn read(bytes: &[u8]) -> Result<ConnectRequest, DecodeError> {
+        let mut r = JuteReader::new(bytes);
         r.int()?;
         let (last_zxid, timeout, session) = (r.long()?, r.int()?, r.long()?);
         let password = r.buffer()?.unwrap_or_default().to_vec();
-        if r.left() > 0 {
+        if r.remaining() > 0 {
             r.boolean()?;
         }
-        r.end()?;
-        Ok(Connect {
+        r.finish()?;
+        Ok(ConnectRequest {
             last_zxid,
             timeout,
             session,
@@ -53,13 +53,13 @@
 
 /// The store's answer to it. A timeout of nought says that the session has lapsed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Connected {
+pub struct ConnectResponse {
     pub timeout: i32,
     pub session: i64,
     pub password: Vec<u8>,
 }
 
-impl Connected {
+impl ConnectResponse {
     pub fn write(&self, out: &mut Vec<u8>) {
         out.int(0);
         out.int(self.timeout);
@@ -68,16 +68,16 @@
         out.boolean(false);
     }
 
-    pub fn read(bytes: &[u8]) -> Result<Connected, Fault> {
-        let mut r = Reader::new(bytes);
+    pub fn read(bytes: &[u8]) -> Result<ConnectResponse, DecodeError> {
+        let mut r = JuteReader::new(bytes);
         r.int()?;
         let (timeout, session) = (r.int()?, r.long()?);
         let password = r.buffer()?.unwrap_or_default().to_vec();
-        if r.left() > 0 {
+        if r.remaining() > 0 {
             r.boolean()?;
         }
-        r.end()?;
-        Ok(Connected {
+        r.finish()?;
+        Ok(ConnectResponse {
             timeout,
             session,
             password,
@@ -89,7 +89,7 @@
 const ALL: i32 = 31;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Request {
+pub enum StoreRequest {
     Create {
         path: String,
         data: Vec<u8>,
@@ -131,7 +131,7 @@
         child: Vec<String>,
     },
     /// All or none of some creations and deletions.
-    Multi(Vec<Request>),
+    Multi(Vec<StoreRequest>),
     Close,
 }
 
@@ -150,24 +150,24 @@
     pub const CLOSE: i32 = -11;
 }
 
-fn texts(r: &mut Reader) -> Result<Vec<String>, Fault> {
-    r.vector(|r| Ok(r.text()?.to_string()))
+fn texts(r: &mut JuteReader) -> Result<Vec<String>, DecodeError> {
+    r.vector(|r| Ok(r.string()?.to_string()))
 }
 
-impl Request {
+impl StoreRequest {
     fn op(&self) -> i32 {
         match self {
-            Request::Create { .. } => op::CREATE,
-            Request::Delete { .. } => op::DELETE,
-            Request::Exists { .. } => op::EXISTS,
-            Request::GetData { .. } => op::GET_DATA,
-            Request::SetData { .. } => op::SET_DATA,
-            Request::GetChildren { .. } => op::GET_CHILDREN,
-            Request::Ping => op::PING,
-            Request::Auth { .. } => op::AUTH,
-            Request::SetWatches { .. } => op::SET_WATCHES,
-            Request::Multi(_) => op::MULTI,
-            Request::Close => op::CLOSE,
+            StoreRequest::Create { .. } => op::CREATE,
+            StoreRequest::Delete { .. } => op::DELETE,
+            StoreRequest::Exists { .. } => op::EXISTS,
+            StoreRequest::GetData { .. } => op::GET_DATA,
+            StoreRequest::SetData { .. } => op::SET_DATA,
+            StoreRequest::GetChildren { .. } => op::GET_CHILDREN,
+            StoreRequest::Ping => op::PING,
+            StoreRequest::Auth { .. } => op::AUTH,
+            StoreRequest::SetWatches { .. } => op::SET_WATCHES,
+            StoreRequest::Multi(_) => op::MULTI,
+            StoreRequest::Close => op::CLOSE,
         }
     }
 
@@ -179,46 +179,46 @@
 
     fn body(&self, out: &mut Vec<u8>) {
         match self {
-            Request::Create {
+            StoreRequest::Create {
                 path,
                 data,
                 ephemeral,
             } => {
-                out.text(path);
+                out.string(path);
                 out.buffer(Some(data));
                 out.vector(&[ALL], |out, rights| {
                     out.int(*rights);
-                    out.text("world");
-                    out.text("anyone");
+                    out.string("world");
+                    out.string("anyone");
                 });
                 out.int(i32::from(*ephemeral));
             }
-            Request::Delete { path, version } => {
-                out.text(path);
+            StoreRequest::Delete { path, version } => {
+                out.string(path);
                 out.int(*version);
             }
-            Request::Exists { path, watch }
-            | Request::GetData { path, watch }
-            | Request::GetChildren { path, watch } => {
-                out.text(path);
+            StoreRequest::Exists { path, watch }
+            | StoreRequest::GetData { path, watch }
+            | StoreRequest::GetChildren { path, watch } => {
+                out.string(path);
                 out.boolean(*watch);
             }
-            Request::SetData {
+            StoreRequest::SetData {
                 path,
                 data,
                 version,
             } => {
-                out.text(path);
+                out.string(path);
                 out.buffer(Some(data));
                 out.int(*version);
             }
-            Request::Ping | Request::Close => {}
-            Request::Auth { scheme, secret } => {
+            StoreRequest::Ping | StoreRequest::Close => {}
+            StoreRequest::Auth { scheme, secret } => {
                 out.int(0);
-                out.text(scheme);
+                out.string(scheme);
                 out.buffer(Some(secret));
             }
-            Request::SetWatches {
+            StoreRequest::SetWatches {
                 since,
                 data,
                 exist,
@@ -226,10 +226,10 @@
             } => {
                 out.long(*since);
                 for paths in [data, exist, child] {
-                    out.vector(paths, |out, path| out.text(path));
+                    out.vector(paths, |out, path| out.string(path));
                 }
             }
-            Request::Multi(all) => {
+            StoreRequest::Multi(all) => {
                 for request in all {
                     out.int(request.op());
                     out.boolean(false);
@@ -244,122 +244,123 @@
     }
 
     /// A request and its number.
-    pub fn read(bytes: &[u8]) -> Result<(i32, Request), Fault> {
-        let mut r = Reader::new(bytes);
+    pub fn read(bytes: &[u8]) -> Result<(i32, StoreRequest), DecodeError> {
+        let mut r = JuteReader::new(bytes);
         let (xid, op) = (r.int()?, r.int()?);
         let request = if op == op::MULTI {
             Self::read_multi(&mut r)?
         } else {
             Self::read_one(op, &mut r)?
         };
-        r.end()?;
+        r.finish()?;
         Ok((xid, request))
     }
 
-    fn read_multi(r: &mut Reader) -> Result<Request, Fault> {
+    fn read_multi(r: &mut JuteReader) -> Result<StoreRequest, DecodeError> {
         let mut all = Vec::new();
         loop {
             let (op, done, _) = (r.int()?, r.boolean()?, r.int()?);
             match op {
-                _ if done => return Ok(Request::Multi(all)),
+                _ if done => return Ok(StoreRequest::Multi(all)),
                 op::CREATE | op::DELETE | op::SET_DATA => all.push(Self::read_one(op, r)?),
-                other => return Err(Fault::Value(other)),
+                other => return Err(DecodeError::InvalidValue(other)),
             }
         }
     }
 
-    fn read_one(op: i32, r: &mut Reader) -> Result<Request, Fault> {
-        let path = |r: &mut Reader| Ok::<_, Fault>(r.text()?.to_string());
-        let data = |r: &mut Reader| Ok::<_, Fault>(r.buffer()?.unwrap_or_default().to_vec());
+    fn read_one(op: i32, r: &mut JuteReader) -> Result<StoreRequest, DecodeError> {
+        let path = |r: &mut JuteReader| Ok::<_, DecodeError>(r.string()?.to_string());
+        let data =
+            |r: &mut JuteReader| Ok::<_, DecodeError>(r.buffer()?.unwrap_or_default().to_vec());
         Ok(match op {
             op::CREATE => {
                 let (path, data) = (path(r)?, data(r)?);
                 r.vector(|r| {
                     r.int()?;
-                    r.text()?;
-                    r.text().map(drop)
+                    r.string()?;
+                    r.string().map(drop)
                 })?;
                 match r.int()? {
-                    flags @ (0 | 1) => Request::Create {
+                    flags @ (0 | 1) => StoreRequest::Create {
                         path,
                         data,
                         ephemeral: flags == 1,
                     },
-                    other => return Err(Fault::Value(other)),
+                    other => return Err(DecodeError::InvalidValue(other)),
                 }
             }
-            op::DELETE => Request::Delete {
+            op::DELETE => StoreRequest::Delete {
                 path: path(r)?,
                 version: r.int()?,
             },
-            op::EXISTS => Request::Exists {
+            op::EXISTS => StoreRequest::Exists {
                 path: path(r)?,
                 watch: r.boolean()?,
             },
-            op::GET_DATA => Request::GetData {
+            op::GET_DATA => StoreRequest::GetData {
                 path: path(r)?,
                 watch: r.boolean()?,
             },
-            op::SET_DATA => Request::SetData {
+            op::SET_DATA => StoreRequest::SetData {
                 path: path(r)?,
                 data: data(r)?,
                 version: r.int()?,
             },
-            op::GET_CHILDREN => Request::GetChildren {
+            op::GET_CHILDREN => StoreRequest::GetChildren {
                 path: path(r)?,
                 watch: r.boolean()?,
             },
-            op::PING => Request::Ping,
-            op::CLOSE => Request::Close,
+            op::PING => StoreRequest::Ping,
+            op::CLOSE => StoreRequest::Close,
             op::AUTH => {
                 r.int()?;
-                Request::Auth {
+                StoreRequest::Auth {
                     scheme: path(r)?,
                     secret: data(r)?,
                 }
             }
             op::SET_WATCHES => {
                 let (since, data, exist, child) = (r.long()?, texts(r)?, texts(r)?, texts(r)?);
-                Request::SetWatches {
+                StoreRequest::SetWatches {
                     since,
                     data,
                     exist,
                     child,
                 }
             }
-            other => return Err(Fault::Value(other)),
+            other => return Err(DecodeError::InvalidValue(other)),
         })
     }
 }
 
 /// What a store says of itself before each answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct ReplyHeader {
     pub xid: i32,
     pub zxid: i64,
     /// Nought, or one of `Refused`.
-    pub err: i32,
+    pub error_code: i32,
 }
 
-impl Head {
+impl ReplyHeader {
     pub fn write(&self, out: &mut Vec<u8>) {
         out.int(self.xid);
         out.long(self.zxid);
-        out.int(self.err);
+        out.int(self.error_code);
     }
 
-    pub fn read(r: &mut Reader) -> Result<Head, Fault> {
-        Ok(Head {
+    pub fn read(r: &mut JuteReader) -> Result<ReplyHeader, DecodeError> {
+        Ok(ReplyHeader {
             xid: r.int()?,
             zxid: r.long()?,
-            err: r.int()?,
+            error_code: r.int()?,
         })
     }
 }
 
 /// Why a store did not do what it was asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum StoreError {
     NoNode,
     NodeExists,
     BadVersion,
@@ -375,30 +376,30 @@
     Other(i32),
 }
 
-const REFUSED: [(i32, Refused); 12] = [
-    (-101, Refused::NoNode),
-    (-110, Refused::NodeExists),
-    (-103, Refused::BadVersion),
-    (-111, Refused::NotEmpty),
-    (-108, Refused::NoChildrenForEphemerals),
-    (-102, Refused::NoAuth),
-    (-115, Refused::AuthFailed),
-    (-112, Refused::SessionExpired),
-    (-118, Refused::SessionMoved),
-    (-5, Refused::Marshalling),
-    (-6, Refused::Unimplemented),
-    (-8, Refused::BadArguments),
+const REFUSED: [(i32, StoreError); 12] = [
+    (-101, StoreError::NoNode),
+    (-110, StoreError::NodeExists),
+    (-103, StoreError::BadVersion),
+    (-111, StoreError::NotEmpty),
+    (-108, StoreError::NoChildrenForEphemerals),
+    (-102, StoreError::NoAuth),
+    (-115, StoreError::AuthFailed),
+    (-112, StoreError::SessionExpired),
+    (-118, StoreError::SessionMoved),
+    (-5, StoreError::Marshalling),
+    (-6, StoreError::Unimplemented),
+    (-8, StoreError::BadArguments),
 ];
 
-impl Refused {
-    pub fn of(code: i32) -> Option<Refused> {
+impl StoreError {
+    pub fn from_code(code: i32) -> Option<StoreError> {
         let known = REFUSED.iter().find(|r| r.0 == code).map(|r| r.1);
-        (code != 0).then(|| known.unwrap_or(Refused::Other(code)))
+        (code != 0).then(|| known.unwrap_or(StoreError::Other(code)))
     }
 
     pub fn code(self) -> i32 {
         match self {
-            Refused::Other(code) => code,
+            StoreError::Other(code) => code,
             known => REFUSED.iter().find(|r| r.1 == known).map_or(-1, |r| r.0),
         }
     }
@@ -406,26 +407,26 @@
 
 /// A node's figures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Stat {
-    pub created: i64,
-    pub modified: i64,
+pub struct NodeStat {
+    pub created_zxid: i64,
+    pub modified_zxid: i64,
     pub created_ms: i64,
     pub modified_ms: i64,
     pub version: i32,
     pub child_version: i32,
     pub acl_version: i32,
     /// The session that keeps it; nought if it stays.
-    pub owner: i64,
+    pub ephemeral_owner: i64,
     pub data_length: i32,
-    pub children: i32,
-    pub child_modified: i64,
+    pub child_count: i32,
+    pub child_modified_zxid: i64,
 }
 
-impl Stat {
+impl NodeStat {
     pub fn write(&self, out: &mut Vec<u8>) {
         for long in [
-            self.created,
-            self.modified,
+            self.created_zxid,
+            self.modified_zxid,
             self.created_ms,
             self.modified_ms,
         ] {
@@ -434,40 +435,40 @@
         for int in [self.version, self.child_version, self.acl_version] {
             out.int(int);
         }
-        out.long(self.owner);
+        out.long(self.ephemeral_owner);
         out.int(self.data_length);
-        out.int(self.children);
-        out.long(self.child_modified);
+        out.int(self.child_count);
+        out.long(self.child_modified_zxid);
     }
 
-    pub fn read(r: &mut Reader) -> Result<Stat, Fault> {
-        Ok(Stat {
-            created: r.long()?,
-            modified: r.long()?,
+    pub fn read(r: &mut JuteReader) -> Result<NodeStat, DecodeError> {
+        Ok(NodeStat {
+            created_zxid: r.long()?,
+            modified_zxid: r.long()?,
             created_ms: r.long()?,
             modified_ms: r.long()?,
             version: r.int()?,
             child_version: r.int()?,
             acl_version: r.int()?,
-            owner: r.long()?,
+            ephemeral_owner: r.long()?,
             data_length: r.int()?,
-            children: r.int()?,
-            child_modified: r.long()?,
+            child_count: r.int()?,
+            child_modified_zxid: r.long()?,
         })
     }
 }
 
 /// What is told unasked: of a node, or of the session where the path is empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
-    pub what: Change,
+pub struct WatchEvent {
+    pub kind: WatchEventKind,
     /// Whether the session stands; -112 says that it has lapsed.
     pub state: i32,
     pub path: String,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum WatchEventKind {
     /// Of the session alone.
     Session,
     Created,
@@ -476,37 +477,37 @@
     Children,
 }
 
-const CHANGES: [(i32, Change); 5] = [
-    (-1, Change::Session),
-    (1, Change::Created),
-    (2, Change::Deleted),
-    (3, Change::Data),
-    (4, Change::Children),
+const CHANGES: [(i32, WatchEventKind); 5] = [
+    (-1, WatchEventKind::Session),
+    (1, WatchEventKind::Created),
+    (2, WatchEventKind::Deleted),
+    (3, WatchEventKind::Data),
+    (4, WatchEventKind::Children),
 ];
 
-impl Told {
+impl WatchEvent {
     pub fn write(&self, out: &mut Vec<u8>) {
         out.int(
             CHANGES
                 .iter()
-                .find(|c| c.1 == self.what)
+                .find(|c| c.1 == self.kind)
                 .map_or(-1, |c| c.0),
         );
         out.int(self.state);
-        out.text(&self.path);
+        out.string(&self.path);
     }
 
-    pub fn read(r: &mut Reader) -> Result<Told, Fault> {
+    pub fn read(r: &mut JuteReader) -> Result<WatchEvent, DecodeError> {
         let (what, state) = (r.int()?, r.int()?);
         let what = CHANGES
             .iter()
             .find(|c| c.0 == what)
-            .ok_or(Fault::Value(what))?
+            .ok_or(DecodeError::InvalidValue(what))?
             .1;
-        Ok(Told {
-            what,
+        Ok(WatchEvent {
+            kind: what,
             state,
-            path: r.text()?.to_string(),
+            path: r.string()?.to_string(),
         })
     }
 }
--- a/crates/zookeeper/src/session.rs
+++ b/crates/zookeeper/src/session.rs
@@ -1,68 +1,68 @@
 //! A client's session with a store, over one connection after the other. No I/O and no clock: what happens comes in
 //! with the time, what is to be done goes out, and whoever drives it has the sockets.
 
-use crate::frame::{Frames, framed};
-use crate::jute::{Fault, Reader};
+use crate::frame::{FrameReader, write_frame};
+use crate::jute::{DecodeError, JuteReader};
 use crate::record::{
-    Change, Connect, Connected, Head, Refused, Request, Stat, Told, XID_AUTH, XID_EVENT, XID_PING,
-    XID_WATCHES,
+    ConnectRequest, ConnectResponse, NodeStat, ReplyHeader, StoreError, StoreRequest, WatchEvent,
+    WatchEventKind, XID_AUTH, XID_EVENT, XID_PING, XID_SET_WATCHES,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ClientSessionState {
     /// Waits before the next address is tried.
-    Away,
+    Waiting,
     Connecting,
     /// The connection is up, and the store has not said whether the session stands.
-    Greeting,
+    Handshaking,
     Connected,
     Closed,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum ClientSessionEffect {
     /// Connect to the address with this number.
     Connect(usize),
     Send(Vec<u8>),
     /// Close the connection.
-    Drop,
+    CloseConnection,
     /// A session stands; a new one, of which the store knows no watches and no nodes, or the one before.
-    Up {
+    Established {
         new: bool,
     },
     /// The store cannot be heard. Nothing is known to have changed by that.
-    Down,
+    ConnectionLost,
     /// This client's own session has lapsed at the store; it says nothing of anybody else's.
     Expired,
-    Answered {
+    Responded {
         xid: i32,
-        answer: Result<Answer, Refused>,
+        response: Result<StoreResponse, StoreError>,
     },
     /// The connection broke before the answer: it may have been done or not.
-    Lost {
+    ResponseLost {
         xid: i32,
     },
-    Told(Told),
+    WatchFired(WatchEvent),
     /// What came could not be read, or was not asked for.
-    Bad(String),
+    ProtocolError(String),
 }
 
 /// What a store answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum StoreResponse {
     Done,
     Created(String),
-    Stat(Stat),
-    Data(Vec<u8>, Stat),
-    Children(Vec<String>, Stat),
+    Stat(NodeStat),
+    Data(Vec<u8>, NodeStat),
+    Children(Vec<String>, NodeStat),
 }
 
 /// What a session is made of.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    pub addresses: usize,
+pub struct ClientSessionSettings {
+    pub address_count: usize,
     /// What is asked of the store as the time after which a silent session lapses.
     pub timeout: Duration,
     pub auth: Option<(String, Vec<u8>)>,
@@ -74,12 +74,12 @@
 const PAUSE: Duration = Duration::from_millis(50);
 const LONGEST: Duration = Duration::from_secs(5);
 /// Requests that may wait for an answer.
-pub const MOST: usize = 4_096;
+pub const MAX_PENDING_REQUESTS: usize = 4_096;
 
 #[derive(Debug)]
-pub struct Session {
-    terms: Terms,
-    state: State,
+pub struct ClientSession {
+    terms: ClientSessionSettings,
+    state: ClientSessionState,
     at: usize,
     /// Addresses that failed since one was up.
     failed: u32,
@@ -92,8 +92,8 @@
     password: Vec<u8>,
     zxid: i64,
     xid: i32,
-    frames: Frames,
-    waiting: BTreeMap<i32, Request>,
+    frames: FrameReader,
+    waiting: BTreeMap<i32, StoreRequest>,
     /// Paths watched by the kind of question that set them.
     watched: [BTreeSet<String>; 3],
     chance: u64,
@@ -103,14 +103,19 @@
 const EXIST: usize = 1;
 const CHILD: usize = 2;
 
-impl Session {
+impl ClientSession {
     /// Begins by connecting; `seed` chooses the first address and spreads the pauses.
-    pub fn new(now: Duration, terms: Terms, seed: u64, out: &mut Vec<Effect>) -> Session {
-        let addresses = terms.addresses.max(1);
-        let mut session = Session {
+    pub fn new(
+        now: Duration,
+        terms: ClientSessionSettings,
+        seed: u64,
+        out: &mut Vec<ClientSessionEffect>,
+    ) -> ClientSession {
+        let addresses = terms.address_count.max(1);
+        let mut session = ClientSession {
             timeout: terms.timeout,
             terms,
-            state: State::Away,
+            state: ClientSessionState::Waiting,
             at: (seed % addresses as u64) as usize,
             failed: 0,
             due: now,
@@ -120,7 +125,7 @@
             password: vec![0; 16],
             zxid: 0,
             xid: 0,
-            frames: Frames::default(),
+            frames: FrameReader::default(),
             waiting: BTreeMap::new(),
             watched: Default::default(),
             chance: seed | 1,
@@ -129,24 +134,30 @@
         session
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> ClientSessionState {
         self.state
     }
 
     /// When `tick` wants to be called next.
-    pub fn due(&self) -> Duration {
+    pub fn next_tick_due(&self) -> Duration {
         match self.state {
-            State::Connected => {
+            ClientSessionState::Connected => {
                 (self.sent + self.timeout / 3).min(self.heard + self.timeout * 2 / 3)
             }
-            State::Closed => Duration::MAX,
+            ClientSessionState::Closed => Duration::MAX,
             _ => self.due,
         }
     }
 
     /// Asks the store; `None` where no session stands or too much waits already.
-    pub fn ask(&mut self, now: Duration, request: Request, out: &mut Vec<Effect>) -> Option<i32> {
-        if self.state != State::Connected || self.waiting.len() >= MOST {
+    pub fn request(
+        &mut self,
+        now: Duration,
+        request: StoreRequest,
+        out: &mut Vec<ClientSessionEffect>,
+    ) -> Option<i32> {
+        if self.state != ClientSessionState::Connected || self.waiting.len() >= MAX_PENDING_REQUESTS
+        {
             return None;
         }
         self.xid = if self.xid == i32::MAX {
@@ -160,83 +171,97 @@
     }
 
     /// Ends the session at the store too: its nodes vanish at once.
-    pub fn close(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        if self.state == State::Connected {
-            self.send(now, self.xid.wrapping_add(1), &Request::Close, out);
+    pub fn close(&mut self, now: Duration, out: &mut Vec<ClientSessionEffect>) {
+        if self.state == ClientSessionState::Connected {
+            self.send(now, self.xid.wrapping_add(1), &StoreRequest::Close, out);
         }
-        if self.state != State::Closed {
-            self.state = State::Closed;
-            out.push(Effect::Drop);
+        if self.state != ClientSessionState::Closed {
+            self.state = ClientSessionState::Closed;
+            out.push(ClientSessionEffect::CloseConnection);
         }
     }
 
     /// The connection is up.
-    pub fn connected(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        if self.state != State::Connecting {
+    pub fn connection_opened(&mut self, now: Duration, out: &mut Vec<ClientSessionEffect>) {
+        if self.state != ClientSessionState::Connecting {
             return;
         }
-        (self.state, self.due, self.frames) = (State::Greeting, now + CONNECT, Frames::default());
-        let connect = Connect {
+        (self.state, self.due, self.frames) = (
+            ClientSessionState::Handshaking,
+            now + CONNECT,
+            FrameReader::default(),
+        );
+        let connect = ConnectRequest {
             last_zxid: self.zxid,
             timeout: self.terms.timeout.as_millis().min(i32::MAX as u128) as i32,
             session: self.id,
             password: self.password.clone(),
         };
         let mut bytes = Vec::new();
-        framed(&mut bytes, |out| connect.write(out));
-        out.push(Effect::Send(bytes));
+        write_frame(&mut bytes, |out| connect.write(out));
+        out.push(ClientSessionEffect::Send(bytes));
     }
 
     /// The connection could not be made, or broke.
-    pub fn broken(&mut self, now: Duration, out: &mut Vec<Effect>) {
+    pub fn connection_failed(&mut self, now: Duration, out: &mut Vec<ClientSessionEffect>) {
         match self.state {
-            State::Closed | State::Away => return,
-            State::Connected => out.push(Effect::Down),
-            State::Connecting | State::Greeting => {}
+            ClientSessionState::Closed | ClientSessionState::Waiting => return,
+            ClientSessionState::Connected => out.push(ClientSessionEffect::ConnectionLost),
+            ClientSessionState::Connecting | ClientSessionState::Handshaking => {}
         }
         // Whether they were done nobody knows now.
         out.extend(
             std::mem::take(&mut self.waiting)
                 .into_keys()
-                .map(|xid| Effect::Lost { xid }),
+                .map(|xid| ClientSessionEffect::ResponseLost { xid }),
         );
-        self.state = State::Away;
-        self.at = (self.at + 1) % self.terms.addresses.max(1);
+        self.state = ClientSessionState::Waiting;
+        self.at = (self.at + 1) % self.terms.address_count.max(1);
         let pause = (PAUSE * (1 << self.failed.min(7))).min(LONGEST);
         self.failed = self.failed.saturating_add(1);
         // Spread, or all clients would meet at a store that has just come back.
         self.due = now + pause.mul_f64(0.5 + self.draw());
-        out.push(Effect::Drop);
+        out.push(ClientSessionEffect::CloseConnection);
     }
 
-    pub fn tick(&mut self, now: Duration, out: &mut Vec<Effect>) {
+    pub fn tick(&mut self, now: Duration, out: &mut Vec<ClientSessionEffect>) {
         match self.state {
-            State::Away if now >= self.due => {
-                (self.state, self.due) = (State::Connecting, now + CONNECT);
-                out.push(Effect::Connect(self.at));
+            ClientSessionState::Waiting if now >= self.due => {
+                (self.state, self.due) = (ClientSessionState::Connecting, now + CONNECT);
+                out.push(ClientSessionEffect::Connect(self.at));
+            }
+            ClientSessionState::Connecting | ClientSessionState::Handshaking if now >= self.due => {
+                self.connection_failed(now, out)
+            }
+            ClientSessionState::Connected if now >= self.heard + self.timeout * 2 / 3 => {
+                self.connection_failed(now, out)
             }
-            State::Connecting | State::Greeting if now >= self.due => self.broken(now, out),
-            State::Connected if now >= self.heard + self.timeout * 2 / 3 => self.broken(now, out),
-            State::Connected if now >= self.sent + self.timeout / 3 => {
-                self.send(now, XID_PING, &Request::Ping, out);
+            ClientSessionState::Connected if now >= self.sent + self.timeout / 3 => {
+                self.send(now, XID_PING, &StoreRequest::Ping, out);
             }
             _ => {}
         }
     }
 
     /// What came over the connection, in pieces of any size.
-    pub fn bytes(&mut self, now: Duration, bytes: &[u8], out: &mut Vec<Effect>) {
-        if matches!(self.state, State::Greeting | State::Connected) {
+    pub fn receive(&mut self, now: Duration, bytes: &[u8], out: &mut Vec<ClientSessionEffect>) {
+        if matches!(
+            self.state,
+            ClientSessionState::Handshaking | ClientSessionState::Connected
+        ) {
             self.heard = now;
-            self.frames.push(bytes);
+            self.frames.append(bytes);
         }
-        while matches!(self.state, State::Greeting | State::Connected) {
-            let frame = match self.frames.take() {
+        while matches!(
+            self.state,
+            ClientSessionState::Handshaking | ClientSessionState::Connected
+        ) {
+            let frame = match self.frames.next_frame() {
                 Ok(Some(frame)) => frame.to_vec(),
                 Ok(None) => return,
                 Err(fault) => return self.bad(now, &fault.to_string(), out),
             };
-            let read = if self.state == State::Greeting {
+            let read = if self.state == ClientSessionState::Handshaking {
                 self.greeted(now, &frame, out)
             } else {
                 self.answered(&frame, out)
@@ -247,32 +272,37 @@
         }
     }
 
-    fn bad(&mut self, now: Duration, what: &str, out: &mut Vec<Effect>) {
-        out.push(Effect::Bad(what.to_string()));
-        self.broken(now, out);
+    fn bad(&mut self, now: Duration, what: &str, out: &mut Vec<ClientSessionEffect>) {
+        out.push(ClientSessionEffect::ProtocolError(what.to_string()));
+        self.connection_failed(now, out);
     }
 
-    fn greeted(&mut self, now: Duration, frame: &[u8], out: &mut Vec<Effect>) -> Result<(), Fault> {
-        let Connected {
+    fn greeted(
+        &mut self,
+        now: Duration,
+        frame: &[u8],
+        out: &mut Vec<ClientSessionEffect>,
+    ) -> Result<(), DecodeError> {
+        let ConnectResponse {
             timeout,
             session,
             password,
-        } = Connected::read(frame)?;
+        } = ConnectResponse::read(frame)?;
         if timeout <= 0 {
             // Ours has lapsed; what others hold is not touched by that.
             (self.id, self.password, self.zxid) = (0, vec![0; 16], 0);
             self.watched = Default::default();
-            out.push(Effect::Expired);
-            self.broken(now, out);
+            out.push(ClientSessionEffect::Expired);
+            self.connection_failed(now, out);
             return Ok(());
         }
         let new = self.id != session;
         (self.id, self.password) = (session, password);
-        (self.state, self.failed) = (State::Connected, 0);
+        (self.state, self.failed) = (ClientSessionState::Connected, 0);
         self.timeout = Duration::from_millis(timeout as u64);
         (self.heard, self.sent) = (now, now);
         if let Some((scheme, secret)) = self.terms.auth.clone() {
-            self.send(now, XID_AUTH, &Request::Auth { scheme, secret }, out);
+            self.send(now, XID_AUTH, &StoreRequest::Auth { scheme, secret }, out);
         }
         if new {
             self.watched = Default::default();
@@ -280,8 +310,8 @@
             let [data, exist, child] = self.watched.clone().map(Vec::from_iter);
             self.send(
                 now,
-                XID_WATCHES,
-                &Request::SetWatches {
+                XID_SET_WATCHES,
+                &StoreRequest::SetWatches {
                     since: self.zxid,
                     data,
                     exist,
@@ -290,18 +320,22 @@
                 out,
             );
         }
-        out.push(Effect::Up { new });
+        out.push(ClientSessionEffect::Established { new });
         Ok(())
     }
 
-    fn answered(&mut self, frame: &[u8], out: &mut Vec<Effect>) -> Result<(), Fault> {
-        let mut r = Reader::new(frame);
-        let head = Head::read(&mut r)?;
+    fn answered(
+        &mut self,
+        frame: &[u8],
+        out: &mut Vec<ClientSessionEffect>,
+    ) -> Result<(), DecodeError> {
+        let mut r = JuteReader::new(frame);
+        let head = ReplyHeader::read(&mut r)?;
         self.zxid = self.zxid.max(head.zxid);
         match head.xid {
-            XID_PING | XID_AUTH | XID_WATCHES => {
-                if let Some(refused) = Refused::of(head.err) {
-                    out.push(Effect::Bad(format!(
+            XID_PING | XID_AUTH | XID_SET_WATCHES => {
+                if let Some(refused) = StoreError::from_code(head.error_code) {
+                    out.push(ClientSessionEffect::ProtocolError(format!(
                         "the store refuses {}: {refused:?}",
                         head.xid
                     )));
@@ -309,66 +343,72 @@
                 return Ok(());
             }
             XID_EVENT => {
-                let told = Told::read(&mut r)?;
-                r.end()?;
+                let told = WatchEvent::read(&mut r)?;
+                r.finish()?;
                 self.fired(&told);
-                out.push(Effect::Told(told));
+                out.push(ClientSessionEffect::WatchFired(told));
                 return Ok(());
             }
             _ => {}
         }
         let Some(request) = self.waiting.remove(&head.xid) else {
-            out.push(Effect::Bad(format!(
+            out.push(ClientSessionEffect::ProtocolError(format!(
                 "an answer to {}, which nobody asked",
                 head.xid
             )));
             return Ok(());
         };
-        let refused = Refused::of(head.err);
+        let refused = StoreError::from_code(head.error_code);
         // A question after a node that is not there leaves a watch for its coming.
         self.watch(&request, refused);
         let answer = match refused {
             Some(refused) => Err(refused),
             None => Ok(read(&request, &mut r)?),
         };
-        out.push(Effect::Answered {
+        out.push(ClientSessionEffect::Responded {
             xid: head.xid,
-            answer,
+            response: answer,
         });
         Ok(())
     }
 
     /// The watches that a question leaves at the store.
-    fn watch(&mut self, request: &Request, refused: Option<Refused>) {
+    fn watch(&mut self, request: &StoreRequest, refused: Option<StoreError>) {
         let (kind, path) = match (request, refused) {
-            (Request::GetData { path, watch: true }, None) => (DATA, path),
-            (Request::Exists { path, watch: true }, None) => (DATA, path),
-            (Request::Exists { path, watch: true }, Some(Refused::NoNode)) => (EXIST, path),
-            (Request::GetChildren { path, watch: true }, None) => (CHILD, path),
+            (StoreRequest::GetData { path, watch: true }, None) => (DATA, path),
+            (StoreRequest::Exists { path, watch: true }, None) => (DATA, path),
+            (StoreRequest::Exists { path, watch: true }, Some(StoreError::NoNode)) => (EXIST, path),
+            (StoreRequest::GetChildren { path, watch: true }, None) => (CHILD, path),
             _ => return,
         };
         self.watched[kind].insert(path.clone());
     }
 
     /// A watch fires once.
-    fn fired(&mut self, told: &Told) {
-        let kinds: &[usize] = match told.what {
-            Change::Session => &[],
-            Change::Created => &[EXIST, DATA],
-            Change::Data => &[DATA],
-            Change::Children => &[CHILD],
-            Change::Deleted => &[DATA, EXIST, CHILD],
+    fn fired(&mut self, told: &WatchEvent) {
+        let kinds: &[usize] = match told.kind {
+            WatchEventKind::Session => &[],
+            WatchEventKind::Created => &[EXIST, DATA],
+            WatchEventKind::Data => &[DATA],
+            WatchEventKind::Children => &[CHILD],
+            WatchEventKind::Deleted => &[DATA, EXIST, CHILD],
         };
         for kind in kinds {
             self.watched[*kind].remove(&told.path);
         }
     }
 
-    fn send(&mut self, now: Duration, xid: i32, request: &Request, out: &mut Vec<Effect>) {
+    fn send(
+        &mut self,
+        now: Duration,
+        xid: i32,
+        request: &StoreRequest,
+        out: &mut Vec<ClientSessionEffect>,
+    ) {
         let mut bytes = Vec::new();
-        framed(&mut bytes, |out| request.write(xid, out));
+        write_frame(&mut bytes, |out| request.write(xid, out));
         self.sent = now;
-        out.push(Effect::Send(bytes));
+        out.push(ClientSessionEffect::Send(bytes));
     }
 
     fn draw(&mut self) -> f64 {
@@ -379,22 +419,24 @@
     }
 }
 
-fn read(request: &Request, r: &mut Reader) -> Result<Answer, Fault> {
+fn read(request: &StoreRequest, r: &mut JuteReader) -> Result<StoreResponse, DecodeError> {
     let answer = match request {
-        Request::Create { .. } => Answer::Created(r.text()?.to_string()),
-        Request::Exists { .. } | Request::SetData { .. } => Answer::Stat(Stat::read(r)?),
-        Request::GetData { .. } => {
+        StoreRequest::Create { .. } => StoreResponse::Created(r.string()?.to_string()),
+        StoreRequest::Exists { .. } | StoreRequest::SetData { .. } => {
+            StoreResponse::Stat(NodeStat::read(r)?)
+        }
+        StoreRequest::GetData { .. } => {
             let data = r.buffer()?.unwrap_or_default().to_vec();
-            Answer::Data(data, Stat::read(r)?)
+            StoreResponse::Data(data, NodeStat::read(r)?)
         }
-        Request::GetChildren { .. } => {
-            let children = r.vector(|r| Ok(r.text()?.to_string()))?;
-            Answer::Children(children, Stat::read(r)?)
+        StoreRequest::GetChildren { .. } => {
+            let children = r.vector(|r| Ok(r.string()?.to_string()))?;
+            StoreResponse::Children(children, NodeStat::read(r)?)
         }
         // The parts of a multi are not looked at: it was done whole or refused.
-        Request::Multi(_) => return Ok(Answer::Done),
-        _ => Answer::Done,
+        StoreRequest::Multi(_) => return Ok(StoreResponse::Done),
+        _ => StoreResponse::Done,
     };
-    r.end()?;
+    r.finish()?;
     Ok(answer)
 }
--- a/crates/zookeeper/src/store.rs
+++ b/crates/zookeeper/src/store.rs
@@ -1,28 +1,28 @@
 //! A stand-in store without I/O: a tree of nodes, sessions that lapse, watches that fire once and in order. Enough of
 //! the published behaviour for clients to be tested against, and no more; nothing is kept on disk.
 
-use crate::jute::{Fault, Write};
+use crate::jute::{DecodeError, JuteWrite};
 use crate::record::{
-    ANY, Change, Connect, Connected, Head, Refused, Request, Stat, Told, XID_AUTH, XID_EVENT,
-    XID_PING,
+    ANY_VERSION, ConnectRequest, ConnectResponse, NodeStat, ReplyHeader, StoreError, StoreRequest,
+    WatchEvent, WatchEventKind, XID_AUTH, XID_EVENT, XID_PING,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// A connection, by the number its driver gave it.
-pub type Conn = u64;
+pub type ConnectionId = u64;
 
 /// What a store wants done: frames written, without their length, and connections closed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Effect {
-    Send(Conn, Vec<u8>),
-    Close(Conn),
+pub enum StoreEffect {
+    Send(ConnectionId, Vec<u8>),
+    CloseConnection(ConnectionId),
 }
 
 #[derive(Clone, Debug, Default)]
 struct Node {
     data: Vec<u8>,
-    stat: Stat,
+    stat: NodeStat,
 }
 
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     password: Vec<u8>,
     timeout: Duration,
     heard: Duration,
-    conn: Option<Conn>,
+    conn: Option<ConnectionId>,
     nodes: BTreeSet<String>,
 }
 
@@ -42,28 +42,28 @@
 }
 
 #[derive(Debug)]
-pub struct Store {
+pub struct StubStore {
     nodes: BTreeMap<String, Node>,
     sessions: BTreeMap<i64, Keeper>,
-    conns: BTreeMap<Conn, i64>,
-    watches: BTreeSet<(String, Kind, Conn)>,
+    conns: BTreeMap<ConnectionId, i64>,
+    watches: BTreeSet<(String, Kind, ConnectionId)>,
     zxid: i64,
     next: i64,
     /// Bounds of what a client may ask for as its timeout.
     least: Duration,
     most: Duration,
     /// Requests taken, for measurements.
-    pub asked: u64,
+    pub request_count: u64,
 }
 
 /// Most nodes, and bytes of one.
 const NODES: usize = 50_000;
 const DATA: usize = 1 << 20;
 
-impl Store {
-    pub fn new(least: Duration, most: Duration) -> Store {
+impl StubStore {
+    pub fn new(least: Duration, most: Duration) -> StubStore {
         let root = BTreeMap::from([("/".to_string(), Node::default())]);
-        Store {
+        StubStore {
             nodes: root,
             sessions: BTreeMap::new(),
             conns: BTreeMap::new(),
@@ -72,7 +72,7 @@
             next: 1,
             least,
             most,
-            asked: 0,
+            request_count: 0,
         }
     }
 
@@ -80,17 +80,17 @@
         self.sessions.keys().copied()
     }
 
-    pub fn nodes(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         self.nodes.len() - 1
     }
 
     /// When the next session lapses, if nothing is heard.
-    pub fn due(&self) -> Option<Duration> {
+    pub fn next_expiry(&self) -> Option<Duration> {
         self.sessions.values().map(|s| s.heard + s.timeout).min()
     }
 
     /// Ends sessions that said nothing for too long.
-    pub fn tick(&mut self, now: Duration, out: &mut Vec<Effect>) {
+    pub fn tick(&mut self, now: Duration, out: &mut Vec<StoreEffect>) {
         let lapsed = |s: &Keeper| now >= s.heard + s.timeout;
         let over: Vec<i64> = self
             .sessions
@@ -98,11 +98,11 @@
             .filter(|(_, s)| lapsed(s))
             .map(|(id, _)| *id)
             .collect();
-        over.into_iter().for_each(|id| self.end(id, out));
+        over.into_iter().for_each(|id| self.end_session(id, out));
     }
 
     /// Ends a session: its nodes vanish, its connection is closed.
-    pub fn end(&mut self, id: i64, out: &mut Vec<Effect>) {
+    pub fn end_session(&mut self, id: i64, out: &mut Vec<StoreEffect>) {
         let Some(session) = self.sessions.remove(&id) else {
             return;
         };
@@ -110,13 +110,13 @@
             self.remove(&path, out);
         }
         if let Some(conn) = session.conn {
-            self.gone(conn);
-            out.push(Effect::Close(conn));
+            self.connection_closed(conn);
+            out.push(StoreEffect::CloseConnection(conn));
         }
     }
 
     /// A connection is gone; its session stays until it lapses.
-    pub fn gone(&mut self, conn: Conn) {
+    pub fn connection_closed(&mut self, conn: ConnectionId) {
         self.watches.retain(|watch| watch.2 != conn);
         if let Some(id) = self.conns.remove(&conn)
             && let Some(session) = self.sessions.get_mut(&id)
@@ -126,46 +126,56 @@
     }
 
     /// A whole frame of a connection. A fault says that it cannot be read; the connection is then to be closed.
-    pub fn frame(
+    pub fn receive_frame(
         &mut self,
         now: Duration,
-        conn: Conn,
+        conn: ConnectionId,
         frame: &[u8],
-        out: &mut Vec<Effect>,
-    ) -> Result<(), Fault> {
-        self.asked += 1;
+        out: &mut Vec<StoreEffect>,
+    ) -> Result<(), DecodeError> {
+        self.request_count += 1;
         let Some(id) = self.conns.get(&conn).copied() else {
             return self.connect(now, conn, frame, out);
         };
-        let (xid, request) = Request::read(frame)?;
+        let (xid, request) = StoreRequest::read(frame)?;
         if let Some(session) = self.sessions.get_mut(&id) {
             session.heard = now;
         }
-        if request == Request::Close {
+        if request == StoreRequest::Close {
             let zxid = self.zxid;
-            out.push(Effect::Send(conn, answer(Head { xid, zxid, err: 0 }, &[])));
-            self.end(id, out);
+            out.push(StoreEffect::Send(
+                conn,
+                answer(
+                    ReplyHeader {
+                        xid,
+                        zxid,
+                        error_code: 0,
+                    },
+                    &[],
+                ),
+            ));
+            self.end_session(id, out);
             return Ok(());
         }
         let mut body = Vec::new();
         // Watches fire before the answer to what made them fire: nobody hears of his own change too early.
         let mut fired = Vec::new();
         let done = self.obey(now, id, conn, &request, &mut body, &mut fired);
-        let err = done.err().map_or(0, Refused::code);
+        let err = done.err().map_or(0, StoreError::code);
         let xid = match request {
-            Request::Ping => XID_PING,
-            Request::Auth { .. } => XID_AUTH,
+            StoreRequest::Ping => XID_PING,
+            StoreRequest::Auth { .. } => XID_AUTH,
             _ => xid,
         };
         out.append(&mut fired);
         let body = if err == 0 { body.as_slice() } else { &[] };
-        out.push(Effect::Send(
+        out.push(StoreEffect::Send(
             conn,
             answer(
-                Head {
+                ReplyHeader {
                     xid,
                     zxid: self.zxid,
-                    err,
+                    error_code: err,
                 },
                 body,
             ),
@@ -176,11 +186,11 @@
     fn connect(
         &mut self,
         now: Duration,
-        conn: Conn,
+        conn: ConnectionId,
         frame: &[u8],
-        out: &mut Vec<Effect>,
-    ) -> Result<(), Fault> {
-        let asked = Connect::read(frame)?;
+        out: &mut Vec<StoreEffect>,
+    ) -> Result<(), DecodeError> {
+        let asked = ConnectRequest::read(frame)?;
         let known = self
             .sessions
             .get(&asked.session)
@@ -210,8 +220,11 @@
         };
         let mut bytes = Vec::new();
         if !connected {
-            Connected::default().write(&mut bytes);
-            out.extend([Effect::Send(conn, bytes), Effect::Close(conn)]);
+            ConnectResponse::default().write(&mut bytes);
+            out.extend([
+                StoreEffect::Send(conn, bytes),
+                StoreEffect::CloseConnection(conn),
+            ]);
             return Ok(());
         }
         let Some(session) = self.sessions.get_mut(&id) else {
@@ -220,7 +233,7 @@
         session.heard = now;
         let before = session.conn.replace(conn);
         let timeout = session.timeout.as_millis() as i32;
-        Connected {
+        ConnectResponse {
             timeout,
             session: id,
             password: session.password.clone(),
@@ -229,10 +242,10 @@
         if let Some(before) = before.filter(|before| *before != conn) {
             self.watches.retain(|watch| watch.2 != before);
             self.conns.remove(&before);
-            out.push(Effect::Close(before));
+            out.push(StoreEffect::CloseConnection(before));
         }
         self.conns.insert(conn, id);
-        out.push(Effect::Send(conn, bytes));
+        out.push(StoreEffect::Send(conn, bytes));
         Ok(())
     }
 
@@ -240,22 +253,22 @@
         &mut self,
         now: Duration,
         id: i64,
-        conn: Conn,
-        request: &Request,
+        conn: ConnectionId,
+        request: &StoreRequest,
         body: &mut Vec<u8>,
-        fired: &mut Vec<Effect>,
-    ) -> Result<(), Refused> {
+        fired: &mut Vec<StoreEffect>,
+    ) -> Result<(), StoreError> {
         match request {
-            Request::Create {
+            StoreRequest::Create {
                 path,
                 data,
                 ephemeral,
             } => {
                 self.create(now, id, path, data, *ephemeral, fired)?;
-                body.text(path);
+                body.string(path);
             }
-            Request::Delete { path, version } => self.delete(path, *version, fired)?,
-            Request::SetData {
+            StoreRequest::Delete { path, version } => self.delete(path, *version, fired)?,
+            StoreRequest::SetData {
                 path,
                 data,
                 version,
@@ -263,26 +276,26 @@
                 self.set(now, path, data, *version, fired)?;
                 self.nodes[path.as_str()].stat.write(body);
             }
-            Request::Exists { path, watch } => {
+            StoreRequest::Exists { path, watch } => {
                 let found = self.nodes.get(path).map(|node| node.stat);
                 // Of a node that is not there its coming is watched for.
                 self.keep(path, Kind::Node, conn, *watch);
-                found.ok_or(Refused::NoNode)?.write(body);
+                found.ok_or(StoreError::NoNode)?.write(body);
             }
-            Request::GetData { path, watch } => {
-                let node = self.nodes.get(path).ok_or(Refused::NoNode)?;
+            StoreRequest::GetData { path, watch } => {
+                let node = self.nodes.get(path).ok_or(StoreError::NoNode)?;
                 body.buffer(Some(&node.data));
                 node.stat.write(body);
                 self.keep(path, Kind::Node, conn, *watch);
             }
-            Request::GetChildren { path, watch } => {
-                let stat = self.nodes.get(path).ok_or(Refused::NoNode)?.stat;
+            StoreRequest::GetChildren { path, watch } => {
+                let stat = self.nodes.get(path).ok_or(StoreError::NoNode)?.stat;
                 let children: Vec<&str> = self.children(path).collect();
-                body.vector(&children, |out, name| out.text(name));
+                body.vector(&children, |out, name| out.string(name));
                 stat.write(body);
                 self.keep(path, Kind::Children, conn, *watch);
             }
-            Request::SetWatches {
+            StoreRequest::SetWatches {
                 since,
                 data,
                 exist,
@@ -290,13 +303,13 @@
             } => {
                 self.again(conn, *since, data, exist, child, fired);
             }
-            Request::Multi(all) => self.multi(now, id, all, fired)?,
-            Request::Ping | Request::Auth { .. } | Request::Close => {}
+            StoreRequest::Multi(all) => self.multi(now, id, all, fired)?,
+            StoreRequest::Ping | StoreRequest::Auth { .. } | StoreRequest::Close => {}
         }
         Ok(())
     }
 
-    fn keep(&mut self, path: &str, kind: Kind, conn: Conn, watch: bool) {
+    fn keep(&mut self, path: &str, kind: Kind, conn: ConnectionId, watch: bool) {
         if watch {
             self.watches.insert((path.to_string(), kind, conn));
         }
@@ -324,36 +337,36 @@
         path: &str,
         data: &[u8],
         ephemeral: bool,
-        fired: &mut Vec<Effect>,
-    ) -> Result<(), Refused> {
+        fired: &mut Vec<StoreEffect>,
+    ) -> Result<(), StoreError> {
         let name = path.rsplit('/').next().unwrap_or_default();
         let plain = path.starts_with('/')
             && !name.is_empty()
             && !path.contains("//")
             && !path.contains('\0');
         if !plain || data.len() > DATA || self.nodes.len() > NODES {
-            return Err(Refused::BadArguments);
+            return Err(StoreError::BadArguments);
         }
         let parent = parent(path);
-        let above = self.nodes.get(parent).ok_or(Refused::NoNode)?;
-        if above.stat.owner != 0 {
-            return Err(Refused::NoChildrenForEphemerals);
+        let above = self.nodes.get(parent).ok_or(StoreError::NoNode)?;
+        if above.stat.ephemeral_owner != 0 {
+            return Err(StoreError::NoChildrenForEphemerals);
         }
         if self.nodes.contains_key(path) {
-            return Err(Refused::NodeExists);
+            return Err(StoreError::NodeExists);
         }
         self.zxid += 1;
         let (zxid, at) = (self.zxid, now.as_millis() as i64);
         let owner = if ephemeral { id } else { 0 };
-        let stat = Stat {
-            created: zxid,
-            modified: zxid,
-            child_modified: zxid,
+        let stat = NodeStat {
+            created_zxid: zxid,
+            modified_zxid: zxid,
+            child_modified_zxid: zxid,
             created_ms: at,
             modified_ms: at,
-            owner,
+            ephemeral_owner: owner,
             data_length: data.len() as i32,
-            ..Stat::default()
+            ..NodeStat::default()
         };
         self.nodes.insert(
             path.to_string(),
@@ -366,33 +379,38 @@
             session.nodes.insert(path.to_string());
         }
         self.count(parent, 1);
-        self.fire(path, Kind::Node, Change::Created, fired);
-        self.fire(parent, Kind::Children, Change::Children, fired);
+        self.fire(path, Kind::Node, WatchEventKind::Created, fired);
+        self.fire(parent, Kind::Children, WatchEventKind::Children, fired);
         Ok(())
     }
 
     fn count(&mut self, parent: &str, by: i32) {
         let zxid = self.zxid;
         if let Some(node) = self.nodes.get_mut(parent) {
-            node.stat.children += by;
+            node.stat.child_count += by;
             node.stat.child_version += 1;
-            node.stat.child_modified = zxid;
+            node.stat.child_modified_zxid = zxid;
         }
     }
 
-    fn delete(&mut self, path: &str, version: i32, fired: &mut Vec<Effect>) -> Result<(), Refused> {
+    fn delete(
+        &mut self,
+        path: &str,
+        version: i32,
+        fired: &mut Vec<StoreEffect>,
+    ) -> Result<(), StoreError> {
         let node = self
             .nodes
             .get(path)
             .filter(|_| path != "/")
-            .ok_or(Refused::NoNode)?;
-        if version != ANY && version != node.stat.version {
-            return Err(Refused::BadVersion);
+            .ok_or(StoreError::NoNode)?;
+        if version != ANY_VERSION && version != node.stat.version {
+            return Err(StoreError::BadVersion);
         }
-        if node.stat.children > 0 {
-            return Err(Refused::NotEmpty);
+        if node.stat.child_count > 0 {
+            return Err(StoreError::NotEmpty);
         }
-        let owner = node.stat.owner;
+        let owner = node.stat.ephemeral_owner;
         if let Some(session) = self.sessions.get_mut(&owner) {
             session.nodes.remove(path);
         }
@@ -400,15 +418,20 @@
         Ok(())
     }
 
-    fn remove(&mut self, path: &str, fired: &mut Vec<Effect>) {
+    fn remove(&mut self, path: &str, fired: &mut Vec<StoreEffect>) {
         if self.nodes.remove(path).is_none() {
             return;
         }
         self.zxid += 1;
         self.count(parent(path), -1);
-        self.fire(path, Kind::Node, Change::Deleted, fired);
-        self.fire(path, Kind::Children, Change::Deleted, fired);
-        self.fire(parent(path), Kind::Children, Change::Children, fired);
+        self.fire(path, Kind::Node, WatchEventKind::Deleted, fired);
+        self.fire(path, Kind::Children, WatchEventKind::Deleted, fired);
+        self.fire(
+            parent(path),
+            Kind::Children,
+            WatchEventKind::Children,
+            fired,
+        );
     }
 
     fn set(
@@ -417,21 +440,21 @@
         path: &str,
         data: &[u8],
         version: i32,
-        fired: &mut Vec<Effect>,
-    ) -> Result<(), Refused> {
-        let node = self.nodes.get_mut(path).ok_or(Refused::NoNode)?;
-        if version != ANY && version != node.stat.version {
-            return Err(Refused::BadVersion);
+        fired: &mut Vec<StoreEffect>,
+    ) -> Result<(), StoreError> {
+        let node = self.nodes.get_mut(path).ok_or(StoreError::NoNode)?;
+        if version != ANY_VERSION && version != node.stat.version {
+            return Err(StoreError::BadVersion);
         }
         if data.len() > DATA {
-            return Err(Refused::BadArguments);
+            return Err(StoreError::BadArguments);
         }
         self.zxid += 1;
         node.data = data.to_vec();
         node.stat.version += 1;
-        (node.stat.modified, node.stat.modified_ms) = (self.zxid, now.as_millis() as i64);
+        (node.stat.modified_zxid, node.stat.modified_ms) = (self.zxid, now.as_millis() as i64);
         node.stat.data_length = data.len() as i32;
-        self.fire(path, Kind::Node, Change::Data, fired);
+        self.fire(path, Kind::Node, WatchEventKind::Data, fired);
         Ok(())
     }
 
@@ -440,9 +463,9 @@
         &mut self,
         now: Duration,
         id: i64,
-        all: &[Request],
-        out: &mut Vec<Effect>,
-    ) -> Result<(), Refused> {
+        all: &[StoreRequest],
+        out: &mut Vec<StoreEffect>,
+    ) -> Result<(), StoreError> {
         let before = (
             self.nodes.clone(),
             self.sessions.clone(),
@@ -452,18 +475,18 @@
         let mut fired = Vec::new();
         for request in all {
             let done = match request {
-                Request::Create {
+                StoreRequest::Create {
                     path,
                     data,
                     ephemeral,
                 } => self.create(now, id, path, data, *ephemeral, &mut fired),
-                Request::Delete { path, version } => self.delete(path, *version, &mut fired),
-                Request::SetData {
+                StoreRequest::Delete { path, version } => self.delete(path, *version, &mut fired),
+                StoreRequest::SetData {
                     path,
                     data,
                     version,
                 } => self.set(now, path, data, *version, &mut fired),
-                _ => Err(Refused::BadArguments),
+                _ => Err(StoreError::BadArguments),
             };
             if let Err(refused) = done {
                 (self.nodes, self.sessions, self.watches, self.zxid) = before;
@@ -477,32 +500,34 @@
     /// Watches set before, on a new connection: what changed since fires at once, the rest is kept.
     fn again(
         &mut self,
-        conn: Conn,
+        conn: ConnectionId,
         since: i64,
         data: &[String],
         exist: &[String],
         child: &[String],
-        fired: &mut Vec<Effect>,
+        fired: &mut Vec<StoreEffect>,
     ) {
         let mut tell = |what, path: &str| fired.push(event(conn, what, path));
         let mut keep = Vec::new();
         for path in data {
             match self.nodes.get(path) {
-                None => tell(Change::Deleted, path),
-                Some(node) if node.stat.modified > since => tell(Change::Data, path),
+                None => tell(WatchEventKind::Deleted, path),
+                Some(node) if node.stat.modified_zxid > since => tell(WatchEventKind::Data, path),
                 Some(_) => keep.push((path.clone(), Kind::Node, conn)),
             }
         }
         for path in exist {
             match self.nodes.get(path) {
-                Some(_) => tell(Change::Created, path),
+                Some(_) => tell(WatchEventKind::Created, path),
                 None => keep.push((path.clone(), Kind::Node, conn)),
             }
         }
         for path in child {
             match self.nodes.get(path) {
-                None => tell(Change::Deleted, path),
-                Some(node) if node.stat.child_modified > since => tell(Change::Children, path),
+                None => tell(WatchEventKind::Deleted, path),
+                Some(node) if node.stat.child_modified_zxid > since => {
+                    tell(WatchEventKind::Children, path)
+                }
                 Some(_) => keep.push((path.clone(), Kind::Children, conn)),
             }
         }
@@ -510,10 +535,11 @@
     }
 
     /// Each watch fires once.
-    fn fire(&mut self, path: &str, kind: Kind, what: Change, fired: &mut Vec<Effect>) {
+    fn fire(&mut self, path: &str, kind: Kind, what: WatchEventKind, fired: &mut Vec<StoreEffect>) {
         let from = (path.to_string(), kind, 0);
-        let to = (path.to_string(), kind, Conn::MAX);
-        let those: Vec<(String, Kind, Conn)> = self.watches.range(from..=to).cloned().collect();
+        let to = (path.to_string(), kind, ConnectionId::MAX);
+        let those: Vec<(String, Kind, ConnectionId)> =
+            self.watches.range(from..=to).cloned().collect();
         for watch in those {
             self.watches.remove(&watch);
             // One told of a node's end by its other watch hears it once.
@@ -532,7 +558,7 @@
     }
 }
 
-fn answer(head: Head, body: &[u8]) -> Vec<u8> {
+fn answer(head: ReplyHeader, body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::new();
     head.write(&mut bytes);
     bytes.extend(body);
@@ -542,19 +568,19 @@
 /// The session stands: that is what a client hears with each change.
 const STANDS: i32 = 3;
 
-fn event(conn: Conn, what: Change, path: &str) -> Effect {
+fn event(conn: ConnectionId, what: WatchEventKind, path: &str) -> StoreEffect {
     let mut bytes = Vec::new();
-    Head {
+    ReplyHeader {
         xid: XID_EVENT,
         zxid: -1,
-        err: 0,
+        error_code: 0,
     }
     .write(&mut bytes);
-    Told {
-        what,
+    WatchEvent {
+        kind: what,
         state: STANDS,
         path: path.to_string(),
     }
     .write(&mut bytes);
-    Effect::Send(conn, bytes)
+    StoreEffect::Send(conn, bytes)
 }
--- a/crates/zookeeper/tests/codec.rs
+++ b/crates/zookeeper/tests/codec.rs
@@ -7,10 +7,11 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-use asterramp_zookeeper::frame::{Frames, LONGEST, framed};
-use asterramp_zookeeper::jute::{Fault, Reader};
+use asterramp_zookeeper::frame::{FrameReader, MAX_FRAME_LENGTH, write_frame};
+use asterramp_zookeeper::jute::{DecodeError, JuteReader};
 use asterramp_zookeeper::record::{
-    ANY, Change, Connect, Connected, Head, Refused, Request, Stat, Told, XID_EVENT, XID_PING,
+    ANY_VERSION, ConnectRequest, ConnectResponse, NodeStat, ReplyHeader, StoreError, StoreRequest,
+    WatchEvent, WatchEventKind, XID_EVENT, XID_PING,
 };
 use proptest::prelude::*;
 use test_case::test_case;
@@ -31,42 +32,42 @@
     out
 }
 
-fn request(path: &str) -> Request {
-    Request::GetChildren {
+fn request(path: &str) -> StoreRequest {
+    StoreRequest::GetChildren {
         path: path.into(),
         watch: true,
     }
 }
 
-#[test_case(XID_PING, Request::Ping, "fffffffe 0000000b"; "ping")]
-#[test_case(7, Request::Close, "00000007 fffffff5"; "close")]
+#[test_case(XID_PING, StoreRequest::Ping, "fffffffe 0000000b"; "ping")]
+#[test_case(7, StoreRequest::Close, "00000007 fffffff5"; "close")]
 #[test_case(1, request("/hosts"), "00000001 0000000c 00000006 \"/hosts\" 01"; "children with a watch")]
-#[test_case(2, Request::GetData { path: "/a".into(), watch: false }, "00000002 00000004 00000002 \"/a\" 00"; "data")]
-#[test_case(3, Request::Exists { path: "/a".into(), watch: true }, "00000003 00000003 00000002 \"/a\" 01"; "exists")]
-#[test_case(4, Request::Delete { path: "/a".into(), version: ANY }, "00000004 00000002 00000002 \"/a\" ffffffff"; "delete")]
-#[test_case(5, Request::SetData { path: "/a".into(), data: b"x".to_vec(), version: 2 }, "00000005 00000005 00000002 \"/a\" 00000001 \"x\" 00000002"; "set data")]
-#[test_case(6, Request::Create { path: "/a".into(), data: b"{}".to_vec(), ephemeral: true },
+#[test_case(2, StoreRequest::GetData { path: "/a".into(), watch: false }, "00000002 00000004 00000002 \"/a\" 00"; "data")]
+#[test_case(3, StoreRequest::Exists { path: "/a".into(), watch: true }, "00000003 00000003 00000002 \"/a\" 01"; "exists")]
+#[test_case(4, StoreRequest::Delete { path: "/a".into(), version: ANY_VERSION }, "00000004 00000002 00000002 \"/a\" ffffffff"; "delete")]
+#[test_case(5, StoreRequest::SetData { path: "/a".into(), data: b"x".to_vec(), version: 2 }, "00000005 00000005 00000002 \"/a\" 00000001 \"x\" 00000002"; "set data")]
+#[test_case(6, StoreRequest::Create { path: "/a".into(), data: b"{}".to_vec(), ephemeral: true },
     "00000006 00000001 00000002 \"/a\" 00000002 \"{}\" 00000001 0000001f 00000005 \"world\" 00000006 \"anyone\" 00000001"; "an ephemeral node")]
-#[test_case(-4, Request::Auth { scheme: "digest".into(), secret: b"a:b".to_vec() }, "fffffffc 00000064 00000000 00000006 \"digest\" 00000003 \"a:b\""; "auth")]
-#[test_case(-8, Request::SetWatches { since: 258, data: vec!["/a".into()], exist: vec![], child: vec!["/b".into()] },
+#[test_case(-4, StoreRequest::Auth { scheme: "digest".into(), secret: b"a:b".to_vec() }, "fffffffc 00000064 00000000 00000006 \"digest\" 00000003 \"a:b\""; "auth")]
+#[test_case(-8, StoreRequest::SetWatches { since: 258, data: vec!["/a".into()], exist: vec![], child: vec!["/b".into()] },
     "fffffff8 00000065 0000000000000102 00000001 00000002 \"/a\" 00000000 00000001 00000002 \"/b\""; "watches again")]
-#[test_case(9, Request::Multi(vec![Request::Delete { path: "/a".into(), version: 1 }]),
+#[test_case(9, StoreRequest::Multi(vec![StoreRequest::Delete { path: "/a".into(), version: 1 }]),
     "00000009 0000000e 00000002 00 ffffffff 00000002 \"/a\" 00000001 ffffffff 01 ffffffff"; "multi")]
-fn requests_have_the_published_bytes(xid: i32, request: Request, spec: &str) {
+fn requests_have_the_published_bytes(xid: i32, request: StoreRequest, spec: &str) {
     let mut out = Vec::new();
     request.write(xid, &mut out);
     assert_eq!(out, bytes(spec));
-    assert_eq!(Request::read(&out), Ok((xid, request)));
+    assert_eq!(StoreRequest::read(&out), Ok((xid, request)));
     for cut in 0..out.len() {
-        assert!(Request::read(&out[..cut]).is_err(), "cut at {cut}");
+        assert!(StoreRequest::read(&out[..cut]).is_err(), "cut at {cut}");
     }
     out.push(0);
-    assert!(Request::read(&out).is_err(), "a byte behind it");
+    assert!(StoreRequest::read(&out).is_err(), "a byte behind it");
 }
 
 #[test]
 fn connecting_has_the_published_bytes_with_and_without_the_last() {
-    let connect = Connect {
+    let connect = ConnectRequest {
         last_zxid: 1,
         timeout: 4_000,
         session: 2,
@@ -79,10 +80,13 @@
         bytes("00000000 0000000000000001 00000fa0 0000000000000002 00000002 0909 00")
     );
     assert_eq!(
-        (Connect::read(&out), Connect::read(&out[..out.len() - 1])),
+        (
+            ConnectRequest::read(&out),
+            ConnectRequest::read(&out[..out.len() - 1])
+        ),
         (Ok(connect.clone()), Ok(connect))
     );
-    let connected = Connected {
+    let connected = ConnectResponse {
         timeout: 4_000,
         session: 2,
         password: vec![7],
@@ -95,8 +99,8 @@
     );
     assert_eq!(
         (
-            Connected::read(&out),
-            Connected::read(&out[..out.len() - 1])
+            ConnectResponse::read(&out),
+            ConnectResponse::read(&out[..out.len() - 1])
         ),
         (Ok(connected.clone()), Ok(connected))
     );
@@ -105,14 +109,14 @@
 #[test]
 fn answers_and_events_have_the_published_bytes() {
     let mut out = Vec::new();
-    Head {
+    ReplyHeader {
         xid: XID_EVENT,
         zxid: -1,
-        err: 0,
+        error_code: 0,
     }
     .write(&mut out);
-    let told = Told {
-        what: Change::Children,
+    let told = WatchEvent {
+        kind: WatchEventKind::Children,
         state: 3,
         path: "/hosts".into(),
     };
@@ -121,66 +125,69 @@
         out,
         bytes("ffffffff ffffffffffffffff 00000000 00000004 00000003 00000006 \"/hosts\"")
     );
-    let mut r = Reader::new(&out);
-    assert_eq!(Head::read(&mut r).map(|head| head.xid), Ok(XID_EVENT));
-    assert_eq!((Told::read(&mut r), r.end()), (Ok(told), Ok(())));
-    let stat = Stat {
-        created: 1,
+    let mut r = JuteReader::new(&out);
+    assert_eq!(
+        ReplyHeader::read(&mut r).map(|head| head.xid),
+        Ok(XID_EVENT)
+    );
+    assert_eq!((WatchEvent::read(&mut r), r.finish()), (Ok(told), Ok(())));
+    let stat = NodeStat {
+        created_zxid: 1,
         version: 2,
-        owner: 3,
+        ephemeral_owner: 3,
         data_length: 4,
-        child_modified: 5,
-        ..Stat::default()
+        child_modified_zxid: 5,
+        ..NodeStat::default()
     };
     let mut out = Vec::new();
     stat.write(&mut out);
     assert_eq!(
-        (out.len(), Stat::read(&mut Reader::new(&out))),
+        (out.len(), NodeStat::read(&mut JuteReader::new(&out))),
         (68, Ok(stat))
     );
 }
 
 #[test_case(0, None; "done")]
-#[test_case(-101, Some(Refused::NoNode); "no node")]
-#[test_case(-112, Some(Refused::SessionExpired); "expired")]
-#[test_case(-999, Some(Refused::Other(-999)); "unheard of")]
-fn codes_are_the_published_ones(code: i32, refused: Option<Refused>) {
-    assert_eq!(Refused::of(code), refused);
+#[test_case(-101, Some(StoreError::NoNode); "no node")]
+#[test_case(-112, Some(StoreError::SessionExpired); "expired")]
+#[test_case(-999, Some(StoreError::Other(-999)); "unheard of")]
+fn codes_are_the_published_ones(code: i32, refused: Option<StoreError>) {
+    assert_eq!(StoreError::from_code(code), refused);
     assert!(refused.is_none_or(|refused| refused.code() == code));
 }
 
-#[test_case("00000001 00000003 7fffffff \"/a\" 01", Fault::Short; "a length far beyond the record")]
-#[test_case("00000001 00000003 fffffffe \"/a\" 01", Fault::Length(-2); "a length below none")]
-#[test_case("00000001 00000003 00000002 \"/a\" 02", Fault::Value(2); "a boolean of two")]
-#[test_case("00000001 00000003 00000001 ff 01", Fault::NotText; "not text")]
-#[test_case("00000001 00000063", Fault::Value(99); "an unknown operation")]
-#[test_case("00000001 00000065 0000000000000000 7fffffff", Fault::Length(i32::MAX); "a count beyond the most")]
-#[test_case("00000001 00000065 0000000000000000 00010000", Fault::Short; "a count beyond the record")]
-#[test_case("00000001 0000000e 0000000e 00 ffffffff", Fault::Value(14); "a multi within a multi")]
-fn what_cannot_be_read_is_told(spec: &str, fault: Fault) {
-    assert_eq!(Request::read(&bytes(spec)), Err(fault));
+#[test_case("00000001 00000003 7fffffff \"/a\" 01", DecodeError::Truncated; "a length far beyond the record")]
+#[test_case("00000001 00000003 fffffffe \"/a\" 01", DecodeError::InvalidLength(-2); "a length below none")]
+#[test_case("00000001 00000003 00000002 \"/a\" 02", DecodeError::InvalidValue(2); "a boolean of two")]
+#[test_case("00000001 00000003 00000001 ff 01", DecodeError::NotUtf8; "not text")]
+#[test_case("00000001 00000063", DecodeError::InvalidValue(99); "an unknown operation")]
+#[test_case("00000001 00000065 0000000000000000 7fffffff", DecodeError::InvalidLength(i32::MAX); "a count beyond the most")]
+#[test_case("00000001 00000065 0000000000000000 00010000", DecodeError::Truncated; "a count beyond the record")]
+#[test_case("00000001 0000000e 0000000e 00 ffffffff", DecodeError::InvalidValue(14); "a multi within a multi")]
+fn what_cannot_be_read_is_told(spec: &str, fault: DecodeError) {
+    assert_eq!(StoreRequest::read(&bytes(spec)), Err(fault));
 }
 
 #[test]
 fn frames_come_whole_however_they_are_cut_and_none_is_too_long() {
     let mut out = Vec::new();
     for n in [0_usize, 3, 300] {
-        framed(&mut out, |out| out.extend(vec![n as u8; n]));
+        write_frame(&mut out, |out| out.extend(vec![n as u8; n]));
     }
     for size in [1, 2, 5, 1_000] {
-        let (mut frames, mut found) = (Frames::default(), Vec::new());
+        let (mut frames, mut found) = (FrameReader::default(), Vec::new());
         for piece in out.chunks(size) {
-            frames.push(piece);
-            while let Some(frame) = frames.take().unwrap() {
+            frames.append(piece);
+            while let Some(frame) = frames.next_frame().unwrap() {
                 found.push(frame.len());
             }
         }
-        assert_eq!((found, frames.held()), (vec![0, 3, 300], 0));
+        assert_eq!((found, frames.buffered_bytes()), (vec![0, 3, 300], 0));
     }
-    for length in [-1, LONGEST as i32 + 1] {
-        let mut frames = Frames::default();
-        frames.push(&length.to_be_bytes());
-        assert_eq!(frames.take(), Err(Fault::Length(length)));
+    for length in [-1, MAX_FRAME_LENGTH as i32 + 1] {
+        let mut frames = FrameReader::default();
+        frames.append(&length.to_be_bytes());
+        assert_eq!(frames.next_frame(), Err(DecodeError::InvalidLength(length)));
     }
 }
 
@@ -192,12 +199,12 @@
         let mut headed = vec![0, 0, 0, 1, 0, 0, 0, op];
         headed.extend(&all);
         for bytes in [&all, &headed] {
-            if let Ok((xid, request)) = Request::read(bytes) {
+            if let Ok((xid, request)) = StoreRequest::read(bytes) {
                 let mut out = Vec::new();
                 request.write(xid, &mut out);
-                prop_assert_eq!(Request::read(&out), Ok((xid, request)));
+                prop_assert_eq!(StoreRequest::read(&out), Ok((xid, request)));
             }
-            let _ = (Connect::read(bytes), Connected::read(bytes), Told::read(&mut Reader::new(bytes)));
+            let _ = (ConnectRequest::read(bytes), ConnectResponse::read(bytes), WatchEvent::read(&mut JuteReader::new(bytes)));
         }
     }
 }
--- a/crates/zookeeper/tests/listing.rs
+++ b/crates/zookeeper/tests/listing.rs
@@ -7,7 +7,9 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-use asterramp_zookeeper::listing::{Listing, Node, Remark, Standing, Terms, Told};
+use asterramp_zookeeper::listing::{
+    ListedChange, ListedNode, ListedState, ListingRemark, ListingSettings, NodeListing,
+};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -15,29 +17,29 @@
     Duration::from_millis(n)
 }
 
-fn node(uid: &str) -> Node {
+fn node(uid: &str) -> ListedNode {
     let (address, place) = ("127.0.0.1:9".into(), "a".into());
-    Node {
+    ListedNode {
         uid: uid.into(),
         address,
-        place,
+        zone: place,
         weight: 1.0,
-        boot: Some(ms(5)),
+        started_at: Some(ms(5)),
         draining: false,
     }
 }
 
 struct Played {
-    listing: Listing,
-    told: Vec<Told>,
-    remarks: Vec<Remark>,
+    listing: NodeListing,
+    told: Vec<ListedChange>,
+    remarks: Vec<ListingRemark>,
 }
 
 impl Played {
     /// With hosts a, b and c, told.
     fn new() -> Played {
         let mut played = Played {
-            listing: Listing::new(Terms::default()),
+            listing: NodeListing::new(ListingSettings::default()),
             told: Vec::new(),
             remarks: Vec::new(),
         };
@@ -46,23 +48,23 @@
         played
     }
 
-    fn whole(&mut self, at: u64, children: &[(&str, Option<Node>)]) {
-        let children: Vec<(String, Option<Node>)> = children
+    fn whole(&mut self, at: u64, children: &[(&str, Option<ListedNode>)]) {
+        let children: Vec<(String, Option<ListedNode>)> = children
             .iter()
             .map(|(name, node)| (name.to_string(), node.clone()))
             .collect();
         self.listing
-            .whole(ms(at), &children, &mut self.told, &mut self.remarks);
+            .replace_all(ms(at), &children, &mut self.told, &mut self.remarks);
     }
 
-    fn changed(&mut self, at: u64, name: &str, node: Option<Node>) {
+    fn changed(&mut self, at: u64, name: &str, node: Option<ListedNode>) {
         self.listing
-            .changed(ms(at), name, node, &mut self.told, &mut self.remarks);
+            .node_changed(ms(at), name, node, &mut self.told, &mut self.remarks);
     }
 
     fn deleted(&mut self, at: u64, name: &str) {
         self.listing
-            .deleted(ms(at), name, &mut self.told, &mut self.remarks);
+            .node_deleted(ms(at), name, &mut self.told, &mut self.remarks);
     }
 
     fn tick(&mut self, at: u64) {
@@ -72,12 +74,12 @@
     fn took(&mut self) -> Vec<String> {
         let told = std::mem::take(&mut self.told);
         let word = |standing| match standing {
-            Standing::Ready => "ready",
-            Standing::Draining => "draining",
-            Standing::Gone => "gone",
+            ListedState::Ready => "ready",
+            ListedState::Draining => "draining",
+            ListedState::Gone => "gone",
         };
         told.iter()
-            .map(|t| format!("{} {}", t.uid, word(t.standing)))
+            .map(|t| format!("{} {}", t.uid, word(t.state)))
             .collect()
     }
 }
@@ -86,8 +88,8 @@
 fn a_store_that_cannot_be_heard_changes_nothing_and_its_age_is_shown() {
     let mut played = Played::new();
     assert_eq!(played.listing.age(ms(900)), Some(ms(0)));
-    played.listing.store_away(ms(1_000));
-    played.listing.store_away(ms(1_500));
+    played.listing.store_unavailable(ms(1_000));
+    played.listing.store_unavailable(ms(1_500));
     played.tick(60_000);
     assert!(played.took().is_empty(), "an outage moves nobody");
     assert_eq!(played.listing.age(ms(61_000)), Some(ms(60_000)));
@@ -111,7 +113,7 @@
         (played.took(), played.remarks),
         (
             vec!["a gone".into(), "c gone".into()],
-            vec![Remark::AllGone]
+            vec![ListingRemark::AllGone]
         )
     );
 }
@@ -129,8 +131,8 @@
     played.changed(
         700,
         "b2",
-        Some(Node {
-            boot,
+        Some(ListedNode {
+            started_at: boot,
             draining,
             ..node("b")
         }),
@@ -140,7 +142,7 @@
         .told
         .iter()
         .filter_map(|t| t.node.as_ref())
-        .map(|n| n.boot)
+        .map(|n| n.started_at)
         .collect();
     assert!(boots.iter().all(|b| *b == boot));
 }
@@ -163,8 +165,8 @@
     assert_eq!(
         played.remarks,
         [
-            Remark::Unreadable("b".into()),
-            Remark::Unreadable("odd".into())
+            ListingRemark::Unreadable("b".into()),
+            ListingRemark::Unreadable("odd".into())
         ]
     );
     played.deleted(400, "b");
@@ -174,23 +176,23 @@
 #[test]
 fn of_two_nodes_of_one_host_the_newer_process_speaks_and_it_stays_while_one_is_there() {
     let mut played = Played::new();
-    let newer = Node {
-        boot: Some(ms(900)),
+    let newer = ListedNode {
+        started_at: Some(ms(900)),
         address: "127.0.0.1:10".into(),
         ..node("b")
     };
     played.changed(1_000, "b-2", Some(newer.clone()));
     assert_eq!(
         played.told,
-        [Told {
+        [ListedChange {
             uid: "b".into(),
-            standing: Standing::Ready,
+            state: ListedState::Ready,
             node: Some(newer)
         }]
     );
     assert_eq!(
         (played.took().len(), &played.remarks[..]),
-        (1, &[Remark::Twice("b".into())][..])
+        (1, &[ListingRemark::DuplicateUid("b".into())][..])
     );
     played.deleted(2_000, "b");
     assert!(
@@ -212,7 +214,7 @@
         played.took(),
         ["b gone", "b ready", "b gone", "b ready", "b gone"]
     );
-    assert_eq!(played.remarks, [Remark::Flaps("b".into())]);
+    assert_eq!(played.remarks, [ListingRemark::Flapping("b".into())]);
     played.tick(8_000);
     assert!(played.took().is_empty());
     played.tick(8_600);
@@ -226,7 +228,7 @@
         played.changed(
             100,
             "a",
-            Some(Node {
+            Some(ListedNode {
                 weight: 2.0,
                 ..node("a")
             }),
@@ -236,7 +238,7 @@
     played.changed(
         200,
         "a",
-        Some(Node {
+        Some(ListedNode {
             draining: true,
             ..node("a")
         }),
--- a/crates/zookeeper/tests/session.rs
+++ b/crates/zookeeper/tests/session.rs
@@ -7,12 +7,15 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-use asterramp_zookeeper::frame::{Frames, framed};
-use asterramp_zookeeper::jute::Write;
+use asterramp_zookeeper::frame::{FrameReader, write_frame};
+use asterramp_zookeeper::jute::JuteWrite;
 use asterramp_zookeeper::record::{
-    Change, Connect, Connected, Head, Refused, Request, Stat, Told, XID_EVENT,
+    ConnectRequest, ConnectResponse, NodeStat, ReplyHeader, StoreError, StoreRequest, WatchEvent,
+    WatchEventKind, XID_EVENT,
+};
+use asterramp_zookeeper::session::{
+    ClientSession, ClientSessionEffect, ClientSessionSettings, ClientSessionState, StoreResponse,
 };
-use asterramp_zookeeper::session::{Answer, Effect, Session, State, Terms};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -21,20 +24,20 @@
 }
 
 struct Played {
-    session: Session,
+    session: ClientSession,
     now: Duration,
-    out: Vec<Effect>,
+    out: Vec<ClientSessionEffect>,
 }
 
 impl Played {
     fn new(addresses: usize) -> Played {
         let mut out = Vec::new();
-        let terms = Terms {
-            addresses,
+        let terms = ClientSessionSettings {
+            address_count: addresses,
             timeout: ms(3_000),
             auth: None,
         };
-        let session = Session::new(ms(0), terms, 4, &mut out);
+        let session = ClientSession::new(ms(0), terms, 4, &mut out);
         Played {
             session,
             now: ms(0),
@@ -42,42 +45,45 @@
         }
     }
 
-    fn took(&mut self) -> Vec<Effect> {
+    fn took(&mut self) -> Vec<ClientSessionEffect> {
         std::mem::take(&mut self.out)
     }
 
     /// Connected, with a session of this number and timeout.
-    fn greet(&mut self, session: i64, timeout: i32) -> Connect {
-        self.session.connected(self.now, &mut self.out);
+    fn greet(&mut self, session: i64, timeout: i32) -> ConnectRequest {
+        self.session.connection_opened(self.now, &mut self.out);
         let sent = self.took();
-        let Some(Effect::Send(bytes)) = sent.last() else {
+        let Some(ClientSessionEffect::Send(bytes)) = sent.last() else {
             panic!("{sent:?}")
         };
-        let mut frames = Frames::default();
-        frames.push(bytes);
-        let connect = Connect::read(frames.take().unwrap().unwrap()).unwrap();
+        let mut frames = FrameReader::default();
+        frames.append(bytes);
+        let connect = ConnectRequest::read(frames.next_frame().unwrap().unwrap()).unwrap();
         let mut bytes = Vec::new();
-        framed(&mut bytes, |out| {
-            Connected {
+        write_frame(&mut bytes, |out| {
+            ConnectResponse {
                 timeout,
                 session,
                 password: vec![session as u8; 16],
             }
             .write(out)
         });
-        self.session.bytes(self.now, &bytes, &mut self.out);
+        self.session.receive(self.now, &bytes, &mut self.out);
         connect
     }
 
     fn up(&mut self) {
         self.greet(5, 3_000);
-        assert_eq!(self.took(), [Effect::Up { new: true }]);
+        assert_eq!(
+            self.took(),
+            [ClientSessionEffect::Established { new: true }]
+        );
     }
 
-    fn ask(&mut self, request: Request) -> i32 {
+    fn ask(&mut self, request: StoreRequest) -> i32 {
         let xid = self
             .session
-            .ask(self.now, request, &mut self.out)
+            .request(self.now, request, &mut self.out)
             .expect("a session stands");
         self.took();
         xid
@@ -85,30 +91,35 @@
 
     fn say(&mut self, xid: i32, zxid: i64, err: i32, body: impl FnOnce(&mut Vec<u8>)) {
         let mut bytes = Vec::new();
-        framed(&mut bytes, |out| {
-            Head { xid, zxid, err }.write(out);
+        write_frame(&mut bytes, |out| {
+            ReplyHeader {
+                xid,
+                zxid,
+                error_code: err,
+            }
+            .write(out);
             body(out);
         });
         // In two pieces, as it may come.
         let (a, b) = bytes.split_at(bytes.len() / 2);
-        self.session.bytes(self.now, a, &mut self.out);
-        self.session.bytes(self.now, b, &mut self.out);
+        self.session.receive(self.now, a, &mut self.out);
+        self.session.receive(self.now, b, &mut self.out);
     }
 
-    fn wait(&mut self, until: State) {
+    fn wait(&mut self, until: ClientSessionState) {
         for _ in 0..20 {
             if self.session.state() == until {
                 return;
             }
-            self.now = self.now.max(self.session.due());
+            self.now = self.now.max(self.session.next_tick_due());
             self.session.tick(self.now, &mut self.out);
         }
         panic!("never {until:?}");
     }
 }
 
-fn children(path: &str) -> Request {
-    Request::GetChildren {
+fn children(path: &str) -> StoreRequest {
+    StoreRequest::GetChildren {
         path: path.into(),
         watch: true,
     }
@@ -117,35 +128,41 @@
 #[test]
 fn a_session_asks_is_answered_and_told() {
     let mut played = Played::new(1);
-    assert_eq!(played.took(), [Effect::Connect(0)]);
+    assert_eq!(played.took(), [ClientSessionEffect::Connect(0)]);
     played.up();
     let xid = played.ask(children("/hosts"));
     played.say(xid, 9, 0, |out| {
-        out.vector(&["a", "b"], |out, name| out.text(name));
-        Stat::default().write(out);
+        out.vector(&["a", "b"], |out, name| out.string(name));
+        NodeStat::default().write(out);
     });
-    let answer = Ok(Answer::Children(
+    let answer = Ok(StoreResponse::Children(
         vec!["a".into(), "b".into()],
-        Stat::default(),
+        NodeStat::default(),
     ));
-    assert_eq!(played.took(), [Effect::Answered { xid, answer }]);
-    let told = Told {
-        what: Change::Children,
+    assert_eq!(
+        played.took(),
+        [ClientSessionEffect::Responded {
+            xid,
+            response: answer
+        }]
+    );
+    let told = WatchEvent {
+        kind: WatchEventKind::Children,
         state: 3,
         path: "/hosts".into(),
     };
     played.say(XID_EVENT, -1, 0, |out| told.write(out));
-    assert_eq!(played.took(), [Effect::Told(told)]);
-    let xid = played.ask(Request::GetData {
+    assert_eq!(played.took(), [ClientSessionEffect::WatchFired(told)]);
+    let xid = played.ask(StoreRequest::GetData {
         path: "/none".into(),
         watch: false,
     });
     played.say(xid, 10, -101, |_| ());
     assert_eq!(
         played.took(),
-        [Effect::Answered {
+        [ClientSessionEffect::Responded {
             xid,
-            answer: Err(Refused::NoNode)
+            response: Err(StoreError::NoNode)
         }]
     );
 }
@@ -153,45 +170,59 @@
 #[test]
 fn a_broken_connection_loses_answers_moves_on_and_keeps_the_session_and_its_watches() {
     let mut played = Played::new(3);
-    assert_eq!(played.took(), [Effect::Connect(1)]);
+    assert_eq!(played.took(), [ClientSessionEffect::Connect(1)]);
     played.up();
     let xid = played.ask(children("/hosts"));
     played.say(xid, 77, 0, |out| {
-        out.vector(&[], |out: &mut Vec<u8>, name: &&str| out.text(name));
-        Stat::default().write(out);
+        out.vector(&[], |out: &mut Vec<u8>, name: &&str| out.string(name));
+        NodeStat::default().write(out);
     });
-    let open = played.ask(Request::Exists {
+    let open = played.ask(StoreRequest::Exists {
         path: "/x".into(),
         watch: true,
     });
     played.took();
-    played.session.broken(played.now, &mut played.out);
+    played
+        .session
+        .connection_failed(played.now, &mut played.out);
     assert_eq!(
         played.took(),
-        [Effect::Down, Effect::Lost { xid: open }, Effect::Drop]
+        [
+            ClientSessionEffect::ConnectionLost,
+            ClientSessionEffect::ResponseLost { xid: open },
+            ClientSessionEffect::CloseConnection
+        ]
     );
     assert!(
         played
             .session
-            .ask(played.now, children("/y"), &mut played.out)
+            .request(played.now, children("/y"), &mut played.out)
             .is_none()
     );
-    played.wait(State::Connecting);
-    assert_eq!(played.took(), [Effect::Connect(2)], "the next address");
+    played.wait(ClientSessionState::Connecting);
+    assert_eq!(
+        played.took(),
+        [ClientSessionEffect::Connect(2)],
+        "the next address"
+    );
     let connect = played.greet(5, 3_000);
     assert_eq!(
         (connect.session, connect.last_zxid, connect.password),
         (5, 77, vec![5; 16])
     );
     let took = played.took();
-    let [Effect::Send(watches), Effect::Up { new: false }] = &took[..] else {
+    let [
+        ClientSessionEffect::Send(watches),
+        ClientSessionEffect::Established { new: false },
+    ] = &took[..]
+    else {
         panic!("{took:?}")
     };
-    let (_, again) = Request::read(&watches[4..]).unwrap();
+    let (_, again) = StoreRequest::read(&watches[4..]).unwrap();
     let child = vec!["/hosts".to_string()];
     assert_eq!(
         again,
-        Request::SetWatches {
+        StoreRequest::SetWatches {
             since: 77,
             data: vec![],
             exist: vec![],
@@ -205,16 +236,27 @@
     let mut played = Played::new(1);
     played.took();
     played.up();
-    played.session.broken(played.now, &mut played.out);
-    played.wait(State::Connecting);
+    played
+        .session
+        .connection_failed(played.now, &mut played.out);
+    played.wait(ClientSessionState::Connecting);
     played.took();
     played.greet(0, 0);
-    assert_eq!(played.took(), [Effect::Expired, Effect::Drop]);
-    played.wait(State::Connecting);
+    assert_eq!(
+        played.took(),
+        [
+            ClientSessionEffect::Expired,
+            ClientSessionEffect::CloseConnection
+        ]
+    );
+    played.wait(ClientSessionState::Connecting);
     played.took();
     let connect = played.greet(6, 3_000);
     assert_eq!((connect.session, connect.last_zxid), (0, 0));
-    assert_eq!(played.took(), [Effect::Up { new: true }]);
+    assert_eq!(
+        played.took(),
+        [ClientSessionEffect::Established { new: true }]
+    );
 }
 
 #[test]
@@ -222,14 +264,17 @@
     let mut played = Played::new(1);
     played.took();
     played.up();
-    played.wait(State::Away);
+    played.wait(ClientSessionState::Waiting);
     assert_eq!(played.now, ms(2_000));
     let took = played.took();
-    let pings = took
-        .iter()
-        .filter(|e| matches!(e, Effect::Send(bytes) if bytes[4..8] == [255, 255, 255, 254]));
+    let pings = took.iter().filter(
+        |e| matches!(e, ClientSessionEffect::Send(bytes) if bytes[4..8] == [255, 255, 255, 254]),
+    );
     assert_eq!(
-        (pings.count(), took.contains(&Effect::Down)),
+        (
+            pings.count(),
+            took.contains(&ClientSessionEffect::ConnectionLost)
+        ),
         (1, true),
         "{took:?}"
     );
@@ -240,9 +285,11 @@
     let mut played = Played::new(2);
     let mut pauses = Vec::new();
     for _ in 0..14 {
-        played.session.broken(played.now, &mut played.out);
-        pauses.push(played.session.due() - played.now);
-        played.now = played.session.due();
+        played
+            .session
+            .connection_failed(played.now, &mut played.out);
+        pauses.push(played.session.next_tick_due() - played.now);
+        played.now = played.session.next_tick_due();
         played.session.tick(played.now, &mut played.out);
     }
     assert!(pauses[0] <= ms(75) && pauses[6] >= ms(1_600), "{pauses:?}");
@@ -260,13 +307,20 @@
     let mut played = Played::new(1);
     played.took();
     played.up();
-    played.session.bytes(played.now, bytes, &mut played.out);
+    played.session.receive(played.now, bytes, &mut played.out);
     let took = played.took();
     assert!(
-        matches!(took[..], [Effect::Bad(_), Effect::Down, Effect::Drop]),
+        matches!(
+            took[..],
+            [
+                ClientSessionEffect::ProtocolError(_),
+                ClientSessionEffect::ConnectionLost,
+                ClientSessionEffect::CloseConnection
+            ]
+        ),
         "{took:?}"
     );
-    played.wait(State::Connecting);
+    played.wait(ClientSessionState::Connecting);
     assert_eq!(played.greet(5, 3_000).session, 5);
 }
 
@@ -278,12 +332,14 @@
     played.session.close(played.now, &mut played.out);
     let took = played.took();
     assert!(
-        matches!(&took[..], [Effect::Send(bytes), Effect::Drop] if bytes[8..] == [255, 255, 255, 245])
+        matches!(&took[..], [ClientSessionEffect::Send(bytes), ClientSessionEffect::CloseConnection] if bytes[8..] == [255, 255, 255, 245])
     );
-    played.session.broken(played.now, &mut played.out);
+    played
+        .session
+        .connection_failed(played.now, &mut played.out);
     played.session.tick(ms(60_000), &mut played.out);
     assert_eq!(
-        (played.took(), played.session.due()),
+        (played.took(), played.session.next_tick_due()),
         (vec![], Duration::MAX)
     );
 }
--- a/crates/zookeeper/tests/together.rs
+++ b/crates/zookeeper/tests/together.rs
@@ -7,10 +7,12 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-use asterramp_zookeeper::frame::Frames;
-use asterramp_zookeeper::record::{ANY, Change, Refused, Request};
-use asterramp_zookeeper::session::{self, Answer, Session, State, Terms};
-use asterramp_zookeeper::store::{Conn, Effect, Store};
+use asterramp_zookeeper::frame::FrameReader;
+use asterramp_zookeeper::record::{ANY_VERSION, StoreError, StoreRequest, WatchEventKind};
+use asterramp_zookeeper::session::{
+    self, ClientSession, ClientSessionSettings, ClientSessionState, StoreResponse,
+};
+use asterramp_zookeeper::store::{ConnectionId, StoreEffect, StubStore};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -19,21 +21,21 @@
 }
 
 struct Client {
-    session: Session,
-    conn: Option<Conn>,
-    frames: Frames,
+    session: ClientSession,
+    conn: Option<ConnectionId>,
+    frames: FrameReader,
     /// Its process is stopped: it does nothing, and nothing reaches it.
     sleeps: bool,
     /// What it was told, but for what the network is for.
-    heard: Vec<session::Effect>,
+    heard: Vec<session::ClientSessionEffect>,
 }
 
 struct Net {
     now: Duration,
-    store: Store,
+    store: StubStore,
     /// Whether connections to the store come up and say anything.
     reaches: bool,
-    conns: Conn,
+    conns: ConnectionId,
     clients: Vec<Client>,
 }
 
@@ -41,23 +43,23 @@
     fn new(clients: usize) -> Net {
         let mut net = Net {
             now: ms(0),
-            store: Store::new(ms(500), ms(60_000)),
+            store: StubStore::new(ms(500), ms(60_000)),
             reaches: true,
             conns: 1,
             clients: Vec::new(),
         };
         for seed in 0..clients {
             let mut out = Vec::new();
-            let terms = Terms {
-                addresses: 2,
+            let terms = ClientSessionSettings {
+                address_count: 2,
                 timeout: ms(3_000),
                 auth: None,
             };
-            let session = Session::new(net.now, terms, seed as u64 + 1, &mut out);
+            let session = ClientSession::new(net.now, terms, seed as u64 + 1, &mut out);
             let client = Client {
                 session,
                 conn: None,
-                frames: Frames::default(),
+                frames: FrameReader::default(),
                 sleeps: false,
                 heard: Vec::new(),
             };
@@ -68,23 +70,23 @@
     }
 
     /// Carries out what a client wants done.
-    fn carry(&mut self, nth: usize, effects: Vec<session::Effect>) {
+    fn carry(&mut self, nth: usize, effects: Vec<session::ClientSessionEffect>) {
         for effect in effects {
             match effect {
-                session::Effect::Connect(_) => {
+                session::ClientSessionEffect::Connect(_) => {
                     if !self.reaches {
-                        self.event(nth, |session, now, out| session.broken(now, out));
+                        self.event(nth, |session, now, out| session.connection_failed(now, out));
                         continue;
                     }
                     self.conns += 1;
                     self.clients[nth].conn = Some(self.conns);
-                    self.clients[nth].frames = Frames::default();
-                    self.event(nth, |session, now, out| session.connected(now, out));
+                    self.clients[nth].frames = FrameReader::default();
+                    self.event(nth, |session, now, out| session.connection_opened(now, out));
                 }
-                session::Effect::Send(bytes) => self.arrive(nth, &bytes),
-                session::Effect::Drop => {
+                session::ClientSessionEffect::Send(bytes) => self.arrive(nth, &bytes),
+                session::ClientSessionEffect::CloseConnection => {
                     if let Some(conn) = self.clients[nth].conn.take() {
-                        self.store.gone(conn);
+                        self.store.connection_closed(conn);
                     }
                 }
                 other => self.clients[nth].heard.push(other),
@@ -95,7 +97,7 @@
     fn event(
         &mut self,
         nth: usize,
-        act: impl FnOnce(&mut Session, Duration, &mut Vec<session::Effect>),
+        act: impl FnOnce(&mut ClientSession, Duration, &mut Vec<session::ClientSessionEffect>),
     ) {
         let mut out = Vec::new();
         act(&mut self.clients[nth].session, self.now, &mut out);
@@ -107,33 +109,40 @@
         let Some(conn) = self.clients[nth].conn.filter(|_| self.reaches) else {
             return;
         };
-        self.clients[nth].frames.push(bytes);
-        while let Some(frame) = self.clients[nth].frames.take().unwrap().map(<[u8]>::to_vec) {
+        self.clients[nth].frames.append(bytes);
+        while let Some(frame) = self.clients[nth]
+            .frames
+            .next_frame()
+            .unwrap()
+            .map(<[u8]>::to_vec)
+        {
             let mut out = Vec::new();
-            self.store.frame(self.now, conn, &frame, &mut out).unwrap();
+            self.store
+                .receive_frame(self.now, conn, &frame, &mut out)
+                .unwrap();
             self.deliver(out);
         }
     }
 
     /// What the store wants done.
-    fn deliver(&mut self, effects: Vec<Effect>) {
+    fn deliver(&mut self, effects: Vec<StoreEffect>) {
         for effect in effects {
             let conn = match &effect {
-                Effect::Send(conn, _) | Effect::Close(conn) => *conn,
+                StoreEffect::Send(conn, _) | StoreEffect::CloseConnection(conn) => *conn,
             };
             let awake = |c: &Client| c.conn == Some(conn) && !c.sleeps;
             let Some(nth) = self.clients.iter().position(awake) else {
                 continue;
             };
             match effect {
-                Effect::Send(_, frame) => {
+                StoreEffect::Send(_, frame) => {
                     let mut bytes = (frame.len() as u32).to_be_bytes().to_vec();
                     bytes.extend(frame);
-                    self.event(nth, |session, now, out| session.bytes(now, &bytes, out));
+                    self.event(nth, |session, now, out| session.receive(now, &bytes, out));
                 }
-                Effect::Close(_) => {
+                StoreEffect::CloseConnection(_) => {
                     self.clients[nth].conn = None;
-                    self.event(nth, |session, now, out| session.broken(now, out));
+                    self.event(nth, |session, now, out| session.connection_failed(now, out));
                 }
             }
         }
@@ -148,7 +157,9 @@
             self.store.tick(self.now, &mut out);
             self.deliver(out);
             for nth in 0..self.clients.len() {
-                if self.clients[nth].session.due() <= self.now && !self.clients[nth].sleeps {
+                if self.clients[nth].session.next_tick_due() <= self.now
+                    && !self.clients[nth].sleeps
+                {
                     self.event(nth, |session, now, out| session.tick(now, out));
                 }
             }
@@ -156,18 +167,20 @@
     }
 
     /// Asks and hears the answer.
-    fn ask(&mut self, nth: usize, request: Request) -> Result<Answer, Refused> {
+    fn ask(&mut self, nth: usize, request: StoreRequest) -> Result<StoreResponse, StoreError> {
         let mut asked = None;
         self.event(nth, |session, now, out| {
-            asked = session.ask(now, request, out)
+            asked = session.request(now, request, out)
         });
         let asked = asked.expect("a session stands");
         let heard = &mut self.clients[nth].heard;
-        let at = heard
-            .iter()
-            .position(|e| matches!(e, session::Effect::Answered { xid, .. } if *xid == asked));
+        let at = heard.iter().position(
+            |e| matches!(e, session::ClientSessionEffect::Responded { xid, .. } if *xid == asked),
+        );
         match heard.remove(at.expect("an answer")) {
-            session::Effect::Answered { answer, .. } => answer,
+            session::ClientSessionEffect::Responded {
+                response: answer, ..
+            } => answer,
             _ => unreachable!(),
         }
     }
@@ -175,27 +188,27 @@
     fn children(&mut self, nth: usize, path: &str) -> Vec<String> {
         match self.ask(
             nth,
-            Request::GetChildren {
+            StoreRequest::GetChildren {
                 path: path.into(),
                 watch: true,
             },
         ) {
-            Ok(Answer::Children(children, _)) => children,
+            Ok(StoreResponse::Children(children, _)) => children,
             other => panic!("{other:?}"),
         }
     }
 
     /// Changes that a client was told, since it was last looked at.
-    fn told(&mut self, nth: usize) -> Vec<(Change, String)> {
+    fn told(&mut self, nth: usize) -> Vec<(WatchEventKind, String)> {
         let heard = std::mem::take(&mut self.clients[nth].heard);
         let told = heard.into_iter().filter_map(|e| match e {
-            session::Effect::Told(told) => Some((told.what, told.path)),
+            session::ClientSessionEffect::WatchFired(told) => Some((told.kind, told.path)),
             _ => None,
         });
         told.collect()
     }
 
-    fn heard(&self, nth: usize, effect: &session::Effect) -> usize {
+    fn heard(&self, nth: usize, effect: &session::ClientSessionEffect) -> usize {
         self.clients[nth]
             .heard
             .iter()
@@ -204,8 +217,8 @@
     }
 }
 
-fn create(path: &str, ephemeral: bool) -> Request {
-    Request::Create {
+fn create(path: &str, ephemeral: bool) -> StoreRequest {
+    StoreRequest::Create {
         path: path.into(),
         data: b"{}".to_vec(),
         ephemeral,
@@ -232,14 +245,14 @@
     assert_eq!(net.told(2), []);
     net.pass(ms(200));
     let heard = net.told(2);
-    assert_eq!(heard, [(Change::Children, "/hosts".to_string())]);
+    assert_eq!(heard, [(WatchEventKind::Children, "/hosts".to_string())]);
     assert_eq!(net.children(2, "/hosts"), ["b"]);
     net.told(2);
     net.ask(
         1,
-        Request::Delete {
+        StoreRequest::Delete {
             path: "/hosts/b".into(),
-            version: ANY,
+            version: ANY_VERSION,
         },
     )
     .unwrap();
@@ -254,27 +267,36 @@
     let up = net.store.sessions().count();
     net.reaches = false;
     for nth in 0..3 {
-        net.event(nth, |session, now, out| session.broken(now, out));
+        net.event(nth, |session, now, out| session.connection_failed(now, out));
     }
     net.pass(ms(1_000));
     net.reaches = true;
     net.pass(ms(1_500));
-    assert_eq!((net.store.sessions().count(), net.store.nodes()), (up, 3));
+    assert_eq!(
+        (net.store.sessions().count(), net.store.node_count()),
+        (up, 3)
+    );
     for nth in 0..3 {
-        assert_eq!(net.heard(nth, &session::Effect::Up { new: false }), 1);
+        assert_eq!(
+            net.heard(
+                nth,
+                &session::ClientSessionEffect::Established { new: false }
+            ),
+            1
+        );
     }
     net.told(2);
     net.ask(
         0,
-        Request::Delete {
+        StoreRequest::Delete {
             path: "/hosts/a".into(),
-            version: ANY,
+            version: ANY_VERSION,
         },
     )
     .unwrap();
     assert_eq!(
         net.told(2),
-        [(Change::Children, "/hosts".to_string())],
+        [(WatchEventKind::Children, "/hosts".to_string())],
         "its watch was set again"
     );
 }
@@ -283,18 +305,21 @@
 fn what_changed_while_a_watcher_was_away_is_told_when_it_is_back() {
     let mut net = site();
     let conn = net.clients[2].conn.take();
-    net.store.gone(conn.unwrap());
+    net.store.connection_closed(conn.unwrap());
     net.ask(
         0,
-        Request::Delete {
+        StoreRequest::Delete {
             path: "/hosts/a".into(),
-            version: ANY,
+            version: ANY_VERSION,
         },
     )
     .unwrap();
-    net.event(2, |session, now, out| session.broken(now, out));
+    net.event(2, |session, now, out| session.connection_failed(now, out));
     net.pass(ms(500));
-    assert_eq!(net.told(2), [(Change::Children, "/hosts".to_string())]);
+    assert_eq!(
+        net.told(2),
+        [(WatchEventKind::Children, "/hosts".to_string())]
+    );
     assert_eq!(net.children(2, "/hosts"), ["b"]);
 }
 
@@ -305,8 +330,11 @@
     net.pass(ms(3_500));
     net.clients[2].sleeps = false;
     net.pass(ms(1_000));
-    assert_eq!(net.heard(2, &session::Effect::Expired), 1);
-    assert_eq!(net.heard(2, &session::Effect::Up { new: true }), 1);
+    assert_eq!(net.heard(2, &session::ClientSessionEffect::Expired), 1);
+    assert_eq!(
+        net.heard(2, &session::ClientSessionEffect::Established { new: true }),
+        1
+    );
     assert_eq!(
         net.children(2, "/hosts"),
         ["a", "b"],
@@ -320,24 +348,24 @@
     net.event(0, |session, now, out| session.close(now, out));
     assert_eq!(
         (net.told(2).len(), net.clients[0].session.state()),
-        (1, State::Closed)
+        (1, ClientSessionState::Closed)
     );
     assert_eq!(net.children(2, "/hosts"), ["b"]);
 }
 
-#[test_case(create("/hosts", false), Refused::NodeExists; "there already")]
-#[test_case(create("/none/a", false), Refused::NoNode; "no parent")]
-#[test_case(create("/hosts/a/x", true), Refused::NoChildrenForEphemerals; "below an ephemeral")]
-#[test_case(create("hosts", false), Refused::BadArguments; "no path")]
-#[test_case(Request::Delete { path: "/hosts".into(), version: ANY }, Refused::NotEmpty; "not empty")]
-#[test_case(Request::Delete { path: "/hosts/a".into(), version: 7 }, Refused::BadVersion; "another version")]
-#[test_case(Request::GetData { path: "/x".into(), watch: false }, Refused::NoNode; "no node")]
-#[test_case(Request::Multi(vec![create("/y", false), create("/hosts", false)]), Refused::NodeExists; "a part of many")]
-fn what_cannot_be_done_is_refused_and_changes_nothing(request: Request, refused: Refused) {
+#[test_case(create("/hosts", false), StoreError::NodeExists; "there already")]
+#[test_case(create("/none/a", false), StoreError::NoNode; "no parent")]
+#[test_case(create("/hosts/a/x", true), StoreError::NoChildrenForEphemerals; "below an ephemeral")]
+#[test_case(create("hosts", false), StoreError::BadArguments; "no path")]
+#[test_case(StoreRequest::Delete { path: "/hosts".into(), version: ANY_VERSION }, StoreError::NotEmpty; "not empty")]
+#[test_case(StoreRequest::Delete { path: "/hosts/a".into(), version: 7 }, StoreError::BadVersion; "another version")]
+#[test_case(StoreRequest::GetData { path: "/x".into(), watch: false }, StoreError::NoNode; "no node")]
+#[test_case(StoreRequest::Multi(vec![create("/y", false), create("/hosts", false)]), StoreError::NodeExists; "a part of many")]
+fn what_cannot_be_done_is_refused_and_changes_nothing(request: StoreRequest, refused: StoreError) {
     let mut net = site();
-    let before = net.store.nodes();
+    let before = net.store.node_count();
     assert_eq!(
-        (net.ask(2, request), net.store.nodes()),
+        (net.ask(2, request), net.store.node_count()),
         (Err(refused), before)
     );
 }
@@ -345,18 +373,18 @@
 #[test]
 fn a_node_that_is_not_there_yet_is_told_when_it_comes() {
     let mut net = site();
-    let exists = Request::Exists {
+    let exists = StoreRequest::Exists {
         path: "/hosts/c".into(),
         watch: true,
     };
-    assert_eq!(net.ask(2, exists), Err(Refused::NoNode));
+    assert_eq!(net.ask(2, exists), Err(StoreError::NoNode));
     net.ask(0, create("/hosts/c", true)).unwrap();
     let told = net.told(2);
     assert_eq!(
         told,
         [
-            (Change::Created, "/hosts/c".to_string()),
-            (Change::Children, "/hosts".to_string())
+            (WatchEventKind::Created, "/hosts/c".to_string()),
+            (WatchEventKind::Children, "/hosts".to_string())
         ]
     );
 }
@@ -366,22 +394,25 @@
     let mut net = site();
     let read = |net: &mut Net| match net.ask(
         2,
-        Request::GetData {
+        StoreRequest::GetData {
             path: "/hosts/a".into(),
             watch: true,
         },
     ) {
-        Ok(Answer::Data(data, stat)) => (data, stat.version, stat.owner != 0),
+        Ok(StoreResponse::Data(data, stat)) => (data, stat.version, stat.ephemeral_owner != 0),
         other => panic!("{other:?}"),
     };
     assert_eq!(read(&mut net), (b"{}".to_vec(), 0, true));
-    let set = Request::SetData {
+    let set = StoreRequest::SetData {
         path: "/hosts/a".into(),
         data: b"[]".to_vec(),
         version: 0,
     };
     net.ask(0, set.clone()).unwrap();
-    assert_eq!(net.told(2), [(Change::Data, "/hosts/a".to_string())]);
+    assert_eq!(
+        net.told(2),
+        [(WatchEventKind::Data, "/hosts/a".to_string())]
+    );
     assert_eq!(read(&mut net), (b"[]".to_vec(), 1, true));
-    assert_eq!(net.ask(0, set), Err(Refused::BadVersion));
+    assert_eq!(net.ask(0, set), Err(StoreError::BadVersion));
 }
