--- a/crates/zookeeper/src/jute.rs
+++ b/crates/zookeeper/src/jute.rs
@@ -1,55 +1,59 @@
-//! Jute: whole numbers big-endian, a boolean as a byte, strings and buffers with a length before them, where -1 is
-//! none, vectors with a count. Nothing is taken in before its length is held against what is there.
+//! Jute, ZooKeeper's encoding: integers big-endian, a boolean as one byte, strings and buffers behind their length,
+//! vectors behind their count; a length or count of -1 stands for none.
+//!
+//! Nothing is allocated before its length has been compared with the bytes that are there.
 
-use std::fmt;
+use thiserror::Error;
 
-/// What is wrong with bytes from outside.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why bytes from outside can't be decoded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// The record ends before it is whole.
+    /// The record ends too early.
+    #[error("the record is cut short")]
     Truncated,
     /// A length or count below -1, or above its bound.
+    #[error("a length of {0}")]
     InvalidLength(i32),
+    /// A string is not UTF-8.
+    #[error("a string that is not text")]
     NotUtf8,
-    /// Bytes are left behind the record.
+    /// So many bytes follow the record.
+    #[error("{0} bytes behind the record")]
     TrailingBytes(usize),
-    /// A value that the field cannot have.
+    /// A value that the field can't have.
+    #[error("a value of {0}")]
     InvalidValue(i32),
 }
 
-impl fmt::Display for DecodeError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            DecodeError::Truncated => f.write_str("the record is cut short"),
-            DecodeError::InvalidLength(n) => write!(f, "a length of {n}"),
-            DecodeError::NotUtf8 => f.write_str("a string that is not text"),
-            DecodeError::TrailingBytes(n) => write!(f, "{n} bytes behind the record"),
-            DecodeError::InvalidValue(n) => write!(f, "a value of {n}"),
-        }
-    }
-}
-
+/// The length or count that stands for none.
+const NONE: i32 = -1;
 /// Most entries of a vector, whatever its count says.
 pub const MAX_VECTOR_LENGTH: i32 = 100_000;
+/// Fewest bytes that an entry of a vector takes: an empty string's length.
+const MIN_ENTRY_LENGTH: usize = 4;
 
+/// Decodes a record from its beginning to its end. Each method fails with [`DecodeError::Truncated`] where the record
+/// ends too early.
 #[derive(Clone, Copy, Debug)]
 pub struct JuteReader<'a> {
     bytes: &'a [u8],
 }
 
 impl<'a> JuteReader<'a> {
+    /// A reader at a record's beginning.
     pub fn new(bytes: &'a [u8]) -> JuteReader<'a> {
         JuteReader { bytes }
     }
 
+    /// How many bytes are not decoded yet.
     pub fn remaining(&self) -> usize {
         self.bytes.len()
     }
 
-    fn take(&mut self, n: usize) -> Result<&'a [u8], DecodeError> {
+    fn take(&mut self, count: usize) -> Result<&'a [u8], DecodeError> {
         let (taken, rest) = self
             .bytes
-            .split_at_checked(n)
+            .split_at_checked(count)
             .ok_or(DecodeError::Truncated)?;
         self.bytes = rest;
         Ok(taken)
@@ -64,52 +68,59 @@
         Ok(*taken)
     }
 
+    /// An integer of four bytes.
     pub fn int(&mut self) -> Result<i32, DecodeError> {
         Ok(i32::from_be_bytes(self.array()?))
     }
 
+    /// An integer of eight bytes.
     pub fn long(&mut self) -> Result<i64, DecodeError> {
         Ok(i64::from_be_bytes(self.array()?))
     }
 
+    /// A boolean; fails where the byte is neither 0 nor 1.
     pub fn boolean(&mut self) -> Result<bool, DecodeError> {
         match self.array::<1>()?[0] {
             0 => Ok(false),
             1 => Ok(true),
-            n => Err(DecodeError::InvalidValue(i32::from(n))),
+            other => Err(DecodeError::InvalidValue(i32::from(other))),
         }
     }
 
-    /// `None` where the length is -1.
+    /// A buffer; `None` where its length is -1.
     pub fn buffer(&mut self) -> Result<Option<&'a [u8]>, DecodeError> {
         match self.int()? {
-            -1 => Ok(None),
-            n if n < 0 => Err(DecodeError::InvalidLength(n)),
-            n if n as usize > self.remaining() => Err(DecodeError::Truncated),
-            n => self.take(n as usize).map(Some),
+            NONE => Ok(None),
+            length if length < 0 => Err(DecodeError::InvalidLength(length)),
+            length => self.take(length as usize).map(Some),
         }
     }
 
+    /// A string; none at all counts as empty. Fails where it is not UTF-8.
     pub fn string(&mut self) -> Result<&'a str, DecodeError> {
         let bytes = self.buffer()?.unwrap_or_default();
         std::str::from_utf8(bytes).map_err(|_| DecodeError::NotUtf8)
     }
 
-    /// A vector, each entry read by `one`; none at all counts as empty.
+    /// A vector, each entry of which `entry` decodes; none at all counts as empty. Fails where it has more than
+    /// [`MAX_VECTOR_LENGTH`] entries.
     pub fn vector<T>(
         &mut self,
-        one: impl Fn(&mut Self) -> Result<T, DecodeError>,
+        entry: impl Fn(&mut Self) -> Result<T, DecodeError>,
     ) -> Result<Vec<T>, DecodeError> {
         match self.int()? {
-            -1 => Ok(Vec::new()),
-            n if !(0..=MAX_VECTOR_LENGTH).contains(&n) => Err(DecodeError::InvalidLength(n)),
-            // No entry takes less than four bytes.
-            n if n as usize * 4 > self.remaining() => Err(DecodeError::Truncated),
-            n => (0..n).map(|_| one(self)).collect(),
+            NONE => Ok(Vec::new()),
+            count if !(0..=MAX_VECTOR_LENGTH).contains(&count) => {
+                Err(DecodeError::InvalidLength(count))
+            }
+            count if count as usize * MIN_ENTRY_LENGTH > self.remaining() => {
+                Err(DecodeError::Truncated)
+            }
+            count => (0..count).map(|_| entry(self)).collect(),
         }
     }
 
-    /// Nothing may be left.
+    /// Fails where bytes are left.
     pub fn finish(&self) -> Result<(), DecodeError> {
         if self.bytes.is_empty() {
             Ok(())
@@ -119,14 +130,20 @@
     }
 }
 
-/// What is written, appended to bytes.
+/// Encodes values behind those that were encoded before.
 pub trait JuteWrite {
+    /// An integer of four bytes.
     fn int(&mut self, value: i32);
+    /// An integer of eight bytes.
     fn long(&mut self, value: i64);
+    /// A boolean.
     fn boolean(&mut self, value: bool);
+    /// A buffer, or none.
     fn buffer(&mut self, value: Option<&[u8]>);
+    /// A string.
     fn string(&mut self, value: &str);
-    fn vector<T>(&mut self, all: &[T], one: impl Fn(&mut Self, &T));
+    /// A vector, each entry of which `entry` encodes.
+    fn vector<T>(&mut self, entries: &[T], entry: impl Fn(&mut Self, &T));
 }
 
 impl JuteWrite for Vec<u8> {
@@ -144,7 +161,7 @@
 
     fn buffer(&mut self, value: Option<&[u8]>) {
         match value {
-            None => self.int(-1),
+            None => self.int(NONE),
             Some(bytes) => {
                 self.int(bytes.len() as i32);
                 self.extend(bytes);
@@ -156,8 +173,10 @@
         self.buffer(Some(value.as_bytes()));
     }
 
-    fn vector<T>(&mut self, all: &[T], one: impl Fn(&mut Self, &T)) {
-        self.int(all.len() as i32);
-        all.iter().for_each(|entry| one(self, entry));
+    fn vector<T>(&mut self, entries: &[T], entry: impl Fn(&mut Self, &T)) {
+        self.int(entries.len() as i32);
+        for value in entries {
+            entry(self, value);
+        }
     }
 }
--- a/crates/zookeeper/src/lib.rs
+++ b/crates/zookeeper/src/lib.rs
@@ -1,13 +1,10 @@
-//! The published ZooKeeper protocol as far as hosts listed as ephemeral nodes need it: jute's encoding, frames and
-//! records, both ways. No I/O. So far the codec, a client's session, what a list of nodes means for
-//! hosts, and the core of a stand-in store; what puts them on sockets is still to come (`docs/ROADMAP.md`).
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
+//! The published ZooKeeper protocol, as far as the leader lease and a listing of servers as ephemeral nodes need it.
+//! No I/O and no clock: bytes and times come in, effects go out.
+//!
+//! - [`jute`] is the encoding, [`frame`] cuts a byte stream into records, [`record`] are the records both ways.
+//! - [`session`] is a client's session with a store, over one connection after the other.
+//! - [`listing`] is what a list of ephemeral nodes means for servers.
+//! - [`store`] is a stub store for tests; the program `asterramp-store` puts it on sockets.
 
 pub mod frame;
 pub mod jute;
--- a/crates/zookeeper/src/session.rs
+++ b/crates/zookeeper/src/session.rs
@@ -193,8 +193,8 @@
         );
         let connect = ConnectRequest {
             last_zxid: self.zxid,
-            timeout: self.terms.timeout.as_millis().min(i32::MAX as u128) as i32,
-            session: self.id,
+            timeout_ms: self.terms.timeout.as_millis().min(i32::MAX as u128) as i32,
+            session_id: self.id,
             password: self.password.clone(),
         };
         let mut bytes = Vec::new();
@@ -284,8 +284,8 @@
         out: &mut Vec<ClientSessionEffect>,
     ) -> Result<(), DecodeError> {
         let ConnectResponse {
-            timeout,
-            session,
+            timeout_ms: timeout,
+            session_id: session,
             password,
         } = ConnectResponse::read(frame)?;
         if timeout <= 0 {
--- a/crates/zookeeper/src/store.rs
+++ b/crates/zookeeper/src/store.rs
@@ -193,13 +193,13 @@
         let asked = ConnectRequest::read(frame)?;
         let known = self
             .sessions
-            .get(&asked.session)
+            .get(&asked.session_id)
             .filter(|s| s.password == asked.password);
-        let (id, connected) = match (asked.session, known) {
+        let (id, connected) = match (asked.session_id, known) {
             (0, _) => {
                 let id = self.next;
                 self.next += 1;
-                let asked = Duration::from_millis(u64::try_from(asked.timeout).unwrap_or(0));
+                let asked = Duration::from_millis(u64::try_from(asked.timeout_ms).unwrap_or(0));
                 let timeout = asked.clamp(self.least, self.most);
                 // Anybody may know a number that counts up; the password is what keeps a session its owner's.
                 let mixed = (id as u64 ^ 0x5bd1_e995).wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -234,8 +234,8 @@
         let before = session.conn.replace(conn);
         let timeout = session.timeout.as_millis() as i32;
         ConnectResponse {
-            timeout,
-            session: id,
+            timeout_ms: timeout,
+            session_id: id,
             password: session.password.clone(),
         }
         .write(&mut bytes);
--- a/crates/zookeeper/tests/codec.rs
+++ b/crates/zookeeper/tests/codec.rs
@@ -69,8 +69,8 @@
 fn connecting_has_the_published_bytes_with_and_without_the_last() {
     let connect = ConnectRequest {
         last_zxid: 1,
-        timeout: 4_000,
-        session: 2,
+        timeout_ms: 4_000,
+        session_id: 2,
         password: vec![9; 2],
     };
     let mut out = Vec::new();
@@ -87,8 +87,8 @@
         (Ok(connect.clone()), Ok(connect))
     );
     let connected = ConnectResponse {
-        timeout: 4_000,
-        session: 2,
+        timeout_ms: 4_000,
+        session_id: 2,
         password: vec![7],
     };
     let mut out = Vec::new();
--- a/crates/zookeeper/tests/session.rs
+++ b/crates/zookeeper/tests/session.rs
@@ -62,8 +62,8 @@
         let mut bytes = Vec::new();
         write_frame(&mut bytes, |out| {
             ConnectResponse {
-                timeout,
-                session,
+                timeout_ms: timeout,
+                session_id: session,
                 password: vec![session as u8; 16],
             }
             .write(out)
@@ -207,7 +207,7 @@
     );
     let connect = played.greet(5, 3_000);
     assert_eq!(
-        (connect.session, connect.last_zxid, connect.password),
+        (connect.session_id, connect.last_zxid, connect.password),
         (5, 77, vec![5; 16])
     );
     let took = played.took();
@@ -252,7 +252,7 @@
     played.wait(ClientSessionState::Connecting);
     played.took();
     let connect = played.greet(6, 3_000);
-    assert_eq!((connect.session, connect.last_zxid), (0, 0));
+    assert_eq!((connect.session_id, connect.last_zxid), (0, 0));
     assert_eq!(
         played.took(),
         [ClientSessionEffect::Established { new: true }]
@@ -321,7 +321,7 @@
         "{took:?}"
     );
     played.wait(ClientSessionState::Connecting);
-    assert_eq!(played.greet(5, 3_000).session, 5);
+    assert_eq!(played.greet(5, 3_000).session_id, 5);
 }
 
 #[test]
