--- a/crates/zookeeper/src/listing.rs
+++ b/crates/zookeeper/src/listing.rs
@@ -1,62 +1,77 @@
-//! What a list of ephemeral nodes means for hosts. No I/O; time comes in.
+//! What a list of ephemeral nodes means for the servers that they name. No I/O; times come in.
 //!
-//! **Gone** and **not known just now** are two things. A host is gone when the store said so: its node was deleted,
-//! or a list read whole by a session that stands leaves it out. It is not known just now while the store can't be
-//! heard, while our own session has lapsed and the list was not read anew, or while its node's data can't be read;
-//! then it stays as it was last told, and its age can be seen. A host told gone gets nothing new after the drain
-//! window, always: nothing but the store's word that it is there again takes that back.
+//! A server is **gone** when the store said so: its node was deleted, or a list that a standing session has read
+//! whole leaves it out. It is **not known at present** while the store can't be reached, while the client's own
+//! session has expired and the list was not read again, or while its node's data can't be read; then it stays as last
+//! reported, and [`NodeListing::age`] shows how old that is. A server that was reported gone stays so until the store
+//! says that it is there again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What a host's node says of it.
+/// Most servers that are remembered once they are gone.
+const MAX_REMEMBERED: usize = 4_096;
+
+/// What a node says of its server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedNode {
-    /// Who it is, whatever its node is called.
+    /// The server's unique name, whatever its node is called.
     pub uid: String,
+    /// Where it listens.
     pub address: String,
+    /// Its zone's name.
     pub zone: String,
+    /// Its capacity in relation to others.
     pub weight: f64,
-    /// When it last started, Unix time; none for long ago.
+    /// When its process started, as Unix time; `None` for long ago.
     pub started_at: Option<Duration>,
+    /// Whether it takes no further sessions.
     pub draining: bool,
 }
 
+/// What is reported of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
+    /// It takes sessions.
     Ready,
+    /// It takes no further sessions.
     Draining,
+    /// It has no node, or its node comes and goes too often.
     Gone,
 }
 
-/// What a proxy is told of a host.
+/// A change of what is known of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedChange {
+    /// The server's unique name.
     pub uid: String,
+    /// Its new state.
     pub state: ListedState,
-    /// `None` with `Gone`.
+    /// What its node says; `None` where it is gone.
     pub node: Option<ListedNode>,
 }
 
-/// What becomes of a host in a proxy's eyes; each is counted and worth a line.
+/// A peculiarity of the list, to be counted and logged.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ListingRemark {
-    /// Its node can't be read: it stays as it was last told.
+    /// This node's data can't be read: its server stays as last reported.
     Unreadable(String),
-    /// Two nodes name the same host: the one that started last counts.
+    /// Several nodes name this server: the one that started last counts.
     DuplicateUid(String),
-    /// It has come and gone so often of late that it is held as gone until it stays.
+    /// This server has come and gone so often that it is reported gone until it stays.
     Flapping(String),
-    /// All nodes went in one event.
+    /// All nodes vanished at once.
     AllGone,
 }
 
-/// Terms of an installation.
+/// When a server that comes and goes counts as flapping.
 #[derive(Clone, Copy, Debug)]
 pub struct ListingSettings {
-    /// So many comings within `flap_span` make a host one that flaps; it must stay so long to be taken again.
+    /// So many arrivals within `flap_window` make a server one that flaps.
     pub flap_count: usize,
+    /// The time within which arrivals are counted.
     pub flap_window: Duration,
+    /// How long a flapping server has to stay to be reported again.
     pub settle_time: Duration,
 }
 
@@ -70,122 +85,144 @@
     }
 }
 
+/// What is known of a server.
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownServer {
     node: ListedNode,
-    told: ListedState,
-    /// Nodes by name that now speak for it.
-    names: BTreeSet<String>,
-    /// When it came, of late.
-    came: Vec<Duration>,
-    /// Held as gone until then, if it stays.
-    held_until: Option<Duration>,
+    /// The state that was last reported.
+    reported: ListedState,
+    /// The names of the nodes that name it now.
+    node_names: BTreeSet<String>,
+    /// Its latest arrivals.
+    arrivals: Vec<Duration>,
+    /// It flaps, and is reported gone until then.
+    suppressed_until: Option<Duration>,
 }
 
+impl KnownServer {
+    fn new(node: ListedNode) -> KnownServer {
+        KnownServer {
+            node,
+            reported: ListedState::Gone,
+            node_names: BTreeSet::new(),
+            arrivals: Vec::new(),
+            suppressed_until: None,
+        }
+    }
+
+    /// Notes that it has its first node again; returns whether it flaps by that.
+    fn arrive(&mut self, now: Duration, settings: &ListingSettings) -> bool {
+        self.arrivals
+            .retain(|at| now.saturating_sub(*at) < settings.flap_window);
+        self.arrivals.push(now);
+        let flaps = self.arrivals.len() >= settings.flap_count;
+        if flaps {
+            self.suppressed_until = Some(now + settings.settle_time);
+        }
+        flaps
+    }
+
+    /// The state to report, by its node that counts.
+    fn state(&self, node: &ListedNode) -> ListedState {
+        match (self.suppressed_until, node.draining) {
+            (Some(_), _) => ListedState::Gone,
+            (None, true) => ListedState::Draining,
+            (None, false) => ListedState::Ready,
+        }
+    }
+
+    fn arrived_within(&self, now: Duration, window: Duration) -> bool {
+        self.arrivals
+            .last()
+            .is_some_and(|at| now.saturating_sub(*at) < window)
+    }
+}
+
+/// The nodes of a list, and the servers that they name.
 #[derive(Debug, Default)]
 pub struct NodeListing {
-    terms: ListingSettings,
-    /// Hosts by uid; those gone are kept, since a return must be known as one.
-    hosts: BTreeMap<String, Known>,
-    /// Which host each node names, and what it said.
+    settings: ListingSettings,
+    /// Servers by their unique names; those gone are kept, so that their return is known as one.
+    servers: BTreeMap<String, KnownServer>,
+    /// What each node said last.
     nodes: BTreeMap<String, ListedNode>,
+    /// Names of the nodes whose data can't be read.
     unreadable: BTreeSet<String>,
-    /// When the store was last heard to speak of the whole list.
-    heard: Option<Duration>,
-    /// Whether the store can be heard.
-    up: bool,
+    /// When the list was last known to be true.
+    last_known: Option<Duration>,
+    /// Whether the store can be reached.
+    available: bool,
 }
 
-/// Most hosts that are remembered once they are gone.
-const GONE: usize = 4_096;
-
 impl NodeListing {
-    pub fn new(terms: ListingSettings) -> NodeListing {
+    /// A list that was not read yet.
+    pub fn new(settings: ListingSettings) -> NodeListing {
         NodeListing {
-            terms,
+            settings,
             ..NodeListing::default()
         }
     }
 
-    /// How old the list is: nought while the store can be heard and the list was read.
+    /// How old the list is: zero while the store can be reached, `None` before it was read.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        let heard = self.heard?;
-        Some(if self.up {
+        let last_known = self.last_known?;
+        Some(if self.available {
             Duration::ZERO
         } else {
-            now.saturating_sub(heard)
+            now.saturating_sub(last_known)
         })
     }
 
-    /// The store cannot be heard, or our own session has lapsed: nothing is known to have changed.
+    /// The store can't be reached, or the client's session has expired: nothing is known to have changed.
     pub fn store_unavailable(&mut self, now: Duration) {
-        if std::mem::replace(&mut self.up, false) {
-            self.heard = Some(now);
+        if std::mem::replace(&mut self.available, false) {
+            self.last_known = Some(now);
         }
     }
 
-    /// The whole list as a session that stands has just read it: each child with its data, or none where the data
-    /// could not be read.
+    /// Takes the whole list as a standing session has just read it: each child with its data, or `None` where that
+    /// can't be read.
     pub fn replace_all(
         &mut self,
         now: Duration,
         children: &[(String, Option<ListedNode>)],
-        told: &mut Vec<ListedChange>,
+        changes: &mut Vec<ListedChange>,
         remarks: &mut Vec<ListingRemark>,
     ) {
-        (self.heard, self.up) = (Some(now), true);
-        let there: BTreeSet<&String> = children.iter().map(|child| &child.0).collect();
-        let before = self.nodes.len();
-        let gone: Vec<String> = self
+        self.last_known = Some(now);
+        self.available = true;
+        let listed: BTreeSet<&String> = children.iter().map(|child| &child.0).collect();
+        let count_before = self.nodes.len();
+        let vanished: Vec<String> = self
             .nodes
             .keys()
-            .filter(|name| !there.contains(name))
+            .filter(|name| !listed.contains(name))
             .cloned()
             .collect();
-        self.unreadable.retain(|name| there.contains(name));
+        self.unreadable.retain(|name| listed.contains(name));
         for (name, node) in children {
-            match node {
-                Some(node) => drop(self.nodes.insert(name.clone(), node.clone())),
-                // One that was read before stays what it was; one that never was names nobody.
-                None => {
-                    if self.unreadable.insert(name.clone()) {
-                        remarks.push(ListingRemark::Unreadable(name.clone()));
-                    }
-                }
-            }
-            if node.is_some() {
-                self.unreadable.remove(name);
-            }
+            self.set_node(name, node.clone(), remarks);
         }
-        for name in &gone {
+        for name in &vanished {
             self.nodes.remove(name);
         }
-        if before > 1 && gone.len() == before && self.nodes.is_empty() {
+        if count_before > 1 && vanished.len() == count_before && self.nodes.is_empty() {
             remarks.push(ListingRemark::AllGone);
         }
-        self.settle(now, told, remarks);
+        self.report(now, changes, remarks);
     }
 
-    /// One node's data, read again because it changed; none where it could not be read.
+    /// Takes one node's data, read again because it changed; `None` where it can't be read.
     pub fn node_changed(
         &mut self,
         now: Duration,
         name: &str,
         node: Option<ListedNode>,
-        told: &mut Vec<ListedChange>,
+        changes: &mut Vec<ListedChange>,
         remarks: &mut Vec<ListingRemark>,
     ) {
-        match node {
-            Some(node) => {
-                self.unreadable.remove(name);
-                self.nodes.insert(name.to_string(), node);
-            }
-            None if self.unreadable.insert(name.to_string()) => {
-                remarks.push(ListingRemark::Unreadable(name.to_string()));
-            }
-            None => {}
-        }
-        self.settle(now, told, remarks);
+        self.set_node(name, node, remarks);
+        self.report(now, changes, remarks);
     }
 
     /// One node was deleted.
@@ -193,118 +230,145 @@
         &mut self,
         now: Duration,
         name: &str,
-        told: &mut Vec<ListedChange>,
+        changes: &mut Vec<ListedChange>,
         remarks: &mut Vec<ListingRemark>,
     ) {
         self.nodes.remove(name);
         self.unreadable.remove(name);
-        self.settle(now, told, remarks);
+        self.report(now, changes, remarks);
     }
 
-    /// Time goes on: hosts that flapped and stayed are taken again. To be called now and then.
+    /// Reports flapping servers that have stayed long enough; to be called now and then.
     pub fn tick(
         &mut self,
         now: Duration,
-        told: &mut Vec<ListedChange>,
+        changes: &mut Vec<ListedChange>,
         remarks: &mut Vec<ListingRemark>,
     ) {
-        self.settle(now, told, remarks);
+        self.report(now, changes, remarks);
+    }
+
+    /// A node that was read before and can't be read now stays what it was; one that never was names nobody.
+    fn set_node(&mut self, name: &str, node: Option<ListedNode>, remarks: &mut Vec<ListingRemark>) {
+        match node {
+            Some(node) => {
+                self.unreadable.remove(name);
+                self.nodes.insert(name.to_string(), node);
+            }
+            None => {
+                if self.unreadable.insert(name.to_string()) {
+                    remarks.push(ListingRemark::Unreadable(name.to_string()));
+                }
+            }
+        }
     }
 
-    /// Tells what differs from what was told.
-    fn settle(
+    /// Reports where servers differ from what was reported of them.
+    fn report(
         &mut self,
         now: Duration,
-        told: &mut Vec<ListedChange>,
+        changes: &mut Vec<ListedChange>,
         remarks: &mut Vec<ListingRemark>,
     ) {
-        // Of several nodes of one host the one that started last speaks, the higher name where that ties.
-        let mut speaks: BTreeMap<&String, (&String, &ListedNode)> = BTreeMap::new();
-        let mut names: BTreeMap<&String, BTreeSet<String>> = BTreeMap::new();
-        for (name, node) in &self.nodes {
-            names.entry(&node.uid).or_default().insert(name.clone());
-            let newer = speaks
-                .get(&node.uid)
-                .is_none_or(|(_, other)| node.started_at >= other.started_at);
-            if newer {
-                speaks.insert(&node.uid, (name, node));
-            }
+        let named = named_servers(&self.nodes);
+        for (uid, server) in &named {
+            let known = self
+                .servers
+                .entry((*uid).clone())
+                .or_insert_with(|| KnownServer::new(server.node.clone()));
+            let change = report_named(now, uid, server, known, &self.settings, remarks);
+            changes.extend(change);
         }
-        for (uid, (_, node)) in &speaks {
-            let own = names.remove(uid).unwrap_or_default();
-            let known = self.hosts.entry((*uid).clone()).or_insert_with(|| Known {
-                node: (*node).clone(),
-                told: ListedState::Gone,
-                names: BTreeSet::new(),
-                came: Vec::new(),
-                held_until: None,
-            });
-            if own.len() > 1 && known.names.len() <= 1 {
-                remarks.push(ListingRemark::DuplicateUid((*uid).clone()));
-            }
-            // It comes, by its first node, or by another process under its name.
-            if known.names.is_empty() {
-                known
-                    .came
-                    .retain(|at| now.saturating_sub(*at) < self.terms.flap_window);
-                known.came.push(now);
-                if known.came.len() >= self.terms.flap_count {
-                    known.held_until = Some(now + self.terms.settle_time);
-                    remarks.push(ListingRemark::Flapping((*uid).clone()));
-                }
+        for (uid, known) in &mut self.servers {
+            if !named.contains_key(uid) {
+                changes.extend(report_unnamed(uid, known));
             }
-            known.names = own;
-            if known.held_until.is_some_and(|until| now >= until) {
-                known.held_until = None;
-            }
-            let standing = match (known.held_until, node.draining) {
-                (Some(_), _) => ListedState::Gone,
-                (None, true) => ListedState::Draining,
-                (None, false) => ListedState::Ready,
-            };
-            let same =
-                known.told == standing && (standing == ListedState::Gone || known.node == **node);
-            if !same {
-                let shown = (standing != ListedState::Gone).then(|| (*node).clone());
-                told.push(ListedChange {
-                    uid: (*uid).clone(),
-                    state: standing,
-                    node: shown,
-                });
-            }
-            (known.told, known.node) = (standing, (*node).clone());
         }
-        let gone = self.hosts.iter_mut().filter(|(uid, known)| {
-            let named = speaks.contains_key(uid);
-            !named && (known.told != ListedState::Gone || !known.names.is_empty())
-        });
-        for (uid, known) in gone {
-            known.names.clear();
-            known.held_until = None;
-            if known.told != ListedState::Gone {
-                known.told = ListedState::Gone;
-                told.push(ListedChange {
-                    uid: uid.clone(),
-                    state: ListedState::Gone,
-                    node: None,
-                });
-            }
-        }
-        self.forget(now);
+        self.forget_old(now);
     }
 
-    /// Hosts long gone are forgotten, the oldest first, once there are too many.
-    fn forget(&mut self, now: Duration) {
-        if self.hosts.len() <= GONE {
+    /// Forgets servers that are gone for long, once there are too many.
+    fn forget_old(&mut self, now: Duration) {
+        if self.servers.len() <= MAX_REMEMBERED {
             return;
         }
-        let span = self.terms.flap_window;
-        self.hosts.retain(|_, known| {
-            let young = known
-                .came
-                .last()
-                .is_some_and(|at| now.saturating_sub(*at) < span);
-            known.told != ListedState::Gone || !known.names.is_empty() || young
+        let window = self.settings.flap_window;
+        self.servers.retain(|_, known| {
+            known.reported != ListedState::Gone
+                || !known.node_names.is_empty()
+                || known.arrived_within(now, window)
+        });
+    }
+}
+
+/// A server that has nodes.
+struct NamedServer<'a> {
+    /// The node that counts: the one that started last, or the one with the higher name where that ties.
+    node: &'a ListedNode,
+    node_names: BTreeSet<String>,
+}
+
+fn named_servers(nodes: &BTreeMap<String, ListedNode>) -> BTreeMap<&String, NamedServer<'_>> {
+    let mut servers: BTreeMap<&String, NamedServer<'_>> = BTreeMap::new();
+    for (name, node) in nodes {
+        let server = servers.entry(&node.uid).or_insert_with(|| NamedServer {
+            node,
+            node_names: BTreeSet::new(),
         });
+        if node.started_at >= server.node.started_at {
+            server.node = node;
+        }
+        server.node_names.insert(name.clone());
+    }
+    servers
+}
+
+fn report_named(
+    now: Duration,
+    uid: &str,
+    server: &NamedServer<'_>,
+    known: &mut KnownServer,
+    settings: &ListingSettings,
+    remarks: &mut Vec<ListingRemark>,
+) -> Option<ListedChange> {
+    if server.node_names.len() > 1 && known.node_names.len() <= 1 {
+        remarks.push(ListingRemark::DuplicateUid(uid.to_string()));
+    }
+    if known.node_names.is_empty() && known.arrive(now, settings) {
+        remarks.push(ListingRemark::Flapping(uid.to_string()));
+    }
+    known.node_names = server.node_names.clone();
+    if known.suppressed_until.is_some_and(|until| now >= until) {
+        known.suppressed_until = None;
+    }
+    let state = known.state(server.node);
+    let unchanged =
+        known.reported == state && (state == ListedState::Gone || known.node == *server.node);
+    known.reported = state;
+    known.node = server.node.clone();
+    if unchanged {
+        return None;
+    }
+    Some(ListedChange {
+        uid: uid.to_string(),
+        state,
+        node: (state != ListedState::Gone).then(|| server.node.clone()),
+    })
+}
+
+fn report_unnamed(uid: &str, known: &mut KnownServer) -> Option<ListedChange> {
+    if known.reported == ListedState::Gone && known.node_names.is_empty() {
+        return None;
+    }
+    known.node_names.clear();
+    known.suppressed_until = None;
+    if known.reported == ListedState::Gone {
+        return None;
     }
+    known.reported = ListedState::Gone;
+    Some(ListedChange {
+        uid: uid.to_string(),
+        state: ListedState::Gone,
+        node: None,
+    })
 }
