--- a/crates/zookeeper/src/main.rs
+++ b/crates/zookeeper/src/main.rs
@@ -1,128 +1,206 @@
-//! The stand-in store on sockets, for tests: several listening members of one store, and its faults by lines of standard input.
+//! The stub store on sockets, for tests: several listening members of one store, with faults by lines of standard
+//! input.
 //!
-//! `mute` and `speak`: no member answers, and again; `refuse` and `accept`: connections are closed as they come; `expire`: all
-//! sessions end; `drop`: all connections break. It ends with its standard input.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
+//! `mute` and `speak`: no member answers, and again; `refuse` and `accept`: connections are closed as they come;
+//! `expire`: all sessions end; `drop`: all connections break. It ends with its standard input.
 
 use asterramp_zookeeper::frame::FrameReader;
+use asterramp_zookeeper::jute::DecodeError;
 use asterramp_zookeeper::store::{ConnectionId, StoreEffect, StubStore};
 use std::collections::HashMap;
 use std::io::{BufRead, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-const TICK: Duration = Duration::from_millis(20);
-/// What a client may ask for as its timeout.
-const LEAST: Duration = Duration::from_millis(300);
-const MOST: Duration = Duration::from_secs(60);
-/// Connections there may be at once.
-const CONNS: usize = 1_000;
+/// Time between two looks for expired sessions.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Bounds of the session timeout that a client may ask for; short ones make tests short.
+const MIN_SESSION_TIMEOUT: Duration = Duration::from_millis(300);
+const MAX_SESSION_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long a client that doesn't read may hold the store up.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Most connections at once.
+const MAX_CONNECTIONS: usize = 1_000;
+/// Bytes of one read.
+const READ_LENGTH: usize = 4096;
+/// Exit code where an address can't be listened on.
+const EXIT_LISTEN_FAILED: i32 = 1;
+/// Exit code where no address is given.
+const EXIT_USAGE: i32 = 2;
 
-struct Desk {
+/// The store, its connections and its faults.
+struct ServerState {
     store: StubStore,
-    conns: HashMap<ConnectionId, TcpStream>,
-    next: ConnectionId,
-    mute: bool,
-    refuse: bool,
+    connections: HashMap<ConnectionId, TcpStream>,
+    last_connection: ConnectionId,
+    /// What comes is lost, and nothing is sent.
+    muted: bool,
+    /// Connections are closed as they come.
+    refusing: bool,
 }
 
-struct Shared {
-    desk: Mutex<Desk>,
-    began: Instant,
+/// What the threads share.
+struct Server {
+    state: Mutex<ServerState>,
+    started: Instant,
 }
 
-impl Shared {
-    fn desk(&self) -> MutexGuard<'_, Desk> {
-        self.desk
-            .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+impl Server {
+    fn lock(&self) -> MutexGuard<'_, ServerState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn now(&self) -> Duration {
+        self.started.elapsed()
     }
 }
 
-impl Desk {
-    /// What the store wants done. A client that does not read is not waited for.
-    fn carry_out(&mut self, effects: Vec<StoreEffect>) {
+impl ServerState {
+    /// Does what the store wants done. A client that doesn't read is not waited for.
+    fn perform(&mut self, effects: Vec<StoreEffect>) {
         for effect in effects {
             match effect {
-                StoreEffect::Send(conn, frame) if !self.mute => {
-                    let mut bytes = (frame.len() as u32).to_be_bytes().to_vec();
-                    bytes.extend(frame);
-                    let written = self
-                        .conns
-                        .get(&conn)
-                        .map(|mut stream| stream.write_all(&bytes));
-                    if matches!(written, Some(Err(_))) {
-                        self.close(conn);
-                    }
+                StoreEffect::Send(connection, frame) if !self.muted => {
+                    self.send(connection, &frame);
                 }
                 StoreEffect::Send(..) => {}
-                StoreEffect::CloseConnection(conn) => self.close(conn),
+                StoreEffect::CloseConnection(connection) => self.close(connection),
             }
         }
     }
 
-    fn close(&mut self, conn: ConnectionId) {
-        if let Some(stream) = self.conns.remove(&conn) {
+    fn send(&mut self, connection: ConnectionId, frame: &[u8]) {
+        let Some(mut stream) = self.connections.get(&connection) else {
+            return;
+        };
+        let mut bytes = (frame.len() as u32).to_be_bytes().to_vec();
+        bytes.extend(frame);
+        if stream.write_all(&bytes).is_err() {
+            self.close(connection);
+        }
+    }
+
+    fn close(&mut self, connection: ConnectionId) {
+        if let Some(stream) = self.connections.remove(&connection) {
             let _ = stream.shutdown(Shutdown::Both);
         }
-        self.store.connection_closed(conn);
+        self.store.connection_closed(connection);
+    }
+
+    /// Performs the requests that have come whole.
+    fn take_frames(
+        &mut self,
+        now: Duration,
+        connection: ConnectionId,
+        frames: &mut FrameReader,
+    ) -> Result<(), DecodeError> {
+        while let Some(frame) = frames.next_frame()? {
+            let mut effects = Vec::new();
+            let result = self
+                .store
+                .receive_frame(now, connection, frame, &mut effects);
+            self.perform(effects);
+            result?;
+        }
+        Ok(())
+    }
+
+    fn expire_sessions(&mut self) {
+        let sessions: Vec<i64> = self.store.sessions().collect();
+        let mut effects = Vec::new();
+        for session in sessions {
+            self.store.end_session(session, &mut effects);
+        }
+        self.perform(effects);
+    }
+
+    fn drop_connections(&mut self) {
+        let connections: Vec<ConnectionId> = self.connections.keys().copied().collect();
+        for connection in connections {
+            self.close(connection);
+        }
+    }
+
+    /// Begins or ends the fault that a line names.
+    fn inject_fault(&mut self, name: &str) {
+        match name {
+            "mute" => self.muted = true,
+            "speak" => self.muted = false,
+            "refuse" => self.refusing = true,
+            "accept" => self.refusing = false,
+            "expire" => self.expire_sessions(),
+            "drop" => self.drop_connections(),
+            other => eprintln!("asterramp-store: {other:?} is no fault"),
+        }
     }
 }
 
-fn serve(shared: &Shared, conn: ConnectionId, mut stream: TcpStream) {
-    let (mut frames, mut bytes) = (FrameReader::default(), [0; 4096]);
-    while let Ok(n) = stream.read(&mut bytes) {
-        if n == 0 {
+/// Serves one connection until it ends.
+fn serve(server: &Server, connection: ConnectionId, mut stream: TcpStream) {
+    let mut frames = FrameReader::default();
+    let mut bytes = [0; READ_LENGTH];
+    while let Ok(count) = stream.read(&mut bytes) {
+        if count == 0 {
             break;
         }
-        frames.append(&bytes[..n]);
-        let mut desk = shared.desk();
-        if desk.mute {
+        frames.append(&bytes[..count]);
+        let mut state = server.lock();
+        if state.muted {
             // What comes meanwhile is lost, as at a store that hangs and is then restarted.
             frames = FrameReader::default();
             continue;
         }
-        loop {
-            let frame = match frames.next_frame() {
-                Ok(Some(frame)) => frame.to_vec(),
-                Ok(None) => break,
-                Err(_) => return desk.close(conn),
-            };
-            let (now, mut out) = (shared.began.elapsed(), Vec::new());
-            let read = desk.store.receive_frame(now, conn, &frame, &mut out);
-            desk.carry_out(out);
-            if read.is_err() {
-                return desk.close(conn);
-            }
+        if state
+            .take_frames(server.now(), connection, &mut frames)
+            .is_err()
+        {
+            return state.close(connection);
         }
     }
-    shared.desk().close(conn);
+    server.lock().close(connection);
 }
 
-fn listen(shared: Arc<Shared>, door: TcpListener) {
-    for stream in door.incoming().flatten() {
-        let mut desk = shared.desk();
-        if desk.refuse || desk.conns.len() >= CONNS {
+/// Accepts connections, each served by a thread of its own.
+fn accept_connections(server: Arc<Server>, listener: TcpListener) {
+    for stream in listener.incoming().flatten() {
+        let mut state = server.lock();
+        if state.refusing || state.connections.len() >= MAX_CONNECTIONS {
             continue;
         }
         let _ = stream.set_nodelay(true);
-        let _ = stream.set_write_timeout(Some(Duration::from_millis(200)));
-        let Ok(own) = stream.try_clone() else {
+        let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
+        let Ok(writer) = stream.try_clone() else {
             continue;
         };
-        desk.next += 1;
-        let conn = desk.next;
-        desk.conns.insert(conn, own);
-        drop(desk);
-        let shared = shared.clone();
-        std::thread::spawn(move || serve(&shared, conn, stream));
+        state.last_connection += 1;
+        let connection = state.last_connection;
+        state.connections.insert(connection, writer);
+        drop(state);
+        let server = server.clone();
+        std::thread::spawn(move || serve(&server, connection, stream));
+    }
+}
+
+/// Listens on an address and prints the one that it became, for callers that leave the port open.
+fn listen(server: &Arc<Server>, address: &str) -> std::io::Result<()> {
+    let listener = TcpListener::bind(address)?;
+    let bound = listener.local_addr();
+    println!("{}", bound.map(|at| at.to_string()).unwrap_or_default());
+    let server = server.clone();
+    std::thread::spawn(move || accept_connections(server, listener));
+    Ok(())
+}
+
+/// Ends expired sessions, for ever.
+fn run_clock(server: &Server) {
+    loop {
+        std::thread::sleep(TICK_INTERVAL);
+        let now = server.now();
+        let mut effects = Vec::new();
+        let mut state = server.lock();
+        state.store.tick(now, &mut effects);
+        state.perform(effects);
     }
 }
 
@@ -130,69 +208,31 @@
     let addresses: Vec<String> = std::env::args().skip(1).collect();
     if addresses.is_empty() {
         eprintln!("asterramp-store: wants addresses to listen at, as in 127.0.0.1:2181");
-        std::process::exit(2);
+        std::process::exit(EXIT_USAGE);
     }
-    let store = StubStore::new(LEAST, MOST);
-    let desk = Desk {
-        store,
-        conns: HashMap::new(),
-        next: 0,
-        mute: false,
-        refuse: false,
+    let state = ServerState {
+        store: StubStore::new(MIN_SESSION_TIMEOUT, MAX_SESSION_TIMEOUT),
+        connections: HashMap::new(),
+        last_connection: 0,
+        muted: false,
+        refusing: false,
     };
-    let shared = Arc::new(Shared {
-        desk: Mutex::new(desk),
-        began: Instant::now(),
+    let server = Arc::new(Server {
+        state: Mutex::new(state),
+        started: Instant::now(),
     });
     for address in addresses {
-        let door = match TcpListener::bind(&address) {
-            Ok(door) => door,
-            Err(e) => {
-                eprintln!("asterramp-store: {address}: {e}");
-                std::process::exit(1);
-            }
-        };
-        println!(
-            "{}",
-            door.local_addr()
-                .map(|at| at.to_string())
-                .unwrap_or_default()
-        );
-        let shared = shared.clone();
-        std::thread::spawn(move || listen(shared, door));
-    }
-    let ticking = shared.clone();
-    std::thread::spawn(move || {
-        loop {
-            std::thread::sleep(TICK);
-            let (now, mut out, mut desk) = (ticking.began.elapsed(), Vec::new(), ticking.desk());
-            desk.store.tick(now, &mut out);
-            desk.carry_out(out);
+        if let Err(error) = listen(&server, &address) {
+            eprintln!("asterramp-store: {address}: {error}");
+            std::process::exit(EXIT_LISTEN_FAILED);
         }
-    });
+    }
+    let clock = server.clone();
+    std::thread::spawn(move || run_clock(&clock));
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-        let mut desk = shared.desk();
-        match line.trim() {
-            "mute" => desk.mute = true,
-            "speak" => desk.mute = false,
-            "refuse" => desk.refuse = true,
-            "accept" => desk.refuse = false,
-            "expire" => {
-                let (sessions, mut out) = (desk.store.sessions().collect::<Vec<_>>(), Vec::new());
-                sessions
-                    .into_iter()
-                    .for_each(|id| desk.store.end_session(id, &mut out));
-                desk.carry_out(out);
-            }
-            "drop" => desk
-                .conns
-                .keys()
-                .copied()
-                .collect::<Vec<_>>()
-                .into_iter()
-                .for_each(|conn| desk.close(conn)),
-            other => eprintln!("asterramp-store: {other:?} is no fault"),
-        }
-        println!("done {}", line.trim());
+        let fault = line.trim();
+        let mut state = server.lock();
+        state.inject_fault(fault);
+        println!("done {fault}");
     }
 }
