--- a/crates/zookeeper/tests/codec.rs
+++ b/crates/zookeeper/tests/codec.rs
@@ -1,11 +1,4 @@
 //! Records against bytes worked out by hand from the published format, and back.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 use asterramp_zookeeper::frame::{FrameReader, MAX_FRAME_LENGTH, write_frame};
 use asterramp_zookeeper::jute::{DecodeError, JuteReader};
@@ -53,7 +46,7 @@
     "fffffff8 00000065 0000000000000102 00000001 00000002 \"/a\" 00000000 00000001 00000002 \"/b\""; "watches again")]
 #[test_case(9, StoreRequest::Multi(vec![StoreRequest::Delete { path: "/a".into(), version: 1 }]),
     "00000009 0000000e 00000002 00 ffffffff 00000002 \"/a\" 00000001 ffffffff 01 ffffffff"; "multi")]
-fn requests_have_the_published_bytes(xid: i32, request: StoreRequest, spec: &str) {
+fn a_request_has_the_published_bytes(xid: i32, request: StoreRequest, spec: &str) {
     let mut out = Vec::new();
     request.write(xid, &mut out);
     assert_eq!(out, bytes(spec));
@@ -66,7 +59,7 @@
 }
 
 #[test]
-fn connecting_has_the_published_bytes_with_and_without_the_last() {
+fn a_handshake_has_the_published_bytes_with_and_without_the_last() {
     let connect = ConnectRequest {
         last_zxid: 1,
         timeout_ms: 4_000,
@@ -107,7 +100,7 @@
 }
 
 #[test]
-fn answers_and_events_have_the_published_bytes() {
+fn replies_and_watch_events_have_the_published_bytes() {
     let mut out = Vec::new();
     ReplyHeader {
         xid: XID_EVENT,
@@ -115,12 +108,12 @@
         error_code: 0,
     }
     .write(&mut out);
-    let told = WatchEvent {
+    let event = WatchEvent {
         kind: WatchEventKind::Children,
         state: 3,
         path: "/hosts".into(),
     };
-    told.write(&mut out);
+    event.write(&mut out);
     assert_eq!(
         out,
         bytes("ffffffff ffffffffffffffff 00000000 00000004 00000003 00000006 \"/hosts\"")
@@ -130,7 +123,7 @@
         ReplyHeader::read(&mut r).map(|head| head.xid),
         Ok(XID_EVENT)
     );
-    assert_eq!((WatchEvent::read(&mut r), r.finish()), (Ok(told), Ok(())));
+    assert_eq!((WatchEvent::read(&mut r), r.finish()), (Ok(event), Ok(())));
     let stat = NodeStat {
         created_zxid: 1,
         version: 2,
@@ -150,10 +143,10 @@
 #[test_case(0, None; "done")]
 #[test_case(-101, Some(StoreError::NoNode); "no node")]
 #[test_case(-112, Some(StoreError::SessionExpired); "expired")]
-#[test_case(-999, Some(StoreError::Other(-999)); "unheard of")]
-fn codes_are_the_published_ones(code: i32, refused: Option<StoreError>) {
-    assert_eq!(StoreError::from_code(code), refused);
-    assert!(refused.is_none_or(|refused| refused.code() == code));
+#[test_case(-999, Some(StoreError::Other(-999)); "unknown")]
+fn an_error_has_the_published_code(code: i32, error: Option<StoreError>) {
+    assert_eq!(StoreError::from_code(code), error);
+    assert!(error.is_none_or(|error| error.code() == code));
 }
 
 #[test_case("00000001 00000003 7fffffff \"/a\" 01", DecodeError::Truncated; "a length far beyond the record")]
@@ -161,15 +154,15 @@
 #[test_case("00000001 00000003 00000002 \"/a\" 02", DecodeError::InvalidValue(2); "a boolean of two")]
 #[test_case("00000001 00000003 00000001 ff 01", DecodeError::NotUtf8; "not text")]
 #[test_case("00000001 00000063", DecodeError::InvalidValue(99); "an unknown operation")]
-#[test_case("00000001 00000065 0000000000000000 7fffffff", DecodeError::InvalidLength(i32::MAX); "a count beyond the most")]
+#[test_case("00000001 00000065 0000000000000000 7fffffff", DecodeError::InvalidLength(i32::MAX); "a count beyond the bound")]
 #[test_case("00000001 00000065 0000000000000000 00010000", DecodeError::Truncated; "a count beyond the record")]
 #[test_case("00000001 0000000e 0000000e 00 ffffffff", DecodeError::InvalidValue(14); "a multi within a multi")]
-fn what_cannot_be_read_is_told(spec: &str, fault: DecodeError) {
-    assert_eq!(StoreRequest::read(&bytes(spec)), Err(fault));
+fn a_record_that_cannot_be_decoded_is_rejected_with_its_reason(spec: &str, error: DecodeError) {
+    assert_eq!(StoreRequest::read(&bytes(spec)), Err(error));
 }
 
 #[test]
-fn frames_come_whole_however_they_are_cut_and_none_is_too_long() {
+fn frames_are_found_however_the_stream_is_cut_and_too_long_ones_rejected() {
     let mut out = Vec::new();
     for n in [0_usize, 3, 300] {
         write_frame(&mut out, |out| out.extend(vec![n as u8; n]));
@@ -195,7 +188,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(512) })]
 
     #[test]
-    fn any_bytes_are_read_or_refused(all in prop::collection::vec(any::<u8>(), 0..400), op in 0_u8..16) {
+    fn any_bytes_are_decoded_or_rejected(all in prop::collection::vec(any::<u8>(), 0..400), op in 0_u8..16) {
         let mut headed = vec![0, 0, 0, 1, 0, 0, 0, op];
         headed.extend(&all);
         for bytes in [&all, &headed] {
--- a/crates/zookeeper/tests/session.rs
+++ b/crates/zookeeper/tests/session.rs
@@ -1,11 +1,4 @@
-//! A session played against a store that is a few bytes in a test.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
+//! A client's session against a store that is scripted by the test.
 
 use asterramp_zookeeper::frame::{FrameReader, write_frame};
 use asterramp_zookeeper::jute::JuteWrite;
@@ -23,36 +16,36 @@
     Duration::from_millis(n)
 }
 
-struct Played {
+struct SessionHarness {
     session: ClientSession,
     now: Duration,
     out: Vec<ClientSessionEffect>,
 }
 
-impl Played {
-    fn new(addresses: usize) -> Played {
+impl SessionHarness {
+    fn new(addresses: usize) -> SessionHarness {
         let mut out = Vec::new();
-        let terms = ClientSessionSettings {
+        let settings = ClientSessionSettings {
             address_count: addresses,
             timeout: ms(3_000),
             auth: None,
         };
-        let session = ClientSession::new(ms(0), terms, 4, &mut out);
-        Played {
+        let session = ClientSession::new(ms(0), settings, 4, &mut out);
+        SessionHarness {
             session,
             now: ms(0),
             out,
         }
     }
 
-    fn took(&mut self) -> Vec<ClientSessionEffect> {
+    fn take_effects(&mut self) -> Vec<ClientSessionEffect> {
         std::mem::take(&mut self.out)
     }
 
     /// Connected, with a session of this number and timeout.
-    fn greet(&mut self, session: i64, timeout: i32) -> ConnectRequest {
+    fn handshake(&mut self, session: i64, timeout: i32) -> ConnectRequest {
         self.session.connection_opened(self.now, &mut self.out);
-        let sent = self.took();
+        let sent = self.take_effects();
         let Some(ClientSessionEffect::Send(bytes)) = sent.last() else {
             panic!("{sent:?}")
         };
@@ -72,24 +65,24 @@
         connect
     }
 
-    fn up(&mut self) {
-        self.greet(5, 3_000);
+    fn establish(&mut self) {
+        self.handshake(5, 3_000);
         assert_eq!(
-            self.took(),
+            self.take_effects(),
             [ClientSessionEffect::Established { new: true }]
         );
     }
 
-    fn ask(&mut self, request: StoreRequest) -> i32 {
+    fn request(&mut self, request: StoreRequest) -> i32 {
         let xid = self
             .session
             .request(self.now, request, &mut self.out)
             .expect("a session stands");
-        self.took();
+        self.take_effects();
         xid
     }
 
-    fn say(&mut self, xid: i32, zxid: i64, err: i32, body: impl FnOnce(&mut Vec<u8>)) {
+    fn reply(&mut self, xid: i32, zxid: i64, err: i32, body: impl FnOnce(&mut Vec<u8>)) {
         let mut bytes = Vec::new();
         write_frame(&mut bytes, |out| {
             ReplyHeader {
@@ -101,12 +94,12 @@
             body(out);
         });
         // In two pieces, as it may come.
-        let (a, b) = bytes.split_at(bytes.len() / 2);
-        self.session.receive(self.now, a, &mut self.out);
-        self.session.receive(self.now, b, &mut self.out);
+        let (first, second) = bytes.split_at(bytes.len() / 2);
+        self.session.receive(self.now, first, &mut self.out);
+        self.session.receive(self.now, second, &mut self.out);
     }
 
-    fn wait(&mut self, until: ClientSessionState) {
+    fn wait_for(&mut self, until: ClientSessionState) {
         for _ in 0..20 {
             if self.session.state() == until {
                 return;
@@ -126,12 +119,12 @@
 }
 
 #[test]
-fn a_session_asks_is_answered_and_told() {
-    let mut played = Played::new(1);
-    assert_eq!(played.took(), [ClientSessionEffect::Connect(0)]);
-    played.up();
-    let xid = played.ask(children("/hosts"));
-    played.say(xid, 9, 0, |out| {
+fn requests_are_responded_to_and_watches_fire() {
+    let mut harness = SessionHarness::new(1);
+    assert_eq!(harness.take_effects(), [ClientSessionEffect::Connect(0)]);
+    harness.establish();
+    let xid = harness.request(children("/hosts"));
+    harness.reply(xid, 9, 0, |out| {
         out.vector(&["a", "b"], |out, name| out.string(name));
         NodeStat::default().write(out);
     });
@@ -140,26 +133,29 @@
         NodeStat::default(),
     ));
     assert_eq!(
-        played.took(),
+        harness.take_effects(),
         [ClientSessionEffect::Responded {
             xid,
             response: answer
         }]
     );
-    let told = WatchEvent {
+    let event = WatchEvent {
         kind: WatchEventKind::Children,
         state: 3,
         path: "/hosts".into(),
     };
-    played.say(XID_EVENT, -1, 0, |out| told.write(out));
-    assert_eq!(played.took(), [ClientSessionEffect::WatchFired(told)]);
-    let xid = played.ask(StoreRequest::GetData {
+    harness.reply(XID_EVENT, -1, 0, |out| event.write(out));
+    assert_eq!(
+        harness.take_effects(),
+        [ClientSessionEffect::WatchFired(event)]
+    );
+    let xid = harness.request(StoreRequest::GetData {
         path: "/none".into(),
         watch: false,
     });
-    played.say(xid, 10, -101, |_| ());
+    harness.reply(xid, 10, -101, |_| ());
     assert_eq!(
-        played.took(),
+        harness.take_effects(),
         [ClientSessionEffect::Responded {
             xid,
             response: Err(StoreError::NoNode)
@@ -168,25 +164,25 @@
 }
 
 #[test]
-fn a_broken_connection_loses_answers_moves_on_and_keeps_the_session_and_its_watches() {
-    let mut played = Played::new(3);
-    assert_eq!(played.took(), [ClientSessionEffect::Connect(1)]);
-    played.up();
-    let xid = played.ask(children("/hosts"));
-    played.say(xid, 77, 0, |out| {
+fn a_broken_connection_loses_responses_and_the_next_keeps_the_session_and_its_watches() {
+    let mut harness = SessionHarness::new(3);
+    assert_eq!(harness.take_effects(), [ClientSessionEffect::Connect(1)]);
+    harness.establish();
+    let xid = harness.request(children("/hosts"));
+    harness.reply(xid, 77, 0, |out| {
         out.vector(&[], |out: &mut Vec<u8>, name: &&str| out.string(name));
         NodeStat::default().write(out);
     });
-    let open = played.ask(StoreRequest::Exists {
+    let open = harness.request(StoreRequest::Exists {
         path: "/x".into(),
         watch: true,
     });
-    played.took();
-    played
+    harness.take_effects();
+    harness
         .session
-        .connection_failed(played.now, &mut played.out);
+        .connection_failed(harness.now, &mut harness.out);
     assert_eq!(
-        played.took(),
+        harness.take_effects(),
         [
             ClientSessionEffect::ConnectionLost,
             ClientSessionEffect::ResponseLost { xid: open },
@@ -194,29 +190,29 @@
         ]
     );
     assert!(
-        played
+        harness
             .session
-            .request(played.now, children("/y"), &mut played.out)
+            .request(harness.now, children("/y"), &mut harness.out)
             .is_none()
     );
-    played.wait(ClientSessionState::Connecting);
+    harness.wait_for(ClientSessionState::Connecting);
     assert_eq!(
-        played.took(),
+        harness.take_effects(),
         [ClientSessionEffect::Connect(2)],
         "the next address"
     );
-    let connect = played.greet(5, 3_000);
+    let connect = harness.handshake(5, 3_000);
     assert_eq!(
         (connect.session_id, connect.last_zxid, connect.password),
         (5, 77, vec![5; 16])
     );
-    let took = played.took();
+    let take_effects = harness.take_effects();
     let [
         ClientSessionEffect::Send(watches),
         ClientSessionEffect::Established { new: false },
-    ] = &took[..]
+    ] = &take_effects[..]
     else {
-        panic!("{took:?}")
+        panic!("{take_effects:?}")
     };
     let (_, again) = StoreRequest::read(&watches[4..]).unwrap();
     let child = vec!["/hosts".to_string()];
@@ -232,65 +228,65 @@
 }
 
 #[test]
-fn a_lapsed_session_is_told_as_ours_and_a_new_one_begins() {
-    let mut played = Played::new(1);
-    played.took();
-    played.up();
-    played
+fn an_expired_session_is_reported_and_a_new_one_begins() {
+    let mut harness = SessionHarness::new(1);
+    harness.take_effects();
+    harness.establish();
+    harness
         .session
-        .connection_failed(played.now, &mut played.out);
-    played.wait(ClientSessionState::Connecting);
-    played.took();
-    played.greet(0, 0);
+        .connection_failed(harness.now, &mut harness.out);
+    harness.wait_for(ClientSessionState::Connecting);
+    harness.take_effects();
+    harness.handshake(0, 0);
     assert_eq!(
-        played.took(),
+        harness.take_effects(),
         [
             ClientSessionEffect::Expired,
             ClientSessionEffect::CloseConnection
         ]
     );
-    played.wait(ClientSessionState::Connecting);
-    played.took();
-    let connect = played.greet(6, 3_000);
+    harness.wait_for(ClientSessionState::Connecting);
+    harness.take_effects();
+    let connect = harness.handshake(6, 3_000);
     assert_eq!((connect.session_id, connect.last_zxid), (0, 0));
     assert_eq!(
-        played.took(),
+        harness.take_effects(),
         [ClientSessionEffect::Established { new: true }]
     );
 }
 
 #[test]
-fn a_silent_store_is_pinged_and_then_given_up_before_the_session_would_lapse() {
-    let mut played = Played::new(1);
-    played.took();
-    played.up();
-    played.wait(ClientSessionState::Waiting);
-    assert_eq!(played.now, ms(2_000));
-    let took = played.took();
-    let pings = took.iter().filter(
+fn a_silent_store_is_pinged_and_then_left_before_the_session_would_expire() {
+    let mut harness = SessionHarness::new(1);
+    harness.take_effects();
+    harness.establish();
+    harness.wait_for(ClientSessionState::Waiting);
+    assert_eq!(harness.now, ms(2_000));
+    let take_effects = harness.take_effects();
+    let pings = take_effects.iter().filter(
         |e| matches!(e, ClientSessionEffect::Send(bytes) if bytes[4..8] == [255, 255, 255, 254]),
     );
     assert_eq!(
         (
             pings.count(),
-            took.contains(&ClientSessionEffect::ConnectionLost)
+            take_effects.contains(&ClientSessionEffect::ConnectionLost)
         ),
         (1, true),
-        "{took:?}"
+        "{take_effects:?}"
     );
 }
 
 #[test]
-fn pauses_grow_are_spread_and_have_an_end() {
-    let mut played = Played::new(2);
+fn reconnect_delays_grow_are_spread_and_have_a_bound() {
+    let mut harness = SessionHarness::new(2);
     let mut pauses = Vec::new();
     for _ in 0..14 {
-        played
+        harness
             .session
-            .connection_failed(played.now, &mut played.out);
-        pauses.push(played.session.next_tick_due() - played.now);
-        played.now = played.session.next_tick_due();
-        played.session.tick(played.now, &mut played.out);
+            .connection_failed(harness.now, &mut harness.out);
+        pauses.push(harness.session.next_tick_due() - harness.now);
+        harness.now = harness.session.next_tick_due();
+        harness.session.tick(harness.now, &mut harness.out);
     }
     assert!(pauses[0] <= ms(75) && pauses[6] >= ms(1_600), "{pauses:?}");
     assert!(pauses.iter().all(|pause| *pause <= ms(7_500)), "{pauses:?}");
@@ -300,46 +296,48 @@
     );
 }
 
-#[test_case(&[0x7f, 0xff, 0xff, 0xff]; "a frame beyond the longest")]
+#[test_case(&[0x7f, 0xff, 0xff, 0xff]; "a frame beyond the bound")]
 #[test_case(&[0, 0, 0, 2, 1, 2]; "a record cut short")]
 #[test_case(&[0, 0, 0, 20, 255, 255, 255, 255, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 99]; "an unknown event")]
-fn what_cannot_be_read_ends_the_connection_and_not_the_session(bytes: &[u8]) {
-    let mut played = Played::new(1);
-    played.took();
-    played.up();
-    played.session.receive(played.now, bytes, &mut played.out);
-    let took = played.took();
+fn undecodable_bytes_end_the_connection_and_not_the_session(bytes: &[u8]) {
+    let mut harness = SessionHarness::new(1);
+    harness.take_effects();
+    harness.establish();
+    harness
+        .session
+        .receive(harness.now, bytes, &mut harness.out);
+    let take_effects = harness.take_effects();
     assert!(
         matches!(
-            took[..],
+            take_effects[..],
             [
                 ClientSessionEffect::ProtocolError(_),
                 ClientSessionEffect::ConnectionLost,
                 ClientSessionEffect::CloseConnection
             ]
         ),
-        "{took:?}"
+        "{take_effects:?}"
     );
-    played.wait(ClientSessionState::Connecting);
-    assert_eq!(played.greet(5, 3_000).session_id, 5);
+    harness.wait_for(ClientSessionState::Connecting);
+    assert_eq!(harness.handshake(5, 3_000).session_id, 5);
 }
 
 #[test]
-fn closing_says_so_and_is_the_end() {
-    let mut played = Played::new(1);
-    played.took();
-    played.up();
-    played.session.close(played.now, &mut played.out);
-    let took = played.took();
+fn a_close_is_sent_and_ends_the_session() {
+    let mut harness = SessionHarness::new(1);
+    harness.take_effects();
+    harness.establish();
+    harness.session.close(harness.now, &mut harness.out);
+    let take_effects = harness.take_effects();
     assert!(
-        matches!(&took[..], [ClientSessionEffect::Send(bytes), ClientSessionEffect::CloseConnection] if bytes[8..] == [255, 255, 255, 245])
+        matches!(&take_effects[..], [ClientSessionEffect::Send(bytes), ClientSessionEffect::CloseConnection] if bytes[8..] == [255, 255, 255, 245])
     );
-    played
+    harness
         .session
-        .connection_failed(played.now, &mut played.out);
-    played.session.tick(ms(60_000), &mut played.out);
+        .connection_failed(harness.now, &mut harness.out);
+    harness.session.tick(ms(60_000), &mut harness.out);
     assert_eq!(
-        (played.took(), played.session.next_tick_due()),
+        (harness.take_effects(), harness.session.next_tick_due()),
         (vec![], Duration::MAX)
     );
 }
