--- a/crates/proxy/tests/endpoints.rs
+++ b/crates/proxy/tests/endpoints.rs
@@ -6,6 +6,13 @@
 use support::{OPEN_LINE, ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, list_line};
 use test_case::test_case;
 
+/// Opens and ends four sessions, each of which has to be dialled at one server.
+fn open_four_sessions_at(proxy: &ProxyHarness, server: usize) {
+    for _ in 0..4 {
+        proxy.open_session_at(&[server]);
+    }
+}
+
 #[test]
 fn endpoint_lists_are_applied_as_they_come_and_bad_ones_as_far_as_they_can_be_read() {
     let proxy = ProxyHarness::new(2);
@@ -18,8 +25,7 @@
         ))
         .unwrap();
     std::thread::sleep(Duration::from_millis(100));
-    let open_at = |server: usize| drop(proxy.open_session_at(&[server]));
-    (0..4).for_each(|_| open_at(1));
+    open_four_sessions_at(&proxy, 1);
     // What can be read of a bad list is applied, and the list is asked for again.
     let bad = [
         endpoint_json(0, proxy.server_address(0), "ready"),
@@ -29,7 +35,7 @@
     proxy.watch.send(list_line(10, true, &bad)).unwrap();
     let (request, watch) = proxy.watches.recv_timeout(TIMEOUT).expect("another watch");
     assert!(request.contains("stream=1&index=9 "), "{request}");
-    (0..4).for_each(|_| open_at(0));
+    open_four_sessions_at(&proxy, 0);
     watch
         .send(list_line(
             10,
@@ -41,11 +47,11 @@
         ))
         .unwrap();
     std::thread::sleep(Duration::from_millis(100));
-    (0..4).for_each(|_| open_at(1));
+    open_four_sessions_at(&proxy, 1);
     watch.send("{\"rev\":11,\"targets\":[{\n".into()).unwrap();
     let (request, watch) = proxy.watches.recv_timeout(TIMEOUT).expect("another watch");
     assert!(request.contains("stream=1&index=10 "), "{request}");
-    (0..4).for_each(|_| open_at(1));
+    open_four_sessions_at(&proxy, 1);
     // The same uid at another endpoint.
     watch
         .send(list_line(
@@ -55,7 +61,7 @@
         ))
         .unwrap();
     std::thread::sleep(Duration::from_millis(100));
-    (0..4).for_each(|_| open_at(0));
+    open_four_sessions_at(&proxy, 0);
 }
 
 #[test]
--- a/crates/proxy/tests/sessions.rs
+++ b/crates/proxy/tests/sessions.rs
@@ -50,6 +50,12 @@
     assert_eq!(again.read_line(), "UP r");
 }
 
+/// The wait in a request, in milliseconds.
+fn wait_ms(line: &str) -> u64 {
+    let (_, value) = line.split_once("d=").unwrap();
+    value.split(',').next().unwrap().parse().unwrap()
+}
+
 // What servers answer to each dial, what the client receives and how many dials there are.
 #[test_case("feed", &["UP r9\r\n"], "UP r9", 1; "up")]
 #[test_case("feed", &["BUSY\r\n", "UP r9\r\n"], "UP r9", 2; "full, then up")]
@@ -72,15 +78,7 @@
     let mut open = Vec::new();
     for answer in answers {
         let (mut server, line) = proxy.accept_at(0);
-        let wait: u64 = line
-            .split("d=")
-            .nth(1)
-            .unwrap()
-            .split(',')
-            .next()
-            .unwrap()
-            .parse()
-            .unwrap();
+        let wait = wait_ms(&line);
         let unchanged = OPEN_LINE
             .trim_end()
             .replace("feed", listener)
