--- a/crates/model-checker/tests/injected_faults.rs
+++ b/crates/model-checker/tests/injected_faults.rs
@@ -15,7 +15,7 @@
 #[test]
 fn an_injected_fault_is_found_and_its_trace_replays() {
     use asterramp_proxy::injected_fault::{InjectedFault, inject};
-    inject(Some(InjectedFault::TimeOutProvesNothing));
+    inject(Some(InjectedFault::TimeoutReportedAsNeverRun));
     let shape = Shape::find("once-only").unwrap();
     let explored = explore(shape, Limits::default());
     let trace = Trace::of(shape, None, explored.found.as_ref().expect("it is found"));
@@ -51,7 +51,7 @@
     use asterramp_model_checker::zone_failover::{RETURNED, explore};
     use asterramp_zone_failover::InjectedFault;
     all_found(&InjectedFault::ALL, |injected_fault| {
-        let late = matches!(injected_fault, InjectedFault::HeldForgotten);
+        let late = matches!(injected_fault, InjectedFault::HoldDownSkipped);
         explore(if late { RETURNED } else { &[] }, 7, Some(injected_fault)).found
     });
 }
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -2,8 +2,8 @@
 //! read holds back only its own answers.
 
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
-use crate::transport::poll::Want;
-use crate::transport::{Key, socket};
+use crate::transport::poller::Interest;
+use crate::transport::{SlotKey, socket};
 use asterramp_admin_protocol::{
     AdminCommand, AdminReply, AdminRequest, AdmissionStatus, LONGEST, ProxyStatus, WarmStartStatus,
     ZoneStatus,
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct AdminSocket {
     path: PathBuf,
-    door: Key,
+    door: SlotKey,
     peers: usize,
     most: usize,
     /// Within how long a drain empties the proxy where nobody says.
@@ -44,7 +44,7 @@
         let door = self.register(
             door,
             ConnectionRole::AdminSocketListener,
-            Want {
+            Interest {
                 read: true,
                 write: false,
             },
@@ -93,7 +93,7 @@
                 }
             };
             // Dropped, it closes.
-            if full || !socket::is_own_user(&fd) {
+            if full || !socket::peer_is_same_user(&fd) {
                 let why = if full {
                     "too many peers"
                 } else {
@@ -105,7 +105,7 @@
             if let Some(key) = self.register(
                 fd,
                 ConnectionRole::AdminSocket,
-                Want {
+                Interest {
                     read: true,
                     write: false,
                 },
@@ -119,7 +119,7 @@
         }
     }
 
-    pub(super) fn admin_socket_ready(&mut self, key: Key) {
+    pub(super) fn admin_socket_ready(&mut self, key: SlotKey) {
         loop {
             let Some(conn) = self.connections.get_mut(key) else {
                 return;
@@ -128,10 +128,10 @@
                 return self.close_admin_connection(key);
             }
             // The next question is looked at once the last one's answer is written.
-            if !conn.stream.sent() {
+            if !conn.stream.is_flushed() {
                 return self.set_interest(
                     key,
-                    Want {
+                    Interest {
                         read: false,
                         write: true,
                     },
@@ -166,7 +166,7 @@
         }
     }
 
-    pub(super) fn close_admin_connection(&mut self, key: Key) {
+    pub(super) fn close_admin_connection(&mut self, key: SlotKey) {
         self.close(key);
         self.admin_socket
             .iter_mut()
@@ -232,7 +232,7 @@
             return Vec::new();
         };
         let mut told: Vec<ZoneStatus> = Vec::new();
-        for (name, place) in self.settings.zones.iter().zip(places.sites.places()) {
+        for (name, place) in self.settings.zones.iter().zip(places.failover.zones()) {
             told.push(ZoneStatus {
                 name: name.clone(),
                 state: place.state.name().into(),
@@ -241,11 +241,11 @@
                     .now
                     .saturating_sub(place.since.max(self.started_at))
                     .as_millis() as u64,
-                doubts: place.doubts,
+                doubts: place.dropped_suspicions,
                 false_alarms: place.false_alarms,
             });
         }
-        told.sort_by_key(|place| place.state == asterramp_zone_failover::ZoneState::Whole.name());
+        told.sort_by_key(|place| place.state == asterramp_zone_failover::ZoneState::Healthy.name());
         told.truncate(16);
         told
     }
@@ -277,12 +277,12 @@
 
     /// Who was refused for want of room, and what is known of what sessions take; of many listeners the first.
     fn refusals_told(&self) -> Vec<AdmissionStatus> {
-        let taken = self.admission.taken(self.now);
+        let taken = self.admission.session_costs(self.now);
         let all = self
             .settings
             .listeners
             .iter()
-            .zip(self.admission.counts())
+            .zip(self.admission.rejection_counts())
             .zip(taken);
         let told = all.map(|((name, counts), taken)| AdmissionStatus {
             listener: name.clone(),
@@ -292,7 +292,7 @@
                 .filter(|(_, n)| **n > 0)
                 .map(|(why, n)| (why.name().into(), *n))
                 .collect(),
-            takes: taken.map(|t| (t.mean, t.off, t.age.as_millis() as u64)),
+            takes: taken.map(|t| (t.mean, t.mean_deviation, t.age.as_millis() as u64)),
         });
         told.filter(|room| !room.refused.is_empty() || room.takes.is_some())
             .take(16)
@@ -331,13 +331,13 @@
             left,
             hosts_ready: self
                 .endpoints
-                .hosts()
-                .filter(|host| host.standing == EndpointState::Ready)
+                .known_endpoints()
+                .filter(|host| host.state == EndpointState::Ready)
                 .count(),
             hosts: self
                 .endpoints
-                .hosts()
-                .filter(|host| host.standing != EndpointState::Gone)
+                .known_endpoints()
+                .filter(|host| host.state != EndpointState::Gone)
                 .count(),
             discovery_ms: self
                 .discovery_watch
--- a/crates/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -5,9 +5,9 @@
 use super::session_state::{SessionInput, SessionState};
 use super::types::{ConnectionRole, TimerKey, WRITE_ONLY};
 use crate::protocol::line;
-use crate::protocol::server::{Said, load, said};
-use crate::transport::poll::Ready;
-use crate::transport::{Key, socket};
+use crate::protocol::server::{ServerLine, load_from_report, parse_server_line};
+use crate::transport::poller::ReadyEvent;
+use crate::transport::{SlotKey, socket};
 use asterramp_placement::event::{Load, Outcome, ServerId};
 use asterramp_placement::settings::LoadReportFormat;
 use rustix::io::Errno;
@@ -21,7 +21,7 @@
 
 impl Router {
     /// Begins a dial's connection.
-    pub(super) fn dial(&mut self, session: Key, server: ServerId) {
+    pub(super) fn dial(&mut self, session: SlotKey, server: ServerId) {
         if self.client_has_gone(session) {
             return;
         }
@@ -54,7 +54,7 @@
 
     /// Looks at a session's client once more, right before something is sent for it: its end may have come behind
     /// other events of this turn, or with what was read before. For one that has gone nothing is begun.
-    fn client_has_gone(&mut self, session: Key) -> bool {
+    fn client_has_gone(&mut self, session: SlotKey) -> bool {
         let client = self
             .session_table
             .sessions
@@ -64,7 +64,7 @@
             return false;
         };
         let stream = &mut connection.stream;
-        stream.fill(false);
+        stream.read_once(false);
         let input = if !stream.inbound.is_empty() {
             SessionInput::ClientSpoke
         } else if stream.ended.is_some() {
@@ -76,7 +76,7 @@
     }
 
     /// Dials the server that held a session before this proxy started.
-    pub(super) fn restore(&mut self, session: Key) {
+    pub(super) fn restore(&mut self, session: SlotKey) {
         let Some(slot) = self.session_table.sessions.get(session) else {
             return;
         };
@@ -100,7 +100,7 @@
     }
 
     /// Something happened on the connection of a session's server.
-    pub(super) fn server_ready(&mut self, session: Key, event: Ready) {
+    pub(super) fn server_ready(&mut self, session: SlotKey, event: ReadyEvent) {
         let Some(machine) = self.session_machine(session) else {
             return;
         };
@@ -111,16 +111,16 @@
         };
         match state {
             SessionState::Open => {
-                connection.stream.fill(event.broken);
+                connection.stream.read_once(event.failed);
                 self.forward(session);
             }
-            SessionState::Connecting if !(event.write || event.broken) => {}
-            SessionState::Connecting if !connection.stream.is_up() => {
+            SessionState::Connecting if !(event.writable || event.failed) => {}
+            SessionState::Connecting if !connection.stream.is_connected() => {
                 self.input(session, SessionInput::Unreachable { dial });
             }
             SessionState::Connecting => self.input(session, SessionInput::Connected { dial }),
             _ => {
-                connection.stream.fill(event.broken);
+                connection.stream.read_once(event.failed);
                 self.continue_dial(session, event.key);
             }
         }
@@ -128,7 +128,7 @@
 
     /// Writes the client's request line; `wait` is how long this dial may still take, and stands in place of the
     /// client's own.
-    pub(super) fn send_request_line(&mut self, session: Key, wait: Option<Duration>) {
+    pub(super) fn send_request_line(&mut self, session: SlotKey, wait: Option<Duration>) {
         if self.client_has_gone(session) {
             return;
         }
@@ -155,14 +155,14 @@
     }
 
     /// Sees whether the request is written to its last byte, and what the server has answered since.
-    fn continue_dial(&mut self, session: Key, key: Key) {
+    fn continue_dial(&mut self, session: SlotKey, key: SlotKey) {
         let (Some(connection), Some(machine)) =
             (self.connections.get(key), self.session_machine(session))
         else {
             return;
         };
         let has_ended = connection.stream.ended.is_some();
-        let is_written = connection.stream.sent();
+        let is_written = connection.stream.is_flushed();
         let dial = machine.dial();
         if is_written && machine.state == SessionState::SendingRequest {
             self.metrics.count_attempt();
@@ -171,7 +171,7 @@
         let Some(connection) = self.connections.get(key) else {
             return;
         };
-        let answer = match line::first(connection.stream.inbound.bytes()) {
+        let answer = match line::first_line(connection.stream.inbound.bytes()) {
             Ok(Some((text, _))) if is_written => {
                 read_answer(dial, text, &self.settings.load_reports)
             }
@@ -190,7 +190,7 @@
     }
 
     /// A session's deadline has passed.
-    pub(super) fn session_deadline(&mut self, session: Key) {
+    pub(super) fn session_deadline(&mut self, session: SlotKey) {
         match self.session_machine(session).map(|machine| machine.state) {
             Some(SessionState::Open) => self.open_session_deadline(session),
             Some(_) => self.input(session, SessionInput::DeadlineReached),
@@ -205,13 +205,19 @@
     text: &str,
     reports: &LoadReportFormat,
 ) -> Result<SessionInput, MalformedAnswer> {
-    match said(text) {
-        Said::Up => Ok(SessionInput::ServerAccepted { dial }),
-        Said::Full(report) => Ok(declined(dial, Outcome::Full, load(reports, report))),
-        Said::Erred(report) | Said::Bye(report) => {
-            Ok(declined(dial, Outcome::Erred, load(reports, report)))
-        }
-        Said::Move => Ok(declined(dial, Outcome::CalledOff, Load::default())),
+    match parse_server_line(text) {
+        ServerLine::Up => Ok(SessionInput::ServerAccepted { dial }),
+        ServerLine::Busy(report) => Ok(declined(
+            dial,
+            Outcome::Full,
+            load_from_report(reports, report),
+        )),
+        ServerLine::Error(report) | ServerLine::Bye(report) => Ok(declined(
+            dial,
+            Outcome::Erred,
+            load_from_report(reports, report),
+        )),
+        ServerLine::Move => Ok(declined(dial, Outcome::CalledOff, Load::default())),
         _ => {
             let start: String = text.chars().take(LOGGED_ANSWER_CHARS).collect();
             Err(MalformedAnswer(format!("{start:?}")))
--- a/crates/proxy/src/routing/event_loop.rs
+++ b/crates/proxy/src/routing/event_loop.rs
@@ -1,12 +1,13 @@
 //! The event loop: waits for sockets and deadlines, and hands each to what it is for.
 
 use super::connections::MAX_DISCARD_AT_CLOSE;
+use super::peers::PeerError;
 use super::report::ReasonCode;
 use super::types::{ConnectionRole, READ_ONLY, TimerKey};
 use super::{LISTENER_DELAY, Router};
-use crate::protocol::client::FAILED;
-use crate::transport::Key;
-use crate::transport::poll::Ready;
+use crate::protocol::client::ERROR_LINE;
+use crate::transport::SlotKey;
+use crate::transport::poller::ReadyEvent;
 use asterramp_placement::Event;
 use asterramp_placement::event::Outcome;
 use rustix::fd::OwnedFd;
@@ -22,7 +23,7 @@
     pub fn wait(&mut self, now: Duration) -> io::Result<()> {
         let timeout = self
             .deadlines
-            .next()
+            .next_due()
             .map_or(LISTENER_DELAY, |at| at.saturating_sub(now));
         Ok(self.poll.wait(timeout, &mut self.ready)?)
     }
@@ -40,7 +41,7 @@
             self.run_tasks();
         }
         self.ready = ready;
-        while let Some(due) = self.deadlines.pop(now) {
+        while let Some(due) = self.deadlines.pop_due(now) {
             self.deadline_reached(due);
             self.run_tasks();
         }
@@ -62,7 +63,7 @@
         self.done
     }
 
-    fn is_admin_http(&self, key: Key) -> bool {
+    fn is_admin_http(&self, key: SlotKey) -> bool {
         let role = self.connections.get(key).map(|connection| connection.role);
         matches!(
             role,
@@ -70,7 +71,7 @@
         )
     }
 
-    pub(super) fn connection_ready(&mut self, event: Ready) {
+    pub(super) fn connection_ready(&mut self, event: ReadyEvent) {
         // An event of the wake-up in which the connection was offered to another process: what came is read by one
         // process alone.
         if self.is_on_offer(event.key) {
@@ -85,10 +86,12 @@
             ConnectionRole::HotRestartListener => return self.accept_successor(),
             ConnectionRole::HotRestart => return self.hot_restart_ready(event.key),
             ConnectionRole::AdminHttpListener => return self.accept_admin_http(),
-            ConnectionRole::SignalPipe => return connection.stream.discard(MAX_DISCARD_AT_CLOSE),
+            ConnectionRole::SignalPipe => {
+                return connection.stream.discard_input(MAX_DISCARD_AT_CLOSE);
+            }
             _ => {}
         }
-        if event.write {
+        if event.writable {
             connection.stream.flush();
         }
         match connection.role {
@@ -97,14 +100,14 @@
             ConnectionRole::DiscoveryWatch => self.watch_ready(event),
             ConnectionRole::Peer => self.peer_ready(event),
             role => {
-                connection.stream.fill(event.broken);
+                connection.stream.read_once(event.failed);
                 self.caller_ready(event.key, role);
             }
         }
     }
 
     /// Something came on a connection that another side has opened.
-    fn caller_ready(&mut self, key: Key, role: ConnectionRole) {
+    fn caller_ready(&mut self, key: SlotKey, role: ConnectionRole) {
         match role {
             ConnectionRole::Client(session) => self.client_ready(session),
             ConnectionRole::PendingClient => self.read_greeting(key),
@@ -132,24 +135,24 @@
         }
     }
 
-    fn connection_deadline(&mut self, key: Key) {
+    fn connection_deadline(&mut self, key: SlotKey) {
         match self.connections.get(key).map(|connection| connection.role) {
-            Some(ConnectionRole::Probe(server, _)) => self.finish_probe(server, Outcome::TimedOut),
+            Some(ConnectionRole::Probe(server, _)) => self.fail_probe(server, Outcome::TimedOut),
             Some(ConnectionRole::PendingClient) => self.greeting_deadline(key),
             Some(ConnectionRole::AdminSocket) => self.close_admin_connection(key),
             Some(ConnectionRole::HotRestart) => self.hot_restart_deadline(),
-            Some(ConnectionRole::Peer) => self.peer_closed(key, "it does not answer in time"),
+            Some(ConnectionRole::Peer) => self.fail_peer_query(key, &PeerError::TimedOut),
             Some(ConnectionRole::AdminHttp { answered }) => self.admin_http_deadline(key, answered),
             _ => drop(self.close(key)),
         }
     }
 
     /// A pending client has had its time; what it wants may have come this moment.
-    fn greeting_deadline(&mut self, key: Key) {
-        self.connection_ready(Ready {
+    fn greeting_deadline(&mut self, key: SlotKey) {
+        self.connection_ready(ReadyEvent {
             key,
-            write: false,
-            broken: false,
+            writable: false,
+            failed: false,
         });
         self.run_tasks();
         if self
@@ -158,7 +161,7 @@
             .is_some_and(|connection| connection.role == ConnectionRole::PendingClient)
         {
             self.log_event(ReasonCode::ClientSilent, "client");
-            self.close_gracefully(key, &[FAILED]);
+            self.close_gracefully(key, &[ERROR_LINE]);
         }
     }
 }
--- a/crates/proxy/src/routing/forwarding.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -4,11 +4,11 @@
 use super::report::ReasonCode;
 use super::session_state::{SessionInput, SessionState};
 use super::types::{Connection, TimerKey};
-use crate::protocol::client::{FAILED, MOVE};
-use crate::protocol::line::{self, Fault};
-use crate::protocol::server::{Said, load, said};
-use crate::transport::poll::Want;
-use crate::transport::{Buffer, End, Key};
+use crate::protocol::client::{ERROR_LINE, MOVE_LINE};
+use crate::protocol::line::{self, LineError};
+use crate::protocol::server::{ServerLine, load_from_report, parse_server_line};
+use crate::transport::poller::Interest;
+use crate::transport::{ReadBuffer, SlotKey, StreamEnd};
 use asterramp_placement::Event;
 use asterramp_placement::event::{Load, Observation, Outcome};
 use std::time::Duration;
@@ -21,7 +21,7 @@
 const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A complete line always fits beside one that waits.
-const _: () = assert!(Buffer::LIMIT >= 2 * line::LONGEST);
+const _: () = assert!(ReadBuffer::CAPACITY >= 2 * line::MAX_LINE_LENGTH);
 
 /// How long a line may wait for an answer until its server counts as quiet: as long as a probe has to connect and be
 /// answered.
@@ -85,7 +85,7 @@
 
 impl Router {
     /// Forwards what can be forwarded, both ways, and any end.
-    pub(super) fn forward(&mut self, session: Key) {
+    pub(super) fn forward(&mut self, session: SlotKey) {
         let Some(slot) = self.session_table.sessions.get(session) else {
             return;
         };
@@ -99,13 +99,13 @@
         if let Err(fault) = self.read_server_lines(session, server) {
             let code = ReasonCode::ServerProtocolError;
             self.log_event(code, format!("server line={fault:?}"));
-            return self.end_session(session, SessionClose::text(code, Outcome::Reset, MOVE));
+            return self.end_session(session, SessionClose::text(code, Outcome::Reset, MOVE_LINE));
         }
         if let Err(fault) = self.read_client_lines(session, client) {
             let code = ReasonCode::ClientProtocolError;
             self.log_event(code, format!("client line={fault:?}"));
             self.input(session, SessionInput::ClientLeft);
-            return self.end_session(session, SessionClose::text(code, Outcome::Ok, FAILED));
+            return self.end_session(session, SessionClose::text(code, Outcome::Ok, ERROR_LINE));
         }
         self.forward_lines(server, client);
         self.forward_lines(client, server);
@@ -116,7 +116,7 @@
     }
 
     /// Checks the complete lines that a server sent, and takes note of what they say to the proxy.
-    fn read_server_lines(&mut self, session: Key, server: Key) -> Result<(), Fault> {
+    fn read_server_lines(&mut self, session: SlotKey, server: SlotKey) -> Result<(), LineError> {
         let (Some(connection), Some(slot)) = (
             self.connections.get_mut(server),
             self.session_table.sessions.get_mut(session),
@@ -130,22 +130,24 @@
         let mut last_work = None;
         let mut has_answered = false;
         while let Some((text, line_len)) =
-            line::first(&connection.stream.inbound.bytes()[connection.complete_len..])?
+            line::first_line(&connection.stream.inbound.bytes()[connection.complete_len..])?
         {
             connection.complete_len += line_len;
-            match said(text) {
-                Said::Work(work) => last_work = Some(work),
-                Said::Bye(report) => {
-                    let load = load(&self.settings.load_reports, report);
+            match parse_server_line(text) {
+                ServerLine::Load(work) => last_work = Some(work),
+                ServerLine::Bye(report) => {
+                    let load = load_from_report(&self.settings.load_reports, report);
                     data.announced_end = Some((Outcome::Ok, load));
                 }
-                Said::Move => data.announced_end = Some((Outcome::CalledOff, Load::default())),
+                ServerLine::Move => {
+                    data.announced_end = Some((Outcome::CalledOff, Load::default()))
+                }
                 _ => {}
             }
             data.awaiting_response = false;
             has_answered = true;
             if data.announced_end.is_some() {
-                connection.stream.ended = connection.stream.ended.or(Some(End::Fin));
+                connection.stream.ended = connection.stream.ended.or(Some(StreamEnd::Fin));
                 break;
             }
         }
@@ -157,7 +159,7 @@
                 .note_server_activity(self.now, session, true);
         }
         if let Some(work) = last_work {
-            self.admission.takes(self.now, listener, work);
+            self.admission.record_session_cost(self.now, listener, work);
             self.event(Event::Observed {
                 session: session.slot,
                 server: server_id,
@@ -168,7 +170,7 @@
     }
 
     /// Checks the complete lines that a client sent, and waits for an answer to the first.
-    fn read_client_lines(&mut self, session: Key, client: Key) -> Result<(), Fault> {
+    fn read_client_lines(&mut self, session: SlotKey, client: SlotKey) -> Result<(), LineError> {
         let (Some(connection), Some(slot)) = (
             self.connections.get_mut(client),
             self.session_table.sessions.get_mut(session),
@@ -179,7 +181,7 @@
         let client_left = slot.machine.client_left;
         let quiet_at = self.now + quiet_timeout(self.settings.connect_timeout);
         while let Some((_, line_len)) =
-            line::first(&connection.stream.inbound.bytes()[connection.complete_len..])?
+            line::first_line(&connection.stream.inbound.bytes()[connection.complete_len..])?
         {
             connection.complete_len += line_len;
             if !data.awaiting_response && !client_left {
@@ -193,13 +195,13 @@
 
     /// Writes complete lines of one side to the other, as far as it takes them; the rest stays where it is, and
     /// no more is read than there is space for.
-    fn forward_lines(&mut self, from: Key, to: Key) {
+    fn forward_lines(&mut self, from: SlotKey, to: SlotKey) {
         let (Some(source), Some(sink)) = (self.connections.get(from), self.connections.get(to))
         else {
             return;
         };
         let bytes = &source.stream.inbound.bytes()[..source.complete_len];
-        match sink.stream.pass(bytes) {
+        match sink.stream.forward(bytes) {
             Ok(0) => {}
             Ok(written) => {
                 if let Some(source) = self.connections.get_mut(from) {
@@ -217,7 +219,7 @@
     }
 
     /// Ends a session of which a side has ended. Whether it has.
-    fn forward_end(&mut self, session: Key, client: Key, server: Key) -> bool {
+    fn forward_end(&mut self, session: SlotKey, client: SlotKey, server: SlotKey) -> bool {
         let (Some(slot), Some(client), Some(server)) = (
             self.session_table.sessions.get(session),
             self.connections.get(client),
@@ -228,20 +230,22 @@
         let client_left = slot.machine.client_left;
         let announced = slot.driver_data.announced_end.map(|(outcome, _)| outcome);
         let close = match (client.stream.ended, server.stream.ended) {
-            (Some(_), Some(_)) | (Some(End::Reset), _) if client_left => {
+            (Some(_), Some(_)) | (Some(StreamEnd::Reset), _) if client_left => {
                 SessionClose::fin(ReasonCode::ClientLeft, Outcome::Ok)
             }
-            (Some(End::Reset), _) => {
+            (Some(StreamEnd::Reset), _) => {
                 self.input(session, SessionInput::ClientLeft);
                 SessionClose::reset(ReasonCode::ClientReset, Outcome::Ok)
             }
-            (_, Some(End::Reset)) => SessionClose::reset(ReasonCode::ServerReset, Outcome::Reset),
-            (_, Some(End::Fin)) => match announced {
+            (_, Some(StreamEnd::Reset)) => {
+                SessionClose::reset(ReasonCode::ServerReset, Outcome::Reset)
+            }
+            (_, Some(StreamEnd::Fin)) => match announced {
                 Some(Outcome::Ok) => SessionClose::fin(ReasonCode::ServerFinished, Outcome::Ok),
                 Some(_) => SessionClose::fin(ReasonCode::ServerMigrated, Outcome::CalledOff),
                 None => SessionClose::fin(ReasonCode::ServerClosed, Outcome::Reset),
             },
-            (Some(End::Fin), None) if !client_left => {
+            (Some(StreamEnd::Fin), None) if !client_left => {
                 self.input(session, SessionInput::ClientLeft);
                 self.deadlines
                     .set(TimerKey::Session(session), self.now + SERVER_CLOSE_TIMEOUT);
@@ -254,7 +258,7 @@
     }
 
     /// Watches both sides for what can be forwarded next; a client's end is passed on once its lines are.
-    fn watch_both_sides(&mut self, session: Key, client_key: Key, server_key: Key) {
+    fn watch_both_sides(&mut self, session: SlotKey, client_key: SlotKey, server_key: SlotKey) {
         let (Some(client), Some(server)) = (
             self.connections.get(client_key),
             self.connections.get(server_key),
@@ -265,7 +269,7 @@
             .session_machine(session)
             .is_some_and(|machine| machine.client_left);
         if client_left && client.complete_len == 0 {
-            server.stream.end_sending();
+            server.stream.shutdown_write();
         }
         let for_client = forwarding_interest(client, server);
         let for_server = forwarding_interest(server, client);
@@ -274,7 +278,7 @@
     }
 
     /// Asks the client of an open session to come again, unless another process may have it.
-    pub(super) fn migrate(&mut self, session: Key, code: ReasonCode) {
+    pub(super) fn migrate(&mut self, session: SlotKey, code: ReasonCode) {
         let outcome = if code == ReasonCode::ServerSilent {
             Outcome::Reset
         } else {
@@ -284,12 +288,12 @@
             .session_machine(session)
             .is_some_and(|machine| machine.state == SessionState::Open);
         if is_open && !self.is_offered(session) {
-            self.end_session(session, SessionClose::text(code, outcome, MOVE));
+            self.end_session(session, SessionClose::text(code, outcome, MOVE_LINE));
         }
     }
 
     /// One side of an open session has kept the other waiting too long.
-    pub(super) fn open_session_deadline(&mut self, session: Key) {
+    pub(super) fn open_session_deadline(&mut self, session: SlotKey) {
         let Some(slot) = self.session_table.sessions.get(session) else {
             return;
         };
@@ -320,7 +324,7 @@
         }
     }
 
-    fn mark_server_quiet(&mut self, session: Key) {
+    fn mark_server_quiet(&mut self, session: SlotKey) {
         let migrate_at = self.now + time_from_quiet_to_migration(self.settings.connect_timeout);
         self.deadlines.set(TimerKey::Session(session), migrate_at);
         if let Some(data) = self.session_mut(session) {
@@ -331,7 +335,7 @@
     }
 
     /// Closes both sides of an open session and gives its state machine the end.
-    fn end_session(&mut self, session: Key, close: SessionClose) {
+    fn end_session(&mut self, session: SlotKey, close: SessionClose) {
         self.log_session_end(session, close.code);
         let Some(data) = self.session_mut(session) else {
             return;
@@ -348,7 +352,7 @@
         self.input(session, SessionInput::SessionClosed { outcome, load });
     }
 
-    fn close_side(&mut self, key: Option<Key>, close: CloseWith, lines: &[u8]) {
+    fn close_side(&mut self, key: Option<SlotKey>, close: CloseWith, lines: &[u8]) {
         let Some(key) = key else {
             return;
         };
@@ -364,7 +368,7 @@
     }
 
     /// Complete lines that came from one side and are not forwarded yet.
-    fn complete_lines(&self, from: Option<Key>) -> Vec<u8> {
+    fn complete_lines(&self, from: Option<SlotKey>) -> Vec<u8> {
         from.and_then(|key| self.connections.get(key))
             .map(|connection| connection.stream.inbound.bytes()[..connection.complete_len].to_vec())
             .unwrap_or_default()
@@ -372,9 +376,9 @@
 }
 
 /// What one side is watched for, given the other.
-fn forwarding_interest(side: &Connection, other: &Connection) -> Want {
-    Want {
-        read: side.stream.may_read(),
-        write: !side.stream.sent() || other.complete_len > 0,
+fn forwarding_interest(side: &Connection, other: &Connection) -> Interest {
+    Interest {
+        read: side.stream.can_read(),
+        write: !side.stream.is_flushed() || other.complete_len > 0,
     }
 }
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -4,8 +4,8 @@
 use super::report::ReasonCode;
 use super::session_state::{SessionInput, SessionState};
 use super::types::{ConnectionRole, TimerKey};
-use crate::protocol::client::FAILED;
-use crate::transport::Key;
+use crate::protocol::client::ERROR_LINE;
+use crate::transport::SlotKey;
 use asterramp_drain::{DrainError, DrainExit, DrainSettings, DrainState, DrainView, STEP};
 use asterramp_placement::deployment::RetrySafety;
 use asterramp_placement::event::{EndpointState, Load};
@@ -130,16 +130,16 @@
         self.log_event(ReasonCode::DrainStateChanged, about);
     }
 
-    fn open_sessions(&self) -> Vec<Key> {
+    fn open_sessions(&self) -> Vec<SlotKey> {
         self.sessions_with_client(|state| state == SessionState::Open)
     }
 
-    fn pending_sessions(&self) -> Vec<Key> {
+    fn pending_sessions(&self) -> Vec<SlotKey> {
         self.sessions_with_client(|state| state != SessionState::Open)
     }
 
     /// The sessions in a state whose client is there and that are not offered to another process.
-    fn sessions_with_client(&self, is_wanted: impl Fn(SessionState) -> bool) -> Vec<Key> {
+    fn sessions_with_client(&self, is_wanted: impl Fn(SessionState) -> bool) -> Vec<SlotKey> {
         self.session_table
             .sessions
             .iter()
@@ -191,9 +191,9 @@
             started.is_none_or(|at| self.now.saturating_sub(at) >= warm_after)
         };
         self.endpoints
-            .hosts()
-            .filter(|host| host.standing == EndpointState::Ready && is_warm(host.started))
-            .filter(|host| self.now.saturating_sub(host.told) <= LOAD_REPORT_MAX_AGE)
+            .known_endpoints()
+            .filter(|host| host.state == EndpointState::Ready && is_warm(host.started_at))
+            .filter(|host| self.now.saturating_sub(host.reported_at) <= LOAD_REPORT_MAX_AGE)
             .filter_map(|host| ReportedLoad::of(host.load))
             .collect()
     }
@@ -254,7 +254,7 @@
 
     /// Fails every client that has not said yet what it wants.
     fn answer_pending_clients(&mut self) {
-        let pending: Vec<Key> = self
+        let pending: Vec<SlotKey> = self
             .connections
             .iter()
             .filter(|(_, connection)| connection.role == ConnectionRole::PendingClient)
@@ -262,7 +262,7 @@
             .filter(|key| !self.is_on_offer(*key))
             .collect();
         for key in pending {
-            self.close_gracefully(key, &[FAILED]);
+            self.close_gracefully(key, &[ERROR_LINE]);
         }
     }
 
@@ -279,7 +279,7 @@
     /// Closes what is left as the process ends: the router's own texts go out as far as their sockets take them, and
     /// nothing is closed over what nobody read.
     pub fn close_all(&mut self) {
-        let keys: Vec<Key> = self.connections.iter().map(|(key, _)| key).collect();
+        let keys: Vec<SlotKey> = self.connections.iter().map(|(key, _)| key).collect();
         for key in keys {
             if let Some(connection) = self.connections.get_mut(key) {
                 connection.stream.flush();
@@ -289,7 +289,7 @@
     }
 
     /// How much harm it may do to run a session's request again, from 0.
-    fn retry_risk(&self, session: Key) -> u8 {
+    fn retry_risk(&self, session: SlotKey) -> u8 {
         let retry_safety = self
             .session_machine(session)
             .and_then(|machine| {
--- a/crates/proxy/src/routing/metrics.rs
+++ b/crates/proxy/src/routing/metrics.rs
@@ -101,7 +101,10 @@
             "svc_place_state{{place=\"{label}\",state=\"{}\"}} 1",
             zone.state.name()
         );
-        for (kind, count) in [("doubt", zone.doubts), ("given-up", zone.false_alarms)] {
+        for (kind, count) in [
+            ("doubt", zone.dropped_suspicions),
+            ("given-up", zone.false_alarms),
+        ] {
             let _ = writeln!(
                 text,
                 "svc_place_false_alarms_total{{place=\"{label}\",kind=\"{kind}\"}} {count}"
