--- a/crates/proxy/src/routing/forwarding.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -3,7 +3,7 @@
 use super::Router;
 use super::report::ReasonCode;
 use super::session_state::{SessionInput, SessionState};
-use super::types::{Connection, TimerKey};
+use super::types::{Connection, Session, TimerKey};
 use crate::protocol::client::{ERROR_LINE, MOVE_LINE};
 use crate::protocol::line::{self, LineError};
 use crate::protocol::server::{ServerLine, load_from_report, parse_server_line};
@@ -11,6 +11,7 @@
 use crate::transport::{ReadBuffer, SlotKey, StreamEnd};
 use asterramp_placement::Event;
 use asterramp_placement::event::{Load, Observation, Outcome};
+use asterramp_placement::settings::LoadReportFormat;
 use std::time::Duration;
 
 /// How long a server may leave a client's line without any answer.
@@ -123,42 +124,19 @@
         ) else {
             return Ok(());
         };
-        let data = &mut slot.driver_data;
         let client_left = slot.machine.client_left;
         let server_id = slot.machine.server;
         let listener = slot.machine.request.listener;
-        let mut last_work = None;
-        let mut has_answered = false;
-        while let Some((text, line_len)) =
-            line::first_line(&connection.stream.inbound.bytes()[connection.complete_len..])?
-        {
-            connection.complete_len += line_len;
-            match parse_server_line(text) {
-                ServerLine::Load(work) => last_work = Some(work),
-                ServerLine::Bye(report) => {
-                    let load = load_from_report(&self.settings.load_reports, report);
-                    data.announced_end = Some((Outcome::Ok, load));
-                }
-                ServerLine::Move => {
-                    data.announced_end = Some((Outcome::CalledOff, Load::default()))
-                }
-                _ => {}
-            }
-            data.awaiting_response = false;
-            has_answered = true;
-            if data.announced_end.is_some() {
-                connection.stream.ended = connection.stream.ended.or(Some(StreamEnd::Fin));
-                break;
-            }
-        }
+        let data = &mut slot.driver_data;
+        let lines = check_server_lines(connection, data, &self.settings.load_reports)?;
         if !data.awaiting_response && !client_left {
             self.deadlines.clear(TimerKey::Session(session));
         }
-        if has_answered {
+        if lines.has_answered {
             self.session_table
                 .note_server_activity(self.now, session, true);
         }
-        if let Some(work) = last_work {
+        if let Some(work) = lines.last_work {
             self.admission.record_session_cost(self.now, listener, work);
             self.event(Event::Observed {
                 session: session.slot,
@@ -375,6 +353,45 @@
     }
 }
 
+/// What the lines that a server sent say to the proxy.
+#[derive(Clone, Copy, Debug, Default)]
+struct ServerLines {
+    /// The load that the session asks for, as last said.
+    last_work: Option<f64>,
+    /// There was a line.
+    has_answered: bool,
+}
+
+/// Checks the complete lines that came from a server, up to one that announces the session's end.
+fn check_server_lines(
+    connection: &mut Connection,
+    data: &mut Session,
+    reports: &LoadReportFormat,
+) -> Result<ServerLines, LineError> {
+    let mut lines = ServerLines::default();
+    while let Some((text, line_len)) =
+        line::first_line(&connection.stream.inbound.bytes()[connection.complete_len..])?
+    {
+        connection.complete_len += line_len;
+        match parse_server_line(text) {
+            ServerLine::Load(work) => lines.last_work = Some(work),
+            ServerLine::Bye(report) => {
+                let load = load_from_report(reports, report);
+                data.announced_end = Some((Outcome::Ok, load));
+            }
+            ServerLine::Move => data.announced_end = Some((Outcome::CalledOff, Load::default())),
+            _ => {}
+        }
+        data.awaiting_response = false;
+        lines.has_answered = true;
+        if data.announced_end.is_some() {
+            connection.stream.ended = connection.stream.ended.or(Some(StreamEnd::Fin));
+            break;
+        }
+    }
+    Ok(lines)
+}
+
 /// What one side is watched for, given the other.
 fn forwarding_interest(side: &Connection, other: &Connection) -> Interest {
     Interest {
--- a/crates/proxy/src/routing/session_state/machine.rs
+++ b/crates/proxy/src/routing/session_state/machine.rs
@@ -240,17 +240,14 @@
             }
             TransitionEffect::ReleaseClient => self.release_client(input, out),
             TransitionEffect::Forget => {
-                out.push(SessionEffect::SetDeadline(None));
-                out.push(SessionEffect::CloseServer);
-                out.push(SessionEffect::Forget);
+                out.extend([
+                    SessionEffect::SetDeadline(None),
+                    SessionEffect::CloseServer,
+                    SessionEffect::Forget,
+                ]);
             }
             TransitionEffect::NotifySessionOver => self.notify_session_over(input, out),
-            TransitionEffect::NotifyClientLeft => {
-                self.client_left = true;
-                out.push(SessionEffect::Notify(Event::ClientLeft {
-                    session: self.request.session,
-                }));
-            }
+            TransitionEffect::NotifyClientLeft => self.notify_client_left(out),
             TransitionEffect::ShutDown => self.shut_down(out),
             TransitionEffect::AbandonUnsentDial => {
                 if !is_injected(InjectedFault::RequestSentForGoneClient) {
@@ -327,6 +324,13 @@
         self.client_left = true;
     }
 
+    fn notify_client_left(&mut self, out: &mut Vec<SessionEffect>) {
+        self.client_left = true;
+        out.push(SessionEffect::Notify(Event::ClientLeft {
+            session: self.request.session,
+        }));
+    }
+
     fn notify_session_over(&self, input: SessionInput, out: &mut Vec<SessionEffect>) {
         let SessionInput::SessionClosed { outcome, load } = input else {
             return;
--- a/crates/proxy/src/routing/startup.rs
+++ b/crates/proxy/src/routing/startup.rs
@@ -105,24 +105,36 @@
                 .open_admin_http(address)
                 .map_err(|error| listen_error("operator", address, error))?;
         }
-        match (listener.list, warm_start) {
+        router.learn_endpoints(listener.list, warm_start, known_endpoints, discovery);
+        router.run_tasks();
+        Ok(router)
+    }
+
+    /// Begins with the endpoint list of the predecessor, with what was saved before a power loss, or with the list of the
+    /// last run; `discovery` tells more in each case.
+    fn learn_endpoints(
+        &mut self,
+        inherited: Option<EndpointList>,
+        warm_start: Option<WarmStartPlan>,
+        known: EndpointList,
+        discovery: SocketAddr,
+    ) {
+        match (inherited, warm_start) {
             (Some(list), _) => {
-                router.set_listener_delay();
-                router.apply_inherited_list(list);
+                self.set_listener_delay();
+                self.apply_inherited_list(list);
             }
             (None, Some(plan)) => {
                 // All is asked for: what changed since a list of old says nothing of a discovery that started anew.
-                router.discovery_watch = DiscoveryWatch::new(discovery, 0, &router.settings);
-                router.begin_warm_start(plan, &known_endpoints);
-                router.connect_watch();
+                self.discovery_watch = DiscoveryWatch::new(discovery, 0, &self.settings);
+                self.begin_warm_start(plan, &known);
+                self.connect_watch();
             }
             (None, None) => {
-                router.set_listener_delay();
-                router.apply_known_list(known_endpoints);
+                self.set_listener_delay();
+                self.apply_known_list(known);
             }
         }
-        router.run_tasks();
-        Ok(router)
     }
 
     /// A router that watches nothing yet.
