--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -17,6 +17,8 @@
 mod writer;
 
 pub use files::{SnapshotDirectory, SnapshotFiles};
-pub use snapshot::{LONGEST, SavedEndpoint, SavedEndpointState, Snapshot, VERSION, read, write};
+pub use snapshot::{
+    Host as SavedEndpoint, LONGEST, SavedEndpointState, Snapshot, VERSION, read, write,
+};
 pub use store::{FileProblem, LoadedSnapshot, SnapshotStore};
 pub use writer::{SaveOutcome, SnapshotWriter};
--- a/crates/snapshot/src/snapshot.rs
+++ b/crates/snapshot/src/snapshot.rs
@@ -22,10 +22,11 @@
     Draining,
 }
 
-/// What was known of a host.
+/// What was known of a host. Serde puts this name into error texts, which stay as they were; the package exports it as
+/// `SavedEndpoint`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct SavedEndpoint {
+pub struct Host {
     pub uid: String,
     pub endpoint: SocketAddr,
     pub zone: String,
@@ -56,7 +57,7 @@
     pub term: u64,
     /// Written when the proxy left in good order.
     pub clean: bool,
-    pub hosts: Vec<SavedEndpoint>,
+    pub hosts: Vec<Host>,
 }
 
 /// The bytes of a file.
