--- a/crates/proxy/src/program/command.rs
+++ b/crates/proxy/src/program/command.rs
@@ -3,7 +3,7 @@
 use super::leader_lease::LeaderLease;
 use super::roll::{self, Roll};
 use super::run::run;
-use super::state::{self, StateWhat};
+use super::state::{StateCommand, run_state_command};
 use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest, ProxyStatus};
 use asterramp_operator_config::{OperatorConfig, parse_span};
 use clap::{Args, CommandFactory, Parser, Subcommand};
@@ -115,7 +115,7 @@
     /// Looks at what proxies keep on disk for their next start.
     State {
         #[command(subcommand)]
-        what: StateWhat,
+        what: StateCommand,
     },
     /// Prints completions for a shell.
     Completions { shell: clap_complete::Shell },
@@ -216,7 +216,7 @@
                 None => Err("roll: --store wants a --name for the roll".into()),
             }
         }
-        What::State { what } => state::perform(what),
+        What::State { what } => run_state_command(what).map_err(String::from),
         What::Fleet { what } => fleet(what),
         What::Completions { shell } => {
             clap_complete::generate(
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -26,7 +26,7 @@
     let owner = start.listen.to_string();
     let (saved, mut troubles) =
         (wishes.state.as_ref()).map_or_else(Default::default, |state| load(state, &owner));
-    let term = saved.as_ref().map_or(0, |saved| saved.term);
+    let term = saved.as_ref().map_or(0, |saved| saved.lease_term);
     start.warm_start = wishes.recovery.stages.then(|| WarmStartPlan {
         terms: stages(&wishes, &start.settings),
         others: others(&wishes),
@@ -141,17 +141,17 @@
         // The same is said when it is opened for writing.
         Err(_) => return (None, Vec::new()),
     };
-    let told = |trouble: asterramp_snapshot::FileProblem| {
+    let told = |problem: asterramp_snapshot::FileProblem| {
         format!(
             "file={}/{} why={:?}",
             state.folder.display(),
-            trouble.file,
-            trouble.why
+            problem.file,
+            problem.error.to_string()
         )
     };
     (
         found.snapshot,
-        found.troubles.into_iter().map(told).collect(),
+        found.problems.into_iter().map(told).collect(),
     )
 }
 
--- a/crates/proxy/src/program/state.rs
+++ b/crates/proxy/src/program/state.rs
@@ -1,108 +1,176 @@
-//! `asterramp state`: what is kept on disk, for whoever looks after it.
+//! `asterramp state`: shows, checks and removes the snapshots that a proxy keeps on disk for its next start.
 
-use asterramp_snapshot::{LoadedSnapshot, SnapshotDirectory, SnapshotStore};
+use asterramp_snapshot::{
+    LoadedSnapshot, SavedEndpoint, SavedEndpointState, Snapshot, SnapshotDirectory, SnapshotStore,
+};
 use clap::Subcommand;
+use std::io;
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
 #[derive(Subcommand)]
-pub enum StateWhat {
-    /// Tells what the newest whole snapshot holds.
+pub(super) enum StateCommand {
+    /// Prints what the newest complete snapshot contains.
     Show {
-        folder: PathBuf,
-        /// As JSON, a line.
+        /// The directory that the operator's file names as `state.folder`.
+        #[arg(value_name = "FOLDER")]
+        directory: PathBuf,
+        /// Prints it as one line of JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Reads both files, tells all that is wrong with them, and fails unless one is whole.
-    Verify { folder: PathBuf },
-    /// Takes them away, unless a proxy holds the folder.
-    Clear { folder: PathBuf },
+    /// Reads both generations, reports what is wrong with them, and fails unless each one on disk can be used.
+    Verify {
+        /// The directory that the operator's file names as `state.folder`.
+        #[arg(value_name = "FOLDER")]
+        directory: PathBuf,
+    },
+    /// Removes both generations, unless a running proxy holds the directory.
+    Clear {
+        /// The directory that the operator's file names as `state.folder`.
+        #[arg(value_name = "FOLDER")]
+        directory: PathBuf,
+    },
 }
 
-pub fn perform(what: StateWhat) -> Result<(), String> {
-    match what {
-        StateWhat::Show { folder, json } => show(&folder, json),
-        StateWhat::Verify { folder } => verify(&folder),
-        StateWhat::Clear { folder } => clear(&folder),
-    }
+/// Why a state command failed; its text is printed, and the exit code is 1.
+#[derive(Debug, Error)]
+pub(super) enum StateCommandError {
+    #[error("{}: no folder", directory.display())]
+    NotADirectory { directory: PathBuf },
+    #[error("{}: {source}", directory.display())]
+    Disk {
+        directory: PathBuf,
+        source: io::Error,
+    },
+    #[error("{}: no whole snapshot", directory.display())]
+    NoSnapshot { directory: PathBuf },
+    #[error("{unusable} of 2 files cannot be used; snapshot {sequence} is whole")]
+    UnusableFiles { unusable: usize, sequence: u64 },
+    #[error("{}: a proxy holds it; stop that first", directory.display())]
+    Locked { directory: PathBuf },
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
 }
 
-fn at(folder: &Path) -> Result<SnapshotDirectory, String> {
-    if !folder.is_dir() {
-        return Err(format!("{}: no folder", folder.display()));
+/// Temporary: the command line still passes errors on as text.
+impl From<StateCommandError> for String {
+    fn from(error: StateCommandError) -> String {
+        error.to_string()
     }
-    SnapshotDirectory::open(folder).map_err(|e| format!("{}: {e}", folder.display()))
 }
 
-/// The newest whole snapshot; what is wrong with files goes to standard error.
-fn found(folder: &Path) -> Result<LoadedSnapshot, String> {
-    let found = SnapshotStore::new(at(folder)?).load(None);
-    found
-        .troubles
-        .iter()
-        .for_each(|t| eprintln!("asterramp: {}/{}: {}", folder.display(), t.file, t.why));
-    Ok(found)
+/// Runs a state command and prints its result.
+pub(super) fn run_state_command(command: StateCommand) -> Result<(), StateCommandError> {
+    match command {
+        StateCommand::Show { directory, json } => show(&directory, json),
+        StateCommand::Verify { directory } => verify(&directory),
+        StateCommand::Clear { directory } => clear(&directory),
+    }
 }
 
-fn show(folder: &Path, json: bool) -> Result<(), String> {
-    let none = || format!("{}: no whole snapshot", folder.display());
-    let snapshot = found(folder)?.snapshot.ok_or_else(none)?;
+fn show(directory: &Path, json: bool) -> Result<(), StateCommandError> {
+    let snapshot = load(directory)?
+        .snapshot
+        .ok_or_else(|| no_snapshot(directory))?;
     if json {
-        println!(
-            "{}",
-            serde_json::to_string(&snapshot).map_err(|e| e.to_string())?
-        );
-        return Ok(());
+        println!("{}", serde_json::to_string(&snapshot)?);
+    } else {
+        print_snapshot(&snapshot);
+    }
+    Ok(())
+}
+
+fn verify(directory: &Path) -> Result<(), StateCommandError> {
+    let loaded = load(directory)?;
+    let unusable = loaded.problems.len();
+    let snapshot = loaded.snapshot.ok_or_else(|| no_snapshot(directory))?;
+    let sequence = snapshot.sequence;
+    if unusable > 0 {
+        return Err(StateCommandError::UnusableFiles { unusable, sequence });
+    }
+    let endpoints = snapshot.endpoints.len();
+    println!("snapshot {sequence} is whole, {endpoints} hosts");
+    Ok(())
+}
+
+fn clear(directory: &Path) -> Result<(), StateCommandError> {
+    let opened = open(directory)?;
+    let lock = opened.lock().map_err(|source| disk(directory, source))?;
+    // Held until the files are removed, so that no proxy begins to write meanwhile.
+    let Some(_lock) = lock else {
+        return Err(StateCommandError::Locked {
+            directory: directory.to_path_buf(),
+        });
+    };
+    SnapshotStore::new(opened)
+        .clear()
+        .map_err(|source| disk(directory, source))
+}
+
+/// Opens a directory that exists; unlike the proxy, a command creates none.
+fn open(directory: &Path) -> Result<SnapshotDirectory, StateCommandError> {
+    if !directory.is_dir() {
+        return Err(StateCommandError::NotADirectory {
+            directory: directory.to_path_buf(),
+        });
+    }
+    SnapshotDirectory::open(directory).map_err(|source| disk(directory, source))
+}
+
+/// Loads the newest complete snapshot; files that cannot be used are reported on standard error.
+fn load(directory: &Path) -> Result<LoadedSnapshot, StateCommandError> {
+    let loaded = SnapshotStore::new(open(directory)?).load(None);
+    for problem in &loaded.problems {
+        let (path, file, error) = (directory.display(), problem.file, &problem.error);
+        eprintln!("asterramp: {path}/{file}: {error}");
+    }
+    Ok(loaded)
+}
+
+fn disk(directory: &Path, source: io::Error) -> StateCommandError {
+    StateCommandError::Disk {
+        directory: directory.to_path_buf(),
+        source,
     }
-    let end = if snapshot.clean {
+}
+
+fn no_snapshot(directory: &Path) -> StateCommandError {
+    StateCommandError::NoSnapshot {
+        directory: directory.to_path_buf(),
+    }
+}
+
+fn print_snapshot(snapshot: &Snapshot) {
+    let end = if snapshot.clean_shutdown {
         "left in good order"
     } else {
         "was running"
     };
-    let (owner, seq, rev, term) = (&snapshot.owner, snapshot.seq, snapshot.rev, snapshot.term);
     println!(
-        "snapshot {seq} of {owner}, saved at {} ms; the proxy {end}; list {rev}, term {term}",
-        snapshot.saved_ms
+        "snapshot {} of {}, saved at {} ms; the proxy {end}; list {}, term {}",
+        snapshot.sequence,
+        snapshot.owner,
+        snapshot.saved_ms,
+        snapshot.list_revision,
+        snapshot.lease_term
     );
-    for host in &snapshot.hosts {
-        let (unit, heard) = (
-            host.unit.map_or("-".into(), |unit| format!("{unit:.4}")),
-            host.heard_ms.unwrap_or(0),
-        );
-        println!(
-            "{} {} {} {:?} unit={unit} heard={heard}",
-            host.uid, host.endpoint, host.zone, host.standing
-        );
+    for endpoint in &snapshot.endpoints {
+        print_endpoint(endpoint);
     }
-    Ok(())
 }
 
-fn verify(folder: &Path) -> Result<(), String> {
-    let found = found(folder)?;
-    match (found.snapshot, found.troubles.len()) {
-        (Some(snapshot), 0) => {
-            println!(
-                "snapshot {} is whole, {} hosts",
-                snapshot.seq,
-                snapshot.hosts.len()
-            );
-            Ok(())
-        }
-        (Some(snapshot), bad) => Err(format!(
-            "{bad} of 2 files cannot be used; snapshot {} is whole",
-            snapshot.seq
-        )),
-        (None, _) => Err(format!("{}: no whole snapshot", folder.display())),
-    }
-}
-
-fn clear(folder: &Path) -> Result<(), String> {
-    let (folder, name) = (at(folder)?, folder.display());
-    let lock = folder.lock().map_err(|e| format!("{name}: {e}"))?;
-    let held = lock.ok_or_else(|| format!("{name}: a proxy holds it; stop that first"))?;
-    SnapshotStore::new(folder)
-        .clear()
-        .map_err(|e| format!("{name}: {e}"))?;
-    drop(held);
-    Ok(())
+fn print_endpoint(saved: &SavedEndpoint) {
+    let state = match saved.state {
+        SavedEndpointState::Ready => "Ready",
+        SavedEndpointState::Draining => "Draining",
+    };
+    let load = saved
+        .load_per_connection
+        .map_or("-".into(), |load| format!("{load:.4}"));
+    let last_report = saved.last_report_ms.unwrap_or(0);
+    println!(
+        "{} {} {} {state} unit={load} heard={last_report}",
+        saved.uid, saved.endpoint, saved.zone
+    );
 }
--- a/crates/proxy/src/routing/warm_start.rs
+++ b/crates/proxy/src/routing/warm_start.rs
@@ -106,29 +106,29 @@
         let saved = anew.saved.unwrap_or_default();
         let mut starting = WarmStartProgress {
             recovery: WarmStart::new(now, terms),
-            had: rev.max(saved.rev),
-            told: saved.told_ms.map(unix),
+            had: rev.max(saved.list_revision),
+            told: saved.discovery_heard_ms.map(unix),
             units: Vec::new(),
             way: Way::Shut,
         };
         // When it was told counts, not when it was written again.
-        let told = saved.told_ms.map(unix);
+        let told = saved.discovery_heard_ms.map(unix);
         let old = if age(now, Some(unix(saved.saved_ms))) == InformationAge::Unknown {
             InformationAge::Unknown
         } else {
             age(now, told)
         };
         let hosts = saved
-            .hosts
+            .endpoints
             .iter()
-            .filter(|host| host.standing == asterramp_snapshot::SavedEndpointState::Ready);
+            .filter(|host| host.state == asterramp_snapshot::SavedEndpointState::Ready);
         let own = hosts.map(|host| {
             (
                 listed(host),
                 EndpointSource::Saved,
                 old,
-                saved.rev,
-                host.unit,
+                saved.list_revision,
+                host.load_per_connection,
             )
         });
         let configured = known
@@ -419,7 +419,7 @@
         let Some(keeping) = &mut self.snapshots else {
             return;
         };
-        let told = keeping.writer.told();
+        let told = keeping.writer.take_outcomes();
         let since = now.saturating_sub(keeping.saved);
         let due = keeping.changed && since >= keeping.every || since >= keeping.every * AGES;
         self.told_of_state(told);
@@ -429,7 +429,7 @@
                 return;
             };
             (keeping.saved, keeping.changed) = (now, false);
-            keeping.writer.save(snapshot);
+            keeping.writer.submit(snapshot);
         }
     }
 
@@ -445,13 +445,14 @@
             });
             match told {
                 SaveOutcome::Saved { .. } => self.count_event(ReasonCode::StateSaved),
-                SaveOutcome::Failed(why) => {
-                    self.log_event(ReasonCode::StateBad, format!("save why={why:?}"))
-                }
-                SaveOutcome::Held => {
+                SaveOutcome::Failed(why) => self.log_event(
+                    ReasonCode::StateBad,
+                    format!("save why={:?}", why.to_string()),
+                ),
+                SaveOutcome::DirectoryLocked => {
                     self.log_event(ReasonCode::StateBad, "another process holds the folder")
                 }
-                SaveOutcome::Taken => {
+                SaveOutcome::DirectoryAcquired => {
                     self.log_event(ReasonCode::StateTaken, "the other process has let go")
                 }
             }
@@ -462,7 +463,7 @@
     pub fn close_snapshots(&mut self) {
         let snapshot = self.snapshot(true);
         if let Some(keeping) = self.snapshots.take() {
-            keeping.writer.save(snapshot);
+            keeping.writer.submit(snapshot);
             let told = keeping.writer.close();
             self.told_of_state(told);
         }
@@ -489,7 +490,7 @@
                 endpoint: line.endpoint,
                 zone: line.zone,
                 cell: line.cell,
-                standing: match line.standing {
+                state: match line.standing {
                     EndpointState::Draining => asterramp_snapshot::SavedEndpointState::Draining,
                     _ => asterramp_snapshot::SavedEndpointState::Ready,
                 },
@@ -499,8 +500,8 @@
                     1.0
                 },
                 started_ms: line.started.map(ms),
-                heard_ms: (!host.told.is_zero()).then(|| ms(host.told)),
-                unit: unit.filter(|unit| unit.is_finite()),
+                last_report_ms: (!host.told.is_zero()).then(|| ms(host.told)),
+                load_per_connection: unit.filter(|unit| unit.is_finite()),
             }
         };
         let lines = self.endpoints.lines().zip(self.endpoints.hosts());
@@ -518,13 +519,13 @@
             owner: keeping
                 .map(|keeping| keeping.owner.clone())
                 .unwrap_or_default(),
-            seq: 0,
+            sequence: 0,
             saved_ms: ms(self.now),
-            rev: self.discovery_watch.rev().max(had),
-            told_ms: told.map(ms),
-            term: keeping.map_or(0, |keeping| keeping.term),
-            clean,
-            hosts: lines
+            list_revision: self.discovery_watch.rev().max(had),
+            discovery_heard_ms: told.map(ms),
+            lease_term: keeping.map_or(0, |keeping| keeping.term),
+            clean_shutdown: clean,
+            endpoints: lines
                 .filter(|(line, _)| line.standing != EndpointState::Gone)
                 .map(host)
                 .collect(),
--- a/crates/snapshot/src/files.rs
+++ b/crates/snapshot/src/files.rs
@@ -1,31 +1,76 @@
-//! All that is done to the disk, by name within one folder. A test puts a disk in its place that loses power.
+//! Disk access, by file name within one directory.
+//!
+//! [`SnapshotFiles`] is all that a store does to the disk. A test puts a simulated disk behind it that loses power
+//! between any two calls.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
+/// File whose lock keeps a second process from writing to the directory.
+const LOCK_FILE: &str = "lock";
+/// Permissions of the files: they name internal addresses, so only their owner may read them.
+const FILE_MODE: u32 = 0o600;
+
+/// The disk operations of a store, each with the durability that POSIX gives it.
 pub trait SnapshotFiles {
-    /// At most `most` bytes of a file; longer ones are an error.
-    fn read(&mut self, name: &str, most: usize) -> io::Result<Vec<u8>>;
-    /// A file with these bytes, in place of what it held. Not on disk before `sync`.
+    /// Reads a whole file of at most `max_len` bytes.
+    ///
+    /// # Errors
+    ///
+    /// `NotFound` if there is none; any other error if it is longer, not a regular file, or cannot be read.
+    fn read(&mut self, name: &str, max_len: usize) -> io::Result<Vec<u8>>;
+
+    /// Creates a file or replaces its bytes. They are durable only after [`sync`](Self::sync).
+    ///
+    /// # Errors
+    ///
+    /// Any error of the disk; the file may then hold a part of the bytes.
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
+
+    /// Makes the bytes of a file durable.
+    ///
+    /// # Errors
+    ///
+    /// Any error of the disk.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Not on disk before `sync_folder`.
+
+    /// Renames a file over another one. The change is durable only after [`sync_directory`](Self::sync_directory).
+    ///
+    /// # Errors
+    ///
+    /// Any error of the disk; both files are then as before.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
+
+    /// Removes a file. The change is durable only after [`sync_directory`](Self::sync_directory).
+    ///
+    /// # Errors
+    ///
+    /// `NotFound` if there is none, or any error of the disk.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    fn sync_folder(&mut self) -> io::Result<()>;
+
+    /// Makes renames and removals durable.
+    ///
+    /// # Errors
+    ///
+    /// Any error of the disk.
+    fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the system's.
+/// A directory of the file system that holds one proxy's snapshots.
 #[derive(Clone, Debug)]
 pub struct SnapshotDirectory(PathBuf);
 
 impl SnapshotDirectory {
-    /// The folder itself is made if it is not there; its parent is not.
+    /// Opens the directory at `path`, creating it if it is missing; its parent must exist.
+    ///
+    /// # Errors
+    ///
+    /// If it cannot be created, or something that is not a directory is in its place.
     pub fn open(path: &Path) -> io::Result<SnapshotDirectory> {
         match std::fs::create_dir(path) {
-            Err(e) if e.kind() != io::ErrorKind::AlreadyExists => return Err(e),
+            Err(error) if error.kind() != io::ErrorKind::AlreadyExists => return Err(error),
             _ => {}
         }
         if path.is_dir() {
@@ -35,45 +80,49 @@
         }
     }
 
-    /// Keeps others out for as long as the file is held; `None` while somebody else does.
+    /// Locks the directory against other processes for as long as the returned file is open; `None` while another process
+    /// holds the lock.
+    ///
+    /// # Errors
+    ///
+    /// If the lock file cannot be opened or locked at all.
     pub fn lock(&self) -> io::Result<Option<File>> {
         let file = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
-            .mode(0o600)
-            .open(self.0.join("lock"))?;
+            .mode(FILE_MODE)
+            .open(self.0.join(LOCK_FILE))?;
         match rustix::fs::flock(&file, rustix::fs::FlockOperation::NonBlockingLockExclusive) {
             Ok(()) => Ok(Some(file)),
             Err(rustix::io::Errno::WOULDBLOCK) => Ok(None),
-            Err(e) => Err(e.into()),
+            Err(error) => Err(error.into()),
         }
     }
 }
 
 impl SnapshotFiles for SnapshotDirectory {
-    fn read(&mut self, name: &str, most: usize) -> io::Result<Vec<u8>> {
+    fn read(&mut self, name: &str, max_len: usize) -> io::Result<Vec<u8>> {
         let file = File::open(self.0.join(name))?;
         if !file.metadata()?.is_file() {
             return Err(io::Error::other("not a file"));
         }
         let mut bytes = Vec::new();
-        file.take(most as u64 + 1).read_to_end(&mut bytes)?;
-        if bytes.len() > most {
-            Err(io::Error::other(format!("longer than {most} bytes")))
-        } else {
-            Ok(bytes)
+        // One byte more than allowed tells a file that is too long without reading all of it.
+        file.take(max_len as u64 + 1).read_to_end(&mut bytes)?;
+        if bytes.len() > max_len {
+            return Err(io::Error::other(format!("longer than {max_len} bytes")));
         }
+        Ok(bytes)
     }
 
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let path = self.0.join(name);
         let mut file = OpenOptions::new()
             .create(true)
             .truncate(true)
             .write(true)
-            .mode(0o600)
-            .open(path)?;
+            .mode(FILE_MODE)
+            .open(self.0.join(name))?;
         file.write_all(bytes)
     }
 
@@ -89,7 +138,7 @@
         std::fs::remove_file(self.0.join(name))
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.0)?.sync_all()
     }
 }
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,24 +1,23 @@
-//! What a proxy keeps on disk for its next start, and how it stays whole whenever power fails.
+//! Snapshots of a proxy's endpoint list on disk, from which it warm-starts after a power loss.
 //!
-//! A snapshot is one of two files that are written in turn (`store.rs`), each by a part beside it that is synced and
-//! renamed, over an interface narrow enough to be stopped at every step (`files.rs`). A thread writes (`writer.rs`): a
-//! disk that hangs costs snapshots, never a session. What is made of a snapshot is decided elsewhere.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
+//! A snapshot is kept in two generations, two files written in turn ([`SnapshotStore`]): each save writes a temporary
+//! file, syncs it and renames it over the older generation, so that a loss of power at any step leaves one complete
+//! snapshot. All disk access goes through the narrow interface [`SnapshotFiles`], which a test replaces by a disk that
+//! loses power. A thread does the writing ([`SnapshotWriter`]): a disk that hangs delays snapshots, never a session.
+//!
+//! This package only stores and reads snapshots. How far one is trusted at the next start is decided by the package
+//! `asterramp-warm-start`.
 
+mod error;
 mod files;
-mod snapshot;
+mod format;
+mod model;
 mod store;
 mod writer;
 
+pub use error::{DecodeError, FileError, SaveError, WriterError};
 pub use files::{SnapshotDirectory, SnapshotFiles};
-pub use snapshot::{
-    Host as SavedEndpoint, LONGEST, SavedEndpointState, Snapshot, VERSION, read, write,
-};
+pub use format::{FORMAT_VERSION, MAX_FILE_LEN, decode, encode};
+pub use model::{Host as SavedEndpoint, SavedEndpointState, Snapshot};
 pub use store::{FileProblem, LoadedSnapshot, SnapshotStore};
 pub use writer::{SaveOutcome, SnapshotWriter};
--- a/crates/snapshot/src/writer.rs
+++ b/crates/snapshot/src/writer.rs
@@ -1,178 +1,207 @@
-//! The thread that writes. It takes the newest snapshot and forgets those that it had not begun, so whoever hands them
-//! over never waits for the disk.
+//! The thread that writes snapshots.
+//!
+//! It writes the newest snapshot that was submitted and drops older ones that it had not begun, so that the caller never
+//! waits for the disk.
 
+use crate::error::WriterError;
 use crate::files::SnapshotDirectory;
-use crate::snapshot::Snapshot;
+use crate::model::Snapshot;
 use crate::store::SnapshotStore;
+use std::fs::File;
+use std::io;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How often a folder that somebody else holds is tried, and how long the last snapshot may take at the end.
-const RETRY: Duration = Duration::from_millis(250);
-const LAST: Duration = Duration::from_secs(1);
+/// Name of the thread, as process listings show it.
+const THREAD_NAME: &str = "state";
+/// How often the lock of a directory that another process holds is tried.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// How long the last snapshot may take when the writer is closed; a disk that hangs must not keep the process.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How a snapshot fared.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// What became of a submitted snapshot, or of the directory's lock.
+#[derive(Debug)]
 pub enum SaveOutcome {
+    /// A snapshot is durable.
     Saved {
-        seq: u64,
+        /// Its sequence number.
+        sequence: u64,
+        /// Its length in bytes.
         bytes: usize,
+        /// How long the save took.
         took: Duration,
     },
-    Failed(String),
-    /// Another process holds the folder; nothing is written until it lets go.
-    Held,
-    /// It has let go.
-    Taken,
+    /// A snapshot could not be saved, or none can be because the directory cannot be locked.
+    Failed(WriterError),
+    /// Another process holds the directory; nothing is written until it releases it.
+    DirectoryLocked,
+    /// The other process has released the directory, and this one writes from now on.
+    DirectoryAcquired,
 }
 
-#[derive(Default)]
-struct PendingSnapshot {
-    next: Option<Snapshot>,
-    told: Vec<SaveOutcome>,
-    /// No more will come.
-    closed: bool,
-    done: bool,
+/// What the writer thread and its owner share.
+#[derive(Debug, Default)]
+struct WriterState {
+    /// The newest snapshot that is not being written yet.
+    pending: Option<Snapshot>,
+    /// Outcomes that were not collected yet, in order.
+    outcomes: Vec<SaveOutcome>,
+    /// No more snapshots will come.
+    closing: bool,
+    /// The thread does nothing more.
+    finished: bool,
 }
 
-#[derive(Default)]
+#[derive(Debug, Default)]
 struct Shared {
-    desk: Mutex<PendingSnapshot>,
-    turned: Condvar,
+    state: Mutex<WriterState>,
+    changed: Condvar,
 }
 
 impl Shared {
-    fn desk(&self) -> MutexGuard<'_, PendingSnapshot> {
-        self.desk
+    /// The state. A thread that panicked leaves it usable: every change to it is a single assignment.
+    fn state(&self) -> MutexGuard<'_, WriterState> {
+        self.state
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+    }
+
+    fn report(&self, outcome: SaveOutcome) {
+        self.state().outcomes.push(outcome);
+    }
+
+    /// Waits for the next snapshot; `None` once the writer is closed and nothing is pending.
+    fn next_pending(&self) -> Option<Snapshot> {
+        let mut state = self.state();
+        loop {
+            if let Some(snapshot) = state.pending.take() {
+                return Some(snapshot);
+            }
+            if state.closing {
+                return None;
+            }
+            state = self
+                .changed
+                .wait(state)
+                .unwrap_or_else(|poisoned| poisoned.into_inner());
+        }
+    }
+
+    /// Lets the thread end after the pending snapshot. Returns the outcomes, and whether it ended before `deadline`.
+    fn close(&self, deadline: Instant) -> (Vec<SaveOutcome>, bool) {
+        let mut state = self.state();
+        state.closing = true;
+        self.changed.notify_all();
+        while !state.finished && Instant::now() < deadline {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            state = match self.changed.wait_timeout(state, remaining) {
+                Ok((state, _)) => state,
+                Err(poisoned) => poisoned.into_inner().0,
+            };
+        }
+        (std::mem::take(&mut state.outcomes), state.finished)
     }
 }
 
+/// Handle of the thread that writes snapshots. A handle that is dropped without [`close`](Self::close) leaves the thread
+/// waiting until the process ends.
+#[derive(Debug)]
 pub struct SnapshotWriter {
     shared: Arc<Shared>,
-    thread: Option<JoinHandle<()>>,
+    thread: JoinHandle<()>,
 }
 
 impl SnapshotWriter {
-    pub fn start(folder: SnapshotDirectory, owner: String) -> std::io::Result<SnapshotWriter> {
+    /// Starts a thread that writes the snapshots of `owner` to `directory`, once no other process holds the directory's lock.
+    ///
+    /// # Errors
+    ///
+    /// If the system cannot start a thread.
+    pub fn start(directory: SnapshotDirectory, owner: String) -> io::Result<SnapshotWriter> {
         let shared = Arc::new(Shared::default());
-        let own = shared.clone();
-        let write = move || work(&own, &folder, &owner);
+        let thread_shared = Arc::clone(&shared);
         let thread = std::thread::Builder::new()
-            .name("state".into())
-            .spawn(write)?;
-        Ok(SnapshotWriter {
-            shared,
-            thread: Some(thread),
-        })
+            .name(THREAD_NAME.into())
+            .spawn(move || run(&thread_shared, &directory, &owner))?;
+        Ok(SnapshotWriter { shared, thread })
     }
 
-    /// Hands a snapshot over, in place of one that was not begun.
-    pub fn save(&self, snapshot: Snapshot) {
-        self.shared.desk().next = Some(snapshot);
-        self.shared.turned.notify_all();
+    /// Submits a snapshot in place of one whose writing has not begun. Never waits for the disk.
+    pub fn submit(&self, snapshot: Snapshot) {
+        self.shared.state().pending = Some(snapshot);
+        self.shared.changed.notify_all();
     }
 
-    pub fn told(&self) -> Vec<SaveOutcome> {
-        std::mem::take(&mut self.shared.desk().told)
+    /// Takes the outcomes since the last call, in order.
+    pub fn take_outcomes(&self) -> Vec<SaveOutcome> {
+        std::mem::take(&mut self.shared.state().outcomes)
     }
 
-    /// Waits for the last snapshot, but no longer than a second: a disk that hangs must not keep a process.
-    pub fn close(mut self) -> Vec<SaveOutcome> {
-        let by = Instant::now() + LAST;
-        let mut desk = self.shared.desk();
-        desk.closed = true;
-        self.shared.turned.notify_all();
-        while !desk.done && Instant::now() < by {
-            let left = by.saturating_duration_since(Instant::now());
-            desk = match self.shared.turned.wait_timeout(desk, left) {
-                Ok((desk, _)) => desk,
-                Err(broken) => broken.into_inner().0,
-            };
-        }
-        let (done, told) = (desk.done, std::mem::take(&mut desk.told));
-        drop(desk);
-        if done {
-            self.thread
-                .take()
-                .into_iter()
-                .for_each(|thread| drop(thread.join()));
+    /// Waits at most one second for the last snapshot and ends the thread. Returns the remaining outcomes, in order.
+    pub fn close(self) -> Vec<SaveOutcome> {
+        let (outcomes, finished) = self.shared.close(Instant::now() + CLOSE_TIMEOUT);
+        if finished {
+            // A panic of the thread has been printed already and must not stop the shutdown.
+            let _ = self.thread.join();
         }
-        told
+        outcomes
     }
 }
 
-fn work(shared: &Shared, folder: &SnapshotDirectory, owner: &str) {
-    // Held until the thread ends, which the process's end is too.
-    let lock = take(shared, folder);
-    let mut store = SnapshotStore::new(folder.clone());
-    if lock.is_some() {
-        // Where another process wrote meanwhile, the next is counted from its.
-        store.load(Some(owner));
+/// The writer thread.
+fn run(shared: &Shared, directory: &SnapshotDirectory, owner: &str) {
+    if let Some(lock) = acquire_lock(shared, directory) {
+        write_pending(shared, directory, owner);
+        drop(lock);
     }
-    while let Some(mut snapshot) = next(shared).filter(|_| lock.is_some()) {
+    shared.state().finished = true;
+    shared.changed.notify_all();
+}
+
+/// Writes snapshots as they are submitted, until the writer is closed.
+fn write_pending(shared: &Shared, directory: &SnapshotDirectory, owner: &str) {
+    let mut store = SnapshotStore::new(directory.clone());
+    // Another process may have written while it held the lock; saves count on from its newest snapshot.
+    store.load(Some(owner));
+    while let Some(mut snapshot) = shared.next_pending() {
         let began = Instant::now();
-        let told = match store.save(&mut snapshot) {
+        let outcome = match store.save(&mut snapshot) {
             Ok(bytes) => SaveOutcome::Saved {
-                seq: snapshot.seq,
+                sequence: snapshot.sequence,
                 bytes,
                 took: began.elapsed(),
             },
-            Err(e) => SaveOutcome::Failed(e.to_string()),
+            Err(error) => SaveOutcome::Failed(error.into()),
         };
-        shared.desk().told.push(told);
+        shared.report(outcome);
     }
-    drop(lock);
-    shared.desk().done = true;
-    shared.turned.notify_all();
 }
 
-/// The folder's lock; `None` if the process ends first, or the lock can't be had at all.
-fn take(shared: &Shared, folder: &SnapshotDirectory) -> Option<std::fs::File> {
-    let mut held = false;
+/// Waits for the directory's lock; `None` if the writer is closed first, or the lock cannot be had at all.
+fn acquire_lock(shared: &Shared, directory: &SnapshotDirectory) -> Option<File> {
+    let mut was_locked = false;
     loop {
-        let told = match folder.lock() {
+        match directory.lock() {
             Ok(Some(lock)) => {
-                shared
-                    .desk()
-                    .told
-                    .extend(held.then_some(SaveOutcome::Taken));
+                if was_locked {
+                    shared.report(SaveOutcome::DirectoryAcquired);
+                }
                 return Some(lock);
             }
-            Ok(None) => (!std::mem::replace(&mut held, true)).then_some(SaveOutcome::Held),
-            Err(e) => {
-                shared
-                    .desk()
-                    .told
-                    .push(SaveOutcome::Failed(format!("lock: {e}")));
+            Ok(None) if !was_locked => {
+                was_locked = true;
+                shared.report(SaveOutcome::DirectoryLocked);
+            }
+            Ok(None) => {}
+            Err(error) => {
+                shared.report(SaveOutcome::Failed(WriterError::Lock(error)));
                 return None;
             }
-        };
-        let mut desk = shared.desk();
-        desk.told.extend(told);
-        if desk.closed {
-            return None;
-        }
-        drop(desk);
-        std::thread::sleep(RETRY);
-    }
-}
-
-/// Waits for the next snapshot; `None` at the end.
-fn next(shared: &Shared) -> Option<Snapshot> {
-    let mut desk = shared.desk();
-    loop {
-        if let Some(snapshot) = desk.next.take() {
-            return Some(snapshot);
         }
-        if desk.closed {
+        if shared.state().closing {
             return None;
         }
-        desk = shared
-            .turned
-            .wait(desk)
-            .unwrap_or_else(|broken| broken.into_inner());
+        std::thread::sleep(LOCK_RETRY_INTERVAL);
     }
 }
--- a/crates/snapshot/tests/golden.rs
+++ b/crates/snapshot/tests/golden.rs
@@ -3,8 +3,8 @@
 //! changes.
 
 use asterramp_snapshot::{
-    LONGEST, LoadedSnapshot, SavedEndpoint, SavedEndpointState, Snapshot, SnapshotDirectory,
-    SnapshotStore, read, write,
+    LoadedSnapshot, MAX_FILE_LEN, SavedEndpoint, SavedEndpointState, Snapshot, SnapshotDirectory,
+    SnapshotStore, decode, encode,
 };
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -37,11 +37,11 @@
         endpoint: address("192.0.2.10:4001"),
         zone: "zone-a".into(),
         cell: 3,
-        standing: SavedEndpointState::Ready,
+        state: SavedEndpointState::Ready,
         weight: 1.5,
         started_ms: Some(1_699_999_000_123),
-        heard_ms: Some(1_700_000_000_456),
-        unit: Some(0.03125),
+        last_report_ms: Some(1_700_000_000_456),
+        load_per_connection: Some(0.03125),
     }
 }
 
@@ -52,24 +52,24 @@
         endpoint: address("[2001:db8::1]:65535"),
         zone: String::new(),
         cell: u16::MAX,
-        standing: SavedEndpointState::Draining,
+        state: SavedEndpointState::Draining,
         weight: 0.1,
         started_ms: None,
-        heard_ms: None,
-        unit: None,
+        last_report_ms: None,
+        load_per_connection: None,
     }
 }
 
 fn every_field_set() -> Snapshot {
     Snapshot {
         owner: OWNER.into(),
-        seq: 42,
+        sequence: 42,
         saved_ms: 1_700_000_001_000,
-        rev: 9,
-        told_ms: Some(1_700_000_000_500),
-        term: 5,
-        clean: true,
-        hosts: vec![ready_host()],
+        list_revision: 9,
+        discovery_heard_ms: Some(1_700_000_000_500),
+        lease_term: 5,
+        clean_shutdown: true,
+        endpoints: vec![ready_host()],
     }
 }
 
@@ -80,19 +80,19 @@
 fn ready_and_draining() -> Snapshot {
     Snapshot {
         owner: OWNER.into(),
-        seq: 1,
+        sequence: 1,
         saved_ms: 0,
-        rev: 0,
-        told_ms: None,
-        term: 0,
-        clean: false,
-        hosts: vec![ready_host(), draining_host(), ready_host()],
+        list_revision: 0,
+        discovery_heard_ms: None,
+        lease_term: 0,
+        clean_shutdown: false,
+        endpoints: vec![ready_host(), draining_host(), ready_host()],
     }
 }
 
 fn no_hosts() -> Snapshot {
     Snapshot {
-        hosts: Vec::new(),
+        endpoints: Vec::new(),
         ..every_field_set()
     }
 }
@@ -101,19 +101,19 @@
     let host = SavedEndpoint {
         weight: f64::MAX,
         started_ms: Some(u64::MAX),
-        heard_ms: Some(0),
-        unit: Some(f64::MIN_POSITIVE),
+        last_report_ms: Some(0),
+        load_per_connection: Some(f64::MIN_POSITIVE),
         ..ready_host()
     };
     Snapshot {
         owner: "[::]:1".into(),
-        seq: u64::MAX,
+        sequence: u64::MAX,
         saved_ms: u64::MAX,
-        rev: u64::MAX,
-        told_ms: Some(u64::MAX),
-        term: u64::MAX,
-        clean: true,
-        hosts: vec![host],
+        list_revision: u64::MAX,
+        discovery_heard_ms: Some(u64::MAX),
+        lease_term: u64::MAX,
+        clean_shutdown: true,
+        endpoints: vec![host],
     }
 }
 
@@ -124,8 +124,8 @@
 #[test_case("greatest_figures.snapshot", &greatest_figures(); "greatest figures")]
 fn a_snapshot_is_read_and_written_as_before(name: &str, expected: &Snapshot) {
     let bytes = golden(name);
-    assert_eq!(&read(&bytes).unwrap(), expected);
-    assert_eq!(text(&write(expected)), text(&bytes));
+    assert_eq!(&decode(&bytes).unwrap(), expected);
+    assert_eq!(text(&encode(expected)), text(&bytes));
 }
 
 /// The snapshot in the form of a file, with a correct length and checksum for `body`.
@@ -140,14 +140,14 @@
 
 /// A golden snapshot's text with one part replaced.
 fn altered(from: &str, to: &str) -> Vec<u8> {
-    let whole = text(&write(&every_field_set()));
+    let whole = text(&encode(&every_field_set()));
     assert!(whole.contains(from), "{from:?} is not in {whole:?}");
     whole.replacen(from, to, 1).into_bytes()
 }
 
 /// The same for its JSON body, under a first line that is right.
 fn altered_body(from: &str, to: &str) -> Vec<u8> {
-    let whole = text(&write(&every_field_set()));
+    let whole = text(&encode(&every_field_set()));
     let body = whole.split_once('\n').unwrap().1;
     assert!(body.contains(from), "{from:?} is not in {body:?}");
     file_of(&body.replacen(from, to, 1))
@@ -166,8 +166,8 @@
 #[test_case("length_missing", b"asterramp-state v=1\n{}".to_vec())]
 #[test_case("checksum_not_a_number", altered("crc=", "crc=z"))]
 #[test_case("checksum_missing", b"asterramp-state v=1 len=2\n{}".to_vec())]
-#[test_case("a_byte_short", { let mut b = write(&every_field_set()); b.pop(); b })]
-#[test_case("a_byte_more", { let mut b = write(&every_field_set()); b.push(b'x'); b })]
+#[test_case("a_byte_short", { let mut b = encode(&every_field_set()); b.pop(); b })]
+#[test_case("a_byte_more", { let mut b = encode(&every_field_set()); b.push(b'x'); b })]
 #[test_case("wrong_checksum", altered("\"seq\":42", "\"seq\":43"))]
 #[test_case("unknown_field", altered_body("\"rev\":9", "\"rev\":9,\"colour\":1"))]
 #[test_case(
@@ -195,7 +195,7 @@
 fn bytes_that_are_no_snapshot_are_refused_with_the_same_text(name: &str, made: Vec<u8>) {
     let bytes = golden(&format!("refused/{name}.bytes"));
     assert_eq!(text(&made), text(&bytes));
-    let error = read(&bytes).unwrap_err().to_string();
+    let error = decode(&bytes).unwrap_err().to_string();
     let expected = golden(&format!("refused/{name}.txt"));
     assert_eq!(error, text(&expected));
 }
@@ -217,10 +217,10 @@
         text(first_line),
         "asterramp-state v=1 len=569447 crc=84ead54b"
     );
-    let snapshot = read(&most).unwrap();
-    assert_eq!(snapshot.hosts.len(), 4096);
-    assert_eq!(write(&snapshot), most);
-    let error = read(&file_with_hosts(4097)).unwrap_err().to_string();
+    let snapshot = decode(&most).unwrap();
+    assert_eq!(snapshot.endpoints.len(), 4096);
+    assert_eq!(encode(&snapshot), most);
+    let error = decode(&file_with_hosts(4097)).unwrap_err().to_string();
     assert_eq!(error, "4097 hosts; 4096 are the most");
 }
 
@@ -267,17 +267,17 @@
 /// The files that could not be used, each with the reason.
 fn reasons(found: &LoadedSnapshot) -> Vec<String> {
     found
-        .troubles
+        .problems
         .iter()
-        .map(|trouble| format!("{}: {}", trouble.file, trouble.why))
+        .map(|problem| format!("{}: {}", problem.file, problem.error))
         .collect()
 }
 
 /// The snapshots of three saves in a row; `seq` is counted by the store.
 fn save_of(nth: u64) -> Snapshot {
     Snapshot {
-        seq: 0,
-        rev: nth,
+        sequence: 0,
+        list_revision: nth,
         saved_ms: 1_700_000_000_000 + nth,
         ..ready_and_draining()
     }
@@ -292,7 +292,7 @@
     for nth in 1..=saves {
         let mut snapshot = save_of(nth);
         let written = store.save(&mut snapshot).unwrap();
-        assert_eq!(snapshot.seq, nth);
+        assert_eq!(snapshot.sequence, nth);
         let newest = if nth % 2 == 1 { "state.0" } else { "state.1" };
         assert_eq!(written, folder.bytes(newest).len());
     }
@@ -316,7 +316,7 @@
     }
     let mut store = folder.store();
     let newest = Snapshot {
-        seq: 2,
+        sequence: 2,
         ..save_of(2)
     };
     let found = store.load(Some(OWNER));
@@ -338,7 +338,7 @@
     folder.put("state.1", &golden("saves_2.state.1"));
     let found = folder.store().load(Some(OWNER));
     let before = Snapshot {
-        seq: 2,
+        sequence: 2,
         ..save_of(2)
     };
     assert_eq!(found.snapshot, Some(before));
@@ -349,7 +349,7 @@
 fn files_that_cannot_be_used_are_named_with_the_same_texts() {
     let folder = TestFolder::new("named");
     folder.put("state.0", &golden("saves_2.state.0"));
-    folder.put("state.1", &vec![b'x'; LONGEST + 1]);
+    folder.put("state.1", &vec![b'x'; MAX_FILE_LEN + 1]);
     let found = folder.store().load(Some("192.0.2.8:7000"));
     assert_eq!(found.snapshot, None);
     assert_eq!(
@@ -372,13 +372,13 @@
 fn a_snapshot_longer_than_is_read_is_not_written() {
     let folder = TestFolder::new("longer");
     let host = SavedEndpoint {
-        uid: "u".repeat(LONGEST),
+        uid: "u".repeat(MAX_FILE_LEN),
         ..ready_host()
     };
     let error = folder
         .store()
         .save(&mut Snapshot {
-            hosts: vec![host],
+            endpoints: vec![host],
             ..save_of(1)
         })
         .unwrap_err();
--- /dev/null
+++ b/crates/snapshot/tests/snapshot/decoding.rs
@@ -0,0 +1,104 @@
+//! What is read from files that are damaged, of another version or of another proxy.
+
+use crate::OWNER;
+use crate::simulated_disk::{Disk, snapshot};
+use asterramp_snapshot::{MAX_FILE_LEN, Snapshot, SnapshotStore, decode, encode};
+use test_case::test_case;
+
+fn altered(change: impl Fn(&mut Vec<u8>)) -> Vec<u8> {
+    let mut bytes = encode(&snapshot(2));
+    change(&mut bytes);
+    bytes
+}
+
+fn with_first_line(from: &str, to: &str) -> Vec<u8> {
+    let bytes = encode(&snapshot(2));
+    let text = String::from_utf8(bytes).unwrap();
+    text.replacen(from, to, 1).into_bytes()
+}
+
+#[test_case(Vec::new(), "empty"; "nothing")]
+#[test_case(b"{}".to_vec(), "first line"; "no first line")]
+#[test_case(b"another v=1 len=0 crc=0\n".to_vec(), "first line"; "another program's")]
+#[test_case(vec![0xff; 200], "first line"; "no text")]
+#[test_case(altered(|b| b.truncate(b.len() - 1)), "bytes of"; "a byte short")]
+#[test_case(altered(|b| b.push(b'x')), "bytes of"; "a byte more")]
+#[test_case(altered(|b| { let n = b.len(); b[n / 2] ^= 1 }), "checksum is wrong"; "a bit flipped")]
+#[test_case(altered(|b| { let n = b.len(); b[n / 2..].fill(0) }), "checksum is wrong"; "half of it zeros")]
+#[test_case(with_first_line("v=1", "v=2"), "version 2, newer"; "a newer version")]
+#[test_case(with_first_line("v=1", "v=0"), "version 0, older"; "an older version")]
+#[test_case(with_first_line("v=1", "v=x"), "version cannot"; "no version")]
+#[test_case(with_first_line("len=", "len=-"), "length cannot"; "no length")]
+#[test_case(with_first_line("crc=", "crc=z"), "checksum cannot"; "no checksum")]
+fn a_damaged_file_is_refused_with_its_reason_and_the_other_generation_is_used(
+    bytes: Vec<u8>,
+    reason: &str,
+) {
+    let decoded = decode(&bytes);
+    assert!(
+        decoded
+            .as_ref()
+            .is_err_and(|error| error.to_string().contains(reason)),
+        "{decoded:?}"
+    );
+    let mut disk = Disk::default();
+    disk.put("state.0", &bytes);
+    disk.put(
+        "state.1",
+        &encode(&Snapshot {
+            sequence: 7,
+            ..snapshot(1)
+        }),
+    );
+    let loaded = SnapshotStore::new(disk).load(Some(OWNER));
+    assert_eq!(loaded.problems.len(), 1);
+    assert_eq!(loaded.snapshot.map(|s| s.list_revision), Some(1));
+}
+
+#[test]
+fn every_prefix_of_a_snapshot_is_refused() {
+    let bytes = encode(&snapshot(2));
+    assert!((0..bytes.len()).all(|n| decode(&bytes[..n]).is_err()));
+    assert_eq!(decode(&bytes).unwrap(), snapshot(2));
+}
+
+#[test]
+fn the_higher_sequence_number_is_the_newer_whatever_the_clock_says() {
+    let mut disk = Disk::default();
+    disk.put(
+        "state.0",
+        &encode(&Snapshot {
+            sequence: 9,
+            saved_ms: 5,
+            ..snapshot(9)
+        }),
+    );
+    disk.put(
+        "state.1",
+        &encode(&Snapshot {
+            sequence: 8,
+            saved_ms: u64::MAX,
+            ..snapshot(8)
+        }),
+    );
+    let loaded = SnapshotStore::new(disk).load(None);
+    assert_eq!(loaded.snapshot.map(|s| s.list_revision), Some(9));
+}
+
+#[test]
+fn another_proxys_snapshot_is_foreign_and_a_file_that_is_too_long_is_not_read() {
+    let mut disk = Disk::default();
+    disk.put("state.0", &encode(&snapshot(1)));
+    disk.put("state.1", &vec![b'x'; MAX_FILE_LEN + 1]);
+    let loaded = SnapshotStore::new(disk).load(Some("127.0.0.1:7001"));
+    assert!(loaded.snapshot.is_none());
+    let reasons: Vec<String> = loaded
+        .problems
+        .iter()
+        .map(|problem| problem.error.to_string())
+        .collect();
+    assert!(
+        reasons[0].contains("foreign") && reasons[1].contains("long"),
+        "{loaded:?}"
+    );
+}
