--- a/crates/model-checker/src/warm_start.rs
+++ b/crates/model-checker/src/warm_start.rs
@@ -1,12 +1,12 @@
 //! Starts of three proxies after a power loss, in every order of starts, answers, losses and restarts at small size.
-//! `asterramp_warm_start::Recovery`, the code that serves, decides; hosts, discovery and the ways between are modelled here.
+//! `asterramp_warm_start::WarmStart`, the code that serves, decides; hosts, discovery and the ways between are modelled here.
 //!
 //! Hosts 0 and 1 are those of before; host 2 now stands at the address of host 1, so one of the two is not there.
 
 use crate::search::{self, Explored, Played};
 use asterramp_warm_start::{
-    EndpointId, EndpointSource, EndpointTrustState, InformationAge, StartMode, WarmStart,
-    WarmStartEffect, WarmStartSettings, WarmStartStage,
+    CandidateState, ClientAdmission, EndpointId, EndpointReport, EndpointSource, InformationAge,
+    WarmStart, WarmStartEffect, WarmStartSettings, WarmStartStage,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,12 +20,12 @@
 const HOSTS: usize = 3;
 /// Round figures, so that worlds meet again.
 const TERMS: WarmStartSettings = WarmStartSettings {
-    look: ms(500),
-    ask: ms(500),
-    probe: ms(1_000),
-    warm: ms(1_500),
-    others: true,
-    probes: 1,
+    discovery_timeout: ms(500),
+    peer_timeout: ms(500),
+    probe_timeout: ms(1_000),
+    limited_admission: ms(1_500),
+    has_peers: true,
+    max_probes: 1,
 };
 const STEP: Duration = ms(500);
 /// Within how long every start that knows a host which is up must be through.
@@ -70,8 +70,8 @@
 
 #[derive(Clone, Debug)]
 struct Proxy {
-    recovery: WarmStart,
-    door: StartMode,
+    warm_start: WarmStart,
+    admission: ClientAdmission,
     /// Hosts that sessions may be placed on, as the module hears it; and those that have answered this process, or that
     /// discovery named to it.
     used: BTreeSet<EndpointId>,
@@ -129,16 +129,16 @@
     }
 
     #[cfg(feature = "injected-faults")]
-    fn inject_into(&self, recovery: &mut WarmStart) {
-        recovery.injected_fault = self.injected_fault;
+    fn inject_into(&self, warm_start: &mut WarmStart) {
+        warm_start.injected_fault = self.injected_fault;
     }
 
     #[cfg(not(feature = "injected-faults"))]
     fn inject_into(&self, _: &mut WarmStart) {}
 
     fn start(&mut self, at: usize, disk: Disk) {
-        let mut recovery = WarmStart::new(self.now, TERMS);
-        self.inject_into(&mut recovery);
+        let mut warm_start = WarmStart::new(self.now, TERMS);
+        self.inject_into(&mut warm_start);
         let age = if disk == Disk::Saved {
             InformationAge::Fresh
         } else {
@@ -146,13 +146,22 @@
         };
         if disk != Disk::Empty {
             for host in [0, 1] {
-                recovery.word(self.now, host, address(host), EndpointSource::Saved, age, 5);
+                warm_start.report(
+                    self.now,
+                    EndpointReport {
+                        id: host,
+                        address: address(host),
+                        source: EndpointSource::Snapshot,
+                        age,
+                        list_revision: 5,
+                    },
+                );
             }
         }
         let doubtful = (disk == Disk::FromTheFuture).then_some(self.now + ms(31_000));
         self.proxies[at] = Some(Proxy {
-            recovery,
-            door: StartMode::Shut,
+            warm_start,
+            admission: ClientAdmission::Queued,
             used: BTreeSet::new(),
             proven: BTreeSet::new(),
             probes: BTreeSet::new(),
@@ -167,7 +176,7 @@
 
     fn reply(&mut self, to: usize, from: usize) {
         let answering = |host: &EndpointId, proxy: &Proxy| {
-            proxy.recovery.hosts().state(*host) == EndpointTrustState::Answers
+            proxy.warm_start.candidates().state(*host) == CandidateState::Responsive
         };
         let says: Vec<EndpointId> = match &self.proxies[from] {
             Some(proxy) => (0..HOSTS as EndpointId)
@@ -181,17 +190,19 @@
         };
         proxy.asked.remove(&from);
         for host in says {
-            proxy.recovery.word(
+            proxy.warm_start.report(
                 now,
-                host,
-                address(host),
-                EndpointSource::Heard,
-                InformationAge::Fresh,
-                6,
+                EndpointReport {
+                    id: host,
+                    address: address(host),
+                    source: EndpointSource::Peer,
+                    age: InformationAge::Fresh,
+                    list_revision: 6,
+                },
             );
         }
         if proxy.asked.is_empty() {
-            proxy.recovery.heard_others(now);
+            proxy.warm_start.peers_asked(now);
         }
         self.heed(to);
     }
@@ -210,7 +221,7 @@
         {
             proxy.proven.insert(host);
         }
-        proxy.recovery.answered(now, host, up);
+        proxy.warm_start.probe_finished(now, host, up);
         self.heed(at);
     }
 
@@ -227,9 +238,13 @@
         proxy.told = Some(proxy.used.clone());
         proxy.probes.retain(|host| ready.contains(host));
         for host in &ready {
-            proxy.recovery.told(now, *host, address(*host), true);
+            proxy
+                .warm_start
+                .endpoint_listed(now, *host, address(*host), true);
         }
-        proxy.recovery.told_whole(now, &ready, lists == Lists::Cold);
+        proxy
+            .warm_start
+            .list_completed(now, &ready, lists == Lists::Cold);
         self.heed(at);
     }
 
@@ -240,7 +255,9 @@
         };
         proxy.used.remove(&host);
         proxy.proven.remove(&host);
-        proxy.recovery.told(now, host, address(host), false);
+        proxy
+            .warm_start
+            .endpoint_listed(now, host, address(host), false);
         self.heed(at);
     }
 
@@ -251,7 +268,7 @@
         };
         proxy.used.insert(2);
         proxy.proven.insert(2);
-        proxy.recovery.told(now, 2, address(2), true);
+        proxy.warm_start.endpoint_listed(now, 2, address(2), true);
         self.heed(at);
     }
 
@@ -260,10 +277,10 @@
         let Some(proxy) = &mut self.proxies[at] else {
             return;
         };
-        let effects: Vec<WarmStartEffect> = proxy.recovery.effects().collect();
+        let effects: Vec<WarmStartEffect> = proxy.warm_start.drain_effects().collect();
         for effect in effects {
             match effect {
-                WarmStartEffect::Ask => {
+                WarmStartEffect::AskPeers => {
                     proxy.asked = (0..PROXIES).filter(|other| *other != at).collect()
                 }
                 WarmStartEffect::Probe(host) => drop(proxy.probes.insert(host)),
@@ -279,17 +296,17 @@
                     proxy.used.remove(&host);
                     proxy.proven.remove(&host);
                 }
-                WarmStartEffect::Door(door) => {
-                    proxy.door = door;
+                WarmStartEffect::Admit(admission) => {
+                    proxy.admission = admission;
                     let warm = proxy
                         .degrees
-                        .is_some_and(|since| self.now >= since + TERMS.warm);
-                    if door == StartMode::Open && proxy.told.is_none() && !warm {
+                        .is_some_and(|since| self.now >= since + TERMS.limited_admission);
+                    if admission == ClientAdmission::Open && proxy.told.is_none() && !warm {
                         self.broken = Some(format!("proxy {at} lets all in at once"));
                     }
-                    proxy.degrees = (door == StartMode::ByDegrees).then_some(self.now);
+                    proxy.degrees = (admission == ClientAdmission::Limited).then_some(self.now);
                 }
-                WarmStartEffect::Turned(..) => {}
+                WarmStartEffect::StageChanged(..) => {}
             }
         }
     }
@@ -298,7 +315,7 @@
         self.now += STEP;
         for at in 0..PROXIES {
             if let Some(proxy) = &mut self.proxies[at] {
-                proxy.recovery.tick(self.now);
+                proxy.warm_start.handle_deadline(self.now);
                 proxy.ticked = self.now;
             }
             self.heed(at);
@@ -308,16 +325,20 @@
     /// What must hold after each step.
     fn holds(&self, at: usize) -> Option<String> {
         let proxy = self.proxies[at].as_ref()?;
-        let stage = proxy.recovery.stage();
+        let stage = proxy.warm_start.stage();
         // A deadline that stays over is served again and again, and nothing else.
-        if proxy.recovery.due().is_some_and(|due| due <= proxy.ticked) {
+        if proxy
+            .warm_start
+            .next_deadline()
+            .is_some_and(|due| due <= proxy.ticked)
+        {
             return Some(format!("proxy {at} is due at once, for ever"));
         }
         let alone = proxy.told.is_none() && proxy.used.is_empty();
-        if alone && proxy.door == StartMode::ByDegrees {
+        if alone && proxy.admission == ClientAdmission::Limited {
             return Some(format!("proxy {at} lets clients in, and has no host"));
         }
-        if proxy.door == StartMode::Open && stage != WarmStartStage::Normal {
+        if proxy.admission == ClientAdmission::Open && stage != WarmStartStage::Normal {
             return Some(format!("proxy {at} is open while it is {}", stage.name()));
         }
         let both = proxy.used.contains(&1) && proxy.used.contains(&2);
@@ -327,13 +348,19 @@
         let old = proxy.doubtful.is_some_and(|until| self.now > until);
         let asks = |host| {
             matches!(
-                proxy.recovery.hosts().state(host),
-                EndpointTrustState::Waiting
-                    | EndpointTrustState::Silent
-                    | EndpointTrustState::Asked
+                proxy.warm_start.candidates().state(host),
+                CandidateState::AwaitingProbe
+                    | CandidateState::Unresponsive
+                    | CandidateState::Probing
             )
         };
-        let saved = proxy.recovery.hosts().by(EndpointSource::Saved).0 > 0 && proxy.told.is_none();
+        let saved = proxy
+            .warm_start
+            .candidates()
+            .counts(EndpointSource::Snapshot)
+            .reported
+            > 0
+            && proxy.told.is_none();
         (old && saved && asks(1) && !self.up[1])
             .then(|| format!("proxy {at} still asks for a host that a wrong clock told of"))
     }
@@ -359,11 +386,11 @@
             }
             for (at, proxy) in world.proxies.iter().enumerate() {
                 let Some(proxy) = proxy else { continue };
-                let stage = proxy.recovery.stage();
+                let stage = proxy.warm_start.stage();
                 // Where discovery said that there is nobody, there is nobody.
-                let hosts = proxy.recovery.hosts();
+                let hosts = proxy.warm_start.candidates();
                 let knows = (0..HOSTS as EndpointId)
-                    .any(|host| hosts.state(host) != EndpointTrustState::Unknown);
+                    .any(|host| hosts.state(host) != CandidateState::Unknown);
                 if stage != WarmStartStage::Normal && (knows || discovery) {
                     return Some(format!("proxy {at} stays {}", stage.name()));
                 }
@@ -391,12 +418,12 @@
                 continue;
             };
             let (stage, since) = (
-                p.recovery.stage(),
-                (self.now - p.recovery.since()).min(ms(1)),
+                p.warm_start.stage(),
+                (self.now - p.warm_start.stage_since()).min(ms(1)),
             );
             key += &format!(
                 "|{stage:?}{since:?}{:?}{:?}{:?}{:?}{:?}",
-                p.door, p.used, p.proven, p.probes, p.asked
+                p.admission, p.used, p.proven, p.probes, p.asked
             );
             key += &format!(
                 "{:?}{:?}{:?}",
@@ -406,8 +433,8 @@
             );
             key += &format!(
                 "{}{:?}",
-                p.recovery.hosts().aged(self.now),
-                p.recovery.due().map(left)
+                p.warm_start.candidates().state_key(self.now),
+                p.warm_start.next_deadline().map(left)
             );
         }
         key
--- a/crates/model-checker/tests/injected_faults.rs
+++ b/crates/model-checker/tests/injected_faults.rs
@@ -62,8 +62,8 @@
     use asterramp_warm_start::InjectedFault;
     all_found(&InjectedFault::ALL, |injected_fault| {
         let (before, depth) = match injected_fault {
-            InjectedFault::FutureIsFresh => (late(), 2),
-            InjectedFault::HeardIsTrusted => (ASKING.to_vec(), 6),
+            InjectedFault::FutureCountsAsFresh => (late(), 2),
+            InjectedFault::PeerReportUsedUnprobed => (ASKING.to_vec(), 6),
             InjectedFault::TwoAtOneAddress => (PROBED.to_vec(), 4),
             _ => (Vec::new(), 6),
         };
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -166,9 +166,9 @@
 fn stages(wishes: &OperatorConfig, setup: &Settings) -> asterramp_warm_start::WarmStartSettings {
     let (wish, warm) = (&wishes.recovery, setup.deployment.slow_start.warm_after);
     asterramp_warm_start::WarmStartSettings {
-        look: wish.look,
-        probe: wish.probe,
-        warm,
+        discovery_timeout: wish.look,
+        probe_timeout: wish.probe,
+        limited_admission: warm,
         ..Default::default()
     }
 }
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -252,24 +252,24 @@
     fn start_told(&self) -> Option<WarmStartStatus> {
         let start = self.warm_start_state()?;
         let source = |source: (EndpointSource, &str)| {
-            let (told, good) = start.hosts().by(source.0);
-            (source.1.to_string(), told, good)
+            let counts = start.candidates().counts(source.0);
+            (source.1.to_string(), counts.reported, counts.usable)
         };
         let sources = [
-            (EndpointSource::Saved, "saved"),
-            (EndpointSource::Configured, "configured"),
-            (EndpointSource::Heard, "heard"),
-            (EndpointSource::Told, "told"),
+            (EndpointSource::Snapshot, "saved"),
+            (EndpointSource::Configuration, "configured"),
+            (EndpointSource::Peer, "heard"),
+            (EndpointSource::Discovery, "told"),
         ];
         Some(WarmStartStatus {
             stage: start.stage().name().into(),
-            since_ms: self.now.saturating_sub(start.since()).as_millis() as u64,
+            since_ms: self.now.saturating_sub(start.stage_since()).as_millis() as u64,
             sources: sources
                 .into_iter()
                 .map(source)
                 .filter(|told| told.1 > 0)
                 .collect(),
-            dropped: start.hosts().dropped,
+            dropped: start.candidates().dropped(),
             saved: self.snapshot_counts(),
         })
     }
--- a/crates/proxy/src/routing/metrics.rs
+++ b/crates/proxy/src/routing/metrics.rs
@@ -135,7 +135,7 @@
         let _ = writeln!(
             text,
             "svc_start_hosts_dropped_total {}",
-            start.hosts().dropped
+            start.candidates().dropped()
         );
     }
     for (what, n) in kept
--- a/crates/proxy/src/routing/peers.rs
+++ b/crates/proxy/src/routing/peers.rs
@@ -6,7 +6,9 @@
 use crate::transport::poll::{Ready, Want};
 use crate::transport::{Key, socket};
 use asterramp_placement::event::EndpointState;
-use asterramp_warm_start::{EndpointSource, EndpointTrustState, InformationAge, age};
+use asterramp_warm_start::{
+    CandidateState, EndpointReport, EndpointSource, InformationAge, information_age,
+};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -120,7 +122,7 @@
         let now = self.now;
         self.warm_start
             .iter_mut()
-            .for_each(|s| s.recovery.heard_others(now));
+            .for_each(|s| s.recovery.peers_asked(now));
         self.apply_warm_start_effects();
     }
 
@@ -187,7 +189,7 @@
         for host in known.hosts {
             // What it says of ages is by its own clock only as far as they are spans.
             let at = now.checked_sub(Duration::from_millis(host.age_ms));
-            let old = at.map_or(InformationAge::Unknown, |at| age(now, Some(at)));
+            let old = at.map_or(InformationAge::Unknown, |at| information_age(now, Some(at)));
             let zoned = self.settings.zones.contains(&host.zone);
             let good =
                 zoned && host.weight.is_finite() && host.weight >= 0.0 && host.uid.len() <= 256;
@@ -197,9 +199,16 @@
             // One that is known already stands where it did: another's word moves nobody.
             if let Some(id) = self.endpoints.find(&host.uid) {
                 if let Some(at) = self.endpoints.address(id).filter(|at| *at == host.endpoint) {
-                    starting
-                        .recovery
-                        .word(now, id, at, EndpointSource::Heard, old, known.rev);
+                    starting.recovery.report(
+                        now,
+                        EndpointReport {
+                            id,
+                            address: at,
+                            source: EndpointSource::Peer,
+                            age: old,
+                            list_revision: known.rev,
+                        },
+                    );
                 }
                 continue;
             }
@@ -221,13 +230,15 @@
                 entry.server,
                 host.unit.filter(|unit| unit.is_finite() && *unit > 0.0),
             );
-            starting.recovery.word(
+            starting.recovery.report(
                 now,
-                entry.server,
-                host.endpoint,
-                EndpointSource::Heard,
-                old,
-                known.rev,
+                EndpointReport {
+                    id: entry.server,
+                    address: host.endpoint,
+                    source: EndpointSource::Peer,
+                    age: old,
+                    list_revision: known.rev,
+                },
             );
         }
     }
@@ -237,8 +248,8 @@
         let now = self.now;
         let answers = |id: u32| match self.warm_start_state() {
             Some(start) => matches!(
-                start.hosts().state(id),
-                EndpointTrustState::Answers | EndpointTrustState::Told
+                start.candidates().state(id),
+                CandidateState::Responsive | CandidateState::Listed
             ),
             None => true,
         };
--- a/crates/proxy/src/routing/warm_start.rs
+++ b/crates/proxy/src/routing/warm_start.rs
@@ -8,8 +8,9 @@
 use asterramp_placement::event::{Endpoint, EndpointState, EndpointUpdate, Outcome, ServerId};
 use asterramp_snapshot::{SaveOutcome, SavedEndpoint, Snapshot, SnapshotWriter};
 use asterramp_warm_start::{
-    EndpointId, EndpointSource, InformationAge, StartMode as Way, WarmStart, WarmStartEffect,
-    WarmStartSettings, WarmStartStage, age, fill,
+    ClientAdmission, EndpointId, EndpointReport, EndpointSource, InformationAge,
+    MIN_CONNECTIONS_FOR_LOAD, SlowStartProfile, WarmStart, WarmStartEffect, WarmStartSettings,
+    WarmStartStage, admission_rate, information_age,
 };
 use std::time::Duration;
 
@@ -26,7 +27,7 @@
     told: Option<Duration>,
     /// What a connection took of each server before, by its index.
     units: Vec<Option<f64>>,
-    way: Way,
+    way: ClientAdmission,
 }
 
 /// What is kept for the next start.
@@ -99,8 +100,12 @@
         self.resource_budget = self.resource_budget.without(anew.others.doors.len().min(8));
         self.configure_peers(anew.others);
         let terms = WarmStartSettings {
-            others,
-            probes: self.resource_budget.probes.min(anew.terms.probes).max(1),
+            has_peers: others,
+            max_probes: self
+                .resource_budget
+                .probes
+                .min(anew.terms.max_probes)
+                .max(1),
             ..anew.terms
         };
         let saved = anew.saved.unwrap_or_default();
@@ -109,14 +114,14 @@
             had: rev.max(saved.list_revision),
             told: saved.discovery_heard_ms.map(unix),
             units: Vec::new(),
-            way: Way::Shut,
+            way: ClientAdmission::Queued,
         };
         // When it was told counts, not when it was written again.
         let told = saved.discovery_heard_ms.map(unix);
-        let old = if age(now, Some(unix(saved.saved_ms))) == InformationAge::Unknown {
+        let old = if information_age(now, Some(unix(saved.saved_ms))) == InformationAge::Unknown {
             InformationAge::Unknown
         } else {
-            age(now, told)
+            information_age(now, told)
         };
         let hosts = saved
             .endpoints
@@ -125,7 +130,7 @@
         let own = hosts.map(|host| {
             (
                 listed(host),
-                EndpointSource::Saved,
+                EndpointSource::Snapshot,
                 old,
                 saved.list_revision,
                 host.load_per_connection,
@@ -138,7 +143,7 @@
         let configured = configured.map(|line| {
             (
                 line.clone(),
-                EndpointSource::Configured,
+                EndpointSource::Configuration,
                 InformationAge::Unknown,
                 rev,
                 None,
@@ -153,9 +158,16 @@
                 continue;
             };
             starting.restore_load_per_connection(entry.server, unit);
-            starting
-                .recovery
-                .word(now, entry.server, at, source, old, rev);
+            starting.recovery.report(
+                now,
+                EndpointReport {
+                    id: entry.server,
+                    address: at,
+                    source,
+                    age: old,
+                    list_revision: rev,
+                },
+            );
         }
         self.warm_start = Some(starting);
         self.apply_warm_start_effects();
@@ -180,17 +192,21 @@
             };
             match entry.state {
                 EndpointState::Ready => {
-                    starting.recovery.word(
+                    starting.recovery.report(
                         now,
-                        entry.server,
-                        at,
-                        EndpointSource::Told,
-                        InformationAge::Old,
-                        rev,
+                        EndpointReport {
+                            id: entry.server,
+                            address: at,
+                            source: EndpointSource::Discovery,
+                            age: InformationAge::Old,
+                            list_revision: rev,
+                        },
                     );
                 }
                 _ => {
-                    starting.recovery.told(now, entry.server, at, false);
+                    starting
+                        .recovery
+                        .endpoint_listed(now, entry.server, at, false);
                     away.push(entry);
                 }
             }
@@ -220,9 +236,12 @@
         }
         for entry in entries.iter() {
             if let Some(at) = self.endpoints.address(entry.server) {
-                starting
-                    .recovery
-                    .told(now, entry.server, at, entry.state == EndpointState::Ready);
+                starting.recovery.endpoint_listed(
+                    now,
+                    entry.server,
+                    at,
+                    entry.state == EndpointState::Ready,
+                );
             }
         }
         if whole {
@@ -236,7 +255,9 @@
             };
             let (all, young) = (ready.clone().count(), ready.clone().filter(new).count());
             let listed: Vec<EndpointId> = entries.iter().map(|entry| entry.server).collect();
-            starting.recovery.told_whole(now, &listed, young * 2 > all);
+            starting
+                .recovery
+                .list_completed(now, &listed, young * 2 > all);
         }
         self.apply_warm_start_effects();
     }
@@ -247,7 +268,7 @@
         let Some(starting) = &mut self.warm_start else {
             return;
         };
-        starting.recovery.answered(
+        starting.recovery.probe_finished(
             now,
             server,
             matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Erred),
@@ -260,7 +281,7 @@
         let Some(starting) = &mut self.warm_start else {
             return;
         };
-        starting.recovery.tick(now);
+        starting.recovery.handle_deadline(now);
         self.apply_warm_start_effects();
     }
 
@@ -270,7 +291,7 @@
             let Some(starting) = &mut self.warm_start else {
                 return;
             };
-            let effects: Vec<WarmStartEffect> = starting.recovery.effects().collect();
+            let effects: Vec<WarmStartEffect> = starting.recovery.drain_effects().collect();
             if effects.is_empty() {
                 break;
             }
@@ -281,7 +302,7 @@
         let Some(starting) = &self.warm_start else {
             return;
         };
-        match starting.recovery.due() {
+        match starting.recovery.next_deadline() {
             Some(due) => self.deadlines.set(TimerKey::WarmStart, due),
             None => self.deadlines.clear(TimerKey::WarmStart),
         }
@@ -289,13 +310,13 @@
 
     fn start_effect(&mut self, effect: WarmStartEffect) {
         match effect {
-            WarmStartEffect::Ask => self.query_peers(),
+            WarmStartEffect::AskPeers => self.query_peers(),
             // Where probes are not allowed, the first dial is the question.
             WarmStartEffect::Probe(id) if !self.settings.deployment.may_probe => {
                 let now = self.now;
                 self.warm_start
                     .iter_mut()
-                    .for_each(|s| s.recovery.answered(now, id, true));
+                    .for_each(|s| s.recovery.probe_finished(now, id, true));
             }
             WarmStartEffect::Probe(id) => self.probe(id),
             WarmStartEffect::Use(id) => {
@@ -307,21 +328,21 @@
             WarmStartEffect::Drop(id, why) => {
                 self.log_event(
                     ReasonCode::HostDropped,
-                    format!("server={} why={why:?}", self.endpoints.name(id)),
+                    format!("server={} why={:?}", self.endpoints.name(id), why.text()),
                 );
                 self.endpoints.stands(id, EndpointState::Gone);
                 self.place_on(id, EndpointState::Gone, None, None);
             }
-            WarmStartEffect::Door(way) => {
+            WarmStartEffect::Admit(way) => {
                 self.warm_start.iter_mut().for_each(|s| s.way = way);
-                if way != Way::Shut && !self.serving {
+                if way != ClientAdmission::Queued && !self.serving {
                     self.start_serving("recovery");
                 }
                 self.update_admission_rate();
             }
-            WarmStartEffect::Turned(stage, why) => self.log_event(
+            WarmStartEffect::StageChanged(stage, why) => self.log_event(
                 ReasonCode::Stage,
-                format!("stage={} why={why:?}", stage.name()),
+                format!("stage={} why={:?}", stage.name(), why.text()),
             ),
         }
     }
@@ -349,10 +370,10 @@
         let starting = self.warm_start.as_ref()?;
         let cold = self.settings.deployment.slow_start;
         match starting.way {
-            Way::Open => None,
-            Way::Shut | Way::Refused => Some(0.0),
-            Way::ByDegrees => {
-                let up = self.now.saturating_sub(starting.recovery.since());
+            ClientAdmission::Open => None,
+            ClientAdmission::Queued | ClientAdmission::Rejected => Some(0.0),
+            ClientAdmission::Limited => {
+                let up = self.now.saturating_sub(starting.recovery.stage_since());
                 let unit = starting.units.iter().flatten();
                 let (sum, n) = unit.fold((0.0, 0.0), |(sum, n), unit| (sum + unit, n + 1.0));
                 let told = self
@@ -362,19 +383,19 @@
                 let (asked, held) =
                     told.fold((0.0, 0.0), |sum, load| (sum.0 + load.0, sum.1 + load.1));
                 // What hosts say now goes before what they took before.
-                let unit = if held >= fill::FEW {
+                let unit = if held >= MIN_CONNECTIONS_FOR_LOAD {
                     Some(asked / held)
                 } else {
                     (n > 0.0).then(|| sum / n)
                 };
-                let cold = fill::SlowStartFigures {
-                    share: cold.initial_capacity,
+                let cold = SlowStartProfile {
+                    initial_share: cold.initial_capacity,
                     warm_after: cold.warm_after,
-                    multiple: cold.max_multiple,
+                    overload_factor: cold.max_multiple,
                 };
-                Some(fill::pace(
+                Some(admission_rate(
                     cold,
-                    starting.recovery.hosts().usable(),
+                    starting.recovery.candidates().usable(),
                     unit,
                     self.settings.deployment.proxy_count,
                     up,
@@ -387,7 +408,7 @@
     pub(super) fn warm_start_serves(&self) -> bool {
         self.warm_start
             .as_ref()
-            .is_none_or(|s| !matches!(s.way, Way::Shut | Way::Refused))
+            .is_none_or(|s| !matches!(s.way, ClientAdmission::Queued | ClientAdmission::Rejected))
     }
 
     pub(super) fn warm_start_state(&self) -> Option<&WarmStart> {
@@ -477,7 +498,7 @@
         };
         let all = loads().fold((0.0, 0.0), |sum, load| (sum.0 + load.0, sum.1 + load.1));
         // One that holds few stands for what all take.
-        let told = |load: &(f64, f64)| load.1 >= fill::FEW;
+        let told = |load: &(f64, f64)| load.1 >= MIN_CONNECTIONS_FOR_LOAD;
         let host = |(line, host): (Listed, &super::endpoints::KnownEndpoint)| {
             let own = host
                 .load
--- a/crates/warm-start/src/injected_fault.rs
+++ b/crates/warm-start/src/injected_fault.rs
@@ -3,39 +3,40 @@
 /// A fault of a kind that happens in practice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// A saved host is placed on without a probe.
-    SavedIsTrusted,
-    /// So is one that only another proxy told of.
-    HeardIsTrusted,
-    /// A host that did not answer counts as there.
-    SilenceIsYes,
-    /// One that did not answer is never asked again.
-    AskedOnce,
-    /// What discovery leaves out stays.
-    LeftOutStays,
-    /// Two hosts at one address both stay.
+    /// An endpoint from the snapshot is used without a probe.
+    SnapshotUsedUnprobed,
+    /// An endpoint that only a peer reported is used without a probe.
+    PeerReportUsedUnprobed,
+    /// A probe without an answer counts as answered.
+    SilenceCountsAsAnswer,
+    /// An endpoint that did not answer is never probed again.
+    ProbedOnlyOnce,
+    /// An endpoint that discovery's complete list leaves out stays.
+    DelistedStays,
+    /// Two endpoints with one address both stay.
     TwoAtOneAddress,
-    /// Asking the others has no deadline.
-    AskingHasNoEnd,
-    /// The first host that answers opens the door to all.
-    OpensAtFirst,
-    /// The last host goes, and clients are let in as before.
-    NoneLeftIgnored,
-    /// A word from a clock that cannot be right counts as fresh.
-    FutureIsFresh,
+    /// Waiting for peers has no deadline.
+    NoPeerTimeout,
+    /// The first endpoint that answers ends the warm start.
+    AdmissionNeverLimited,
+    /// The last endpoint is lost, and clients are admitted as before.
+    LossOfLastEndpointIgnored,
+    /// Information from a clock that cannot be right counts as fresh.
+    FutureCountsAsFresh,
 }
 
 impl InjectedFault {
+    /// All faults.
     pub const ALL: [InjectedFault; 10] = [
-        InjectedFault::SavedIsTrusted,
-        InjectedFault::HeardIsTrusted,
-        InjectedFault::SilenceIsYes,
-        InjectedFault::AskedOnce,
-        InjectedFault::LeftOutStays,
+        InjectedFault::SnapshotUsedUnprobed,
+        InjectedFault::PeerReportUsedUnprobed,
+        InjectedFault::SilenceCountsAsAnswer,
+        InjectedFault::ProbedOnlyOnce,
+        InjectedFault::DelistedStays,
         InjectedFault::TwoAtOneAddress,
-        InjectedFault::AskingHasNoEnd,
-        InjectedFault::OpensAtFirst,
-        InjectedFault::NoneLeftIgnored,
-        InjectedFault::FutureIsFresh,
+        InjectedFault::NoPeerTimeout,
+        InjectedFault::AdmissionNeverLimited,
+        InjectedFault::LossOfLastEndpointIgnored,
+        InjectedFault::FutureCountsAsFresh,
     ];
 }
--- a/crates/warm-start/src/stage.rs
+++ b/crates/warm-start/src/stage.rs
@@ -1,4 +1,4 @@
-//! How far a start has come.
+//! The stages of a warm start.
 
 use crate::WarmStartSettings;
 #[cfg(feature = "injected-faults")]
@@ -6,221 +6,192 @@
 use asterramp_injected_faults::is_injected;
 use std::time::Duration;
 
+/// How far a warm start has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum WarmStartStage {
-    /// Nothing has been looked at.
+    /// Nothing has been done.
     #[default]
-    Dark,
+    NotStarted,
     /// Discovery is waited for.
-    Looking,
-    /// Other proxies are.
-    Asking,
-    /// Hosts are asked whether they are there; nobody has answered.
+    WaitingForDiscovery,
+    /// The answers of peers are waited for.
+    AskingPeers,
+    /// Endpoints are probed; none has answered.
     Probing,
-    /// Clients are let in by what hosts can take.
-    Admitting,
+    /// Endpoints answer; clients are admitted at a limited rate.
+    LimitingAdmission,
+    /// The warm start is over.
     Normal,
 }
 
 impl WarmStartStage {
+    /// All stages, in order.
     pub const ALL: [WarmStartStage; 6] = [
-        WarmStartStage::Dark,
-        WarmStartStage::Looking,
-        WarmStartStage::Asking,
+        WarmStartStage::NotStarted,
+        WarmStartStage::WaitingForDiscovery,
+        WarmStartStage::AskingPeers,
         WarmStartStage::Probing,
-        WarmStartStage::Admitting,
+        WarmStartStage::LimitingAdmission,
         WarmStartStage::Normal,
     ];
 
+    /// The stage's name in the log, in metrics and in the status of a proxy.
     pub fn name(self) -> &'static str {
         match self {
-            WarmStartStage::Dark => "dark",
-            WarmStartStage::Looking => "looking",
-            WarmStartStage::Asking => "asking",
+            WarmStartStage::NotStarted => "dark",
+            WarmStartStage::WaitingForDiscovery => "looking",
+            WarmStartStage::AskingPeers => "asking",
             WarmStartStage::Probing => "probing",
-            WarmStartStage::Admitting => "admitting",
+            WarmStartStage::LimitingAdmission => "admitting",
             WarmStartStage::Normal => "normal",
         }
     }
 }
 
-/// How clients are let in.
+/// How clients are admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum StartMode {
-    /// They wait in the kernel's queue, for as long as discovery is waited for and no longer.
-    Shut,
-    /// Each is told at once to come back.
-    Refused,
-    /// So many a second as hosts can take, in order.
-    ByDegrees,
+pub enum ClientAdmission {
+    /// They wait in the kernel's accept queue: only while discovery is waited for, since a client's patience may be
+    /// shorter than that.
+    Queued,
+    /// Each is rejected at once and told to retry.
+    Rejected,
+    /// At the rate that the endpoints can take, in order of arrival.
+    Limited,
+    /// Without limit.
     Open,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Input {
-    Begun,
-    /// Discovery told a whole list of hosts that are warm, or mostly cold.
-    ToldWarm,
-    ToldCold,
-    /// All others have been asked.
-    Heard,
-    /// A host answers.
-    Found,
-    /// None is left on whom sessions may be placed.
-    NoneLeft,
-    /// The stage's time is over.
-    Due,
+pub(crate) enum StageInput {
+    /// The proxy has started.
+    Started,
+    /// Discovery sent a complete list, most of whose endpoints are warm.
+    WarmList,
+    /// Discovery sent a complete list, most of whose endpoints have just started.
+    ColdList,
+    /// All peers have answered or cannot be reached.
+    PeersAsked,
+    /// An endpoint can be used.
+    EndpointUsable,
+    /// No endpoint can be used any more.
+    NoneUsable,
+    /// The stage's deadline has passed.
+    TimedOut,
 }
 
+/// What a transition does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Act {
-    Wait,
-    Ask,
-    Probe,
-    Refuse,
-    Limit,
-    Open,
+pub(crate) enum StageAction {
+    /// Lets clients wait.
+    QueueClients,
+    /// Asks peers and rejects clients.
+    AskPeers,
+    /// Begins to probe endpoints and rejects clients.
+    BeginProbing,
+    /// Goes on probing and rejects clients.
+    RejectClients,
+    /// Admits clients at a limited rate.
+    LimitClients,
+    /// Admits all clients.
+    AdmitClients,
 }
 
-/// Stage, input, next stage, what is done. What is not listed changes nothing. Every stage but the last has a deadline, and
-/// none waits for another proxy longer than its own: two that wait for each other both go on.
-const TABLE: &[(WarmStartStage, Input, WarmStartStage, Act)] = &[
-    (
-        WarmStartStage::Dark,
-        Input::Begun,
-        WarmStartStage::Looking,
-        Act::Wait,
-    ),
-    (
-        WarmStartStage::Looking,
-        Input::ToldWarm,
-        WarmStartStage::Normal,
-        Act::Open,
-    ),
-    (
-        WarmStartStage::Looking,
-        Input::ToldCold,
-        WarmStartStage::Admitting,
-        Act::Limit,
-    ),
-    (
-        WarmStartStage::Looking,
-        Input::Due,
-        WarmStartStage::Asking,
-        Act::Ask,
-    ),
-    (
-        WarmStartStage::Asking,
-        Input::ToldWarm,
-        WarmStartStage::Normal,
-        Act::Open,
-    ),
-    (
-        WarmStartStage::Asking,
-        Input::ToldCold,
-        WarmStartStage::Admitting,
-        Act::Limit,
-    ),
-    (
-        WarmStartStage::Asking,
-        Input::Heard,
-        WarmStartStage::Probing,
-        Act::Probe,
-    ),
-    (
-        WarmStartStage::Asking,
-        Input::Due,
-        WarmStartStage::Probing,
-        Act::Probe,
-    ),
-    (
-        WarmStartStage::Probing,
-        Input::ToldWarm,
-        WarmStartStage::Normal,
-        Act::Open,
-    ),
-    (
-        WarmStartStage::Probing,
-        Input::ToldCold,
-        WarmStartStage::Admitting,
-        Act::Limit,
-    ),
-    (
-        WarmStartStage::Probing,
-        Input::Found,
-        WarmStartStage::Admitting,
-        Act::Limit,
-    ),
-    // Nobody answers yet: clients are told so, and the asking goes on.
-    (
-        WarmStartStage::Probing,
-        Input::Due,
-        WarmStartStage::Probing,
-        Act::Refuse,
-    ),
-    (
-        WarmStartStage::Admitting,
-        Input::ToldWarm,
-        WarmStartStage::Normal,
-        Act::Open,
-    ),
-    (
-        WarmStartStage::Admitting,
-        Input::NoneLeft,
-        WarmStartStage::Probing,
-        Act::Refuse,
-    ),
-    (
-        WarmStartStage::Admitting,
-        Input::Due,
-        WarmStartStage::Normal,
-        Act::Open,
-    ),
-];
+/// The next stage and what the transition does; `None` where the input changes nothing.
+///
+/// Every stage but the last has a deadline, and none waits for another proxy beyond its own: two proxies that wait for
+/// each other both go on.
+fn transition(stage: WarmStartStage, input: StageInput) -> Option<(WarmStartStage, StageAction)> {
+    use StageAction as Action;
+    use StageInput as Input;
+    use WarmStartStage::*;
+    match (stage, input) {
+        (NotStarted, Input::Started) => Some((WaitingForDiscovery, Action::QueueClients)),
+        (WaitingForDiscovery, Input::WarmList) => Some((Normal, Action::AdmitClients)),
+        (WaitingForDiscovery, Input::ColdList) => Some((LimitingAdmission, Action::LimitClients)),
+        (WaitingForDiscovery, Input::TimedOut) => Some((AskingPeers, Action::AskPeers)),
+        (AskingPeers, Input::WarmList) => Some((Normal, Action::AdmitClients)),
+        (AskingPeers, Input::ColdList) => Some((LimitingAdmission, Action::LimitClients)),
+        (AskingPeers, Input::PeersAsked) => Some((Probing, Action::BeginProbing)),
+        (AskingPeers, Input::TimedOut) => Some((Probing, Action::BeginProbing)),
+        (Probing, Input::WarmList) => Some((Normal, Action::AdmitClients)),
+        (Probing, Input::ColdList) => Some((LimitingAdmission, Action::LimitClients)),
+        (Probing, Input::EndpointUsable) => Some((LimitingAdmission, Action::LimitClients)),
+        // No endpoint answers yet: clients are told so, and probing goes on.
+        (Probing, Input::TimedOut) => Some((Probing, Action::RejectClients)),
+        (LimitingAdmission, Input::WarmList) => Some((Normal, Action::AdmitClients)),
+        (LimitingAdmission, Input::NoneUsable) => Some((Probing, Action::RejectClients)),
+        (LimitingAdmission, Input::TimedOut) => Some((Normal, Action::AdmitClients)),
+        _ => None,
+    }
+}
+
+/// What an input led to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct StageTransition {
+    /// Whether the stage is another one than before.
+    pub(crate) changed: bool,
+    pub(crate) action: StageAction,
+}
 
+/// The stage and its deadline.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Machine {
-    pub stage: WarmStartStage,
-    pub since: Duration,
-    pub due: Option<Duration>,
+pub(crate) struct StageMachine {
+    pub(crate) stage: WarmStartStage,
+    /// Since when it is in this stage.
+    pub(crate) since: Duration,
+    pub(crate) deadline: Option<Duration>,
     #[cfg(feature = "injected-faults")]
-    pub injected_fault: Option<InjectedFault>,
+    pub(crate) injected_fault: Option<InjectedFault>,
 }
 
-impl Machine {
-    /// Whether the stage changed, and what is done; `None` where an input changes nothing.
-    pub fn step(
+impl StageMachine {
+    /// Handles an input; `None` where it changes nothing.
+    pub(crate) fn handle(
         &mut self,
         now: Duration,
-        input: Input,
-        terms: &WarmStartSettings,
-    ) -> Option<(bool, Act)> {
-        if is_injected!(self, NoneLeftIgnored) && input == Input::NoneLeft {
+        input: StageInput,
+        settings: &WarmStartSettings,
+    ) -> Option<StageTransition> {
+        if is_injected!(self, LossOfLastEndpointIgnored) && input == StageInput::NoneUsable {
             return None;
         }
-        let row = TABLE
-            .iter()
-            .find(|row| (row.0, row.1) == (self.stage, input))?;
-        let (mut next, mut act) = (row.2, row.3);
-        // Who has nobody to ask goes on at once.
-        if next == WarmStartStage::Asking && !terms.others {
-            (next, act) = (WarmStartStage::Probing, Act::Probe);
+        let (next, action) = self.next(input, settings)?;
+        let changed = next != self.stage;
+        if changed {
+            self.stage = next;
+            self.since = now;
+        }
+        self.deadline = self.timeout(settings).map(|timeout| now + timeout);
+        Some(StageTransition { changed, action })
+    }
+
+    /// The transition that an input leads to under these settings.
+    fn next(
+        &self,
+        input: StageInput,
+        settings: &WarmStartSettings,
+    ) -> Option<(WarmStartStage, StageAction)> {
+        let (next, action) = transition(self.stage, input)?;
+        // Without peers there is nobody to ask.
+        if next == WarmStartStage::AskingPeers && !settings.has_peers {
+            return Some((WarmStartStage::Probing, StageAction::BeginProbing));
         }
-        if is_injected!(self, OpensAtFirst) && next == WarmStartStage::Admitting {
-            (next, act) = (WarmStartStage::Normal, Act::Open);
+        if next == WarmStartStage::LimitingAdmission && is_injected!(self, AdmissionNeverLimited) {
+            return Some((WarmStartStage::Normal, StageAction::AdmitClients));
         }
-        let turned = next != self.stage;
-        if turned {
-            (self.stage, self.since) = (next, now);
+        Some((next, action))
+    }
+
+    /// How long the present stage lasts if nothing ends it earlier; `None` for one without end.
+    fn timeout(&self, settings: &WarmStartSettings) -> Option<Duration> {
+        match self.stage {
+            WarmStartStage::NotStarted | WarmStartStage::Normal => None,
+            WarmStartStage::AskingPeers if is_injected!(self, NoPeerTimeout) => None,
+            WarmStartStage::WaitingForDiscovery => Some(settings.discovery_timeout),
+            WarmStartStage::AskingPeers => Some(settings.peer_timeout),
+            WarmStartStage::Probing => Some(settings.probe_timeout),
+            WarmStartStage::LimitingAdmission => Some(settings.limited_admission),
         }
-        self.due = match next {
-            WarmStartStage::Dark | WarmStartStage::Normal => None,
-            WarmStartStage::Asking if is_injected!(self, AskingHasNoEnd) => None,
-            WarmStartStage::Looking => Some(now + terms.look),
-            WarmStartStage::Asking => Some(now + terms.ask),
-            WarmStartStage::Probing => Some(now + terms.probe),
-            WarmStartStage::Admitting => Some(now + terms.warm),
-        };
-        Some((turned, act))
     }
 }
--- a/crates/warm-start/tests/golden.rs
+++ b/crates/warm-start/tests/golden.rs
@@ -2,8 +2,10 @@
 //! the same effects, stages, deadlines and texts. The traces under `golden/` never change.
 
 use asterramp_warm_start::{
-    EndpointId, EndpointSource, EndpointTrustState, InformationAge, StartMode, TrustLevel,
-    WarmStart, WarmStartEffect, WarmStartSettings, WarmStartStage, age, fill, trust,
+    CandidatePolicy, CandidateState, ClientAdmission, EndpointId, EndpointReport, EndpointSource,
+    InformationAge, MIN_CONNECTIONS_FOR_LOAD, SlowStartProfile, SourceCounts, WarmStart,
+    WarmStartEffect, WarmStartSettings, WarmStartStage, admission_rate, candidate_policy,
+    information_age,
 };
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -12,10 +14,10 @@
 use test_case::test_case;
 
 const SOURCES: [EndpointSource; 4] = [
-    EndpointSource::Heard,
-    EndpointSource::Configured,
-    EndpointSource::Saved,
-    EndpointSource::Told,
+    EndpointSource::Peer,
+    EndpointSource::Configuration,
+    EndpointSource::Snapshot,
+    EndpointSource::Discovery,
 ];
 const AGES: [InformationAge; 3] = [
     InformationAge::Fresh,
@@ -37,10 +39,10 @@
 
 fn source_name(source: EndpointSource) -> &'static str {
     match source {
-        EndpointSource::Heard => "peer",
-        EndpointSource::Configured => "configuration",
-        EndpointSource::Saved => "snapshot",
-        EndpointSource::Told => "discovery",
+        EndpointSource::Peer => "peer",
+        EndpointSource::Configuration => "configuration",
+        EndpointSource::Snapshot => "snapshot",
+        EndpointSource::Discovery => "discovery",
     }
 }
 
@@ -52,28 +54,34 @@
     }
 }
 
-fn state_name(state: EndpointTrustState) -> &'static str {
+fn state_name(state: CandidateState) -> &'static str {
     match state {
-        EndpointTrustState::Unknown => "unknown",
-        EndpointTrustState::Waiting => "waiting",
-        EndpointTrustState::Asked => "probing",
-        EndpointTrustState::Silent => "silent",
-        EndpointTrustState::Answers => "answers",
-        EndpointTrustState::Told => "listed",
+        CandidateState::Unknown => "unknown",
+        CandidateState::AwaitingProbe => "waiting",
+        CandidateState::Probing => "probing",
+        CandidateState::Unresponsive => "silent",
+        CandidateState::Responsive => "answers",
+        CandidateState::Listed => "listed",
     }
 }
 
+fn counts_text(counts: SourceCounts) -> String {
+    format!("({}, {})", counts.reported, counts.usable)
+}
+
 fn effect_line(effect: &WarmStartEffect) -> String {
     match effect {
-        WarmStartEffect::Ask => "ask peers".into(),
+        WarmStartEffect::AskPeers => "ask peers".into(),
         WarmStartEffect::Probe(id) => format!("probe {id}"),
         WarmStartEffect::Use(id) => format!("use {id}"),
-        WarmStartEffect::Drop(id, why) => format!("drop {id}: {why}"),
-        WarmStartEffect::Door(StartMode::Shut) => "clients wait".into(),
-        WarmStartEffect::Door(StartMode::Refused) => "clients rejected".into(),
-        WarmStartEffect::Door(StartMode::ByDegrees) => "clients limited".into(),
-        WarmStartEffect::Door(StartMode::Open) => "clients admitted".into(),
-        WarmStartEffect::Turned(stage, why) => format!("stage {}: {why}", stage.name()),
+        WarmStartEffect::Drop(id, reason) => format!("drop {id}: {}", reason.text()),
+        WarmStartEffect::Admit(ClientAdmission::Queued) => "clients wait".into(),
+        WarmStartEffect::Admit(ClientAdmission::Rejected) => "clients rejected".into(),
+        WarmStartEffect::Admit(ClientAdmission::Limited) => "clients limited".into(),
+        WarmStartEffect::Admit(ClientAdmission::Open) => "clients admitted".into(),
+        WarmStartEffect::StageChanged(stage, reason) => {
+            format!("stage {}: {}", stage.name(), reason.text())
+        }
     }
 }
 
@@ -82,11 +90,13 @@
     let mut table = String::new();
     for source in SOURCES {
         for age in AGES {
-            let worth = match trust(source, age) {
-                TrustLevel::Place => "usable".into(),
-                TrustLevel::Probe(Some(span)) => format!("probed for {} s", span.as_secs()),
-                TrustLevel::Probe(None) => "probed without end".into(),
-                TrustLevel::Nothing => "ignored".into(),
+            let worth = match candidate_policy(source, age) {
+                CandidatePolicy::Use => "usable".into(),
+                CandidatePolicy::Probe {
+                    forget_after: Some(span),
+                } => format!("probed for {} s", span.as_secs()),
+                CandidatePolicy::Probe { forget_after: None } => "probed without end".into(),
+                CandidatePolicy::Ignore => "ignored".into(),
             };
             writeln!(table, "{} {}: {worth}", source_name(source), age_name(age)).unwrap();
         }
@@ -97,7 +107,7 @@
 #[test]
 fn ages_are_judged_as_before() {
     let now = Duration::from_secs(1_700_000_000);
-    let mut table = format!("no time: {}\n", age_name(age(now, None)));
+    let mut table = format!("no time: {}\n", age_name(information_age(now, None)));
     let ahead = [86_400_000, 5_001, 5_000, 1];
     let behind = [
         0, 299_999, 300_000, 300_001, 86_399_999, 86_400_000, 86_400_001,
@@ -106,7 +116,7 @@
         writeln!(
             table,
             "{span} ms ahead: {}",
-            age_name(age(now, Some(now + ms(span))))
+            age_name(information_age(now, Some(now + ms(span))))
         )
         .unwrap();
     }
@@ -114,7 +124,7 @@
         writeln!(
             table,
             "{span} ms ago: {}",
-            age_name(age(now, Some(now - ms(span))))
+            age_name(information_age(now, Some(now - ms(span))))
         )
         .unwrap();
     }
@@ -139,26 +149,32 @@
             "normal"
         ]
     );
-    assert_eq!((terms.look, terms.ask), (ms(500), ms(500)));
-    assert_eq!((terms.probe, terms.warm), (ms(2_000), ms(9_000)));
-    assert_eq!((terms.others, terms.probes), (false, 32));
+    assert_eq!(
+        (terms.discovery_timeout, terms.peer_timeout),
+        (ms(500), ms(500))
+    );
+    assert_eq!(
+        (terms.probe_timeout, terms.limited_admission),
+        (ms(2_000), ms(9_000))
+    );
+    assert_eq!((terms.has_peers, terms.max_probes), (false, 32));
 }
 
 #[test]
 fn the_rate_of_admission_is_bit_for_bit_as_before() {
-    let cold = fill::SlowStartFigures {
-        share: 0.31,
+    let cold = SlowStartProfile {
+        initial_share: 0.31,
         warm_after: ms(8_900),
-        multiple: 4.0,
+        overload_factor: 4.0,
     };
-    let zero = fill::SlowStartFigures {
-        share: 0.0,
+    let zero = SlowStartProfile {
+        initial_share: 0.0,
         warm_after: Duration::ZERO,
-        multiple: 1.5,
+        overload_factor: 1.5,
     };
     let mut table = format!(
         "connections that tell a share: {:016x}\n",
-        fill::FEW.to_bits()
+        MIN_CONNECTIONS_FOR_LOAD.to_bits()
     );
     for cold in [cold, zero] {
         for hosts in [0, 1, 7] {
@@ -171,7 +187,7 @@
                 Some(1e-9),
             ] {
                 for (proxies, up) in [(0, ms(0)), (1, ms(100)), (6, ms(4_450)), (100, ms(60_000))] {
-                    let pace = fill::pace(cold, hosts, unit, proxies, up);
+                    let pace = admission_rate(cold, hosts, unit, proxies, up);
                     writeln!(
                         table,
                         "{hosts} {unit:?} {proxies} {up:?}: {:016x}",
@@ -213,8 +229,8 @@
 impl Trace {
     fn new(others: bool) -> Trace {
         let terms = WarmStartSettings {
-            others,
-            probes: 2,
+            has_peers: others,
+            max_probes: 2,
             ..WarmStartSettings::default()
         };
         let now = ms(1_000);
@@ -239,7 +255,16 @@
                 let source = SOURCES[sequence.below(4) as usize];
                 let age = AGES[sequence.below(3) as usize];
                 let rev = sequence.below(3);
-                self.start.word(self.now, id, address(id), source, age, rev);
+                self.start.report(
+                    self.now,
+                    EndpointReport {
+                        id,
+                        address: address(id),
+                        source,
+                        age,
+                        list_revision: rev,
+                    },
+                );
                 self.note(&format!(
                     "word {id} {} {} rev {rev}",
                     source_name(source),
@@ -249,18 +274,18 @@
             5..=9 => self.answer(sequence),
             10 => {
                 let ready = sequence.below(2) == 0;
-                self.start.told(self.now, id, address(id), ready);
+                self.start.endpoint_listed(self.now, id, address(id), ready);
                 self.note(&format!("discovery {id} ready={ready}"));
             }
             11 => {
                 let listed: Vec<EndpointId> =
                     (0..HOSTS).filter(|_| sequence.below(2) == 0).collect();
                 let cold = sequence.below(4) != 0;
-                self.start.told_whole(self.now, &listed, cold);
+                self.start.list_completed(self.now, &listed, cold);
                 self.note(&format!("discovery's list {listed:?} cold={cold}"));
             }
             12 => {
-                self.start.heard_others(self.now);
+                self.start.peers_asked(self.now);
                 self.note("peers asked");
             }
             _ => self.pass(ms(100 * sequence.below(40))),
@@ -274,15 +299,15 @@
         let nth = sequence.below(self.probed.len() as u64) as usize;
         let id = self.probed.remove(nth);
         let well = sequence.below(3) == 0;
-        self.start.answered(self.now, id, well);
+        self.start.probe_finished(self.now, id, well);
         self.note(&format!("answer {id} well={well}"));
     }
 
     fn pass(&mut self, span: Duration) {
         let end = self.now + span;
-        while let Some(due) = self.start.due().filter(|due| *due <= end) {
+        while let Some(due) = self.start.next_deadline().filter(|due| *due <= end) {
             self.now = self.now.max(due);
-            self.start.tick(self.now);
+            self.start.handle_deadline(self.now);
             self.note("due");
         }
         self.now = end;
@@ -291,23 +316,23 @@
     /// Writes down an input, its effects, and what can be seen of the start after it.
     fn note(&mut self, input: &str) {
         writeln!(self.text, "{} ms {input}", self.now.as_millis()).unwrap();
-        let effects: Vec<WarmStartEffect> = self.start.effects().collect();
+        let effects: Vec<WarmStartEffect> = self.start.drain_effects().collect();
         for effect in &effects {
             writeln!(self.text, "  {}", effect_line(effect)).unwrap();
             if let WarmStartEffect::Probe(id) = effect {
                 self.probed.push(*id);
             }
         }
-        let hosts = self.start.hosts();
+        let hosts = self.start.candidates();
         let states: Vec<&str> = (0..HOSTS).map(|id| state_name(hosts.state(id))).collect();
         let sources: Vec<String> = SOURCES
             .iter()
-            .map(|source| format!("{:?}", hosts.by(*source)))
+            .map(|source| counts_text(hosts.counts(*source)))
             .collect();
         let stage = self.start.stage().name();
-        let since = self.start.since().as_millis();
-        let due = self.start.due().map(|due| due.as_millis());
-        let (usable, dropped) = (hosts.usable(), hosts.dropped);
+        let since = self.start.stage_since().as_millis();
+        let due = self.start.next_deadline().map(|due| due.as_millis());
+        let (usable, dropped) = (hosts.usable(), hosts.dropped());
         let (states, sources) = (states.join(","), sources.join(""));
         writeln!(self.text, "  {stage} since {since} due {due:?}; {states}; {sources}; {usable} usable, {dropped} dropped").unwrap();
     }
