--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -28,9 +28,9 @@
         (wishes.state.as_ref()).map_or_else(Default::default, |state| load(state, &owner));
     let term = saved.as_ref().map_or(0, |saved| saved.lease_term);
     start.warm_start = wishes.recovery.stages.then(|| WarmStartPlan {
-        terms: stages(&wishes, &start.settings),
-        others: others(&wishes),
-        saved,
+        settings: stages(&wishes, &start.settings),
+        peers: others(&wishes),
+        snapshot: saved,
     });
     let mut router = Router::new(start, clock.now()).map_err(|e| e.to_string())?;
     router
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -270,7 +270,9 @@
                 .filter(|told| told.1 > 0)
                 .collect(),
             dropped: start.candidates().dropped(),
-            saved: self.snapshot_counts(),
+            saved: self
+                .snapshot_counts()
+                .map(|counts| (counts.saved, counts.failed)),
         })
     }
 
--- a/crates/proxy/src/routing/discovery_watch.rs
+++ b/crates/proxy/src/routing/discovery_watch.rs
@@ -241,7 +241,7 @@
                     self.unneeded_probe(entry.server);
                 }
             }
-            if self.is_older(list.rev) {
+            if self.is_outdated_list(list.rev) {
                 self.apply_older_list(list.rev, entries);
             } else {
                 self.told(entries, whole);
--- a/crates/proxy/src/routing/metrics.rs
+++ b/crates/proxy/src/routing/metrics.rs
@@ -124,7 +124,10 @@
 }
 
 /// How far a start has come, and what was kept for the next; nothing where neither is wanted.
-pub fn start_text(start: Option<&WarmStart>, kept: Option<(u64, u64)>) -> String {
+pub fn start_text(
+    start: Option<&WarmStart>,
+    kept: Option<super::warm_start::SnapshotCounts>,
+) -> String {
     let mut text = String::new();
     if let Some(start) = start {
         let _ = writeln!(
@@ -140,7 +143,7 @@
     }
     for (what, n) in kept
         .iter()
-        .flat_map(|kept| [("saved", kept.0), ("failed", kept.1)])
+        .flat_map(|kept| [("saved", kept.saved), ("failed", kept.failed)])
     {
         let _ = writeln!(text, "svc_state_snapshots_total{{end=\"{what}\"}} {n}");
     }
--- a/crates/proxy/src/routing/peers.rs
+++ b/crates/proxy/src/routing/peers.rs
@@ -122,7 +122,7 @@
         let now = self.now;
         self.warm_start
             .iter_mut()
-            .for_each(|s| s.recovery.peers_asked(now));
+            .for_each(|s| s.machine.peers_asked(now));
         self.apply_warm_start_effects();
     }
 
@@ -199,7 +199,7 @@
             // One that is known already stands where it did: another's word moves nobody.
             if let Some(id) = self.endpoints.find(&host.uid) {
                 if let Some(at) = self.endpoints.address(id).filter(|at| *at == host.endpoint) {
-                    starting.recovery.report(
+                    starting.machine.report(
                         now,
                         EndpointReport {
                             id,
@@ -230,7 +230,7 @@
                 entry.server,
                 host.unit.filter(|unit| unit.is_finite() && *unit > 0.0),
             );
-            starting.recovery.report(
+            starting.machine.report(
                 now,
                 EndpointReport {
                     id: entry.server,
--- /dev/null
+++ b/crates/proxy/src/routing/warm_start/admission.rs
@@ -0,0 +1,96 @@
+//! The rate at which a warm start admits clients.
+
+use super::WarmStartProgress;
+use crate::routing::Router;
+use asterramp_placement::event::Load;
+use asterramp_warm_start::{
+    ClientAdmission, MIN_CONNECTIONS_FOR_LOAD, SlowStartProfile, admission_rate,
+};
+
+/// Utilization and connections of one or more endpoints, by their last load reports.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct ReportedLoad {
+    utilization: f64,
+    connections: f64,
+}
+
+impl ReportedLoad {
+    /// The load that a report tells; `None` if it leaves out one of the two.
+    pub(super) fn from_report(load: &Load) -> Option<ReportedLoad> {
+        Some(ReportedLoad {
+            utilization: load.utilization?,
+            connections: load.connections?,
+        })
+    }
+
+    fn plus(self, other: ReportedLoad) -> ReportedLoad {
+        ReportedLoad {
+            utilization: self.utilization + other.utilization,
+            connections: self.connections + other.connections,
+        }
+    }
+
+    /// What one connection takes on average; `None` where there are too few to tell.
+    pub(super) fn per_connection(self) -> Option<f64> {
+        if self.connections >= MIN_CONNECTIONS_FOR_LOAD {
+            Some(self.utilization / self.connections)
+        } else {
+            None
+        }
+    }
+}
+
+impl WarmStartProgress {
+    /// What a connection took of an endpoint on average before the proxy started.
+    fn mean_load_per_connection(&self) -> Option<f64> {
+        let mut sum = 0.0;
+        let mut known = 0.0;
+        for load in self.loads_per_connection.iter().flatten() {
+            sum += load;
+            known += 1.0;
+        }
+        if known > 0.0 { Some(sum / known) } else { None }
+    }
+}
+
+impl Router {
+    /// Sessions per second that the warm start admits; `None` where it sets no limit.
+    pub(in crate::routing) fn warm_start_pace(&self) -> Option<f64> {
+        let progress = self.warm_start.as_ref()?;
+        match progress.admission {
+            ClientAdmission::Open => None,
+            ClientAdmission::Queued | ClientAdmission::Rejected => Some(0.0),
+            ClientAdmission::Limited => Some(self.limited_admission_rate(progress)),
+        }
+    }
+
+    fn limited_admission_rate(&self, progress: &WarmStartProgress) -> f64 {
+        let deployment = &self.settings.deployment;
+        let profile = SlowStartProfile {
+            initial_share: deployment.slow_start.initial_capacity,
+            warm_after: deployment.slow_start.warm_after,
+            overload_factor: deployment.slow_start.max_multiple,
+        };
+        // What endpoints report now counts more than what they took before.
+        let load_per_connection = self
+            .total_reported_load()
+            .per_connection()
+            .or_else(|| progress.mean_load_per_connection());
+        let uptime = self.now.saturating_sub(progress.machine.stage_since());
+        admission_rate(
+            profile,
+            progress.machine.candidates().usable(),
+            load_per_connection,
+            deployment.proxy_count,
+            uptime,
+        )
+    }
+
+    /// The load of all endpoints that report both utilization and connections.
+    pub(super) fn total_reported_load(&self) -> ReportedLoad {
+        self.endpoints
+            .hosts()
+            .filter_map(|host| ReportedLoad::from_report(&host.load))
+            .fold(ReportedLoad::default(), ReportedLoad::plus)
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/routing/warm_start/discovery.rs
@@ -0,0 +1,128 @@
+//! What discovery and probes say while a warm start lasts.
+
+use super::WarmStartProgress;
+use crate::routing::{ReasonCode, Router};
+use asterramp_placement::Event;
+use asterramp_placement::event::{Endpoint, EndpointState, EndpointUpdate, Outcome, ServerId};
+use asterramp_warm_start::{
+    EndpointId, EndpointReport, EndpointSource, InformationAge, WarmStartStage,
+};
+use std::time::Duration;
+
+impl WarmStartProgress {
+    pub(super) fn is_over(&self) -> bool {
+        self.machine.stage() == WarmStartStage::Normal
+    }
+}
+
+impl Router {
+    /// Whether a list from discovery is older than one that was known at the start, while that may matter.
+    pub(in crate::routing) fn is_outdated_list(&self, list_revision: u64) -> bool {
+        self.warm_start
+            .as_ref()
+            .filter(|progress| !progress.is_over())
+            .is_some_and(|progress| list_revision < progress.newest_revision)
+    }
+
+    /// Applies an outdated list: endpoints that are draining or gone are taken out of use at once, those that are ready
+    /// have to answer a probe first.
+    pub(in crate::routing) fn apply_older_list(
+        &mut self,
+        list_revision: u64,
+        listed: Vec<Endpoint>,
+    ) {
+        let now = self.now;
+        let mut out_of_use = Vec::new();
+        for endpoint in listed {
+            let id = endpoint.server;
+            let address = self.endpoints.address(id);
+            let (Some(progress), Some(address)) = (&mut self.warm_start, address) else {
+                return;
+            };
+            if endpoint.state == EndpointState::Ready {
+                let report = EndpointReport {
+                    id,
+                    address,
+                    source: EndpointSource::Discovery,
+                    age: InformationAge::Old,
+                    list_revision,
+                };
+                progress.machine.report(now, report);
+            } else {
+                progress.machine.endpoint_listed(now, id, address, false);
+                out_of_use.push(endpoint);
+            }
+        }
+        let newest = self
+            .warm_start
+            .as_ref()
+            .map_or(0, |progress| progress.newest_revision);
+        self.log_event(
+            ReasonCode::RosterOld,
+            format!("rev={list_revision} had={newest}"),
+        );
+        self.event(Event::Endpoints(EndpointUpdate::Changes(out_of_use)));
+        self.apply_warm_start_effects();
+    }
+
+    /// Tells the warm start of endpoints that discovery has listed, and completes these with what a connection took of
+    /// them before. `complete` says whether they are the whole list; the placement engine gets them from the caller.
+    pub(in crate::routing) fn note_listed_endpoints(
+        &mut self,
+        listed: &mut [Endpoint],
+        complete: bool,
+    ) {
+        let now = self.now;
+        let warm_after = self.settings.deployment.slow_start.warm_after;
+        let Some(progress) = &mut self.warm_start else {
+            return;
+        };
+        for endpoint in listed.iter_mut() {
+            endpoint.load_per_connection = progress.load_per_connection(endpoint.server);
+        }
+        if progress.is_over() {
+            return;
+        }
+        for endpoint in listed.iter() {
+            if let Some(address) = self.endpoints.address(endpoint.server) {
+                let ready = endpoint.state == EndpointState::Ready;
+                progress
+                    .machine
+                    .endpoint_listed(now, endpoint.server, address, ready);
+            }
+        }
+        if complete {
+            let ids: Vec<EndpointId> = listed.iter().map(|endpoint| endpoint.server).collect();
+            let is_cold = is_mostly_cold(now, warm_after, listed);
+            progress.machine.list_completed(now, &ids, is_cold);
+        }
+        self.apply_warm_start_effects();
+    }
+
+    /// The probe of a server has ended. Any answer counts, since a server that rejects or fails a session is there.
+    pub(in crate::routing) fn note_warm_start_probe(&mut self, server: ServerId, outcome: Outcome) {
+        let answered = matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Erred);
+        let now = self.now;
+        if let Some(progress) = &mut self.warm_start {
+            progress.machine.probe_finished(now, server, answered);
+            self.apply_warm_start_effects();
+        }
+    }
+}
+
+/// Whether more than half of the ready endpoints have started less than `warm_after` ago.
+fn is_mostly_cold(now: Duration, warm_after: Duration, listed: &[Endpoint]) -> bool {
+    let mut ready = 0;
+    let mut cold = 0;
+    for endpoint in listed {
+        if endpoint.state != EndpointState::Ready {
+            continue;
+        }
+        ready += 1;
+        let uptime = endpoint.started_at.map(|at| now.saturating_sub(at));
+        if uptime.is_some_and(|uptime| uptime < warm_after) {
+            cold += 1;
+        }
+    }
+    cold * 2 > ready
+}
