--- a/crates/proxy/src/routing/warm_start/admission.rs
+++ b/crates/proxy/src/routing/warm_start/admission.rs
@@ -15,7 +15,7 @@
 }
 
 impl ReportedLoad {
-    /// The load that a report tells; `None` if it leaves out one of the two.
+    /// The load in a report; `None` if the report leaves out one of the two.
     pub(super) fn from_report(load: &Load) -> Option<ReportedLoad> {
         Some(ReportedLoad {
             utilization: load.utilization?,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// What one connection takes on average; `None` where there are too few to tell.
+    /// What one connection takes on average; `None` where there are too few for an average.
     pub(super) fn per_connection(self) -> Option<f64> {
         if self.connections >= MIN_CONNECTIONS_FOR_LOAD {
             Some(self.utilization / self.connections)
--- a/crates/proxy/src/routing/warm_start/discovery.rs
+++ b/crates/proxy/src/routing/warm_start/discovery.rs
@@ -65,8 +65,8 @@
         self.apply_warm_start_effects();
     }
 
-    /// Tells the warm start of endpoints that discovery has listed, and completes these with what a connection took of
-    /// them before. `complete` says whether they are the whole list; the placement engine gets them from the caller.
+    /// Notifies the warm start of endpoints that discovery has listed, and fills in what a connection took of each
+    /// before. `complete` says whether they are the complete list. The caller passes them on to the placement engine.
     pub(in crate::routing) fn note_listed_endpoints(
         &mut self,
         listed: &mut [Endpoint],
--- a/crates/proxy/src/routing/warm_start/effects.rs
+++ b/crates/proxy/src/routing/warm_start/effects.rs
@@ -86,7 +86,7 @@
         self.update_admission_rate();
     }
 
-    /// Tells the placement engine what has changed about an endpoint.
+    /// Notifies the placement engine of a change of an endpoint.
     fn update_endpoint(
         &mut self,
         id: EndpointId,
--- a/crates/proxy/src/routing/warm_start/snapshots.rs
+++ b/crates/proxy/src/routing/warm_start/snapshots.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    /// How many snapshots were saved and failed; `None` if none are kept.
+    /// How many snapshots were saved and failed; `None` if snapshots are off.
     pub(in crate::routing) fn snapshot_counts(&self) -> Option<SnapshotCounts> {
         self.snapshots.as_ref().map(|schedule| schedule.counts)
     }
--- a/crates/snapshot/src/files.rs
+++ b/crates/snapshot/src/files.rs
@@ -15,7 +15,7 @@
 
 /// The disk operations of a store, each with the durability that POSIX gives it.
 pub trait SnapshotFiles {
-    /// Reads a whole file of at most `max_len` bytes.
+    /// Reads a complete file of at most `max_len` bytes.
     ///
     /// # Errors
     ///
@@ -108,7 +108,7 @@
             return Err(io::Error::other("not a file"));
         }
         let mut bytes = Vec::new();
-        // One byte more than allowed tells a file that is too long without reading all of it.
+        // One byte more than allowed shows that a file is too long, without reading all of it.
         file.take(max_len as u64 + 1).read_to_end(&mut bytes)?;
         if bytes.len() > max_len {
             return Err(io::Error::other(format!("longer than {max_len} bytes")));
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -12,7 +12,7 @@
 
 /// Version of the form that this build writes, and the only one that it reads.
 pub const FORMAT_VERSION: u32 = 1;
-/// Longest file that is read, in bytes: three times what a snapshot of [`MAX_ENDPOINTS`] takes.
+/// Longest file that is read, in bytes: three times what a snapshot of 4,096 endpoints takes.
 pub const MAX_FILE_LEN: usize = 4 << 20;
 /// Most endpoints in a snapshot: the longest list that a proxy accepts from discovery.
 pub(crate) const MAX_ENDPOINTS: usize = 4096;
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,6 +1,6 @@
 //! Snapshots of a proxy's endpoint list on disk, from which it warm-starts after a power loss.
 //!
-//! A snapshot is kept in two generations, two files written in turn ([`SnapshotStore`]): each save writes a temporary
+//! A snapshot is stored in two generations, two files written in turn ([`SnapshotStore`]): each save writes a temporary
 //! file, syncs it and renames it over the older generation, so that a loss of power at any step leaves one complete
 //! snapshot. All disk access goes through the narrow interface [`SnapshotFiles`], which a test replaces by a disk that
 //! loses power. A thread does the writing ([`SnapshotWriter`]): a disk that hangs delays snapshots, never a session.
--- a/crates/snapshot/src/model.rs
+++ b/crates/snapshot/src/model.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
-    /// The address that the proxy listens at, which tells its snapshots from those of another proxy.
+    /// The address that the proxy listens at, which distinguishes its snapshots from those of other proxies.
     pub owner: String,
     /// Counts snapshots. The higher of two is the newer one, whatever the clock said.
     #[serde(rename = "seq")]
--- a/crates/snapshot/tests/snapshot/power_loss.rs
+++ b/crates/snapshot/tests/snapshot/power_loss.rs
@@ -36,7 +36,7 @@
             let found = list_revision(&left);
             if found != Some(next) && (saved || found != before) {
                 return Err(format!(
-                    "power lost at step {steps} of {next}: {found:?} was read, {before:?} stood before"
+                    "power lost at step {steps} of {next}: {found:?} was read, {before:?} was there before"
                 ));
             }
             if saves > 1 {
--- a/crates/snapshot/tests/snapshot/simulated_disk.rs
+++ b/crates/snapshot/tests/snapshot/simulated_disk.rs
@@ -213,7 +213,7 @@
     }
 }
 
-/// A snapshot with something in each field, told from others by its list revision.
+/// A snapshot with something in each field, identified by its list revision.
 pub(crate) fn snapshot(list_revision: u64) -> Snapshot {
     let endpoint = |n: u64| SavedEndpoint {
         uid: format!("s-{n}"),
--- a/crates/warm-start/src/admission_rate.rs
+++ b/crates/warm-start/src/admission_rate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// How an endpoint that has just started gains capacity, and how much load it bears meanwhile.
+/// How an endpoint that has just started gains capacity, and how much load it can take meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartProfile {
     /// Share of its full capacity that it has at once, between 0 and 1.
@@ -16,9 +16,9 @@
 /// Share of the endpoints' capacity that all proxies together use: they do not coordinate, so the moments at which each
 /// uses its own coincide by chance.
 const USED_SHARE: f64 = 0.75;
-/// Connections from which an endpoint's load report tells what one connection takes.
+/// Least connections of an endpoint from whose load report the share of one connection is computed.
 pub const MIN_CONNECTIONS_FOR_LOAD: f64 = 8.0;
-/// Share of an endpoint that a connection takes where no report ever told.
+/// Share of an endpoint that a connection takes where no report has ever shown it.
 const DEFAULT_LOAD_PER_CONNECTION: f64 = 0.05;
 /// Bounds of the share that a connection takes; a report outside of them is an error of the endpoint's.
 const LOAD_PER_CONNECTION_RANGE: (f64, f64) = (1e-3, 1.0);
--- a/crates/warm-start/src/candidate.rs
+++ b/crates/warm-start/src/candidate.rs
@@ -1,4 +1,4 @@
-//! One candidate: an endpoint that a warm start has heard of, from the first report of it until it is used or dropped.
+//! One candidate: an endpoint that was reported to a warm start, from the first report of it until it is used or dropped.
 
 use crate::source::{EndpointSource, InformationAge};
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
     pub source: EndpointSource,
     /// How old the information is.
     pub age: InformationAge,
-    /// Revision of the endpoint list that it stood in; a report from a newer list replaces one from an older list.
+    /// Revision of the endpoint list that names it; a report from a newer list replaces one from an older list.
     pub list_revision: u64,
 }
 
--- a/crates/warm-start/src/candidates.rs
+++ b/crates/warm-start/src/candidates.rs
@@ -116,7 +116,7 @@
         format!("{}{}", keys.join(";"), self.probes_in_flight)
     }
 
-    /// Takes in a report of an endpoint, unless a stronger one stands.
+    /// Takes in a report of an endpoint, unless a stronger one came before.
     pub(crate) fn report(&mut self, now: Duration, report: EndpointReport) {
         let age = if is_injected!(self, FutureCountsAsFresh) {
             InformationAge::Fresh
@@ -138,22 +138,20 @@
         {
             return;
         }
-        if let Some(other) = self.other_at(report.id, report.address) {
-            if self.get(other).is_some_and(|known| known.outranks(&report)) {
-                self.dropped += 1;
-                return;
-            }
-            self.handle(now, other, CandidateInput::Replaced);
+        if !self.replace_other_at(now, &report) {
+            self.dropped += 1;
+            return;
         }
-        let expires = forget_after.map(|span| now + span);
-        self.put(
-            now,
-            report.id,
-            report.address,
-            report.source,
-            report.list_revision,
-            expires,
-        );
+        let candidate = Candidate {
+            state: self.state(report.id),
+            address: report.address,
+            source: report.source,
+            list_revision: report.list_revision,
+            expires: forget_after.map(|span| now + span),
+            next_probe: now,
+            unanswered: 0,
+        };
+        self.put(report.id, candidate);
         self.handle(now, report.id, CandidateInput::Reported);
         if self.is_used_unprobed(report.source) {
             self.handle(now, report.id, CandidateInput::ProbeSent);
@@ -161,6 +159,18 @@
         }
     }
 
+    /// Drops another endpoint at the report's address; `false` if a stronger report names that one.
+    fn replace_other_at(&mut self, now: Duration, report: &EndpointReport) -> bool {
+        let Some(other) = self.other_at(report.id, report.address) else {
+            return true;
+        };
+        if self.get(other).is_some_and(|known| known.outranks(report)) {
+            return false;
+        }
+        self.handle(now, other, CandidateInput::Replaced);
+        true
+    }
+
     /// Whether an injected fault lets the endpoints of this source be used without a probe.
     fn is_used_unprobed(&self, source: EndpointSource) -> bool {
         match source {
@@ -185,14 +195,16 @@
         if let Some(other) = self.other_at(id, address) {
             self.handle(now, other, CandidateInput::Replaced);
         }
-        self.put(
-            now,
-            id,
+        let candidate = Candidate {
+            state: self.state(id),
             address,
-            EndpointSource::Discovery,
-            CURRENT_LIST,
-            None,
-        );
+            source: EndpointSource::Discovery,
+            list_revision: CURRENT_LIST,
+            expires: None,
+            next_probe: now,
+            unanswered: 0,
+        };
+        self.put(id, candidate);
         self.handle(now, id, CandidateInput::Listed);
     }
 
@@ -222,30 +234,13 @@
             .map(|(other, _)| other)
     }
 
-    /// Replaces what is known of an endpoint but for its state.
-    fn put(
-        &mut self,
-        now: Duration,
-        id: EndpointId,
-        address: SocketAddr,
-        source: EndpointSource,
-        list_revision: u64,
-        expires: Option<Duration>,
-    ) {
-        let state = self.state(id);
+    /// Replaces what is known of an endpoint.
+    fn put(&mut self, id: EndpointId, candidate: Candidate) {
         let index = id as usize;
         if self.candidates.len() <= index {
             self.candidates.resize(index + 1, None);
         }
-        self.candidates[index] = Some(Candidate {
-            state,
-            address,
-            source,
-            list_revision,
-            expires,
-            next_probe: now,
-            unanswered: 0,
-        });
+        self.candidates[index] = Some(candidate);
     }
 
     /// The probe of an endpoint has ended.
--- a/crates/warm-start/src/stage.rs
+++ b/crates/warm-start/src/stage.rs
@@ -117,7 +117,7 @@
         (Probing, Input::WarmList) => Some((Normal, Action::AdmitClients)),
         (Probing, Input::ColdList) => Some((LimitingAdmission, Action::LimitClients)),
         (Probing, Input::EndpointUsable) => Some((LimitingAdmission, Action::LimitClients)),
-        // No endpoint answers yet: clients are told so, and probing goes on.
+        // No endpoint answers yet: clients are still rejected, and probing goes on.
         (Probing, Input::TimedOut) => Some((Probing, Action::RejectClients)),
         (LimitingAdmission, Input::WarmList) => Some((Normal, Action::AdmitClients)),
         (LimitingAdmission, Input::NoneUsable) => Some((Probing, Action::RejectClients)),
--- a/crates/warm-start/src/warm_start.rs
+++ b/crates/warm-start/src/warm_start.rs
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Takes the stage further and does what its transition asks for.
+    /// Handles an input of the stages and does what its transition asks for.
     fn advance(&mut self, now: Duration, reason: StageReason) {
         let transition = self.stages.handle(now, reason.input(), &self.settings);
         let Some(transition) = transition else {
@@ -234,7 +234,11 @@
             self.effects
                 .push(WarmStartEffect::StageChanged(stage, reason));
         }
-        match transition.action {
+        self.act(now, transition.action);
+    }
+
+    fn act(&mut self, now: Duration, action: StageAction) {
+        match action {
             StageAction::QueueClients => self.admit(ClientAdmission::Queued),
             StageAction::AskPeers => {
                 self.admit(ClientAdmission::Rejected);
