--- a/crates/proxy/tests/state.rs
+++ b/crates/proxy/tests/snapshots.rs
@@ -1,12 +1,6 @@
-//! What a proxy keeps on disk, by the program: kept, read again, spoilt, held by another, looked at from the command line.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
+//! Snapshots of a running proxy: saved, restored, damaged, locked by another process, shown on the command line.
 
+#[allow(unreachable_pub, missing_debug_implementations)] // Not yet brought to the workspace lints.
 mod help;
 
 use help::{OPEN, SETTINGS, SOON, World, list, target};
@@ -16,89 +10,93 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// A folder and an operator's file that names it; both go with the test.
-struct Disk {
-    folder: PathBuf,
-    operator: PathBuf,
+/// A snapshot directory and an operator's file that names it; both are removed with the test.
+struct SnapshotDisk {
+    directory: PathBuf,
+    operator_file: PathBuf,
 }
 
-impl Drop for Disk {
+impl Drop for SnapshotDisk {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
-        let _ = std::fs::remove_file(&self.operator);
+        let _ = std::fs::remove_dir_all(&self.directory);
+        let _ = std::fs::remove_file(&self.operator_file);
     }
 }
 
-impl Disk {
-    fn new() -> Disk {
+impl SnapshotDisk {
+    fn new() -> SnapshotDisk {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let nth = NEXT.fetch_add(1, Ordering::Relaxed);
         let at = |end: &str| {
             std::env::temp_dir().join(format!("asterramp-disk-{}-{nth}.{end}", std::process::id()))
         };
-        let disk = Disk {
-            folder: at("state"),
-            operator: at("toml"),
+        let disk = SnapshotDisk {
+            directory: at("state"),
+            operator_file: at("toml"),
         };
         let text = format!(
             "[state]\nfolder = {:?}\nevery = \"200ms\"\n[recovery]\nstages = true\n",
-            disk.folder
+            disk.directory
         );
-        std::fs::write(&disk.operator, text).unwrap();
+        std::fs::write(&disk.operator_file, text).unwrap();
         disk
     }
 
     fn world(&self) -> World {
-        World::started(2, SETTINGS, (512, 1024), Some(&self.operator))
+        World::started(2, SETTINGS, (512, 1024), Some(&self.operator_file))
     }
 
-    /// One whose discovery tells hosts that are warm, and which serves.
-    fn served(&self) -> World {
+    /// A proxy that serves, since discovery has listed warm endpoints.
+    fn serving_world(&self) -> World {
         let world = self.world();
         let ready = (0..2).map(|n| target(n, world.servers[n].local_addr().unwrap(), "ready"));
         world
             .watch
             .send(list(9, true, &ready.collect::<Vec<_>>()))
             .unwrap();
-        // Its cold budgets are over with the stages.
+        // The rate limit of the warm start is lifted with its last stage.
         std::thread::sleep(Duration::from_millis(100));
         drop(world.up_at(&[0, 1]));
         world
     }
 
-    /// What a proxy of another address is told once it is started anew at this one's.
-    fn owned_by(&self, world: &World) {
+    /// Waits for the first snapshot, and checks that it names this proxy as its owner.
+    fn wait_for_snapshot_of(&self, world: &World) {
         let until = Instant::now() + SOON;
-        while !self.folder.join("state.0").exists() {
-            assert!(Instant::now() < until, "nothing is kept");
+        while !self.directory.join("state.0").exists() {
+            assert!(Instant::now() < until, "no snapshot is saved");
             std::thread::sleep(Duration::from_millis(10));
         }
-        assert!(said(&state(&["show"], &self.folder)).contains(&world.listen.to_string()));
+        assert!(
+            text_of(&state_command(&["show"], &self.directory)).contains(&world.listen.to_string())
+        );
     }
 
     fn put(&self, file: &str, bytes: &[u8]) {
-        std::fs::create_dir_all(&self.folder).unwrap();
-        std::fs::write(self.folder.join(file), bytes).unwrap();
+        std::fs::create_dir_all(&self.directory).unwrap();
+        std::fs::write(self.directory.join(file), bytes).unwrap();
     }
 }
 
-fn state(what: &[&str], folder: &Path) -> Output {
+/// Runs `asterramp state` with these arguments on a directory.
+fn state_command(arguments: &[&str], directory: &Path) -> Output {
     let program = env!("CARGO_BIN_EXE_asterramp");
     Command::new(program)
         .arg("state")
-        .args(what)
-        .arg(folder)
+        .args(arguments)
+        .arg(directory)
         .output()
         .unwrap()
 }
 
-fn said(output: &Output) -> String {
+/// Standard output and standard error, one after the other.
+fn text_of(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).to_string() + &String::from_utf8_lossy(&output.stderr)
 }
 
 #[test]
-fn what_discovery_told_is_kept_and_the_end_says_that_it_was_in_order() {
-    let disk = Disk::new();
+fn the_list_of_discovery_is_saved_and_the_last_snapshot_says_that_the_proxy_shut_down_gracefully() {
+    let disk = SnapshotDisk::new();
     let mut world = disk.world();
     let at = |n: usize| world.servers[n].local_addr().unwrap();
     world
@@ -109,13 +107,13 @@
             &[target(0, at(0), "ready"), target(1, at(1), "draining")],
         ))
         .unwrap();
-    disk.owned_by(&world);
-    // A folder that a proxy holds is not cleared.
-    let held = state(&["clear"], &disk.folder);
+    disk.wait_for_snapshot_of(&world);
+    // A directory that a running proxy holds is not cleared.
+    let held = state_command(&["clear"], &disk.directory);
     assert!(
-        !held.status.success() && said(&held).contains("a proxy holds it"),
+        !held.status.success() && text_of(&held).contains("a proxy holds it"),
         "{}",
-        said(&held)
+        text_of(&held)
     );
     world.signal("TERM");
     let (code, log) = world.ends();
@@ -124,7 +122,7 @@
         log.contains("stage stage=normal why=\"discovery tells hosts that are warm\""),
         "{log}"
     );
-    let shown = said(&state(&["show"], &disk.folder));
+    let shown = text_of(&state_command(&["show"], &disk.directory));
     assert!(
         shown.contains("left in good order")
             && shown.contains("list 9")
@@ -132,36 +130,37 @@
         "{shown}"
     );
     let json: serde_json::Value =
-        serde_json::from_slice(&state(&["show", "--json"], &disk.folder).stdout).unwrap();
+        serde_json::from_slice(&state_command(&["show", "--json"], &disk.directory).stdout)
+            .unwrap();
     assert_eq!(
         (json["rev"].as_u64(), json["clean"].as_bool()),
         (Some(9), Some(true))
     );
-    assert!(state(&["verify"], &disk.folder).status.success());
-    assert!(state(&["clear"], &disk.folder).status.success());
-    let none = state(&["verify"], &disk.folder);
-    assert!(!none.status.success() && said(&none).contains("no whole snapshot"));
+    assert!(state_command(&["verify"], &disk.directory).status.success());
+    assert!(state_command(&["clear"], &disk.directory).status.success());
+    let none = state_command(&["verify"], &disk.directory);
+    assert!(!none.status.success() && text_of(&none).contains("no whole snapshot"));
 }
 
 #[test_case("state.0", b"", "empty"; "empty")]
 #[test_case("state.1", b"rubbish\n", "first line"; "corrupt")]
-#[test_case("state.0", b"asterramp-state v=9 len=2 crc=0\n{}", "newer than"; "of tomorrow")]
-#[test_case("state.1", b"asterramp-state v=0 len=2 crc=0\n{}", "older than"; "of yesterday")]
+#[test_case("state.0", b"asterramp-state v=9 len=2 crc=0\n{}", "newer than"; "newer version")]
+#[test_case("state.1", b"asterramp-state v=0 len=2 crc=0\n{}", "older than"; "older version")]
 #[test_case("state.0", b"asterramp-state v=1 len=999 crc=0\n{}", "2 bytes of 999"; "cut short")]
-fn a_file_that_cannot_be_used_is_one_line_and_no_start_refused(
+fn a_file_that_cannot_be_used_is_one_log_line_and_the_proxy_starts(
     file: &str,
     bytes: &[u8],
     why: &str,
 ) {
-    let disk = Disk::new();
+    let disk = SnapshotDisk::new();
     disk.put(file, bytes);
-    let verified = state(&["verify"], &disk.folder);
+    let verified = state_command(&["verify"], &disk.directory);
     assert!(
-        !verified.status.success() && said(&verified).contains(why),
+        !verified.status.success() && text_of(&verified).contains(why),
         "{}",
-        said(&verified)
+        text_of(&verified)
     );
-    let mut world = disk.served();
+    let mut world = disk.serving_world();
     world.signal("TERM");
     let (code, log) = world.ends();
     let lines: Vec<&str> = log
@@ -173,10 +172,10 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_used_is_one_line_and_service_goes_on() {
-    let disk = Disk::new();
-    std::fs::write(&disk.folder, "a file").unwrap();
-    let mut world = disk.served();
+fn a_directory_that_cannot_be_used_is_one_log_line_and_the_proxy_serves() {
+    let disk = SnapshotDisk::new();
+    std::fs::write(&disk.directory, "a file").unwrap();
+    let mut world = disk.serving_world();
     world.signal("TERM");
     let (code, log) = world.ends();
     assert_eq!(
@@ -184,15 +183,15 @@
         (Some(0), 1),
         "{log}"
     );
-    std::fs::remove_file(&disk.folder).unwrap();
+    std::fs::remove_file(&disk.directory).unwrap();
 }
 
 #[test]
-fn another_proxy_on_the_same_folder_says_so_and_writes_nothing() {
-    let disk = Disk::new();
+fn a_second_proxy_on_the_same_directory_reports_it_and_writes_nothing() {
+    let disk = SnapshotDisk::new();
     let first = disk.world();
-    disk.owned_by(&first);
-    let mut second = disk.served();
+    disk.wait_for_snapshot_of(&first);
+    let mut second = disk.serving_world();
     second.signal("TERM");
     let (code, log) = second.ends();
     assert_eq!(code, Some(0));
@@ -200,24 +199,26 @@
         log.contains("foreign") && log.contains("another process holds the folder"),
         "{log}"
     );
-    assert!(said(&state(&["show"], &disk.folder)).contains(&first.listen.to_string()));
+    assert!(
+        text_of(&state_command(&["show"], &disk.directory)).contains(&first.listen.to_string())
+    );
 }
 
 #[test]
-fn without_discovery_hosts_that_are_known_are_served_and_readiness_waits_for_them() {
-    let disk = Disk::new();
-    // The configuration's list is what is known; discovery is never heard with one of its own.
+fn without_discovery_the_configured_endpoints_are_used_once_they_answer() {
+    let disk = SnapshotDisk::new();
+    // Only the configured list is known; discovery never sends one.
     let mut world = disk.world();
-    // They count as cold, so the first clients are told to come again.
+    // The endpoints count as just started, so the first clients are rejected and told to retry.
     let until = Instant::now() + SOON + SOON;
     loop {
         let mut client = world.client(OPEN);
-        let told = client.line_within(Duration::from_millis(300));
-        match told.as_deref() {
+        let answer = client.line_within(Duration::from_millis(300));
+        match answer.as_deref() {
             Some(busy) => assert!(busy.starts_with("BUSY "), "{busy}"),
             None => break,
         }
-        assert!(Instant::now() < until, "nobody is let in");
+        assert!(Instant::now() < until, "no client is admitted");
         std::thread::sleep(Duration::from_millis(100));
     }
     world.signal("TERM");
