--- a/crates/proxy/src/routing/warm_start/begin.rs
+++ b/crates/proxy/src/routing/warm_start/begin.rs
@@ -1,7 +1,7 @@
 //! The beginning of a warm start: endpoints known from the last snapshot and from the configuration.
 
 use super::{WarmStartPlan, WarmStartProgress, unix_time};
-use crate::protocol::discovery::{List, Listed};
+use crate::protocol::discovery::{EndpointList, ListedEndpoint};
 use crate::routing::Router;
 use asterramp_placement::event::EndpointState;
 use asterramp_snapshot::{SavedEndpoint, SavedEndpointState, Snapshot};
@@ -13,7 +13,7 @@
 
 /// An endpoint that is known from before the start.
 struct RememberedEndpoint {
-    line: Listed,
+    line: ListedEndpoint,
     source: EndpointSource,
     age: InformationAge,
     list_revision: u64,
@@ -22,7 +22,11 @@
 
 impl Router {
     /// Begins a warm start. No endpoint is used before it has answered a probe, or discovery has listed it.
-    pub(in crate::routing) fn begin_warm_start(&mut self, plan: WarmStartPlan, configured: &List) {
+    pub(in crate::routing) fn begin_warm_start(
+        &mut self,
+        plan: WarmStartPlan,
+        configured: &EndpointList,
+    ) {
         let peers = plan.peers.doors.len();
         let reserved = peers.min(MAX_RESERVED_PEERS);
         self.resource_budget = self.resource_budget.without(reserved);
@@ -32,7 +36,7 @@
         settings.max_probes = self.resource_budget.probes.min(settings.max_probes).max(1);
         let snapshot = plan.snapshot.unwrap_or_default();
         let mut progress = WarmStartProgress::new(self.now, settings);
-        progress.newest_revision = configured.rev.max(snapshot.list_revision);
+        progress.newest_revision = configured.revision.max(snapshot.list_revision);
         progress.discovery_heard = snapshot.discovery_heard_ms.map(unix_time);
         for remembered in remembered_endpoints(self.now, &snapshot, configured) {
             self.report_remembered(&mut progress, remembered);
@@ -46,7 +50,7 @@
         progress: &mut WarmStartProgress,
         remembered: RememberedEndpoint,
     ) {
-        let address = remembered.line.endpoint;
+        let address = remembered.line.address;
         let Some((endpoint, _)) = self.endpoints.take(remembered.line) else {
             return;
         };
@@ -68,7 +72,7 @@
 fn remembered_endpoints(
     now: Duration,
     snapshot: &Snapshot,
-    configured: &List,
+    configured: &EndpointList,
 ) -> Vec<RememberedEndpoint> {
     let age = snapshot_age(now, snapshot);
     let saved = snapshot
@@ -83,14 +87,14 @@
             load_per_connection: saved.load_per_connection,
         });
     let configured = configured
-        .lines
+        .endpoints
         .iter()
-        .filter(|line| line.standing == EndpointState::Ready)
+        .filter(|line| line.state == EndpointState::Ready)
         .map(|line| RememberedEndpoint {
             line: line.clone(),
             source: EndpointSource::Configuration,
             age: InformationAge::Unknown,
-            list_revision: configured.rev,
+            list_revision: configured.revision,
             load_per_connection: None,
         });
     let mut remembered: Vec<RememberedEndpoint> = saved.chain(configured).collect();
@@ -108,14 +112,14 @@
 }
 
 /// A saved endpoint in the form in which discovery lists it.
-fn line_of(saved: &SavedEndpoint) -> Listed {
-    Listed {
+fn line_of(saved: &SavedEndpoint) -> ListedEndpoint {
+    ListedEndpoint {
         uid: saved.uid.clone(),
-        endpoint: saved.endpoint,
+        address: saved.endpoint,
         zone: saved.zone.clone(),
         cell: saved.cell,
-        standing: EndpointState::Ready,
+        state: EndpointState::Ready,
         weight: saved.weight,
-        started: saved.started_ms.map(unix_time),
+        started_at: saved.started_ms.map(unix_time),
     }
 }
--- a/crates/proxy/src/routing/warm_start/discovery.rs
+++ b/crates/proxy/src/routing/warm_start/discovery.rs
@@ -58,7 +58,7 @@
             .as_ref()
             .map_or(0, |progress| progress.newest_revision);
         self.log_event(
-            ReasonCode::RosterOld,
+            ReasonCode::EndpointListOutdated,
             format!("rev={list_revision} had={newest}"),
         );
         self.event(Event::Endpoints(EndpointUpdate::Changes(out_of_use)));
--- a/crates/proxy/src/routing/warm_start/effects.rs
+++ b/crates/proxy/src/routing/warm_start/effects.rs
@@ -51,14 +51,14 @@
             WarmStartEffect::Drop(id, reason) => {
                 let name = self.endpoints.name(id);
                 let text = format!("server={name} why={:?}", reason.text());
-                self.log_event(ReasonCode::HostDropped, text);
+                self.log_event(ReasonCode::EndpointDropped, text);
                 self.endpoints.stands(id, EndpointState::Gone);
                 self.update_endpoint(id, EndpointState::Gone, None, None);
             }
             WarmStartEffect::Admit(admission) => self.set_admission(admission),
             WarmStartEffect::StageChanged(stage, reason) => {
                 let text = format!("stage={} why={:?}", stage.name(), reason.text());
-                self.log_event(ReasonCode::Stage, text);
+                self.log_event(ReasonCode::WarmStartStageChanged, text);
             }
         }
     }
--- a/crates/proxy/src/routing/warm_start/snapshots.rs
+++ b/crates/proxy/src/routing/warm_start/snapshots.rs
@@ -2,7 +2,7 @@
 
 use super::admission::ReportedLoad;
 use super::unix_ms;
-use crate::protocol::discovery::Listed;
+use crate::protocol::discovery::ListedEndpoint;
 use crate::routing::endpoints::KnownEndpoint;
 use crate::routing::{ReasonCode, Router};
 use asterramp_placement::event::EndpointState;
@@ -128,16 +128,22 @@
         for outcome in outcomes {
             self.count_save_outcome(&outcome);
             match outcome {
-                SaveOutcome::Saved { .. } => self.count_event(ReasonCode::StateSaved),
+                SaveOutcome::Saved { .. } => self.count_event(ReasonCode::SnapshotSaved),
                 SaveOutcome::Failed(error) => {
                     let text = format!("save why={:?}", error.to_string());
-                    self.log_event(ReasonCode::StateBad, text);
+                    self.log_event(ReasonCode::SnapshotFailed, text);
                 }
                 SaveOutcome::DirectoryLocked => {
-                    self.log_event(ReasonCode::StateBad, "another process holds the folder");
+                    self.log_event(
+                        ReasonCode::SnapshotFailed,
+                        "another process holds the folder",
+                    );
                 }
                 SaveOutcome::DirectoryAcquired => {
-                    self.log_event(ReasonCode::StateTaken, "the other process has let go");
+                    self.log_event(
+                        ReasonCode::SnapshotLockAcquired,
+                        "the other process has let go",
+                    );
                 }
             }
         }
@@ -192,14 +198,18 @@
         self.endpoints
             .lines()
             .zip(self.endpoints.hosts())
-            .filter(|(line, _)| line.standing != EndpointState::Gone)
+            .filter(|(line, _)| line.state != EndpointState::Gone)
             .map(|(line, host)| saved_endpoint(line, host, average))
             .collect()
     }
 }
 
 /// An endpoint as a snapshot holds it; `average` is what a connection takes of all endpoints.
-fn saved_endpoint(line: Listed, host: &KnownEndpoint, average: Option<f64>) -> SavedEndpoint {
+fn saved_endpoint(
+    line: ListedEndpoint,
+    host: &KnownEndpoint,
+    average: Option<f64>,
+) -> SavedEndpoint {
     let load_per_connection = ReportedLoad::from_report(&host.load)
         .and_then(ReportedLoad::per_connection)
         .or(average)
@@ -211,10 +221,10 @@
     };
     SavedEndpoint {
         uid: line.uid,
-        endpoint: line.endpoint,
+        endpoint: line.address,
         zone: line.zone,
         cell: line.cell,
-        state: match line.standing {
+        state: match line.state {
             EndpointState::Draining => SavedEndpointState::Draining,
             _ => SavedEndpointState::Ready,
         },
@@ -223,7 +233,7 @@
         } else {
             DEFAULT_WEIGHT
         },
-        started_ms: line.started.map(unix_ms),
+        started_ms: line.started_at.map(unix_ms),
         last_report_ms,
         load_per_connection,
     }
