--- a/crates/proxy/src/routing/discovery_watch.rs
+++ b/crates/proxy/src/routing/discovery_watch.rs
@@ -302,7 +302,7 @@
                 self.cancel_stale_probe(change.endpoint.server);
             }
         }
-        if self.is_older(list.revision) {
+        if self.is_outdated_list(list.revision) {
             self.apply_older_list(list.revision, endpoints);
         } else {
             self.apply_endpoints(endpoints, complete);
--- a/crates/proxy/src/routing/metrics.rs
+++ b/crates/proxy/src/routing/metrics.rs
@@ -127,7 +127,10 @@
 }
 
 /// How far a start has come, and what was kept for the next; nothing where neither is wanted.
-pub fn warm_start_text(start: Option<&WarmStart>, kept: Option<(u64, u64)>) -> String {
+pub fn warm_start_text(
+    start: Option<&WarmStart>,
+    kept: Option<super::warm_start::SnapshotCounts>,
+) -> String {
     let mut text = String::new();
     if let Some(start) = start {
         let _ = writeln!(
@@ -138,12 +141,12 @@
         let _ = writeln!(
             text,
             "svc_start_hosts_dropped_total {}",
-            start.hosts().dropped
+            start.candidates().dropped()
         );
     }
     for (what, n) in kept
         .iter()
-        .flat_map(|kept| [("saved", kept.0), ("failed", kept.1)])
+        .flat_map(|kept| [("saved", kept.saved), ("failed", kept.failed)])
     {
         let _ = writeln!(text, "svc_state_snapshots_total{{end=\"{what}\"}} {n}");
     }
--- a/crates/proxy/src/routing/peers/answer.rs
+++ b/crates/proxy/src/routing/peers/answer.rs
@@ -5,7 +5,7 @@
 use crate::routing::Router;
 use crate::routing::endpoints::KnownEndpoint;
 use asterramp_placement::event::{EndpointState, Load, ServerId};
-use asterramp_warm_start::{EndpointTrustState, WarmStartStage};
+use asterramp_warm_start::{CandidateState, WarmStartStage};
 use std::time::Duration;
 
 /// Connections from which a server's load shows the load of each.
@@ -57,8 +57,8 @@
             return true;
         };
         let is_trusted = matches!(
-            start.hosts().state(server),
-            EndpointTrustState::Answers | EndpointTrustState::Told
+            start.candidates().state(server),
+            CandidateState::Responsive | CandidateState::Listed
         );
         start.stage() == WarmStartStage::Normal || is_trusted
     }
