--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -26,11 +26,11 @@
     let owner = start.listen.to_string();
     let (saved, mut troubles) =
         (wishes.state.as_ref()).map_or_else(Default::default, |state| load(state, &owner));
-    let term = saved.as_ref().map_or(0, |saved| saved.term);
+    let term = saved.as_ref().map_or(0, |saved| saved.lease_term);
     start.warm_start = wishes.recovery.stages.then(|| WarmStartPlan {
-        terms: stages(&wishes, &start.settings),
-        others: others(&wishes),
-        saved,
+        settings: stages(&wishes, &start.settings),
+        peers: others(&wishes),
+        snapshot: saved,
     });
     let mut router = Router::new(start, clock.now()).map_err(|e| e.to_string())?;
     router
@@ -143,17 +143,17 @@
         // The same is said when it is opened for writing.
         Err(_) => return (None, Vec::new()),
     };
-    let told = |trouble: asterramp_snapshot::FileProblem| {
+    let told = |problem: asterramp_snapshot::FileProblem| {
         format!(
             "file={}/{} why={:?}",
             state.folder.display(),
-            trouble.file,
-            trouble.why
+            problem.file,
+            problem.error.to_string()
         )
     };
     (
         found.snapshot,
-        found.troubles.into_iter().map(told).collect(),
+        found.problems.into_iter().map(told).collect(),
     )
 }
 
@@ -168,9 +168,9 @@
 fn stages(wishes: &OperatorConfig, setup: &Settings) -> asterramp_warm_start::WarmStartSettings {
     let (wish, warm) = (&wishes.recovery, setup.deployment.slow_start.warm_after);
     asterramp_warm_start::WarmStartSettings {
-        look: wish.look,
-        probe: wish.probe,
-        warm,
+        discovery_timeout: wish.look,
+        probe_timeout: wish.probe,
+        limited_admission: warm,
         ..Default::default()
     }
 }
--- a/crates/proxy/src/routing/metrics.rs
+++ b/crates/proxy/src/routing/metrics.rs
@@ -2,6 +2,7 @@
 //!
 //! Metric and label names are part of the operators' interface and do not change.
 
+use super::warm_start::SnapshotCounts;
 use asterramp_admission::RejectReason;
 use asterramp_warm_start::WarmStart;
 use asterramp_zone_failover::Zone;
@@ -135,7 +136,10 @@
 }
 
 /// How far a warm start has come, and how many snapshots were saved and how many failed; empty where neither is wanted.
-pub fn warm_start_text(warm_start: Option<&WarmStart>, snapshots: Option<(u64, u64)>) -> String {
+pub fn warm_start_text(
+    warm_start: Option<&WarmStart>,
+    snapshots: Option<SnapshotCounts>,
+) -> String {
     let mut text = String::new();
     if let Some(warm_start) = warm_start {
         let _ = writeln!(
@@ -146,11 +150,11 @@
         let _ = writeln!(
             text,
             "svc_start_hosts_dropped_total {}",
-            warm_start.hosts().dropped
+            warm_start.candidates().dropped()
         );
     }
-    if let Some((saved, failed)) = snapshots {
-        for (end, count) in [("saved", saved), ("failed", failed)] {
+    if let Some(counts) = snapshots {
+        for (end, count) in [("saved", counts.saved), ("failed", counts.failed)] {
             let _ = writeln!(text, "svc_state_snapshots_total{{end=\"{end}\"}} {count}");
         }
     }
--- a/crates/proxy/src/routing/peers/mod.rs
+++ b/crates/proxy/src/routing/peers/mod.rs
@@ -11,7 +11,7 @@
 use crate::transport::poller::ReadyEvent;
 use crate::transport::{SlotKey, socket};
 use asterramp_placement::event::{EndpointState, ServerId};
-use asterramp_warm_start::{EndpointSource, InformationAge, age};
+use asterramp_warm_start::{EndpointReport, EndpointSource, InformationAge, information_age};
 use message::{Known, KnownHost};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -128,7 +128,7 @@
     fn peer_round_ended(&mut self) {
         let now = self.now;
         if let Some(start) = &mut self.warm_start {
-            start.recovery.heard_others(now);
+            start.machine.peers_asked(now);
         }
         self.apply_warm_start_effects();
     }
@@ -232,12 +232,14 @@
     fn apply_peer_host(&mut self, host: KnownHost, list_revision: u64) {
         // The peer's clock may differ, but a time span by it is good.
         let news_at = self.now.checked_sub(Duration::from_millis(host.age_ms));
-        let information_age = news_at.map_or(InformationAge::Unknown, |at| age(self.now, Some(at)));
+        let age = news_at.map_or(InformationAge::Unknown, |at| {
+            information_age(self.now, Some(at))
+        });
         if let Some(server) = self.endpoints.find(&host.uid) {
             // A peer's answer does not change the address of an endpoint that is known already.
             let address = host.address;
             if self.endpoints.address(server) == Some(address) {
-                self.report_peer_endpoint(server, address, information_age, list_revision);
+                self.report_peer_endpoint(server, address, age, list_revision);
             }
             return;
         }
@@ -255,7 +257,7 @@
         if let Some(start) = &mut self.warm_start {
             start.restore_load_per_connection(server, load_per_connection);
         }
-        self.report_peer_endpoint(server, address, information_age, list_revision);
+        self.report_peer_endpoint(server, address, age, list_revision);
     }
 
     fn report_peer_endpoint(
@@ -266,11 +268,15 @@
         list_revision: u64,
     ) {
         let now = self.now;
-        let source = EndpointSource::Heard;
+        let report = EndpointReport {
+            id: server,
+            address,
+            source: EndpointSource::Peer,
+            age: information_age,
+            list_revision,
+        };
         if let Some(start) = &mut self.warm_start {
-            start
-                .recovery
-                .word(now, server, address, source, information_age, list_revision);
+            start.machine.report(now, report);
         }
     }
 }
