--- a/crates/proxy/src/routing/event_loop.rs
+++ b/crates/proxy/src/routing/event_loop.rs
@@ -1,10 +1,10 @@
 //! The event loop: waits for sockets and deadlines, and hands each to what it is for.
 
+use super::Router;
 use super::connections::MAX_DISCARD_AT_CLOSE;
 use super::peers::PeerError;
 use super::report::ReasonCode;
 use super::types::{ConnectionRole, READ_ONLY, TimerKey};
-use super::{LISTENER_DELAY, Router};
 use crate::protocol::client::ERROR_LINE;
 use crate::transport::SlotKey;
 use crate::transport::poller::ReadyEvent;
@@ -14,6 +14,9 @@
 use std::io;
 use std::time::Duration;
 
+/// Longest wait while nothing has a deadline.
+const MAX_IDLE_WAIT: Duration = Duration::from_millis(500);
+
 impl Router {
     /// Waits for sockets, no longer than until the next deadline.
     ///
@@ -24,7 +27,7 @@
         let timeout = self
             .deadlines
             .next_due()
-            .map_or(LISTENER_DELAY, |at| at.saturating_sub(now));
+            .map_or(MAX_IDLE_WAIT, |at| at.saturating_sub(now));
         Ok(self.poll.wait(timeout, &mut self.ready)?)
     }
 
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -54,9 +54,6 @@
 use types::{Connection, ConnectionRole, Session, TimerKey};
 use warm_start::{SnapshotSchedule, WarmStartProgress};
 
-/// How long discovery is waited for before clients are served by the list of old.
-const LISTENER_DELAY: Duration = Duration::from_millis(500);
-
 /// A proxy's connections, sessions and timers, driven by one thread.
 pub struct Router {
     session_table: SessionTable<Session>,
--- a/crates/proxy/src/routing/startup.rs
+++ b/crates/proxy/src/routing/startup.rs
@@ -9,8 +9,7 @@
 use super::warm_start::WarmStartPlan;
 use super::zones::ZoneTracker;
 use super::{
-    DiscoveryWatch, EndpointTable, LISTENER_DELAY, Router, SessionTable, admission_settings,
-    zone_failover_settings,
+    DiscoveryWatch, EndpointTable, Router, SessionTable, admission_settings, zone_failover_settings,
 };
 use crate::protocol::discovery::EndpointList;
 use crate::transport::poller::Interest;
@@ -26,6 +25,9 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+/// How long discovery is waited for before clients are served by the list of old.
+const LISTENER_DELAY: Duration = Duration::from_millis(500);
+
 /// What a proxy starts from.
 #[derive(Debug)]
 pub struct RouterOptions {
