--- a/crates/proxy/tests/snapshots.rs
+++ b/crates/proxy/tests/snapshots.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
-use support::{OPEN_LINE, SETTINGS, TIMEOUT, ProxyHarness, list_line, endpoint_json};
+use support::{OPEN_LINE, ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, list_line};
 use test_case::test_case;
 
 /// A snapshot directory and an operator's file that names it; both are removed with the test.
@@ -49,7 +49,8 @@
     /// A proxy that serves, since discovery has listed warm endpoints.
     fn serving_world(&self) -> ProxyHarness {
         let world = self.world();
-        let ready = (0..2).map(|n| endpoint_json(n, world.servers[n].local_addr().unwrap(), "ready"));
+        let ready =
+            (0..2).map(|n| endpoint_json(n, world.servers[n].local_addr().unwrap(), "ready"));
         world
             .watch
             .send(list_line(9, true, &ready.collect::<Vec<_>>()))
@@ -68,7 +69,8 @@
             std::thread::sleep(Duration::from_millis(10));
         }
         assert!(
-            text_of(&state_command(&["show"], &self.directory)).contains(&world.listen_address.to_string())
+            text_of(&state_command(&["show"], &self.directory))
+                .contains(&world.listen_address.to_string())
         );
     }
 
@@ -104,7 +106,10 @@
         .send(list_line(
             9,
             true,
-            &[endpoint_json(0, at(0), "ready"), endpoint_json(1, at(1), "draining")],
+            &[
+                endpoint_json(0, at(0), "ready"),
+                endpoint_json(1, at(1), "draining"),
+            ],
         ))
         .unwrap();
     disk.wait_for_snapshot_of(&world);
@@ -200,7 +205,8 @@
         "{log}"
     );
     assert!(
-        text_of(&state_command(&["show"], &disk.directory)).contains(&first.listen_address.to_string())
+        text_of(&state_command(&["show"], &disk.directory))
+            .contains(&first.listen_address.to_string())
     );
 }
 
