--- a/crates/model-checker/tests/fuzz.rs
+++ b/crates/model-checker/tests/fuzz.rs
@@ -257,8 +257,8 @@
         any::<String>(),
         "\\{\"v\":[0-9]{1,3},\"do\":\"(status|drain|undrain|x)\"(,\"(pace|deadline_ms)\":[0-9.e-]{1,9})?\\}",
     ]) {
-        if let Ok(request) = AdminRequest::read(text.as_bytes()) {
-            prop_assert!(request.pace.is_none_or(|pace| pace.is_finite() && pace > 0.0));
+        if let Ok(request) = AdminRequest::parse(text.as_bytes()) {
+            prop_assert!(request.migrations_per_second.is_none_or(|pace| pace.is_finite() && pace > 0.0));
         }
     }
 }
--- a/crates/proxy/src/program/command.rs
+++ b/crates/proxy/src/program/command.rs
@@ -279,64 +279,70 @@
 }
 
 fn ask(control: &Path, request: &AdminRequest) -> Result<ProxyStatus, String> {
-    AdminClient::connect(control)?.ask(request)
+    Ok(AdminClient::connect(control)?.send(request)?)
 }
 
 /// A status as a line for people.
 pub fn told(s: &ProxyStatus) -> String {
     let mut line = format!(
         "{}  {} open, {} pending, {} moved",
-        s.state, s.open, s.pending, s.moved
+        s.state, s.open_sessions, s.pending_sessions, s.migrated
     );
     let seconds = |ms: u64| ms as f64 / 1e3;
-    if let Some(deadline) = s.deadline_ms {
+    if let Some(deadline) = s.deadline_in_ms {
         line += &format!(", {:.1} s left", seconds(deadline));
     }
-    if let Some(expected) = s.expected_ms {
-        line += &format!(", empty in {:.1} s at {:.0}/s", seconds(expected), s.pace);
+    if let Some(expected) = s.expected_empty_in_ms {
+        line += &format!(
+            ", empty in {:.1} s at {:.0}/s",
+            seconds(expected),
+            s.migrations_per_second
+        );
     }
     let left: Vec<String> = s
-        .left
+        .remaining
         .iter()
-        .map(|(name, n)| format!("{n} {name}"))
+        .map(|left| format!("{} {}", left.sessions, left.listener))
         .collect();
     if !left.is_empty() {
         line += &format!(" ({})", left.join(", "));
     }
-    let discovery = s.discovery_ms.map_or("never heard".into(), |ms| {
+    let discovery = s.discovery_age_ms.map_or("never heard".into(), |ms| {
         format!("heard {:.1} s ago", seconds(ms))
     });
-    let carries = if s.carries {
+    let carries = if s.allows_next_drain {
         "another may be drained"
     } else {
         "no other should be drained"
     };
     line += &format!(
         "; {} of {} hosts ready, discovery {discovery}; {carries}",
-        s.hosts_ready, s.hosts
+        s.ready_endpoints, s.listed_endpoints
     );
-    if let Some(start) = s.start.iter().find(|start| start.stage != "normal") {
+    if let Some(start) = s.warm_start.iter().find(|start| start.stage != "normal") {
         line += &format!(
             "; start {} for {:.1} s",
             start.stage,
             seconds(start.since_ms)
         );
-        start
-            .sources
-            .iter()
-            .for_each(|(by, told, good)| line += &format!(", {by} {good} of {told} answer"));
+        for count in &start.sources {
+            line += &format!(
+                ", {} {} of {} answer",
+                count.source, count.confirmed, count.reported
+            );
+        }
     }
-    for room in &s.refusals {
+    for room in &s.admission {
         let whys: Vec<String> = room
-            .refused
+            .rejected
             .iter()
-            .map(|(why, n)| format!("{n} {why}"))
+            .map(|count| format!("{} {}", count.sessions, count.reason))
             .collect();
         if !whys.is_empty() {
             line += &format!("; {} refused for room: {}", room.listener, whys.join(", "));
         }
     }
-    for place in s.places.iter().filter(|place| place.state != "whole") {
+    for place in s.zones.iter().filter(|place| place.state != "whole") {
         line += &format!(
             "; {} {} for {:.1} s",
             place.name,
@@ -350,7 +356,7 @@
 fn status(control: &Path, json: bool, watch: bool) -> Result<(), String> {
     let mut client = AdminClient::connect(control)?;
     loop {
-        let status = client.ask(&AdminRequest::new(AdminCommand::Status))?;
+        let status = client.send(&AdminRequest::new(AdminCommand::Status))?;
         match json {
             true => println!(
                 "{}",
@@ -373,9 +379,9 @@
 ) -> Result<(), String> {
     let deadline_ms = deadline.map(|span| span.as_millis() as u64);
     let mut client = AdminClient::connect(control)?;
-    let status = client.ask(&AdminRequest {
+    let status = client.send(&AdminRequest {
         deadline_ms,
-        pace,
+        migrations_per_second: pace,
         ..AdminRequest::new(AdminCommand::Drain)
     })?;
     println!("{}", told(&status));
@@ -391,12 +397,14 @@
     let until = Instant::now() + deadline + Duration::from_secs(5);
     loop {
         std::thread::sleep(Duration::from_millis(500));
-        let status = client.ask(&AdminRequest::new(AdminCommand::Status))?;
+        let status = client.send(&AdminRequest::new(AdminCommand::Status))?;
         println!("{}", told(&status));
         match status.state.as_str() {
             "empty" => return Ok(()),
             "serving" => return Err("the drain was taken back".into()),
-            _ if Instant::now() > until => return Err(format!("{} are still open", status.open)),
+            _ if Instant::now() > until => {
+                return Err(format!("{} are still open", status.open_sessions));
+            }
             _ => {}
         }
     }
--- a/crates/proxy/src/program/leader_lease.rs
+++ b/crates/proxy/src/program/leader_lease.rs
@@ -122,28 +122,31 @@
         client: &mut AdminClient,
         request: AdminRequest,
     ) -> Result<Option<ProxyStatus>, String> {
-        let told = client.ask(&AdminRequest::new(AdminCommand::Status))?;
+        let told = client.send(&AdminRequest::new(AdminCommand::Status))?;
         let came = self.now();
         let ticket = FencingTicket {
-            boot: told.boot,
+            boot: told.incarnation,
             clock: Duration::from_micros(told.clock_us),
         };
-        let order =
-            self.desk()
-                .owner
-                .order(self.now(), ticket, came, request.verb == AdminCommand::Hear);
+        let order = self.desk().owner.order(
+            self.now(),
+            ticket,
+            came,
+            request.command == AdminCommand::AnnounceTerm,
+        );
         let Some(order) = order else { return Ok(None) };
-        let owner = LeaderToken {
+        let token = LeaderToken {
             term: order.term,
-            boot: order.boot,
-            until_us: order.until.as_micros() as u64,
+            incarnation: order.boot,
+            expires_at_us: order.until.as_micros() as u64,
         };
         client
-            .ask(&AdminRequest {
-                owner: Some(owner),
+            .send(&AdminRequest {
+                leader: Some(token),
                 ..request
             })
             .map(Some)
+            .map_err(String::from)
     }
 
     /// The queue for the work, who is first in front: each node's name and term.
--- a/crates/proxy/src/program/roll.rs
+++ b/crates/proxy/src/program/roll.rs
@@ -115,7 +115,7 @@
                 let hears = |control: &PathBuf| {
                     let mut client = AdminClient::connect(control).ok()?;
                     claim
-                        .order(&mut client, AdminRequest::new(AdminCommand::Hear))
+                        .order(&mut client, AdminRequest::new(AdminCommand::AnnounceTerm))
                         .ok()?
                 };
                 if roll.control.iter().all(|control| hears(control).is_some()) {
@@ -281,7 +281,7 @@
 }
 
 fn status(control: &Path) -> Result<ProxyStatus, String> {
-    AdminClient::connect(control)?.ask(&AdminRequest::new(AdminCommand::Status))
+    Ok(AdminClient::connect(control)?.send(&AdminRequest::new(AdminCommand::Status))?)
 }
 
 /// Looks again and again until something is so; `None` once patience is at its end.
@@ -303,7 +303,7 @@
     claim: Option<&LeaderLease>,
 ) -> Result<(), String> {
     match claim {
-        None => client.ask(&request).map(drop),
+        None => Ok(client.send(&request).map(drop)?),
         Some(claim) => match claim.order(client, request)? {
             Some(_) => Ok(()),
             None => Err(LOST.into()),
@@ -319,7 +319,7 @@
     let claim = owner.map(|owner| owner.0);
     // Each of the others must carry, or the front would lose two.
     for other in roll.control.iter().filter(|other| *other != control) {
-        let carries = || status(other).ok().filter(|s| s.carries);
+        let carries = || status(other).ok().filter(|s| s.allows_next_drain);
         until(roll.patience, carries)
             .ok_or_else(|| format!("{} does not carry its share", other.display()))?;
     }
@@ -330,11 +330,15 @@
         return if away {
             comes_back(roll, control, owner.and_then(|owner| owner.1))
         } else {
-            connected.map(drop)
+            Ok(connected.map(drop)?)
         };
     };
-    let before = client.ask(&AdminRequest::new(AdminCommand::Status))?;
-    println!("{}: draining, {} open", control.display(), before.open);
+    let before = client.send(&AdminRequest::new(AdminCommand::Status))?;
+    println!(
+        "{}: draining, {} open",
+        control.display(),
+        before.open_sessions
+    );
     let deadline_ms = Some(roll.deadline.as_millis() as u64);
     order(
         &mut client,
@@ -346,7 +350,11 @@
     )?;
     emptied(&mut client, roll.deadline)?;
     if claim.is_some() && roll.restart.is_none() {
-        order(&mut client, AdminRequest::new(AdminCommand::Leave), claim)?;
+        order(
+            &mut client,
+            AdminRequest::new(AdminCommand::Shutdown),
+            claim,
+        )?;
     }
     if let Some(command) = &roll.restart {
         // The command is not fenced: an owner that was stopped right here may run it late.
@@ -382,10 +390,10 @@
         let own = status(control).ok()?;
         let others = roll.control.iter().filter(|other| *other != control);
         let open: Vec<usize> = others
-            .filter_map(|other| Some(status(other).ok()?.open))
+            .filter_map(|other| Some(status(other).ok()?.open_sessions))
             .collect();
         let mean = open.iter().sum::<usize>() as f64 / open.len().max(1) as f64;
-        (own.carries && own.open as f64 >= mean * roll.share).then_some(own)
+        (own.allows_next_drain && own.open_sessions as f64 >= mean * roll.share).then_some(own)
     };
     let own = until(roll.patience, carries).ok_or("it does not carry its share")?;
     println!("{}: {}", control.display(), told(&own));
--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -1,229 +1,255 @@
-//! Operators' calls: their door, what each does, and callers that say little or read nothing. The door's slots and
-//! descriptors are its own, so that a crowd of clients cannot keep operators out.
+//! Operators' HTTP calls: a listener of their own, one call per connection, and callers that send little or read nothing.
+//! Callers have descriptors of their own, so that a crowd of clients cannot keep operators out.
 
-use super::metrics::GaugeValues;
+use super::metrics::{self, GaugeValues};
 use super::peers;
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
-use crate::protocol::call::{self, Status};
-use crate::transport::poll::Want;
-use crate::transport::{Key, socket};
-use asterramp_admin_protocol::{AdminCommand, AdminRequest, CALLS};
+use crate::protocol::call::{self, Call, Status};
+use crate::transport::poll::{Ready, Want};
+use crate::transport::{End, Key, socket};
+use asterramp_admin_protocol::{AdminCommand, AdminRequest, HTTP_CALLS};
 use asterramp_drain::DrainState;
-use asterramp_placement::event;
+use asterramp_placement::event::EndpointState;
+use rustix::fd::OwnedFd;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Callers there may be at once; when more come, the one idle longest goes.
-pub const CALLERS: usize = 32;
-/// Callers taken in a turn.
-const TURN: usize = 16;
-/// How long a call may take to come, and how long its caller may take to read the answer and close.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Within how long a drain that is called for empties the proxy: those who call look after 4 s.
-const EMPTY_IN: Duration = Duration::from_millis(3_300);
+/// Callers at once. When another comes, the one that has been idle longest is closed.
+pub const MAX_CALLERS: usize = 32;
 
+/// Callers accepted in one turn of the event loop, so that a crowd of them does not delay clients.
+const MAX_ACCEPTS_PER_TURN: usize = 16;
+
+/// How long a call may take to arrive, and how long its caller may take to read the answer and close.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Within how long a drain by HTTP empties the proxy: the platform looks 4 s after its call.
+const DRAIN_DEADLINE: Duration = Duration::from_millis(3_300);
+
+const READ: Want = Want {
+    read: true,
+    write: false,
+};
+
+/// The listener and its callers.
 #[derive(Debug)]
 pub struct AdminHttp {
-    door: Key,
-    /// Those there are, the one idle longest first.
+    listener: Key,
+    /// Callers, the one that has been idle longest first.
     callers: Vec<Key>,
 }
 
+/// What a well-formed call is answered with.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Route {
+    /// The endpoints that this proxy knows, for other proxies of its fleet.
+    KnownEndpoints,
+    /// What a command answers.
+    Command(AdminCommand),
+}
+
 impl Router {
-    /// Listens for operators. Only a start does; what the door holds is taken from what clients may have.
-    pub(super) fn open_admin_http(&mut self, at: SocketAddr) -> io::Result<()> {
-        let door = self.register(
-            socket::listen(at, false)?,
-            ConnectionRole::AdminHttpListener,
-            Want {
-                read: true,
-                write: false,
-            },
-        );
-        let door = door.ok_or_else(|| io::Error::other("it cannot be watched"))?;
-        self.resource_budget = self.resource_budget.without(CALLERS + 1);
+    /// Listens for calls. Only a start does; the descriptors for callers are taken from those that clients may have.
+    pub(super) fn open_admin_http(&mut self, address: SocketAddr) -> io::Result<()> {
+        let socket = socket::listen(address, false)?;
+        let listener = self
+            .register(socket, ConnectionRole::AdminHttpListener, READ)
+            .ok_or_else(|| io::Error::other("it cannot be watched"))?;
+        self.resource_budget = self.resource_budget.without(MAX_CALLERS + 1);
         self.admin_http = Some(AdminHttp {
-            door,
+            listener,
             callers: Vec::new(),
         });
         Ok(())
     }
 
     pub(super) fn accept_admin_http(&mut self) {
-        for _ in 0..TURN {
-            let Some(calls) = &self.admin_http else {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            let Some(admin_http) = &self.admin_http else {
                 return;
             };
-            let Some(conn) = self.connections.get(calls.door) else {
+            let Some(listener) = self.connections.get(admin_http.listener) else {
                 return;
             };
-            let fd = match socket::accept(&conn.stream) {
+            let fd = match socket::accept(&listener.stream) {
                 Ok(Some(fd)) => fd,
                 Ok(None) => return,
-                Err(e) => {
-                    return self
-                        .log_event(ReasonCode::AcceptFailed, format!("operators error={e}"));
+                Err(error) => {
+                    let text = format!("operators error={error}");
+                    return self.log_event(ReasonCode::AcceptFailed, text);
                 }
             };
-            let oldest = calls
-                .callers
-                .first()
-                .copied()
-                .filter(|_| calls.callers.len() >= CALLERS);
-            if let Some(oldest) = oldest {
+            if admin_http.callers.len() >= MAX_CALLERS {
+                let longest_idle = admin_http.callers[0];
                 self.log_event(ReasonCode::CallBad, "call why=\"crowded out\"");
-                self.drop_caller(oldest);
-            }
-            let role = ConnectionRole::AdminHttp { answered: false };
-            if let Some(key) = self.register(
-                fd,
-                role,
-                Want {
-                    read: true,
-                    write: false,
-                },
-            ) {
-                self.admin_http
-                    .iter_mut()
-                    .for_each(|calls| calls.callers.push(key));
-                self.deadlines
-                    .set(TimerKey::Connection(key), self.now + PATIENCE);
-                self.connection_ready(crate::transport::poll::Ready {
-                    key,
-                    write: false,
-                    broken: false,
-                });
+                self.close_caller(longest_idle);
             }
+            self.add_caller(fd);
         }
     }
 
-    pub(super) fn admin_http_ready(&mut self, key: Key, answered: bool) {
-        let tells = self.answers_peers();
-        let Some(conn) = self.connections.get_mut(key) else {
+    fn add_caller(&mut self, fd: OwnedFd) {
+        let role = ConnectionRole::AdminHttp { answered: false };
+        let Some(key) = self.register(fd, role, READ) else {
             return;
         };
+        if let Some(admin_http) = &mut self.admin_http {
+            admin_http.callers.push(key);
+        }
+        self.deadlines
+            .set(TimerKey::Connection(key), self.now + CALL_TIMEOUT);
+        // A call has often arrived already.
+        self.connection_ready(Ready {
+            key,
+            write: false,
+            broken: false,
+        });
+    }
+
+    pub(super) fn admin_http_ready(&mut self, key: Key, answered: bool) {
         if answered {
-            // What comes behind the call is not looked at.
-            let n = conn.stream.inbound.bytes().len();
-            conn.stream.inbound.consume(n);
-            let sent = conn.stream.sent();
-            if conn.stream.ended.is_some() && sent
-                || conn.stream.ended == Some(crate::transport::End::Reset)
-            {
-                return self.drop_caller(key);
-            }
-            if sent {
-                conn.stream.end_sending();
-            }
-            return self.want_own(key);
+            self.finish_caller(key);
+        } else {
+            self.read_call(key);
         }
-        let (bytes, ended) = (conn.stream.inbound.bytes(), conn.stream.ended);
-        let (status, text) = match call::read(bytes) {
-            Ok(None) if ended.is_none() => {
-                // Who said more is idle since now.
-                self.admin_http.iter_mut().for_each(|calls| {
-                    calls.callers.retain(|caller| *caller != key);
-                    calls.callers.push(key);
-                });
-                return self.want_own(key);
-            }
-            Ok(None) if bytes.is_empty() => return self.drop_caller(key),
-            Ok(None) => (Status::Bad("the call is not whole"), None),
-            Err(status) => (status, None),
-            Ok(Some(call)) if call.path == peers::PATH && tells => match call.method {
-                "GET" => (Status::Good, Some(self.known_endpoints_text())),
-                _ => (Status::WrongMethod("GET"), None),
-            },
-            Ok(Some(call)) => match CALLS.iter().find(|known| known.1 == call.path) {
-                None => (Status::NotFound, None),
-                Some(known) if known.0 != call.method => (Status::WrongMethod(known.0), None),
-                Some(known) => {
-                    let verb = known.2;
-                    self.count_event(ReasonCode::Called);
-                    self.called(verb)
-                }
-            },
-        };
-        self.answer_call(key, status, text);
     }
 
-    /// A call did not come in time, or its answer was not read.
+    /// A call did not arrive in time, or its answer was not read.
     pub(super) fn admin_http_deadline(&mut self, key: Key, answered: bool) {
         if answered {
-            self.drop_caller(key);
+            self.close_caller(key);
         } else {
             self.answer_call(key, Status::TooLate, None);
         }
     }
 
+    /// After the answer: waits until it is sent and the caller closes. What else the caller sends is not looked at.
+    fn finish_caller(&mut self, key: Key) {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let stream = &mut connection.stream;
+        stream.inbound.consume(stream.inbound.bytes().len());
+        let sent = stream.sent();
+        let is_over = stream.ended == Some(End::Reset) || stream.ended.is_some() && sent;
+        if is_over {
+            return self.close_caller(key);
+        }
+        if sent {
+            stream.end_sending();
+        }
+        self.want_own(key);
+    }
+
+    fn read_call(&mut self, key: Key) {
+        let answers_peers = self.answers_peers();
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let received = connection.stream.inbound.bytes();
+        let has_ended = connection.stream.ended.is_some();
+        let route = match call::read(received) {
+            Ok(Some(call)) => route(&call, answers_peers),
+            Ok(None) if !has_ended => return self.wait_for_call(key),
+            Ok(None) if received.is_empty() => return self.close_caller(key),
+            Ok(None) => Err(Status::Bad("the call is not whole")),
+            Err(status) => Err(status),
+        };
+        let (status, text) = match route {
+            Ok(Route::KnownEndpoints) => (Status::Good, Some(self.known_endpoints_text())),
+            Ok(Route::Command(command)) => {
+                self.count_event(ReasonCode::Called);
+                self.execute_call(command)
+            }
+            Err(status) => (status, None),
+        };
+        self.answer_call(key, status, text);
+    }
+
+    /// A caller that has sent something is the last to be closed for another.
+    fn wait_for_call(&mut self, key: Key) {
+        if let Some(admin_http) = &mut self.admin_http {
+            admin_http.callers.retain(|caller| *caller != key);
+            admin_http.callers.push(key);
+        }
+        self.want_own(key);
+    }
+
     fn answer_call(&mut self, key: Key, status: Status, text: Option<String>) {
         if !matches!(status, Status::Good | Status::Unavailable(_)) {
             self.log_event(ReasonCode::CallBad, format!("call why={:?}", status.why()));
         }
-        let Some(conn) = self.connections.get_mut(key) else {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        conn.stream
-            .send(&[call::answer(status, text.as_deref()).as_bytes()]);
+        let answer = call::answer(status, text.as_deref());
+        connection.stream.send(&[answer.as_bytes()]);
         self.set_role(key, ConnectionRole::AdminHttp { answered: true });
         self.deadlines
-            .set(TimerKey::Connection(key), self.now + PATIENCE);
-        self.admin_http_ready(key, true);
+            .set(TimerKey::Connection(key), self.now + CALL_TIMEOUT);
+        self.finish_caller(key);
     }
 
-    fn drop_caller(&mut self, key: Key) {
+    fn close_caller(&mut self, key: Key) {
         self.close(key);
-        self.admin_http
-            .iter_mut()
-            .for_each(|calls| calls.callers.retain(|caller| *caller != key));
+        if let Some(admin_http) = &mut self.admin_http {
+            admin_http.callers.retain(|caller| *caller != key);
+        }
     }
 
-    /// Does what is called for. A start or stop said again is a yes, and changes nothing.
-    fn called(&mut self, verb: AdminCommand) -> (Status, Option<String>) {
-        let deadline_ms = Some(EMPTY_IN.as_millis() as u64);
-        let request = match (verb, self.drain.state()) {
-            (AdminCommand::Drain, DrainState::Serving) => AdminRequest {
-                deadline_ms,
-                ..AdminRequest::new(verb)
-            },
-            (AdminCommand::Drain, _) | (AdminCommand::Undrain, DrainState::Serving) => {
-                return (Status::Good, None);
-            }
-            _ => AdminRequest::new(verb),
-        };
+    /// Carries a call's command out. Starting a drain twice, or stopping none, succeeds and changes nothing.
+    fn execute_call(&mut self, command: AdminCommand) -> (Status, Option<String>) {
+        let is_serving = self.drain.state() == DrainState::Serving;
+        let mut request = AdminRequest::new(command);
+        match command {
+            AdminCommand::Drain if !is_serving => return (Status::Good, None),
+            AdminCommand::Undrain if is_serving => return (Status::Good, None),
+            AdminCommand::Drain => request.deadline_ms = Some(DRAIN_DEADLINE.as_millis() as u64),
+            _ => {}
+        }
         match self.execute(&request) {
             Ok(reply) => (Status::Good, reply.text),
-            Err(why) => (Status::Unavailable(why), None),
+            Err(error) => (Status::Unavailable(error.message()), None),
         }
     }
 
-    /// Whether clients are taken in for as long as they like.
-    pub(super) fn accepts_sessions(&self) -> bool {
-        self.serving && self.warm_start_serves() && self.drain.state() == DrainState::Serving
-    }
-
+    /// The metrics in the text form that scrapers read.
     pub(super) fn metrics_text(&self) -> String {
         let listed = self
             .endpoints
             .hosts()
-            .filter(|host| host.standing != event::EndpointState::Gone)
+            .filter(|host| host.standing != EndpointState::Gone)
             .count();
-        let standing = GaugeValues {
+        let gauges = GaugeValues {
             inflight: self.connection_counts.clients(),
             listed,
             down: self.session_table.engine.avoided(self.now),
         };
-        let mut text = self.metrics.text(&self.settings.listeners, standing);
-        let places = self
+        let zones = self
             .session_table
             .zones
             .iter()
-            .flat_map(|places| places.sites.places());
-        text += &super::metrics::places_text(self.settings.zones.iter().zip(places));
-        text +=
-            &super::metrics::room_text(self.settings.listeners.iter().zip(self.admission.counts()));
-        text += &super::metrics::start_text(self.warm_start_state(), self.snapshot_counts());
+            .flat_map(|tracker| tracker.sites.places());
+        let mut text = self.metrics.text(&self.settings.listeners, gauges);
+        text += &metrics::places_text(self.settings.zones.iter().zip(zones));
+        text += &metrics::room_text(self.settings.listeners.iter().zip(self.admission.counts()));
+        text += &metrics::start_text(self.warm_start_state(), self.snapshot_counts());
         text
     }
 }
+
+/// What a call is answered with, or why it is rejected. Other proxies' call is there only where this proxy has a fleet.
+fn route(call: &Call<'_>, answers_peers: bool) -> Result<Route, Status> {
+    if call.path == peers::PATH && answers_peers {
+        return match call.method {
+            "GET" => Ok(Route::KnownEndpoints),
+            _ => Err(Status::WrongMethod("GET")),
+        };
+    }
+    match HTTP_CALLS.iter().find(|known| known.path == call.path) {
+        None => Err(Status::NotFound),
+        Some(known) if known.method != call.method => Err(Status::WrongMethod(known.method)),
+        Some(known) => Ok(Route::Command(known.command)),
+    }
+}
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -1,99 +1,103 @@
-//! The control socket: an operator's questions and orders, a line each, on the loop that serves. Whoever does not
-//! read holds back only its own answers.
+//! The admin socket: a Unix socket on which operators' tools send requests, one line each. It is served by the same event
+//! loop as clients; a peer that does not read holds back only its own replies.
 
+use super::admin_commands::AdminError;
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
 use crate::transport::poll::Want;
 use crate::transport::{Key, socket};
-use asterramp_admin_protocol::{
-    AdminCommand, AdminReply, AdminRequest, AdmissionStatus, LONGEST, ProxyStatus, WarmStartStatus,
-    ZoneStatus,
-};
-use asterramp_admission::RejectReason;
-use asterramp_drain::{DrainError, DrainState};
-use asterramp_leader_lease::FencedOrder;
-use asterramp_placement::event::EndpointState;
-use asterramp_warm_start::EndpointSource;
+use asterramp_admin_protocol::{AdminReply, AdminRequest, MAX_REQUEST_BYTES};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How long a peer may say nothing, or take none of an answer.
-const SILENT: Duration = Duration::from_secs(60);
-/// Peers taken in a turn.
-const TURN: usize = 8;
+/// How long a peer may send nothing, or read none of a reply, before it is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// Peers accepted in one turn of the event loop, so that a crowd of them does not delay clients.
+const MAX_ACCEPTS_PER_TURN: usize = 8;
+
+const READ: Want = Want {
+    read: true,
+    write: false,
+};
+const WRITE: Want = Want {
+    read: false,
+    write: true,
+};
 
+/// The open socket.
 #[derive(Debug)]
 pub struct AdminSocket {
     path: PathBuf,
-    door: Key,
-    peers: usize,
-    most: usize,
-    /// Within how long a drain empties the proxy where nobody says.
-    pub deadline: Duration,
+    listener: Key,
+    connections: usize,
+    max_connections: usize,
+    /// How long a drain may take whose request gives no deadline.
+    pub(super) default_drain_deadline: Duration,
 }
 
 impl Router {
-    /// Opens the socket. A file that a crashed proxy left is taken over; one that somebody listens at is not.
+    /// Opens the socket. A file that a crashed proxy left is replaced; one that another process listens on is not.
+    ///
+    /// # Errors
+    ///
+    /// The system's, or if the path is in use.
     pub fn open_admin_socket(
         &mut self,
         path: &Path,
-        most: usize,
-        deadline: Duration,
+        max_connections: usize,
+        default_drain_deadline: Duration,
     ) -> io::Result<()> {
-        let door = socket::listen_unix(path, socket::SocketType::STREAM)?;
-        let door = self.register(
-            door,
-            ConnectionRole::AdminSocketListener,
-            Want {
-                read: true,
-                write: false,
-            },
-        );
-        let door = door.ok_or_else(|| io::Error::other("it cannot be watched"))?;
-        self.resource_budget = self.resource_budget.without(most + 1);
+        let socket = socket::listen_unix(path, socket::SocketType::STREAM)?;
+        let listener = self
+            .register(socket, ConnectionRole::AdminSocketListener, READ)
+            .ok_or_else(|| io::Error::other("it cannot be watched"))?;
+        self.resource_budget = self.resource_budget.without(max_connections + 1);
         self.admin_socket = Some(AdminSocket {
             path: path.to_path_buf(),
-            door,
-            peers: 0,
-            most,
-            deadline,
+            listener,
+            connections: 0,
+            max_connections,
+            default_drain_deadline,
         });
         Ok(())
     }
 
+    /// Changes how long a drain may take whose request gives no deadline.
     pub fn set_default_drain_deadline(&mut self, deadline: Duration) {
-        self.admin_socket
-            .iter_mut()
-            .for_each(|control| control.deadline = deadline);
+        if let Some(admin_socket) = &mut self.admin_socket {
+            admin_socket.default_drain_deadline = deadline;
+        }
     }
 
-    /// Takes the socket's file away.
+    /// Closes the socket and removes its file.
     pub fn close_admin_socket(&mut self) {
-        if let Some(control) = self.admin_socket.take() {
-            self.close(control.door);
-            let _ = std::fs::remove_file(control.path);
+        if let Some(admin_socket) = self.admin_socket.take() {
+            self.close(admin_socket.listener);
+            // If it is gone already, all is as it should be.
+            let _ = std::fs::remove_file(admin_socket.path);
         }
     }
 
     pub(super) fn accept_admin_socket(&mut self) {
-        for _ in 0..TURN {
-            let Some(control) = &self.admin_socket else {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            let Some(admin_socket) = &self.admin_socket else {
                 return;
             };
-            let (door, full) = (control.door, control.peers >= control.most);
-            let Some(conn) = self.connections.get(door) else {
+            let is_full = admin_socket.connections >= admin_socket.max_connections;
+            let Some(listener) = self.connections.get(admin_socket.listener) else {
                 return;
             };
-            let fd = match socket::accept_unix(&conn.stream) {
+            let fd = match socket::accept_unix(&listener.stream) {
                 Ok(Some(fd)) => fd,
                 Ok(None) => return,
-                Err(e) => {
-                    return self.log_event(ReasonCode::ControlBad, format!("accept error={e}"));
+                Err(error) => {
+                    return self.log_event(ReasonCode::ControlBad, format!("accept error={error}"));
                 }
             };
-            // Dropped, it closes.
-            if full || !socket::is_own_user(&fd) {
-                let why = if full {
+            // A rejected peer's descriptor closes as it is dropped.
+            if is_full || !socket::is_own_user(&fd) {
+                let why = if is_full {
                     "too many peers"
                 } else {
                     "another user"
@@ -101,253 +105,76 @@
                 self.log_event(ReasonCode::ControlBad, format!("peer why={why:?}"));
                 continue;
             }
-            if let Some(key) = self.register(
-                fd,
-                ConnectionRole::AdminSocket,
-                Want {
-                    read: true,
-                    write: false,
-                },
-            ) {
-                self.admin_socket
-                    .iter_mut()
-                    .for_each(|control| control.peers += 1);
-                self.deadlines
-                    .set(TimerKey::Connection(key), self.now + SILENT);
+            let Some(key) = self.register(fd, ConnectionRole::AdminSocket, READ) else {
+                continue;
+            };
+            if let Some(admin_socket) = &mut self.admin_socket {
+                admin_socket.connections += 1;
             }
+            self.deadlines
+                .set(TimerKey::Connection(key), self.now + IDLE_TIMEOUT);
         }
     }
 
+    /// Answers the requests of a peer that have arrived, one after the other.
     pub(super) fn admin_socket_ready(&mut self, key: Key) {
         loop {
-            let Some(conn) = self.connections.get_mut(key) else {
+            let Some(connection) = self.connections.get_mut(key) else {
                 return;
             };
-            if conn.stream.ended.is_some() {
+            if connection.stream.ended.is_some() {
                 return self.close_admin_connection(key);
             }
-            // The next question is looked at once the last one's answer is written.
-            if !conn.stream.sent() {
-                return self.set_interest(
-                    key,
-                    Want {
-                        read: false,
-                        write: true,
-                    },
-                );
+            // The next request is read once the reply to the last one is written.
+            if !connection.stream.sent() {
+                return self.set_interest(key, WRITE);
             }
-            let bytes = conn.stream.inbound.bytes();
-            let end = bytes.iter().take(LONGEST).position(|b| *b == b'\n');
-            let Some(end) = end else {
-                if bytes.len() < LONGEST {
+            let received = connection.stream.inbound.bytes();
+            let line_end = received
+                .iter()
+                .take(MAX_REQUEST_BYTES)
+                .position(|byte| *byte == b'\n');
+            let Some(line_end) = line_end else {
+                if received.len() < MAX_REQUEST_BYTES {
                     return self.want_own(key);
                 }
-                conn.stream
-                    .send(&[AdminReply::error("a request is too long").line().as_bytes()]);
-                self.log_event(ReasonCode::ControlBad, "request why=\"too long\"");
-                return self.close_admin_connection(key);
+                return self.reject_long_request(key);
             };
-            let request = AdminRequest::read(&bytes[..end]);
-            conn.stream.inbound.consume(end + 1);
+            let request = AdminRequest::parse(&received[..line_end]);
+            connection.stream.inbound.consume(line_end + 1);
             self.deadlines
-                .set(TimerKey::Connection(key), self.now + SILENT);
+                .set(TimerKey::Connection(key), self.now + IDLE_TIMEOUT);
             let reply = match request {
-                Ok(request) => self.execute(&request).unwrap_or_else(AdminReply::error),
-                Err(why) => {
+                Ok(request) => self
+                    .execute(&request)
+                    .unwrap_or_else(AdminError::into_reply),
+                Err(error) => {
+                    let why = error.to_string();
                     self.log_event(ReasonCode::ControlBad, format!("request why={why:?}"));
                     AdminReply::error(why)
                 }
             };
-            let Some(conn) = self.connections.get_mut(key) else {
-                return;
-            };
-            conn.stream.send(&[reply.line().as_bytes()]);
+            self.send_reply(key, &reply);
         }
     }
 
-    pub(super) fn close_admin_connection(&mut self, key: Key) {
-        self.close(key);
-        self.admin_socket
-            .iter_mut()
-            .for_each(|control| control.peers = control.peers.saturating_sub(1));
-    }
-
-    /// Does what an operator wants, over whichever door; an error says why it can't.
-    pub(super) fn execute(&mut self, request: &AdminRequest) -> Result<AdminReply, &'static str> {
-        if let Some(owner) = request.owner {
-            let until = Duration::from_micros(owner.until_us);
-            let order = FencedOrder {
-                term: owner.term,
-                boot: owner.boot,
-                until,
-            };
-            let before = self.fencing_guard.highest();
-            if let Err(refused) = self.fencing_guard.check(self.now, &order) {
-                let (verb, highest) = (request.verb, self.fencing_guard.highest());
-                let about = format!(
-                    "order={verb:?} term={} heard={highest} why={:?}",
-                    owner.term,
-                    refused.why()
-                );
-                self.log_event(ReasonCode::OrderRefused, about);
-                return Err(refused.why());
-            }
-            if self.fencing_guard.highest() > before {
-                self.log_event(ReasonCode::OwnerHeard, format!("term={}", owner.term));
-                self.record_term(owner.term);
-            }
-        }
-        let deadline = self
-            .admin_socket
-            .as_ref()
-            .map_or(Duration::ZERO, |control| control.deadline);
-        let done = match request.verb {
-            AdminCommand::Status | AdminCommand::Hear => Ok(()),
-            AdminCommand::Leave => {
-                self.begin_shutdown(self.now);
-                Ok(())
-            }
-            AdminCommand::Drain => {
-                let within = request.deadline_ms.map_or(deadline, Duration::from_millis);
-                self.drain(within, request.pace)
-            }
-            AdminCommand::Undrain => self.undrain(),
-            AdminCommand::Ready if self.accepts_sessions() => {
-                return Ok(AdminReply::text("yes\n".into()));
-            }
-            AdminCommand::Ready => return Err("no clients are taken in"),
-            AdminCommand::Stats => return Ok(AdminReply::text(self.metrics_text())),
-        };
-        match done {
-            Ok(()) => Ok(AdminReply::status(self.status())),
-            Err(DrainError::Exiting) => Err("the proxy leaves for good"),
-            Err(DrainError::NotDraining) => Err("the proxy is not draining"),
-        }
+    /// Where a line without an end stops being read, no request after it could be found either.
+    fn reject_long_request(&mut self, key: Key) {
+        self.send_reply(key, &AdminReply::error("a request is too long"));
+        self.log_event(ReasonCode::ControlBad, "request why=\"too long\"");
+        self.close_admin_connection(key);
     }
 
-    /// What is made of places. A reply has its bound, so of many only those that need a look are told.
-    fn places_told(&self) -> Vec<ZoneStatus> {
-        let Some(places) = &self.session_table.zones else {
-            return Vec::new();
-        };
-        let mut told: Vec<ZoneStatus> = Vec::new();
-        for (name, place) in self.settings.zones.iter().zip(places.sites.places()) {
-            told.push(ZoneStatus {
-                name: name.clone(),
-                state: place.state.name().into(),
-                // Whole since the start, it has turned to nothing.
-                since_ms: self
-                    .now
-                    .saturating_sub(place.since.max(self.started_at))
-                    .as_millis() as u64,
-                doubts: place.doubts,
-                false_alarms: place.false_alarms,
-            });
+    fn send_reply(&mut self, key: Key, reply: &AdminReply) {
+        if let Some(connection) = self.connections.get_mut(key) {
+            connection.stream.send(&[reply.to_line().as_bytes()]);
         }
-        told.sort_by_key(|place| place.state == asterramp_zone_failover::ZoneState::Whole.name());
-        told.truncate(16);
-        told
-    }
-
-    fn start_told(&self) -> Option<WarmStartStatus> {
-        let start = self.warm_start_state()?;
-        let source = |source: (EndpointSource, &str)| {
-            let (told, good) = start.hosts().by(source.0);
-            (source.1.to_string(), told, good)
-        };
-        let sources = [
-            (EndpointSource::Saved, "saved"),
-            (EndpointSource::Configured, "configured"),
-            (EndpointSource::Heard, "heard"),
-            (EndpointSource::Told, "told"),
-        ];
-        Some(WarmStartStatus {
-            stage: start.stage().name().into(),
-            since_ms: self.now.saturating_sub(start.since()).as_millis() as u64,
-            sources: sources
-                .into_iter()
-                .map(source)
-                .filter(|told| told.1 > 0)
-                .collect(),
-            dropped: start.hosts().dropped,
-            saved: self.snapshot_counts(),
-        })
     }
 
-    /// Who was refused for want of room, and what is known of what sessions take; of many listeners the first.
-    fn refusals_told(&self) -> Vec<AdmissionStatus> {
-        let taken = self.admission.taken(self.now);
-        let all = self
-            .settings
-            .listeners
-            .iter()
-            .zip(self.admission.counts())
-            .zip(taken);
-        let told = all.map(|((name, counts), taken)| AdmissionStatus {
-            listener: name.clone(),
-            refused: RejectReason::ALL
-                .into_iter()
-                .zip(counts)
-                .filter(|(_, n)| **n > 0)
-                .map(|(why, n)| (why.name().into(), *n))
-                .collect(),
-            takes: taken.map(|t| (t.mean, t.off, t.age.as_millis() as u64)),
-        });
-        told.filter(|room| !room.refused.is_empty() || room.takes.is_some())
-            .take(16)
-            .collect()
-    }
-
-    fn status(&self) -> ProxyStatus {
-        let view = self.drain_view();
-        let ms = |span: Duration| span.as_millis() as u64;
-        let mut left: Vec<(String, usize)> = Vec::new();
-        if self.drain.state() != DrainState::Serving {
-            for (_, held) in self.session_table.sessions.iter() {
-                let name = &self.settings.listeners[usize::from(held.machine.arrival.listener)];
-                match left.iter_mut().find(|l| l.0 == *name) {
-                    Some(listener) => listener.1 += 1,
-                    None => left.push((name.clone(), 1)),
-                }
-            }
-        }
-        // A reply has its bound; what is left out is in the sum.
-        left.truncate(32);
-        ProxyStatus {
-            pid: std::process::id(),
-            state: self.drain.state().name().into(),
-            up_ms: ms(self.now.saturating_sub(self.started_at)),
-            open: view.open,
-            pending: view.pending,
-            strangers: self.connection_counts.strangers(),
-            moved: self.drain.moved(),
-            pace: self.drain.pace(&view),
-            room: view.room,
-            expected_ms: self.drain.expected(self.now, &view).map(ms),
-            deadline_ms: self.drain.left(self.now).map(ms),
-            carries: self.drain.carries(self.now),
-            taken: self.sessions_accepted,
-            left,
-            hosts_ready: self
-                .endpoints
-                .hosts()
-                .filter(|host| host.standing == EndpointState::Ready)
-                .count(),
-            hosts: self
-                .endpoints
-                .hosts()
-                .filter(|host| host.standing != EndpointState::Gone)
-                .count(),
-            discovery_ms: self
-                .discovery_watch
-                .last_heard()
-                .map(|at| ms(self.now.saturating_sub(at))),
-            places: self.places_told(),
-            start: self.start_told(),
-            refusals: self.refusals_told(),
-            boot: self.fencing_guard.ticket(self.now).boot,
-            clock_us: self.now.as_micros() as u64,
-            term: self.fencing_guard.highest(),
+    pub(super) fn close_admin_connection(&mut self, key: Key) {
+        self.close(key);
+        if let Some(admin_socket) = &mut self.admin_socket {
+            admin_socket.connections = admin_socket.connections.saturating_sub(1);
         }
     }
 }
--- /dev/null
+++ b/crates/proxy/src/routing/admin_status.rs
@@ -0,0 +1,178 @@
+//! The proxy's status, as the admin socket reports it.
+
+use super::Router;
+use asterramp_admin_protocol::{
+    AdmissionStatus, EndpointSourceCount, ListenerSessions, ProxyStatus, RejectionCount,
+    SessionCostEstimate, SnapshotCounts, WarmStartStatus, ZoneStatus,
+};
+use asterramp_admission::RejectReason;
+use asterramp_drain::DrainState;
+use asterramp_placement::event::EndpointState;
+use asterramp_warm_start::EndpointSource;
+use asterramp_zone_failover::ZoneState;
+use std::time::Duration;
+
+/// Entries of each list in a status, so that a reply stays within `MAX_REPLY_BYTES`. What is left out is in the sums.
+const MAX_LISTENERS_WITH_SESSIONS: usize = 32;
+const MAX_ZONES: usize = 16;
+const MAX_ADMISSION_ENTRIES: usize = 16;
+
+/// Sources of endpoints in a warm start, in the order in which a status lists them.
+const ENDPOINT_SOURCES: [(EndpointSource, &str); 4] = [
+    (EndpointSource::Saved, "saved"),
+    (EndpointSource::Configured, "configured"),
+    (EndpointSource::Heard, "heard"),
+    (EndpointSource::Told, "told"),
+];
+
+fn milliseconds(duration: Duration) -> u64 {
+    duration.as_millis() as u64
+}
+
+impl Router {
+    pub(super) fn status(&self) -> ProxyStatus {
+        let view = self.drain_view();
+        ProxyStatus {
+            pid: std::process::id(),
+            state: self.drain.state().name().to_string(),
+            uptime_ms: self.milliseconds_since(self.started_at),
+            open_sessions: view.open,
+            pending_sessions: view.pending,
+            sessionless_connections: self.connection_counts.strangers(),
+            migrated: self.drain.moved(),
+            migrations_per_second: self.drain.pace(&view),
+            spare_capacity: view.room,
+            expected_empty_in_ms: self.drain.expected(self.now, &view).map(milliseconds),
+            deadline_in_ms: self.drain.left(self.now).map(milliseconds),
+            allows_next_drain: self.drain.carries(self.now),
+            accepted_sessions: self.sessions_accepted,
+            remaining: self.remaining_sessions(),
+            ready_endpoints: self.count_endpoints(|state| state == EndpointState::Ready),
+            listed_endpoints: self.count_endpoints(|state| state != EndpointState::Gone),
+            discovery_age_ms: self
+                .discovery_watch
+                .last_heard()
+                .map(|at| self.milliseconds_since(at)),
+            zones: self.zone_statuses(),
+            warm_start: self.warm_start_status(),
+            admission: self.admission_statuses(),
+            incarnation: self.fencing_guard.ticket(self.now).boot,
+            clock_us: self.now.as_micros() as u64,
+            highest_term: self.fencing_guard.highest(),
+        }
+    }
+
+    fn milliseconds_since(&self, at: Duration) -> u64 {
+        milliseconds(self.now.saturating_sub(at))
+    }
+
+    fn count_endpoints(&self, is_counted: impl Fn(EndpointState) -> bool) -> usize {
+        self.endpoints
+            .hosts()
+            .filter(|endpoint| is_counted(endpoint.standing))
+            .count()
+    }
+
+    /// During a drain, the sessions that are left by listener, in the order in which they are found.
+    fn remaining_sessions(&self) -> Vec<ListenerSessions> {
+        let mut remaining: Vec<ListenerSessions> = Vec::new();
+        if self.drain.state() == DrainState::Serving {
+            return remaining;
+        }
+        for (_, slot) in self.session_table.sessions.iter() {
+            let listener = &self.settings.listeners[usize::from(slot.machine.arrival.listener)];
+            match remaining
+                .iter_mut()
+                .find(|count| count.listener == *listener)
+            {
+                Some(count) => count.sessions += 1,
+                None => remaining.push(ListenerSessions {
+                    listener: listener.clone(),
+                    sessions: 1,
+                }),
+            }
+        }
+        remaining.truncate(MAX_LISTENERS_WITH_SESSIONS);
+        remaining
+    }
+
+    /// The zones; of many, those with a fault come first.
+    fn zone_statuses(&self) -> Vec<ZoneStatus> {
+        let Some(tracker) = &self.session_table.zones else {
+            return Vec::new();
+        };
+        let zones = self.settings.zones.iter().zip(tracker.sites.places());
+        let mut statuses: Vec<ZoneStatus> = zones
+            .map(|(name, zone)| ZoneStatus {
+                name: name.clone(),
+                state: zone.state.name().to_string(),
+                // A zone that was healthy from the start has not changed its state at any time of its own.
+                since_ms: self.milliseconds_since(zone.since.max(self.started_at)),
+                false_suspicions: zone.doubts,
+                false_ejections: zone.false_alarms,
+            })
+            .collect();
+        statuses.sort_by_key(|status| status.state == ZoneState::Whole.name());
+        statuses.truncate(MAX_ZONES);
+        statuses
+    }
+
+    fn warm_start_status(&self) -> Option<WarmStartStatus> {
+        let warm_start = self.warm_start_state()?;
+        let mut sources = Vec::new();
+        for (source, name) in ENDPOINT_SOURCES {
+            let (reported, confirmed) = warm_start.hosts().by(source);
+            if reported > 0 {
+                sources.push(EndpointSourceCount {
+                    source: name.to_string(),
+                    reported,
+                    confirmed,
+                });
+            }
+        }
+        Some(WarmStartStatus {
+            stage: warm_start.stage().name().to_string(),
+            since_ms: self.milliseconds_since(warm_start.since()),
+            sources,
+            dropped: warm_start.hosts().dropped,
+            snapshots: self
+                .snapshot_counts()
+                .map(|(saved, failed)| SnapshotCounts { saved, failed }),
+        })
+    }
+
+    /// Listeners with rejected sessions or a known cost per session; of many, the first.
+    fn admission_statuses(&self) -> Vec<AdmissionStatus> {
+        let listeners = self.settings.listeners.iter();
+        let counts = self.admission.counts();
+        let costs = self.admission.taken(self.now);
+        listeners
+            .zip(counts)
+            .zip(costs)
+            .map(|((listener, counts), cost)| AdmissionStatus {
+                listener: listener.clone(),
+                rejected: rejections(counts),
+                session_cost: cost.map(|cost| SessionCostEstimate {
+                    mean: cost.mean,
+                    deviation: cost.off,
+                    age_ms: milliseconds(cost.age),
+                }),
+            })
+            .filter(|status| !status.rejected.is_empty() || status.session_cost.is_some())
+            .take(MAX_ADMISSION_ENTRIES)
+            .collect()
+    }
+}
+
+/// The reasons that came up.
+fn rejections(counts: &[u64; RejectReason::ALL.len()]) -> Vec<RejectionCount> {
+    RejectReason::ALL
+        .into_iter()
+        .zip(counts)
+        .filter(|(_, sessions)| **sessions > 0)
+        .map(|(reason, sessions)| RejectionCount {
+            reason: reason.name().to_string(),
+            sessions: *sessions,
+        })
+        .collect()
+}
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -1,7 +1,9 @@
 //! Carries out on sockets what the module and the lives of sessions decide. Decides nothing.
 
+mod admin_commands;
 mod admin_http;
 pub mod admin_socket;
+mod admin_status;
 mod admission;
 mod client;
 mod dial;
--- a/crates/proxy/src/routing/peers.rs
+++ b/crates/proxy/src/routing/peers.rs
@@ -18,7 +18,7 @@
 const LONGEST: usize = 128 << 10;
 const ASKED: usize = 8;
 
-/// The call, beside those of `asterramp_admin_protocol::CALLS`.
+/// The call, beside those of `asterramp_admin_protocol::HTTP_CALLS`.
 pub const PATH: &str = "/ops/known";
 
 /// Whom to ask, and what tells a fleet's proxies from others.
--- a/crates/proxy/tests/owner.rs
+++ b/crates/proxy/tests/owner.rs
@@ -10,7 +10,9 @@
 
 mod help;
 
-use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest, LeaderToken, ProxyStatus};
+use asterramp_admin_protocol::{
+    AdminClient, AdminCommand, AdminRequest, ClientError, LeaderToken, ProxyStatus,
+};
 use help::{SETTINGS, free_address};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -150,7 +152,7 @@
 fn status(control: &Path) -> Option<ProxyStatus> {
     AdminClient::connect(control)
         .ok()?
-        .ask(&AdminRequest::new(AdminCommand::Status))
+        .send(&AdminRequest::new(AdminCommand::Status))
         .ok()
 }
 
@@ -492,51 +494,63 @@
     let site = Site::start();
     let control = &site.controls[0];
     let told = status(control).unwrap();
-    let say = |verb: AdminCommand, term: u64, boot: u64, left_ms: i64| {
+    let say = |command: AdminCommand, term: u64, incarnation: u64, left_ms: i64| {
         let clock = status(control).unwrap().clock_us;
-        let until_us = clock.saturating_add_signed(left_ms * 1_000);
-        let owner = Some(LeaderToken {
+        let expires_at_us = clock.saturating_add_signed(left_ms * 1_000);
+        let leader = Some(LeaderToken {
             term,
-            boot,
-            until_us,
+            incarnation,
+            expires_at_us,
         });
-        AdminClient::connect(control).unwrap().ask(&AdminRequest {
-            owner,
-            ..AdminRequest::new(verb)
+        AdminClient::connect(control).unwrap().send(&AdminRequest {
+            leader,
+            ..AdminRequest::new(command)
         })
     };
     assert_eq!(
-        say(AdminCommand::Hear, 7, told.boot, 2_000).unwrap().term,
+        say(AdminCommand::AnnounceTerm, 7, told.incarnation, 2_000)
+            .unwrap()
+            .highest_term,
         7
     );
-    let refused = |answer: Result<ProxyStatus, String>, why: &str| {
-        let error = answer.unwrap_err();
+    let refused = |answer: Result<ProxyStatus, ClientError>, why: &str| {
+        let error = answer.unwrap_err().to_string();
         assert!(error.contains(why), "{error}");
     };
     refused(
-        say(AdminCommand::Drain, 6, told.boot, 2_000),
+        say(AdminCommand::Drain, 6, told.incarnation, 2_000),
         "a later owner has been heard",
     );
-    refused(say(AdminCommand::Drain, 8, told.boot, -1), "time is over");
     refused(
-        say(AdminCommand::Leave, 8, told.boot + 1, 2_000),
+        say(AdminCommand::Drain, 8, told.incarnation, -1),
+        "time is over",
+    );
+    refused(
+        say(AdminCommand::Shutdown, 8, told.incarnation + 1, 2_000),
         "another process",
     );
-    refused(say(AdminCommand::Drain, 0, told.boot, 2_000), "no term");
+    refused(
+        say(AdminCommand::Drain, 0, told.incarnation, 2_000),
+        "no term",
+    );
     refused(
         AdminClient::connect(control)
             .unwrap()
-            .ask(&AdminRequest::new(AdminCommand::Leave)),
+            .send(&AdminRequest::new(AdminCommand::Shutdown)),
         "owner is missing",
     );
     assert_eq!(status(control).unwrap().state, "serving");
     // It is safe to hear twice, and outlives the process.
-    assert!(say(AdminCommand::Leave, 8, told.boot, 2_000).is_ok());
+    assert!(say(AdminCommand::Shutdown, 8, told.incarnation, 2_000).is_ok());
     site.until(1);
     let by = Instant::now() + help::SOON;
     while status(control).is_none_or(|s| s.pid == told.pid) {
         assert!(Instant::now() < by);
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(status(control).unwrap().term, 8, "the term is kept on disk");
+    assert_eq!(
+        status(control).unwrap().highest_term,
+        8,
+        "the term is kept on disk"
+    );
 }
--- a/crates/testbed/src/proxies.rs
+++ b/crates/testbed/src/proxies.rs
@@ -458,7 +458,7 @@
     async fn ask(&self, request: AdminRequest) {
         let at = self.control.clone();
         let asked =
-            tokio::task::spawn_blocking(move || AdminClient::connect(&at)?.ask(&request)).await;
+            tokio::task::spawn_blocking(move || AdminClient::connect(&at)?.send(&request)).await;
         if let Ok(Err(what)) = asked {
             warn!(proxy = self.number, %what);
         }
