--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -4,7 +4,9 @@
 use crate::properties::{Breach, Monitor};
 use crate::shape::Shape;
 use crate::step::{Move, Step, Told, Word};
-use asterramp_drain::{Drain, DrainExit, DrainSettings, DrainState, DrainView, STEP};
+use asterramp_drain::{
+    ADVICE_INTERVAL, Drain, DrainSettings, DrainState, DrainView, ShutdownSchedule,
+};
 use asterramp_placement::Event;
 use asterramp_placement::event::{
     Endpoint, EndpointState, EndpointUpdate, Load, Outcome, ServerId, SessionRequest,
@@ -23,10 +25,10 @@
 pub const HORIZON: Duration = Duration::from_secs(10);
 /// The drain's terms here, and within how long it is to empty the proxy.
 const TERMS: DrainSettings = DrainSettings {
-    closing: Duration::from_millis(60),
-    quiet: Duration::from_millis(40),
-    pace: 20.0,
-    back: Duration::ZERO,
+    max_closing_time: Duration::from_millis(60),
+    quiet_period: Duration::from_millis(40),
+    max_migrations_per_second: 20.0,
+    time_before_next_drain: Duration::ZERO,
 };
 const WITHIN: Duration = Duration::from_millis(200);
 /// How long after SIGTERM whoever still waits is answered, at most.
@@ -296,7 +298,7 @@
                 self.monitor.asks(n, self.now + shape.wait);
                 self.last_came = self.now;
                 if self.drain.state() != DrainState::Serving {
-                    self.deadlines.set(Due::Leave, self.now + STEP);
+                    self.deadlines.set(Due::Leave, self.now + ADVICE_INTERVAL);
                 }
                 let own = Own {
                     number: n,
@@ -404,26 +406,26 @@
                 let answered = self.now + shape.wait.min(GOING_DOWN);
                 let part = |part| self.now + (answered - self.now).mul_f64(part);
                 let (moving, moved) = (part(0.7), part(1.05));
-                let exit = DrainExit {
-                    serve_on: moving,
-                    door: moving,
-                    moving,
-                    moved,
-                    answered,
-                    ends: answered + GOING_DOWN,
+                let exit = ShutdownSchedule {
+                    serve_until: moving,
+                    close_listener_at: moving,
+                    migrate_from: moving,
+                    migrate_until: moved,
+                    reject_pending_at: answered,
+                    end_at: answered + GOING_DOWN,
                 };
-                self.drain.exit(exit);
+                self.drain.begin_shutdown(exit);
                 self.deadlines.set(Due::Leave, moving);
             }
             Step::Drain => {
                 self.orders_left -= 1;
-                if self.drain.drain(self.now, WITHIN, None).is_ok() {
+                if self.drain.start(self.now, WITHIN, None).is_ok() {
                     self.deadlines.set(Due::Leave, self.now);
                 }
             }
             Step::Undrain => {
                 self.orders_left -= 1;
-                if self.drain.undrain(self.now).is_ok() {
+                if self.drain.cancel(self.now).is_ok() {
                     self.deadlines.clear(Due::Leave);
                 }
             }
@@ -449,17 +451,17 @@
         let clients = open.len() + pending.len();
         let (room, last_came) = (None, self.last_came);
         let view = DrainView {
-            open: open.len(),
-            pending: pending.len(),
+            open_sessions: open.len(),
+            pending_sessions: pending.len(),
             clients,
-            last_came,
-            room,
+            last_arrival: last_came,
+            spare_capacity: room,
         };
         let advice = self.drain.advise(self.now, &view);
-        for (_, number) in open.into_iter().take(advice.move_now) {
+        for (_, number) in open.into_iter().take(advice.migrate) {
             self.close_both(number, Outcome::CalledOff);
         }
-        if advice.answer {
+        if advice.reject_pending {
             for (key, _) in pending {
                 let word = if self.leaving() {
                     SessionInput::GoingDown
@@ -472,7 +474,7 @@
         // Nobody is left, or it would leave them: an exit is the end of this world's sessions.
         let over = self.drain.state() == DrainState::Serving || advice.exit;
         if !over && !self.exchange.sessions.is_empty() {
-            self.deadlines.set(Due::Leave, self.now + STEP);
+            self.deadlines.set(Due::Leave, self.now + ADVICE_INTERVAL);
         }
     }
 
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -127,10 +127,10 @@
 fn terms(wishes: &OperatorConfig) -> DrainSettings {
     let drain = &wishes.drain;
     DrainSettings {
-        closing: drain.closing,
-        quiet: drain.quiet,
-        pace: drain.pace,
-        back: drain.back,
+        max_closing_time: drain.closing,
+        quiet_period: drain.quiet,
+        max_migrations_per_second: drain.pace,
+        time_before_next_drain: drain.back,
     }
 }
 
--- a/crates/proxy/src/routing/admin_commands.rs
+++ b/crates/proxy/src/routing/admin_commands.rs
@@ -23,8 +23,7 @@
     pub(super) fn message(self) -> &'static str {
         match self {
             AdminError::Fenced(rejection) => rejection.why(),
-            AdminError::Drain(DrainError::Exiting) => "the proxy leaves for good",
-            AdminError::Drain(DrainError::NotDraining) => "the proxy is not draining",
+            AdminError::Drain(error) => error.message(),
             AdminError::NotReady => "no clients are taken in",
         }
     }
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -3,7 +3,9 @@
 use super::{ConnectionRole, ReasonCode, Router, SessionInput, SessionState, TimerKey};
 use crate::protocol::client::FAILED;
 use crate::transport::Key;
-use asterramp_drain::{DrainError, DrainExit, DrainSettings, DrainState, DrainView, STEP};
+use asterramp_drain::{
+    ADVICE_INTERVAL, DrainError, DrainSettings, DrainState, DrainView, ShutdownSchedule,
+};
 use asterramp_placement::deployment::RetrySafety;
 use asterramp_placement::event::EndpointState;
 use std::time::Duration;
@@ -47,13 +49,13 @@
         } else {
             answered
         };
-        self.drain.exit(DrainExit {
-            serve_on,
-            door,
-            moving,
-            moved,
-            answered,
-            ends,
+        self.drain.begin_shutdown(ShutdownSchedule {
+            serve_until: serve_on,
+            migrate_from: moving,
+            migrate_until: moved,
+            reject_pending_at: answered,
+            close_listener_at: door,
+            end_at: ends,
         });
         self.deadlines.set(TimerKey::Shutdown, serve_on);
         self.told_state();
@@ -61,21 +63,21 @@
 
     /// Begins to empty the proxy for a while, or changes how.
     pub fn drain(&mut self, within: Duration, pace: Option<f64>) -> Result<(), DrainError> {
-        self.drain.drain(self.now, within, pace)?;
+        self.drain.start(self.now, within, pace)?;
         self.deadlines.set(TimerKey::Shutdown, self.now);
         self.told_state();
         Ok(())
     }
 
     pub fn undrain(&mut self) -> Result<(), DrainError> {
-        self.drain.undrain(self.now)?;
+        self.drain.cancel(self.now)?;
         self.deadlines.clear(TimerKey::Shutdown);
         self.told_state();
         Ok(())
     }
 
     pub fn set_drain_settings(&mut self, terms: DrainSettings) {
-        self.drain.set_terms(terms);
+        self.drain.set_settings(terms);
     }
 
     /// A line for each change of state.
@@ -84,10 +86,13 @@
         if state != self.logged_drain_state {
             self.logged_drain_state = state;
             let view = self.drain_view();
-            let (pace, moved) = (self.drain.pace(&view), self.drain.moved());
+            let (pace, moved) = (
+                self.drain.migrations_per_second(&view),
+                self.drain.migrated(),
+            );
             let about = format!(
                 "open={} pending={} moved={moved} pace={pace:.1}",
-                view.open, view.pending
+                view.open_sessions, view.pending_sessions
             );
             self.log_event(
                 ReasonCode::DrainState,
@@ -115,15 +120,15 @@
             )
         };
         DrainView {
-            open: self.sessions_of(|stage| stage == SessionState::Open).len(),
-            pending: self.sessions_of(|stage| stage != SessionState::Open).len(),
+            open_sessions: self.sessions_of(|stage| stage == SessionState::Open).len(),
+            pending_sessions: self.sessions_of(|stage| stage != SessionState::Open).len(),
             clients: self
                 .connections
                 .iter()
                 .filter(|(_, conn)| client(conn.role))
                 .count(),
-            last_came: self.last_arrival,
-            room: self.spare_capacity(),
+            last_arrival: self.last_arrival,
+            spare_capacity: self.spare_capacity(),
         }
     }
 
@@ -158,12 +163,12 @@
 
     pub(super) fn continue_shutdown(&mut self) {
         let exiting = self.drain.state() == DrainState::Exiting;
-        if self.drain.shuts_door(self.now) {
+        if self.drain.closes_listener(self.now) {
             self.shut_door();
         }
         let view = self.drain_view();
         let advice = self.drain.advise(self.now, &view);
-        if advice.move_now > 0 {
+        if advice.migrate > 0 {
             let mut open = self.sessions_of(|stage| stage == SessionState::Open);
             if !exiting {
                 // Whoever may run again without harm goes first.
@@ -175,10 +180,10 @@
                 ReasonCode::Drained
             };
             open.into_iter()
-                .take(advice.move_now)
+                .take(advice.migrate)
                 .for_each(|sess| self.migrate(sess, code));
         }
-        if advice.answer {
+        if advice.reject_pending {
             let pending = self.sessions_of(|stage| stage != SessionState::Open);
             let word = if exiting {
                 SessionInput::GoingDown
@@ -187,7 +192,7 @@
             };
             pending.into_iter().for_each(|sess| self.input(sess, word));
         }
-        if advice.answer && exiting {
+        if advice.reject_pending && exiting {
             let greeting = self
                 .connections
                 .iter()
@@ -202,11 +207,12 @@
         if advice.exit {
             self.shut_door();
             // Who was let in this moment is answered first.
-            self.done = self.drain_view().clients == 0 || advice.late;
+            self.done = self.drain_view().clients == 0 || advice.drop_remaining;
         }
         self.told_state();
         if self.drain.state() != DrainState::Serving {
-            self.deadlines.set(TimerKey::Shutdown, self.now + STEP);
+            self.deadlines
+                .set(TimerKey::Shutdown, self.now + ADVICE_INTERVAL);
         }
     }
 
--- a/crates/proxy/src/routing/hot_restart.rs
+++ b/crates/proxy/src/routing/hot_restart.rs
@@ -440,7 +440,7 @@
         );
         kept.into_iter().for_each(|offer| self.take_up(offer));
         dropped.into_iter().for_each(|offer| self.let_go(offer));
-        if !self.drain.shuts_door(self.now) && self.serving {
+        if !self.drain.closes_listener(self.now) && self.serving {
             self.open_listener();
             self.open_kin();
         }
--- a/crates/proxy/src/routing/peers.rs
+++ b/crates/proxy/src/routing/peers.rs
@@ -289,7 +289,7 @@
                 .discovery_watch
                 .last_heard()
                 .map(|at| at.as_millis() as u64),
-            pending: self.drain_view().pending,
+            pending: self.drain_view().pending_sessions,
             hosts,
         };
         serde_json::to_string(&known).unwrap_or_default() + "\n"
