--- a/crates/model-checker/tests/fuzz.rs
+++ b/crates/model-checker/tests/fuzz.rs
@@ -246,7 +246,7 @@
         )
     ) {
         let text = lines.join("\n");
-        if let Err(problems) = OperatorConfig::read(&text) {
+        if let Err(problems) = OperatorConfig::parse(&text) {
             prop_assert!(!problems.is_empty());
             prop_assert!(problems.iter().all(|p| p.line >= 1 && p.line <= lines.len().max(1)), "{:?}", problems);
         }
--- a/crates/operator-config/tests/golden.rs
+++ b/crates/operator-config/tests/golden.rs
@@ -1,8 +1,11 @@
 //! The operator's file as builds before the renames read it: every key, every kind of mistake, every difference. The
 //! files under `golden/` were written by such a build and never change; only the Rust names in this file may.
 
-use asterramp_operator_config::{ConfigProblem, OperatorConfig, TakesEffect, parse_span};
+use asterramp_operator_config::{
+    ConfigChange, ConfigProblem, OperatorConfig, TakesEffect, parse_duration,
+};
 use std::path::Path;
+use std::time::Duration;
 
 fn golden(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -21,63 +24,85 @@
 
 /// Every value under its key, times in microseconds.
 fn values(file: &OperatorConfig) -> String {
+    let mut lines = admin_socket_values(file);
+    lines.extend(drain_values(file));
+    lines.extend(zone_failover_values(file));
+    lines.extend(snapshot_values(file));
+    lines.extend(warm_start_values(file));
     let mut text = String::new();
-    let mut line = |key: &str, value: String| text += &format!("{key} = {value}\n");
-    match &file.control {
-        None => line("control", "none".into()),
-        Some(control) => {
-            line(
-                "control.socket",
-                format!("{:?}", control.socket.to_str().unwrap()),
-            );
-            line("control.peers", control.peers.to_string());
-        }
-    }
-    line(
-        "drain.deadline",
-        file.drain.deadline.as_micros().to_string(),
-    );
-    line("drain.closing", file.drain.closing.as_micros().to_string());
-    line("drain.quiet", file.drain.quiet.as_micros().to_string());
-    line("drain.pace", format!("{:?}", file.drain.pace));
-    line("drain.back", file.drain.back.as_micros().to_string());
-    line("site.watch", file.site.watch.to_string());
-    line("site.look", file.site.look.as_micros().to_string());
-    line("site.hold", file.site.hold.as_micros().to_string());
-    line(
-        "site.hold_most",
-        file.site.hold_most.as_micros().to_string(),
-    );
-    line("site.settle", file.site.settle.as_micros().to_string());
-    line("site.pace", file.site.pace.to_string());
-    line("site.by_worth", file.site.by_worth.to_string());
-    match &file.state {
-        None => line("state", "none".into()),
-        Some(state) => {
-            line(
-                "state.folder",
-                format!("{:?}", state.folder.to_str().unwrap()),
-            );
-            line("state.every", state.every.as_micros().to_string());
-        }
+    for (key, value) in lines {
+        text += &format!("{key} = {value}\n");
     }
-    line("recovery.stages", file.recovery.stages.to_string());
-    line("recovery.look", file.recovery.look.as_micros().to_string());
-    line(
-        "recovery.probe",
-        file.recovery.probe.as_micros().to_string(),
-    );
-    line("recovery.fleet", format!("{:?}", file.recovery.fleet));
-    let others: Vec<String> = file
-        .recovery
-        .others
-        .iter()
-        .map(ToString::to_string)
-        .collect();
-    line("recovery.others", others.join(" "));
     text
 }
 
+type Lines = Vec<(&'static str, String)>;
+
+fn micros(duration: Duration) -> String {
+    duration.as_micros().to_string()
+}
+
+fn admin_socket_values(file: &OperatorConfig) -> Lines {
+    let Some(admin_socket) = &file.admin_socket else {
+        return vec![("control", "none".into())];
+    };
+    let path = admin_socket.path.to_str().unwrap();
+    vec![
+        ("control.socket", format!("{path:?}")),
+        ("control.peers", admin_socket.max_connections.to_string()),
+    ]
+}
+
+fn drain_values(file: &OperatorConfig) -> Lines {
+    let drain = &file.drain;
+    vec![
+        ("drain.deadline", micros(drain.default_deadline)),
+        ("drain.closing", micros(drain.max_closing_time)),
+        ("drain.quiet", micros(drain.quiet_period)),
+        (
+            "drain.pace",
+            format!("{:?}", drain.max_migrations_per_second),
+        ),
+        ("drain.back", micros(drain.time_before_next_drain)),
+    ]
+}
+
+fn zone_failover_values(file: &OperatorConfig) -> Lines {
+    let zones = &file.zone_failover;
+    vec![
+        ("site.watch", zones.enabled.to_string()),
+        ("site.look", micros(zones.health_check_interval)),
+        ("site.hold", micros(zones.initial_hold)),
+        ("site.hold_most", micros(zones.max_hold)),
+        ("site.settle", micros(zones.recovery_ramp)),
+        ("site.pace", zones.paces_admission.to_string()),
+        ("site.by_worth", zones.rejects_by_priority.to_string()),
+    ]
+}
+
+fn snapshot_values(file: &OperatorConfig) -> Lines {
+    let Some(snapshots) = &file.snapshots else {
+        return vec![("state", "none".into())];
+    };
+    let directory = snapshots.directory.to_str().unwrap();
+    vec![
+        ("state.folder", format!("{directory:?}")),
+        ("state.every", micros(snapshots.interval)),
+    ]
+}
+
+fn warm_start_values(file: &OperatorConfig) -> Lines {
+    let warm_start = &file.warm_start;
+    let peers: Vec<String> = warm_start.peers.iter().map(ToString::to_string).collect();
+    vec![
+        ("recovery.stages", warm_start.enabled.to_string()),
+        ("recovery.look", micros(warm_start.discovery_wait)),
+        ("recovery.probe", micros(warm_start.health_check_wait)),
+        ("recovery.fleet", format!("{:?}", warm_start.fleet)),
+        ("recovery.others", peers.join(" ")),
+    ]
+}
+
 /// A file with every key, none at its default.
 const FULL: &str = "\
 [control]
@@ -146,10 +171,10 @@
 
 fn changes(before: &OperatorConfig, after: &OperatorConfig) -> String {
     let mut text = String::new();
-    for (key, takes) in before.changes(after) {
-        let when = match takes {
-            TakesEffect::AtOnce => "at once",
-            TakesEffect::Restart => "by a restart",
+    for ConfigChange { key, takes_effect } in before.changes(after) {
+        let when = match takes_effect {
+            TakesEffect::Immediately => "at once",
+            TakesEffect::AfterRestart => "by a restart",
         };
         text += &format!("    {key} {when}\n");
     }
@@ -158,111 +183,113 @@
 
 #[test]
 fn every_key_is_read_and_an_empty_file_has_the_same_defaults() {
-    let full = OperatorConfig::read(FULL).unwrap();
+    let full = OperatorConfig::parse(FULL).unwrap();
     assert_golden("full.toml", FULL);
     assert_golden("full.txt", &values(&full));
-    assert_golden("empty.txt", &values(&OperatorConfig::read("").unwrap()));
-    assert_eq!(OperatorConfig::read(&golden("full.toml")), Ok(full));
-    assert_eq!(OperatorConfig::read(""), Ok(OperatorConfig::default()));
+    assert_golden("empty.txt", &values(&OperatorConfig::parse("").unwrap()));
+    assert_eq!(OperatorConfig::parse(&golden("full.toml")), Ok(full));
+    assert_eq!(OperatorConfig::parse(""), Ok(OperatorConfig::default()));
     // The least that switches the control socket and the snapshots on.
     let least = "[control]\nsocket = \"/a\"\n[state]\nfolder = \"/b\"\n";
-    assert_golden("least.txt", &values(&OperatorConfig::read(least).unwrap()));
+    assert_golden("least.txt", &values(&OperatorConfig::parse(least).unwrap()));
 }
 
 #[test]
 fn a_difference_names_the_same_keys_in_the_same_order() {
-    let full = OperatorConfig::read(FULL).unwrap();
+    let full = OperatorConfig::parse(FULL).unwrap();
     let empty = OperatorConfig::default();
     let mut text = format!("nothing differs\n{}", changes(&full, &full));
     text += &format!("all differs\n{}", changes(&full, &empty));
     text += &format!("all differs, the other way\n{}", changes(&empty, &full));
     for (line, other) in CHANGES {
         assert_eq!(FULL.matches(line).count(), 1, "{line}");
-        let changed = OperatorConfig::read(&FULL.replace(line, other)).unwrap();
+        let changed = OperatorConfig::parse(&FULL.replace(line, other)).unwrap();
         text += &format!("{line} -> {other}\n{}", changes(&full, &changed));
     }
     assert_golden("changes.txt", &text);
 }
 
 /// Files with a mistake each, or several.
+const MISTAKES: &[&str] = &[
+    "[drian]\n",
+    "drian = 1\n",
+    "drain = 1\n",
+    "[[drain]]\npace = 1\n",
+    "\n\n[drain]\npase = 1\n",
+    "[control]\nsocket = \"/a\"\npear = 1\n",
+    "[site]\nwait = \"1s\"\n",
+    "[state]\nfolder = \"/a\"\nfile = 1\n",
+    "[recovery]\nstage = 1\n",
+    // Missing beside others.
+    "[control]\npeers = 3\n",
+    "[control]\npeers = 300\n",
+    "[state]\nevery = \"1s\"\n",
+    "[recovery]\nothers = [\"10.0.0.5:9000\"]\n",
+    "[recovery]\nothers = []\n",
+    // Times.
+    "[drain]\ndeadline = 5\n",
+    "[drain]\ndeadline = \"5 s\"\n",
+    "[drain]\ndeadline = \"5\"\n",
+    "[drain]\ndeadline = \"-5s\"\n",
+    "[drain]\ndeadline = \"0.9s\"\n",
+    "[drain]\ndeadline = \"25h\"\n",
+    "[drain]\ndeadline = true\n",
+    "[drain]\nclosing = \"61s\"\n",
+    "[drain]\nquiet = \"99ms\"\n",
+    "[drain]\nback = \"2h\"\n",
+    "[site]\nlook = \"10ms\"\n",
+    "[site]\nhold = \"11m\"\n",
+    "[site]\nhold_most = \"2h\"\n",
+    "[site]\nsettle = []\n",
+    "[state]\nfolder = \"/a\"\nevery = \"1ms\"\n",
+    "[recovery]\nlook = \"5s\"\n",
+    "[recovery]\nprobe = \"0s\"\n",
+    // Numbers.
+    "[drain]\npace = 0\n",
+    "[drain]\npace = \"5\"\n",
+    "[drain]\npace = 1e9\n",
+    "[drain]\npace = nan\n",
+    "[drain]\npace = inf\n",
+    "[drain]\npace = -1\n",
+    "[control]\nsocket = \"/a\"\npeers = 0\n",
+    "[control]\nsocket = \"/a\"\npeers = 65\n",
+    "[control]\nsocket = \"/a\"\npeers = 1.5\n",
+    "[control]\nsocket = \"/a\"\npeers = \"4\"\n",
+    "[control]\nsocket = \"/a\"\npeers = 99999999999999999999\n",
+    // Flags.
+    "[site]\nwatch = 1\n",
+    "[site]\npace = \"no\"\n",
+    "[site]\nby_worth = {}\n",
+    "[recovery]\nstages = \"yes\"\n",
+    // Paths.
+    "[control]\nsocket = \"a.sock\"\n",
+    "[control]\nsocket = 5\n",
+    "[control]\nsocket = \"\"\n",
+    "[control]\nsocket = \"/a\\u0000b\"\n",
+    "[state]\nfolder = \"state\"\n",
+    "[state]\nfolder = false\n",
+    // Names and lists.
+    "[recovery]\nfleet = \"a b\"\n",
+    "[recovery]\nfleet = \"\"\n",
+    "[recovery]\nfleet = 7\n",
+    "[recovery]\nfleet = \"a\"\nothers = \"10.0.0.5:9000\"\n",
+    "[recovery]\nfleet = \"a\"\nothers = [\"10.0.0.5\"]\n",
+    "[recovery]\nfleet = \"a\"\nothers = [\"localhost:9000\"]\n",
+    "[recovery]\nfleet = \"a\"\nothers = [9000]\n",
+    // What is no TOML.
+    "[drain]\npace = \n",
+    "[drain\npace = 1\n",
+    "[drain]\npace = 1\npace = 2\n",
+    "[drain]\npace = 1\n[drain]\nback = \"1s\"\n",
+    "drain]\n",
+    // Several at once, in the order of lines.
+    "[drain]\npace = 0\nquiet = \"x\"\nodd = 1\n[nothing]\n[control]\nsocket = 5\n",
+    "[control]\npeers = 0\npaers = 2\n[state]\nevery = \"9\"\n[recovery]\nothers = [1]\nstages = 0\n[x]\n",
+];
+
+/// The same, and files with values that are too long.
 fn mistakes() -> Vec<String> {
-    let plain = [
-        "[drian]\n",
-        "drian = 1\n",
-        "drain = 1\n",
-        "[[drain]]\npace = 1\n",
-        "\n\n[drain]\npase = 1\n",
-        "[control]\nsocket = \"/a\"\npear = 1\n",
-        "[site]\nwait = \"1s\"\n",
-        "[state]\nfolder = \"/a\"\nfile = 1\n",
-        "[recovery]\nstage = 1\n",
-        // Missing beside others.
-        "[control]\npeers = 3\n",
-        "[control]\npeers = 300\n",
-        "[state]\nevery = \"1s\"\n",
-        "[recovery]\nothers = [\"10.0.0.5:9000\"]\n",
-        "[recovery]\nothers = []\n",
-        // Times.
-        "[drain]\ndeadline = 5\n",
-        "[drain]\ndeadline = \"5 s\"\n",
-        "[drain]\ndeadline = \"5\"\n",
-        "[drain]\ndeadline = \"-5s\"\n",
-        "[drain]\ndeadline = \"0.9s\"\n",
-        "[drain]\ndeadline = \"25h\"\n",
-        "[drain]\ndeadline = true\n",
-        "[drain]\nclosing = \"61s\"\n",
-        "[drain]\nquiet = \"99ms\"\n",
-        "[drain]\nback = \"2h\"\n",
-        "[site]\nlook = \"10ms\"\n",
-        "[site]\nhold = \"11m\"\n",
-        "[site]\nhold_most = \"2h\"\n",
-        "[site]\nsettle = []\n",
-        "[state]\nfolder = \"/a\"\nevery = \"1ms\"\n",
-        "[recovery]\nlook = \"5s\"\n",
-        "[recovery]\nprobe = \"0s\"\n",
-        // Numbers.
-        "[drain]\npace = 0\n",
-        "[drain]\npace = \"5\"\n",
-        "[drain]\npace = 1e9\n",
-        "[drain]\npace = nan\n",
-        "[drain]\npace = inf\n",
-        "[drain]\npace = -1\n",
-        "[control]\nsocket = \"/a\"\npeers = 0\n",
-        "[control]\nsocket = \"/a\"\npeers = 65\n",
-        "[control]\nsocket = \"/a\"\npeers = 1.5\n",
-        "[control]\nsocket = \"/a\"\npeers = \"4\"\n",
-        "[control]\nsocket = \"/a\"\npeers = 99999999999999999999\n",
-        // Flags.
-        "[site]\nwatch = 1\n",
-        "[site]\npace = \"no\"\n",
-        "[site]\nby_worth = {}\n",
-        "[recovery]\nstages = \"yes\"\n",
-        // Paths.
-        "[control]\nsocket = \"a.sock\"\n",
-        "[control]\nsocket = 5\n",
-        "[control]\nsocket = \"\"\n",
-        "[control]\nsocket = \"/a\\u0000b\"\n",
-        "[state]\nfolder = \"state\"\n",
-        "[state]\nfolder = false\n",
-        // Names and lists.
-        "[recovery]\nfleet = \"a b\"\n",
-        "[recovery]\nfleet = \"\"\n",
-        "[recovery]\nfleet = 7\n",
-        "[recovery]\nfleet = \"a\"\nothers = \"10.0.0.5:9000\"\n",
-        "[recovery]\nfleet = \"a\"\nothers = [\"10.0.0.5\"]\n",
-        "[recovery]\nfleet = \"a\"\nothers = [\"localhost:9000\"]\n",
-        "[recovery]\nfleet = \"a\"\nothers = [9000]\n",
-        // What is no TOML.
-        "[drain]\npace = \n",
-        "[drain\npace = 1\n",
-        "[drain]\npace = 1\npace = 2\n",
-        "[drain]\npace = 1\n[drain]\nback = \"1s\"\n",
-        "drain]\n",
-        // Several at once, in the order of lines.
-        "[drain]\npace = 0\nquiet = \"x\"\nodd = 1\n[nothing]\n[control]\nsocket = 5\n",
-        "[control]\npeers = 0\npaers = 2\n[state]\nevery = \"9\"\n[recovery]\nothers = [1]\nstages = 0\n[x]\n",
-    ];
-    let mut files: Vec<String> = plain.map(String::from).to_vec();
+    let mut files: Vec<String> = MISTAKES.iter().copied().map(String::from).collect();
     files.push(format!("[control]\nsocket = \"/{}\"\n", "a".repeat(107)));
     files.push(format!("[state]\nfolder = \"/{}\"\n", "a".repeat(4_000)));
     files.push(format!("[recovery]\nfleet = \"{}\"\n", "a".repeat(65)));
@@ -291,7 +318,7 @@
             shown(&file).trim_end().replace('\n', "\n    ")
         );
         text += "problems\n";
-        match OperatorConfig::read(&file) {
+        match OperatorConfig::parse(&file) {
             Ok(read) => text += &format!("    none\n{}", values(&read)),
             Err(problems) => {
                 let lines = problems.iter().map(ConfigProblem::to_string);
@@ -320,8 +347,8 @@
                 quiet = \"60s\"\npace = 100000\nback = \"60m\"\n[site]\nlook = \"60s\"\nhold = \"10m\"\n\
                 hold_most = \"1h\"\nsettle = \"600s\"\n[state]\nfolder = \"/a\"\nevery = \"10m\"\n\
                 [recovery]\nlook = \"1s\"\nprobe = \"60s\"\nfleet = \"A-9\"\nothers = [\"1.2.3.4:0\"]\n";
-    let read = OperatorConfig::read(&least).unwrap();
-    assert_eq!(read.recovery.others.len(), 256);
+    let read = OperatorConfig::parse(&least).unwrap();
+    assert_eq!(read.warm_start.peers.len(), 256);
     let text = values(&read)
         .replace(&folder, "<3999 times a>")
         .replace(&long, "<106 times a>")
@@ -333,7 +360,7 @@
     assert_golden("least_allowed.txt", &text);
     assert_golden(
         "most_allowed.txt",
-        &values(&OperatorConfig::read(most).unwrap()),
+        &values(&OperatorConfig::parse(most).unwrap()),
     );
 }
 
@@ -366,7 +393,7 @@
     ];
     let mut text = String::new();
     for given in texts {
-        let span = parse_span(given).map(|span| span.as_nanos());
+        let span = parse_duration(given).map(|span| span.as_nanos());
         text += &format!("{given:?} {span:?}\n");
     }
     assert_golden("times.txt", &text);
--- a/crates/operator-config/tests/operator.rs
+++ b/crates/operator-config/tests/operator_config.rs
@@ -1,68 +1,85 @@
-//! Files, good and bad.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
+//! Reading files, good and bad, and the differences between two.
 
-use asterramp_operator_config::{OperatorConfig, TakesEffect, parse_span};
+use asterramp_operator_config::{ConfigChange, OperatorConfig, TakesEffect, parse_duration};
 use std::time::Duration;
 use test_case::test_case;
 
+const FULL: &str = "[control]\nsocket = \"/run/a.sock\"\npeers = 4\n\
+                    [drain]\ndeadline = \"2m\"\nclosing = \"1500ms\"\nquiet = \"1s\"\npace = 40\nback = \"5s\"\n";
+
+fn parse(text: &str) -> OperatorConfig {
+    OperatorConfig::parse(text).unwrap()
+}
+
+fn change(key: &str, takes_effect: TakesEffect) -> ConfigChange {
+    ConfigChange {
+        key: key.into(),
+        takes_effect,
+    }
+}
+
 #[test]
-fn an_empty_file_switches_nothing_on_and_a_full_one_is_read() {
-    assert_eq!(OperatorConfig::read(""), Ok(OperatorConfig::default()));
-    let text = "[control]\nsocket = \"/run/a.sock\"\npeers = 4\n[drain]\ndeadline = \"2m\"\nclosing = \"1500ms\"\n\
-                quiet = \"1s\"\npace = 40\nback = \"5s\"\n";
-    let operator = OperatorConfig::read(text).unwrap();
-    let control = operator.control.clone().unwrap();
+fn an_empty_file_has_the_defaults() {
+    assert_eq!(OperatorConfig::parse(""), Ok(OperatorConfig::default()));
+}
+
+#[test]
+fn values_are_read() {
+    let config = parse(FULL);
+    let admin_socket = config.admin_socket.unwrap();
     assert_eq!(
-        (control.socket.to_str(), control.peers),
+        (admin_socket.path.to_str(), admin_socket.max_connections),
         (Some("/run/a.sock"), 4)
     );
-    let drain = &operator.drain;
+    let drain = &config.drain;
     assert_eq!(
         (
-            drain.deadline.as_secs(),
-            drain.closing.as_millis(),
-            drain.pace
+            drain.default_deadline.as_secs(),
+            drain.max_closing_time.as_millis(),
+            drain.max_migrations_per_second
         ),
         (120, 1_500, 40.0)
     );
-    let changed =
-        OperatorConfig::read(&text.replace("40", "41").replace("a.sock", "b.sock")).unwrap();
-    let changes = operator.changes(&changed);
+}
+
+#[test]
+fn changes_name_the_keys_that_differ_and_when_they_take_effect() {
+    let config = parse(FULL);
+    let changed = parse(&FULL.replace("40", "41").replace("a.sock", "b.sock"));
     assert_eq!(
-        changes,
+        config.changes(&changed),
         [
-            ("control.socket".into(), TakesEffect::Restart),
-            ("drain.pace".into(), TakesEffect::AtOnce)
+            change("control.socket", TakesEffect::AfterRestart),
+            change("drain.pace", TakesEffect::Immediately)
         ]
     );
-    assert_eq!(operator.changes(&operator), []);
-    let site = OperatorConfig::read("[site]\nwatch = false\nsettle = \"9s\"\n").unwrap();
-    assert_eq!((site.site.watch, site.site.settle.as_secs()), (false, 9));
-    let changes = site.changes(&OperatorConfig::default());
+    assert_eq!(config.changes(&config), []);
+}
+
+#[test]
+fn zone_failover_is_on_by_default_and_can_be_switched_off() {
+    let config = parse("[site]\nwatch = false\nsettle = \"9s\"\n");
+    let zones = &config.zone_failover;
+    assert_eq!((zones.enabled, zones.recovery_ramp.as_secs()), (false, 9));
     assert_eq!(
-        changes,
+        config.changes(&OperatorConfig::default()),
         [
-            ("site.watch".into(), TakesEffect::Restart),
-            ("site.settle".into(), TakesEffect::AtOnce)
+            change("site.watch", TakesEffect::AfterRestart),
+            change("site.settle", TakesEffect::Immediately)
         ]
     );
-    let anew =
-        OperatorConfig::read("[state]\nfolder = \"/var/a\"\n[recovery]\nstages = true\n").unwrap();
-    assert_eq!(
-        anew.state.as_ref().map(|state| state.every.as_secs()),
-        Some(1)
-    );
-    assert!(anew.recovery.stages && !OperatorConfig::default().recovery.stages);
-    let changes: Vec<String> = anew
+}
+
+#[test]
+fn snapshots_and_warm_start_are_off_by_default_and_can_be_switched_on() {
+    let config = parse("[state]\nfolder = \"/var/a\"\n[recovery]\nstages = true\n");
+    let interval = config.snapshots.as_ref().map(|s| s.interval.as_secs());
+    assert_eq!(interval, Some(1));
+    assert!(config.warm_start.enabled && !OperatorConfig::default().warm_start.enabled);
+    let changes: Vec<String> = config
         .changes(&OperatorConfig::default())
         .into_iter()
-        .map(|c| c.0)
+        .map(|change| change.key)
         .collect();
     assert_eq!(changes, ["state.folder", "state.every", "recovery.stages"]);
 }
@@ -79,31 +96,28 @@
 #[test_case("[control]\nsocket = \"/a\"\npeers = 100\n", 3, &["control.peers", "1 to 64"]; "too many peers")]
 #[test_case("[control]\npeers = 3\n", 1, &["control.socket is missing"]; "peers without a socket")]
 #[test_case("[site]\nwatch = 1\n", 2, &["site.watch", "true nor false"]; "a number for a flag")]
-#[test_case("[site]\nlook = \"10ms\"\n", 2, &["site.look", "0.2s to 60s"]; "looks too often")]
-#[test_case("[site]\nwait = \"1s\"\n", 2, &["site.wait", "watch, look, hold, hold_most, settle, pace, by_worth"]; "unknown key of places")]
+#[test_case("[site]\nlook = \"10ms\"\n", 2, &["site.look", "0.2s to 60s"]; "checks too often")]
+#[test_case("[site]\nwait = \"1s\"\n", 2, &["site.wait", "watch, look, hold, hold_most, settle, pace, by_worth"]; "unknown zone failover key")]
 #[test_case("[state]\nfolder = \"state\"\n", 2, &["state.folder", "absolute path"]; "a relative folder")]
-#[test_case("[state]\nevery = \"1s\"\n", 1, &["state.folder is missing"]; "a pace without a folder")]
+#[test_case("[state]\nevery = \"1s\"\n", 1, &["state.folder is missing"]; "an interval without a folder")]
 #[test_case("[state]\nfolder = \"/s\"\nevery = \"1ms\"\n", 3, &["state.every", "0.2s to"]; "saves too often")]
-#[test_case("[recovery]\nlook = \"5s\"\n", 2, &["recovery.look", "0s to 1s"]; "a door shut too long")]
+#[test_case("[recovery]\nlook = \"5s\"\n", 2, &["recovery.look", "0s to 1s"]; "a wait that is too long")]
 #[test_case("[recovery]\nstages = \"yes\"\n", 2, &["recovery.stages", "true nor false"]; "text for a flag")]
 #[test_case("[drain]\npace = \n", 2, &[]; "not TOML")]
-fn what_is_wrong_is_told_with_its_line_its_key_and_what_is_allowed(
-    text: &str,
-    line: usize,
-    says: &[&str],
-) {
-    let problems = OperatorConfig::read(text).unwrap_err();
+fn a_problem_names_its_line_its_key_and_what_is_allowed(text: &str, line: usize, parts: &[&str]) {
+    let problems = OperatorConfig::parse(text).unwrap_err();
     assert_eq!(problems[0].line, line, "{problems:?}");
+    let message = problems[0].error.to_string();
     assert!(
-        says.iter().all(|word| problems[0].what.contains(word)),
+        parts.iter().all(|part| message.contains(part)),
         "{problems:?}"
     );
 }
 
 #[test]
-fn all_that_is_wrong_is_told_at_once() {
+fn all_problems_are_reported_at_once() {
     let text = "[drain]\npace = 0\nquiet = \"x\"\nodd = 1\n[nothing]\n[control]\nsocket = 5\n";
-    let lines: Vec<usize> = OperatorConfig::read(text)
+    let lines: Vec<usize> = OperatorConfig::parse(text)
         .unwrap_err()
         .iter()
         .map(|p| p.line)
@@ -122,6 +136,6 @@
 #[test_case("5", None; "no unit")]
 #[test_case("-5s", None; "negative")]
 #[test_case("1e400s", None; "beyond all numbers")]
-fn times_have_a_unit(text: &str, ms: Option<u64>) {
-    assert_eq!(parse_span(text), ms.map(Duration::from_millis));
+fn durations_have_a_unit(text: &str, ms: Option<u64>) {
+    assert_eq!(parse_duration(text), ms.map(Duration::from_millis));
 }
--- a/crates/proxy/src/program/clock.rs
+++ b/crates/proxy/src/program/clock.rs
@@ -1,25 +1,27 @@
-//! One clock: Unix time at the start, advanced by one that cannot be set back.
+//! The process's clock.
 
 use std::time::{Duration, Instant, SystemTime};
 
+/// Unix time at the start, advanced by a clock that cannot be set back.
 #[derive(Debug)]
 pub struct Clock {
     start: Instant,
-    unix: Duration,
+    unix_time_at_start: Duration,
 }
 
 impl Clock {
+    /// Starts the clock.
     pub fn start() -> Clock {
-        let unix = SystemTime::now()
-            .duration_since(SystemTime::UNIX_EPOCH)
-            .unwrap_or_default();
+        let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         Clock {
             start: Instant::now(),
-            unix,
+            // A system clock before 1970 is as good as any other: only differences matter here.
+            unix_time_at_start: unix_time.unwrap_or_default(),
         }
     }
 
+    /// Time since 1970 by this clock.
     pub fn now(&self) -> Duration {
-        self.unix + self.start.elapsed()
+        self.unix_time_at_start + self.start.elapsed()
     }
 }
--- a/crates/proxy/src/program/command.rs
+++ b/crates/proxy/src/program/command.rs
@@ -5,7 +5,7 @@
 use super::run::run;
 use super::state::{self, StateWhat};
 use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest, ProxyStatus};
-use asterramp_operator_config::{OperatorConfig, parse_span};
+use asterramp_operator_config::{OperatorConfig, parse_duration};
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -173,7 +173,7 @@
 }
 
 fn span(text: &str) -> Result<Duration, String> {
-    parse_span(text)
+    parse_duration(text)
         .ok_or_else(|| format!("{text:?} is no time; allowed are a number and ms, s, m or h"))
 }
 
@@ -249,19 +249,24 @@
         path(files.config.as_ref(), "LB_CONFIG").as_deref(),
         operator.as_deref(),
     )
+    .map_err(|error| error.to_string())
 }
 
 fn validate(files: &Files) -> ExitCode {
-    let mut wrong = Vec::new();
+    let mut wrong: Vec<String> = Vec::new();
     match path(files.config.as_ref(), "LB_CONFIG") {
-        Some(config) => wrong.extend(super::config::ConfigFile::open(Some(&config)).err()),
+        Some(config) => wrong.extend(
+            super::config::ConfigFile::open(Some(&config))
+                .err()
+                .map(|error| error.to_string()),
+        ),
         None => wrong.push("--config: neither it nor LB_CONFIG names a file".into()),
     }
     if let Some(operator) = path(files.operator.as_ref(), "ASTERRAMP_OPERATOR") {
         match std::fs::read_to_string(&operator) {
             Err(e) => wrong.push(format!("{operator}: {e}")),
             Ok(text) => {
-                let problems = OperatorConfig::read(&text).err().unwrap_or_default();
+                let problems = OperatorConfig::parse(&text).err().unwrap_or_default();
                 wrong.extend(
                     problems
                         .iter()
--- a/crates/proxy/src/program/config.rs
+++ b/crates/proxy/src/program/config.rs
@@ -1,124 +1,234 @@
-//! The one place where configuration is read; `asterramp_placement::settings` checks the settings in it.
+//! The platform's configuration: a JSON file that `LB_CONFIG` names. The settings in it are checked by
+//! `asterramp_placement::settings`.
 
-use crate::protocol::discovery;
+use crate::protocol::discovery::{self, List};
 use crate::protocol::json::{self, Value};
 use crate::routing::Start;
-use asterramp_placement::settings;
+use asterramp_placement::settings::{self, Settings};
 use std::collections::BTreeSet;
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Limits where none are given.
-const SOCKETS: usize = 1024;
-const MEMORY_MB: usize = 256;
+/// File descriptors that the proxy may use where the file gives no limit.
+const DEFAULT_MAX_SOCKETS: usize = 1024;
+/// Fewest that it can serve with: its own sockets, and some sessions of two each.
+const MIN_SOCKETS: usize = 64;
+/// Memory in MiB that the proxy may use for buffers where the file gives no limit.
+const DEFAULT_MAX_MEMORY_MB: usize = 256;
+/// A limit beyond any machine, so that none overflows when it is reckoned with.
+const MAX_LIMIT: f64 = 1e9;
 
-/// The key that may change while the proxy runs, and the one that only a start heeds.
-const LIVE: &[&str] = &["discovery", "known"];
+/// Keys that a reload does not report as kept: `discovery`, which takes effect at once, and `known`, which only a start
+/// reads.
+const NOT_KEPT: &[&str] = &["discovery", "known"];
 
-/// Where the configuration stands, and what it said at the start.
+/// Why a configuration is rejected.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// No file is named.
+    #[error("LB_CONFIG is not set")]
+    NotNamed,
+    /// The file cannot be read.
+    #[error("LB_CONFIG: {path}: {source}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// Why.
+        source: io::Error,
+    },
+    /// The file is not JSON.
+    #[error("configuration: {0}")]
+    Malformed(String),
+    /// A key is missing.
+    #[error("{key} is missing")]
+    MissingKey {
+        /// The key.
+        key: &'static str,
+    },
+    /// A key's value is not an IP address with a port.
+    #[error("{key} is no address")]
+    InvalidAddress {
+        /// The key.
+        key: &'static str,
+    },
+    /// The address for operators' HTTP calls is none.
+    #[error("{source_name} is no address; allowed is one as in 10.0.0.4:9000")]
+    InvalidOperatorAddress {
+        /// The key or environment variable that it stands in.
+        source_name: &'static str,
+    },
+    /// The seed cannot be read.
+    #[error("seed is no number of up to 16 hexadecimal digits")]
+    InvalidSeed,
+    /// A setting is missing or wrong.
+    #[error("{0}")]
+    InvalidSetting(String),
+    /// A limit is not a number from 1 to 1e9.
+    #[error("limits.{key} is no limit")]
+    InvalidLimit {
+        /// The key under `limits`.
+        key: &'static str,
+    },
+    /// The limit on sockets leaves none for sessions.
+    #[error("limits.sockets is under {MIN_SOCKETS}, too few to serve")]
+    TooFewSockets,
+    /// The list of known endpoints is wrong.
+    #[error("known: {0}")]
+    InvalidKnownEndpoints(String),
+}
+
+/// The configuration's file, and what it said at the start.
 #[derive(Debug)]
 pub struct ConfigFile {
     path: String,
-    first: Value,
+    initial: Value,
 }
 
 impl ConfigFile {
-    /// Reads the file that `LB_CONFIG` names.
-    pub fn open(path: Option<&str>) -> Result<(ConfigFile, Start), String> {
-        let path = path.ok_or("LB_CONFIG is not set")?.to_string();
-        let first = file(&path)?;
-        let start = parse(&first)?;
-        Ok((ConfigFile { path, first }, start))
+    /// Reads and checks the file at `path`, which is what `LB_CONFIG` or the command line names.
+    ///
+    /// # Errors
+    ///
+    /// The first mistake; see [`ConfigError`].
+    pub fn open(path: Option<&str>) -> Result<(ConfigFile, Start), ConfigError> {
+        let path = path.ok_or(ConfigError::NotNamed)?.to_string();
+        let initial = read_file(&path)?;
+        let start = parse(&initial)?;
+        Ok((ConfigFile { path, initial }, start))
     }
 
-    /// Reads the file again: what it says now, and the keys that it would change but cannot while the proxy
-    /// runs. A bad file changes nothing.
-    pub fn again(&self) -> Result<(Start, Vec<String>), String> {
-        let value = file(&self.path)?;
-        let start = parse(&value)?;
-        let keys: BTreeSet<&str> = keys(&self.first).chain(keys(&value)).collect();
+    /// Reads the file again. Returns what it says now, and the keys that differ from the start and cannot change while the
+    /// proxy runs.
+    ///
+    /// # Errors
+    ///
+    /// The first mistake. A bad file changes nothing.
+    pub fn reload(&self) -> Result<(Start, Vec<String>), ConfigError> {
+        let current = read_file(&self.path)?;
+        let start = parse(&current)?;
+        let keys: BTreeSet<&str> = keys(&self.initial).chain(keys(&current)).collect();
+        let differs = |key: &&str| self.initial.get(key) != current.get(key);
         let kept = keys
             .into_iter()
-            .filter(|key| !LIVE.contains(key) && self.first.get(key) != value.get(key));
-        Ok((start, kept.map(String::from).collect()))
+            .filter(|key| !NOT_KEPT.contains(key))
+            .filter(differs)
+            .map(String::from)
+            .collect();
+        Ok((start, kept))
     }
 }
 
 fn keys(value: &Value) -> impl Iterator<Item = &str> {
-    let pairs = if let Value::Object(pairs) = value {
-        pairs.as_slice()
-    } else {
-        &[]
+    let pairs = match value {
+        Value::Object(pairs) => pairs.as_slice(),
+        _ => &[],
     };
     pairs.iter().map(|pair| pair.0.as_str())
 }
 
-fn file(path: &str) -> Result<Value, String> {
-    let bytes = std::fs::read(path).map_err(|e| format!("LB_CONFIG: {path}: {e}"))?;
-    json::read(&bytes).map_err(|e| format!("configuration: {e}"))
+fn read_file(path: &str) -> Result<Value, ConfigError> {
+    let bytes = std::fs::read(path).map_err(|source| ConfigError::Unreadable {
+        path: path.to_string(),
+        source,
+    })?;
+    json::read(&bytes).map_err(|error| ConfigError::Malformed(error.to_string()))
 }
 
-fn parse(value: &Value) -> Result<Start, String> {
-    // Older configurations have no such key; the variable says the same.
-    let operator = match value.get("operator") {
-        None | Some(Value::Null) => std::env::var("LB_OPERATOR")
-            .ok()
-            .map(|at| ("LB_OPERATOR", at)),
-        Some(at) => Some(("operator", at.text().unwrap_or_default().to_string())),
-    };
-    let operator = operator.map(|(key, at)| {
-        at.parse()
-            .map_err(|_| format!("{key} is no address; allowed is one as in 10.0.0.4:9000"))
-    });
-    let need = |key: &str| value.get(key).ok_or_else(|| format!("{key} is missing"));
-    let address = |key: &str| -> Result<SocketAddr, String> {
-        let text = need(key)?.text();
-        text.and_then(|text| text.parse().ok())
-            .ok_or_else(|| format!("{key} is no address"))
-    };
-    let seed = need("seed")?
-        .text()
-        .and_then(|seed| u64::from_str_radix(seed, 16).ok());
-    let mut pairs = Vec::new();
-    need("settings")?.flatten("", &mut pairs);
-    let setup = settings::read(
-        pairs
-            .iter()
-            .map(|(path, value)| (path.as_str(), value.as_str())),
-    )?;
-    let limit =
-        |key: &str, absent: usize| match value.get("limits").and_then(|limits| limits.get(key)) {
-            None | Some(Value::Null) => Ok(absent),
-            Some(limit) => {
-                let read = limit.number::<f64>().filter(|n| *n >= 1.0 && *n <= 1e9);
-                read.map(|n| n as usize)
-                    .ok_or_else(|| format!("limits.{key} is no limit"))
-            }
-        };
-    let known =
-        discovery::list(need("known")?).and_then(|list| list.bad.clone().map_or(Ok(list), Err));
-    let known = known.map_err(|e| format!("known: {e}"))?;
-    let listen = address("listen")?;
-    let sockets = limit("sockets", SOCKETS)?;
-    if sockets < 64 {
-        return Err("limits.sockets is under 64, too few to serve".into());
+/// Checks the keys in turn; the first mistake is the one that is reported.
+fn parse(config: &Value) -> Result<Start, ConfigError> {
+    let seed = parse_seed(required(config, "seed")?);
+    let settings = parse_settings(required(config, "settings")?)?;
+    let known_endpoints = parse_known_endpoints(required(config, "known")?)?;
+    let listen = address(config, "listen")?;
+    let max_descriptors = limit(config, "sockets", DEFAULT_MAX_SOCKETS)?;
+    if max_descriptors < MIN_SOCKETS {
+        return Err(ConfigError::TooFewSockets);
     }
+    let seed = seed.ok_or(ConfigError::InvalidSeed)?;
+    let discovery = address(config, "discovery")?;
+    let operator = operator_address(config)?;
+    let hot_restart_socket = operator.and_then(|_| hot_restart_socket(listen));
+    let max_memory_mb = limit(config, "memory_mb", DEFAULT_MAX_MEMORY_MB)?;
     Ok(Start {
-        settings: setup,
-        seed: seed.ok_or("seed is no number of up to 16 hexadecimal digits")?,
+        settings,
+        seed,
         listen,
-        discovery: address("discovery")?,
-        hot_restart_socket: operator.as_ref().and_then(|_| kin(listen)),
-        operator: operator.transpose()?,
-        known_endpoints: known,
+        discovery,
+        hot_restart_socket,
+        operator,
+        known_endpoints,
         warm_start: None,
-        max_descriptors: sockets,
-        max_memory_mb: limit("memory_mb", MEMORY_MB)? << 20,
+        max_descriptors,
+        max_memory_mb: max_memory_mb << 20,
     })
 }
 
-/// Where processes of this proxy meet: in the folder that they share, and only where somebody said which it is.
-fn kin(listen: SocketAddr) -> Option<PathBuf> {
-    let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
-    Some(PathBuf::from(folder).join(format!("asterramp-{}-{}.sock", listen.ip(), listen.port())))
+fn required<'a>(config: &'a Value, key: &'static str) -> Result<&'a Value, ConfigError> {
+    config.get(key).ok_or(ConfigError::MissingKey { key })
+}
+
+fn address(config: &Value, key: &'static str) -> Result<SocketAddr, ConfigError> {
+    let text = required(config, key)?.text();
+    text.and_then(|text| text.parse().ok())
+        .ok_or(ConfigError::InvalidAddress { key })
+}
+
+/// Where operators' HTTP calls are served. Older configurations have no such key; the variable says the same.
+fn operator_address(config: &Value) -> Result<Option<SocketAddr>, ConfigError> {
+    let (source_name, text) = match config.get("operator") {
+        Some(value) if *value != Value::Null => {
+            ("operator", value.text().unwrap_or_default().to_string())
+        }
+        _ => match std::env::var("LB_OPERATOR") {
+            Ok(text) => ("LB_OPERATOR", text),
+            Err(_) => return Ok(None),
+        },
+    };
+    match text.parse() {
+        Ok(address) => Ok(Some(address)),
+        Err(_) => Err(ConfigError::InvalidOperatorAddress { source_name }),
+    }
+}
+
+fn parse_seed(value: &Value) -> Option<u64> {
+    u64::from_str_radix(value.text()?, 16).ok()
+}
+
+fn parse_settings(value: &Value) -> Result<Settings, ConfigError> {
+    let mut pairs = Vec::new();
+    value.flatten("", &mut pairs);
+    let pairs = pairs
+        .iter()
+        .map(|(path, value)| (path.as_str(), value.as_str()));
+    settings::read(pairs).map_err(|error| ConfigError::InvalidSetting(error.to_string()))
+}
+
+fn parse_known_endpoints(value: &Value) -> Result<List, ConfigError> {
+    let list = discovery::list(value)
+        .map_err(|error| ConfigError::InvalidKnownEndpoints(error.to_string()))?;
+    // Discovery's lists are used without their bad entries; one in a file is a mistake to be mended.
+    match &list.bad {
+        Some(bad) => Err(ConfigError::InvalidKnownEndpoints(bad.to_string())),
+        None => Ok(list),
+    }
+}
+
+fn limit(config: &Value, key: &'static str, default: usize) -> Result<usize, ConfigError> {
+    let value = config.get("limits").and_then(|limits| limits.get(key));
+    match value {
+        None | Some(Value::Null) => Ok(default),
+        Some(value) => match value.number::<f64>() {
+            Some(number) if (1.0..=MAX_LIMIT).contains(&number) => Ok(number as usize),
+            _ => Err(ConfigError::InvalidLimit { key }),
+        },
+    }
+}
+
+/// Where processes of this proxy meet for a hot restart: in the folder that they share, and only where `TMPDIR` says which
+/// it is.
+fn hot_restart_socket(listen: SocketAddr) -> Option<PathBuf> {
+    let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
+    let name = format!("asterramp-{}-{}.sock", listen.ip(), listen.port());
+    Some(PathBuf::from(directory).join(name))
 }
--- a/crates/proxy/src/program/counters.rs
+++ b/crates/proxy/src/program/counters.rs
@@ -1,8 +1,9 @@
-//! How often each code came up since the start.
+//! How often each reason code came up since the start of the process.
 
 use crate::routing::report::{ReasonCode, Report};
 use std::fmt;
 
+/// One counter for each [`ReasonCode`]. `Display` is the line that SIGUSR1 and the end of the process log.
 #[derive(Debug)]
 pub struct Counters([u64; ReasonCode::ALL.len()]);
 
@@ -13,24 +14,19 @@
 }
 
 impl Counters {
-    /// Counts a report, whether it is worth a line or not.
-    pub fn take(&mut self, report: &Report) {
-        match report {
-            Report::Count(code) | Report::Line(code, _) => self.add(*code),
-        }
-    }
-
-    fn add(&mut self, code: ReasonCode) {
-        self.0[code as usize] += 1;
+    /// Counts a report, whether it is also logged or not.
+    pub fn count(&mut self, report: &Report) {
+        let (Report::Count(code) | Report::Line(code, _)) = report;
+        self.0[*code as usize] += 1;
     }
 }
 
 impl fmt::Display for Counters {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("counters")?;
-        ReasonCode::ALL
-            .iter()
-            .zip(&self.0)
-            .try_for_each(|(code, n)| write!(f, " {}={n}", code.name()))
+        for (code, count) in ReasonCode::ALL.iter().zip(&self.0) {
+            write!(f, " {}={count}", code.name())?;
+        }
+        Ok(())
     }
 }
--- a/crates/proxy/src/program/log.rs
+++ b/crates/proxy/src/program/log.rs
@@ -1,49 +1,55 @@
-//! The log: lines on standard error, at a bounded rate, and never at the price of serving.
+//! The log: lines on standard error, at a bounded rate, that never block the event loop.
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
+use std::fmt;
+use std::io::Write;
 use std::time::Duration;
 
-/// Lines a second, over any second.
-const RATE: u32 = 400;
+/// Lines in any one second of the clock: enough for an incident, and few enough for the platform to keep.
+const MAX_LINES_PER_SECOND: u32 = 400;
 
+/// The process's log.
 #[derive(Debug, Default)]
 pub struct Log {
-    second: u64,
-    lines: u32,
-    pub dropped: u64,
+    current_second: u64,
+    lines_in_second: u32,
+    dropped: u64,
+    /// Whether the reader is gone.
     broken: bool,
 }
 
 impl Log {
-    /// Whether a line may be written now: within the rate, and to a reader that keeps up. One that does not
-    /// would block the loop, and every client with it.
-    pub fn allows(&mut self, now: Duration) -> bool {
-        if self.second != now.as_secs() {
-            (self.second, self.lines) = (now.as_secs(), 0);
+    /// Writes a line, unless the rate is used up or the reader does not keep up; then it is dropped and counted.
+    pub fn write(&mut self, now: Duration, line: fmt::Arguments<'_>) {
+        if !self.admits_line(now) {
+            self.dropped += 1;
+            return;
         }
-        let error = std::io::stderr();
-        let mut fds = [PollFd::new(&error, PollFlags::OUT)];
-        let ready = poll(&mut fds, Some(&Timespec::default())).is_ok();
-        let taken = ready && fds[0].revents() == PollFlags::OUT;
-        let allowed = !self.broken && taken && self.lines < RATE;
-        self.lines += u32::from(allowed);
-        self.dropped += u64::from(!allowed);
-        allowed
+        self.lines_in_second += 1;
+        let written = writeln!(std::io::stderr().lock(), "{line}");
+        // A reader that is gone ends the log, not the proxy.
+        self.broken |= written.is_err();
     }
 
-    /// A reader that is gone ends the log, not the proxy.
-    pub fn wrote(&mut self, well: bool) {
-        self.broken |= !well;
+    /// Lines dropped since the start.
+    pub fn dropped(&self) -> u64 {
+        self.dropped
     }
-}
 
-/// The one way to the log.
-#[macro_export]
-macro_rules! log_line {
-    ($log:expr, $now:expr, $($text:tt)*) => {
-        if $log.allows($now) {
-            let write = std::panic::AssertUnwindSafe(|| eprintln!($($text)*));
-            $log.wrote(std::panic::catch_unwind(write).is_ok());
+    fn admits_line(&mut self, now: Duration) -> bool {
+        if self.current_second != now.as_secs() {
+            self.current_second = now.as_secs();
+            self.lines_in_second = 0;
         }
-    };
+        !self.broken && reader_keeps_up() && self.lines_in_second < MAX_LINES_PER_SECOND
+    }
+}
+
+/// Whether standard error takes bytes now. A reader that does not keep up would block the event loop, and every client with
+/// it.
+fn reader_keeps_up() -> bool {
+    let stderr = std::io::stderr();
+    let mut fds = [PollFd::new(&stderr, PollFlags::OUT)];
+    let polled = poll(&mut fds, Some(&Timespec::default()));
+    polled.is_ok() && fds[0].revents() == PollFlags::OUT
 }
--- a/crates/proxy/src/program/mod.rs
+++ b/crates/proxy/src/program/mod.rs
@@ -6,6 +6,7 @@
 pub mod counters;
 mod leader_lease;
 pub mod log;
+mod operator_file;
 pub mod roll;
 pub mod run;
 mod signals;
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -1,232 +1,278 @@
-//! The loop.
+//! Serving: starts the router, runs its event loop, and reacts to signals.
 
 use super::clock::Clock;
-use super::config::ConfigFile;
+use super::config::{ConfigError, ConfigFile};
 use super::counters::Counters;
 use super::log::Log;
+use super::operator_file::{self, OperatorFileError};
 use super::signals::Signals;
-use crate::log_line;
-use crate::routing::Router;
-use crate::routing::peers::PeerSettings;
 use crate::routing::report::{ReasonCode, Report};
 use crate::routing::warm_start::{SnapshotSchedule, WarmStartPlan};
-use asterramp_drain::DrainSettings;
-use asterramp_operator_config::{
-    OperatorConfig, SnapshotConfig, TakesEffect, WarmStartConfig, ZoneFailoverConfig,
-};
-use asterramp_placement::settings::Settings;
+use crate::routing::{Router, Start};
+use asterramp_operator_config::{OperatorConfig, SnapshotConfig, TakesEffect, ZoneFailoverConfig};
 use asterramp_snapshot::{Snapshot, SnapshotDirectory, SnapshotStore, SnapshotWriter};
+use rustix::fd::OwnedFd;
+use std::io;
+use std::path::PathBuf;
+use std::time::Duration;
 
-/// Serves until told to leave.
-pub fn run(config: Option<&str>, operator: Option<&str>) -> Result<(), String> {
+/// Why the proxy could not start, or had to end.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// Signals could not be handled.
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    /// The platform's configuration is bad.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The operator's file is bad.
+    #[error(transparent)]
+    OperatorFile(#[from] OperatorFileError),
+    /// The router could not start: an address is taken, or the system gave no descriptor.
+    #[error("{0}")]
+    Router(#[source] io::Error),
+    /// The admin socket could not be opened.
+    #[error("control.socket: {}: {source}", path.display())]
+    AdminSocket {
+        /// Where it was to be.
+        path: PathBuf,
+        /// Why not.
+        source: io::Error,
+    },
+    /// Waiting for events failed.
+    #[error("waiting: {0}")]
+    Wait(#[source] io::Error),
+}
+
+/// Serves until a signal or a leader's order ends it. `config` and `operator` are the paths of the two files.
+///
+/// # Errors
+///
+/// See [`ServeError`].
+pub fn run(config: Option<&str>, operator: Option<&str>) -> Result<(), ServeError> {
     let clock = Clock::start();
-    let (signals, wakes) = Signals::heed()?;
-    let (source, mut start) = ConfigFile::open(config)?;
-    let mut wishes = operator.map(read).transpose()?.unwrap_or_default();
+    let (signals, wake_source) = Signals::register().map_err(ServeError::Signals)?;
+    let (config_file, start) = ConfigFile::open(config)?;
+    let operator_config = match operator {
+        Some(path) => operator_file::read(path)?,
+        None => OperatorConfig::default(),
+    };
+    let router = start_router(start, &operator_config, clock.now(), wake_source)?;
+    let server = Server {
+        clock,
+        signals,
+        config_file,
+        operator_path: operator.map(String::from),
+        operator_config,
+        router,
+        log: Log::default(),
+        counters: Counters::default(),
+    };
+    server.serve()
+}
+
+fn start_router(
+    mut start: Start,
+    config: &OperatorConfig,
+    now: Duration,
+    wake_source: OwnedFd,
+) -> Result<Router, ServeError> {
     let owner = start.listen.to_string();
-    let (saved, mut troubles) =
-        (wishes.state.as_ref()).map_or_else(Default::default, |state| load(state, &owner));
-    let term = saved.as_ref().map_or(0, |saved| saved.term);
-    start.warm_start = wishes.recovery.stages.then(|| WarmStartPlan {
-        terms: stages(&wishes, &start.settings),
-        others: others(&wishes),
-        saved,
-    });
-    let mut router = Router::new(start, clock.now()).map_err(|e| e.to_string())?;
+    let (snapshot, mut file_problems) = match &config.snapshots {
+        Some(snapshots) => load_snapshot(snapshots, &owner),
+        None => (None, Vec::new()),
+    };
+    let highest_term = snapshot.as_ref().map_or(0, |snapshot| snapshot.term);
+    if config.warm_start.enabled {
+        start.warm_start = Some(WarmStartPlan {
+            terms: operator_file::warm_start_settings(&config.warm_start, &start.settings),
+            others: operator_file::peer_settings(&config.warm_start),
+            saved: snapshot,
+        });
+    }
+    let mut router = Router::new(start, now).map_err(ServeError::Router)?;
     router
-        .add_wake_source(wakes)
-        .map_err(|e| format!("signals: {e}"))?;
-    if let Some(state) = &wishes.state {
-        match SnapshotDirectory::open(&state.folder)
-            .and_then(|folder| SnapshotWriter::start(folder, owner.clone()))
-        {
-            Ok(writer) => {
-                router.enable_snapshots(SnapshotSchedule::new(writer, state.every, owner, term))
+        .add_wake_source(wake_source)
+        .map_err(ServeError::Signals)?;
+    if let Some(snapshots) = &config.snapshots {
+        match schedule_snapshots(snapshots, owner, highest_term) {
+            Ok(schedule) => router.enable_snapshots(schedule),
+            Err(error) => {
+                let directory = snapshots.directory.display();
+                file_problems.push(format!("folder={directory} why=\"{error}\""));
             }
-            Err(e) => troubles.push(format!("folder={} why=\"{e}\"", state.folder.display())),
         }
     }
-    router.log_events.extend(
-        troubles
-            .into_iter()
-            .map(|why| Report::Line(ReasonCode::StateBad, why)),
-    );
-    router.configure_admission(wishes.site.pace, wishes.site.by_worth);
-    router.restore_highest_term(term);
-    router.set_drain_settings(terms(&wishes));
-    router.configure_zone_failover(wishes.site.watch.then(|| sites(&wishes)));
-    if let Some(control) = &wishes.control {
-        let opened =
-            router.open_admin_socket(&control.socket, control.peers, wishes.drain.deadline);
-        opened.map_err(|e| format!("control.socket: {}: {e}", control.socket.display()))?;
-    }
-    let (mut log, mut counters) = (Log::default(), Counters::default());
-    while !router.is_done() {
+    let reports = file_problems
+        .into_iter()
+        .map(|problem| Report::Line(ReasonCode::StateBad, problem));
+    router.log_events.extend(reports);
+    router.restore_highest_term(highest_term);
+    apply_operator_config(&mut router, config);
+    if let Some(admin_socket) = &config.admin_socket {
         router
-            .wait(clock.now())
-            .map_err(|e| format!("waiting: {e}"))?;
-        let now = clock.now();
-        router.process(now);
-        if signals.reloads() {
-            match source.again() {
-                Ok((start, kept)) => {
-                    for key in kept {
-                        router
-                            .log_events
-                            .push(Report::Line(ReasonCode::ReloadKept, format!("key={key}")));
-                    }
-                    router.reload(now, start.discovery);
-                }
-                Err(why) => router
-                    .log_events
-                    .push(Report::Line(ReasonCode::ReloadBad, format!("why={why:?}"))),
-            }
-            if let Some(path) = operator {
-                wishes = again(&mut router, path, wishes);
-            }
-        }
-        if signals.leaves() {
-            router.begin_shutdown(now);
-        }
-        for report in router.log_events.drain(..) {
-            counters.take(&report);
-            if let Report::Line(code, about) = report {
-                log_line!(log, now, "{} {about}", code.name());
-            }
-        }
-        if signals.prints() {
-            let dropped = log.dropped;
-            log_line!(log, now, "{counters} log-dropped={dropped}");
-        }
-    }
-    router.close_all();
-    router.close_admin_socket();
-    router.close_hot_restart();
-    router.close_snapshots();
-    for report in router.log_events.drain(..) {
-        counters.take(&report);
-        if let Report::Line(code, about) = report {
-            log_line!(log, clock.now(), "{} {about}", code.name());
-        }
+            .open_admin_socket(
+                &admin_socket.path,
+                admin_socket.max_connections,
+                config.drain.default_deadline,
+            )
+            .map_err(|source| ServeError::AdminSocket {
+                path: admin_socket.path.clone(),
+                source,
+            })?;
     }
-    let dropped = log.dropped;
-    log_line!(log, clock.now(), "{counters} log-dropped={dropped}");
-    Ok(())
+    Ok(router)
 }
 
-/// The operator's file, or all that is wrong with it in one line.
-fn read(path: &str) -> Result<OperatorConfig, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-    let told = |problems: Vec<asterramp_operator_config::ConfigProblem>| {
-        let all: Vec<String> = problems.iter().map(ToString::to_string).collect();
-        format!("{path}: {}", all.join("; "))
+/// Sets what an operator may also change while the proxy runs.
+fn apply_operator_config(router: &mut Router, config: &OperatorConfig) {
+    let zones = &config.zone_failover;
+    router.configure_admission(zones.paces_admission, zones.rejects_by_priority);
+    router.set_drain_settings(operator_file::drain_settings(&config.drain));
+    router.configure_zone_failover(operator_file::zone_failover_settings(zones));
+}
+
+/// The newest snapshot of this proxy, and a log text for each file that could not be used.
+fn load_snapshot(config: &SnapshotConfig, owner: &str) -> (Option<Snapshot>, Vec<String>) {
+    // A directory that cannot be opened is reported when it is opened for writing.
+    let Ok(directory) = SnapshotDirectory::open(&config.directory) else {
+        return (None, Vec::new());
     };
-    OperatorConfig::read(&text).map_err(told)
+    let loaded = SnapshotStore::new(directory).load(Some(owner));
+    let path = config.directory.display();
+    let problems = loaded
+        .troubles
+        .iter()
+        .map(|problem| format!("file={path}/{} why={:?}", problem.file, problem.why))
+        .collect();
+    (loaded.snapshot, problems)
 }
 
-fn terms(wishes: &OperatorConfig) -> DrainSettings {
-    let drain = &wishes.drain;
-    DrainSettings {
-        max_closing_time: drain.closing,
-        quiet_period: drain.quiet,
-        max_migrations_per_second: drain.pace,
-        time_before_next_drain: drain.back,
-    }
+fn schedule_snapshots(
+    config: &SnapshotConfig,
+    owner: String,
+    highest_term: u64,
+) -> io::Result<SnapshotSchedule> {
+    let directory = SnapshotDirectory::open(&config.directory)?;
+    let writer = SnapshotWriter::start(directory, owner.clone())?;
+    Ok(SnapshotSchedule::new(
+        writer,
+        config.interval,
+        owner,
+        highest_term,
+    ))
 }
 
-/// The newest snapshot of this proxy's, and a line for all that was wrong on the way to it.
-fn load(state: &SnapshotConfig, owner: &str) -> (Option<Snapshot>, Vec<String>) {
-    let found = match SnapshotDirectory::open(&state.folder) {
-        Ok(folder) => SnapshotStore::new(folder).load(Some(owner)),
-        // The same is said when it is opened for writing.
-        Err(_) => return (None, Vec::new()),
-    };
-    let told = |trouble: asterramp_snapshot::FileProblem| {
-        format!(
-            "file={}/{} why={:?}",
-            state.folder.display(),
-            trouble.file,
-            trouble.why
-        )
-    };
-    (
-        found.snapshot,
-        found.troubles.into_iter().map(told).collect(),
-    )
+/// A proxy that serves.
+struct Server {
+    clock: Clock,
+    signals: Signals,
+    config_file: ConfigFile,
+    operator_path: Option<String>,
+    operator_config: OperatorConfig,
+    router: Router,
+    log: Log,
+    counters: Counters,
 }
 
-fn others(wishes: &OperatorConfig) -> PeerSettings {
-    let WarmStartConfig { fleet, others, .. } = &wishes.recovery;
-    PeerSettings {
-        fleet: fleet.clone(),
-        doors: others.clone(),
+impl Server {
+    fn serve(mut self) -> Result<(), ServeError> {
+        while !self.router.is_done() {
+            self.router
+                .wait(self.clock.now())
+                .map_err(ServeError::Wait)?;
+            let now = self.clock.now();
+            self.router.process(now);
+            if self.signals.take_reload() {
+                self.reload(now);
+            }
+            if self.signals.wants_shutdown() {
+                self.router.begin_shutdown(now);
+            }
+            self.log_reports(now);
+            if self.signals.take_print_counters() {
+                self.log_counters(now);
+            }
+        }
+        self.close();
+        Ok(())
+    }
+
+    fn close(&mut self) {
+        self.router.close_all();
+        self.router.close_admin_socket();
+        self.router.close_hot_restart();
+        self.router.close_snapshots();
+        let now = self.clock.now();
+        self.log_reports(now);
+        self.log_counters(now);
     }
-}
 
-fn stages(wishes: &OperatorConfig, setup: &Settings) -> asterramp_warm_start::WarmStartSettings {
-    let (wish, warm) = (&wishes.recovery, setup.deployment.slow_start.warm_after);
-    asterramp_warm_start::WarmStartSettings {
-        look: wish.look,
-        probe: wish.probe,
-        warm,
-        ..Default::default()
+    fn log_reports(&mut self, now: Duration) {
+        for report in self.router.log_events.drain(..) {
+            self.counters.count(&report);
+            if let Report::Line(code, text) = report {
+                self.log.write(now, format_args!("{} {text}", code.name()));
+            }
+        }
     }
-}
 
-fn sites(wishes: &OperatorConfig) -> asterramp_zone_failover::ZoneFailoverSettings {
-    let ZoneFailoverConfig {
-        look,
-        hold,
-        hold_most,
-        settle,
-        ..
-    } = wishes.site;
-    asterramp_zone_failover::ZoneFailoverSettings {
-        look,
-        hold,
-        hold_most,
-        settle,
-        ..Default::default()
+    fn log_counters(&mut self, now: Duration) {
+        let dropped = self.log.dropped();
+        let counters = &self.counters;
+        self.log
+            .write(now, format_args!("{counters} log-dropped={dropped}"));
     }
-}
 
-/// Reads the operator's file again. What takes a restart keeps its value; a bad file changes nothing.
-fn again(router: &mut Router, path: &str, before: OperatorConfig) -> OperatorConfig {
-    let after = match read(path) {
-        Ok(after) => after,
-        Err(why) => {
-            router
-                .log_events
-                .push(Report::Line(ReasonCode::ReloadBad, format!("why={why:?}")));
-            return before;
+    fn report(&mut self, code: ReasonCode, text: String) {
+        self.router.log_events.push(Report::Line(code, text));
+    }
+
+    /// Reads both files again. A bad file changes nothing.
+    fn reload(&mut self, now: Duration) {
+        match self.config_file.reload() {
+            Ok((start, kept_keys)) => {
+                for key in kept_keys {
+                    self.report(ReasonCode::ReloadKept, format!("key={key}"));
+                }
+                self.router.reload(now, start.discovery);
+            }
+            Err(error) => self.report_bad_file(&error.to_string()),
         }
-    };
-    for (key, takes) in before.changes(&after) {
-        let code = if takes == TakesEffect::AtOnce {
-            ReasonCode::Reloaded
-        } else {
-            ReasonCode::ReloadKept
+        if let Some(path) = self.operator_path.clone() {
+            self.reload_operator_file(&path);
+        }
+    }
+
+    fn reload_operator_file(&mut self, path: &str) {
+        let new_config = match operator_file::read(path) {
+            Ok(config) => config,
+            Err(error) => return self.report_bad_file(&error.to_string()),
         };
-        router
-            .log_events
-            .push(Report::Line(code, format!("key={key}")));
+        for change in self.operator_config.changes(&new_config) {
+            let code = match change.takes_effect {
+                TakesEffect::Immediately => ReasonCode::Reloaded,
+                TakesEffect::AfterRestart => ReasonCode::ReloadKept,
+            };
+            self.report(code, format!("key={}", change.key));
+        }
+        self.router
+            .set_default_drain_deadline(new_config.drain.default_deadline);
+        keep_until_restart(&mut self.operator_config, new_config);
+        apply_operator_config(&mut self.router, &self.operator_config);
     }
-    router.set_drain_settings(terms(&after));
-    router.set_default_drain_deadline(after.drain.deadline);
-    let site = ZoneFailoverConfig {
-        watch: before.site.watch,
-        by_worth: before.site.by_worth,
-        ..after.site
-    };
-    let (control, state, recovery) = (before.control, before.state, before.recovery);
-    let after = OperatorConfig {
-        control,
-        state,
-        recovery,
-        site,
-        ..after
+
+    fn report_bad_file(&mut self, error: &str) {
+        self.report(ReasonCode::ReloadBad, format!("why={error:?}"));
+    }
+}
+
+/// Takes over from a new configuration what takes effect at once.
+fn keep_until_restart(current: &mut OperatorConfig, new: OperatorConfig) {
+    current.drain = new.drain;
+    current.zone_failover = ZoneFailoverConfig {
+        enabled: current.zone_failover.enabled,
+        rejects_by_priority: current.zone_failover.rejects_by_priority,
+        ..new.zone_failover
     };
-    router.configure_admission(after.site.pace, after.site.by_worth);
-    router.configure_zone_failover(after.site.watch.then(|| sites(&after)));
-    after
 }
--- a/crates/proxy/src/program/signals.rs
+++ b/crates/proxy/src/program/signals.rs
@@ -1,59 +1,56 @@
-//! Signals: each sets a flag and wakes the loop.
+//! Signals: each sets a flag and wakes the event loop.
 
 use rustix::fd::OwnedFd;
 use rustix::pipe::{PipeFlags, pipe_with};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook::{flag, low_level};
+use std::io;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-#[derive(Debug)]
-pub struct Signals {
-    leave: Arc<AtomicBool>,
-    print: Arc<AtomicBool>,
+/// The flags that signals set.
+#[derive(Debug, Default)]
+pub(super) struct Signals {
+    /// SIGTERM and SIGINT.
+    shutdown: Arc<AtomicBool>,
+    /// SIGUSR1.
+    print_counters: Arc<AtomicBool>,
+    /// SIGHUP.
     reload: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Heeds signals from now on. What is given beside is to be waited for: it can be read once one has come. A flag alone
-    /// would be seen only at the next wake-up, if the signal came between the look at it and the wait.
-    pub fn heed() -> Result<(Signals, OwnedFd), String> {
-        let told = |e: std::io::Error| format!("signals: {e}");
-        let (wakes, woken) =
-            pipe_with(PipeFlags::CLOEXEC | PipeFlags::NONBLOCK).map_err(|e| told(e.into()))?;
-        let [leave, print, reload] = std::array::from_fn(|_| Arc::new(AtomicBool::new(false)));
-        for (signal, flag) in [
-            (SIGTERM, &leave),
-            (SIGINT, &leave),
-            (SIGUSR1, &print),
-            (SIGHUP, &reload),
-        ] {
-            // Flags first: they are set in this order.
-            flag::register(signal, flag.clone()).map_err(told)?;
-            low_level::pipe::register(signal, woken.try_clone().map_err(told)?).map_err(told)?;
+    /// Handles signals from now on. The descriptor becomes readable once a signal has come, and is to be waited for: a flag
+    /// alone would be seen only at the next wake-up if the signal came between the look at it and the wait.
+    pub(super) fn register() -> io::Result<(Signals, OwnedFd)> {
+        let (readable, writable) = pipe_with(PipeFlags::CLOEXEC | PipeFlags::NONBLOCK)?;
+        let signals = Signals::default();
+        let flags = [
+            (SIGTERM, &signals.shutdown),
+            (SIGINT, &signals.shutdown),
+            (SIGUSR1, &signals.print_counters),
+            (SIGHUP, &signals.reload),
+        ];
+        for (signal, flag) in flags {
+            // Actions of a signal run in the order of their registration: the flag is set before the loop is woken.
+            flag::register(signal, Arc::clone(flag))?;
+            low_level::pipe::register(signal, writable.try_clone()?)?;
         }
-        Ok((
-            Signals {
-                leave,
-                print,
-                reload,
-            },
-            wakes,
-        ))
+        Ok((signals, readable))
     }
 
-    /// Whether it is to leave; that stays.
-    pub fn leaves(&self) -> bool {
-        self.leave.load(Ordering::Relaxed)
+    /// Whether the proxy is to shut down; that stays.
+    pub(super) fn wants_shutdown(&self) -> bool {
+        self.shutdown.load(Ordering::Relaxed)
     }
 
-    /// Whether figures were asked for since.
-    pub fn prints(&self) -> bool {
-        self.print.swap(false, Ordering::Relaxed)
+    /// Whether the counters were asked for since the last call.
+    pub(super) fn take_print_counters(&self) -> bool {
+        self.print_counters.swap(false, Ordering::Relaxed)
     }
 
-    /// Whether the configuration is to be read again.
-    pub fn reloads(&self) -> bool {
+    /// Whether the configuration is to be read again since the last call.
+    pub(super) fn take_reload(&self) -> bool {
         self.reload.swap(false, Ordering::Relaxed)
     }
 }
