--- a/crates/proxy/src/program/config.rs
+++ b/crates/proxy/src/program/config.rs
@@ -1,10 +1,10 @@
 //! The platform's configuration: a JSON file that `LB_CONFIG` names. The settings in it are checked by
 //! `asterramp_placement::settings`.
 
-use crate::protocol::discovery::{self, List};
-use crate::protocol::json::{self, Value};
-use crate::routing::Start;
-use asterramp_placement::settings::{self, Settings};
+use crate::protocol::discovery::{self, EndpointList};
+use crate::protocol::json::{self, JsonValue};
+use crate::routing::RouterOptions;
+use asterramp_placement::settings::{self, Settings, SettingsError};
 use std::collections::BTreeSet;
 use std::io;
 use std::net::SocketAddr;
@@ -16,6 +16,7 @@
 const MIN_SOCKETS: usize = 64;
 /// Memory in MiB that the proxy may use for buffers where the file gives no limit.
 const DEFAULT_MAX_MEMORY_MB: usize = 256;
+const BYTES_PER_MB: usize = 1024 * 1024;
 /// A limit beyond any machine, so that none overflows when it is reckoned with.
 const MAX_LIMIT: f64 = 1e9;
 
@@ -62,8 +63,8 @@
     #[error("seed is no number of up to 16 hexadecimal digits")]
     InvalidSeed,
     /// A setting is missing or wrong.
-    #[error("{0}")]
-    InvalidSetting(String),
+    #[error(transparent)]
+    InvalidSetting(#[from] SettingsError),
     /// A limit is not a number from 1 to 1e9.
     #[error("limits.{key} is no limit")]
     InvalidLimit {
@@ -82,7 +83,7 @@
 #[derive(Debug)]
 pub struct ConfigFile {
     path: String,
-    initial: Value,
+    initial: JsonValue,
 }
 
 impl ConfigFile {
@@ -91,7 +92,7 @@
     /// # Errors
     ///
     /// The first mistake; see [`ConfigError`].
-    pub fn open(path: Option<&str>) -> Result<(ConfigFile, Start), ConfigError> {
+    pub fn open(path: Option<&str>) -> Result<(ConfigFile, RouterOptions), ConfigError> {
         let path = path.ok_or(ConfigError::NotNamed)?.to_string();
         let initial = read_file(&path)?;
         let start = parse(&initial)?;
@@ -104,7 +105,7 @@
     /// # Errors
     ///
     /// The first mistake. A bad file changes nothing.
-    pub fn reload(&self) -> Result<(Start, Vec<String>), ConfigError> {
+    pub fn reload(&self) -> Result<(RouterOptions, Vec<String>), ConfigError> {
         let current = read_file(&self.path)?;
         let start = parse(&current)?;
         let keys: BTreeSet<&str> = keys(&self.initial).chain(keys(&current)).collect();
@@ -119,24 +120,24 @@
     }
 }
 
-fn keys(value: &Value) -> impl Iterator<Item = &str> {
+fn keys(value: &JsonValue) -> impl Iterator<Item = &str> {
     let pairs = match value {
-        Value::Object(pairs) => pairs.as_slice(),
+        JsonValue::Object(pairs) => pairs.as_slice(),
         _ => &[],
     };
     pairs.iter().map(|pair| pair.0.as_str())
 }
 
-fn read_file(path: &str) -> Result<Value, ConfigError> {
+fn read_file(path: &str) -> Result<JsonValue, ConfigError> {
     let bytes = std::fs::read(path).map_err(|source| ConfigError::Unreadable {
         path: path.to_string(),
         source,
     })?;
-    json::read(&bytes).map_err(|error| ConfigError::Malformed(error.to_string()))
+    json::parse(&bytes).map_err(|error| ConfigError::Malformed(error.to_string()))
 }
 
 /// Checks the keys in turn; the first mistake is the one that is reported.
-fn parse(config: &Value) -> Result<Start, ConfigError> {
+fn parse(config: &JsonValue) -> Result<RouterOptions, ConfigError> {
     let seed = parse_seed(required(config, "seed")?);
     let settings = parse_settings(required(config, "settings")?)?;
     let known_endpoints = parse_known_endpoints(required(config, "known")?)?;
@@ -149,8 +150,8 @@
     let discovery = address(config, "discovery")?;
     let operator = operator_address(config)?;
     let hot_restart_socket = operator.and_then(|_| hot_restart_socket(listen));
-    let max_memory_mb = limit(config, "memory_mb", DEFAULT_MAX_MEMORY_MB)?;
-    Ok(Start {
+    let max_memory_bytes = limit(config, "memory_mb", DEFAULT_MAX_MEMORY_MB)? * BYTES_PER_MB;
+    Ok(RouterOptions {
         settings,
         seed,
         listen,
@@ -160,25 +161,25 @@
         known_endpoints,
         warm_start: None,
         max_descriptors,
-        max_memory_mb: max_memory_mb << 20,
+        max_memory_bytes,
     })
 }
 
-fn required<'a>(config: &'a Value, key: &'static str) -> Result<&'a Value, ConfigError> {
+fn required<'a>(config: &'a JsonValue, key: &'static str) -> Result<&'a JsonValue, ConfigError> {
     config.get(key).ok_or(ConfigError::MissingKey { key })
 }
 
-fn address(config: &Value, key: &'static str) -> Result<SocketAddr, ConfigError> {
-    let text = required(config, key)?.text();
+fn address(config: &JsonValue, key: &'static str) -> Result<SocketAddr, ConfigError> {
+    let text = required(config, key)?.as_str();
     text.and_then(|text| text.parse().ok())
         .ok_or(ConfigError::InvalidAddress { key })
 }
 
 /// Where operators' HTTP calls are served. Older configurations have no such key; the variable says the same.
-fn operator_address(config: &Value) -> Result<Option<SocketAddr>, ConfigError> {
+fn operator_address(config: &JsonValue) -> Result<Option<SocketAddr>, ConfigError> {
     let (source_name, text) = match config.get("operator") {
-        Some(value) if *value != Value::Null => {
-            ("operator", value.text().unwrap_or_default().to_string())
+        Some(value) if *value != JsonValue::Null => {
+            ("operator", value.as_str().unwrap_or_default().to_string())
         }
         _ => match std::env::var("LB_OPERATOR") {
             Ok(text) => ("LB_OPERATOR", text),
@@ -191,34 +192,34 @@
     }
 }
 
-fn parse_seed(value: &Value) -> Option<u64> {
-    u64::from_str_radix(value.text()?, 16).ok()
+fn parse_seed(value: &JsonValue) -> Option<u64> {
+    u64::from_str_radix(value.as_str()?, 16).ok()
 }
 
-fn parse_settings(value: &Value) -> Result<Settings, ConfigError> {
+fn parse_settings(value: &JsonValue) -> Result<Settings, ConfigError> {
     let mut pairs = Vec::new();
     value.flatten("", &mut pairs);
     let pairs = pairs
         .iter()
         .map(|(path, value)| (path.as_str(), value.as_str()));
-    settings::read(pairs).map_err(|error| ConfigError::InvalidSetting(error.to_string()))
+    Ok(settings::read(pairs)?)
 }
 
-fn parse_known_endpoints(value: &Value) -> Result<List, ConfigError> {
-    let list = discovery::list(value)
+fn parse_known_endpoints(value: &JsonValue) -> Result<EndpointList, ConfigError> {
+    let list = discovery::from_json(value)
         .map_err(|error| ConfigError::InvalidKnownEndpoints(error.to_string()))?;
     // Discovery's lists are used without their bad entries; one in a file is a mistake to be mended.
-    match &list.bad {
+    match &list.first_error {
         Some(bad) => Err(ConfigError::InvalidKnownEndpoints(bad.to_string())),
         None => Ok(list),
     }
 }
 
-fn limit(config: &Value, key: &'static str, default: usize) -> Result<usize, ConfigError> {
+fn limit(config: &JsonValue, key: &'static str, default: usize) -> Result<usize, ConfigError> {
     let value = config.get("limits").and_then(|limits| limits.get(key));
     match value {
-        None | Some(Value::Null) => Ok(default),
-        Some(value) => match value.number::<f64>() {
+        None | Some(JsonValue::Null) => Ok(default),
+        Some(value) => match value.parse_number::<f64>() {
             Some(number) if (1.0..=MAX_LIMIT).contains(&number) => Ok(number as usize),
             _ => Err(ConfigError::InvalidLimit { key }),
         },
--- a/crates/proxy/src/program/counters.rs
+++ b/crates/proxy/src/program/counters.rs
@@ -1,6 +1,6 @@
 //! How often each reason code came up since the start of the process.
 
-use crate::routing::report::{ReasonCode, Report};
+use crate::routing::report::{ReasonCode, RouterEvent};
 use std::fmt;
 
 /// One counter for each [`ReasonCode`]. `Display` is the line that SIGUSR1 and the end of the process log.
@@ -14,9 +14,9 @@
 }
 
 impl Counters {
-    /// Counts a report, whether it is also logged or not.
-    pub fn count(&mut self, report: &Report) {
-        let (Report::Count(code) | Report::Line(code, _)) = report;
+    /// Counts an event, whether it is also logged or not.
+    pub fn count(&mut self, event: &RouterEvent) {
+        let (RouterEvent::Count(code) | RouterEvent::Log(code, _)) = event;
         self.0[*code as usize] += 1;
     }
 }
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -6,9 +6,9 @@
 use super::log::Log;
 use super::operator_file::{self, OperatorFileError};
 use super::signals::Signals;
-use crate::routing::report::{ReasonCode, Report};
+use crate::routing::report::{ReasonCode, RouterEvent};
 use crate::routing::warm_start::{SnapshotSchedule, WarmStartPlan};
-use crate::routing::{Router, Start};
+use crate::routing::{Router, RouterOptions};
 use asterramp_operator_config::{OperatorConfig, SnapshotConfig, TakesEffect, ZoneFailoverConfig};
 use asterramp_snapshot::{Snapshot, SnapshotDirectory, SnapshotStore, SnapshotWriter};
 use rustix::fd::OwnedFd;
@@ -52,12 +52,12 @@
 pub fn run(config: Option<&str>, operator: Option<&str>) -> Result<(), ServeError> {
     let clock = Clock::start();
     let (signals, wake_source) = Signals::register().map_err(ServeError::Signals)?;
-    let (config_file, start) = ConfigFile::open(config)?;
+    let (config_file, options) = ConfigFile::open(config)?;
     let operator_config = match operator {
         Some(path) => operator_file::read(path)?,
         None => OperatorConfig::default(),
     };
-    let router = start_router(start, &operator_config, clock.now(), wake_source)?;
+    let router = start_router(options, &operator_config, clock.now(), wake_source)?;
     let server = Server {
         clock,
         signals,
@@ -72,25 +72,25 @@
 }
 
 fn start_router(
-    mut start: Start,
+    mut options: RouterOptions,
     config: &OperatorConfig,
     now: Duration,
     wake_source: OwnedFd,
 ) -> Result<Router, ServeError> {
-    let owner = start.listen.to_string();
+    let owner = options.listen.to_string();
     let (snapshot, mut file_problems) = match &config.snapshots {
         Some(snapshots) => load_snapshot(snapshots, &owner),
         None => (None, Vec::new()),
     };
     let highest_term = snapshot.as_ref().map_or(0, |snapshot| snapshot.term);
     if config.warm_start.enabled {
-        start.warm_start = Some(WarmStartPlan {
-            terms: operator_file::warm_start_settings(&config.warm_start, &start.settings),
+        options.warm_start = Some(WarmStartPlan {
+            terms: operator_file::warm_start_settings(&config.warm_start, &options.settings),
             others: operator_file::peer_settings(&config.warm_start),
             saved: snapshot,
         });
     }
-    let mut router = Router::new(start, now).map_err(ServeError::Router)?;
+    let mut router = Router::new(options, now).map_err(ServeError::Router)?;
     router
         .add_wake_source(wake_source)
         .map_err(ServeError::Signals)?;
@@ -103,10 +103,10 @@
             }
         }
     }
-    let reports = file_problems
+    let events = file_problems
         .into_iter()
-        .map(|problem| Report::Line(ReasonCode::StateBad, problem));
-    router.log_events.extend(reports);
+        .map(|problem| RouterEvent::Log(ReasonCode::SnapshotFailed, problem));
+    router.log_events.extend(events);
     router.restore_highest_term(highest_term);
     apply_operator_config(&mut router, config);
     if let Some(admin_socket) = &config.admin_socket {
@@ -189,7 +189,7 @@
             if self.signals.wants_shutdown() {
                 self.router.begin_shutdown(now);
             }
-            self.log_reports(now);
+            self.log_events(now);
             if self.signals.take_print_counters() {
                 self.log_counters(now);
             }
@@ -204,14 +204,14 @@
         self.router.close_hot_restart();
         self.router.close_snapshots();
         let now = self.clock.now();
-        self.log_reports(now);
+        self.log_events(now);
         self.log_counters(now);
     }
 
-    fn log_reports(&mut self, now: Duration) {
-        for report in self.router.log_events.drain(..) {
-            self.counters.count(&report);
-            if let Report::Line(code, text) = report {
+    fn log_events(&mut self, now: Duration) {
+        for event in self.router.log_events.drain(..) {
+            self.counters.count(&event);
+            if let RouterEvent::Log(code, text) = event {
                 self.log.write(now, format_args!("{} {text}", code.name()));
             }
         }
@@ -224,18 +224,18 @@
             .write(now, format_args!("{counters} log-dropped={dropped}"));
     }
 
-    fn report(&mut self, code: ReasonCode, text: String) {
-        self.router.log_events.push(Report::Line(code, text));
+    fn log_later(&mut self, code: ReasonCode, text: String) {
+        self.router.log_events.push(RouterEvent::Log(code, text));
     }
 
     /// Reads both files again. A bad file changes nothing.
     fn reload(&mut self, now: Duration) {
         match self.config_file.reload() {
-            Ok((start, kept_keys)) => {
+            Ok((options, kept_keys)) => {
                 for key in kept_keys {
-                    self.report(ReasonCode::ReloadKept, format!("key={key}"));
+                    self.log_later(ReasonCode::ConfigUnchanged, format!("key={key}"));
                 }
-                self.router.reload(now, start.discovery);
+                self.router.reload(now, options.discovery);
             }
             Err(error) => self.report_bad_file(&error.to_string()),
         }
@@ -251,10 +251,10 @@
         };
         for change in self.operator_config.changes(&new_config) {
             let code = match change.takes_effect {
-                TakesEffect::Immediately => ReasonCode::Reloaded,
-                TakesEffect::AfterRestart => ReasonCode::ReloadKept,
+                TakesEffect::Immediately => ReasonCode::ConfigReloaded,
+                TakesEffect::AfterRestart => ReasonCode::ConfigUnchanged,
             };
-            self.report(code, format!("key={}", change.key));
+            self.log_later(code, format!("key={}", change.key));
         }
         self.router
             .set_default_drain_deadline(new_config.drain.default_deadline);
@@ -263,7 +263,7 @@
     }
 
     fn report_bad_file(&mut self, error: &str) {
-        self.report(ReasonCode::ReloadBad, format!("why={error:?}"));
+        self.log_later(ReasonCode::ConfigReloadFailed, format!("why={error:?}"));
     }
 }
 
--- a/crates/proxy/src/routing/admin_commands.rs
+++ b/crates/proxy/src/routing/admin_commands.rs
@@ -99,11 +99,11 @@
                 token.term,
                 rejection.why()
             );
-            self.log_event(ReasonCode::OrderRefused, text);
+            self.log_event(ReasonCode::CommandFenced, text);
             return Err(AdminError::Fenced(rejection));
         }
         if self.fencing_guard.highest() > highest_before {
-            self.log_event(ReasonCode::OwnerHeard, format!("term={}", token.term));
+            self.log_event(ReasonCode::LeaderAccepted, format!("term={}", token.term));
             self.record_term(token.term);
         }
         Ok(())
--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -4,9 +4,9 @@
 use super::metrics::{self, GaugeValues};
 use super::peers;
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
-use crate::protocol::call::{self, Call, Status};
-use crate::transport::poll::{Ready, Want};
-use crate::transport::{End, Key, socket};
+use crate::protocol::http_server::{self, HttpRequest, HttpStatus};
+use crate::transport::poller::{Interest, ReadyEvent};
+use crate::transport::{SlotKey, StreamEnd, socket};
 use asterramp_admin_protocol::{AdminCommand, AdminRequest, HTTP_CALLS};
 use asterramp_drain::DrainState;
 use asterramp_placement::event::EndpointState;
@@ -27,7 +27,7 @@
 /// Within how long a drain by HTTP empties the proxy: the platform looks 4 s after its call.
 const DRAIN_DEADLINE: Duration = Duration::from_millis(3_300);
 
-const READ: Want = Want {
+const READ: Interest = Interest {
     read: true,
     write: false,
 };
@@ -35,9 +35,9 @@
 /// The listener and its callers.
 #[derive(Debug)]
 pub struct AdminHttp {
-    listener: Key,
+    listener: SlotKey,
     /// Callers, the one that has been idle longest first.
-    callers: Vec<Key>,
+    callers: Vec<SlotKey>,
 }
 
 /// What a well-formed call is answered with.
@@ -82,7 +82,7 @@
             };
             if admin_http.callers.len() >= MAX_CALLERS {
                 let longest_idle = admin_http.callers[0];
-                self.log_event(ReasonCode::CallBad, "call why=\"crowded out\"");
+                self.log_event(ReasonCode::AdminRequestFailed, "call why=\"crowded out\"");
                 self.close_caller(longest_idle);
             }
             self.add_caller(fd);
@@ -100,14 +100,14 @@
         self.deadlines
             .set(TimerKey::Connection(key), self.now + CALL_TIMEOUT);
         // A call has often arrived already.
-        self.connection_ready(Ready {
+        self.connection_ready(ReadyEvent {
             key,
-            write: false,
-            broken: false,
+            writable: false,
+            failed: false,
         });
     }
 
-    pub(super) fn admin_http_ready(&mut self, key: Key, answered: bool) {
+    pub(super) fn admin_http_ready(&mut self, key: SlotKey, answered: bool) {
         if answered {
             self.finish_caller(key);
         } else {
@@ -116,50 +116,50 @@
     }
 
     /// A call did not arrive in time, or its answer was not read.
-    pub(super) fn admin_http_deadline(&mut self, key: Key, answered: bool) {
+    pub(super) fn admin_http_deadline(&mut self, key: SlotKey, answered: bool) {
         if answered {
             self.close_caller(key);
         } else {
-            self.answer_call(key, Status::TooLate, None);
+            self.answer_call(key, HttpStatus::RequestTimeout, None);
         }
     }
 
     /// After the answer: waits until it is sent and the caller closes. What else the caller sends is not looked at.
-    fn finish_caller(&mut self, key: Key) {
+    fn finish_caller(&mut self, key: SlotKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         let stream = &mut connection.stream;
         stream.inbound.consume(stream.inbound.bytes().len());
-        let sent = stream.sent();
-        let is_over = stream.ended == Some(End::Reset) || stream.ended.is_some() && sent;
+        let sent = stream.is_flushed();
+        let is_over = stream.ended == Some(StreamEnd::Reset) || stream.ended.is_some() && sent;
         if is_over {
             return self.close_caller(key);
         }
         if sent {
-            stream.end_sending();
+            stream.shutdown_write();
         }
-        self.want_own(key);
+        self.watch_own_io(key);
     }
 
-    fn read_call(&mut self, key: Key) {
+    fn read_call(&mut self, key: SlotKey) {
         let answers_peers = self.answers_peers();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         let received = connection.stream.inbound.bytes();
         let has_ended = connection.stream.ended.is_some();
-        let route = match call::read(received) {
+        let route = match http_server::parse(received) {
             Ok(Some(call)) => route(&call, answers_peers),
             Ok(None) if !has_ended => return self.wait_for_call(key),
             Ok(None) if received.is_empty() => return self.close_caller(key),
-            Ok(None) => Err(Status::Bad("the call is not whole")),
+            Ok(None) => Err(HttpStatus::BadRequest("the call is not whole")),
             Err(status) => Err(status),
         };
         let (status, text) = match route {
-            Ok(Route::KnownEndpoints) => (Status::Good, Some(self.known_endpoints_text())),
+            Ok(Route::KnownEndpoints) => (HttpStatus::Ok, Some(self.known_endpoints_text())),
             Ok(Route::Command(command)) => {
-                self.count_event(ReasonCode::Called);
+                self.count_event(ReasonCode::AdminRequestServed);
                 self.execute_call(command)
             }
             Err(status) => (status, None),
@@ -168,22 +168,25 @@
     }
 
     /// A caller that has sent something is the last to be closed for another.
-    fn wait_for_call(&mut self, key: Key) {
+    fn wait_for_call(&mut self, key: SlotKey) {
         if let Some(admin_http) = &mut self.admin_http {
             admin_http.callers.retain(|caller| *caller != key);
             admin_http.callers.push(key);
         }
-        self.want_own(key);
+        self.watch_own_io(key);
     }
 
-    fn answer_call(&mut self, key: Key, status: Status, text: Option<String>) {
-        if !matches!(status, Status::Good | Status::Unavailable(_)) {
-            self.log_event(ReasonCode::CallBad, format!("call why={:?}", status.why()));
+    fn answer_call(&mut self, key: SlotKey, status: HttpStatus, text: Option<String>) {
+        if !matches!(status, HttpStatus::Ok | HttpStatus::ServiceUnavailable(_)) {
+            self.log_event(
+                ReasonCode::AdminRequestFailed,
+                format!("call why={:?}", status.explanation()),
+            );
         }
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let answer = call::answer(status, text.as_deref());
+        let answer = http_server::response_text(status, text.as_deref());
         connection.stream.send(&[answer.as_bytes()]);
         self.set_role(key, ConnectionRole::AdminHttp { answered: true });
         self.deadlines
@@ -191,7 +194,7 @@
         self.finish_caller(key);
     }
 
-    fn close_caller(&mut self, key: Key) {
+    fn close_caller(&mut self, key: SlotKey) {
         self.close(key);
         if let Some(admin_http) = &mut self.admin_http {
             admin_http.callers.retain(|caller| *caller != key);
@@ -199,18 +202,18 @@
     }
 
     /// Carries a call's command out. Starting a drain twice, or stopping none, succeeds and changes nothing.
-    fn execute_call(&mut self, command: AdminCommand) -> (Status, Option<String>) {
+    fn execute_call(&mut self, command: AdminCommand) -> (HttpStatus, Option<String>) {
         let is_serving = self.drain.state() == DrainState::Serving;
         let mut request = AdminRequest::new(command);
         match command {
-            AdminCommand::Drain if !is_serving => return (Status::Good, None),
-            AdminCommand::Undrain if is_serving => return (Status::Good, None),
+            AdminCommand::Drain if !is_serving => return (HttpStatus::Ok, None),
+            AdminCommand::Undrain if is_serving => return (HttpStatus::Ok, None),
             AdminCommand::Drain => request.deadline_ms = Some(DRAIN_DEADLINE.as_millis() as u64),
             _ => {}
         }
         match self.execute(&request) {
-            Ok(reply) => (Status::Good, reply.text),
-            Err(error) => (Status::Unavailable(error.message()), None),
+            Ok(reply) => (HttpStatus::Ok, reply.text),
+            Err(error) => (HttpStatus::ServiceUnavailable(error.message()), None),
         }
     }
 
@@ -232,24 +235,27 @@
             .iter()
             .flat_map(|tracker| tracker.sites.places());
         let mut text = self.metrics.text(&self.settings.listeners, gauges);
-        text += &metrics::places_text(self.settings.zones.iter().zip(zones));
-        text += &metrics::room_text(self.settings.listeners.iter().zip(self.admission.counts()));
-        text += &metrics::start_text(self.warm_start_state(), self.snapshot_counts());
+        text += &metrics::zones_text(self.settings.zones.iter().zip(zones));
+        text +=
+            &metrics::load_shed_text(self.settings.listeners.iter().zip(self.admission.counts()));
+        text += &metrics::warm_start_text(self.warm_start_state(), self.snapshot_counts());
         text
     }
 }
 
 /// What a call is answered with, or why it is rejected. Other proxies' call is there only where this proxy has a fleet.
-fn route(call: &Call<'_>, answers_peers: bool) -> Result<Route, Status> {
+fn route(call: &HttpRequest<'_>, answers_peers: bool) -> Result<Route, HttpStatus> {
     if call.path == peers::PATH && answers_peers {
         return match call.method {
             "GET" => Ok(Route::KnownEndpoints),
-            _ => Err(Status::WrongMethod("GET")),
+            _ => Err(HttpStatus::MethodNotAllowed("GET")),
         };
     }
     match HTTP_CALLS.iter().find(|known| known.path == call.path) {
-        None => Err(Status::NotFound),
-        Some(known) if known.method != call.method => Err(Status::WrongMethod(known.method)),
+        None => Err(HttpStatus::NotFound),
+        Some(known) if known.method != call.method => {
+            Err(HttpStatus::MethodNotAllowed(known.method))
+        }
         Some(known) => Ok(Route::Command(known.command)),
     }
 }
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -3,8 +3,8 @@
 
 use super::admin_commands::AdminError;
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
-use crate::transport::poll::Want;
-use crate::transport::{Key, socket};
+use crate::transport::poller::Interest;
+use crate::transport::{SlotKey, socket};
 use asterramp_admin_protocol::{AdminReply, AdminRequest, MAX_REQUEST_BYTES};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -16,11 +16,11 @@
 /// Peers accepted in one turn of the event loop, so that a crowd of them does not delay clients.
 const MAX_ACCEPTS_PER_TURN: usize = 8;
 
-const READ: Want = Want {
+const READ: Interest = Interest {
     read: true,
     write: false,
 };
-const WRITE: Want = Want {
+const WRITE: Interest = Interest {
     read: false,
     write: true,
 };
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct AdminSocket {
     path: PathBuf,
-    listener: Key,
+    listener: SlotKey,
     connections: usize,
     max_connections: usize,
     /// How long a drain may take whose request gives no deadline.
@@ -92,17 +92,20 @@
                 Ok(Some(fd)) => fd,
                 Ok(None) => return,
                 Err(error) => {
-                    return self.log_event(ReasonCode::ControlBad, format!("accept error={error}"));
+                    return self.log_event(
+                        ReasonCode::AdminSocketError,
+                        format!("accept error={error}"),
+                    );
                 }
             };
             // A rejected peer's descriptor closes as it is dropped.
-            if is_full || !socket::is_own_user(&fd) {
+            if is_full || !socket::peer_is_same_user(&fd) {
                 let why = if is_full {
                     "too many peers"
                 } else {
                     "another user"
                 };
-                self.log_event(ReasonCode::ControlBad, format!("peer why={why:?}"));
+                self.log_event(ReasonCode::AdminSocketError, format!("peer why={why:?}"));
                 continue;
             }
             let Some(key) = self.register(fd, ConnectionRole::AdminSocket, READ) else {
@@ -117,7 +120,7 @@
     }
 
     /// Answers the requests of a peer that have arrived, one after the other.
-    pub(super) fn admin_socket_ready(&mut self, key: Key) {
+    pub(super) fn admin_socket_ready(&mut self, key: SlotKey) {
         loop {
             let Some(connection) = self.connections.get_mut(key) else {
                 return;
@@ -126,7 +129,7 @@
                 return self.close_admin_connection(key);
             }
             // The next request is read once the reply to the last one is written.
-            if !connection.stream.sent() {
+            if !connection.stream.is_flushed() {
                 return self.set_interest(key, WRITE);
             }
             let received = connection.stream.inbound.bytes();
@@ -136,7 +139,7 @@
                 .position(|byte| *byte == b'\n');
             let Some(line_end) = line_end else {
                 if received.len() < MAX_REQUEST_BYTES {
-                    return self.want_own(key);
+                    return self.watch_own_io(key);
                 }
                 return self.reject_long_request(key);
             };
@@ -150,7 +153,7 @@
                     .unwrap_or_else(AdminError::into_reply),
                 Err(error) => {
                     let why = error.to_string();
-                    self.log_event(ReasonCode::ControlBad, format!("request why={why:?}"));
+                    self.log_event(ReasonCode::AdminSocketError, format!("request why={why:?}"));
                     AdminReply::error(why)
                 }
             };
@@ -159,19 +162,19 @@
     }
 
     /// Where a line without an end stops being read, no request after it could be found either.
-    fn reject_long_request(&mut self, key: Key) {
+    fn reject_long_request(&mut self, key: SlotKey) {
         self.send_reply(key, &AdminReply::error("a request is too long"));
-        self.log_event(ReasonCode::ControlBad, "request why=\"too long\"");
+        self.log_event(ReasonCode::AdminSocketError, "request why=\"too long\"");
         self.close_admin_connection(key);
     }
 
-    fn send_reply(&mut self, key: Key, reply: &AdminReply) {
+    fn send_reply(&mut self, key: SlotKey, reply: &AdminReply) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.stream.send(&[reply.to_line().as_bytes()]);
         }
     }
 
-    pub(super) fn close_admin_connection(&mut self, key: Key) {
+    pub(super) fn close_admin_connection(&mut self, key: SlotKey) {
         self.close(key);
         if let Some(admin_socket) = &mut self.admin_socket {
             admin_socket.connections = admin_socket.connections.saturating_sub(1);
--- a/crates/proxy/src/routing/admin_status.rs
+++ b/crates/proxy/src/routing/admin_status.rs
@@ -38,7 +38,7 @@
             uptime_ms: self.milliseconds_since(self.started_at),
             open_sessions: view.open_sessions,
             pending_sessions: view.pending_sessions,
-            sessionless_connections: self.connection_counts.strangers(),
+            sessionless_connections: self.connection_counts.pending(),
             migrated: self.drain.migrated(),
             migrations_per_second: self.drain.migrations_per_second(&view),
             spare_capacity: view.spare_capacity,
@@ -83,7 +83,7 @@
             return remaining;
         }
         for (_, slot) in self.session_table.sessions.iter() {
-            let listener = &self.settings.listeners[usize::from(slot.machine.arrival.listener)];
+            let listener = &self.settings.listeners[usize::from(slot.machine.request.listener)];
             match remaining
                 .iter_mut()
                 .find(|count| count.listener == *listener)
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -1,8 +1,8 @@
 //! Emptying the proxy, for good or on request: carries out what `asterramp_drain` advises.
 
 use super::{ConnectionRole, ReasonCode, Router, SessionInput, SessionState, TimerKey};
-use crate::protocol::client::FAILED;
-use crate::transport::Key;
+use crate::protocol::client::ERROR_LINE;
+use crate::transport::SlotKey;
 use asterramp_drain::{
     ADVICE_INTERVAL, DrainError, DrainSettings, DrainState, DrainView, ShutdownSchedule,
 };
@@ -95,15 +95,16 @@
                 view.open_sessions, view.pending_sessions
             );
             self.log_event(
-                ReasonCode::DrainState,
+                ReasonCode::DrainStateChanged,
                 format!("state={} {about}", state.name()),
             );
         }
     }
 
-    fn sessions_of(&self, stage: impl Fn(SessionState) -> bool) -> Vec<Key> {
+    fn sessions_of(&self, stage: impl Fn(SessionState) -> bool) -> Vec<SlotKey> {
         let sessions = self.session_table.sessions.iter();
-        let those = sessions.filter(|(_, held)| stage(held.machine.stage) && !held.machine.left);
+        let those =
+            sessions.filter(|(_, held)| stage(held.machine.state) && !held.machine.client_left);
         those
             .map(|(key, _)| key)
             .filter(|key| !self.is_offered(*key))
@@ -175,9 +176,9 @@
                 open.sort_by_key(|sess| self.rank(*sess));
             }
             let code = if exiting {
-                ReasonCode::Leaving
+                ReasonCode::ShuttingDown
             } else {
-                ReasonCode::Drained
+                ReasonCode::Draining
             };
             open.into_iter()
                 .take(advice.migrate)
@@ -186,9 +187,9 @@
         if advice.reject_pending {
             let pending = self.sessions_of(|stage| stage != SessionState::Open);
             let word = if exiting {
-                SessionInput::GoingDown
+                SessionInput::ShutdownCutoff
             } else {
-                SessionInput::TurnedAway
+                SessionInput::DrainCutoff
             };
             pending.into_iter().for_each(|sess| self.input(sess, word));
         }
@@ -197,12 +198,12 @@
                 .connections
                 .iter()
                 .filter(|(_, conn)| conn.role == ConnectionRole::PendingClient);
-            let late: Vec<Key> = greeting
+            let late: Vec<SlotKey> = greeting
                 .map(|(key, _)| key)
                 .filter(|key| !self.is_on_offer(*key))
                 .collect();
             late.into_iter()
-                .for_each(|key| self.close_gracefully(key, &[FAILED]));
+                .for_each(|key| self.close_gracefully(key, &[ERROR_LINE]));
         }
         if advice.exit {
             self.shut_door();
@@ -230,7 +231,7 @@
     /// Closes what is left as the process ends: texts of ours go out as far as their sockets take them, and nothing is
     /// closed over what nobody read.
     pub fn close_all(&mut self) {
-        let keys: Vec<Key> = self.connections.iter().map(|(key, _)| key).collect();
+        let keys: Vec<SlotKey> = self.connections.iter().map(|(key, _)| key).collect();
         for key in keys {
             self.connections
                 .get_mut(key)
@@ -240,10 +241,10 @@
         }
     }
 
-    fn rank(&self, sess: Key) -> u8 {
+    fn rank(&self, sess: SlotKey) -> u8 {
         let listener = self
-            .life(sess)
-            .map(|life| usize::from(life.arrival.listener));
+            .session_machine(sess)
+            .map(|life| usize::from(life.request.listener));
         match listener
             .and_then(|l| self.settings.deployment.listeners.get(l))
             .map(|l| l.retry_safety)
--- a/crates/proxy/tests/golden_admin.rs
+++ b/crates/proxy/tests/golden_admin.rs
@@ -6,7 +6,7 @@
 
 use asterramp_admission::RejectReason;
 use asterramp_proxy::routing::metrics::{
-    GaugeValues, Metrics, SessionEnd, places_text, room_text, start_text,
+    GaugeValues, Metrics, SessionEnd, load_shed_text, warm_start_text, zones_text,
 };
 use asterramp_warm_start::{WarmStart, WarmStartSettings};
 use asterramp_zone_failover::{Zone, ZoneState};
@@ -324,28 +324,28 @@
 #[test]
 fn stats_have_the_same_text_with_nothing_and_with_something_to_tell() {
     let listeners = ["feed".to_string(), "odd \"x\" \\ and\nmore".to_string()];
-    let mut figures = Metrics::new(listeners.len());
+    let mut metrics = Metrics::new(listeners.len());
     let none = GaugeValues {
         inflight: 0,
         listed: 0,
         down: 0,
     };
-    let mut text = format!("nothing\n{}", figures.text(&listeners, none));
+    let mut text = format!("nothing\n{}", metrics.text(&listeners, none));
     for (listener, end, times) in [
         (0, SessionEnd::Success, 7),
-        (0, SessionEnd::Busy, 2),
+        (0, SessionEnd::Rejected, 2),
         (0, SessionEnd::Failure, 1),
         (1, SessionEnd::Failure, 3),
     ] {
-        (0..times).for_each(|_| figures.ended(listener, end));
+        (0..times).for_each(|_| metrics.count_session_end(listener, end));
     }
-    (0..11).for_each(|_| figures.written());
+    (0..11).for_each(|_| metrics.count_attempt());
     let some = GaugeValues {
         inflight: 4,
         listed: 5,
         down: 6,
     };
-    text += &format!("something\n{}", figures.text(&listeners, some));
+    text += &format!("something\n{}", metrics.text(&listeners, some));
     let names = ["a", "b", "c", "d", "e \"x\""].map(String::from);
     let places = ZoneState::ALL.into_iter().zip(1..).map(|(state, n)| {
         let mut place = Zone::default();
@@ -355,19 +355,25 @@
         place
     });
     let places: Vec<Zone> = places.collect();
-    text += &format!("places\n{}", places_text(names.iter().zip(&places)));
-    text += &format!("no places\n{}", places_text(std::iter::empty()));
+    text += &format!("places\n{}", zones_text(names.iter().zip(&places)));
+    text += &format!("no places\n{}", zones_text(std::iter::empty()));
     let counts = [[0; RejectReason::ALL.len()], [1, 2, 3, 4, 5]];
-    text += &format!("refusals\n{}", room_text(listeners.iter().zip(&counts)));
+    text += &format!(
+        "refusals\n{}",
+        load_shed_text(listeners.iter().zip(&counts))
+    );
     let counts = [[0, 0, 8, 0, 0], [0; RejectReason::ALL.len()]];
-    text += &format!("one refusal\n{}", room_text(listeners.iter().zip(&counts)));
+    text += &format!(
+        "one refusal\n{}",
+        load_shed_text(listeners.iter().zip(&counts))
+    );
     let start = WarmStart::new(Duration::from_secs(1), WarmStartSettings::default());
-    text += &format!("start\n{}", start_text(Some(&start), None));
+    text += &format!("start\n{}", warm_start_text(Some(&start), None));
     text += &format!(
         "start and snapshots\n{}",
-        start_text(Some(&start), Some((3, 1)))
+        warm_start_text(Some(&start), Some((3, 1)))
     );
-    text += &format!("snapshots\n{}", start_text(None, Some((0, 0))));
-    text += &format!("neither\n{}", start_text(None, None));
+    text += &format!("snapshots\n{}", warm_start_text(None, Some((0, 0))));
+    text += &format!("neither\n{}", warm_start_text(None, None));
     assert_golden("stats.txt", &text);
 }
