--- a/crates/leader-lease/src/fence.rs
+++ b/crates/leader-lease/src/fence.rs
@@ -1,104 +1,127 @@
-//! What a receiver holds against orders.
+//! The receiver's side: which orders of which leader still count.
 
-use crate::Term;
 #[cfg(feature = "injected-faults")]
 use crate::injected_fault::InjectedFault;
+use crate::{NO_TERM, Term};
 use asterramp_injected_faults::is_injected;
+use std::error::Error;
+use std::fmt;
 use std::time::Duration;
 
-/// What an owner asks of a receiver before it orders: which process it is, and what its clock says.
+/// A receiver's clock as a leader has read it, so that an order can state its end in the receiver's time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct FencingTicket {
-    pub boot: u64,
-    pub clock: Duration,
+pub struct ReceiverClock {
+    /// The receiver's process: another after each start.
+    pub incarnation: u64,
+    /// The time since that process's clock began.
+    pub now: Duration,
 }
 
-/// What an order carries beside what is ordered.
+/// What an order carries beside what is ordered, for the receiver to tell whether it still counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct FencedOrder {
+pub struct FencingToken {
+    /// The term of the leader that gave the order.
     pub term: Term,
-    /// The process that it was made for.
-    pub boot: u64,
-    /// Its end, by that process's clock.
-    pub until: Duration,
+    /// The process of the receiver for which it was made.
+    pub incarnation: u64,
+    /// When the order ends, by that process's clock. At that time it counts no more.
+    pub expires_at: Duration,
 }
 
+/// Why a receiver rejects an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderRejection {
-    /// A later owner has been heard.
-    Older,
-    /// Its time is over.
-    Late,
-    /// It was made for the process before this one.
-    OtherProcess,
-    /// It names no term.
+    /// An order of a later leader has been accepted.
+    StaleTerm,
+    /// The order came at its end or after it.
+    Expired,
+    /// The order was made for an earlier process of this receiver.
+    OtherIncarnation,
+    /// The order has [`NO_TERM`].
     NoTerm,
 }
 
 impl OrderRejection {
-    pub fn why(self) -> &'static str {
+    /// The reason as the sender of the order and the log read it.
+    pub fn reason(self) -> &'static str {
         match self {
-            OrderRejection::Older => "a later owner has been heard",
-            OrderRejection::Late => "the order's time is over",
-            OrderRejection::OtherProcess => "the order was made for another process",
+            OrderRejection::StaleTerm => "a later owner has been heard",
+            OrderRejection::Expired => "the order's time is over",
+            OrderRejection::OtherIncarnation => "the order was made for another process",
             OrderRejection::NoTerm => "the order names no term",
         }
     }
 }
 
-/// One process's.
+impl fmt::Display for OrderRejection {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(self.reason())
+    }
+}
+
+impl Error for OrderRejection {}
+
+/// Decides for one process of a receiver which orders still count.
+///
+/// It needs no connection to the store: terms grow, so that an order of a former leader is known by its term as soon as the
+/// successor has been heard, and by its end before that.
 #[derive(Clone, Debug, Default)]
 pub struct FencingGuard {
-    boot: u64,
-    highest: Term,
+    incarnation: u64,
+    highest_term: Term,
+    /// The fault that the model checker has injected.
     #[cfg(feature = "injected-faults")]
     pub injected_fault: Option<InjectedFault>,
 }
 
 impl FencingGuard {
-    /// Of a process that has just started, with the highest term that the one before kept; 0 without a disk.
-    pub fn new(boot: u64, kept: Term) -> FencingGuard {
+    /// The guard of a process that has just started.
+    ///
+    /// `highest_term` is the highest term that earlier processes of this receiver accepted and kept, [`NO_TERM`] where
+    /// nothing is kept.
+    pub fn new(incarnation: u64, highest_term: Term) -> FencingGuard {
         FencingGuard {
-            boot,
-            highest: kept,
+            incarnation,
+            highest_term,
             #[cfg(feature = "injected-faults")]
             injected_fault: None,
         }
     }
 
-    /// The highest term heard, to be kept.
-    pub fn highest(&self) -> Term {
-        self.highest
+    /// The highest term of an accepted order. It should outlive the process: see [`FencingGuard::new`].
+    pub fn highest_term(&self) -> Term {
+        self.highest_term
     }
 
-    pub fn ticket(&self, now: Duration) -> FencingTicket {
-        FencingTicket {
-            boot: self.boot,
-            clock: now,
+    /// What a leader has to know of this receiver before it gives an order.
+    pub fn clock(&self, now: Duration) -> ReceiverClock {
+        ReceiverClock {
+            incarnation: self.incarnation,
+            now,
         }
     }
 
-    /// Whether an order still counts; one that does is the newest heard.
-    pub fn check(&mut self, now: Duration, order: &FencedOrder) -> Result<(), OrderRejection> {
-        match () {
-            () if order.term == 0 => Err(OrderRejection::NoTerm),
-            () if order.boot != self.boot && !is_injected!(self, AnyProcess) => {
-                Err(OrderRejection::OtherProcess)
-            }
-            () if now >= order.until && !is_injected!(self, LateCounts) => {
-                Err(OrderRejection::Late)
-            }
-            () if order.term < self.highest && !is_injected!(self, OlderCounts) => {
-                Err(OrderRejection::Older)
-            }
-            () => {
-                self.highest = if is_injected!(self, TermNotKept) {
-                    self.highest
-                } else {
-                    order.term
-                };
-                Ok(())
-            }
+    /// Accepts an order that still counts at `now`, and keeps its term as the highest.
+    ///
+    /// # Errors
+    ///
+    /// The first that holds of: no term, made for another process, expired, of a former leader.
+    pub fn check(&mut self, now: Duration, token: &FencingToken) -> Result<(), OrderRejection> {
+        if token.term == NO_TERM {
+            return Err(OrderRejection::NoTerm);
+        }
+        if token.incarnation != self.incarnation && !is_injected!(self, AcceptsAnyIncarnation) {
+            return Err(OrderRejection::OtherIncarnation);
+        }
+        if now >= token.expires_at && !is_injected!(self, AcceptsExpired) {
+            return Err(OrderRejection::Expired);
+        }
+        if token.term < self.highest_term && !is_injected!(self, AcceptsStaleTerm) {
+            return Err(OrderRejection::StaleTerm);
+        }
+        if !is_injected!(self, ForgetsTerm) {
+            self.highest_term = token.term;
         }
+        Ok(())
     }
 }
--- a/crates/leader-lease/src/injected_fault.rs
+++ b/crates/leader-lease/src/injected_fault.rs
@@ -3,45 +3,46 @@
 /// A fault of a kind that happens in practice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// The lease is counted from the store's answer.
+    /// A contender counts its lease from the store's answer, not from its own request.
     LeaseFromAnswer,
-    /// The owner acts for as long as it has not heard that it lost.
-    NoLease,
-    /// It ends no sooner than the store may give its place away, though clocks run apart.
-    NoMargin,
-    /// Whoever stands in the queue owns.
-    AnybodyIsFirst,
-    /// A successor begins as soon as it is first.
-    BeginsAtOnce,
-    /// An owner whose session lapsed goes on.
-    ExpiredGoesOn,
+    /// A leader acts for as long as it has not heard that it lost the lead.
+    IgnoresLeaseExpiry,
+    /// A lease lasts as long as the session, though clocks drift apart.
+    NoClockMargin,
+    /// Any contender in the queue takes itself for the first.
+    AnyQueuedLeads,
+    /// A successor leads as soon as it is first, without waiting for its predecessor's orders to end.
+    LeadsAtOnce,
+    /// A leader whose session has expired goes on.
+    IgnoresSessionExpiry,
     /// Orders have no end.
-    NoEnd,
-    /// Their end is stated by the owner's clock.
-    OwnClock,
-    /// A receiver takes an order after its end.
-    LateCounts,
-    /// One of an older owner.
-    OlderCounts,
-    /// One that was made for the process before it.
-    AnyProcess,
-    /// It forgets the terms that it heard.
-    TermNotKept,
+    OrdersNeverExpire,
+    /// The end of an order is stated by the leader's clock.
+    ExpiryByOwnClock,
+    /// A receiver accepts an order after its end.
+    AcceptsExpired,
+    /// A receiver accepts an order of a former leader.
+    AcceptsStaleTerm,
+    /// A receiver accepts an order that was made for an earlier process.
+    AcceptsAnyIncarnation,
+    /// A receiver does not keep the terms that it has accepted.
+    ForgetsTerm,
 }
 
 impl InjectedFault {
+    /// All of them, for the model checker to try in turn.
     pub const ALL: [InjectedFault; 12] = [
         InjectedFault::LeaseFromAnswer,
-        InjectedFault::NoLease,
-        InjectedFault::NoMargin,
-        InjectedFault::AnybodyIsFirst,
-        InjectedFault::BeginsAtOnce,
-        InjectedFault::ExpiredGoesOn,
-        InjectedFault::NoEnd,
-        InjectedFault::OwnClock,
-        InjectedFault::LateCounts,
-        InjectedFault::OlderCounts,
-        InjectedFault::AnyProcess,
-        InjectedFault::TermNotKept,
+        InjectedFault::IgnoresLeaseExpiry,
+        InjectedFault::NoClockMargin,
+        InjectedFault::AnyQueuedLeads,
+        InjectedFault::LeadsAtOnce,
+        InjectedFault::IgnoresSessionExpiry,
+        InjectedFault::OrdersNeverExpire,
+        InjectedFault::ExpiryByOwnClock,
+        InjectedFault::AcceptsExpired,
+        InjectedFault::AcceptsStaleTerm,
+        InjectedFault::AcceptsAnyIncarnation,
+        InjectedFault::ForgetsTerm,
     ];
 }
--- a/crates/leader-lease/tests/golden.rs
+++ b/crates/leader-lease/tests/golden.rs
@@ -3,40 +3,39 @@
 //! The files in `golden` were made by that build and do not change, except that this test follows names.
 
 use asterramp_leader_lease::{
-    FencedOrder, FencingGuard, FencingTicket, LeaseCandidate, LeaseSettings, LeaseState,
-    OrderRejection,
+    FencingGuard, FencingToken, LeaseContender, LeaseSettings, LeaseState, NO_TERM, OrderPurpose,
+    OrderRejection, ReceiverClock, Term,
 };
-use std::fmt::Write;
 use std::time::Duration;
 
 /// Steps of a transcript.
 const STEPS: usize = 600;
-const TERMS: LeaseSettings = LeaseSettings {
-    timeout: Duration::from_millis(4_000),
-    margin: Duration::from_millis(1_000),
+const SETTINGS: LeaseSettings = LeaseSettings {
+    session_timeout: Duration::from_millis(4_000),
+    clock_margin: Duration::from_millis(1_000),
 };
 
 #[test]
 fn state_names() {
     let states = [
-        LeaseState::Away,
+        LeaseState::NotQueued,
         LeaseState::Queued,
-        LeaseState::Waiting,
-        LeaseState::Owns,
+        LeaseState::AwaitingPredecessor,
+        LeaseState::Leader,
     ];
     assert_eq!(
         states.map(LeaseState::name),
         ["away", "queued", "waiting", "owns"]
     );
-    assert_eq!(LeaseState::default(), LeaseState::Away);
+    assert_eq!(LeaseState::default(), LeaseState::NotQueued);
 }
 
 #[test]
 fn reasons_of_refusals() {
     let refusals = [
-        OrderRejection::Older,
-        OrderRejection::Late,
-        OrderRejection::OtherProcess,
+        OrderRejection::StaleTerm,
+        OrderRejection::Expired,
+        OrderRejection::OtherIncarnation,
         OrderRejection::NoTerm,
     ];
     let reasons = [
@@ -45,7 +44,7 @@
         "the order was made for another process",
         "the order names no term",
     ];
-    assert_eq!(refusals.map(OrderRejection::why), reasons);
+    assert_eq!(refusals.map(OrderRejection::reason), reasons);
 }
 
 /// Numbers that are the same in each run.
@@ -61,118 +60,170 @@
     }
 }
 
-/// Plays a contender and a fence through steps drawn from `seed`, and says of each what came of it.
-fn transcript(seed: u64) -> String {
-    let mut draws = Draws(seed);
-    let (mut owner, mut fence) = (LeaseCandidate::new(TERMS), FencingGuard::new(7, 0));
-    let (mut now, mut asked, mut came) = (Duration::ZERO, Duration::ZERO, Duration::ZERO);
-    let (mut term, mut boot) = (0, 7);
-    let mut ticket = FencingTicket {
-        boot,
-        clock: Duration::ZERO,
-    };
-    let mut order = FencedOrder {
-        term: 0,
-        boot,
-        until: Duration::ZERO,
-    };
-    let mut text = String::new();
-    for _ in 0..STEPS {
-        now += Duration::from_millis(draws.below(500));
-        // The receiver's clock is ahead.
-        let clock = now + Duration::from_secs(3_600);
-        let step = match draws.below(14) {
-            0 if owner.state() == LeaseState::Away => {
-                term += 1 + draws.below(3);
-                owner.joined(now, asked, term);
-                "joined".to_string()
+/// A contender and a receiver, played through steps drawn from a seed.
+struct Play {
+    draws: Draws,
+    contender: LeaseContender,
+    guard: FencingGuard,
+    incarnation: u64,
+    now: Duration,
+    /// When the contender last sent a request, and when it last had a receiver's clock.
+    sent_at: Duration,
+    read_at: Duration,
+    receiver: ReceiverClock,
+    /// The last order that was made.
+    order: FencingToken,
+    /// The highest term that was given.
+    term: Term,
+}
+
+impl Play {
+    fn new(seed: u64) -> Play {
+        let incarnation = 7;
+        let guard = FencingGuard::new(incarnation, NO_TERM);
+        Play {
+            draws: Draws(seed),
+            contender: LeaseContender::new(SETTINGS),
+            incarnation,
+            now: Duration::ZERO,
+            sent_at: Duration::ZERO,
+            read_at: Duration::ZERO,
+            receiver: guard.clock(Duration::ZERO),
+            guard,
+            order: FencingToken {
+                term: NO_TERM,
+                incarnation,
+                expires_at: Duration::ZERO,
+            },
+            term: NO_TERM,
+        }
+    }
+
+    /// One step, and what came of it.
+    fn step(&mut self) -> String {
+        self.now += Duration::from_millis(self.draws.below(500));
+        let step = match self.draws.below(14) {
+            step @ 0..=7 => self.contender_step(step),
+            8 | 9 => self.read_clock(),
+            10 | 11 => self.make_order(),
+            12 if self.draws.below(6) == 0 => self.restart_receiver(),
+            12 => {
+                let term = self.draws.below(self.term + 1);
+                let earlier = FencingToken { term, ..self.order };
+                format!("check earlier {term}: {}", self.check(&earlier))
+            }
+            _ => {
+                let order = self.order;
+                format!("check {}: {}", order.term, self.check(&order))
+            }
+        };
+        format!(
+            "{} {step} -> {} term={} acts={} highest={}\n",
+            self.now.as_millis(),
+            self.contender.state().name(),
+            self.contender.term(),
+            self.contender.may_act(self.now),
+            self.guard.highest_term()
+        )
+    }
+
+    fn contender_step(&mut self, step: u64) -> String {
+        match step {
+            0 if self.contender.state() == LeaseState::NotQueued => {
+                self.term += 1 + self.draws.below(3);
+                self.contender
+                    .joined_queue(self.now, self.sent_at, self.term);
+                "joined".into()
             }
             0 | 1 => {
-                asked = now;
+                self.sent_at = self.now;
                 "asked".into()
             }
             2 => {
-                owner.heard(now, asked);
+                self.contender.store_answered(self.now, self.sent_at);
                 "heard".into()
             }
             3..=5 => {
-                let first = term - if term > 0 { draws.below(3) / 2 } else { 0 };
-                owner.heard(now, asked);
-                owner.first(now, first);
-                format!("first {first}")
+                let head = match self.term {
+                    NO_TERM => NO_TERM,
+                    term => term - self.draws.below(3) / 2,
+                };
+                self.contender.store_answered(self.now, self.sent_at);
+                self.contender.queue_head(self.now, head);
+                format!("first {head}")
             }
             6 => {
-                owner.all_heard();
+                self.contender.all_receivers_know_term();
                 "all heard".into()
             }
-            7 if draws.below(4) == 0 => {
-                owner.expired();
+            _ if self.draws.below(4) == 0 => {
+                self.contender.session_expired();
                 "expired".into()
             }
-            7 => {
-                owner.tick(now);
+            _ => {
+                self.contender.tick(self.now);
                 "tick".into()
             }
-            8 | 9 => {
-                ticket = fence.ticket(clock);
-                came = now;
-                format!("ticket {} {}", ticket.boot, ticket.clock.as_millis())
-            }
-            10 | 11 => {
-                let hear = draws.below(2) == 0;
-                let made = owner.order(now, ticket, came, hear);
-                if let Some(made) = made {
-                    order = made;
-                }
-                let made = made.map_or("none".into(), |o| {
-                    format!("{} {} {}", o.term, o.boot, o.until.as_millis())
-                });
-                format!("order hear={hear}: {made}")
-            }
-            12 if draws.below(6) == 0 => {
-                boot += 1;
-                let kept = if draws.below(2) == 0 {
-                    fence.highest()
-                } else {
-                    0
-                };
-                fence = FencingGuard::new(boot, kept);
-                format!("restart kept={kept}")
-            }
-            12 => {
-                let earlier = FencedOrder {
-                    term: draws.below(term + 1),
-                    ..order
-                };
-                format!(
-                    "check earlier {}: {}",
-                    earlier.term,
-                    checked(&mut fence, clock, &earlier)
-                )
-            }
-            _ => format!(
-                "check {}: {}",
-                order.term,
-                checked(&mut fence, clock, &order)
-            ),
+        }
+    }
+
+    /// The receiver's clock is ahead of the contender's.
+    fn receiver_now(&self) -> Duration {
+        self.now + Duration::from_secs(3_600)
+    }
+
+    fn read_clock(&mut self) -> String {
+        self.receiver = self.guard.clock(self.receiver_now());
+        self.read_at = self.now;
+        let ReceiverClock { incarnation, now } = self.receiver;
+        format!("ticket {incarnation} {}", now.as_millis())
+    }
+
+    fn make_order(&mut self) -> String {
+        let announces = self.draws.below(2) == 0;
+        let purpose = if announces {
+            OrderPurpose::AnnounceTerm
+        } else {
+            OrderPurpose::Command
+        };
+        let order = self
+            .contender
+            .order(self.now, self.receiver, self.read_at, purpose);
+        let Some(order) = order else {
+            return format!("order hear={announces}: none");
         };
-        let (state, acts) = (owner.state().name(), owner.acts(now));
-        writeln!(
-            text,
-            "{} {step} -> {state} term={} acts={acts} highest={}",
-            now.as_millis(),
-            owner.term(),
-            fence.highest()
+        self.order = order;
+        format!(
+            "order hear={announces}: {} {} {}",
+            order.term,
+            order.incarnation,
+            order.expires_at.as_millis()
         )
-        .unwrap();
     }
-    text
+
+    fn restart_receiver(&mut self) -> String {
+        self.incarnation += 1;
+        let kept = if self.draws.below(2) == 0 {
+            self.guard.highest_term()
+        } else {
+            NO_TERM
+        };
+        self.guard = FencingGuard::new(self.incarnation, kept);
+        format!("restart kept={kept}")
+    }
+
+    fn check(&mut self, order: &FencingToken) -> &'static str {
+        let now = self.receiver_now();
+        match self.guard.check(now, order) {
+            Ok(()) => "accepted",
+            Err(rejection) => rejection.reason(),
+        }
+    }
 }
 
-fn checked(fence: &mut FencingGuard, clock: Duration, order: &FencedOrder) -> &'static str {
-    fence
-        .check(clock, order)
-        .map_or_else(OrderRejection::why, |()| "accepted")
+fn transcript(seed: u64) -> String {
+    let mut play = Play::new(seed);
+    (0..STEPS).map(|_| play.step()).collect()
 }
 
 #[test]
--- a/crates/model-checker/src/leader_lease.rs
+++ b/crates/model-checker/src/leader_lease.rs
@@ -1,10 +1,11 @@
 //! Two candidates for the work of a fleet, their store and two receivers, in every order of delays, losses, doubled and late
-//! messages, pauses at any step, expiries and restarts at small size. `asterramp_leader_lease::Owner` and `Fence`, the code that serves,
+//! messages, pauses at any step, expiries and restarts at small size. `LeaseContender` and `FencingGuard`, the code that serves,
 //! decide; the store, the ways and the clocks are modelled here. A pause is any number of other steps between two of one's own.
 
 use crate::search::{self, Explored, Played};
 use asterramp_leader_lease::{
-    FencedOrder, FencingGuard, FencingTicket, LeaseCandidate, LeaseSettings, LeaseState, Term,
+    FencingGuard, FencingToken, LeaseContender, LeaseSettings, LeaseState, OrderPurpose,
+    ReceiverClock, Term,
 };
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,8 +15,8 @@
 }
 
 const TERMS: LeaseSettings = LeaseSettings {
-    timeout: ms(4_000),
-    margin: ms(1_000),
+    session_timeout: ms(4_000),
+    clock_margin: ms(1_000),
 };
 const STEP: Duration = ms(1_000);
 const CANDIDATES: usize = 2;
@@ -70,16 +71,16 @@
     #[default]
     None,
     Asked,
-    Written(FencingTicket),
-    Came(FencingTicket, Duration),
+    Written(ReceiverClock),
+    Came(ReceiverClock, Duration),
 }
 
 #[derive(Clone, Debug)]
 struct Candidate {
-    owner: LeaseCandidate,
+    owner: LeaseContender,
     asked: Option<Asked>,
     wanted: [Wanted; RECEIVERS],
-    made: [Option<FencedOrder>; RECEIVERS],
+    made: [Option<FencingToken>; RECEIVERS],
     /// Receivers that have heard its term.
     heard: [bool; RECEIVERS],
     begun: bool,
@@ -140,7 +141,7 @@
 
     fn candidate(&self) -> Candidate {
         #[allow(unused_mut)]
-        let mut owner = LeaseCandidate::new(TERMS);
+        let mut owner = LeaseContender::new(TERMS);
         #[cfg(feature = "injected-faults")]
         (owner.injected_fault = self.injected_fault);
         let (wanted, made) = ([Wanted::None; RECEIVERS], [None; RECEIVERS]);
@@ -185,7 +186,7 @@
     }
 
     /// What must hold of an order as it is made.
-    fn made(&mut self, c: usize, r: usize, order: FencedOrder, hear: bool) {
+    fn made(&mut self, c: usize, r: usize, order: FencingToken, hear: bool) {
         if self.forgot[c] {
             return;
         }
@@ -194,8 +195,8 @@
                 "candidate {c} orders, and the store has ended its session"
             ));
         };
-        let until = (order.until + BEHIND[r]).saturating_sub(AHEAD[r]);
-        if until > seat.heard + TERMS.timeout {
+        let until = (order.expires_at + BEHIND[r]).saturating_sub(AHEAD[r]);
+        if until > seat.heard + TERMS.session_timeout {
             self.breaks(format!("an order of candidate {c} outlives its session"));
         }
         if !hear && self.first() != Some(seat.term) {
@@ -206,8 +207,8 @@
     /// A candidate hears that its session has lapsed, and claims nothing from then on.
     fn lapses(&mut self, c: usize) {
         let owner = &mut self.candidates[c].owner;
-        owner.expired();
-        if owner.state() != LeaseState::Away {
+        owner.session_expired();
+        if owner.state() != LeaseState::NotQueued {
             self.breaks(format!(
                 "candidate {c} goes on though its session has lapsed"
             ));
@@ -215,12 +216,19 @@
     }
 
     fn reads(&mut self, (r, term, boot, until): (usize, Term, u64, Duration)) {
-        let (order, clock) = (FencedOrder { term, boot, until }, self.clock(r));
-        let ticket = self.fences[r].ticket(clock);
+        let (order, clock) = (
+            FencingToken {
+                term,
+                incarnation: boot,
+                expires_at: until,
+            },
+            self.clock(r),
+        );
+        let ticket = self.fences[r].clock(clock);
         if self.fences[r].check(clock, &order).is_err() {
             return;
         }
-        if boot != ticket.boot {
+        if boot != ticket.incarnation {
             self.breaks(format!(
                 "receiver {r} takes an order for the process before it"
             ));
@@ -245,10 +253,10 @@
             ));
         }
         self.accepted[r] = self.accepted[r].max(term);
-        if self.fences[r].highest() < self.accepted[r] {
+        if self.fences[r].highest_term() < self.accepted[r] {
             self.breaks(format!("receiver {r} forgets the term that it heard"));
         }
-        self.kept[r] = self.fences[r].highest();
+        self.kept[r] = self.fences[r].highest_term();
         for candidate in self
             .candidates
             .iter_mut()
@@ -256,7 +264,7 @@
         {
             candidate.heard[r] = true;
             if candidate.heard == [true; RECEIVERS] {
-                candidate.owner.all_heard();
+                candidate.owner.all_receivers_know_term();
             }
         }
     }
@@ -276,7 +284,7 @@
         );
         for (c, candidate) in self.candidates.iter().enumerate() {
             let own = self.own(c);
-            key += &format!("|{}", candidate.owner.aged(own));
+            key += &format!("|{}", candidate.owner.relative_state(own));
             key += &match candidate.asked {
                 None => "-".into(),
                 Some(Asked::Sent(at)) => format!("s{}", (own - at).as_millis()),
@@ -287,13 +295,13 @@
                     Wanted::None => "-".to_string(),
                     Wanted::Asked => "a".into(),
                     Wanted::Written(t) => {
-                        format!("w{}{:?}", self.boots - t.boot, self.clock(r) - t.clock)
+                        format!("w{}{:?}", self.boots - t.incarnation, self.clock(r) - t.now)
                     }
                     Wanted::Came(t, at) => {
                         format!(
                             "c{}{:?}{:?}",
-                            self.boots - t.boot,
-                            self.clock(r) - t.clock,
+                            self.boots - t.incarnation,
+                            self.clock(r) - t.now,
                             own - *at
                         )
                     }
@@ -303,8 +311,8 @@
                 made.map(|o| {
                     (
                         o.term,
-                        self.boots - o.boot,
-                        o.until.saturating_sub(self.clock(r)).as_millis(),
+                        self.boots - o.incarnation,
+                        o.expires_at.saturating_sub(self.clock(r)).as_millis(),
                     )
                 })
             });
@@ -329,7 +337,7 @@
         let boots = self
             .fences
             .iter()
-            .map(|fence| self.boots - fence.ticket(ms(0)).boot);
+            .map(|fence| self.boots - fence.clock(ms(0)).incarnation);
         format!("{key}{:?}{}", boots.collect::<Vec<_>>(), self.changes)
     }
 
@@ -337,7 +345,7 @@
         let mut steps = vec![Step::Passes, Step::StoreForgets];
         for (c, candidate) in self.candidates.iter().enumerate() {
             let seat = self.seats[c];
-            let away = candidate.owner.state() == LeaseState::Away;
+            let away = candidate.owner.state() == LeaseState::NotQueued;
             steps.extend((away && seat.is_none()).then_some(Step::Join(c)));
             steps.extend((!away && candidate.asked.is_none()).then_some(Step::Ask(c)));
             match candidate.asked {
@@ -346,24 +354,24 @@
                 None => {}
             }
             steps.extend(
-                seat.filter(|seat| self.now >= seat.heard + TERMS.timeout)
+                seat.filter(|seat| self.now >= seat.heard + TERMS.session_timeout)
                     .map(|_| Step::Expires(c)),
             );
             steps.extend((!away && seat.is_none()).then_some(Step::HearsOfIt(c)));
-            let leaves = candidate.owner.state() == LeaseState::Owns;
+            let leaves = candidate.owner.state() == LeaseState::Leader;
             steps.extend((leaves && seat.is_some()).then_some(Step::Leaves(c)));
             steps.extend((!away).then_some(Step::Dies(c)));
             for r in 0..RECEIVERS {
                 let acts = matches!(
                     candidate.owner.state(),
-                    LeaseState::Owns | LeaseState::Waiting
+                    LeaseState::Leader | LeaseState::AwaitingPredecessor
                 );
                 steps.extend(match candidate.wanted[r] {
                     Wanted::None => acts.then_some(Step::Ticket(c, r)),
                     Wanted::Asked => Some(Step::Written(c, r)),
                     Wanted::Written(_) => Some(Step::Comes(c, r)),
                     Wanted::Came(..) if candidate.made[r].is_none() => {
-                        let hear = candidate.owner.state() == LeaseState::Waiting;
+                        let hear = candidate.owner.state() == LeaseState::AwaitingPredecessor;
                         Some(Step::Orders(c, r, hear))
                     }
                     Wanted::Came(..) => None,
@@ -388,7 +396,7 @@
                 self.forgot[c] = false;
                 let candidate = &mut self.candidates[c];
                 (candidate.begun, candidate.heard) = (false, [false; RECEIVERS]);
-                candidate.owner.joined(own, own, term);
+                candidate.owner.joined_queue(own, own, term);
             }
             Step::Ask(c) => self.candidates[c].asked = Some(Asked::Sent(self.own(c))),
             Step::StoreHears(c) => {
@@ -405,8 +413,8 @@
                 match self.candidates[c].asked.take() {
                     Some(Asked::Heard(_, None)) => self.lapses(c),
                     Some(Asked::Heard(at, Some(first))) => {
-                        self.candidates[c].owner.heard(own, at);
-                        self.candidates[c].owner.first(own, first);
+                        self.candidates[c].owner.store_answered(own, at);
+                        self.candidates[c].owner.queue_head(own, first);
                     }
                     _ => {}
                 }
@@ -429,7 +437,7 @@
             Step::Dies(c) => self.candidates[c] = self.candidate(),
             Step::Ticket(c, r) => self.candidates[c].wanted[r] = Wanted::Asked,
             Step::Written(c, r) => {
-                let ticket = self.fences[r].ticket(self.clock(r));
+                let ticket = self.fences[r].clock(self.clock(r));
                 self.candidates[c].wanted[r] = Wanted::Written(ticket);
             }
             Step::Comes(c, r) => {
@@ -444,7 +452,12 @@
                 let Wanted::Came(ticket, came) = std::mem::take(&mut candidate.wanted[r]) else {
                     return;
                 };
-                if let Some(order) = candidate.owner.order(own, ticket, came, hear) {
+                let purpose = if hear {
+                    OrderPurpose::AnnounceTerm
+                } else {
+                    OrderPurpose::Command
+                };
+                if let Some(order) = candidate.owner.order(own, ticket, came, purpose) {
                     candidate.made[r] = Some(order);
                     self.made(c, r, order, hear);
                 }
@@ -452,7 +465,7 @@
             Step::Sends(c, r) => {
                 let order = self.candidates[c].made[r].take();
                 self.on_the_way
-                    .extend(order.map(|o| (r, o.term, o.boot, o.until)));
+                    .extend(order.map(|o| (r, o.term, o.incarnation, o.expires_at)));
             }
             Step::Reads(nth) => {
                 let message = self.on_the_way.iter().nth(nth).copied();
@@ -469,7 +482,7 @@
             let own = self.own(c);
             let candidate = &mut self.candidates[c];
             candidate.owner.tick(own);
-            candidate.begun |= candidate.owner.state() == LeaseState::Owns;
+            candidate.begun |= candidate.owner.state() == LeaseState::Leader;
         }
     }
 
--- a/crates/proxy/src/program/leader_lease.rs
+++ b/crates/proxy/src/program/leader_lease.rs
@@ -1,9 +1,9 @@
 //! A candidate for the work of the fleet, on sockets: a thread keeps its session with the store, so that the lease is renewed
-//! whatever the work waits for. Everything that it decides is `asterramp_leader_lease::Owner`'s.
+//! whatever the work waits for. Everything that it decides is `asterramp_leader_lease::LeaseContender`'s.
 
 use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest, LeaderToken, ProxyStatus};
 use asterramp_leader_lease::{
-    FencingTicket, LeaseCandidate, LeaseSettings as OwnerTerms, LeaseState, Term,
+    LeaseContender, LeaseSettings, LeaseState, OrderPurpose, ReceiverClock, Term,
 };
 use asterramp_zookeeper::record::{Refused, Request as Ask};
 use asterramp_zookeeper::session::{Answer, Effect, Session, Terms};
@@ -27,7 +27,7 @@
 type Reply = Result<Answer, Option<Refused>>;
 
 struct Desk {
-    owner: LeaseCandidate,
+    owner: LeaseContender,
     /// What the work asks, and where the answer goes.
     asks: Vec<(Ask, Sender<Reply>)>,
     over: bool,
@@ -50,9 +50,9 @@
     }
 
     fn begin(stores: Vec<SocketAddr>, session: Duration, joins: bool) -> LeaderLease {
-        let owner = LeaseCandidate::new(OwnerTerms {
-            timeout: session,
-            margin: session / MARGIN,
+        let owner = LeaseContender::new(LeaseSettings {
+            session_timeout: session,
+            clock_margin: session / MARGIN,
         });
         let desk = Arc::new(Mutex::new(Desk {
             owner,
@@ -95,13 +95,13 @@
     /// Whether it may act now: one that was stopped for long finds here that it may not, before it has heard why.
     pub fn acts(&self) -> bool {
         let now = self.now();
-        self.desk().owner.acts(now)
+        self.desk().owner.may_act(now)
     }
 
     pub fn all_heard(&self, term: Term) {
         let mut desk = self.desk();
         if desk.owner.term() == term {
-            desk.owner.all_heard();
+            desk.owner.all_receivers_know_term();
         }
     }
 
@@ -124,19 +124,20 @@
     ) -> Result<Option<ProxyStatus>, String> {
         let told = client.ask(&AdminRequest::new(AdminCommand::Status))?;
         let came = self.now();
-        let ticket = FencingTicket {
-            boot: told.boot,
-            clock: Duration::from_micros(told.clock_us),
+        let ticket = ReceiverClock {
+            incarnation: told.boot,
+            now: Duration::from_micros(told.clock_us),
         };
-        let order =
-            self.desk()
-                .owner
-                .order(self.now(), ticket, came, request.verb == AdminCommand::Hear);
+        let purpose = match request.verb {
+            AdminCommand::Hear => OrderPurpose::AnnounceTerm,
+            _ => OrderPurpose::Command,
+        };
+        let order = self.desk().owner.order(self.now(), ticket, came, purpose);
         let Some(order) = order else { return Ok(None) };
         let owner = LeaderToken {
             term: order.term,
-            boot: order.boot,
-            until_us: order.until.as_micros() as u64,
+            boot: order.incarnation,
+            until_us: order.expires_at.as_micros() as u64,
         };
         client
             .ask(&AdminRequest {
@@ -373,7 +374,7 @@
             // The lease goes on to its end by itself, and no further.
             Effect::Down => (self.left, self.lowest) = (0, None),
             Effect::Expired => {
-                self.claim.desk().owner.expired();
+                self.claim.desk().owner.session_expired();
                 (self.stands, self.left) = (false, 0);
             }
             Effect::Answered { xid, answer } => {
@@ -399,7 +400,7 @@
                 self.claim
                     .desk()
                     .owner
-                    .joined(now, asked, stat.created as Term);
+                    .joined_queue(now, asked, stat.created as Term);
                 self.stands = true;
             }
             (For::Queue(asked), Ok(Answer::Children(names, _))) => {
@@ -417,8 +418,8 @@
                 self.left = self.left.saturating_sub(1);
                 if let Some(first) = self.lowest.filter(|_| self.left == 0) {
                     let mut desk = self.claim.desk();
-                    desk.owner.heard(now, asked);
-                    desk.owner.first(now, first);
+                    desk.owner.store_answered(now, asked);
+                    desk.owner.queue_head(now, first);
                 }
             }
             (For::Own(_) | For::Queue(_), _) => {}
--- a/crates/proxy/src/program/roll.rs
+++ b/crates/proxy/src/program/roll.rs
@@ -109,9 +109,9 @@
             since = Instant::now();
         }
         match state {
-            LeaseState::Owns => return Ok(()),
+            LeaseState::Leader => return Ok(()),
             // Once all have heard the term, no order of the one before counts anywhere.
-            LeaseState::Waiting => {
+            LeaseState::AwaitingPredecessor => {
                 let hears = |control: &PathBuf| {
                     let mut client = AdminClient::connect(control).ok()?;
                     claim
@@ -122,10 +122,10 @@
                     claim.all_heard(term);
                 }
             }
-            LeaseState::Away if since.elapsed() > roll.patience => {
+            LeaseState::NotQueued if since.elapsed() > roll.patience => {
                 return Err("the store cannot be heard".into());
             }
-            LeaseState::Away | LeaseState::Queued => {}
+            LeaseState::NotQueued | LeaseState::Queued => {}
         }
         std::thread::sleep(LOOK / 2);
     }
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -10,7 +10,7 @@
 };
 use asterramp_admission::RejectReason;
 use asterramp_drain::{DrainError, DrainState};
-use asterramp_leader_lease::FencedOrder;
+use asterramp_leader_lease::FencingToken;
 use asterramp_placement::event::EndpointState;
 use asterramp_warm_start::EndpointSource;
 use std::io;
@@ -176,23 +176,23 @@
     pub(super) fn execute(&mut self, request: &AdminRequest) -> Result<AdminReply, &'static str> {
         if let Some(owner) = request.owner {
             let until = Duration::from_micros(owner.until_us);
-            let order = FencedOrder {
+            let order = FencingToken {
                 term: owner.term,
-                boot: owner.boot,
-                until,
+                incarnation: owner.boot,
+                expires_at: until,
             };
-            let before = self.fencing_guard.highest();
+            let before = self.fencing_guard.highest_term();
             if let Err(refused) = self.fencing_guard.check(self.now, &order) {
-                let (verb, highest) = (request.verb, self.fencing_guard.highest());
+                let (verb, highest) = (request.verb, self.fencing_guard.highest_term());
                 let about = format!(
                     "order={verb:?} term={} heard={highest} why={:?}",
                     owner.term,
-                    refused.why()
+                    refused.reason()
                 );
                 self.log_event(ReasonCode::OrderRefused, about);
-                return Err(refused.why());
+                return Err(refused.reason());
             }
-            if self.fencing_guard.highest() > before {
+            if self.fencing_guard.highest_term() > before {
                 self.log_event(ReasonCode::OwnerHeard, format!("term={}", owner.term));
                 self.record_term(owner.term);
             }
@@ -345,9 +345,9 @@
             places: self.places_told(),
             start: self.start_told(),
             refusals: self.refusals_told(),
-            boot: self.fencing_guard.ticket(self.now).boot,
+            boot: self.fencing_guard.clock(self.now).incarnation,
             clock_us: self.now.as_micros() as u64,
-            term: self.fencing_guard.highest(),
+            term: self.fencing_guard.highest_term(),
         }
     }
 }
