--- a/crates/proxy/src/program/command.rs
+++ b/crates/proxy/src/program/command.rs
@@ -1,7 +1,8 @@
 //! The command line. Without any command the proxy serves, as the platform starts it.
 
+use super::drain_progress::{status_line, wait_until_empty};
 use super::leader_lease::LeaderLease;
-use super::roll::{self, Roll};
+use super::roll::{self, RequestedRollState, RollOptions};
 use super::run::run;
 use super::state::{self, StateWhat};
 use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest, ProxyStatus};
@@ -9,7 +10,7 @@
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// A proxy for long-lived connections. Without a command it serves by the configuration that LB_CONFIG names.
 ///
@@ -145,18 +146,20 @@
 fn fleet(what: FleetWhat) -> Result<(), String> {
     let (work, wish) = match what {
         FleetWhat::Status(work) => (work, None),
-        FleetWhat::Pause(work) => (work, Some(roll::RequestedRollState::Pause)),
-        FleetWhat::Resume(work) => (work, Some(roll::RequestedRollState::GoOn)),
-        FleetWhat::Cancel(work) => (work, Some(roll::RequestedRollState::Cancel)),
+        FleetWhat::Pause(work) => (work, Some(RequestedRollState::Paused)),
+        FleetWhat::Resume(work) => (work, Some(RequestedRollState::Running)),
+        FleetWhat::Cancel(work) => (work, Some(RequestedRollState::Cancelled)),
     };
-    let claim = LeaderLease::look(work.store, Duration::from_secs(6));
-    claim.reached(Duration::from_secs(5))?;
+    let lease = LeaderLease::observe(work.store, Duration::from_secs(6));
+    lease
+        .wait_until_reachable(Duration::from_secs(5))
+        .map_err(|error| error.to_string())?;
     let done = match wish {
-        None => roll::tell(&work.name, &claim),
-        Some(wish) => roll::wish(&work.name, &claim, wish),
+        None => roll::print_status(&work.name, &lease),
+        Some(wish) => roll::request_state(&work.name, &lease, wish),
     };
-    claim.leave();
-    done
+    lease.resign();
+    done.map_err(String::from)
 }
 
 /// A node's name at the store.
@@ -192,7 +195,7 @@
             wait,
         } => drain(&at.control, deadline, pace, wait),
         What::Undrain { at } => ask(&at.control, &AdminRequest::new(AdminCommand::Undrain))
-            .map(|s| println!("{}", told(&s))),
+            .map(|s| println!("{}", status_line(&s))),
         What::Roll {
             control,
             deadline,
@@ -203,16 +206,18 @@
             name,
             session,
         } => {
-            let order = Roll {
-                control,
-                deadline,
-                restart,
+            let options = RollOptions {
+                admin_sockets: control,
+                drain_deadline: deadline,
+                restart_command: restart,
                 patience,
-                share,
+                min_share: share,
             };
             match name {
-                _ if store.is_empty() => roll::roll(&order),
-                Some(name) => roll::guarded(&order, &name, store, session),
+                _ if store.is_empty() => roll::roll_unguarded(&options).map_err(String::from),
+                Some(name) => {
+                    roll::roll_guarded(&options, &name, store, session).map_err(String::from)
+                }
                 None => Err("roll: --store wants a --name for the roll".into()),
             }
         }
@@ -282,71 +287,6 @@
     AdminClient::connect(control)?.ask(request)
 }
 
-/// A status as a line for people.
-pub fn told(s: &ProxyStatus) -> String {
-    let mut line = format!(
-        "{}  {} open, {} pending, {} moved",
-        s.state, s.open, s.pending, s.moved
-    );
-    let seconds = |ms: u64| ms as f64 / 1e3;
-    if let Some(deadline) = s.deadline_ms {
-        line += &format!(", {:.1} s left", seconds(deadline));
-    }
-    if let Some(expected) = s.expected_ms {
-        line += &format!(", empty in {:.1} s at {:.0}/s", seconds(expected), s.pace);
-    }
-    let left: Vec<String> = s
-        .left
-        .iter()
-        .map(|(name, n)| format!("{n} {name}"))
-        .collect();
-    if !left.is_empty() {
-        line += &format!(" ({})", left.join(", "));
-    }
-    let discovery = s.discovery_ms.map_or("never heard".into(), |ms| {
-        format!("heard {:.1} s ago", seconds(ms))
-    });
-    let carries = if s.carries {
-        "another may be drained"
-    } else {
-        "no other should be drained"
-    };
-    line += &format!(
-        "; {} of {} hosts ready, discovery {discovery}; {carries}",
-        s.hosts_ready, s.hosts
-    );
-    if let Some(start) = s.start.iter().find(|start| start.stage != "normal") {
-        line += &format!(
-            "; start {} for {:.1} s",
-            start.stage,
-            seconds(start.since_ms)
-        );
-        start
-            .sources
-            .iter()
-            .for_each(|(by, told, good)| line += &format!(", {by} {good} of {told} answer"));
-    }
-    for room in &s.refusals {
-        let whys: Vec<String> = room
-            .refused
-            .iter()
-            .map(|(why, n)| format!("{n} {why}"))
-            .collect();
-        if !whys.is_empty() {
-            line += &format!("; {} refused for room: {}", room.listener, whys.join(", "));
-        }
-    }
-    for place in s.places.iter().filter(|place| place.state != "whole") {
-        line += &format!(
-            "; {} {} for {:.1} s",
-            place.name,
-            place.state,
-            seconds(place.since_ms)
-        );
-    }
-    line
-}
-
 fn status(control: &Path, json: bool, watch: bool) -> Result<(), String> {
     let mut client = AdminClient::connect(control)?;
     loop {
@@ -356,7 +296,7 @@
                 "{}",
                 serde_json::to_string(&status).map_err(|e| e.to_string())?
             ),
-            false => println!("{}", told(&status)),
+            false => println!("{}", status_line(&status)),
         }
         if !watch {
             return Ok(());
@@ -378,26 +318,11 @@
         pace,
         ..AdminRequest::new(AdminCommand::Drain)
     })?;
-    println!("{}", told(&status));
+    println!("{}", status_line(&status));
     if wait {
-        emptied(&mut client, deadline.unwrap_or(Duration::from_secs(86_400)))
+        wait_until_empty(&mut client, deadline.unwrap_or(Duration::from_secs(86_400)))
+            .map_err(String::from)
     } else {
         Ok(())
     }
 }
-
-/// Shows progress until a proxy is empty; the bound is its deadline and a little for what comes up late.
-pub fn emptied(client: &mut AdminClient, deadline: Duration) -> Result<(), String> {
-    let until = Instant::now() + deadline + Duration::from_secs(5);
-    loop {
-        std::thread::sleep(Duration::from_millis(500));
-        let status = client.ask(&AdminRequest::new(AdminCommand::Status))?;
-        println!("{}", told(&status));
-        match status.state.as_str() {
-            "empty" => return Ok(()),
-            "serving" => return Err("the drain was taken back".into()),
-            _ if Instant::now() > until => return Err(format!("{} are still open", status.open)),
-            _ => {}
-        }
-    }
-}
--- a/crates/proxy/src/program/leader_lease.rs
+++ b/crates/proxy/src/program/leader_lease.rs
@@ -1,435 +1,241 @@
-//! A candidate for the work of the fleet, on sockets: a thread keeps its session with the store, so that the lease is renewed
-//! whatever the work waits for. Everything that it decides is `asterramp_leader_lease::LeaseContender`'s.
+//! The lead over the fleet's work, held at the store: a thread keeps the session, so that the lease is renewed whatever the
+//! work waits for.
+//!
+//! [`LeaderLease`] is the work's handle; the thread is in [`session_thread`]. Everything that is decided about the lease is
+//! [`LeaseContender`]'s.
+
+mod session_thread;
 
 use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest, LeaderToken, ProxyStatus};
 use asterramp_leader_lease::{
     LeaseContender, LeaseSettings, LeaseState, OrderPurpose, ReceiverClock, Term,
 };
-use asterramp_zookeeper::record::{Refused, Request as Ask};
-use asterramp_zookeeper::session::{Answer, Effect, Session, Terms};
-use std::collections::BTreeMap;
-use std::io::{ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use asterramp_zookeeper::record::{Refused as StoreRefusal, Request as StoreRequest};
+use asterramp_zookeeper::session::Answer;
+use std::net::SocketAddr;
 use std::sync::mpsc::{Sender, channel};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-const ROOT: &str = "/asterramp";
-const QUEUE: &str = "/asterramp/owner";
-/// How long a read may take, which is how late a question of the work may be.
-const TURN: Duration = Duration::from_millis(20);
-/// How long the work waits for an answer of the store's.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Part of the session's time by which clocks may run apart, and how often in that time the queue is looked at.
-const MARGIN: u32 = 6;
-const LOOKS: u32 = 8;
+/// Everything this program keeps at the store is below this node.
+const ROOT_PATH: &str = "/asterramp";
+/// The queue of contenders: an ephemeral node each.
+const QUEUE_PATH: &str = "/asterramp/owner";
+/// Longest wait for an answer of the store's. It bounds how long the work hangs while the store does.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause between two attempts to reach the store.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for the thread to tell the store that the lead is given up. If that fails the session expires by itself.
+const RESIGN_TIME: Duration = Duration::from_millis(100);
+/// Clocks of this process and the store may drift apart by this part of a session's timeout.
+const CLOCK_MARGIN_DIVISOR: u32 = 6;
+
+/// Why the store did not do what it was asked.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum StoreError {
+    /// It answered that it does not.
+    #[error("the store refuses: {0:?}")]
+    Refused(StoreRefusal),
+    /// There was no session, the connection broke before the answer, or the answer did not come in time: it may have been
+    /// done or not.
+    #[error("the store cannot be heard")]
+    Unreachable,
+}
+
+/// Where a contender stands, and with which term.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct LeaseStatus {
+    /// Its state.
+    pub(super) state: LeaseState,
+    /// The term of its node in the queue.
+    pub(super) term: Term,
+}
 
-type Reply = Result<Answer, Option<Refused>>;
+/// A node in the queue of contenders. They are ordered by term.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct QueuedContender {
+    /// The lowest in the queue is the leader's, or that of whoever is about to lead.
+    pub(super) term: Term,
+    /// The node's name.
+    pub(super) node: String,
+}
+
+/// A request of the work's, and where its answer goes.
+#[derive(Debug)]
+struct PendingRequest {
+    request: StoreRequest,
+    answer_to: Sender<Result<Answer, StoreError>>,
+}
 
-struct Desk {
-    owner: LeaseContender,
-    /// What the work asks, and where the answer goes.
-    asks: Vec<(Ask, Sender<Reply>)>,
-    over: bool,
+/// What the handle and the thread share.
+#[derive(Debug)]
+struct Shared {
+    contender: LeaseContender,
+    /// Requests that the thread has not taken yet.
+    pending: Vec<PendingRequest>,
+    /// The session is to be closed.
+    resigned: bool,
 }
 
-#[derive(Clone)]
-pub struct LeaderLease {
-    desk: Arc<Mutex<Desk>>,
-    began: Instant,
+/// A session with the store, and the lease that is held by it. Clones share the session.
+#[derive(Clone, Debug)]
+pub(super) struct LeaderLease {
+    shared: Arc<Mutex<Shared>>,
+    started_at: Instant,
 }
 
 impl LeaderLease {
-    pub fn start(stores: Vec<SocketAddr>, session: Duration) -> LeaderLease {
-        LeaderLease::begin(stores, session, true)
+    /// Opens a session at one of the store's members and queues for the lead. Returns at once.
+    pub(super) fn contend(stores: Vec<SocketAddr>, session_timeout: Duration) -> LeaderLease {
+        LeaderLease::open(stores, session_timeout, true)
     }
 
-    /// A session that only looks and writes: it queues for nothing.
-    pub fn look(stores: Vec<SocketAddr>, session: Duration) -> LeaderLease {
-        LeaderLease::begin(stores, session, false)
+    /// Opens a session that only reads and writes, and never leads. Returns at once.
+    pub(super) fn observe(stores: Vec<SocketAddr>, session_timeout: Duration) -> LeaderLease {
+        LeaderLease::open(stores, session_timeout, false)
     }
 
-    fn begin(stores: Vec<SocketAddr>, session: Duration, joins: bool) -> LeaderLease {
-        let owner = LeaseContender::new(LeaseSettings {
-            session_timeout: session,
-            clock_margin: session / MARGIN,
+    fn open(stores: Vec<SocketAddr>, session_timeout: Duration, contends: bool) -> LeaderLease {
+        let contender = LeaseContender::new(LeaseSettings {
+            session_timeout,
+            clock_margin: session_timeout / CLOCK_MARGIN_DIVISOR,
         });
-        let desk = Arc::new(Mutex::new(Desk {
-            owner,
-            asks: Vec::new(),
-            over: false,
-        }));
-        let claim = LeaderLease {
-            desk,
-            began: Instant::now(),
+        let shared = Shared {
+            contender,
+            pending: Vec::new(),
+            resigned: false,
         };
-        let own = claim.clone();
-        std::thread::spawn(move || {
-            Seat {
-                joins,
-                ..Seat::new(own, stores, session)
-            }
-            .run()
-        });
-        claim
+        let lease = LeaderLease {
+            shared: Arc::new(Mutex::new(shared)),
+            started_at: Instant::now(),
+        };
+        session_thread::spawn(lease.clone(), stores, session_timeout, contends);
+        lease
     }
 
-    fn desk(&self) -> MutexGuard<'_, Desk> {
-        self.desk
+    fn shared(&self) -> MutexGuard<'_, Shared> {
+        self.shared
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Where it stands, and by which term.
-    pub fn state(&self) -> (LeaseState, Term) {
+    /// Where this contender stands now.
+    pub(super) fn status(&self) -> LeaseStatus {
         let now = self.now();
-        let mut desk = self.desk();
-        desk.owner.tick(now);
-        (desk.owner.state(), desk.owner.term())
+        let mut shared = self.shared();
+        shared.contender.tick(now);
+        LeaseStatus {
+            state: shared.contender.state(),
+            term: shared.contender.term(),
+        }
     }
 
-    /// Whether it may act now: one that was stopped for long finds here that it may not, before it has heard why.
-    pub fn acts(&self) -> bool {
+    /// Whether it leads now. A process that was stopped for long finds here that it does not, before it has heard why.
+    pub(super) fn may_act(&self) -> bool {
         let now = self.now();
-        self.desk().owner.may_act(now)
+        self.shared().contender.may_act(now)
     }
 
-    pub fn all_heard(&self, term: Term) {
-        let mut desk = self.desk();
-        if desk.owner.term() == term {
-            desk.owner.all_receivers_know_term();
+    /// Every receiver has accepted this term.
+    pub(super) fn all_receivers_know_term(&self, term: Term) {
+        let mut shared = self.shared();
+        if shared.contender.term() == term {
+            shared.contender.all_receivers_know_term();
         }
     }
 
-    /// Asks the store for the work's sake.
-    pub fn ask(&self, ask: Ask) -> Result<Answer, String> {
-        let (send, answer) = channel();
-        self.desk().asks.push((ask, send));
-        match answer.recv_timeout(PATIENCE) {
-            Ok(Ok(answer)) => Ok(answer),
-            Ok(Err(Some(refused))) => Err(format!("the store refuses: {refused:?}")),
-            Ok(Err(None)) | Err(_) => Err("the store cannot be heard".into()),
-        }
+    /// Asks the store and waits for its answer, [`ANSWER_TIMEOUT`] at most.
+    pub(super) fn ask(&self, request: StoreRequest) -> Result<Answer, StoreError> {
+        let (answer_to, answer) = channel();
+        self.shared()
+            .pending
+            .push(PendingRequest { request, answer_to });
+        answer
+            .recv_timeout(ANSWER_TIMEOUT)
+            .unwrap_or(Err(StoreError::Unreachable))
     }
 
-    /// Orders a receiver something, if this may act now; `None` where it may not.
-    pub fn order(
+    /// Orders a receiver something in this leader's name. `None` if it may not give the order now.
+    pub(super) fn order(
         &self,
         client: &mut AdminClient,
         request: AdminRequest,
     ) -> Result<Option<ProxyStatus>, String> {
-        let told = client.ask(&AdminRequest::new(AdminCommand::Status))?;
-        let came = self.now();
-        let ticket = ReceiverClock {
-            incarnation: told.boot,
-            now: Duration::from_micros(told.clock_us),
+        let status = client.ask(&AdminRequest::new(AdminCommand::Status))?;
+        let read_at = self.now();
+        let receiver = ReceiverClock {
+            incarnation: status.boot,
+            now: Duration::from_micros(status.clock_us),
         };
         let purpose = match request.verb {
             AdminCommand::Hear => OrderPurpose::AnnounceTerm,
             _ => OrderPurpose::Command,
         };
-        let order = self.desk().owner.order(self.now(), ticket, came, purpose);
-        let Some(order) = order else { return Ok(None) };
-        let owner = LeaderToken {
-            term: order.term,
-            boot: order.incarnation,
-            until_us: order.expires_at.as_micros() as u64,
+        let token = self
+            .shared()
+            .contender
+            .order(self.now(), receiver, read_at, purpose);
+        let Some(token) = token else { return Ok(None) };
+        let request = AdminRequest {
+            owner: Some(LeaderToken {
+                term: token.term,
+                boot: token.incarnation,
+                until_us: token.expires_at.as_micros() as u64,
+            }),
+            ..request
         };
-        client
-            .ask(&AdminRequest {
-                owner: Some(owner),
-                ..request
-            })
-            .map(Some)
+        client.ask(&request).map(Some)
     }
 
-    /// The queue for the work, who is first in front: each node's name and term.
-    pub fn queue(&self) -> Result<Vec<(Term, String)>, String> {
-        let names = match self.ask(Ask::GetChildren {
-            path: QUEUE.into(),
+    /// The queue of contenders, the lowest term first.
+    pub(super) fn queue(&self) -> Result<Vec<QueuedContender>, StoreError> {
+        let request = StoreRequest::GetChildren {
+            path: QUEUE_PATH.into(),
             watch: false,
-        })? {
-            Answer::Children(names, _) => names,
+        };
+        let nodes = match self.ask(request)? {
+            Answer::Children(nodes, _) => nodes,
             _ => Vec::new(),
         };
         let mut queue = Vec::new();
-        for name in names {
-            let found = self.ask(Ask::Exists {
-                path: format!("{QUEUE}/{name}"),
-                watch: false,
-            });
-            if let Ok(Answer::Stat(stat)) = found {
-                queue.push((stat.created as Term, name));
+        for node in nodes {
+            // A node that has been removed meanwhile is left out.
+            if let Ok(Answer::Stat(stat)) = self.ask(exists(queue_node_path(&node))) {
+                let term = stat.created as Term;
+                queue.push(QueuedContender { term, node });
             }
         }
         queue.sort_unstable();
         Ok(queue)
     }
 
-    /// Waits until the store answers, for so long.
-    pub fn reached(&self, patience: Duration) -> Result<(), String> {
-        let until = Instant::now() + patience;
-        let root = || Ask::Exists {
-            path: "/".into(),
-            watch: false,
-        };
-        while self.ask(root()).is_err() {
-            if Instant::now() > until {
-                return Err("the store cannot be heard".into());
+    /// Waits until the store answers, for about so long at most.
+    pub(super) fn wait_until_reachable(&self, timeout: Duration) -> Result<(), StoreError> {
+        let give_up_at = Instant::now() + timeout;
+        while self.ask(exists("/".into())).is_err() {
+            if Instant::now() > give_up_at {
+                return Err(StoreError::Unreachable);
             }
-            std::thread::sleep(TURN);
+            std::thread::sleep(RETRY_INTERVAL);
         }
         Ok(())
     }
 
-    /// Gives the place up.
-    pub fn leave(&self) {
-        self.desk().over = true;
-        // The store hears of it; if it does not, the session lapses.
-        std::thread::sleep(TURN * 5);
+    /// Closes the session, which gives up the lead and the place in the queue at once.
+    pub(super) fn resign(&self) {
+        self.shared().resigned = true;
+        std::thread::sleep(RESIGN_TIME);
     }
 }
 
-/// What a question was for.
-enum For {
-    /// Made before the node; it may be there already.
-    Folder,
-    Node,
-    /// Our own node's figures, after it was made.
-    Own(Duration),
-    /// Who is in the queue, and each of them.
-    Queue(Duration),
-    Child(Duration),
-    Work(Sender<Reply>),
-}
-
-/// One candidate's place at the store.
-struct Seat {
-    claim: LeaderLease,
-    /// Whether it queues for the work.
-    joins: bool,
-    stores: Vec<SocketAddr>,
-    session: Session,
-    stream: Option<TcpStream>,
-    node: String,
-    questions: BTreeMap<i32, For>,
-    /// The queue as it is being looked at: those still to be heard of, and the lowest so far.
-    left: usize,
-    lowest: Option<Term>,
-    stands: bool,
-    looked: Duration,
-    every: Duration,
-    out: Vec<Effect>,
-}
-
-impl Seat {
-    fn new(claim: LeaderLease, stores: Vec<SocketAddr>, timeout: Duration) -> Seat {
-        let seed = u64::from(std::process::id()).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5ca1;
-        let (mut out, now) = (Vec::new(), claim.now());
-        let session = Session::new(
-            now,
-            Terms {
-                addresses: stores.len(),
-                timeout,
-                auth: None,
-            },
-            seed,
-            &mut out,
-        );
-        Seat {
-            claim,
-            joins: true,
-            stores,
-            session,
-            stream: None,
-            node: format!("{QUEUE}/c-{}-{:08x}", std::process::id(), seed as u32),
-            questions: BTreeMap::new(),
-            left: 0,
-            lowest: None,
-            stands: false,
-            looked: now,
-            every: timeout / LOOKS,
-            out,
-        }
-    }
-
-    fn run(mut self) {
-        loop {
-            self.carry_out();
-            let (now, over) = (self.claim.now(), self.claim.desk().over);
-            if over {
-                self.session.close(now, &mut self.out);
-                return self.carry_out();
-            }
-            if self.session.due() <= now {
-                self.session.tick(now, &mut self.out);
-            }
-            self.ask_for_work(now);
-            if self.stands && now >= self.looked + self.every && self.left == 0 {
-                self.looked = now;
-                self.ask(
-                    now,
-                    Ask::GetChildren {
-                        path: QUEUE.into(),
-                        watch: false,
-                    },
-                    For::Queue(now),
-                );
-            }
-            self.carry_out();
-            self.read();
-        }
-    }
-
-    fn ask(&mut self, now: Duration, ask: Ask, what: For) {
-        match self.session.ask(now, ask, &mut self.out) {
-            Some(xid) => drop(self.questions.insert(xid, what)),
-            None => lost(what),
-        }
-    }
-
-    fn ask_for_work(&mut self, now: Duration) {
-        let asks = std::mem::take(&mut self.claim.desk().asks);
-        asks.into_iter()
-            .for_each(|(ask, answer)| self.ask(now, ask, For::Work(answer)));
-    }
-
-    fn read(&mut self) {
-        let Some(stream) = &mut self.stream else {
-            return std::thread::sleep(TURN);
-        };
-        let mut bytes = [0; 8192];
-        let read = stream.read(&mut bytes);
-        let now = self.claim.now();
-        match read {
-            Ok(0) => self.session.broken(now, &mut self.out),
-            Ok(n) => self.session.bytes(now, &bytes[..n], &mut self.out),
-            Err(e)
-                if matches!(
-                    e.kind(),
-                    ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted
-                ) => {}
-            Err(_) => self.session.broken(now, &mut self.out),
-        }
-    }
-
-    fn carry_out(&mut self) {
-        while !self.out.is_empty() {
-            for effect in std::mem::take(&mut self.out) {
-                self.effect(effect);
-            }
-        }
-    }
-
-    fn effect(&mut self, effect: Effect) {
-        let now = self.claim.now();
-        match effect {
-            Effect::Connect(nth) => {
-                let stream =
-                    TcpStream::connect_timeout(&self.stores[nth % self.stores.len()], TURN * 25);
-                let ready = stream.and_then(|stream| {
-                    stream.set_nodelay(true)?;
-                    stream.set_read_timeout(Some(TURN))?;
-                    stream.set_write_timeout(Some(TURN * 25))?;
-                    Ok(stream)
-                });
-                let now = self.claim.now();
-                match ready {
-                    Ok(stream) => {
-                        self.stream = Some(stream);
-                        self.session.connected(now, &mut self.out);
-                    }
-                    Err(_) => self.session.broken(now, &mut self.out),
-                }
-            }
-            Effect::Send(bytes) => {
-                let written = self.stream.as_mut().map(|stream| stream.write_all(&bytes));
-                if matches!(written, Some(Err(_))) {
-                    self.session.broken(self.claim.now(), &mut self.out);
-                }
-            }
-            Effect::Drop => self.stream = None,
-            Effect::Up { new: true } if !self.joins => {}
-            Effect::Up { new: true } => {
-                for path in [ROOT, QUEUE] {
-                    let make = Ask::Create {
-                        path: path.into(),
-                        data: Vec::new(),
-                        ephemeral: false,
-                    };
-                    self.ask(now, make, For::Folder);
-                }
-                let make = Ask::Create {
-                    path: self.node.clone(),
-                    data: Vec::new(),
-                    ephemeral: true,
-                };
-                self.ask(now, make, For::Node);
-            }
-            Effect::Up { new: false } => self.looked = Duration::ZERO,
-            // The lease goes on to its end by itself, and no further.
-            Effect::Down => (self.left, self.lowest) = (0, None),
-            Effect::Expired => {
-                self.claim.desk().owner.session_expired();
-                (self.stands, self.left) = (false, 0);
-            }
-            Effect::Answered { xid, answer } => {
-                let what = self.questions.remove(&xid);
-                what.into_iter()
-                    .for_each(|what| self.answered(now, what, answer.clone()));
-            }
-            Effect::Lost { xid } => self.questions.remove(&xid).into_iter().for_each(lost),
-            Effect::Told(_) | Effect::Bad(_) => {}
-        }
-    }
-
-    fn answered(&mut self, now: Duration, what: For, answer: Result<Answer, Refused>) {
-        match (what, answer) {
-            (For::Work(to), answer) => drop(to.send(answer.map_err(Some))),
-            (For::Folder, _) => {}
-            (For::Node, Ok(_)) | (For::Node, Err(Refused::NodeExists)) => {
-                let path = self.node.clone();
-                self.ask(now, Ask::Exists { path, watch: false }, For::Own(now));
-            }
-            (For::Node, Err(_)) => {}
-            (For::Own(asked), Ok(Answer::Stat(stat))) => {
-                self.claim
-                    .desk()
-                    .owner
-                    .joined_queue(now, asked, stat.created as Term);
-                self.stands = true;
-            }
-            (For::Queue(asked), Ok(Answer::Children(names, _))) => {
-                (self.left, self.lowest) = (names.len(), None);
-                for name in names {
-                    let path = format!("{QUEUE}/{name}");
-                    self.ask(now, Ask::Exists { path, watch: false }, For::Child(asked));
-                }
-            }
-            (For::Child(asked), answer) => {
-                if let Ok(Answer::Stat(stat)) = answer {
-                    let created = stat.created as Term;
-                    self.lowest = Some(self.lowest.map_or(created, |lowest| lowest.min(created)));
-                }
-                self.left = self.left.saturating_sub(1);
-                if let Some(first) = self.lowest.filter(|_| self.left == 0) {
-                    let mut desk = self.claim.desk();
-                    desk.owner.store_answered(now, asked);
-                    desk.owner.queue_head(now, first);
-                }
-            }
-            (For::Own(_) | For::Queue(_), _) => {}
-        }
-    }
+fn exists(path: String) -> StoreRequest {
+    StoreRequest::Exists { path, watch: false }
 }
 
-/// Whoever waits for an answer hears that there is none.
-fn lost(what: For) {
-    if let For::Work(to) = what {
-        let _ = to.send(Err(None));
-    }
+fn queue_node_path(node: &str) -> String {
+    format!("{QUEUE_PATH}/{node}")
 }
--- a/crates/proxy/src/program/roll.rs
+++ b/crates/proxy/src/program/roll.rs
@@ -1,393 +1,246 @@
-//! A site's proxies patched one after the other, without the front ever losing two.
-
-use super::command::{emptied, told};
-use super::leader_lease::LeaderLease;
-use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest, ProxyStatus};
-use asterramp_leader_lease::LeaseState;
-use asterramp_zookeeper::record::{ANY, Request as Ask};
-use asterramp_zookeeper::session::Answer;
-use serde::{Deserialize, Serialize};
+//! A rolling restart: a site's proxies are replaced one after the other, without the front ever losing two.
+//!
+//! A guarded roll is led by one process at a time, by a [`LeaderLease`]. Its plan is kept at the store, so that a successor
+//! goes on where the leader stopped. `docs/ownership.md` says why it is done this way.
+
+mod error;
+mod operator;
+mod plan;
+mod replacement;
+
+use super::leader_lease::{LeaderLease, StoreError};
+use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest};
+use asterramp_leader_lease::{LeaseState, Term};
+use plan::{RollPlan, create_plan, mark_done, plan_path, read_plan};
+use replacement::{POLL_INTERVAL, Replacement, proxy_status};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::Command;
 use std::time::{Duration, Instant};
 
-pub struct Roll {
-    pub control: Vec<PathBuf>,
-    pub deadline: Duration,
-    pub restart: Option<String>,
-    pub patience: Duration,
-    pub share: f64,
-}
-
-const LOOK: Duration = Duration::from_millis(250);
+pub(super) use error::RollError;
+pub(super) use operator::{print_status, request_state};
+pub(super) use plan::RequestedRollState;
 
-/// Goes on as long as each step does; stops at the first that fails and says which.
-pub fn roll(roll: &Roll) -> Result<(), String> {
-    println!("this roll is not guarded: nobody keeps a second one away, and no store is named");
-    for control in &roll.control {
-        let done = one(roll, control, None);
-        done.map_err(|what| format!("{}: {what}; the roll stops here", control.display()))?;
-    }
-    println!("all {} are patched", roll.control.len());
-    Ok(())
-}
+/// How often a contender looks whether it leads.
+const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(125);
 
-/// The plan of a guarded roll, at the store under its name, which outlives its owner.
-#[derive(Serialize, Deserialize)]
-struct Plan {
-    /// The processes that are to be replaced.
-    pids: BTreeMap<PathBuf, u32>,
-    done: bool,
-    /// What an operator wants of whoever owns it.
-    #[serde(default)]
-    wish: RequestedRollState,
+/// How a roll is done.
+#[derive(Clone, Debug)]
+pub(super) struct RollOptions {
+    /// The proxies' admin sockets, in the order in which they are replaced.
+    pub(super) admin_sockets: Vec<PathBuf>,
+    /// By when a drained proxy is to be empty.
+    pub(super) drain_deadline: Duration,
+    /// Run by the shell once a proxy is empty; without it somebody else restarts proxies.
+    pub(super) restart_command: Option<String>,
+    /// How long a restart may take, and how long until the proxy carries its share.
+    pub(super) patience: Duration,
+    /// What a restarted proxy holds to carry its share, as a part of what the others hold on average.
+    pub(super) min_share: f64,
 }
 
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum RequestedRollState {
-    #[default]
-    GoOn,
-    /// No further proxy is begun.
-    Pause,
-    /// It ends where it stands.
-    Cancel,
-}
+impl RollOptions {
+    /// The other proxies.
+    fn peers_of<'a>(&'a self, admin_socket: &'a Path) -> impl Iterator<Item = &'a Path> {
+        self.admin_sockets
+            .iter()
+            .map(PathBuf::as_path)
+            .filter(move |peer| *peer != admin_socket)
+    }
 
-impl RequestedRollState {
-    fn name(self) -> &'static str {
-        match self {
-            RequestedRollState::GoOn => "goes on",
-            RequestedRollState::Pause => "is paused",
-            RequestedRollState::Cancel => "is cancelled",
-        }
+    fn print_done(&self) {
+        println!("all {} are patched", self.admin_sockets.len());
     }
 }
 
-fn plan_at(name: &str) -> String {
-    format!("/asterramp/roll-{name}")
+/// Replaces the proxies without a lead; nothing prevents a second roll at the same time. Stops at the first proxy that fails.
+pub(super) fn roll_unguarded(options: &RollOptions) -> Result<(), RollError> {
+    println!("this roll is not guarded: nobody keeps a second one away, and no store is named");
+    for admin_socket in &options.admin_sockets {
+        let replacement = Replacement {
+            options,
+            admin_socket,
+            lease: None,
+            planned_pid: None,
+        };
+        let replaced = replacement.run();
+        replaced.map_err(|error| stopped_at(admin_socket, error))?;
+    }
+    options.print_done();
+    Ok(())
 }
 
-/// What a step says that was stopped by the loss of ownership.
-const LOST: &str = "the work is not ours any more";
-
-/// The same under one owner at a time: waits until this one owns the work, takes it up where it stands, and stops, to wait again, when
-/// it is lost.
-pub fn guarded(
-    roll: &Roll,
+/// Replaces the proxies under one leader at a time: waits for the lead, goes on with the plan where it stands and, when the
+/// lead is lost, waits again.
+pub(super) fn roll_guarded(
+    options: &RollOptions,
     name: &str,
     stores: Vec<SocketAddr>,
-    session: Duration,
-) -> Result<(), String> {
-    let claim = LeaderLease::start(stores, session);
+    session_timeout: Duration,
+) -> Result<(), RollError> {
+    let lease = LeaderLease::contend(stores, session_timeout);
     loop {
-        owned(roll, &claim)?;
-        match work(roll, name, &claim) {
+        wait_for_lead(options, &lease)?;
+        match lead(options, name, &lease) {
             Ok(()) => {
-                claim.leave();
-                println!("all {} are patched", roll.control.len());
+                lease.resign();
+                options.print_done();
                 return Ok(());
             }
-            Err(what) if what == LOST => println!("{what}; waiting for it"),
-            Err(what) => {
-                claim.leave();
-                return Err(what);
+            Err(RollError::LeaseLost) => println!("{}; waiting for it", RollError::LeaseLost),
+            Err(error) => {
+                lease.resign();
+                return Err(error);
             }
         }
     }
 }
 
-/// Waits until the work is ours, with a word whenever that changes.
-fn owned(roll: &Roll, claim: &LeaderLease) -> Result<(), String> {
-    let (mut told, mut since) = (None, Instant::now());
+/// Waits until this process leads, and prints each change of its state.
+fn wait_for_lead(options: &RollOptions, lease: &LeaderLease) -> Result<(), RollError> {
+    let mut printed_state = None;
+    let mut state_since = Instant::now();
     loop {
-        let (state, term) = claim.state();
-        if told.replace(state) != Some(state) {
-            println!("{}, term {term}", state.name());
-            since = Instant::now();
+        let status = lease.status();
+        if printed_state != Some(status.state) {
+            printed_state = Some(status.state);
+            state_since = Instant::now();
+            println!("{}, term {}", status.state.name(), status.term);
         }
-        match state {
+        match status.state {
             LeaseState::Leader => return Ok(()),
-            // Once all have heard the term, no order of the one before counts anywhere.
-            LeaseState::AwaitingPredecessor => {
-                let hears = |control: &PathBuf| {
-                    let mut client = AdminClient::connect(control).ok()?;
-                    claim
-                        .order(&mut client, AdminRequest::new(AdminCommand::Hear))
-                        .ok()?
-                };
-                if roll.control.iter().all(|control| hears(control).is_some()) {
-                    claim.all_heard(term);
-                }
-            }
-            LeaseState::NotQueued if since.elapsed() > roll.patience => {
-                return Err("the store cannot be heard".into());
+            LeaseState::AwaitingPredecessor => announce_term(options, lease, status.term),
+            LeaseState::NotQueued if state_since.elapsed() > options.patience => {
+                return Err(StoreError::Unreachable.into());
             }
             LeaseState::NotQueued | LeaseState::Queued => {}
         }
-        std::thread::sleep(LOOK / 2);
+        std::thread::sleep(LEASE_POLL_INTERVAL);
+    }
+}
+
+/// Makes the term known to every proxy: once all know it, no order of a predecessor counts anywhere, and the wait for the
+/// predecessor is over.
+fn announce_term(options: &RollOptions, lease: &LeaderLease, term: Term) {
+    for admin_socket in &options.admin_sockets {
+        let Ok(mut client) = AdminClient::connect(admin_socket) else {
+            return;
+        };
+        let accepted = lease.order(&mut client, AdminRequest::new(AdminCommand::Hear));
+        if !matches!(accepted, Ok(Some(_))) {
+            return;
+        }
     }
+    lease.all_receivers_know_term(term);
 }
 
-fn work(roll: &Roll, name: &str, claim: &LeaderLease) -> Result<(), String> {
-    let plan = plan(roll, name, claim)?;
+/// Replaces what the plan says is not replaced yet.
+fn lead(options: &RollOptions, name: &str, lease: &LeaderLease) -> Result<(), RollError> {
+    let plan = open_plan(options, name, lease)?;
     if plan.done {
         println!("{name} was done before");
         return Ok(());
     }
-    // Whoever was left half done goes first, or two would be out.
-    let half = |control: &&PathBuf| {
-        let now = status(control).ok();
-        now.is_none_or(|now| now.state != "serving" && plan.pids.get(*control) == Some(&now.pid))
-    };
-    let (first, rest): (Vec<&PathBuf>, Vec<&PathBuf>) = roll.control.iter().partition(half);
-    for control in first.into_iter().chain(rest) {
-        let before = plan.pids.get(control).copied();
-        let replaced =
-            status(control).is_ok_and(|now| Some(now.pid) != before && now.state == "serving");
-        if replaced {
-            println!("{}: replaced already", control.display());
+    for admin_socket in replacement_order(options, &plan) {
+        let planned_pid = plan.replaced_pids.get(admin_socket).copied();
+        if is_replaced(admin_socket, planned_pid) {
+            println!("{}: replaced already", admin_socket.display());
             continue;
         }
-        wished(name, claim)?;
-        one(roll, control, Some((claim, before))).map_err(|what| match claim.acts() {
-            true if what != LOST => format!("{}: {what}; the roll stops here", control.display()),
-            _ => LOST.to_string(),
-        })?;
-    }
-    let data = serde_json::to_vec(&Plan { done: true, ..plan }).map_err(|e| e.to_string())?;
-    let told = claim.ask(Ask::SetData {
-        path: plan_at(name),
-        data,
-        version: ANY,
-    });
-    told.map(drop).map_err(|_| LOST.to_string())
-}
-
-/// The plan as it stands at the store, and its version; `None` where there is none.
-fn kept(name: &str, claim: &LeaderLease) -> Result<Option<(Plan, i32)>, String> {
-    let path = plan_at(name);
-    match claim.ask(Ask::GetData {
-        path: path.clone(),
-        watch: false,
-    }) {
-        Ok(Answer::Data(data, stat)) => {
-            let plan = serde_json::from_slice(&data).map_err(|e| format!("{path}: {e}"))?;
-            Ok(Some((plan, stat.version)))
+        wait_until_running(name, lease)?;
+        let replacement = Replacement {
+            options,
+            admin_socket,
+            lease: Some(lease),
+            planned_pid,
+        };
+        if let Err(error) = replacement.run() {
+            // Whatever fails once the lead is lost is the next leader's to judge.
+            return Err(match error {
+                RollError::LeaseLost => RollError::LeaseLost,
+                _ if !lease.may_act() => RollError::LeaseLost,
+                error => stopped_at(admin_socket, error),
+            });
         }
-        _ => Ok(None),
     }
+    mark_done(name, plan, lease)
 }
 
-/// Waits while an operator wants a pause; an error where it is cancelled.
-fn wished(name: &str, claim: &LeaderLease) -> Result<(), String> {
-    let mut told = RequestedRollState::GoOn;
-    loop {
-        let wish = kept(name, claim)?.map_or(RequestedRollState::GoOn, |kept| kept.0.wish);
-        if wish != std::mem::replace(&mut told, wish) {
-            println!("{name} {}", wish.name());
-        }
-        match wish {
-            RequestedRollState::GoOn => return Ok(()),
-            RequestedRollState::Cancel => return Err(format!("{name} was cancelled")),
-            RequestedRollState::Pause if !claim.acts() => return Err(LOST.into()),
-            RequestedRollState::Pause => std::thread::sleep(LOOK),
-        }
+fn stopped_at(admin_socket: &Path, error: RollError) -> RollError {
+    RollError::Replacement {
+        admin_socket: admin_socket.into(),
+        source: Box::new(error),
     }
 }
 
-/// Tells of a roll at the store: who waits for the work, and how far it is.
-pub fn tell(name: &str, claim: &LeaderLease) -> Result<(), String> {
-    let queue = claim.queue().unwrap_or_default();
-    match queue.first() {
-        Some((term, owner)) => println!("{owner} owns, term {term}; {} wait", queue.len() - 1),
-        None => println!("nobody owns the work"),
-    }
-    let Some((plan, _)) = kept(name, claim)? else {
-        return Err(format!("no roll is called {name}"));
-    };
-    let replaced =
-        |(control, pid): &(&PathBuf, &u32)| status(control).is_ok_and(|now| now.pid != **pid);
-    let (done, all) = (plan.pids.iter().filter(replaced).count(), plan.pids.len());
-    println!(
-        "{name}: {done} of {all} are replaced; it {}",
-        if plan.done {
-            "is done"
-        } else {
-            plan.wish.name()
+/// The plan as it stands at the store, or a new one that is created there.
+fn open_plan(
+    options: &RollOptions,
+    name: &str,
+    lease: &LeaderLease,
+) -> Result<RollPlan, RollError> {
+    if let Some(stored) = read_plan(name, lease)? {
+        let planned: BTreeSet<&PathBuf> = stored.plan.replaced_pids.keys().collect();
+        if planned == options.admin_sockets.iter().collect() {
+            return Ok(stored.plan);
         }
-    );
-    for (control, pid) in &plan.pids {
-        let state = match status(control) {
-            Ok(now) if now.pid != *pid => format!("replaced, {}", now.state),
-            Ok(now) => now.state,
-            Err(_) => "cannot be reached".into(),
-        };
-        println!("{}: {state}", control.display());
+        let path = plan_path(name);
+        return Err(RollError::PlanOfOtherProxies { path });
     }
-    Ok(())
-}
-
-/// Wants something of whoever owns a roll; it is heeded before the next proxy.
-pub fn wish(name: &str, claim: &LeaderLease, wish: RequestedRollState) -> Result<(), String> {
-    let Some((plan, version)) = kept(name, claim)? else {
-        return Err(format!("no roll is called {name}"));
-    };
-    if plan.done {
-        return Err(format!("{name} is done"));
+    let mut replaced_pids = BTreeMap::new();
+    for admin_socket in &options.admin_sockets {
+        let pid = proxy_status(admin_socket)?.pid;
+        replaced_pids.insert(admin_socket.clone(), pid);
     }
-    let data = serde_json::to_vec(&Plan { wish, ..plan }).map_err(|e| e.to_string())?;
-    claim.ask(Ask::SetData {
-        path: plan_at(name),
-        data,
-        version,
-    })?;
-    println!("{name} {}", wish.name());
-    Ok(())
-}
-
-/// The plan as it stands at the store, or a new one.
-fn plan(roll: &Roll, name: &str, claim: &LeaderLease) -> Result<Plan, String> {
-    let path = plan_at(name);
-    if let Some((plan, _)) = kept(name, claim)? {
-        let same = plan.pids.keys().collect::<BTreeSet<_>>()
-            == roll.control.iter().collect::<BTreeSet<_>>();
-        return if same {
-            Ok(plan)
-        } else {
-            Err(format!(
-                "{path}: it is of other proxies; give this roll another name"
-            ))
-        };
-    }
-    let pids = roll
-        .control
-        .iter()
-        .map(|control| Ok((control.clone(), status(control)?.pid)));
-    let plan = Plan {
-        pids: pids.collect::<Result<_, String>>()?,
+    let plan = RollPlan {
+        replaced_pids,
         done: false,
-        wish: RequestedRollState::GoOn,
+        requested_state: RequestedRollState::Running,
     };
-    let data = serde_json::to_vec(&plan).map_err(|e| e.to_string())?;
-    let made = claim.ask(Ask::Create {
-        path,
-        data,
-        ephemeral: false,
-    });
-    made.map(|_| plan).map_err(|_| LOST.to_string())
-}
-
-fn status(control: &Path) -> Result<ProxyStatus, String> {
-    AdminClient::connect(control)?.ask(&AdminRequest::new(AdminCommand::Status))
+    create_plan(name, &plan, lease)?;
+    Ok(plan)
 }
 
-/// Looks again and again until something is so; `None` once patience is at its end.
-fn until<T>(patience: Duration, mut look: impl FnMut() -> Option<T>) -> Option<T> {
-    let end = Instant::now() + patience;
-    loop {
-        let found = look();
-        if found.is_some() || Instant::now() > end {
-            return found;
+/// The proxies with those first that a former leader may have left half done, or two would be out of service at once.
+fn replacement_order<'a>(options: &'a RollOptions, plan: &RollPlan) -> Vec<&'a Path> {
+    let is_half_done = |admin_socket: &&Path| match proxy_status(admin_socket) {
+        Ok(status) => {
+            let planned_pid = plan.replaced_pids.get(*admin_socket);
+            status.state != "serving" && planned_pid == Some(&status.pid)
         }
-        std::thread::sleep(LOOK);
-    }
+        Err(_) => true,
+    };
+    let admin_sockets = options.admin_sockets.iter().map(PathBuf::as_path);
+    let (mut half_done, others): (Vec<&Path>, Vec<&Path>) = admin_sockets.partition(is_half_done);
+    half_done.extend(others);
+    half_done
 }
 
-/// Orders a proxy something, as the owner if there is one; anybody else's word is not an owner's.
-fn order(
-    client: &mut AdminClient,
-    request: AdminRequest,
-    claim: Option<&LeaderLease>,
-) -> Result<(), String> {
-    match claim {
-        None => client.ask(&request).map(drop),
-        Some(claim) => match claim.order(client, request)? {
-            Some(_) => Ok(()),
-            None => Err(LOST.into()),
-        },
-    }
+fn is_replaced(admin_socket: &Path, planned_pid: Option<u32>) -> bool {
+    proxy_status(admin_socket)
+        .is_ok_and(|status| Some(status.pid) != planned_pid && status.state == "serving")
 }
 
-fn one(
-    roll: &Roll,
-    control: &Path,
-    owner: Option<(&LeaderLease, Option<u32>)>,
-) -> Result<(), String> {
-    let claim = owner.map(|owner| owner.0);
-    // Each of the others must carry, or the front would lose two.
-    for other in roll.control.iter().filter(|other| *other != control) {
-        let carries = || status(other).ok().filter(|s| s.carries);
-        until(roll.patience, carries)
-            .ok_or_else(|| format!("{} does not carry its share", other.display()))?;
-    }
-    let connected = AdminClient::connect(control);
-    // One that an owner before had told to go is waited for.
-    let Ok(mut client) = connected else {
-        let away = owner.is_some_and(|owner| owner.1.is_some());
-        return if away {
-            comes_back(roll, control, owner.and_then(|owner| owner.1))
-        } else {
-            connected.map(drop)
+/// Waits while an operator wants a pause; an error if the roll is cancelled or the lead lost meanwhile.
+fn wait_until_running(name: &str, lease: &LeaderLease) -> Result<(), RollError> {
+    let mut printed_state = RequestedRollState::Running;
+    loop {
+        let requested_state = match read_plan(name, lease)? {
+            Some(stored) => stored.plan.requested_state,
+            None => RequestedRollState::Running,
         };
-    };
-    let before = client.ask(&AdminRequest::new(AdminCommand::Status))?;
-    println!("{}: draining, {} open", control.display(), before.open);
-    let deadline_ms = Some(roll.deadline.as_millis() as u64);
-    order(
-        &mut client,
-        AdminRequest {
-            deadline_ms,
-            ..AdminRequest::new(AdminCommand::Drain)
-        },
-        claim,
-    )?;
-    emptied(&mut client, roll.deadline)?;
-    if claim.is_some() && roll.restart.is_none() {
-        order(&mut client, AdminRequest::new(AdminCommand::Leave), claim)?;
-    }
-    if let Some(command) = &roll.restart {
-        // The command is not fenced: an owner that was stopped right here may run it late.
-        if claim.is_some_and(|claim| !claim.acts()) {
-            return Err(LOST.into());
+        if requested_state != printed_state {
+            printed_state = requested_state;
+            println!("{name} {}", requested_state.predicate());
         }
-        let mut shell = Command::new("/bin/sh");
-        let ran = shell
-            .args(["-c", command])
-            .env("ASTERRAMP_CONTROL", control)
-            .status();
-        let ran = ran.map_err(|e| format!("restart: {e}"))?;
-        if !ran.success() {
-            return Err(format!("restart: {ran}"));
+        match requested_state {
+            RequestedRollState::Running => return Ok(()),
+            RequestedRollState::Cancelled => {
+                return Err(RollError::Cancelled { name: name.into() });
+            }
+            RequestedRollState::Paused if !lease.may_act() => return Err(RollError::LeaseLost),
+            RequestedRollState::Paused => std::thread::sleep(POLL_INTERVAL),
         }
     }
-    println!("{}: empty; waiting for its restart", control.display());
-    comes_back(roll, control, Some(before.pid))
-}
-
-fn comes_back(roll: &Roll, control: &Path, before: Option<u32>) -> Result<(), String> {
-    let back = || {
-        status(control)
-            .ok()
-            .filter(|s| s.state == "serving" && Some(s.pid) != before)
-    };
-    until(roll.patience, back).ok_or("it has not come back")?;
-    println!(
-        "{}: back; waiting until it carries its share",
-        control.display()
-    );
-    let carries = || {
-        let own = status(control).ok()?;
-        let others = roll.control.iter().filter(|other| *other != control);
-        let open: Vec<usize> = others
-            .filter_map(|other| Some(status(other).ok()?.open))
-            .collect();
-        let mean = open.iter().sum::<usize>() as f64 / open.len().max(1) as f64;
-        (own.carries && own.open as f64 >= mean * roll.share).then_some(own)
-    };
-    let own = until(roll.patience, carries).ok_or("it does not carry its share")?;
-    println!("{}: {}", control.display(), told(&own));
-    Ok(())
 }
