--- a/crates/proxy/src/transport/stream.rs
+++ b/crates/proxy/src/transport/stream.rs
@@ -1,158 +1,169 @@
-//! One connection: its socket, what came and waits to be passed on, what waits to be written.
+//! One non-blocking connection: its socket, the input that waits to be consumed and the output that waits to be
+//! written.
 
-use super::buffer::Buffer;
-use super::poll::Want;
+use super::buffer::ReadBuffer;
+use super::poller::Interest;
 use super::socket;
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::io::{Errno, read, write, writev};
 use std::io::IoSlice;
 
-/// How the other side ended a connection.
+/// How the peer ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum StreamEnd {
+    /// In good order, with an end of file.
     Fin,
+    /// With a reset, or by another error.
     Reset,
 }
 
+/// A connection with its buffers. Errors of the socket show as [`ended`](BufferedStream::ended).
 #[derive(Debug)]
-pub struct Stream {
+pub struct BufferedStream {
     fd: OwnedFd,
-    pub inbound: Buffer,
-    /// Rest of texts of our own that the socket did not take at once.
+    /// Input not yet consumed, within [`ReadBuffer::CAPACITY`].
+    pub inbound: ReadBuffer,
+    /// The part of the proxy's own messages that the socket did not take at once.
     unsent: Vec<u8>,
-    /// What is watched for.
-    pub want: Want,
-    pub ended: Option<End>,
+    /// What the socket is registered for at the poller.
+    pub interest: Interest,
+    /// How the peer ended the connection, once it has.
+    pub ended: Option<StreamEnd>,
 }
 
-impl AsFd for Stream {
+impl AsFd for BufferedStream {
     fn as_fd(&self) -> BorrowedFd<'_> {
         self.fd.as_fd()
     }
 }
 
-impl Stream {
-    pub fn new(fd: OwnedFd, want: Want) -> Stream {
-        Stream {
+impl BufferedStream {
+    /// A connection with empty buffers.
+    pub fn new(fd: OwnedFd, interest: Interest) -> BufferedStream {
+        BufferedStream {
             fd,
-            inbound: Buffer::default(),
+            inbound: ReadBuffer::default(),
             unsent: Vec::new(),
-            want,
+            interest,
             ended: None,
         }
     }
 
-    /// One that another process held, with what it had read and not passed on.
-    pub fn taken(fd: OwnedFd, bytes: &[u8]) -> Option<Stream> {
-        let mut stream = Stream::new(
-            fd,
-            Want {
-                read: true,
-                write: false,
-            },
-        );
-        (bytes.len() <= Buffer::LIMIT)
-            .then(|| stream.inbound.push(bytes))
-            .map(|()| stream)
+    /// A connection inherited from another process, with the input that it had read and not consumed. `None` where
+    /// that is more than [`ReadBuffer::CAPACITY`].
+    pub fn inherited(fd: OwnedFd, inbound: &[u8]) -> Option<BufferedStream> {
+        if inbound.len() > ReadBuffer::CAPACITY {
+            return None;
+        }
+        let mut stream = BufferedStream::new(fd, Interest::READ);
+        stream.inbound.append(inbound);
+        Some(stream)
     }
 
-    /// One read, so that a turn of the loop is bounded for each connection. A break that reading does not
-    /// show, as nothing may be read for want of room, is taken note of too.
-    pub fn fill(&mut self, broken: bool) {
-        let mut bytes = [0; Buffer::LIMIT];
-        let room = self.inbound.room();
-        if self.ended.is_none() && room > 0 {
-            match read(&self.fd, &mut bytes[..room]) {
-                Ok(0) => self.ended = Some(End::Fin),
-                Ok(n) => self.inbound.push(&bytes[..n]),
+    /// Reads once, so that one turn of the event loop is bounded for each connection.
+    ///
+    /// With `failed`, the socket's error is looked at as well: reading doesn't show it where the buffer is full.
+    pub fn read_once(&mut self, failed: bool) {
+        let mut bytes = [0; ReadBuffer::CAPACITY];
+        let free_space = self.inbound.free_space();
+        if self.ended.is_none() && free_space > 0 {
+            match read(&self.fd, &mut bytes[..free_space]) {
+                Ok(0) => self.ended = Some(StreamEnd::Fin),
+                Ok(count) => self.inbound.append(&bytes[..count]),
                 Err(Errno::AGAIN | Errno::INTR) => {}
-                Err(_) => self.ended = Some(End::Reset),
+                Err(_) => self.ended = Some(StreamEnd::Reset),
             }
         }
-        if broken && !self.is_up() {
-            self.ended = Some(End::Reset);
+        if failed && !self.is_connected() {
+            self.ended = Some(StreamEnd::Reset);
         }
     }
 
-    /// Reads what is there, up to so many bytes, and forgets it.
-    pub fn discard(&mut self, most: usize) {
-        let mut bytes = [0; Buffer::LIMIT];
-        for _ in 0..most.div_ceil(bytes.len()) {
+    /// Reads and drops input, at most `max_bytes` rounded up to whole reads.
+    pub fn discard_input(&mut self, max_bytes: usize) {
+        let mut bytes = [0; ReadBuffer::CAPACITY];
+        for _ in 0..max_bytes.div_ceil(bytes.len()) {
             if self.ended.is_some() {
                 return;
             }
             match read(&self.fd, &mut bytes) {
-                Ok(0) => self.ended = Some(End::Fin),
+                Ok(0) => self.ended = Some(StreamEnd::Fin),
                 Ok(_) | Err(Errno::INTR) => {}
                 Err(Errno::AGAIN) => return,
-                Err(_) => self.ended = Some(End::Reset),
+                Err(_) => self.ended = Some(StreamEnd::Reset),
             }
         }
     }
 
-    /// Whether more may come and there is room for it.
-    pub fn may_read(&self) -> bool {
-        self.ended.is_none() && self.inbound.room() > 0
+    /// Whether more input may come and there is space for it.
+    pub fn can_read(&self) -> bool {
+        self.ended.is_none() && self.inbound.free_space() > 0
     }
 
-    /// Writes what the socket takes of another stream's bytes.
-    pub fn pass(&self, bytes: &[u8]) -> Result<usize, End> {
+    /// Writes forwarded bytes and returns how many the socket took: none while messages of the proxy's own are unsent.
+    pub fn forward(&self, bytes: &[u8]) -> Result<usize, StreamEnd> {
         if !self.unsent.is_empty() || bytes.is_empty() {
             return Ok(0);
         }
         match write(&self.fd, bytes) {
             Err(Errno::AGAIN | Errno::INTR) => Ok(0),
-            written => written.map_err(|_| End::Reset),
+            written => written.map_err(|_| StreamEnd::Reset),
         }
     }
 
-    /// Writes a text of ours, given in parts, and keeps what the socket does not take.
+    /// Writes a message of the proxy's own, given in parts, and keeps what the socket does not take.
     pub fn send(&mut self, parts: &[&[u8]]) {
-        let mut done = 0;
+        let mut written = 0;
         if self.unsent.is_empty() && parts.iter().any(|part| !part.is_empty()) {
-            let slices: Vec<IoSlice> = parts.iter().map(|part| IoSlice::new(part)).collect();
-            let written = writev(&self.fd, &slices);
-            done = self.count(written);
+            let slices: Vec<IoSlice<'_>> = parts.iter().map(|part| IoSlice::new(part)).collect();
+            let result = writev(&self.fd, &slices);
+            written = self.written_bytes(result);
         }
         for part in parts {
-            let skip = done.min(part.len());
-            done -= skip;
-            self.unsent.extend_from_slice(&part[skip..]);
+            let skipped = written.min(part.len());
+            written -= skipped;
+            self.unsent.extend_from_slice(&part[skipped..]);
         }
     }
 
+    /// Writes what the socket takes of the messages that are unsent.
     pub fn flush(&mut self) {
         if !self.unsent.is_empty() {
-            let written = write(&self.fd, &self.unsent);
-            let done = self.count(written);
-            self.unsent.drain(..done);
+            let result = write(&self.fd, &self.unsent);
+            let written = self.written_bytes(result);
+            self.unsent.drain(..written);
         }
     }
 
-    /// Whether all texts of ours are written to the last byte.
-    pub fn sent(&self) -> bool {
+    /// Whether all messages of the proxy's own are written to the last byte.
+    pub fn is_flushed(&self) -> bool {
         self.unsent.is_empty()
     }
 
-    fn count(&mut self, written: Result<usize, Errno>) -> usize {
-        match written {
-            Ok(n) => return n,
-            Err(Errno::AGAIN | Errno::INTR) => {}
-            Err(_) => self.ended = Some(End::Reset),
+    /// How many bytes a write took; an error of the connection is noted as its end.
+    fn written_bytes(&mut self, result: Result<usize, Errno>) -> usize {
+        match result {
+            Ok(count) => count,
+            Err(Errno::AGAIN | Errno::INTR) => 0,
+            Err(_) => {
+                self.ended = Some(StreamEnd::Reset);
+                0
+            }
         }
-        0
     }
 
-    /// Whether nothing broke it, or, asked once it can be written to, whether it came up.
-    pub fn is_up(&self) -> bool {
-        socket::fault(&self.fd).is_ok()
+    /// Whether no error has broken the connection; asked at its first writability, whether it was established.
+    pub fn is_connected(&self) -> bool {
+        socket::take_error(&self.fd).is_ok()
     }
 
-    pub fn end_sending(&self) {
-        socket::end_sending(&self.fd);
+    /// Ends the sending direction.
+    pub fn shutdown_write(&self) {
+        socket::shutdown_write(&self.fd);
     }
 
+    /// Closes with a reset.
     pub fn reset(self) {
-        socket::reset(self.fd);
+        socket::close_with_reset(self.fd);
     }
 }
