--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -7,9 +7,9 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-use asterramp_proxy::program::command::perform;
+use asterramp_proxy::program::commands::run;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    perform()
+    run()
 }
--- a/crates/proxy/src/program/mod.rs
+++ b/crates/proxy/src/program/mod.rs
@@ -1,13 +1,14 @@
 //! What makes the proxy a program: configuration, clock, signals, counters, log, loop.
 
 pub mod clock;
-pub mod command;
+pub mod commands;
 pub mod config;
 pub mod counters;
+mod drain_progress;
 mod leader_lease;
 pub mod log;
 mod operator_file;
-pub mod roll;
+mod roll;
 pub mod run;
 mod signals;
 mod state;
--- a/crates/proxy/src/routing/admin_commands.rs
+++ b/crates/proxy/src/routing/admin_commands.rs
@@ -3,7 +3,7 @@
 use super::{ReasonCode, Router};
 use asterramp_admin_protocol::{AdminCommand, AdminReply, AdminRequest, LeaderToken};
 use asterramp_drain::{DrainError, DrainState};
-use asterramp_leader_lease::{FencedOrder, OrderRejection};
+use asterramp_leader_lease::{FencingToken, OrderRejection};
 use std::time::Duration;
 
 /// Why a command was not carried out.
@@ -22,7 +22,7 @@
     /// The text that the operator sees.
     pub(super) fn message(self) -> &'static str {
         match self {
-            AdminError::Fenced(rejection) => rejection.why(),
+            AdminError::Fenced(rejection) => rejection.reason(),
             AdminError::Drain(error) => error.message(),
             AdminError::NotReady => "no clients are taken in",
         }
@@ -86,23 +86,23 @@
         command: AdminCommand,
         token: LeaderToken,
     ) -> Result<(), AdminError> {
-        let order = FencedOrder {
+        let order = FencingToken {
             term: token.term,
-            boot: token.incarnation,
-            until: Duration::from_micros(token.expires_at_us),
+            incarnation: token.incarnation,
+            expires_at: Duration::from_micros(token.expires_at_us),
         };
-        let highest_before = self.fencing_guard.highest();
+        let highest_before = self.fencing_guard.highest_term();
         if let Err(rejection) = self.fencing_guard.check(self.now, &order) {
             let text = format!(
                 "order={} term={} heard={highest_before} why={:?}",
                 command.name(),
                 token.term,
-                rejection.why()
+                rejection.reason()
             );
             self.log_event(ReasonCode::CommandFenced, text);
             return Err(AdminError::Fenced(rejection));
         }
-        if self.fencing_guard.highest() > highest_before {
+        if self.fencing_guard.highest_term() > highest_before {
             self.log_event(ReasonCode::LeaderAccepted, format!("term={}", token.term));
             self.record_term(token.term);
         }
--- a/crates/proxy/src/routing/admin_status.rs
+++ b/crates/proxy/src/routing/admin_status.rs
@@ -59,9 +59,9 @@
             zones: self.zone_statuses(),
             warm_start: self.warm_start_status(),
             admission: self.admission_statuses(),
-            incarnation: self.fencing_guard.ticket(self.now).boot,
+            incarnation: self.fencing_guard.clock(self.now).incarnation,
             clock_us: self.now.as_micros() as u64,
-            highest_term: self.fencing_guard.highest(),
+            highest_term: self.fencing_guard.highest_term(),
         }
     }
 
