--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// Callers at once. When another comes, the one that has been idle longest is closed.
-pub const MAX_CALLERS: usize = 32;
+pub(super) const MAX_CALLERS: usize = 32;
 
 /// Callers accepted in one turn of the event loop, so that a crowd of them does not delay clients.
 const MAX_ACCEPTS_PER_TURN: usize = 16;
@@ -34,7 +34,7 @@
 
 /// The listener and its callers.
 #[derive(Debug)]
-pub struct AdminHttp {
+pub(super) struct AdminHttp {
     listener: SlotKey,
     /// Callers, the one that has been idle longest first.
     callers: Vec<SlotKey>,
