--- /dev/null
+++ b/crates/operator-config/tests/golden.rs
@@ -0,0 +1,400 @@
+//! The operator's file as builds before the renames read it: every key, every kind of mistake, every difference. The
+//! files under `golden/` were written by such a build and never change; only the Rust names in this file may.
+
+use asterramp_operator_config::{
+    ConfigChange, ConfigProblem, OperatorConfig, TakesEffect, parse_duration,
+};
+use std::path::Path;
+use std::time::Duration;
+
+fn golden(name: &str) -> String {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name);
+    std::fs::read_to_string(path).unwrap()
+}
+
+fn assert_golden(name: &str, actual: &str) {
+    let expected = golden(name);
+    for (nth, (expected, actual)) in expected.lines().zip(actual.lines()).enumerate() {
+        assert_eq!(actual, expected, "{name}, line {}", nth + 1);
+    }
+    assert_eq!(actual, expected, "{name}: lengths");
+}
+
+/// Every value under its key, times in microseconds.
+fn values(file: &OperatorConfig) -> String {
+    let mut lines = admin_socket_values(file);
+    lines.extend(drain_values(file));
+    lines.extend(zone_failover_values(file));
+    lines.extend(snapshot_values(file));
+    lines.extend(warm_start_values(file));
+    let mut text = String::new();
+    for (key, value) in lines {
+        text += &format!("{key} = {value}\n");
+    }
+    text
+}
+
+type Lines = Vec<(&'static str, String)>;
+
+fn micros(duration: Duration) -> String {
+    duration.as_micros().to_string()
+}
+
+fn admin_socket_values(file: &OperatorConfig) -> Lines {
+    let Some(admin_socket) = &file.admin_socket else {
+        return vec![("control", "none".into())];
+    };
+    let path = admin_socket.path.to_str().unwrap();
+    vec![
+        ("control.socket", format!("{path:?}")),
+        ("control.peers", admin_socket.max_connections.to_string()),
+    ]
+}
+
+fn drain_values(file: &OperatorConfig) -> Lines {
+    let drain = &file.drain;
+    vec![
+        ("drain.deadline", micros(drain.default_deadline)),
+        ("drain.closing", micros(drain.max_closing_time)),
+        ("drain.quiet", micros(drain.quiet_period)),
+        (
+            "drain.pace",
+            format!("{:?}", drain.max_migrations_per_second),
+        ),
+        ("drain.back", micros(drain.time_before_next_drain)),
+    ]
+}
+
+fn zone_failover_values(file: &OperatorConfig) -> Lines {
+    let zones = &file.zone_failover;
+    vec![
+        ("site.watch", zones.enabled.to_string()),
+        ("site.look", micros(zones.health_check_interval)),
+        ("site.hold", micros(zones.initial_hold)),
+        ("site.hold_most", micros(zones.max_hold)),
+        ("site.settle", micros(zones.recovery_ramp)),
+        ("site.pace", zones.paces_admission.to_string()),
+        ("site.by_worth", zones.rejects_by_priority.to_string()),
+    ]
+}
+
+fn snapshot_values(file: &OperatorConfig) -> Lines {
+    let Some(snapshots) = &file.snapshots else {
+        return vec![("state", "none".into())];
+    };
+    let directory = snapshots.directory.to_str().unwrap();
+    vec![
+        ("state.folder", format!("{directory:?}")),
+        ("state.every", micros(snapshots.interval)),
+    ]
+}
+
+fn warm_start_values(file: &OperatorConfig) -> Lines {
+    let warm_start = &file.warm_start;
+    let peers: Vec<String> = warm_start.peers.iter().map(ToString::to_string).collect();
+    vec![
+        ("recovery.stages", warm_start.enabled.to_string()),
+        ("recovery.look", micros(warm_start.discovery_wait)),
+        ("recovery.probe", micros(warm_start.health_check_wait)),
+        ("recovery.fleet", format!("{:?}", warm_start.fleet)),
+        ("recovery.others", peers.join(" ")),
+    ]
+}
+
+/// A file with every key, none at its default.
+const FULL: &str = "\
+[control]
+socket = \"/run/asterramp/control.sock\"
+peers = 4
+
+[drain]
+deadline = \"2m\"
+closing = \"1500ms\"
+quiet = \"0.25s\"
+pace = 40
+back = \"1h\"
+
+[site]
+watch = false
+look = \"800ms\"
+hold = \"5s\"
+hold_most = \"2m\"
+settle = \"7.5s\"
+pace = false
+by_worth = true
+
+[state]
+folder = \"/var/lib/asterramp\"
+every = \"250ms\"
+
+[recovery]
+stages = true
+look = \"100ms\"
+probe = \"3s\"
+fleet = \"east-1\"
+others = [\"10.0.0.5:9000\", \"[2001:db8::1]:9001\"]
+";
+
+/// Lines of `FULL` that change alone, and what they become.
+const CHANGES: &[(&str, &str)] = &[
+    (
+        "socket = \"/run/asterramp/control.sock\"",
+        "socket = \"/run/b.sock\"",
+    ),
+    ("peers = 4", "peers = 5"),
+    ("deadline = \"2m\"", "deadline = \"3m\""),
+    ("closing = \"1500ms\"", "closing = \"1501ms\""),
+    ("quiet = \"0.25s\"", "quiet = \"0.5s\""),
+    ("pace = 40", "pace = 40.5"),
+    ("back = \"1h\"", "back = \"59m\""),
+    ("watch = false", "watch = true"),
+    ("look = \"800ms\"", "look = \"900ms\""),
+    ("hold = \"5s\"", "hold = \"6s\""),
+    ("hold_most = \"2m\"", "hold_most = \"3m\""),
+    ("settle = \"7.5s\"", "settle = \"8s\""),
+    ("pace = false", "pace = true"),
+    ("by_worth = true", "by_worth = false"),
+    ("folder = \"/var/lib/asterramp\"", "folder = \"/var/lib/b\""),
+    ("every = \"250ms\"", "every = \"300ms\""),
+    ("stages = true", "stages = false"),
+    ("look = \"100ms\"", "look = \"200ms\""),
+    ("probe = \"3s\"", "probe = \"4s\""),
+    ("fleet = \"east-1\"", "fleet = \"east-2\""),
+    (
+        "others = [\"10.0.0.5:9000\", \"[2001:db8::1]:9001\"]",
+        "others = []",
+    ),
+    ("deadline = \"2m\"", "deadline = \"120s\""),
+];
+
+fn changes(before: &OperatorConfig, after: &OperatorConfig) -> String {
+    let mut text = String::new();
+    for ConfigChange { key, takes_effect } in before.changes(after) {
+        let when = match takes_effect {
+            TakesEffect::Immediately => "at once",
+            TakesEffect::AfterRestart => "by a restart",
+        };
+        text += &format!("    {key} {when}\n");
+    }
+    text
+}
+
+#[test]
+fn every_key_is_read_and_an_empty_file_has_the_same_defaults() {
+    let full = OperatorConfig::parse(FULL).unwrap();
+    assert_golden("full.toml", FULL);
+    assert_golden("full.txt", &values(&full));
+    assert_golden("empty.txt", &values(&OperatorConfig::parse("").unwrap()));
+    assert_eq!(OperatorConfig::parse(&golden("full.toml")), Ok(full));
+    assert_eq!(OperatorConfig::parse(""), Ok(OperatorConfig::default()));
+    // The least that switches the control socket and the snapshots on.
+    let least = "[control]\nsocket = \"/a\"\n[state]\nfolder = \"/b\"\n";
+    assert_golden("least.txt", &values(&OperatorConfig::parse(least).unwrap()));
+}
+
+#[test]
+fn a_difference_names_the_same_keys_in_the_same_order() {
+    let full = OperatorConfig::parse(FULL).unwrap();
+    let empty = OperatorConfig::default();
+    let mut text = format!("nothing differs\n{}", changes(&full, &full));
+    text += &format!("all differs\n{}", changes(&full, &empty));
+    text += &format!("all differs, the other way\n{}", changes(&empty, &full));
+    for (line, other) in CHANGES {
+        assert_eq!(FULL.matches(line).count(), 1, "{line}");
+        let changed = OperatorConfig::parse(&FULL.replace(line, other)).unwrap();
+        text += &format!("{line} -> {other}\n{}", changes(&full, &changed));
+    }
+    assert_golden("changes.txt", &text);
+}
+
+/// Files with a mistake each, or several.
+const MISTAKES: &[&str] = &[
+    "[drian]\n",
+    "drian = 1\n",
+    "drain = 1\n",
+    "[[drain]]\npace = 1\n",
+    "\n\n[drain]\npase = 1\n",
+    "[control]\nsocket = \"/a\"\npear = 1\n",
+    "[site]\nwait = \"1s\"\n",
+    "[state]\nfolder = \"/a\"\nfile = 1\n",
+    "[recovery]\nstage = 1\n",
+    // Missing beside others.
+    "[control]\npeers = 3\n",
+    "[control]\npeers = 300\n",
+    "[state]\nevery = \"1s\"\n",
+    "[recovery]\nothers = [\"10.0.0.5:9000\"]\n",
+    "[recovery]\nothers = []\n",
+    // Times.
+    "[drain]\ndeadline = 5\n",
+    "[drain]\ndeadline = \"5 s\"\n",
+    "[drain]\ndeadline = \"5\"\n",
+    "[drain]\ndeadline = \"-5s\"\n",
+    "[drain]\ndeadline = \"0.9s\"\n",
+    "[drain]\ndeadline = \"25h\"\n",
+    "[drain]\ndeadline = true\n",
+    "[drain]\nclosing = \"61s\"\n",
+    "[drain]\nquiet = \"99ms\"\n",
+    "[drain]\nback = \"2h\"\n",
+    "[site]\nlook = \"10ms\"\n",
+    "[site]\nhold = \"11m\"\n",
+    "[site]\nhold_most = \"2h\"\n",
+    "[site]\nsettle = []\n",
+    "[state]\nfolder = \"/a\"\nevery = \"1ms\"\n",
+    "[recovery]\nlook = \"5s\"\n",
+    "[recovery]\nprobe = \"0s\"\n",
+    // Numbers.
+    "[drain]\npace = 0\n",
+    "[drain]\npace = \"5\"\n",
+    "[drain]\npace = 1e9\n",
+    "[drain]\npace = nan\n",
+    "[drain]\npace = inf\n",
+    "[drain]\npace = -1\n",
+    "[control]\nsocket = \"/a\"\npeers = 0\n",
+    "[control]\nsocket = \"/a\"\npeers = 65\n",
+    "[control]\nsocket = \"/a\"\npeers = 1.5\n",
+    "[control]\nsocket = \"/a\"\npeers = \"4\"\n",
+    "[control]\nsocket = \"/a\"\npeers = 99999999999999999999\n",
+    // Flags.
+    "[site]\nwatch = 1\n",
+    "[site]\npace = \"no\"\n",
+    "[site]\nby_worth = {}\n",
+    "[recovery]\nstages = \"yes\"\n",
+    // Paths.
+    "[control]\nsocket = \"a.sock\"\n",
+    "[control]\nsocket = 5\n",
+    "[control]\nsocket = \"\"\n",
+    "[control]\nsocket = \"/a\\u0000b\"\n",
+    "[state]\nfolder = \"state\"\n",
+    "[state]\nfolder = false\n",
+    // Names and lists.
+    "[recovery]\nfleet = \"a b\"\n",
+    "[recovery]\nfleet = \"\"\n",
+    "[recovery]\nfleet = 7\n",
+    "[recovery]\nfleet = \"a\"\nothers = \"10.0.0.5:9000\"\n",
+    "[recovery]\nfleet = \"a\"\nothers = [\"10.0.0.5\"]\n",
+    "[recovery]\nfleet = \"a\"\nothers = [\"localhost:9000\"]\n",
+    "[recovery]\nfleet = \"a\"\nothers = [9000]\n",
+    // What is no TOML.
+    "[drain]\npace = \n",
+    "[drain\npace = 1\n",
+    "[drain]\npace = 1\npace = 2\n",
+    "[drain]\npace = 1\n[drain]\nback = \"1s\"\n",
+    "drain]\n",
+    // Several at once, in the order of lines.
+    "[drain]\npace = 0\nquiet = \"x\"\nodd = 1\n[nothing]\n[control]\nsocket = 5\n",
+    "[control]\npeers = 0\npaers = 2\n[state]\nevery = \"9\"\n[recovery]\nothers = [1]\nstages = 0\n[x]\n",
+];
+
+/// The same, and files with values that are too long.
+fn mistakes() -> Vec<String> {
+    let mut files: Vec<String> = MISTAKES.iter().copied().map(String::from).collect();
+    files.push(format!("[control]\nsocket = \"/{}\"\n", "a".repeat(107)));
+    files.push(format!("[state]\nfolder = \"/{}\"\n", "a".repeat(4_000)));
+    files.push(format!("[recovery]\nfleet = \"{}\"\n", "a".repeat(65)));
+    let others = vec!["\"10.0.0.5:9000\""; 257].join(",");
+    files.push(format!("[recovery]\nfleet = \"a\"\nothers = [{others}]\n"));
+    files
+}
+
+/// A file as it stands in the golden text, long runs of the same shortened.
+fn shown(text: &str) -> String {
+    let long = ["a".repeat(4_000), "a".repeat(107), "a".repeat(65)];
+    let mut shown = text.to_string();
+    for run in long {
+        shown = shown.replace(&run, &format!("<{} times a>", run.len()));
+    }
+    let others = vec!["\"10.0.0.5:9000\""; 257].join(",");
+    shown.replace(&others, "<257 times \"10.0.0.5:9000\">")
+}
+
+#[test]
+fn each_mistake_is_told_in_the_same_words() {
+    let mut text = String::new();
+    for file in mistakes() {
+        text += &format!(
+            "file\n    {}\n",
+            shown(&file).trim_end().replace('\n', "\n    ")
+        );
+        text += "problems\n";
+        match OperatorConfig::parse(&file) {
+            Ok(read) => text += &format!("    none\n{}", values(&read)),
+            Err(problems) => {
+                let lines = problems.iter().map(ConfigProblem::to_string);
+                for line in lines {
+                    text += &format!("    {}\n", shown(&line));
+                }
+            }
+        }
+    }
+    assert_golden("mistakes.txt", &text);
+}
+
+#[test]
+fn the_bounds_themselves_are_allowed() {
+    let long = "a".repeat(106);
+    let folder = "a".repeat(3_999);
+    let name = "a".repeat(64);
+    let others = vec!["\"10.0.0.5:9000\""; 256].join(",");
+    let least = format!(
+        "[control]\nsocket = \"/{long}\"\npeers = 1\n[drain]\ndeadline = \"1s\"\nclosing = \"0s\"\n\
+         quiet = \"100ms\"\npace = 0.1\nback = \"0s\"\n[site]\nlook = \"200ms\"\nhold = \"0s\"\n\
+         hold_most = \"0s\"\nsettle = \"0ms\"\n[state]\nfolder = \"/{folder}\"\nevery = \"0.2s\"\n\
+         [recovery]\nlook = \"0s\"\nprobe = \"100ms\"\nfleet = \"{name}\"\nothers = [{others}]\n"
+    );
+    let most = "[control]\nsocket = \"/a\"\npeers = 64\n[drain]\ndeadline = \"24h\"\nclosing = \"1m\"\n\
+                quiet = \"60s\"\npace = 100000\nback = \"60m\"\n[site]\nlook = \"60s\"\nhold = \"10m\"\n\
+                hold_most = \"1h\"\nsettle = \"600s\"\n[state]\nfolder = \"/a\"\nevery = \"10m\"\n\
+                [recovery]\nlook = \"1s\"\nprobe = \"60s\"\nfleet = \"A-9\"\nothers = [\"1.2.3.4:0\"]\n";
+    let read = OperatorConfig::parse(&least).unwrap();
+    assert_eq!(read.warm_start.peers.len(), 256);
+    let text = values(&read)
+        .replace(&folder, "<3999 times a>")
+        .replace(&long, "<106 times a>")
+        .replace(&name, "<64 times a>")
+        .replace(
+            &vec!["10.0.0.5:9000"; 256].join(" "),
+            "<256 times 10.0.0.5:9000>",
+        );
+    assert_golden("least_allowed.txt", &text);
+    assert_golden(
+        "most_allowed.txt",
+        &values(&OperatorConfig::parse(most).unwrap()),
+    );
+}
+
+#[test]
+fn times_are_read_with_the_same_units() {
+    let texts = [
+        "0ms",
+        "250ms",
+        "1.5s",
+        "2m",
+        "1h",
+        "0.5h",
+        "1e3s",
+        ".5s",
+        "5.s",
+        "s",
+        "",
+        "5",
+        "5 s",
+        "-5s",
+        "+5s",
+        "5S",
+        "5sec",
+        "1.2.3s",
+        "99999999999999999999h",
+        "1us",
+        " 5s",
+        "5s ",
+        "٣s",
+    ];
+    let mut text = String::new();
+    for given in texts {
+        let span = parse_duration(given).map(|span| span.as_nanos());
+        text += &format!("{given:?} {span:?}\n");
+    }
+    assert_golden("times.txt", &text);
+}
--- /dev/null
+++ b/crates/proxy/src/program/commands/serve.rs
@@ -0,0 +1,47 @@
+//! `asterramp serve`, and the files that it reads.
+
+use super::error::CommandError;
+use crate::program::run::run;
+use clap::Args;
+use std::path::PathBuf;
+
+/// Variables that name the files where the command line does not.
+const CONFIG_VARIABLE: &str = "LB_CONFIG";
+const OPERATOR_VARIABLE: &str = "ASTERRAMP_OPERATOR";
+
+#[derive(Args, Default)]
+pub(super) struct Files {
+    /// The platform's configuration; LB_CONFIG if absent.
+    #[arg(long)]
+    config: Option<PathBuf>,
+    /// The operator's file; ASTERRAMP_OPERATOR if absent. Without either, nothing optional is on.
+    #[arg(long)]
+    operator: Option<PathBuf>,
+}
+
+impl Files {
+    /// Path of the platform's configuration.
+    pub(super) fn config_path(&self) -> Option<String> {
+        path_or_variable(self.config.as_ref(), CONFIG_VARIABLE)
+    }
+
+    /// Path of the operator's file.
+    pub(super) fn operator_path(&self) -> Option<String> {
+        path_or_variable(self.operator.as_ref(), OPERATOR_VARIABLE)
+    }
+}
+
+pub(super) fn serve(files: &Files) -> Result<(), CommandError> {
+    let config = files.config_path();
+    let operator = files.operator_path();
+    run(config.as_deref(), operator.as_deref())?;
+    Ok(())
+}
+
+/// A path as given, or as the environment has it.
+fn path_or_variable(given: Option<&PathBuf>, variable: &str) -> Option<String> {
+    match given {
+        Some(path) => Some(path.to_string_lossy().into_owned()),
+        None => std::env::var(variable).ok(),
+    }
+}
--- a/crates/proxy/src/program/mod.rs
+++ b/crates/proxy/src/program/mod.rs
@@ -1,12 +1,14 @@
 //! What makes the proxy a program: configuration, clock, signals, counters, log, loop.
 
 pub mod clock;
-pub mod command;
+pub mod commands;
 pub mod config;
 pub mod counters;
+mod drain_progress;
 mod leader_lease;
 pub mod log;
-pub mod roll;
+mod operator_file;
+mod roll;
 pub mod run;
 mod signals;
 mod state;
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -3,8 +3,10 @@
 //! A [`Router`] is one epoll loop: [`Router::wait`] waits for sockets and deadlines, [`Router::process`] takes them
 //! in. What happened goes to the [`session_table`], which has no I/O; what that wants done comes back as tasks.
 
+mod admin_commands;
 mod admin_http;
 pub mod admin_socket;
+mod admin_status;
 mod admission;
 mod client;
 mod connections;
