--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -163,7 +163,7 @@
         self.client_ready(session);
     }
 
-    /// Asks admission control, which has an order of clients while capacity is short; it holds nobody up.
+    /// Asks admission control, which ranks clients while capacity is short; it queues none.
     fn ask_admission(&mut self, request: SessionRequest, failed: bool) -> Result<(), Rejection> {
         let admission_request = AdmissionRequest {
             listener: request.listener,
--- a/crates/proxy/src/routing/connections.rs
+++ b/crates/proxy/src/routing/connections.rs
@@ -51,7 +51,7 @@
 
     /// Takes a connection out of the tables; dropped, it closes.
     ///
-    /// What a client or an HTTP caller has sent and nobody read is read before: a close over it would reset the
+    /// What a client or an HTTP caller has sent and was not read is read before: a close over it would reset the
     /// connection, and with it what was written last. Not so where another process may hold the connection too: that
     /// one is to read it, and this one's close ends nothing.
     pub(super) fn close(&mut self, key: SlotKey) -> Option<BufferedStream> {
--- a/crates/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Writes the client's request line; `wait` is how long this dial may still take, and stands in place of the
+    /// Writes the client's request line; `wait` is how long this dial may still take, and replaces the
     /// client's own.
     pub(super) fn send_request_line(&mut self, session: SlotKey, wait: Option<Duration>) {
         if self.client_has_gone(session) {
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -67,16 +67,16 @@
         let answered = now + longest_wait.max(FRONT_DELAY);
         let part = |part| now + (answered - now).mul_f64(part);
         let moving = part(MIGRATION_START);
-        // Another process that takes this one's place shares the address, and is to have all that come. Where none may,
-        // whoever comes late is served and migrated rather than reset.
-        let door = if self.hot_restart.is_some() {
+        // A successor shares the address, and is to have all clients that come. Where there can be none, whoever comes
+        // late is served and migrated rather than reset.
+        let close_listener_at = if self.hot_restart.is_some() {
             now + FRONT_DELAY
         } else {
             answered
         };
         ShutdownSchedule {
             serve_until: (now + FRONT_DELAY).min(moving),
-            close_listener_at: door,
+            close_listener_at,
             migrate_from: moving,
             migrate_until: part(MIGRATION_END),
             reject_pending_at: answered,
@@ -279,8 +279,7 @@
         self.deadlines.clear(TimerKey::Listener);
     }
 
-    /// Closes what is left as the process ends: the router's own texts go out as far as their sockets take them, and
-    /// nothing is closed over what nobody read.
+    /// Closes what is left as the process ends: the router's own texts go out as far as their sockets take them.
     pub fn close_all(&mut self) {
         let keys: Vec<SlotKey> = self.connections.iter().map(|(key, _)| key).collect();
         for key in keys {
--- a/crates/proxy/src/routing/listener.rs
+++ b/crates/proxy/src/routing/listener.rs
@@ -9,7 +9,7 @@
 use rustix::fd::OwnedFd;
 use std::time::Duration;
 
-/// Connections accepted in a turn of the loop, so that a crowd at the listener keeps nobody else waiting.
+/// Connections accepted in a turn of the loop, so that a crowd at the listener does not delay the other connections.
 const ACCEPTED_PER_TURN: usize = 64;
 /// How long nothing is accepted when no more can be held.
 const FULL_PAUSE: Duration = Duration::from_millis(5);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Accepts all that waits at a listener about to be closed, which would reset it. Whoever finds no place is
+    /// Accepts all that waits at a listener about to be closed, which would reset it. Whoever cannot be held is
     /// rejected.
     pub(super) fn accept_all(&mut self) {
         for _ in 0..socket::LISTEN_BACKLOG {
--- a/crates/proxy/src/routing/report.rs
+++ b/crates/proxy/src/routing/report.rs
@@ -142,7 +142,7 @@
     // Draining and the admin socket.
     /// The drain's state changed.
     DrainStateChanged "drain-state",
-    /// A request at the admin socket could not be read, or its sender was turned away.
+    /// A request at the admin socket could not be read, or its sender was rejected.
     AdminSocketError "control-bad",
 
     // Commands of the leader of the proxies.
--- a/crates/proxy/src/routing/resource_budget.rs
+++ b/crates/proxy/src/routing/resource_budget.rs
@@ -24,7 +24,7 @@
 const PROGRAM_BYTES: usize = 24 << 20;
 /// Memory of a session at most, in bytes: both sides' buffers, and what tables and the kernel keep.
 const SESSION_BYTES: usize = 2 * ReadBuffer::CAPACITY + 24 * 1024;
-/// How long a pending client is safe from others that want its place: time for a line that is on its way.
+/// How long a pending client is safe from being closed in favour of others: time for a line that is on its way.
 const PENDING_GRACE: Duration = Duration::from_millis(20);
 
 /// What may be held at once, by the limits on descriptors and memory.
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Whether there is a place for one more pending client; another is closed for it if it must be. Pending clients may
-    /// take half of what sessions leave, so that whoever says what it wants finds a place.
+    /// Whether one more pending client may be held; another is closed for it if it must be. Pending clients may
+    /// take half of what sessions leave, so that clients with a request are never kept out by those without.
     pub(super) fn make_room_for_pending(&mut self) -> bool {
         self.check_counts();
         let sessions = self.connection_counts.session_descriptors();
--- a/crates/proxy/src/routing/session_state/machine.rs
+++ b/crates/proxy/src/routing/session_state/machine.rs
@@ -10,7 +10,7 @@
 
 /// Pause between two dials of a restored session: its server may be coming up, and is not to be flooded.
 const RESTORE_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a restored session is dialled again before its client is told that it failed.
+/// How long a restored session is dialled again before its client is answered that it failed.
 const RESTORE_TIMEOUT: Duration = Duration::from_secs(38);
 /// The least wait that a request line may state; zero would ask for nothing.
 const SHORTEST_WAIT: Duration = Duration::from_millis(1);
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Whether an injected fault takes the place of the transition.
+    /// Whether an injected fault replaces the transition.
     fn replaced_by_fault(
         &mut self,
         state: SessionState,
@@ -149,7 +149,7 @@
             SessionInput::Migrate => Some(InputKind::Migrate),
             SessionInput::NoSocket { dial } => self.of_dial(dial, InputKind::NoSocket),
             SessionInput::Unreachable { dial } => self.of_dial(dial, InputKind::Unreachable),
-            // What came up too late for its request has met nobody: nothing is sent.
+            // A connection that came up too late for its request is closed with nothing sent on it.
             SessionInput::Connected { dial } if now >= self.write_deadline => {
                 self.of_dial(dial, InputKind::NoSocket)
             }
@@ -183,7 +183,7 @@
         if self.client_waiting || is_injected(InjectedFault::SessionOpenedWithoutClient) {
             InputKind::ServerAccepted
         } else {
-            InputKind::ServerAcceptedForNobody
+            InputKind::ServerAcceptedClientGone
         }
     }
 
--- a/crates/proxy/src/routing/session_state/table.rs
+++ b/crates/proxy/src/routing/session_state/table.rs
@@ -4,7 +4,7 @@
 use crate::routing::report::ReasonCode;
 use InputKind::{
     Cancel, ClientLeft, ClientSpoke, Connected, DeadlineReached, Dial, DrainCutoff, Fail, Migrate,
-    NoSocket, Reject, RequestWritten, RestoredClientGone, ServerAccepted, ServerAcceptedForNobody,
+    NoSocket, Reject, RequestWritten, RestoredClientGone, ServerAccepted, ServerAcceptedClientGone,
     ServerDeclined, ServerEnded, SessionClosed, ShutdownCutoff, Unreachable,
 };
 use SessionState::{AwaitingAnswer, Connecting, Ended, Idle, Open, SendingRequest};
@@ -29,7 +29,7 @@
     RequestWritten,
     ServerAccepted,
     /// Accepted, but the client has left.
-    ServerAcceptedForNobody,
+    ServerAcceptedClientGone,
     ServerDeclined,
     ServerEnded,
     DeadlineReached,
@@ -63,7 +63,7 @@
     NotifyClientLeft,
     ShutDown,
     /// Closes a dial whose request is not at its server, also where the engine may not cancel dials: nothing runs
-    /// there yet, and what would be written now would be an attempt for nobody.
+    /// there yet, and what would be written now would be an attempt for a client that is gone.
     AbandonUnsentDial,
 }
 
@@ -124,7 +124,7 @@
     on(SendingRequest, NoSocket, Idle, NEVER_SENT),
     on(AwaitingAnswer, ServerAccepted, Open, &[OpenSession]),
     // The client left while its dial could not be cancelled.
-    on(AwaitingAnswer, ServerAcceptedForNobody, Idle, UNWANTED),
+    on(AwaitingAnswer, ServerAcceptedClientGone, Idle, UNWANTED),
     on(AwaitingAnswer, ServerDeclined, Idle, &[EndDialAsDeclined]),
     on(AwaitingAnswer, ServerEnded, Idle, RESET),
     on(AwaitingAnswer, DeadlineReached, Idle, TIMED_OUT),
--- a/crates/proxy/src/routing/startup.rs
+++ b/crates/proxy/src/routing/startup.rs
@@ -25,7 +25,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How long discovery is waited for before clients are served by the list of old.
+/// How long discovery is waited for before clients are served by the list of the last run.
 const LISTENER_DELAY: Duration = Duration::from_millis(500);
 
 /// What a proxy starts from.
@@ -127,7 +127,8 @@
                 self.apply_inherited_list(list);
             }
             (None, Some(plan)) => {
-                // All is asked for: what changed since a list of old says nothing of a discovery that started anew.
+                // The complete list is asked for: changes since an earlier revision mean nothing to a discovery that has
+                // started anew.
                 self.discovery_watch = DiscoveryWatch::new(discovery, 0, &self.settings);
                 self.begin_warm_start(plan, &known);
                 self.connect_watch();
@@ -186,7 +187,7 @@
         })
     }
 
-    /// Clients are let in once discovery has answered, or after so long by the list of old.
+    /// Clients are let in once discovery has answered, or after so long by the list of the last run.
     fn set_listener_delay(&mut self) {
         self.deadlines
             .set(TimerKey::Listener, self.now + LISTENER_DELAY);
--- a/crates/proxy/src/routing/types.rs
+++ b/crates/proxy/src/routing/types.rs
@@ -33,9 +33,9 @@
     Shutdown,
     /// The next offers to the process that replaces this one.
     HotRestart,
-    /// A connection has kept somebody waiting.
+    /// A connection: what it is waited for depends on its role.
     Connection(SlotKey),
-    /// A session has.
+    /// A session: its dial times out, or one side of it is silent.
     Session(SlotKey),
 }
 
