--- a/crates/proxy/src/program/commands/error.rs
+++ b/crates/proxy/src/program/commands/error.rs
@@ -1,7 +1,7 @@
 //! Why a command fails. The texts go to standard error after the program's name.
 
 use crate::program::drain_progress::DrainProgressError;
-use crate::program::leader_lease::StoreError;
+use crate::program::leader_lease::StoreRequestError;
 use crate::program::roll::RollError;
 use crate::program::run::ServeError;
 use asterramp_admin_protocol::ClientError;
@@ -23,7 +23,7 @@
     Roll(#[from] RollError),
     /// The store could not be reached.
     #[error(transparent)]
-    Store(#[from] StoreError),
+    Store(#[from] StoreRequestError),
     /// Everything that is wrong with the files that were checked.
     #[error("{}", .0.join("\n"))]
     InvalidFiles(Vec<String>),
--- a/crates/proxy/src/program/drain_progress.rs
+++ b/crates/proxy/src/program/drain_progress.rs
@@ -28,13 +28,6 @@
     },
 }
 
-// Temporary: callers that still return `Result<_, String>` go on compiling.
-impl From<DrainProgressError> for String {
-    fn from(error: DrainProgressError) -> String {
-        error.to_string()
-    }
-}
-
 /// Shows progress until a proxy is empty, for its drain's deadline and [`DEADLINE_TOLERANCE`] at most.
 pub(super) fn wait_until_empty(
     client: &mut AdminClient,
--- a/crates/proxy/src/program/leader_lease.rs
+++ b/crates/proxy/src/program/leader_lease.rs
@@ -12,7 +12,7 @@
 use asterramp_leader_lease::{
     LeaseContender, LeaseSettings, LeaseState, OrderPurpose, ReceiverClock, Term,
 };
-use asterramp_zookeeper::record::{StoreError as StoreRefusal, StoreRequest};
+use asterramp_zookeeper::record::{StoreError, StoreRequest};
 use asterramp_zookeeper::session::StoreResponse;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Sender, channel};
@@ -34,10 +34,10 @@
 
 /// Why the store did not do what it was asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub(super) enum StoreError {
+pub(super) enum StoreRequestError {
     /// It answered that it does not.
     #[error("the store refuses: {0:?}")]
-    Refused(StoreRefusal),
+    Refused(StoreError),
     /// There was no session, the connection broke before the answer, or the answer did not come in time: it may have been
     /// done or not.
     #[error("the store cannot be heard")]
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 struct PendingRequest {
     request: StoreRequest,
-    answer_to: Sender<Result<StoreResponse, StoreError>>,
+    answer_to: Sender<Result<StoreResponse, StoreRequestError>>,
 }
 
 /// What the handle and the thread share.
@@ -151,14 +151,14 @@
     }
 
     /// Asks the store and waits for its answer, [`ANSWER_TIMEOUT`] at most.
-    pub(super) fn ask(&self, request: StoreRequest) -> Result<StoreResponse, StoreError> {
+    pub(super) fn ask(&self, request: StoreRequest) -> Result<StoreResponse, StoreRequestError> {
         let (answer_to, answer) = channel();
         self.shared()
             .pending
             .push(PendingRequest { request, answer_to });
         answer
             .recv_timeout(ANSWER_TIMEOUT)
-            .unwrap_or(Err(StoreError::Unreachable))
+            .unwrap_or(Err(StoreRequestError::Unreachable))
     }
 
     /// Orders a receiver something in this leader's name. `None` if it may not give the order now.
@@ -194,7 +194,7 @@
     }
 
     /// The queue of contenders, the lowest term first.
-    pub(super) fn queue(&self) -> Result<Vec<QueuedContender>, StoreError> {
+    pub(super) fn queue(&self) -> Result<Vec<QueuedContender>, StoreRequestError> {
         let request = StoreRequest::GetChildren {
             path: QUEUE_PATH.into(),
             watch: false,
@@ -216,11 +216,11 @@
     }
 
     /// Waits until the store answers, for about so long at most.
-    pub(super) fn wait_until_reachable(&self, timeout: Duration) -> Result<(), StoreError> {
+    pub(super) fn wait_until_reachable(&self, timeout: Duration) -> Result<(), StoreRequestError> {
         let give_up_at = Instant::now() + timeout;
         while self.ask(exists("/".into())).is_err() {
             if Instant::now() > give_up_at {
-                return Err(StoreError::Unreachable);
+                return Err(StoreRequestError::Unreachable);
             }
             std::thread::sleep(RETRY_INTERVAL);
         }
--- a/crates/proxy/src/program/leader_lease/session_thread.rs
+++ b/crates/proxy/src/program/leader_lease/session_thread.rs
@@ -1,8 +1,8 @@
 //! The thread that keeps a session with the store, contends for the lead by it and asks what the work wants to know.
 
-use super::{LeaderLease, QUEUE_PATH, ROOT_PATH, StoreError, exists, queue_node_path};
+use super::{LeaderLease, QUEUE_PATH, ROOT_PATH, StoreRequestError, exists, queue_node_path};
 use asterramp_leader_lease::Term;
-use asterramp_zookeeper::record::{StoreError as StoreRefusal, StoreRequest};
+use asterramp_zookeeper::record::{StoreError, StoreRequest};
 use asterramp_zookeeper::session::{
     ClientSession, ClientSessionEffect, ClientSessionSettings as SessionSettings, StoreResponse,
 };
@@ -53,7 +53,7 @@
         list_sent_at: Duration,
     },
     /// The work wants the answer.
-    Work(Sender<Result<StoreResponse, StoreError>>),
+    Work(Sender<Result<StoreResponse, StoreRequestError>>),
 }
 
 impl RequestPurpose {
@@ -61,7 +61,7 @@
     fn fail(self) {
         if let RequestPurpose::Work(answer_to) = self {
             // The work may have stopped waiting.
-            let _ = answer_to.send(Err(StoreError::Unreachable));
+            let _ = answer_to.send(Err(StoreRequestError::Unreachable));
         }
     }
 }
@@ -272,14 +272,14 @@
         self.send(now, request, RequestPurpose::CreateOwnNode);
     }
 
-    fn answered(&mut self, purpose: RequestPurpose, answer: Result<StoreResponse, StoreRefusal>) {
+    fn answered(&mut self, purpose: RequestPurpose, answer: Result<StoreResponse, StoreError>) {
         let now = self.lease.now();
         match (purpose, answer) {
             (RequestPurpose::Work(answer_to), answer) => {
                 // The work may have stopped waiting.
-                let _ = answer_to.send(answer.map_err(StoreError::Refused));
+                let _ = answer_to.send(answer.map_err(StoreRequestError::Refused));
             }
-            (RequestPurpose::CreateOwnNode, Ok(_) | Err(StoreRefusal::NodeExists)) => {
+            (RequestPurpose::CreateOwnNode, Ok(_) | Err(StoreError::NodeExists)) => {
                 let request = exists(self.own_path.clone());
                 self.send(now, request, RequestPurpose::ReadOwnTerm { sent_at: now });
             }
@@ -322,7 +322,7 @@
         &mut self,
         now: Duration,
         list_sent_at: Duration,
-        answer: Result<StoreResponse, StoreRefusal>,
+        answer: Result<StoreResponse, StoreError>,
     ) {
         if let Ok(StoreResponse::Stat(stat)) = answer {
             let term = stat.created_zxid as Term;
--- a/crates/proxy/src/program/roll.rs
+++ b/crates/proxy/src/program/roll.rs
@@ -8,7 +8,7 @@
 mod plan;
 mod replacement;
 
-use super::leader_lease::{LeaderLease, StoreError};
+use super::leader_lease::{LeaderLease, StoreRequestError};
 use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest};
 use asterramp_leader_lease::{LeaseState, Term};
 use plan::{RollPlan, create_plan, mark_done, plan_path, read_plan};
@@ -112,7 +112,7 @@
             LeaseState::Leader => return Ok(()),
             LeaseState::AwaitingPredecessor => announce_term(options, lease, status.term),
             LeaseState::NotQueued if state_since.elapsed() > options.patience => {
-                return Err(StoreError::Unreachable.into());
+                return Err(StoreRequestError::Unreachable.into());
             }
             LeaseState::NotQueued | LeaseState::Queued => {}
         }
--- a/crates/proxy/src/program/roll/error.rs
+++ b/crates/proxy/src/program/roll/error.rs
@@ -1,7 +1,7 @@
 //! Why a rolling restart stops.
 
 use crate::program::drain_progress::DrainProgressError;
-use crate::program::leader_lease::StoreError;
+use crate::program::leader_lease::StoreRequestError;
 use asterramp_admin_protocol::ClientError;
 use std::io;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
     LeaseLost,
     /// The store did not do what it was asked.
     #[error(transparent)]
-    Store(#[from] StoreError),
+    Store(#[from] StoreRequestError),
     /// A proxy could not be asked, or rejected what it was ordered.
     #[error(transparent)]
     Admin(#[from] ClientError),
@@ -84,10 +84,3 @@
         source: Box<RollError>,
     },
 }
-
-// Temporary: callers that still return `Result<_, String>` go on compiling.
-impl From<RollError> for String {
-    fn from(error: RollError) -> String {
-        error.to_string()
-    }
-}
