--- /dev/null
+++ b/crates/simulator-adapter/src/instance.rs
@@ -0,0 +1,147 @@
+//! One proxy instance of the simulator: its placement engine and what is needed to translate for it.
+
+use crate::error::RecordError;
+use crate::id_table::IdTable;
+use crate::translate;
+use crate::wire::{
+    EndpointListRecord, EventRecord, Fields, LoadReport, ServerAddress, SessionRecord, settings,
+};
+use asterramp_placement::event::{EndpointUpdate, Load, SessionId};
+use asterramp_placement::settings::{self as engine_settings, LoadReportFormat};
+use asterramp_placement::{Action, Event, PlacementEngine};
+use std::time::Duration;
+
+/// One running instance. Dropped whole when the simulator stops it.
+pub(crate) struct Instance {
+    engine: PlacementEngine,
+    listener_count: usize,
+    load_reports: LoadReportFormat,
+    ids: IdTable,
+}
+
+impl Instance {
+    /// Starts an instance by the record that says so.
+    ///
+    /// # Errors
+    ///
+    /// Settings that lie outside the tail, aren't UTF-8 or can't be used.
+    pub(crate) fn start(fields: Fields<'_>, tail: &[u8]) -> Result<Self, RecordError> {
+        let text = settings::text(fields, tail)?;
+        let settings = engine_settings::read(settings::pairs(text))?;
+        Ok(Instance {
+            engine: PlacementEngine::new(settings.deployment, settings::random_seed(fields)),
+            listener_count: settings.listeners.len(),
+            load_reports: settings.load_reports,
+            ids: IdTable::default(),
+        })
+    }
+
+    /// Has the engine handle one event at the time `now`, and appends its actions to `actions`.
+    ///
+    /// # Errors
+    ///
+    /// A session that the instance already has or whose listener the settings don't name.
+    pub(crate) fn handle(
+        &mut self,
+        record: EventRecord,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), RecordError> {
+        if let Some(event) = self.event(record)? {
+            self.engine.handle(now, event, actions);
+        }
+        Ok(())
+    }
+
+    /// Appends the record of one action to a reply. Ids that the engine forgets are freed.
+    pub(crate) fn append_action(&mut self, instance: u16, action: Action, reply: &mut Vec<u8>) {
+        if let Action::Forget { session } = action {
+            self.ids.remove_session(session);
+        } else if let Some(record) = translate::action_record(instance, action, &self.ids) {
+            record.append(reply);
+        }
+    }
+
+    /// The engine's event; `None` where the record concerns nothing that the instance still has.
+    fn event(&mut self, record: EventRecord) -> Result<Option<Event>, RecordError> {
+        Ok(match record {
+            EventRecord::EndpointList(list) => Some(Event::Endpoints(self.endpoint_update(list))),
+            EventRecord::SessionRequested(request) => {
+                let session = self.add_session(&request)?;
+                let request = translate::session_request(session, &request);
+                Some(Event::SessionRequested(request))
+            }
+            EventRecord::SessionInherited(request, address) => {
+                Some(self.session_inherited(&request, address)?)
+            }
+            EventRecord::SessionOpened { handle, dial } => self
+                .ids
+                .session(handle)
+                .map(|session| Event::SessionOpened { session, dial }),
+            EventRecord::AttemptEnded(ended) => {
+                self.ids
+                    .session(ended.handle)
+                    .map(|session| Event::AttemptEnded {
+                        session,
+                        dial: ended.dial,
+                        outcome: translate::outcome(ended.outcome),
+                        session_over: ended.session_over,
+                        load: self.load(&ended.load),
+                    })
+            }
+            EventRecord::ClientLeft { handle } => self
+                .ids
+                .session(handle)
+                .map(|session| Event::ClientLeft { session }),
+            EventRecord::Observed(observed) => translate::observed(&observed, &self.ids),
+            EventRecord::ProbeEnded(ended) => {
+                self.ids
+                    .server(ended.address)
+                    .map(|server| Event::ProbeEnded {
+                        server,
+                        outcome: translate::outcome(ended.outcome),
+                        load: self.load(&ended.load),
+                    })
+            }
+            EventRecord::Timer => Some(Event::Tick),
+            EventRecord::PeerMessage => None,
+        })
+    }
+
+    fn session_inherited(
+        &mut self,
+        request: &SessionRecord,
+        address: ServerAddress,
+    ) -> Result<Event, RecordError> {
+        let session = self.add_session(request)?;
+        let request = translate::session_request(session, request);
+        let server = self.ids.server_or_add(address);
+        Ok(Event::SessionInherited(request, server))
+    }
+
+    /// Gives a session that comes in its id.
+    fn add_session(&mut self, request: &SessionRecord) -> Result<SessionId, RecordError> {
+        let listener = request.listener;
+        if usize::from(listener) >= self.listener_count {
+            return Err(RecordError::UnknownListener { listener });
+        }
+        let handle = request.handle;
+        if self.ids.session(handle).is_some() {
+            return Err(RecordError::DuplicateSession { handle });
+        }
+        Ok(self.ids.add_session(handle))
+    }
+
+    fn endpoint_update(&mut self, list: EndpointListRecord) -> EndpointUpdate {
+        let mut endpoints = Vec::with_capacity(list.entries.len());
+        for entry in list.entries {
+            let server = self.ids.server_or_add(entry.address);
+            endpoints.push(translate::endpoint(server, &entry));
+        }
+        translate::endpoint_update(list.mode, endpoints)
+    }
+
+    fn load(&self, report: &LoadReport) -> Load {
+        self.load_reports.load(|index, _| report.value(index))
+    }
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/instance_table.rs
@@ -0,0 +1,76 @@
+//! The running proxy instances, and how a batch of events is answered by them.
+
+use crate::error::{BatchError, RecordError};
+use crate::instance::Instance;
+use crate::wire::{BatchHeader, EVENT_SIZE, EventRecord, Fields, event_code, reply};
+use asterramp_placement::Action;
+use rustc_hash::FxHashMap;
+use std::time::Duration;
+
+/// The running instances by their number.
+#[derive(Default)]
+pub(crate) struct InstanceTable {
+    instances: FxHashMap<u16, Instance>,
+    /// Actions of the event that is being handled. Empty between events; kept for its memory.
+    actions: Vec<Action>,
+}
+
+impl InstanceTable {
+    /// Answers one batch. `body` is what follows the header, `reply` an empty buffer that takes the whole reply.
+    ///
+    /// # Errors
+    ///
+    /// The first record that is malformed or names an instance that isn't running. The reply is then useless.
+    pub(crate) fn answer(
+        &mut self,
+        header: &BatchHeader,
+        body: &[u8],
+        reply: &mut Vec<u8>,
+    ) -> Result<(), BatchError> {
+        let (records, tail) = body.split_at(header.records * EVENT_SIZE);
+        reply::begin(reply);
+        for (index, record) in records.chunks_exact(EVENT_SIZE).enumerate() {
+            let fields = Fields::new(record);
+            self.handle_record(fields, tail, header.now, reply)
+                .map_err(|source| BatchError::Record {
+                    index,
+                    code: EventRecord::code(fields),
+                    source,
+                })?;
+        }
+        reply::finish(reply, header.number);
+        Ok(())
+    }
+
+    /// Handles one event at the time `now` and appends the actions that follow from it.
+    fn handle_record(
+        &mut self,
+        fields: Fields<'_>,
+        tail: &[u8],
+        now: Duration,
+        reply: &mut Vec<u8>,
+    ) -> Result<(), RecordError> {
+        let id = EventRecord::instance(fields);
+        match EventRecord::code(fields) {
+            event_code::START_INSTANCE => {
+                let instance = Instance::start(fields, tail)?;
+                self.instances.insert(id, instance);
+            }
+            event_code::STOP_INSTANCE => {
+                self.instances.remove(&id);
+            }
+            _ => {
+                let instance = self
+                    .instances
+                    .get_mut(&id)
+                    .ok_or(RecordError::UnknownInstance { instance: id })?;
+                let record = EventRecord::decode(fields, tail)?;
+                instance.handle(record, now, &mut self.actions)?;
+                for action in self.actions.drain(..) {
+                    instance.append_action(id, action, reply);
+                }
+            }
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/serve.rs
@@ -0,0 +1,84 @@
+//! The program's loop: reads a batch, has it answered, writes the reply.
+
+use crate::error::{AdapterError, BatchError};
+use crate::instance_table::InstanceTable;
+use crate::wire::{BATCH_HEADER_SIZE, BatchHeader};
+use std::io::{self, Read, Write};
+
+/// Most bytes that are reserved for a batch's body before any of it has arrived, so that a header with a wrong size
+/// doesn't make the program reserve gigabytes.
+const MAX_BYTES_RESERVED_AHEAD: usize = 1 << 20;
+
+/// Answers batches until the input ends. The output is flushed after each reply.
+///
+/// # Errors
+///
+/// Input that can't be read or is malformed, and output that can't be written.
+pub(crate) fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
+    let mut instances = InstanceTable::default();
+    let mut body = Vec::new();
+    let mut reply = Vec::new();
+    while let Some(header) = read_header(&mut input)? {
+        let number = header.number;
+        let in_batch = |source| AdapterError::Batch { number, source };
+        header.check().map_err(in_batch)?;
+        let received = read_body(&mut input, header.size, &mut body)?;
+        if received < header.size {
+            return Err(in_batch(BatchError::TruncatedBody {
+                received,
+                size: header.size,
+            }));
+        }
+        reply.clear();
+        instances
+            .answer(&header, &body, &mut reply)
+            .map_err(in_batch)?;
+        output.write_all(&reply).map_err(AdapterError::Write)?;
+        output.flush().map_err(AdapterError::Write)?;
+    }
+    Ok(())
+}
+
+/// The next batch's header; `None` where the input ends before it.
+fn read_header(input: &mut impl Read) -> Result<Option<BatchHeader>, AdapterError> {
+    let mut bytes = [0; BATCH_HEADER_SIZE];
+    let received = read_up_to(input, &mut bytes)?;
+    if received == 0 {
+        return Ok(None);
+    }
+    if received < BATCH_HEADER_SIZE {
+        return Err(AdapterError::TruncatedHeader {
+            received,
+            size: BATCH_HEADER_SIZE,
+        });
+    }
+    Ok(Some(BatchHeader::decode(&bytes)))
+}
+
+/// Replaces `body` by up to `size` bytes of the input. Returns how many there were before the input ended.
+fn read_body(
+    input: &mut impl Read,
+    size: usize,
+    body: &mut Vec<u8>,
+) -> Result<usize, AdapterError> {
+    body.clear();
+    body.reserve(size.min(MAX_BYTES_RESERVED_AHEAD));
+    input
+        .take(size as u64)
+        .read_to_end(body)
+        .map_err(AdapterError::Read)
+}
+
+/// Fills `buffer` as far as the input goes. Returns how many bytes there were.
+fn read_up_to(input: &mut impl Read, buffer: &mut [u8]) -> Result<usize, AdapterError> {
+    let mut received = 0;
+    while received < buffer.len() {
+        match input.read(&mut buffer[received..]) {
+            Ok(0) => break,
+            Ok(count) => received += count,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(AdapterError::Read(error)),
+        }
+    }
+    Ok(received)
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -0,0 +1,56 @@
+//! The header of a batch of events.
+
+use super::event::EVENT_SIZE;
+use super::fields::Fields;
+use crate::error::BatchError;
+use std::time::Duration;
+
+/// Bytes of a batch's header.
+pub(crate) const BATCH_HEADER_SIZE: usize = 20;
+
+// Offsets of the fields.
+const NUMBER: usize = 0;
+const SIZE: usize = 4;
+const RECORDS: usize = 8;
+const NOW: usize = 12;
+
+/// The header of a batch.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct BatchHeader {
+    /// The batch's number, which the reply repeats.
+    pub(crate) number: u32,
+    /// Bytes that follow the header.
+    pub(crate) size: usize,
+    /// Event records among them; what is left of the bytes is the tail.
+    pub(crate) records: usize,
+    /// When all events of the batch happen, since the clock began.
+    pub(crate) now: Duration,
+}
+
+impl BatchHeader {
+    /// Reads a header as it stands.
+    pub(crate) fn decode(bytes: &[u8; BATCH_HEADER_SIZE]) -> Self {
+        let fields = Fields::new(bytes);
+        BatchHeader {
+            number: fields.u32(NUMBER),
+            size: fields.u32(SIZE) as usize,
+            records: fields.u32(RECORDS) as usize,
+            now: Duration::from_micros(fields.u64(NOW)),
+        }
+    }
+
+    /// Checks that the body has room for its records.
+    ///
+    /// # Errors
+    ///
+    /// More records than that.
+    pub(crate) fn check(&self) -> Result<(), BatchError> {
+        match self.records.checked_mul(EVENT_SIZE) {
+            Some(size) if size <= self.size => Ok(()),
+            _ => Err(BatchError::TooManyRecords {
+                records: self.records,
+                size: self.size,
+            }),
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -0,0 +1,228 @@
+//! Event records: what the simulator tells an instance.
+
+use super::endpoint_list::EndpointListRecord;
+use super::fields::{Fields, ServerAddress};
+use super::load_report::LoadReport;
+use super::session::SessionRecord;
+use crate::error::RecordError;
+
+/// Bytes of an event record, zeros after its fields included.
+pub(crate) const EVENT_SIZE: usize = 56;
+
+/// Codes of the events, the first byte of a record. Each says the protocol's name of it.
+pub(crate) mod event_code {
+    /// `ATTACH`: start an instance without any state.
+    pub(crate) const START_INSTANCE: u8 = 10;
+    /// `VIEW`: news of the endpoint list.
+    pub(crate) const ENDPOINT_LIST: u8 = 20;
+    /// `INGRESS`: a client asks for a session.
+    pub(crate) const SESSION_REQUESTED: u8 = 30;
+    /// `BEGUN`: an attempt opened its session.
+    pub(crate) const SESSION_OPENED: u8 = 40;
+    /// `RESOLVED`: an attempt failed, or the connection that it opened ended.
+    pub(crate) const ATTEMPT_ENDED: u8 = 50;
+    /// `VANISHED`: a client left before its session ended.
+    pub(crate) const CLIENT_LEFT: u8 = 60;
+    /// `RING`: a timer of the instance ran out.
+    pub(crate) const TIMER: u8 = 70;
+    /// `CHECK_RESULT`: a probe was answered or failed.
+    pub(crate) const PROBE_ENDED: u8 = 80;
+    /// `MEMO`: a message of another instance.
+    pub(crate) const PEER_MESSAGE: u8 = 90;
+    /// `TEARDOWN`: stop an instance and drop all its state.
+    pub(crate) const STOP_INSTANCE: u8 = 100;
+    /// `TAKEN_OVER`: a session that was open when the instance started.
+    pub(crate) const SESSION_INHERITED: u8 = 110;
+    /// `HEARTBEAT`: something was seen of an open connection.
+    pub(crate) const OBSERVED: u8 = 120;
+}
+
+// Offsets of the fields.
+const CODE: usize = 0;
+const INSTANCE: usize = 1;
+const SESSION_HANDLE: usize = 3;
+const DIAL: usize = 11;
+const ATTEMPT_OUTCOME: usize = 18;
+const ATTEMPT_SESSION_OVER: usize = 24;
+const ATTEMPT_LOAD: usize = 25;
+const PROBE_SERVER: usize = 3;
+const PROBE_OUTCOME: usize = 9;
+const PROBE_LOAD: usize = 15;
+const OBSERVATION_KIND: usize = 11;
+const OBSERVATION_AMOUNT: usize = 12;
+const OBSERVATION_SERVER: usize = 16;
+const PEER_MESSAGE_BYTES: usize = 5;
+const INHERITED_SERVER: usize = 43;
+
+/// An event of a running instance.
+#[derive(Clone, Debug)]
+pub(crate) enum EventRecord {
+    /// News of the endpoint list.
+    EndpointList(EndpointListRecord),
+    /// A client asks for a session.
+    SessionRequested(SessionRecord),
+    /// A session that was open at the server when the instance started.
+    SessionInherited(SessionRecord, ServerAddress),
+    /// An attempt opened its session.
+    SessionOpened {
+        /// The session.
+        handle: u64,
+        /// The attempt's number, from 0.
+        dial: u8,
+    },
+    /// An attempt failed, or the connection that it opened ended.
+    AttemptEnded(AttemptEndedRecord),
+    /// A client left before its session ended.
+    ClientLeft {
+        /// The session.
+        handle: u64,
+    },
+    /// Something was seen of an open connection.
+    Observed(ObservationRecord),
+    /// A probe was answered or failed.
+    ProbeEnded(ProbeEndedRecord),
+    /// A timer of the instance ran out.
+    Timer,
+    /// A message of another instance. The engine takes none, so its bytes aren't kept.
+    PeerMessage,
+}
+
+/// How an attempt or a probe ended: 0 for success, else the reason.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct OutcomeCode(pub(crate) u16);
+
+/// The end of an attempt.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct AttemptEndedRecord {
+    /// The attempt's session.
+    pub(crate) handle: u64,
+    /// The attempt's number, from 0.
+    pub(crate) dial: u8,
+    /// How it ended.
+    pub(crate) outcome: OutcomeCode,
+    /// Whether the session is over, by this outcome or before.
+    pub(crate) session_over: bool,
+    /// What the server reported.
+    pub(crate) load: LoadReport,
+}
+
+/// The end of a probe.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ProbeEndedRecord {
+    /// The server that was asked.
+    pub(crate) address: ServerAddress,
+    /// How the probe ended.
+    pub(crate) outcome: OutcomeCode,
+    /// What the server reported.
+    pub(crate) load: LoadReport,
+}
+
+/// Something that was seen of an open connection.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ObservationRecord {
+    /// The connection's session.
+    pub(crate) handle: u64,
+    /// The server that holds it.
+    pub(crate) address: ServerAddress,
+    /// What was seen.
+    pub(crate) kind: ObservationKind,
+    /// How much of it, in the unit of its kind.
+    pub(crate) amount: f64,
+}
+
+/// What an observation is of.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum ObservationKind {
+    /// The connection's load, in microseconds of work a second.
+    WorkRate,
+    /// How long a message takes at the server now, in milliseconds.
+    MessageDelay,
+    /// Something that the protocol may gain.
+    Unknown,
+}
+
+impl EventRecord {
+    /// The event's code.
+    pub(crate) fn code(fields: Fields<'_>) -> u8 {
+        fields.u8(CODE)
+    }
+
+    /// The number of the instance that it is for.
+    pub(crate) fn instance(fields: Fields<'_>) -> u16 {
+        fields.u16(INSTANCE)
+    }
+
+    /// Reads an event other than the start and stop of an instance.
+    ///
+    /// # Errors
+    ///
+    /// An unknown code, or fields that can't be read.
+    pub(crate) fn decode(fields: Fields<'_>, tail: &[u8]) -> Result<Self, RecordError> {
+        let handle = fields.u64(SESSION_HANDLE);
+        Ok(match Self::code(fields) {
+            event_code::ENDPOINT_LIST => {
+                EventRecord::EndpointList(EndpointListRecord::decode(fields, tail)?)
+            }
+            event_code::SESSION_REQUESTED => {
+                EventRecord::SessionRequested(SessionRecord::decode(fields))
+            }
+            event_code::SESSION_INHERITED => EventRecord::SessionInherited(
+                SessionRecord::decode(fields),
+                fields.address(INHERITED_SERVER),
+            ),
+            event_code::SESSION_OPENED => EventRecord::SessionOpened {
+                handle,
+                dial: fields.u8(DIAL),
+            },
+            event_code::ATTEMPT_ENDED => {
+                EventRecord::AttemptEnded(AttemptEndedRecord::decode(fields))
+            }
+            event_code::CLIENT_LEFT => EventRecord::ClientLeft { handle },
+            event_code::OBSERVED => EventRecord::Observed(ObservationRecord::decode(fields)),
+            event_code::PROBE_ENDED => EventRecord::ProbeEnded(ProbeEndedRecord::decode(fields)),
+            event_code::TIMER => EventRecord::Timer,
+            event_code::PEER_MESSAGE => {
+                fields.tail_items(PEER_MESSAGE_BYTES, 1, tail)?;
+                EventRecord::PeerMessage
+            }
+            code => return Err(RecordError::UnknownEvent { code }),
+        })
+    }
+}
+
+impl AttemptEndedRecord {
+    fn decode(fields: Fields<'_>) -> Self {
+        AttemptEndedRecord {
+            handle: fields.u64(SESSION_HANDLE),
+            dial: fields.u8(DIAL),
+            outcome: OutcomeCode(fields.u16(ATTEMPT_OUTCOME)),
+            session_over: fields.u8(ATTEMPT_SESSION_OVER) != 0,
+            load: LoadReport::decode(fields, ATTEMPT_LOAD),
+        }
+    }
+}
+
+impl ProbeEndedRecord {
+    fn decode(fields: Fields<'_>) -> Self {
+        ProbeEndedRecord {
+            address: fields.address(PROBE_SERVER),
+            outcome: OutcomeCode(fields.u16(PROBE_OUTCOME)),
+            load: LoadReport::decode(fields, PROBE_LOAD),
+        }
+    }
+}
+
+impl ObservationRecord {
+    fn decode(fields: Fields<'_>) -> Self {
+        ObservationRecord {
+            handle: fields.u64(SESSION_HANDLE),
+            address: fields.address(OBSERVATION_SERVER),
+            kind: match fields.u8(OBSERVATION_KIND) {
+                1 => ObservationKind::WorkRate,
+                2 => ObservationKind::MessageDelay,
+                _ => ObservationKind::Unknown,
+            },
+            amount: f64::from(fields.f32(OBSERVATION_AMOUNT)),
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/settings.rs
@@ -0,0 +1,28 @@
+//! The record that starts an instance: its random seed and its settings.
+
+use super::fields::Fields;
+use crate::error::RecordError;
+
+// Offsets of the fields.
+const RANDOM_SEED: usize = 3;
+const SETTINGS: usize = 11;
+
+/// Seed of the instance's random numbers, a new one at each start.
+pub(crate) fn random_seed(fields: Fields<'_>) -> u64 {
+    fields.u64(RANDOM_SEED)
+}
+
+/// The settings' text: a path, `=` and a value on each line.
+///
+/// # Errors
+///
+/// Text that lies outside the tail or isn't UTF-8.
+pub(crate) fn text<'a>(fields: Fields<'a>, tail: &'a [u8]) -> Result<&'a str, RecordError> {
+    let bytes = fields.tail_items(SETTINGS, 1, tail)?;
+    std::str::from_utf8(bytes).map_err(RecordError::SettingsNotText)
+}
+
+/// Paths and values of the settings. Lines without `=` are left out.
+pub(crate) fn pairs(text: &str) -> impl Iterator<Item = (&str, &str)> {
+    text.lines().filter_map(|line| line.split_once('='))
+}
