--- a/crates/proxy/src/program/leader_lease.rs
+++ b/crates/proxy/src/program/leader_lease.rs
@@ -12,8 +12,8 @@
 use asterramp_leader_lease::{
     LeaseContender, LeaseSettings, LeaseState, OrderPurpose, ReceiverClock, Term,
 };
-use asterramp_zookeeper::record::{Refused as StoreRefusal, Request as StoreRequest};
-use asterramp_zookeeper::session::Answer;
+use asterramp_zookeeper::record::{StoreError as StoreRefusal, StoreRequest};
+use asterramp_zookeeper::session::StoreResponse;
 use std::net::SocketAddr;
 use std::sync::mpsc::{Sender, channel};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 struct PendingRequest {
     request: StoreRequest,
-    answer_to: Sender<Result<Answer, StoreError>>,
+    answer_to: Sender<Result<StoreResponse, StoreError>>,
 }
 
 /// What the handle and the thread share.
@@ -151,7 +151,7 @@
     }
 
     /// Asks the store and waits for its answer, [`ANSWER_TIMEOUT`] at most.
-    pub(super) fn ask(&self, request: StoreRequest) -> Result<Answer, StoreError> {
+    pub(super) fn ask(&self, request: StoreRequest) -> Result<StoreResponse, StoreError> {
         let (answer_to, answer) = channel();
         self.shared()
             .pending
@@ -200,14 +200,14 @@
             watch: false,
         };
         let nodes = match self.ask(request)? {
-            Answer::Children(nodes, _) => nodes,
+            StoreResponse::Children(nodes, _) => nodes,
             _ => Vec::new(),
         };
         let mut queue = Vec::new();
         for node in nodes {
             // A node that has been removed meanwhile is left out.
-            if let Ok(Answer::Stat(stat)) = self.ask(exists(queue_node_path(&node))) {
-                let term = stat.created as Term;
+            if let Ok(StoreResponse::Stat(stat)) = self.ask(exists(queue_node_path(&node))) {
+                let term = stat.created_zxid as Term;
                 queue.push(QueuedContender { term, node });
             }
         }
--- a/crates/proxy/src/program/leader_lease/session_thread.rs
+++ b/crates/proxy/src/program/leader_lease/session_thread.rs
@@ -2,8 +2,10 @@
 
 use super::{LeaderLease, QUEUE_PATH, ROOT_PATH, StoreError, exists, queue_node_path};
 use asterramp_leader_lease::Term;
-use asterramp_zookeeper::record::{Refused as StoreRefusal, Request as StoreRequest};
-use asterramp_zookeeper::session::{Answer, Effect, Session, Terms as SessionSettings};
+use asterramp_zookeeper::record::{StoreError as StoreRefusal, StoreRequest};
+use asterramp_zookeeper::session::{
+    ClientSession, ClientSessionEffect, ClientSessionSettings, StoreResponse,
+};
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -51,7 +53,7 @@
         list_sent_at: Duration,
     },
     /// The work wants the answer.
-    Work(Sender<Result<Answer, StoreError>>),
+    Work(Sender<Result<StoreResponse, StoreError>>),
 }
 
 impl RequestPurpose {
@@ -76,7 +78,7 @@
     lease: LeaderLease,
     contends: bool,
     stores: Vec<SocketAddr>,
-    session: Session,
+    session: ClientSession,
     stream: Option<TcpStream>,
     /// The path of this contender's node.
     own_path: String,
@@ -87,7 +89,7 @@
     queue_read_at: Duration,
     queue_read_interval: Duration,
     /// What the session wants done.
-    effects: Vec<Effect>,
+    effects: Vec<ClientSessionEffect>,
 }
 
 impl SessionThread {
@@ -99,14 +101,14 @@
     ) -> SessionThread {
         let pid = std::process::id();
         let seed = u64::from(pid).wrapping_mul(PID_MULTIPLIER) ^ SEED_MASK;
-        let settings = SessionSettings {
-            addresses: stores.len(),
+        let settings = ClientSessionSettings {
+            address_count: stores.len(),
             timeout: session_timeout,
             auth: None,
         };
         let mut effects = Vec::new();
         let now = lease.now();
-        let session = Session::new(now, settings, seed, &mut effects);
+        let session = ClientSession::new(now, settings, seed, &mut effects);
         SessionThread {
             lease,
             contends,
@@ -131,7 +133,7 @@
                 self.session.close(now, &mut self.effects);
                 return self.perform_effects();
             }
-            if self.session.due() <= now {
+            if self.session.next_tick_due() <= now {
                 self.session.tick(now, &mut self.effects);
             }
             self.send_pending(now);
@@ -142,7 +144,7 @@
     }
 
     fn send(&mut self, now: Duration, request: StoreRequest, purpose: RequestPurpose) {
-        match self.session.ask(now, request, &mut self.effects) {
+        match self.session.request(now, request, &mut self.effects) {
             Some(request_id) => {
                 self.in_flight.insert(request_id, purpose);
             }
@@ -180,10 +182,10 @@
         let read = stream.read(&mut bytes);
         let now = self.lease.now();
         match read {
-            Ok(0) => self.session.broken(now, &mut self.effects),
-            Ok(n) => self.session.bytes(now, &bytes[..n], &mut self.effects),
+            Ok(0) => self.session.connection_failed(now, &mut self.effects),
+            Ok(n) => self.session.receive(now, &bytes[..n], &mut self.effects),
             Err(error) if is_transient(error.kind()) => {}
-            Err(_) => self.session.broken(now, &mut self.effects),
+            Err(_) => self.session.connection_failed(now, &mut self.effects),
         }
     }
 
@@ -195,35 +197,38 @@
         }
     }
 
-    fn perform(&mut self, effect: Effect) {
+    fn perform(&mut self, effect: ClientSessionEffect) {
         match effect {
-            Effect::Connect(nth) => self.connect(nth),
-            Effect::Send(bytes) => self.write(&bytes),
-            Effect::Drop => self.stream = None,
-            Effect::Up { new: true } => {
+            ClientSessionEffect::Connect(nth) => self.connect(nth),
+            ClientSessionEffect::Send(bytes) => self.write(&bytes),
+            ClientSessionEffect::CloseConnection => self.stream = None,
+            ClientSessionEffect::Established { new: true } => {
                 if self.contends {
                     self.create_nodes();
                 }
             }
-            Effect::Up { new: false } => self.queue_read_at = Duration::ZERO,
+            ClientSessionEffect::Established { new: false } => self.queue_read_at = Duration::ZERO,
             // The lease goes on to its end by itself, and no further.
-            Effect::Down => self.queue = QueueReading::default(),
-            Effect::Expired => {
+            ClientSessionEffect::ConnectionLost => self.queue = QueueReading::default(),
+            ClientSessionEffect::Expired => {
                 self.lease.shared().contender.session_expired();
                 self.has_own_node = false;
                 self.queue.unanswered = 0;
             }
-            Effect::Answered { xid, answer } => {
+            ClientSessionEffect::Responded {
+                xid,
+                response: answer,
+            } => {
                 if let Some(purpose) = self.in_flight.remove(&xid) {
                     self.answered(purpose, answer);
                 }
             }
-            Effect::Lost { xid } => {
+            ClientSessionEffect::ResponseLost { xid } => {
                 if let Some(purpose) = self.in_flight.remove(&xid) {
                     purpose.fail();
                 }
             }
-            Effect::Told(_) | Effect::Bad(_) => {}
+            ClientSessionEffect::WatchFired(_) | ClientSessionEffect::ProtocolError(_) => {}
         }
     }
 
@@ -233,9 +238,9 @@
         match connected {
             Ok(stream) => {
                 self.stream = Some(stream);
-                self.session.connected(now, &mut self.effects);
+                self.session.connection_opened(now, &mut self.effects);
             }
-            Err(_) => self.session.broken(now, &mut self.effects),
+            Err(_) => self.session.connection_failed(now, &mut self.effects),
         }
     }
 
@@ -244,7 +249,8 @@
             return;
         };
         if stream.write_all(bytes).is_err() {
-            self.session.broken(self.lease.now(), &mut self.effects);
+            self.session
+                .connection_failed(self.lease.now(), &mut self.effects);
         }
     }
 
@@ -266,7 +272,7 @@
         self.send(now, request, RequestPurpose::CreateOwnNode);
     }
 
-    fn answered(&mut self, purpose: RequestPurpose, answer: Result<Answer, StoreRefusal>) {
+    fn answered(&mut self, purpose: RequestPurpose, answer: Result<StoreResponse, StoreRefusal>) {
         let now = self.lease.now();
         match (purpose, answer) {
             (RequestPurpose::Work(answer_to), answer) => {
@@ -277,13 +283,13 @@
                 let request = exists(self.own_path.clone());
                 self.send(now, request, RequestPurpose::ReadOwnTerm { sent_at: now });
             }
-            (RequestPurpose::ReadOwnTerm { sent_at }, Ok(Answer::Stat(stat))) => {
-                let term = stat.created as Term;
+            (RequestPurpose::ReadOwnTerm { sent_at }, Ok(StoreResponse::Stat(stat))) => {
+                let term = stat.created_zxid as Term;
                 let mut shared = self.lease.shared();
                 shared.contender.joined_queue(now, sent_at, term);
                 self.has_own_node = true;
             }
-            (RequestPurpose::ListQueue { sent_at }, Ok(Answer::Children(nodes, _))) => {
+            (RequestPurpose::ListQueue { sent_at }, Ok(StoreResponse::Children(nodes, _))) => {
                 self.read_terms(now, sent_at, &nodes);
             }
             (RequestPurpose::ReadQueuedTerm { list_sent_at }, answer) => {
@@ -316,10 +322,10 @@
         &mut self,
         now: Duration,
         list_sent_at: Duration,
-        answer: Result<Answer, StoreRefusal>,
+        answer: Result<StoreResponse, StoreRefusal>,
     ) {
-        if let Ok(Answer::Stat(stat)) = answer {
-            let term = stat.created as Term;
+        if let Ok(StoreResponse::Stat(stat)) = answer {
+            let term = stat.created_zxid as Term;
             let lowest = self
                 .queue
                 .lowest_term
--- a/crates/proxy/src/program/operator_file.rs
+++ b/crates/proxy/src/program/operator_file.rs
@@ -64,10 +64,10 @@
         return None;
     }
     Some(ZoneFailoverSettings {
-        look: config.health_check_interval,
-        hold: config.initial_hold,
-        hold_most: config.max_hold,
-        settle: config.recovery_ramp,
+        probe_interval: config.health_check_interval,
+        hold_down: config.initial_hold,
+        hold_down_max: config.max_hold,
+        recovery_ramp: config.recovery_ramp,
         ..ZoneFailoverSettings::default()
     })
 }
@@ -78,9 +78,9 @@
     settings: &Settings,
 ) -> WarmStartSettings {
     WarmStartSettings {
-        look: config.discovery_wait,
-        probe: config.health_check_wait,
-        warm: settings.deployment.slow_start.warm_after,
+        discovery_timeout: config.discovery_wait,
+        probe_timeout: config.health_check_wait,
+        limited_admission: settings.deployment.slow_start.warm_after,
         ..WarmStartSettings::default()
     }
 }
@@ -89,6 +89,6 @@
 pub(super) fn peer_settings(config: &WarmStartConfig) -> PeerSettings {
     PeerSettings {
         fleet: config.fleet.clone(),
-        doors: config.peers.clone(),
+        addresses: config.peers.clone(),
     }
 }
--- a/crates/proxy/src/program/roll/plan.rs
+++ b/crates/proxy/src/program/roll/plan.rs
@@ -2,8 +2,8 @@
 
 use super::RollError;
 use crate::program::leader_lease::LeaderLease;
-use asterramp_zookeeper::record::{ANY, Request as StoreRequest};
-use asterramp_zookeeper::session::Answer;
+use asterramp_zookeeper::record::{ANY_VERSION, StoreRequest};
+use asterramp_zookeeper::session::StoreResponse;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -66,7 +66,7 @@
         path: path.clone(),
         watch: false,
     };
-    let Ok(Answer::Data(data, stat)) = lease.ask(request) else {
+    let Ok(StoreResponse::Data(data, stat)) = lease.ask(request) else {
         return Ok(None);
     };
     match serde_json::from_slice(&data) {
@@ -102,7 +102,7 @@
     let request = StoreRequest::SetData {
         path: plan_path(name),
         data: encode(&plan)?,
-        version: ANY,
+        version: ANY_VERSION,
     };
     match lease.ask(request) {
         Ok(_) => Ok(()),
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -82,12 +82,12 @@
         Some(snapshots) => load_snapshot(snapshots, &owner),
         None => (None, Vec::new()),
     };
-    let highest_term = snapshot.as_ref().map_or(0, |snapshot| snapshot.term);
+    let highest_term = snapshot.as_ref().map_or(0, |snapshot| snapshot.lease_term);
     if config.warm_start.enabled {
         options.warm_start = Some(WarmStartPlan {
-            terms: operator_file::warm_start_settings(&config.warm_start, &options.settings),
-            others: operator_file::peer_settings(&config.warm_start),
-            saved: snapshot,
+            settings: operator_file::warm_start_settings(&config.warm_start, &options.settings),
+            peers: operator_file::peer_settings(&config.warm_start),
+            snapshot,
         });
     }
     let mut router = Router::new(options, now).map_err(ServeError::Router)?;
@@ -141,9 +141,15 @@
     let loaded = SnapshotStore::new(directory).load(Some(owner));
     let path = config.directory.display();
     let problems = loaded
-        .troubles
+        .problems
         .iter()
-        .map(|problem| format!("file={path}/{} why={:?}", problem.file, problem.why))
+        .map(|problem| {
+            format!(
+                "file={path}/{} why={:?}",
+                problem.file,
+                problem.error.to_string()
+            )
+        })
         .collect();
     (loaded.snapshot, problems)
 }
--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -221,8 +221,8 @@
     pub(super) fn metrics_text(&self) -> String {
         let listed = self
             .endpoints
-            .hosts()
-            .filter(|host| host.standing != EndpointState::Gone)
+            .known_endpoints()
+            .filter(|endpoint| endpoint.state != EndpointState::Gone)
             .count();
         let gauges = GaugeValues {
             inflight: self.connection_counts.clients(),
@@ -233,11 +233,15 @@
             .session_table
             .zones
             .iter()
-            .flat_map(|tracker| tracker.sites.places());
+            .flat_map(|tracker| tracker.failover.zones());
         let mut text = self.metrics.text(&self.settings.listeners, gauges);
         text += &metrics::zones_text(self.settings.zones.iter().zip(zones));
-        text +=
-            &metrics::load_shed_text(self.settings.listeners.iter().zip(self.admission.counts()));
+        text += &metrics::load_shed_text(
+            self.settings
+                .listeners
+                .iter()
+                .zip(self.admission.rejection_counts()),
+        );
         text += &metrics::warm_start_text(self.warm_start_state(), self.snapshot_counts());
         text
     }
--- a/crates/proxy/src/routing/admin_status.rs
+++ b/crates/proxy/src/routing/admin_status.rs
@@ -19,10 +19,10 @@
 
 /// Sources of endpoints in a warm start, in the order in which a status lists them.
 const ENDPOINT_SOURCES: [(EndpointSource, &str); 4] = [
-    (EndpointSource::Saved, "saved"),
-    (EndpointSource::Configured, "configured"),
-    (EndpointSource::Heard, "heard"),
-    (EndpointSource::Told, "told"),
+    (EndpointSource::Snapshot, "saved"),
+    (EndpointSource::Configuration, "configured"),
+    (EndpointSource::Peer, "heard"),
+    (EndpointSource::Discovery, "told"),
 ];
 
 fn milliseconds(duration: Duration) -> u64 {
@@ -71,8 +71,8 @@
 
     fn count_endpoints(&self, is_counted: impl Fn(EndpointState) -> bool) -> usize {
         self.endpoints
-            .hosts()
-            .filter(|endpoint| is_counted(endpoint.standing))
+            .known_endpoints()
+            .filter(|endpoint| is_counted(endpoint.state))
             .count()
     }
 
@@ -104,18 +104,18 @@
         let Some(tracker) = &self.session_table.zones else {
             return Vec::new();
         };
-        let zones = self.settings.zones.iter().zip(tracker.sites.places());
+        let zones = self.settings.zones.iter().zip(tracker.failover.zones());
         let mut statuses: Vec<ZoneStatus> = zones
             .map(|(name, zone)| ZoneStatus {
                 name: name.clone(),
                 state: zone.state.name().to_string(),
                 // A zone that was healthy from the start has not changed its state at any time of its own.
                 since_ms: self.milliseconds_since(zone.since.max(self.started_at)),
-                false_suspicions: zone.doubts,
+                false_suspicions: zone.dropped_suspicions,
                 false_ejections: zone.false_alarms,
             })
             .collect();
-        statuses.sort_by_key(|status| status.state == ZoneState::Whole.name());
+        statuses.sort_by_key(|status| status.state == ZoneState::Healthy.name());
         statuses.truncate(MAX_ZONES);
         statuses
     }
@@ -124,31 +124,32 @@
         let warm_start = self.warm_start_state()?;
         let mut sources = Vec::new();
         for (source, name) in ENDPOINT_SOURCES {
-            let (reported, confirmed) = warm_start.hosts().by(source);
-            if reported > 0 {
+            let counts = warm_start.candidates().counts(source);
+            if counts.reported > 0 {
                 sources.push(EndpointSourceCount {
                     source: name.to_string(),
-                    reported,
-                    confirmed,
+                    reported: counts.reported,
+                    confirmed: counts.usable,
                 });
             }
         }
         Some(WarmStartStatus {
             stage: warm_start.stage().name().to_string(),
-            since_ms: self.milliseconds_since(warm_start.since()),
+            since_ms: self.milliseconds_since(warm_start.stage_since()),
             sources,
-            dropped: warm_start.hosts().dropped,
-            snapshots: self
-                .snapshot_counts()
-                .map(|(saved, failed)| SnapshotCounts { saved, failed }),
+            dropped: warm_start.candidates().dropped(),
+            snapshots: self.snapshot_counts().map(|counts| SnapshotCounts {
+                saved: counts.saved,
+                failed: counts.failed,
+            }),
         })
     }
 
     /// Listeners with rejected sessions or a known cost per session; of many, the first.
     fn admission_statuses(&self) -> Vec<AdmissionStatus> {
         let listeners = self.settings.listeners.iter();
-        let counts = self.admission.counts();
-        let costs = self.admission.taken(self.now);
+        let counts = self.admission.rejection_counts();
+        let costs = self.admission.session_costs(self.now);
         listeners
             .zip(counts)
             .zip(costs)
@@ -157,7 +158,7 @@
                 rejected: rejections(counts),
                 session_cost: cost.map(|cost| SessionCostEstimate {
                     mean: cost.mean,
-                    deviation: cost.off,
+                    deviation: cost.mean_deviation,
                     age_ms: milliseconds(cost.age),
                 }),
             })
--- a/crates/proxy/src/routing/session_table.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -132,7 +132,7 @@
     /// The client of a session was found to have left, or to have spoken, right before something would be sent for
     /// it. Whether nothing is to be sent.
     pub fn found_gone(&mut self, now: Duration, session: SlotKey, how: SessionInput) -> bool {
-        if is_injected(InjectedFault::GoneDialled) {
+        if is_injected(InjectedFault::DialForGoneClient) {
             return false;
         }
         self.input(now, session, how);
@@ -141,7 +141,7 @@
 
     /// Something happens that is no session's own: the endpoint list, a probe's answer, a tick.
     pub fn event(&mut self, now: Duration, event: Event) {
-        if is_injected(InjectedFault::DrainMidDialLost)
+        if is_injected(InjectedFault::ChangeDuringDialLost)
             && matches!(event, Event::Endpoints(_))
             && self.sessions.iter().any(|(_, slot)| is_dialling(slot))
         {
@@ -156,9 +156,9 @@
         let server = self.sessions.get(session).map(|slot| slot.machine.server);
         if let (Some(zones), Some(server)) = (&mut self.zones, server) {
             if answered {
-                zones.sites.sound(now, server);
+                zones.failover.server_responded(now, server);
             } else {
-                zones.sites.sign(now, server);
+                zones.failover.server_failed(now, server);
             }
             self.settle(now);
         }
@@ -167,7 +167,7 @@
     /// Discovery is alive, though it has nothing new to say.
     pub fn note_discovery_alive(&mut self, now: Duration) {
         if let Some(zones) = &mut self.zones {
-            zones.sites.told(now);
+            zones.failover.discovery_responded(now);
             self.settle(now);
         }
     }
@@ -196,7 +196,7 @@
     /// Queues what was decided of zones: events for the engine, changes of state for the log.
     fn collect_zone_decisions(&mut self) {
         if let Some(zones) = &mut self.zones {
-            zones.decide(&mut self.events, &mut self.transitions);
+            zones.take_decisions(&mut self.events, &mut self.transitions);
             self.tasks
                 .extend(self.transitions.drain(..).map(SessionTask::ZoneChanged));
         }
@@ -231,7 +231,7 @@
         let server = key
             .and_then(|key| self.sessions.get(key))
             .map(|slot| slot.machine.server);
-        zones.hears(now, event, server);
+        zones.observe(now, event, server);
     }
 
     /// Carries out an action of the engine, on its session or as a task.
@@ -259,7 +259,7 @@
             Action::Migrate { session } => (session, SessionInput::Migrate),
             Action::Forget { session } => {
                 if let Some(key) = self.sessions.key_at(session)
-                    && !is_injected(InjectedFault::Kept)
+                    && !is_injected(InjectedFault::ForgottenSessionKept)
                 {
                     self.tasks
                         .push_back(SessionTask::Session(key, SessionEffect::Forget));
--- a/crates/proxy/tests/golden_admin.rs
+++ b/crates/proxy/tests/golden_admin.rs
@@ -2,21 +2,22 @@
 //! texts of `GET /ops/stats`. The files under `golden/admin/` were written by such a build and never change; only the
 //! Rust names in this file may.
 
-mod help;
+mod support;
 
 use asterramp_admission::RejectReason;
 use asterramp_proxy::routing::metrics::{
     GaugeValues, Metrics, SessionEnd, load_shed_text, warm_start_text, zones_text,
 };
+use asterramp_proxy::routing::warm_start::SnapshotCounts;
 use asterramp_warm_start::{WarmStart, WarmStartSettings};
 use asterramp_zone_failover::{Zone, ZoneState};
-use help::{SETTINGS, World, list, target};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
+use support::{ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, list_line};
 
 fn assert_golden(name: &str, actual: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -64,7 +65,7 @@
 
 /// A proxy with a control socket, and one connection to that.
 struct Operated {
-    world: World,
+    harness: ProxyHarness,
     socket: PathBuf,
     operator: PathBuf,
     folder: PathBuf,
@@ -93,9 +94,9 @@
             "[control]\nsocket = {socket:?}\n[drain]\nclosing = \"20s\"\nquiet = \"20s\"\n{more}"
         );
         std::fs::write(&operator, text).unwrap();
-        let world = World::with_door(servers, SETTINGS, Some(&operator));
+        let harness = ProxyHarness::with_admin_http_and_file(servers, SETTINGS, Some(&operator));
         Operated {
-            world,
+            harness,
             socket,
             operator,
             folder,
@@ -104,7 +105,7 @@
 
     fn ask(&self, line: &str) -> String {
         let stream = UnixStream::connect(&self.socket).unwrap();
-        stream.set_read_timeout(Some(help::SOON)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let mut stream = BufReader::new(stream);
         // Of one that is too long the proxy stops reading before its end.
         let _ = stream.get_mut().write_all(format!("{line}\n").as_bytes());
@@ -120,7 +121,7 @@
 
     /// The first status that says so, as it stands in the golden text.
     fn until(&self, part: &str) -> String {
-        let end = Instant::now() + help::SOON;
+        let end = Instant::now() + TIMEOUT;
         loop {
             let reply = self.ask(STATUS);
             if reply.contains(part) {
@@ -141,8 +142,8 @@
 
     /// The bytes of the answer to an operator's HTTP call.
     fn call(&self, request: &str) -> String {
-        let mut stream = TcpStream::connect(self.world.calls).unwrap();
-        stream.set_read_timeout(Some(help::SOON)).unwrap();
+        let mut stream = TcpStream::connect(self.harness.admin_http).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.write_all(request.as_bytes()).unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).unwrap();
@@ -163,7 +164,7 @@
     let mut text = proxy.told(STATUS);
     text += &proxy.told(r#"{"v":1,"do":"ready"}"#);
     text += &proxy.told(r#"{"v":1,"do":"undrain"}"#);
-    let _pairs: Vec<_> = (0..2).map(|_| proxy.world.up()).collect();
+    let _pairs: Vec<_> = (0..2).map(|_| proxy.harness.open_session()).collect();
     text += &proxy.told(STATUS);
     text += &proxy.told(r#"{"v":1,"do":"stats"}"#);
     text += &proxy.told(r#"{"v":1,"do":"drain"}"#);
@@ -175,8 +176,8 @@
     text += &proxy.told(r#"{"v":1,"do":"undrain"}"#);
     text += &proxy.told(r#"{"v":1,"do":"ready"}"#);
     // One that stays, so that the proxy goes on for a while after it is told to leave.
-    let _stays = proxy.world.up();
-    proxy.world.signal("TERM");
+    let _stays = proxy.harness.open_session();
+    proxy.harness.send_signal("TERM");
     text += &proxy.until("\"state\":\"exiting\"");
     text += &proxy.told(r#"{"v":1,"do":"drain"}"#);
     text += &proxy.told(r#"{"v":1,"do":"undrain"}"#);
@@ -241,12 +242,16 @@
 fn what_else_is_switched_on_is_told_in_the_same_fields() {
     let file = "[state]\nfolder = \"<folder>\"\nevery = \"200ms\"\n[recovery]\nstages = true\n";
     let proxy = Operated::new(2, file);
-    let ready = proxy.world.servers.iter().enumerate();
+    let ready = proxy.harness.servers.iter().enumerate();
     let ready: Vec<String> = ready
-        .map(|(nth, server)| target(nth, server.local_addr().unwrap(), "ready"))
+        .map(|(nth, server)| endpoint_json(nth, server.local_addr().unwrap(), "ready"))
         .collect();
-    proxy.world.watch.send(list(9, true, &ready)).unwrap();
-    let end = Instant::now() + help::SOON;
+    proxy
+        .harness
+        .watch
+        .send(list_line(9, true, &ready))
+        .unwrap();
+    let end = Instant::now() + TIMEOUT;
     let settled = |reply: &str| {
         ["\"stage\":\"normal\"", "[[\"told\",2,2]]", "\"saved\":["]
             .iter()
@@ -272,7 +277,7 @@
     let call = |what: &str| proxy.call(&format!("{what}{end}"));
     let mut text = call("GET /ops/readiness");
     text += &call("GET /ops/stats");
-    let up = proxy.world.up();
+    let up = proxy.harness.open_session();
     text += &call("GET /ops/stats?of=all");
     drop(up);
     for what in [
@@ -310,8 +315,8 @@
     text += &call("POST /ops/drain/start");
     text += &call("GET /ops/readiness");
     text += &call("POST /ops/drain/stop");
-    let _stays = proxy.world.up();
-    proxy.world.signal("TERM");
+    let _stays = proxy.harness.open_session();
+    proxy.harness.send_signal("TERM");
     text += &proxy
         .until("\"state\":\"exiting\"")
         .replace(STATUS, "status");
@@ -350,7 +355,7 @@
     let places = ZoneState::ALL.into_iter().zip(1..).map(|(state, n)| {
         let mut place = Zone::default();
         place.state = state;
-        place.doubts = n;
+        place.dropped_suspicions = n;
         place.false_alarms = n * 10;
         place
     });
@@ -371,9 +376,18 @@
     text += &format!("start\n{}", warm_start_text(Some(&start), None));
     text += &format!(
         "start and snapshots\n{}",
-        warm_start_text(Some(&start), Some((3, 1)))
+        warm_start_text(
+            Some(&start),
+            Some(SnapshotCounts {
+                saved: 3,
+                failed: 1
+            })
+        )
+    );
+    text += &format!(
+        "snapshots\n{}",
+        warm_start_text(None, Some(SnapshotCounts::default()))
     );
-    text += &format!("snapshots\n{}", warm_start_text(None, Some((0, 0))));
     text += &format!("neither\n{}", warm_start_text(None, None));
     assert_golden("stats.txt", &text);
 }
--- a/crates/proxy/tests/golden_roll.rs
+++ b/crates/proxy/tests/golden_roll.rs
@@ -7,10 +7,10 @@
 use asterramp_admin_protocol::{
     AdminCommand, AdminReply, AdminRequest, ListenerSessions, ProxyStatus,
 };
-use asterramp_zookeeper::frame::{Frames, framed};
-use asterramp_zookeeper::jute::{Fault, Reader};
+use asterramp_zookeeper::frame::{FrameReader, write_frame};
+use asterramp_zookeeper::jute::{DecodeError, JuteReader};
 use asterramp_zookeeper::record::{
-    Connect, Connected, Head, Refused, Request as StoreRequest, Stat,
+    ConnectRequest, ConnectResponse, NodeStat, ReplyHeader, StoreError, StoreRequest,
 };
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -97,7 +97,7 @@
 /// A plain client of the store: one question after the other.
 struct StoreClient {
     stream: TcpStream,
-    frames: Frames,
+    frames: FrameReader,
     request_id: i32,
 }
 
@@ -107,31 +107,31 @@
         stream.set_read_timeout(Some(STORE_PATIENCE)).unwrap();
         let mut client = StoreClient {
             stream,
-            frames: Frames::default(),
+            frames: FrameReader::default(),
             request_id: 0,
         };
-        let connect = Connect {
-            timeout: 10_000,
+        let connect = ConnectRequest {
+            timeout_ms: 10_000,
             password: vec![0; 16],
-            ..Connect::default()
+            ..ConnectRequest::default()
         };
         let mut bytes = Vec::new();
-        framed(&mut bytes, |out| connect.write(out));
+        write_frame(&mut bytes, |out| connect.write(out));
         client.stream.write_all(&bytes).unwrap();
-        let connected = Connected::read(&client.frame()).unwrap();
-        assert!(connected.timeout > 0);
+        let connected = ConnectResponse::read(&client.frame()).unwrap();
+        assert!(connected.timeout_ms > 0);
         client
     }
 
     fn frame(&mut self) -> Vec<u8> {
         let mut bytes = [0; 4096];
         loop {
-            if let Some(frame) = self.frames.take().unwrap() {
+            if let Some(frame) = self.frames.next_frame().unwrap() {
                 return frame.to_vec();
             }
             let n = self.stream.read(&mut bytes).unwrap();
             assert!(n > 0, "the store has closed the connection");
-            self.frames.push(&bytes[..n]);
+            self.frames.append(&bytes[..n]);
         }
     }
 
@@ -139,18 +139,18 @@
     fn ask<T>(
         &mut self,
         request: &StoreRequest,
-        read: impl FnOnce(&mut Reader<'_>) -> Result<T, Fault>,
-    ) -> Result<T, Refused> {
+        read: impl FnOnce(&mut JuteReader<'_>) -> Result<T, DecodeError>,
+    ) -> Result<T, StoreError> {
         self.request_id += 1;
         let request_id = self.request_id;
         let mut bytes = Vec::new();
-        framed(&mut bytes, |out| request.write(request_id, out));
+        write_frame(&mut bytes, |out| request.write(request_id, out));
         self.stream.write_all(&bytes).unwrap();
         let frame = self.frame();
-        let mut reader = Reader::new(&frame);
-        let head = Head::read(&mut reader).unwrap();
-        assert_eq!(head.xid, request_id);
-        match Refused::of(head.err) {
+        let mut reader = JuteReader::new(&frame);
+        let header = ReplyHeader::read(&mut reader).unwrap();
+        assert_eq!(header.xid, request_id);
+        match StoreError::from_code(header.error_code) {
             Some(refused) => Err(refused),
             None => Ok(read(&mut reader).unwrap()),
         }
@@ -162,18 +162,18 @@
             data: data.into(),
             ephemeral: false,
         };
-        self.ask(&request, |reader| reader.text().map(drop))
+        self.ask(&request, |reader| reader.string().map(drop))
             .unwrap();
     }
 
-    fn data(&mut self, path: &str) -> (String, Stat) {
+    fn data(&mut self, path: &str) -> (String, NodeStat) {
         let request = StoreRequest::GetData {
             path: path.into(),
             watch: false,
         };
-        let read = |reader: &mut Reader<'_>| {
+        let read = |reader: &mut JuteReader<'_>| {
             let data = reader.buffer()?.unwrap_or_default().to_vec();
-            Ok((String::from_utf8(data).unwrap(), Stat::read(reader)?))
+            Ok((String::from_utf8(data).unwrap(), NodeStat::read(reader)?))
         };
         self.ask(&request, read).unwrap()
     }
@@ -183,7 +183,8 @@
             path: path.into(),
             watch: false,
         };
-        let read = |reader: &mut Reader<'_>| reader.vector(|reader| Ok(reader.text()?.to_string()));
+        let read =
+            |reader: &mut JuteReader<'_>| reader.vector(|reader| Ok(reader.string()?.to_string()));
         self.ask(&request, read).unwrap_or_default()
     }
 }
@@ -220,13 +221,13 @@
     }
 
     fn pass(mut client: TcpStream, mut server: TcpStream, written: &Mutex<Vec<Vec<u8>>>) {
-        let (mut frames, mut bytes) = (Frames::default(), [0; 4096]);
+        let (mut frames, mut bytes) = (FrameReader::default(), [0; 4096]);
         while let Ok(n) = client.read(&mut bytes) {
             if n == 0 || server.write_all(&bytes[..n]).is_err() {
                 return;
             }
-            frames.push(&bytes[..n]);
-            while let Some(frame) = frames.take().unwrap() {
+            frames.append(&bytes[..n]);
+            while let Some(frame) = frames.next_frame().unwrap() {
                 written.lock().unwrap().push(frame.to_vec());
             }
         }
@@ -240,10 +241,10 @@
         let mut lines = String::new();
         for (nth, frame) in self.frames.lock().unwrap().iter().enumerate() {
             if nth == 0 {
-                let connect = Connect::read(frame).unwrap();
+                let connect = ConnectRequest::read(frame).unwrap();
                 lines += &format!(
                     "connect timeout={} session={}\n",
-                    connect.timeout, connect.session
+                    connect.timeout_ms, connect.session_id
                 );
                 continue;
             }
@@ -721,10 +722,10 @@
     let mut nodes = String::new();
     for path in paths {
         let (data, stat) = client.data(&path);
-        let ephemeral = stat.owner != 0;
+        let ephemeral = stat.ephemeral_owner != 0;
         nodes += &format!(
             "{path} created={} ephemeral={ephemeral} data={data}\n",
-            stat.created
+            stat.created_zxid
         );
     }
     assert_golden("contender-nodes.txt", &anonymous(nodes));
--- a/crates/proxy/tests/leader_lease.rs
+++ b/crates/proxy/tests/leader_lease.rs
@@ -1,12 +1,11 @@
 //! Guarded rolls, with one leader at a time: three proxies that a supervisor restarts, a store, and leaders that are stopped,
 //! killed and woken late. No two proxies are ever out of service, each is replaced once, and a former leader does nothing.
 
-mod help;
+mod support;
 
 use asterramp_admin_protocol::{
     AdminClient, AdminCommand, AdminRequest, ClientError, LeaderToken, ProxyStatus,
 };
-use help::{SETTINGS, free_address};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -16,6 +15,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
+use support::{SETTINGS, TIMEOUT, free_address};
 use test_case::test_case;
 
 const PROXIES: usize = 3;
@@ -207,7 +207,7 @@
     }
 
     fn wait_until_serving(&self) {
-        let give_up_at = Instant::now() + help::SOON;
+        let give_up_at = Instant::now() + TIMEOUT;
         while !self
             .admin_sockets
             .iter()
@@ -589,7 +589,7 @@
     // A term may be announced twice, and outlives the process.
     assert!(order(AdminCommand::Shutdown, 8, before.incarnation, 2_000).is_ok());
     site.wait_until_replaced(1);
-    let give_up_at = Instant::now() + help::SOON;
+    let give_up_at = Instant::now() + TIMEOUT;
     while status(admin_socket).is_none_or(|s| s.pid == before.pid) {
         assert!(Instant::now() < give_up_at);
         std::thread::sleep(Duration::from_millis(20));
--- a/crates/zookeeper/tests/session.rs
+++ b/crates/zookeeper/tests/session.rs
@@ -1,18 +1,14 @@
-//! A session played against a store that is a few bytes in a test.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
+//! A client's session against a store that is scripted by the test.
 
-use asterramp_zookeeper::frame::{Frames, framed};
-use asterramp_zookeeper::jute::Write;
+use asterramp_zookeeper::frame::{FrameReader, write_frame};
+use asterramp_zookeeper::jute::JuteWrite;
 use asterramp_zookeeper::record::{
-    Change, Connect, Connected, Head, Refused, Request, Stat, Told, XID_EVENT,
+    ConnectRequest, ConnectResponse, NodeStat, ReplyHeader, StoreError, StoreRequest, WatchEvent,
+    WatchEventKind, XID_EVENT,
+};
+use asterramp_zookeeper::session::{
+    ClientSession, ClientSessionEffect, ClientSessionSettings, ClientSessionState, StoreResponse,
 };
-use asterramp_zookeeper::session::{Answer, Effect, Session, State, Terms};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -20,178 +16,209 @@
     Duration::from_millis(n)
 }
 
-struct Played {
-    session: Session,
+struct SessionHarness {
+    session: ClientSession,
     now: Duration,
-    out: Vec<Effect>,
+    out: Vec<ClientSessionEffect>,
 }
 
-impl Played {
-    fn new(addresses: usize) -> Played {
+impl SessionHarness {
+    fn new(addresses: usize) -> SessionHarness {
         let mut out = Vec::new();
-        let terms = Terms {
-            addresses,
+        let settings = ClientSessionSettings {
+            address_count: addresses,
             timeout: ms(3_000),
             auth: None,
         };
-        let session = Session::new(ms(0), terms, 4, &mut out);
-        Played {
+        let session = ClientSession::new(ms(0), settings, 4, &mut out);
+        SessionHarness {
             session,
             now: ms(0),
             out,
         }
     }
 
-    fn took(&mut self) -> Vec<Effect> {
+    fn take_effects(&mut self) -> Vec<ClientSessionEffect> {
         std::mem::take(&mut self.out)
     }
 
     /// Connected, with a session of this number and timeout.
-    fn greet(&mut self, session: i64, timeout: i32) -> Connect {
-        self.session.connected(self.now, &mut self.out);
-        let sent = self.took();
-        let Some(Effect::Send(bytes)) = sent.last() else {
+    fn handshake(&mut self, session: i64, timeout: i32) -> ConnectRequest {
+        self.session.connection_opened(self.now, &mut self.out);
+        let sent = self.take_effects();
+        let Some(ClientSessionEffect::Send(bytes)) = sent.last() else {
             panic!("{sent:?}")
         };
-        let mut frames = Frames::default();
-        frames.push(bytes);
-        let connect = Connect::read(frames.take().unwrap().unwrap()).unwrap();
+        let mut frames = FrameReader::default();
+        frames.append(bytes);
+        let connect = ConnectRequest::read(frames.next_frame().unwrap().unwrap()).unwrap();
         let mut bytes = Vec::new();
-        framed(&mut bytes, |out| {
-            Connected {
-                timeout,
-                session,
+        write_frame(&mut bytes, |out| {
+            ConnectResponse {
+                timeout_ms: timeout,
+                session_id: session,
                 password: vec![session as u8; 16],
             }
             .write(out)
         });
-        self.session.bytes(self.now, &bytes, &mut self.out);
+        self.session.receive(self.now, &bytes, &mut self.out);
         connect
     }
 
-    fn up(&mut self) {
-        self.greet(5, 3_000);
-        assert_eq!(self.took(), [Effect::Up { new: true }]);
+    fn establish(&mut self) {
+        self.handshake(5, 3_000);
+        assert_eq!(
+            self.take_effects(),
+            [ClientSessionEffect::Established { new: true }]
+        );
     }
 
-    fn ask(&mut self, request: Request) -> i32 {
+    fn request(&mut self, request: StoreRequest) -> i32 {
         let xid = self
             .session
-            .ask(self.now, request, &mut self.out)
+            .request(self.now, request, &mut self.out)
             .expect("a session stands");
-        self.took();
+        self.take_effects();
         xid
     }
 
-    fn say(&mut self, xid: i32, zxid: i64, err: i32, body: impl FnOnce(&mut Vec<u8>)) {
+    fn reply(&mut self, xid: i32, zxid: i64, err: i32, body: impl FnOnce(&mut Vec<u8>)) {
         let mut bytes = Vec::new();
-        framed(&mut bytes, |out| {
-            Head { xid, zxid, err }.write(out);
+        write_frame(&mut bytes, |out| {
+            ReplyHeader {
+                xid,
+                zxid,
+                error_code: err,
+            }
+            .write(out);
             body(out);
         });
         // In two pieces, as it may come.
-        let (a, b) = bytes.split_at(bytes.len() / 2);
-        self.session.bytes(self.now, a, &mut self.out);
-        self.session.bytes(self.now, b, &mut self.out);
+        let (first, second) = bytes.split_at(bytes.len() / 2);
+        self.session.receive(self.now, first, &mut self.out);
+        self.session.receive(self.now, second, &mut self.out);
     }
 
-    fn wait(&mut self, until: State) {
+    fn wait_for(&mut self, until: ClientSessionState) {
         for _ in 0..20 {
             if self.session.state() == until {
                 return;
             }
-            self.now = self.now.max(self.session.due());
+            self.now = self.now.max(self.session.next_tick_due());
             self.session.tick(self.now, &mut self.out);
         }
         panic!("never {until:?}");
     }
 }
 
-fn children(path: &str) -> Request {
-    Request::GetChildren {
+fn children(path: &str) -> StoreRequest {
+    StoreRequest::GetChildren {
         path: path.into(),
         watch: true,
     }
 }
 
 #[test]
-fn a_session_asks_is_answered_and_told() {
-    let mut played = Played::new(1);
-    assert_eq!(played.took(), [Effect::Connect(0)]);
-    played.up();
-    let xid = played.ask(children("/hosts"));
-    played.say(xid, 9, 0, |out| {
-        out.vector(&["a", "b"], |out, name| out.text(name));
-        Stat::default().write(out);
+fn requests_are_responded_to_and_watches_fire() {
+    let mut harness = SessionHarness::new(1);
+    assert_eq!(harness.take_effects(), [ClientSessionEffect::Connect(0)]);
+    harness.establish();
+    let xid = harness.request(children("/hosts"));
+    harness.reply(xid, 9, 0, |out| {
+        out.vector(&["a", "b"], |out, name| out.string(name));
+        NodeStat::default().write(out);
     });
-    let answer = Ok(Answer::Children(
+    let answer = Ok(StoreResponse::Children(
         vec!["a".into(), "b".into()],
-        Stat::default(),
+        NodeStat::default(),
     ));
-    assert_eq!(played.took(), [Effect::Answered { xid, answer }]);
-    let told = Told {
-        what: Change::Children,
+    assert_eq!(
+        harness.take_effects(),
+        [ClientSessionEffect::Responded {
+            xid,
+            response: answer
+        }]
+    );
+    let event = WatchEvent {
+        kind: WatchEventKind::Children,
         state: 3,
         path: "/hosts".into(),
     };
-    played.say(XID_EVENT, -1, 0, |out| told.write(out));
-    assert_eq!(played.took(), [Effect::Told(told)]);
-    let xid = played.ask(Request::GetData {
+    harness.reply(XID_EVENT, -1, 0, |out| event.write(out));
+    assert_eq!(
+        harness.take_effects(),
+        [ClientSessionEffect::WatchFired(event)]
+    );
+    let xid = harness.request(StoreRequest::GetData {
         path: "/none".into(),
         watch: false,
     });
-    played.say(xid, 10, -101, |_| ());
+    harness.reply(xid, 10, -101, |_| ());
     assert_eq!(
-        played.took(),
-        [Effect::Answered {
+        harness.take_effects(),
+        [ClientSessionEffect::Responded {
             xid,
-            answer: Err(Refused::NoNode)
+            response: Err(StoreError::NoNode)
         }]
     );
 }
 
 #[test]
-fn a_broken_connection_loses_answers_moves_on_and_keeps_the_session_and_its_watches() {
-    let mut played = Played::new(3);
-    assert_eq!(played.took(), [Effect::Connect(1)]);
-    played.up();
-    let xid = played.ask(children("/hosts"));
-    played.say(xid, 77, 0, |out| {
-        out.vector(&[], |out: &mut Vec<u8>, name: &&str| out.text(name));
-        Stat::default().write(out);
+fn a_broken_connection_loses_responses_and_the_next_keeps_the_session_and_its_watches() {
+    let mut harness = SessionHarness::new(3);
+    assert_eq!(harness.take_effects(), [ClientSessionEffect::Connect(1)]);
+    harness.establish();
+    let xid = harness.request(children("/hosts"));
+    harness.reply(xid, 77, 0, |out| {
+        out.vector(&[], |out: &mut Vec<u8>, name: &&str| out.string(name));
+        NodeStat::default().write(out);
     });
-    let open = played.ask(Request::Exists {
+    let open = harness.request(StoreRequest::Exists {
         path: "/x".into(),
         watch: true,
     });
-    played.took();
-    played.session.broken(played.now, &mut played.out);
+    harness.take_effects();
+    harness
+        .session
+        .connection_failed(harness.now, &mut harness.out);
     assert_eq!(
-        played.took(),
-        [Effect::Down, Effect::Lost { xid: open }, Effect::Drop]
+        harness.take_effects(),
+        [
+            ClientSessionEffect::ConnectionLost,
+            ClientSessionEffect::ResponseLost { xid: open },
+            ClientSessionEffect::CloseConnection
+        ]
     );
     assert!(
-        played
+        harness
             .session
-            .ask(played.now, children("/y"), &mut played.out)
+            .request(harness.now, children("/y"), &mut harness.out)
             .is_none()
     );
-    played.wait(State::Connecting);
-    assert_eq!(played.took(), [Effect::Connect(2)], "the next address");
-    let connect = played.greet(5, 3_000);
+    harness.wait_for(ClientSessionState::Connecting);
     assert_eq!(
-        (connect.session, connect.last_zxid, connect.password),
+        harness.take_effects(),
+        [ClientSessionEffect::Connect(2)],
+        "the next address"
+    );
+    let connect = harness.handshake(5, 3_000);
+    assert_eq!(
+        (connect.session_id, connect.last_zxid, connect.password),
         (5, 77, vec![5; 16])
     );
-    let took = played.took();
-    let [Effect::Send(watches), Effect::Up { new: false }] = &took[..] else {
-        panic!("{took:?}")
+    let take_effects = harness.take_effects();
+    let [
+        ClientSessionEffect::Send(watches),
+        ClientSessionEffect::Established { new: false },
+    ] = &take_effects[..]
+    else {
+        panic!("{take_effects:?}")
     };
-    let (_, again) = Request::read(&watches[4..]).unwrap();
+    let (_, again) = StoreRequest::read(&watches[4..]).unwrap();
     let child = vec!["/hosts".to_string()];
     assert_eq!(
         again,
-        Request::SetWatches {
+        StoreRequest::SetWatches {
             since: 77,
             data: vec![],
             exist: vec![],
@@ -201,49 +228,65 @@
 }
 
 #[test]
-fn a_lapsed_session_is_told_as_ours_and_a_new_one_begins() {
-    let mut played = Played::new(1);
-    played.took();
-    played.up();
-    played.session.broken(played.now, &mut played.out);
-    played.wait(State::Connecting);
-    played.took();
-    played.greet(0, 0);
-    assert_eq!(played.took(), [Effect::Expired, Effect::Drop]);
-    played.wait(State::Connecting);
-    played.took();
-    let connect = played.greet(6, 3_000);
-    assert_eq!((connect.session, connect.last_zxid), (0, 0));
-    assert_eq!(played.took(), [Effect::Up { new: true }]);
+fn an_expired_session_is_reported_and_a_new_one_begins() {
+    let mut harness = SessionHarness::new(1);
+    harness.take_effects();
+    harness.establish();
+    harness
+        .session
+        .connection_failed(harness.now, &mut harness.out);
+    harness.wait_for(ClientSessionState::Connecting);
+    harness.take_effects();
+    harness.handshake(0, 0);
+    assert_eq!(
+        harness.take_effects(),
+        [
+            ClientSessionEffect::Expired,
+            ClientSessionEffect::CloseConnection
+        ]
+    );
+    harness.wait_for(ClientSessionState::Connecting);
+    harness.take_effects();
+    let connect = harness.handshake(6, 3_000);
+    assert_eq!((connect.session_id, connect.last_zxid), (0, 0));
+    assert_eq!(
+        harness.take_effects(),
+        [ClientSessionEffect::Established { new: true }]
+    );
 }
 
 #[test]
-fn a_silent_store_is_pinged_and_then_given_up_before_the_session_would_lapse() {
-    let mut played = Played::new(1);
-    played.took();
-    played.up();
-    played.wait(State::Away);
-    assert_eq!(played.now, ms(2_000));
-    let took = played.took();
-    let pings = took
-        .iter()
-        .filter(|e| matches!(e, Effect::Send(bytes) if bytes[4..8] == [255, 255, 255, 254]));
+fn a_silent_store_is_pinged_and_then_left_before_the_session_would_expire() {
+    let mut harness = SessionHarness::new(1);
+    harness.take_effects();
+    harness.establish();
+    harness.wait_for(ClientSessionState::Waiting);
+    assert_eq!(harness.now, ms(2_000));
+    let take_effects = harness.take_effects();
+    let pings = take_effects.iter().filter(
+        |e| matches!(e, ClientSessionEffect::Send(bytes) if bytes[4..8] == [255, 255, 255, 254]),
+    );
     assert_eq!(
-        (pings.count(), took.contains(&Effect::Down)),
+        (
+            pings.count(),
+            take_effects.contains(&ClientSessionEffect::ConnectionLost)
+        ),
         (1, true),
-        "{took:?}"
+        "{take_effects:?}"
     );
 }
 
 #[test]
-fn pauses_grow_are_spread_and_have_an_end() {
-    let mut played = Played::new(2);
+fn reconnect_delays_grow_are_spread_and_have_a_bound() {
+    let mut harness = SessionHarness::new(2);
     let mut pauses = Vec::new();
     for _ in 0..14 {
-        played.session.broken(played.now, &mut played.out);
-        pauses.push(played.session.due() - played.now);
-        played.now = played.session.due();
-        played.session.tick(played.now, &mut played.out);
+        harness
+            .session
+            .connection_failed(harness.now, &mut harness.out);
+        pauses.push(harness.session.next_tick_due() - harness.now);
+        harness.now = harness.session.next_tick_due();
+        harness.session.tick(harness.now, &mut harness.out);
     }
     assert!(pauses[0] <= ms(75) && pauses[6] >= ms(1_600), "{pauses:?}");
     assert!(pauses.iter().all(|pause| *pause <= ms(7_500)), "{pauses:?}");
@@ -253,37 +296,48 @@
     );
 }
 
-#[test_case(&[0x7f, 0xff, 0xff, 0xff]; "a frame beyond the longest")]
+#[test_case(&[0x7f, 0xff, 0xff, 0xff]; "a frame beyond the bound")]
 #[test_case(&[0, 0, 0, 2, 1, 2]; "a record cut short")]
 #[test_case(&[0, 0, 0, 20, 255, 255, 255, 255, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 99]; "an unknown event")]
-fn what_cannot_be_read_ends_the_connection_and_not_the_session(bytes: &[u8]) {
-    let mut played = Played::new(1);
-    played.took();
-    played.up();
-    played.session.bytes(played.now, bytes, &mut played.out);
-    let took = played.took();
+fn undecodable_bytes_end_the_connection_and_not_the_session(bytes: &[u8]) {
+    let mut harness = SessionHarness::new(1);
+    harness.take_effects();
+    harness.establish();
+    harness
+        .session
+        .receive(harness.now, bytes, &mut harness.out);
+    let take_effects = harness.take_effects();
     assert!(
-        matches!(took[..], [Effect::Bad(_), Effect::Down, Effect::Drop]),
-        "{took:?}"
+        matches!(
+            take_effects[..],
+            [
+                ClientSessionEffect::ProtocolError(_),
+                ClientSessionEffect::ConnectionLost,
+                ClientSessionEffect::CloseConnection
+            ]
+        ),
+        "{take_effects:?}"
     );
-    played.wait(State::Connecting);
-    assert_eq!(played.greet(5, 3_000).session, 5);
+    harness.wait_for(ClientSessionState::Connecting);
+    assert_eq!(harness.handshake(5, 3_000).session_id, 5);
 }
 
 #[test]
-fn closing_says_so_and_is_the_end() {
-    let mut played = Played::new(1);
-    played.took();
-    played.up();
-    played.session.close(played.now, &mut played.out);
-    let took = played.took();
+fn a_close_is_sent_and_ends_the_session() {
+    let mut harness = SessionHarness::new(1);
+    harness.take_effects();
+    harness.establish();
+    harness.session.close(harness.now, &mut harness.out);
+    let take_effects = harness.take_effects();
     assert!(
-        matches!(&took[..], [Effect::Send(bytes), Effect::Drop] if bytes[8..] == [255, 255, 255, 245])
+        matches!(&take_effects[..], [ClientSessionEffect::Send(bytes), ClientSessionEffect::CloseConnection] if bytes[8..] == [255, 255, 255, 245])
     );
-    played.session.broken(played.now, &mut played.out);
-    played.session.tick(ms(60_000), &mut played.out);
+    harness
+        .session
+        .connection_failed(harness.now, &mut harness.out);
+    harness.session.tick(ms(60_000), &mut harness.out);
     assert_eq!(
-        (played.took(), played.session.due()),
+        (harness.take_effects(), harness.session.next_tick_due()),
         (vec![], Duration::MAX)
     );
 }
