--- a/crates/proxy/src/program/leader_lease/session_thread.rs
+++ b/crates/proxy/src/program/leader_lease/session_thread.rs
@@ -4,7 +4,7 @@
 use asterramp_leader_lease::Term;
 use asterramp_zookeeper::record::{StoreError as StoreRefusal, StoreRequest};
 use asterramp_zookeeper::session::{
-    ClientSession, ClientSessionEffect, ClientSessionSettings, StoreResponse,
+    ClientSession, ClientSessionEffect, ClientSessionSettings as SessionSettings, StoreResponse,
 };
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -101,7 +101,7 @@
     ) -> SessionThread {
         let pid = std::process::id();
         let seed = u64::from(pid).wrapping_mul(PID_MULTIPLIER) ^ SEED_MASK;
-        let settings = ClientSessionSettings {
+        let settings = SessionSettings {
             address_count: stores.len(),
             timeout: session_timeout,
             auth: None,
--- a/crates/proxy/tests/golden_admin.rs
+++ b/crates/proxy/tests/golden_admin.rs
@@ -326,9 +326,13 @@
     assert_golden("calls.txt", &text);
 }
 
-#[test]
-fn stats_have_the_same_text_with_nothing_and_with_something_to_tell() {
-    let listeners = ["feed".to_string(), "odd \"x\" \\ and\nmore".to_string()];
+fn listeners() -> [String; 2] {
+    ["feed", "odd \"x\" \\ and\nmore"].map(String::from)
+}
+
+/// Counts and gauges, with nothing and with something to tell.
+fn session_stats() -> String {
+    let listeners = listeners();
     let mut metrics = Metrics::new(listeners.len());
     let none = GaugeValues {
         inflight: 0,
@@ -351,6 +355,13 @@
         down: 6,
     };
     text += &format!("something\n{}", metrics.text(&listeners, some));
+    text
+}
+
+#[test]
+fn stats_have_the_same_text_with_nothing_and_with_something_to_tell() {
+    let listeners = listeners();
+    let mut text = session_stats();
     let names = ["a", "b", "c", "d", "e \"x\""].map(String::from);
     let places = ZoneState::ALL.into_iter().zip(1..).map(|(state, n)| {
         let mut place = Zone::default();
--- a/crates/proxy/tests/golden_command_line.rs
+++ b/crates/proxy/tests/golden_command_line.rs
@@ -431,6 +431,7 @@
 
 /// The two files of a start, each named by an option or by its variable, good, bad and missing.
 #[test]
+#[allow(clippy::too_many_lines)] // A list of bad files, one step each.
 fn serve_and_validate_end_the_same_way_where_a_file_is_bad() {
     let (good, bad) = (fresh_path("json"), fresh_path("json"));
     let (fine, wrong, socket) = (fresh_path("toml"), fresh_path("toml"), fresh_path("sock"));
--- a/crates/proxy/tests/golden_roll.rs
+++ b/crates/proxy/tests/golden_roll.rs
@@ -148,9 +148,9 @@
         self.stream.write_all(&bytes).unwrap();
         let frame = self.frame();
         let mut reader = JuteReader::new(&frame);
-        let header = ReplyHeader::read(&mut reader).unwrap();
-        assert_eq!(header.xid, request_id);
-        match StoreError::from_code(header.error_code) {
+        let head = ReplyHeader::read(&mut reader).unwrap();
+        assert_eq!(head.xid, request_id);
+        match StoreError::from_code(head.error_code) {
             Some(refused) => Err(refused),
             None => Ok(read(&mut reader).unwrap()),
         }
--- a/crates/proxy/tests/leader_lease.rs
+++ b/crates/proxy/tests/leader_lease.rs
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use support::{SETTINGS, TIMEOUT, free_address};
+use support::{SETTINGS, free_address};
 use test_case::test_case;
 
 const PROXIES: usize = 3;
@@ -207,7 +207,7 @@
     }
 
     fn wait_until_serving(&self) {
-        let give_up_at = Instant::now() + TIMEOUT;
+        let give_up_at = Instant::now() + support::TIMEOUT;
         while !self
             .admin_sockets
             .iter()
@@ -534,6 +534,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines)] // A list of orders, one step each.
 fn a_receiver_rejects_orders_that_are_expired_stale_or_for_another_process() {
     let site = Site::start();
     let admin_socket = &site.admin_sockets[0];
@@ -589,7 +590,7 @@
     // A term may be announced twice, and outlives the process.
     assert!(order(AdminCommand::Shutdown, 8, before.incarnation, 2_000).is_ok());
     site.wait_until_replaced(1);
-    let give_up_at = Instant::now() + TIMEOUT;
+    let give_up_at = Instant::now() + support::TIMEOUT;
     while status(admin_socket).is_none_or(|s| s.pid == before.pid) {
         assert!(Instant::now() < give_up_at);
         std::thread::sleep(Duration::from_millis(20));
