--- a/crates/model-checker/src/main.rs
+++ b/crates/model-checker/src/main.rs
@@ -270,12 +270,9 @@
 #[cfg(feature = "injected-faults")]
 fn inject_by_name(which: Option<&str>) -> Result<(), String> {
     use asterramp_proxy::injected_fault::{InjectedFault, inject};
-    let find = |name: &str| {
-        InjectedFault::ALL
-            .into_iter()
-            .find(|p| format!("{p:?}") == name)
-    };
-    let found = which.map(|name| find(name).ok_or(format!("plant {name:?} is not known")));
+    let found = which.map(|name| {
+        InjectedFault::from_name(name).ok_or_else(|| format!("plant {name:?} is not known"))
+    });
     inject(found.transpose()?);
     Ok(())
 }
@@ -284,10 +281,12 @@
 fn plants(only: Option<String>) -> Result<u8, String> {
     use asterramp_proxy::injected_fault::InjectedFault;
     let mut missed = 0;
-    for which in InjectedFault::ALL.map(|plant| format!("{plant:?}")) {
-        if only.as_ref().is_some_and(|only| *only != which) {
+    let only_fault = only.as_deref().and_then(InjectedFault::from_name);
+    for fault in InjectedFault::ALL {
+        if only.is_some() && only_fault != Some(fault) {
             continue;
         }
+        let which = format!("{fault:?}");
         inject_by_name(Some(&which))?;
         let limits = Limits {
             states: 2_000_000,
--- a/crates/proxy/src/injected_fault.rs
+++ b/crates/proxy/src/injected_fault.rs
@@ -61,6 +61,35 @@
         InjectedFault::DialForGoneClient,
         InjectedFault::RequestSentForGoneClient,
     ];
+
+    /// Names of the faults in traces recorded before 2 December 2026, in the order of [`InjectedFault::ALL`].
+    const FORMER_NAMES: [&str; InjectedFault::ALL.len()] = [
+        "LateUpBelieved",
+        "DialBeforeClose",
+        "AnswersTwice",
+        "DrainMidDialLost",
+        "StaleSlot",
+        "TimeOutProvesNothing",
+        "ResetProvesNothing",
+        "NoDeadline",
+        "CallOffKept",
+        "NoSocketUntold",
+        "SilentGoingDown",
+        "OpensAlone",
+        "DeadlineTooLate",
+        "Kept",
+        "AnswersWhileOut",
+        "GoneDialled",
+        "GoneAsked",
+    ];
+
+    /// The fault with this name, or with this name in a trace recorded before the faults were renamed.
+    pub fn from_name(name: &str) -> Option<InjectedFault> {
+        let former = InjectedFault::FORMER_NAMES.iter();
+        let mut names = InjectedFault::ALL.into_iter().zip(former);
+        let found = names.find(|(fault, former)| format!("{fault:?}") == name || **former == name);
+        found.map(|(fault, _)| fault)
+    }
 }
 
 #[cfg(feature = "injected-faults")]
