--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -8,7 +8,8 @@
 //! Bytes are hex digits; `AA*N` stands for N times the byte AA, and `+` joins parts.
 
 use asterramp_hot_restart::{
-    BufferedBytes, EndpointRecord, HotRestartInput, HotRestartState, Message, OpenConnection,
+    BufferedBytes, EndpointRecord, EndpointRecordState, HotRestartInput, HotRestartMessage,
+    HotRestartState, SessionOffer,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,32 +26,38 @@
 const LONGEST_NAME: usize = 256;
 const LONGEST_MESSAGE: usize = 64 * 1024;
 
-fn host(uid: &str, standing: u8, weight: f64, started: Option<Duration>) -> EndpointRecord {
+const STATES: [EndpointRecordState; 3] = [
+    EndpointRecordState::Ready,
+    EndpointRecordState::Draining,
+    EndpointRecordState::Gone,
+];
+
+fn endpoint(uid: &str, state: usize, weight: f64, started: Option<Duration>) -> EndpointRecord {
     EndpointRecord {
         uid: uid.into(),
-        endpoint: "10.0.0.1:80".into(),
+        address: "10.0.0.1:80".into(),
         zone: "zone-a".into(),
         cell: 7,
-        standing,
+        state: STATES[state],
         weight,
         started,
     }
 }
 
-fn bytes(whole: usize, bytes: &[u8]) -> BufferedBytes {
+fn bytes(validated: usize, bytes: &[u8]) -> BufferedBytes {
     BufferedBytes {
-        whole,
+        validated,
         bytes: bytes.to_vec(),
     }
 }
 
-fn pair(waits: Option<Duration>) -> OpenConnection {
-    OpenConnection {
-        line: b"OPEN s-17 lobby c=lakes\r\n".to_vec(),
-        uid: "server-1".into(),
-        waits,
-        client: bytes(0, b""),
-        server: bytes(0, b""),
+fn session(answer_within: Option<Duration>) -> SessionOffer {
+    SessionOffer {
+        opening_line: b"OPEN s-17 lobby c=lakes\r\n".to_vec(),
+        server_uid: "server-1".into(),
+        answer_within,
+        from_client: bytes(0, b""),
+        from_server: bytes(0, b""),
     }
 }
 
@@ -66,115 +73,139 @@
     Some(millis(1_785_000_000_123))
 }
 
-fn list_of(host: EndpointRecord) -> Message {
-    Message::Hosts(vec![host])
+fn list_of(endpoint: EndpointRecord) -> HotRestartMessage {
+    HotRestartMessage::Endpoints(vec![endpoint])
 }
 
 /// Messages that are decoded as they were encoded.
-fn messages() -> Vec<(&'static str, Message)> {
+fn messages() -> Vec<(&'static str, HotRestartMessage)> {
     [
         plain_messages(),
         list_messages(),
         list_bounds(),
         session_messages(),
+        session_bounds(),
         pending_messages(),
     ]
     .concat()
 }
 
-fn plain_messages() -> Vec<(&'static str, Message)> {
+fn plain_messages() -> Vec<(&'static str, HotRestartMessage)> {
     vec![
-        ("hello", Message::Hello),
-        ("listener-revision-0", Message::Door { rev: 0 }),
-        ("listener-revision-1", Message::Door { rev: 1 }),
+        ("hello", HotRestartMessage::Hello),
+        (
+            "listener-revision-0",
+            HotRestartMessage::Listener { list_revision: 0 },
+        ),
+        (
+            "listener-revision-1",
+            HotRestartMessage::Listener { list_revision: 1 },
+        ),
         (
             "listener-revision-each-byte",
-            Message::Door {
-                rev: 0x0102_0304_0506_0708,
+            HotRestartMessage::Listener {
+                list_revision: 0x0102_0304_0506_0708,
             },
         ),
-        ("listener-revision-largest", Message::Door { rev: u64::MAX }),
-        ("serving", Message::Serves),
-        ("descriptors-0", Message::Holds(0)),
-        ("descriptors-1000", Message::Holds(1000)),
-        ("descriptors-largest", Message::Holds(u32::MAX)),
-        ("accepted", Message::Taken),
-        ("stopped", Message::Kept),
+        (
+            "listener-revision-largest",
+            HotRestartMessage::Listener {
+                list_revision: u64::MAX,
+            },
+        ),
+        ("serving", HotRestartMessage::Serving),
+        ("descriptors-0", HotRestartMessage::OpenDescriptors(0)),
+        ("descriptors-1000", HotRestartMessage::OpenDescriptors(1000)),
+        (
+            "descriptors-largest",
+            HotRestartMessage::OpenDescriptors(u32::MAX),
+        ),
+        ("accepted", HotRestartMessage::OfferAccepted),
+        ("stopped", HotRestartMessage::HandoverStopped),
     ]
 }
 
-fn list_messages() -> Vec<(&'static str, Message)> {
+fn list_messages() -> Vec<(&'static str, HotRestartMessage)> {
     let two = vec![
-        host("server-1", 0, 1.0, None),
-        host("server-2", 1, 2.5, a_start()),
+        endpoint("server-1", 0, 1.0, None),
+        endpoint("server-2", 1, 2.5, a_start()),
     ];
-    let twice = vec![host("server-1", 0, 1.0, None); 2];
+    let twice = vec![endpoint("server-1", 0, 1.0, None); 2];
     let full_list = (0..FULL_LIST).map(|n| EndpointRecord {
         uid: format!("server-{n}"),
-        endpoint: format!("[2001:db8::{n:x}]:{}", 8000 + n),
+        address: format!("[2001:db8::{n:x}]:{}", 8000 + n),
         zone: format!("zone-{}", n % 3),
         cell: n,
-        standing: (n % 3) as u8,
+        state: STATES[usize::from(n % 3)],
         weight: f64::from(n) / 8.0,
         started: (n % 2 == 1).then(|| millis(u64::from(n))),
     });
     vec![
-        ("endpoints-none", Message::Hosts(Vec::new())),
-        ("endpoints-ready", list_of(host("server-1", 0, 1.0, None))),
+        ("endpoints-none", HotRestartMessage::Endpoints(Vec::new())),
+        (
+            "endpoints-ready",
+            list_of(endpoint("server-1", 0, 1.0, None)),
+        ),
         (
             "endpoints-draining",
-            list_of(host("server-1", 1, 1.0, None)),
+            list_of(endpoint("server-1", 1, 1.0, None)),
+        ),
+        (
+            "endpoints-gone",
+            list_of(endpoint("server-1", 2, 1.0, None)),
         ),
-        ("endpoints-gone", list_of(host("server-1", 2, 1.0, None))),
         (
             "endpoints-ready-started",
-            list_of(host("server-1", 0, 1.0, a_start())),
+            list_of(endpoint("server-1", 0, 1.0, a_start())),
         ),
         (
             "endpoints-draining-started",
-            list_of(host("server-1", 1, 0.25, a_start())),
+            list_of(endpoint("server-1", 1, 0.25, a_start())),
         ),
         (
             "endpoints-gone-started",
-            list_of(host("server-1", 2, 0.0, a_start())),
+            list_of(endpoint("server-1", 2, 0.0, a_start())),
         ),
         (
             "endpoints-started-earliest",
-            list_of(host("server-1", 0, 1.0, Some(millis(1)))),
+            list_of(endpoint("server-1", 0, 1.0, Some(millis(1)))),
+        ),
+        ("endpoints-two", HotRestartMessage::Endpoints(two)),
+        ("endpoints-same-twice", HotRestartMessage::Endpoints(twice)),
+        (
+            "endpoints-full",
+            HotRestartMessage::Endpoints(full_list.collect()),
         ),
-        ("endpoints-two", Message::Hosts(two)),
-        ("endpoints-same-twice", Message::Hosts(twice)),
-        ("endpoints-full", Message::Hosts(full_list.collect())),
     ]
 }
 
-fn list_bounds() -> Vec<(&'static str, Message)> {
+fn list_bounds() -> Vec<(&'static str, HotRestartMessage)> {
     let extremes = EndpointRecord {
         cell: u16::MAX,
         weight: f64::MAX,
         started: Some(millis(u64::MAX)),
-        ..host("server-1", 2, 0.0, None)
+        ..endpoint("server-1", 2, 0.0, None)
     };
     let named = |name: &str, weight| EndpointRecord {
         uid: name.into(),
-        endpoint: name.into(),
+        address: name.into(),
         zone: name.into(),
-        ..host("", 0, weight, None)
+        ..endpoint("", 0, weight, None)
     };
     let non_ascii = EndpointRecord {
         zone: "南極-❄".into(),
-        ..host("järvi-1", 0, 1.0, None)
+        ..endpoint("järvi-1", 0, 1.0, None)
     };
     // 128 characters of two bytes each: the bound counts bytes.
     let wide = "ä".repeat(LONGEST_NAME / 2);
     vec![
         (
             "endpoints-weight-negative-zero",
-            list_of(host("server-1", 0, -0.0, None)),
+            list_of(endpoint("server-1", 0, -0.0, None)),
         ),
         (
             "endpoints-weight-least",
-            list_of(host("server-1", 0, f64::from_bits(1), None)),
+            list_of(endpoint("server-1", 0, f64::from_bits(1), None)),
         ),
         ("endpoints-extremes", list_of(extremes)),
         ("endpoints-names-empty", list_of(named("", 0.0))),
@@ -185,94 +216,141 @@
         ("endpoints-names-non-ascii", list_of(non_ascii)),
         (
             "endpoints-name-longest-non-ascii",
-            list_of(host(&wide, 0, 1.0, None)),
+            list_of(endpoint(&wide, 0, 1.0, None)),
         ),
         (
             "endpoints-name-control-characters",
-            list_of(host("a\0b\r\n", 0, 1.0, None)),
+            list_of(endpoint("a\0b\r\n", 0, 1.0, None)),
         ),
     ]
 }
 
-fn session_messages() -> Vec<(&'static str, Message)> {
-    let buffered = OpenConnection {
-        client: bytes(6, b"MSG 1\nMSG"),
-        server: bytes(4, b"ACK\n"),
-        ..pair(None)
+fn session_messages() -> Vec<(&'static str, HotRestartMessage)> {
+    let buffered = SessionOffer {
+        from_client: bytes(6, b"MSG 1\nMSG"),
+        from_server: bytes(4, b"ACK\n"),
+        ..session(None)
     };
-    let buffered_wait = OpenConnection {
-        waits: Some(millis(1500)),
+    let buffered_wait = SessionOffer {
+        answer_within: Some(millis(1500)),
         ..buffered.clone()
     };
-    let client_only = OpenConnection {
-        client: bytes(1, b"\n"),
-        ..pair(None)
+    let client_only = SessionOffer {
+        from_client: bytes(1, b"\n"),
+        ..session(None)
     };
-    let server_only = OpenConnection {
-        server: bytes(0, b"half a li"),
-        ..pair(None)
+    let server_only = SessionOffer {
+        from_server: bytes(0, b"half a li"),
+        ..session(None)
     };
-    let every_byte = OpenConnection {
-        line: every_byte(),
-        client: bytes(256, &every_byte()),
-        server: bytes(0, &every_byte()),
-        ..pair(Some(millis(1)))
+    let longest_wait = session(Some(millis(u64::from(u32::MAX) - 1)));
+    vec![
+        ("session", HotRestartMessage::SessionOffer(session(None))),
+        (
+            "session-wait-0",
+            HotRestartMessage::SessionOffer(session(Some(Duration::ZERO))),
+        ),
+        (
+            "session-wait-20ms",
+            HotRestartMessage::SessionOffer(session(Some(millis(20)))),
+        ),
+        (
+            "session-wait-longest",
+            HotRestartMessage::SessionOffer(longest_wait),
+        ),
+        (
+            "session-buffered",
+            HotRestartMessage::SessionOffer(buffered),
+        ),
+        (
+            "session-buffered-wait",
+            HotRestartMessage::SessionOffer(buffered_wait),
+        ),
+        (
+            "session-client-only",
+            HotRestartMessage::SessionOffer(client_only),
+        ),
+        (
+            "session-server-only",
+            HotRestartMessage::SessionOffer(server_only),
+        ),
+    ]
+}
+
+fn session_bounds() -> Vec<(&'static str, HotRestartMessage)> {
+    let every_byte = SessionOffer {
+        opening_line: every_byte(),
+        from_client: bytes(256, &every_byte()),
+        from_server: bytes(0, &every_byte()),
+        ..session(Some(millis(1)))
     };
-    let empty = OpenConnection {
-        line: Vec::new(),
-        uid: "".into(),
-        ..pair(None)
+    let empty = SessionOffer {
+        opening_line: Vec::new(),
+        server_uid: "".into(),
+        ..session(None)
     };
-    let non_ascii = OpenConnection {
-        uid: "järvi-❄".into(),
-        line: "OPEN ä\r\n".into(),
-        ..pair(None)
+    let non_ascii = SessionOffer {
+        server_uid: "järvi-❄".into(),
+        opening_line: "OPEN ä\r\n".into(),
+        ..session(None)
     };
-    let uid_longest = OpenConnection {
-        uid: "u".repeat(LONGEST_NAME),
-        ..pair(None)
+    let uid_longest = SessionOffer {
+        server_uid: "u".repeat(LONGEST_NAME),
+        ..session(None)
     };
-    let longest_wait = pair(Some(millis(u64::from(u32::MAX) - 1)));
     vec![
-        ("session", Message::Pair(pair(None))),
-        ("session-wait-0", Message::Pair(pair(Some(Duration::ZERO)))),
-        ("session-wait-20ms", Message::Pair(pair(Some(millis(20))))),
-        ("session-wait-longest", Message::Pair(longest_wait)),
-        ("session-buffered", Message::Pair(buffered)),
-        ("session-buffered-wait", Message::Pair(buffered_wait)),
-        ("session-client-only", Message::Pair(client_only)),
-        ("session-server-only", Message::Pair(server_only)),
-        ("session-every-byte", Message::Pair(every_byte)),
-        ("session-empty", Message::Pair(empty)),
-        ("session-non-ascii", Message::Pair(non_ascii)),
-        ("session-uid-longest", Message::Pair(uid_longest)),
+        (
+            "session-every-byte",
+            HotRestartMessage::SessionOffer(every_byte),
+        ),
+        ("session-empty", HotRestartMessage::SessionOffer(empty)),
+        (
+            "session-non-ascii",
+            HotRestartMessage::SessionOffer(non_ascii),
+        ),
+        (
+            "session-uid-longest",
+            HotRestartMessage::SessionOffer(uid_longest),
+        ),
     ]
 }
 
-fn pending_messages() -> Vec<(&'static str, Message)> {
+fn pending_messages() -> Vec<(&'static str, HotRestartMessage)> {
     // A header of 9 bytes and two lengths of 4: this message is exactly as long as one may be.
     let longest = [b'x'; LONGEST_MESSAGE - 17];
     vec![
-        ("pending-empty", Message::Stranger(bytes(0, b""))),
-        ("pending-partial", Message::Stranger(bytes(0, b"OPE"))),
-        ("pending-whole", Message::Stranger(bytes(6, b"OPEN\r\n"))),
+        (
+            "pending-empty",
+            HotRestartMessage::PendingConnectionOffer(bytes(0, b"")),
+        ),
+        (
+            "pending-partial",
+            HotRestartMessage::PendingConnectionOffer(bytes(0, b"OPE")),
+        ),
+        (
+            "pending-whole",
+            HotRestartMessage::PendingConnectionOffer(bytes(6, b"OPEN\r\n")),
+        ),
         (
             "pending-whole-and-partial",
-            Message::Stranger(bytes(6, b"OPEN\r\nMS")),
+            HotRestartMessage::PendingConnectionOffer(bytes(6, b"OPEN\r\nMS")),
         ),
         (
             "pending-every-byte",
-            Message::Stranger(bytes(128, &every_byte())),
+            HotRestartMessage::PendingConnectionOffer(bytes(128, &every_byte())),
+        ),
+        (
+            "pending-longest",
+            HotRestartMessage::PendingConnectionOffer(bytes(0, &longest)),
         ),
-        ("pending-longest", Message::Stranger(bytes(0, &longest))),
     ]
 }
 
 /// Values that the form cannot carry, or that the other side refuses: how they are encoded stays as
 /// well.
-fn encoded_only() -> Vec<(&'static str, Message)> {
-    let started = |started| list_of(host("server-1", 0, 1.0, Some(started)));
-    let waits = |waits| Message::Pair(pair(Some(waits)));
+fn encoded_only() -> Vec<(&'static str, HotRestartMessage)> {
+    let started = |started| list_of(endpoint("server-1", 0, 1.0, Some(started)));
+    let waits = |waits| HotRestartMessage::SessionOffer(session(Some(waits)));
     let long_name = "n".repeat(LONGEST_NAME + 1);
     let too_long = [b'x'; LONGEST_MESSAGE - 16];
     vec![
@@ -287,11 +365,11 @@
         ),
         (
             "endpoints-name-too-long",
-            list_of(host(&long_name, 0, 1.0, None)),
+            list_of(endpoint(&long_name, 0, 1.0, None)),
         ),
         (
             "endpoints-weight-infinite",
-            list_of(host("server-1", 0, f64::INFINITY, None)),
+            list_of(endpoint("server-1", 0, f64::INFINITY, None)),
         ),
         (
             "session-wait-fraction-cut",
@@ -304,9 +382,12 @@
         ("session-wait-wrapped", waits(millis((1 << 32) + 5))),
         (
             "pending-whole-beyond-end",
-            Message::Stranger(bytes(4, b"OPE")),
+            HotRestartMessage::PendingConnectionOffer(bytes(4, b"OPE")),
+        ),
+        (
+            "pending-too-long",
+            HotRestartMessage::PendingConnectionOffer(bytes(0, &too_long)),
         ),
-        ("pending-too-long", Message::Stranger(bytes(0, &too_long))),
     ]
 }
 
@@ -360,10 +441,10 @@
     assert_same_names(&lines, &cases);
     for (name, message) in cases {
         let golden = &lines[name].bytes;
-        assert!(message.write() == *golden, "{name} is encoded otherwise");
-        let descriptors = format!("descriptors {}", message.descriptors());
+        assert!(message.encode() == *golden, "{name} is encoded otherwise");
+        let descriptors = format!("descriptors {}", message.descriptor_count());
         assert_eq!(descriptors, lines[name].text, "{name}");
-        assert_eq!(Message::read(golden), Ok(message), "{name}");
+        assert_eq!(HotRestartMessage::decode(golden), Ok(message), "{name}");
     }
 }
 
@@ -374,14 +455,14 @@
     assert_same_names(&lines, &cases);
     for (name, message) in cases {
         let golden = &lines[name].bytes;
-        assert!(message.write() == *golden, "{name} is encoded otherwise");
-        let decoded = Message::read(golden);
+        assert!(message.encode() == *golden, "{name} is encoded otherwise");
+        let decoded = HotRestartMessage::decode(golden);
         assert!(decoded != Ok(message), "{name} is carried whole");
         match lines[name].text.split_once(' ') {
             Some(("becomes", bytes)) => {
                 let other = decoded.expect("it is read as another value");
                 assert!(
-                    other.write() == decode_hex(bytes),
+                    other.encode() == decode_hex(bytes),
                     "{name} is decoded otherwise"
                 );
             }
@@ -400,7 +481,7 @@
     assert_eq!(lines.len(), REFUSED_COUNT);
     for (name, golden) in lines {
         let text = golden.text.strip_prefix("refused ").expect(name);
-        let refused = Message::read(&golden.bytes).expect_err(name);
+        let refused = HotRestartMessage::decode(&golden.bytes).expect_err(name);
         assert_eq!(refused.to_string(), text, "{name}");
     }
 }
@@ -409,28 +490,28 @@
 #[test]
 fn every_state_and_input_does_what_the_golden_table_says() {
     let states = [
-        HotRestartState::Alone,
-        HotRestartState::Called,
-        HotRestartState::Told,
-        HotRestartState::Handing,
-        HotRestartState::Taking,
+        HotRestartState::Idle,
+        HotRestartState::SuccessorConnected,
+        HotRestartState::StateSent,
+        HotRestartState::HandingOver,
+        HotRestartState::TakingOver,
     ];
     let inputs = [
-        HotRestartInput::Came,
-        HotRestartInput::Said,
-        HotRestartInput::Serves,
-        HotRestartInput::Taken,
-        HotRestartInput::Held,
-        HotRestartInput::Offered,
-        HotRestartInput::Kept,
-        HotRestartInput::Broke,
-        HotRestartInput::Over,
+        HotRestartInput::PeerConnected,
+        HotRestartInput::HelloReceived,
+        HotRestartInput::ServingReceived,
+        HotRestartInput::OfferAcceptedReceived,
+        HotRestartInput::OpenDescriptorsReceived,
+        HotRestartInput::OfferReceived,
+        HotRestartInput::HandoverStoppedReceived,
+        HotRestartInput::PeerFailed,
+        HotRestartInput::LinkClosed,
     ];
     let mut golden = TRANSITIONS.lines().filter(|line| !line.starts_with('#'));
     for state in states {
         for input in inputs {
             let mut next = state;
-            let effect = next.step(input);
+            let effect = next.apply(input);
             let transition = format!("{state:?} {input:?} {next:?} {effect:?}");
             assert_eq!(golden.next(), Some(transition.as_str()));
         }
--- a/crates/model-checker/src/hot_restart.rs
+++ b/crates/model-checker/src/hot_restart.rs
@@ -1,277 +1,322 @@
-//! Two processes of one proxy and the link between them, in every order of what either does and of their deaths. Who
-//! may touch a connection is decided by `asterramp_hot_restart::Side`, the code that serves; the rest is a model of it.
+//! Predecessor and successor of a hot restart and the link between them, in every order of what
+//! either does and of their deaths.
+//!
+//! Who may touch a connection is decided by [`HotRestartState`] and [`ConnectionOwnership`], the
+//! code that serves; the rest is a model of the two processes.
 
 use asterramp_hot_restart::{
-    ConnectionOwnership, Delivery, HotRestartEffect, HotRestartInput, HotRestartState, OFFERED,
+    ConnectionOwnership, Delivery, HotRestartEffect, HotRestartInput, HotRestartState,
+    MAX_PENDING_OFFERS,
 };
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
 
-/// Connections that stand when the younger comes: one more than the link holds offers of.
+/// Connections that are open when the successor connects: one more than the link holds offers of.
 const CONNECTIONS: u8 = 3;
-const ALL: u8 = (1 << CONNECTIONS) - 1;
-/// Messages that the link holds one way before its sender is told that it is full.
-const LINK: usize = 2;
+/// Every connection, as bits.
+const ALL_CONNECTIONS: u8 = (1 << CONNECTIONS) - 1;
+/// Messages that the link holds one way before it is full for its sender.
+const LINK_CAPACITY: usize = 2;
 
+/// What the model distinguishes of the messages on the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Word {
+enum Message {
+    /// Offers the connection of this number.
     Offer(u8),
-    Kept,
-    Taken,
-    /// What makes no sense to who reads it.
-    Nonsense,
+    HandoverStopped,
+    OfferAccepted,
+    /// Out of place for whoever receives it.
+    Invalid,
 }
 
+/// What one of the two processes does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    Offers,
-    ElderReads,
-    YoungerReads,
-    /// A younger of another build says what makes no sense.
-    YoungerBabbles,
-    /// An elder of another build does.
-    ElderBabbles,
-    ElderDies,
-    YoungerDies,
+    /// The predecessor offers a connection.
+    Offer,
+    /// The predecessor reads the next message, or the end of the link.
+    PredecessorReads,
+    /// The successor reads the next message, or the end of the link.
+    SuccessorReads,
+    /// A successor of another build sends an invalid message.
+    SuccessorSendsInvalid,
+    /// A predecessor of another build sends an invalid message.
+    PredecessorSendsInvalid,
+    /// The predecessor ends.
+    PredecessorDies,
+    /// The successor ends.
+    SuccessorDies,
 }
 
 const STEPS: [Step; 7] = [
-    Step::Offers,
-    Step::ElderReads,
-    Step::YoungerReads,
-    Step::YoungerBabbles,
-    Step::ElderBabbles,
-    Step::ElderDies,
-    Step::YoungerDies,
+    Step::Offer,
+    Step::PredecessorReads,
+    Step::SuccessorReads,
+    Step::SuccessorSendsInvalid,
+    Step::PredecessorSendsInvalid,
+    Step::PredecessorDies,
+    Step::SuccessorDies,
 ];
 
 #[derive(Clone, Debug)]
 struct Process {
-    side: ConnectionOwnership<u8, u8>,
-    lives: bool,
-    linked: bool,
-    /// What it reads from and writes to: bit by connection.
+    state: HotRestartState,
+    ownership: ConnectionOwnership<u8, u8>,
+    is_alive: bool,
+    is_linked: bool,
+    /// Connections that it reads from and writes to, as bits.
     touches: u8,
-    /// What it holds a descriptor of.
+    /// Connections of which it has descriptors, as bits.
     holds: u8,
-    inbox: VecDeque<Word>,
+    inbox: VecDeque<Message>,
 }
 
 #[derive(Clone, Debug)]
 struct World {
-    elder: Process,
-    younger: Process,
-    /// Said to be taken by one that then died, or known to both as the dead one's.
-    gone_with: u8,
-    babbles: u8,
+    predecessor: Process,
+    successor: Process,
+    /// Connections that ended with the process that owned them, as bits.
+    ended: u8,
+    /// How many invalid messages may still be sent.
+    invalid_messages_left: u8,
 }
 
 /// Connections as bits.
-fn bits(of: impl IntoIterator<Item = u8>) -> u8 {
-    of.into_iter().fold(0, |bits, n| bits | 1 << n)
+fn bits(connections: impl IntoIterator<Item = u8>) -> u8 {
+    connections.into_iter().fold(0, |bits, n| bits | 1 << n)
 }
 
 impl Process {
-    fn new(stage: HotRestartState, all: u8) -> Process {
-        let side = ConnectionOwnership::new(stage);
+    fn new(state: HotRestartState, connections: u8) -> Process {
         Process {
-            side,
-            lives: true,
-            linked: true,
-            touches: all,
-            holds: all,
+            state,
+            ownership: ConnectionOwnership::default(),
+            is_alive: true,
+            is_linked: true,
+            touches: connections,
+            holds: connections,
             inbox: VecDeque::new(),
         }
     }
 
-    fn says(&self, to: &mut Process, word: Word) -> Delivery {
-        if !to.linked {
-            return Delivery::Gone;
+    fn send(&self, to: &mut Process, message: Message) -> Delivery {
+        if !to.is_linked {
+            return Delivery::PeerGone;
         }
-        if to.inbox.len() >= LINK {
-            return Delivery::Full;
+        if to.inbox.len() >= LINK_CAPACITY {
+            return Delivery::LinkFull;
         }
-        to.inbox.push_back(word);
-        Delivery::Yes
+        to.inbox.push_back(message);
+        Delivery::Sent
     }
 
-    fn dies(&mut self) {
-        (self.lives, self.linked, self.touches, self.holds) = (false, false, 0, 0);
+    fn die(&mut self) {
+        self.is_alive = false;
+        self.touches = 0;
+        self.holds = 0;
+        self.close_link();
+    }
+
+    fn close_link(&mut self) {
+        self.is_linked = false;
         self.inbox.clear();
     }
+
+    /// Whether there is something to read from `peer`; the end of the link is read too, once what
+    /// was sent before it has been.
+    fn may_read(&self, peer: &Process) -> bool {
+        self.is_alive && self.is_linked && (!self.inbox.is_empty() || !peer.is_linked)
+    }
 }
 
 impl World {
     fn new() -> World {
-        let (elder, younger) = (
-            Process::new(HotRestartState::Handing, ALL),
-            Process::new(HotRestartState::Taking, 0),
-        );
         World {
-            elder,
-            younger,
-            gone_with: 0,
-            babbles: 1,
+            predecessor: Process::new(HotRestartState::HandingOver, ALL_CONNECTIONS),
+            successor: Process::new(HotRestartState::TakingOver, 0),
+            ended: 0,
+            invalid_messages_left: 1,
         }
     }
 
+    /// Equal for equal worlds.
     fn key(&self) -> String {
         format!("{self:?}")
     }
 
     fn may(&self, step: Step) -> bool {
-        let (elder, younger) = (&self.elder, &self.younger);
-        let hands = elder.lives && elder.linked && elder.side.stage == HotRestartState::Handing;
+        let predecessor = &self.predecessor;
+        let successor = &self.successor;
+        let both_linked = predecessor.is_linked && successor.is_linked;
         match step {
-            Step::Offers => hands && elder.touches != 0 && elder.side.room() > 0,
-            // An end is read as well, once what was said before it is.
-            Step::ElderReads => {
-                elder.lives && elder.linked && (!elder.inbox.is_empty() || !younger.linked)
+            Step::Offer => {
+                predecessor.is_alive
+                    && predecessor.is_linked
+                    && predecessor.state == HotRestartState::HandingOver
+                    && predecessor.touches != 0
+                    && predecessor.ownership.free_offers() > 0
             }
-            Step::YoungerReads => {
-                younger.lives && younger.linked && (!younger.inbox.is_empty() || !elder.linked)
+            Step::PredecessorReads => predecessor.may_read(successor),
+            Step::SuccessorReads => successor.may_read(predecessor),
+            Step::SuccessorSendsInvalid => {
+                self.invalid_messages_left > 0 && successor.is_alive && both_linked
             }
-            Step::YoungerBabbles => {
-                self.babbles > 0 && younger.lives && younger.linked && elder.linked
+            Step::PredecessorSendsInvalid => {
+                self.invalid_messages_left > 0 && predecessor.is_alive && both_linked
             }
-            Step::ElderBabbles => self.babbles > 0 && elder.lives && elder.linked && younger.linked,
-            Step::ElderDies => elder.lives,
-            Step::YoungerDies => younger.lives,
+            Step::PredecessorDies => predecessor.is_alive,
+            Step::SuccessorDies => successor.is_alive,
         }
     }
 
     fn make(&mut self, step: Step) {
-        let World {
-            elder,
-            younger,
-            gone_with,
-            babbles,
-        } = self;
         match step {
-            Step::Offers => {
-                let n = elder.touches.trailing_zeros() as u8;
-                if elder.says(younger, Word::Offer(n)) == Delivery::Yes {
-                    elder.touches &= !bits([n]);
-                    elder.side.offered(n);
-                }
-            }
-            Step::ElderReads => {
-                let input = match elder.inbox.pop_front() {
-                    Some(Word::Taken) => HotRestartInput::Taken,
-                    Some(_) => HotRestartInput::Broke,
-                    None => HotRestartInput::Over,
-                };
-                match elder.side.stage.step(input) {
-                    HotRestartEffect::DropOffer => {
-                        elder.holds &= !bits(elder.side.dropped());
-                    }
-                    act => {
-                        // What was taken before is heard still, and nothing after.
-                        elder.linked = false;
-                        for _ in elder.inbox.drain(..).filter(|word| *word == Word::Taken) {
-                            elder.holds &= !bits(elder.side.dropped());
-                        }
-                        let told = if act == HotRestartEffect::KeepOn {
-                            elder.says(younger, Word::Kept)
-                        } else {
-                            Delivery::Gone
-                        };
-                        let (kept, dropped) = elder.side.parted(told);
-                        elder.touches |= bits(kept);
-                        elder.holds &= !bits(dropped);
-                    }
-                }
+            Step::Offer => self.offer(),
+            Step::PredecessorReads => self.predecessor_reads(),
+            Step::SuccessorReads => self.successor_reads(),
+            Step::SuccessorSendsInvalid => {
+                self.invalid_messages_left -= 1;
+                let _ = self.successor.send(&mut self.predecessor, Message::Invalid);
             }
-            Step::YoungerReads => {
-                let input = match younger.inbox.pop_front() {
-                    Some(Word::Offer(n)) => {
-                        let told = younger.says(elder, Word::Taken);
-                        match younger.side.read(n, told) {
-                            Ok(found) => {
-                                younger.holds |= bits([n]);
-                                younger.touches |= bits(found);
-                                HotRestartInput::Offered
-                            }
-                            Err(_) => HotRestartInput::Broke,
-                        }
-                    }
-                    Some(Word::Kept) => HotRestartInput::Kept,
-                    Some(_) => HotRestartInput::Broke,
-                    None => HotRestartInput::Over,
-                };
-                let act = younger.side.stage.step(input);
-                if act == HotRestartEffect::Adopt {
-                    return;
-                }
-                let untold = bits(younger.side.untold());
-                if act == HotRestartEffect::Inherit {
-                    younger.touches |= untold;
-                } else {
-                    younger.holds &= !untold;
-                }
-                if act != HotRestartEffect::Leave {
-                    younger.linked = false;
-                    younger.inbox.clear();
-                }
-            }
-            Step::YoungerBabbles => {
-                *babbles -= 1;
-                let _ = younger.says(elder, Word::Nonsense);
+            Step::PredecessorSendsInvalid => {
+                self.invalid_messages_left -= 1;
+                let _ = self.predecessor.send(&mut self.successor, Message::Invalid);
             }
-            Step::ElderBabbles => {
-                *babbles -= 1;
-                let _ = elder.says(younger, Word::Nonsense);
+            Step::PredecessorDies => {
+                self.ended |= self.predecessor.touches;
+                self.predecessor.die();
             }
-            Step::ElderDies => {
-                *gone_with |= elder.touches;
-                elder.dies();
+            Step::SuccessorDies => {
+                // What the predecessor has released was the successor's, read or not.
+                self.ended |= self.successor.touches | !self.predecessor.holds;
+                self.successor.die();
             }
-            Step::YoungerDies => {
-                // What the elder has let go was the younger's, read or not.
-                *gone_with |= younger.touches | !elder.holds;
-                younger.dies();
+        }
+        // What is in the link ends with the predecessor too, if nobody is left who may read it.
+        if !self.predecessor.is_alive && !self.successor.is_linked {
+            self.ended |= !self.successor.touches;
+        }
+    }
+
+    fn offer(&mut self) {
+        let predecessor = &mut self.predecessor;
+        let connection = predecessor.touches.trailing_zeros() as u8;
+        let delivery = predecessor.send(&mut self.successor, Message::Offer(connection));
+        if delivery == Delivery::Sent {
+            predecessor.touches &= !bits([connection]);
+            predecessor.ownership.add_offer(connection);
+        }
+    }
+
+    fn predecessor_reads(&mut self) {
+        let predecessor = &mut self.predecessor;
+        let input = match predecessor.inbox.pop_front() {
+            Some(Message::OfferAccepted) => HotRestartInput::OfferAcceptedReceived,
+            Some(_) => HotRestartInput::PeerFailed,
+            None => HotRestartInput::LinkClosed,
+        };
+        let effect = predecessor.state.apply(input);
+        if effect == HotRestartEffect::ReleaseOldestOffer {
+            predecessor.holds &= !bits(predecessor.ownership.accept_oldest());
+            return;
+        }
+        // What was accepted before counts still, and nothing after.
+        predecessor.is_linked = false;
+        for message in std::mem::take(&mut predecessor.inbox) {
+            if message == Message::OfferAccepted {
+                predecessor.holds &= !bits(predecessor.ownership.accept_oldest());
             }
         }
-        // What was under way dies with the elder too, if nobody is left who may read it.
-        if !elder.lives && !younger.linked {
-            *gone_with |= !younger.touches;
+        let notice = if effect == HotRestartEffect::StopHandover {
+            predecessor.send(&mut self.successor, Message::HandoverStopped)
+        } else {
+            Delivery::PeerGone
+        };
+        let end = predecessor.ownership.end_handover(notice);
+        predecessor.touches |= bits(end.resumed);
+        predecessor.holds &= !bits(end.released);
+    }
+
+    fn successor_reads(&mut self) {
+        let input = match self.successor.inbox.pop_front() {
+            Some(Message::Offer(connection)) => self.successor_receives_offer(connection),
+            Some(Message::HandoverStopped) => HotRestartInput::HandoverStoppedReceived,
+            Some(_) => HotRestartInput::PeerFailed,
+            None => HotRestartInput::LinkClosed,
+        };
+        let successor = &mut self.successor;
+        let effect = successor.state.apply(input);
+        if effect == HotRestartEffect::AdoptOffer {
+            return;
+        }
+        let unconfirmed = bits(successor.ownership.take_unconfirmed());
+        if effect == HotRestartEffect::AdoptUnconfirmed {
+            successor.touches |= unconfirmed;
+        } else {
+            successor.holds &= !unconfirmed;
+        }
+        if effect != HotRestartEffect::DiscardUnconfirmed {
+            successor.close_link();
+        }
+    }
+
+    fn successor_receives_offer(&mut self, connection: u8) -> HotRestartInput {
+        let successor = &mut self.successor;
+        let acceptance = successor.send(&mut self.predecessor, Message::OfferAccepted);
+        match successor.ownership.receive_offer(connection, acceptance) {
+            Ok(adoptable) => {
+                successor.holds |= bits([connection]);
+                successor.touches |= bits(adoptable);
+                HotRestartInput::OfferReceived
+            }
+            Err(_) => HotRestartInput::PeerFailed,
         }
     }
 
     /// What must hold after each step.
-    fn broken(&self) -> Option<String> {
-        let (elder, younger) = (&self.elder, &self.younger);
-        let both = elder.touches & younger.touches;
+    fn violation(&self) -> Option<String> {
+        let predecessor = &self.predecessor;
+        let successor = &self.successor;
+        let both = predecessor.touches & successor.touches;
         if both != 0 {
             return Some(format!("both touch connections {both:#b}"));
         }
-        let unheld = (elder.touches & !elder.holds) | (younger.touches & !younger.holds);
+        let unheld =
+            (predecessor.touches & !predecessor.holds) | (successor.touches & !successor.holds);
         (unheld != 0).then(|| format!("connections {unheld:#b} are touched and not held"))
     }
 
-    /// What must hold where nothing is left to do: whatever did not die with its owner is somebody's who lives.
-    fn lost(&self) -> Option<String> {
-        let quiet = [Step::Offers, Step::ElderReads, Step::YoungerReads]
+    /// What must hold where nothing is left to do: every connection that did not end with its owner
+    /// belongs to a process that lives.
+    fn lost_connections(&self) -> Option<String> {
+        let is_quiet = [Step::Offer, Step::PredecessorReads, Step::SuccessorReads]
             .iter()
             .all(|step| !self.may(*step));
-        let lost = ALL & !(self.elder.touches | self.younger.touches | self.gone_with);
-        let anyone = self.elder.lives || self.younger.lives;
-        (quiet && anyone && lost != 0).then(|| format!("connections {lost:#b} are nobody's"))
+        let is_anyone_alive = self.predecessor.is_alive || self.successor.is_alive;
+        let owned = self.predecessor.touches | self.successor.touches;
+        let lost = ALL_CONNECTIONS & !(owned | self.ended);
+        (is_quiet && is_anyone_alive && lost != 0)
+            .then(|| format!("connections {lost:#b} are nobody's"))
     }
 }
 
+/// What an exploration has seen.
 #[derive(Clone, Debug, Default)]
 pub struct Explored {
+    /// Different states of the two processes and the link.
     pub states: usize,
+    /// Steps made between them.
     pub steps: usize,
+    /// Length of the longest of the shortest ways to a state, in steps.
     pub depth: usize,
-    /// What broke, and the shortest way there.
+    /// A property that does not hold, and the shortest way there.
     pub found: Option<(String, Vec<Step>)>,
 }
 
-/// Plays all orders, breadth first.
+/// Explores every order of steps, breadth first, until a property does not hold or all states have
+/// been seen.
 pub fn explore() -> Explored {
-    const { assert!(CONNECTIONS as usize <= OFFERED) };
+    const { assert!(CONNECTIONS as usize <= MAX_PENDING_OFFERS) };
     let mut explored = Explored::default();
     let mut seen: HashMap<String, Vec<Step>> = HashMap::new();
     let mut level = vec![World::new()];
@@ -280,7 +325,7 @@
         let mut next = Vec::new();
         for world in &level {
             let way = seen[&world.key()].clone();
-            if let Some(what) = world.broken().or_else(|| world.lost()) {
+            if let Some(what) = world.violation().or_else(|| world.lost_connections()) {
                 explored.found = Some((what, way));
                 return explored;
             }
@@ -288,8 +333,8 @@
                 explored.steps += 1;
                 let mut after = world.clone();
                 after.make(step);
-                if let Entry::Vacant(place) = seen.entry(after.key()) {
-                    place.insert(way.iter().copied().chain([step]).collect());
+                if let Entry::Vacant(unseen) = seen.entry(after.key()) {
+                    unseen.insert(way.iter().copied().chain([step]).collect());
                     next.push(after);
                 }
             }
--- a/crates/proxy/src/routing/hot_restart.rs
+++ b/crates/proxy/src/routing/hot_restart.rs
@@ -14,8 +14,9 @@
 use crate::transport::poll::Want;
 use crate::transport::{Key, Stream, link, socket};
 use asterramp_hot_restart::{
-    BufferedBytes, ConnectionOwnership, Delivery, EndpointRecord, HOSTS, HotRestartEffect,
-    HotRestartInput, HotRestartState, LONGEST, Message, OFFERED, OpenConnection,
+    BufferedBytes, ConnectionOwnership, Delivery, EndpointRecord, EndpointRecordState,
+    HotRestartEffect, HotRestartInput, HotRestartMessage, HotRestartState,
+    MAX_ENDPOINTS_PER_MESSAGE, MAX_MESSAGE_BYTES, MAX_PENDING_OFFERS, SessionOffer,
 };
 use asterramp_placement::event::{EndpointState, Outcome};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -43,6 +44,7 @@
 pub struct HotRestartLink {
     path: PathBuf,
     /// Who may touch what.
+    state: HotRestartState,
     side: ConnectionOwnership<Offer, Found>,
     door: Option<Key>,
     link: Option<Key>,
@@ -69,13 +71,16 @@
             return Err("another user listens there".into());
         }
         let until = Instant::now() + TELLS;
-        link::send(&link, &Message::Hello.write(), &[]).map_err(|e| e.to_string())?;
+        link::send(&link, &HotRestartMessage::Hello.encode(), &[]).map_err(|e| e.to_string())?;
         let mut lines = Vec::new();
         loop {
-            match link::receive(&link, LONGEST).map_err(|e| e.to_string())? {
+            match link::receive(&link, MAX_MESSAGE_BYTES).map_err(|e| e.to_string())? {
                 Some((message, _)) if message.is_empty() => return Err("it hung up".into()),
-                Some((message, mut with)) => match (Message::read(&message)?, with.pop()) {
-                    (Message::Hosts(hosts), None) if lines.len() < MOST => {
+                Some((message, mut with)) => match (
+                    HotRestartMessage::decode(&message).map_err(|e| e.to_string())?,
+                    with.pop(),
+                ) {
+                    (HotRestartMessage::Endpoints(hosts), None) if lines.len() < MOST => {
                         lines.extend(
                             hosts
                                 .into_iter()
@@ -83,7 +88,7 @@
                                 .collect::<Result<Vec<_>, _>>()?,
                         );
                     }
-                    (Message::Door { rev }, Some(door)) => {
+                    (HotRestartMessage::Listener { list_revision: rev }, Some(door)) => {
                         let at = rustix::net::getsockname(&door)
                             .ok()
                             .and_then(|at| at.try_into().ok());
@@ -133,13 +138,14 @@
             )
         });
         let stage = if link.is_some() {
-            HotRestartState::Taking
+            HotRestartState::TakingOver
         } else {
-            HotRestartState::Alone
+            HotRestartState::Idle
         };
         self.hot_restart = Some(HotRestartLink {
             path,
-            side: ConnectionOwnership::new(stage),
+            state: stage,
+            side: ConnectionOwnership::default(),
             door: None,
             link,
             foreign: 0,
@@ -152,9 +158,9 @@
             .hot_restart
             .as_ref()
             .is_some_and(|kin| kin.link.is_some())
-            && !self.told_kin(&Message::Serves, &[])
+            && !self.told_kin(&HotRestartMessage::Serving, &[])
         {
-            self.kin_input(HotRestartInput::Broke, None, Vec::new());
+            self.kin_input(HotRestartInput::PeerFailed, None, Vec::new());
         }
         self.open_kin();
     }
@@ -194,7 +200,7 @@
     pub(super) fn has_successor(&self) -> bool {
         self.hot_restart
             .as_ref()
-            .is_some_and(|kin| kin.side.stage == HotRestartState::Handing)
+            .is_some_and(|kin| kin.state == HotRestartState::HandingOver)
     }
 
     pub(super) fn is_offered(&self, sess: Key) -> bool {
@@ -233,46 +239,59 @@
         if !socket::is_own_user(&fd) {
             return self.log_event(ReasonCode::KinBad, "caller why=\"another user\"");
         }
-        self.kin_input(HotRestartInput::Came, Some(fd), Vec::new());
+        self.kin_input(HotRestartInput::PeerConnected, Some(fd), Vec::new());
     }
 
     pub(super) fn hot_restart_ready(&mut self, key: Key) {
         // Bounded, so that nobody waits for it: what an elder offers is.
-        for _ in 0..2 * OFFERED {
+        for _ in 0..2 * MAX_PENDING_OFFERS {
             let Some(conn) = self.connections.get(key) else {
                 return;
             };
-            let (message, with) = match link::receive(&conn.stream, LONGEST) {
+            let (message, with) = match link::receive(&conn.stream, MAX_MESSAGE_BYTES) {
                 Ok(None) => return,
                 Ok(Some((message, with))) if !message.is_empty() => (message, with),
-                Ok(_) => return self.kin_input(HotRestartInput::Over, None, Vec::new()),
-                Err(_) => return self.kin_input(HotRestartInput::Broke, None, Vec::new()),
+                Ok(_) => return self.kin_input(HotRestartInput::LinkClosed, None, Vec::new()),
+                Err(_) => return self.kin_input(HotRestartInput::PeerFailed, None, Vec::new()),
             };
-            let word = Message::read(&message).and_then(|word| {
-                if word.descriptors() == with.len() {
-                    Ok(word)
-                } else {
-                    Err("descriptors are missing or too many")
-                }
-            });
+            let word = HotRestartMessage::decode(&message)
+                .map_err(|e| e.to_string())
+                .and_then(|word| {
+                    if word.descriptor_count() == with.len() {
+                        Ok(word)
+                    } else {
+                        Err("descriptors are missing or too many".to_string())
+                    }
+                });
             match word {
-                Ok(Message::Hello) => self.kin_input(HotRestartInput::Said, None, with),
-                Ok(Message::Serves) => self.kin_input(HotRestartInput::Serves, None, with),
-                Ok(Message::Taken) => self.kin_input(HotRestartInput::Taken, None, with),
-                Ok(Message::Kept) => self.kin_input(HotRestartInput::Kept, None, with),
-                Ok(Message::Holds(n)) => {
+                Ok(HotRestartMessage::Hello) => {
+                    self.kin_input(HotRestartInput::HelloReceived, None, with)
+                }
+                Ok(HotRestartMessage::Serving) => {
+                    self.kin_input(HotRestartInput::ServingReceived, None, with)
+                }
+                Ok(HotRestartMessage::OfferAccepted) => {
+                    self.kin_input(HotRestartInput::OfferAcceptedReceived, None, with)
+                }
+                Ok(HotRestartMessage::HandoverStopped) => {
+                    self.kin_input(HotRestartInput::HandoverStoppedReceived, None, with)
+                }
+                Ok(HotRestartMessage::OpenDescriptors(n)) => {
                     self.hot_restart
                         .iter_mut()
                         .for_each(|kin| kin.foreign = n as usize);
-                    self.kin_input(HotRestartInput::Held, None, with);
+                    self.kin_input(HotRestartInput::OpenDescriptorsReceived, None, with);
                 }
-                Ok(word @ (Message::Pair(_) | Message::Stranger(_))) => self.offered(word, with),
-                Ok(Message::Hosts(_) | Message::Door { .. }) => {
-                    self.kin_input(HotRestartInput::Broke, None, with)
+                Ok(
+                    word @ (HotRestartMessage::SessionOffer(_)
+                    | HotRestartMessage::PendingConnectionOffer(_)),
+                ) => self.offered(word, with),
+                Ok(HotRestartMessage::Endpoints(_) | HotRestartMessage::Listener { .. }) => {
+                    self.kin_input(HotRestartInput::PeerFailed, None, with)
                 }
                 Err(why) => {
                     self.log_event(ReasonCode::KinBad, format!("message why={why:?}"));
-                    self.kin_input(HotRestartInput::Broke, None, with);
+                    self.kin_input(HotRestartInput::PeerFailed, None, with);
                 }
             }
         }
@@ -281,29 +300,29 @@
     /// The other was silent for too long.
     pub(super) fn hot_restart_deadline(&mut self) {
         self.log_event(ReasonCode::KinBad, "silent");
-        self.kin_input(HotRestartInput::Broke, None, Vec::new());
+        self.kin_input(HotRestartInput::PeerFailed, None, Vec::new());
     }
 
-    fn tell_kin(&mut self, word: &Message, with: &[Key]) -> Delivery {
+    fn tell_kin(&mut self, word: &HotRestartMessage, with: &[Key]) -> Delivery {
         let link = self.hot_restart.as_ref().and_then(|kin| kin.link);
         let Some(link) = link.and_then(|link| self.connections.get(link)) else {
-            return Delivery::Gone;
+            return Delivery::PeerGone;
         };
         let with: Option<Vec<BorrowedFd>> = with
             .iter()
             .map(|key| Some(self.connections.get(*key)?.stream.as_fd()))
             .collect();
-        match with.map(|with| link::send(&link.stream, &word.write(), &with)) {
-            Some(Ok(true)) => Delivery::Yes,
+        match with.map(|with| link::send(&link.stream, &word.encode(), &with)) {
+            Some(Ok(true)) => Delivery::Sent,
             Some(Err(Errno::PIPE | Errno::CONNRESET | Errno::CONNREFUSED | Errno::NOTCONN)) => {
-                Delivery::Gone
+                Delivery::PeerGone
             }
-            _ => Delivery::Full,
+            _ => Delivery::LinkFull,
         }
     }
 
-    fn told_kin(&mut self, word: &Message, with: &[Key]) -> bool {
-        self.tell_kin(word, with) == Delivery::Yes
+    fn told_kin(&mut self, word: &HotRestartMessage, with: &[Key]) -> bool {
+        self.tell_kin(word, with) == Delivery::Sent
     }
 
     /// Reads the table of stages and does what it says.
@@ -313,9 +332,9 @@
         let Some(kin) = &mut self.hot_restart else {
             return;
         };
-        let (before, act) = (kin.side.stage, kin.side.stage.step(input));
+        let (before, act) = (kin.state, kin.state.apply(input));
         match act {
-            HotRestartEffect::Nothing => {
+            HotRestartEffect::AwaitHello => {
                 let link = caller.and_then(|fd| {
                     self.register(
                         fd,
@@ -332,11 +351,11 @@
                         .set(TimerKey::Connection(key), self.now + SAYS)
                 });
             }
-            HotRestartEffect::TurnAway => self.log_event(
+            HotRestartEffect::RejectPeer => self.log_event(
                 ReasonCode::KinBad,
                 "caller why=\"one replaces this already\"",
             ),
-            HotRestartEffect::TellState => {
+            HotRestartEffect::SendState => {
                 let told = self.tell_estate();
                 let link = self.hot_restart.as_ref().and_then(|kin| kin.link);
                 link.into_iter().for_each(|key| {
@@ -347,10 +366,10 @@
                     // The path is the younger's from now on.
                     self.close_hot_restart();
                 } else {
-                    self.kin_input(HotRestartInput::Broke, None, Vec::new());
+                    self.kin_input(HotRestartInput::PeerFailed, None, Vec::new());
                 }
             }
-            HotRestartEffect::StopTaking => {
+            HotRestartEffect::StopAccepting => {
                 let link = self.hot_restart.as_ref().and_then(|kin| kin.link);
                 link.into_iter()
                     .for_each(|key| self.deadlines.clear(TimerKey::Connection(key)));
@@ -358,40 +377,44 @@
                     .into_iter()
                     .for_each(|door| self.set_interest(door, Want::default()));
                 self.deadlines.clear(TimerKey::Listener);
-                let holds = Message::Holds(self.connections.len() as u32);
+                let holds = HotRestartMessage::OpenDescriptors(self.connections.len() as u32);
                 let about = format!("by another process, {} descriptors", self.connections.len());
                 self.log_event(ReasonCode::Followed, about);
                 if self.told_kin(&holds, &[]) {
                     self.continue_offers();
                 } else {
-                    self.kin_input(HotRestartInput::Broke, None, Vec::new());
+                    self.kin_input(HotRestartInput::PeerFailed, None, Vec::new());
                 }
             }
-            HotRestartEffect::DropOffer => {
-                match self.hot_restart.as_mut().and_then(|kin| kin.side.dropped()) {
+            HotRestartEffect::ReleaseOldestOffer => {
+                match self
+                    .hot_restart
+                    .as_mut()
+                    .and_then(|kin| kin.side.accept_oldest())
+                {
                     Some(offer) => {
                         self.let_go(offer);
                         self.continue_offers();
                     }
-                    None => self.kin_input(HotRestartInput::Broke, None, Vec::new()),
+                    None => self.kin_input(HotRestartInput::PeerFailed, None, Vec::new()),
                 }
             }
-            HotRestartEffect::Heed | HotRestartEffect::Adopt => {}
+            HotRestartEffect::ReserveDescriptors | HotRestartEffect::AdoptOffer => {}
             // Dropped, they close in this process alone.
-            HotRestartEffect::Leave => drop(kin.side.untold()),
-            HotRestartEffect::HangUp => {
-                drop(kin.side.untold());
-                self.part(before, Delivery::Gone);
+            HotRestartEffect::DiscardUnconfirmed => drop(kin.side.take_unconfirmed()),
+            HotRestartEffect::CloseLink => {
+                drop(kin.side.take_unconfirmed());
+                self.part(before, Delivery::PeerGone);
             }
-            HotRestartEffect::KeepOn => {
+            HotRestartEffect::StopHandover => {
                 self.hear_out();
-                let told = self.tell_kin(&Message::Kept, &[]);
+                let told = self.tell_kin(&HotRestartMessage::HandoverStopped, &[]);
                 self.part(before, told);
             }
-            HotRestartEffect::GoOn => self.part(before, Delivery::Gone),
-            HotRestartEffect::Inherit => {
-                let untold = kin.side.untold();
-                self.part(before, Delivery::Gone);
+            HotRestartEffect::ResumeOffers => self.part(before, Delivery::PeerGone),
+            HotRestartEffect::AdoptUnconfirmed => {
+                let untold = kin.side.take_unconfirmed();
+                self.part(before, Delivery::PeerGone);
                 untold.into_iter().for_each(|found| self.adopt(found));
             }
         }
@@ -408,15 +431,20 @@
         if let Some(link) = link {
             // It fails only for a link that has ended, which then says nothing more.
             let _ = link::hear_no_more(&link.stream);
-            while let Ok(Some((message, _))) = link::receive(&link.stream, LONGEST) {
+            while let Ok(Some((message, _))) = link::receive(&link.stream, MAX_MESSAGE_BYTES) {
                 if message.is_empty() {
                     break;
                 }
-                taken += usize::from(Message::read(&message) == Ok(Message::Taken));
+                taken += usize::from(
+                    HotRestartMessage::decode(&message) == Ok(HotRestartMessage::OfferAccepted),
+                );
             }
         }
         for _ in 0..taken {
-            let offer = self.hot_restart.as_mut().and_then(|kin| kin.side.dropped());
+            let offer = self
+                .hot_restart
+                .as_mut()
+                .and_then(|kin| kin.side.accept_oldest());
             offer.into_iter().for_each(|offer| self.let_go(offer));
         }
     }
@@ -427,13 +455,15 @@
             return;
         };
         kin.foreign = 0;
-        let (link, (kept, dropped)) = (kin.link.take(), kin.side.parted(told));
+        let (link, end) = (kin.link.take(), kin.side.end_handover(told));
+        let (kept, dropped) = (end.resumed, end.released);
         link.into_iter().for_each(|key| drop(self.close(key)));
         self.deadlines.clear(TimerKey::HotRestart);
         self.log_event(
             ReasonCode::KinParted,
             format!(
-                "from={before:?} kept={} dropped={}",
+                "from={} kept={} dropped={}",
+                before.log_name(),
                 kept.len(),
                 dropped.len()
             ),
@@ -453,9 +483,9 @@
         };
         let rev = self.discovery_watch.rev();
         hosts
-            .chunks(HOSTS)
-            .all(|hosts| self.told_kin(&Message::Hosts(hosts.to_vec()), &[]))
-            && self.told_kin(&Message::Door { rev }, &[door])
+            .chunks(MAX_ENDPOINTS_PER_MESSAGE)
+            .all(|hosts| self.told_kin(&HotRestartMessage::Endpoints(hosts.to_vec()), &[]))
+            && self.told_kin(&HotRestartMessage::Listener { list_revision: rev }, &[door])
     }
 
     /// Offers what may be offered, as many at a time as may be held twice.
@@ -464,7 +494,10 @@
             return;
         }
         self.deadlines.set(TimerKey::HotRestart, self.now + STEP);
-        let room = self.hot_restart.as_ref().map_or(0, |kin| kin.side.room());
+        let room = self
+            .hot_restart
+            .as_ref()
+            .map_or(0, |kin| kin.side.free_offers());
         let strangers = self.connections.iter().filter(|(key, conn)| {
             let offered = self
                 .hot_restart
@@ -509,7 +542,7 @@
             }
             self.hot_restart
                 .iter_mut()
-                .for_each(|kin| kin.side.offered(offer));
+                .for_each(|kin| kin.side.add_offer(offer));
         }
     }
 
@@ -524,16 +557,19 @@
         open && clean(own.client) && clean(own.server) && !self.is_offered(sess)
     }
 
-    fn worded(&self, offer: Offer) -> Option<(Message, Vec<Key>)> {
+    fn worded(&self, offer: Offer) -> Option<(HotRestartMessage, Vec<Key>)> {
         let bytes = |key: Key| {
             let conn = self.connections.get(key)?;
             Some(BufferedBytes {
-                whole: conn.complete_len,
+                validated: conn.complete_len,
                 bytes: conn.stream.inbound.bytes().to_vec(),
             })
         };
         match offer {
-            Offer::Stranger(key) => Some((Message::Stranger(bytes(key)?), vec![key])),
+            Offer::Stranger(key) => Some((
+                HotRestartMessage::PendingConnectionOffer(bytes(key)?),
+                vec![key],
+            )),
             Offer::Pair(sess) => {
                 let held = self.session_table.sessions.get(sess)?;
                 let (client, server) = (held.driver_data.client?, held.driver_data.server?);
@@ -548,14 +584,14 @@
                 } else {
                     waits
                 };
-                let pair = OpenConnection {
-                    line: held.driver_data.line.clone(),
-                    uid: self.endpoints.name(held.machine.to).into(),
-                    waits: due.map(|at| at.saturating_sub(self.now) + later),
-                    client: bytes(client)?,
-                    server: bytes(server)?,
+                let pair = SessionOffer {
+                    opening_line: held.driver_data.line.clone(),
+                    server_uid: self.endpoints.name(held.machine.to).into(),
+                    answer_within: due.map(|at| at.saturating_sub(self.now) + later),
+                    from_client: bytes(client)?,
+                    from_server: bytes(server)?,
                 };
-                Some((Message::Pair(pair), vec![client, server]))
+                Some((HotRestartMessage::SessionOffer(pair), vec![client, server]))
             }
         }
     }
@@ -626,30 +662,31 @@
 
     /// The elder offers something: it is taken only where it is whole and known, and the elder hears that before
     /// anything is done with it.
-    fn offered(&mut self, word: Message, with: Vec<OwnedFd>) {
+    fn offered(&mut self, word: HotRestartMessage, with: Vec<OwnedFd>) {
         let taking = self
             .hot_restart
             .as_ref()
-            .is_some_and(|kin| kin.side.stage == HotRestartState::Taking);
+            .is_some_and(|kin| kin.state == HotRestartState::TakingOver);
         let found = if taking {
             self.found(word, with)
         } else {
-            Err("nothing may be offered now")
+            Err("nothing may be offered now".to_string())
         };
         let taken = found.and_then(|found| {
-            let told = self.tell_kin(&Message::Taken, &[]);
+            let told = self.tell_kin(&HotRestartMessage::OfferAccepted, &[]);
             self.hot_restart
                 .as_mut()
-                .map_or(Ok(None), |kin| kin.side.read(found, told))
+                .map_or(Ok(None), |kin| kin.side.receive_offer(found, told))
+                .map_err(|error| error.to_string())
         });
         match taken {
             Ok(found) => {
-                self.kin_input(HotRestartInput::Offered, None, Vec::new());
+                self.kin_input(HotRestartInput::OfferReceived, None, Vec::new());
                 found.into_iter().for_each(|found| self.adopt(found));
             }
             Err(why) => {
                 self.log_event(ReasonCode::KinBad, format!("offer why={why:?}"));
-                self.kin_input(HotRestartInput::Broke, None, Vec::new());
+                self.kin_input(HotRestartInput::PeerFailed, None, Vec::new());
             }
         }
     }
@@ -720,55 +757,57 @@
         }
     }
 
-    fn found(&self, word: Message, with: Vec<OwnedFd>) -> Result<Found, &'static str> {
+    fn found(&self, word: HotRestartMessage, with: Vec<OwnedFd>) -> Result<Found, String> {
         let mut with = with.into_iter();
         let mut stream = |bytes: &BufferedBytes| {
             let fd = with.next().ok_or("a descriptor is missing")?;
             Stream::taken(fd, &bytes.bytes).ok_or("more bytes than may wait")
         };
         match word {
-            Message::Stranger(bytes) => Ok(Found::Stranger(stream(&bytes)?)),
-            Message::Pair(pair) => {
+            HotRestartMessage::PendingConnectionOffer(bytes) => {
+                Ok(Found::Stranger(stream(&bytes)?))
+            }
+            HotRestartMessage::SessionOffer(pair) => {
                 let text = pair
-                    .line
+                    .opening_line
                     .strip_suffix(b"\r\n")
                     .and_then(|line| std::str::from_utf8(line).ok());
                 let Some(Ok(Greeting::Open(open))) = text.map(greeting) else {
-                    return Err("its first line is none");
+                    return Err("its first line is none".into());
                 };
                 let (listener, member) =
                     super::client::places(&self.settings, &open).ok_or("a name is unknown")?;
                 let server = self
                     .endpoints
-                    .find(&pair.uid)
+                    .find(&pair.server_uid)
                     .ok_or("its server is unknown")?;
                 if self.session_ids.contains(open.id) {
-                    return Err("it is open here");
+                    return Err("it is open here".into());
                 }
                 let arrival = super::client::session_request(&open, self.now, listener, member);
                 let own = Session {
                     client: None,
                     server: None,
-                    line: pair.line.clone(),
+                    line: pair.opening_line.clone(),
                     wait_at: open.wait_at.clone(),
                     open_at: None,
-                    asked: pair.waits.is_some(),
+                    asked: pair.answer_within.is_some(),
                     quiet: true,
                     farewell: None,
                 };
                 let life =
                     SessionMachine::open(self.now, arrival, server, self.settings.connect_timeout);
-                let client = (stream(&pair.client)?, pair.client.whole);
-                let server = (stream(&pair.server)?, pair.server.whole);
+                let client = (stream(&pair.from_client)?, pair.from_client.validated);
+                let server = (stream(&pair.from_server)?, pair.from_server.validated);
                 Ok(Found::Pair(Box::new(FoundPair {
                     life,
                     own,
                     client,
                     server,
-                    waits: pair.waits,
+                    waits: pair.answer_within,
                 })))
             }
-            _ => Err("no offer"),
+            _ => Err("no offer".into()),
         }
     }
 }
@@ -793,26 +832,27 @@
 fn host(line: Listed) -> EndpointRecord {
     EndpointRecord {
         uid: line.uid,
-        endpoint: line.endpoint.to_string(),
+        address: line.endpoint.to_string(),
         zone: line.zone,
         cell: line.cell,
-        standing: line.standing as u8,
+        state: match line.standing {
+            EndpointState::Ready => EndpointRecordState::Ready,
+            EndpointState::Draining => EndpointRecordState::Draining,
+            EndpointState::Gone => EndpointRecordState::Gone,
+        },
         weight: line.weight,
         started: line.started,
     }
 }
 
 fn listed(host: EndpointRecord) -> Result<Listed, &'static str> {
-    let standing = [
-        EndpointState::Ready,
-        EndpointState::Draining,
-        EndpointState::Gone,
-    ];
     Ok(Listed {
-        endpoint: host.endpoint.parse().map_err(|_| "an endpoint is none")?,
-        standing: *standing
-            .get(usize::from(host.standing))
-            .ok_or("a standing is none")?,
+        endpoint: host.address.parse().map_err(|_| "an endpoint is none")?,
+        standing: match host.state {
+            EndpointRecordState::Ready => EndpointState::Ready,
+            EndpointRecordState::Draining => EndpointState::Draining,
+            EndpointRecordState::Gone => EndpointState::Gone,
+        },
         uid: host.uid,
         zone: host.zone,
         cell: host.cell,
--- a/crates/proxy/tests/operators.rs
+++ b/crates/proxy/tests/operators.rs
@@ -9,7 +9,10 @@
 
 mod help;
 
-use asterramp_hot_restart::{BufferedBytes, EndpointRecord, LONGEST, Message, OpenConnection};
+use asterramp_hot_restart::{
+    BufferedBytes, EndpointRecord, EndpointRecordState, HotRestartMessage, MAX_MESSAGE_BYTES,
+    SessionOffer,
+};
 use asterramp_proxy::protocol::call::{Call, Status, read};
 use asterramp_proxy::transport::{link, socket};
 use help::{OPEN, Side, World, answered, call};
@@ -394,7 +397,7 @@
 }
 
 /// The next word of the other side of a link, with its descriptors; `None` at its end.
-fn word(link: &OwnedFd) -> Option<(Message, Vec<OwnedFd>)> {
+fn word(link: &OwnedFd) -> Option<(HotRestartMessage, Vec<OwnedFd>)> {
     let time = Timespec {
         tv_sec: 3,
         tv_nsec: 0,
@@ -404,19 +407,24 @@
         Ok(1),
         "it says nothing"
     );
-    let (message, with) = link::receive(link, LONGEST).unwrap().expect("a message");
-    (!message.is_empty()).then(|| (Message::read(&message).unwrap(), with))
+    let (message, with) = link::receive(link, MAX_MESSAGE_BYTES)
+        .unwrap()
+        .expect("a message");
+    (!message.is_empty()).then(|| (HotRestartMessage::decode(&message).unwrap(), with))
 }
 
 /// A younger that is a test: it has come, says that it serves, and is offered what stands.
 fn younger(world: &World, offers: usize) -> (OwnedFd, Vec<Vec<OwnedFd>>) {
     let link = link::call(&world.meeting()).unwrap();
-    assert!(link::send(&link, &Message::Hello.write(), &[]).unwrap());
-    while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
-    assert!(link::send(&link, &Message::Serves.write(), &[]).unwrap());
-    assert!(matches!(word(&link), Some((Message::Holds(_), _))));
+    assert!(link::send(&link, &HotRestartMessage::Hello.encode(), &[]).unwrap());
+    while !matches!(word(&link), Some((HotRestartMessage::Listener { .. }, _))) {}
+    assert!(link::send(&link, &HotRestartMessage::Serving.encode(), &[]).unwrap());
+    assert!(matches!(
+        word(&link),
+        Some((HotRestartMessage::OpenDescriptors(_), _))
+    ));
     let offered = (0..offers).map(|_| match word(&link) {
-        Some((Message::Pair(_), with)) => with,
+        Some((HotRestartMessage::SessionOffer(_), with)) => with,
         other => panic!("{other:?}"),
     });
     let offered = offered.collect();
@@ -443,7 +451,7 @@
         assert!(link::send(&link, b"what is this", &[]).unwrap());
     }
     for _ in taken {
-        assert!(link::send(&link, &Message::Taken.write(), &[]).unwrap());
+        assert!(link::send(&link, &HotRestartMessage::OfferAccepted.encode(), &[]).unwrap());
         let client = TcpStream::from(offered.remove(0).remove(0));
         assert_eq!(
             Side::of(client).line(),
@@ -458,7 +466,7 @@
     }
     if then != "ends" {
         assert!(
-            matches!(word(&link), Some((Message::Kept, _))),
+            matches!(word(&link), Some((HotRestartMessage::HandoverStopped, _))),
             "the elder says what becomes of the rest"
         );
         assert!(word(&link).is_none());
@@ -491,21 +499,24 @@
         (world.client("OPEN 0000"), None)
     };
     let link = link::call(&world.meeting()).unwrap();
-    assert!(link::send(&link, &Message::Hello.write(), &[]).unwrap());
-    while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
+    assert!(link::send(&link, &HotRestartMessage::Hello.encode(), &[]).unwrap());
+    while !matches!(word(&link), Some((HotRestartMessage::Listener { .. }, _))) {}
     if when == "with the yes" {
         world.signal("STOP");
         std::thread::sleep(Duration::from_millis(30));
     }
-    assert!(link::send(&link, &Message::Serves.write(), &[]).unwrap());
+    assert!(link::send(&link, &HotRestartMessage::Serving.encode(), &[]).unwrap());
     if when == "with the yes" {
         client.say("on\r\n");
         world.signal("CONT");
     }
-    assert!(matches!(word(&link), Some((Message::Holds(_), _))));
+    assert!(matches!(
+        word(&link),
+        Some((HotRestartMessage::OpenDescriptors(_), _))
+    ));
     let mut with = match word(&link) {
-        Some((Message::Pair(_), with)) if open => with,
-        Some((Message::Stranger(bytes), with)) if !open => {
+        Some((HotRestartMessage::SessionOffer(_), with)) if open => with,
+        Some((HotRestartMessage::PendingConnectionOffer(bytes), with)) if !open => {
             assert_eq!(bytes.bytes, b"OPEN 0000", "it had been read");
             with
         }
@@ -518,7 +529,7 @@
         world.signal("TERM");
         assert_eq!(world.ends().0, Some(0));
     } else {
-        assert!(link::send(&link, &Message::Taken.write(), &[]).unwrap());
+        assert!(link::send(&link, &HotRestartMessage::OfferAccepted.encode(), &[]).unwrap());
         // With nothing left to hand over and told to go, it goes.
         world.signal("TERM");
         assert_eq!(world.ends().0, Some(0));
@@ -540,22 +551,36 @@
     let second = world.beside();
     poll(&mut [PollFd::new(&meeting, PollFlags::IN)], None).unwrap();
     let link = socket::accept_unix(&meeting).unwrap().unwrap();
-    assert!(matches!(word(&link), Some((Message::Hello, _))));
+    assert!(matches!(word(&link), Some((HotRestartMessage::Hello, _))));
     let at = world.servers[0].local_addr().unwrap().to_string();
     let host = EndpointRecord {
         uid: "s-0".into(),
-        endpoint: at,
+        address: at,
         zone: "a".into(),
         cell: 0,
-        standing: 0,
+        state: EndpointRecordState::Ready,
         weight: 1.0,
         started: None,
     };
-    assert!(link::send(&link, &Message::Hosts(vec![host]).write(), &[]).unwrap());
-    assert!(link::send(&link, &Message::Door { rev: 7 }.write(), &[door.as_fd()]).unwrap());
+    assert!(
+        link::send(
+            &link,
+            &HotRestartMessage::Endpoints(vec![host]).encode(),
+            &[]
+        )
+        .unwrap()
+    );
+    assert!(
+        link::send(
+            &link,
+            &HotRestartMessage::Listener { list_revision: 7 }.encode(),
+            &[door.as_fd()]
+        )
+        .unwrap()
+    );
     let (_, watch) = world.watches.recv_timeout(help::SOON).expect("a watch");
     watch.send(help::list(8, false, &[])).unwrap();
-    assert!(matches!(word(&link), Some((Message::Serves, _))) && second.says_yes());
+    assert!(matches!(word(&link), Some((HotRestartMessage::Serving, _))) && second.says_yes());
     let to = |what: &str| {
         Command::new("kill")
             .args([what, &second.proxy.id().to_string()])
@@ -573,20 +598,20 @@
             .replace("9b1f03aa5c7e2d41", &format!("00000000000000a{nth}"))
             .into_bytes();
         let bytes = || BufferedBytes {
-            whole: 0,
+            validated: 0,
             bytes: Vec::new(),
         };
-        let offer = OpenConnection {
-            line,
-            uid: "s-0".into(),
-            waits: None,
-            client: bytes(),
-            server: bytes(),
+        let offer = SessionOffer {
+            opening_line: line,
+            server_uid: "s-0".into(),
+            answer_within: None,
+            from_client: bytes(),
+            from_server: bytes(),
         };
         assert!(
             link::send(
                 &link,
-                &Message::Pair(offer).write(),
+                &HotRestartMessage::SessionOffer(offer).encode(),
                 &[inner.as_fd(), outer.as_fd()]
             )
             .unwrap()
@@ -602,7 +627,7 @@
         }
     }
     if keeps {
-        assert!(link::send(&link, &Message::Kept.write(), &[]).unwrap());
+        assert!(link::send(&link, &HotRestartMessage::HandoverStopped.encode(), &[]).unwrap());
     }
     drop((link, door, meeting));
     assert!(to("-CONT").unwrap().success());
@@ -625,8 +650,8 @@
         "a drain" => assert_eq!(call(world.calls, "POST /ops/drain/start").0, 200),
         "another replacement" => {
             let link = link::call(&world.meeting()).unwrap();
-            assert!(link::send(&link, &Message::Hello.write(), &[]).unwrap());
-            while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
+            assert!(link::send(&link, &HotRestartMessage::Hello.encode(), &[]).unwrap());
+            while !matches!(word(&link), Some((HotRestartMessage::Listener { .. }, _))) {}
             first = Some(link);
         }
         _ => {}
