--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -181,7 +181,7 @@
             .connections
             .iter()
             .filter(|(_, conn)| old(conn) && conn.last_activity + YOUNG <= self.now);
-        let due = due.filter(|(key, _)| !self.is_on_offer(*key));
+        let due = due.filter(|(key, _)| !self.is_connection_offered(*key));
         let Some((key, _)) = due.min_by_key(|(_, conn)| conn.last_activity) else {
             return false;
         };
--- a/crates/proxy/src/routing/forwarding.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -45,7 +45,7 @@
         else {
             return;
         };
-        if self.is_offered(sess) {
+        if self.is_session_offered(sess) {
             return;
         }
         if let Err(fault) = self.take_from_server(sess, server) {
@@ -238,7 +238,7 @@
         if self
             .life(sess)
             .is_some_and(|life| life.stage == SessionState::Open)
-            && !self.is_offered(sess)
+            && !self.is_session_offered(sess)
         {
             self.end(sess, code, outcome, (Close::Say(MOVE), Close::Fin));
         }
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -101,7 +101,7 @@
         let those = sessions.filter(|(_, held)| stage(held.machine.stage) && !held.machine.left);
         those
             .map(|(key, _)| key)
-            .filter(|key| !self.is_offered(*key))
+            .filter(|key| !self.is_session_offered(*key))
             .collect()
     }
 
@@ -194,7 +194,7 @@
                 .filter(|(_, conn)| conn.role == ConnectionRole::PendingClient);
             let late: Vec<Key> = greeting
                 .map(|(key, _)| key)
-                .filter(|key| !self.is_on_offer(*key))
+                .filter(|key| !self.is_connection_offered(*key))
                 .collect();
             late.into_iter()
                 .for_each(|key| self.close_gracefully(key, &[FAILED]));
--- /dev/null
+++ b/crates/proxy/src/routing/hot_restart/adoption.rs
@@ -0,0 +1,285 @@
+//! The successor's part: checks what the predecessor offers, and adopts it.
+
+use super::HotRestart;
+use crate::protocol::client::{Greeting, Open, greeting};
+use crate::routing::client::{self, GREETING};
+use crate::routing::{
+    ConnectionRole, ReasonCode, Router, Session, SessionInput, SessionMachine, TimerKey,
+};
+use crate::transport::{Key, Stream};
+use asterramp_hot_restart::{
+    BufferedBytes, HotRestartInput, HotRestartMessage, HotRestartState, OfferError, SessionOffer,
+};
+use asterramp_placement::event::{Load, Outcome};
+use rustix::fd::OwnedFd;
+use std::time::Duration;
+use std::vec;
+
+/// Why an offer is not accepted. The texts appear in the log and stay as they are.
+#[derive(Debug, thiserror::Error)]
+enum InvalidOffer {
+    /// This process is not taking over from another.
+    #[error("nothing may be offered now")]
+    NotTakingOver,
+    /// The message is no offer.
+    #[error("no offer")]
+    NotAnOffer,
+    /// Fewer descriptors came along than the message needs.
+    #[error("a descriptor is missing")]
+    MissingDescriptor,
+    /// More unforwarded bytes than a connection may buffer.
+    #[error("more bytes than may wait")]
+    TooManyBytes,
+    /// The client's first line does not open a session.
+    #[error("its first line is none")]
+    NoOpeningLine,
+    /// The first line names a listener or a member that is not in the settings.
+    #[error("a name is unknown")]
+    UnknownName,
+    /// The endpoint list has no such server.
+    #[error("its server is unknown")]
+    UnknownServer,
+    /// A session of the same id is open in this process.
+    #[error("it is open here")]
+    AlreadyOpen,
+    /// The ownership of the connection cannot pass over.
+    #[error(transparent)]
+    Ownership(#[from] OfferError),
+}
+
+/// An offer that was read and can be adopted.
+#[derive(Debug)]
+pub(super) enum ReceivedOffer {
+    PendingConnection(Stream),
+    Session(Box<ReceivedSession>),
+}
+
+#[derive(Debug)]
+pub(super) struct ReceivedSession {
+    machine: SessionMachine,
+    session: Session,
+    client: ReceivedStream,
+    server: ReceivedStream,
+    /// How long its server may still leave the client's last line unanswered.
+    answer_within: Option<Duration>,
+}
+
+#[derive(Debug)]
+struct ReceivedStream {
+    stream: Stream,
+    /// How many of its buffered bytes are complete, validated lines.
+    validated: usize,
+}
+
+impl ReceivedOffer {
+    fn descriptor_count(&self) -> usize {
+        match self {
+            ReceivedOffer::PendingConnection(_) => 1,
+            ReceivedOffer::Session(_) => 2,
+        }
+    }
+}
+
+impl Router {
+    /// The predecessor offers a connection. It is accepted only where it is whole and known, and
+    /// the predecessor is notified before anything is done with it.
+    pub(super) fn receive_offer(&mut self, offer: HotRestartMessage, descriptors: Vec<OwnedFd>) {
+        match self.accept_offer(offer, descriptors) {
+            Ok(adoptable) => {
+                self.apply_hot_restart(HotRestartInput::OfferReceived);
+                if let Some(received) = adoptable {
+                    self.adopt(received);
+                }
+            }
+            Err(error) => {
+                let text = error.to_string();
+                self.log_event(ReasonCode::HandoverBad, format!("offer why={text:?}"));
+                self.apply_hot_restart(HotRestartInput::PeerFailed);
+            }
+        }
+    }
+
+    /// Returns what may be adopted now; nothing where that depends on how the link ends.
+    fn accept_offer(
+        &mut self,
+        offer: HotRestartMessage,
+        descriptors: Vec<OwnedFd>,
+    ) -> Result<Option<ReceivedOffer>, InvalidOffer> {
+        let is_taking_over = |found: &HotRestart| found.state == HotRestartState::TakingOver;
+        if !self.hot_restart.as_ref().is_some_and(is_taking_over) {
+            return Err(InvalidOffer::NotTakingOver);
+        }
+        let received = self.check_offer(offer, descriptors)?;
+        let acceptance = self.send_hot_restart(&HotRestartMessage::OfferAccepted, &[]);
+        let Some(hot_restart) = &mut self.hot_restart else {
+            return Ok(None);
+        };
+        Ok(hot_restart.ownership.receive_offer(received, acceptance)?)
+    }
+
+    fn check_offer(
+        &self,
+        offer: HotRestartMessage,
+        descriptors: Vec<OwnedFd>,
+    ) -> Result<ReceivedOffer, InvalidOffer> {
+        let mut descriptors = descriptors.into_iter();
+        match offer {
+            HotRestartMessage::PendingConnectionOffer(buffered) => {
+                let stream = next_stream(&mut descriptors, &buffered)?;
+                Ok(ReceivedOffer::PendingConnection(stream))
+            }
+            HotRestartMessage::SessionOffer(offer) => {
+                let received = self.check_session_offer(offer, &mut descriptors)?;
+                Ok(ReceivedOffer::Session(Box::new(received)))
+            }
+            _ => Err(InvalidOffer::NotAnOffer),
+        }
+    }
+
+    fn check_session_offer(
+        &self,
+        offer: SessionOffer,
+        descriptors: &mut vec::IntoIter<OwnedFd>,
+    ) -> Result<ReceivedSession, InvalidOffer> {
+        let open = opening(&offer.opening_line)?;
+        let (listener, member) =
+            client::places(&self.settings, &open).ok_or(InvalidOffer::UnknownName)?;
+        let server = self
+            .endpoints
+            .find(&offer.server_uid)
+            .ok_or(InvalidOffer::UnknownServer)?;
+        if self.session_ids.contains(open.id) {
+            return Err(InvalidOffer::AlreadyOpen);
+        }
+        let request = client::session_request(&open, self.now, listener, member);
+        let session = Session {
+            client: None,
+            server: None,
+            line: offer.opening_line.clone(),
+            wait_at: open.wait_at.clone(),
+            open_at: None,
+            asked: offer.answer_within.is_some(),
+            quiet: true,
+            farewell: None,
+        };
+        let machine =
+            SessionMachine::open(self.now, request, server, self.settings.connect_timeout);
+        let client = ReceivedStream {
+            stream: next_stream(descriptors, &offer.from_client)?,
+            validated: offer.from_client.validated,
+        };
+        let server = ReceivedStream {
+            stream: next_stream(descriptors, &offer.from_server)?,
+            validated: offer.from_server.validated,
+        };
+        Ok(ReceivedSession {
+            machine,
+            session,
+            client,
+            server,
+            answer_within: offer.answer_within,
+        })
+    }
+
+    /// What the predecessor could not be notified of.
+    pub(super) fn take_unconfirmed(&mut self) -> Vec<ReceivedOffer> {
+        self.hot_restart
+            .as_mut()
+            .map(|hot_restart| hot_restart.ownership.take_unconfirmed())
+            .unwrap_or_default()
+    }
+
+    /// Closes what the predecessor could not be notified of. Its connections stay open, since the
+    /// predecessor has them too.
+    pub(super) fn discard_unconfirmed(&mut self) {
+        drop(self.take_unconfirmed());
+    }
+
+    /// Goes on with a connection that was the predecessor's.
+    pub(super) fn adopt(&mut self, received: ReceivedOffer) {
+        if let Some(hot_restart) = &mut self.hot_restart {
+            hot_restart.peer_descriptors = hot_restart
+                .peer_descriptors
+                .saturating_sub(received.descriptor_count());
+        }
+        match received {
+            ReceivedOffer::PendingConnection(stream) => self.adopt_pending_connection(stream),
+            ReceivedOffer::Session(session) => self.adopt_session(*session),
+        }
+    }
+
+    fn adopt_pending_connection(&mut self, stream: Stream) {
+        let Some(key) = self.register_stream(stream, ConnectionRole::PendingClient, 0) else {
+            return;
+        };
+        self.deadlines
+            .set(TimerKey::Connection(key), self.now + GREETING);
+        self.read_greeting(key);
+    }
+
+    fn adopt_session(&mut self, received: ReceivedSession) {
+        self.session_ids.insert(received.session.id().to_string());
+        let awaits_answer = received.session.asked;
+        let key = self
+            .session_table
+            .adopt(self.now, received.machine, received.session);
+        let client = self.keep_received(received.client, ConnectionRole::Client(key));
+        let server = self.keep_received(received.server, ConnectionRole::Server(key));
+        if let Some(session) = self.own(key) {
+            session.client = client;
+            session.server = server;
+        }
+        self.count_event(ReasonCode::Adopted);
+        if client.is_none() || server.is_none() {
+            return self.abandon_session(key, [client, server]);
+        }
+        if awaits_answer {
+            let within = received.answer_within.unwrap_or_default();
+            self.deadlines
+                .set(TimerKey::Session(key), self.now + within);
+        }
+        self.forward(key);
+    }
+
+    fn keep_received(&mut self, received: ReceivedStream, role: ConnectionRole) -> Option<Key> {
+        self.register_stream(received.stream, role, received.validated)
+    }
+
+    /// One of its sockets could not be watched and is closed already; the session must not stay
+    /// behind.
+    fn abandon_session(&mut self, key: Key, connections: [Option<Key>; 2]) {
+        for connection in connections.into_iter().flatten() {
+            self.close(connection);
+        }
+        if let Some(session) = self.own(key) {
+            session.client = None;
+            session.server = None;
+        }
+        let closed = SessionInput::Closed {
+            outcome: Outcome::Reset,
+            load: Load::default(),
+        };
+        self.input(key, closed);
+    }
+}
+
+/// The request that a session's first line makes.
+fn opening(line: &[u8]) -> Result<Open<'_>, InvalidOffer> {
+    let text = line
+        .strip_suffix(b"\r\n")
+        .and_then(|line| std::str::from_utf8(line).ok())
+        .ok_or(InvalidOffer::NoOpeningLine)?;
+    match greeting(text) {
+        Ok(Greeting::Open(open)) => Ok(open),
+        _ => Err(InvalidOffer::NoOpeningLine),
+    }
+}
+
+/// A stream of the next descriptor, with what the predecessor had read from it.
+fn next_stream(
+    descriptors: &mut vec::IntoIter<OwnedFd>,
+    buffered: &BufferedBytes,
+) -> Result<Stream, InvalidOffer> {
+    let fd = descriptors.next().ok_or(InvalidOffer::MissingDescriptor)?;
+    Stream::taken(fd, &buffered.bytes).ok_or(InvalidOffer::TooManyBytes)
+}
--- /dev/null
+++ b/crates/proxy/src/routing/hot_restart/endpoint_records.rs
@@ -0,0 +1,57 @@
+//! Endpoints as discovery lists them, to and from the records of a hot restart.
+
+use crate::protocol::discovery::Listed;
+use asterramp_hot_restart::{EndpointRecord, EndpointRecordState};
+use asterramp_placement::event::EndpointState;
+use std::net::AddrParseError;
+
+/// A record's address is no socket address. The text appears in the log and stays as it is.
+#[derive(Debug, thiserror::Error)]
+#[error("an endpoint is none")]
+pub(in crate::routing) struct UnreadableAddress {
+    /// The address as it was sent.
+    pub(super) address: String,
+    #[source]
+    pub(super) source: AddrParseError,
+}
+
+pub(super) fn record_of(endpoint: Listed) -> EndpointRecord {
+    EndpointRecord {
+        uid: endpoint.uid,
+        address: endpoint.endpoint.to_string(),
+        zone: endpoint.zone,
+        cell: endpoint.cell,
+        state: match endpoint.standing {
+            EndpointState::Ready => EndpointRecordState::Ready,
+            EndpointState::Draining => EndpointRecordState::Draining,
+            EndpointState::Gone => EndpointRecordState::Gone,
+        },
+        weight: endpoint.weight,
+        started: endpoint.started,
+    }
+}
+
+pub(super) fn endpoint_from_record(record: EndpointRecord) -> Result<Listed, UnreadableAddress> {
+    let address = match record.address.parse() {
+        Ok(address) => address,
+        Err(source) => {
+            return Err(UnreadableAddress {
+                address: record.address,
+                source,
+            });
+        }
+    };
+    Ok(Listed {
+        uid: record.uid,
+        endpoint: address,
+        zone: record.zone,
+        cell: record.cell,
+        standing: match record.state {
+            EndpointRecordState::Ready => EndpointState::Ready,
+            EndpointRecordState::Draining => EndpointState::Draining,
+            EndpointRecordState::Gone => EndpointState::Gone,
+        },
+        weight: record.weight,
+        started: record.started,
+    })
+}
--- /dev/null
+++ b/crates/proxy/src/routing/hot_restart/mod.rs
@@ -0,0 +1,167 @@
+//! Hot restart: replaces the process, without ending a session.
+//!
+//! [`asterramp_hot_restart`] defines the messages, the states and who may touch a connection; this
+//! module carries that out on sockets. The predecessor listens for a successor at a Unix socket.
+//! Whatever goes wrong between the two, each stays whole: a successor that inherits nothing binds
+//! the clients' address itself, and its predecessor shuts down as at SIGTERM.
+//!
+//! - [`inherited_listener`]: what a starting process gets from its predecessor, before its event
+//!   loop.
+//! - [`messages`]: the link while the event loop runs.
+//! - [`transitions`]: what each effect of the state machine does.
+//! - [`offers`]: the predecessor's part.
+//! - [`adoption`]: the successor's part.
+
+mod adoption;
+mod endpoint_records;
+mod inherited_listener;
+mod messages;
+mod offers;
+mod transitions;
+
+use super::{ConnectionRole, ReasonCode, Router};
+use crate::transport::Key;
+use crate::transport::poll::Want;
+use crate::transport::socket::{self, SocketType};
+use adoption::ReceivedOffer;
+use asterramp_hot_restart::{
+    ConnectionOwnership, Delivery, HotRestartInput, HotRestartMessage, HotRestartState,
+};
+pub(super) use inherited_listener::InheritedListener;
+use rustix::fd::OwnedFd;
+use std::path::PathBuf;
+
+const READABLE: Want = Want {
+    read: true,
+    write: false,
+};
+
+/// What this process offers to its successor.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Offer {
+    /// An open session, by its key in the session table.
+    Session(Key),
+    /// A client's connection without a complete first line, by its own key.
+    PendingConnection(Key),
+}
+
+/// A process's place in a hot restart.
+#[derive(Debug)]
+pub(super) struct HotRestart {
+    /// The Unix socket at which a successor connects.
+    socket_path: PathBuf,
+    state: HotRestartState,
+    ownership: ConnectionOwnership<Offer, ReceivedOffer>,
+    /// Listens at `socket_path`, while a successor may connect.
+    listener: Option<Key>,
+    /// Connection to the other process, while there is one.
+    link: Option<Key>,
+    /// How many descriptors the predecessor still has open. Both processes share one limit.
+    peer_descriptors: usize,
+}
+
+impl Router {
+    /// Allows hot restarts from now on, with `socket_path` as the place where a successor connects.
+    /// `link` is the connection to this process's predecessor, if it has one.
+    pub(super) fn open_hot_restart(&mut self, socket_path: PathBuf, link: Option<OwnedFd>) {
+        let link = link.and_then(|fd| self.register(fd, ConnectionRole::HotRestart, READABLE));
+        let state = match link {
+            Some(_) => HotRestartState::TakingOver,
+            None => HotRestartState::Idle,
+        };
+        self.hot_restart = Some(HotRestart {
+            socket_path,
+            state,
+            ownership: ConnectionOwnership::default(),
+            listener: None,
+            link,
+            peer_descriptors: 0,
+        });
+    }
+
+    /// This process accepts clients from now on: its predecessor is notified, and a successor may
+    /// connect.
+    pub(super) fn announce_serving(&mut self) {
+        if self.hot_restart_link().is_some() {
+            let notified = self.send_hot_restart(&HotRestartMessage::Serving, &[]);
+            if notified != Delivery::Sent {
+                self.apply_hot_restart(HotRestartInput::PeerFailed);
+            }
+        }
+        self.open_successor_listener();
+    }
+
+    fn open_successor_listener(&mut self) {
+        let Some(hot_restart) = &self.hot_restart else {
+            return;
+        };
+        if hot_restart.listener.is_some() {
+            return;
+        }
+        match socket::listen_unix(&hot_restart.socket_path, SocketType::SEQPACKET) {
+            Ok(fd) => {
+                let listener = self.register(fd, ConnectionRole::HotRestartListener, READABLE);
+                if let Some(hot_restart) = &mut self.hot_restart {
+                    hot_restart.listener = listener;
+                }
+            }
+            Err(error) => {
+                self.log_event(ReasonCode::HandoverBad, format!("door error={error:?}"));
+            }
+        }
+    }
+
+    /// No successor may connect any more: closes the Unix socket and removes its file.
+    pub fn close_hot_restart(&mut self) {
+        let Some(hot_restart) = &mut self.hot_restart else {
+            return;
+        };
+        if let Some(listener) = hot_restart.listener.take() {
+            // It fails only where the file is gone already.
+            let _ = std::fs::remove_file(&hot_restart.socket_path);
+            self.close(listener);
+        }
+    }
+
+    fn hot_restart_link(&self) -> Option<Key> {
+        self.hot_restart.as_ref()?.link
+    }
+
+    /// Whether a successor accepts clients in place of this process.
+    pub(super) fn has_successor(&self) -> bool {
+        self.hot_restart
+            .as_ref()
+            .is_some_and(|hot_restart| hot_restart.state == HotRestartState::HandingOver)
+    }
+
+    fn is_pending_offer(&self, offer: Offer) -> bool {
+        self.hot_restart
+            .as_ref()
+            .is_some_and(|hot_restart| hot_restart.ownership.is_offered(&offer))
+    }
+
+    /// Whether a session has been offered to the successor and not been accepted yet.
+    pub(super) fn is_session_offered(&self, session: Key) -> bool {
+        self.is_pending_offer(Offer::Session(session))
+    }
+
+    /// Whether a connection belongs to a pending offer, so that it may be neither read nor written.
+    pub(super) fn is_connection_offered(&self, connection: Key) -> bool {
+        match self.connections.get(connection).map(|found| found.role) {
+            Some(ConnectionRole::Client(session) | ConnectionRole::Server(session)) => {
+                self.is_pending_offer(Offer::Session(session))
+            }
+            Some(ConnectionRole::PendingClient) => {
+                self.is_pending_offer(Offer::PendingConnection(connection))
+            }
+            _ => false,
+        }
+    }
+
+    /// How many descriptors the predecessor still has open, of those that both processes share.
+    pub(super) fn descriptors_of_peer(&self) -> usize {
+        self.hot_restart
+            .as_ref()
+            .map_or(0, |hot_restart| hot_restart.peer_descriptors)
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/routing/hot_restart/offers.rs
@@ -0,0 +1,287 @@
+//! The predecessor's part: sends its state, offers its connections, and releases or resumes them.
+
+use super::endpoint_records::record_of;
+use super::{Offer, READABLE};
+use crate::routing::client::GREETING;
+use crate::routing::forwarding;
+use crate::routing::session_table::SessionSlot;
+use crate::routing::{
+    ConnectionRole, ReasonCode, Router, Session, SessionInput, SessionState, TimerKey,
+};
+use crate::transport::{Key, link};
+use asterramp_hot_restart::{
+    BufferedBytes, Delivery, EndpointRecord, HotRestartMessage, MAX_ENDPOINTS_PER_MESSAGE,
+    MAX_MESSAGE_BYTES, SessionOffer,
+};
+use asterramp_placement::event::{Load, Outcome};
+use std::time::Duration;
+
+/// How soon more is offered after the last offers, where the link was full, or a session has opened
+/// meanwhile.
+const OFFER_INTERVAL: Duration = Duration::from_millis(10);
+
+/// An offer as it is sent.
+#[derive(Debug)]
+struct PreparedOffer {
+    message: HotRestartMessage,
+    /// Connections whose sockets go along, in the order that the message asks for.
+    connections: Vec<Key>,
+}
+
+impl Router {
+    /// Whether the successor has been sent the whole endpoint list and the listener.
+    pub(super) fn send_endpoints_and_listener(&mut self) -> bool {
+        let Some(listener) = self.listener else {
+            return false;
+        };
+        let records: Vec<EndpointRecord> = self.endpoints.lines().map(record_of).collect();
+        for records in records.chunks(MAX_ENDPOINTS_PER_MESSAGE) {
+            let message = HotRestartMessage::Endpoints(records.to_vec());
+            if self.send_hot_restart(&message, &[]) != Delivery::Sent {
+                return false;
+            }
+        }
+        let message = HotRestartMessage::Listener {
+            list_revision: self.discovery_watch.rev(),
+        };
+        self.send_hot_restart(&message, &[listener]) == Delivery::Sent
+    }
+
+    /// Offers what may be offered now, as much as may be pending at a time.
+    pub(in crate::routing) fn continue_offers(&mut self) {
+        if !self.has_successor() {
+            return;
+        }
+        self.deadlines
+            .set(TimerKey::HotRestart, self.now + OFFER_INTERVAL);
+        for offer in self.next_offers() {
+            let Some(prepared) = self.prepare_offer(offer) else {
+                continue;
+            };
+            let delivery = self.send_hot_restart(&prepared.message, &prepared.connections);
+            if delivery != Delivery::Sent {
+                return;
+            }
+            self.leave_alone(offer, &prepared.connections);
+        }
+    }
+
+    /// What is offered next, pending connections first, as many as may be.
+    fn next_offers(&self) -> Vec<Offer> {
+        let Some(hot_restart) = &self.hot_restart else {
+            return Vec::new();
+        };
+        let pending_connections = self
+            .connections
+            .iter()
+            .filter(|(key, _)| self.may_offer_pending_connection(*key))
+            .map(|(key, _)| Offer::PendingConnection(key));
+        let sessions = self
+            .session_table
+            .sessions
+            .iter()
+            .filter(|(key, slot)| self.may_offer_session(*key, slot))
+            .map(|(key, _)| Offer::Session(key));
+        pending_connections
+            .chain(sessions)
+            .take(hot_restart.ownership.free_offers())
+            .collect()
+    }
+
+    fn may_offer_pending_connection(&self, key: Key) -> bool {
+        let waits_for_its_first_line = self
+            .connections
+            .get(key)
+            .is_some_and(|connection| connection.role == ConnectionRole::PendingClient);
+        waits_for_its_first_line
+            && self.has_no_pending_io(Some(key))
+            && !self.is_pending_offer(Offer::PendingConnection(key))
+    }
+
+    /// Whether a session is open on both sides and may go as it is: this process has nothing half
+    /// sent, and no end is on its way.
+    fn may_offer_session(&self, key: Key, slot: &SessionSlot<Session>) -> bool {
+        let is_open = slot.machine.stage == SessionState::Open && !slot.machine.left;
+        is_open
+            && slot.driver_data.farewell.is_none()
+            && self.has_no_pending_io(slot.driver_data.client)
+            && self.has_no_pending_io(slot.driver_data.server)
+            && !self.is_session_offered(key)
+    }
+
+    /// Whether a connection has not ended and nothing waits to be written to it.
+    fn has_no_pending_io(&self, key: Option<Key>) -> bool {
+        key.and_then(|key| self.connections.get(key))
+            .is_some_and(|found| found.stream.ended.is_none() && found.stream.sent())
+    }
+
+    fn prepare_offer(&self, offer: Offer) -> Option<PreparedOffer> {
+        match offer {
+            Offer::PendingConnection(key) => Some(PreparedOffer {
+                message: HotRestartMessage::PendingConnectionOffer(self.buffered_bytes(key)?),
+                connections: vec![key],
+            }),
+            Offer::Session(key) => self.prepare_session_offer(key),
+        }
+    }
+
+    fn prepare_session_offer(&self, key: Key) -> Option<PreparedOffer> {
+        let slot = self.session_table.sessions.get(key)?;
+        let client = slot.driver_data.client?;
+        let server = slot.driver_data.server?;
+        let offer = SessionOffer {
+            opening_line: slot.driver_data.line.clone(),
+            server_uid: self.endpoints.name(slot.machine.to).into(),
+            answer_within: self.answer_within(key, &slot.driver_data),
+            from_client: self.buffered_bytes(client)?,
+            from_server: self.buffered_bytes(server)?,
+        };
+        Some(PreparedOffer {
+            message: HotRestartMessage::SessionOffer(offer),
+            connections: vec![client, server],
+        })
+    }
+
+    /// How long until the session is migrated because its server leaves a line unanswered. The
+    /// timer of a server that is not quiet yet runs to the moment when it counts as quiet, and the
+    /// successor does not make that difference, so the rest is added.
+    fn answer_within(&self, key: Key, session: &Session) -> Option<Duration> {
+        if !session.asked {
+            return None;
+        }
+        let timer = self.deadlines.of(TimerKey::Session(key))?;
+        let after_quiet = if session.quiet {
+            Duration::ZERO
+        } else {
+            forwarding::rest(self.settings.connect_timeout)
+        };
+        Some(timer.saturating_sub(self.now) + after_quiet)
+    }
+
+    fn buffered_bytes(&self, key: Key) -> Option<BufferedBytes> {
+        let connection = self.connections.get(key)?;
+        Some(BufferedBytes {
+            validated: connection.complete_len,
+            bytes: connection.stream.inbound.bytes().to_vec(),
+        })
+    }
+
+    /// An offer has been sent: its connections are neither read nor written nor timed any more,
+    /// until it is released or resumed.
+    fn leave_alone(&mut self, offer: Offer, connections: &[Key]) {
+        for key in connections {
+            if let Some(connection) = self.connections.get(*key) {
+                self.poll.forget(&connection.stream);
+            }
+            self.deadlines.clear(TimerKey::Connection(*key));
+        }
+        if let Offer::Session(key) = offer {
+            self.deadlines.clear(TimerKey::Session(key));
+        }
+        if let Some(hot_restart) = &mut self.hot_restart {
+            hot_restart.ownership.add_offer(offer);
+        }
+    }
+
+    /// The oldest offer, which the successor has accepted.
+    pub(super) fn accept_oldest_offer(&mut self) -> Option<Offer> {
+        self.hot_restart.as_mut()?.ownership.accept_oldest()
+    }
+
+    /// The successor lives: what it accepted before this moment is its own, and it can accept
+    /// nothing after.
+    pub(super) fn release_offers_accepted_so_far(&mut self) {
+        for _ in 0..self.drain_accepted_count() {
+            if let Some(offer) = self.accept_oldest_offer() {
+                self.release(offer);
+            }
+        }
+    }
+
+    /// Ends receiving on the link and counts the `OfferAccepted` among what had come before.
+    fn drain_accepted_count(&self) -> usize {
+        let link = self
+            .hot_restart_link()
+            .and_then(|key| self.connections.get(key));
+        let Some(link) = link else {
+            return 0;
+        };
+        // It fails only for a link that has ended, on which nothing more comes.
+        let _ = link::hear_no_more(&link.stream);
+        let mut accepted = 0;
+        while let Ok(Some((message, _))) = link::receive(&link.stream, MAX_MESSAGE_BYTES) {
+            if message.is_empty() {
+                break;
+            }
+            if HotRestartMessage::decode(&message) == Ok(HotRestartMessage::OfferAccepted) {
+                accepted += 1;
+            }
+        }
+        accepted
+    }
+
+    /// Closes this process's descriptors of an offer that is the successor's. Nothing is read or
+    /// written for it, and the connections stay open.
+    pub(super) fn release(&mut self, offer: Offer) {
+        match offer {
+            Offer::PendingConnection(key) => {
+                self.let_out(key);
+            }
+            Offer::Session(key) => {
+                self.count_event(ReasonCode::HandedOver);
+                let client = self.take_client(key);
+                let server = self.take_server(key);
+                for connection in [client, server].into_iter().flatten() {
+                    self.let_out(connection);
+                }
+                let closed = SessionInput::Closed {
+                    outcome: Outcome::CalledOff,
+                    load: Load::default(),
+                };
+                self.input(key, closed);
+            }
+        }
+    }
+
+    /// Goes on with an offer that was not accepted.
+    pub(super) fn resume(&mut self, offer: Offer) {
+        match offer {
+            Offer::PendingConnection(key) => {
+                self.watch_again(key);
+                self.deadlines
+                    .set(TimerKey::Connection(key), self.now + GREETING);
+                self.read_greeting(key);
+            }
+            Offer::Session(key) => self.resume_session(key),
+        }
+    }
+
+    fn resume_session(&mut self, key: Key) {
+        let Some(session) = self.own(key) else {
+            return;
+        };
+        let connections = [session.client, session.server];
+        let awaits_answer = session.asked;
+        for connection in connections.into_iter().flatten() {
+            self.watch_again(connection);
+        }
+        if awaits_answer {
+            self.deadlines
+                .set(TimerKey::Session(key), self.now + forwarding::SILENCE);
+            if let Some(session) = self.own(key) {
+                session.quiet = true;
+            }
+        }
+        self.forward(key);
+    }
+
+    fn watch_again(&mut self, key: Key) {
+        if let Some(connection) = self.connections.get_mut(key) {
+            connection.stream.want = READABLE;
+            // It fails only for a socket that cannot be watched, and this one was.
+            let _ = self
+                .poll
+                .add(&connection.stream, key, connection.stream.want);
+        }
+    }
+}
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -34,7 +34,7 @@
 use client::{ConnectionCounts, ResourceBudget};
 use discovery_watch::DiscoveryWatch;
 use endpoints::EndpointTable;
-use hot_restart::{HotRestartLink, InheritedListener};
+use hot_restart::{HotRestart, InheritedListener};
 use metrics::Metrics;
 use peers::Peers;
 use report::{ReasonCode, Report};
@@ -206,7 +206,7 @@
     /// Against late orders of the fleet's owners.
     fencing_guard: FencingGuard,
     admin_http: Option<AdminHttp>,
-    hot_restart: Option<HotRestartLink>,
+    hot_restart: Option<HotRestart>,
     warm_start: Option<WarmStartProgress>,
     peers: Peers,
     snapshots: Option<SnapshotSchedule>,
@@ -232,9 +232,10 @@
         } = start;
         let estate = kin
             .as_ref()
-            .map(|path| InheritedListener::ask(path, listen))
+            .map(|path| InheritedListener::request(path, listen))
             .unwrap_or(Ok(None));
-        let (estate, why) = estate.map_or_else(|why| (None, Some(why)), |estate| (estate, None));
+        let (estate, why) =
+            estate.map_or_else(|why| (None, Some(why.to_string())), |estate| (estate, None));
         let rev = estate.as_ref().map_or(known.rev, |estate| estate.list.rev);
         let mut router = Router {
             session_table: SessionTable::new(setup.deployment.clone(), seed, setup.connect_timeout),
@@ -274,10 +275,11 @@
         let named = |key: &str, at: SocketAddr, e: io::Error| {
             io::Error::new(e.kind(), format!("{key}: {at}: {e}"))
         };
-        why.into_iter()
-            .for_each(|why| router.log_event(ReasonCode::KinBad, format!("elder why={why:?}")));
+        why.into_iter().for_each(|why| {
+            router.log_event(ReasonCode::HandoverBad, format!("elder why={why:?}"))
+        });
         let (door, link, list) = match estate {
-            Some(estate) => (estate.door, Some(estate.link), Some(estate.list)),
+            Some(estate) => (estate.listener, Some(estate.link), Some(estate.list)),
             None => {
                 let door = socket::listen(listen, operator.is_some());
                 (
@@ -405,7 +407,7 @@
 
     fn connection_ready(&mut self, event: Ready) {
         // An event of the wake-up in which it was offered: what came is read by one process alone.
-        if self.is_on_offer(event.key) {
+        if self.is_connection_offered(event.key) {
             return;
         }
         let Some(conn) = self.connections.get_mut(event.key) else {
@@ -657,7 +659,7 @@
     /// is read before: a close over it would reset the connection, and with it what was written last. Not so where
     /// another process may have it: that one is to read it, and this one's close ends nothing.
     fn close(&mut self, key: Key) -> Option<Stream> {
-        let lent = self.is_on_offer(key);
+        let lent = self.is_connection_offered(key);
         let (role, mut stream) = self.let_out(key)?;
         let theirs = matches!(
             role,
--- a/crates/proxy/src/routing/report.rs
+++ b/crates/proxy/src/routing/report.rs
@@ -85,8 +85,8 @@
     Followed "followed",
     HandedOver "handed-over",
     Adopted "adopted",
-    KinParted "handover-ended",
-    KinBad "handover-bad",
+    HandoverEnded "handover-ended",
+    HandoverBad "handover-bad",
     // Operators' calls.
     Called "called",
     CallBad "call-bad",
