--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -2,8 +2,8 @@
 //! read holds back only its own answers.
 
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
-use crate::transport::poll::Want;
-use crate::transport::{Key, socket};
+use crate::transport::poller::Interest;
+use crate::transport::{SlotKey, socket};
 use asterramp_admin_protocol::{
     AdminCommand, AdminReply, AdminRequest, AdmissionStatus, LONGEST, ProxyStatus, WarmStartStatus,
     ZoneStatus,
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct AdminSocket {
     path: PathBuf,
-    door: Key,
+    door: SlotKey,
     peers: usize,
     most: usize,
     /// Within how long a drain empties the proxy where nobody says.
@@ -44,7 +44,7 @@
         let door = self.register(
             door,
             ConnectionRole::AdminSocketListener,
-            Want {
+            Interest {
                 read: true,
                 write: false,
             },
@@ -88,23 +88,24 @@
                 Ok(Some(fd)) => fd,
                 Ok(None) => return,
                 Err(e) => {
-                    return self.log_event(ReasonCode::ControlBad, format!("accept error={e}"));
+                    return self
+                        .log_event(ReasonCode::AdminSocketError, format!("accept error={e}"));
                 }
             };
             // Dropped, it closes.
-            if full || !socket::is_own_user(&fd) {
+            if full || !socket::peer_is_same_user(&fd) {
                 let why = if full {
                     "too many peers"
                 } else {
                     "another user"
                 };
-                self.log_event(ReasonCode::ControlBad, format!("peer why={why:?}"));
+                self.log_event(ReasonCode::AdminSocketError, format!("peer why={why:?}"));
                 continue;
             }
             if let Some(key) = self.register(
                 fd,
                 ConnectionRole::AdminSocket,
-                Want {
+                Interest {
                     read: true,
                     write: false,
                 },
@@ -118,7 +119,7 @@
         }
     }
 
-    pub(super) fn admin_socket_ready(&mut self, key: Key) {
+    pub(super) fn admin_socket_ready(&mut self, key: SlotKey) {
         loop {
             let Some(conn) = self.connections.get_mut(key) else {
                 return;
@@ -127,10 +128,10 @@
                 return self.close_admin_connection(key);
             }
             // The next question is looked at once the last one's answer is written.
-            if !conn.stream.sent() {
+            if !conn.stream.is_flushed() {
                 return self.set_interest(
                     key,
-                    Want {
+                    Interest {
                         read: false,
                         write: true,
                     },
@@ -140,11 +141,11 @@
             let end = bytes.iter().take(LONGEST).position(|b| *b == b'\n');
             let Some(end) = end else {
                 if bytes.len() < LONGEST {
-                    return self.want_own(key);
+                    return self.watch_own_io(key);
                 }
                 conn.stream
                     .send(&[AdminReply::error("a request is too long").line().as_bytes()]);
-                self.log_event(ReasonCode::ControlBad, "request why=\"too long\"");
+                self.log_event(ReasonCode::AdminSocketError, "request why=\"too long\"");
                 return self.close_admin_connection(key);
             };
             let request = AdminRequest::read(&bytes[..end]);
@@ -154,7 +155,7 @@
             let reply = match request {
                 Ok(request) => self.execute(&request).unwrap_or_else(AdminReply::error),
                 Err(why) => {
-                    self.log_event(ReasonCode::ControlBad, format!("request why={why:?}"));
+                    self.log_event(ReasonCode::AdminSocketError, format!("request why={why:?}"));
                     AdminReply::error(why)
                 }
             };
@@ -165,7 +166,7 @@
         }
     }
 
-    pub(super) fn close_admin_connection(&mut self, key: Key) {
+    pub(super) fn close_admin_connection(&mut self, key: SlotKey) {
         self.close(key);
         self.admin_socket
             .iter_mut()
@@ -189,11 +190,11 @@
                     owner.term,
                     refused.why()
                 );
-                self.log_event(ReasonCode::OrderRefused, about);
+                self.log_event(ReasonCode::CommandFenced, about);
                 return Err(refused.why());
             }
             if self.fencing_guard.highest() > before {
-                self.log_event(ReasonCode::OwnerHeard, format!("term={}", owner.term));
+                self.log_event(ReasonCode::LeaderAccepted, format!("term={}", owner.term));
                 self.record_term(owner.term);
             }
         }
@@ -231,7 +232,7 @@
             return Vec::new();
         };
         let mut told: Vec<ZoneStatus> = Vec::new();
-        for (name, place) in self.settings.zones.iter().zip(places.sites.places()) {
+        for (name, place) in self.settings.zones.iter().zip(places.failover.zones()) {
             told.push(ZoneStatus {
                 name: name.clone(),
                 state: place.state.name().into(),
@@ -240,11 +241,11 @@
                     .now
                     .saturating_sub(place.since.max(self.started_at))
                     .as_millis() as u64,
-                doubts: place.doubts,
+                doubts: place.dropped_suspicions,
                 false_alarms: place.false_alarms,
             });
         }
-        told.sort_by_key(|place| place.state == asterramp_zone_failover::ZoneState::Whole.name());
+        told.sort_by_key(|place| place.state == asterramp_zone_failover::ZoneState::Healthy.name());
         told.truncate(16);
         told
     }
@@ -276,12 +277,12 @@
 
     /// Who was refused for want of room, and what is known of what sessions take; of many listeners the first.
     fn refusals_told(&self) -> Vec<AdmissionStatus> {
-        let taken = self.admission.taken(self.now);
+        let taken = self.admission.session_costs(self.now);
         let all = self
             .settings
             .listeners
             .iter()
-            .zip(self.admission.counts())
+            .zip(self.admission.rejection_counts())
             .zip(taken);
         let told = all.map(|((name, counts), taken)| AdmissionStatus {
             listener: name.clone(),
@@ -291,7 +292,7 @@
                 .filter(|(_, n)| **n > 0)
                 .map(|(why, n)| (why.name().into(), *n))
                 .collect(),
-            takes: taken.map(|t| (t.mean, t.off, t.age.as_millis() as u64)),
+            takes: taken.map(|t| (t.mean, t.mean_deviation, t.age.as_millis() as u64)),
         });
         told.filter(|room| !room.refused.is_empty() || room.takes.is_some())
             .take(16)
@@ -304,7 +305,7 @@
         let mut left: Vec<(String, usize)> = Vec::new();
         if self.drain.state() != DrainState::Serving {
             for (_, held) in self.session_table.sessions.iter() {
-                let name = &self.settings.listeners[usize::from(held.machine.arrival.listener)];
+                let name = &self.settings.listeners[usize::from(held.machine.request.listener)];
                 match left.iter_mut().find(|l| l.0 == *name) {
                     Some(listener) => listener.1 += 1,
                     None => left.push((name.clone(), 1)),
@@ -319,7 +320,7 @@
             up_ms: ms(self.now.saturating_sub(self.started_at)),
             open: view.open,
             pending: view.pending,
-            strangers: self.connection_counts.strangers(),
+            strangers: self.connection_counts.pending(),
             moved: self.drain.moved(),
             pace: self.drain.pace(&view),
             room: view.room,
@@ -330,13 +331,13 @@
             left,
             hosts_ready: self
                 .endpoints
-                .hosts()
-                .filter(|host| host.standing == EndpointState::Ready)
+                .known_endpoints()
+                .filter(|host| host.state == EndpointState::Ready)
                 .count(),
             hosts: self
                 .endpoints
-                .hosts()
-                .filter(|host| host.standing != EndpointState::Gone)
+                .known_endpoints()
+                .filter(|host| host.state != EndpointState::Gone)
                 .count(),
             discovery_ms: self
                 .discovery_watch
--- a/crates/proxy/src/routing/hot_restart/adoption.rs
+++ b/crates/proxy/src/routing/hot_restart/adoption.rs
@@ -1,12 +1,12 @@
 //! The successor's part: checks what the predecessor offers, and adopts it.
 
 use super::HotRestart;
-use crate::protocol::client::{Greeting, Open, greeting};
-use crate::routing::client::{self, GREETING};
+use crate::protocol::client::{ClientGreeting, OpenRequest, parse_greeting};
+use crate::routing::client::{self, GREETING_TIMEOUT};
 use crate::routing::{
     ConnectionRole, ReasonCode, Router, Session, SessionInput, SessionMachine, TimerKey,
 };
-use crate::transport::{Key, Stream};
+use crate::transport::{BufferedStream, SlotKey};
 use asterramp_hot_restart::{
     BufferedBytes, HotRestartInput, HotRestartMessage, HotRestartState, OfferError, SessionOffer,
 };
@@ -50,7 +50,7 @@
 /// An offer that was read and can be adopted.
 #[derive(Debug)]
 pub(super) enum ReceivedOffer {
-    PendingConnection(Stream),
+    PendingConnection(BufferedStream),
     Session(Box<ReceivedSession>),
 }
 
@@ -66,8 +66,8 @@
 
 #[derive(Debug)]
 struct ReceivedStream {
-    stream: Stream,
-    /// How many of its buffered bytes are complete, validated lines.
+    stream: BufferedStream,
+    /// How many of its buffered bytes are complete, validated endpoints.
     validated: usize,
 }
 
@@ -93,7 +93,7 @@
             }
             Err(error) => {
                 let text = error.to_string();
-                self.log_event(ReasonCode::HandoverBad, format!("offer why={text:?}"));
+                self.log_event(ReasonCode::HotRestartFailed, format!("offer why={text:?}"));
                 self.apply_hot_restart(HotRestartInput::PeerFailed);
             }
         }
@@ -143,7 +143,7 @@
     ) -> Result<ReceivedSession, InvalidOffer> {
         let open = opening(&offer.opening_line)?;
         let (listener, member) =
-            client::places(&self.settings, &open).ok_or(InvalidOffer::UnknownName)?;
+            client::listener_and_tenant(&self.settings, &open).ok_or(InvalidOffer::UnknownName)?;
         let server = self
             .endpoints
             .find(&offer.server_uid)
@@ -155,12 +155,12 @@
         let session = Session {
             client: None,
             server: None,
-            line: offer.opening_line.clone(),
-            wait_at: open.wait_at.clone(),
+            request_line: offer.opening_line.clone(),
+            wait_at: open.wait_range.clone(),
             open_at: None,
-            asked: offer.answer_within.is_some(),
-            quiet: true,
-            farewell: None,
+            awaiting_response: offer.answer_within.is_some(),
+            server_quiet: true,
+            announced_end: None,
         };
         let machine =
             SessionMachine::open(self.now, request, server, self.settings.connect_timeout);
@@ -208,28 +208,28 @@
         }
     }
 
-    fn adopt_pending_connection(&mut self, stream: Stream) {
+    fn adopt_pending_connection(&mut self, stream: BufferedStream) {
         let Some(key) = self.register_stream(stream, ConnectionRole::PendingClient, 0) else {
             return;
         };
         self.deadlines
-            .set(TimerKey::Connection(key), self.now + GREETING);
+            .set(TimerKey::Connection(key), self.now + GREETING_TIMEOUT);
         self.read_greeting(key);
     }
 
     fn adopt_session(&mut self, received: ReceivedSession) {
         self.session_ids.insert(received.session.id().to_string());
-        let awaits_answer = received.session.asked;
+        let awaits_answer = received.session.awaiting_response;
         let key = self
             .session_table
-            .adopt(self.now, received.machine, received.session);
+            .inherit_session(self.now, received.machine, received.session);
         let client = self.keep_received(received.client, ConnectionRole::Client(key));
         let server = self.keep_received(received.server, ConnectionRole::Server(key));
-        if let Some(session) = self.own(key) {
+        if let Some(session) = self.session_mut(key) {
             session.client = client;
             session.server = server;
         }
-        self.count_event(ReasonCode::Adopted);
+        self.count_event(ReasonCode::SessionAdopted);
         if client.is_none() || server.is_none() {
             return self.abandon_session(key, [client, server]);
         }
@@ -241,21 +241,21 @@
         self.forward(key);
     }
 
-    fn keep_received(&mut self, received: ReceivedStream, role: ConnectionRole) -> Option<Key> {
+    fn keep_received(&mut self, received: ReceivedStream, role: ConnectionRole) -> Option<SlotKey> {
         self.register_stream(received.stream, role, received.validated)
     }
 
     /// One of its sockets could not be watched and is closed already; the session must not stay
     /// behind.
-    fn abandon_session(&mut self, key: Key, connections: [Option<Key>; 2]) {
+    fn abandon_session(&mut self, key: SlotKey, connections: [Option<SlotKey>; 2]) {
         for connection in connections.into_iter().flatten() {
             self.close(connection);
         }
-        if let Some(session) = self.own(key) {
+        if let Some(session) = self.session_mut(key) {
             session.client = None;
             session.server = None;
         }
-        let closed = SessionInput::Closed {
+        let closed = SessionInput::SessionClosed {
             outcome: Outcome::Reset,
             load: Load::default(),
         };
@@ -264,13 +264,13 @@
 }
 
 /// The request that a session's first line makes.
-fn opening(line: &[u8]) -> Result<Open<'_>, InvalidOffer> {
+fn opening(line: &[u8]) -> Result<OpenRequest<'_>, InvalidOffer> {
     let text = line
         .strip_suffix(b"\r\n")
         .and_then(|line| std::str::from_utf8(line).ok())
         .ok_or(InvalidOffer::NoOpeningLine)?;
-    match greeting(text) {
-        Ok(Greeting::Open(open)) => Ok(open),
+    match parse_greeting(text) {
+        Ok(ClientGreeting::Open(open)) => Ok(open),
         _ => Err(InvalidOffer::NoOpeningLine),
     }
 }
@@ -279,7 +279,7 @@
 fn next_stream(
     descriptors: &mut vec::IntoIter<OwnedFd>,
     buffered: &BufferedBytes,
-) -> Result<Stream, InvalidOffer> {
+) -> Result<BufferedStream, InvalidOffer> {
     let fd = descriptors.next().ok_or(InvalidOffer::MissingDescriptor)?;
-    Stream::taken(fd, &buffered.bytes).ok_or(InvalidOffer::TooManyBytes)
+    BufferedStream::inherited(fd, &buffered.bytes).ok_or(InvalidOffer::TooManyBytes)
 }
--- a/crates/proxy/src/routing/hot_restart/endpoint_records.rs
+++ b/crates/proxy/src/routing/hot_restart/endpoint_records.rs
@@ -1,6 +1,6 @@
 //! Endpoints as discovery lists them, to and from the records of a hot restart.
 
-use crate::protocol::discovery::Listed;
+use crate::protocol::discovery::ListedEndpoint;
 use asterramp_hot_restart::{EndpointRecord, EndpointRecordState};
 use asterramp_placement::event::EndpointState;
 use std::net::AddrParseError;
@@ -15,23 +15,25 @@
     pub(super) source: AddrParseError,
 }
 
-pub(super) fn record_of(endpoint: Listed) -> EndpointRecord {
+pub(super) fn record_of(endpoint: ListedEndpoint) -> EndpointRecord {
     EndpointRecord {
         uid: endpoint.uid,
-        address: endpoint.endpoint.to_string(),
+        address: endpoint.address.to_string(),
         zone: endpoint.zone,
         cell: endpoint.cell,
-        state: match endpoint.standing {
+        state: match endpoint.state {
             EndpointState::Ready => EndpointRecordState::Ready,
             EndpointState::Draining => EndpointRecordState::Draining,
             EndpointState::Gone => EndpointRecordState::Gone,
         },
         weight: endpoint.weight,
-        started: endpoint.started,
+        started: endpoint.started_at,
     }
 }
 
-pub(super) fn endpoint_from_record(record: EndpointRecord) -> Result<Listed, UnreadableAddress> {
+pub(super) fn endpoint_from_record(
+    record: EndpointRecord,
+) -> Result<ListedEndpoint, UnreadableAddress> {
     let address = match record.address.parse() {
         Ok(address) => address,
         Err(source) => {
@@ -41,17 +43,17 @@
             });
         }
     };
-    Ok(Listed {
+    Ok(ListedEndpoint {
         uid: record.uid,
-        endpoint: address,
+        address,
         zone: record.zone,
         cell: record.cell,
-        standing: match record.state {
+        state: match record.state {
             EndpointRecordState::Ready => EndpointState::Ready,
             EndpointRecordState::Draining => EndpointState::Draining,
             EndpointRecordState::Gone => EndpointState::Gone,
         },
         weight: record.weight,
-        started: record.started,
+        started_at: record.started,
     })
 }
--- a/crates/proxy/src/routing/hot_restart/inherited_listener.rs
+++ b/crates/proxy/src/routing/hot_restart/inherited_listener.rs
@@ -3,9 +3,9 @@
 //! This runs before the event loop, so it may block; the wait is bounded.
 
 use super::endpoint_records::{UnreadableAddress, endpoint_from_record};
-use crate::protocol::discovery::{List, Listed};
-use crate::routing::endpoints::MOST;
-use crate::transport::{link, socket};
+use crate::protocol::discovery::{EndpointList, ListedEndpoint};
+use crate::routing::endpoints::MAX_ENDPOINTS;
+use crate::transport::{seqpacket, socket};
 use asterramp_hot_restart::{HotRestartMessage, MAX_MESSAGE_BYTES, MessageError};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::fd::OwnedFd;
@@ -56,7 +56,7 @@
     /// The socket at which both processes listen for clients.
     pub(in crate::routing) listener: OwnedFd,
     /// The endpoints that the predecessor knows.
-    pub(in crate::routing) list: List,
+    pub(in crate::routing) list: EndpointList,
 }
 
 impl InheritedListener {
@@ -66,32 +66,34 @@
         socket_path: &Path,
         listen: SocketAddr,
     ) -> Result<Option<InheritedListener>, InheritError> {
-        let link = match link::call(socket_path) {
+        let link = match seqpacket::connect(socket_path) {
             Ok(link) => link,
             Err(Errno::NOENT | Errno::CONNREFUSED) => return Ok(None),
             Err(error) => return Err(error.into()),
         };
-        if !socket::is_own_user(&link) {
+        if !socket::peer_is_same_user(&link) {
             return Err(InheritError::ForeignUser);
         }
         let deadline = Instant::now() + STATE_TIMEOUT;
-        link::send(&link, &HotRestartMessage::Hello.encode(), &[])?;
-        let mut lines: Vec<Listed> = Vec::new();
+        seqpacket::send(&link, &HotRestartMessage::Hello.encode(), &[])?;
+        let mut endpoints: Vec<ListedEndpoint> = Vec::new();
         loop {
             let (message, mut descriptors) = receive_before(&link, deadline)?;
             match (HotRestartMessage::decode(&message)?, descriptors.pop()) {
-                (HotRestartMessage::Endpoints(records), None) if lines.len() < MOST => {
+                (HotRestartMessage::Endpoints(records), None)
+                    if endpoints.len() < MAX_ENDPOINTS =>
+                {
                     for record in records {
-                        lines.push(endpoint_from_record(record)?);
+                        endpoints.push(endpoint_from_record(record)?);
                     }
                 }
                 (HotRestartMessage::Listener { list_revision }, Some(listener)) => {
                     check_listener(&listener, listen)?;
-                    let list = List {
-                        rev: list_revision,
-                        whole: true,
-                        lines,
-                        bad: None,
+                    let list = EndpointList {
+                        revision: list_revision,
+                        complete: true,
+                        endpoints,
+                        first_error: None,
                     };
                     return Ok(Some(InheritedListener {
                         link,
@@ -111,7 +113,7 @@
     deadline: Instant,
 ) -> Result<(Vec<u8>, Vec<OwnedFd>), InheritError> {
     loop {
-        if let Some((message, descriptors)) = link::receive(link, MAX_MESSAGE_BYTES)? {
+        if let Some((message, descriptors)) = seqpacket::receive(link, MAX_MESSAGE_BYTES)? {
             if message.is_empty() {
                 return Err(InheritError::LinkClosed);
             }
@@ -136,7 +138,7 @@
     let bound_to: Option<SocketAddr> = rustix::net::getsockname(listener)
         .ok()
         .and_then(|address| address.try_into().ok());
-    if bound_to != Some(listen) || !socket::is_door(listener) {
+    if bound_to != Some(listen) || !socket::is_listening(listener) {
         return Err(InheritError::WrongListener);
     }
     Ok(())
--- a/crates/proxy/src/routing/hot_restart/messages.rs
+++ b/crates/proxy/src/routing/hot_restart/messages.rs
@@ -3,7 +3,7 @@
 
 use super::READABLE;
 use crate::routing::{ConnectionRole, ReasonCode, Router};
-use crate::transport::{Key, link, socket};
+use crate::transport::{SlotKey, seqpacket, socket};
 use asterramp_hot_restart::{
     Delivery, HotRestartInput, HotRestartMessage, MAX_MESSAGE_BYTES, MAX_PENDING_OFFERS,
 };
@@ -24,19 +24,19 @@
         let Ok(Some(fd)) = socket::accept_unix(&listener.stream) else {
             return;
         };
-        if !socket::is_own_user(&fd) {
-            return self.log_event(ReasonCode::HandoverBad, "caller why=\"another user\"");
+        if !socket::peer_is_same_user(&fd) {
+            return self.log_event(ReasonCode::HotRestartFailed, "caller why=\"another user\"");
         }
         self.hot_restart_peer_connected(fd);
     }
 
     /// Reads what has come on the link.
-    pub(in crate::routing) fn hot_restart_ready(&mut self, link: Key) {
+    pub(in crate::routing) fn hot_restart_ready(&mut self, link: SlotKey) {
         for _ in 0..MAX_MESSAGES_PER_WAKEUP {
             let Some(connection) = self.connections.get(link) else {
                 return;
             };
-            match link::receive(&connection.stream, MAX_MESSAGE_BYTES) {
+            match seqpacket::receive(&connection.stream, MAX_MESSAGE_BYTES) {
                 Ok(None) => return,
                 Ok(Some((message, descriptors))) if !message.is_empty() => {
                     self.handle_hot_restart_bytes(&message, descriptors);
@@ -55,7 +55,10 @@
             Ok(_) => "descriptors are missing or too many".to_string(),
             Err(error) => error.to_string(),
         };
-        self.log_event(ReasonCode::HandoverBad, format!("message why={problem:?}"));
+        self.log_event(
+            ReasonCode::HotRestartFailed,
+            format!("message why={problem:?}"),
+        );
         self.apply_hot_restart(HotRestartInput::PeerFailed);
     }
 
@@ -90,7 +93,7 @@
 
     /// The other process has not sent what it owes in time.
     pub(in crate::routing) fn hot_restart_deadline(&mut self) {
-        self.log_event(ReasonCode::HandoverBad, "silent");
+        self.log_event(ReasonCode::HotRestartFailed, "silent");
         self.apply_hot_restart(HotRestartInput::PeerFailed);
     }
 
@@ -98,7 +101,7 @@
     pub(super) fn send_hot_restart(
         &mut self,
         message: &HotRestartMessage,
-        connections: &[Key],
+        connections: &[SlotKey],
     ) -> Delivery {
         let link = self
             .hot_restart_link()
@@ -113,7 +116,7 @@
             };
             descriptors.push(connection.stream.as_fd());
         }
-        match link::send(&link.stream, &message.encode(), &descriptors) {
+        match seqpacket::send(&link.stream, &message.encode(), &descriptors) {
             Ok(true) => Delivery::Sent,
             Err(Errno::PIPE | Errno::CONNRESET | Errno::CONNREFUSED | Errno::NOTCONN) => {
                 Delivery::PeerGone
@@ -124,7 +127,7 @@
     }
 
     /// Begins to watch the link to a process that has connected.
-    pub(super) fn watch_hot_restart_link(&mut self, fd: OwnedFd) -> Option<Key> {
+    pub(super) fn watch_hot_restart_link(&mut self, fd: OwnedFd) -> Option<SlotKey> {
         let link = self.register(fd, ConnectionRole::HotRestart, READABLE);
         if let Some(hot_restart) = &mut self.hot_restart {
             hot_restart.link = link;
--- a/crates/proxy/src/routing/hot_restart/mod.rs
+++ b/crates/proxy/src/routing/hot_restart/mod.rs
@@ -20,8 +20,8 @@
 mod transitions;
 
 use super::{ConnectionRole, ReasonCode, Router};
-use crate::transport::Key;
-use crate::transport::poll::Want;
+use crate::transport::SlotKey;
+use crate::transport::poller::Interest;
 use crate::transport::socket::{self, SocketType};
 use adoption::ReceivedOffer;
 use asterramp_hot_restart::{
@@ -31,7 +31,7 @@
 use rustix::fd::OwnedFd;
 use std::path::PathBuf;
 
-const READABLE: Want = Want {
+const READABLE: Interest = Interest {
     read: true,
     write: false,
 };
@@ -40,9 +40,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Offer {
     /// An open session, by its key in the session table.
-    Session(Key),
+    Session(SlotKey),
     /// A client's connection without a complete first line, by its own key.
-    PendingConnection(Key),
+    PendingConnection(SlotKey),
 }
 
 /// A process's place in a hot restart.
@@ -53,9 +53,9 @@
     state: HotRestartState,
     ownership: ConnectionOwnership<Offer, ReceivedOffer>,
     /// Listens at `socket_path`, while a successor may connect.
-    listener: Option<Key>,
+    listener: Option<SlotKey>,
     /// Connection to the other process, while there is one.
-    link: Option<Key>,
+    link: Option<SlotKey>,
     /// How many descriptors the predecessor still has open. Both processes share one limit.
     peer_descriptors: usize,
 }
@@ -106,7 +106,10 @@
                 }
             }
             Err(error) => {
-                self.log_event(ReasonCode::HandoverBad, format!("door error={error:?}"));
+                self.log_event(
+                    ReasonCode::HotRestartFailed,
+                    format!("door error={error:?}"),
+                );
             }
         }
     }
@@ -123,7 +126,7 @@
         }
     }
 
-    fn hot_restart_link(&self) -> Option<Key> {
+    fn hot_restart_link(&self) -> Option<SlotKey> {
         self.hot_restart.as_ref()?.link
     }
 
@@ -141,12 +144,12 @@
     }
 
     /// Whether a session has been offered to the successor and not been accepted yet.
-    pub(super) fn is_session_offered(&self, session: Key) -> bool {
+    pub(super) fn is_session_offered(&self, session: SlotKey) -> bool {
         self.is_pending_offer(Offer::Session(session))
     }
 
     /// Whether a connection belongs to a pending offer, so that it may be neither read nor written.
-    pub(super) fn is_connection_offered(&self, connection: Key) -> bool {
+    pub(super) fn is_connection_offered(&self, connection: SlotKey) -> bool {
         match self.connections.get(connection).map(|found| found.role) {
             Some(ConnectionRole::Client(session) | ConnectionRole::Server(session)) => {
                 self.is_pending_offer(Offer::Session(session))
--- a/crates/proxy/src/routing/hot_restart/offers.rs
+++ b/crates/proxy/src/routing/hot_restart/offers.rs
@@ -2,13 +2,13 @@
 
 use super::endpoint_records::record_of;
 use super::{Offer, READABLE};
-use crate::routing::client::GREETING;
+use crate::routing::client::GREETING_TIMEOUT;
 use crate::routing::forwarding;
 use crate::routing::session_table::SessionSlot;
 use crate::routing::{
     ConnectionRole, ReasonCode, Router, Session, SessionInput, SessionState, TimerKey,
 };
-use crate::transport::{Key, link};
+use crate::transport::{SlotKey, seqpacket};
 use asterramp_hot_restart::{
     BufferedBytes, Delivery, EndpointRecord, HotRestartMessage, MAX_ENDPOINTS_PER_MESSAGE,
     MAX_MESSAGE_BYTES, SessionOffer,
@@ -25,7 +25,7 @@
 struct PreparedOffer {
     message: HotRestartMessage,
     /// Connections whose sockets go along, in the order that the message asks for.
-    connections: Vec<Key>,
+    connections: Vec<SlotKey>,
 }
 
 impl Router {
@@ -34,7 +34,8 @@
         let Some(listener) = self.listener else {
             return false;
         };
-        let records: Vec<EndpointRecord> = self.endpoints.lines().map(record_of).collect();
+        let records: Vec<EndpointRecord> =
+            self.endpoints.listed_endpoints().map(record_of).collect();
         for records in records.chunks(MAX_ENDPOINTS_PER_MESSAGE) {
             let message = HotRestartMessage::Endpoints(records.to_vec());
             if self.send_hot_restart(&message, &[]) != Delivery::Sent {
@@ -88,7 +89,7 @@
             .collect()
     }
 
-    fn may_offer_pending_connection(&self, key: Key) -> bool {
+    fn may_offer_pending_connection(&self, key: SlotKey) -> bool {
         let waits_for_its_first_line = self
             .connections
             .get(key)
@@ -100,19 +101,19 @@
 
     /// Whether a session is open on both sides and may go as it is: this process has nothing half
     /// sent, and no end is on its way.
-    fn may_offer_session(&self, key: Key, slot: &SessionSlot<Session>) -> bool {
-        let is_open = slot.machine.stage == SessionState::Open && !slot.machine.left;
+    fn may_offer_session(&self, key: SlotKey, slot: &SessionSlot<Session>) -> bool {
+        let is_open = slot.machine.state == SessionState::Open && !slot.machine.client_left;
         is_open
-            && slot.driver_data.farewell.is_none()
+            && slot.driver_data.announced_end.is_none()
             && self.has_no_pending_io(slot.driver_data.client)
             && self.has_no_pending_io(slot.driver_data.server)
             && !self.is_session_offered(key)
     }
 
     /// Whether a connection has not ended and nothing waits to be written to it.
-    fn has_no_pending_io(&self, key: Option<Key>) -> bool {
+    fn has_no_pending_io(&self, key: Option<SlotKey>) -> bool {
         key.and_then(|key| self.connections.get(key))
-            .is_some_and(|found| found.stream.ended.is_none() && found.stream.sent())
+            .is_some_and(|found| found.stream.ended.is_none() && found.stream.is_flushed())
     }
 
     fn prepare_offer(&self, offer: Offer) -> Option<PreparedOffer> {
@@ -125,13 +126,13 @@
         }
     }
 
-    fn prepare_session_offer(&self, key: Key) -> Option<PreparedOffer> {
+    fn prepare_session_offer(&self, key: SlotKey) -> Option<PreparedOffer> {
         let slot = self.session_table.sessions.get(key)?;
         let client = slot.driver_data.client?;
         let server = slot.driver_data.server?;
         let offer = SessionOffer {
-            opening_line: slot.driver_data.line.clone(),
-            server_uid: self.endpoints.name(slot.machine.to).into(),
+            opening_line: slot.driver_data.request_line.clone(),
+            server_uid: self.endpoints.uid(slot.machine.server).into(),
             answer_within: self.answer_within(key, &slot.driver_data),
             from_client: self.buffered_bytes(client)?,
             from_server: self.buffered_bytes(server)?,
@@ -145,20 +146,20 @@
     /// How long until the session is migrated because its server leaves a line unanswered. The
     /// timer of a server that is not quiet yet runs to the moment when it counts as quiet, and the
     /// successor does not make that difference, so the rest is added.
-    fn answer_within(&self, key: Key, session: &Session) -> Option<Duration> {
-        if !session.asked {
+    fn answer_within(&self, key: SlotKey, session: &Session) -> Option<Duration> {
+        if !session.awaiting_response {
             return None;
         }
-        let timer = self.deadlines.of(TimerKey::Session(key))?;
-        let after_quiet = if session.quiet {
+        let timer = self.deadlines.get(TimerKey::Session(key))?;
+        let after_quiet = if session.server_quiet {
             Duration::ZERO
         } else {
-            forwarding::rest(self.settings.connect_timeout)
+            forwarding::time_from_quiet_to_migration(self.settings.connect_timeout)
         };
         Some(timer.saturating_sub(self.now) + after_quiet)
     }
 
-    fn buffered_bytes(&self, key: Key) -> Option<BufferedBytes> {
+    fn buffered_bytes(&self, key: SlotKey) -> Option<BufferedBytes> {
         let connection = self.connections.get(key)?;
         Some(BufferedBytes {
             validated: connection.complete_len,
@@ -168,7 +169,7 @@
 
     /// An offer has been sent: its connections are neither read nor written nor timed any more,
     /// until it is released or resumed.
-    fn leave_alone(&mut self, offer: Offer, connections: &[Key]) {
+    fn leave_alone(&mut self, offer: Offer, connections: &[SlotKey]) {
         for key in connections {
             if let Some(connection) = self.connections.get(*key) {
                 self.poll.forget(&connection.stream);
@@ -207,9 +208,9 @@
             return 0;
         };
         // It fails only for a link that has ended, on which nothing more comes.
-        let _ = link::hear_no_more(&link.stream);
+        let _ = seqpacket::shutdown_read(&link.stream);
         let mut accepted = 0;
-        while let Ok(Some((message, _))) = link::receive(&link.stream, MAX_MESSAGE_BYTES) {
+        while let Ok(Some((message, _))) = seqpacket::receive(&link.stream, MAX_MESSAGE_BYTES) {
             if message.is_empty() {
                 break;
             }
@@ -225,16 +226,16 @@
     pub(super) fn release(&mut self, offer: Offer) {
         match offer {
             Offer::PendingConnection(key) => {
-                self.let_out(key);
+                self.unregister(key);
             }
             Offer::Session(key) => {
-                self.count_event(ReasonCode::HandedOver);
+                self.count_event(ReasonCode::SessionHandedOver);
                 let client = self.take_client(key);
                 let server = self.take_server(key);
                 for connection in [client, server].into_iter().flatten() {
-                    self.let_out(connection);
+                    self.unregister(connection);
                 }
-                let closed = SessionInput::Closed {
+                let closed = SessionInput::SessionClosed {
                     outcome: Outcome::CalledOff,
                     load: Load::default(),
                 };
@@ -249,39 +250,41 @@
             Offer::PendingConnection(key) => {
                 self.watch_again(key);
                 self.deadlines
-                    .set(TimerKey::Connection(key), self.now + GREETING);
+                    .set(TimerKey::Connection(key), self.now + GREETING_TIMEOUT);
                 self.read_greeting(key);
             }
             Offer::Session(key) => self.resume_session(key),
         }
     }
 
-    fn resume_session(&mut self, key: Key) {
-        let Some(session) = self.own(key) else {
+    fn resume_session(&mut self, key: SlotKey) {
+        let Some(session) = self.session_mut(key) else {
             return;
         };
         let connections = [session.client, session.server];
-        let awaits_answer = session.asked;
+        let awaits_answer = session.awaiting_response;
         for connection in connections.into_iter().flatten() {
             self.watch_again(connection);
         }
         if awaits_answer {
-            self.deadlines
-                .set(TimerKey::Session(key), self.now + forwarding::SILENCE);
-            if let Some(session) = self.own(key) {
-                session.quiet = true;
+            self.deadlines.set(
+                TimerKey::Session(key),
+                self.now + forwarding::RESPONSE_TIMEOUT,
+            );
+            if let Some(session) = self.session_mut(key) {
+                session.server_quiet = true;
             }
         }
         self.forward(key);
     }
 
-    fn watch_again(&mut self, key: Key) {
+    fn watch_again(&mut self, key: SlotKey) {
         if let Some(connection) = self.connections.get_mut(key) {
-            connection.stream.want = READABLE;
+            connection.stream.interest = READABLE;
             // It fails only for a socket that cannot be watched, and this one was.
             let _ = self
                 .poll
-                .add(&connection.stream, key, connection.stream.want);
+                .add(&connection.stream, key, connection.stream.interest);
         }
     }
 }
--- a/crates/proxy/src/routing/hot_restart/transitions.rs
+++ b/crates/proxy/src/routing/hot_restart/transitions.rs
@@ -1,7 +1,7 @@
 //! Applies inputs to the hot-restart state machine, and carries out its effects.
 
 use crate::routing::{ReasonCode, Router, TimerKey};
-use crate::transport::poll::Want;
+use crate::transport::poller::Interest;
 use asterramp_hot_restart::{
     Delivery, HotRestartEffect, HotRestartInput, HotRestartMessage, HotRestartState,
 };
@@ -48,7 +48,7 @@
             | HotRestartEffect::ReserveDescriptors
             | HotRestartEffect::AdoptOffer => {}
             HotRestartEffect::RejectPeer => self.log_event(
-                ReasonCode::HandoverBad,
+                ReasonCode::HotRestartFailed,
                 "caller why=\"one replaces this already\"",
             ),
             HotRestartEffect::SendState => self.send_state(),
@@ -96,12 +96,12 @@
             self.deadlines.clear(TimerKey::Connection(link));
         }
         if let Some(listener) = self.listener {
-            self.set_interest(listener, Want::default());
+            self.set_interest(listener, Interest::default());
         }
         self.deadlines.clear(TimerKey::Listener);
         let open_descriptors = self.connections.len();
         let about = format!("by another process, {open_descriptors} descriptors");
-        self.log_event(ReasonCode::Followed, about);
+        self.log_event(ReasonCode::SuccessorServing, about);
         let message = HotRestartMessage::OpenDescriptors(open_descriptors as u32);
         if self.send_hot_restart(&message, &[]) == Delivery::Sent {
             self.continue_offers();
@@ -138,7 +138,7 @@
             end.resumed.len(),
             end.released.len()
         );
-        self.log_event(ReasonCode::HandoverEnded, about);
+        self.log_event(ReasonCode::HotRestartEnded, about);
         for offer in end.resumed {
             self.resume(offer);
         }
--- a/crates/proxy/src/routing/warm_start.rs
+++ b/crates/proxy/src/routing/warm_start.rs
@@ -3,7 +3,7 @@
 
 use super::peers::PeerSettings;
 use super::{ReasonCode, Router, TimerKey};
-use crate::protocol::discovery::{List, Listed};
+use crate::protocol::discovery::{EndpointList, ListedEndpoint};
 use asterramp_placement::Event;
 use asterramp_placement::event::{Endpoint, EndpointState, EndpointUpdate, Outcome, ServerId};
 use asterramp_snapshot::{SaveOutcome, SavedEndpoint, Snapshot, SnapshotWriter};
@@ -79,24 +79,26 @@
 }
 
 /// A saved host as discovery would tell it.
-fn listed(host: &SavedEndpoint) -> Listed {
-    Listed {
+fn listed(host: &SavedEndpoint) -> ListedEndpoint {
+    ListedEndpoint {
         uid: host.uid.clone(),
-        endpoint: host.endpoint,
+        address: host.endpoint,
         zone: host.zone.clone(),
         cell: host.cell,
-        standing: EndpointState::Ready,
+        state: EndpointState::Ready,
         weight: host.weight,
-        started: host.started_ms.map(unix),
+        started_at: host.started_ms.map(unix),
     }
 }
 
 impl Router {
     /// Begins by what is known from before: nobody is placed on before it answers, or discovery tells of it.
-    pub(super) fn begin_warm_start(&mut self, anew: WarmStartPlan, known: &List) {
-        let (now, rev) = (self.now, known.rev);
-        let others = !anew.others.doors.is_empty();
-        self.resource_budget = self.resource_budget.without(anew.others.doors.len().min(8));
+    pub(super) fn begin_warm_start(&mut self, anew: WarmStartPlan, known: &EndpointList) {
+        let (now, rev) = (self.now, known.revision);
+        let others = !anew.others.addresses.is_empty();
+        self.resource_budget = self
+            .resource_budget
+            .without(anew.others.addresses.len().min(8));
         self.configure_peers(anew.others);
         let terms = WarmStartSettings {
             others,
@@ -132,9 +134,9 @@
             )
         });
         let configured = known
-            .lines
+            .endpoints
             .iter()
-            .filter(|line| line.standing == EndpointState::Ready);
+            .filter(|line| line.state == EndpointState::Ready);
         let configured = configured.map(|line| {
             (
                 line.clone(),
@@ -148,8 +150,8 @@
         let mut words: Vec<_> = own.chain(configured).collect();
         words.sort_by_key(|word| word.3);
         for (line, source, old, rev, unit) in words {
-            let at = line.endpoint;
-            let Some((entry, _)) = self.endpoints.take(line) else {
+            let at = line.address;
+            let Some(entry) = self.endpoints.update(line).map(|change| change.endpoint) else {
                 continue;
             };
             starting.restore_load_per_connection(entry.server, unit);
@@ -196,7 +198,7 @@
             }
         }
         self.log_event(
-            ReasonCode::RosterOld,
+            ReasonCode::EndpointListOutdated,
             format!(
                 "rev={rev} had={}",
                 self.warm_start.as_ref().map_or(0, |s| s.had)
@@ -300,16 +302,16 @@
             WarmStartEffect::Probe(id) => self.probe(id),
             WarmStartEffect::Use(id) => {
                 let started = Some(self.now);
-                self.endpoints.stands(id, EndpointState::Ready);
+                self.endpoints.set_state(id, EndpointState::Ready);
                 let unit = self.warm_start.as_ref().and_then(|s| s.unit(id));
                 self.place_on(id, EndpointState::Ready, started, unit);
             }
             WarmStartEffect::Drop(id, why) => {
                 self.log_event(
-                    ReasonCode::HostDropped,
-                    format!("server={} why={why:?}", self.endpoints.name(id)),
+                    ReasonCode::EndpointDropped,
+                    format!("server={} why={why:?}", self.endpoints.uid(id)),
                 );
-                self.endpoints.stands(id, EndpointState::Gone);
+                self.endpoints.set_state(id, EndpointState::Gone);
                 self.place_on(id, EndpointState::Gone, None, None);
             }
             WarmStartEffect::Door(way) => {
@@ -320,7 +322,7 @@
                 self.update_admission_rate();
             }
             WarmStartEffect::Turned(stage, why) => self.log_event(
-                ReasonCode::Stage,
+                ReasonCode::WarmStartStageChanged,
                 format!("stage={} why={why:?}", stage.name()),
             ),
         }
@@ -333,7 +335,7 @@
         started: Option<Duration>,
         unit: Option<f64>,
     ) {
-        if let Some(entry) = self.endpoints.entry(id) {
+        if let Some(entry) = self.endpoints.endpoint(id) {
             let entry = Endpoint {
                 state: standing,
                 started_at: started,
@@ -357,7 +359,7 @@
                 let (sum, n) = unit.fold((0.0, 0.0), |(sum, n), unit| (sum + unit, n + 1.0));
                 let told = self
                     .endpoints
-                    .hosts()
+                    .known_endpoints()
                     .filter_map(|host| Some((host.load.utilization?, host.load.connections?)));
                 let (asked, held) =
                     told.fold((0.0, 0.0), |sum, load| (sum.0 + load.0, sum.1 + load.1));
@@ -444,16 +446,18 @@
                 keeping.written.1 += u64::from(failed);
             });
             match told {
-                SaveOutcome::Saved { .. } => self.count_event(ReasonCode::StateSaved),
+                SaveOutcome::Saved { .. } => self.count_event(ReasonCode::SnapshotSaved),
                 SaveOutcome::Failed(why) => {
-                    self.log_event(ReasonCode::StateBad, format!("save why={why:?}"))
-                }
-                SaveOutcome::Held => {
-                    self.log_event(ReasonCode::StateBad, "another process holds the folder")
-                }
-                SaveOutcome::Taken => {
-                    self.log_event(ReasonCode::StateTaken, "the other process has let go")
+                    self.log_event(ReasonCode::SnapshotFailed, format!("save why={why:?}"))
                 }
+                SaveOutcome::Held => self.log_event(
+                    ReasonCode::SnapshotFailed,
+                    "another process holds the folder",
+                ),
+                SaveOutcome::Taken => self.log_event(
+                    ReasonCode::SnapshotLockAcquired,
+                    "the other process has let go",
+                ),
             }
         }
     }
@@ -471,13 +475,13 @@
     fn snapshot(&self, clean: bool) -> Snapshot {
         let loads = || {
             self.endpoints
-                .hosts()
+                .known_endpoints()
                 .filter_map(|host| host.load.utilization.zip(host.load.connections))
         };
         let all = loads().fold((0.0, 0.0), |sum, load| (sum.0 + load.0, sum.1 + load.1));
         // One that holds few stands for what all take.
         let told = |load: &(f64, f64)| load.1 >= fill::FEW;
-        let host = |(line, host): (Listed, &super::endpoints::KnownEndpoint)| {
+        let host = |(line, host): (ListedEndpoint, &super::endpoints::KnownEndpoint)| {
             let own = host
                 .load
                 .utilization
@@ -486,10 +490,10 @@
             let unit = own.or(Some(all).filter(told)).map(|load| load.0 / load.1);
             SavedEndpoint {
                 uid: line.uid,
-                endpoint: line.endpoint,
+                endpoint: line.address,
                 zone: line.zone,
                 cell: line.cell,
-                standing: match line.standing {
+                standing: match line.state {
                     EndpointState::Draining => asterramp_snapshot::SavedEndpointState::Draining,
                     _ => asterramp_snapshot::SavedEndpointState::Ready,
                 },
@@ -498,12 +502,15 @@
                 } else {
                     1.0
                 },
-                started_ms: line.started.map(ms),
-                heard_ms: (!host.told.is_zero()).then(|| ms(host.told)),
+                started_ms: line.started_at.map(ms),
+                heard_ms: (!host.reported_at.is_zero()).then(|| ms(host.reported_at)),
                 unit: unit.filter(|unit| unit.is_finite()),
             }
         };
-        let lines = self.endpoints.lines().zip(self.endpoints.hosts());
+        let lines = self
+            .endpoints
+            .listed_endpoints()
+            .zip(self.endpoints.known_endpoints());
         let keeping = self.snapshots.as_ref();
         // What was known before stays so until discovery has told more.
         let before = self.warm_start.as_ref().filter(|s| {
@@ -525,7 +532,7 @@
             term: keeping.map_or(0, |keeping| keeping.term),
             clean,
             hosts: lines
-                .filter(|(line, _)| line.standing != EndpointState::Gone)
+                .filter(|(line, _)| line.state != EndpointState::Gone)
                 .map(host)
                 .collect(),
         }
