--- /dev/null
+++ b/crates/proxy/src/program/commands/drain.rs
@@ -0,0 +1,50 @@
+//! `asterramp drain` and `asterramp undrain`.
+
+use super::duration;
+use super::error::CommandError;
+use crate::program::drain_progress::{status_line, wait_until_empty};
+use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest};
+use clap::Args;
+use std::path::Path;
+use std::time::Duration;
+
+/// How long `--wait` waits where no deadline is given: the longest drain that a proxy accepts.
+const MAX_DRAIN: Duration = Duration::from_secs(24 * 60 * 60);
+
+#[derive(Args)]
+pub(super) struct DrainOptions {
+    /// By when it is to be empty, as in 60s; the operator's file says if absent.
+    #[arg(long, value_parser = duration)]
+    deadline: Option<Duration>,
+    /// Sessions to migrate per second; by what the endpoints can absorb if absent.
+    #[arg(long)]
+    pace: Option<f64>,
+    /// Show progress until it is empty.
+    #[arg(long)]
+    wait: bool,
+}
+
+/// Starts a drain, and with `--wait` shows its progress.
+pub(super) fn drain(socket: &Path, options: &DrainOptions) -> Result<(), CommandError> {
+    let request = AdminRequest {
+        deadline_ms: options.deadline.map(|span| span.as_millis() as u64),
+        migrations_per_second: options.pace,
+        ..AdminRequest::new(AdminCommand::Drain)
+    };
+    let mut client = AdminClient::connect(socket)?;
+    let status = client.send(&request)?;
+    println!("{}", status_line(&status));
+    if options.wait {
+        let deadline = options.deadline.unwrap_or(MAX_DRAIN);
+        wait_until_empty(&mut client, deadline)?;
+    }
+    Ok(())
+}
+
+/// Cancels a drain.
+pub(super) fn undrain(socket: &Path) -> Result<(), CommandError> {
+    let mut client = AdminClient::connect(socket)?;
+    let status = client.send(&AdminRequest::new(AdminCommand::Undrain))?;
+    println!("{}", status_line(&status));
+    Ok(())
+}
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -6,7 +6,9 @@
 use super::types::{ConnectionRole, TimerKey};
 use crate::protocol::client::ERROR_LINE;
 use crate::transport::SlotKey;
-use asterramp_drain::{DrainError, DrainExit, DrainSettings, DrainState, DrainView, STEP};
+use asterramp_drain::{
+    ADVICE_INTERVAL, DrainError, DrainSettings, DrainState, DrainView, ShutdownSchedule,
+};
 use asterramp_placement::deployment::RetrySafety;
 use asterramp_placement::event::{EndpointState, Load};
 use std::time::Duration;
@@ -48,14 +50,14 @@
         }
         self.now = now;
         let exit = self.exit_times();
-        let serve_on = exit.serve_on;
-        self.drain.exit(exit);
+        let serve_on = exit.serve_until;
+        self.drain.begin_shutdown(exit);
         self.deadlines.set(TimerKey::Shutdown, serve_on);
         self.log_drain_state();
     }
 
     /// When each step of a shutdown that begins now is due.
-    fn exit_times(&self) -> DrainExit {
+    fn exit_times(&self) -> ShutdownSchedule {
         let now = self.now;
         let longest_wait = match self.settings.longest_wait {
             wait if wait.is_zero() => KILL_DELAY,
@@ -65,20 +67,20 @@
         let answered = now + longest_wait.max(FRONT_DELAY);
         let part = |part| now + (answered - now).mul_f64(part);
         let moving = part(MIGRATION_START);
-        // Another process that takes this one's place shares the address, and is to have all that come. Where none may,
-        // whoever comes late is served and migrated rather than reset.
-        let door = if self.hot_restart.is_some() {
+        // A successor shares the address, and is to have all clients that come. Where there can be none, whoever comes
+        // late is served and migrated rather than reset.
+        let close_listener_at = if self.hot_restart.is_some() {
             now + FRONT_DELAY
         } else {
             answered
         };
-        DrainExit {
-            serve_on: (now + FRONT_DELAY).min(moving),
-            door,
-            moving,
-            moved: part(MIGRATION_END),
-            answered,
-            ends: (now + longest_wait + EXIT_MARGIN).max(answered + LAST_CLOSE),
+        ShutdownSchedule {
+            serve_until: (now + FRONT_DELAY).min(moving),
+            close_listener_at,
+            migrate_from: moving,
+            migrate_until: part(MIGRATION_END),
+            reject_pending_at: answered,
+            end_at: (now + longest_wait + EXIT_MARGIN).max(answered + LAST_CLOSE),
         }
     }
 
@@ -88,7 +90,7 @@
     ///
     /// If the drain's state or settings do not allow it.
     pub fn drain(&mut self, within: Duration, pace: Option<f64>) -> Result<(), DrainError> {
-        self.drain.drain(self.now, within, pace)?;
+        self.drain.start(self.now, within, pace)?;
         self.deadlines.set(TimerKey::Shutdown, self.now);
         self.log_drain_state();
         Ok(())
@@ -100,7 +102,7 @@
     ///
     /// If the drain's state does not allow it.
     pub fn undrain(&mut self) -> Result<(), DrainError> {
-        self.drain.undrain(self.now)?;
+        self.drain.cancel(self.now)?;
         self.deadlines.clear(TimerKey::Shutdown);
         self.log_drain_state();
         Ok(())
@@ -108,7 +110,7 @@
 
     /// Changes how drains go from now on.
     pub fn set_drain_settings(&mut self, settings: DrainSettings) {
-        self.drain.set_terms(settings);
+        self.drain.set_settings(settings);
     }
 
     /// Logs a line for each change of the drain's state.
@@ -122,10 +124,10 @@
         let about = format!(
             "state={} open={} pending={} moved={} pace={:.1}",
             state.name(),
-            view.open,
-            view.pending,
-            self.drain.moved(),
-            self.drain.pace(&view)
+            view.open_sessions,
+            view.pending_sessions,
+            self.drain.migrated(),
+            self.drain.migrations_per_second(&view)
         );
         self.log_event(ReasonCode::DrainStateChanged, about);
     }
@@ -160,15 +162,15 @@
             )
         };
         DrainView {
-            open: self.open_sessions().len(),
-            pending: self.pending_sessions().len(),
+            open_sessions: self.open_sessions().len(),
+            pending_sessions: self.pending_sessions().len(),
             clients: self
                 .connections
                 .iter()
                 .filter(|(_, connection)| is_client(connection.role))
                 .count(),
-            last_came: self.last_arrival,
-            room: self.spare_capacity(),
+            last_arrival: self.last_arrival,
+            spare_capacity: self.spare_capacity(),
         }
     }
 
@@ -201,28 +203,29 @@
     /// Takes the next step of a drain or shutdown.
     pub(super) fn continue_shutdown(&mut self) {
         let exiting = self.drain.state() == DrainState::Exiting;
-        if self.drain.shuts_door(self.now) {
+        if self.drain.closes_listener(self.now) {
             self.close_listener();
         }
         let view = self.drain_view();
         let advice = self.drain.advise(self.now, &view);
-        if advice.move_now > 0 {
-            self.migrate_sessions(advice.move_now, exiting);
+        if advice.migrate > 0 {
+            self.migrate_sessions(advice.migrate, exiting);
         }
-        if advice.answer {
+        if advice.reject_pending {
             self.answer_pending_sessions(exiting);
         }
-        if advice.answer && exiting {
+        if advice.reject_pending && exiting {
             self.answer_pending_clients();
         }
         if advice.exit {
             self.close_listener();
             // Whoever was let in this moment is answered first.
-            self.done = self.drain_view().clients == 0 || advice.late;
+            self.done = self.drain_view().clients == 0 || advice.drop_remaining;
         }
         self.log_drain_state();
         if self.drain.state() != DrainState::Serving {
-            self.deadlines.set(TimerKey::Shutdown, self.now + STEP);
+            self.deadlines
+                .set(TimerKey::Shutdown, self.now + ADVICE_INTERVAL);
         }
     }
 
@@ -276,8 +279,7 @@
         self.deadlines.clear(TimerKey::Listener);
     }
 
-    /// Closes what is left as the process ends: the router's own texts go out as far as their sockets take them, and
-    /// nothing is closed over what nobody read.
+    /// Closes what is left as the process ends: the router's own texts go out as far as their sockets take them.
     pub fn close_all(&mut self) {
         let keys: Vec<SlotKey> = self.connections.iter().map(|(key, _)| key).collect();
         for key in keys {
--- a/crates/proxy/src/routing/hot_restart/transitions.rs
+++ b/crates/proxy/src/routing/hot_restart/transitions.rs
@@ -145,7 +145,7 @@
         for offer in end.released {
             self.release(offer);
         }
-        if !self.drain.shuts_door(self.now) && self.serving {
+        if !self.drain.closes_listener(self.now) && self.serving {
             self.open_listener();
             self.open_successor_listener();
         }
--- a/crates/proxy/src/routing/peers/answer.rs
+++ b/crates/proxy/src/routing/peers/answer.rs
@@ -30,7 +30,7 @@
                 .into(),
             list_revision: self.discovery_watch.rev(),
             discovery_responded_ms: self.discovery_watch.last_heard().map(milliseconds),
-            pending_sessions: self.drain_view().pending,
+            pending_sessions: self.drain_view().pending_sessions,
             hosts: self.endpoints_for_peers(),
         };
         serde_json::to_string(&known).unwrap_or_default() + "\n"
