--- a/crates/proxy/src/routing/event_loop.rs
+++ b/crates/proxy/src/routing/event_loop.rs
@@ -77,7 +77,7 @@
     pub(super) fn connection_ready(&mut self, event: ReadyEvent) {
         // An event of the wake-up in which the connection was offered to another process: what came is read by one
         // process alone.
-        if self.is_on_offer(event.key) {
+        if self.is_connection_offered(event.key) {
             return;
         }
         let Some(connection) = self.connections.get_mut(event.key) else {
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -147,7 +147,7 @@
             .iter()
             .filter(|(_, slot)| is_wanted(slot.machine.state) && !slot.machine.client_left)
             .map(|(key, _)| key)
-            .filter(|key| !self.is_offered(*key))
+            .filter(|key| !self.is_session_offered(*key))
             .collect()
     }
 
@@ -262,7 +262,7 @@
             .iter()
             .filter(|(_, connection)| connection.role == ConnectionRole::PendingClient)
             .map(|(key, _)| key)
-            .filter(|key| !self.is_on_offer(*key))
+            .filter(|key| !self.is_connection_offered(*key))
             .collect();
         for key in pending {
             self.close_gracefully(key, &[ERROR_LINE]);
--- a/crates/proxy/src/routing/resource_budget.rs
+++ b/crates/proxy/src/routing/resource_budget.rs
@@ -205,7 +205,7 @@
             .filter(|(_, connection)| {
                 is_evictable(connection) && connection.last_activity + PENDING_GRACE <= self.now
             })
-            .filter(|(key, _)| !self.is_on_offer(*key))
+            .filter(|(key, _)| !self.is_connection_offered(*key))
             .min_by_key(|(_, connection)| connection.last_activity);
         let Some((key, _)) = oldest else {
             return false;
--- a/crates/proxy/src/routing/startup.rs
+++ b/crates/proxy/src/routing/startup.rs
@@ -197,7 +197,7 @@
 impl Listener {
     fn inherited(inherited: InheritedListener) -> Listener {
         Listener {
-            fd: inherited.door,
+            fd: inherited.listener,
             predecessor: Some(inherited.link),
             list: Some(inherited.list),
         }
@@ -223,7 +223,7 @@
     let Some(socket) = socket else {
         return (None, None);
     };
-    match InheritedListener::ask(socket, listen) {
+    match InheritedListener::request(socket, listen) {
         Ok(inherited) => (inherited, None),
         Err(why) => (None, Some(why.to_string())),
     }
