--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Drain`] is a state machine ([`TRANSITIONS`]) and a pacer. It does no I/O: the caller passes the time and a
 //! [`DrainView`] of its sessions to [`Drain::advise`] every [`ADVICE_INTERVAL`] and carries out the [`DrainAdvice`]. All times
-//! are [`Duration`](std::time::Duration)s since the caller's start.
+//! are [`Duration`]s since the caller's start.
 
 mod drain;
 mod pacing;
