--- a/crates/proxy/src/routing/connections.rs
+++ b/crates/proxy/src/routing/connections.rs
@@ -51,11 +51,11 @@
 
     /// Takes a connection out of the tables; dropped, it closes.
     ///
-    /// What a client or an HTTP caller has sent and nobody read is read before: a close over it would reset the
+    /// What a client or an HTTP caller has sent and was not read is read before: a close over it would reset the
     /// connection, and with it what was written last. Not so where another process may hold the connection too: that
     /// one is to read it, and this one's close ends nothing.
     pub(super) fn close(&mut self, key: SlotKey) -> Option<BufferedStream> {
-        let on_offer = self.is_on_offer(key);
+        let on_offer = self.is_connection_offered(key);
         let (role, mut stream) = self.unregister(key)?;
         let callers = matches!(
             role,
--- a/crates/proxy/tests/operators.rs
+++ b/crates/proxy/tests/operators.rs
@@ -9,7 +9,10 @@
 
 mod support;
 
-use asterramp_hot_restart::{BufferedBytes, EndpointRecord, LONGEST, Message, OpenConnection};
+use asterramp_hot_restart::{
+    BufferedBytes, EndpointRecord, EndpointRecordState, HotRestartMessage, MAX_MESSAGE_BYTES,
+    SessionOffer,
+};
 use asterramp_proxy::protocol::http_server::{HttpRequest, HttpStatus, parse};
 use asterramp_proxy::transport::{seqpacket, socket};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -400,7 +403,7 @@
 }
 
 /// The next word of the other side of a link, with its descriptors; `None` at its end.
-fn word(link: &OwnedFd) -> Option<(Message, Vec<OwnedFd>)> {
+fn word(link: &OwnedFd) -> Option<(HotRestartMessage, Vec<OwnedFd>)> {
     let time = Timespec {
         tv_sec: 3,
         tv_nsec: 0,
@@ -410,21 +413,24 @@
         Ok(1),
         "it says nothing"
     );
-    let (message, with) = seqpacket::receive(link, LONGEST)
+    let (message, with) = seqpacket::receive(link, MAX_MESSAGE_BYTES)
         .unwrap()
         .expect("a message");
-    (!message.is_empty()).then(|| (Message::read(&message).unwrap(), with))
+    (!message.is_empty()).then(|| (HotRestartMessage::decode(&message).unwrap(), with))
 }
 
 /// A younger that is a test: it has come, says that it serves, and is offered what stands.
 fn younger(world: &ProxyHarness, offers: usize) -> (OwnedFd, Vec<Vec<OwnedFd>>) {
     let link = seqpacket::connect(&world.hot_restart_socket()).unwrap();
-    assert!(seqpacket::send(&link, &Message::Hello.write(), &[]).unwrap());
-    while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
-    assert!(seqpacket::send(&link, &Message::Serves.write(), &[]).unwrap());
-    assert!(matches!(word(&link), Some((Message::Holds(_), _))));
+    assert!(seqpacket::send(&link, &HotRestartMessage::Hello.encode(), &[]).unwrap());
+    while !matches!(word(&link), Some((HotRestartMessage::Listener { .. }, _))) {}
+    assert!(seqpacket::send(&link, &HotRestartMessage::Serving.encode(), &[]).unwrap());
+    assert!(matches!(
+        word(&link),
+        Some((HotRestartMessage::OpenDescriptors(_), _))
+    ));
     let offered = (0..offers).map(|_| match word(&link) {
-        Some((Message::Pair(_), with)) => with,
+        Some((HotRestartMessage::SessionOffer(_), with)) => with,
         other => panic!("{other:?}"),
     });
     let offered = offered.collect();
@@ -454,7 +460,7 @@
         assert!(seqpacket::send(&link, b"what is this", &[]).unwrap());
     }
     for _ in taken {
-        assert!(seqpacket::send(&link, &Message::Taken.write(), &[]).unwrap());
+        assert!(seqpacket::send(&link, &HotRestartMessage::OfferAccepted.encode(), &[]).unwrap());
         let client = TcpStream::from(offered.remove(0).remove(0));
         assert_eq!(
             LineConnection::of(client).read_line(),
@@ -469,7 +475,7 @@
     }
     if then != "ends" {
         assert!(
-            matches!(word(&link), Some((Message::Kept, _))),
+            matches!(word(&link), Some((HotRestartMessage::HandoverStopped, _))),
             "the elder says what becomes of the rest"
         );
         assert!(word(&link).is_none());
@@ -502,21 +508,24 @@
         (world.connect("OPEN 0000"), None)
     };
     let link = seqpacket::connect(&world.hot_restart_socket()).unwrap();
-    assert!(seqpacket::send(&link, &Message::Hello.write(), &[]).unwrap());
-    while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
+    assert!(seqpacket::send(&link, &HotRestartMessage::Hello.encode(), &[]).unwrap());
+    while !matches!(word(&link), Some((HotRestartMessage::Listener { .. }, _))) {}
     if when == "with the yes" {
         world.send_signal("STOP");
         std::thread::sleep(Duration::from_millis(30));
     }
-    assert!(seqpacket::send(&link, &Message::Serves.write(), &[]).unwrap());
+    assert!(seqpacket::send(&link, &HotRestartMessage::Serving.encode(), &[]).unwrap());
     if when == "with the yes" {
         client.send("on\r\n");
         world.send_signal("CONT");
     }
-    assert!(matches!(word(&link), Some((Message::Holds(_), _))));
+    assert!(matches!(
+        word(&link),
+        Some((HotRestartMessage::OpenDescriptors(_), _))
+    ));
     let mut with = match word(&link) {
-        Some((Message::Pair(_), with)) if open => with,
-        Some((Message::Stranger(bytes), with)) if !open => {
+        Some((HotRestartMessage::SessionOffer(_), with)) if open => with,
+        Some((HotRestartMessage::PendingConnectionOffer(bytes), with)) if !open => {
             assert_eq!(bytes.bytes, b"OPEN 0000", "it had been read");
             with
         }
@@ -529,7 +538,7 @@
         world.send_signal("TERM");
         assert_eq!(world.wait_for_exit().0, Some(0));
     } else {
-        assert!(seqpacket::send(&link, &Message::Taken.write(), &[]).unwrap());
+        assert!(seqpacket::send(&link, &HotRestartMessage::OfferAccepted.encode(), &[]).unwrap());
         // With nothing left to hand over and told to go, it goes.
         world.send_signal("TERM");
         assert_eq!(world.wait_for_exit().0, Some(0));
@@ -555,25 +564,39 @@
     let second = world.start_second_process();
     poll(&mut [PollFd::new(&meeting, PollFlags::IN)], None).unwrap();
     let link = socket::accept_unix(&meeting).unwrap().unwrap();
-    assert!(matches!(word(&link), Some((Message::Hello, _))));
+    assert!(matches!(word(&link), Some((HotRestartMessage::Hello, _))));
     let at = world.servers[0].local_addr().unwrap().to_string();
     let host = EndpointRecord {
         uid: "s-0".into(),
-        endpoint: at,
+        address: at,
         zone: "a".into(),
         cell: 0,
-        standing: 0,
+        state: EndpointRecordState::Ready,
         weight: 1.0,
         started: None,
     };
-    assert!(seqpacket::send(&link, &Message::Hosts(vec![host]).write(), &[]).unwrap());
-    assert!(seqpacket::send(&link, &Message::Door { rev: 7 }.write(), &[door.as_fd()]).unwrap());
+    assert!(
+        seqpacket::send(
+            &link,
+            &HotRestartMessage::Endpoints(vec![host]).encode(),
+            &[]
+        )
+        .unwrap()
+    );
+    assert!(
+        seqpacket::send(
+            &link,
+            &HotRestartMessage::Listener { list_revision: 7 }.encode(),
+            &[door.as_fd()]
+        )
+        .unwrap()
+    );
     let (_, watch) = world
         .watches
         .recv_timeout(support::TIMEOUT)
         .expect("a watch");
     watch.send(support::list_line(8, false, &[])).unwrap();
-    assert!(matches!(word(&link), Some((Message::Serves, _))) && second.becomes_ready());
+    assert!(matches!(word(&link), Some((HotRestartMessage::Serving, _))) && second.becomes_ready());
     let to = |what: &str| {
         Command::new("kill")
             .args([what, &second.process.id().to_string()])
@@ -591,20 +614,20 @@
             .replace("9b1f03aa5c7e2d41", &format!("00000000000000a{nth}"))
             .into_bytes();
         let bytes = || BufferedBytes {
-            whole: 0,
+            validated: 0,
             bytes: Vec::new(),
         };
-        let offer = OpenConnection {
-            line,
-            uid: "s-0".into(),
-            waits: None,
-            client: bytes(),
-            server: bytes(),
+        let offer = SessionOffer {
+            opening_line: line,
+            server_uid: "s-0".into(),
+            answer_within: None,
+            from_client: bytes(),
+            from_server: bytes(),
         };
         assert!(
             seqpacket::send(
                 &link,
-                &Message::Pair(offer).write(),
+                &HotRestartMessage::SessionOffer(offer).encode(),
                 &[inner.as_fd(), outer.as_fd()]
             )
             .unwrap()
@@ -620,7 +643,7 @@
         }
     }
     if keeps {
-        assert!(seqpacket::send(&link, &Message::Kept.write(), &[]).unwrap());
+        assert!(seqpacket::send(&link, &HotRestartMessage::HandoverStopped.encode(), &[]).unwrap());
     }
     drop((link, door, meeting));
     assert!(to("-CONT").unwrap().success());
@@ -643,8 +666,8 @@
         "a drain" => assert_eq!(http_call(world.admin_http, "POST /ops/drain/start").0, 200),
         "another replacement" => {
             let link = seqpacket::connect(&world.hot_restart_socket()).unwrap();
-            assert!(seqpacket::send(&link, &Message::Hello.write(), &[]).unwrap());
-            while !matches!(word(&link), Some((Message::Door { .. }, _))) {}
+            assert!(seqpacket::send(&link, &HotRestartMessage::Hello.encode(), &[]).unwrap());
+            while !matches!(word(&link), Some((HotRestartMessage::Listener { .. }, _))) {}
             first = Some(link);
         }
         _ => {}
