--- a/crates/proxy/src/program/commands/mod.rs
+++ b/crates/proxy/src/program/commands/mod.rs
@@ -10,7 +10,7 @@
 mod status;
 mod validate;
 
-use super::state::{self, StateCommand};
+use super::state::{StateCommand, run_state_command};
 use asterramp_operator_config::parse_duration;
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use error::CommandError;
@@ -76,7 +76,7 @@
     /// Look at the snapshots that proxies keep on disk for their next start.
     State {
         #[command(subcommand)]
-        what: StateCommand,
+        command: StateCommand,
     },
     /// Print completions for a shell.
     Completions { shell: clap_complete::Shell },
@@ -119,7 +119,7 @@
         Command::Undrain { socket } => drain::undrain(&socket.path),
         Command::Roll(args) => roll::roll(args),
         Command::Fleet { command } => fleet::fleet(command),
-        Command::State { what } => state::run_state_command(what).map_err(CommandError::other),
+        Command::State { command } => Ok(run_state_command(command)?),
         Command::Completions { shell } => {
             print_completions(shell);
             Ok(())
--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -222,7 +222,7 @@
         let listed = self
             .endpoints
             .known_endpoints()
-            .filter(|host| host.state != EndpointState::Gone)
+            .filter(|endpoint| endpoint.state != EndpointState::Gone)
             .count();
         let gauges = GaugeValues {
             inflight: self.connection_counts.clients(),
