--- a/crates/proxy/src/program/commands/error.rs
+++ b/crates/proxy/src/program/commands/error.rs
@@ -4,6 +4,7 @@
 use crate::program::leader_lease::StoreRequestError;
 use crate::program::roll::RollError;
 use crate::program::run::ServeError;
+use crate::program::state::StateCommandError;
 use asterramp_admin_protocol::ClientError;
 
 /// Why a command fails.
@@ -33,16 +34,12 @@
     /// A status could not become JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    // Temporary: errors of modules that still return `Result<_, String>`.
-    #[error("{0}")]
-    Other(String),
+    /// What is on disk could not be shown, checked or removed.
+    #[error(transparent)]
+    State(#[from] StateCommandError),
 }
 
 impl CommandError {
-    pub(super) fn other(error: impl Into<String>) -> CommandError {
-        CommandError::Other(error.into())
-    }
-
     /// The lines for standard error: one for each file's mistake, or one.
     pub(super) fn lines(&self) -> Vec<String> {
         match self {
--- a/crates/proxy/src/program/config.rs
+++ b/crates/proxy/src/program/config.rs
@@ -1,8 +1,8 @@
 //! The platform's configuration: a JSON file that `LB_CONFIG` names. The settings in it are checked by
 //! `asterramp_placement::settings`.
 
-use crate::protocol::discovery::{self, EndpointList};
-use crate::protocol::json::{self, JsonValue};
+use crate::protocol::discovery::{self, EndpointList, EndpointListError};
+use crate::protocol::json::{self, JsonError, JsonValue};
 use crate::routing::RouterOptions;
 use asterramp_placement::settings::{self, Settings, SettingsError};
 use std::collections::BTreeSet;
@@ -40,7 +40,7 @@
     },
     /// The file is not JSON.
     #[error("configuration: {0}")]
-    Malformed(String),
+    Malformed(#[source] JsonError),
     /// A key is missing.
     #[error("{key} is missing")]
     MissingKey {
@@ -76,7 +76,7 @@
     TooFewSockets,
     /// The list of known endpoints is wrong.
     #[error("known: {0}")]
-    InvalidKnownEndpoints(String),
+    InvalidKnownEndpoints(#[source] EndpointListError),
 }
 
 /// The configuration's file, and what it said at the start.
@@ -133,7 +133,7 @@
         path: path.to_string(),
         source,
     })?;
-    json::parse(&bytes).map_err(|error| ConfigError::Malformed(error.to_string()))
+    json::parse(&bytes).map_err(ConfigError::Malformed)
 }
 
 /// Checks the keys in turn; the first mistake is the one that is reported.
@@ -206,11 +206,10 @@
 }
 
 fn parse_known_endpoints(value: &JsonValue) -> Result<EndpointList, ConfigError> {
-    let list = discovery::from_json(value)
-        .map_err(|error| ConfigError::InvalidKnownEndpoints(error.to_string()))?;
+    let mut list = discovery::from_json(value).map_err(ConfigError::InvalidKnownEndpoints)?;
     // Discovery's lists are used without their bad entries; one in a file is a mistake to be mended.
-    match &list.first_error {
-        Some(bad) => Err(ConfigError::InvalidKnownEndpoints(bad.to_string())),
+    match list.first_error.take() {
+        Some(error) => Err(ConfigError::InvalidKnownEndpoints(error)),
         None => Ok(list),
     }
 }
--- a/crates/proxy/src/routing/connections.rs
+++ b/crates/proxy/src/routing/connections.rs
@@ -55,7 +55,7 @@
     /// connection, and with it what was written last. Not so where another process may hold the connection too: that
     /// one is to read it, and this one's close ends nothing.
     pub(super) fn close(&mut self, key: SlotKey) -> Option<BufferedStream> {
-        let on_offer = self.is_on_offer(key);
+        let on_offer = self.is_connection_offered(key);
         let (role, mut stream) = self.unregister(key)?;
         let callers = matches!(
             role,
--- a/crates/proxy/src/routing/forwarding.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -94,7 +94,7 @@
         else {
             return;
         };
-        if self.is_offered(session) {
+        if self.is_session_offered(session) {
             return;
         }
         if let Err(fault) = self.read_server_lines(session, server) {
@@ -265,7 +265,7 @@
         let is_open = self
             .session_machine(session)
             .is_some_and(|machine| machine.state == SessionState::Open);
-        if is_open && !self.is_offered(session) {
+        if is_open && !self.is_session_offered(session) {
             self.end_session(session, SessionClose::text(code, outcome, MOVE_LINE));
         }
     }
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -43,7 +43,7 @@
 use asterramp_zone_failover::ZoneFailoverSettings;
 use discovery_watch::DiscoveryWatch;
 use endpoints::EndpointTable;
-use hot_restart::HotRestartLink;
+use hot_restart::HotRestart;
 use metrics::Metrics;
 use peers::Peers;
 use report::{ReasonCode, RouterEvent};
@@ -90,7 +90,7 @@
     /// Against late commands of earlier leaders.
     fencing_guard: FencingGuard,
     admin_http: Option<AdminHttp>,
-    hot_restart: Option<HotRestartLink>,
+    hot_restart: Option<HotRestart>,
     warm_start: Option<WarmStartProgress>,
     peers: Peers,
     snapshots: Option<SnapshotSchedule>,
--- a/crates/proxy/tests/golden_admin.rs
+++ b/crates/proxy/tests/golden_admin.rs
@@ -17,7 +17,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
-use support::{ProxyHarness, SETTINGS, endpoint_json, list_line};
+use support::{ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, list_line};
 
 fn assert_golden(name: &str, actual: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -65,7 +65,7 @@
 
 /// A proxy with a control socket, and one connection to that.
 struct Operated {
-    world: ProxyHarness,
+    harness: ProxyHarness,
     socket: PathBuf,
     operator: PathBuf,
     folder: PathBuf,
@@ -94,9 +94,9 @@
             "[control]\nsocket = {socket:?}\n[drain]\nclosing = \"20s\"\nquiet = \"20s\"\n{more}"
         );
         std::fs::write(&operator, text).unwrap();
-        let world = ProxyHarness::with_admin_http_and_file(servers, SETTINGS, Some(&operator));
+        let harness = ProxyHarness::with_admin_http_and_file(servers, SETTINGS, Some(&operator));
         Operated {
-            world,
+            harness,
             socket,
             operator,
             folder,
@@ -105,7 +105,7 @@
 
     fn ask(&self, line: &str) -> String {
         let stream = UnixStream::connect(&self.socket).unwrap();
-        stream.set_read_timeout(Some(support::TIMEOUT)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let mut stream = BufReader::new(stream);
         // Of one that is too long the proxy stops reading before its end.
         let _ = stream.get_mut().write_all(format!("{line}\n").as_bytes());
@@ -121,7 +121,7 @@
 
     /// The first status that says so, as it stands in the golden text.
     fn until(&self, part: &str) -> String {
-        let end = Instant::now() + support::TIMEOUT;
+        let end = Instant::now() + TIMEOUT;
         loop {
             let reply = self.ask(STATUS);
             if reply.contains(part) {
@@ -142,8 +142,8 @@
 
     /// The bytes of the answer to an operator's HTTP call.
     fn call(&self, request: &str) -> String {
-        let mut stream = TcpStream::connect(self.world.admin_http).unwrap();
-        stream.set_read_timeout(Some(support::TIMEOUT)).unwrap();
+        let mut stream = TcpStream::connect(self.harness.admin_http).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.write_all(request.as_bytes()).unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).unwrap();
@@ -164,7 +164,7 @@
     let mut text = proxy.told(STATUS);
     text += &proxy.told(r#"{"v":1,"do":"ready"}"#);
     text += &proxy.told(r#"{"v":1,"do":"undrain"}"#);
-    let _pairs: Vec<_> = (0..2).map(|_| proxy.world.open_session()).collect();
+    let _pairs: Vec<_> = (0..2).map(|_| proxy.harness.open_session()).collect();
     text += &proxy.told(STATUS);
     text += &proxy.told(r#"{"v":1,"do":"stats"}"#);
     text += &proxy.told(r#"{"v":1,"do":"drain"}"#);
@@ -176,8 +176,8 @@
     text += &proxy.told(r#"{"v":1,"do":"undrain"}"#);
     text += &proxy.told(r#"{"v":1,"do":"ready"}"#);
     // One that stays, so that the proxy goes on for a while after it is told to leave.
-    let _stays = proxy.world.open_session();
-    proxy.world.send_signal("TERM");
+    let _stays = proxy.harness.open_session();
+    proxy.harness.send_signal("TERM");
     text += &proxy.until("\"state\":\"exiting\"");
     text += &proxy.told(r#"{"v":1,"do":"drain"}"#);
     text += &proxy.told(r#"{"v":1,"do":"undrain"}"#);
@@ -242,12 +242,16 @@
 fn what_else_is_switched_on_is_told_in_the_same_fields() {
     let file = "[state]\nfolder = \"<folder>\"\nevery = \"200ms\"\n[recovery]\nstages = true\n";
     let proxy = Operated::new(2, file);
-    let ready = proxy.world.servers.iter().enumerate();
+    let ready = proxy.harness.servers.iter().enumerate();
     let ready: Vec<String> = ready
         .map(|(nth, server)| endpoint_json(nth, server.local_addr().unwrap(), "ready"))
         .collect();
-    proxy.world.watch.send(list_line(9, true, &ready)).unwrap();
-    let end = Instant::now() + support::TIMEOUT;
+    proxy
+        .harness
+        .watch
+        .send(list_line(9, true, &ready))
+        .unwrap();
+    let end = Instant::now() + TIMEOUT;
     let settled = |reply: &str| {
         ["\"stage\":\"normal\"", "[[\"told\",2,2]]", "\"saved\":["]
             .iter()
@@ -273,7 +277,7 @@
     let call = |what: &str| proxy.call(&format!("{what}{end}"));
     let mut text = call("GET /ops/readiness");
     text += &call("GET /ops/stats");
-    let up = proxy.world.open_session();
+    let up = proxy.harness.open_session();
     text += &call("GET /ops/stats?of=all");
     drop(up);
     for what in [
@@ -311,8 +315,8 @@
     text += &call("POST /ops/drain/start");
     text += &call("GET /ops/readiness");
     text += &call("POST /ops/drain/stop");
-    let _stays = proxy.world.open_session();
-    proxy.world.send_signal("TERM");
+    let _stays = proxy.harness.open_session();
+    proxy.harness.send_signal("TERM");
     text += &proxy
         .until("\"state\":\"exiting\"")
         .replace(STATUS, "status");
@@ -322,10 +326,13 @@
     assert_golden("calls.txt", &text);
 }
 
-#[test]
-#[allow(clippy::too_many_lines)] // A list of texts, one step each.
-fn stats_have_the_same_text_with_nothing_and_with_something_to_tell() {
-    let listeners = ["feed".to_string(), "odd \"x\" \\ and\nmore".to_string()];
+fn listeners() -> [String; 2] {
+    ["feed", "odd \"x\" \\ and\nmore"].map(String::from)
+}
+
+/// Counts and gauges, with nothing and with something to tell.
+fn session_stats() -> String {
+    let listeners = listeners();
     let mut metrics = Metrics::new(listeners.len());
     let none = GaugeValues {
         inflight: 0,
@@ -348,6 +355,13 @@
         down: 6,
     };
     text += &format!("something\n{}", metrics.text(&listeners, some));
+    text
+}
+
+#[test]
+fn stats_have_the_same_text_with_nothing_and_with_something_to_tell() {
+    let listeners = listeners();
+    let mut text = session_stats();
     let names = ["a", "b", "c", "d", "e \"x\""].map(String::from);
     let places = ZoneState::ALL.into_iter().zip(1..).map(|(state, n)| {
         let mut place = Zone::default();
@@ -383,13 +397,7 @@
     );
     text += &format!(
         "snapshots\n{}",
-        warm_start_text(
-            None,
-            Some(SnapshotCounts {
-                saved: 0,
-                failed: 0
-            })
-        )
+        warm_start_text(None, Some(SnapshotCounts::default()))
     );
     text += &format!("neither\n{}", warm_start_text(None, None));
     assert_golden("stats.txt", &text);
