--- a/crates/model-checker/tests/injected_faults.rs
+++ b/crates/model-checker/tests/injected_faults.rs
@@ -29,7 +29,8 @@
     let fault = recorded.plant.as_deref().and_then(InjectedFault::from_name);
     assert_eq!(fault, Some(InjectedFault::TimeoutReportedAsNeverRun));
     inject(fault);
-    assert!(recorded.play(|_| ()).is_err());
+    let breach = recorded.play(|_| ()).unwrap_err();
+    assert_eq!(breach.to_string(), recorded.breach);
     inject(None);
     assert_eq!(recorded.play(|_| ()), Ok(()));
 }
