--- a/crates/admin-protocol/src/command.rs
+++ b/crates/admin-protocol/src/command.rs
@@ -27,19 +27,6 @@
 }
 
 impl AdminCommand {
-    /// The command's name in a request.
-    pub fn name(self) -> &'static str {
-        match self {
-            AdminCommand::Status => "status",
-            AdminCommand::Drain => "drain",
-            AdminCommand::Undrain => "undrain",
-            AdminCommand::AnnounceTerm => "hear",
-            AdminCommand::Shutdown => "leave",
-            AdminCommand::Readiness => "ready",
-            AdminCommand::Stats => "stats",
-        }
-    }
-
     /// The command's name in the log line of a rejected leader's order.
     pub fn log_name(self) -> &'static str {
         match self {
--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -4,11 +4,12 @@
 use super::metrics::SessionEnd;
 use super::report::ReasonCode;
 use super::session_state::{SessionInput, SessionState};
-use super::types::{ConnectionRole, Session, TimerKey, WRITE_ONLY};
+use super::types::{ConnectionRole, Session, TimerKey};
 use crate::protocol::client::{
     ClientGreeting, ERROR_LINE, OpenRequest, PONG_LINE, busy_line, parse_greeting,
 };
 use crate::protocol::line::{self, LineError};
+use crate::transport::poller::Interest;
 use crate::transport::{SlotKey, StreamEnd};
 use asterramp_admission::{AdmissionRequest, Rejection};
 use asterramp_placement::event::SessionRequest;
@@ -41,7 +42,7 @@
         let stream = &connection.stream;
         // One that asks and takes no answers would pile them up here.
         if !stream.is_flushed() && stream.ended.is_none() {
-            return self.set_interest(key, WRITE_ONLY);
+            return self.set_interest(key, Interest::WRITE);
         }
         let ended = stream.ended;
         let bytes = stream.inbound.bytes();
--- a/crates/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -3,10 +3,10 @@
 use super::Router;
 use super::report::ReasonCode;
 use super::session_state::{SessionInput, SessionState};
-use super::types::{ConnectionRole, TimerKey, WRITE_ONLY};
+use super::types::{ConnectionRole, TimerKey};
 use crate::protocol::line;
 use crate::protocol::server::{ServerLine, load_from_report, parse_server_line};
-use crate::transport::poller::ReadyEvent;
+use crate::transport::poller::{Interest, ReadyEvent};
 use crate::transport::{SlotKey, socket};
 use asterramp_placement::event::{Load, Outcome, ServerId};
 use asterramp_placement::settings::LoadReportFormat;
@@ -34,7 +34,7 @@
             .ok_or(Errno::ADDRNOTAVAIL)
             .and_then(socket::connect);
         let registered = match connected {
-            Ok(fd) => self.register(fd, ConnectionRole::Server(session), WRITE_ONLY),
+            Ok(fd) => self.register(fd, ConnectionRole::Server(session), Interest::WRITE),
             Err(Errno::CONNREFUSED | Errno::NETUNREACH | Errno::HOSTUNREACH) => {
                 return self.input(session, SessionInput::Unreachable { dial });
             }
--- a/crates/proxy/src/routing/event_loop.rs
+++ b/crates/proxy/src/routing/event_loop.rs
@@ -4,10 +4,10 @@
 use super::connections::MAX_DISCARD_AT_CLOSE;
 use super::peers::PeerError;
 use super::report::ReasonCode;
-use super::types::{ConnectionRole, READ_ONLY, TimerKey};
+use super::types::{ConnectionRole, TimerKey};
 use crate::protocol::client::ERROR_LINE;
 use crate::transport::SlotKey;
-use crate::transport::poller::ReadyEvent;
+use crate::transport::poller::{Interest, ReadyEvent};
 use asterramp_placement::Event;
 use asterramp_placement::event::Outcome;
 use rustix::fd::OwnedFd;
@@ -56,7 +56,7 @@
     ///
     /// If the descriptor cannot be watched.
     pub fn add_wake_source(&mut self, wakes: OwnedFd) -> io::Result<()> {
-        self.register(wakes, ConnectionRole::SignalPipe, READ_ONLY)
+        self.register(wakes, ConnectionRole::SignalPipe, Interest::READ)
             .map(drop)
             .ok_or_else(|| io::Error::other("it cannot be watched"))
     }
--- a/crates/proxy/src/routing/listener.rs
+++ b/crates/proxy/src/routing/listener.rs
@@ -3,7 +3,7 @@
 use super::Router;
 use super::client::GREETING_TIMEOUT;
 use super::report::ReasonCode;
-use super::types::{ConnectionRole, READ_ONLY, TimerKey};
+use super::types::{ConnectionRole, TimerKey};
 use crate::transport::poller::{Interest, ReadyEvent};
 use crate::transport::socket;
 use rustix::fd::OwnedFd;
@@ -33,7 +33,7 @@
             return;
         }
         if let Some(listener) = self.listener {
-            self.set_interest(listener, READ_ONLY);
+            self.set_interest(listener, Interest::READ);
         }
     }
 
@@ -87,7 +87,7 @@
     }
 
     fn add_pending_client(&mut self, fd: OwnedFd) {
-        if let Some(key) = self.register(fd, ConnectionRole::PendingClient, READ_ONLY) {
+        if let Some(key) = self.register(fd, ConnectionRole::PendingClient, Interest::READ) {
             self.deadlines
                 .set(TimerKey::Connection(key), self.now + GREETING_TIMEOUT);
             // What it wants is often there already.
--- a/crates/proxy/src/routing/peers/answer.rs
+++ b/crates/proxy/src/routing/peers/answer.rs
@@ -5,11 +5,9 @@
 use crate::routing::Router;
 use crate::routing::endpoints::KnownEndpoint;
 use asterramp_placement::event::{EndpointState, Load, ServerId};
-use asterramp_warm_start::{CandidateState, WarmStartStage};
+use asterramp_warm_start::{CandidateState, MIN_CONNECTIONS_FOR_LOAD, WarmStartStage};
 use std::time::Duration;
 
-/// Connections from which a server's load shows the load of each.
-const MIN_CONNECTIONS: f64 = 8.0;
 /// Weight given for an endpoint whose own JSON cannot express.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
@@ -86,7 +84,9 @@
 
 fn load_per_connection(load: &Load) -> Option<f64> {
     let utilization = load.utilization?;
-    let connections = load.connections.filter(|n| *n >= MIN_CONNECTIONS)?;
+    let connections = load
+        .connections
+        .filter(|n| *n >= MIN_CONNECTIONS_FOR_LOAD)?;
     Some(utilization / connections)
 }
 
--- a/crates/proxy/src/routing/peers/mod.rs
+++ b/crates/proxy/src/routing/peers/mod.rs
@@ -5,10 +5,10 @@
 mod answer;
 mod message;
 
-use super::types::{ConnectionRole, TimerKey, WRITE_ONLY};
+use super::types::{ConnectionRole, TimerKey};
 use super::{ReasonCode, Router};
 use crate::protocol::discovery::ListedEndpoint;
-use crate::transport::poller::ReadyEvent;
+use crate::transport::poller::{Interest, ReadyEvent};
 use crate::transport::{SlotKey, socket};
 use asterramp_placement::event::{EndpointState, ServerId};
 use asterramp_warm_start::{EndpointReport, EndpointSource, InformationAge, information_age};
@@ -112,7 +112,7 @@
         let Ok(fd) = socket::connect(address) else {
             return;
         };
-        let Some(connection) = self.register(fd, ConnectionRole::Peer, WRITE_ONLY) else {
+        let Some(connection) = self.register(fd, ConnectionRole::Peer, Interest::WRITE) else {
             return;
         };
         self.peers.queries.push(PeerQuery {
--- a/crates/proxy/src/routing/probe.rs
+++ b/crates/proxy/src/routing/probe.rs
@@ -1,10 +1,10 @@
 //! Health checks: a probe asks a server for its load report, over a connection that is kept for the next probe.
 
-use super::types::{ConnectionRole, TimerKey, WRITE_ONLY};
+use super::types::{ConnectionRole, TimerKey};
 use super::{ReasonCode, Router};
 use crate::protocol::line;
 use crate::protocol::server::{STATS_LINE, ServerLine, load_from_report, parse_server_line};
-use crate::transport::poller::ReadyEvent;
+use crate::transport::poller::{Interest, ReadyEvent};
 use crate::transport::{SlotKey, socket};
 use asterramp_placement::Event;
 use asterramp_placement::event::{Load, Outcome, ServerId};
@@ -106,7 +106,7 @@
         let address = self.endpoints.address(server)?;
         let fd = socket::connect(address).ok()?;
         let role = ConnectionRole::Probe(server, ProbeStage::Connecting);
-        self.register(fd, role, WRITE_ONLY)
+        self.register(fd, role, Interest::WRITE)
     }
 
     /// Whether a kept connection is up and has brought nothing since its last reply.
--- a/crates/proxy/src/routing/types.rs
+++ b/crates/proxy/src/routing/types.rs
@@ -1,23 +1,11 @@
 //! What the router keeps for each connection and session, and what its timers are for.
 
 use super::probe::ProbeStage;
-use crate::transport::poller::Interest;
 use crate::transport::{BufferedStream, SlotKey};
 use asterramp_placement::event::{Load, Outcome, ServerId};
 use std::ops::Range;
 use std::time::Duration;
 
-/// Watches a socket for bytes to read.
-pub(super) const READ_ONLY: Interest = Interest {
-    read: true,
-    write: false,
-};
-/// Watches a socket for room to write, or for its connection to come up.
-pub(super) const WRITE_ONLY: Interest = Interest {
-    read: false,
-    write: true,
-};
-
 /// What a deadline is for; each has one deadline at most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKey {
