--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -71,15 +71,24 @@
     admin_http: bool,
 }
 
-/// An address to listen on: each harness has a host of its own, so that no other can take the port meanwhile.
+/// An address to listen on, with an IP of its own for each harness and a port that nothing else here is given.
+///
+/// The port isn't found by binding and closing a socket: a process that another test forks meanwhile holds that socket
+/// until its `exec`, and the proxy would find its address in use. Ports from 20,000 on are below those that Linux hands out.
 pub(crate) fn free_address(harness: u32) -> SocketAddr {
-    let host = format!(
-        "127.{}.{}.{}:0",
-        harness / 60_000,
-        1 + harness / 250 % 240,
-        1 + harness % 250
-    );
-    TcpListener::bind(host).unwrap().local_addr().unwrap()
+    static NEXT: AtomicU32 = AtomicU32::new(0);
+    const FIRST_PORT: u32 = 20_000;
+    const PORTS: u32 = 10_000;
+    let nth = NEXT
+        .fetch_add(1, Ordering::Relaxed)
+        .wrapping_add(std::process::id());
+    let ip = [
+        127,
+        (harness / 60_000) as u8,
+        (1 + harness / 250 % 240) as u8,
+        (1 + harness % 250) as u8,
+    ];
+    SocketAddr::from((ip, (FIRST_PORT + nth % PORTS) as u16))
 }
 
 /// An entry of an endpoint list.
@@ -191,11 +200,17 @@
         let harness = ProxyHarness::start_unlisted(options);
         harness.watch.send(list_line(8, false, &[])).unwrap();
         let until = Instant::now() + TIMEOUT;
-        while harness.connect("PING\r\n").read_line() != "PONG" {
+        loop {
+            let mut ping = harness.connect("PING\r\n");
+            if ping.read_line() == "PONG" {
+                // Its end is waited for, so that no test finds a connection that it hasn't opened.
+                ping.0.get_ref().shutdown(Shutdown::Write).unwrap();
+                assert_eq!(ping.read_line(), "FIN");
+                return harness;
+            }
             assert!(Instant::now() < until, "it does not serve");
             std::thread::sleep(Duration::from_millis(20));
         }
-        harness
     }
 
     /// Starts a proxy whose watch is open, and which has been sent no list.
@@ -230,8 +245,11 @@
                 .env("LB_OPERATOR", admin_http.to_string())
                 .env("TMPDIR", &directory);
         }
-        let process = command.spawn().unwrap();
-        let (_, watch) = watches.recv_timeout(TIMEOUT).expect("a watch");
+        let mut process = command.spawn().unwrap();
+        let Ok((_, watch)) = watches.recv_timeout(TIMEOUT) else {
+            process.kill().unwrap();
+            panic!("no watch was opened: {:?}", process.wait_with_output());
+        };
         ProxyHarness {
             process,
             listen_address,
--- a/crates/testbed/src/link.rs
+++ b/crates/testbed/src/link.rs
@@ -8,6 +8,7 @@
 use rustix::net::sockopt;
 use std::collections::HashMap;
 use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
@@ -114,10 +115,13 @@
     pub async fn open(
         pairs: Vec<(Ends, SocketAddr)>,
     ) -> std::io::Result<(Links, Vec<TcpListener>)> {
+        // Runs side by side have addresses apart: a proxy of one must not reach a port that another has given up.
+        static RUNS: AtomicU8 = AtomicU8::new(0);
+        let run = 2 + RUNS.fetch_add(1, Ordering::Relaxed) % 250;
         let (mut links, mut doors) = (Links::default(), Vec::new());
         for (ends, target) in pairs {
             let door =
-                TcpListener::bind(SocketAddr::from(([NETWORK[0], NETWORK[1], 0, 1], 0))).await?;
+                TcpListener::bind(SocketAddr::from(([NETWORK[0], NETWORK[1], run, 1], 0))).await?;
             let link = Link {
                 ends,
                 address: door.local_addr()?,
--- a/crates/testbed/src/proxies.rs
+++ b/crates/testbed/src/proxies.rs
@@ -8,10 +8,10 @@
 use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
-use std::net::{IpAddr, SocketAddr, TcpListener};
+use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
-use std::sync::atomic::{AtomicU8, Ordering};
+use std::sync::atomic::{AtomicU8, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::process::{Child, Command};
@@ -122,16 +122,30 @@
     SocketAddr::new(doors_of(listen), ASKED)
 }
 
-/// An address for each proxy, of a host of its own so that nobody takes the port meanwhile.
-pub fn addresses(scenario: &Scenario) -> std::io::Result<Vec<(u8, SocketAddr)>> {
+/// A port below those that Linux hands out, another one each time.
+///
+/// It isn't found by binding and closing a socket: a process that is forked meanwhile holds that socket until its `exec`,
+/// and the proxy would find its address in use.
+fn unused_port() -> u16 {
+    static NEXT: AtomicU32 = AtomicU32::new(0);
+    const FIRST_PORT: u32 = 20_000;
+    const PORTS: u32 = 10_000;
+    let nth = NEXT
+        .fetch_add(1, Ordering::Relaxed)
+        .wrapping_add(std::process::id());
+    (FIRST_PORT + nth % PORTS) as u16
+}
+
+/// An address for each proxy, with an IP of its own.
+pub fn addresses(scenario: &Scenario) -> Vec<(u8, SocketAddr)> {
     static RUNS: AtomicU8 = AtomicU8::new(0);
-    // Runs side by side have addresses apart: a port that was found free stays so until its proxy listens.
+    // Runs side by side have addresses apart.
     let run = 60 + RUNS.fetch_add(1, Ordering::Relaxed) % 120;
     let places = scenario.places.len();
     let address = |nth: u32| {
         let host = [127, run, (nth / 250) as u8, 1 + (nth % 250) as u8];
-        let free = TcpListener::bind(SocketAddr::from((host, 0)))?.local_addr()?;
-        Ok(((nth as usize % places) as u8, free))
+        let address = SocketAddr::from((host, unused_port()));
+        ((nth as usize % places) as u8, address)
     };
     (0..scenario.proxies.count).map(address).collect()
 }
@@ -221,11 +235,10 @@
         self.configure(world)?;
         self.started += 1;
         let asked = world.scenario.proxies.asks && self.child.is_none();
-        let free = SocketAddr::new(doors_of(self.listen), 0);
         let door = if asked {
             door_of(self.listen)
         } else {
-            TcpListener::bind(free)?.local_addr()?
+            SocketAddr::new(doors_of(self.listen), unused_port())
         };
         let shared = self.config.with_extension("tmp");
         std::fs::create_dir_all(&shared)?;
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -109,7 +109,7 @@
         .map_err(broke)?
         .into_iter()
         .unzip();
-    let at = proxies::addresses(&scenario).map_err(broke)?;
+    let at = proxies::addresses(&scenario);
     let (links, ways) = Links::open(pairs(&scenario, &plan, &hosts, &at))
         .await
         .map_err(broke)?;
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -44,7 +44,7 @@
         .unwrap()
         .into_iter()
         .unzip();
-    let front = Front::new(addresses(&scenario).unwrap().into_iter());
+    let front = Front::new(addresses(&scenario).into_iter());
     let world = Arc::new(World::new(scenario, plan, hosts, front, Arc::default()));
     for (host, door) in world.hosts.iter().zip(doors) {
         tokio::spawn(host.clone().serve(world.clone(), door));
