--- a/crates/model-checker/src/main.rs
+++ b/crates/model-checker/src/main.rs
@@ -116,7 +116,7 @@
     match perform(Cli::parse().what) {
         Ok(code) => ExitCode::from(code),
         Err(what) => {
-            eprintln!("asterramp-check: {what}");
+            eprintln!("asterramp-model-checker: {what}");
             ExitCode::from(2)
         }
     }
--- a/crates/proxy/tests/golden_roll.rs
+++ b/crates/proxy/tests/golden_roll.rs
@@ -60,7 +60,8 @@
 impl Store {
     fn start() -> Store {
         // It is built with the workspace, beside this program.
-        let program = Path::new(env!("CARGO_BIN_EXE_asterramp")).with_file_name("asterramp-store");
+        let program =
+            Path::new(env!("CARGO_BIN_EXE_asterramp")).with_file_name("asterramp-zookeeper-stub");
         let mut command = Command::new(program);
         command
             .arg("127.0.0.1:0")
@@ -68,7 +69,7 @@
             .stdout(Stdio::piped());
         let mut process = command
             .spawn()
-            .expect("no asterramp-store beside the proxy: build the workspace");
+            .expect("no asterramp-zookeeper-stub beside the proxy: build the workspace");
         let mut line = String::new();
         BufReader::new(process.stdout.as_mut().unwrap())
             .read_line(&mut line)
--- /dev/null
+++ b/crates/testbed/src/bin/asterramp-rig.rs
@@ -0,0 +1,7 @@
+//! The former name of `asterramp-testbed`, for scripts that still use it.
+
+use std::process::ExitCode;
+
+fn main() -> ExitCode {
+    asterramp_former_name::run_as("asterramp-testbed")
+}
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -198,7 +198,7 @@
         Fault::Input(what) => (2, what),
         Fault::Run(what) => (3, what),
     };
-    eprintln!("asterramp-rig: {what}");
+    eprintln!("asterramp-testbed: {what}");
     ExitCode::from(code)
 }
 
--- a/crates/testbed/tests/breaks.rs
+++ b/crates/testbed/tests/breaks.rs
@@ -45,7 +45,7 @@
 "#;
 
 fn rules_broken(policy: Policy, breaks: Option<Break>) -> Vec<Rule> {
-    let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-rig"));
+    let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-testbed"));
     let ran = help::play(
         help::scenario(TROUBLE),
         program(rig, policy, breaks),
@@ -91,7 +91,7 @@
 #[test_case(Some(Break::RefuseWorth), true)]
 #[test_case(None, false)]
 fn what_is_worth_most_refused_first_is_seen(breaks: Option<Break>, seen: bool) {
-    let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-rig"));
+    let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-testbed"));
     let text = help::BASE
         .replace("set_up_work = \"60ms\"", "set_up_work = \"2ms\"")
         .replace("name = \"order\"", "name = \"order\"\nutility = 3.0")
@@ -115,7 +115,7 @@
 #[test_case(Some(Break::DoubleDial), true)]
 #[test_case(None, false)]
 fn a_breach_shorter_than_the_blur_is_seen(breaks: Option<Break>, seen: bool) {
-    let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-rig"));
+    let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-testbed"));
     let text = help::BASE.replace("set_up_work = \"60ms\"", "set_up_work = \"2ms\"");
     let silent = "[[faults]]\nat = \"1s\"\nkind = \"host-silent\"\non = [1]";
     let scenario = Scenario::read(&format!("{text}\n{silent}")).unwrap();
@@ -131,7 +131,7 @@
 
 #[test]
 fn a_proxy_without_a_door_is_told_from_one_that_answers() {
-    let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-rig"));
+    let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-testbed"));
     let fault = "[[faults]]\nat = \"1s\"\nkind = \"proxy-replaced\"\non = [0]";
     let scenario = help::scenario_with(fault, "callers = 1");
     let ran = help::play(scenario, program(rig, Policy::Random, None), 3, None);
--- a/crates/testbed/tests/command.rs
+++ b/crates/testbed/tests/command.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-const RIG: &str = env!("CARGO_BIN_EXE_asterramp-rig");
+const RIG: &str = env!("CARGO_BIN_EXE_asterramp-testbed");
 
 /// A scenario in a file of its own.
 fn file(name: &str, text: &str) -> PathBuf {
--- a/crates/zookeeper/src/lib.rs
+++ b/crates/zookeeper/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`jute`] is the encoding, [`frame`] cuts a byte stream into records, [`record`] are the records both ways.
 //! - [`session`] is a client's session with a store, over one connection after the other.
 //! - [`listing`] is what a list of ephemeral nodes means for servers.
-//! - [`store`] is a stub store for tests; the program `asterramp-store` puts it on sockets.
+//! - [`store`] is a stub store for tests; the program `asterramp-zookeeper-stub` puts it on sockets.
 
 pub mod frame;
 pub mod jute;
--- a/crates/zookeeper/src/main.rs
+++ b/crates/zookeeper/src/main.rs
@@ -131,7 +131,7 @@
             "accept" => self.refusing = false,
             "expire" => self.expire_sessions(),
             "drop" => self.drop_connections(),
-            other => eprintln!("asterramp-store: {other:?} is no fault"),
+            other => eprintln!("asterramp-zookeeper-stub: {other:?} is no fault"),
         }
     }
 }
@@ -207,7 +207,7 @@
 fn main() {
     let addresses: Vec<String> = std::env::args().skip(1).collect();
     if addresses.is_empty() {
-        eprintln!("asterramp-store: wants addresses to listen at, as in 127.0.0.1:2181");
+        eprintln!("asterramp-zookeeper-stub: wants addresses to listen at, as in 127.0.0.1:2181");
         std::process::exit(EXIT_USAGE);
     }
     let state = ServerState {
@@ -223,7 +223,7 @@
     });
     for address in addresses {
         if let Err(error) = listen(&server, &address) {
-            eprintln!("asterramp-store: {address}: {error}");
+            eprintln!("asterramp-zookeeper-stub: {address}: {error}");
             std::process::exit(EXIT_LISTEN_FAILED);
         }
     }
