--- /dev/null
+++ b/crates/model-checker/src/explorer.rs
@@ -0,0 +1,298 @@
+//! Explores a [`Model`] breadth first, so that the way to a violation is a shortest one.
+//!
+//! The states of a level are expanded in parallel, a batch at a time. What they lead to is merged in order, so that two
+//! explorations of a model keep the same states and give the same counterexample, whichever thread was faster.
+
+use crate::model::Model;
+use rayon::prelude::*;
+use std::collections::HashSet;
+use std::time::{Duration, Instant};
+
+/// States that are expanded before their successors are merged: many enough to keep all cores busy, few enough that the
+/// successors that turn out to be equal do not matter beside the level.
+const BATCH_SIZE: usize = 1 << 11;
+
+/// Where to stop, whatever is left.
+#[derive(Clone, Copy, Debug)]
+pub struct Limits {
+    /// Different states.
+    pub states: u64,
+    /// States of one level, which are in memory at once; a state of the placement model takes some 3 KiB.
+    pub level_size: usize,
+    /// Actions between the start and a state.
+    pub depth: usize,
+    /// Time after which no further level is begun.
+    pub time: Duration,
+}
+
+impl Limits {
+    /// No limit but the number of actions.
+    pub fn to_depth(depth: usize) -> Limits {
+        Limits {
+            depth,
+            ..Limits::NONE
+        }
+    }
+
+    /// No limit, for a model with few states.
+    pub const NONE: Limits = Limits {
+        states: u64::MAX,
+        level_size: usize::MAX,
+        depth: usize::MAX,
+        time: Duration::MAX,
+    };
+}
+
+impl Default for Limits {
+    /// Some 10 GiB of memory and ten minutes for the placement model.
+    fn default() -> Self {
+        Limits {
+            states: 40_000_000,
+            level_size: 2_000_000,
+            depth: 200,
+            time: Duration::from_secs(600),
+        }
+    }
+}
+
+/// A violation and a shortest way to it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Counterexample<A, V> {
+    /// The property that does not hold.
+    pub violation: V,
+    /// What happened until then, from the initial state.
+    pub actions: Vec<A>,
+}
+
+/// What an exploration has seen.
+#[derive(Clone, Debug)]
+pub struct Exploration<A, V> {
+    /// Different states.
+    pub states: u64,
+    /// Actions applied, those that led to a known state among them.
+    pub steps: u64,
+    /// The largest number of actions that a state is away from where the exploration began.
+    pub depth: usize,
+    /// How long it took.
+    pub elapsed: Duration,
+    /// Whether it stopped at a limit before all was seen.
+    pub is_truncated: bool,
+    /// States of the last level, if it was not expanded for a limit.
+    pub unexpanded: u64,
+    /// The first violation, if there is one.
+    pub counterexample: Option<Counterexample<A, V>>,
+}
+
+/// The exploration of a model.
+pub type ExplorationOf<M> = Exploration<<M as Model>::Action, <M as Model>::Violation>;
+
+/// The counterexample of a model.
+type CounterexampleOf<M> = Counterexample<<M as Model>::Action, <M as Model>::Violation>;
+
+/// How a state was reached.
+#[derive(Clone, Copy, Debug)]
+struct Origin<A> {
+    /// The number, in the level before, of the state that led to it.
+    state: u32,
+    action: A,
+}
+
+/// What an action led to: a state and its fingerprint, or a violation.
+type Outcome<M> = Result<(M, <M as Model>::Fingerprint), <M as Model>::Violation>;
+
+/// What an action led to, if that was not known when its batch began.
+struct Successor<M: Model> {
+    origin: Origin<M::Action>,
+    outcome: Outcome<M>,
+}
+
+/// Explores every order of actions from `initial` on, until a property does not hold, all states have been seen or a limit
+/// is reached.
+pub fn explore<M: Model>(initial: M, limits: Limits) -> ExplorationOf<M> {
+    explore_after(initial, &[], limits)
+}
+
+/// Explores every order of actions behind `prefix`, which counts neither as states nor as depth, but begins the
+/// counterexample.
+pub fn explore_after<M: Model>(
+    mut initial: M,
+    prefix: &[M::Action],
+    limits: Limits,
+) -> ExplorationOf<M> {
+    let started = Instant::now();
+    let violation = run_prefix(&mut initial, prefix);
+    let mut explorer = Explorer::new(initial, prefix, limits);
+    explorer.result.counterexample = violation;
+    while !explorer.level.is_empty() && explorer.result.counterexample.is_none() {
+        if explorer.is_limit_reached() || started.elapsed() > limits.time {
+            explorer.result.unexpanded = explorer.level.len() as u64;
+            explorer.result.is_truncated = true;
+            break;
+        }
+        explorer.expand_level();
+    }
+    explorer.result.elapsed = started.elapsed();
+    explorer.result
+}
+
+/// Applies `prefix` and checks the state that it leads to.
+fn run_prefix<M: Model>(model: &mut M, prefix: &[M::Action]) -> Option<CounterexampleOf<M>> {
+    let counterexample = |violation, length| Counterexample {
+        violation,
+        actions: prefix[..length].to_vec(),
+    };
+    for (applied, action) in prefix.iter().enumerate() {
+        if let Err(violation) = model.apply(*action) {
+            return Some(counterexample(violation, applied + 1));
+        }
+    }
+    let violation = model.check().err()?;
+    Some(counterexample(violation, prefix.len()))
+}
+
+struct Explorer<'a, M: Model> {
+    limits: Limits,
+    prefix: &'a [M::Action],
+    known: HashSet<M::Fingerprint>,
+    /// The states that are expanded next, or that the present level has led to so far.
+    level: Vec<M>,
+    level_origins: Vec<Origin<M::Action>>,
+    /// How the states of each level before were reached; those of the first, which were not, have none.
+    earlier_origins: Vec<Vec<Origin<M::Action>>>,
+    result: ExplorationOf<M>,
+}
+
+impl<'a, M: Model> Explorer<'a, M> {
+    fn new(initial: M, prefix: &'a [M::Action], limits: Limits) -> Self {
+        Explorer {
+            limits,
+            prefix,
+            known: HashSet::from([initial.fingerprint()]),
+            level: vec![initial],
+            level_origins: Vec::new(),
+            earlier_origins: Vec::new(),
+            result: Exploration {
+                states: 1,
+                steps: 0,
+                depth: 0,
+                elapsed: Duration::ZERO,
+                is_truncated: false,
+                unexpanded: 0,
+                counterexample: None,
+            },
+        }
+    }
+
+    fn is_limit_reached(&self) -> bool {
+        self.result.is_truncated
+            || self.result.states >= self.limits.states
+            || self.result.depth >= self.limits.depth
+    }
+
+    /// Replaces the level by the states that it leads to and that are not known yet.
+    fn expand_level(&mut self) {
+        let expanded = std::mem::take(&mut self.level);
+        let expanded_origins = std::mem::take(&mut self.level_origins);
+        self.earlier_origins.push(expanded_origins);
+        for (batch_number, batch) in expanded.chunks(BATCH_SIZE).enumerate() {
+            for successor in self.expand_batch(batch, batch_number * BATCH_SIZE) {
+                self.merge(successor);
+            }
+            let states = self.result.states + self.level.len() as u64;
+            let is_full =
+                states >= self.limits.states || self.level.len() >= self.limits.level_size;
+            self.result.is_truncated |= is_full;
+            if is_full || self.result.counterexample.is_some() {
+                break;
+            }
+        }
+        self.result.states += self.level.len() as u64;
+        self.result.depth += usize::from(!self.level.is_empty());
+    }
+
+    /// What the states of a batch lead to, in their order; `first` is the number of the first of them in its level.
+    fn expand_batch(&mut self, batch: &[M], first: usize) -> Vec<Successor<M>> {
+        let known = &self.known;
+        let expansions: Vec<(u64, Vec<Successor<M>>)> = batch
+            .par_iter()
+            .enumerate()
+            .map(|(offset, state)| expand(state, (first + offset) as u32, known))
+            .collect();
+        let mut all_successors = Vec::new();
+        for (steps, successors) in expansions {
+            self.result.steps += steps;
+            all_successors.extend(successors);
+        }
+        all_successors
+    }
+
+    /// Takes a successor into the next level, unless one that was merged before is equal; keeps the first violation.
+    fn merge(&mut self, successor: Successor<M>) {
+        let Successor { origin, outcome } = successor;
+        match outcome {
+            Ok((state, fingerprint)) => {
+                if self.known.insert(fingerprint) {
+                    self.level.push(state);
+                    self.level_origins.push(origin);
+                }
+            }
+            Err(violation) if self.result.counterexample.is_none() => {
+                let actions = self.actions_to(origin);
+                self.result.counterexample = Some(Counterexample { violation, actions });
+            }
+            Err(_) => {}
+        }
+    }
+
+    /// All actions from the initial state to what the last of them led to from the level that is being expanded.
+    fn actions_to(&self, last: Origin<M::Action>) -> Vec<M::Action> {
+        let mut reversed = vec![last.action];
+        let mut state = last.state;
+        for origins in self.earlier_origins[1..].iter().rev() {
+            let origin = &origins[state as usize];
+            reversed.push(origin.action);
+            state = origin.state;
+        }
+        reversed.reverse();
+        [self.prefix, &reversed].concat()
+    }
+}
+
+/// Applies every action to a state; with the number of actions, and without the states that are known.
+fn expand<M: Model>(
+    state: &M,
+    number: u32,
+    known: &HashSet<M::Fingerprint>,
+) -> (u64, Vec<Successor<M>>) {
+    if state.is_finished() {
+        return (0, Vec::new());
+    }
+    let actions = state.actions();
+    let steps = actions.len() as u64;
+    let successors = actions.into_iter().filter_map(|action| {
+        let outcome = outcome_of(state, action, known)?;
+        let origin = Origin {
+            state: number,
+            action,
+        };
+        Some(Successor { origin, outcome })
+    });
+    (steps, successors.collect())
+}
+
+/// What an action leads to; `None` if it is a state that is known.
+fn outcome_of<M: Model>(
+    state: &M,
+    action: M::Action,
+    known: &HashSet<M::Fingerprint>,
+) -> Option<Outcome<M>> {
+    let mut next = state.clone();
+    if let Err(violation) = next.apply(action) {
+        return Some(Err(violation));
+    }
+    let fingerprint = next.fingerprint();
+    if known.contains(&fingerprint) {
+        return None;
+    }
+    Some(next.check().map(|()| (next, fingerprint)))
+}
--- /dev/null
+++ b/crates/model-checker/src/leader_lease/store.rs
@@ -0,0 +1,84 @@
+//! The coordination store: its sessions, which are its queue too.
+
+use super::model::{CONTENDERS, SETTINGS};
+use asterramp_leader_lease::Term;
+use std::time::Duration;
+
+/// Changes that the store has made before.
+const FIRST_REVISION: Term = 10;
+
+/// A session with a node in the queue.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Session {
+    pub(super) term: Term,
+    pub(super) renewed_at: Duration,
+}
+
+impl Session {
+    pub(super) fn expires_at(&self) -> Duration {
+        self.renewed_at + SETTINGS.session_timeout
+    }
+}
+
+#[derive(Clone, Debug)]
+pub(super) struct LeaseStore {
+    /// The sessions, by contender.
+    pub(super) sessions: [Option<Session>; CONTENDERS],
+    /// Changes so far. The next node's term is one more.
+    pub(super) revision: Term,
+    /// Contenders whose session was lost, until they queue again: nothing that the store knows bounds their orders.
+    pub(super) lost: [bool; CONTENDERS],
+}
+
+impl LeaseStore {
+    pub(super) fn new() -> LeaseStore {
+        LeaseStore {
+            sessions: [None; CONTENDERS],
+            revision: FIRST_REVISION,
+            lost: [false; CONTENDERS],
+        }
+    }
+
+    /// A contender's node is created; with its term.
+    pub(super) fn create_node(&mut self, contender: usize, now: Duration) -> Term {
+        self.revision += 1;
+        self.sessions[contender] = Some(Session {
+            term: self.revision,
+            renewed_at: now,
+        });
+        self.lost[contender] = false;
+        self.revision
+    }
+
+    /// Renews a contender's session; with the lowest term in the queue, or `None` if there is no such session.
+    pub(super) fn renew(&mut self, contender: usize, now: Duration) -> Option<Term> {
+        self.sessions[contender].as_mut()?.renewed_at = now;
+        self.queue_head()
+    }
+
+    /// The lowest term in the queue.
+    pub(super) fn queue_head(&self) -> Option<Term> {
+        let sessions = self.sessions.iter().flatten();
+        sessions.map(|session| session.term).min()
+    }
+
+    pub(super) fn end_session(&mut self, contender: usize) {
+        self.sessions[contender] = None;
+    }
+
+    pub(super) fn lose_all_sessions(&mut self) {
+        for (session, is_lost) in self.sessions.iter_mut().zip(&mut self.lost) {
+            *is_lost |= session.take().is_some();
+        }
+    }
+
+    /// Equal for stores that behave alike from `now` on.
+    pub(super) fn fingerprint(&self, now: Duration) -> String {
+        let sessions = self.sessions.map(|session| {
+            let session = session?;
+            let age = now.saturating_sub(session.renewed_at).as_millis();
+            Some((session.term, age))
+        });
+        format!("{sessions:?}{}{:?}", self.revision, self.lost)
+    }
+}
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -9,11 +9,12 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-pub mod explore;
+pub mod explorer;
 pub mod hot_restart;
 pub mod leader_lease;
+pub mod model;
+pub mod placement_model;
 pub mod properties;
-pub mod search;
 pub mod shape;
 pub mod step;
 pub mod trace;
--- a/crates/model-checker/src/main.rs
+++ b/crates/model-checker/src/main.rs
@@ -7,16 +7,17 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-use asterramp_model_checker::explore::{Explored, Limits, explore};
+use asterramp_model_checker::explorer::{Exploration, Limits};
 use asterramp_model_checker::hot_restart;
-use asterramp_model_checker::leader_lease;
-use asterramp_model_checker::search;
+use asterramp_model_checker::leader_lease::{self, LeaseSituation};
+use asterramp_model_checker::placement_model::{PlacementExploration, explore};
 use asterramp_model_checker::shape::{SHAPES, Shape, WALK};
 use asterramp_model_checker::trace::Trace;
 use asterramp_model_checker::walk::walks;
-use asterramp_model_checker::warm_start;
-use asterramp_model_checker::zone_failover;
+use asterramp_model_checker::warm_start::{self, WarmStartSituation};
+use asterramp_model_checker::zone_failover::{self, ZoneSituation};
 use clap::{Parser, Subcommand};
+use std::fmt::Display;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -92,26 +93,30 @@
     },
 }
 
-/// Tells what playing every order came to.
-fn told<S: std::fmt::Debug>(explored: search::Explored<S>) -> u8 {
-    let search::Explored {
+/// Prints what an exploration has seen; the exit code.
+fn report<A: Display, V: Display>(exploration: &Exploration<A, V>, all_hold: &str) -> u8 {
+    let Exploration {
         states,
         steps,
         depth,
-        found,
-    } = explored;
+        counterexample,
+        ..
+    } = exploration;
     println!("{states} states, {steps} steps, depth {depth}");
-    let Some((what, way)) = found else {
-        println!("all seen to that depth, all hold");
+    let Some(counterexample) = counterexample else {
+        println!("{all_hold}");
         return 0;
     };
-    println!("BROKEN: {what}");
-    (1..)
-        .zip(way)
-        .for_each(|(nth, step)| println!("{nth:>3}. {step:?}"));
+    println!("BROKEN: {}", counterexample.violation);
+    for (number, action) in (1..).zip(&counterexample.actions) {
+        println!("{number:>3}. {action}");
+    }
     1
 }
 
+const ALL_HOLD: &str = "all seen, all hold";
+const ALL_HOLD_TO_DEPTH: &str = "all seen to that depth, all hold";
+
 fn main() -> ExitCode {
     match perform(Cli::parse().what) {
         Ok(code) => ExitCode::from(code),
@@ -144,52 +149,28 @@
             for shape in SHAPES.iter().filter(wanted) {
                 let explored = explore(shape, limits);
                 println!("{}", row(shape, &explored));
-                if let Some(found) = &explored.found {
+                if let Some(found) = &explored.counterexample {
                     return counterexample(Trace::of(shape, None, found), &save);
                 }
-                stopped |= explored.stopped;
+                stopped |= explored.is_truncated;
             }
             Ok(if stopped { 4 } else { 0 })
         }
-        What::Handover => {
-            let explored = hot_restart::explore();
-            let hot_restart::Explored {
-                states,
-                steps,
-                depth,
-                found,
-            } = explored;
-            println!("{states} states, {steps} steps, depth {depth}");
-            let Some((what, way)) = found else {
-                println!("all seen, all hold");
-                return Ok(0);
-            };
-            println!("BROKEN: {what}");
-            (1..)
-                .zip(way)
-                .for_each(|(nth, step)| println!("{nth:>3}. {step:?}"));
-            Ok(1)
+        What::Handover => Ok(report(&hot_restart::explore(), ALL_HOLD)),
+        What::Site { depth } => {
+            let exploration = zone_failover::explore(ZoneSituation::AllHealthy, depth.into());
+            Ok(report(&exploration, ALL_HOLD_TO_DEPTH))
+        }
+        What::Recovery { depth } => {
+            let exploration = warm_start::explore(WarmStartSituation::PowerLoss, depth.into());
+            Ok(report(&exploration, ALL_HOLD_TO_DEPTH))
         }
-        What::Site { depth } => Ok(told(zone_failover::explore(
-            &[],
-            depth.into(),
-            zone_failover::NONE,
-        ))),
-        What::Recovery { depth } => Ok(told(warm_start::explore(
-            &[],
-            depth.into(),
-            warm_start::NONE,
-        ))),
         What::Owner { depth } => {
-            let ways = leader_lease::ways();
-            let codes = ways.iter().map(|before| {
-                told(leader_lease::explore(
-                    before,
-                    depth.into(),
-                    leader_lease::NONE,
-                ))
+            let codes = LeaseSituation::ALL.map(|situation| {
+                let exploration = leader_lease::explore(situation, depth.into());
+                report(&exploration, ALL_HOLD_TO_DEPTH)
             });
-            Ok(codes.max().unwrap_or_default())
+            Ok(codes.into_iter().max().unwrap_or_default())
         }
         What::Plants { plant } => plants(plant),
         What::Walk {
@@ -231,12 +212,12 @@
     }
 }
 
-fn row(shape: &Shape, explored: &Explored) -> String {
-    let seconds = explored.took.as_secs_f64();
+fn row(shape: &Shape, explored: &PlacementExploration) -> String {
+    let seconds = explored.elapsed.as_secs_f64();
     let rate = explored.steps as f64 / seconds.max(1e-3) / 1e3;
-    let end = match (&explored.found, explored.stopped) {
-        (Some(found), _) => format!("BROKEN after {} steps", found.moves.len()),
-        (None, true) => format!("stopped; {} states not gone on from", explored.left_out),
+    let end = match (&explored.counterexample, explored.is_truncated) {
+        (Some(found), _) => format!("BROKEN after {} steps", found.actions.len()),
+        (None, true) => format!("stopped; {} states not gone on from", explored.unexpanded),
         (None, false) => "all seen, all hold".into(),
     };
     let (states, depth) = (explored.states, explored.depth);
@@ -296,8 +277,8 @@
         let (mut found, mut took, mut states) = (None, Duration::ZERO, 0);
         for shape in SHAPES.iter().filter(|shape| shape.quick) {
             let explored = explore(shape, limits);
-            (took, states) = (took + explored.took, states + explored.states);
-            if let Some(one) = explored.found {
+            (took, states) = (took + explored.elapsed, states + explored.states);
+            if let Some(one) = explored.counterexample {
                 found = Some((shape, one));
                 break;
             }
@@ -305,7 +286,7 @@
         let cost = format!("{states:>8} states, {:>5.1} s", took.as_secs_f64());
         match found {
             Some((shape, one)) => {
-                let (steps, breach) = (one.moves.len(), &one.breach);
+                let (steps, breach) = (one.actions.len(), &one.violation);
                 println!(
                     "{which:<22} {steps:>2} steps, {cost}, {}: {breach}",
                     shape.name
--- a/crates/model-checker/src/trace.rs
+++ b/crates/model-checker/src/trace.rs
@@ -1,6 +1,6 @@
 //! Traces as files: a shape, a planted bug if any, what was broken, and the steps, a numbered line each.
 
-use crate::explore::Found;
+use crate::placement_model::PlacementCounterexample;
 use crate::properties::Breach;
 use crate::shape::Shape;
 use crate::step::Move;
@@ -16,12 +16,16 @@
 }
 
 impl Trace {
-    pub fn of(shape: &'static Shape, plant: Option<String>, found: &Found) -> Trace {
+    pub fn of(
+        shape: &'static Shape,
+        plant: Option<String>,
+        found: &PlacementCounterexample,
+    ) -> Trace {
         Trace {
             shape,
             plant,
-            breach: found.breach.to_string(),
-            moves: found.moves.clone(),
+            breach: found.violation.to_string(),
+            moves: found.actions.clone(),
         }
     }
 
--- a/crates/model-checker/src/walk.rs
+++ b/crates/model-checker/src/walk.rs
@@ -1,6 +1,6 @@
 //! Random walks through worlds far larger than can be explored.
 
-use crate::explore::Found;
+use crate::placement_model::PlacementCounterexample;
 use crate::shape::Shape;
 use crate::step::{Move, Step};
 use crate::world::World;
@@ -16,13 +16,13 @@
     pub steps: u64,
     /// Walks that ended with every session over, and dials that they made.
     pub whole: u64,
-    pub found: Option<(u64, Found)>,
+    pub found: Option<(u64, PlacementCounterexample)>,
 }
 
 const LONGEST: usize = 3_000;
 
 /// One walk, the same for the same seed.
-pub fn walk(shape: &Shape, seed: u64) -> (usize, bool, Option<Found>) {
+pub fn walk(shape: &Shape, seed: u64) -> (usize, bool, Option<PlacementCounterexample>) {
     let mut chance = Xoshiro256PlusPlus::seed_from_u64(seed);
     let (mut world, mut steps, mut moves) = (World::new(shape), Vec::new(), Vec::new());
     // Some walks are in a hurry, some dwell on what may happen between two deadlines.
@@ -47,7 +47,11 @@
         };
         moves.push(what);
         if let Err(breach) = world.make(shape, what) {
-            return (moves.len(), false, Some(Found { breach, moves }));
+            let found = PlacementCounterexample {
+                violation: breach,
+                actions: moves,
+            };
+            return (found.actions.len(), false, Some(found));
         }
     }
     (moves.len(), world.over(shape), None)
--- /dev/null
+++ b/crates/model-checker/src/warm_start/model.rs
@@ -0,0 +1,304 @@
+//! The proxies, the endpoints, and what happens between them.
+
+use super::action::{DiscoveryList, DiskState, WarmStartAction};
+use super::proxy::{
+    ENDPOINTS, FORMER_ENDPOINTS, PROXIES, ProxyModel, REPLACED, REPLACEMENT, SETTINGS,
+};
+use super::violation::WarmStartViolation;
+use crate::model::Model;
+#[cfg(feature = "injected-faults")]
+use asterramp_warm_start::InjectedFault;
+use asterramp_warm_start::{EndpointId, InformationAge, WarmStart, WarmStartStage};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// The clock at the beginning.
+const START: Duration = Duration::from_secs(1_000);
+/// By how much the clock goes on at once.
+const TICK: Duration = Duration::from_millis(500);
+/// Ticks within which every start that knows an endpoint that is up must end.
+const TICKS_TO_RECOVER: usize = 40;
+
+/// Three proxies and their endpoints.
+#[derive(Clone, Debug)]
+pub struct WarmStartModel {
+    now: Duration,
+    /// The proxies that run.
+    proxies: [Option<ProxyModel>; PROXIES],
+    /// Which endpoints are up.
+    up: [bool; ENDPOINTS],
+    #[cfg(feature = "injected-faults")]
+    injected_fault: Option<InjectedFault>,
+}
+
+impl Default for WarmStartModel {
+    fn default() -> Self {
+        WarmStartModel::new()
+    }
+}
+
+impl WarmStartModel {
+    /// No proxy runs, and the second of the former endpoints has been replaced.
+    pub fn new() -> WarmStartModel {
+        WarmStartModel {
+            now: START,
+            proxies: [None, None, None],
+            up: [true, false, true],
+            #[cfg(feature = "injected-faults")]
+            injected_fault: None,
+        }
+    }
+
+    /// The same with a fault in the code that decides.
+    #[cfg(feature = "injected-faults")]
+    pub fn with_fault(injected_fault: InjectedFault) -> WarmStartModel {
+        WarmStartModel {
+            injected_fault: Some(injected_fault),
+            ..WarmStartModel::new()
+        }
+    }
+
+    /// Lets an action happen, without the checks of the state that it leads to.
+    fn perform(&mut self, action: WarmStartAction) {
+        match action {
+            WarmStartAction::TogglePower { proxy, disk } => self.toggle_power(proxy, disk),
+            WarmStartAction::FinishProbe { proxy, endpoint } => self.finish_probe(proxy, endpoint),
+            WarmStartAction::AnswerPeer { asking, answering } => {
+                self.answer_peer(asking, answering);
+            }
+            WarmStartAction::ToggleEndpoint(endpoint) => self.toggle_endpoint(endpoint),
+            WarmStartAction::SendList { proxy, list } => self.send_list(proxy, list),
+            WarmStartAction::Delist { proxy, endpoint } => {
+                self.update(proxy, |proxy, now| proxy.receive_delisting(now, endpoint));
+            }
+            WarmStartAction::ListReplacement { proxy } => {
+                self.update(proxy, |proxy, now| proxy.receive_listing(now, REPLACEMENT));
+            }
+            WarmStartAction::TimePasses => self.let_time_pass(),
+        }
+    }
+
+    /// Lets a proxy hear something, if it runs, and do what is decided then.
+    fn update(&mut self, proxy: usize, hear: impl FnOnce(&mut ProxyModel, Duration)) {
+        if let Some(proxy) = &mut self.proxies[proxy] {
+            hear(proxy, self.now);
+            proxy.carry_out_effects(self.now);
+        }
+    }
+
+    fn toggle_power(&mut self, number: usize, disk: DiskState) {
+        if self.proxies[number].take().is_some() {
+            return;
+        }
+        let proxy = ProxyModel::new(number, self.new_warm_start(), self.now);
+        self.proxies[number] = Some(proxy);
+        self.update(number, |proxy, now| match disk {
+            DiskState::FreshSnapshot => proxy.read_snapshot(now, InformationAge::Fresh),
+            DiskState::FutureSnapshot => proxy.read_snapshot(now, InformationAge::Unknown),
+            DiskState::Empty => {}
+        });
+    }
+
+    fn new_warm_start(&self) -> WarmStart {
+        #[cfg_attr(not(feature = "injected-faults"), allow(unused_mut))]
+        let mut warm_start = WarmStart::new(self.now, SETTINGS);
+        #[cfg(feature = "injected-faults")]
+        {
+            warm_start.injected_fault = self.injected_fault;
+        }
+        warm_start
+    }
+
+    fn finish_probe(&mut self, proxy: usize, endpoint: EndpointId) {
+        let is_up = self.up[endpoint as usize];
+        self.update(proxy, |proxy, now| proxy.finish_probe(now, endpoint, is_up));
+    }
+
+    /// A peer that does not run has nothing to tell.
+    fn answer_peer(&mut self, asking: usize, answering: usize) {
+        let responsive = self.proxies[answering]
+            .as_ref()
+            .map(ProxyModel::responsive_endpoints)
+            .unwrap_or_default();
+        self.update(asking, |proxy, now| {
+            proxy.receive_answer(now, answering, responsive);
+        });
+    }
+
+    /// Of the two endpoints that have one address, at most one is up.
+    fn toggle_endpoint(&mut self, endpoint: EndpointId) {
+        let is_up = !self.up[endpoint as usize];
+        self.up[endpoint as usize] = is_up;
+        if is_up && let Some(other) = other_at_address(endpoint) {
+            self.up[other as usize] = false;
+        }
+    }
+
+    fn send_list(&mut self, proxy: usize, list: DiscoveryList) {
+        let up = self.up;
+        let ready: Vec<EndpointId> = (0..ENDPOINTS as EndpointId)
+            .filter(|endpoint| list != DiscoveryList::Empty && up[*endpoint as usize])
+            .collect();
+        let is_cold = list == DiscoveryList::Cold;
+        self.update(proxy, |proxy, now| proxy.receive_list(now, &ready, is_cold));
+    }
+
+    fn let_time_pass(&mut self) {
+        self.now += TICK;
+        for proxy in 0..PROXIES {
+            self.update(proxy, ProxyModel::handle_deadlines);
+        }
+    }
+
+    fn finish_all_probes(&mut self, proxy: usize) {
+        let in_flight = self.proxies[proxy]
+            .as_ref()
+            .map(|proxy| proxy.probes_in_flight.clone())
+            .unwrap_or_default();
+        for endpoint in in_flight {
+            self.finish_probe(proxy, endpoint);
+        }
+    }
+
+    /// Whether everything ends well if nothing happens any more but that the former endpoints are up, probes are answered and,
+    /// if there is discovery, it lists them: every start that knows an endpoint ends in normal service.
+    fn check_recovery(&self, has_discovery: bool) -> Result<(), WarmStartViolation> {
+        let mut model = self.clone();
+        model.up = [true, true, false];
+        if has_discovery {
+            (0..PROXIES).for_each(|proxy| model.send_list(proxy, DiscoveryList::Cold));
+        }
+        for _ in 0..TICKS_TO_RECOVER {
+            (0..PROXIES).for_each(|proxy| model.finish_all_probes(proxy));
+            model.let_time_pass();
+        }
+        for (number, proxy) in model.running_proxies() {
+            let stage = proxy.warm_start.stage();
+            let must_serve = has_discovery || proxy.knows_any_endpoint();
+            if must_serve && stage != WarmStartStage::Normal {
+                return Err(WarmStartViolation::NeverNormal {
+                    proxy: number,
+                    stage: stage.name(),
+                });
+            }
+            if has_discovery && proxy.used != BTreeSet::from(FORMER_ENDPOINTS) {
+                return Err(WarmStartViolation::ListNotFollowed {
+                    proxy: number,
+                    used: proxy.used.clone(),
+                });
+            }
+        }
+        Ok(())
+    }
+
+    fn running_proxies(&self) -> impl Iterator<Item = (usize, &ProxyModel)> {
+        let proxies = self.proxies.iter().enumerate();
+        proxies.filter_map(|(number, proxy)| Some((number, proxy.as_ref()?)))
+    }
+}
+
+/// The other endpoint that is said to listen where this one does.
+fn other_at_address(endpoint: EndpointId) -> Option<EndpointId> {
+    match endpoint {
+        REPLACED => Some(REPLACEMENT),
+        REPLACEMENT => Some(REPLACED),
+        _ => None,
+    }
+}
+
+/// The disks with which a proxy may start. Proxies are alike but for these: the first two have every kind of disk, the third
+/// the usual one.
+fn disks_of(proxy: usize) -> &'static [DiskState] {
+    match proxy {
+        0 => &[DiskState::FreshSnapshot, DiskState::FutureSnapshot],
+        1 => &[DiskState::Empty],
+        _ => &[DiskState::FreshSnapshot],
+    }
+}
+
+/// What may happen to a proxy that runs.
+fn actions_of(number: usize, proxy: &ProxyModel, is_replaced: bool) -> Vec<WarmStartAction> {
+    use WarmStartAction::*;
+    let mut actions = vec![TogglePower {
+        proxy: number,
+        disk: DiskState::Empty,
+    }];
+    let probes = proxy.probes_in_flight.iter();
+    actions.extend(probes.map(|endpoint| FinishProbe {
+        proxy: number,
+        endpoint: *endpoint,
+    }));
+    let peers = proxy.awaited_peers.iter();
+    actions.extend(peers.map(|peer| AnswerPeer {
+        asking: number,
+        answering: *peer,
+    }));
+    if proxy.listed.is_none() {
+        actions.extend(proxy.used.iter().map(|endpoint| Delist {
+            proxy: number,
+            endpoint: *endpoint,
+        }));
+        actions.extend(is_replaced.then_some(ListReplacement { proxy: number }));
+    }
+    let lists = [
+        DiscoveryList::Warm,
+        DiscoveryList::Cold,
+        DiscoveryList::Empty,
+    ];
+    actions.extend(lists.map(|list| SendList {
+        proxy: number,
+        list,
+    }));
+    actions
+}
+
+impl Model for WarmStartModel {
+    type Action = WarmStartAction;
+    type Violation = WarmStartViolation;
+    type Fingerprint = String;
+
+    fn fingerprint(&self) -> String {
+        let proxies = self.proxies.iter().map(|proxy| {
+            let running = proxy.as_ref();
+            running.map_or_else(|| "-".to_string(), |proxy| proxy.fingerprint(self.now))
+        });
+        let proxies: Vec<String> = proxies.collect();
+        format!("{:?}|{}", self.up, proxies.join("|"))
+    }
+
+    fn actions(&self) -> Vec<WarmStartAction> {
+        let mut actions = vec![WarmStartAction::TimePasses];
+        let endpoints = 0..ENDPOINTS as EndpointId;
+        actions.extend(endpoints.map(WarmStartAction::ToggleEndpoint));
+        for (number, proxy) in self.proxies.iter().enumerate() {
+            match proxy {
+                Some(proxy) => {
+                    let is_replaced = self.up[REPLACEMENT as usize];
+                    actions.extend(actions_of(number, proxy, is_replaced));
+                }
+                None => actions.extend(disks_of(number).iter().map(|disk| {
+                    WarmStartAction::TogglePower {
+                        proxy: number,
+                        disk: *disk,
+                    }
+                })),
+            }
+        }
+        actions
+    }
+
+    fn apply(&mut self, action: WarmStartAction) -> Result<(), WarmStartViolation> {
+        self.perform(action);
+        let of_effects = self.proxies.iter_mut().flatten();
+        let violation = of_effects.filter_map(|proxy| proxy.violation.take()).next();
+        violation.map_or(Ok(()), Err)?;
+        let (now, up) = (self.now, &self.up);
+        let mut running = self.proxies.iter().flatten();
+        running.try_for_each(|proxy| proxy.check(now, up))
+    }
+
+    fn check(&self) -> Result<(), WarmStartViolation> {
+        self.check_recovery(false)?;
+        self.check_recovery(true)
+    }
+}
--- a/crates/model-checker/tests/explore.rs
+++ b/crates/model-checker/tests/explore.rs
@@ -7,15 +7,23 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-use asterramp_model_checker::explore::{Limits, explore};
+use asterramp_model_checker::explorer::{Exploration, Limits};
+use asterramp_model_checker::placement_model::explore;
 use asterramp_model_checker::shape::{SHAPES, Shape, WALK};
 use asterramp_model_checker::step::{Move, Step};
 use asterramp_model_checker::trace::Trace;
 use asterramp_model_checker::walk::{walk, walks};
+use asterramp_model_checker::warm_start::WarmStartSituation;
 use asterramp_model_checker::world::World;
+use std::fmt::Debug;
 use std::time::Duration;
 use test_case::test_case;
 
+fn assert_all_hold<A: Debug, V: Debug>(exploration: &Exploration<A, V>) {
+    let counterexample = &exploration.counterexample;
+    assert!(counterexample.is_none(), "{counterexample:?}");
+}
+
 #[test_case("once-only")]
 #[test_case("four-dials")]
 #[test_case("cold")]
@@ -26,10 +34,14 @@
     };
     let explored = explore(Shape::find(name).unwrap(), limits);
     let trace = explored
-        .found
+        .counterexample
         .as_ref()
         .map(|f| Trace::of(Shape::find(name).unwrap(), None, f).text());
-    assert!(explored.found.is_none(), "{}", trace.unwrap_or_default());
+    assert!(
+        explored.counterexample.is_none(),
+        "{}",
+        trace.unwrap_or_default()
+    );
     assert!(explored.states > 1_000, "{explored:?}");
 }
 
@@ -41,7 +53,7 @@
     };
     let seen = |_| {
         let explored = explore(&SHAPES[0], limits);
-        (explored.states, explored.steps, explored.left_out)
+        (explored.states, explored.steps, explored.unexpanded)
     };
     assert_eq!(seen(0), seen(1));
 }
@@ -95,42 +107,38 @@
 }
 
 #[test]
-fn whatever_dies_in_a_handover_each_connection_is_one_process_s() {
-    let explored = asterramp_model_checker::hot_restart::explore();
-    assert!(explored.found.is_none(), "{:?}", explored.found);
-    assert!(explored.states > 300, "{explored:?}");
+fn a_hot_restart_holds_in_every_order() {
+    let exploration = asterramp_model_checker::hot_restart::explore();
+    assert_all_hold(&exploration);
+    assert_eq!(exploration.states, 434, "{exploration:?}");
 }
 
 #[test]
-fn what_is_made_of_places_holds_in_every_order() {
-    use asterramp_model_checker::zone_failover::{NONE, RETURNED, explore};
-    for before in [&[], RETURNED] {
-        let explored = explore(before, 6, NONE);
-        assert!(explored.found.is_none(), "{:?}", explored.found);
-        assert!(explored.states > 20_000, "{explored:?}");
+fn zone_failover_holds_in_every_order() {
+    use asterramp_model_checker::zone_failover::{ZoneSituation, explore};
+    for situation in ZoneSituation::ALL {
+        let exploration = explore(situation, 6);
+        assert_all_hold(&exploration);
+        assert!(exploration.states > 20_000, "{situation:?} {exploration:?}");
     }
 }
 
-#[test]
-fn starts_after_a_power_loss_hold_in_every_order() {
-    use asterramp_model_checker::warm_start::{ASKING, NONE, explore, late};
-    for (before, depth, least) in [
-        (Vec::new(), 6, 20_000),
-        (ASKING.to_vec(), 4, 3_000),
-        (late(), 2, 50),
-    ] {
-        let explored = explore(&before, depth, NONE);
-        assert!(explored.found.is_none(), "{:?}", explored.found);
-        assert!(explored.states > least, "{explored:?}");
-    }
+#[test_case(WarmStartSituation::PowerLoss, 6, 20_000)]
+#[test_case(WarmStartSituation::AskingPeers, 4, 3_000)]
+#[test_case(WarmStartSituation::EndpointResponsive, 4, 1_000)]
+#[test_case(WarmStartSituation::FutureReportExpired, 2, 50)]
+fn warm_starts_hold_in_every_order(situation: WarmStartSituation, depth: usize, min_states: u64) {
+    let exploration = asterramp_model_checker::warm_start::explore(situation, depth);
+    assert_all_hold(&exploration);
+    assert!(exploration.states > min_states, "{exploration:?}");
 }
 
 #[test]
-fn of_two_candidates_none_harms_in_every_order() {
-    use asterramp_model_checker::leader_lease::{NONE, explore, ways};
-    for before in ways() {
-        let explored = explore(&before, 5, NONE);
-        assert!(explored.found.is_none(), "{:?}", explored.found);
-        assert!(explored.states > 300, "{explored:?}");
+fn leader_leases_hold_in_every_order() {
+    use asterramp_model_checker::leader_lease::{LeaseSituation, explore};
+    for situation in LeaseSituation::ALL {
+        let exploration = explore(situation, 5);
+        assert_all_hold(&exploration);
+        assert!(exploration.states > 300, "{situation:?} {exploration:?}");
     }
 }
--- a/crates/model-checker/tests/injected_faults.rs
+++ b/crates/model-checker/tests/injected_faults.rs
@@ -8,9 +8,11 @@
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 #![cfg(feature = "injected-faults")]
 
-use asterramp_model_checker::explore::{Limits, explore};
+use asterramp_model_checker::explorer::{Counterexample, Limits};
+use asterramp_model_checker::placement_model::explore;
 use asterramp_model_checker::shape::Shape;
 use asterramp_model_checker::trace::Trace;
+use std::fmt::{Debug, Display};
 
 #[test]
 fn an_injected_fault_is_found_and_its_trace_replays() {
@@ -18,9 +20,16 @@
     inject(Some(InjectedFault::TimeoutReportedAsNeverRun));
     let shape = Shape::find("once-only").unwrap();
     let explored = explore(shape, Limits::default());
-    let trace = Trace::of(shape, None, explored.found.as_ref().expect("it is found"));
+    let trace = Trace::of(
+        shape,
+        None,
+        explored.counterexample.as_ref().expect("it is found"),
+    );
     let read = Trace::read(&trace.text()).unwrap();
-    assert_eq!(read.play(|_| ()), Err(explored.found.unwrap().breach));
+    assert_eq!(
+        read.play(|_| ()),
+        Err(explored.counterexample.unwrap().violation)
+    );
     inject(None);
     assert_eq!(read.play(|_| ()), Ok(()));
 
@@ -35,59 +44,61 @@
     assert_eq!(recorded.play(|_| ()), Ok(()));
 }
 
-/// Each is found by `explore`, whose way there is told.
-fn all_found<P: Copy + std::fmt::Debug, S>(
-    all: &[P],
-    explore: impl Fn(P) -> Option<(String, Vec<S>)>,
-) {
-    let missed = all.iter().filter(|injected_fault| {
-        let found = explore(**injected_fault);
-        let told = found
-            .as_ref()
-            .map(|(what, way)| format!("{} steps: {what}", way.len()));
-        println!("{injected_fault:?}: {}", told.unwrap_or_default());
-        found.is_none()
-    });
-    assert!(
-        missed
-            .map(|injected_fault| format!("{injected_fault:?}"))
-            .collect::<Vec<_>>()
-            .is_empty()
-    );
+/// Looks for each fault, and prints what is found and in how many actions.
+fn assert_each_is_found<F, A, V>(faults: &[F], find: impl Fn(F) -> Option<Counterexample<A, V>>)
+where
+    F: Copy + Debug,
+    V: Display,
+{
+    let mut missed = Vec::new();
+    for fault in faults {
+        match find(*fault) {
+            Some(found) => println!(
+                "{fault:?}: {} steps: {}",
+                found.actions.len(),
+                found.violation
+            ),
+            None => missed.push(fault),
+        }
+    }
+    assert!(missed.is_empty(), "not found: {missed:?}");
 }
 
 #[test]
 fn each_fault_injected_into_zone_failover_is_found() {
-    use asterramp_model_checker::zone_failover::{RETURNED, explore};
+    use asterramp_model_checker::zone_failover::{ZoneSituation, explore_with_fault};
     use asterramp_zone_failover::InjectedFault;
-    all_found(&InjectedFault::ALL, |injected_fault| {
-        let late = matches!(injected_fault, InjectedFault::HoldDownSkipped);
-        explore(if late { RETURNED } else { &[] }, 7, Some(injected_fault)).found
+    assert_each_is_found(&InjectedFault::ALL, |fault| {
+        let situation = match fault {
+            InjectedFault::HoldDownSkipped => ZoneSituation::LostAfterRecovery,
+            _ => ZoneSituation::AllHealthy,
+        };
+        explore_with_fault(situation, 7, fault).counterexample
     });
 }
 
 #[test]
 fn each_fault_injected_into_warm_start_is_found() {
-    use asterramp_model_checker::warm_start::{ASKING, PROBED, explore, late};
+    use asterramp_model_checker::warm_start::{WarmStartSituation, explore_with_fault};
     use asterramp_warm_start::InjectedFault;
-    all_found(&InjectedFault::ALL, |injected_fault| {
-        let (before, depth) = match injected_fault {
-            InjectedFault::FutureCountsAsFresh => (late(), 2),
-            InjectedFault::PeerReportUsedUnprobed => (ASKING.to_vec(), 6),
-            InjectedFault::TwoAtOneAddress => (PROBED.to_vec(), 4),
-            _ => (Vec::new(), 6),
+    assert_each_is_found(&InjectedFault::ALL, |fault| {
+        let (situation, depth) = match fault {
+            InjectedFault::FutureCountsAsFresh => (WarmStartSituation::FutureReportExpired, 2),
+            InjectedFault::PeerReportUsedUnprobed => (WarmStartSituation::AskingPeers, 6),
+            InjectedFault::TwoAtOneAddress => (WarmStartSituation::EndpointResponsive, 4),
+            _ => (WarmStartSituation::PowerLoss, 6),
         };
-        explore(&before, depth, Some(injected_fault)).found
+        explore_with_fault(situation, depth, fault).counterexample
     });
 }
 
 #[test]
 fn each_fault_injected_into_the_leader_lease_is_found() {
     use asterramp_leader_lease::InjectedFault;
-    use asterramp_model_checker::leader_lease::{explore, ways};
-    all_found(&InjectedFault::ALL, |injected_fault| {
-        ways()
+    use asterramp_model_checker::leader_lease::{LeaseSituation, explore_with_fault};
+    assert_each_is_found(&InjectedFault::ALL, |fault| {
+        LeaseSituation::ALL
             .into_iter()
-            .find_map(|before| explore(&before, 6, Some(injected_fault)).found)
+            .find_map(|situation| explore_with_fault(situation, 6, fault).counterexample)
     });
 }
