--- a/crates/model-checker/src/explorer.rs
+++ b/crates/model-checker/src/explorer.rs
@@ -44,7 +44,7 @@
 }
 
 impl Default for Limits {
-    /// Some 10 GiB of memory and ten minutes for the placement model.
+    /// Bounds for a model with many states.
     fn default() -> Self {
         Limits {
             states: 40_000_000,
--- a/crates/model-checker/src/leader_lease/contender.rs
+++ b/crates/model-checker/src/leader_lease/contender.rs
@@ -1,7 +1,12 @@
-//! A contender, with its requests and orders that are not done yet.
+//! A contender, with its requests and orders that are not done yet. All times that are passed in are true ones.
 
-use super::receiver::{RECEIVERS, fingerprint_of_token, time_by_receiver};
-use asterramp_leader_lease::{FencingToken, LeaseContender, LeaseState, ReceiverClock, Term};
+use super::clocks::time_by_contender;
+use super::reference::Reference;
+use super::settings::RECEIVERS;
+use super::violation::LeaseViolation;
+use asterramp_leader_lease::{
+    FencingToken, LeaseContender, LeaseState, OrderPurpose, ReceiverClock, Term,
+};
 use std::time::Duration;
 
 /// A contender's request to the store.
@@ -25,7 +30,7 @@
     Sent,
     /// The receiver has read its clock, and the answer is in flight.
     Answered(ReceiverClock),
-    /// The contender has the reading.
+    /// The contender has the reading, since a time by its own clock.
     Received {
         clock: ReceiverClock,
         received_at: Duration,
@@ -34,7 +39,9 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct ContenderModel {
-    pub(super) contender: LeaseContender,
+    number: usize,
+    contender: LeaseContender,
+    /// Its times are by the contender's clock.
     pub(super) store_request: Option<StoreRequest>,
     /// Its request to each receiver.
     pub(super) clock_requests: [ClockRequest; RECEIVERS],
@@ -47,8 +54,9 @@
 }
 
 impl ContenderModel {
-    pub(super) fn new(contender: LeaseContender) -> ContenderModel {
+    pub(super) fn new(number: usize, contender: LeaseContender) -> ContenderModel {
         ContenderModel {
+            number,
             contender,
             store_request: None,
             clock_requests: [ClockRequest::None; RECEIVERS],
@@ -58,20 +66,96 @@
         }
     }
 
+    pub(super) fn state(&self) -> LeaseState {
+        self.contender.state()
+    }
+
+    pub(super) fn term(&self) -> Term {
+        self.contender.term()
+    }
+
     pub(super) fn is_queued(&self) -> bool {
-        self.contender.state() != LeaseState::NotQueued
+        self.state() != LeaseState::NotQueued
+    }
+
+    fn clock(&self, now: Duration) -> Duration {
+        time_by_contender(self.number, now)
+    }
+
+    pub(super) fn tick(&mut self, now: Duration) {
+        self.contender.tick(self.clock(now));
+        self.has_led |= self.state() == LeaseState::Leader;
     }
 
-    /// Its node was created with this term. `now` is by its own clock, as in all functions here.
+    /// Its node was created with this term.
     pub(super) fn join_queue(&mut self, now: Duration, term: Term) {
+        let clock = self.clock(now);
         self.has_led = false;
         self.informed_receivers = [false; RECEIVERS];
-        self.contender.joined_queue(now, now, term);
+        self.contender.joined_queue(clock, clock, term);
     }
 
-    pub(super) fn tick(&mut self, now: Duration) {
-        self.contender.tick(now);
-        self.has_led |= self.contender.state() == LeaseState::Leader;
+    pub(super) fn send_store_request(&mut self, now: Duration) {
+        let sent_at = self.clock(now);
+        self.store_request = Some(StoreRequest::Sent { sent_at });
+    }
+
+    /// The store's answer arrives.
+    pub(super) fn receive_store_answer(&mut self, now: Duration) -> Result<(), LeaseViolation> {
+        let clock = self.clock(now);
+        match self.store_request.take() {
+            Some(StoreRequest::Handled {
+                sent_at,
+                queue_head: Some(head),
+            }) => {
+                self.contender.store_answered(clock, sent_at);
+                self.contender.queue_head(clock, head);
+                Ok(())
+            }
+            Some(StoreRequest::Handled {
+                queue_head: None, ..
+            }) => self.learn_of_expiry(),
+            Some(StoreRequest::Sent { .. }) | None => Ok(()),
+        }
+    }
+
+    /// It learns that its session has expired, and must claim nothing from then on.
+    pub(super) fn learn_of_expiry(&mut self) -> Result<(), LeaseViolation> {
+        self.store_request = None;
+        self.contender.session_expired();
+        if self.is_queued() {
+            let contender = self.number;
+            return Err(LeaseViolation::ExpiryIgnored { contender });
+        }
+        Ok(())
+    }
+
+    /// A reading of a receiver's clock arrives.
+    pub(super) fn receive_clock(&mut self, now: Duration, receiver: usize) {
+        let received_at = self.clock(now);
+        let request = &mut self.clock_requests[receiver];
+        if let ClockRequest::Answered(clock) = *request {
+            *request = ClockRequest::Received { clock, received_at };
+        }
+    }
+
+    /// It makes an order by the reading that it has, if it may; the reading is used up.
+    pub(super) fn create_order(
+        &mut self,
+        now: Duration,
+        receiver: usize,
+        purpose: OrderPurpose,
+    ) -> Option<FencingToken> {
+        let own_clock = self.clock(now);
+        let request = std::mem::take(&mut self.clock_requests[receiver]);
+        let ClockRequest::Received { clock, received_at } = request else {
+            return None;
+        };
+        let order = self
+            .contender
+            .order(own_clock, clock, received_at, purpose)?;
+        self.unsent_orders[receiver] = Some(order);
+        Some(order)
     }
 
     /// A receiver has accepted its term.
@@ -84,60 +168,46 @@
 
     /// Whether it leads, or has led, with a later term than this.
     pub(super) fn has_led_after(&self, term: Term) -> bool {
-        self.has_led && self.contender.term() > term
+        self.has_led && self.term() > term
     }
 
-    /// Equal for contenders that behave alike. `own_now` is by its clock, `now` the true time; `incarnations` is the number of
-    /// receivers' processes so far.
-    pub(super) fn fingerprint(
-        &self,
-        own_now: Duration,
-        now: Duration,
-        incarnations: u64,
-    ) -> String {
-        let state = self.contender.relative_state(own_now);
-        let store_request = self.fingerprint_of_store_request(own_now);
-        let clock_requests: Vec<String> = (0..RECEIVERS)
-            .map(|receiver| self.fingerprint_of_clock_request(receiver, own_now, now, incarnations))
-            .collect();
-        let unsent_orders = (0..RECEIVERS).map(|receiver| {
+    /// Equal for contenders that behave alike.
+    pub(super) fn fingerprint(&self, reference: Reference) -> String {
+        let state = self.contender.relative_state(self.clock(reference.now));
+        let store_request = self.fingerprint_of_store_request(reference);
+        let clock_requests: [String; RECEIVERS] =
+            std::array::from_fn(|receiver| self.fingerprint_of_clock_request(receiver, reference));
+        let unsent_orders: [_; RECEIVERS] = std::array::from_fn(|receiver| {
             let token = self.unsent_orders[receiver]?;
-            Some(fingerprint_of_token(receiver, &token, now, incarnations))
+            Some(reference.token(receiver, token))
         });
-        let unsent_orders: Vec<Option<String>> = unsent_orders.collect();
-        let own = (self.informed_receivers, self.has_led);
-        format!("{state}{store_request}{clock_requests:?}{unsent_orders:?}{own:?}")
+        let progress = (self.informed_receivers, self.has_led);
+        format!("{state}{store_request}{clock_requests:?}{unsent_orders:?}{progress:?}")
     }
 
-    fn fingerprint_of_store_request(&self, own_now: Duration) -> String {
-        let age = |sent_at: Duration| (own_now - sent_at).as_millis();
+    fn fingerprint_of_store_request(&self, reference: Reference) -> String {
+        let age = |sent_at: Duration| (self.clock(reference.now) - sent_at).as_millis();
         match self.store_request {
             None => "none".into(),
-            Some(StoreRequest::Sent { sent_at }) => format!("sent{}", age(sent_at)),
+            Some(StoreRequest::Sent { sent_at }) => format!("sent {}", age(sent_at)),
             Some(StoreRequest::Handled {
                 sent_at,
                 queue_head,
-            }) => format!("handled{}{queue_head:?}", age(sent_at)),
+            }) => format!("handled {} {queue_head:?}", age(sent_at)),
         }
     }
 
-    fn fingerprint_of_clock_request(
-        &self,
-        receiver: usize,
-        own_now: Duration,
-        now: Duration,
-        incarnations: u64,
-    ) -> String {
-        let ages = |clock: ReceiverClock| {
-            let incarnation_age = incarnations - clock.incarnation;
-            (incarnation_age, time_by_receiver(receiver, now) - clock.now)
-        };
+    fn fingerprint_of_clock_request(&self, receiver: usize, reference: Reference) -> String {
         match self.clock_requests[receiver] {
             ClockRequest::None => "none".into(),
             ClockRequest::Sent => "sent".into(),
-            ClockRequest::Answered(clock) => format!("answered{:?}", ages(clock)),
+            ClockRequest::Answered(clock) => {
+                format!("answered {:?}", reference.receiver_clock(receiver, clock))
+            }
             ClockRequest::Received { clock, received_at } => {
-                format!("received{:?}{:?}", ages(clock), own_now - received_at)
+                let age = self.clock(reference.now) - received_at;
+                let clock = reference.receiver_clock(receiver, clock);
+                format!("received {clock:?} {age:?}")
             }
         }
     }
--- a/crates/model-checker/src/leader_lease/mod.rs
+++ b/crates/model-checker/src/leader_lease/mod.rs
@@ -10,15 +10,23 @@
 //! | `action` | what may happen |
 //! | `situation` | the situations from which it is explored |
 //! | `contender`, `receiver`, `store` | the processes, and what is in flight from and to them |
-//! | `model` | all of them, and their clocks |
+//! | `model` | all of them together |
+//! | `possible_actions` | what may happen next |
+//! | `clocks` | the true time and everybody's clock |
+//! | `settings` | bounds of the model, and settings of the code that decides |
 //! | `factory` | creates the code that decides, with an injected fault if one is wanted |
+//! | `reference` | what fingerprints are relative to |
 //! | `violation` | the properties that may not hold |
 
 mod action;
+mod clocks;
 mod contender;
 mod factory;
 mod model;
+mod possible_actions;
 mod receiver;
+mod reference;
+mod settings;
 mod situation;
 mod store;
 mod violation;
@@ -29,6 +37,25 @@
 pub use violation::LeaseViolation;
 
 use crate::explorer::{ExplorationOf, Limits, explore_after};
+use crate::model::Model;
+
+impl Model for LeaderLeaseModel {
+    type Action = LeaseAction;
+    type Violation = LeaseViolation;
+    type Fingerprint = String;
+
+    fn fingerprint(&self) -> String {
+        self.relative_state()
+    }
+
+    fn actions(&self) -> Vec<LeaseAction> {
+        self.possible_actions()
+    }
+
+    fn apply(&mut self, action: LeaseAction) -> Result<(), LeaseViolation> {
+        self.handle(action)
+    }
+}
 
 /// Explores every order of up to `depth` actions behind a situation.
 pub fn explore(situation: LeaseSituation, depth: usize) -> ExplorationOf<LeaderLeaseModel> {
--- /dev/null
+++ b/crates/model-checker/src/leader_lease/possible_actions.rs
@@ -0,0 +1,115 @@
+//! What may happen next.
+
+use super::action::{LeaseAction, Link};
+use super::contender::{ClockRequest, StoreRequest};
+use super::model::LeaderLeaseModel;
+use super::settings::{CONTENDERS, MAX_ORDERS_IN_FLIGHT, RECEIVER_WITH_DISK, RECEIVERS};
+use asterramp_leader_lease::{LeaseState, OrderPurpose};
+
+impl LeaderLeaseModel {
+    /// All that may happen next.
+    pub(super) fn possible_actions(&self) -> Vec<LeaseAction> {
+        let mut actions = vec![LeaseAction::TimePasses, LeaseAction::LoseAllSessions];
+        for contender in 0..CONTENDERS {
+            actions.extend(self.queue_actions(contender));
+            actions.extend(self.request_actions(contender));
+            actions.extend(self.session_actions(contender));
+            for receiver in 0..RECEIVERS {
+                actions.extend(self.link_actions(Link {
+                    contender,
+                    receiver,
+                }));
+            }
+        }
+        let in_flight = 0..self.orders_in_flight.len();
+        actions.extend(in_flight.map(LeaseAction::DeliverOrder));
+        for receiver in 0..RECEIVERS {
+            actions.push(LeaseAction::RestartReceiver {
+                receiver,
+                has_disk: false,
+            });
+        }
+        actions.push(LeaseAction::RestartReceiver {
+            receiver: RECEIVER_WITH_DISK,
+            has_disk: true,
+        });
+        actions
+    }
+
+    /// What a contender may begin at the store.
+    fn queue_actions(&self, contender: usize) -> Option<LeaseAction> {
+        let model = &self.contenders[contender];
+        let has_session = self.store.sessions[contender].is_some();
+        match (model.is_queued(), model.store_request) {
+            (true, None) => Some(LeaseAction::SendStoreRequest(contender)),
+            (false, _) if !has_session => Some(LeaseAction::JoinQueue(contender)),
+            _ => None,
+        }
+    }
+
+    /// What may become of a contender's request to the store.
+    fn request_actions(&self, contender: usize) -> Vec<LeaseAction> {
+        let breaks = LeaseAction::BreakStoreConnection(contender);
+        match self.contenders[contender].store_request {
+            Some(StoreRequest::Sent { .. }) => {
+                vec![LeaseAction::HandleStoreRequest(contender), breaks]
+            }
+            Some(StoreRequest::Handled { .. }) => {
+                vec![LeaseAction::ReceiveStoreAnswer(contender), breaks]
+            }
+            None => Vec::new(),
+        }
+    }
+
+    /// How a contender's session or process may end.
+    fn session_actions(&self, contender: usize) -> Vec<LeaseAction> {
+        let model = &self.contenders[contender];
+        let is_queued = model.is_queued();
+        let mut actions = Vec::new();
+        match self.store.sessions[contender] {
+            Some(session) => {
+                if self.now >= session.expires_at() {
+                    actions.push(LeaseAction::ExpireSession(contender));
+                }
+                if model.state() == LeaseState::Leader {
+                    actions.push(LeaseAction::Resign(contender));
+                }
+            }
+            None if is_queued => actions.push(LeaseAction::LearnOfExpiry(contender)),
+            None => {}
+        }
+        if is_queued {
+            actions.push(LeaseAction::RestartContender(contender));
+        }
+        actions
+    }
+
+    /// What a contender and a receiver may do next to bring an order from one to the other.
+    fn link_actions(&self, link: Link) -> impl Iterator<Item = LeaseAction> {
+        let model = &self.contenders[link.contender];
+        let state = model.state();
+        let has_unsent_order = model.unsent_orders[link.receiver].is_some();
+        let may_order = matches!(state, LeaseState::Leader | LeaseState::AwaitingPredecessor);
+        let next = match model.clock_requests[link.receiver] {
+            ClockRequest::None => may_order.then_some(LeaseAction::RequestClock(link)),
+            ClockRequest::Sent => Some(LeaseAction::ReadClock(link)),
+            ClockRequest::Answered(_) => Some(LeaseAction::ReceiveClock(link)),
+            ClockRequest::Received { .. } if has_unsent_order => None,
+            ClockRequest::Received { .. } => {
+                Some(LeaseAction::CreateOrder(link, purpose_in(state)))
+            }
+        };
+        let may_send = has_unsent_order && self.orders_in_flight.len() < MAX_ORDERS_IN_FLIGHT;
+        let send = may_send.then_some(LeaseAction::SendOrder(link));
+        next.into_iter().chain(send)
+    }
+}
+
+/// What a contender's order is for. One that neither leads nor waits tries to give commands all the same.
+fn purpose_in(state: LeaseState) -> OrderPurpose {
+    if state == LeaseState::AwaitingPredecessor {
+        OrderPurpose::AnnounceTerm
+    } else {
+        OrderPurpose::Command
+    }
+}
--- a/crates/model-checker/src/leader_lease/receiver.rs
+++ b/crates/model-checker/src/leader_lease/receiver.rs
@@ -1,25 +1,11 @@
-//! A receiver of orders, and the orders in flight to receivers.
+//! A receiver of orders, and the orders in flight to receivers. All times that are passed in are true ones.
 
+use super::clocks::time_by_receiver;
+use super::reference::Reference;
 use super::violation::LeaseViolation;
-use asterramp_leader_lease::{FencingGuard, FencingToken, ReceiverClock, Term};
+use asterramp_leader_lease::{FencingGuard, FencingToken, NO_TERM, ReceiverClock, Term};
 use std::time::Duration;
 
-/// How far each receiver's clock is ahead of the truth.
-const CLOCK_AHEAD: [Duration; RECEIVERS] = [Duration::from_secs(86_400), Duration::ZERO];
-/// How far each receiver's clock is behind the truth.
-const CLOCK_BEHIND: [Duration; RECEIVERS] = [Duration::ZERO, Duration::from_secs(500)];
-pub(super) const RECEIVERS: usize = 2;
-
-/// The time by a receiver's clock.
-pub(super) fn time_by_receiver(receiver: usize, now: Duration) -> Duration {
-    now + CLOCK_AHEAD[receiver] - CLOCK_BEHIND[receiver]
-}
-
-/// The true time at which a receiver's clock shows `time`.
-pub(super) fn true_time(receiver: usize, time: Duration) -> Duration {
-    (time + CLOCK_BEHIND[receiver]).saturating_sub(CLOCK_AHEAD[receiver])
-}
-
 /// An order in flight, which may arrive any number of times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct OrderInFlight {
@@ -47,27 +33,13 @@
         }
     }
 
-    /// Equal for orders that count alike from `now` on.
-    pub(super) fn fingerprint(&self, now: Duration, incarnations: u64) -> String {
-        let token = fingerprint_of_token(self.receiver, &self.token(), now, incarnations);
-        format!("{}{token}", self.receiver)
+    /// Equal for orders that count alike.
+    pub(super) fn fingerprint(&self, reference: Reference) -> String {
+        let token = reference.token(self.receiver, self.token());
+        format!("{}{token:?}", self.receiver)
     }
 }
 
-/// Equal for tokens that count alike from `now` on; `incarnations` is the number of receivers' processes so far.
-pub(super) fn fingerprint_of_token(
-    receiver: usize,
-    token: &FencingToken,
-    now: Duration,
-    incarnations: u64,
-) -> String {
-    let remaining = token
-        .expires_at
-        .saturating_sub(time_by_receiver(receiver, now));
-    let age = incarnations - token.incarnation;
-    format!("{:?}", (token.term, age, remaining.as_millis()))
-}
-
 #[derive(Clone, Debug)]
 pub(super) struct ReceiverModel {
     number: usize,
@@ -83,8 +55,8 @@
         ReceiverModel {
             number,
             guard,
-            kept_term: 0,
-            accepted_term: 0,
+            kept_term: NO_TERM,
+            accepted_term: NO_TERM,
         }
     }
 
@@ -139,10 +111,10 @@
         Ok(())
     }
 
-    /// Equal for receivers that behave alike; `incarnations` is the number of receivers' processes so far.
-    pub(super) fn fingerprint(&self, incarnations: u64) -> String {
+    /// Equal for receivers that behave alike.
+    pub(super) fn fingerprint(&self, reference: Reference) -> String {
         let incarnation = self.guard.clock(Duration::ZERO).incarnation;
         let terms = (self.kept_term, self.accepted_term);
-        format!("{terms:?}{}", incarnations - incarnation)
+        format!("{terms:?}{}", reference.later_incarnations(incarnation))
     }
 }
--- a/crates/model-checker/src/leader_lease/situation.rs
+++ b/crates/model-checker/src/leader_lease/situation.rs
@@ -1,7 +1,7 @@
 //! Situations that are too far from the start for an exploration to reach them within its depth.
 
 use super::action::{LeaseAction, Link};
-use super::model::CONTENDERS;
+use super::settings::CONTENDERS;
 use asterramp_leader_lease::OrderPurpose;
 
 /// The contender that leads first, and the one that follows it.
--- a/crates/model-checker/src/leader_lease/store.rs
+++ b/crates/model-checker/src/leader_lease/store.rs
@@ -1,6 +1,7 @@
-//! The coordination store: its sessions, which are its queue too.
+//! The coordination store: its sessions, which are its queue too. All times are true ones.
 
-use super::model::{CONTENDERS, SETTINGS};
+use super::reference::Reference;
+use super::settings::{CONTENDERS, SETTINGS};
 use asterramp_leader_lease::Term;
 use std::time::Duration;
 
@@ -72,11 +73,11 @@
         }
     }
 
-    /// Equal for stores that behave alike from `now` on.
-    pub(super) fn fingerprint(&self, now: Duration) -> String {
+    /// Equal for stores that behave alike.
+    pub(super) fn fingerprint(&self, reference: Reference) -> String {
         let sessions = self.sessions.map(|session| {
             let session = session?;
-            let age = now.saturating_sub(session.renewed_at).as_millis();
+            let age = reference.now.saturating_sub(session.renewed_at).as_millis();
             Some((session.term, age))
         });
         format!("{sessions:?}{}{:?}", self.revision, self.lost)
--- a/crates/model-checker/src/zone_failover/mod.rs
+++ b/crates/model-checker/src/zone_failover/mod.rs
@@ -7,10 +7,14 @@
 //! | --- | --- |
 //! | `action` | what may happen, and the situations from which it is explored |
 //! | `model` | the servers, and what a proxy has observed of them |
+//! | `liveness` | what must come of every state if it is left alone |
+//! | `settings` | bounds of the model, and settings of the code that decides |
 //! | `violation` | the properties that may not hold |
 
 mod action;
+mod liveness;
 mod model;
+mod settings;
 mod violation;
 
 pub use action::{ZoneAction, ZoneSituation};
@@ -18,6 +22,30 @@
 pub use violation::ZoneViolation;
 
 use crate::explorer::{ExplorationOf, Limits, explore_after};
+use crate::model::Model;
+
+impl Model for ZoneFailoverModel {
+    type Action = ZoneAction;
+    type Violation = ZoneViolation;
+    type Fingerprint = String;
+
+    fn fingerprint(&self) -> String {
+        self.relative_state()
+    }
+
+    fn actions(&self) -> Vec<ZoneAction> {
+        self.possible_actions()
+    }
+
+    fn apply(&mut self, action: ZoneAction) -> Result<(), ZoneViolation> {
+        self.handle(action)
+    }
+
+    fn check(&self) -> Result<(), ZoneViolation> {
+        liveness::check_recovery(self)?;
+        liveness::check_loss_is_noticed(self)
+    }
+}
 
 /// Explores every order of up to `depth` actions behind a situation.
 pub fn explore(situation: ZoneSituation, depth: usize) -> ExplorationOf<ZoneFailoverModel> {
--- a/crates/model-checker/src/zone_failover/model.rs
+++ b/crates/model-checker/src/zone_failover/model.rs
@@ -1,42 +1,13 @@
 //! The servers of three zones, and what a proxy has observed of them.
 
 use super::action::ZoneAction;
+use super::settings::{SERVERS, SETTINGS, START, TICK, ZONE_OF_SERVER, ZONES, servers_of};
 use super::violation::ZoneViolation;
-use crate::model::Model;
 #[cfg(feature = "injected-faults")]
 use asterramp_zone_failover::InjectedFault;
-use asterramp_zone_failover::{
-    ServerId, ServerState, ZoneEffect, ZoneFailover, ZoneFailoverSettings, ZoneId, ZoneState,
-};
+use asterramp_zone_failover::{ServerId, ServerState, ZoneEffect, ZoneFailover, ZoneId, ZoneState};
 use std::time::Duration;
 
-/// Round figures, so that different orders of actions lead to equal states.
-const SETTINGS: ZoneFailoverSettings = ZoneFailoverSettings {
-    suspicion_timeout: Duration::from_millis(2_000),
-    probe_interval: Duration::from_millis(1_000),
-    hold_down: Duration::from_millis(2_000),
-    hold_down_max: Duration::from_millis(4_000),
-    recovery_ramp: Duration::from_millis(3_000),
-    discovery_delay: Duration::from_millis(2_000),
-    in_flight_timeout: Duration::ZERO,
-    probing_allowed: true,
-};
-/// The clock at the beginning.
-const START: Duration = Duration::from_secs(1_000);
-/// By how much the clock goes on at once.
-const TICK: Duration = Duration::from_millis(500);
-/// Ticks until all is as before, once every server responds: the longest hold-down, probes, and a recovery ramp.
-const TICKS_TO_RECOVER: u32 = 24;
-
-const ZONES: usize = 3;
-const SERVERS: usize = 8;
-/// The zone of each server.
-const ZONE_OF_SERVER: [ZoneId; SERVERS] = [0, 0, 0, 1, 1, 1, 2, 2];
-/// The zone that is cut off to see whether this is noticed, and the servers that the proxy contacts then: its own, and one
-/// of another zone.
-const ZONE_CUT_OFF: ZoneId = 0;
-const CONTACTED_SERVERS: [ServerId; 4] = [0, 1, 2, 3];
-
 /// Servers that must have failed before their zone is closed, or all of them if it has fewer.
 const MIN_FAILURE_SIGNS: u8 = 3;
 /// A zone that is lost within this time of an earlier loss must be held down.
@@ -49,16 +20,16 @@
 
 /// One server.
 #[derive(Clone, Copy, Debug)]
-struct ServerModel {
-    responds: bool,
+pub(super) struct ServerModel {
+    pub(super) responds: bool,
     /// Whether it is one of its zone's failure signs.
     has_failed: bool,
 }
 
 /// What the proxy has observed of one zone, and what was decided of it.
 #[derive(Clone, Copy, Debug)]
-struct ZoneModel {
-    is_listed: bool,
+pub(super) struct ZoneModel {
+    pub(super) is_listed: bool,
     /// Servers that failed since its last response.
     failure_signs: u8,
     last_response: Duration,
@@ -76,8 +47,8 @@
 pub struct ZoneFailoverModel {
     failover: ZoneFailover,
     now: Duration,
-    servers: [ServerModel; SERVERS],
-    zones: [ZoneModel; ZONES],
+    pub(super) servers: [ServerModel; SERVERS],
+    pub(super) zones: [ZoneModel; ZONES],
     /// Probes that the present action has led to.
     probes: usize,
     /// The first violation of the present action.
@@ -134,7 +105,7 @@
     }
 
     /// Lets an action happen, without any check but those of the effects.
-    fn perform(&mut self, action: ZoneAction) {
+    pub(super) fn perform(&mut self, action: ZoneAction) {
         self.probes = 0;
         match action {
             ZoneAction::Contact(server) => self.contact(server),
@@ -172,7 +143,7 @@
     }
 
     /// The proxy sends something to a server, and observes whether it responds.
-    fn contact(&mut self, server: ServerId) {
+    pub(super) fn contact(&mut self, server: ServerId) {
         if self.servers[server as usize].responds {
             self.observe_response(server as usize);
             self.failover.server_responded(self.now, server);
@@ -224,7 +195,7 @@
     fn set_share(&mut self, zone_id: ZoneId, share: f64) {
         let zone = &mut self.zones[usize::from(zone_id)];
         let before = std::mem::replace(&mut zone.share, share);
-        let state = self.failover.zones()[usize::from(zone_id)].state;
+        let state = self.zone_state(usize::from(zone_id));
         if share <= 0.0 {
             self.close(zone_id);
         } else if before <= 0.0 {
@@ -291,7 +262,7 @@
         self.violation.get_or_insert(violation);
     }
 
-    fn state_of(&self, zone: usize) -> ZoneState {
+    pub(super) fn zone_state(&self, zone: usize) -> ZoneState {
         self.failover.zones()[zone].state
     }
 
@@ -299,11 +270,11 @@
     fn check_zones(&self) -> Result<(), ZoneViolation> {
         let mut listed = (0..ZONES).filter(|zone| self.zones[*zone].is_listed);
         let any_listed = self.zones.iter().any(|zone| zone.is_listed);
-        if any_listed && listed.all(|zone| self.state_of(zone).is_closed()) {
+        if any_listed && listed.all(|zone| self.zone_state(zone).is_closed()) {
             return Err(ZoneViolation::AllZonesClosed);
         }
         for (zone, model) in self.zones.iter().enumerate() {
-            if self.state_of(zone) == ZoneState::Healthy && model.share < 1.0 {
+            if self.zone_state(zone) == ZoneState::Healthy && model.share < 1.0 {
                 return Err(ZoneViolation::HealthyWithoutShare {
                     zone: zone as ZoneId,
                     share: model.share,
@@ -313,88 +284,15 @@
         Ok(())
     }
 
-    fn list_all_zones(&mut self) {
-        for zone in 0..ZONES {
-            if !self.zones[zone].is_listed {
-                self.perform(ZoneAction::ToggleListing(zone as ZoneId));
-            }
-        }
-    }
-
-    fn let_time_pass(&mut self) {
-        for _ in 0..TICKS_TO_RECOVER {
-            self.perform(ZoneAction::TimePasses);
-        }
-    }
-
-    /// If all servers are up and nothing else happens, every zone becomes healthy.
-    fn check_recovery(&self) -> Result<(), ZoneViolation> {
-        let mut model = self.clone();
-        for server in &mut model.servers {
-            server.responds = true;
-        }
-        model.list_all_zones();
-        model.let_time_pass();
-        for zone in 0..ZONES {
-            let state = model.state_of(zone);
-            if state != ZoneState::Healthy {
-                return Err(ZoneViolation::NeverHealthy {
-                    zone: zone as ZoneId,
-                    state: state.name(),
-                });
-            }
-        }
-        Ok(())
-    }
-
-    /// If a zone is cut off for good while the others respond, it is closed, by one contact of each server and by probes.
-    fn check_loss_is_noticed(&self) -> Result<(), ZoneViolation> {
-        let mut model = self.clone();
-        model.list_all_zones();
-        for (server, zone) in ZONE_OF_SERVER.into_iter().enumerate() {
-            model.servers[server].responds = zone != ZONE_CUT_OFF;
-        }
-        // The zone may be held down, or just be opened again.
-        model.let_time_pass();
-        for server in CONTACTED_SERVERS {
-            model.contact(server);
-        }
-        let state = model.state_of(usize::from(ZONE_CUT_OFF));
-        if state.is_closed() {
-            return Ok(());
-        }
-        Err(ZoneViolation::LossUnnoticed {
-            zone: ZONE_CUT_OFF,
-            state: state.name(),
-        })
-    }
-}
-
-fn servers_of(zone: ZoneId) -> impl Iterator<Item = usize> {
-    (0..SERVERS).filter(move |server| ZONE_OF_SERVER[*server] == zone)
-}
-
-impl Model for ZoneFailoverModel {
-    type Action = ZoneAction;
-    type Violation = ZoneViolation;
-    type Fingerprint = String;
-
-    fn fingerprint(&self) -> String {
-        let age = |at: Duration| (self.now - at).as_millis();
-        let zones = self.zones.map(|zone| {
-            let observed = (zone.is_listed, zone.failure_signs);
-            let decided = (zone.share, zone.losses, zone.closed_at.map(age));
-            let ages = (age(zone.last_response), age(zone.first_failure));
-            (observed, decided, ages)
-        });
-        let servers = self
-            .servers
-            .map(|server| (server.responds, server.has_failed));
-        let decisions = self.failover.state_key(self.now);
-        format!("{decisions}{zones:?}{servers:?}")
+    /// Lets an action happen, and checks what must hold then.
+    pub(super) fn handle(&mut self, action: ZoneAction) -> Result<(), ZoneViolation> {
+        self.perform(action);
+        self.check_zones()?;
+        self.violation.take().map_or(Ok(()), Err)
     }
 
-    fn actions(&self) -> Vec<ZoneAction> {
+    /// All that may happen next.
+    pub(super) fn possible_actions(&self) -> Vec<ZoneAction> {
         let is_listed = |server: &usize| self.zones[usize::from(ZONE_OF_SERVER[*server])].is_listed;
         let listed_servers = (0..SERVERS).filter(is_listed);
         let contacts = listed_servers.map(|server| ZoneAction::Contact(server as ServerId));
@@ -409,14 +307,19 @@
         contacts.chain(of_zones).chain(others).collect()
     }
 
-    fn apply(&mut self, action: ZoneAction) -> Result<(), ZoneViolation> {
-        self.perform(action);
-        self.check_zones()?;
-        self.violation.take().map_or(Ok(()), Err)
-    }
-
-    fn check(&self) -> Result<(), ZoneViolation> {
-        self.check_recovery()?;
-        self.check_loss_is_noticed()
+    /// Equal for models that behave alike.
+    pub(super) fn relative_state(&self) -> String {
+        let age = |at: Duration| (self.now - at).as_millis();
+        let zones = self.zones.map(|zone| {
+            let observed = (zone.is_listed, zone.failure_signs);
+            let decided = (zone.share, zone.losses, zone.closed_at.map(age));
+            let ages = (age(zone.last_response), age(zone.first_failure));
+            (observed, decided, ages)
+        });
+        let servers = self
+            .servers
+            .map(|server| (server.responds, server.has_failed));
+        let decisions = self.failover.state_key(self.now);
+        format!("{decisions}{zones:?}{servers:?}")
     }
 }
