--- a/crates/model-checker/src/explorer.rs
+++ b/crates/model-checker/src/explorer.rs
@@ -26,14 +26,6 @@
 }
 
 impl Limits {
-    /// No limit but the number of actions.
-    pub fn to_depth(depth: usize) -> Limits {
-        Limits {
-            depth,
-            ..Limits::NONE
-        }
-    }
-
     /// No limit, for a model with few states.
     pub const NONE: Limits = Limits {
         states: u64::MAX,
@@ -41,6 +33,14 @@
         depth: usize::MAX,
         time: Duration::MAX,
     };
+
+    /// No limit but the number of actions.
+    pub fn to_depth(depth: usize) -> Limits {
+        Limits {
+            depth,
+            ..Limits::NONE
+        }
+    }
 }
 
 impl Default for Limits {
@@ -79,7 +79,7 @@
     pub is_truncated: bool,
     /// States of the last level, if it was not expanded for a limit.
     pub unexpanded: u64,
-    /// The first violation, if there is one.
+    /// The first violation, if there is one. What one batch of states leads to is seen to its end all the same.
     pub counterexample: Option<Counterexample<A, V>>,
 }
 
--- a/crates/model-checker/src/placement_model.rs
+++ b/crates/model-checker/src/placement_model.rs
@@ -7,11 +7,11 @@
 use crate::step::{Move, Step};
 use crate::world::World;
 
-/// Random ranges that are explored of an action that places sessions several times over.
+/// Ranges of random numbers that are explored of an arrival, whose placement is drawn among all servers.
 const RANGES_OF_ARRIVAL: u8 = 4;
-/// Random ranges that are explored of an action that may place a session.
+/// Ranges that are explored of other actions by which a session may be placed.
 const RANGES_OF_PLACEMENT: u8 = 2;
-/// Random ranges that are explored of an action that places no session.
+/// Ranges that are explored of actions that place no session.
 const RANGES_WITHOUT_PLACEMENT: u8 = 1;
 
 /// A violation of the placement model, with a shortest way to it.
@@ -37,7 +37,7 @@
     }
 }
 
-/// How many ranges of random numbers an action is explored with: more where a placement is drawn.
+/// How many ranges of random numbers an action is explored with.
 fn random_ranges(step: Step) -> u8 {
     match step {
         Step::Arrives(_) => RANGES_OF_ARRIVAL,
--- a/crates/model-checker/src/zone_failover/model.rs
+++ b/crates/model-checker/src/zone_failover/model.rs
@@ -302,7 +302,7 @@
                 ZoneAction::ToggleListing(zone),
             ]
         });
-        // One server is as good as another of its zone.
+        // Only one server fails alone, which stands for the others of its zone.
         let others = [ZoneAction::ToggleServer(0), ZoneAction::TimePasses];
         contacts.chain(of_zones).chain(others).collect()
     }
