--- /dev/null
+++ b/crates/model-checker/src/action_text.rs
@@ -0,0 +1,160 @@
+//! The lines of a trace: a [`Choice`] as text, and back.
+
+use crate::action::{Action, Choice, EndpointChange, ProbeResult, ServerMessage};
+use std::fmt;
+use std::str::FromStr;
+
+/// What stands before the number of a random range other than the first.
+const RANDOM_RANGE_MARK: &str = " ~";
+
+const SERVER_MESSAGES: [(ServerMessage, &str); 4] = [
+    (ServerMessage::Up, "up"),
+    (ServerMessage::Busy, "busy"),
+    (ServerMessage::Err, "err"),
+    (ServerMessage::Move, "move"),
+];
+
+const PROBE_RESULTS: [(ProbeResult, &str); 4] = [
+    (ProbeResult::LightLoad, "ok"),
+    (ProbeResult::Overload, "full"),
+    (ProbeResult::TimedOut, "silent"),
+    (ProbeResult::Refused, "refused"),
+];
+
+const ENDPOINT_CHANGES: [(EndpointChange, &str); 5] = [
+    (EndpointChange::Ready, "ready"),
+    (EndpointChange::Draining, "draining"),
+    (EndpointChange::Gone, "gone"),
+    (EndpointChange::Restarted, "restarted"),
+    (EndpointChange::Replaced, "replaced"),
+];
+
+/// A line that is no action of a trace.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{text:?} is no step")]
+pub struct ParseChoiceError {
+    /// The line, without its number.
+    pub text: String,
+}
+
+/// The word for a value, which each of these tables has for all its values.
+fn word_for<T: PartialEq>(table: &[(T, &'static str)], value: T) -> &'static str {
+    let entry = table.iter().find(|(candidate, _)| *candidate == value);
+    entry.map_or("?", |(_, word)| word)
+}
+
+fn value_of<T: Copy>(table: &[(T, &'static str)], word: &str) -> Option<T> {
+    let entry = table.iter().find(|(_, candidate)| *candidate == word);
+    entry.map(|(value, _)| *value)
+}
+
+impl fmt::Display for Action {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match *self {
+            Action::SessionArrives(s) => write!(f, "session {s} arrives"),
+            Action::DialConnected(s) => write!(f, "session {s} dial connected"),
+            Action::DialRefused(s) => write!(f, "session {s} dial refused"),
+            Action::DialWithoutSocket(s) => write!(f, "session {s} dial without socket"),
+            Action::RequestWritten(s) => write!(f, "session {s} line written"),
+            Action::ServerAnswers(s, message) => {
+                let word = word_for(&SERVER_MESSAGES, message);
+                write!(f, "session {s} host says {word}")
+            }
+            Action::ServerCloses(s) => write!(f, "session {s} host ends"),
+            Action::ClientLeaves(s) => write!(f, "session {s} client leaves"),
+            Action::ClientSpeaks(s) => write!(f, "session {s} client speaks"),
+            Action::ClientLeavesUnnoticed(s) => write!(f, "session {s} client leaves unseen"),
+            Action::StaleEvent(s) => write!(f, "session {s} closed connection wakes"),
+            Action::EndpointChanges(server, change) => {
+                let word = word_for(&ENDPOINT_CHANGES, change);
+                write!(f, "host {server} told {word}")
+            }
+            Action::ProbeEnds(server, result) => {
+                let word = word_for(&PROBE_RESULTS, result);
+                write!(f, "host {server} probe {word}")
+            }
+            Action::NextDeadline => f.write_str("next deadline"),
+            Action::Sigterm => f.write_str("SIGTERM"),
+            Action::OperatorDrains => f.write_str("operator drains"),
+            Action::OperatorUndrains => f.write_str("operator undrains"),
+        }
+    }
+}
+
+impl fmt::Display for Choice {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.action.fmt(f)?;
+        if self.random_range == 0 {
+            return Ok(());
+        }
+        write!(f, "{RANDOM_RANGE_MARK}{}", self.random_range)
+    }
+}
+
+impl FromStr for Choice {
+    type Err = ParseChoiceError;
+
+    fn from_str(text: &str) -> Result<Choice, ParseChoiceError> {
+        parse_choice(text).ok_or_else(|| ParseChoiceError {
+            text: text.to_owned(),
+        })
+    }
+}
+
+fn parse_choice(text: &str) -> Option<Choice> {
+    let (action, random_range) = match text.split_once(RANDOM_RANGE_MARK) {
+        Some((action, range)) => (action, range.parse().ok()?),
+        None => (text, 0),
+    };
+    Some(Choice {
+        action: parse_action(action)?,
+        random_range,
+    })
+}
+
+fn parse_action(text: &str) -> Option<Action> {
+    let words: Vec<&str> = text.split(' ').collect();
+    match words[..] {
+        ["next", "deadline"] => Some(Action::NextDeadline),
+        ["SIGTERM"] => Some(Action::Sigterm),
+        ["operator", "drains"] => Some(Action::OperatorDrains),
+        ["operator", "undrains"] => Some(Action::OperatorUndrains),
+        ["session", session, ref event @ ..] => parse_session_action(session.parse().ok()?, event),
+        ["host", server, ref event @ ..] => parse_server_action(server.parse().ok()?, event),
+        _ => None,
+    }
+}
+
+fn parse_session_action(session: u8, event: &[&str]) -> Option<Action> {
+    match *event {
+        ["arrives"] => Some(Action::SessionArrives(session)),
+        ["dial", "connected"] => Some(Action::DialConnected(session)),
+        ["dial", "refused"] => Some(Action::DialRefused(session)),
+        ["dial", "without", "socket"] => Some(Action::DialWithoutSocket(session)),
+        ["line", "written"] => Some(Action::RequestWritten(session)),
+        ["host", "says", word] => {
+            let message = value_of(&SERVER_MESSAGES, word)?;
+            Some(Action::ServerAnswers(session, message))
+        }
+        ["host", "ends"] => Some(Action::ServerCloses(session)),
+        ["client", "leaves"] => Some(Action::ClientLeaves(session)),
+        ["client", "speaks"] => Some(Action::ClientSpeaks(session)),
+        ["client", "leaves", "unseen"] => Some(Action::ClientLeavesUnnoticed(session)),
+        ["closed", "connection", "wakes"] => Some(Action::StaleEvent(session)),
+        _ => None,
+    }
+}
+
+fn parse_server_action(server: u8, event: &[&str]) -> Option<Action> {
+    match *event {
+        ["told", word] => {
+            let change = value_of(&ENDPOINT_CHANGES, word)?;
+            Some(Action::EndpointChanges(server, change))
+        }
+        ["probe", word] => {
+            let result = value_of(&PROBE_RESULTS, word)?;
+            Some(Action::ProbeEnds(server, result))
+        }
+        _ => None,
+    }
+}
--- /dev/null
+++ b/crates/model-checker/src/commands/injected_faults.rs
@@ -0,0 +1,118 @@
+//! `injected-faults`: injects each known fault and looks for it.
+
+#[cfg(feature = "injected-faults")]
+pub(super) use with_feature::{find, inject_by_name};
+#[cfg(not(feature = "injected-faults"))]
+pub(super) use without_feature::{find, inject_by_name};
+
+#[cfg(not(feature = "injected-faults"))]
+mod without_feature {
+    use crate::commands::CommandError;
+    use crate::report::Verdict;
+
+    pub(in crate::commands) fn find(_: Option<&str>) -> Result<Verdict, CommandError> {
+        Err(CommandError::NoFaultsBuilt)
+    }
+
+    pub(in crate::commands) fn inject_by_name(name: &str) -> Result<(), CommandError> {
+        Err(CommandError::FaultNotBuilt {
+            name: name.to_owned(),
+        })
+    }
+}
+
+#[cfg(feature = "injected-faults")]
+mod with_feature {
+    use crate::commands::CommandError;
+    use crate::report::Verdict;
+    use asterramp_model_checker::explore::{Limits, PlacementCounterexample, explore};
+    use asterramp_model_checker::shape::{SHAPES, Shape};
+    use asterramp_model_checker::trace::Trace;
+    use asterramp_proxy::injected_fault::{InjectedFault, inject};
+    use std::time::Duration;
+
+    /// States of a shape after which a fault counts as not found in it.
+    const MAX_STATES: u64 = 2_000_000;
+    /// Time for a shape after which a fault counts as not found in it.
+    const MAX_TIME: Duration = Duration::from_secs(60);
+
+    /// A search for one fault through the quick shapes.
+    #[derive(Default)]
+    struct FaultSearch {
+        states: u64,
+        elapsed: Duration,
+        found: Option<(&'static Shape, PlacementCounterexample)>,
+    }
+
+    /// Searches for all faults, or for the one of that name, and prints how each was found.
+    pub(in crate::commands) fn find(name: Option<&str>) -> Result<Verdict, CommandError> {
+        let named = name.and_then(InjectedFault::from_name);
+        let mut verdict = Verdict::Holds;
+        for fault in InjectedFault::ALL {
+            if name.is_some() && named != Some(fault) {
+                continue;
+            }
+            inject(Some(fault));
+            let search = FaultSearch::through_quick_shapes();
+            search.print(fault, name.is_some());
+            if search.found.is_none() {
+                verdict = Verdict::Broken;
+            }
+        }
+        inject(None);
+        Ok(verdict)
+    }
+
+    /// Injects the fault that a trace names.
+    pub(in crate::commands) fn inject_by_name(name: &str) -> Result<(), CommandError> {
+        let fault = InjectedFault::from_name(name).ok_or_else(|| CommandError::UnknownFault {
+            name: name.to_owned(),
+        })?;
+        inject(Some(fault));
+        Ok(())
+    }
+
+    impl FaultSearch {
+        /// Explores the quick shapes, up to the first in which a property does not hold.
+        fn through_quick_shapes() -> FaultSearch {
+            let limits = Limits {
+                states: MAX_STATES,
+                time: MAX_TIME,
+                ..Limits::default()
+            };
+            let mut search = FaultSearch::default();
+            for shape in SHAPES.iter().filter(|shape| shape.quick) {
+                let exploration = explore(shape, limits);
+                search.elapsed += exploration.elapsed;
+                search.states += exploration.states;
+                if let Some(counterexample) = exploration.counterexample {
+                    search.found = Some((shape, counterexample));
+                    break;
+                }
+            }
+            search
+        }
+
+        fn print(&self, fault: InjectedFault, with_trace: bool) {
+            let name = format!("{fault:?}");
+            let seconds = self.elapsed.as_secs_f64();
+            let cost = format!("{:>8} states, {seconds:>5.1} s", self.states);
+            let Some((shape, found)) = &self.found else {
+                println!("{name:<22} MISSED, {cost}");
+                return;
+            };
+            let steps = found.actions.len();
+            let violation = &found.violation;
+            println!(
+                "{name:<22} {steps:>2} steps, {cost}, {}: {violation}",
+                shape.name
+            );
+            if with_trace {
+                println!(
+                    "{}",
+                    Trace::new(shape, Some(name), violation, &found.actions)
+                );
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/model-checker/src/commands/mod.rs
@@ -0,0 +1,39 @@
+//! The commands, a function each.
+
+mod error;
+mod injected_faults;
+mod models;
+mod replay;
+mod run;
+mod walk;
+
+use crate::cli::Command;
+use crate::report::Verdict;
+use asterramp_model_checker::trace::Trace;
+pub(crate) use error::CommandError;
+use std::path::Path;
+
+/// Runs a command and prints what it has to say.
+pub(crate) fn run(command: Command) -> Result<Verdict, CommandError> {
+    match command {
+        Command::Run(args) => run::run(&args),
+        Command::InjectedFaults { fault } => injected_faults::find(fault.as_deref()),
+        Command::HotRestart => Ok(models::hot_restart()),
+        Command::ZoneFailover { depth } => Ok(models::zone_failover(depth.into())),
+        Command::WarmStart { depth } => Ok(models::warm_start(depth.into())),
+        Command::LeaderLease { depth } => Ok(models::leader_lease(depth.into())),
+        Command::Walk(args) => walk::walk(&args),
+        Command::Replay { file, as_test } => replay::replay(&file, as_test),
+    }
+}
+
+/// Prints a counterexample and saves it in a file.
+fn save_counterexample(trace: &Trace, file: &Path) -> Result<Verdict, CommandError> {
+    println!("{trace}");
+    std::fs::write(file, trace.to_string()).map_err(|source| CommandError::File {
+        path: file.to_owned(),
+        source,
+    })?;
+    println!("saved as {}", file.display());
+    Ok(Verdict::Broken)
+}
--- /dev/null
+++ b/crates/model-checker/src/commands/run.rs
@@ -0,0 +1,44 @@
+//! `run`: explores shapes.
+
+use super::{CommandError, save_counterexample};
+use crate::cli::RunArgs;
+use crate::report::{Verdict, shape_line};
+use asterramp_model_checker::explore::{Limits, explore};
+use asterramp_model_checker::shape::{SHAPES, Shape};
+use asterramp_model_checker::trace::Trace;
+use std::time::Duration;
+
+/// Explores the shapes that are asked for, up to the first violation.
+pub(super) fn run(args: &RunArgs) -> Result<Verdict, CommandError> {
+    let limits = Limits {
+        states: args.states,
+        time: Duration::from_secs(args.seconds),
+        ..Limits::default()
+    };
+    let mut verdict = Verdict::Holds;
+    for shape in selected_shapes(args)? {
+        let exploration = explore(shape, limits);
+        println!("{}", shape_line(shape, &exploration));
+        if let Some(found) = &exploration.counterexample {
+            let trace = Trace::new(shape, None, &found.violation, &found.actions);
+            return save_counterexample(&trace, &args.save);
+        }
+        if exploration.is_truncated {
+            verdict = Verdict::Truncated;
+        }
+    }
+    Ok(verdict)
+}
+
+/// The named shape, the quick ones or all. The shape of random walks may be named, but is not among them.
+fn selected_shapes(args: &RunArgs) -> Result<Vec<&'static Shape>, CommandError> {
+    let Some(name) = &args.shape else {
+        let shapes = SHAPES.iter();
+        return Ok(shapes.filter(|shape| shape.quick || !args.quick).collect());
+    };
+    if Shape::find(name).is_none() {
+        return Err(CommandError::UnknownShape { name: name.clone() });
+    }
+    let shapes = SHAPES.iter();
+    Ok(shapes.filter(|shape| shape.name == name).collect())
+}
--- a/crates/model-checker/src/explore.rs
+++ b/crates/model-checker/src/explore.rs
@@ -1,8 +1,8 @@
-//! Breadth first over all worlds that steps can reach, so that the trace to a breach is the shortest.
+//! Breadth first over all worlds that steps can reach, so that the trace to a violation is the shortest.
 
-use crate::properties::Breach;
+use crate::action::{Action, Choice};
+use crate::properties::Violation;
 use crate::shape::Shape;
-use crate::step::{Move, Step};
 use crate::world::World;
 use rayon::prelude::*;
 use std::collections::HashSet;
@@ -11,23 +11,23 @@
 use std::time::{Duration, Instant};
 
 #[derive(Clone, Debug)]
-pub struct Found {
-    pub breach: Breach,
-    pub moves: Vec<Move>,
+pub struct PlacementCounterexample {
+    pub violation: Violation,
+    pub actions: Vec<Choice>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Explored {
+pub struct PlacementExploration {
     pub states: u64,
     /// Steps made, those that led to states already known among them.
     pub steps: u64,
     pub depth: usize,
-    pub took: Duration,
+    pub elapsed: Duration,
     /// States at the edge of the bounds that were not gone on from: their number, for what limit.
-    pub left_out: u64,
-    pub found: Option<Found>,
+    pub unexpanded: u64,
+    pub counterexample: Option<PlacementCounterexample>,
     /// Stopped at a limit before all was seen.
-    pub stopped: bool,
+    pub is_truncated: bool,
 }
 
 /// Where to stop, whatever is left.
@@ -56,7 +56,7 @@
 const SHARDS: usize = 256;
 
 /// Whose state a world was reached from, by its place in the level before.
-type Parent = (u32, Move);
+type Parent = (u32, Choice);
 
 struct Visited(Vec<Mutex<HashSet<u128>>>);
 
@@ -75,38 +75,39 @@
 }
 
 /// Chances that a step is played with: more where a placement is drawn anew.
-fn chances(step: Step) -> u8 {
+fn chances(step: Action) -> u8 {
     match step {
-        Step::Arrives(_) => 4,
-        Step::Connected(_)
-        | Step::Written(_)
-        | Step::Sigterm
-        | Step::Leaves(_)
-        | Step::Speaks(_) => 1,
+        Action::SessionArrives(_) => 4,
+        Action::DialConnected(_)
+        | Action::RequestWritten(_)
+        | Action::Sigterm
+        | Action::ClientLeaves(_)
+        | Action::ClientSpeaks(_) => 1,
         _ => 2,
     }
 }
 
-pub fn explore(shape: &Shape, limits: Limits) -> Explored {
+pub fn explore(shape: &Shape, limits: Limits) -> PlacementExploration {
     let (began, visited, steps) = (Instant::now(), Visited::new(), AtomicU64::new(0));
-    let mut explored = Explored {
+    let mut explored = PlacementExploration {
         states: 1,
-        ..Explored::default()
+        ..PlacementExploration::default()
     };
     let mut level = vec![World::new(shape)];
-    visited.first(level[0].digest());
+    visited.first(level[0].fingerprint());
     let mut parents: Vec<Vec<Parent>> = vec![Vec::new()];
-    while !level.is_empty() && explored.found.is_none() {
-        let full =
-            explored.stopped || explored.states >= limits.states || began.elapsed() > limits.time;
+    while !level.is_empty() && explored.counterexample.is_none() {
+        let full = explored.is_truncated
+            || explored.states >= limits.states
+            || began.elapsed() > limits.time;
         if full || explored.depth >= limits.depth {
-            (explored.left_out, explored.stopped) = (level.len() as u64, true);
+            (explored.unexpanded, explored.is_truncated) = (level.len() as u64, true);
             break;
         }
         let mut next: Vec<World> = Vec::new();
         let mut froms: Vec<Parent> = Vec::new();
         for (part, worlds) in level.chunks(PART).enumerate() {
-            let reached: Vec<Result<(World, Parent), (Breach, Parent)>> = worlds
+            let reached: Vec<Result<(World, Parent), (Violation, Parent)>> = worlds
                 .par_iter()
                 .enumerate()
                 .flat_map_iter(|(nth, world)| {
@@ -120,17 +121,18 @@
                         next.push(world);
                         froms.push(parent);
                     }
-                    Err((breach, parent)) if explored.found.is_none() => {
-                        let moves = trace(&parents, parent);
-                        explored.found = Some(Found { breach, moves });
+                    Err((violation, parent)) if explored.counterexample.is_none() => {
+                        let actions = trace(&parents, parent);
+                        explored.counterexample =
+                            Some(PlacementCounterexample { violation, actions });
                     }
                     Err(_) => {}
                 }
             }
             let full =
                 explored.states + next.len() as u64 >= limits.states || next.len() >= limits.front;
-            if explored.found.is_some() || full {
-                explored.stopped |= full;
+            if explored.counterexample.is_some() || full {
+                explored.is_truncated |= full;
                 break;
             }
         }
@@ -139,7 +141,7 @@
         level = next;
         parents.push(froms);
     }
-    (explored.steps, explored.took) = (steps.into_inner(), began.elapsed());
+    (explored.steps, explored.elapsed) = (steps.into_inner(), began.elapsed());
     explored
 }
 
@@ -150,20 +152,23 @@
     from: u32,
     visited: &Visited,
     count: &AtomicU64,
-) -> Vec<Result<(World, Parent), (Breach, Parent)>> {
+) -> Vec<Result<(World, Parent), (Violation, Parent)>> {
     let (mut out, mut steps) = (Vec::new(), Vec::new());
-    if world.over(shape) {
+    if world.is_finished(shape) {
         return out;
     }
-    world.steps(shape, &mut steps);
+    world.actions(shape, &mut steps);
     for step in steps {
         for chance in 0..chances(step) {
-            let what = Move { step, chance };
+            let what = Choice {
+                action: step,
+                random_range: chance,
+            };
             let mut next = world.clone();
             count.fetch_add(1, Ordering::Relaxed);
-            match next.make(shape, what) {
-                Err(breach) => out.push(Err((breach, (from, what)))),
-                Ok(()) if visited.first(next.digest()) => out.push(Ok((next, (from, what)))),
+            match next.apply(shape, what) {
+                Err(violation) => out.push(Err((violation, (from, what)))),
+                Ok(()) if visited.first(next.fingerprint()) => out.push(Ok((next, (from, what)))),
                 Ok(()) => {}
             }
         }
@@ -172,7 +177,7 @@
 }
 
 /// The moves that lead to a state, from its parent back to the start.
-fn trace(parents: &[Vec<Parent>], last: Parent) -> Vec<Move> {
+fn trace(parents: &[Vec<Parent>], last: Parent) -> Vec<Choice> {
     let mut moves = vec![last.1];
     let mut at = last.0;
     for level in parents[1..].iter().rev() {
--- /dev/null
+++ b/crates/model-checker/src/report.rs
@@ -0,0 +1,102 @@
+//! What the commands print, and how they end.
+
+use asterramp_model_checker::explore::PlacementExploration;
+use asterramp_model_checker::shape::Shape;
+use std::fmt::{Debug, Display};
+use std::process::ExitCode;
+
+/// How a command ended that could do its work, from good to bad.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum Verdict {
+    /// All properties hold, or nothing was to be checked.
+    Holds,
+    /// A limit was reached before all was seen; what was seen holds.
+    Truncated,
+    /// A property does not hold, or an injected fault was not found.
+    Broken,
+}
+
+impl From<Verdict> for ExitCode {
+    fn from(verdict: Verdict) -> ExitCode {
+        ExitCode::from(match verdict {
+            Verdict::Holds => 0,
+            Verdict::Broken => 1,
+            Verdict::Truncated => 4,
+        })
+    }
+}
+
+/// How much of a model was to be explored.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Extent {
+    /// All of it.
+    Complete,
+    /// As many steps as the command line says.
+    ToDepth,
+}
+
+/// What an exploration of one of the smaller models has seen.
+pub(crate) struct Summary<S> {
+    pub(crate) states: usize,
+    pub(crate) steps: usize,
+    pub(crate) depth: usize,
+    /// What does not hold, and the steps that led to it.
+    pub(crate) counterexample: Option<(String, Vec<S>)>,
+}
+
+impl<S: Debug> Summary<S> {
+    pub(crate) fn print(&self, extent: Extent) -> Verdict {
+        let Summary {
+            states,
+            steps,
+            depth,
+            counterexample,
+        } = self;
+        println!("{states} states, {steps} steps, depth {depth}");
+        match counterexample {
+            Some((violation, steps)) => {
+                print_counterexample(violation, steps);
+                Verdict::Broken
+            }
+            None => {
+                println!("{}", all_hold(extent));
+                Verdict::Holds
+            }
+        }
+    }
+}
+
+fn all_hold(extent: Extent) -> &'static str {
+    match extent {
+        Extent::Complete => "all seen, all hold",
+        Extent::ToDepth => "all seen to that depth, all hold",
+    }
+}
+
+fn print_counterexample<S: Debug>(violation: &impl Display, steps: &[S]) {
+    println!("BROKEN: {violation}");
+    for (number, step) in (1..).zip(steps) {
+        println!("{number:>3}. {step:?}");
+    }
+}
+
+/// The line about a shape.
+pub(crate) fn shape_line(shape: &Shape, exploration: &PlacementExploration) -> String {
+    let PlacementExploration {
+        states,
+        depth,
+        unexpanded,
+        ..
+    } = exploration;
+    let name = shape.name;
+    let seconds = exploration.elapsed.as_secs_f64();
+    let rate = exploration.steps as f64 / seconds.max(1e-3) / 1e3;
+    let end = match (&exploration.counterexample, exploration.is_truncated) {
+        (Some(found), _) => format!("BROKEN after {} steps", found.actions.len()),
+        (None, true) => format!("stopped; {unexpanded} states not gone on from"),
+        (None, false) => all_hold(Extent::Complete).to_owned(),
+    };
+    format!(
+        "{name:<18} {states:>9} states, depth {depth:>3}, {seconds:>6.1} s, {rate:>6.0}k steps/s  {end}"
+    )
+}
--- a/crates/model-checker/src/shape.rs
+++ b/crates/model-checker/src/shape.rs
@@ -4,269 +4,306 @@
 use asterramp_placement::deployment::{IdempotencyScope, Listener, RetrySafety, SlowStartRule};
 use std::time::Duration;
 
-/// What is explored, and how far. A `Shape` is a bound: nothing beyond it is looked at.
+/// What is explored, and how far: nothing beyond a shape's bounds is looked at.
 #[derive(Clone, Debug)]
 pub struct Shape {
+    /// Its name on the command line and in traces.
     pub name: &'static str,
-    /// The kind of each session's listener; one session each.
+    /// One session each: whether it may run more than once.
     pub sessions: &'static [RetrySafety],
-    pub hosts: u8,
+    /// How many servers there are.
+    pub servers: u8,
+    /// Dials that a session may have.
     pub max_dials: u32,
+    /// Whether the proxy may probe servers.
     pub may_probe: bool,
-    pub may_call_off: bool,
-    /// Changes that the roster may tell, at most.
-    pub told: u8,
-    /// Whether clients may leave or speak early, hosts may end what is open, SIGTERM may come.
-    pub clients_stray: bool,
+    /// Whether the proxy may cancel a dial that is under way.
+    pub may_cancel_dials: bool,
+    /// Changes of servers that the endpoint list may report.
+    pub endpoint_changes: u8,
+    /// Whether clients may leave, or speak, before they are answered.
+    pub clients_leave_early: bool,
+    /// Whether clients may leave without an event at first.
+    pub clients_leave_unnoticed: bool,
+    /// How long clients wait for an answer: several of the placement engine's ticks.
+    pub client_wait: Duration,
+    /// Whether SIGTERM may come.
     pub sigterm: bool,
-    /// Orders that an operator may give: drains, and takings back.
-    pub orders: u8,
+    /// How often an operator may drain the proxy or cancel that.
+    pub operator_orders: u8,
     /// Whether a dial may find no socket.
-    pub no_socket: bool,
-    /// Words that a closed connection may still say.
-    pub stale: u8,
-    /// Whether clients may have gone before their end is an event.
-    pub unseen: bool,
-    /// How long clients wait; several of the module's ticks.
-    pub wait: Duration,
-    /// Hosts are told as cold at the start.
-    pub cold: bool,
-    /// Played by `run --quick` too.
+    pub dials_without_socket: bool,
+    /// Events of connections that are closed already.
+    pub stale_events: u8,
+    /// Whether the last server is warming up at the start.
+    pub slow_start: bool,
+    /// Whether `run --quick` explores it.
     pub quick: bool,
 }
 
-const MS: fn(u64) -> Duration = Duration::from_millis;
-pub const REPEATABLE: RetrySafety = RetrySafety::Idempotent;
-pub const ONCE: RetrySafety = RetrySafety::NotIdempotent;
-pub const ZONED: RetrySafety =
-    RetrySafety::IdempotencyKey(IdempotencyScope::Zone, Duration::from_millis(180));
-pub const EVERYWHERE: RetrySafety =
-    RetrySafety::IdempotencyKey(IdempotencyScope::All, Duration::from_millis(180));
+const IDEMPOTENT: RetrySafety = RetrySafety::Idempotent;
+const NOT_IDEMPOTENT: RetrySafety = RetrySafety::NotIdempotent;
+/// How long servers discard repeats with a key: less than most clients of the shapes wait.
+const KEY_LIFETIME: Duration = Duration::from_millis(180);
+const KEYED_IN_ZONE: RetrySafety =
+    RetrySafety::IdempotencyKey(IdempotencyScope::Zone, KEY_LIFETIME);
+const KEYED_EVERYWHERE: RetrySafety =
+    RetrySafety::IdempotencyKey(IdempotencyScope::All, KEY_LIFETIME);
+
+/// The longest that a connection to a server may take to be established.
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(60);
+/// Until a session without trouble is expected to be open.
+const HANDSHAKE_TARGET: Duration = Duration::from_millis(160);
+/// The longest that rejected clients are asked to wait.
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(2_000);
+/// For so long after the last client has stopped waiting, open sessions are explored on.
+const OPEN_SESSION_TIME: Duration = Duration::from_millis(120);
+/// Within this time all of a few sessions arrive.
+const ARRIVAL_WINDOW: Duration = Duration::from_millis(120);
+/// Within this time all sessions of a random walk arrive.
+const WALK_ARRIVAL_WINDOW: Duration = Duration::from_millis(3_000);
+/// More sessions than this are out of reach of exploring, so that their shape is a random walk's.
+const MAX_EXPLORED_SESSIONS: usize = 4;
+
+const SLOW_START: SlowStartRule = SlowStartRule {
+    initial_capacity: 0.3,
+    warm_after: Duration::from_millis(9_000),
+    max_multiple: 4.0,
+    span: Duration::from_millis(1_500),
+};
 
 const BASE: Shape = Shape {
     name: "",
     sessions: &[],
-    hosts: 2,
+    servers: 2,
     max_dials: 2,
     may_probe: false,
-    may_call_off: true,
-    told: 1,
-    clients_stray: true,
+    may_cancel_dials: true,
+    endpoint_changes: 1,
+    clients_leave_early: true,
+    clients_leave_unnoticed: false,
+    client_wait: Duration::from_millis(250),
     sigterm: false,
-    orders: 0,
-    no_socket: false,
-    stale: 0,
-    unseen: false,
-    wait: Duration::from_millis(250),
-    cold: false,
+    operator_orders: 0,
+    dials_without_socket: false,
+    stale_events: 0,
+    slow_start: false,
     quick: true,
 };
 
-/// All shapes. Each adds one matter to a small base, since their product is out of reach.
+/// The shapes that are explored. Each adds one subject to a small base, since their product is out of reach.
 pub const SHAPES: &[Shape] = &[
     Shape {
         name: "repeatable",
-        sessions: &[REPEATABLE],
-        stale: 1,
-        no_socket: true,
+        sessions: &[IDEMPOTENT],
+        stale_events: 1,
+        dials_without_socket: true,
         ..BASE
     },
     Shape {
         name: "once-only",
-        sessions: &[ONCE],
-        stale: 1,
-        no_socket: true,
+        sessions: &[NOT_IDEMPOTENT],
+        stale_events: 1,
+        dials_without_socket: true,
         ..BASE
     },
     Shape {
         name: "referenced-zone",
-        sessions: &[ZONED],
-        hosts: 3,
+        sessions: &[KEYED_IN_ZONE],
+        servers: 3,
         max_dials: 3,
-        no_socket: true,
+        dials_without_socket: true,
         ..BASE
     },
     Shape {
         name: "referenced-all",
-        sessions: &[EVERYWHERE],
+        sessions: &[KEYED_EVERYWHERE],
         max_dials: 3,
-        no_socket: true,
+        dials_without_socket: true,
         ..BASE
     },
     Shape {
         name: "sigterm",
-        sessions: &[REPEATABLE],
+        sessions: &[IDEMPOTENT],
         sigterm: true,
-        no_socket: true,
+        dials_without_socket: true,
         ..BASE
     },
     Shape {
         name: "drained",
-        sessions: &[REPEATABLE],
-        orders: 2,
-        told: 0,
+        sessions: &[IDEMPOTENT],
+        operator_orders: 2,
+        endpoint_changes: 0,
         sigterm: true,
-        wait: Duration::from_millis(150),
+        client_wait: Duration::from_millis(150),
         ..BASE
     },
     Shape {
         name: "kept-dials",
-        sessions: &[REPEATABLE],
-        may_call_off: false,
-        stale: 1,
+        sessions: &[IDEMPOTENT],
+        may_cancel_dials: false,
+        stale_events: 1,
         ..BASE
     },
     Shape {
         name: "gone-unseen",
-        sessions: &[REPEATABLE],
-        unseen: true,
-        no_socket: true,
+        sessions: &[IDEMPOTENT],
+        clients_leave_unnoticed: true,
+        dials_without_socket: true,
         ..BASE
     },
     Shape {
         name: "gone-unseen-kept-dials",
-        sessions: &[REPEATABLE],
-        may_call_off: false,
-        unseen: true,
-        wait: Duration::from_millis(180),
+        sessions: &[IDEMPOTENT],
+        may_cancel_dials: false,
+        clients_leave_unnoticed: true,
+        client_wait: Duration::from_millis(180),
         ..BASE
     },
     Shape {
         name: "probes",
-        sessions: &[REPEATABLE],
+        sessions: &[IDEMPOTENT],
         may_probe: true,
-        told: 0,
-        wait: Duration::from_millis(180),
+        endpoint_changes: 0,
+        client_wait: Duration::from_millis(180),
         ..BASE
     },
     Shape {
         name: "cold",
-        sessions: &[REPEATABLE],
-        cold: true,
+        sessions: &[IDEMPOTENT],
+        slow_start: true,
         ..BASE
     },
     Shape {
         name: "four-dials",
-        sessions: &[REPEATABLE],
+        sessions: &[IDEMPOTENT],
         max_dials: 4,
-        told: 0,
+        endpoint_changes: 0,
         ..BASE
     },
     Shape {
         name: "probes-and-drains",
-        sessions: &[ONCE],
+        sessions: &[NOT_IDEMPOTENT],
         may_probe: true,
         quick: false,
         ..BASE
     },
     Shape {
         name: "four-dials-of-three",
-        sessions: &[REPEATABLE],
-        hosts: 3,
+        sessions: &[IDEMPOTENT],
+        servers: 3,
         max_dials: 4,
-        clients_stray: false,
+        clients_leave_early: false,
         quick: false,
         ..BASE
     },
     Shape {
         name: "two-sessions",
-        sessions: &[REPEATABLE, ONCE],
-        stale: 1,
-        wait: Duration::from_millis(150),
+        sessions: &[IDEMPOTENT, NOT_IDEMPOTENT],
+        stale_events: 1,
+        client_wait: Duration::from_millis(150),
         quick: false,
         ..BASE
     },
     Shape {
         name: "two-in-turn",
-        sessions: &[REPEATABLE, REPEATABLE],
+        sessions: &[IDEMPOTENT, IDEMPOTENT],
         sigterm: true,
-        told: 1,
-        stale: 1,
-        wait: Duration::from_millis(150),
+        endpoint_changes: 1,
+        stale_events: 1,
+        client_wait: Duration::from_millis(150),
         quick: false,
         ..BASE
     },
     Shape {
         name: "three-hosts",
-        sessions: &[ONCE],
-        hosts: 3,
+        sessions: &[NOT_IDEMPOTENT],
+        servers: 3,
         max_dials: 4,
-        told: 2,
+        endpoint_changes: 2,
         may_probe: true,
         quick: false,
         ..BASE
     },
 ];
 
-/// The size that random walks take on; far out of reach of exploring.
+/// The shape of random walks, far out of reach of exploring.
 pub const WALK: Shape = Shape {
     name: "walk",
     sessions: &[
-        REPEATABLE, ONCE, ZONED, EVERYWHERE, REPEATABLE, REPEATABLE, ONCE, ZONED, EVERYWHERE,
-        REPEATABLE, REPEATABLE, ONCE, ZONED, EVERYWHERE, REPEATABLE, REPEATABLE, ONCE, ZONED,
-        EVERYWHERE, REPEATABLE,
+        IDEMPOTENT,
+        NOT_IDEMPOTENT,
+        KEYED_IN_ZONE,
+        KEYED_EVERYWHERE,
+        IDEMPOTENT,
+        IDEMPOTENT,
+        NOT_IDEMPOTENT,
+        KEYED_IN_ZONE,
+        KEYED_EVERYWHERE,
+        IDEMPOTENT,
+        IDEMPOTENT,
+        NOT_IDEMPOTENT,
+        KEYED_IN_ZONE,
+        KEYED_EVERYWHERE,
+        IDEMPOTENT,
+        IDEMPOTENT,
+        NOT_IDEMPOTENT,
+        KEYED_IN_ZONE,
+        KEYED_EVERYWHERE,
+        IDEMPOTENT,
     ],
-    hosts: 10,
+    servers: 10,
     max_dials: 4,
     may_probe: true,
-    told: 60,
+    endpoint_changes: 60,
     sigterm: true,
-    orders: 6,
-    no_socket: true,
-    stale: 20,
-    unseen: true,
-    wait: Duration::from_millis(1_500),
+    operator_orders: 6,
+    dials_without_socket: true,
+    stale_events: 20,
+    clients_leave_unnoticed: true,
+    client_wait: Duration::from_millis(1_500),
     ..BASE
 };
 
 impl Shape {
+    /// The shape of that name.
     pub fn find(name: &str) -> Option<&'static Shape> {
-        SHAPES
-            .iter()
-            .chain(std::iter::once(&WALK))
-            .find(|shape| shape.name == name)
+        let mut shapes = SHAPES.iter().chain([&WALK]);
+        shapes.find(|shape| shape.name == name)
     }
 
-    pub fn deployment(&self) -> Deployment {
-        let listener = |kind: &RetrySafety| Listener {
-            retry_safety: *kind,
-            handshake_target: MS(160),
+    /// What the proxy is told of the deployment.
+    pub(crate) fn deployment(&self) -> Deployment {
+        let listener = |retry_safety: &RetrySafety| Listener {
+            retry_safety: *retry_safety,
+            handshake_target: HANDSHAKE_TARGET,
             message_target: None,
             priority_weight: 1.0,
         };
         Deployment {
             listeners: self.sessions.iter().map(listener).collect(),
             proxy_count: 1,
-            slow_start: SlowStartRule {
-                initial_capacity: 0.3,
-                warm_after: MS(9_000),
-                max_multiple: 4.0,
-                span: MS(1_500),
-            },
+            slow_start: SLOW_START,
             max_attempts: self.max_dials,
             may_probe: self.may_probe,
-            may_cancel: self.may_call_off,
-            max_retry_after: MS(2_000),
+            may_cancel: self.may_cancel_dials,
+            max_retry_after: MAX_RETRY_AFTER,
             ..Deployment::default()
         }
     }
 
-    /// Until when a session may arrive.
-    pub fn arrivals(&self) -> Duration {
-        // One alone may as well come at once: nothing is older than it.
+    /// The time from the start within which sessions may arrive.
+    pub(crate) fn arrival_window(&self) -> Duration {
         match self.sessions.len() {
+            // Nothing is older than a lone session, so that it may as well arrive at once.
             1 => Duration::ZERO,
-            2..5 => MS(120),
-            _ => MS(3_000),
+            2..=MAX_EXPLORED_SESSIONS => ARRIVAL_WINDOW,
+            _ => WALK_ARRIVAL_WINDOW,
         }
     }
 
-    /// When a world in which sessions are merely open is gone on from no more.
-    pub fn ends(&self) -> Duration {
-        self.arrivals() + self.wait + MS(120)
-    }
-
-    pub fn connect_within(&self) -> Duration {
-        MS(60)
+    /// The time from the start after which a world is finished if all that is left of its sessions is open.
+    pub(crate) fn open_session_cutoff(&self) -> Duration {
+        self.arrival_window() + self.client_wait + OPEN_SESSION_TIME
     }
 }
--- a/crates/model-checker/src/trace.rs
+++ b/crates/model-checker/src/trace.rs
@@ -1,100 +1,171 @@
-//! Traces as files: a shape, a planted bug if any, what was broken, and the steps, a numbered line each.
+//! Traces as files: a shape, the injected fault if there was one, the violation, and what led to it, a numbered line each.
 
-use crate::explore::Found;
-use crate::properties::Breach;
+use crate::action::Choice;
+use crate::action_text::ParseChoiceError;
+use crate::properties::Violation;
 use crate::shape::Shape;
-use crate::step::Move;
-use crate::world::{START, World};
-use std::fmt::Write;
+use crate::world::World;
+use std::fmt;
 
+/// What the lines before the numbered ones begin with. An injected fault keeps the word that it had when the first traces
+/// were recorded.
+const SHAPE_PREFIX: &str = "shape ";
+const INJECTED_FAULT_PREFIX: &str = "plant ";
+const VIOLATION_PREFIX: &str = "breaks ";
+/// What stands between the number of a line and its action.
+const NUMBER_SEPARATOR: &str = ". ";
+
+/// A text that is no trace.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum TraceError {
+    /// There is no shape of that name.
+    #[error("line {line}: shape {name:?} is not known")]
+    UnknownShape {
+        /// Number of the line, from 1.
+        line: usize,
+        /// The name.
+        name: String,
+    },
+    /// A line is neither numbered nor of any other kind.
+    #[error("line {line}: no numbered step")]
+    NotNumbered {
+        /// Number of the line, from 1.
+        line: usize,
+    },
+    /// A numbered line has no action.
+    #[error("line {line}: {source}")]
+    NoAction {
+        /// Number of the line, from 1.
+        line: usize,
+        /// Why.
+        source: ParseChoiceError,
+    },
+    /// No line names a shape.
+    #[error("no line `shape NAME`")]
+    NoShape,
+}
+
+/// A counterexample as it is kept in a file. `Display` writes the file's text.
 #[derive(Clone, Debug)]
 pub struct Trace {
+    /// The world that it begins with.
     pub shape: &'static Shape,
-    pub plant: Option<String>,
-    pub breach: String,
-    pub moves: Vec<Move>,
+    /// Name of the fault that was injected, as it stands in the file.
+    pub injected_fault: Option<String>,
+    /// The violation that it led to, as text.
+    pub violation: String,
+    /// What happened.
+    pub choices: Vec<Choice>,
 }
 
 impl Trace {
-    pub fn of(shape: &'static Shape, plant: Option<String>, found: &Found) -> Trace {
+    /// The trace of a counterexample.
+    pub fn new(
+        shape: &'static Shape,
+        injected_fault: Option<String>,
+        violation: &Violation,
+        choices: &[Choice],
+    ) -> Trace {
         Trace {
             shape,
-            plant,
-            breach: found.breach.to_string(),
-            moves: found.moves.clone(),
-        }
-    }
-
-    pub fn text(&self) -> String {
-        let mut text = format!("shape {}\n", self.shape.name);
-        if let Some(plant) = &self.plant {
-            let _ = writeln!(text, "plant {plant}");
-        }
-        let _ = writeln!(text, "breaks {}", self.breach);
-        for (nth, step) in (1..).zip(&self.moves) {
-            let _ = writeln!(text, "{nth:>3}. {step}");
+            injected_fault,
+            violation: violation.to_string(),
+            choices: choices.to_vec(),
         }
-        text
     }
 
-    /// Reads a file; an error names the line.
-    pub fn read(text: &str) -> Result<Trace, String> {
-        let (mut shape, mut plant, mut breach, mut moves) = (None, None, String::new(), Vec::new());
-        for (nth, line) in (1..)
-            .zip(text.lines())
-            .filter(|(_, line)| !line.trim().is_empty())
-        {
-            let wrong = |what: String| format!("line {nth}: {what}");
-            let line = line.trim();
-            if let Some(name) = line.strip_prefix("shape ") {
-                let known = Shape::find(name);
-                shape = Some(known.ok_or_else(|| wrong(format!("shape {name:?} is not known")))?);
-            } else if let Some(name) = line.strip_prefix("plant ") {
-                plant = Some(name.to_string());
-            } else if let Some(what) = line.strip_prefix("breaks ") {
-                breach = what.to_string();
+    /// Reads a file's text.
+    ///
+    /// # Errors
+    ///
+    /// The first line that is not one of a trace, or that no shape is named.
+    pub fn read(text: &str) -> Result<Trace, TraceError> {
+        let mut shape = None;
+        let mut injected_fault = None;
+        let mut violation = String::new();
+        let mut choices = Vec::new();
+        for (line, text) in (1..).zip(text.lines().map(str::trim)) {
+            if text.is_empty() {
+                continue;
+            }
+            if let Some(name) = text.strip_prefix(SHAPE_PREFIX) {
+                shape = Some(read_shape(line, name)?);
+            } else if let Some(name) = text.strip_prefix(INJECTED_FAULT_PREFIX) {
+                injected_fault = Some(name.to_owned());
+            } else if let Some(description) = text.strip_prefix(VIOLATION_PREFIX) {
+                violation = description.to_owned();
             } else {
-                let step = line
-                    .split_once(". ")
-                    .ok_or_else(|| wrong("no numbered step".into()))?
-                    .1;
-                moves.push(step.parse().map_err(wrong)?);
+                choices.push(read_choice(line, text)?);
             }
         }
-        let shape = shape.ok_or("no line `shape NAME`")?;
         Ok(Trace {
-            shape,
-            plant,
-            breach,
-            moves,
+            shape: shape.ok_or(TraceError::NoShape)?,
+            injected_fault,
+            violation,
+            choices,
         })
     }
 
-    /// Plays the steps; tells each with what the code did, and the breach, if there is one.
-    pub fn play(&self, mut tell: impl FnMut(&str)) -> Result<(), Breach> {
+    /// Replays it on the code as it is, and passes `report` a line for each action and for each of its effects.
+    ///
+    /// # Errors
+    ///
+    /// The first violation, which ends the replay.
+    pub fn play(&self, mut report: impl FnMut(&str)) -> Result<(), Violation> {
         let mut world = World::new(self.shape);
-        for (nth, step) in (1..).zip(&self.moves) {
-            let made = world.make(self.shape, *step);
-            let ms = (world.now - START).as_millis();
-            tell(&format!("{nth:>3}. at {ms:>5} ms  {step}"));
-            world
-                .done
-                .iter()
-                .for_each(|done| tell(&format!("                   {done}")));
-            made?;
+        for (number, choice) in (1..).zip(&self.choices) {
+            let applied = world.apply(self.shape, *choice);
+            let elapsed_ms = world.elapsed().as_millis();
+            report(&format!("{number:>3}. at {elapsed_ms:>5} ms  {choice}"));
+            for effect in world.last_effects() {
+                report(&format!("                   {effect}"));
+            }
+            applied?;
         }
         Ok(())
     }
 
-    /// The trace as a test of the code.
+    /// The source of a test that replays it.
     pub fn as_test(&self) -> String {
-        let mut text = String::from("#[test]\nfn a_trace_that_once_broke_a_property() {\n");
-        let _ = writeln!(text, "    // {}", self.breach);
-        let _ = writeln!(text, "    let trace = \"shape {}\\", self.shape.name);
-        for (nth, step) in (1..).zip(&self.moves) {
-            let _ = writeln!(text, "        \\n{nth}. {step}\\");
+        let mut test = String::from("#[test]\nfn a_trace_that_once_broke_a_property() {\n");
+        test += &format!("    // {}\n", self.violation);
+        test += &format!("    let trace = \"shape {}\\\n", self.shape.name);
+        for (number, choice) in (1..).zip(&self.choices) {
+            test += &format!("        \\n{number}. {choice}\\\n");
         }
-        text += "        \";\n    asterramp_model_checker::trace::Trace::read(trace).unwrap().play(|_| ()).unwrap();\n}\n";
-        text
+        test += "        \";\n";
+        test += "    asterramp_model_checker::trace::Trace::read(trace).unwrap().play(|_| ()).unwrap();\n";
+        test += "}\n";
+        test
     }
 }
+
+impl fmt::Display for Trace {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        writeln!(f, "{SHAPE_PREFIX}{}", self.shape.name)?;
+        if let Some(fault) = &self.injected_fault {
+            writeln!(f, "{INJECTED_FAULT_PREFIX}{fault}")?;
+        }
+        writeln!(f, "{VIOLATION_PREFIX}{}", self.violation)?;
+        for (number, choice) in (1..).zip(&self.choices) {
+            writeln!(f, "{number:>3}{NUMBER_SEPARATOR}{choice}")?;
+        }
+        Ok(())
+    }
+}
+
+fn read_shape(line: usize, name: &str) -> Result<&'static Shape, TraceError> {
+    Shape::find(name).ok_or_else(|| TraceError::UnknownShape {
+        line,
+        name: name.to_owned(),
+    })
+}
+
+fn read_choice(line: usize, text: &str) -> Result<Choice, TraceError> {
+    let (_, choice) = text
+        .split_once(NUMBER_SEPARATOR)
+        .ok_or(TraceError::NotNumbered { line })?;
+    choice
+        .parse()
+        .map_err(|source| TraceError::NoAction { line, source })
+}
--- a/crates/model-checker/src/walk.rs
+++ b/crates/model-checker/src/walk.rs
@@ -1,74 +1,126 @@
 //! Random walks through worlds far larger than can be explored.
 
-use crate::explore::Found;
+use crate::action::{Action, Choice};
+use crate::explore::PlacementCounterexample;
 use crate::shape::Shape;
-use crate::step::{Move, Step};
 use crate::world::World;
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rayon::prelude::*;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
+/// Actions after which a walk ends, whatever is left of it.
+const MAX_ACTIONS: usize = 3_000;
+/// Seeds that are walked from before the time is looked at again.
+const SEEDS_PER_ROUND: u64 = 256;
+/// Random ranges that a choice may name.
+const RANDOM_RANGES: u8 = 4;
+/// The least chance that the next deadline is chosen at once, and how much greater it may be, by the walk's seed: some walks
+/// are in a hurry, some dwell on what may happen between two deadlines.
+const MIN_HURRY: f64 = 0.02;
+const HURRY_SPREAD: f64 = 0.3;
+/// The chance that a SIGTERM that was drawn is kept. It ends a walk, and would end most of them at once.
+const SIGTERM_CHANCE: f64 = 0.02;
+
+/// One random walk.
+#[derive(Clone, Debug)]
+pub struct Walk {
+    /// How many actions it had.
+    pub actions: usize,
+    /// Whether it went on until every session had ended.
+    pub is_complete: bool,
+    /// What broke a property, if anything.
+    pub counterexample: Option<PlacementCounterexample>,
+}
+
+/// Many random walks.
 #[derive(Clone, Debug, Default)]
-pub struct Walked {
+pub struct WalkSummary {
+    /// How many walks.
     pub walks: u64,
-    pub steps: u64,
-    /// Walks that ended with every session over, and dials that they made.
-    pub whole: u64,
-    pub found: Option<(u64, Found)>,
+    /// Actions of all walks.
+    pub actions: u64,
+    /// Walks that went on until every session had ended.
+    pub complete: u64,
+    /// The lowest seed whose walk broke a property, and how.
+    pub counterexample: Option<(u64, PlacementCounterexample)>,
 }
 
-const LONGEST: usize = 3_000;
-
-/// One walk, the same for the same seed.
-pub fn walk(shape: &Shape, seed: u64) -> (usize, bool, Option<Found>) {
-    let mut chance = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let (mut world, mut steps, mut moves) = (World::new(shape), Vec::new(), Vec::new());
-    // Some walks are in a hurry, some dwell on what may happen between two deadlines.
-    let hurry = 0.02 + 0.3 * chance.random::<f64>();
-    while moves.len() < LONGEST && !world.over(shape) {
-        world.steps(shape, &mut steps);
-        let due = steps.last() == Some(&Step::Due) && chance.random::<f64>() < hurry;
-        let Some(last) = steps.len().checked_sub(1) else {
+/// Walks once, the same way for the same seed.
+pub fn walk(shape: &Shape, seed: u64) -> Walk {
+    let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
+    let mut world = World::new(shape);
+    let mut possible = Vec::new();
+    let mut choices = Vec::new();
+    let hurry = MIN_HURRY + HURRY_SPREAD * random.random::<f64>();
+    while choices.len() < MAX_ACTIONS && !world.is_finished(shape) {
+        world.actions(shape, &mut possible);
+        let Some(choice) = choose(&mut random, &possible, hurry) else {
             break;
         };
-        let at = if due {
-            last
-        } else {
-            chance.random_range(0..=last)
-        };
-        // SIGTERM ends a walk, and would end most of them at once.
-        let early = steps[at] == Step::Sigterm && chance.random::<f64>() > 0.02;
-        let step = if early { steps[last] } else { steps[at] };
-        let what = Move {
-            step,
-            chance: chance.random_range(0..4),
-        };
-        moves.push(what);
-        if let Err(breach) = world.make(shape, what) {
-            return (moves.len(), false, Some(Found { breach, moves }));
+        choices.push(choice);
+        if let Err(violation) = world.apply(shape, choice) {
+            return Walk {
+                actions: choices.len(),
+                is_complete: false,
+                counterexample: Some(PlacementCounterexample {
+                    violation,
+                    actions: choices,
+                }),
+            };
+        }
+    }
+    Walk {
+        actions: choices.len(),
+        is_complete: world.is_finished(shape),
+        counterexample: None,
+    }
+}
+
+/// Draws one of the possible actions. `hurry` is the chance that the next deadline is chosen before all others.
+fn choose(random: &mut Xoshiro256PlusPlus, possible: &[Action], hurry: f64) -> Option<Choice> {
+    let last_index = possible.len().checked_sub(1)?;
+    let last = possible[last_index];
+    let hurries = last == Action::NextDeadline && random.random::<f64>() < hurry;
+    let drawn = if hurries {
+        last
+    } else {
+        possible[random.random_range(0..=last_index)]
+    };
+    let ends_early = drawn == Action::Sigterm && random.random::<f64>() > SIGTERM_CHANCE;
+    let action = if ends_early { last } else { drawn };
+    Some(Choice {
+        action,
+        random_range: random.random_range(0..RANDOM_RANGES),
+    })
+}
+
+/// Walks from `first_seed` on, on all cores, until `time` has passed or a property does not hold.
+pub fn walk_for(shape: &Shape, first_seed: u64, time: Duration) -> WalkSummary {
+    let began = Instant::now();
+    let mut summary = WalkSummary::default();
+    while began.elapsed() < time && summary.counterexample.is_none() {
+        let from = first_seed + summary.walks;
+        let seeds = from..from + SEEDS_PER_ROUND;
+        let walks: Vec<(u64, Walk)> = seeds
+            .into_par_iter()
+            .map(|seed| (seed, walk(shape, seed)))
+            .collect();
+        for (seed, walk) in walks {
+            summary.add(seed, walk);
         }
     }
-    (moves.len(), world.over(shape), None)
+    summary
 }
 
-/// Walks from a seed on, on all cores, for so long or until a property breaks; the first seed's that did.
-pub fn walks(shape: &Shape, seed: u64, time: Duration) -> Walked {
-    let (began, steps, whole) = (Instant::now(), AtomicU64::new(0), AtomicU64::new(0));
-    let mut walked = Walked::default();
-    while began.elapsed() < time && walked.found.is_none() {
-        let from = seed + walked.walks;
-        let round = 256;
-        let found = (from..from + round).into_par_iter().filter_map(|seed| {
-            let (made, over, found) = walk(shape, seed);
-            steps.fetch_add(made as u64, Ordering::Relaxed);
-            whole.fetch_add(u64::from(over), Ordering::Relaxed);
-            found.map(|found| (seed, found))
-        });
-        walked.found = found.min_by_key(|found| found.0);
-        walked.walks += round;
+impl WalkSummary {
+    /// Adds a walk, whose seed is higher than those of the walks before.
+    fn add(&mut self, seed: u64, walk: Walk) {
+        self.walks += 1;
+        self.actions += walk.actions as u64;
+        self.complete += u64::from(walk.is_complete);
+        if let Some(counterexample) = walk.counterexample {
+            self.counterexample.get_or_insert((seed, counterexample));
+        }
     }
-    (walked.steps, walked.whole) = (steps.into_inner(), whole.into_inner());
-    walked
 }
--- /dev/null
+++ b/crates/model-checker/src/world/drain.rs
@@ -0,0 +1,114 @@
+//! An operator's drain and SIGTERM, by the state machine that serves.
+
+use super::connection::SessionConnections;
+use super::{Deadline, World};
+use crate::shape::Shape;
+use asterramp_drain::{ADVICE_INTERVAL, DrainSettings, DrainState, DrainView, ShutdownSchedule};
+use asterramp_placement::event::Outcome;
+use asterramp_proxy::routing::session_state::{SessionInput, SessionState};
+use asterramp_proxy::routing::session_table::SessionSlot;
+use asterramp_proxy::transport::SlotKey;
+use std::time::Duration;
+
+/// How a drain goes, with times that fit the few hundred milliseconds for which clients wait here.
+pub(super) const DRAIN_SETTINGS: DrainSettings = DrainSettings {
+    max_closing_time: Duration::from_millis(60),
+    quiet_period: Duration::from_millis(40),
+    max_migrations_per_second: 20.0,
+    time_before_next_drain: Duration::ZERO,
+};
+/// Within how long the operator wants the proxy to be empty.
+const DRAIN_TIME: Duration = Duration::from_millis(200);
+/// How long after SIGTERM the clients that still wait are answered, at most.
+pub(super) const MAX_SHUTDOWN_WAIT: Duration = Duration::from_secs(3);
+/// Parts of the time until waiting clients are answered: when open sessions begin to be migrated, and when the last is.
+const MIGRATE_FROM: f64 = 0.7;
+const MIGRATE_UNTIL: f64 = 1.05;
+
+impl World {
+    pub(super) fn is_shutting_down(&self) -> bool {
+        self.drain.state() == DrainState::Exiting
+    }
+
+    /// The proxy receives SIGTERM, and makes the schedule of its end as the router does.
+    pub(super) fn shut_down(&mut self, shape: &Shape) {
+        let wait = shape.client_wait.min(MAX_SHUTDOWN_WAIT);
+        let migrate_from = self.now + wait.mul_f64(MIGRATE_FROM);
+        let migrate_until = self.now + wait.mul_f64(MIGRATE_UNTIL);
+        let reject_pending_at = self.now + wait;
+        self.drain.begin_shutdown(ShutdownSchedule {
+            serve_until: migrate_from,
+            close_listener_at: migrate_from,
+            migrate_from,
+            migrate_until,
+            reject_pending_at,
+            end_at: reject_pending_at + MAX_SHUTDOWN_WAIT,
+        });
+        self.deadlines.set(Deadline::DrainAdvice, migrate_from);
+    }
+
+    pub(super) fn start_drain(&mut self) {
+        self.operator_orders_left -= 1;
+        if self.drain.start(self.now, DRAIN_TIME, None).is_ok() {
+            self.deadlines.set(Deadline::DrainAdvice, self.now);
+        }
+    }
+
+    pub(super) fn cancel_drain(&mut self) {
+        self.operator_orders_left -= 1;
+        if self.drain.cancel(self.now).is_ok() {
+            self.deadlines.clear(Deadline::DrainAdvice);
+        }
+    }
+
+    /// Asks the drain for advice and carries it out.
+    pub(super) fn follow_drain_advice(&mut self) {
+        let is_open = |slot: &SessionSlot<_>| slot.machine.state == SessionState::Open;
+        let open = self.sessions_with_client(is_open);
+        let pending = self.sessions_with_client(|slot| !is_open(slot));
+        let view = DrainView {
+            open_sessions: open.len(),
+            pending_sessions: pending.len(),
+            clients: open.len() + pending.len(),
+            last_arrival: self.last_arrival,
+            spare_capacity: None,
+        };
+        let advice = self.drain.advise(self.now, &view);
+        for (_, session) in open.into_iter().take(advice.migrate) {
+            self.close_session(session, Outcome::CalledOff);
+        }
+        if advice.reject_pending {
+            self.cut_off(pending);
+        }
+        // Whoever is left at the exit is left by it: no further advice is asked for.
+        let is_over = self.drain.state() == DrainState::Serving || advice.exit;
+        if !is_over && !self.session_table.sessions.is_empty() {
+            let next_advice = self.now + ADVICE_INTERVAL;
+            self.deadlines.set(Deadline::DrainAdvice, next_advice);
+        }
+    }
+
+    /// The sessions whose client has not left and which are `wanted`, with their numbers.
+    fn sessions_with_client(
+        &self,
+        wanted: impl Fn(&SessionSlot<SessionConnections>) -> bool,
+    ) -> Vec<(SlotKey, u8)> {
+        let sessions = self.session_table.sessions.iter();
+        let those = sessions.filter(|(_, slot)| wanted(slot) && !slot.machine.client_left);
+        those
+            .map(|(key, slot)| (key, slot.driver_data.session))
+            .collect()
+    }
+
+    /// Has sessions answered that are not open yet.
+    fn cut_off(&mut self, pending: Vec<(SlotKey, u8)>) {
+        let input = if self.is_shutting_down() {
+            SessionInput::ShutdownCutoff
+        } else {
+            SessionInput::DrainCutoff
+        };
+        for (key, _) in pending {
+            self.session_table.input(self.now, key, input);
+        }
+    }
+}
--- /dev/null
+++ b/crates/model-checker/src/world/effects.rs
@@ -0,0 +1,149 @@
+//! What the code that serves wants done, carried out as the router does it on sockets.
+
+use super::connection::{Connection, ConnectionState};
+use super::{Deadline, World};
+use asterramp_placement::event::{Outcome, ServerId};
+use asterramp_proxy::routing::session_state::{FinalAnswer, SessionEffect, SessionInput};
+use asterramp_proxy::routing::session_table::SessionTask;
+use asterramp_proxy::transport::SlotKey;
+
+impl World {
+    /// Carries out all that is to be done, and what comes of that.
+    pub(super) fn carry_out_tasks(&mut self) {
+        while let Some(task) = self.session_table.next_task() {
+            match task {
+                SessionTask::Probe(server) => {
+                    self.probes.insert(server);
+                }
+                // Endpoint lists are actions of their own.
+                SessionTask::PollEndpoints | SessionTask::ZoneChanged(_) => {}
+                SessionTask::SetTimer(after) => {
+                    self.deadlines.set(Deadline::Tick, self.now + after);
+                }
+                SessionTask::Session(key, effect) => self.carry_out(key, effect),
+            }
+        }
+    }
+
+    fn carry_out(&mut self, key: SlotKey, effect: SessionEffect) {
+        let Some(slot) = self.session_table.sessions.get(key) else {
+            return;
+        };
+        let session = slot.driver_data.session;
+        let client_is_gone = slot.driver_data.has_client && slot.driver_data.client_left_unnoticed;
+        self.record(session, &effect);
+        // As the router does: the client is checked once more before something is sent to a server.
+        if client_is_gone && sends_to_server(&effect) && self.notice_client_left(key, session) {
+            return;
+        }
+        match effect {
+            SessionEffect::Connect { server } => self.connect(key, session, server),
+            SessionEffect::SendRequest { wait } => {
+                self.monitor.on_request_sent(session, self.now, wait);
+            }
+            SessionEffect::CloseServer => self.close_server(key, session),
+            SessionEffect::SetDeadline(Some(at)) => {
+                self.deadlines.set(Deadline::Session(key), at);
+            }
+            SessionEffect::SetDeadline(None) => self.deadlines.clear(Deadline::Session(key)),
+            SessionEffect::AnswerClient(answer) => self.answer_client(key, session, answer),
+            SessionEffect::DropClient => {
+                self.disconnect_client(key);
+            }
+            SessionEffect::StartForwarding => self.start_forwarding(key, session),
+            SessionEffect::Migrate => self.close_session(session, Outcome::CalledOff),
+            SessionEffect::Forget => self.forget(key, session),
+            SessionEffect::Restore
+            | SessionEffect::Log(_)
+            | SessionEffect::Count(_)
+            | SessionEffect::Notify(_) => {}
+        }
+    }
+
+    /// Keeps the effect for whoever replays a trace.
+    fn record(&mut self, session: u8, effect: &SessionEffect) {
+        match effect {
+            SessionEffect::SetDeadline(_) | SessionEffect::Count(_) | SessionEffect::Log(_) => {}
+            effect => self
+                .last_effects
+                .push(format!("session {session}: {effect:?}")),
+        }
+    }
+
+    /// The client is found to have left before something was sent for it. Whether that is not to be sent.
+    fn notice_client_left(&mut self, key: SlotKey, session: u8) -> bool {
+        self.monitor.on_client_left(session);
+        self.session_table
+            .found_gone(self.now, key, SessionInput::ClientLeft)
+    }
+
+    fn connect(&mut self, key: SlotKey, session: u8, server: ServerId) {
+        let model = self.servers.iter().find(|model| model.id == server);
+        self.monitor.on_dial(session, self.now, server, model);
+        if let Some(slot) = self.session_table.sessions.get_mut(key) {
+            let connection = self.connections.insert(Connection {
+                session_key: key,
+                session,
+                dial: slot.machine.dial(),
+                state: ConnectionState::Connecting,
+            });
+            slot.driver_data.server = Some(connection);
+        }
+    }
+
+    fn close_server(&mut self, key: SlotKey, session: u8) {
+        let slot = self.session_table.sessions.get_mut(key);
+        let Some(server) = slot.and_then(|slot| slot.driver_data.server.take()) else {
+            return;
+        };
+        let Some(connection) = self.connections.remove(server) else {
+            return;
+        };
+        if self.stale_events_left > 0 {
+            self.closed_connections.push((server, connection));
+        }
+        self.monitor.on_connection_closed(session);
+    }
+
+    fn answer_client(&mut self, key: SlotKey, session: u8, answer: FinalAnswer) {
+        if self.disconnect_client(key) {
+            let is_rejected = matches!(answer, FinalAnswer::Rejected(_));
+            self.monitor
+                .on_client_answered(session, self.now, is_rejected);
+        } else {
+            self.monitor.on_answer_without_client(session);
+        }
+    }
+
+    /// Closes the connection to the client. Whether there was one.
+    fn disconnect_client(&mut self, key: SlotKey) -> bool {
+        let slot = self.session_table.sessions.get_mut(key);
+        slot.is_some_and(|slot| std::mem::replace(&mut slot.driver_data.has_client, false))
+    }
+
+    fn start_forwarding(&mut self, key: SlotKey, session: u8) {
+        if let Some(slot) = self.session_table.sessions.get(key) {
+            let has_connection = slot.driver_data.server.is_some();
+            let has_client = slot.driver_data.has_client;
+            self.monitor
+                .on_session_opened(session, self.now, has_connection, has_client);
+        }
+    }
+
+    fn forget(&mut self, key: SlotKey, session: u8) {
+        self.deadlines.clear(Deadline::Session(key));
+        let slot = self.session_table.sessions.remove(key);
+        if let Some(server) = slot.and_then(|slot| slot.driver_data.server) {
+            self.connections.remove(server);
+            self.monitor.on_connection_closed(session);
+        }
+        self.monitor.on_session_forgotten(session);
+    }
+}
+
+fn sends_to_server(effect: &SessionEffect) -> bool {
+    matches!(
+        effect,
+        SessionEffect::Connect { .. } | SessionEffect::SendRequest { .. }
+    )
+}
--- /dev/null
+++ b/crates/model-checker/src/world/events.rs
@@ -0,0 +1,282 @@
+//! What an action does to the model, and what the code that serves is told of it.
+
+use super::connection::{Connection, ConnectionState, SessionConnections};
+use super::{Deadline, World};
+use crate::action::{Action, EndpointChange, ProbeResult, ServerMessage};
+use crate::shape::Shape;
+use asterramp_drain::{ADVICE_INTERVAL, DrainState};
+use asterramp_placement::Event;
+use asterramp_placement::event::{
+    Endpoint, EndpointState, EndpointUpdate, Load, Outcome, SessionRequest,
+};
+use asterramp_proxy::routing::session_state::{SessionInput, SessionState};
+
+/// The load report of a server that has hardly anything to do.
+const LIGHT_LOAD: Load = Load {
+    connections: Some(1.0),
+    utilization: Some(0.1),
+};
+/// The load report of a server that has more to do than it can.
+const OVERLOAD: Load = Load {
+    connections: Some(20.0),
+    utilization: Some(1.2),
+};
+/// No load report.
+const NO_LOAD: Load = Load {
+    connections: None,
+    utilization: None,
+};
+
+impl World {
+    pub(super) fn perform(&mut self, shape: &Shape, action: Action) {
+        match action {
+            Action::SessionArrives(session) => self.session_arrives(shape, session),
+            Action::DialConnected(session) => {
+                self.set_connection_state(session, ConnectionState::SendingRequest);
+                self.dial_input(session, |dial| SessionInput::Connected { dial });
+            }
+            Action::DialRefused(session) => {
+                self.dial_input(session, |dial| SessionInput::Unreachable { dial });
+            }
+            Action::DialWithoutSocket(session) => {
+                self.dial_input(session, |dial| SessionInput::NoSocket { dial });
+            }
+            Action::RequestWritten(session) => {
+                self.monitor.on_request_written(session);
+                self.set_connection_state(session, ConnectionState::AwaitingAnswer);
+                self.dial_input(session, |dial| SessionInput::RequestWritten { dial });
+            }
+            Action::ServerAnswers(session, message) => self.server_answers(session, message),
+            Action::ServerCloses(session) => self.server_closes(session),
+            Action::ClientLeaves(session) => self.client_leaves(session),
+            Action::ClientSpeaks(session) => self.session_input(session, SessionInput::ClientSpoke),
+            Action::ClientLeavesUnnoticed(session) => self.client_leaves_unnoticed(session),
+            Action::EndpointChanges(server, change) => self.endpoint_changes(server, change),
+            Action::ProbeEnds(server, result) => self.probe_ends(server, result),
+            Action::NextDeadline => self.next_deadline(),
+            Action::StaleEvent(session) => self.stale_event(session),
+            Action::Sigterm => self.shut_down(shape),
+            Action::OperatorDrains => self.start_drain(),
+            Action::OperatorUndrains => self.cancel_drain(),
+        }
+    }
+
+    fn session_arrives(&mut self, shape: &Shape, session: u8) {
+        let answer_deadline = self.now + shape.client_wait;
+        self.monitor.on_session_arrived(session, answer_deadline);
+        self.last_arrival = self.now;
+        if self.drain.state() != DrainState::Serving {
+            let next_advice = self.now + ADVICE_INTERVAL;
+            self.deadlines.set(Deadline::DrainAdvice, next_advice);
+        }
+        let request = SessionRequest {
+            listener: session,
+            dial_timeout: answer_deadline,
+            ..SessionRequest::default()
+        };
+        let connections = SessionConnections {
+            session,
+            has_client: true,
+            client_left_unnoticed: false,
+            server: None,
+        };
+        let key = self
+            .session_table
+            .start_session(self.now, request, false, connections);
+        self.session_keys[usize::from(session)] = Some(key);
+    }
+
+    fn server_answers(&mut self, session: u8, message: ServerMessage) {
+        let outcome = match message {
+            ServerMessage::Up => {
+                self.set_connection_state(session, ConnectionState::Open);
+                self.dial_input(session, |dial| SessionInput::ServerAccepted { dial });
+                return;
+            }
+            ServerMessage::Busy => {
+                self.monitor.on_server_busy(session);
+                Outcome::Full
+            }
+            ServerMessage::Err => Outcome::Erred,
+            ServerMessage::Move => Outcome::CalledOff,
+        };
+        self.dial_input(session, |dial| SessionInput::ServerDeclined {
+            dial,
+            outcome,
+            load: NO_LOAD,
+        });
+    }
+
+    fn server_closes(&mut self, session: u8) {
+        let state = self
+            .connection_of(session)
+            .map(|connection| connection.state);
+        if state == Some(ConnectionState::Open) {
+            self.close_session(session, Outcome::Reset);
+        } else {
+            self.dial_input(session, |dial| SessionInput::ServerEnded { dial });
+        }
+    }
+
+    fn client_leaves(&mut self, session: u8) {
+        let key = self.session_keys[usize::from(session)];
+        let Some(key) = key else {
+            return;
+        };
+        let slot = self.session_table.sessions.get(key);
+        let was_open = slot.is_some_and(|slot| slot.machine.state == SessionState::Open);
+        self.monitor.on_client_left(session);
+        self.session_table
+            .input(self.now, key, SessionInput::ClientLeft);
+        if was_open {
+            self.close_session(session, Outcome::Ok);
+        }
+    }
+
+    fn client_leaves_unnoticed(&mut self, session: u8) {
+        let key = self.session_keys[usize::from(session)];
+        if let Some(slot) = key.and_then(|key| self.session_table.sessions.get_mut(key)) {
+            slot.driver_data.client_left_unnoticed = true;
+        }
+        self.monitor.on_client_gone(session);
+    }
+
+    fn endpoint_changes(&mut self, server: u8, change: EndpointChange) {
+        self.endpoint_changes_left -= 1;
+        let model = &mut self.servers[usize::from(server)];
+        let mut endpoints = Vec::new();
+        match change {
+            EndpointChange::Ready => model.state = EndpointState::Ready,
+            EndpointChange::Draining => model.state = EndpointState::Draining,
+            EndpointChange::Gone => model.state = EndpointState::Gone,
+            EndpointChange::Restarted => model.started_at = Some(self.now),
+            EndpointChange::Replaced => {
+                endpoints.push(Endpoint {
+                    state: EndpointState::Gone,
+                    ..model.endpoint()
+                });
+                model.id = self.next_server_id;
+                model.started_at = Some(self.now);
+                self.next_server_id += 1;
+            }
+        }
+        endpoints.push(model.endpoint());
+        for endpoint in &endpoints {
+            self.monitor.on_endpoint_change(endpoint, self.now);
+        }
+        let changes = Event::Endpoints(EndpointUpdate::Changes(endpoints));
+        self.session_table.event(self.now, changes);
+    }
+
+    fn probe_ends(&mut self, server: u8, result: ProbeResult) {
+        let server = self.servers[usize::from(server)].id;
+        self.probes.remove(&server);
+        let (outcome, load) = match result {
+            ProbeResult::LightLoad => (Outcome::Ok, LIGHT_LOAD),
+            ProbeResult::Overload => (Outcome::Ok, OVERLOAD),
+            ProbeResult::TimedOut => (Outcome::TimedOut, NO_LOAD),
+            ProbeResult::Refused => (Outcome::Unreachable, NO_LOAD),
+        };
+        let probe_ended = Event::ProbeEnded {
+            server,
+            outcome,
+            load,
+        };
+        self.session_table.event(self.now, probe_ended);
+    }
+
+    fn next_deadline(&mut self) {
+        let Some(due_at) = self.deadlines.next_due() else {
+            return;
+        };
+        self.now = self.now.max(due_at);
+        match self.deadlines.pop_due(self.now) {
+            Some(Deadline::Tick) => self.session_table.event(self.now, Event::Tick),
+            Some(Deadline::Session(key)) => {
+                self.session_table
+                    .input(self.now, key, SessionInput::DeadlineReached);
+            }
+            Some(Deadline::DrainAdvice) => self.follow_drain_advice(),
+            None => {}
+        }
+    }
+
+    /// A connection that was closed a moment ago has one more event, which epoll returned before. As in the router, its
+    /// key finds whoever has its slot now, if the slot's generation lets it.
+    fn stale_event(&mut self, session: u8) {
+        self.stale_events_left -= 1;
+        let mut closed = self.closed_connections.iter();
+        let Some(index) = closed.position(|(_, connection)| connection.session == session) else {
+            return;
+        };
+        let (key, closed) = self.closed_connections.remove(index);
+        match self.connections.get(key).copied() {
+            Some(found) => {
+                self.monitor.on_stale_event(found.session);
+                let server_ended = SessionInput::ServerEnded { dial: found.dial };
+                self.session_table
+                    .input(self.now, found.session_key, server_ended);
+            }
+            None => self.late_answer(closed),
+        }
+    }
+
+    /// The socket is gone; were its server's answer heard all the same, it would name its dial.
+    fn late_answer(&mut self, closed: Connection) {
+        if closed.state == ConnectionState::AwaitingAnswer {
+            let server_accepted = SessionInput::ServerAccepted { dial: closed.dial };
+            self.session_table
+                .input(self.now, closed.session_key, server_accepted);
+        }
+    }
+
+    /// Closes both connections of an open session.
+    pub(super) fn close_session(&mut self, session: u8, outcome: Outcome) {
+        let Some(key) = self.session_keys[usize::from(session)] else {
+            return;
+        };
+        if let Some(slot) = self.session_table.sessions.get_mut(key) {
+            slot.driver_data.has_client = false;
+            if let Some(server) = slot.driver_data.server.take() {
+                self.connections.remove(server);
+            }
+        }
+        self.monitor.on_session_ended(session);
+        let session_closed = SessionInput::SessionClosed {
+            outcome,
+            load: NO_LOAD,
+        };
+        self.session_table.input(self.now, key, session_closed);
+    }
+
+    fn connection_of(&self, session: u8) -> Option<&Connection> {
+        let key = self.session_keys[usize::from(session)]?;
+        let slot = self.session_table.sessions.get(key)?;
+        self.connections.get(slot.driver_data.server?)
+    }
+
+    fn set_connection_state(&mut self, session: u8, state: ConnectionState) {
+        let key = self.session_keys[usize::from(session)];
+        let slot = key.and_then(|key| self.session_table.sessions.get(key));
+        let server = slot.and_then(|slot| slot.driver_data.server);
+        if let Some(connection) = server.and_then(|key| self.connections.get_mut(key)) {
+            connection.state = state;
+        }
+    }
+
+    fn session_input(&mut self, session: u8, input: SessionInput) {
+        if let Some(key) = self.session_keys[usize::from(session)] {
+            self.session_table.input(self.now, key, input);
+        }
+    }
+
+    /// Gives the session an input about its present dial, if it has one.
+    fn dial_input(&mut self, session: u8, input: impl FnOnce(u8) -> SessionInput) {
+        let connection = self.connection_of(session).copied();
+        if let Some(connection) = connection {
+            let input = input(connection.dial);
+            self.session_table
+                .input(self.now, connection.session_key, input);
+        }
+    }
+}
--- /dev/null
+++ b/crates/model-checker/src/world/invariants.rs
@@ -0,0 +1,69 @@
+//! Properties of a whole world, checked behind each action.
+
+use super::drain::MAX_SHUTDOWN_WAIT;
+use super::{Deadline, START, World};
+use crate::properties::Violation;
+use crate::shape::Shape;
+use asterramp_proxy::routing::session_state::SessionState;
+use std::time::Duration;
+
+impl World {
+    pub(super) fn check(&mut self, shape: &Shape) -> Result<(), Violation> {
+        self.monitor.check_now(self.now);
+        self.check_connections();
+        if !shape.may_probe {
+            self.check_sessions();
+        }
+        self.check_deadlines();
+        let all_have_ended =
+            START + shape.arrival_window() + shape.client_wait * 2 + MAX_SHUTDOWN_WAIT;
+        if self.now > all_have_ended && !self.all_sessions_are_open() {
+            self.monitor
+                .on_left_behind(0, "a session long after its time");
+        }
+        self.monitor.verdict()
+    }
+
+    /// Each connection is that of a session.
+    fn check_connections(&mut self) {
+        for (key, connection) in self.connections.iter() {
+            let slot = self.session_table.sessions.get(connection.session_key);
+            let is_known = slot.is_some_and(|slot| slot.driver_data.server == Some(key));
+            if !is_known {
+                self.monitor
+                    .on_left_behind(connection.session, "a connection that no session knows");
+            }
+        }
+    }
+
+    /// Each session has a connection or a deadline. Where there are probes, one may also wait in the placement engine
+    /// for what they show.
+    fn check_sessions(&mut self) {
+        for (key, slot) in self.session_table.sessions.iter() {
+            let has_connection = slot.driver_data.server.is_some();
+            let has_deadline = || self.deadlines.get(Deadline::Session(key)).is_some();
+            if !has_connection && !has_deadline() {
+                self.monitor
+                    .on_left_behind(slot.driver_data.session, "a session that nothing will end");
+            }
+        }
+    }
+
+    /// Each deadline of a session is that of a session that is there.
+    fn check_deadlines(&mut self) {
+        let mut deadlines = self.deadlines.clone();
+        let keys = std::iter::from_fn(|| deadlines.pop_due(Duration::MAX));
+        let sessions = &self.session_table.sessions;
+        let is_stray =
+            |key| matches!(key, Deadline::Session(session) if sessions.get(session).is_none());
+        if keys.into_iter().any(is_stray) {
+            self.monitor
+                .on_left_behind(0, "a deadline of a session that is gone");
+        }
+    }
+
+    pub(super) fn all_sessions_are_open(&self) -> bool {
+        let mut sessions = self.session_table.sessions.iter();
+        sessions.all(|(_, slot)| slot.machine.state == SessionState::Open)
+    }
+}
