--- a/crates/model-checker/src/world/mod.rs
+++ b/crates/model-checker/src/world/mod.rs
@@ -1,7 +1,7 @@
 //! The placement world: the session table and the drain that serve, and a model of the clients, servers, sockets and the
 //! clock around them.
 //!
-//! An [`Action`](crate::action::Action) happens (`events`, `drain`), the code reacts, and what it wants done is carried out
+//! An [`Action`] happens (`events`, `drain`), the code reacts, and what it wants done is carried out
 //! (`effects`) as the router does it on sockets. Then the properties are checked (`invariants`, [`crate::properties`]).
 
 mod connection;
--- a/crates/model-checker/tests/fuzz.rs
+++ b/crates/model-checker/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! What reads bytes from outside never panics, keeps its bounds, and reads back what was written in its form.
+//! Parsers of what comes from outside never panic, keep their bounds, and read what was written in their form.
 
 use asterramp_admin_protocol::AdminRequest;
 use asterramp_operator_config::OperatorConfig;
@@ -11,6 +11,11 @@
 use asterramp_proxy::protocol::{discovery, http_client};
 use proptest::prelude::*;
 
+/// Cases of each property, unless `PROPTEST_CASES` says otherwise.
+const DEFAULT_CASES: u32 = 512;
+/// No parsed JSON is nested deeper than this.
+const MAX_JSON_DEPTH: usize = 64;
+
 /// JSON as text, nested a little, with odd numbers and strings.
 fn json_text() -> impl Strategy<Value = String> {
     let leaf = prop_oneof![
@@ -35,8 +40,8 @@
     })
 }
 
-/// A first line of a client, nearly right.
-fn open_line() -> impl Strategy<Value = String> {
+/// The first line of a client, nearly right.
+fn open_request() -> impl Strategy<Value = String> {
     let value = prop_oneof![
         "[0-9a-f]{1,20}",
         "[0-9.e+-]{1,12}",
@@ -54,7 +59,8 @@
         .prop_map(|(word, id, key, list)| format!("{word} {id} {key} {list}"))
 }
 
-fn target() -> impl Strategy<Value = String> {
+/// A server in an endpoint list, nearly right.
+fn endpoint_text() -> impl Strategy<Value = String> {
     ("[a-z0-9-]{0,12}", "(127\\.0\\.0\\.1:[0-9]{1,6}|x|)", "(ready|draining|gone|odd)", any::<i64>())
         .prop_map(|(uid, endpoint, state, boot)| {
             format!(
@@ -63,20 +69,23 @@
         })
 }
 
-fn within(value: &JsonValue, depth: usize) -> bool {
+/// Whether arrays and objects are nested no deeper than that.
+fn is_nested_within(value: &JsonValue, depth: usize) -> bool {
     match value {
-        JsonValue::Array(all) => depth > 0 && all.iter().all(|v| within(v, depth - 1)),
-        JsonValue::Object(all) => depth > 0 && all.iter().all(|(_, v)| within(v, depth - 1)),
+        JsonValue::Array(all) => depth > 0 && all.iter().all(|v| is_nested_within(v, depth - 1)),
+        JsonValue::Object(all) => {
+            depth > 0 && all.iter().all(|(_, v)| is_nested_within(v, depth - 1))
+        }
         _ => true,
     }
 }
 
-/// As long as `PROPTEST_CASES` says.
-fn campaign() -> ProptestConfig {
+/// As many cases as `PROPTEST_CASES` says.
+fn proptest_config() -> ProptestConfig {
     let cases = std::env::var("PROPTEST_CASES")
         .ok()
         .and_then(|n| n.parse().ok())
-        .unwrap_or(512);
+        .unwrap_or(DEFAULT_CASES);
     ProptestConfig {
         cases,
         failure_persistence: None,
@@ -84,7 +93,7 @@
     }
 }
 
-/// Settings that are whole, of which a few are then replaced or taken out.
+/// Settings that are complete, of which a few are then replaced or removed.
 const SETTINGS: &[(&str, &str)] = &[
     ("discovery", "pushed"),
     ("instances", "3"),
@@ -117,10 +126,10 @@
 ];
 
 proptest! {
-    #![proptest_config(campaign())]
+    #![proptest_config(proptest_config())]
 
     #[test]
-    fn a_first_line_ends_in_crlf_and_is_no_longer_than_the_longest(
+    fn a_first_line_ends_in_crlf_and_is_no_longer_than_allowed(
         bytes in prop::collection::vec(prop_oneof![any::<u8>(), Just(b'\r'), Just(b'\n')], 0..5000)
     ) {
         if let Ok(Some((text, n))) = line::first_line(&bytes) {
@@ -130,7 +139,7 @@
     }
 
     #[test]
-    fn a_greeting_says_only_what_stands_in_its_line(text in prop_oneof![open_line(), any::<String>()]) {
+    fn a_greeting_has_only_values_of_its_line(text in prop_oneof![open_request(), any::<String>()]) {
         if let Ok(ClientGreeting::Open(open)) = parse_greeting(&text) {
             prop_assert!(text.contains(open.id) && !open.id.is_empty());
             prop_assert!(open.wait.as_secs() <= 3_600);
@@ -140,7 +149,7 @@
     }
 
     #[test]
-    fn a_server_says_no_figure_that_is_not_one(text in any::<String>(), name in "[a-z0-9]{1,6}") {
+    fn a_load_report_is_a_finite_number(text in any::<String>(), name in "[a-z0-9]{1,6}") {
         if let ServerLine::Load(work) = parse_server_line(&text) {
             prop_assert!(work.is_finite());
         }
@@ -148,10 +157,10 @@
     }
 
     #[test]
-    fn json_is_read_whole_or_refused(text in json_text(), cut in 0usize..400) {
+    fn json_is_parsed_completely_or_rejected(text in json_text(), cut in 0usize..400) {
         let whole = json::parse(text.as_bytes());
         if let Ok(value) = &whole {
-            prop_assert!(within(value, 64));
+            prop_assert!(is_nested_within(value, MAX_JSON_DEPTH));
             let mut pairs = Vec::new();
             value.flatten("", &mut pairs);
         }
@@ -163,7 +172,7 @@
     }
 
     #[test]
-    fn any_bytes_are_no_trouble(bytes in prop::collection::vec(any::<u8>(), 0..2000)) {
+    fn no_parser_panics_on_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..2000)) {
         let _ = json::parse(&bytes);
         let _ = discovery::parse(&bytes);
         let mut lines = Vec::new();
@@ -171,7 +180,7 @@
     }
 
     #[test]
-    fn a_list_keeps_what_can_be_read_of_it(targets in prop::collection::vec(target(), 0..20), rev in any::<u32>()) {
+    fn an_endpoint_list_keeps_the_entries_that_are_valid(targets in prop::collection::vec(endpoint_text(), 0..20), rev in any::<u32>()) {
         let text = format!(r#"{{"rev":{rev},"all":true,"targets":[{}]}}"#, targets.join(","));
         let list = discovery::parse(text.as_bytes()).unwrap();
         prop_assert_eq!(list.revision, u64::from(rev));
@@ -207,7 +216,7 @@
     }
 
     #[test]
-    fn settings_are_read_or_refused_with_their_path(
+    fn settings_are_read_or_rejected_by_their_path(
         changes in prop::collection::vec(
             (0..SETTINGS.len(), prop::option::of("(-?[0-9]{1,25}(\\.[0-9]{1,3})?|[a-z,]{0,9}|NaN|inf|1e308)")), 0..4
         )
@@ -234,7 +243,7 @@
     }
 
     #[test]
-    fn an_operators_file_is_read_or_told_by_its_lines(
+    fn an_operators_file_is_read_or_its_problems_name_its_lines(
         lines in prop::collection::vec(
             "(\\[(control|drain|odd)\\]|(socket|peers|pace|back|odd) ?= ?(\"[a-z0-9/]{0,9}\"|[0-9.]{1,9}|\\[\\]|))", 0..9
         )
@@ -247,7 +256,7 @@
     }
 
     #[test]
-    fn a_request_is_read_or_refused(text in prop_oneof![
+    fn an_admin_request_is_rejected_or_its_rate_is_positive(text in prop_oneof![
         any::<String>(),
         "\\{\"v\":[0-9]{1,3},\"do\":\"(status|drain|undrain|x)\"(,\"(pace|deadline_ms)\":[0-9.e-]{1,9})?\\}",
     ]) {
@@ -258,7 +267,7 @@
 }
 
 #[test]
-fn a_watch_request_has_no_line_of_its_own_making() {
+fn a_watch_request_has_three_lines() {
     let text = http_client::watch_request("127.0.0.1:1", u64::MAX);
     assert_eq!(text.matches("\r\n").count(), 3);
 }
