--- a/crates/model-checker/src/commands/injected_faults.rs
+++ b/crates/model-checker/src/commands/injected_faults.rs
@@ -7,7 +7,7 @@
 
 #[cfg(not(feature = "injected-faults"))]
 mod without_feature {
-    use crate::commands::CommandError;
+    use crate::commands::error::CommandError;
     use crate::report::Verdict;
 
     pub(in crate::commands) fn find(_: Option<&str>) -> Result<Verdict, CommandError> {
@@ -23,7 +23,7 @@
 
 #[cfg(feature = "injected-faults")]
 mod with_feature {
-    use crate::commands::CommandError;
+    use crate::commands::error::CommandError;
     use crate::report::Verdict;
     use asterramp_model_checker::explore::{Limits, PlacementCounterexample, explore};
     use asterramp_model_checker::shape::{SHAPES, Shape};
--- a/crates/model-checker/src/commands/mod.rs
+++ b/crates/model-checker/src/commands/mod.rs
@@ -1,5 +1,6 @@
 //! The commands, a function each.
 
+mod counterexample;
 mod error;
 mod injected_faults;
 mod models;
@@ -9,9 +10,7 @@
 
 use crate::cli::Command;
 use crate::report::Verdict;
-use asterramp_model_checker::trace::Trace;
-pub(crate) use error::CommandError;
-use std::path::Path;
+use error::CommandError;
 
 /// Runs a command and prints what it has to say.
 pub(crate) fn run(command: Command) -> Result<Verdict, CommandError> {
@@ -26,14 +25,3 @@
         Command::Replay { file, as_test } => replay::replay(&file, as_test),
     }
 }
-
-/// Prints a counterexample and saves it in a file.
-fn save_counterexample(trace: &Trace, file: &Path) -> Result<Verdict, CommandError> {
-    println!("{trace}");
-    std::fs::write(file, trace.to_string()).map_err(|source| CommandError::File {
-        path: file.to_owned(),
-        source,
-    })?;
-    println!("saved as {}", file.display());
-    Ok(Verdict::Broken)
-}
--- a/crates/model-checker/src/commands/replay.rs
+++ b/crates/model-checker/src/commands/replay.rs
@@ -1,6 +1,7 @@
 //! `replay`: plays a trace, or prints it as a test.
 
-use super::{CommandError, injected_faults};
+use super::error::CommandError;
+use super::injected_faults;
 use crate::report::Verdict;
 use asterramp_model_checker::trace::Trace;
 use std::path::Path;
--- a/crates/model-checker/src/commands/run.rs
+++ b/crates/model-checker/src/commands/run.rs
@@ -1,6 +1,7 @@
 //! `run`: explores shapes.
 
-use super::{CommandError, save_counterexample};
+use super::counterexample::save_counterexample;
+use super::error::CommandError;
 use crate::cli::RunArgs;
 use crate::report::{Verdict, shape_line};
 use asterramp_model_checker::explore::{Limits, explore};
--- a/crates/model-checker/src/commands/walk.rs
+++ b/crates/model-checker/src/commands/walk.rs
@@ -1,6 +1,7 @@
 //! `walk`: random walks.
 
-use super::{CommandError, save_counterexample};
+use super::counterexample::save_counterexample;
+use super::error::CommandError;
 use crate::cli::WalkArgs;
 use crate::report::Verdict;
 use asterramp_model_checker::shape::WALK;
--- a/crates/model-checker/src/world/drain.rs
+++ b/crates/model-checker/src/world/drain.rs
@@ -1,22 +1,15 @@
 //! An operator's drain and SIGTERM, by the state machine that serves.
 
 use super::connection::SessionConnections;
-use super::{Deadline, World};
+use super::state::{Deadline, World};
 use crate::shape::Shape;
-use asterramp_drain::{ADVICE_INTERVAL, DrainSettings, DrainState, DrainView, ShutdownSchedule};
+use asterramp_drain::{ADVICE_INTERVAL, DrainState, DrainView, ShutdownSchedule};
 use asterramp_placement::event::Outcome;
 use asterramp_proxy::routing::session_state::{SessionInput, SessionState};
 use asterramp_proxy::routing::session_table::SessionSlot;
 use asterramp_proxy::transport::SlotKey;
 use std::time::Duration;
 
-/// How a drain goes, with times that fit the few hundred milliseconds for which clients wait here.
-pub(super) const DRAIN_SETTINGS: DrainSettings = DrainSettings {
-    max_closing_time: Duration::from_millis(60),
-    quiet_period: Duration::from_millis(40),
-    max_migrations_per_second: 20.0,
-    time_before_next_drain: Duration::ZERO,
-};
 /// Within how long the operator wants the proxy to be empty.
 const DRAIN_TIME: Duration = Duration::from_millis(200);
 /// How long after SIGTERM the clients that still wait are answered, at most.
@@ -26,10 +19,6 @@
 const MIGRATE_UNTIL: f64 = 1.05;
 
 impl World {
-    pub(super) fn is_shutting_down(&self) -> bool {
-        self.drain.state() == DrainState::Exiting
-    }
-
     /// The proxy receives SIGTERM, and makes the schedule of its end as the router does.
     pub(super) fn shut_down(&mut self, shape: &Shape) {
         let wait = shape.client_wait.min(MAX_SHUTDOWN_WAIT);
--- a/crates/model-checker/src/world/effects.rs
+++ b/crates/model-checker/src/world/effects.rs
@@ -1,7 +1,7 @@
 //! What the code that serves wants done, carried out as the router does it on sockets.
 
 use super::connection::{Connection, ConnectionState};
-use super::{Deadline, World};
+use super::state::{Deadline, World};
 use asterramp_placement::event::{Outcome, ServerId};
 use asterramp_proxy::routing::session_state::{FinalAnswer, SessionEffect, SessionInput};
 use asterramp_proxy::routing::session_table::SessionTask;
--- a/crates/model-checker/src/world/events.rs
+++ b/crates/model-checker/src/world/events.rs
@@ -1,7 +1,8 @@
 //! What an action does to the model, and what the code that serves is told of it.
 
 use super::connection::{Connection, ConnectionState, SessionConnections};
-use super::{Deadline, World};
+use super::sessions::NO_LOAD;
+use super::state::{Deadline, World};
 use crate::action::{Action, EndpointChange, ProbeResult, ServerMessage};
 use crate::shape::Shape;
 use asterramp_drain::{ADVICE_INTERVAL, DrainState};
@@ -21,11 +22,6 @@
     connections: Some(20.0),
     utilization: Some(1.2),
 };
-/// No load report.
-const NO_LOAD: Load = Load {
-    connections: None,
-    utilization: None,
-};
 
 impl World {
     pub(super) fn perform(&mut self, shape: &Shape, action: Action) {
@@ -229,54 +225,4 @@
                 .input(self.now, closed.session_key, server_accepted);
         }
     }
-
-    /// Closes both connections of an open session.
-    pub(super) fn close_session(&mut self, session: u8, outcome: Outcome) {
-        let Some(key) = self.session_keys[usize::from(session)] else {
-            return;
-        };
-        if let Some(slot) = self.session_table.sessions.get_mut(key) {
-            slot.driver_data.has_client = false;
-            if let Some(server) = slot.driver_data.server.take() {
-                self.connections.remove(server);
-            }
-        }
-        self.monitor.on_session_ended(session);
-        let session_closed = SessionInput::SessionClosed {
-            outcome,
-            load: NO_LOAD,
-        };
-        self.session_table.input(self.now, key, session_closed);
-    }
-
-    fn connection_of(&self, session: u8) -> Option<&Connection> {
-        let key = self.session_keys[usize::from(session)]?;
-        let slot = self.session_table.sessions.get(key)?;
-        self.connections.get(slot.driver_data.server?)
-    }
-
-    fn set_connection_state(&mut self, session: u8, state: ConnectionState) {
-        let key = self.session_keys[usize::from(session)];
-        let slot = key.and_then(|key| self.session_table.sessions.get(key));
-        let server = slot.and_then(|slot| slot.driver_data.server);
-        if let Some(connection) = server.and_then(|key| self.connections.get_mut(key)) {
-            connection.state = state;
-        }
-    }
-
-    fn session_input(&mut self, session: u8, input: SessionInput) {
-        if let Some(key) = self.session_keys[usize::from(session)] {
-            self.session_table.input(self.now, key, input);
-        }
-    }
-
-    /// Gives the session an input about its present dial, if it has one.
-    fn dial_input(&mut self, session: u8, input: impl FnOnce(u8) -> SessionInput) {
-        let connection = self.connection_of(session).copied();
-        if let Some(connection) = connection {
-            let input = input(connection.dial);
-            self.session_table
-                .input(self.now, connection.session_key, input);
-        }
-    }
 }
--- a/crates/model-checker/src/world/fingerprint.rs
+++ b/crates/model-checker/src/world/fingerprint.rs
@@ -1,6 +1,6 @@
 //! What makes two worlds equal, as a hash.
 
-use super::World;
+use super::state::World;
 use std::fmt::{self, Write};
 
 /// The offset basis and the prime of FNV-1a with 64 bits.
--- a/crates/model-checker/src/world/invariants.rs
+++ b/crates/model-checker/src/world/invariants.rs
@@ -1,10 +1,9 @@
 //! Properties of a whole world, checked behind each action.
 
 use super::drain::MAX_SHUTDOWN_WAIT;
-use super::{Deadline, START, World};
+use super::state::{Deadline, START, World};
 use crate::properties::Violation;
 use crate::shape::Shape;
-use asterramp_proxy::routing::session_state::SessionState;
 use std::time::Duration;
 
 impl World {
@@ -61,9 +60,4 @@
                 .on_left_behind(0, "a deadline of a session that is gone");
         }
     }
-
-    pub(super) fn all_sessions_are_open(&self) -> bool {
-        let mut sessions = self.session_table.sessions.iter();
-        sessions.all(|(_, slot)| slot.machine.state == SessionState::Open)
-    }
 }
--- a/crates/model-checker/src/world/possible_actions.rs
+++ b/crates/model-checker/src/world/possible_actions.rs
@@ -1,7 +1,7 @@
 //! What may happen next in a world.
 
 use super::connection::{ConnectionState, SessionConnections};
-use super::{HORIZON, START, World};
+use super::state::{HORIZON, START, World};
 use crate::action::{Action, EndpointChange, ProbeResult, ServerMessage};
 use crate::shape::Shape;
 use asterramp_drain::DrainState;
