--- a/crates/leader-lease/src/lib.rs
+++ b/crates/leader-lease/src/lib.rs
@@ -3,7 +3,7 @@
 //! One process at a time may do work on behalf of the whole fleet. Each that wants to is a [`LeaseContender`]: it queues at
 //! the store with an ephemeral node, leads once that node is first, and stops by itself before its successor can begin.
 //! Each receiver of orders holds a [`FencingGuard`], which rejects orders that reach it after their time, from a leader
-//! that has been succeeded, or that were made for another process. `docs/ownership.md` says which of the two prevents
+//! that has been succeeded, or that were made for another process. `docs/leader-lease.md` says which of the two prevents
 //! which case.
 //!
 //! Times are a [`Duration`](std::time::Duration) since the start of whichever process reads its clock. A contender and a
