--- a/crates/testbed/src/baseline.rs
+++ b/crates/testbed/src/baseline.rs
@@ -1,7 +1,7 @@
 //! A plain proxy for comparison only, with policies that know nothing of load. It keeps the rules in the
 //! simplest way, or breaks one on request, so that it can be seen whether the judge notices.
 
-use crate::lines::{Line, Lines};
+use crate::line_reader::{Line, LineReader};
 use clap::ValueEnum;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -61,7 +61,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct InitialEndpointList {
     endpoint: SocketAddr,
     ready: bool,
     boot_ms: u64,
@@ -72,7 +72,7 @@
     policy: Policy,
     breaks: Option<Break>,
     config: Value,
-    hosts: Mutex<BTreeMap<String, Known>>,
+    hosts: Mutex<BTreeMap<String, InitialEndpointList>>,
     turn: AtomicU64,
     leaving: AtomicBool,
     moving: AtomicBool,
@@ -149,7 +149,7 @@
 }
 
 impl Plain {
-    fn hosts(&self) -> MutexGuard<'_, BTreeMap<String, Known>> {
+    fn hosts(&self) -> MutexGuard<'_, BTreeMap<String, InitialEndpointList>> {
         self.hosts
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
@@ -192,7 +192,7 @@
             );
             hosts.insert(
                 text("uid"),
-                Known {
+                InitialEndpointList {
                     endpoint,
                     ready,
                     boot_ms,
@@ -210,7 +210,7 @@
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         let warm = ms(&self.config["settings"]["rules"]["cold"]);
-        let cold = |known: &Known| {
+        let cold = |known: &InitialEndpointList| {
             let up = (unix.as_millis() as u64).saturating_sub(known.boot_ms);
             known.boot_ms > 0 && u128::from(up) < warm.as_millis()
         };
@@ -230,8 +230,9 @@
             return Some((uid.clone(), known.endpoint));
         }
         // It never sends to a cold one: that is safe, and all that a plain proxy needs.
-        let fit = |h: &(&String, &Known)| h.1.ready && !cold(h.1) && !tried.contains(h.0);
-        let fit: Vec<(&String, &Known)> = hosts.iter().filter(fit).collect();
+        let fit =
+            |h: &(&String, &InitialEndpointList)| h.1.ready && !cold(h.1) && !tried.contains(h.0);
+        let fit: Vec<(&String, &InitialEndpointList)> = hosts.iter().filter(fit).collect();
         let nth = self.turn.fetch_add(1, Ordering::Relaxed);
         let drawn = nth.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
         let (uid, known) = match self.policy {
@@ -256,7 +257,7 @@
     async fn client(self: Arc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let (read, mut write) = stream.into_split();
-        let mut lines = Lines::new(read);
+        let mut lines = LineReader::new(read);
         loop {
             match timeout(Duration::from_secs(2), lines.next()).await {
                 Ok(Line::Text(line)) if line == "PING" => {
@@ -284,7 +285,7 @@
         }
     }
 
-    async fn session(&self, line: &str, lines: &mut Lines, write: &mut OwnedWriteHalf) {
+    async fn session(&self, line: &str, lines: &mut LineReader, write: &mut OwnedWriteHalf) {
         let figure = |name: &str| line.split([',', ' ']).find_map(|p| p.strip_prefix(name));
         let wait = figure("d=")
             .and_then(|d| d.parse::<u64>().ok())
@@ -414,7 +415,7 @@
         };
         let _ = stream.set_nodelay(true);
         let (read, mut write) = stream.into_split();
-        let mut lines = Lines::new(read);
+        let mut lines = LineReader::new(read);
         let told = line.replace(&format!(",d={wait}"), &format!(",d={}", waits.as_millis()));
         if write
             .write_all(format!("{told}\r\n").as_bytes())
@@ -434,9 +435,9 @@
     /// Passes lines on, both ways, until one side ends or this proxy leaves.
     async fn relay(
         &self,
-        client: &mut Lines,
+        client: &mut LineReader,
         to_client: &mut OwnedWriteHalf,
-        mut host: Lines,
+        mut host: LineReader,
         mut to_host: OwnedWriteHalf,
     ) {
         let cut_at = Instant::now() + Duration::from_millis(1_200);
@@ -476,14 +477,14 @@
 }
 
 enum Dialled {
-    Up(String, Lines, OwnedWriteHalf),
+    Up(String, LineReader, OwnedWriteHalf),
     /// It has never run.
     Never,
     /// It may have; the connection, where it is still up.
-    Maybe(Option<(Lines, OwnedWriteHalf)>),
+    Maybe(Option<(LineReader, OwnedWriteHalf)>),
 }
 
-async fn part(lines: &mut Lines, write: &mut OwnedWriteHalf, text: &str) {
+async fn part(lines: &mut LineReader, write: &mut OwnedWriteHalf, text: &str) {
     let _ = write.write_all(text.as_bytes()).await;
     let _ = write.shutdown().await;
     let _ = timeout(Duration::from_secs(1), async {
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,11 +1,11 @@
 //! Clients: they want to be connected for a while, measure it, try again, come back, leave early.
 
-use crate::ledger::{Answer, End, Seen};
-use crate::lines::{Line, Lines};
-use crate::plan::{Chance, Wanted};
-use crate::roster::uid;
-use crate::scenario::{Circle, Kind};
-use crate::world::World;
+use crate::discovery::uid;
+use crate::event_log::{ClientAnswer, ConnectionEnd, Event};
+use crate::line_reader::{Line, LineReader};
+use crate::plan::{PlannedClient, SeededRng};
+use crate::scenario::{RetrySafety, RetryScope};
+use crate::testbed::Testbed;
 use rand::{RngExt, SeedableRng};
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,48 +36,48 @@
 }
 
 struct Client<'a> {
-    world: &'a World,
-    wanted: &'a Wanted,
-    chance: Chance,
+    testbed: &'a Testbed,
+    wanted: &'a PlannedClient,
+    chance: SeededRng,
     /// Since when it has wanted what it has not got.
     since: Duration,
     again: bool,
 }
 
 /// One client's whole time.
-pub async fn live(world: Arc<World>, wanted: Wanted) {
-    world.done(wanted.at);
+pub async fn live(testbed: Arc<Testbed>, wanted: PlannedClient) {
+    testbed.done(wanted.at);
     let ends = wanted.at + wanted.life;
-    let chance = Chance::seed_from_u64(wanted.chance);
+    let chance = SeededRng::seed_from_u64(wanted.chance);
     let mut client = Client {
-        world: &world,
+        testbed: &testbed,
         wanted: &wanted,
         chance,
         since: wanted.at,
         again: false,
     };
     let mut tries = 0;
-    while world.now() < ends {
+    while testbed.now() < ends {
         let before = client.since;
         let outcome = client.connect(ends).await;
         if client.since > before {
             tries = 0;
         }
-        let retries = &world.scenario.traffic.retries;
-        let listener = &world.scenario.listeners[usize::from(wanted.listener)];
+        let retries = &testbed.scenario.traffic.retries;
+        let listener = &testbed.scenario.listeners[usize::from(wanted.listener)];
         let jitter = 0.5 + client.chance.random::<f64>();
         let pause = match outcome {
             Outcome::Done => break,
             Outcome::Broken => {
-                (client.again, client.since, tries) = (true, world.now(), 0);
+                (client.again, client.since, tries) = (true, testbed.now(), 0);
                 Duration::from_millis(client.chance.random_range(COMES_AGAIN))
             }
             Outcome::Unreachable => NO_PROXY.mul_f64(jitter),
             Outcome::Refused(come_back) => come_back.unwrap_or(retries.pause).mul_f64(jitter),
             Outcome::Failed => match (listener.kind, listener.circle) {
-                (Kind::Repeatable, _) => retries.pause.mul_f64(jitter),
-                (Kind::Referenced, Circle::All)
-                    if world.now() < client.since + listener.key_ttl =>
+                (RetrySafety::Repeatable, _) => retries.pause.mul_f64(jitter),
+                (RetrySafety::Referenced, RetryScope::All)
+                    if testbed.now() < client.since + listener.key_ttl =>
                 {
                     retries.pause.mul_f64(jitter)
                 }
@@ -86,12 +86,12 @@
         };
         tries += u32::from(outcome != Outcome::Unreachable && outcome != Outcome::Broken);
         if tries > retries.most {
-            world.score.marks().given_up += 1;
+            testbed.score.marks().given_up += 1;
             break;
         }
         sleep(pause).await;
     }
-    world
+    testbed
         .score
         .wanted(wanted.listener, wanted.member, wanted.at, ends);
 }
@@ -99,19 +99,19 @@
 impl Client<'_> {
     /// One try, and the connection that comes of it.
     async fn connect(&mut self, ends: Duration) -> Outcome {
-        let (world, wanted) = (self.world, self.wanted);
+        let (testbed, wanted) = (self.testbed, self.wanted);
         let draw = self.chance.random();
-        let Some((proxy, at)) = world.front.pick(wanted.place, draw) else {
-            world.score.marks().unreachable += 1;
+        let Some((proxy, at)) = testbed.front.pick(wanted.place, draw) else {
+            testbed.score.marks().unreachable += 1;
             return Outcome::Unreachable;
         };
         let Ok(Ok(stream)) = timeout(CONNECT, TcpStream::connect(at)).await else {
-            world.score.marks().unreachable += 1;
+            testbed.score.marks().unreachable += 1;
             return Outcome::Unreachable;
         };
         let _ = stream.set_nodelay(true);
         let (read, mut write) = stream.into_split();
-        let mut lines = Lines::new(read);
+        let mut lines = LineReader::new(read);
         let inherited = wanted.inherited.filter(|_| !self.again);
         let (id, line) = self.first_line(inherited);
         if write.write_all(line.as_bytes()).await.is_err() {
@@ -119,9 +119,9 @@
             return Outcome::Unreachable;
         }
         let listener = wanted.listener;
-        let kind = &world.scenario.listeners[usize::from(listener)];
-        let (wait, asked) = (kind.dial_timeout, world.ledger.now());
-        world.ledger.put(Seen::Asked {
+        let kind = &testbed.scenario.listeners[usize::from(listener)];
+        let (wait, asked) = (kind.dial_timeout, testbed.event_log.now());
+        testbed.event_log.put(Event::Asked {
             id,
             proxy,
             place: wanted.place,
@@ -129,13 +129,13 @@
             wait,
             inherited: inherited.is_some(),
         });
-        let stays = wait + world.scenario.platform.answer_slack + OVERTIME;
+        let stays = wait + testbed.scenario.platform.answer_slack + OVERTIME;
         let leaves = wanted
             .patience
             .filter(|_| !self.again)
             .map_or(stays, |patience| patience.min(stays));
         let Ok(line) = timeout(leaves, lines.next()).await else {
-            world.ledger.put(Seen::Left { id });
+            testbed.event_log.put(Event::Left { id });
             return if leaves < wait {
                 Outcome::Done
             } else {
@@ -143,45 +143,45 @@
             };
         };
         let answer = match line {
-            Line::Text(line) if line.starts_with("UP ") => Answer::Up,
+            Line::Text(line) if line.starts_with("UP ") => ClientAnswer::Up,
             Line::Text(line) if line == "BUSY" || line.starts_with("BUSY ") => {
-                Answer::Busy(line.strip_prefix("BUSY ").and_then(|ms| ms.parse().ok()))
+                ClientAnswer::Busy(line.strip_prefix("BUSY ").and_then(|ms| ms.parse().ok()))
             }
-            Line::Text(_) | Line::Bad => Answer::Failed,
+            Line::Text(_) | Line::Bad => ClientAnswer::Failed,
             Line::Fin | Line::Reset => {
                 let end = if line == Line::Fin {
-                    End::Fin
+                    ConnectionEnd::Fin
                 } else {
-                    End::Reset
+                    ConnectionEnd::Reset
                 };
-                world.ledger.put(Seen::Cut { id, end });
+                testbed.event_log.put(Event::Cut { id, end });
                 return Outcome::Failed;
             }
         };
-        world.ledger.put(Seen::Answered {
+        testbed.event_log.put(Event::Answered {
             id,
             answer: answer.clone(),
         });
         match answer {
-            Answer::Up => {
+            ClientAnswer::Up => {
                 let us = |span: Duration| span.as_micros() as u64;
                 let (waited, took) = (
-                    world.now().saturating_sub(self.since),
-                    world.ledger.now() - asked,
+                    testbed.now().saturating_sub(self.since),
+                    testbed.event_log.now() - asked,
                 );
                 if inherited.is_none() {
-                    let mut marks = world.score.marks();
+                    let mut marks = testbed.score.marks();
                     marks.set_ups[usize::from(listener)].saturating_record(us(waited));
                     marks.answers.saturating_record(us(took));
                 }
-                self.since = world.now();
+                self.since = testbed.now();
                 self.stay(id, &mut lines, &mut write, ends).await
             }
-            Answer::Busy(come_back) => {
+            ClientAnswer::Busy(come_back) => {
                 self.behind(id, &mut lines).await;
                 Outcome::Refused(come_back.map(Duration::from_millis))
             }
-            Answer::Failed => {
+            ClientAnswer::Failed => {
                 self.behind(id, &mut lines).await;
                 Outcome::Failed
             }
@@ -189,22 +189,22 @@
     }
 
     /// Nothing may follow a final answer but the end.
-    async fn behind(&self, id: u64, lines: &mut Lines) {
+    async fn behind(&self, id: u64, lines: &mut LineReader) {
         if let Ok(Line::Text(line)) = timeout(OVERTIME, lines.next()).await {
             let answer = if line.starts_with("UP ") {
-                Answer::Up
+                ClientAnswer::Up
             } else {
-                Answer::Failed
+                ClientAnswer::Failed
             };
-            self.world.ledger.put(Seen::Answered { id, answer });
+            self.testbed.event_log.put(Event::Answered { id, answer });
         }
     }
 
     fn first_line(&self, inherited: Option<u16>) -> (u64, String) {
-        let (world, wanted) = (self.world, self.wanted);
-        let listener = &world.scenario.listeners[usize::from(wanted.listener)];
-        let member = &world.scenario.members[usize::from(wanted.member)].name;
-        let id = world.new_id();
+        let (testbed, wanted) = (self.testbed, self.wanted);
+        let listener = &testbed.scenario.listeners[usize::from(wanted.listener)];
+        let member = &testbed.scenario.members[usize::from(wanted.member)].name;
+        let id = testbed.new_id();
         let wait = listener.dial_timeout.as_millis();
         let mut line = format!(
             "OPEN {id:016x} {:016x} c={},t={member}",
@@ -227,26 +227,27 @@
     async fn stay(
         &mut self,
         id: u64,
-        lines: &mut Lines,
+        lines: &mut LineReader,
         write: &mut OwnedWriteHalf,
         ends: Duration,
     ) -> Outcome {
-        let (world, wanted) = (self.world, self.wanted);
-        let every = world.scenario.traffic.message_every;
-        let target = world.scenario.listeners[usize::from(wanted.listener)].message_target;
-        let (mut reconnect, mut deafen) = (world.reconnect.subscribe(), world.deafen.subscribe());
+        let (testbed, wanted) = (self.testbed, self.wanted);
+        let every = testbed.scenario.traffic.message_every;
+        let target = testbed.scenario.listeners[usize::from(wanted.listener)].message_target;
+        let (mut reconnect, mut deafen) =
+            (testbed.reconnect.subscribe(), testbed.deafen.subscribe());
         reconnect.mark_unchanged();
         deafen.mark_unchanged();
         let mut credit = Credit {
-            world,
+            testbed,
             wanted,
-            from: world.now(),
+            from: testbed.now(),
             good: true,
         };
-        let mut next = world.now() + every.mul_f64(self.chance.random::<f64>());
+        let mut next = testbed.now() + every.mul_f64(self.chance.random::<f64>());
         let (mut nth, mut waits, mut told) = (0u64, None::<(u64, Duration)>, false);
         loop {
-            let now = world.now();
+            let now = testbed.now();
             if now >= ends {
                 credit.close(ends);
                 // Half of them say so, and hear the host out.
@@ -264,7 +265,7 @@
                 if waits.is_none() {
                     waits = Some((nth, now));
                 }
-                let text = format!("MSG {nth} {}\r\n", world.ledger.now().as_micros());
+                let text = format!("MSG {nth} {}\r\n", testbed.event_log.now().as_micros());
                 // One whose proxy takes nothing any more is cut off by it sooner or later.
                 let _ = timeout(every, write.write_all(text.as_bytes())).await;
                 continue;
@@ -275,7 +276,7 @@
                 _ = sleep(sleeps) => continue,
                 _ = reconnect.changed() => {
                     if self.called(&mut reconnect) {
-                        credit.close(world.now());
+                        credit.close(testbed.now());
                         return Outcome::Broken;
                     }
                     continue;
@@ -283,9 +284,9 @@
                 _ = deafen.changed() => {
                     let span = deafen.borrow().span;
                     if self.called(&mut deafen) {
-                        credit.close(world.now());
+                        credit.close(testbed.now());
                         sleep(span).await;
-                        (credit.from, credit.good, waits) = (world.now(), false, None);
+                        (credit.from, credit.good, waits) = (testbed.now(), false, None);
                     }
                     continue;
                 }
@@ -293,7 +294,7 @@
             let text = match line {
                 Line::Text(text) => text,
                 Line::Bad => {
-                    world.ledger.put(Seen::Garbled {
+                    testbed.event_log.put(Event::Garbled {
                         id,
                         line: "no text".into(),
                     });
@@ -301,12 +302,12 @@
                 }
                 Line::Fin | Line::Reset => {
                     let end = if line == Line::Fin {
-                        End::Fin
+                        ConnectionEnd::Fin
                     } else {
-                        End::Reset
+                        ConnectionEnd::Reset
                     };
-                    world.ledger.put(Seen::Ended { id, end, told });
-                    credit.close(world.now());
+                    testbed.event_log.put(Event::Ended { id, end, told });
+                    credit.close(testbed.now());
                     return Outcome::Broken;
                 }
             };
@@ -314,21 +315,21 @@
                 ("ACK", n) if n.parse::<u64>().is_ok_and(|n| n > 0 && n <= nth) => {
                     let answered = n.parse().unwrap_or(0);
                     if let Some((_, sent)) = waits.take_if(|(wait, _)| answered >= *wait) {
-                        let took = world.now().saturating_sub(sent);
+                        let took = testbed.now().saturating_sub(sent);
                         credit.good = took <= target && answered == nth;
-                        let mut marks = world.score.marks();
+                        let mut marks = testbed.score.marks();
                         marks.messages.saturating_record(took.as_micros() as u64);
                     }
                 }
                 ("LOAD", _) => {}
                 ("MOVE" | "BYE", _) => told = true,
-                _ => world.ledger.put(Seen::Garbled { id, line: text }),
+                _ => testbed.event_log.put(Event::Garbled { id, line: text }),
             }
         }
     }
 
     /// Whether a call to a share of all clients reaches this one.
-    fn called(&mut self, call: &mut watch::Receiver<crate::world::Call>) -> bool {
+    fn called(&mut self, call: &mut watch::Receiver<crate::testbed::ClientSignal>) -> bool {
         let share = call.borrow_and_update().share;
         self.chance.random::<f64>() < share
     }
@@ -336,8 +337,8 @@
 
 /// A span that counts as well served if its message was answered in time.
 struct Credit<'a> {
-    world: &'a World,
-    wanted: &'a Wanted,
+    testbed: &'a Testbed,
+    wanted: &'a PlannedClient,
     from: Duration,
     good: bool,
 }
@@ -345,13 +346,13 @@
 impl Credit<'_> {
     fn close(&mut self, to: Duration) {
         if std::mem::replace(&mut self.good, false) {
-            self.world
+            self.testbed
                 .score
                 .served(self.wanted.listener, self.wanted.member, self.from, to);
         }
     }
 }
 
-async fn farewell(lines: &mut Lines) {
+async fn farewell(lines: &mut LineReader) {
     while let Line::Text(_) | Line::Bad = lines.next().await {}
 }
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,6 +1,6 @@
 //! Two programs on the same seeds, in turn, and the difference with an interval from a bootstrap.
 
-use crate::plan::Chance;
+use crate::plan::SeededRng;
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
 
@@ -23,7 +23,7 @@
     pub fn of(a: &[f64], b: &[f64], seed: u64) -> Difference {
         let pairs: Vec<f64> = a.iter().zip(b).map(|(a, b)| b - a).collect();
         let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len().max(1) as f64;
-        let mut chance = Chance::seed_from_u64(seed);
+        let mut chance = SeededRng::seed_from_u64(seed);
         let mut drawn = || {
             let draw = |_| pairs[chance.random_range(0..pairs.len())];
             (0..pairs.len()).map(draw).sum::<f64>() / pairs.len() as f64
--- a/crates/testbed/src/roster.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,12 +1,12 @@
 //! Discovery: what is known of the hosts, and an agent a proxy that tells it over HTTP, late or wrongly on
 //! request.
 
+use crate::event_log::{Event, HostState};
 use crate::host::Host;
-use crate::ledger::{Seen, Standing};
-use crate::link::Ends;
+use crate::link::LinkEnds;
 use crate::plan::Plan;
 use crate::scenario::Scenario;
-use crate::world::World;
+use crate::testbed::Testbed;
 use rand::{RngExt, SeedableRng};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -22,49 +22,49 @@
     place: String,
     cell: u16,
     weight: f64,
-    standing: Standing,
+    standing: HostState,
     /// On the ledger's clock.
     started: Option<Duration>,
     rev: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Mood {
+pub struct DiscoveryFaults {
     pub silent: u32,
     pub refuses: u32,
     pub babbles: u32,
     pub older: u32,
 }
 
-pub struct Roster {
+pub struct EndpointRegistry {
     entries: Mutex<Vec<Entry>>,
     /// As they were before the run.
     first: Vec<Entry>,
     rev: watch::Sender<u64>,
-    pub mood: watch::Sender<Mood>,
+    pub mood: watch::Sender<DiscoveryFaults>,
 }
 
 /// How often something is written on a quiet watch.
 const BLANK: Duration = Duration::from_secs(2);
 const LONGEST_HEAD: usize = 8192;
 
-impl Roster {
-    pub fn new(plan: &Plan, hosts: &[Arc<Host>], scenario: &Scenario) -> Roster {
+impl EndpointRegistry {
+    pub fn new(plan: &Plan, hosts: &[Arc<Host>], scenario: &Scenario) -> EndpointRegistry {
         let entry = |(host, at): (&crate::plan::HostPlan, &Arc<Host>)| Entry {
             endpoint: at.address,
             place: scenario.places[usize::from(host.place)].clone(),
             cell: host.cell,
             weight: host.weight,
-            standing: Standing::Ready,
+            standing: HostState::Ready,
             started: None,
             rev: 1,
         };
         let first: Vec<Entry> = plan.hosts.iter().zip(hosts).map(entry).collect();
-        Roster {
+        EndpointRegistry {
             entries: Mutex::new(first.clone()),
             first,
             rev: watch::channel(1).0,
-            mood: watch::channel(Mood::default()).0,
+            mood: watch::channel(DiscoveryFaults::default()).0,
         }
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// Changes what is known of a host.
-    pub fn change(&self, host: u16, standing: Standing, started: Option<Duration>) {
+    pub fn change(&self, host: u16, standing: HostState, started: Option<Duration>) {
         let rev = *self.rev.borrow() + 1;
         {
             let entry = &mut self.entries()[usize::from(host)];
@@ -92,28 +92,28 @@
     /// The list as one line, of what changed after a version, or whole; and whom it names.
     pub fn list(
         &self,
-        world: &World,
+        testbed: &Testbed,
         proxy: u16,
         after: Option<u64>,
-    ) -> (u64, String, Vec<(u16, Told)>) {
+    ) -> (u64, String, Vec<(u16, ListedHost)>) {
         let rev = *self.rev.borrow();
-        self.told(world, proxy, after, rev, &self.entries())
+        self.told(testbed, proxy, after, rev, &self.entries())
     }
 
     /// The whole list as it was before the run, under its old number.
-    pub fn older(&self, world: &World, proxy: u16) -> (u64, String, Vec<(u16, Told)>) {
-        self.told(world, proxy, None, 1, &self.first)
+    pub fn older(&self, testbed: &Testbed, proxy: u16) -> (u64, String, Vec<(u16, ListedHost)>) {
+        self.told(testbed, proxy, None, 1, &self.first)
     }
 
     fn told(
         &self,
-        world: &World,
+        testbed: &Testbed,
         proxy: u16,
         after: Option<u64>,
         rev: u64,
         entries: &[Entry],
-    ) -> (u64, String, Vec<(u16, Told)>) {
-        let unix = world.ledger.unix;
+    ) -> (u64, String, Vec<(u16, ListedHost)>) {
+        let unix = testbed.event_log.unix;
         let mut named = Vec::new();
         let mut lines = Vec::new();
         for (nth, e) in entries.iter().enumerate() {
@@ -122,24 +122,24 @@
             }
             named.push((
                 nth as u16,
-                Told {
+                ListedHost {
                     standing: e.standing,
                     started: e.started,
                 },
             ));
             // A whole list tells that one is gone by leaving it out.
-            if after.is_none() && e.standing == Standing::Gone {
+            if after.is_none() && e.standing == HostState::Gone {
                 continue;
             }
             let state = match e.standing {
-                Standing::Ready => "ready",
-                Standing::Draining => "draining",
-                Standing::Gone => "gone",
+                HostState::Ready => "ready",
+                HostState::Draining => "draining",
+                HostState::Gone => "gone",
             };
             // A proxy has its own way to a host where that goes through a stand-in.
-            let endpoint = world
+            let endpoint = testbed
                 .links
-                .address(Ends::Proxy(proxy, nth as u16))
+                .address(LinkEnds::Proxy(proxy, nth as u16))
                 .unwrap_or(e.endpoint);
             let boot = e.started.map_or(0, |at| (unix + at).as_millis() as u64);
             lines.push(serde_json::json!({
@@ -154,8 +154,8 @@
 
 /// What a list told of a host.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
-    pub standing: Standing,
+pub struct ListedHost {
+    pub standing: HostState,
     pub started: Option<Duration>,
 }
 
@@ -164,19 +164,19 @@
 }
 
 /// The agent of one proxy; it may move to another address.
-pub struct Agent {
+pub struct DiscoveryAgent {
     proxy: u16,
     address: watch::Sender<SocketAddr>,
 }
 
-impl Agent {
-    pub async fn start(world: &Arc<World>, proxy: u16) -> std::io::Result<Arc<Agent>> {
+impl DiscoveryAgent {
+    pub async fn start(testbed: &Arc<Testbed>, proxy: u16) -> std::io::Result<Arc<DiscoveryAgent>> {
         let door = TcpListener::bind(place(proxy)).await?;
-        let agent = Arc::new(Agent {
+        let agent = Arc::new(DiscoveryAgent {
             proxy,
             address: watch::channel(door.local_addr()?).0,
         });
-        tokio::spawn(agent.clone().serve(world.clone(), door));
+        tokio::spawn(agent.clone().serve(testbed.clone(), door));
         Ok(agent)
     }
 
@@ -185,17 +185,18 @@
     }
 
     /// Stands at another address from now on; the old one is refused and its watches break.
-    pub async fn moves(self: &Arc<Self>, world: &Arc<World>) -> std::io::Result<()> {
+    pub async fn moves(self: &Arc<Self>, testbed: &Arc<Testbed>) -> std::io::Result<()> {
         let door = TcpListener::bind(place(self.proxy)).await?;
         self.address.send_replace(door.local_addr()?);
-        tokio::spawn(self.clone().serve(world.clone(), door));
+        tokio::spawn(self.clone().serve(testbed.clone(), door));
         Ok(())
     }
 
-    async fn serve(self: Arc<Self>, world: Arc<World>, door: TcpListener) {
+    async fn serve(self: Arc<Self>, testbed: Arc<Testbed>, door: TcpListener) {
         let Ok(own) = door.local_addr() else { return };
         let mut door = Some(door);
-        let (mut mood, mut address) = (world.roster.mood.subscribe(), self.address.subscribe());
+        let (mut mood, mut address) =
+            (testbed.discovery.mood.subscribe(), self.address.subscribe());
         while *address.borrow_and_update() == own {
             let refuses = mood.borrow_and_update().refuses > 0;
             if refuses {
@@ -217,14 +218,20 @@
                 _ = mood.changed() => {}
                 _ = address.changed() => {}
                 taken = taken => if let Ok((stream, _)) = taken {
-                    tokio::spawn(self.clone().answer(world.clone(), stream, own));
+                    tokio::spawn(self.clone().answer(testbed.clone(), stream, own));
                 }
             }
         }
     }
 
-    async fn answer(self: Arc<Self>, world: Arc<World>, mut stream: TcpStream, own: SocketAddr) {
-        let (mut mood, mut address) = (world.roster.mood.subscribe(), self.address.subscribe());
+    async fn answer(
+        self: Arc<Self>,
+        testbed: Arc<Testbed>,
+        mut stream: TcpStream,
+        own: SocketAddr,
+    ) {
+        let (mut mood, mut address) =
+            (testbed.discovery.mood.subscribe(), self.address.subscribe());
         let over = async {
             loop {
                 if mood.borrow_and_update().refuses > 0 || *address.borrow_and_update() != own {
@@ -238,12 +245,12 @@
         };
         tokio::select! {
             _ = over => {}
-            _ = self.talk(&world, &mut stream) => {}
+            _ = self.talk(&testbed, &mut stream) => {}
         }
     }
 
-    async fn talk(&self, world: &World, stream: &mut TcpStream) -> Option<()> {
-        let mut mood = world.roster.mood.subscribe();
+    async fn talk(&self, testbed: &Testbed, stream: &mut TcpStream) -> Option<()> {
+        let mut mood = testbed.discovery.mood.subscribe();
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             if head.len() > LONGEST_HEAD {
@@ -257,7 +264,7 @@
         }
         let head = String::from_utf8(head).ok()?;
         let path = head.split(' ').nth(1)?;
-        let (mut apart, own) = (world.apart.subscribe(), usize::from(self.proxy));
+        let (mut apart, own) = (testbed.apart.subscribe(), usize::from(self.proxy));
         let _ = mood.wait_for(|mood| mood.silent == 0).await;
         let _ = apart.wait_for(|apart| apart[own] == 0).await;
         let Some(rest) = path.strip_prefix("/discovery/hosts") else {
@@ -265,22 +272,22 @@
             return stream.write_all(text.as_bytes()).await.ok();
         };
         if !rest.contains("stream=1") {
-            let (_, text, named) = world.roster.list(world, self.proxy, None);
+            let (_, text, named) = testbed.discovery.list(testbed, self.proxy, None);
             let length = text.len();
             let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{text}");
             stream.write_all(text.as_bytes()).await.ok()?;
-            self.told(world, &named);
+            self.told(testbed, &named);
             return Some(());
         }
         let asked = rest
             .split("index=")
             .nth(1)
             .and_then(|n| n.split('&').next()?.parse::<u64>().ok());
-        let mut rev = world.roster.rev.subscribe();
+        let mut rev = testbed.discovery.rev.subscribe();
         // A version that this discovery never had tells nothing.
         let mut after = asked.filter(|n| (1..=*rev.borrow()).contains(n));
         let mut old = false;
-        let mut chance = crate::plan::Chance::seed_from_u64(u64::from(self.proxy) ^ 0xd15c);
+        let mut chance = crate::plan::SeededRng::seed_from_u64(u64::from(self.proxy) ^ 0xd15c);
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await
@@ -303,12 +310,12 @@
                 (old, after) = (older, None);
             }
             let (at, text, named) = match older {
-                true => world.roster.older(world, self.proxy),
-                false => world.roster.list(world, self.proxy, after),
+                true => testbed.discovery.older(testbed, self.proxy),
+                false => testbed.discovery.list(testbed, self.proxy, after),
             };
             if after.is_none_or(|after| after < at) {
                 chunk(stream, &text).await.ok()?;
-                self.told(world, &named);
+                self.told(testbed, &named);
                 after = Some(at);
             }
             let blank = Instant::now() + BLANK;
@@ -317,16 +324,16 @@
                 _ = mood.changed() => {}
                 _ = apart.changed() => {}
                 _ = rev.changed() => {
-                    sleep(world.scenario.fleet.told_within.mul_f64(chance.random::<f64>())).await;
+                    sleep(testbed.scenario.fleet.told_within.mul_f64(chance.random::<f64>())).await;
                 }
             }
         }
     }
 
-    fn told(&self, world: &World, named: &[(u16, Told)]) {
+    fn told(&self, testbed: &Testbed, named: &[(u16, ListedHost)]) {
         for (host, entry) in named {
             let (standing, started) = (entry.standing, entry.started);
-            world.ledger.put(Seen::Told {
+            testbed.event_log.put(Event::HostListed {
                 proxy: self.proxy,
                 host: *host,
                 standing,
--- a/crates/testbed/src/leave.rs
+++ b/crates/testbed/src/drain_measurement.rs
@@ -1,16 +1,16 @@
 //! How a proxy is emptied: a drain on request beside SIGTERM, at several sizes, and a roll of a whole site.
 
-use crate::ledger::{Id, Record, Seen};
+use crate::event_log::{Event, LoggedEvent, SessionId};
 use crate::proxies::Program;
 use crate::report::Report;
-use crate::run::{Fault, Job, own_folder, run};
+use crate::run::{RunError, RunOptions, own_folder, run};
 use crate::scenario::Scenario;
 use std::collections::HashMap;
 use std::time::Duration;
 
 /// How the first of four proxies is emptied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum By {
+pub enum DrainMethod {
     Drain,
     Sigterm,
     /// A roll over five, while a host falls silent.
@@ -18,8 +18,8 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Emptied {
-    pub by: By,
+pub struct DrainResult {
+    pub by: DrainMethod,
     pub sessions: u32,
     pub moved: usize,
     /// From the order to the last move, and the most in any second.
@@ -39,28 +39,28 @@
 const DEADLINE: u64 = 10;
 const BACK_AT: u64 = 18;
 
-fn text(by: By, sessions: u32) -> String {
-    let proxies = if by == By::Roll { 5 } else { 4 };
+fn text(by: DrainMethod, sessions: u32) -> String {
+    let proxies = if by == DrainMethod::Roll { 5 } else { 4 };
     let standing = sessions * proxies;
-    let length = if by == By::Roll { 60 } else { 25 };
+    let length = if by == DrainMethod::Roll { 60 } else { 25 };
     // Hosts stand at two fifths of what they can do.
     let work = 0.4 * 12.0 / f64::from(standing);
     let every = if standing > 4_000 { 4_000 } else { 1_000 };
     let sockets = sessions * 5 + 2_048;
     let fault = match by {
-        By::Drain => format!(
+        DrainMethod::Drain => format!(
             "[[faults]]\nat = \"{AT}s\"\nfor = \"{}s\"\nkind = \"proxy-drains\"\non = [0]\nspan = \"{DEADLINE}s\"",
             BACK_AT - AT
         ),
-        By::Sigterm => format!(
+        DrainMethod::Sigterm => format!(
             "[[faults]]\nat = \"{AT}s\"\nfor = \"{}s\"\nkind = \"proxy-leaves\"\non = [0]",
             BACK_AT - AT
         ),
-        By::Roll => {
+        DrainMethod::Roll => {
             "[[faults]]\nat = \"20s\"\nfor = \"8s\"\nkind = \"host-silent\"\non = [3]".into()
         }
     };
-    let roll = if by == By::Roll {
+    let roll = if by == DrainMethod::Roll {
         "roll_at = \"5s\""
     } else {
         ""
@@ -104,10 +104,14 @@
     )
 }
 
-pub async fn emptied(by: By, sessions: u32, program: &Program) -> Result<Emptied, Fault> {
-    let scenario = Scenario::read(&text(by, sessions)).map_err(Fault::Input)?;
+pub async fn emptied(
+    by: DrainMethod,
+    sessions: u32,
+    program: &Program,
+) -> Result<DrainResult, RunError> {
+    let scenario = Scenario::read(&text(by, sessions)).map_err(RunError::Input)?;
     let folder = own_folder();
-    let job = Job {
+    let job = RunOptions {
         seed: 3,
         chaos: None,
         program: program.clone(),
@@ -123,12 +127,17 @@
         .iter()
         .take(2)
         .for_each(|b| eprintln!("{}: {}\n{}", b.rule, b.what, b.timeline.join("\n")));
-    let begin = ran.world.begin.borrow().unwrap_or_default();
+    let begin = ran.testbed.begin.borrow().unwrap_or_default();
     let (from, until) = (
         begin + Duration::from_secs(AT),
         begin + Duration::from_secs(BACK_AT),
     );
-    let moves = moved(&ran.records, (by != By::Roll).then_some(0), from, until);
+    let moves = moved(
+        &ran.records,
+        (by != DrainMethod::Roll).then_some(0),
+        from,
+        until,
+    );
     let most = (0..moves.len()).map(|at| {
         let end = moves[at] + Duration::from_secs(1);
         moves[at..].iter().take_while(|t| **t < end).count()
@@ -136,8 +145,8 @@
     let asked = ran
         .records
         .iter()
-        .find(|r| r.at >= until && matches!(r.seen, Seen::Asked { proxy: 0, .. }));
-    Ok(Emptied {
+        .find(|r| r.at >= until && matches!(r.seen, Event::Asked { proxy: 0, .. }));
+    Ok(DrainResult {
         by,
         sessions,
         moved: moves.len(),
@@ -148,7 +157,7 @@
         peak_load: report.hosts.peak,
         well_served: report.service.whole,
         worst_ten: report.service.worst_ten_seconds,
-        back: (by == By::Drain)
+        back: (by == DrainMethod::Drain)
             .then(|| asked.map(|r| r.at.saturating_sub(until)))
             .flatten(),
         rolled: ran.rolled.clone(),
@@ -158,13 +167,18 @@
 }
 
 /// When clients were moved, of one proxy or of all, within a time.
-fn moved(records: &[Record], of: Option<u16>, from: Duration, until: Duration) -> Vec<Duration> {
-    let mut proxies: HashMap<Id, u16> = HashMap::new();
+fn moved(
+    records: &[LoggedEvent],
+    of: Option<u16>,
+    from: Duration,
+    until: Duration,
+) -> Vec<Duration> {
+    let mut proxies: HashMap<SessionId, u16> = HashMap::new();
     let mut moves = Vec::new();
     for record in records {
         match record.seen {
-            Seen::Asked { id, proxy, .. } => drop(proxies.insert(id, proxy)),
-            Seen::Ended { id, told: true, .. } if record.at >= from && record.at < until => {
+            Event::Asked { id, proxy, .. } => drop(proxies.insert(id, proxy)),
+            Event::Ended { id, told: true, .. } if record.at >= from && record.at < until => {
                 let right = of.is_none_or(|of| proxies.get(&id) == Some(&of));
                 moves.extend(right.then_some(record.at));
             }
@@ -174,7 +188,7 @@
     moves
 }
 
-pub fn row(e: &Emptied) -> String {
+pub fn row(e: &DrainResult) -> String {
     let seconds = |span: Duration| format!("{:.2}", span.as_secs_f64());
     let back = e.back.map_or("-".into(), seconds);
     let rolled = match &e.rolled {
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/event_log.rs
@@ -1,27 +1,27 @@
 //! What the peers saw, each record with the time it was seen. The judge reads nothing else.
 
-use crate::link::Ends;
+use crate::link::LinkEnds;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
 /// A session as a client names it, new with every connection.
-pub type Id = u64;
+pub type SessionId = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ConnectionEnd {
     Fin,
     Reset,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum ClientAnswer {
     Up,
     Busy(Option<u64>),
     Failed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reply {
+pub enum HostReply {
     Up,
     Busy,
     Err,
@@ -30,17 +30,17 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum HostState {
     Ready,
     Draining,
     Gone,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum Event {
     /// A client wrote its session's line whole, and waits so long.
     Asked {
-        id: Id,
+        id: SessionId,
         proxy: u16,
         /// Where its client stands.
         place: u8,
@@ -50,37 +50,37 @@
         inherited: bool,
     },
     Answered {
-        id: Id,
-        answer: Answer,
+        id: SessionId,
+        answer: ClientAnswer,
     },
     /// The client's connection ended before an answer.
     Cut {
-        id: Id,
-        end: End,
+        id: SessionId,
+        end: ConnectionEnd,
     },
     /// The client left before an answer.
     Left {
-        id: Id,
+        id: SessionId,
     },
     /// An open connection ended at its client; `told` by `MOVE` or `BYE`.
     Ended {
-        id: Id,
-        end: End,
+        id: SessionId,
+        end: ConnectionEnd,
         told: bool,
     },
     /// Something came that no host said: behind a final answer, out of order, or not at all a line.
     Garbled {
-        id: Id,
+        id: SessionId,
         line: String,
     },
     /// A line took over a second from one side to the other.
     Held {
-        id: Id,
+        id: SessionId,
         span: Duration,
     },
     /// A host has read a session's line whole.
     Dialled {
-        id: Id,
+        id: SessionId,
         host: u16,
         dial: u32,
         inherited: bool,
@@ -88,19 +88,19 @@
     /// When that line came, an earlier dial of the session was out beyond doubt: its connection had no end in the
     /// kernel, so nothing that the peers of a run note a little apart can have made it look so.
     StillOut {
-        id: Id,
+        id: SessionId,
         host: u16,
         dial: u32,
         earlier: u32,
     },
     Replied {
-        id: Id,
+        id: SessionId,
         dial: u32,
-        reply: Reply,
+        reply: HostReply,
     },
     /// A dial's connection is over at its host.
     DialOver {
-        id: Id,
+        id: SessionId,
         dial: u32,
         by_host: bool,
     },
@@ -110,10 +110,10 @@
         line: String,
     },
     /// Discovery has written a host's standing to a proxy.
-    Told {
+    HostListed {
         proxy: u16,
         host: u16,
-        standing: Standing,
+        standing: HostState,
         /// When the host last started.
         started: Option<Duration>,
     },
@@ -127,7 +127,7 @@
     Collapsed {
         host: u16,
         started: Option<Duration>,
-        by: Vec<Id>,
+        by: Vec<SessionId>,
     },
     ProxyStarted {
         proxy: u16,
@@ -147,7 +147,7 @@
     },
     /// A way between two fails, or is whole again.
     WayFails {
-        ends: Ends,
+        ends: LinkEnds,
         fails: bool,
     },
     /// SIGTERM.
@@ -183,17 +183,17 @@
         begins: bool,
     },
     /// A bad client got its error or close in time, or not, or was even served.
-    Rude {
+    MisbehavingClient {
         sort: &'static str,
         owed: bool,
         served: bool,
     },
 }
 
-impl Seen {
+impl Event {
     /// The session that it is about.
-    pub fn id(&self) -> Option<Id> {
-        use Seen::*;
+    pub fn id(&self) -> Option<SessionId> {
+        use Event::*;
         match self {
             Asked { id, .. } | Answered { id, .. } | Cut { id, .. } | Left { id } => Some(*id),
             Ended { id, .. } | Garbled { id, .. } | Held { id, .. } => Some(*id),
@@ -205,26 +205,26 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Record {
+pub struct LoggedEvent {
     pub at: Duration,
-    pub seen: Seen,
+    pub seen: Event,
 }
 
 /// All records of a run, in the order they were made, on one clock.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct EventLog {
     start: Instant,
     /// Unix time of the start, for discovery.
     pub unix: Duration,
-    records: Mutex<Vec<Record>>,
+    records: Mutex<Vec<LoggedEvent>>,
 }
 
-impl Default for Ledger {
+impl Default for EventLog {
     fn default() -> Self {
         let unix = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .unwrap_or_default();
-        Ledger {
+        EventLog {
             start: Instant::now(),
             unix,
             records: Mutex::default(),
@@ -232,23 +232,23 @@
     }
 }
 
-impl Ledger {
+impl EventLog {
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    pub fn put(&self, seen: Seen) {
-        self.records().push(Record {
+    pub fn put(&self, seen: Event) {
+        self.records().push(LoggedEvent {
             at: self.now(),
             seen,
         });
     }
 
-    pub fn take(&self) -> Vec<Record> {
+    pub fn take(&self) -> Vec<LoggedEvent> {
         std::mem::take(&mut *self.records())
     }
 
-    fn records(&self) -> std::sync::MutexGuard<'_, Vec<Record>> {
+    fn records(&self) -> std::sync::MutexGuard<'_, Vec<LoggedEvent>> {
         self.records
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
--- a/crates/testbed/src/front.rs
+++ b/crates/testbed/src/front.rs
@@ -1,9 +1,9 @@
 //! The front: learns by `PING` which proxies live, deals clients out among those of a place, and forgets the
 //! dead late.
 
-use crate::lines::{Line, Lines};
-use crate::link::{Ends, Links};
-use crate::world::World;
+use crate::line_reader::{Line, LineReader};
+use crate::link::{LinkEnds, Links};
+use crate::testbed::Testbed;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -44,7 +44,7 @@
         let mut seats = Vec::new();
         for (proxy, (place, at)) in (0..).zip(proxies) {
             for of in 0..places {
-                let way = links.address(Ends::Clients(of, proxy));
+                let way = links.address(LinkEnds::Clients(of, proxy));
                 let seat = Seat {
                     place,
                     of: Some(of),
@@ -107,13 +107,13 @@
     }
 
     /// Asks each proxy whether it lives, for as long as the run lasts.
-    pub fn watch(world: &Arc<World>) {
-        let count = world.front.seats().len();
+    pub fn watch(testbed: &Arc<Testbed>) {
+        let count = testbed.front.seats().len();
         for nth in 0..count {
-            let world = world.clone();
+            let testbed = testbed.clone();
             tokio::spawn(async move {
-                let front = &world.front;
-                let (check, forget) = (world.scenario.front.check, world.scenario.front.forget);
+                let front = &testbed.front;
+                let (check, forget) = (testbed.scenario.front.check, testbed.scenario.front.forget);
                 loop {
                     let address = front.seats()[nth].address;
                     let lives = timeout(ANSWER, asked(address)).await == Ok(true);
@@ -133,5 +133,5 @@
         return false;
     }
     let (read, _write) = stream.into_split();
-    Lines::new(read).next().await == Line::Text("PONG".into())
+    LineReader::new(read).next().await == Line::Text("PONG".into())
 }
--- a/crates/testbed/src/host.rs
+++ b/crates/testbed/src/host.rs
@@ -1,13 +1,13 @@
 //! Stand-in hosts: the server's side of the protocol over a load model, with faults.
 
-use crate::ledger::{Reply, Seen, Standing};
-use crate::lines::{Line, Lines};
+use crate::discovery::reopened;
+use crate::event_log::{Event, HostReply, HostState};
+use crate::line_reader::{Line, LineReader};
 use crate::link::is_linked;
-use crate::load::{LoadModel, Nature, Taken};
+use crate::load_model::{LoadModel, LoadModelSettings, SetUpOutcome};
 use crate::plan::{HostPlan, Plan};
-use crate::roster::reopened;
 use crate::scenario::{FaultKind, Scenario};
-use crate::world::World;
+use crate::testbed::Testbed;
 use rustix::net::sockopt;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 
 /// What faults make of a host now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Mood {
+pub struct HostFaults {
     down: bool,
     silent: bool,
     vanished: bool,
@@ -35,7 +35,7 @@
     life: u32,
 }
 
-impl Mood {
+impl HostFaults {
     fn frozen(&self) -> bool {
         self.silent || self.vanished
     }
@@ -49,7 +49,7 @@
     sockets: AtomicU32,
     model: Mutex<LoadModel>,
     effects: Mutex<Vec<(usize, FaultKind, Duration, f64)>>,
-    mood: watch::Sender<Mood>,
+    mood: watch::Sender<HostFaults>,
 }
 
 /// What is asked of a host by a session's line.
@@ -93,7 +93,7 @@
 
     fn new(number: u16, address: SocketAddr, plan: &HostPlan, scenario: &Scenario) -> Host {
         let fleet = &scenario.fleet;
-        let nature = Nature {
+        let nature = LoadModelSettings {
             speed: plan.speed,
             places: plan.places,
             group_cost: fleet.group_cost,
@@ -114,7 +114,7 @@
             sockets: AtomicU32::new(0),
             model: Mutex::new(LoadModel::new(nature, u64::from(number) * 7919 + 1)),
             effects: Mutex::default(),
-            mood: watch::channel(Mood::default()).0,
+            mood: watch::channel(HostFaults::default()).0,
         }
     }
 
@@ -125,9 +125,9 @@
     }
 
     /// A fault, known by its number, begins or ends here.
-    pub fn strike(&self, world: &Arc<World>, fault: usize, begins: bool) {
-        let now = world.ledger.now();
-        let struck = &world.plan.faults[fault];
+    pub fn strike(&self, testbed: &Arc<Testbed>, fault: usize, begins: bool) {
+        let now = testbed.event_log.now();
+        let struck = &testbed.plan.faults[fault];
         let kind = struck.kind;
         let mut effects = self
             .effects
@@ -152,7 +152,7 @@
             .filter(|e| e.1 == FaultKind::HostLate)
             .map(|e| e.2)
             .max();
-        let mood = Mood {
+        let mood = HostFaults {
             down,
             silent: has(FaultKind::HostSilent),
             vanished: has(FaultKind::HostVanished) || has(FaultKind::PlaceSilent),
@@ -171,21 +171,21 @@
         drop(effects);
         if before.down && !down {
             self.model().restart(now);
-            world.ledger.put(Seen::HostUp { host: self.number });
+            testbed.event_log.put(Event::HostUp { host: self.number });
         } else if down && !before.down {
-            world.ledger.put(Seen::HostDown { host: self.number });
+            testbed.event_log.put(Event::HostDown { host: self.number });
         }
         let standing = if has_gone(down, kind, begins) {
-            Standing::Gone
+            HostState::Gone
         } else if mood.draining {
-            Standing::Draining
+            HostState::Draining
         } else {
-            Standing::Ready
+            HostState::Ready
         };
         if before.down && !down {
-            world.roster.change(self.number, standing, Some(now));
-        } else if before.draining != mood.draining || standing == Standing::Gone {
-            world.roster.change(self.number, standing, None);
+            testbed.discovery.change(self.number, standing, Some(now));
+        } else if before.draining != mood.draining || standing == HostState::Gone {
+            testbed.discovery.change(self.number, standing, None);
         }
         self.mood.send_replace(mood);
     }
@@ -200,14 +200,14 @@
     }
 
     /// Pushed over: it stays down.
-    fn collapse(&self, world: &World) {
-        world.ledger.put(Seen::HostDown { host: self.number });
+    fn collapse(&self, testbed: &Testbed) {
+        testbed.event_log.put(Event::HostDown { host: self.number });
         self.mood
             .send_modify(|mood| (mood.down, mood.life) = (true, mood.life + 1));
     }
 
     /// Takes connections in for as long as the run lasts.
-    pub async fn serve(self: Arc<Self>, world: Arc<World>, door: TcpListener) {
+    pub async fn serve(self: Arc<Self>, testbed: Arc<Testbed>, door: TcpListener) {
         let mut door = Some(door);
         let mut mood = self.mood.subscribe();
         loop {
@@ -238,20 +238,20 @@
                 taken = open.accept() => if let Ok((stream, _)) = taken
                     && self.sockets.load(Ordering::Relaxed) < self.room
                 {
-                    tokio::spawn(self.clone().connection(world.clone(), stream, now.life));
+                    tokio::spawn(self.clone().connection(testbed.clone(), stream, now.life));
                 }
             }
         }
     }
 
-    async fn connection(self: Arc<Self>, world: Arc<World>, stream: TcpStream, life: u32) {
+    async fn connection(self: Arc<Self>, testbed: Arc<Testbed>, stream: TcpStream, life: u32) {
         self.sockets.fetch_add(1, Ordering::Relaxed);
         let _ = stream.set_nodelay(true);
         let mut dial = None;
         let far = stream.peer_addr().ok().filter(|peer| is_linked(*peer));
         let (read, write) = stream.into_split();
         let mut peer = Peer {
-            lines: Lines::new(read),
+            lines: LineReader::new(read),
             write: Some(write),
             far,
         };
@@ -259,10 +259,10 @@
         let died = mood.wait_for(|mood| mood.life != life);
         let served = tokio::select! {
             _ = died => false,
-            _ = self.talk(&world, &mut peer, &mut dial) => true,
+            _ = self.talk(&testbed, &mut peer, &mut dial) => true,
         };
         if let Some(mut dial) = dial.take() {
-            dial.end(&self, &world, !served);
+            dial.end(&self, &testbed, !served);
         }
         if !served {
             peer.reset();
@@ -270,13 +270,13 @@
         self.sockets.fetch_sub(1, Ordering::Relaxed);
     }
 
-    async fn talk(&self, world: &Arc<World>, peer: &mut Peer, slot: &mut Option<Dial>) {
+    async fn talk(&self, testbed: &Arc<Testbed>, peer: &mut Peer, slot: &mut Option<Dial>) {
         let mut mood = self.mood.subscribe();
         loop {
             let line = match peer.lines.next().await {
                 Line::Text(line) => line,
                 Line::Bad => {
-                    world.ledger.put(Seen::Unread {
+                    testbed.event_log.put(Event::Unread {
                         host: self.number,
                         line: "no text".into(),
                     });
@@ -286,23 +286,23 @@
             };
             match line.as_str() {
                 "PING" | "STATS" => {
-                    let took = self.model().message(world.ledger.now());
+                    let took = self.model().message(testbed.event_log.now());
                     sleep(took.min(Duration::from_secs(5))).await;
                     if !thawed(&mut mood, &mut peer.lines).await {
                         return;
                     }
                     let report = if line == "STATS" {
-                        self.report(world)
+                        self.report(testbed)
                     } else {
                         String::new()
                     };
                     peer.say(&format!("PONG{report}\r\n")).await;
                 }
-                _ => match open(&line, &world.scenario) {
-                    Some(open) => return self.session(world, peer, slot, open).await,
+                _ => match open(&line, &testbed.scenario) {
+                    Some(open) => return self.session(testbed, peer, slot, open).await,
                     None => {
                         let line = line.chars().take(160).collect();
-                        world.ledger.put(Seen::Unread {
+                        testbed.event_log.put(Event::Unread {
                             host: self.number,
                             line,
                         });
@@ -314,8 +314,8 @@
     }
 
     /// A load report, with a blank before it.
-    fn report(&self, world: &World) -> String {
-        let figures = self.model().report(world.ledger.now());
+    fn report(&self, testbed: &Testbed) -> String {
+        let figures = self.model().report(testbed.event_log.now());
         let field = |name: &String| match name.as_str() {
             "x0" => format!("x0={:.4}", figures.asked),
             _ => format!("outstanding={}", figures.outstanding),
@@ -330,14 +330,14 @@
 
     async fn session(
         &self,
-        world: &Arc<World>,
+        testbed: &Arc<Testbed>,
         peer: &mut Peer,
         slot: &mut Option<Dial>,
         open: Open,
     ) {
-        let ledger = &world.ledger;
+        let event_log = &testbed.event_log;
         let (id, host, inherited) = (open.id, self.number, open.inherited);
-        let number = world.new_dial();
+        let number = testbed.new_dial();
         let dial = slot.insert(Dial {
             id,
             number,
@@ -345,7 +345,7 @@
             up: None,
             over: false,
         });
-        ledger.put(Seen::Dialled {
+        event_log.put(Event::Dialled {
             id,
             host,
             dial: number,
@@ -355,9 +355,9 @@
         let handle = peer.far.map_or_else(|| peer.lines.handle(), |_| None);
         peer.far
             .into_iter()
-            .for_each(|far| world.links.named.put(far, id, number));
-        for earlier in world.out.begin(id, number, handle) {
-            ledger.put(Seen::StillOut {
+            .for_each(|far| testbed.links.named.put(far, id, number));
+        for earlier in testbed.out.begin(id, number, handle) {
+            event_log.put(Event::StillOut {
                 id,
                 host,
                 dial: number,
@@ -374,30 +374,34 @@
             return;
         }
         if now.resets && !inherited {
-            dial.end(self, world, true);
+            dial.end(self, testbed, true);
             return peer.reset();
         }
         if now.erring && !inherited {
-            let text = format!("ERR{}\r\n", self.report(world));
-            return dial.turn_away(self, world, peer, Reply::Err, &text).await;
+            let text = format!("ERR{}\r\n", self.report(testbed));
+            return dial
+                .turn_away(self, testbed, peer, HostReply::Err, &text)
+                .await;
         }
         if !inherited {
             let taken = if now.draining {
-                Taken::Full
+                SetUpOutcome::Full
             } else {
-                self.model().arrive(ledger.now(), id)
+                self.model().arrive(event_log.now(), id)
             };
             match taken {
-                Taken::Full => {
-                    let text = format!("BUSY{}\r\n", self.report(world));
-                    return dial.turn_away(self, world, peer, Reply::Busy, &text).await;
+                SetUpOutcome::Full => {
+                    let text = format!("BUSY{}\r\n", self.report(testbed));
+                    return dial
+                        .turn_away(self, testbed, peer, HostReply::Busy, &text)
+                        .await;
                 }
-                Taken::Collapsed => {
-                    let (by, started) = (self.model().pressers(), world.roster.started(host));
-                    ledger.put(Seen::Collapsed { host, started, by });
-                    return self.collapse(world);
+                SetUpOutcome::Collapsed => {
+                    let (by, started) = (self.model().pressers(), testbed.discovery.started(host));
+                    event_log.put(Event::Collapsed { host, started, by });
+                    return self.collapse(testbed);
                 }
-                Taken::After(took) => {
+                SetUpOutcome::After(took) => {
                     dial.settling = true;
                     let up_at = Instant::now() + took + now.late;
                     tokio::select! {
@@ -410,20 +414,20 @@
                 }
             }
         }
-        dial.connected(self, world, &open);
-        world.out.end(id, number);
-        ledger.put(Seen::Replied {
+        dial.connected(self, testbed, &open);
+        testbed.out.end(id, number);
+        event_log.put(Event::Replied {
             id,
             dial: number,
-            reply: Reply::Up,
+            reply: HostReply::Up,
         });
         peer.say(&format!("UP r-{number}\r\nLOAD {:.1}\r\n", open.work * 1e6))
             .await;
-        self.serve_open(world, peer, dial).await;
+        self.serve_open(testbed, peer, dial).await;
     }
 
     /// Answers an open connection's lines until it ends.
-    async fn serve_open(&self, world: &Arc<World>, peer: &mut Peer, dial: &mut Dial) {
+    async fn serve_open(&self, testbed: &Arc<Testbed>, peer: &mut Peer, dial: &mut Dial) {
         let mut mood = self.mood.subscribe();
         let mut answers: VecDeque<(Instant, String)> = VecDeque::new();
         let mut sends_away: Option<Instant> = None;
@@ -446,22 +450,22 @@
                     }
                 }
                 _ = sleep_until(away.unwrap_or_else(Instant::now)), if away.is_some() => {
-                    return dial.turn_away(self, world, peer, Reply::Move, "MOVE\r\n").await;
+                    return dial.turn_away(self, testbed, peer, HostReply::Move, "MOVE\r\n").await;
                 }
                 line = peer.lines.next() => match line {
                     Line::Text(line) if line == "END" => {
-                        let text = format!("BYE{}\r\n", self.report(world));
-                        return dial.turn_away(self, world, peer, Reply::Bye, &text).await;
+                        let text = format!("BYE{}\r\n", self.report(testbed));
+                        return dial.turn_away(self, testbed, peer, HostReply::Bye, &text).await;
                     }
                     Line::Text(line) => {
-                        let at = world.ledger.now();
+                        let at = testbed.event_log.now();
                         let Some((nth, sent)) = message(&line) else {
-                            world.ledger.put(Seen::Unread { host: self.number, line });
+                            testbed.event_log.put(Event::Unread { host: self.number, line });
                             return peer.part("SYNTAX\r\n").await;
                         };
                         let span = at.saturating_sub(sent);
                         if span > Duration::from_secs(1) {
-                            world.ledger.put(Seen::Held { id: dial.id, span });
+                            testbed.event_log.put(Event::Held { id: dial.id, span });
                         }
                         let took = self.model().message(at);
                         answers.push_back((Instant::now() + took, format!("ACK {nth}\r\n")));
@@ -479,7 +483,7 @@
 }
 
 /// Waits until the host speaks again; false if the peer ended the connection meanwhile.
-async fn thawed(mood: &mut watch::Receiver<Mood>, lines: &mut Lines) -> bool {
+async fn thawed(mood: &mut watch::Receiver<HostFaults>, lines: &mut LineReader) -> bool {
     tokio::select! {
         biased;
         _ = mood.wait_for(|mood| !mood.frozen()) => true,
@@ -521,7 +525,7 @@
 
 /// One connection's two halves.
 struct Peer {
-    lines: Lines,
+    lines: LineReader,
     /// `None` once it was reset.
     write: Option<OwnedWriteHalf>,
     /// The stand-in that it came through, if it did.
@@ -565,46 +569,46 @@
 }
 
 impl Dial {
-    fn connected(&mut self, host: &Host, world: &World, open: &Open) {
+    fn connected(&mut self, host: &Host, testbed: &Testbed, open: &Open) {
         let mut model = host.model();
         if std::mem::take(&mut self.settling) {
             model.set_up_over();
         }
-        model.connect(world.ledger.now(), open.group, open.work);
+        model.connect(testbed.event_log.now(), open.group, open.work);
         self.up = Some((open.group, open.work));
     }
 
     async fn turn_away(
         &mut self,
         host: &Host,
-        world: &World,
+        testbed: &Testbed,
         peer: &mut Peer,
-        reply: Reply,
+        reply: HostReply,
         text: &str,
     ) {
-        world.ledger.put(Seen::Replied {
+        testbed.event_log.put(Event::Replied {
             id: self.id,
             dial: self.number,
             reply,
         });
-        self.end(host, world, true);
+        self.end(host, testbed, true);
         peer.part(text).await;
     }
 
-    fn end(&mut self, host: &Host, world: &World, by_host: bool) {
+    fn end(&mut self, host: &Host, testbed: &Testbed, by_host: bool) {
         if std::mem::replace(&mut self.over, true) {
             return;
         }
-        world.out.end(self.id, self.number);
+        testbed.out.end(self.id, self.number);
         let mut model = host.model();
         if std::mem::take(&mut self.settling) {
             model.set_up_over();
         }
         if let Some((group, work)) = self.up.take() {
-            model.disconnect(world.ledger.now(), group, work);
+            model.disconnect(testbed.event_log.now(), group, work);
         }
         drop(model);
-        world.ledger.put(Seen::DialOver {
+        testbed.event_log.put(Event::DialOver {
             id: self.id,
             dial: self.number,
             by_host,
--- a/crates/testbed/src/journal.rs
+++ b/crates/testbed/src/journal.rs
@@ -14,7 +14,7 @@
 
 /// A record, as far as it is needed.
 #[derive(Debug, Deserialize)]
-struct Record {
+struct LoggedEvent {
     #[serde(default)]
     days: Option<Vec<serde_json::Value>>,
 }
@@ -107,7 +107,7 @@
 
     /// A record's bytes.
     pub fn take(&mut self, text: &[u8], kind: &str) {
-        let Ok(record) = serde_json::from_slice::<Record>(text) else {
+        let Ok(record) = serde_json::from_slice::<LoggedEvent>(text) else {
             self.bad += 1;
             return;
         };
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -4,9 +4,11 @@
 mod figures;
 mod order;
 
-use crate::ledger::{Answer, End, Id, Record, Reply, Seen, Standing};
-use crate::link::Ends;
-use crate::scenario::{Circle, Kind, Scenario};
+use crate::event_log::{
+    ClientAnswer, ConnectionEnd, Event, HostReply, HostState, LoggedEvent, SessionId,
+};
+use crate::link::LinkEnds;
+use crate::scenario::{RetrySafety, RetryScope, Scenario};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
@@ -47,7 +49,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Breach {
+pub struct Violation {
     pub rule: Rule,
     pub what: String,
     /// What led there, a line each.
@@ -56,8 +58,8 @@
 
 /// The figures that the rules rest on.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    pub listeners: Vec<(Kind, Circle, Duration)>,
+pub struct JudgeSettings {
+    pub listeners: Vec<(RetrySafety, RetryScope, Duration)>,
     /// Of each host, its zone and cell.
     pub hosts: Vec<(u8, u16)>,
     pub drain_grace: Duration,
@@ -72,9 +74,9 @@
     pub order: Option<Vec<f64>>,
 }
 
-impl Terms {
-    pub fn of(scenario: &Scenario, hosts: Vec<(u8, u16)>, late: Duration) -> Terms {
-        Terms {
+impl JudgeSettings {
+    pub fn of(scenario: &Scenario, hosts: Vec<(u8, u16)>, late: Duration) -> JudgeSettings {
+        JudgeSettings {
             listeners: scenario
                 .listeners
                 .iter()
@@ -96,7 +98,7 @@
 
 #[derive(Debug, Default)]
 pub struct Verdict {
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     pub tally: Tally,
 }
 
@@ -119,19 +121,23 @@
 struct Dial {
     host: u16,
     whole: Duration,
-    replies: Vec<(Duration, Reply)>,
+    replies: Vec<(Duration, HostReply)>,
     over: Option<(Duration, bool)>,
     inherited: bool,
 }
 
 impl Dial {
     fn may_have_run(&self) -> bool {
-        !matches!(self.replies.first(), Some((_, Reply::Busy)))
+        !matches!(self.replies.first(), Some((_, HostReply::Busy)))
     }
 
     /// Until when it may still take effect: its end, or the answer that ends it.
     fn out_until(&self) -> Duration {
-        let answered = self.replies.iter().find(|r| r.1 != Reply::Up).map(|r| r.0);
+        let answered = self
+            .replies
+            .iter()
+            .find(|r| r.1 != HostReply::Up)
+            .map(|r| r.0);
         let over = self.over.map(|over| over.0);
         answered
             .into_iter()
@@ -146,10 +152,10 @@
     asked: Option<(Duration, u16, u8, Duration)>,
     place: u8,
     inherited: bool,
-    answers: Vec<(Duration, Answer)>,
-    cut: Option<(Duration, End)>,
+    answers: Vec<(Duration, ClientAnswer)>,
+    cut: Option<(Duration, ConnectionEnd)>,
     left: Option<Duration>,
-    ended: Option<(Duration, End, bool)>,
+    ended: Option<(Duration, ConnectionEnd, bool)>,
     garbled: Vec<String>,
     held: Vec<Duration>,
     dials: BTreeMap<u32, Dial>,
@@ -158,7 +164,7 @@
 }
 
 /// When a proxy was told of a host, what, and when that host last started.
-type Heard = (Duration, Standing, Option<Duration>);
+type Heard = (Duration, HostState, Option<Duration>);
 
 #[derive(Default)]
 struct Lives {
@@ -169,7 +175,7 @@
     /// When each proxy was stopped.
     stalls: Spans<u16>,
     /// When each way failed.
-    ways: Spans<Ends>,
+    ways: Spans<LinkEnds>,
 }
 
 /// From when to when something was so, by whom it concerns.
@@ -222,7 +228,7 @@
             .take_while(|t| t.0 <= at)
         {
             match standing {
-                Standing::Ready => since = None,
+                HostState::Ready => since = None,
                 _ => since = since.or(Some(*when)),
             }
         }
@@ -242,27 +248,29 @@
     }
 }
 
-pub fn judge(records: &[Record], terms: &Terms) -> Verdict {
+pub fn judge(records: &[LoggedEvent], terms: &JudgeSettings) -> Verdict {
     let mut verdict = Verdict::default();
-    let mut cases: BTreeMap<Id, Case> = BTreeMap::new();
+    let mut cases: BTreeMap<SessionId, Case> = BTreeMap::new();
     let mut lives = Lives::default();
     let end = records.iter().map(|r| r.at).max().unwrap_or_default();
     let mut plain = Vec::new();
     // Proxies without a process: what is written to one of them nobody has heard.
     let mut dead = HashSet::new();
-    for Record { at, seen } in records {
+    for LoggedEvent { at, seen } in records {
         match seen {
-            Seen::ProxyDead { proxy } | Seen::ProxyExited { proxy, .. } => {
+            Event::ProxyDead { proxy } | Event::ProxyExited { proxy, .. } => {
                 dead.insert(*proxy);
             }
-            Seen::ProxyStarted { proxy } | Seen::ProxyServes { proxy } => drop(dead.remove(proxy)),
-            Seen::Told { proxy, .. } if dead.contains(proxy) => continue,
+            Event::ProxyStarted { proxy } | Event::ProxyServes { proxy } => {
+                drop(dead.remove(proxy))
+            }
+            Event::HostListed { proxy, .. } if dead.contains(proxy) => continue,
             _ => {}
         }
         let case = seen.id().map(|id| cases.entry(id).or_default());
         match (seen, case) {
             (
-                Seen::Asked {
+                Event::Asked {
                     proxy,
                     place,
                     listener,
@@ -275,14 +283,16 @@
                 case.place = *place;
                 (case.asked, case.inherited) = (Some((*at, *proxy, *listener, *wait)), *inherited);
             }
-            (Seen::Answered { answer, .. }, Some(case)) => case.answers.push((*at, answer.clone())),
-            (Seen::Cut { end, .. }, Some(case)) => case.cut = Some((*at, *end)),
-            (Seen::Left { .. }, Some(case)) => case.left = Some(*at),
-            (Seen::Ended { end, told, .. }, Some(case)) => case.ended = Some((*at, *end, *told)),
-            (Seen::Garbled { line, .. }, Some(case)) => case.garbled.push(line.clone()),
-            (Seen::Held { span, .. }, Some(case)) => case.held.push(*span),
+            (Event::Answered { answer, .. }, Some(case)) => {
+                case.answers.push((*at, answer.clone()))
+            }
+            (Event::Cut { end, .. }, Some(case)) => case.cut = Some((*at, *end)),
+            (Event::Left { .. }, Some(case)) => case.left = Some(*at),
+            (Event::Ended { end, told, .. }, Some(case)) => case.ended = Some((*at, *end, *told)),
+            (Event::Garbled { line, .. }, Some(case)) => case.garbled.push(line.clone()),
+            (Event::Held { span, .. }, Some(case)) => case.held.push(*span),
             (
-                Seen::Dialled {
+                Event::Dialled {
                     host,
                     dial,
                     inherited,
@@ -300,32 +310,32 @@
                 };
                 case.dials.insert(*dial, dialled);
             }
-            (Seen::StillOut { dial, earlier, .. }, Some(case)) => {
+            (Event::StillOut { dial, earlier, .. }, Some(case)) => {
                 case.twice.push((*earlier, *dial))
             }
-            (Seen::Replied { dial, reply, .. }, Some(case)) => {
+            (Event::Replied { dial, reply, .. }, Some(case)) => {
                 case.dials
                     .get_mut(dial)
                     .into_iter()
                     .for_each(|d| d.replies.push((*at, *reply)));
             }
-            (Seen::DialOver { dial, by_host, .. }, Some(case)) => {
+            (Event::DialOver { dial, by_host, .. }, Some(case)) => {
                 case.dials
                     .get_mut(dial)
                     .into_iter()
                     .for_each(|d| d.over = d.over.or(Some((*at, *by_host))));
             }
-            (Seen::ProxyKilled { proxy } | Seen::ProxyDead { proxy }, _) => {
+            (Event::ProxyKilled { proxy } | Event::ProxyDead { proxy }, _) => {
                 lives.killed.entry(*proxy).or_default().push(*at)
             }
-            (Seen::ProxyStalls { proxy, stops }, _) => lives.stalls.note(*proxy, *at, *stops),
-            (Seen::WayFails { ends, fails }, _) => lives.ways.note(*ends, *at, *fails),
-            (Seen::Replaced { proxy, yes: None }, _) => {
+            (Event::ProxyStalls { proxy, stops }, _) => lives.stalls.note(*proxy, *at, *stops),
+            (Event::WayFails { ends, fails }, _) => lives.ways.note(*ends, *at, *fails),
+            (Event::Replaced { proxy, yes: None }, _) => {
                 let what = format!("the process beside proxy {proxy} never said yes");
                 plain.push((Rule::OperatorsAnswered, *at, what));
             }
             (
-                Seen::Told {
+                Event::HostListed {
                     proxy,
                     host,
                     standing,
@@ -339,7 +349,7 @@
                     .or_default()
                     .push((*at, *standing, *started));
             }
-            (Seen::Rude { owed, served, sort }, _) => {
+            (Event::MisbehavingClient { owed, served, sort }, _) => {
                 verdict.tally.bad_clients += 1;
                 verdict.tally.bad_clients_owed += u64::from(*owed);
                 if *served {
@@ -350,11 +360,11 @@
                     ));
                 }
             }
-            (Seen::Unread { host, line }, _) => {
+            (Event::Unread { host, line }, _) => {
                 let what = format!("host {host} read {line:?}");
                 plain.push((Rule::NothingUnreadableSentOn, *at, what));
             }
-            (Seen::ProxyExited { proxy, code, asked }, _) if !asked || *code != Some(0) => {
+            (Event::ProxyExited { proxy, code, asked }, _) if !asked || *code != Some(0) => {
                 let why = if *asked { "after SIGTERM" } else { "by itself" };
                 plain.push((
                     Rule::ProxyStays,
@@ -370,7 +380,7 @@
     }
     plain.extend(order::found(&cases, terms));
     for (rule, at, what) in plain {
-        verdict.breaches.push(Breach {
+        verdict.breaches.push(Violation {
             rule,
             what,
             timeline: vec![around(records, at)],
@@ -378,7 +388,7 @@
     }
     for (id, case) in &cases {
         for (rule, what) in found(case, terms, &lives, end) {
-            verdict.breaches.push(Breach {
+            verdict.breaches.push(Violation {
                 rule,
                 what,
                 timeline: timeline(records, *id),
@@ -386,9 +396,9 @@
         }
         count(case, &lives, end, &mut verdict.tally);
     }
-    for Record { at, seen } in records {
-        if let Seen::Collapsed { host, started, by } = seen {
-            let knew = |id: &Id| {
+    for LoggedEvent { at, seen } in records {
+        if let Event::Collapsed { host, started, by } = seen {
+            let knew = |id: &SessionId| {
                 let asked = cases.get(id).and_then(|case| case.asked);
                 asked.is_some_and(|asked| lives.told_start(asked.1, *host, *started))
             };
@@ -398,7 +408,7 @@
                 let what =
                     format!("host {host} collapsed: {knowing} of {all} set-ups knew it to be cold");
                 let timeline = vec![around(records, *at)];
-                verdict.breaches.push(Breach {
+                verdict.breaches.push(Violation {
                     rule: Rule::NoColdServerPushedOver,
                     what,
                     timeline,
@@ -416,9 +426,9 @@
     tally.sessions += 1;
     tally.dials += case.dials.len() as u64;
     match case.answers.first().map(|a| &a.1) {
-        Some(Answer::Up) => tally.accepted += 1,
-        Some(Answer::Busy(_)) => tally.refused += 1,
-        Some(Answer::Failed) => tally.torn_down += 1,
+        Some(ClientAnswer::Up) => tally.accepted += 1,
+        Some(ClientAnswer::Busy(_)) => tally.refused += 1,
+        Some(ClientAnswer::Failed) => tally.torn_down += 1,
         None if case.left.is_some() => tally.left += 1,
         None => tally.died_with_proxy += u64::from(lives.died(proxy, at, end)),
     }
@@ -426,7 +436,7 @@
 }
 
 /// Every breach in one session's life.
-fn found(case: &Case, terms: &Terms, lives: &Lives, end: Duration) -> Vec<(Rule, String)> {
+fn found(case: &Case, terms: &JudgeSettings, lives: &Lives, end: Duration) -> Vec<(Rule, String)> {
     let Some((asked, proxy, listener, wait)) = case.asked else {
         return Vec::new();
     };
@@ -447,7 +457,7 @@
         .fold(asked + wait + terms.slack, |due, stall| {
             due.max(stall.1.saturating_add(terms.slack))
         });
-    let way = Ends::Clients(case.place, proxy);
+    let way = LinkEnds::Clients(case.place, proxy);
     let apart = |to: Duration| {
         lives
             .ways
@@ -483,7 +493,7 @@
     let mut ways = case
         .dials
         .values()
-        .map(|dial| Ends::Proxy(proxy, dial.host));
+        .map(|dial| LinkEnds::Proxy(proxy, dial.host));
     let parted = ways.any(|way| {
         lives
             .ways
@@ -502,7 +512,7 @@
         let up = case
             .dials
             .values()
-            .find(|d| d.replies.iter().any(|r| r.1 == Reply::Up));
+            .find(|d| d.replies.iter().any(|r| r.1 == HostReply::Up));
         let by_host = up.is_some_and(|d| d.over.is_none_or(|(_, by_host)| by_host));
         if !by_host && !lives.died(proxy, asked, at + terms.blur) && !apart(at + terms.blur) {
             lost(format!("its open connection was cut off by {how:?}"));
@@ -537,7 +547,7 @@
             found.push((Rule::NeverTwoDials, what));
         }
     }
-    if kind != Kind::Repeatable
+    if kind != RetrySafety::Repeatable
         && let Some(first) = dials.iter().position(|d| d.may_have_run())
     {
         let at = dials[first];
@@ -547,12 +557,12 @@
                 terms.hosts[usize::from(next.host)],
             );
             let same = match circle {
-                Circle::All => true,
-                Circle::Zone => here.0 == there.0,
-                Circle::Cell => here == there,
+                RetryScope::All => true,
+                RetryScope::Zone => here.0 == there.0,
+                RetryScope::Cell => here == there,
             };
             let late = next.whole.saturating_sub(at.whole) > ttl + terms.blur;
-            if kind == Kind::OnceOnly || !same || late {
+            if kind == RetrySafety::OnceOnly || !same || late {
                 let what = format!(
                     "dialled at host {} though host {} may have run it",
                     next.host, at.host
@@ -560,8 +570,8 @@
                 found.push((Rule::NoEffectTwice, what));
             }
         }
-        let refused = matches!(answered, Some((_, Answer::Busy(_))));
-        if refused && (kind == Kind::OnceOnly || circle != Circle::All) {
+        let refused = matches!(answered, Some((_, ClientAnswer::Busy(_))));
+        if refused && (kind == RetrySafety::OnceOnly || circle != RetryScope::All) {
             let what = format!("refused though host {} may have run it", at.host);
             found.push((Rule::NoEffectTwice, what));
         }
@@ -581,28 +591,28 @@
 }
 
 /// The records of one session, the newest that matter of its proxy and hosts among them.
-fn timeline(records: &[Record], id: Id) -> Vec<String> {
-    let own: Vec<&Record> = records.iter().filter(|r| r.seen.id() == Some(id)).collect();
+fn timeline(records: &[LoggedEvent], id: SessionId) -> Vec<String> {
+    let own: Vec<&LoggedEvent> = records.iter().filter(|r| r.seen.id() == Some(id)).collect();
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
         return Vec::new();
     };
     let (mut proxies, mut hosts) = (Vec::new(), Vec::new());
     for record in &own {
         match record.seen {
-            Seen::Asked { proxy, .. } => proxies.push(proxy),
-            Seen::Dialled { host, .. } => hosts.push(host),
+            Event::Asked { proxy, .. } => proxies.push(proxy),
+            Event::Dialled { host, .. } => hosts.push(host),
             _ => {}
         }
     }
-    let near = |r: &&Record| match r.seen {
-        Seen::Told { proxy, host, .. } => proxies.contains(&proxy) && hosts.contains(&host),
-        Seen::HostDown { host } | Seen::HostUp { host } => {
+    let near = |r: &&LoggedEvent| match r.seen {
+        Event::HostListed { proxy, host, .. } => proxies.contains(&proxy) && hosts.contains(&host),
+        Event::HostDown { host } | Event::HostUp { host } => {
             hosts.contains(&host) && r.at >= first.at
         }
-        Seen::ProxyKilled { proxy } | Seen::ProxyDead { proxy } | Seen::ProxyLeaves { proxy } => {
-            proxies.contains(&proxy)
-        }
-        Seen::Fault { .. } => r.at >= first.at,
+        Event::ProxyKilled { proxy }
+        | Event::ProxyDead { proxy }
+        | Event::ProxyLeaves { proxy } => proxies.contains(&proxy),
+        Event::Fault { .. } => r.at >= first.at,
         _ => r.seen.id() == Some(id),
     };
     records
@@ -613,7 +623,7 @@
         .collect()
 }
 
-fn around(records: &[Record], at: Duration) -> String {
+fn around(records: &[LoggedEvent], at: Duration) -> String {
     records
         .iter()
         .find(|r| r.at == at)
@@ -621,7 +631,7 @@
         .unwrap_or_default()
 }
 
-fn line(record: &Record) -> String {
+fn line(record: &LoggedEvent) -> String {
     let mut what = format!("{:?}", record.seen);
     what.truncate(240);
     format!("{:>9.3} s  {what}", record.at.as_secs_f64())
--- a/crates/testbed/src/judge/figures.rs
+++ b/crates/testbed/src/judge/figures.rs
@@ -1,8 +1,8 @@
 //! What operators heard, against what clients and hosts saw. A figure may be late and a little off; bounds are taken
 //! so that a proxy within the page's terms is never blamed.
 
-use super::{Case, Lives, Rule, Terms};
-use crate::ledger::{Answer, Id, Record, Seen};
+use super::{Case, JudgeSettings, Lives, Rule};
+use crate::event_log::{ClientAnswer, Event, LoggedEvent, SessionId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -26,8 +26,8 @@
     fn of(case: &Case) -> Option<Span> {
         let (asked, proxy, ..) = case.asked?;
         let answer = case.answers.first();
-        let up = answer.filter(|a| a.1 == Answer::Up).map(|a| a.0);
-        let answered = answer.filter(|a| a.1 != Answer::Up).map(|a| a.0);
+        let up = answer.filter(|a| a.1 == ClientAnswer::Up).map(|a| a.0);
+        let answered = answer.filter(|a| a.1 != ClientAnswer::Up).map(|a| a.0);
         let over = case
             .dials
             .values()
@@ -61,24 +61,24 @@
 }
 
 pub(super) fn found(
-    records: &[Record],
-    cases: &BTreeMap<Id, Case>,
+    records: &[LoggedEvent],
+    cases: &BTreeMap<SessionId, Case>,
     lives: &Lives,
-    terms: &Terms,
+    terms: &JudgeSettings,
 ) -> Vec<(Rule, Duration, String)> {
     let spans: Vec<Span> = cases.values().filter_map(Span::of).collect();
     let (mut found, mut processes) = (Vec::new(), BTreeMap::<u16, Process>::new());
-    for Record { at, seen } in records {
+    for LoggedEvent { at, seen } in records {
         let at = *at;
         match seen {
-            Seen::ProxyBeside { proxy } => processes.entry(*proxy).or_default().beside = Some(at),
-            Seen::ProxyDead { proxy } => {
+            Event::ProxyBeside { proxy } => processes.entry(*proxy).or_default().beside = Some(at),
+            Event::ProxyDead { proxy } => {
                 let process = processes.entry(*proxy).or_default();
                 process
                     .pairs
                     .extend(process.beside.take().map(|since| (since, at)));
             }
-            Seen::ProxyStarted { proxy } | Seen::ProxyServes { proxy } => {
+            Event::ProxyStarted { proxy } | Event::ProxyServes { proxy } => {
                 let first = processes
                     .remove(proxy)
                     .and_then(|process| process.beside)
@@ -91,7 +91,7 @@
                 };
                 processes.insert(*proxy, process);
             }
-            Seen::Called {
+            Event::Called {
                 proxy,
                 took,
                 figures,
--- a/crates/testbed/src/judge/order.rs
+++ b/crates/testbed/src/judge/order.rs
@@ -1,7 +1,7 @@
 //! The order in which sessions are refused while room is short.
 
-use super::{Case, Rule, Terms};
-use crate::ledger::{Answer, Id};
+use super::{Case, JudgeSettings, Rule};
+use crate::event_log::{ClientAnswer, SessionId};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
         else {
             continue;
         };
-        let refused = matches!(answer, Answer::Busy(_)) && case.dials.is_empty();
+        let refused = matches!(answer, ClientAnswer::Busy(_)) && case.dials.is_empty();
         let second = seconds.entry((proxy, at.as_secs())).or_default();
         let sum = second.entry(listener).or_default();
         *sum = (sum.0 + 1, sum.1 + u64::from(refused));
@@ -40,7 +40,10 @@
 }
 
 /// Listeners of which more is refused than of one that is worth less, where utility is to decide.
-pub(super) fn found(cases: &BTreeMap<Id, Case>, terms: &Terms) -> Vec<(Rule, Duration, String)> {
+pub(super) fn found(
+    cases: &BTreeMap<SessionId, Case>,
+    terms: &JudgeSettings,
+) -> Vec<(Rule, Duration, String)> {
     let Some(utilities) = &terms.order else {
         return Vec::new();
     };
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -9,27 +9,27 @@
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 pub mod baseline;
-pub mod calls;
 pub mod client;
 pub mod compare;
+pub mod discovery;
+pub mod drain_measurement;
+pub mod event_log;
 pub mod front;
 pub mod host;
 pub mod journal;
 pub mod judge;
-pub mod leave;
-pub mod ledger;
-pub mod lines;
+pub mod line_reader;
 pub mod link;
-pub mod load;
-pub mod logs;
+pub mod load_model;
+pub mod log_summary;
+pub mod metrics_calls;
+pub mod misbehaving_clients;
 pub mod plan;
 pub mod plots;
 pub mod proxies;
 pub mod report;
-pub mod roster;
-pub mod rude;
 pub mod run;
 pub mod scale;
 pub mod scenario;
 pub mod shrink;
-pub mod world;
+pub mod testbed;
--- a/crates/testbed/src/lines.rs
+++ b/crates/testbed/src/line_reader.rs
@@ -19,7 +19,7 @@
     Bad,
 }
 
-pub struct Lines {
+pub struct LineReader {
     half: OwnedReadHalf,
     bytes: VecDeque<u8>,
     /// Bytes at the front known to hold no line end.
@@ -27,9 +27,9 @@
     ended: Option<Line>,
 }
 
-impl Lines {
-    pub fn new(half: OwnedReadHalf) -> Lines {
-        Lines {
+impl LineReader {
+    pub fn new(half: OwnedReadHalf) -> LineReader {
+        LineReader {
             half,
             bytes: VecDeque::new(),
             seen: 0,
--- a/crates/testbed/src/link.rs
+++ b/crates/testbed/src/link.rs
@@ -2,9 +2,9 @@
 //! until a fault drops, resets, refuses, delays or slows them. A way stands between one proxy and one host, or between
 //! the clients of one place and one proxy; who dials it thinks that it has the other side before it.
 
-use crate::ledger::Seen;
+use crate::event_log::Event;
 use crate::scenario::FaultKind;
-use crate::world::{World, ended};
+use crate::testbed::{Testbed, ended};
 use rustix::net::sockopt;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 
 /// Which two a way lies between.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Ends {
+pub enum LinkEnds {
     /// A proxy and a host.
     Proxy(u16, u16),
     /// The clients and the front of a place, and a proxy.
@@ -28,7 +28,7 @@
 
 /// What faults make of a way now. `there` is the direction of whoever dials.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Mood {
+pub struct LinkFaults {
     pub drops_there: bool,
     pub drops_back: bool,
     pub refuses: bool,
@@ -39,7 +39,7 @@
     pub pace: Option<f64>,
 }
 
-impl Mood {
+impl LinkFaults {
     fn drops(&self, there: bool) -> bool {
         if there {
             self.drops_there
@@ -57,26 +57,26 @@
 #[derive(Clone, Copy, Debug)]
 struct Effect {
     fault: usize,
-    mood: Mood,
+    mood: LinkFaults,
     /// Connections that were open when it began are reset once it is over: the other side has forgotten them.
     half_open: bool,
 }
 
 pub struct Link {
-    pub ends: Ends,
+    pub ends: LinkEnds,
     pub address: SocketAddr,
     target: SocketAddr,
     effects: Mutex<Vec<Effect>>,
-    mood: watch::Sender<Mood>,
+    mood: watch::Sender<LinkFaults>,
     /// Counts half-open ends: connections from before one are dead.
     broken: watch::Sender<u32>,
 }
 
 /// Connections by the address that the far side sees: session and dial, once a host has read its line.
 #[derive(Debug, Default)]
-pub struct Named(Mutex<HashMap<SocketAddr, (u64, u32)>>);
+pub struct ConnectionNames(Mutex<HashMap<SocketAddr, (u64, u32)>>);
 
-impl Named {
+impl ConnectionNames {
     fn all(&self) -> MutexGuard<'_, HashMap<SocketAddr, (u64, u32)>> {
         self.0.lock().unwrap_or_else(|broken| broken.into_inner())
     }
@@ -94,8 +94,8 @@
 #[derive(Default)]
 pub struct Links {
     all: Vec<Arc<Link>>,
-    by_ends: HashMap<Ends, usize>,
-    pub named: Named,
+    by_ends: HashMap<LinkEnds, usize>,
+    pub named: ConnectionNames,
 }
 
 /// Where stand-ins are reached, and whence they dial: a peer that is dialled knows by it that its clock and the
@@ -113,7 +113,7 @@
 impl Links {
     /// Opens a way for each pair of ends and what it leads to. They serve once `serve` is called.
     pub async fn open(
-        pairs: Vec<(Ends, SocketAddr)>,
+        pairs: Vec<(LinkEnds, SocketAddr)>,
     ) -> std::io::Result<(Links, Vec<TcpListener>)> {
         // Runs side by side have addresses apart: a proxy of one must not reach a port that another has given up.
         static RUNS: AtomicU8 = AtomicU8::new(0);
@@ -127,7 +127,7 @@
                 address: door.local_addr()?,
                 target,
                 effects: Mutex::default(),
-                mood: watch::channel(Mood::default()).0,
+                mood: watch::channel(LinkFaults::default()).0,
                 broken: watch::channel(0).0,
             };
             links.by_ends.insert(ends, links.all.len());
@@ -138,7 +138,7 @@
     }
 
     /// Where a way is dialled, if it goes through a stand-in.
-    pub fn address(&self, ends: Ends) -> Option<SocketAddr> {
+    pub fn address(&self, ends: LinkEnds) -> Option<SocketAddr> {
         self.by_ends.get(&ends).map(|nth| self.all[*nth].address)
     }
 
@@ -149,7 +149,7 @@
 
 impl Link {
     /// A fault, known by its number, begins on this way.
-    pub fn begin(&self, fault: usize, mood: Mood, half_open: bool) {
+    pub fn begin(&self, fault: usize, mood: LinkFaults, half_open: bool) {
         self.effects().push(Effect {
             fault,
             mood,
@@ -183,9 +183,9 @@
     }
 
     fn settle(&self) {
-        let mut now = Mood::default();
+        let mut now = LinkFaults::default();
         for Effect { mood, .. } in self.effects().iter() {
-            now = Mood {
+            now = LinkFaults {
                 drops_there: now.drops_there || mood.drops_there,
                 drops_back: now.drops_back || mood.drops_back,
                 refuses: now.refuses || mood.refuses,
@@ -198,7 +198,7 @@
     }
 
     /// Takes connections for as long as the run lasts.
-    pub async fn serve(self: Arc<Self>, world: Arc<World>, door: TcpListener) {
+    pub async fn serve(self: Arc<Self>, testbed: Arc<Testbed>, door: TcpListener) {
         let (mut door, mut mood) = (Some(door), self.mood.subscribe());
         loop {
             let now = *mood.borrow_and_update();
@@ -208,7 +208,7 @@
                 continue;
             }
             let Some(open) = &door else {
-                door = crate::roster::reopened(self.address);
+                door = crate::discovery::reopened(self.address);
                 if door.is_none() {
                     sleep(LOOK).await;
                 }
@@ -226,14 +226,14 @@
             tokio::select! {
                 _ = mood.changed() => {}
                 taken = open.accept() => if let Ok((near, _)) = taken {
-                    let (link, world) = (self.clone(), world.clone());
-                    tokio::spawn(async move { link.carry(&world, near).await });
+                    let (link, testbed) = (self.clone(), testbed.clone());
+                    tokio::spawn(async move { link.carry(&testbed, near).await });
                 }
             }
         }
     }
 
-    async fn carry(&self, world: &World, near: TcpStream) {
+    async fn carry(&self, testbed: &Testbed, near: TcpStream) {
         let mut broken = self.broken.subscribe();
         broken.mark_unchanged();
         let (from, to) = near.into_split();
@@ -244,7 +244,7 @@
         let Some((far, own)) = self.reach().await else {
             // Who dialled was taken in by the way alone, where the other side would have refused.
             for fails in [true, self.fails()] {
-                world.ledger.put(Seen::WayFails {
+                testbed.event_log.put(Event::WayFails {
                     ends: self.ends,
                     fails,
                 });
@@ -272,10 +272,11 @@
                 _ = broken.changed() => Over::Broken,
             }
         };
-        let name = world.links.named.take(own);
+        let name = testbed.links.named.take(own);
         let note = |by_host| {
-            let seen = name.map(|(id, dial)| Seen::DialOver { id, dial, by_host });
-            seen.into_iter().for_each(|seen| world.ledger.put(seen));
+            let seen = name.map(|(id, dial)| Event::DialOver { id, dial, by_host });
+            seen.into_iter()
+                .for_each(|seen| testbed.event_log.put(seen));
         };
         match how {
             // The one side has gone; what it had said before has been passed on, or is lost with the way.
@@ -402,35 +403,35 @@
 }
 
 /// What a fault of a way makes of it; `much` is a pace in bytes a second, `span` a delay.
-pub fn mood(kind: FaultKind, much: f64, span: Duration) -> Mood {
-    let whole = Mood::default();
+pub fn mood(kind: FaultKind, much: f64, span: Duration) -> LinkFaults {
+    let whole = LinkFaults::default();
     match kind {
-        FaultKind::LinkDropped | FaultKind::PlaceCut | FaultKind::PlaceFlaps => Mood {
+        FaultKind::LinkDropped | FaultKind::PlaceCut | FaultKind::PlaceFlaps => LinkFaults {
             drops_there: true,
             drops_back: true,
             ..whole
         },
-        FaultKind::LinkDroppedThere => Mood {
+        FaultKind::LinkDroppedThere => LinkFaults {
             drops_there: true,
             ..whole
         },
-        FaultKind::LinkDroppedBack => Mood {
+        FaultKind::LinkDroppedBack => LinkFaults {
             drops_back: true,
             ..whole
         },
-        FaultKind::LinkRefused => Mood {
+        FaultKind::LinkRefused => LinkFaults {
             refuses: true,
             ..whole
         },
-        FaultKind::LinkReset => Mood {
+        FaultKind::LinkReset => LinkFaults {
             resets: true,
             ..whole
         },
-        FaultKind::LinkDelayed => Mood {
+        FaultKind::LinkDelayed => LinkFaults {
             delay: span,
             ..whole
         },
-        FaultKind::LinkSlowed => Mood {
+        FaultKind::LinkSlowed => LinkFaults {
             pace: Some(much),
             ..whole
         },
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load_model.rs
@@ -6,7 +6,7 @@
 
 /// The figures of one host.
 #[derive(Clone, Debug)]
-pub struct Nature {
+pub struct LoadModelSettings {
     /// As a multiple of a standard host.
     pub speed: f64,
     pub places: u32,
@@ -23,7 +23,7 @@
 
 /// What becomes of a session that reaches a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
+pub enum SetUpOutcome {
     /// Up after so long.
     After(Duration),
     Full,
@@ -33,7 +33,7 @@
 
 /// What a report tells.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct LoadReport {
     pub asked: f64,
     pub outstanding: u32,
 }
@@ -44,7 +44,7 @@
 
 #[derive(Debug)]
 pub struct LoadModel {
-    nature: Nature,
+    nature: LoadModelSettings,
     /// `None`: long ago.
     started: Option<Duration>,
     /// Share of its speed that a fault leaves it.
@@ -58,12 +58,12 @@
     at: Duration,
     /// Work of sessions and messages that came of late, in seconds of a standard host, and from whom.
     pressed: VecDeque<(Duration, f64, u64)>,
-    told: VecDeque<(Duration, Figures)>,
+    told: VecDeque<(Duration, LoadReport)>,
     chance: u64,
 }
 
 impl LoadModel {
-    pub fn new(nature: Nature, chance: u64) -> LoadModel {
+    pub fn new(nature: LoadModelSettings, chance: u64) -> LoadModel {
         LoadModel {
             nature,
             started: None,
@@ -118,7 +118,7 @@
         let span = now.saturating_sub(self.at).as_secs_f64();
         self.backlog = (self.backlog + (self.asked(now) - 1.0) * span).clamp(0.0, LONGEST);
         self.at = self.at.max(now);
-        let figures = Figures {
+        let figures = LoadReport {
             asked: self.asked(now),
             outstanding: self.open,
         };
@@ -140,7 +140,7 @@
     }
 
     /// A session's whole line has come, from whom it names.
-    pub fn arrive(&mut self, now: Duration, from: u64) -> Taken {
+    pub fn arrive(&mut self, now: Duration, from: u64) -> SetUpOutcome {
         self.pass(now);
         let work = self.nature.set_up_work.as_secs_f64();
         let window = self.nature.overload_for;
@@ -155,15 +155,15 @@
         if self.is_cold(now) {
             let pressed: f64 = self.pressed.iter().map(|p| p.1).sum();
             if pressed > self.nature.tip_multiple * self.capacity(now) * window.as_secs_f64() {
-                return Taken::Collapsed;
+                return SetUpOutcome::Collapsed;
             }
         }
         if self.open + self.setting_up >= self.nature.places {
-            return Taken::Full;
+            return SetUpOutcome::Full;
         }
         self.setting_up += 1;
         // Set-ups queue with the messages, and pay their own work.
-        Taken::After(self.delay(now) + Duration::from_secs_f64(work / self.capacity(now)))
+        SetUpOutcome::After(self.delay(now) + Duration::from_secs_f64(work / self.capacity(now)))
     }
 
     /// Who sent it what it had to take of late.
@@ -212,11 +212,11 @@
     }
 
     /// A report as a proxy gets it: of a while ago, and somewhat off.
-    pub fn report(&mut self, now: Duration) -> Figures {
+    pub fn report(&mut self, now: Duration) -> LoadReport {
         self.pass(now);
         let old = self.told.front().map(|told| told.1).unwrap_or_default();
         let off = 1.0 + self.nature.report_noise * (self.draw() * 2.0 - 1.0);
-        Figures {
+        LoadReport {
             asked: old.asked * off,
             outstanding: old.outstanding,
         }
--- a/crates/testbed/src/logs.rs
+++ b/crates/testbed/src/log_summary.rs
@@ -18,7 +18,7 @@
 type Counts = BTreeMap<String, u64>;
 
 #[derive(Debug, Default)]
-pub struct Logs {
+pub struct LogSummary {
     /// Seconds that a row of the table spans.
     span: u64,
     proxies: usize,
@@ -35,17 +35,17 @@
     servers: BTreeMap<String, Counts>,
 }
 
-impl Logs {
+impl LogSummary {
     /// Nothing yet; rows span so many seconds, at least one.
-    pub fn new(span: u64) -> Logs {
-        Logs {
+    pub fn new(span: u64) -> LogSummary {
+        LogSummary {
             span: span.max(1),
-            ..Logs::default()
+            ..LogSummary::default()
         }
     }
 
     /// All files of a folder whose names end in `.log`. Errors name the folder or file.
-    pub fn of_folder(folder: &Path, span: u64) -> Result<Logs, String> {
+    pub fn of_folder(folder: &Path, span: u64) -> Result<LogSummary, String> {
         let told = |path: &Path, e: io::Error| format!("{}: {e}", path.display());
         let entries = std::fs::read_dir(folder).map_err(|e| told(folder, e))?;
         let mut paths = entries
@@ -57,7 +57,7 @@
         if paths.is_empty() {
             return Err(format!("{}: no file ends in .log", folder.display()));
         }
-        let mut logs = Logs::new(span);
+        let mut logs = LogSummary::new(span);
         for path in paths {
             let name = path.file_name().unwrap_or_default().to_string_lossy();
             let file = File::open(&path).map_err(|e| told(&path, e))?;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -9,13 +9,13 @@
 
 use asterramp_testbed::baseline::{self, Break, Policy};
 use asterramp_testbed::compare::{self, Difference};
+use asterramp_testbed::drain_measurement::{self, DrainMethod};
 use asterramp_testbed::journal::Journal;
-use asterramp_testbed::leave::{self, By};
-use asterramp_testbed::logs::Logs;
+use asterramp_testbed::log_summary::LogSummary;
 use asterramp_testbed::plan::Plan;
 use asterramp_testbed::proxies::Program;
 use asterramp_testbed::report::Report;
-use asterramp_testbed::run::{Fault, Job, Ran, own_folder, own_proxy, run};
+use asterramp_testbed::run::{RunError, RunOptions, RunOutcome, own_folder, own_proxy, run};
 use asterramp_testbed::scale;
 use asterramp_testbed::scenario::Scenario;
 use asterramp_testbed::shrink;
@@ -165,7 +165,7 @@
         .build()
     {
         Ok(runtime) => runtime,
-        Err(e) => return fail(&Fault::Run(e.to_string())),
+        Err(e) => return fail(&RunError::Run(e.to_string())),
     };
     // The plain proxy answers to its signals itself, and leaves in good order.
     let own = matches!(cli.what, What::PlainProxy { .. });
@@ -174,7 +174,7 @@
         tokio::select! {
             done = work => done,
             // Dropping the run ends its proxies.
-            _ = asked_to_stop(), if !own => Err(Fault::Run("interrupted".into())),
+            _ = asked_to_stop(), if !own => Err(RunError::Run("interrupted".into())),
         }
     });
     // Children are ended by their handles; nothing else is waited for.
@@ -193,22 +193,22 @@
     }
 }
 
-fn fail(fault: &Fault) -> ExitCode {
+fn fail(fault: &RunError) -> ExitCode {
     let (code, what) = match fault {
-        Fault::Input(what) => (2, what),
-        Fault::Run(what) => (3, what),
+        RunError::Input(what) => (2, what),
+        RunError::Run(what) => (3, what),
     };
     eprintln!("asterramp-testbed: {what}");
     ExitCode::from(code)
 }
 
-async fn perform(what: What) -> Result<ExitCode, Fault> {
+async fn perform(what: What) -> Result<ExitCode, RunError> {
     match what {
         What::Logs { folder, span } => {
             print!(
                 "{}",
-                Logs::of_folder(&folder, span)
-                    .map_err(Fault::Input)?
+                LogSummary::of_folder(&folder, span)
+                    .map_err(RunError::Input)?
                     .table()
             );
             Ok(ExitCode::SUCCESS)
@@ -217,7 +217,7 @@
             print!(
                 "{}",
                 Journal::of_folder(&folder, &kind)
-                    .map_err(Fault::Input)?
+                    .map_err(RunError::Input)?
                     .table()
             );
             Ok(ExitCode::SUCCESS)
@@ -229,13 +229,13 @@
             save,
         } => {
             let text = std::fs::read_to_string(&scenario)
-                .map_err(|e| Fault::Input(format!("{}: {e}", scenario.display())))?;
-            let scenario = Scenario::open(&scenario).map_err(Fault::Input)?;
+                .map_err(|e| RunError::Input(format!("{}: {e}", scenario.display())))?;
+            let scenario = Scenario::open(&scenario).map_err(RunError::Input)?;
             shrunk(scenario, &text, &common, tries, &save).await
         }
-        What::Demo(common) => one(Scenario::read(DEMO).map_err(Fault::Input)?, &common).await,
+        What::Demo(common) => one(Scenario::read(DEMO).map_err(RunError::Input)?, &common).await,
         What::Run { scenario, common } => {
-            one(Scenario::open(&scenario).map_err(Fault::Input)?, &common).await
+            one(Scenario::open(&scenario).map_err(RunError::Input)?, &common).await
         }
         What::Compare {
             scenario,
@@ -244,7 +244,7 @@
             seed,
             chaos,
         } => {
-            let scenario = Scenario::open(&scenario).map_err(Fault::Input)?;
+            let scenario = Scenario::open(&scenario).map_err(RunError::Input)?;
             compare(&scenario, &proxy, runs, seed, chaos).await
         }
         What::Scale {
@@ -277,7 +277,7 @@
             }
             print!("{}", scale::table(&points));
             if let Some(folder) = report {
-                scale::plots(&points, &folder).map_err(Fault::Run)?;
+                scale::plots(&points, &folder).map_err(RunError::Run)?;
             }
             Ok(ExitCode::from(u8::from(
                 points.iter().any(|p| !p.rules_held),
@@ -289,30 +289,32 @@
             roll,
         } => {
             let (program, mut held) = (named(proxy.as_ref())?, true);
-            let ways: &[By] = if roll {
-                &[By::Roll]
+            let ways: &[DrainMethod] = if roll {
+                &[DrainMethod::Roll]
             } else {
-                &[By::Drain, By::Sigterm]
+                &[DrainMethod::Drain, DrainMethod::Sigterm]
             };
-            println!("{}", leave::HEAD);
+            println!("{}", drain_measurement::HEAD);
             for sessions in sessions {
                 for by in ways {
-                    let emptied = leave::emptied(*by, sessions, &program).await?;
-                    println!("{}", leave::row(&emptied));
+                    let emptied = drain_measurement::emptied(*by, sessions, &program).await?;
+                    println!("{}", drain_measurement::row(&emptied));
                     held &= emptied.held && !matches!(emptied.rolled, Some(Err(_)));
                 }
             }
             Ok(ExitCode::from(u8::from(!held)))
         }
         What::PlainProxy { policy, breaks } => {
-            baseline::run(policy, breaks).await.map_err(Fault::Input)?;
+            baseline::run(policy, breaks)
+                .await
+                .map_err(RunError::Input)?;
             Ok(ExitCode::SUCCESS)
         }
     }
 }
 
-fn program(common: &Common) -> Result<Program, Fault> {
-    let own = std::env::current_exe().map_err(|e| Fault::Run(e.to_string()))?;
+fn program(common: &Common) -> Result<Program, RunError> {
+    let own = std::env::current_exe().map_err(|e| RunError::Run(e.to_string()))?;
     if let Some(policy) = common.baseline {
         return Ok(baseline::program(&own, policy, common.breaks));
     }
@@ -320,13 +322,13 @@
 }
 
 /// The program of a path, or the proxy built beside this one.
-fn named(path: Option<&PathBuf>) -> Result<Program, Fault> {
-    let own = std::env::current_exe().map_err(|e| Fault::Run(e.to_string()))?;
+fn named(path: Option<&PathBuf>) -> Result<Program, RunError> {
+    let own = std::env::current_exe().map_err(|e| RunError::Run(e.to_string()))?;
     let missing = "no asterramp beside this program; build it, or name it by --proxy";
     let path = path.cloned().or_else(|| own_proxy(&own));
-    let path = path.ok_or_else(|| Fault::Input(missing.into()))?;
+    let path = path.ok_or_else(|| RunError::Input(missing.into()))?;
     if !path.is_file() {
-        return Err(Fault::Input(format!(
+        return Err(RunError::Input(format!(
             "--proxy: {} is no file",
             path.display()
         )));
@@ -355,9 +357,9 @@
     runs: u64,
     seed: u64,
     chaos: bool,
-) -> Result<ExitCode, Fault> {
+) -> Result<ExitCode, RunError> {
     let [a, b] = paths else {
-        return Err(Fault::Input("--proxy: two are compared, A and B".into()));
+        return Err(RunError::Input("--proxy: two are compared, A and B".into()));
     };
     let programs = [named(Some(a))?, named(Some(b))?];
     let figures: [Figure; 6] = [
@@ -384,7 +386,7 @@
         for which in order {
             let folder = own_folder();
             let (chaos, program) = (chaos.then_some(seed), programs[which].clone());
-            let job = Job {
+            let job = RunOptions {
                 seed,
                 chaos,
                 program,
@@ -416,7 +418,7 @@
         );
     }
     if found[0][0].len() < 2 {
-        return Err(Fault::Run(format!(
+        return Err(RunError::Run(format!(
             "{void} of {runs} pairs were void; too few are left"
         )));
     }
@@ -445,17 +447,17 @@
     common: &Common,
     tries: u32,
     save: &Path,
-) -> Result<ExitCode, Fault> {
+) -> Result<ExitCode, RunError> {
     let (seed, program) = (common.seed.unwrap_or(scenario.seed), program(common)?);
     let all = shrink::drawn(&Plan::new(&scenario, seed, common.chaos).faults);
     let runtime = tokio::runtime::Handle::current();
-    let breaks = |faults: &[asterramp_testbed::scenario::Fault]| {
+    let breaks = |faults: &[asterramp_testbed::scenario::ScenarioFault]| {
         let scenario = Scenario {
             faults: faults.to_vec(),
             ..scenario.clone()
         };
         let folder = own_folder();
-        let job = Job {
+        let job = RunOptions {
             seed,
             chaos: None,
             program: program.clone(),
@@ -478,11 +480,13 @@
         broke
     };
     if !breaks(&all) {
-        return Err(Fault::Run("no rule breaks with all of its faults".into()));
+        return Err(RunError::Run(
+            "no rule breaks with all of its faults".into(),
+        ));
     }
     let left = shrink::fewest(&all, tries, breaks);
-    let text = shrink::written(text, &left).map_err(Fault::Run)?;
-    std::fs::write(save, text).map_err(|e| Fault::Run(format!("{}: {e}", save.display())))?;
+    let text = shrink::written(text, &left).map_err(RunError::Run)?;
+    std::fs::write(save, text).map_err(|e| RunError::Run(format!("{}: {e}", save.display())))?;
     println!(
         "{} of {} faults are left, in {}",
         left.len(),
@@ -492,11 +496,11 @@
     Ok(ExitCode::SUCCESS)
 }
 
-async fn one(scenario: Scenario, common: &Common) -> Result<ExitCode, Fault> {
+async fn one(scenario: Scenario, common: &Common) -> Result<ExitCode, RunError> {
     let (seed, program) = (common.seed.unwrap_or(scenario.seed), program(common)?);
     let name = program.name.clone();
     let folder = common.report.clone().unwrap_or_else(own_folder);
-    let job = Job {
+    let job = RunOptions {
         seed,
         chaos: common.chaos,
         program,
@@ -507,10 +511,10 @@
     if common.report.is_none() {
         let _ = std::fs::remove_dir_all(&folder);
     }
-    let ran: Ran = ran?;
+    let ran: RunOutcome = ran?;
     let report = Report::of(&ran, &name, seed, common.chaos);
     if common.report.is_some() {
-        report.write(&folder, &ran).map_err(Fault::Run)?;
+        report.write(&folder, &ran).map_err(RunError::Run)?;
     }
     if common.json {
         println!(
--- a/crates/testbed/src/calls.rs
+++ b/crates/testbed/src/metrics_calls.rs
@@ -1,7 +1,7 @@
 //! Operators at a proxy's door: they ask for figures again and again, note what they heard and how long it took.
 
-use crate::ledger::Seen;
-use crate::world::World;
+use crate::event_log::Event;
+use crate::testbed::Testbed;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// Where the process that serves is called; none while there is none.
-pub type Door = Arc<Mutex<Option<SocketAddr>>>;
+pub type SharedAddress = Arc<Mutex<Option<SocketAddr>>>;
 
 /// How long a caller waits, and the longest answer that it reads.
 const PATIENCE: Duration = Duration::from_secs(3);
@@ -60,16 +60,16 @@
         .map(|values| values.iter().sum())
 }
 
-pub fn set(door: &Door, at: Option<SocketAddr>) {
+pub fn set(door: &SharedAddress, at: Option<SocketAddr>) {
     *door.lock().unwrap_or_else(|broken| broken.into_inner()) = at;
 }
 
-fn at(door: &Door) -> Option<SocketAddr> {
+fn at(door: &SharedAddress) -> Option<SocketAddr> {
     *door.lock().unwrap_or_else(|broken| broken.into_inner())
 }
 
 /// Asks a proxy for its figures until the run ends.
-pub async fn ask(world: Arc<World>, proxy: u16, door: Door) {
+pub async fn ask(testbed: Arc<Testbed>, proxy: u16, door: SharedAddress) {
     loop {
         sleep(EVERY).await;
         let Some(address) = at(&door) else { continue };
@@ -83,7 +83,7 @@
             let up = figure(&body, "svc_calls_total", "code=\"success\"")?;
             Some((up, figure(&body, "svc_inflight", "")?))
         });
-        world.ledger.put(Seen::Called {
+        testbed.event_log.put(Event::Called {
             proxy,
             took: since.elapsed(),
             figures,
@@ -92,7 +92,7 @@
 }
 
 /// Sends half a call, stays, and comes again.
-pub async fn stall(door: Door) {
+pub async fn stall(door: SharedAddress) {
     loop {
         if let Some(address) = at(&door)
             && let Ok(mut stream) = TcpStream::connect(address).await
--- a/crates/testbed/src/rude.rs
+++ b/crates/testbed/src/misbehaving_clients.rs
@@ -1,8 +1,8 @@
 //! Bad clients: what they send, and whether they get the error or the close that they are owed in time.
 
-use crate::ledger::Seen;
-use crate::lines::{Line, Lines};
-use crate::world::World;
+use crate::event_log::Event;
+use crate::line_reader::{Line, LineReader};
+use crate::testbed::Testbed;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -18,7 +18,7 @@
 /// What a sort of bad client does: what it sends, how often, and whether it closes its side then.
 struct Sort {
     name: &'static str,
-    text: fn(&World) -> String,
+    text: fn(&Testbed) -> String,
     /// Filled up with so many bytes.
     much: usize,
     closes: bool,
@@ -26,13 +26,13 @@
     again: u32,
 }
 
-fn open(world: &World, wait: &str, listener: Option<&str>) -> String {
-    let scenario = &world.scenario;
+fn open(testbed: &Testbed, wait: &str, listener: Option<&str>) -> String {
+    let scenario = &testbed.scenario;
     let listener = listener.unwrap_or(&scenario.listeners[0].name);
     let member = &scenario.members[0].name;
     format!(
         "OPEN {:016x} 1 c={listener},t={member},d={wait}\r\n",
-        world.new_id()
+        testbed.new_id()
     )
 }
 
@@ -124,17 +124,17 @@
 ];
 
 /// So many of every sort, against proxies of all places in turn.
-pub fn crowd(world: &Arc<World>, count: u32) {
+pub fn crowd(testbed: &Arc<Testbed>, count: u32) {
     for nth in 0..count {
         for sort in SORTS {
             // One value of that size is enough for a sitting.
             if sort.much == MUCH && nth > 0 {
                 continue;
             }
-            let world = world.clone();
+            let testbed = testbed.clone();
             tokio::spawn(async move {
-                let place = nth as usize % world.scenario.places.len();
-                let Some((_, at)) = world.front.pick(place as u8, u64::from(nth)) else {
+                let place = nth as usize % testbed.scenario.places.len();
+                let Some((_, at)) = testbed.front.pick(place as u8, u64::from(nth)) else {
                     return;
                 };
                 let limit = if sort.much == MUCH { OWED_MUCH } else { OWED };
@@ -142,9 +142,9 @@
                     let Ok(stream) = TcpStream::connect(at).await else {
                         return;
                     };
-                    let told = timeout(limit, behave(&world, sort, stream)).await;
+                    let told = timeout(limit, behave(&testbed, sort, stream)).await;
                     let (owed, served) = (told.is_ok(), told == Ok(Some(true)));
-                    world.ledger.put(Seen::Rude {
+                    testbed.event_log.put(Event::MisbehavingClient {
                         sort: sort.name,
                         owed,
                         served,
@@ -156,8 +156,8 @@
 }
 
 /// `Some(true)` if it was served; returns once it was told its end.
-async fn behave(world: &World, sort: &Sort, stream: TcpStream) -> Option<bool> {
-    let text = (sort.text)(world);
+async fn behave(testbed: &Testbed, sort: &Sort, stream: TcpStream) -> Option<bool> {
+    let text = (sort.text)(testbed);
     let (read, mut write) = stream.into_split();
     let closes = sort.closes;
     let much = sort.much;
@@ -176,7 +176,7 @@
         }
         write
     });
-    let line = Lines::new(read).next().await;
+    let line = LineReader::new(read).next().await;
     sends.abort();
     match line {
         Line::Text(line) if line.starts_with("UP ") => Some(true),
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -1,16 +1,16 @@
 //! What a run will do, drawn from its seed before it starts: the same seed gives the same plan.
 
-use crate::link::Ends;
-use crate::scenario::{Back, Fault, FaultKind, Kind, Scenario, Way};
+use crate::link::LinkEnds;
+use crate::scenario::{FaultKind, LinkKind, RecoveredPart, RetrySafety, Scenario, ScenarioFault};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::time::Duration;
 
-pub type Chance = Xoshiro256PlusPlus;
+pub type SeededRng = Xoshiro256PlusPlus;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wanted {
+pub struct PlannedClient {
     pub at: Duration,
     /// How long its client wants to be connected, from then on.
     pub life: Duration,
@@ -29,36 +29,36 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Struck {
+pub struct PlannedFault {
     pub at: Duration,
     pub until: Option<Duration>,
     pub kind: FaultKind,
     pub on: Vec<u16>,
     pub much: f64,
     pub span: Duration,
-    pub way: Way,
+    pub way: LinkKind,
     /// Hosts that the struck ways lead to; all, if absent.
     pub to: Option<Vec<u16>>,
     pub half_open: bool,
-    pub back: Back,
+    pub back: RecoveredPart,
 }
 
-impl Struck {
+impl PlannedFault {
     /// Whether it strikes the way between these.
-    pub fn strikes(&self, ends: Ends, place_of: impl Fn(Ends) -> (u8, u8)) -> bool {
+    pub fn strikes(&self, ends: LinkEnds, place_of: impl Fn(LinkEnds) -> (u8, u8)) -> bool {
         let (from, to) = place_of(ends);
         match (self.kind, ends) {
             (FaultKind::PlaceCut | FaultKind::PlaceFlaps, _) => {
                 from != to
                     && (self.on.contains(&u16::from(from)) || self.on.contains(&u16::from(to)))
             }
-            (kind, Ends::Proxy(proxy, host))
-                if kind.strikes_links() && self.way == Way::ProxyHost =>
+            (kind, LinkEnds::Proxy(proxy, host))
+                if kind.strikes_links() && self.way == LinkKind::ProxyHost =>
             {
                 self.on.contains(&proxy) && self.to.as_ref().is_none_or(|to| to.contains(&host))
             }
-            (kind, Ends::Clients(_, proxy))
-                if kind.strikes_links() && self.way == Way::ClientProxy =>
+            (kind, LinkEnds::Clients(_, proxy))
+                if kind.strikes_links() && self.way == LinkKind::ClientProxy =>
             {
                 self.on.contains(&proxy)
             }
@@ -79,8 +79,8 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    pub clients: Vec<Wanted>,
-    pub faults: Vec<Struck>,
+    pub clients: Vec<PlannedClient>,
+    pub faults: Vec<PlannedFault>,
     pub hosts: Vec<HostPlan>,
 }
 
@@ -90,8 +90,8 @@
         let hosts = hosts(scenario);
         let mut faults = scenario.faults.clone();
         faults.extend(chaos.into_iter().flat_map(|chaos| drawn(scenario, chaos)));
-        let mut chance = Chance::seed_from_u64(seed ^ 0x5eed_fa17);
-        let mut struck: Vec<Struck> = faults
+        let mut chance = SeededRng::seed_from_u64(seed ^ 0x5eed_fa17);
+        let mut struck: Vec<PlannedFault> = faults
             .iter()
             .map(|fault| strike(fault, scenario, &mut chance))
             .collect();
@@ -104,9 +104,10 @@
     }
 
     /// Ways that must go through a stand-in for these faults to strike them.
-    pub fn linked(&self, way: Way) -> bool {
-        let cuts =
-            |fault: &Struck| matches!(fault.kind, FaultKind::PlaceCut | FaultKind::PlaceFlaps);
+    pub fn linked(&self, way: LinkKind) -> bool {
+        let cuts = |fault: &PlannedFault| {
+            matches!(fault.kind, FaultKind::PlaceCut | FaultKind::PlaceFlaps)
+        };
         self.faults
             .iter()
             .any(|fault| cuts(fault) || fault.kind.strikes_links() && fault.way == way)
@@ -114,7 +115,7 @@
 
     /// The longest that a way holds anything back.
     pub fn longest_delay(&self) -> Duration {
-        let held = |fault: &Struck| match fault.kind {
+        let held = |fault: &PlannedFault| match fault.kind {
             FaultKind::LinkDelayed => fault.span,
             // A session's line and some more.
             FaultKind::LinkSlowed => Duration::from_secs_f64(400.0 / fault.much),
@@ -170,7 +171,7 @@
     hosts
 }
 
-fn picked(chance: &mut Chance, portions: impl Iterator<Item = f64> + Clone) -> usize {
+fn picked(chance: &mut SeededRng, portions: impl Iterator<Item = f64> + Clone) -> usize {
     let mut left = chance.random::<f64>() * portions.clone().sum::<f64>();
     let at = portions.clone().position(|portion| {
         left -= portion;
@@ -194,8 +195,8 @@
     scenario.traffic.rate * times
 }
 
-fn clients(scenario: &Scenario, seed: u64, hosts: usize) -> Vec<Wanted> {
-    let mut chance = Chance::seed_from_u64(seed);
+fn clients(scenario: &Scenario, seed: u64, hosts: usize) -> Vec<PlannedClient> {
+    let mut chance = SeededRng::seed_from_u64(seed);
     let traffic = &scenario.traffic;
     let life = LogNormal::new(
         traffic.life.median.as_secs_f64().max(1e-3).ln(),
@@ -211,8 +212,9 @@
         let grouped = traffic.groups > 0 && chance.random::<f64>() < traffic.grouped;
         let group = grouped.then(|| 1 + u64::from(chance.random_range(0..traffic.groups)));
         let kind = &scenario.listeners[usize::from(listener)];
-        let hurried = chance.random::<f64>() < traffic.impatient && kind.kind != Kind::OnceOnly;
-        Wanted {
+        let hurried =
+            chance.random::<f64>() < traffic.impatient && kind.kind != RetrySafety::OnceOnly;
+        PlannedClient {
             at: Duration::from_secs_f64(at),
             life: Duration::from_secs_f64(lives),
             listener,
@@ -226,12 +228,12 @@
             chance: chance.random(),
         }
     };
-    let mut all: Vec<Wanted> = (0..traffic.inherited)
+    let mut all: Vec<PlannedClient> = (0..traffic.inherited)
         .map(|n| client(0.0, Some((n as usize % hosts) as u16)))
         .collect();
     // Arrivals at the highest rate, of which as many are kept as the present rate is of it.
     let most = traffic.curve.iter().map(|p| p.times).fold(1.0, f64::max) * traffic.rate;
-    let mut arrivals = Chance::seed_from_u64(seed ^ 0xa441);
+    let mut arrivals = SeededRng::seed_from_u64(seed ^ 0xa441);
     let mut at = 0.0;
     while at < length - 0.1 {
         at += -(1.0 - arrivals.random::<f64>()).ln() / most;
@@ -244,7 +246,7 @@
     all
 }
 
-fn strike(fault: &Fault, scenario: &Scenario, chance: &mut Chance) -> Struck {
+fn strike(fault: &ScenarioFault, scenario: &Scenario, chance: &mut SeededRng) -> PlannedFault {
     let all = match fault.kind {
         kind if kind.strikes_hosts() => scenario.hosts(),
         kind if kind.strikes_proxies() || kind.strikes_links() => scenario.proxies.count,
@@ -262,7 +264,7 @@
         }
     };
     let until = fault.lasts.map(|lasts| fault.at + lasts);
-    Struck {
+    PlannedFault {
         at: fault.at,
         until,
         kind: fault.kind,
@@ -310,11 +312,11 @@
     FaultKind::ClientsBad,
 ];
 
-fn drawn(scenario: &Scenario, seed: u64) -> Vec<Fault> {
-    let mut chance = Chance::seed_from_u64(seed ^ 0xc4a0);
+fn drawn(scenario: &Scenario, seed: u64) -> Vec<ScenarioFault> {
+    let mut chance = SeededRng::seed_from_u64(seed ^ 0xc4a0);
     let length = scenario.length.as_secs_f64();
     let count = 4 + (length / 5.0) as usize;
-    let mut faults: Vec<Fault> = Vec::new();
+    let mut faults: Vec<ScenarioFault> = Vec::new();
     for _ in 0..count {
         let kind = CHAOS[chance.random_range(0..CHAOS.len())];
         let at = Duration::from_secs_f64(length * (0.1 + 0.6 * chance.random::<f64>()));
@@ -328,14 +330,14 @@
         let (on, span) = (None, Duration::from_secs_f64(0.2 + chance.random::<f64>()));
         let count = if kind.strikes_hosts() { count } else { 1 };
         let half_open = kind.strikes_links() && chance.random::<f64>() < 0.5;
-        let (way, to, back) = (Way::default(), None, Back::default());
+        let (way, to, back) = (LinkKind::default(), None, RecoveredPart::default());
         let span = if kind == FaultKind::LinkDelayed {
             span / 10
         } else {
             span
         };
         let lasts = Some(lasts);
-        faults.push(Fault {
+        faults.push(ScenarioFault {
             at,
             lasts,
             kind,
--- a/crates/testbed/src/plots.rs
+++ b/crates/testbed/src/plots.rs
@@ -1,8 +1,8 @@
 //! Plots as SVG.
 
-use crate::ledger::Seen;
+use crate::event_log::Event;
 use crate::report::Report;
-use crate::run::Ran;
+use crate::run::RunOutcome;
 use plotters::prelude::*;
 use std::error::Error;
 use std::path::Path;
@@ -70,10 +70,10 @@
 }
 
 /// `service.svg`, `hosts.svg` and `proxies.svg` of a run.
-pub fn write(report: &Report, ran: &Ran, folder: &Path) -> Result<(), Box<dyn Error>> {
-    let begin = ran.world.begin.borrow().unwrap_or_default().as_secs_f64();
-    let begins = |r: &crate::ledger::Record| match r.seen {
-        Seen::Fault { begins: true, .. } => Some(r.at.as_secs_f64() - begin),
+pub fn write(report: &Report, ran: &RunOutcome, folder: &Path) -> Result<(), Box<dyn Error>> {
+    let begin = ran.testbed.begin.borrow().unwrap_or_default().as_secs_f64();
+    let begins = |r: &crate::event_log::LoggedEvent| match r.seen {
+        Event::Fault { begins: true, .. } => Some(r.at.as_secs_f64() - begin),
         _ => None,
     };
     let marks: Vec<f64> = ran.records.iter().filter_map(begins).collect();
@@ -117,7 +117,7 @@
         marks: marks.clone(),
     }
     .draw(&folder.join("hosts.svg"))?;
-    let line = |(n, used): (usize, &Vec<crate::proxies::Use>)| {
+    let line = |(n, used): (usize, &Vec<crate::proxies::ResourceUsage>)| {
         let steps = used.windows(2).filter(|w| w[1].cpu >= w[0].cpu);
         (
             format!("proxy {n}"),
--- a/crates/testbed/src/proxies.rs
+++ b/crates/testbed/src/proxies.rs
@@ -1,10 +1,10 @@
 //! Proxies as processes: their configuration, start, signals, use of CPU, memory and descriptors, and end.
 
-use crate::calls::{self, Door};
-use crate::ledger::Seen;
-use crate::roster::Agent;
-use crate::scenario::{Circle, Kind, Known, Scenario};
-use crate::world::World;
+use crate::discovery::DiscoveryAgent;
+use crate::event_log::Event;
+use crate::metrics_calls::{self, SharedAddress};
+use crate::scenario::{InitialEndpointList, RetrySafety, RetryScope, Scenario};
+use crate::testbed::Testbed;
 use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -29,7 +29,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum ProxyCommand {
     Start,
     Kill,
     /// SIGSTOP; SIGCONT.
@@ -50,7 +50,7 @@
 
 /// What a proxy used, each second.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
-pub struct Use {
+pub struct ResourceUsage {
     pub second: u64,
     /// Share of a core.
     pub cpu: f64,
@@ -66,7 +66,7 @@
     config: PathBuf,
     pub control: PathBuf,
     /// Where the process that serves is called by operators.
-    pub door: Door,
+    pub door: SharedAddress,
     /// Where one that has just started will be called, and since when it has had time to listen.
     opens: Option<(SocketAddr, Instant)>,
     /// Where all proxies listen.
@@ -74,9 +74,9 @@
     /// Processes started so far, by which what is a process's own is named.
     started: u32,
     program: Program,
-    agent: Arc<Agent>,
+    agent: Arc<DiscoveryAgent>,
     child: Option<Child>,
-    used: Arc<Mutex<Vec<Use>>>,
+    used: Arc<Mutex<Vec<ResourceUsage>>>,
 }
 
 /// Longest that a proxy told to leave may take: the longest wait and some.
@@ -152,22 +152,22 @@
 
 impl Proxy {
     pub async fn new(
-        world: &Arc<World>,
+        testbed: &Arc<Testbed>,
         number: u16,
         at: (u8, SocketAddr),
         others: Vec<SocketAddr>,
         program: &Program,
         folder: &Path,
     ) -> std::io::Result<Proxy> {
-        let agent = Agent::start(world, number).await?;
+        let agent = DiscoveryAgent::start(testbed, number).await?;
         Ok(Proxy {
             number,
             place: at.0,
             listen: at.1,
             log: folder.join(format!("proxy-{number}.log")),
             config: folder.join(format!("proxy-{number}.json")),
-            control: control(world.run, number),
-            door: Door::default(),
+            control: control(testbed.run, number),
+            door: SharedAddress::default(),
             opens: None,
             started: 0,
             others,
@@ -178,24 +178,24 @@
         })
     }
 
-    pub fn used(&self) -> Arc<Mutex<Vec<Use>>> {
+    pub fn used(&self) -> Arc<Mutex<Vec<ResourceUsage>>> {
         self.used.clone()
     }
 
-    fn configure(&self, world: &World) -> std::io::Result<()> {
-        let known = match world.scenario.proxies.known {
-            Known::Fresh => world.roster.list(world, self.number, None).1,
-            Known::Old => world.roster.older(world, self.number).1,
-            Known::Empty => r#"{"rev":0,"all":true,"targets":[]}"#.into(),
+    fn configure(&self, testbed: &Testbed) -> std::io::Result<()> {
+        let known = match testbed.scenario.proxies.known {
+            InitialEndpointList::Fresh => testbed.discovery.list(testbed, self.number, None).1,
+            InitialEndpointList::Old => testbed.discovery.older(testbed, self.number).1,
+            InitialEndpointList::Empty => r#"{"rev":0,"all":true,"targets":[]}"#.into(),
         };
         let known: Value = serde_json::from_str(&known)?;
         let mixed = (u64::from(self.number) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let proxies = &world.scenario.proxies;
+        let proxies = &testbed.scenario.proxies;
         let config = json!({
             "name": format!("n{}", self.number), "listen": self.listen.to_string(),
             "discovery": self.agent.address().to_string(), "seed": format!("{mixed:016x}"),
             "limits": {"cores": 1.0, "memory_mb": proxies.memory_mb, "sockets": proxies.sockets},
-            "known": known, "settings": settings(&world.scenario, self.number, self.place),
+            "known": known, "settings": settings(&testbed.scenario, self.number, self.place),
         });
         // Whole or not at all: a proxy may read it at any time.
         let part = self.config.with_extension("part");
@@ -204,13 +204,15 @@
     }
 
     /// Where the second of two processes has its control socket: it does not start where somebody listens.
-    fn control_of_next(&self, world: &World) -> PathBuf {
-        control(world.run, self.number).with_extension(format!("{}.sock", self.started))
+    fn control_of_next(&self, testbed: &Testbed) -> PathBuf {
+        control(testbed.run, self.number).with_extension(format!("{}.sock", self.started))
     }
 
-    fn start(&mut self, world: &World) -> std::io::Result<()> {
-        let (child, door) = self.spawn(world)?;
-        world.ledger.put(Seen::ProxyStarted { proxy: self.number });
+    fn start(&mut self, testbed: &Testbed) -> std::io::Result<()> {
+        let (child, door) = self.spawn(testbed)?;
+        testbed
+            .event_log
+            .put(Event::ProxyStarted { proxy: self.number });
         self.child = Some(child);
         self.opens = Some((door, Instant::now() + LISTENS));
         Ok(())
@@ -219,7 +221,7 @@
     /// Operators call a process that has just started once it listens, or should.
     async fn look_at_door(&mut self) {
         let Some((door, by)) = self.opens else { return };
-        let listens = timeout(LOOK, calls::call(door, "GET /ops/readiness")).await;
+        let listens = timeout(LOOK, metrics_calls::call(door, "GET /ops/readiness")).await;
         if matches!(listens, Ok(Some(_))) || Instant::now() >= by {
             self.call_at(Some(door));
         }
@@ -227,14 +229,14 @@
 
     fn call_at(&mut self, door: Option<SocketAddr>) {
         self.opens = None;
-        calls::set(&self.door, door);
+        metrics_calls::set(&self.door, door);
     }
 
     /// Starts a process, with a second address of its own.
-    fn spawn(&mut self, world: &World) -> std::io::Result<(Child, SocketAddr)> {
-        self.configure(world)?;
+    fn spawn(&mut self, testbed: &Testbed) -> std::io::Result<(Child, SocketAddr)> {
+        self.configure(testbed)?;
         self.started += 1;
-        let asked = world.scenario.proxies.asks && self.child.is_none();
+        let asked = testbed.scenario.proxies.asks && self.child.is_none();
         let door = if asked {
             door_of(self.listen)
         } else {
@@ -254,9 +256,9 @@
         command
             .env("LB_OPERATOR", door.to_string())
             .env("TMPDIR", shared);
-        let proxies = &world.scenario.proxies;
+        let proxies = &testbed.scenario.proxies;
         let mut text = String::new();
-        if world.plan.drains() || proxies.roll_at.is_some() || proxies.watchers > 0 {
+        if testbed.plan.drains() || proxies.roll_at.is_some() || proxies.watchers > 0 {
             let control = self.control.display().to_string();
             text += &format!("[control]\nsocket = {control:?}\n");
             text += "[drain]\nclosing = \"2s\"\nquiet = \"600ms\"\nback = \"2s\"\n";
@@ -321,23 +323,23 @@
     /// Starts a second process beside the first and, once it says yes, tells the first to go.
     async fn replace(
         &mut self,
-        world: &World,
+        testbed: &Testbed,
         killed_after: Option<Duration>,
     ) -> Result<(), String> {
         if self.child.is_none() {
             return Ok(());
         }
         let number = self.number;
-        let next = self.control_of_next(world);
+        let next = self.control_of_next(testbed);
         let control = std::mem::replace(&mut self.control, next);
-        world.ledger.put(Seen::ProxyBeside { proxy: number });
+        testbed.event_log.put(Event::ProxyBeside { proxy: number });
         let (mut second, door) = self
-            .spawn(world)
+            .spawn(testbed)
             .map_err(|e| format!("proxy {number}: {e}"))?;
         let since = Instant::now();
         let mut yes = None;
         while yes.is_none() && killed_after.is_none() && since.elapsed() < READY {
-            let heard = calls::call(door, "GET /ops/readiness").await;
+            let heard = metrics_calls::call(door, "GET /ops/readiness").await;
             yes = heard
                 .filter(|heard| heard.0 == 200)
                 .map(|_| since.elapsed());
@@ -345,26 +347,28 @@
         }
         match killed_after {
             Some(span) => sleep(span).await,
-            None => world.ledger.put(Seen::Replaced { proxy: number, yes }),
+            None => testbed
+                .event_log
+                .put(Event::Replaced { proxy: number, yes }),
         }
         if yes.is_none() {
             // The first goes on, as nobody told it to go.
-            self.end_at_once(world, &mut second).await;
+            self.end_at_once(testbed, &mut second).await;
             let _ = std::fs::remove_file(std::mem::replace(&mut self.control, control));
             return Ok(());
         }
         self.call_at(None);
         self.signal(Signal::TERM);
         let first = self.child.replace(second);
-        self.ends(world, first).await;
+        self.ends(testbed, first).await;
         let _ = std::fs::remove_file(control);
-        world.ledger.put(Seen::ProxyServes { proxy: number });
+        testbed.event_log.put(Event::ProxyServes { proxy: number });
         self.call_at(Some(door));
         Ok(())
     }
 
     /// Waits for a process that was told to go.
-    async fn ends(&self, world: &World, child: Option<Child>) {
+    async fn ends(&self, testbed: &Testbed, child: Option<Child>) {
         let Some(mut child) = child else { return };
         let code = match timeout(LEAVES, child.wait()).await {
             Ok(status) => status.ok().and_then(|status| status.code()),
@@ -373,7 +377,7 @@
                 None
             }
         };
-        world.ledger.put(Seen::ProxyExited {
+        testbed.event_log.put(Event::ProxyExited {
             proxy: self.number,
             code,
             asked: true,
@@ -395,8 +399,8 @@
     /// Carries out orders until there are none, then has the proxy leave in good order.
     pub async fn run(
         mut self,
-        world: Arc<World>,
-        mut orders: mpsc::Receiver<Order>,
+        testbed: Arc<Testbed>,
+        mut orders: mpsc::Receiver<ProxyCommand>,
     ) -> Result<(), String> {
         let (number, mut looks) = (self.number, 0_u32);
         loop {
@@ -410,7 +414,7 @@
                 order = orders.recv() => order,
                 status = ended => {
                     let code = status.ok().and_then(|status| status.code());
-                    world.ledger.put(Seen::ProxyExited { proxy: number, code, asked: false });
+                    testbed.event_log.put(Event::ProxyExited { proxy: number, code, asked: false });
                     self.child = None;
                     continue;
                 }
@@ -418,36 +422,38 @@
                     looks += 1;
                     self.look_at_door().await;
                     if looks % 5 == 0 {
-                        self.sample(&world);
+                        self.sample(&testbed);
                     }
                     if std::fs::remove_file(marker(&self.control)).is_ok() {
-                        self.leave(&world).await;
-                        self.start(&world).map_err(|e| format!("proxy {number}: {e}"))?;
+                        self.leave(&testbed).await;
+                        self.start(&testbed).map_err(|e| format!("proxy {number}: {e}"))?;
                     }
                     continue;
                 }
             };
             match order {
-                Some(Order::Start) if self.child.is_none() => {
-                    self.start(&world)
+                Some(ProxyCommand::Start) if self.child.is_none() => {
+                    self.start(&testbed)
                         .map_err(|e| format!("proxy {number}: {e}"))?;
                 }
-                Some(Order::Kill) => self.kill(&world).await,
-                Some(Order::Stall) => self.stall(&world, true),
-                Some(Order::Wake) => self.stall(&world, false),
-                Some(Order::Leave) => self.leave(&world).await,
-                Some(Order::Reload) => {
+                Some(ProxyCommand::Kill) => self.kill(&testbed).await,
+                Some(ProxyCommand::Stall) => self.stall(&testbed, true),
+                Some(ProxyCommand::Wake) => self.stall(&testbed, false),
+                Some(ProxyCommand::Leave) => self.leave(&testbed).await,
+                Some(ProxyCommand::Reload) => {
                     let moved = self
                         .agent
-                        .moves(&world)
+                        .moves(&testbed)
                         .await
-                        .and_then(|()| self.configure(&world));
+                        .and_then(|()| self.configure(&testbed));
                     moved.map_err(|e| format!("proxy {number}: {e}"))?;
                     self.signal(Signal::HUP);
                 }
-                Some(Order::Start) => {}
-                Some(Order::Replace(killed_after)) => self.replace(&world, killed_after).await?,
-                Some(Order::Drain(within)) => {
+                Some(ProxyCommand::Start) => {}
+                Some(ProxyCommand::Replace(killed_after)) => {
+                    self.replace(&testbed, killed_after).await?
+                }
+                Some(ProxyCommand::Drain(within)) => {
                     let deadline_ms = Some(within.as_millis() as u64);
                     self.ask(AdminRequest {
                         deadline_ms,
@@ -455,10 +461,12 @@
                     })
                     .await;
                 }
-                Some(Order::Spoil) => self.spoil(),
-                Some(Order::Undrain) => self.ask(AdminRequest::new(AdminCommand::Undrain)).await,
+                Some(ProxyCommand::Spoil) => self.spoil(),
+                Some(ProxyCommand::Undrain) => {
+                    self.ask(AdminRequest::new(AdminCommand::Undrain)).await
+                }
                 None => {
-                    self.leave(&world).await;
+                    self.leave(&testbed).await;
                     // A proxy that was killed has left it.
                     let _ = std::fs::remove_file(&self.control);
                     return Ok(());
@@ -477,18 +485,18 @@
         }
     }
 
-    fn stall(&self, world: &World, stops: bool) {
+    fn stall(&self, testbed: &Testbed, stops: bool) {
         if self.child.is_some() {
             // What comes before the signal and after the other is not held against it.
             if stops {
-                world.ledger.put(Seen::ProxyStalls {
+                testbed.event_log.put(Event::ProxyStalls {
                     proxy: self.number,
                     stops,
                 });
             }
             self.signal(if stops { Signal::STOP } else { Signal::CONT });
             if !stops {
-                world.ledger.put(Seen::ProxyStalls {
+                testbed.event_log.put(Event::ProxyStalls {
                     proxy: self.number,
                     stops,
                 });
@@ -496,38 +504,44 @@
         }
     }
 
-    async fn kill(&mut self, world: &World) {
+    async fn kill(&mut self, testbed: &Testbed) {
         if let Some(mut child) = self.child.take() {
             self.call_at(None);
-            self.end_at_once(world, &mut child).await;
+            self.end_at_once(testbed, &mut child).await;
         }
     }
 
-    async fn end_at_once(&self, world: &World, child: &mut Child) {
-        world.ledger.put(Seen::ProxyKilled { proxy: self.number });
+    async fn end_at_once(&self, testbed: &Testbed, child: &mut Child) {
+        testbed
+            .event_log
+            .put(Event::ProxyKilled { proxy: self.number });
         let _ = child.kill().await;
-        world.ledger.put(Seen::ProxyDead { proxy: self.number });
+        testbed
+            .event_log
+            .put(Event::ProxyDead { proxy: self.number });
     }
 
-    async fn leave(&mut self, world: &World) {
+    async fn leave(&mut self, testbed: &Testbed) {
         if self.child.is_none() {
             return;
         }
         self.call_at(None);
         // One that is stopped could not even hear that it is to leave.
         self.signal(Signal::CONT);
-        world.ledger.put(Seen::ProxyLeaves { proxy: self.number });
+        testbed
+            .event_log
+            .put(Event::ProxyLeaves { proxy: self.number });
         self.signal(Signal::TERM);
         let child = self.child.take();
-        self.ends(world, child).await;
+        self.ends(testbed, child).await;
         sleep(RESTARTS).await;
     }
 
-    fn sample(&self, world: &World) {
+    fn sample(&self, testbed: &Testbed) {
         let Some(id) = self.child.as_ref().and_then(Child::id) else {
             return;
         };
-        if let Some(used) = usage(id, world.now().as_secs()) {
+        if let Some(used) = usage(id, testbed.now().as_secs()) {
             self.used
                 .lock()
                 .unwrap_or_else(|broken| broken.into_inner())
@@ -537,7 +551,7 @@
 }
 
 /// What a process used since it started, as the system counts it; CPU in seconds.
-pub fn usage(id: u32, second: u64) -> Option<Use> {
+pub fn usage(id: u32, second: u64) -> Option<ResourceUsage> {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
     let ticks: u64 = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
@@ -546,7 +560,7 @@
     let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).ok()?.count() as u64;
     let hertz = rustix::param::clock_ticks_per_second() as f64;
     let page = rustix::param::page_size() as u64;
-    Some(Use {
+    Some(ResourceUsage {
         second,
         cpu: ticks as f64 / hertz,
         resident_kb: pages * page / 1024,
@@ -560,14 +574,14 @@
     let platform = &scenario.platform;
     let listener = |l: &crate::scenario::Listener| {
         let semantics = match l.kind {
-            Kind::Repeatable => "read_like",
-            Kind::Referenced => "idempotency_key",
-            Kind::OnceOnly => "non_idempotent",
+            RetrySafety::Repeatable => "read_like",
+            RetrySafety::Referenced => "idempotency_key",
+            RetrySafety::OnceOnly => "non_idempotent",
         };
         let group = match l.circle {
-            Circle::All => "all",
-            Circle::Zone => "zone",
-            Circle::Cell => "cell",
+            RetryScope::All => "all",
+            RetryScope::Zone => "zone",
+            RetryScope::Cell => "cell",
         };
         json!({"name": l.name, "semantics": semantics, "group": group, "key_ttl": us(l.key_ttl),
             "handshake_target": us(l.handshake_target), "give_up": us(l.dial_timeout),
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,8 +1,8 @@
 //! What a run came to: a table for people, JSON for programs, plots.
 
-use crate::judge::{Breach, Tally};
-use crate::ledger::Seen;
-use crate::run::Ran;
+use crate::event_log::Event;
+use crate::judge::{Tally, Violation};
+use crate::run::RunOutcome;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
     pub void: bool,
     pub rig_late_ms: f64,
     pub rules_held: bool,
-    pub breaches: Vec<Told>,
+    pub breaches: Vec<ReportedViolation>,
     pub tally: Tally,
     pub service: Service,
     pub set_ups: Vec<SetUps>,
@@ -35,7 +35,7 @@
 }
 
 #[derive(Debug, Serialize)]
-pub struct Told {
+pub struct ReportedViolation {
     pub rule: &'static str,
     pub what: String,
     pub timeline: Vec<String>,
@@ -103,9 +103,9 @@
 }
 
 impl Report {
-    pub fn of(ran: &Ran, program: &str, seed: u64, chaos: Option<u64>) -> Report {
-        let scenario = &ran.world.scenario;
-        let marks = ran.world.score.marks();
+    pub fn of(ran: &RunOutcome, program: &str, seed: u64, chaos: Option<u64>) -> Report {
+        let scenario = &ran.testbed.scenario;
+        let marks = ran.testbed.score.marks();
         let members = scenario.members.len();
         let all = |pick: &dyn Fn(usize) -> bool| {
             let cells = marks.seconds.iter().flat_map(|row| row.iter().enumerate());
@@ -137,7 +137,7 @@
                     ms: spread(times),
                 }
             });
-        let breach = |b: &Breach| Told {
+        let breach = |b: &Violation| ReportedViolation {
             rule: b.rule.text(),
             what: b.what.clone(),
             timeline: b.timeline.clone(),
@@ -269,14 +269,14 @@
     }
 
     /// Writes `report.json`, the faults' times and the plots into a folder.
-    pub fn write(&self, folder: &Path, ran: &Ran) -> Result<(), String> {
+    pub fn write(&self, folder: &Path, ran: &RunOutcome) -> Result<(), String> {
         let told = |e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
         std::fs::create_dir_all(folder).map_err(|e| told(&e))?;
         let json = serde_json::to_string_pretty(self).map_err(|e| told(&e))?;
         std::fs::write(folder.join("report.json"), json).map_err(|e| told(&e))?;
         let mut faults = String::new();
         for record in &ran.records {
-            if let Seen::Fault { what, begins } = &record.seen {
+            if let Event::Fault { what, begins } = &record.seen {
                 let word = if *begins { "begins" } else { "ends" };
                 let _ = writeln!(faults, "{:>9.3} s  {what} {word}", record.at.as_secs_f64());
             }
@@ -304,7 +304,7 @@
 }
 
 /// CPU is told since a process's start; steps back are restarts.
-fn proxy_use(used: &[crate::proxies::Use]) -> ProxyUse {
+fn proxy_use(used: &[crate::proxies::ResourceUsage]) -> ProxyUse {
     let steps: Vec<f64> = used
         .windows(2)
         .map(|w| w[1].cpu - w[0].cpu)
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -1,17 +1,17 @@
 //! One run: starts a scenario's peers and proxies, plays its plan, ends all of it again.
 
-use crate::calls;
 use crate::client;
+use crate::event_log::{Event, HostState, LoggedEvent};
 use crate::front::Front;
 use crate::host::Host;
-use crate::judge::{Terms, Verdict, judge};
-use crate::ledger::{Record, Seen, Standing};
-use crate::link::{self, Ends, Links};
-use crate::plan::{Plan, Struck};
-use crate::proxies::{self, Order, Program, Proxy, Use};
-use crate::rude;
-use crate::scenario::{Back, FaultKind, Scenario, Way};
-use crate::world::{Call, World};
+use crate::judge::{JudgeSettings, Verdict, judge};
+use crate::link::{self, LinkEnds, Links};
+use crate::metrics_calls;
+use crate::misbehaving_clients;
+use crate::plan::{Plan, PlannedFault};
+use crate::proxies::{self, Program, Proxy, ProxyCommand, ResourceUsage};
+use crate::scenario::{FaultKind, LinkKind, RecoveredPart, Scenario};
+use crate::testbed::{ClientSignal, Testbed};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -24,22 +24,22 @@
 
 /// Why a run told nothing.
 #[derive(Debug)]
-pub enum Fault {
+pub enum RunError {
     /// The scenario or the machine: said before anything started.
     Input(String),
     /// Something did not work that is not the proxy's.
     Run(String),
 }
 
-pub struct Ran {
-    pub world: Arc<World>,
-    pub records: Vec<Record>,
+pub struct RunOutcome {
+    pub testbed: Arc<Testbed>,
+    pub records: Vec<LoggedEvent>,
     pub verdict: Verdict,
     /// The longest that the rig itself was late.
     pub late: Duration,
     pub void: bool,
     /// What each proxy used, second by second.
-    pub used: Vec<Vec<Use>>,
+    pub used: Vec<Vec<ResourceUsage>>,
     /// What each host was asked for, second by second, as a multiple of what it could do.
     pub loads: Vec<Vec<f32>>,
     /// What became of a roll, where one was asked for: how long it took.
@@ -48,7 +48,7 @@
 
 /// What a run is made of beside its scenario.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct RunOptions {
     pub seed: u64,
     pub chaos: Option<u64>,
     pub program: Program,
@@ -66,7 +66,7 @@
 const READY: Duration = Duration::from_secs(10);
 
 /// Whether this machine can carry a scenario; says by how much not.
-pub fn fits(scenario: &Scenario, plan: &Plan) -> Result<(), Fault> {
+pub fn fits(scenario: &Scenario, plan: &Plan) -> Result<(), RunError> {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
     let holds = limit.maximum.unwrap_or(u64::MAX);
     // A process may always take what its hard limit allows.
@@ -80,29 +80,29 @@
     let wants = standing as u64 * EACH + probes + SPARE;
     if wants > holds {
         let what = format!("{standing} standing connections want {wants} descriptors of the rig");
-        return Err(Fault::Input(format!(
+        return Err(RunError::Input(format!(
             "{what}, and this machine allows {holds}"
         )));
     }
     let each = standing / scenario.proxies.count as usize;
     if each > PORTS {
-        return Err(Fault::Input(format!(
+        return Err(RunError::Input(format!(
             "{each} connections a proxy, and ports allow {PORTS}"
         )));
     }
     let most = u64::from(scenario.proxies.sockets);
     if most > holds {
-        return Err(Fault::Input(format!(
+        return Err(RunError::Input(format!(
             "proxies.sockets is {most}, and this machine allows {holds}"
         )));
     }
     Ok(())
 }
 
-pub async fn run(scenario: Scenario, order: &Job) -> Result<Ran, Fault> {
+pub async fn run(scenario: Scenario, order: &RunOptions) -> Result<RunOutcome, RunError> {
     let plan = Plan::new(&scenario, order.seed, order.chaos);
     fits(&scenario, &plan)?;
-    let broke = |e: std::io::Error| Fault::Run(format!("starting: {e}"));
+    let broke = |e: std::io::Error| RunError::Run(format!("starting: {e}"));
     std::fs::create_dir_all(&order.folder).map_err(broke)?;
     let (hosts, doors): (Vec<_>, Vec<_>) = Host::all(&plan, &scenario)
         .await
@@ -114,19 +114,19 @@
         .await
         .map_err(broke)?;
     let front = Front::over(at.iter().copied(), &links, scenario.places.len() as u8);
-    let world = Arc::new(World::new(scenario, plan, hosts, front, Arc::new(links)));
-    for (link, door) in world.links.all().iter().zip(ways) {
-        tokio::spawn(link.clone().serve(world.clone(), door));
+    let testbed = Arc::new(Testbed::new(scenario, plan, hosts, front, Arc::new(links)));
+    for (link, door) in testbed.links.all().iter().zip(ways) {
+        tokio::spawn(link.clone().serve(testbed.clone(), door));
     }
-    for (host, door) in world.hosts.iter().zip(doors) {
-        tokio::spawn(host.clone().serve(world.clone(), door));
+    for (host, door) in testbed.hosts.iter().zip(doors) {
+        tokio::spawn(host.clone().serve(testbed.clone(), door));
     }
     let (mut orders, mut used, mut running) = (Vec::new(), Vec::new(), JoinSet::new());
     let mut doors = Vec::new();
     let listens: Vec<SocketAddr> = at.iter().map(|at| at.1).collect();
     for (nth, at) in at.into_iter().enumerate() {
         let proxy = Proxy::new(
-            &world,
+            &testbed,
             nth as u16,
             at,
             listens.clone(),
@@ -138,57 +138,64 @@
         used.push(proxy.used());
         doors.push(proxy.door.clone());
         let (send, receive) = mpsc::channel(64);
-        let _ = send.send(Order::Start).await;
+        let _ = send.send(ProxyCommand::Start).await;
         orders.push(send);
-        running.spawn(proxy.run(world.clone(), receive));
+        running.spawn(proxy.run(testbed.clone(), receive));
     }
-    Front::watch(&world);
+    Front::watch(&testbed);
     let since = Instant::now();
-    while !world.front.all_up() {
+    while !testbed.front.all_up() {
         if since.elapsed() > READY {
-            let nth = world.front.waits_for().unwrap_or_default();
+            let nth = testbed.front.waits_for().unwrap_or_default();
             let log = std::fs::read_to_string(order.folder.join(format!("proxy-{nth}.log")));
             let log = log.unwrap_or_default();
             let last: Vec<&str> = log.lines().rev().take(3).collect();
-            return Err(Fault::Run(format!(
+            return Err(RunError::Run(format!(
                 "proxy {nth} never became ready; its log ends {last:?}"
             )));
         }
         if let Some(Ok(Err(what))) = running.try_join_next() {
-            return Err(Fault::Run(what));
+            return Err(RunError::Run(what));
         }
         sleep(Duration::from_millis(20)).await;
     }
     let loads = Arc::new(Mutex::new(Vec::new()));
     let watches = [
-        tokio::spawn(lateness(world.clone())),
-        tokio::spawn(weigh(world.clone(), loads.clone())),
-        tokio::spawn(faults(world.clone(), orders.clone())),
+        tokio::spawn(lateness(testbed.clone())),
+        tokio::spawn(weigh(testbed.clone(), loads.clone())),
+        tokio::spawn(faults(testbed.clone(), orders.clone())),
     ];
     let mut callers = JoinSet::new();
     for (number, door) in doors
         .iter()
         .enumerate()
-        .filter(|_| world.scenario.proxies.callers > 0)
+        .filter(|_| testbed.scenario.proxies.callers > 0)
     {
-        callers.spawn(calls::stall(door.clone()));
-        for _ in 0..world.scenario.proxies.callers {
-            callers.spawn(calls::ask(world.clone(), number as u16, door.clone()));
+        callers.spawn(metrics_calls::stall(door.clone()));
+        for _ in 0..testbed.scenario.proxies.callers {
+            callers.spawn(metrics_calls::ask(
+                testbed.clone(),
+                number as u16,
+                door.clone(),
+            ));
         }
     }
-    for number in 0..world.scenario.proxies.count {
-        for nth in 0..world.scenario.proxies.watchers * 5 / 4 {
-            let reads = nth < world.scenario.proxies.watchers;
-            tokio::spawn(operator(proxies::control(world.run, number as u16), reads));
+    for number in 0..testbed.scenario.proxies.count {
+        for nth in 0..testbed.scenario.proxies.watchers * 5 / 4 {
+            let reads = nth < testbed.scenario.proxies.watchers;
+            tokio::spawn(operator(
+                proxies::control(testbed.run, number as u16),
+                reads,
+            ));
         }
     }
-    world.begin.send_replace(Some(world.ledger.now()));
+    testbed.begin.send_replace(Some(testbed.event_log.now()));
     if order.progress {
-        tokio::spawn(progress(world.clone()));
+        tokio::spawn(progress(testbed.clone()));
     }
-    let roll = world.scenario.proxies.roll_at;
-    let roll = roll.map(|at| tokio::spawn(rolled(world.clone(), order.program.clone(), at)));
-    play(&world).await;
+    let roll = testbed.scenario.proxies.roll_at;
+    let roll = roll.map(|at| tokio::spawn(rolled(testbed.clone(), order.program.clone(), at)));
+    play(&testbed).await;
     let rolled = match roll {
         Some(roll) => Some(roll.await.unwrap_or_else(|e| Err(e.to_string()))),
         None => None,
@@ -201,24 +208,29 @@
     }
     while let Some(ended) = running.join_next().await {
         if let Ok(Err(what)) = ended {
-            return Err(Fault::Run(what));
+            return Err(RunError::Run(what));
         }
     }
-    let late = world.late();
-    let records = world.ledger.take();
-    let hosts = world.plan.hosts.iter().map(|h| (h.place, h.cell)).collect();
-    let mut terms = Terms::of(&world.scenario, hosts, late);
-    terms.blur += world.plan.longest_delay();
-    terms.figures = !world.plan.linked(Way::ClientProxy);
+    let late = testbed.late();
+    let records = testbed.event_log.take();
+    let hosts = testbed
+        .plan
+        .hosts
+        .iter()
+        .map(|h| (h.place, h.cell))
+        .collect();
+    let mut terms = JudgeSettings::of(&testbed.scenario, hosts, late);
+    terms.blur += testbed.plan.longest_delay();
+    terms.figures = !testbed.plan.linked(LinkKind::ClientProxy);
     let verdict = judge(&records, &terms);
-    let void = late > world.scenario.platform.void_above;
+    let void = late > testbed.scenario.platform.void_above;
     let used = used
         .iter()
         .map(|used| std::mem::take(&mut *lock(used)))
         .collect();
     let loads = std::mem::take(&mut *lock(&loads));
-    Ok(Ran {
-        world,
+    Ok(RunOutcome {
+        testbed,
         records,
         verdict,
         late,
@@ -255,8 +267,8 @@
 }
 
 /// Restarts all proxies by their own command `roll`, which asks for each restart by a file.
-async fn rolled(world: Arc<World>, program: Program, at: Duration) -> Result<Duration, String> {
-    world.until(at).await;
+async fn rolled(testbed: Arc<Testbed>, program: Program, at: Duration) -> Result<Duration, String> {
+    testbed.until(at).await;
     let mut command = tokio::process::Command::new(&program.path);
     command.args([
         "roll",
@@ -270,37 +282,37 @@
     command
         .args(["--restart", "touch \"${ASTERRAMP_CONTROL%.sock}.restart\""])
         .kill_on_drop(true);
-    for number in 0..world.scenario.proxies.count {
+    for number in 0..testbed.scenario.proxies.count {
         command
             .arg("--control")
-            .arg(proxies::control(world.run, number as u16));
+            .arg(proxies::control(testbed.run, number as u16));
     }
     let output = command.output().await.map_err(|e| e.to_string())?;
     info!(roll = %String::from_utf8_lossy(&output.stdout).lines().last().unwrap_or_default());
     if output.status.success() {
-        return Ok(world.now().saturating_sub(at));
+        return Ok(testbed.now().saturating_sub(at));
     }
     Err(String::from_utf8_lossy(&output.stderr).trim().to_string())
 }
 
 /// Sends each client off at its time and waits for all.
-async fn play(world: &Arc<World>) {
+async fn play(testbed: &Arc<Testbed>) {
     let mut clients = JoinSet::new();
-    for wanted in &world.plan.clients {
-        world.until(wanted.at).await;
-        clients.spawn(client::live(world.clone(), wanted.clone()));
+    for wanted in &testbed.plan.clients {
+        testbed.until(wanted.at).await;
+        clients.spawn(client::live(testbed.clone(), wanted.clone()));
         while clients.try_join_next().is_some() {}
     }
-    let longest = world
+    let longest = testbed
         .scenario
         .listeners
         .iter()
         .map(|l| l.dial_timeout)
         .max()
         .unwrap_or_default();
-    world.until(world.scenario.length).await;
+    testbed.until(testbed.scenario.length).await;
     // Whoever still waits has its answer, or none in time, by then.
-    let settles = longest + world.scenario.platform.answer_slack + Duration::from_secs(3);
+    let settles = longest + testbed.scenario.platform.answer_slack + Duration::from_secs(3);
     let _ = timeout(settles, async {
         while clients.join_next().await.is_some() {}
     })
@@ -308,19 +320,19 @@
 }
 
 /// How late this process comes to what it set itself for, at worst.
-async fn lateness(world: Arc<World>) {
+async fn lateness(testbed: Arc<Testbed>) {
     let step = Duration::from_millis(5);
     loop {
-        let at = world.now() + step;
+        let at = testbed.now() + step;
         sleep(step).await;
-        world.done(at);
+        testbed.done(at);
     }
 }
 
-async fn weigh(world: Arc<World>, loads: Arc<Mutex<Vec<Vec<f32>>>>) {
+async fn weigh(testbed: Arc<Testbed>, loads: Arc<Mutex<Vec<Vec<f32>>>>) {
     loop {
-        let now = world.ledger.now();
-        let row = world
+        let now = testbed.event_log.now();
+        let row = testbed
             .hosts
             .iter()
             .map(|host| host.model().asked(now) as f32)
@@ -330,16 +342,16 @@
     }
 }
 
-async fn progress(world: Arc<World>) {
+async fn progress(testbed: Arc<Testbed>) {
     loop {
         sleep(Duration::from_secs(2)).await;
-        let now = world.now();
-        if now > world.scenario.length {
+        let now = testbed.now();
+        if now > testbed.scenario.length {
             return;
         }
-        let open: u32 = world.hosts.iter().map(|host| host.model().open()).sum();
+        let open: u32 = testbed.hosts.iter().map(|host| host.model().open()).sum();
         let (given_up, unreachable) = {
-            let marks = world.score.marks();
+            let marks = testbed.score.marks();
             (marks.given_up, marks.unreachable)
         };
         let now = now.as_secs();
@@ -350,35 +362,35 @@
 }
 
 /// Begins and ends each fault at its time.
-async fn faults(world: Arc<World>, orders: Vec<mpsc::Sender<Order>>) {
+async fn faults(testbed: Arc<Testbed>, orders: Vec<mpsc::Sender<ProxyCommand>>) {
     let mut steps: Vec<(Duration, usize, bool)> = Vec::new();
-    for (nth, struck) in world.plan.faults.iter().enumerate() {
+    for (nth, struck) in testbed.plan.faults.iter().enumerate() {
         steps.push((struck.at, nth, true));
         steps.extend(struck.until.map(|until| (until, nth, false)));
     }
     steps.sort_unstable();
     for (at, nth, begins) in steps {
-        world.until(at).await;
-        let struck = &world.plan.faults[nth];
+        testbed.until(at).await;
+        let struck = &testbed.plan.faults[nth];
         let what = format!("{:?} on {:?}", struck.kind, struck.on);
         info!(fault = %what, begins);
-        world.ledger.put(Seen::Fault { what, begins });
+        testbed.event_log.put(Event::Fault { what, begins });
         for host in struck.on.iter().filter(|_| struck.kind.strikes_hosts()) {
-            strike(&world, &world.hosts[usize::from(*host)], nth, begins);
+            strike(&testbed, &testbed.hosts[usize::from(*host)], nth, begins);
         }
-        places(&world, &orders, nth, begins).await;
+        places(&testbed, &orders, nth, begins).await;
         for proxy in struck.on.iter().filter(|_| struck.kind.strikes_proxies()) {
             let order = match (struck.kind, begins) {
-                (FaultKind::ProxyKilled, true) => Order::Kill,
-                (FaultKind::ProxyStalls, true) => Order::Stall,
-                (FaultKind::ProxyStalls, false) => Order::Wake,
-                (FaultKind::ProxyLeaves, true) => Order::Leave,
-                (FaultKind::ProxyReloads, true) => Order::Reload,
-                (FaultKind::ProxyReplaced, true) => Order::Replace(None),
-                (FaultKind::ProxyReplacedBadly, true) => Order::Replace(Some(struck.span)),
-                (FaultKind::ProxyDrains, true) => Order::Drain(struck.span),
-                (FaultKind::ProxyDrains, false) => Order::Undrain,
-                (FaultKind::DiskSpoilt, true) => Order::Spoil,
+                (FaultKind::ProxyKilled, true) => ProxyCommand::Kill,
+                (FaultKind::ProxyStalls, true) => ProxyCommand::Stall,
+                (FaultKind::ProxyStalls, false) => ProxyCommand::Wake,
+                (FaultKind::ProxyLeaves, true) => ProxyCommand::Leave,
+                (FaultKind::ProxyReloads, true) => ProxyCommand::Reload,
+                (FaultKind::ProxyReplaced, true) => ProxyCommand::Replace(None),
+                (FaultKind::ProxyReplacedBadly, true) => ProxyCommand::Replace(Some(struck.span)),
+                (FaultKind::ProxyDrains, true) => ProxyCommand::Drain(struck.span),
+                (FaultKind::ProxyDrains, false) => ProxyCommand::Undrain,
+                (FaultKind::DiskSpoilt, true) => ProxyCommand::Spoil,
                 (FaultKind::DiskSpoilt, false) => continue,
                 (
                     FaultKind::ProxyReloads
@@ -386,11 +398,11 @@
                     | FaultKind::ProxyReplacedBadly,
                     false,
                 ) => continue,
-                _ => Order::Start,
+                _ => ProxyCommand::Start,
             };
             let _ = orders[usize::from(*proxy)].send(order).await;
         }
-        broad(&world, struck, begins);
+        broad(&testbed, struck, begins);
     }
     std::future::pending::<()>().await;
 }
@@ -401,19 +413,20 @@
     plan: &Plan,
     hosts: &[Arc<Host>],
     proxies: &[(u8, SocketAddr)],
-) -> Vec<(Ends, SocketAddr)> {
+) -> Vec<(LinkEnds, SocketAddr)> {
     let mut pairs = Vec::new();
     for (proxy, (_, at)) in (0..).zip(proxies) {
-        if plan.linked(Way::ProxyHost) {
+        if plan.linked(LinkKind::ProxyHost) {
             pairs.extend(
                 hosts
                     .iter()
-                    .map(|host| (Ends::Proxy(proxy, host.number), host.address)),
+                    .map(|host| (LinkEnds::Proxy(proxy, host.number), host.address)),
             );
         }
-        if plan.linked(Way::ClientProxy) {
+        if plan.linked(LinkKind::ClientProxy) {
             pairs.extend(
-                (0..scenario.places.len() as u8).map(|place| (Ends::Clients(place, proxy), *at)),
+                (0..scenario.places.len() as u8)
+                    .map(|place| (LinkEnds::Clients(place, proxy), *at)),
             );
         }
     }
@@ -421,17 +434,22 @@
 }
 
 /// Places of whoever is at a way's two ends.
-fn places_of(world: &World, ends: Ends) -> (u8, u8) {
-    let of = |proxy: u16| (usize::from(proxy) % world.scenario.places.len()) as u8;
+fn places_of(testbed: &Testbed, ends: LinkEnds) -> (u8, u8) {
+    let of = |proxy: u16| (usize::from(proxy) % testbed.scenario.places.len()) as u8;
     match ends {
-        Ends::Proxy(proxy, host) => (of(proxy), world.plan.hosts[usize::from(host)].place),
-        Ends::Clients(place, proxy) => (place, of(proxy)),
+        LinkEnds::Proxy(proxy, host) => (of(proxy), testbed.plan.hosts[usize::from(host)].place),
+        LinkEnds::Clients(place, proxy) => (place, of(proxy)),
     }
 }
 
 /// Faults that strike whole places, or ways.
-async fn places(world: &Arc<World>, orders: &[mpsc::Sender<Order>], nth: usize, begins: bool) {
-    let struck = &world.plan.faults[nth];
+async fn places(
+    testbed: &Arc<Testbed>,
+    orders: &[mpsc::Sender<ProxyCommand>],
+    nth: usize,
+    begins: bool,
+) {
+    let struck = &testbed.plan.faults[nth];
     let power = struck.kind == FaultKind::PowerCut;
     let there =
         |place: u8| power || struck.kind.strikes_places() && struck.on.contains(&u16::from(place));
@@ -440,63 +458,67 @@
         struck.kind == FaultKind::PlaceSilent,
     );
     if dies || silent {
-        let comes = |back: Back| begins || struck.back == Back::All || struck.back == back;
-        for (host, plan) in world.hosts.iter().zip(&world.plan.hosts) {
-            if there(plan.place) && comes(Back::Hosts) {
-                strike(world, host, nth, begins);
+        let comes = |back: RecoveredPart| {
+            begins || struck.back == RecoveredPart::All || struck.back == back
+        };
+        for (host, plan) in testbed.hosts.iter().zip(&testbed.plan.hosts) {
+            if there(plan.place) && comes(RecoveredPart::HostGroup) {
+                strike(testbed, host, nth, begins);
             }
         }
         for (proxy, to) in orders.iter().enumerate() {
-            if there(places_of(world, Ends::Clients(0, proxy as u16)).1) && comes(Back::Proxies) {
+            if there(places_of(testbed, LinkEnds::Clients(0, proxy as u16)).1)
+                && comes(RecoveredPart::Proxies)
+            {
                 let order = match (dies, begins) {
-                    (true, true) => Order::Kill,
-                    (true, false) => Order::Start,
-                    (false, true) => Order::Stall,
-                    (false, false) => Order::Wake,
+                    (true, true) => ProxyCommand::Kill,
+                    (true, false) => ProxyCommand::Start,
+                    (false, true) => ProxyCommand::Stall,
+                    (false, false) => ProxyCommand::Wake,
                 };
                 let _ = to.send(order).await;
             }
         }
         if struck.kind == FaultKind::PlaceLost && begins {
-            tokio::spawn(told_as_gone(world.clone(), nth));
+            tokio::spawn(told_as_gone(testbed.clone(), nth));
         }
     }
     if struck.kind == FaultKind::PlaceFlaps && begins {
-        tokio::spawn(flap(world.clone(), nth));
+        tokio::spawn(flap(testbed.clone(), nth));
     } else {
-        cut(world, nth, begins);
+        cut(testbed, nth, begins);
     }
 }
 
 /// Discovery notices after a while that the hosts of a lost place are gone.
-async fn told_as_gone(world: Arc<World>, nth: usize) {
-    let struck = &world.plan.faults[nth];
-    world.until(struck.at + struck.span).await;
-    for (host, plan) in world.hosts.iter().zip(&world.plan.hosts) {
+async fn told_as_gone(testbed: Arc<Testbed>, nth: usize) {
+    let struck = &testbed.plan.faults[nth];
+    testbed.until(struck.at + struck.span).await;
+    for (host, plan) in testbed.hosts.iter().zip(&testbed.plan.hosts) {
         if struck.on.contains(&u16::from(plan.place)) && host.is_down() {
-            world.roster.change(host.number, Standing::Gone, None);
+            testbed.discovery.change(host.number, HostState::Gone, None);
         }
     }
 }
 
 /// A place that comes and goes until the fault is over.
-async fn flap(world: Arc<World>, nth: usize) {
-    let struck = &world.plan.faults[nth];
-    let until = struck.until.unwrap_or(world.scenario.length);
-    while world.now() < until {
-        cut(&world, nth, true);
+async fn flap(testbed: Arc<Testbed>, nth: usize) {
+    let struck = &testbed.plan.faults[nth];
+    let until = struck.until.unwrap_or(testbed.scenario.length);
+    while testbed.now() < until {
+        cut(&testbed, nth, true);
         sleep(struck.span).await;
-        cut(&world, nth, false);
+        cut(&testbed, nth, false);
         sleep(struck.span).await;
     }
 }
 
 /// The ways that a fault strikes, and the agents that hear nothing beyond a border.
-fn cut(world: &Arc<World>, nth: usize, begins: bool) {
-    let struck = &world.plan.faults[nth];
+fn cut(testbed: &Arc<Testbed>, nth: usize, begins: bool) {
+    let struck = &testbed.plan.faults[nth];
     let mood = link::mood(struck.kind, struck.much, struck.span);
-    for link in world.links.all() {
-        if !struck.strikes(link.ends, |ends| places_of(world, ends)) {
+    for link in testbed.links.all() {
+        if !struck.strikes(link.ends, |ends| places_of(testbed, ends)) {
             continue;
         }
         if begins {
@@ -504,15 +526,15 @@
         } else {
             link.end(nth);
         }
-        world.ledger.put(Seen::WayFails {
+        testbed.event_log.put(Event::WayFails {
             ends: link.ends,
             fails: link.fails(),
         });
     }
     if matches!(struck.kind, FaultKind::PlaceCut | FaultKind::PlaceFlaps) {
-        world.apart.send_modify(|apart| {
+        testbed.apart.send_modify(|apart| {
             for (proxy, faults) in apart.iter_mut().enumerate() {
-                let place = places_of(world, Ends::Clients(0, proxy as u16)).1;
+                let place = places_of(testbed, LinkEnds::Clients(0, proxy as u16)).1;
                 if struck.on.contains(&u16::from(place)) {
                     *faults = if begins {
                         *faults + 1
@@ -525,15 +547,15 @@
     }
 }
 
-fn strike(world: &Arc<World>, host: &Arc<Host>, nth: usize, begins: bool) {
-    host.strike(world, nth, begins);
-    let struck = &world.plan.faults[nth];
+fn strike(testbed: &Arc<Testbed>, host: &Arc<Host>, nth: usize, begins: bool) {
+    host.strike(testbed, nth, begins);
+    let struck = &testbed.plan.faults[nth];
     if struck.kind == FaultKind::HostStarved && begins {
-        let (world, host) = (world.clone(), host.clone());
+        let (testbed, host) = (testbed.clone(), host.clone());
         tokio::spawn(async move {
-            let struck = &world.plan.faults[nth];
-            let until = struck.until.unwrap_or(world.scenario.length);
-            while world.now() < until {
+            let struck = &testbed.plan.faults[nth];
+            let until = struck.until.unwrap_or(testbed.scenario.length);
+            while testbed.now() < until {
                 host.starve(Some(struck.much));
                 sleep(struck.span / 2).await;
                 host.starve(None);
@@ -543,12 +565,12 @@
     }
     if struck.kind == FaultKind::HostGone && begins {
         let number = host.number;
-        world.roster.change(number, Standing::Gone, None);
+        testbed.discovery.change(number, HostState::Gone, None);
     }
 }
 
 /// Faults that strike neither single hosts nor single proxies.
-fn broad(world: &Arc<World>, struck: &Struck, begins: bool) {
+fn broad(testbed: &Arc<Testbed>, struck: &PlannedFault, begins: bool) {
     let step = |count: &mut u32| {
         *count = if begins {
             *count + 1
@@ -556,8 +578,8 @@
             count.saturating_sub(1)
         }
     };
-    let call = |call: &mut Call| {
-        *call = Call {
+    let call = |call: &mut ClientSignal| {
+        *call = ClientSignal {
             nth: call.nth + 1,
             share: struck.much,
             span: struck.span,
@@ -565,14 +587,14 @@
     };
     match struck.kind {
         FaultKind::DiscoverySilent | FaultKind::PowerCut => {
-            world.roster.mood.send_modify(|m| step(&mut m.silent))
+            testbed.discovery.mood.send_modify(|m| step(&mut m.silent))
         }
-        FaultKind::DiscoveryRefuses => world.roster.mood.send_modify(|m| step(&mut m.refuses)),
-        FaultKind::DiscoveryOlder => world.roster.mood.send_modify(|m| step(&mut m.older)),
-        FaultKind::DiscoveryBabbles => world.roster.mood.send_modify(|m| step(&mut m.babbles)),
-        FaultKind::ClientsReconnect if begins => world.reconnect.send_modify(call),
-        FaultKind::ClientsDeaf if begins => world.deafen.send_modify(call),
-        FaultKind::ClientsBad if begins => rude::crowd(world, struck.much as u32),
+        FaultKind::DiscoveryRefuses => testbed.discovery.mood.send_modify(|m| step(&mut m.refuses)),
+        FaultKind::DiscoveryOlder => testbed.discovery.mood.send_modify(|m| step(&mut m.older)),
+        FaultKind::DiscoveryBabbles => testbed.discovery.mood.send_modify(|m| step(&mut m.babbles)),
+        FaultKind::ClientsReconnect if begins => testbed.reconnect.send_modify(call),
+        FaultKind::ClientsDeaf if begins => testbed.deafen.send_modify(call),
+        FaultKind::ClientsBad if begins => misbehaving_clients::crowd(testbed, struck.much as u32),
         _ => {}
     }
 }
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -3,14 +3,14 @@
 use crate::plots::Chart;
 use crate::proxies::Program;
 use crate::report::Report;
-use crate::run::{Fault, Job, own_folder, run};
+use crate::run::{RunError, RunOptions, own_folder, run};
 use crate::scenario::Scenario;
 use serde::Serialize;
 use std::fmt::Write;
 use std::path::Path;
 
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Point {
+pub struct ScalePoint {
     pub what: &'static str,
     pub hosts: u32,
     pub proxies: u32,
@@ -106,10 +106,10 @@
 /// Lateness above which a point tells nothing of the proxy.
 const LATE: f64 = 100.0;
 
-pub async fn point(size: &Size, program: &Program, seconds: u32) -> Result<Point, Fault> {
-    let scenario = Scenario::read(&text(size, seconds)).map_err(Fault::Input)?;
+pub async fn point(size: &Size, program: &Program, seconds: u32) -> Result<ScalePoint, RunError> {
+    let scenario = Scenario::read(&text(size, seconds)).map_err(RunError::Input)?;
     let folder = own_folder();
-    let job = Job {
+    let job = RunOptions {
         seed: 1,
         chaos: None,
         program: program.clone(),
@@ -127,7 +127,7 @@
         .tally
         .sessions
         .saturating_sub(u64::from(size.standing));
-    Ok(Point {
+    Ok(ScalePoint {
         what: size.what,
         hosts: size.hosts,
         proxies: size.proxies,
@@ -219,7 +219,7 @@
     all
 }
 
-pub fn table(points: &[Point]) -> String {
+pub fn table(points: &[ScalePoint]) -> String {
     let head = [
         "what",
         "hosts",
@@ -267,7 +267,7 @@
 }
 
 /// Processor use against sessions a second, and against standing connections.
-pub fn plots(points: &[Point], folder: &Path) -> Result<(), String> {
+pub fn plots(points: &[ScalePoint], folder: &Path) -> Result<(), String> {
     let told = |e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
     std::fs::create_dir_all(folder).map_err(|e| told(&e))?;
     let line = |hosts: u32| {
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -25,13 +25,13 @@
     #[serde(default)]
     pub front: Front,
     #[serde(default)]
-    pub faults: Vec<Fault>,
+    pub faults: Vec<ScenarioFault>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    pub hosts: Vec<Hosts>,
+    pub hosts: Vec<HostGroup>,
     /// Age of what a report tells, and how far off its figures are, as a share of them.
     #[serde(default = "report_age", deserialize_with = "span")]
     pub report_age: Duration,
@@ -64,8 +64,8 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Hosts {
+#[serde(rename = "Hosts", deny_unknown_fields)]
+pub struct HostGroup {
     pub count: u32,
     /// Absent: all places in turn.
     pub place: Option<String>,
@@ -84,16 +84,16 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Kind {
+#[serde(rename = "Kind", rename_all = "kebab-case")]
+pub enum RetrySafety {
     Repeatable,
     Referenced,
     OnceOnly,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Circle {
+#[serde(rename = "Circle", rename_all = "kebab-case")]
+pub enum RetryScope {
     All,
     Zone,
     Cell,
@@ -103,9 +103,9 @@
 #[serde(deny_unknown_fields)]
 pub struct Listener {
     pub name: String,
-    pub kind: Kind,
+    pub kind: RetrySafety,
     #[serde(default = "circle")]
-    pub circle: Circle,
+    pub circle: RetryScope,
     #[serde(default = "key_ttl", deserialize_with = "span")]
     pub key_ttl: Duration,
     #[serde(deserialize_with = "span")]
@@ -138,8 +138,8 @@
     pub rate: f64,
     /// Points between which the rate is a straight line, as multiples of it.
     #[serde(default)]
-    pub curve: Vec<Point>,
-    pub life: Life,
+    pub curve: Vec<RatePoint>,
+    pub life: SessionLength,
     /// Groups that clients belong to, and the share of clients that do.
     #[serde(default)]
     pub groups: u32,
@@ -158,8 +158,8 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Point {
+#[serde(rename = "Point", deny_unknown_fields)]
+pub struct RatePoint {
     #[serde(deserialize_with = "span")]
     pub at: Duration,
     pub times: f64,
@@ -167,8 +167,8 @@
 
 /// Log-normal.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Life {
+#[serde(rename = "Life", deny_unknown_fields)]
+pub struct SessionLength {
     #[serde(deserialize_with = "span")]
     pub median: Duration,
     #[serde(default)]
@@ -215,7 +215,7 @@
     #[serde(default)]
     pub stages: bool,
     #[serde(default)]
-    pub known: Known,
+    pub known: InitialEndpointList,
     /// Whether each may ask the others what they know.
     #[serde(default)]
     pub asks: bool,
@@ -226,8 +226,8 @@
 
 /// The list that a proxy's configuration has when it is started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Known {
+#[serde(rename = "Known", rename_all = "kebab-case")]
+pub enum InitialEndpointList {
     /// As it is then.
     #[default]
     Fresh,
@@ -291,8 +291,8 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Fault {
+#[serde(rename = "Fault", deny_unknown_fields)]
+pub struct ScenarioFault {
     #[serde(deserialize_with = "span")]
     pub at: Duration,
     /// How long it lasts; absent: to the end.
@@ -311,14 +311,14 @@
     pub span: Duration,
     /// For faults of links: which ways, and to which hosts (absent: all).
     #[serde(default)]
-    pub way: Way,
+    pub way: LinkKind,
     pub to: Option<Vec<u32>>,
     /// Connections from before a cut are reset when it is over: the other side has forgotten them.
     #[serde(default)]
     pub half_open: bool,
     /// For `place-lost`.
     #[serde(default)]
-    pub back: Back,
+    pub back: RecoveredPart,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
@@ -421,8 +421,8 @@
 
 /// Which ways a fault of links strikes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Way {
+#[serde(rename = "Way", rename_all = "kebab-case")]
+pub enum LinkKind {
     #[default]
     ProxyHost,
     /// Between clients, the front among them, and proxies.
@@ -431,11 +431,11 @@
 
 /// What of a lost place comes back when the fault is over; the rest stays away.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Back {
+#[serde(rename = "Back", rename_all = "kebab-case")]
+pub enum RecoveredPart {
     #[default]
     All,
-    Hosts,
+    HostGroup,
     Proxies,
 }
 
@@ -635,11 +635,11 @@
                 (
                     "to",
                     fault.to.is_some()
-                        && (!fault.kind.strikes_links() || fault.way != Way::ProxyHost),
+                        && (!fault.kind.strikes_links() || fault.way != LinkKind::ProxyHost),
                 ),
                 (
                     "way",
-                    fault.way != Way::default() && !fault.kind.strikes_links(),
+                    fault.way != LinkKind::default() && !fault.kind.strikes_links(),
                 ),
                 (
                     "half_open",
@@ -651,7 +651,7 @@
                 ),
                 (
                     "back",
-                    fault.back != Back::All && fault.kind != FaultKind::PlaceLost,
+                    fault.back != RecoveredPart::All && fault.kind != FaultKind::PlaceLost,
                 ),
             ];
             if let Some((key, _)) = misplaced.iter().find(|(_, wrong)| *wrong) {
@@ -730,8 +730,8 @@
     192
 }
 
-fn circle() -> Circle {
-    Circle::All
+fn circle() -> RetryScope {
+    RetryScope::All
 }
 
 fn key_ttl() -> Duration {
--- a/crates/testbed/src/shrink.rs
+++ b/crates/testbed/src/shrink.rs
@@ -1,13 +1,13 @@
 //! Cuts what strikes a run down to the fewest faults with which a rule still breaks, and writes that as a scenario.
 
-use crate::plan::Struck;
-use crate::scenario::{Fault, Scenario};
+use crate::plan::PlannedFault;
+use crate::scenario::{Scenario, ScenarioFault};
 use std::time::Duration;
 use toml::{Table, Value};
 
 /// The faults as they were drawn, each with whom it strikes, so that they strike the same alone.
-pub fn drawn(faults: &[Struck]) -> Vec<Fault> {
-    let fault = |struck: &Struck| Fault {
+pub fn drawn(faults: &[PlannedFault]) -> Vec<ScenarioFault> {
+    let fault = |struck: &PlannedFault| ScenarioFault {
         at: struck.at,
         lasts: struck.until.map(|until| until - struck.at),
         kind: struck.kind,
@@ -51,7 +51,7 @@
 }
 
 /// A scenario's text with these faults in place of its own.
-pub fn written(text: &str, faults: &[Fault]) -> Result<String, String> {
+pub fn written(text: &str, faults: &[ScenarioFault]) -> Result<String, String> {
     let mut table: Table = text.parse().map_err(|e: toml::de::Error| e.to_string())?;
     let ms = |span: Duration| Value::from(format!("{}ms", span.as_millis()));
     let numbers = |of: &[u32]| Value::from(of.iter().map(|n| i64::from(*n)).collect::<Vec<_>>());
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/testbed.rs
@@ -1,11 +1,11 @@
 //! What the peers of a run share: the ledger, the roster, the front, and how well clients were served.
 
+use crate::discovery::EndpointRegistry;
+use crate::event_log::{EventLog, SessionId};
 use crate::front::Front;
 use crate::host::Host;
-use crate::ledger::{Id, Ledger};
 use crate::link::Links;
 use crate::plan::Plan;
-use crate::roster::Roster;
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use rustix::event::{PollFd, PollFlags, Timespec};
@@ -18,31 +18,31 @@
 
 /// A call to a share of all clients: the how manieth, and whom it reaches.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Call {
+pub struct ClientSignal {
     pub nth: u32,
     pub share: f64,
     pub span: Duration,
 }
 
-pub struct World {
+pub struct Testbed {
     pub scenario: Scenario,
     pub plan: Plan,
-    pub ledger: Ledger,
-    pub roster: Roster,
+    pub event_log: EventLog,
+    pub discovery: EndpointRegistry,
     pub front: Front,
     pub links: Arc<Links>,
     /// By proxy, how many faults keep its agent from hearing anything.
     pub apart: watch::Sender<Vec<u32>>,
     pub hosts: Vec<Arc<Host>>,
-    pub score: Score,
+    pub score: ServiceScore,
     /// When the plan's clock began, on the ledger's.
     pub begin: watch::Sender<Option<Duration>>,
-    pub reconnect: watch::Sender<Call>,
-    pub deafen: watch::Sender<Call>,
+    pub reconnect: watch::Sender<ClientSignal>,
+    pub deafen: watch::Sender<ClientSignal>,
     /// Which run of this process it is: tests play several at once.
     pub run: u32,
     /// Dials that no host has answered yet.
-    pub out: Out,
+    pub out: PendingDials,
     ids: AtomicU64,
     dials: AtomicU32,
     /// The latest that the rig did anything, in microseconds.
@@ -51,28 +51,28 @@
 
 static RUNS: AtomicU32 = AtomicU32::new(0);
 
-impl World {
+impl Testbed {
     pub fn new(
         scenario: Scenario,
         plan: Plan,
         hosts: Vec<Arc<Host>>,
         front: Front,
         links: Arc<Links>,
-    ) -> World {
-        World {
-            roster: Roster::new(&plan, &hosts, &scenario),
-            score: Score::new(scenario.listeners.len(), scenario.members.len()),
+    ) -> Testbed {
+        Testbed {
+            discovery: EndpointRegistry::new(&plan, &hosts, &scenario),
+            score: ServiceScore::new(scenario.listeners.len(), scenario.members.len()),
             plan,
-            ledger: Ledger::default(),
+            event_log: EventLog::default(),
             front,
             links,
             apart: watch::channel(vec![0; scenario.proxies.count as usize]).0,
             hosts,
             begin: watch::channel(None).0,
-            reconnect: watch::channel(Call::default()).0,
-            deafen: watch::channel(Call::default()).0,
+            reconnect: watch::channel(ClientSignal::default()).0,
+            deafen: watch::channel(ClientSignal::default()).0,
             run: RUNS.fetch_add(1, Ordering::Relaxed),
-            out: Out::default(),
+            out: PendingDials::default(),
             scenario,
             ids: AtomicU64::new(1),
             dials: AtomicU32::new(1),
@@ -92,7 +92,7 @@
     pub fn now(&self) -> Duration {
         let begin = *self.begin.borrow();
         begin.map_or(Duration::ZERO, |begin| {
-            self.ledger.now().saturating_sub(begin)
+            self.event_log.now().saturating_sub(begin)
         })
     }
 
@@ -120,13 +120,13 @@
 
 /// Dials that no host has answered yet, by session, each with a second handle of its connection.
 #[derive(Debug, Default)]
-pub struct Out(Mutex<HashMap<Id, Vec<(u32, OwnedFd)>>>);
+pub struct PendingDials(Mutex<HashMap<SessionId, Vec<(u32, OwnedFd)>>>);
 
-impl Out {
+impl PendingDials {
     /// A host has read the line of a dial. Returns the earlier ones of its session whose connections have no end yet
     /// in this machine's kernel. Such a breach may last no longer than the next host's answer, far less than the
     /// times that peers note are apart; on loopback an end is there before whatever was sent after it.
-    pub fn begin(&self, id: Id, dial: u32, handle: Option<OwnedFd>) -> Vec<u32> {
+    pub fn begin(&self, id: SessionId, dial: u32, handle: Option<OwnedFd>) -> Vec<u32> {
         let mut all = self.dials();
         let dials = all.entry(id).or_default();
         let out = dials
@@ -139,7 +139,7 @@
     }
 
     /// It was answered, or is over. Its handle must not outlive its connection, or that would not end.
-    pub fn end(&self, id: Id, dial: u32) {
+    pub fn end(&self, id: SessionId, dial: u32) {
         let mut all = self.dials();
         if let Some(dials) = all.get_mut(&id) {
             dials.retain(|(out, _)| *out != dial);
@@ -149,7 +149,7 @@
         }
     }
 
-    fn dials(&self) -> MutexGuard<'_, HashMap<Id, Vec<(u32, OwnedFd)>>> {
+    fn dials(&self) -> MutexGuard<'_, HashMap<SessionId, Vec<(u32, OwnedFd)>>> {
         self.0.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 }
@@ -162,12 +162,12 @@
 }
 
 /// Seconds wanted and well served, by second, listener and member; and how long set-ups took.
-pub struct Score {
-    inner: Mutex<Marks>,
+pub struct ServiceScore {
+    inner: Mutex<ServiceMarks>,
     members: usize,
 }
 
-pub struct Marks {
+pub struct ServiceMarks {
     /// By second; then by listener and member: wanted, well served.
     pub seconds: Vec<Vec<(f64, f64)>>,
     cells: usize,
@@ -186,9 +186,9 @@
     made.unwrap_or_else(|_| unreachable!("the bounds are in order"))
 }
 
-impl Score {
-    fn new(listeners: usize, members: usize) -> Score {
-        let marks = Marks {
+impl ServiceScore {
+    fn new(listeners: usize, members: usize) -> ServiceScore {
+        let marks = ServiceMarks {
             seconds: Vec::new(),
             cells: listeners * members,
             set_ups: (0..listeners).map(|_| histogram()).collect(),
@@ -197,13 +197,13 @@
             unreachable: 0,
             given_up: 0,
         };
-        Score {
+        ServiceScore {
             inner: Mutex::new(marks),
             members,
         }
     }
 
-    pub fn marks(&self) -> MutexGuard<'_, Marks> {
+    pub fn marks(&self) -> MutexGuard<'_, ServiceMarks> {
         self.inner
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
--- a/crates/testbed/tests/breaks.rs
+++ b/crates/testbed/tests/breaks.rs
@@ -10,8 +10,8 @@
 mod help;
 
 use asterramp_testbed::baseline::{Break, Policy, program};
+use asterramp_testbed::event_log::Event;
 use asterramp_testbed::judge::Rule;
-use asterramp_testbed::ledger::Seen;
 use asterramp_testbed::scenario::Scenario;
 use std::path::Path;
 use test_case::test_case;
@@ -148,13 +148,13 @@
     let replaced: Vec<_> = ran
         .records
         .iter()
-        .filter(|r| matches!(r.seen, Seen::Replaced { yes: None, .. }))
+        .filter(|r| matches!(r.seen, Event::Replaced { yes: None, .. }))
         .collect();
     assert_eq!(replaced.len(), 1, "the second never says yes");
     let dead = ran
         .records
         .iter()
-        .filter(|r| matches!(r.seen, Seen::ProxyDead { proxy: 0 }))
+        .filter(|r| matches!(r.seen, Event::ProxyDead { proxy: 0 }))
         .count();
     assert_eq!(dead, 1, "so it is ended, and the first goes on");
 }
--- a/crates/testbed/tests/chaos.rs
+++ b/crates/testbed/tests/chaos.rs
@@ -9,7 +9,7 @@
 
 mod help;
 
-use asterramp_testbed::ledger::Seen;
+use asterramp_testbed::event_log::Event;
 use test_case::{test_case, test_matrix};
 
 #[test_matrix([1, 2, 3, 4, 5, 6, 7, 8, 9, 10])]
@@ -24,13 +24,13 @@
     assert!(
         ran.verdict.breaches.is_empty(),
         "faults: {:?}",
-        ran.world.plan.faults
+        ran.testbed.plan.faults
     );
     let tally = ran.verdict.tally;
     assert!(tally.sessions > 100 && tally.accepted > 50, "{tally:?}");
     assert!(ran.records.iter().any(|r| matches!(
         r.seen,
-        Seen::Called {
+        Event::Called {
             figures: Some(_),
             ..
         }
@@ -59,15 +59,15 @@
         ran.verdict.tally.moved, 0,
         "nobody is moved for a replacement"
     );
-    let count = |of: fn(&Seen) -> bool| ran.records.iter().filter(|r| of(&r.seen)).count();
-    let yes = count(|seen| matches!(seen, Seen::Replaced { yes: Some(_), .. }));
-    let killed = count(|seen| matches!(seen, Seen::ProxyDead { .. }));
+    let count = |of: fn(&Event) -> bool| ran.records.iter().filter(|r| of(&r.seen)).count();
+    let yes = count(|seen| matches!(seen, Event::Replaced { yes: Some(_), .. }));
+    let killed = count(|seen| matches!(seen, Event::ProxyDead { .. }));
     assert_eq!(
         (yes, killed),
         if killed_after == 0 { (3, 0) } else { (0, 3) },
         "all three were played"
     );
     // The judge excuses what died with a process; one that took nothing must not have cost anybody anything.
-    let cut = count(|seen| matches!(seen, Seen::Cut { .. } | Seen::Ended { told: false, .. }));
+    let cut = count(|seen| matches!(seen, Event::Cut { .. } | Event::Ended { told: false, .. }));
     assert!(killed_after > 5 || cut == 0, "{cut} were cut off");
 }
