--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -9,13 +9,13 @@
 
 mod help;
 
+use asterramp_testbed::discovery::DiscoveryAgent;
 use asterramp_testbed::front::Front;
 use asterramp_testbed::host::Host;
-use asterramp_testbed::lines::{Line, Lines};
+use asterramp_testbed::line_reader::{Line, LineReader};
 use asterramp_testbed::plan::Plan;
 use asterramp_testbed::proxies::addresses;
-use asterramp_testbed::roster::Agent;
-use asterramp_testbed::world::World;
+use asterramp_testbed::testbed::Testbed;
 use std::sync::Arc;
 use std::time::Duration;
 use test_case::test_case;
@@ -26,7 +26,7 @@
 const PATIENCE: Duration = Duration::from_millis(250);
 
 /// Hosts without proxies; the fault is the plan's only one, on host 0.
-async fn world(kind: &str) -> Arc<World> {
+async fn testbed(kind: &str) -> Arc<Testbed> {
     let fault = format!(
         "[[faults]]\nat = \"1s\"\nkind = \"{kind}\"\non = [0]\nspan = \"400ms\"\nmuch = 0.1"
     );
@@ -45,25 +45,26 @@
         .into_iter()
         .unzip();
     let front = Front::new(addresses(&scenario).into_iter());
-    let world = Arc::new(World::new(scenario, plan, hosts, front, Arc::default()));
-    for (host, door) in world.hosts.iter().zip(doors) {
-        tokio::spawn(host.clone().serve(world.clone(), door));
+    let testbed = Arc::new(Testbed::new(scenario, plan, hosts, front, Arc::default()));
+    for (host, door) in testbed.hosts.iter().zip(doors) {
+        tokio::spawn(host.clone().serve(testbed.clone(), door));
     }
-    world
+    testbed
 }
 
 /// What a session hears of host 0: its first line, how the connection ended, or nothing in time.
-async fn hears(world: &World) -> String {
-    let Ok(connected) = timeout(PATIENCE, TcpStream::connect(world.hosts[0].address)).await else {
+async fn hears(testbed: &Testbed) -> String {
+    let Ok(connected) = timeout(PATIENCE, TcpStream::connect(testbed.hosts[0].address)).await
+    else {
         return "no connection".into();
     };
     let Ok(mut stream) = connected else {
         return "refused".into();
     };
-    let line = format!("OPEN {:x} 1 c=feed,t=acme,d=900,h=10\r\n", world.new_id());
+    let line = format!("OPEN {:x} 1 c=feed,t=acme,d=900,h=10\r\n", testbed.new_id());
     stream.write_all(line.as_bytes()).await.unwrap();
     let (read, _write) = stream.into_split();
-    match timeout(PATIENCE, Lines::new(read).next()).await {
+    match timeout(PATIENCE, LineReader::new(read).next()).await {
         Ok(Line::Text(line)) => line.split(' ').next().unwrap_or_default().to_string(),
         Ok(end) => format!("{end:?}"),
         Err(_) => "nothing".into(),
@@ -82,14 +83,14 @@
 #[test_case("host-gone", "refused", "UP")]
 fn a_host_shows_its_fault_and_recovers(kind: &str, during: &str, after: &str) {
     help::runtime().block_on(async {
-        let world = world(kind).await;
-        assert_eq!(hears(&world).await, "UP", "before");
-        world.hosts[0].strike(&world, 0, true);
+        let testbed = testbed(kind).await;
+        assert_eq!(hears(&testbed).await, "UP", "before");
+        testbed.hosts[0].strike(&testbed, 0, true);
         sleep(Duration::from_millis(100)).await;
-        assert_eq!(hears(&world).await, during, "during");
-        world.hosts[0].strike(&world, 0, false);
+        assert_eq!(hears(&testbed).await, during, "during");
+        testbed.hosts[0].strike(&testbed, 0, false);
         sleep(Duration::from_millis(150)).await;
-        assert_eq!(hears(&world).await, after, "after");
+        assert_eq!(hears(&testbed).await, after, "after");
     });
 }
 
@@ -97,17 +98,17 @@
 #[test_case("host-draining", &["MOVE", "Fin"]; "one that drains sends them away")]
 fn open_connections_feel_it_too(kind: &str, hear: &[&str]) {
     help::runtime().block_on(async {
-        let world = world(kind).await;
-        let mut stream = TcpStream::connect(world.hosts[0].address).await.unwrap();
+        let testbed = testbed(kind).await;
+        let mut stream = TcpStream::connect(testbed.hosts[0].address).await.unwrap();
         stream
             .write_all(b"OPEN 7 1 c=feed,t=acme,d=900\r\n")
             .await
             .unwrap();
         let (read, _write) = stream.into_split();
-        let mut lines = Lines::new(read);
+        let mut lines = LineReader::new(read);
         assert!(matches!(lines.next().await, Line::Text(up) if up.starts_with("UP ")));
         assert!(matches!(lines.next().await, Line::Text(load) if load.starts_with("LOAD ")));
-        world.hosts[0].strike(&world, 0, true);
+        testbed.hosts[0].strike(&testbed, 0, true);
         for hear in hear {
             let heard = match timeout(Duration::from_secs(3), lines.next()).await.unwrap() {
                 Line::Text(line) => line,
@@ -129,24 +130,24 @@
             .unwrap()
             .into_iter()
             .unzip();
-        let world = Arc::new(World::new(
+        let testbed = Arc::new(Testbed::new(
             scenario,
             plan,
             hosts,
             Front::new([].into_iter()),
             Arc::default(),
         ));
-        for (host, door) in world.hosts.iter().zip(doors) {
-            tokio::spawn(host.clone().serve(world.clone(), door));
+        for (host, door) in testbed.hosts.iter().zip(doors) {
+            tokio::spawn(host.clone().serve(testbed.clone(), door));
         }
-        let strike = |nth, begins| world.hosts[0].strike(&world, nth, begins);
+        let strike = |nth, begins| testbed.hosts[0].strike(&testbed, nth, begins);
         strike(0, true);
         strike(1, true);
-        assert_eq!(hears(&world).await, "ERR");
+        assert_eq!(hears(&testbed).await, "ERR");
         strike(1, false);
-        assert_eq!(hears(&world).await, "BUSY");
+        assert_eq!(hears(&testbed).await, "BUSY");
         strike(0, false);
-        assert_eq!(hears(&world).await, "UP");
+        assert_eq!(hears(&testbed).await, "UP");
     });
 }
 
@@ -157,24 +158,24 @@
 #[test_case("OPEN 1 2 c=feed,d=5\n"; "a line feed alone")]
 fn a_host_says_syntax_to_what_it_cannot_read(line: &str) {
     help::runtime().block_on(async {
-        let world = world("host-silent").await;
-        let mut stream = TcpStream::connect(world.hosts[0].address).await.unwrap();
+        let testbed = testbed("host-silent").await;
+        let mut stream = TcpStream::connect(testbed.hosts[0].address).await.unwrap();
         stream.write_all(line.as_bytes()).await.unwrap();
         let mut text = String::new();
         stream.read_to_string(&mut text).await.unwrap();
         assert_eq!(text, "SYNTAX\r\n");
-        assert_eq!(world.ledger.take().len(), 1);
+        assert_eq!(testbed.event_log.take().len(), 1);
     });
 }
 
 #[test]
 fn stats_tell_load_and_count() {
     help::runtime().block_on(async {
-        let world = world("host-silent").await;
-        let mut stream = TcpStream::connect(world.hosts[0].address).await.unwrap();
+        let testbed = testbed("host-silent").await;
+        let mut stream = TcpStream::connect(testbed.hosts[0].address).await.unwrap();
         stream.write_all(b"PING\r\nSTATS\r\n").await.unwrap();
         let (read, _write) = stream.into_split();
-        let mut lines = Lines::new(read);
+        let mut lines = LineReader::new(read);
         assert_eq!(lines.next().await, Line::Text("PONG".into()));
         assert_eq!(
             lines.next().await,
@@ -184,7 +185,7 @@
 }
 
 /// What a watch says within a while, heads and chunk sizes left out.
-async fn watch(agent: &Agent, index: u64) -> String {
+async fn watch(agent: &DiscoveryAgent, index: u64) -> String {
     let Ok(mut stream) = TcpStream::connect(agent.address()).await else {
         return "refused".into();
     };
@@ -203,24 +204,24 @@
 #[test]
 fn discovery_tells_changes_and_shows_its_faults() {
     help::runtime().block_on(async {
-        let world = world("host-draining").await;
-        let agent = Agent::start(&world, 0).await.unwrap();
+        let testbed = testbed("host-draining").await;
+        let agent = DiscoveryAgent::start(&testbed, 0).await.unwrap();
         let whole = watch(&agent, 0).await;
         assert!(
             whole.contains("\"all\":true") && whole.matches("\"ready\"").count() == 4,
             "{whole}"
         );
-        world.hosts[0].strike(&world, 0, true);
+        testbed.hosts[0].strike(&testbed, 0, true);
         let changed = watch(&agent, 1).await;
         assert!(
             changed.contains("\"all\":false") && changed.matches("uid").count() == 1,
             "{changed}"
         );
         assert!(changed.contains("\"draining\""), "{changed}");
-        world.roster.mood.send_modify(|mood| mood.silent = 1);
+        testbed.discovery.mood.send_modify(|mood| mood.silent = 1);
         assert_eq!(watch(&agent, 1).await, "");
-        world
-            .roster
+        testbed
+            .discovery
             .mood
             .send_modify(|mood| (mood.silent, mood.babbles) = (0, 1));
         let babble = watch(&agent, 1).await;
@@ -228,16 +229,16 @@
             babble.contains("chunked") && !babble.contains("uid"),
             "{babble}"
         );
-        world
-            .roster
+        testbed
+            .discovery
             .mood
             .send_modify(|mood| (mood.babbles, mood.refuses) = (0, 1));
         sleep(Duration::from_millis(50)).await;
         assert_eq!(watch(&agent, 1).await, "refused");
-        world.roster.mood.send_modify(|mood| mood.refuses = 0);
+        testbed.discovery.mood.send_modify(|mood| mood.refuses = 0);
         sleep(Duration::from_millis(100)).await;
         let old = agent.address();
-        agent.moves(&world).await.unwrap();
+        agent.moves(&testbed).await.unwrap();
         assert_ne!(agent.address(), old);
         assert!(watch(&agent, 1).await.contains("draining"));
         sleep(Duration::from_millis(50)).await;
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -1,7 +1,7 @@
 //! Scenarios and runs that the tests share; none uses all.
 
 use asterramp_testbed::proxies::Program;
-use asterramp_testbed::run::{Job, Ran, own_folder, own_proxy, run};
+use asterramp_testbed::run::{RunOptions, RunOutcome, own_folder, own_proxy, run};
 use asterramp_testbed::scenario::Scenario;
 
 /// Four hosts, a proxy or two, and terms wide enough that a busy machine changes no verdict.
@@ -84,7 +84,7 @@
 }
 
 #[allow(dead_code)]
-pub fn play(scenario: Scenario, program: Program, seed: u64, chaos: Option<u64>) -> Ran {
+pub fn play(scenario: Scenario, program: Program, seed: u64, chaos: Option<u64>) -> RunOutcome {
     play_and_read(scenario, program, seed, chaos).0
 }
 
@@ -95,9 +95,9 @@
     program: Program,
     seed: u64,
     chaos: Option<u64>,
-) -> (Ran, String) {
+) -> (RunOutcome, String) {
     let folder = own_folder();
-    let job = Job {
+    let job = RunOptions {
         seed,
         chaos,
         program,
@@ -118,7 +118,7 @@
 
 /// Prints the first breaches, for whoever reads a failed test.
 #[allow(dead_code)]
-pub fn show(ran: &Ran) {
+pub fn show(ran: &RunOutcome) {
     for breach in ran.verdict.breaches.iter().take(3) {
         println!(
             "{}: {}\n{}",
--- a/crates/testbed/tests/parts.rs
+++ b/crates/testbed/tests/parts.rs
@@ -10,13 +10,15 @@
 mod help;
 
 use asterramp_testbed::compare::Difference;
+use asterramp_testbed::event_log::{
+    ClientAnswer, ConnectionEnd, Event, HostReply, HostState, LoggedEvent,
+};
 use asterramp_testbed::journal::Journal;
-use asterramp_testbed::judge::{Rule, Terms, Verdict, judge};
-use asterramp_testbed::ledger::{Answer, End, Record, Reply, Seen, Standing};
-use asterramp_testbed::load::{LoadModel, Nature, Taken};
-use asterramp_testbed::logs::Logs;
-use asterramp_testbed::plan::{Plan, Struck};
-use asterramp_testbed::scenario::{Circle, Kind, Scenario};
+use asterramp_testbed::judge::{JudgeSettings, Rule, Verdict, judge};
+use asterramp_testbed::load_model::{LoadModel, LoadModelSettings, SetUpOutcome};
+use asterramp_testbed::log_summary::LogSummary;
+use asterramp_testbed::plan::{Plan, PlannedFault};
+use asterramp_testbed::scenario::{RetrySafety, RetryScope, Scenario};
 use asterramp_testbed::shrink::{drawn, fewest, written};
 use std::time::Duration;
 use test_case::test_case;
@@ -83,8 +85,8 @@
     assert!((lives[lives.len() / 2].as_secs_f64() - 2.0).abs() < 0.1);
 }
 
-fn nature() -> Nature {
-    Nature {
+fn nature() -> LoadModelSettings {
+    LoadModelSettings {
         speed: 1.0,
         places: 50,
         group_cost: 0.1,
@@ -141,7 +143,7 @@
         (0..200).any(|n| {
             let taken = model.arrive(ms(n * every), n);
             model.set_up_over();
-            taken == Taken::Collapsed
+            taken == SetUpOutcome::Collapsed
         })
     };
     // Four times a quarter of its speed is fifty set-ups of 20 ms a second.
@@ -154,12 +156,12 @@
     (0..50).for_each(|n| model.connect(ms(n * 10), None, 0.0));
     assert_eq!(model.report(ms(600)).outstanding, 10);
     assert_eq!(model.report(ms(2_000)).outstanding, 50);
-    assert_eq!(model.arrive(ms(2_000), 1), Taken::Full);
+    assert_eq!(model.arrive(ms(2_000), 1), SetUpOutcome::Full);
 }
 
 /// Records of session 1, asked of proxy 0 at 100 ms with a wait of 1 s, and what else a case tells.
-fn verdict(listener: u8, seen: Vec<(u64, Seen)>) -> Verdict {
-    let asked = Seen::Asked {
+fn verdict(listener: u8, seen: Vec<(u64, Event)>) -> Verdict {
+    let asked = Event::Asked {
         id: 1,
         proxy: 0,
         place: 0,
@@ -167,28 +169,28 @@
         wait: ms(1_000),
         inherited: false,
     };
-    let mut records = vec![Record {
+    let mut records = vec![LoggedEvent {
         at: ms(100),
         seen: asked,
     }];
     records.extend(
         seen.into_iter()
-            .map(|(at, seen)| Record { at: ms(at), seen }),
+            .map(|(at, seen)| LoggedEvent { at: ms(at), seen }),
     );
-    records.push(Record {
+    records.push(LoggedEvent {
         at: ms(9_000),
-        seen: Seen::HostUp { host: 9 },
+        seen: Event::HostUp { host: 9 },
     });
     judge(&records, &terms())
 }
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> JudgeSettings {
+    JudgeSettings {
         listeners: vec![
-            (Kind::Repeatable, Circle::All, ms(0)),
-            (Kind::OnceOnly, Circle::All, ms(0)),
-            (Kind::Referenced, Circle::Zone, ms(600)),
-            (Kind::Referenced, Circle::All, ms(600)),
+            (RetrySafety::Repeatable, RetryScope::All, ms(0)),
+            (RetrySafety::OnceOnly, RetryScope::All, ms(0)),
+            (RetrySafety::Referenced, RetryScope::Zone, ms(600)),
+            (RetrySafety::Referenced, RetryScope::All, ms(600)),
         ],
         hosts: vec![(0, 0), (1, 0), (0, 1)],
         drain_grace: ms(1_000),
@@ -200,8 +202,8 @@
     }
 }
 
-fn still_out(dial: u32, earlier: u32) -> Seen {
-    Seen::StillOut {
+fn still_out(dial: u32, earlier: u32) -> Event {
+    Event::StillOut {
         id: 1,
         host: 1,
         dial,
@@ -209,8 +211,8 @@
     }
 }
 
-fn dialled(dial: u32, host: u16) -> Seen {
-    Seen::Dialled {
+fn dialled(dial: u32, host: u16) -> Event {
+    Event::Dialled {
         id: 1,
         host,
         dial,
@@ -218,24 +220,24 @@
     }
 }
 
-fn replied(dial: u32, reply: Reply) -> Seen {
-    Seen::Replied { id: 1, dial, reply }
+fn replied(dial: u32, reply: HostReply) -> Event {
+    Event::Replied { id: 1, dial, reply }
 }
 
-fn over(dial: u32) -> Seen {
-    Seen::DialOver {
+fn over(dial: u32) -> Event {
+    Event::DialOver {
         id: 1,
         dial,
         by_host: false,
     }
 }
 
-fn answered(answer: Answer) -> Seen {
-    Seen::Answered { id: 1, answer }
+fn answered(answer: ClientAnswer) -> Event {
+    Event::Answered { id: 1, answer }
 }
 
-fn told(standing: Standing) -> Seen {
-    Seen::Told {
+fn told(standing: HostState) -> Event {
+    Event::HostListed {
         proxy: 0,
         host: 0,
         standing,
@@ -265,10 +267,10 @@
     figures: Option<(u64, u64)>,
     breaks: Option<Rule>,
 ) {
-    let mut seen = vec![(0, Seen::ProxyStarted { proxy: 0 })];
+    let mut seen = vec![(0, Event::ProxyStarted { proxy: 0 })];
     for id in 1..=40 {
         let came = 1_000 + id * 10;
-        let asked = Seen::Asked {
+        let asked = Event::Asked {
             id,
             proxy: 0,
             place: 0,
@@ -276,30 +278,30 @@
             wait: ms(1_000),
             inherited: false,
         };
-        let dialled = Seen::Dialled {
+        let dialled = Event::Dialled {
             id,
             host: 0,
             dial: 1,
             inherited: false,
         };
-        let replied = Seen::Replied {
+        let replied = Event::Replied {
             id,
             dial: 1,
-            reply: Reply::Up,
+            reply: HostReply::Up,
         };
         let all = [
             asked,
             dialled,
             replied,
-            Seen::Answered {
+            Event::Answered {
                 id,
-                answer: Answer::Up,
+                answer: ClientAnswer::Up,
             },
         ];
         seen.extend(all.map(|seen| (came, seen)));
         seen.push((
             9_000,
-            Seen::DialOver {
+            Event::DialOver {
                 id,
                 dial: 1,
                 by_host: true,
@@ -307,21 +309,21 @@
         ));
     }
     if let Some(alone) = alone {
-        seen.push((alone - 100, Seen::ProxyBeside { proxy: 0 }));
-        seen.push((alone, Seen::ProxyServes { proxy: 0 }));
+        seen.push((alone - 100, Event::ProxyBeside { proxy: 0 }));
+        seen.push((alone, Event::ProxyServes { proxy: 0 }));
     }
     seen.push((
         at,
-        Seen::Called {
+        Event::Called {
             proxy: 0,
             took: ms(took),
             figures,
         },
     ));
     seen.sort_by_key(|seen| seen.0);
-    let records: Vec<Record> = seen
+    let records: Vec<LoggedEvent> = seen
         .into_iter()
-        .map(|(at, seen)| Record { at: ms(at), seen })
+        .map(|(at, seen)| LoggedEvent { at: ms(at), seen })
         .collect();
     let found: Vec<Rule> = judge(&records, &terms())
         .breaches
@@ -331,51 +333,51 @@
     assert_eq!(found, breaks.into_iter().collect::<Vec<_>>());
 }
 
-const BUSY: Answer = Answer::Busy(None);
+const BUSY: ClientAnswer = ClientAnswer::Busy(None);
 
 #[test_case(0, vec![(300, answered(BUSY))], None; "refused in time")]
 #[test_case(0, vec![(1_160, answered(BUSY))], None; "refused within the slack")]
 #[test_case(0, vec![(1_200, answered(BUSY))], Some(Rule::NoSessionLost); "refused late")]
 #[test_case(0, vec![], Some(Rule::NoSessionLost); "never answered")]
-#[test_case(0, vec![(900, Seen::Left { id: 1 })], None; "the client left before")]
-#[test_case(0, vec![(500, Seen::Cut { id: 1, end: End::Fin })], Some(Rule::NoSessionLost); "cut without an answer")]
-#[test_case(0, vec![(499, Seen::ProxyKilled { proxy: 0 }), (500, Seen::Cut { id: 1, end: End::Reset })], None; "its proxy was killed")]
-#[test_case(0, vec![(20, Seen::ProxyKilled { proxy: 0 }), (180, Seen::ProxyDead { proxy: 0 }), (181, Seen::Cut { id: 1, end: End::Reset })], None; "it asked between the kill and the death of its proxy")]
-#[test_case(0, vec![(10, Seen::ProxyKilled { proxy: 0 }), (70, Seen::ProxyDead { proxy: 0 }), (101, Seen::Cut { id: 1, end: End::Reset })], None; "it noted its asking a moment after that death")]
-#[test_case(0, vec![(10, Seen::ProxyKilled { proxy: 0 }), (40, Seen::ProxyDead { proxy: 0 }), (500, Seen::Cut { id: 1, end: End::Reset })], Some(Rule::NoSessionLost); "its proxy was dead for long")]
-#[test_case(0, vec![(499, Seen::ProxyKilled { proxy: 1 }), (500, Seen::Cut { id: 1, end: End::Reset })], Some(Rule::NoSessionLost); "another was killed")]
-#[test_case(0, vec![(300, answered(BUSY)), (310, answered(Answer::Failed))], Some(Rule::NoSessionLost); "two answers")]
+#[test_case(0, vec![(900, Event::Left { id: 1 })], None; "the client left before")]
+#[test_case(0, vec![(500, Event::Cut { id: 1, end: ConnectionEnd::Fin })], Some(Rule::NoSessionLost); "cut without an answer")]
+#[test_case(0, vec![(499, Event::ProxyKilled { proxy: 0 }), (500, Event::Cut { id: 1, end: ConnectionEnd::Reset })], None; "its proxy was killed")]
+#[test_case(0, vec![(20, Event::ProxyKilled { proxy: 0 }), (180, Event::ProxyDead { proxy: 0 }), (181, Event::Cut { id: 1, end: ConnectionEnd::Reset })], None; "it asked between the kill and the death of its proxy")]
+#[test_case(0, vec![(10, Event::ProxyKilled { proxy: 0 }), (70, Event::ProxyDead { proxy: 0 }), (101, Event::Cut { id: 1, end: ConnectionEnd::Reset })], None; "it noted its asking a moment after that death")]
+#[test_case(0, vec![(10, Event::ProxyKilled { proxy: 0 }), (40, Event::ProxyDead { proxy: 0 }), (500, Event::Cut { id: 1, end: ConnectionEnd::Reset })], Some(Rule::NoSessionLost); "its proxy was dead for long")]
+#[test_case(0, vec![(499, Event::ProxyKilled { proxy: 1 }), (500, Event::Cut { id: 1, end: ConnectionEnd::Reset })], Some(Rule::NoSessionLost); "another was killed")]
+#[test_case(0, vec![(300, answered(BUSY)), (310, answered(ClientAnswer::Failed))], Some(Rule::NoSessionLost); "two answers")]
 #[test_case(0, vec![(300, answered(BUSY)), (400, dialled(1, 0))], Some(Rule::NoSessionLost); "a dial after the answer")]
 #[test_case(0, vec![(200, dialled(1, 0)), (240, over(1)), (250, dialled(2, 1)), (300, over(2)), (310, answered(BUSY))], None; "one dial after the other")]
 #[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (400, over(1)), (500, over(2)), (510, answered(BUSY))], Some(Rule::NeverTwoDials); "two dials at once")]
-#[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (302, over(1)), (303, replied(2, Reply::Up)), (304, answered(Answer::Up))], None; "two for less than peers note apart may be one after the other")]
-#[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (300, still_out(2, 1)), (302, over(1)), (303, replied(2, Reply::Up)), (304, answered(Answer::Up))], Some(Rule::NeverTwoDials); "two for that long and seen to be")]
-#[test_case(0, vec![(200, dialled(1, 0)), (220, replied(1, Reply::Busy)), (230, dialled(2, 1)), (400, over(1)), (410, answered(BUSY))], None; "the first was turned away")]
+#[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (302, over(1)), (303, replied(2, HostReply::Up)), (304, answered(ClientAnswer::Up))], None; "two for less than peers note apart may be one after the other")]
+#[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (300, still_out(2, 1)), (302, over(1)), (303, replied(2, HostReply::Up)), (304, answered(ClientAnswer::Up))], Some(Rule::NeverTwoDials); "two for that long and seen to be")]
+#[test_case(0, vec![(200, dialled(1, 0)), (220, replied(1, HostReply::Busy)), (230, dialled(2, 1)), (400, over(1)), (410, answered(BUSY))], None; "the first was turned away")]
 #[test_case(0, vec![(110, dialled(1, 0)), (120, over(1)), (130, dialled(2, 1)), (140, over(2)), (150, dialled(3, 2)), (160, over(3)), (170, answered(BUSY))], Some(Rule::NoSessionLost); "three dials of two")]
-#[test_case(1, vec![(200, dialled(1, 0)), (300, over(1)), (310, dialled(2, 1)), (400, over(2)), (410, answered(Answer::Failed))], Some(Rule::NoEffectTwice); "once-only sent again")]
-#[test_case(1, vec![(200, dialled(1, 0)), (300, replied(1, Reply::Busy)), (310, dialled(2, 1)), (400, over(2)), (410, answered(Answer::Failed))], None; "once-only that had not run")]
+#[test_case(1, vec![(200, dialled(1, 0)), (300, over(1)), (310, dialled(2, 1)), (400, over(2)), (410, answered(ClientAnswer::Failed))], Some(Rule::NoEffectTwice); "once-only sent again")]
+#[test_case(1, vec![(200, dialled(1, 0)), (300, replied(1, HostReply::Busy)), (310, dialled(2, 1)), (400, over(2)), (410, answered(ClientAnswer::Failed))], None; "once-only that had not run")]
 #[test_case(1, vec![(200, dialled(1, 0)), (300, over(1)), (310, answered(BUSY))], Some(Rule::NoEffectTwice); "once-only refused though it may have run")]
-#[test_case(2, vec![(200, dialled(1, 0)), (300, over(1)), (310, dialled(2, 1)), (400, over(2)), (410, answered(Answer::Failed))], Some(Rule::NoEffectTwice); "referenced in another zone")]
-#[test_case(2, vec![(200, dialled(1, 0)), (300, over(1)), (310, dialled(2, 2)), (400, over(2)), (410, answered(Answer::Failed))], None; "referenced in its zone")]
-#[test_case(2, vec![(200, dialled(1, 0)), (300, over(1)), (900, dialled(2, 2)), (950, over(2)), (960, answered(Answer::Failed))], Some(Rule::NoEffectTwice); "referenced after its memory")]
+#[test_case(2, vec![(200, dialled(1, 0)), (300, over(1)), (310, dialled(2, 1)), (400, over(2)), (410, answered(ClientAnswer::Failed))], Some(Rule::NoEffectTwice); "referenced in another zone")]
+#[test_case(2, vec![(200, dialled(1, 0)), (300, over(1)), (310, dialled(2, 2)), (400, over(2)), (410, answered(ClientAnswer::Failed))], None; "referenced in its zone")]
+#[test_case(2, vec![(200, dialled(1, 0)), (300, over(1)), (900, dialled(2, 2)), (950, over(2)), (960, answered(ClientAnswer::Failed))], Some(Rule::NoEffectTwice); "referenced after its memory")]
 #[test_case(2, vec![(200, dialled(1, 0)), (300, over(1)), (310, answered(BUSY))], Some(Rule::NoEffectTwice); "referenced in a zone and refused")]
 #[test_case(3, vec![(200, dialled(1, 0)), (300, over(1)), (310, answered(BUSY))], None; "referenced everywhere and refused")]
-#[test_case(0, vec![(0, told(Standing::Draining)), (900, dialled(1, 0)), (950, over(1)), (960, answered(BUSY))], None; "within the drain grace")]
-#[test_case(0, vec![(0, told(Standing::Draining)), (1_060, dialled(1, 0)), (1_080, over(1)), (1_090, answered(BUSY))], Some(Rule::DrainsKept); "after the drain grace")]
-#[test_case(0, vec![(0, told(Standing::Gone)), (200, told(Standing::Ready)), (1_060, dialled(1, 0)), (1_080, over(1)), (1_090, answered(BUSY))], None; "back before")]
-#[test_case(0, vec![(0, told(Standing::Draining)), (300, told(Standing::Gone)), (1_060, dialled(1, 0)), (1_080, over(1)), (1_090, answered(BUSY))], Some(Rule::DrainsKept); "drained and then gone")]
-#[test_case(0, vec![(200, dialled(1, 0)), (210, replied(1, Reply::Up)), (220, answered(Answer::Up)), (2_000, Seen::Ended { id: 1, end: End::Fin, told: false }), (2_001, over(1))], Some(Rule::NoSessionLost); "cut off while open")]
-#[test_case(0, vec![(200, dialled(1, 0)), (210, replied(1, Reply::Up)), (220, answered(Answer::Up)), (1_990, Seen::DialOver { id: 1, dial: 1, by_host: true }), (2_000, Seen::Ended { id: 1, end: End::Fin, told: false })], None; "ended by its host")]
-#[test_case(0, vec![(200, dialled(1, 0)), (210, replied(1, Reply::Up)), (220, answered(Answer::Up)), (2_000, Seen::Ended { id: 1, end: End::Fin, told: true }), (2_001, over(1))], None; "moved")]
-#[test_case(0, vec![(220, answered(Answer::Up)), (300, Seen::Garbled { id: 1, line: "x".into() })], Some(Rule::NoSessionLost); "told what no host said")]
-#[test_case(0, vec![(220, answered(Answer::Up)), (300, Seen::Held { id: 1, span: ms(1_040) })], None; "a line held within the blur")]
-#[test_case(0, vec![(220, answered(Answer::Up)), (300, Seen::Held { id: 1, span: ms(1_100) })], Some(Rule::NoSessionLost); "a line held back")]
-#[test_case(0, vec![(220, answered(BUSY)), (300, Seen::Rude { sort: "x", owed: true, served: true })], Some(Rule::NoSessionLost); "a bad client served")]
-#[test_case(0, vec![(220, answered(BUSY)), (300, Seen::ProxyExited { proxy: 0, code: Some(1), asked: true })], Some(Rule::ProxyStays); "an exit with an error")]
-#[test_case(0, vec![(220, answered(BUSY)), (300, Seen::ProxyExited { proxy: 0, code: Some(0), asked: true })], None; "an exit in good order")]
+#[test_case(0, vec![(0, told(HostState::Draining)), (900, dialled(1, 0)), (950, over(1)), (960, answered(BUSY))], None; "within the drain grace")]
+#[test_case(0, vec![(0, told(HostState::Draining)), (1_060, dialled(1, 0)), (1_080, over(1)), (1_090, answered(BUSY))], Some(Rule::DrainsKept); "after the drain grace")]
+#[test_case(0, vec![(0, told(HostState::Gone)), (200, told(HostState::Ready)), (1_060, dialled(1, 0)), (1_080, over(1)), (1_090, answered(BUSY))], None; "back before")]
+#[test_case(0, vec![(0, told(HostState::Draining)), (300, told(HostState::Gone)), (1_060, dialled(1, 0)), (1_080, over(1)), (1_090, answered(BUSY))], Some(Rule::DrainsKept); "drained and then gone")]
+#[test_case(0, vec![(200, dialled(1, 0)), (210, replied(1, HostReply::Up)), (220, answered(ClientAnswer::Up)), (2_000, Event::Ended { id: 1, end: ConnectionEnd::Fin, told: false }), (2_001, over(1))], Some(Rule::NoSessionLost); "cut off while open")]
+#[test_case(0, vec![(200, dialled(1, 0)), (210, replied(1, HostReply::Up)), (220, answered(ClientAnswer::Up)), (1_990, Event::DialOver { id: 1, dial: 1, by_host: true }), (2_000, Event::Ended { id: 1, end: ConnectionEnd::Fin, told: false })], None; "ended by its host")]
+#[test_case(0, vec![(200, dialled(1, 0)), (210, replied(1, HostReply::Up)), (220, answered(ClientAnswer::Up)), (2_000, Event::Ended { id: 1, end: ConnectionEnd::Fin, told: true }), (2_001, over(1))], None; "moved")]
+#[test_case(0, vec![(220, answered(ClientAnswer::Up)), (300, Event::Garbled { id: 1, line: "x".into() })], Some(Rule::NoSessionLost); "told what no host said")]
+#[test_case(0, vec![(220, answered(ClientAnswer::Up)), (300, Event::Held { id: 1, span: ms(1_040) })], None; "a line held within the blur")]
+#[test_case(0, vec![(220, answered(ClientAnswer::Up)), (300, Event::Held { id: 1, span: ms(1_100) })], Some(Rule::NoSessionLost); "a line held back")]
+#[test_case(0, vec![(220, answered(BUSY)), (300, Event::MisbehavingClient { sort: "x", owed: true, served: true })], Some(Rule::NoSessionLost); "a bad client served")]
+#[test_case(0, vec![(220, answered(BUSY)), (300, Event::ProxyExited { proxy: 0, code: Some(1), asked: true })], Some(Rule::ProxyStays); "an exit with an error")]
+#[test_case(0, vec![(220, answered(BUSY)), (300, Event::ProxyExited { proxy: 0, code: Some(0), asked: true })], None; "an exit in good order")]
 fn each_rule_is_told_from_what_is_allowed(
     listener: u8,
-    seen: Vec<(u64, Seen)>,
+    seen: Vec<(u64, Event)>,
     rule: Option<Rule>,
 ) {
     let verdict = verdict(listener, seen);
@@ -388,16 +390,16 @@
 #[test_case(3, false; "fewer knew it")]
 fn a_cold_host_pushed_over_counts_by_who_knew(knowing: u64, broken: bool) {
     let started = Some(ms(50));
-    let told = Seen::Told {
+    let told = Event::HostListed {
         proxy: 0,
         host: 0,
-        standing: Standing::Ready,
+        standing: HostState::Ready,
         started,
     };
     let mut seen = vec![(60, told), (200, answered(BUSY))];
     for id in 2..=6 {
         let proxy = u16::from(id > knowing);
-        let asked = Seen::Asked {
+        let asked = Event::Asked {
             id,
             proxy,
             place: 0,
@@ -406,11 +408,11 @@
             inherited: false,
         };
         seen.push((100, asked));
-        seen.push((200, Seen::Answered { id, answer: BUSY }));
+        seen.push((200, Event::Answered { id, answer: BUSY }));
     }
     seen.push((
         300,
-        Seen::Collapsed {
+        Event::Collapsed {
             host: 0,
             started,
             by: (1..=6).collect(),
@@ -453,7 +455,7 @@
 #[test_case(b"-1.0 refused\nNaN refused\n1.0 REFUSED!\n\xff\n7.0", &["5 lines, 5 bad, first at n0.log:1, n0.log:2"]; "lines that make no sense")]
 #[test_case(&[b'x'; 40_000], &["3 lines, 3 bad"]; "an endless line")]
 fn the_logs_of_a_fleet_are_summed_and_bad_lines_named(log: &[u8], says: &[&str]) {
-    let mut logs = Logs::new(2);
+    let mut logs = LogSummary::new(2);
     logs.take("n0.log", log).unwrap();
     assert!(
         says.iter().all(|part| logs.table().contains(part)),
@@ -482,7 +484,7 @@
         let text = written(help::BASE, &drawn(&plan.faults)).unwrap();
         let read = Plan::new(&Scenario::read(&text).unwrap(), 5, None);
         let ms = |at: Duration| at.as_millis();
-        let told = |s: &Struck| {
+        let told = |s: &PlannedFault| {
             (
                 s.kind,
                 s.on.clone(),
--- a/crates/testbed/tests/recovery.rs
+++ b/crates/testbed/tests/recovery.rs
@@ -11,8 +11,8 @@
 
 mod help;
 
-use asterramp_testbed::ledger::{Answer, Reply, Seen};
-use asterramp_testbed::run::Ran;
+use asterramp_testbed::event_log::{ClientAnswer, Event, HostReply};
+use asterramp_testbed::run::RunOutcome;
 use asterramp_testbed::scenario::Scenario;
 use std::time::Duration;
 use test_case::test_case;
@@ -46,39 +46,39 @@
     fault("4s", Some("1s"), "power-cut", "")
 }
 
-fn play(faults: &str) -> (Ran, String) {
+fn play(faults: &str) -> (RunOutcome, String) {
     play_it(Scenario::read(&scenario_text(faults)).unwrap())
 }
 
-fn play_it(scenario: Scenario) -> (Ran, String) {
+fn play_it(scenario: Scenario) -> (RunOutcome, String) {
     let (ran, logs) = help::play_and_read(scenario, help::real(), 3, None);
     help::show(&ran);
     assert!(
         ran.verdict.breaches.is_empty(),
         "faults: {:?}",
-        ran.world.plan.faults
+        ran.testbed.plan.faults
     );
     // The sum of all proxies pushes nobody over, told or not.
     let over = ran
         .records
         .iter()
-        .filter(|r| matches!(r.seen, Seen::Collapsed { .. }))
+        .filter(|r| matches!(r.seen, Event::Collapsed { .. }))
         .count();
     assert_eq!(over, 0, "{over} hosts were pushed over");
     (ran, logs)
 }
 
 /// Sessions brought up between two seconds of the run.
-fn up(ran: &Ran, from: u64, to: u64) -> usize {
-    let begin = (*ran.world.begin.borrow()).unwrap();
+fn up(ran: &RunOutcome, from: u64, to: u64) -> usize {
+    let begin = (*ran.testbed.begin.borrow()).unwrap();
     let within = |at: Duration| {
         at >= begin + Duration::from_secs(from) && at < begin + Duration::from_secs(to)
     };
-    let up = |seen: &Seen| {
+    let up = |seen: &Event| {
         matches!(
             seen,
-            Seen::Replied {
-                reply: Reply::Up,
+            Event::Replied {
+                reply: HostReply::Up,
                 ..
             }
         )
@@ -122,9 +122,9 @@
     let (ran, _) = play(&(cut() + &faults));
     assert!(up(&ran, 6, 10) > least, "{} came up", up(&ran, 6, 10));
     // Nobody is dialled who has not answered.
-    let at = (*ran.world.begin.borrow()).unwrap() + Duration::from_secs(5);
-    let dials = |r: &&asterramp_testbed::ledger::Record| {
-        r.at > at && matches!(r.seen, Seen::Dialled { .. })
+    let at = (*ran.testbed.begin.borrow()).unwrap() + Duration::from_secs(5);
+    let dials = |r: &&asterramp_testbed::event_log::LoggedEvent| {
+        r.at > at && matches!(r.seen, Event::Dialled { .. })
     };
     let dials = ran.records.iter().filter(dials).count();
     let ups = up(&ran, 5, 11);
@@ -145,11 +145,11 @@
         );
     let (ran, logs) = play(&(cut() + &faults));
     assert_eq!(up(&ran, 6, 11), 0);
-    let busy = |seen: &Seen| {
+    let busy = |seen: &Event| {
         matches!(
             seen,
-            Seen::Answered {
-                answer: Answer::Busy(Some(_)),
+            Event::Answered {
+                answer: ClientAnswer::Busy(Some(_)),
                 ..
             }
         )
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -11,8 +11,8 @@
 
 mod help;
 
-use asterramp_testbed::ledger::Seen;
-use asterramp_testbed::run::Ran;
+use asterramp_testbed::event_log::Event;
+use asterramp_testbed::run::RunOutcome;
 use asterramp_testbed::scenario::Scenario;
 use std::time::Duration;
 use test_case::test_case;
@@ -48,13 +48,13 @@
     format!("[[faults]]\nat = \"{at}\"\nfor = \"{lasts}\"\nkind = \"{kind}\"\n{rest}\n")
 }
 
-fn play(faults: &str, proxies: &str) -> (Ran, String) {
+fn play(faults: &str, proxies: &str) -> (RunOutcome, String) {
     let (ran, logs) = help::play_and_read(scenario(faults, proxies), help::real(), 3, None);
     help::show(&ran);
     assert!(
         ran.verdict.breaches.is_empty(),
         "faults: {:?}",
-        ran.world.plan.faults
+        ran.testbed.plan.faults
     );
     let tally = ran.verdict.tally;
     assert!(tally.sessions > 300 && tally.accepted > 200, "{tally:?}");
@@ -106,8 +106,8 @@
         .records
         .iter()
         .filter_map(|r| match r.seen {
-            Seen::Answered {
-                answer: asterramp_testbed::ledger::Answer::Busy(Some(ms)),
+            Event::Answered {
+                answer: asterramp_testbed::event_log::ClientAnswer::Busy(Some(ms)),
                 ..
             } => Some(ms / 100),
             _ => None,
@@ -166,7 +166,7 @@
     let woke = ran
         .records
         .iter()
-        .filter(|r| matches!(r.seen, Seen::ProxyStalls { stops: false, .. }));
+        .filter(|r| matches!(r.seen, Event::ProxyStalls { stops: false, .. }));
     assert_eq!(woke.count(), 2);
 }
 
@@ -185,12 +185,12 @@
 fn everything_starts_anew_after_a_power_cut() {
     let (ran, _) = play(&fault("3s", "1s", "power-cut", ""), "");
     let since = |from: u64| {
-        let began = (*ran.world.begin.borrow()).unwrap() + Duration::from_secs(from);
-        let up = |seen: &Seen| {
+        let began = (*ran.testbed.begin.borrow()).unwrap() + Duration::from_secs(from);
+        let up = |seen: &Event| {
             matches!(
                 seen,
-                Seen::Replied {
-                    reply: asterramp_testbed::ledger::Reply::Up,
+                Event::Replied {
+                    reply: asterramp_testbed::event_log::HostReply::Up,
                     ..
                 }
             )
