--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! A [`world::World`] within the bounds of a [`shape::Shape`] goes on by [`action::Action`]s, and every
 //! [`properties::Property`] is checked behind each. [`walk`] draws actions at random; a [`trace::Trace`] keeps what led to a
-//! violation. Four smaller models play hot restart, zone failover, warm start and leader lease. `docs/check.md` says what
+//! violation. Four smaller models play hot restart, zone failover, warm start and leader lease. `docs/model-checker.md` says what
 //! all that shows and what it leaves out.
 
 pub mod action;
