--- a/crates/model-checker/src/placement_model.rs
+++ b/crates/model-checker/src/placement_model.rs
@@ -1,10 +1,10 @@
 //! Sessions and their placement as a [`Model`]: a [`World`] within the bounds of a [`Shape`].
 
+use crate::action::{Action, Choice};
 use crate::explorer::{self, Counterexample, Exploration, Limits};
 use crate::model::Model;
-use crate::properties::Breach;
+use crate::properties::Violation;
 use crate::shape::Shape;
-use crate::step::{Move, Step};
 use crate::world::World;
 
 /// Ranges of random numbers that are explored of an arrival, whose placement is drawn among all servers.
@@ -15,10 +15,10 @@
 const RANGES_WITHOUT_PLACEMENT: u8 = 1;
 
 /// A violation of the placement model, with a shortest way to it.
-pub type PlacementCounterexample = Counterexample<Move, Breach>;
+pub type PlacementCounterexample = Counterexample<Choice, Violation>;
 
 /// What an exploration of the placement model has seen.
-pub type PlacementExploration = Exploration<Move, Breach>;
+pub type PlacementExploration = Exploration<Choice, Violation>;
 
 /// A world and its bounds.
 #[derive(Clone, Debug)]
@@ -38,40 +38,45 @@
 }
 
 /// How many ranges of random numbers an action is explored with.
-fn random_ranges(step: Step) -> u8 {
-    match step {
-        Step::Arrives(_) => RANGES_OF_ARRIVAL,
-        Step::Connected(_)
-        | Step::Written(_)
-        | Step::Sigterm
-        | Step::Leaves(_)
-        | Step::Speaks(_) => RANGES_WITHOUT_PLACEMENT,
+fn random_ranges(action: Action) -> u8 {
+    match action {
+        Action::SessionArrives(_) => RANGES_OF_ARRIVAL,
+        Action::DialConnected(_)
+        | Action::RequestWritten(_)
+        | Action::Sigterm
+        | Action::ClientLeaves(_)
+        | Action::ClientSpeaks(_) => RANGES_WITHOUT_PLACEMENT,
         _ => RANGES_OF_PLACEMENT,
     }
 }
 
 impl Model for PlacementModel {
-    type Action = Move;
-    type Violation = Breach;
+    type Action = Choice;
+    type Violation = Violation;
     type Fingerprint = u128;
 
     fn fingerprint(&self) -> u128 {
-        self.world.digest()
+        self.world.fingerprint()
     }
 
     fn is_finished(&self) -> bool {
-        self.world.over(self.shape)
+        self.world.is_finished(self.shape)
     }
 
-    fn actions(&self) -> Vec<Move> {
-        let mut steps = Vec::new();
-        self.world.steps(self.shape, &mut steps);
-        let with_ranges = |step| (0..random_ranges(step)).map(move |chance| Move { step, chance });
-        steps.into_iter().flat_map(with_ranges).collect()
+    fn actions(&self) -> Vec<Choice> {
+        let mut actions = Vec::new();
+        self.world.actions(self.shape, &mut actions);
+        let with_ranges = |action| {
+            (0..random_ranges(action)).map(move |random_range| Choice {
+                action,
+                random_range,
+            })
+        };
+        actions.into_iter().flat_map(with_ranges).collect()
     }
 
-    fn apply(&mut self, action: Move) -> Result<(), Breach> {
-        self.world.make(self.shape, action)
+    fn apply(&mut self, choice: Choice) -> Result<(), Violation> {
+        self.world.apply(self.shape, choice)
     }
 }
 
--- /dev/null
+++ b/crates/model-checker/src/report.rs
@@ -0,0 +1,97 @@
+//! What the commands print, and how they end.
+
+use asterramp_model_checker::explorer::{Counterexample, Exploration};
+use asterramp_model_checker::placement_model::PlacementExploration;
+use asterramp_model_checker::shape::Shape;
+use std::fmt::Display;
+use std::process::ExitCode;
+
+/// How a command ended that could do its work, from good to bad.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum Verdict {
+    /// All properties hold, or nothing was to be checked.
+    Holds,
+    /// A limit was reached before all was seen; what was seen holds.
+    Truncated,
+    /// A property does not hold, or an injected fault was not found.
+    Broken,
+}
+
+impl From<Verdict> for ExitCode {
+    fn from(verdict: Verdict) -> ExitCode {
+        ExitCode::from(match verdict {
+            Verdict::Holds => 0,
+            Verdict::Broken => 1,
+            Verdict::Truncated => 4,
+        })
+    }
+}
+
+/// How much of a model was to be explored.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Extent {
+    /// All of it.
+    Complete,
+    /// As many steps as the command line says.
+    ToDepth,
+}
+
+/// Prints what an exploration of one of the smaller models has seen.
+pub(crate) fn print_exploration<A: Display, V: Display>(
+    exploration: &Exploration<A, V>,
+    extent: Extent,
+) -> Verdict {
+    let Exploration {
+        states,
+        steps,
+        depth,
+        counterexample,
+        ..
+    } = exploration;
+    println!("{states} states, {steps} steps, depth {depth}");
+    match counterexample {
+        Some(counterexample) => {
+            print_counterexample(counterexample);
+            Verdict::Broken
+        }
+        None => {
+            println!("{}", all_hold(extent));
+            Verdict::Holds
+        }
+    }
+}
+
+fn all_hold(extent: Extent) -> &'static str {
+    match extent {
+        Extent::Complete => "all seen, all hold",
+        Extent::ToDepth => "all seen to that depth, all hold",
+    }
+}
+
+fn print_counterexample<A: Display, V: Display>(counterexample: &Counterexample<A, V>) {
+    println!("BROKEN: {}", counterexample.violation);
+    for (number, action) in (1..).zip(&counterexample.actions) {
+        println!("{number:>3}. {action}");
+    }
+}
+
+/// The line about a shape.
+pub(crate) fn shape_line(shape: &Shape, exploration: &PlacementExploration) -> String {
+    let PlacementExploration {
+        states,
+        depth,
+        unexpanded,
+        ..
+    } = exploration;
+    let name = shape.name;
+    let seconds = exploration.elapsed.as_secs_f64();
+    let rate = exploration.steps as f64 / seconds.max(1e-3) / 1e3;
+    let end = match (&exploration.counterexample, exploration.is_truncated) {
+        (Some(found), _) => format!("BROKEN after {} steps", found.actions.len()),
+        (None, true) => format!("stopped; {unexpanded} states not gone on from"),
+        (None, false) => all_hold(Extent::Complete).to_owned(),
+    };
+    format!(
+        "{name:<18} {states:>9} states, depth {depth:>3}, {seconds:>6.1} s, {rate:>6.0}k steps/s  {end}"
+    )
+}
