--- /dev/null
+++ b/crates/model-checker/src/leader_lease/model.rs
@@ -0,0 +1,255 @@
+//! Contenders, store, receivers and their clocks.
+
+use super::action::{LeaseAction, Link};
+use super::clocks::{START, TICK, phase, true_time};
+use super::contender::{ClockRequest, ContenderModel, StoreRequest};
+use super::factory::Factory;
+use super::receiver::{OrderInFlight, ReceiverModel};
+use super::reference::Reference;
+use super::settings::{CONTENDERS, RECEIVERS, SETTINGS};
+use super::store::LeaseStore;
+use super::violation::LeaseViolation;
+#[cfg(feature = "injected-faults")]
+use asterramp_leader_lease::InjectedFault;
+use asterramp_leader_lease::{FencingToken, NO_TERM, OrderPurpose};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// Two contenders, their store and two receivers.
+#[derive(Clone, Debug)]
+pub struct LeaderLeaseModel {
+    /// The true time.
+    pub(super) now: Duration,
+    pub(super) contenders: [ContenderModel; CONTENDERS],
+    pub(super) store: LeaseStore,
+    receivers: [ReceiverModel; RECEIVERS],
+    /// Processes of receivers so far.
+    incarnations: u64,
+    pub(super) orders_in_flight: BTreeSet<OrderInFlight>,
+    factory: Factory,
+    /// The first violation of the present action.
+    violation: Option<LeaseViolation>,
+}
+
+impl Default for LeaderLeaseModel {
+    fn default() -> Self {
+        LeaderLeaseModel::new()
+    }
+}
+
+impl LeaderLeaseModel {
+    /// Nobody is queued, and no order was ever given.
+    pub fn new() -> LeaderLeaseModel {
+        LeaderLeaseModel::with_factory(Factory::default())
+    }
+
+    /// The same with a fault in the code that decides.
+    #[cfg(feature = "injected-faults")]
+    pub fn with_fault(injected_fault: InjectedFault) -> LeaderLeaseModel {
+        LeaderLeaseModel::with_factory(Factory {
+            injected_fault: Some(injected_fault),
+        })
+    }
+
+    fn with_factory(factory: Factory) -> LeaderLeaseModel {
+        let contender = |number| ContenderModel::new(number, factory.contender(SETTINGS));
+        let receiver = |number| {
+            let guard = factory.guard(number as u64 + 1, NO_TERM);
+            ReceiverModel::new(number, guard)
+        };
+        LeaderLeaseModel {
+            now: START,
+            contenders: [contender(0), contender(1)],
+            store: LeaseStore::new(),
+            receivers: [receiver(0), receiver(1)],
+            incarnations: RECEIVERS as u64,
+            orders_in_flight: BTreeSet::new(),
+            factory,
+            violation: None,
+        }
+    }
+
+    /// Keeps the first violation of an action.
+    fn record(&mut self, checked: Result<(), LeaseViolation>) {
+        if let Err(violation) = checked {
+            self.violation.get_or_insert(violation);
+        }
+    }
+
+    fn perform(&mut self, action: LeaseAction) {
+        match action {
+            LeaseAction::JoinQueue(contender) => {
+                let term = self.store.create_node(contender, self.now);
+                self.contenders[contender].join_queue(self.now, term);
+            }
+            LeaseAction::SendStoreRequest(contender) => {
+                self.contenders[contender].send_store_request(self.now);
+            }
+            LeaseAction::HandleStoreRequest(contender) => self.handle_store_request(contender),
+            LeaseAction::ReceiveStoreAnswer(contender) => {
+                let checked = self.contenders[contender].receive_store_answer(self.now);
+                self.record(checked);
+            }
+            LeaseAction::BreakStoreConnection(contender) => {
+                self.contenders[contender].store_request = None;
+            }
+            LeaseAction::ExpireSession(contender) => self.store.end_session(contender),
+            LeaseAction::LoseAllSessions => self.store.lose_all_sessions(),
+            LeaseAction::LearnOfExpiry(contender) => {
+                let checked = self.contenders[contender].learn_of_expiry();
+                self.record(checked);
+            }
+            LeaseAction::Resign(contender) => {
+                self.store.end_session(contender);
+                self.restart_contender(contender);
+            }
+            LeaseAction::RestartContender(contender) => self.restart_contender(contender),
+            LeaseAction::RequestClock(link) => self.set_clock_request(link, ClockRequest::Sent),
+            LeaseAction::ReadClock(link) => {
+                let clock = self.receivers[link.receiver].clock(self.now);
+                self.set_clock_request(link, ClockRequest::Answered(clock));
+            }
+            LeaseAction::ReceiveClock(link) => {
+                self.contenders[link.contender].receive_clock(self.now, link.receiver);
+            }
+            LeaseAction::CreateOrder(link, purpose) => self.create_order(link, purpose),
+            LeaseAction::SendOrder(link) => self.send_order(link),
+            LeaseAction::DeliverOrder(number) => self.deliver_order(number),
+            LeaseAction::RestartReceiver { receiver, has_disk } => {
+                self.restart_receiver(receiver, has_disk);
+            }
+            LeaseAction::TimePasses => self.now += TICK,
+        }
+    }
+
+    fn handle_store_request(&mut self, contender: usize) {
+        let request = &mut self.contenders[contender].store_request;
+        if let Some(StoreRequest::Sent { sent_at }) = *request {
+            let queue_head = self.store.renew(contender, self.now);
+            *request = Some(StoreRequest::Handled {
+                sent_at,
+                queue_head,
+            });
+        }
+    }
+
+    fn restart_contender(&mut self, number: usize) {
+        let contender = self.factory.contender(SETTINGS);
+        self.contenders[number] = ContenderModel::new(number, contender);
+    }
+
+    fn set_clock_request(&mut self, link: Link, request: ClockRequest) {
+        self.contenders[link.contender].clock_requests[link.receiver] = request;
+    }
+
+    fn create_order(&mut self, link: Link, purpose: OrderPurpose) {
+        let contender = &mut self.contenders[link.contender];
+        if let Some(order) = contender.create_order(self.now, link.receiver, purpose) {
+            let checked = self.check_order(link, order, purpose);
+            self.record(checked);
+        }
+    }
+
+    /// What must hold of an order as it is made.
+    fn check_order(
+        &self,
+        link: Link,
+        order: FencingToken,
+        purpose: OrderPurpose,
+    ) -> Result<(), LeaseViolation> {
+        let contender = link.contender;
+        if self.store.lost[contender] {
+            return Ok(());
+        }
+        let Some(session) = self.store.sessions[contender] else {
+            return Err(LeaseViolation::OrderWithoutSession { contender });
+        };
+        if true_time(link.receiver, order.expires_at) > session.expires_at() {
+            return Err(LeaseViolation::OrderOutlivesSession { contender });
+        }
+        let is_first = self.store.queue_head() == Some(session.term);
+        if purpose == OrderPurpose::Command && !is_first {
+            return Err(LeaseViolation::OrderWithoutLead { contender });
+        }
+        Ok(())
+    }
+
+    fn send_order(&mut self, link: Link) {
+        let order = self.contenders[link.contender].unsent_orders[link.receiver].take();
+        let in_flight = order.map(|token| OrderInFlight::new(link.receiver, token));
+        self.orders_in_flight.extend(in_flight);
+    }
+
+    fn deliver_order(&mut self, number: usize) {
+        let Some(order) = self.orders_in_flight.iter().nth(number).copied() else {
+            return;
+        };
+        if self.receivers[order.receiver].accepts(self.now, &order) {
+            let checked = self.check_accepted(&order);
+            self.record(checked);
+            for contender in &mut self.contenders {
+                if contender.term() == order.term {
+                    contender.inform_receiver(order.receiver);
+                }
+            }
+        }
+    }
+
+    /// What must hold of an order that a receiver has just accepted, whose term it keeps.
+    fn check_accepted(&mut self, order: &OrderInFlight) -> Result<(), LeaseViolation> {
+        let receiver = &mut self.receivers[order.receiver];
+        let checked = receiver.check_accepted(self.now, order);
+        let kept = receiver.keep_term(order.term);
+        checked?;
+        self.check_not_superseded(order)?;
+        kept
+    }
+
+    /// No later leader may lead.
+    fn check_not_superseded(&self, order: &OrderInFlight) -> Result<(), LeaseViolation> {
+        let mut contenders = self.contenders.iter();
+        let later_leader = contenders.find(|contender| contender.has_led_after(order.term));
+        match later_leader {
+            None => Ok(()),
+            Some(later_leader) => Err(LeaseViolation::FormerLeaderAccepted {
+                receiver: order.receiver,
+                term: order.term,
+                later: later_leader.term(),
+            }),
+        }
+    }
+
+    fn restart_receiver(&mut self, receiver: usize, has_disk: bool) {
+        let kept_term = self.receivers[receiver].kept_term;
+        let known_term = if has_disk { kept_term } else { NO_TERM };
+        self.incarnations += 1;
+        let guard = self.factory.guard(self.incarnations, known_term);
+        self.receivers[receiver].restart(guard, known_term);
+    }
+
+    /// Lets an action happen, and checks what must hold then.
+    pub(super) fn handle(&mut self, action: LeaseAction) -> Result<(), LeaseViolation> {
+        self.perform(action);
+        for contender in &mut self.contenders {
+            contender.tick(self.now);
+        }
+        self.violation.take().map_or(Ok(()), Err)
+    }
+
+    /// Equal for models that behave alike.
+    pub(super) fn relative_state(&self) -> String {
+        let reference = Reference {
+            now: self.now,
+            incarnations: self.incarnations,
+        };
+        let mut parts = vec![phase(self.now).to_string()];
+        parts.push(self.store.fingerprint(reference));
+        let contenders = self.contenders.iter();
+        parts.extend(contenders.map(|contender| contender.fingerprint(reference)));
+        let receivers = self.receivers.iter();
+        parts.extend(receivers.map(|receiver| receiver.fingerprint(reference)));
+        let orders = self.orders_in_flight.iter();
+        parts.extend(orders.map(|order| order.fingerprint(reference)));
+        parts.join("|")
+    }
+}
