--- a/crates/model-checker/src/monitor/mod.rs
+++ b/crates/model-checker/src/monitor/mod.rs
@@ -315,7 +315,7 @@
     }
 
     /// Something stays that should have been removed.
-    pub(crate) fn on_left_behind(&mut self, session: u8, what: &str) {
+    pub(crate) fn report_left_behind(&mut self, session: u8, what: &str) {
         let description = format!("{what}, session {session}");
         self.violate(Property::NothingLeftBehind, description);
     }
@@ -332,7 +332,7 @@
             );
         }
         if is_dialling {
-            self.on_left_behind(session, "a dial of a session that is forgotten");
+            self.report_left_behind(session, "a dial of a session that is forgotten");
         }
     }
 
--- a/crates/model-checker/src/world/invariants.rs
+++ b/crates/model-checker/src/world/invariants.rs
@@ -6,6 +6,9 @@
 use crate::shape::Shape;
 use std::time::Duration;
 
+/// The session's number in reports about none in particular.
+const NO_SESSION: u8 = 0;
+
 impl World {
     pub(super) fn check(&mut self, shape: &Shape) -> Result<(), Violation> {
         self.monitor.check_now(self.now);
@@ -18,7 +21,7 @@
             START + shape.arrival_window() + shape.client_wait * 2 + MAX_SHUTDOWN_WAIT;
         if self.now > all_have_ended && !self.all_sessions_are_open() {
             self.monitor
-                .on_left_behind(0, "a session long after its time");
+                .report_left_behind(NO_SESSION, "a session long after its time");
         }
         self.monitor.verdict()
     }
@@ -30,7 +33,7 @@
             let is_known = slot.is_some_and(|slot| slot.driver_data.server == Some(key));
             if !is_known {
                 self.monitor
-                    .on_left_behind(connection.session, "a connection that no session knows");
+                    .report_left_behind(connection.session, "a connection that no session knows");
             }
         }
     }
@@ -42,8 +45,10 @@
             let has_connection = slot.driver_data.server.is_some();
             let has_deadline = || self.deadlines.get(Deadline::Session(key)).is_some();
             if !has_connection && !has_deadline() {
-                self.monitor
-                    .on_left_behind(slot.driver_data.session, "a session that nothing will end");
+                self.monitor.report_left_behind(
+                    slot.driver_data.session,
+                    "a session that nothing will end",
+                );
             }
         }
     }
@@ -57,7 +62,7 @@
             |key| matches!(key, Deadline::Session(session) if sessions.get(session).is_none());
         if keys.into_iter().any(is_stray) {
             self.monitor
-                .on_left_behind(0, "a deadline of a session that is gone");
+                .report_left_behind(NO_SESSION, "a deadline of a session that is gone");
         }
     }
 }
