--- a/crates/model-checker/src/action_text.rs
+++ b/crates/model-checker/src/action_text.rs
@@ -132,10 +132,7 @@
         ["dial", "refused"] => Some(Action::DialRefused(session)),
         ["dial", "without", "socket"] => Some(Action::DialWithoutSocket(session)),
         ["line", "written"] => Some(Action::RequestWritten(session)),
-        ["host", "says", word] => {
-            let message = value_of(&SERVER_MESSAGES, word)?;
-            Some(Action::ServerAnswers(session, message))
-        }
+        ["host", "says", word] => Some(Action::ServerAnswers(session, server_message(word)?)),
         ["host", "ends"] => Some(Action::ServerCloses(session)),
         ["client", "leaves"] => Some(Action::ClientLeaves(session)),
         ["client", "speaks"] => Some(Action::ClientSpeaks(session)),
@@ -151,10 +148,19 @@
             let change = value_of(&ENDPOINT_CHANGES, word)?;
             Some(Action::EndpointChanges(server, change))
         }
-        ["probe", word] => {
-            let result = value_of(&PROBE_RESULTS, word)?;
-            Some(Action::ProbeEnds(server, result))
-        }
+        ["probe", word] => Some(Action::ProbeEnds(server, probe_result(word)?)),
         _ => None,
     }
 }
+
+/// A probe's result in place of a message is taken as an error, as earlier builds did.
+fn server_message(word: &str) -> Option<ServerMessage> {
+    value_of(&SERVER_MESSAGES, word)
+        .or_else(|| value_of(&PROBE_RESULTS, word).map(|_| ServerMessage::Err))
+}
+
+/// A message in place of a probe's result is taken as a refused connection, as earlier builds did.
+fn probe_result(word: &str) -> Option<ProbeResult> {
+    value_of(&PROBE_RESULTS, word)
+        .or_else(|| value_of(&SERVER_MESSAGES, word).map(|_| ProbeResult::Refused))
+}
--- a/crates/model-checker/tests/trace.rs
+++ b/crates/model-checker/tests/trace.rs
@@ -139,6 +139,20 @@
     assert_eq!(lines.len() - actions.len(), WALK_EFFECTS);
 }
 
+/// No checker writes such lines, but earlier builds read them.
+#[test_case(
+    "session 0 host says full",
+    Action::ServerAnswers(0, ServerMessage::Err)
+)]
+#[test_case("host 1 probe up", Action::ProbeEnds(1, ProbeResult::Refused))]
+fn a_word_of_the_other_kind_is_read_as_earlier_builds_did(text: &str, action: Action) {
+    let choice = Choice {
+        action,
+        random_range: 0,
+    };
+    assert_eq!(text.parse(), Ok(choice));
+}
+
 #[test_case("shape none\n1. next deadline", "line 1: shape \"none\" is not known"; "unknown shape")]
 #[test_case("shape cold\n1. session 0 flies", "line 2: \"session 0 flies\" is no step"; "unknown action")]
 #[test_case("1. next deadline", "no line `shape NAME`"; "no shape")]
