--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -324,8 +324,8 @@
             Step::Says(n, word) => {
                 let outcome = match word {
                     Word::Busy => Outcome::Full,
-                    Word::Move => Outcome::CalledOff,
-                    _ => Outcome::Erred,
+                    Word::Move => Outcome::Cancelled,
+                    _ => Outcome::ServerError,
                 };
                 if word == Word::Busy {
                     self.monitor.never_ran(n);
@@ -464,7 +464,7 @@
         };
         let advice = self.drain.advise(self.now, &view);
         for (_, number) in open.into_iter().take(advice.migrate) {
-            self.close_both(number, Outcome::CalledOff);
+            self.close_both(number, Outcome::Cancelled);
         }
         if advice.reject_pending {
             for (key, _) in pending {
@@ -685,7 +685,7 @@
                     .opens(n, self.now, open, held.driver_data.client);
             }
             SessionEffect::Migrate => {
-                self.close_both(n, Outcome::CalledOff);
+                self.close_both(n, Outcome::Cancelled);
             }
             SessionEffect::Forget => {
                 let server = held.driver_data.server;
--- a/crates/placement/src/action.rs
+++ b/crates/placement/src/action.rs
@@ -22,7 +22,7 @@
         /// The attempt's session.
         session: SessionId,
         /// The attempt's number.
-        dial: u8,
+        attempt: u8,
     },
     /// Answer the client that nothing was done for it. A session's final answer.
     Reject {
--- a/crates/placement/src/engine.rs
+++ b/crates/placement/src/engine.rs
@@ -95,23 +95,23 @@
             Event::Endpoints(update) => self.update_endpoints(update),
             Event::SessionRequested(request) => self.accept_session(request, out),
             Event::SessionInherited(request, server) => self.inherit_session(request, server, out),
-            Event::SessionOpened { session, dial } => {
-                self.advance_attempt(session, dial, SessionInput::Opened, out);
+            Event::SessionOpened { session, attempt } => {
+                self.advance_attempt(session, attempt, SessionInput::Opened, out);
             }
             Event::AttemptEnded {
                 session,
-                dial,
+                attempt,
                 outcome,
                 session_over,
                 load,
             } => {
-                self.record_attempt_end(session, dial, outcome, load);
+                self.record_attempt_end(session, attempt, outcome, load);
                 let input = if session_over {
                     SessionInput::Closed
                 } else {
                     SessionInput::AttemptFailed
                 };
-                self.advance_attempt(session, dial, input, out);
+                self.advance_attempt(session, attempt, input, out);
             }
             Event::Observed {
                 server,
--- a/crates/placement/src/engine/attempts.rs
+++ b/crates/placement/src/engine/attempts.rs
@@ -93,7 +93,7 @@
         let waited = now.saturating_sub(session.dialed_at);
         let may_have_executed = !matches!(
             outcome,
-            Outcome::Full | Outcome::Unreachable | Outcome::NeverSent
+            Outcome::Full | Outcome::Unreachable | Outcome::NotSent
         );
         if may_have_executed && session.first_execution.is_none() {
             session.first_execution = Some(Attempt {
@@ -106,7 +106,10 @@
             // Slow for one is slow for the next; with little traffic a mean would show it too late.
             self.setup_time = self.setup_time.max(waited * 2);
         }
-        let failed = matches!(outcome, Outcome::Erred | Outcome::TimedOut | Outcome::Reset);
+        let failed = matches!(
+            outcome,
+            Outcome::ServerError | Outcome::TimedOut | Outcome::Reset
+        );
         if failed && (attempt > 0 || self.pacing.nothing_opened_yet()) {
             self.pace_after_failure(id);
         }
@@ -118,13 +121,13 @@
         let now = self.now;
         let failed_servers = &mut self.session_mut(id).failed_servers;
         let first_failed = failed_servers.first().copied();
-        let failed_at_once = matches!(outcome, Outcome::Erred | Outcome::Reset);
+        let failed_at_once = matches!(outcome, Outcome::ServerError | Outcome::Reset);
         if failed_at_once {
             failed_servers.push(server);
         }
         match outcome {
-            Outcome::Ok | Outcome::CalledOff | Outcome::NeverSent => {}
-            Outcome::Erred | Outcome::Reset if first_failed.is_some() => {
+            Outcome::Ok | Outcome::Cancelled | Outcome::NotSent => {}
+            Outcome::ServerError | Outcome::Reset if first_failed.is_some() => {
                 if let Some(first_failed) = first_failed {
                     self.server_mut(first_failed).ejection.end(now);
                 }
--- a/crates/placement/src/engine/sessions.rs
+++ b/crates/placement/src/engine/sessions.rs
@@ -148,7 +148,7 @@
         if self.deployment.may_cancel {
             out.push(Action::Cancel {
                 session: id,
-                dial: self.session(id).attempt_number(),
+                attempt: self.session(id).attempt_number(),
             });
         }
     }
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -62,7 +62,7 @@
     /// In good order.
     Ok,
     /// The server answered with an error.
-    Erred,
+    ServerError,
     /// The server has no room. It executed nothing.
     Full,
     /// No answer in time. The server may have executed the session.
@@ -72,9 +72,9 @@
     /// The connection broke after the request was written.
     Reset,
     /// Cancelled by [`Action::Cancel`](crate::Action::Cancel).
-    CalledOff,
+    Cancelled,
     /// Given up before anything was written.
-    NeverSent,
+    NotSent,
 }
 
 /// What a server reports of its load, as far as it does.
@@ -128,14 +128,14 @@
         /// The attempt's session.
         session: SessionId,
         /// The attempt's number.
-        dial: u8,
+        attempt: u8,
     },
     /// An attempt failed, or the connection that it opened ended.
     AttemptEnded {
         /// The attempt's session.
         session: SessionId,
         /// The attempt's number.
-        dial: u8,
+        attempt: u8,
         /// How it ended.
         outcome: Outcome,
         /// Whether the session is over, so that no further attempt is wanted.
--- a/crates/placement/tests/engine/attempts.rs
+++ b/crates/placement/tests/engine/attempts.rs
@@ -11,13 +11,13 @@
 
 // Each rule on every kind: what follows a failed dial.
 #[test_case(IDEMPOTENT, Outcome::TimedOut => 'D'; "idempotent that may have run")]
-#[test_case(KEY_KNOWN_BY_ALL, Outcome::Erred => 'D'; "keyed, known everywhere")]
-#[test_case(SHORT_KEY, Outcome::Erred => 'R'; "keyed, forgotten by now")]
+#[test_case(KEY_KNOWN_BY_ALL, Outcome::ServerError => 'D'; "keyed, known everywhere")]
+#[test_case(SHORT_KEY, Outcome::ServerError => 'R'; "keyed, forgotten by now")]
 #[test_case(KEY_KNOWN_BY_ZONE, Outcome::Reset => 'D'; "keyed, known in the zone")]
 #[test_case(KEY_KNOWN_BY_CELL, Outcome::Reset => 'D'; "keyed, known in a cell of one")]
 #[test_case(KEY_KNOWN_BY_CELL, Outcome::Unreachable => 'D'; "keyed that cannot have run")]
 #[test_case(RetrySafety::NotIdempotent, Outcome::TimedOut => 'T'; "not idempotent that timed out")]
-#[test_case(RetrySafety::NotIdempotent, Outcome::Erred => 'T'; "not idempotent that erred")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::ServerError => 'T'; "not idempotent that erred")]
 #[test_case(RetrySafety::NotIdempotent, Outcome::Reset => 'T'; "not idempotent that was reset")]
 #[test_case(RetrySafety::NotIdempotent, Outcome::Full => 'D'; "not idempotent turned away unseen")]
 #[test_case(RetrySafety::NotIdempotent, Outcome::Unreachable => 'D'; "not idempotent that reached nobody")]
@@ -94,7 +94,7 @@
         proxy.now += ms(400);
         // Others come up meanwhile, or the fault would not be the servers'.
         proxy.open_session(None);
-        let actions = proxy.end_attempt(session, dial, Outcome::Erred, false);
+        let actions = proxy.end_attempt(session, dial, Outcome::ServerError, false);
         assert_eq!(outcome_letter(&actions), wanted);
         seen.extend(dialed_server(&actions));
     }
@@ -111,7 +111,7 @@
     let first = dial_timeout_of(&actions);
     proxy.now += first;
     proxy.end_attempt(session, 0, Outcome::TimedOut, false);
-    proxy.end_attempt(session, 1, Outcome::CalledOff, true);
+    proxy.end_attempt(session, 1, Outcome::Cancelled, true);
     let (_, actions) = proxy.request_session(None);
     assert!(
         dial_timeout_of(&actions) >= first * 4,
@@ -127,7 +127,10 @@
     for _ in 0..30 {
         let (session, _) = proxy.request_session(None);
         proxy.now += ms(1_000);
-        proxy.handle(Event::SessionOpened { session, dial: 0 });
+        proxy.handle(Event::SessionOpened {
+            session,
+            attempt: 0,
+        });
     }
     assert!(dial_timeout_of(&proxy.request_session(None).1) > ms(1_500));
 }
--- a/crates/placement/tests/engine/load_estimate.rs
+++ b/crates/placement/tests/engine/load_estimate.rs
@@ -14,7 +14,7 @@
     let first = dialed_server(&actions).unwrap();
     let second = dialed_server(&proxy.request_session(None).1).unwrap();
     assert_ne!(first, second, "the bump of the first makes the other lower");
-    proxy.end_attempt(session, 0, Outcome::CalledOff, true);
+    proxy.end_attempt(session, 0, Outcome::Cancelled, true);
     assert_eq!(dialed_server(&proxy.request_session(None).1), Some(first));
 }
 
--- a/crates/placement/tests/engine/outlier_ejection.rs
+++ b/crates/placement/tests/engine/outlier_ejection.rs
@@ -6,7 +6,7 @@
 use test_case::test_case;
 
 // A server that fails its sessions is left alone, and tried again after a rest.
-#[test_case(Outcome::Erred; "errs")]
+#[test_case(Outcome::ServerError; "errs")]
 #[test_case(Outcome::TimedOut; "hangs")]
 #[test_case(Outcome::Unreachable; "cannot be reached")]
 #[test_case(Outcome::Full; "turns sessions away")]
@@ -22,17 +22,20 @@
                 dialed_server(&proxy.end_attempt(session, 0, outcome, false)),
                 Some(0)
             );
-            proxy.handle(Event::SessionOpened { session, dial: 1 });
+            proxy.handle(Event::SessionOpened {
+                session,
+                attempt: 1,
+            });
             proxy.end_attempt(session, 1, Outcome::Ok, true);
         } else {
-            proxy.end_attempt(session, 0, Outcome::CalledOff, true);
+            proxy.end_attempt(session, 0, Outcome::Cancelled, true);
         }
     }
     assert!((2..=12).contains(&visits), "{visits} visits in 20 s");
 }
 
 // A session that every server turns away, such as one whose id is open elsewhere, is no fault of theirs.
-#[test_case(Outcome::Erred => 0; "errs everywhere")]
+#[test_case(Outcome::ServerError => 0; "errs everywhere")]
 #[test_case(Outcome::Reset => 0; "is cut off everywhere")]
 #[test_case(Outcome::TimedOut => 3; "hangs everywhere")]
 fn a_session_that_fails_everywhere_ejects_no_server(outcome: Outcome) -> usize {
--- a/crates/placement/tests/engine/robustness.rs
+++ b/crates/placement/tests/engine/robustness.rs
@@ -67,15 +67,15 @@
     for stray in [
         Event::SessionOpened {
             session: 99,
-            dial: 0,
+            attempt: 0,
         },
         Event::SessionOpened {
             session: 0,
-            dial: 3,
+            attempt: 3,
         },
         Event::AttemptEnded {
             session: 0,
-            dial: 0,
+            attempt: 0,
             outcome: Outcome::Ok,
             session_over: true,
             load,
--- a/crates/placement/tests/engine/session_pacing.rs
+++ b/crates/placement/tests/engine/session_pacing.rs
@@ -6,7 +6,7 @@
 use test_case::test_case;
 
 // What stands behind the servers is short: dials of all proxies, over and over, would keep it so.
-#[test_case(Outcome::Erred; "err")]
+#[test_case(Outcome::ServerError; "err")]
 #[test_case(Outcome::TimedOut; "hang")]
 fn while_all_sessions_fail_most_are_rejected_at_once_until_one_opens(outcome: Outcome) {
     let facts = Deployment {
@@ -38,7 +38,10 @@
     let up = |proxy: &mut Proxy| {
         proxy.wait(ms(100));
         let (session, actions) = proxy.request_session(None);
-        proxy.handle(Event::SessionOpened { session, dial: 0 });
+        proxy.handle(Event::SessionOpened {
+            session,
+            attempt: 0,
+        });
         dialed_server(&actions).is_some()
     };
     let since = proxy.now;
@@ -70,11 +73,11 @@
             proxy.now += ms(10);
             let server = dialed_server(&actions).expect("a dial");
             if server.is_multiple_of(2) {
-                actions = proxy.end_attempt(session, *dial, Outcome::Erred, false);
+                actions = proxy.end_attempt(session, *dial, Outcome::ServerError, false);
             } else {
                 proxy.handle(Event::SessionOpened {
                     session,
-                    dial: *dial,
+                    attempt: *dial,
                 });
             }
             server.is_multiple_of(2)
@@ -100,23 +103,23 @@
         for dial in 0..3 {
             proxy.now += ms(10);
             proxy.open_session(None);
-            let actions = proxy.end_attempt(session, dial, Outcome::Erred, false);
+            let actions = proxy.end_attempt(session, dial, Outcome::ServerError, false);
             assert!(dialed_server(&actions).is_some(), "dial {dial}");
         }
-        proxy.end_attempt(session, 3, Outcome::CalledOff, true);
+        proxy.end_attempt(session, 3, Outcome::Cancelled, true);
         proxy.wait(ms(100));
     }
 }
 
 // A process that nothing has come up at yet, as after a restart, holds others back at its first failure; that session
 // itself is dialed elsewhere. What says nothing of what stands behind the servers does not count.
-#[test_case(Outcome::Erred, false => 'R'; "errs")]
+#[test_case(Outcome::ServerError, false => 'R'; "errs")]
 #[test_case(Outcome::TimedOut, false => 'R'; "times out")]
 #[test_case(Outcome::Reset, false => 'R'; "is reset")]
 #[test_case(Outcome::Full, false => 'D'; "is turned away")]
 #[test_case(Outcome::Unreachable, false => 'D'; "cannot connect")]
-#[test_case(Outcome::CalledOff, false => 'D'; "is sent away")]
-#[test_case(Outcome::Erred, true => 'D'; "errs where another has come up")]
+#[test_case(Outcome::Cancelled, false => 'D'; "is sent away")]
+#[test_case(Outcome::ServerError, true => 'D'; "errs where another has come up")]
 fn a_fresh_process_paces_sessions_after_its_first_failure(outcome: Outcome, served: bool) -> char {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 10);
     if served {
@@ -143,14 +146,17 @@
     for _ in 0..2 {
         let (session, actions) = proxy.request_session(None);
         assert!(dialed_server(&actions).is_some());
-        proxy.end_attempt(session, 0, Outcome::Erred, false);
-        proxy.end_attempt(session, 1, Outcome::Erred, false);
+        proxy.end_attempt(session, 0, Outcome::ServerError, false);
+        proxy.end_attempt(session, 1, Outcome::ServerError, false);
         proxy.now += ms(7_000);
     }
     let (session, actions) = proxy.request_session(None);
     assert!(dialed_server(&actions).is_some());
     proxy.now += ms(took);
-    proxy.handle(Event::SessionOpened { session, dial: 0 });
+    proxy.handle(Event::SessionOpened {
+        session,
+        attempt: 0,
+    });
     // Half of 4 s, or all of it, with the chance of a half to one and a half on top.
     proxy.now += ms(2_000);
     dialed_server(&proxy.request_session(None).1).is_some()
@@ -168,8 +174,8 @@
         if dialed_server(&actions).is_some() {
             gaps.push(proxy.now - last);
             last = proxy.now;
-            proxy.end_attempt(session, 0, Outcome::Erred, false);
-            proxy.end_attempt(session, 1, Outcome::Erred, false);
+            proxy.end_attempt(session, 0, Outcome::ServerError, false);
+            proxy.end_attempt(session, 1, Outcome::ServerError, false);
         }
     }
     assert!(gaps.iter().all(|gap| *gap < ms(4_000)), "{gaps:?}");
@@ -192,8 +198,8 @@
         )
     };
     assert_eq!(again(&mut proxy, 1, 7), 'D');
-    proxy.end_attempt(1, 0, Outcome::Erred, false);
-    proxy.end_attempt(1, 1, Outcome::Erred, false);
+    proxy.end_attempt(1, 0, Outcome::ServerError, false);
+    proxy.end_attempt(1, 1, Outcome::ServerError, false);
     proxy.now += ms(1_500);
     assert_eq!(again(&mut proxy, 2, 7), 'R', "others go first");
     proxy.now += ms(1_000);
--- a/crates/placement/tests/engine/slow_start.rs
+++ b/crates/placement/tests/engine/slow_start.rs
@@ -33,7 +33,7 @@
             proxy.report_load(9, 0.0, 0.0);
             let (session, actions) = proxy.request_session(None);
             sent.extend((dialed_server(&actions) == Some(9)).then_some(step * 100));
-            proxy.end_attempt(session, 0, Outcome::CalledOff, true);
+            proxy.end_attempt(session, 0, Outcome::Cancelled, true);
         }
     }
     sent.sort_unstable();
--- a/crates/placement/tests/engine/support.rs
+++ b/crates/placement/tests/engine/support.rs
@@ -154,7 +154,10 @@
     pub(crate) fn open_session(&mut self, group: Option<u64>) -> (SessionId, ServerId) {
         let (session, actions) = self.request_session(group);
         let server = dialed_server(&actions).expect("a dial");
-        self.handle(Event::SessionOpened { session, dial: 0 });
+        self.handle(Event::SessionOpened {
+            session,
+            attempt: 0,
+        });
         (session, server)
     }
 
@@ -165,13 +168,13 @@
     pub(crate) fn end_attempt(
         &mut self,
         session: SessionId,
-        dial: u8,
+        attempt: u8,
         outcome: Outcome,
         over: bool,
     ) -> Vec<Action> {
         self.handle_and_answer_probes(Event::AttemptEnded {
             session,
-            dial,
+            attempt,
             outcome,
             session_over: over,
             load: Load::default(),
--- a/crates/proxy/src/routing/admin_status.rs
+++ b/crates/proxy/src/routing/admin_status.rs
@@ -54,7 +54,7 @@
             listed_endpoints: self.count_endpoints(|state| state != EndpointState::Gone),
             discovery_age_ms: self
                 .discovery_watch
-                .last_heard()
+                .last_line_at()
                 .map(|at| self.milliseconds_since(at)),
             zones: self.zone_statuses(),
             warm_start: self.warm_start_status(),
--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -4,7 +4,7 @@
 use super::metrics::SessionEnd;
 use super::report::ReasonCode;
 use super::session_state::{SessionInput, SessionState};
-use super::types::{ConnectionRole, Session, TimerKey};
+use super::types::{ConnectionRole, SessionConnections, TimerKey};
 use crate::protocol::client::{
     ClientGreeting, ERROR_LINE, OpenRequest, PONG_LINE, busy_line, parse_greeting,
 };
@@ -28,7 +28,7 @@
     request: SessionRequest,
     /// The client says that a session of its own has just failed.
     failed: bool,
-    data: Session,
+    data: SessionConnections,
     /// Bytes of the request line.
     line_len: usize,
 }
@@ -102,7 +102,7 @@
         Ok(ClientRequest {
             request: session_request(open, self.now, listener, tenant),
             failed: open.earlier_attempt_failed,
-            data: Session {
+            data: SessionConnections {
                 client: Some(client),
                 server: None,
                 request_line: bytes[..line_len].to_vec(),
@@ -176,7 +176,12 @@
     }
 
     /// No more connections can be held.
-    fn reject_at_limit(&mut self, key: SlotKey, request: SessionRequest, data: &Session) {
+    fn reject_at_limit(
+        &mut self,
+        key: SlotKey,
+        request: SessionRequest,
+        data: &SessionConnections,
+    ) {
         self.log_event(ReasonCode::AtConnectionLimit, format!("sess={}", data.id()));
         self.metrics
             .count_session_end(request.listener, SessionEnd::Rejected);
@@ -193,7 +198,7 @@
         &mut self,
         key: SlotKey,
         request: SessionRequest,
-        data: &Session,
+        data: &SessionConnections,
         rejection: Rejection,
     ) {
         let listener = &self.settings.listeners[usize::from(request.listener)];
--- a/crates/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -184,7 +184,7 @@
                 ReasonCode::ServerProtocolError,
                 format!("dial line={shown}"),
             );
-            declined(dial, Outcome::Erred, Load::default())
+            declined(dial, Outcome::ServerError, Load::default())
         });
         self.input(session, input);
     }
@@ -214,10 +214,10 @@
         )),
         ServerLine::Error(report) | ServerLine::Bye(report) => Ok(declined(
             dial,
-            Outcome::Erred,
+            Outcome::ServerError,
             load_from_report(reports, report),
         )),
-        ServerLine::Move => Ok(declined(dial, Outcome::CalledOff, Load::default())),
+        ServerLine::Move => Ok(declined(dial, Outcome::Cancelled, Load::default())),
         _ => {
             let start: String = text.chars().take(LOGGED_ANSWER_CHARS).collect();
             Err(MalformedAnswer(format!("{start:?}")))
--- a/crates/proxy/src/routing/discovery_watch.rs
+++ b/crates/proxy/src/routing/discovery_watch.rs
@@ -71,12 +71,12 @@
     }
 
     /// The revision of the last list that could be read whole.
-    pub(super) fn rev(&self) -> u64 {
+    pub(super) fn revision(&self) -> u64 {
         self.revision
     }
 
     /// When discovery last sent a complete line.
-    pub(super) fn last_heard(&self) -> Option<Duration> {
+    pub(super) fn last_line_at(&self) -> Option<Duration> {
         self.last_line_at
     }
 
@@ -336,7 +336,7 @@
         };
         match self.connections.get(key).map(|connection| connection.role) {
             Some(ConnectionRole::Probe(_, ProbeStage::Idle)) => self.close_probe(server, key),
-            _ => self.fail_probe(server, Outcome::CalledOff),
+            _ => self.fail_probe(server, Outcome::Cancelled),
         }
     }
 }
--- a/crates/proxy/src/routing/forwarding.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -3,7 +3,7 @@
 use super::Router;
 use super::report::ReasonCode;
 use super::session_state::{SessionInput, SessionState};
-use super::types::{Connection, Session, TimerKey};
+use super::types::{Connection, SessionConnections, TimerKey};
 use crate::protocol::client::{ERROR_LINE, MOVE_LINE};
 use crate::protocol::line::{self, LineError};
 use crate::protocol::server::{ServerLine, load_from_report, parse_server_line};
@@ -220,7 +220,7 @@
             }
             (_, Some(StreamEnd::Fin)) => match announced {
                 Some(Outcome::Ok) => SessionClose::fin(ReasonCode::ServerFinished, Outcome::Ok),
-                Some(_) => SessionClose::fin(ReasonCode::ServerMigrated, Outcome::CalledOff),
+                Some(_) => SessionClose::fin(ReasonCode::ServerMigrated, Outcome::Cancelled),
                 None => SessionClose::fin(ReasonCode::ServerClosed, Outcome::Reset),
             },
             (Some(StreamEnd::Fin), None) if !client_left => {
@@ -260,7 +260,7 @@
         let outcome = if code == ReasonCode::ServerSilent {
             Outcome::Reset
         } else {
-            Outcome::CalledOff
+            Outcome::Cancelled
         };
         let is_open = self
             .session_machine(session)
@@ -365,7 +365,7 @@
 /// Checks the complete lines that came from a server, up to one that announces the session's end.
 fn check_server_lines(
     connection: &mut Connection,
-    data: &mut Session,
+    data: &mut SessionConnections,
     reports: &LoadReportFormat,
 ) -> Result<ServerLines, LineError> {
     let mut lines = ServerLines::default();
@@ -379,7 +379,7 @@
                 let load = load_from_report(reports, report);
                 data.announced_end = Some((Outcome::Ok, load));
             }
-            ServerLine::Move => data.announced_end = Some((Outcome::CalledOff, Load::default())),
+            ServerLine::Move => data.announced_end = Some((Outcome::Cancelled, Load::default())),
             _ => {}
         }
         data.awaiting_response = false;
--- a/crates/proxy/src/routing/hot_restart/adoption.rs
+++ b/crates/proxy/src/routing/hot_restart/adoption.rs
@@ -4,7 +4,7 @@
 use crate::protocol::client::{ClientGreeting, OpenRequest, parse_greeting};
 use crate::routing::client::{self, GREETING_TIMEOUT};
 use crate::routing::{
-    ConnectionRole, ReasonCode, Router, Session, SessionInput, SessionMachine, TimerKey,
+    ConnectionRole, ReasonCode, Router, SessionConnections, SessionInput, SessionMachine, TimerKey,
 };
 use crate::transport::{BufferedStream, SlotKey};
 use asterramp_hot_restart::{
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub(super) struct ReceivedSession {
     machine: SessionMachine,
-    session: Session,
+    session: SessionConnections,
     client: ReceivedStream,
     server: ReceivedStream,
     /// How long its server may still leave the client's last line unanswered.
@@ -152,7 +152,7 @@
             return Err(InvalidOffer::AlreadyOpen);
         }
         let request = client::session_request(&open, self.now, listener, member);
-        let session = Session {
+        let session = SessionConnections {
             client: None,
             server: None,
             request_line: offer.opening_line.clone(),
--- a/crates/proxy/src/routing/hot_restart/offers.rs
+++ b/crates/proxy/src/routing/hot_restart/offers.rs
@@ -6,7 +6,7 @@
 use crate::routing::forwarding;
 use crate::routing::session_table::SessionSlot;
 use crate::routing::{
-    ConnectionRole, ReasonCode, Router, Session, SessionInput, SessionState, TimerKey,
+    ConnectionRole, ReasonCode, Router, SessionConnections, SessionInput, SessionState, TimerKey,
 };
 use crate::transport::{SlotKey, seqpacket};
 use asterramp_hot_restart::{
@@ -43,7 +43,7 @@
             }
         }
         let message = HotRestartMessage::Listener {
-            list_revision: self.discovery_watch.rev(),
+            list_revision: self.discovery_watch.revision(),
         };
         self.send_hot_restart(&message, &[listener]) == Delivery::Sent
     }
@@ -101,7 +101,7 @@
 
     /// Whether a session is open on both sides and may go as it is: this process has nothing half
     /// sent, and no end is on its way.
-    fn may_offer_session(&self, key: SlotKey, slot: &SessionSlot<Session>) -> bool {
+    fn may_offer_session(&self, key: SlotKey, slot: &SessionSlot<SessionConnections>) -> bool {
         let is_open = slot.machine.state == SessionState::Open && !slot.machine.client_left;
         is_open
             && slot.driver_data.announced_end.is_none()
@@ -146,7 +146,7 @@
     /// How long until the session is migrated because its server leaves a line unanswered. The
     /// timer of a server that is not quiet yet runs to the moment when it counts as quiet, and the
     /// successor does not make that difference, so the rest is added.
-    fn answer_within(&self, key: SlotKey, session: &Session) -> Option<Duration> {
+    fn answer_within(&self, key: SlotKey, session: &SessionConnections) -> Option<Duration> {
         if !session.awaiting_response {
             return None;
         }
@@ -236,7 +236,7 @@
                     self.unregister(connection);
                 }
                 let closed = SessionInput::SessionClosed {
-                    outcome: Outcome::CalledOff,
+                    outcome: Outcome::Cancelled,
                     load: Load::default(),
                 };
                 self.input(key, closed);
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -53,12 +53,12 @@
 use std::collections::HashSet;
 use std::fmt;
 use std::time::Duration;
-use types::{Connection, ConnectionRole, Session, TimerKey};
+use types::{Connection, ConnectionRole, SessionConnections, TimerKey};
 use warm_start::{SnapshotSchedule, WarmStartProgress};
 
 /// A proxy's connections, sessions and timers, driven by one thread.
 pub struct Router {
-    session_table: SessionTable<Session>,
+    session_table: SessionTable<SessionConnections>,
     settings: Settings,
     resource_budget: ResourceBudget,
     poll: Poller,
--- a/crates/proxy/src/routing/peers/answer.rs
+++ b/crates/proxy/src/routing/peers/answer.rs
@@ -26,8 +26,8 @@
                 .warm_start_state()
                 .map_or("normal", |start| start.stage().name())
                 .into(),
-            list_revision: self.discovery_watch.rev(),
-            discovery_responded_ms: self.discovery_watch.last_heard().map(milliseconds),
+            list_revision: self.discovery_watch.revision(),
+            discovery_responded_ms: self.discovery_watch.last_line_at().map(milliseconds),
             pending_sessions: self.drain_view().pending_sessions,
             hosts: self.endpoints_for_peers(),
         };
@@ -62,7 +62,10 @@
     }
 
     fn host_for_peers(&self, listed: ListedEndpoint, known: &KnownEndpoint) -> KnownHost {
-        let discovery_responded_at = self.discovery_watch.last_heard().unwrap_or(self.started_at);
+        let discovery_responded_at = self
+            .discovery_watch
+            .last_line_at()
+            .unwrap_or(self.started_at);
         let last_news = known.reported_at.max(discovery_responded_at);
         let weight = if listed.weight.is_finite() {
             listed.weight
--- a/crates/proxy/src/routing/probe.rs
+++ b/crates/proxy/src/routing/probe.rs
@@ -1,5 +1,6 @@
 //! Health checks: a probe asks a server for its load report, over a connection that is kept for the next probe.
 
+use super::report::outcome_log_name;
 use super::types::{ConnectionRole, TimerKey};
 use super::{ReasonCode, Router};
 use crate::protocol::line;
@@ -51,7 +52,7 @@
         let (outcome, load) = match parse_server_line(text) {
             ServerLine::Pong(report) => (Outcome::Ok, load_from_report(load_reports, report)),
             ServerLine::Busy(report) => (Outcome::Full, load_from_report(load_reports, report)),
-            _ => (Outcome::Erred, Load::default()),
+            _ => (Outcome::ServerError, Load::default()),
         };
         ProbeReply::Complete {
             outcome,
@@ -72,7 +73,7 @@
             self.discard_probe(server, key);
         }
         if !self.make_room_for_probe() {
-            return self.report_probe(server, Outcome::NeverSent, Load::default());
+            return self.report_probe(server, Outcome::NotSent, Load::default());
         }
         if let Some(key) = self.connect_probe(server) {
             self.endpoints.set_probe(server, Some(key));
@@ -182,7 +183,7 @@
                 self.probe(server);
             }
             ProbeReply::Incomplete => self.fail_probe(server, Outcome::Reset),
-            ProbeReply::Malformed => self.fail_probe(server, Outcome::Erred),
+            ProbeReply::Malformed => self.fail_probe(server, Outcome::ServerError),
             ProbeReply::Complete {
                 outcome,
                 load,
@@ -202,8 +203,9 @@
     /// Ends a probe that got no reply.
     pub(super) fn fail_probe(&mut self, server: ServerId, outcome: Outcome) {
         let about = format!(
-            "probe server={} outcome={outcome:?}",
-            self.endpoints.uid(server)
+            "probe server={} outcome={}",
+            self.endpoints.uid(server),
+            outcome_log_name(outcome)
         );
         self.log_event(ReasonCode::ProbeFailed, about);
         if let Some(key) = self.endpoints.probe(server) {
--- a/crates/proxy/src/routing/report.rs
+++ b/crates/proxy/src/routing/report.rs
@@ -1,5 +1,7 @@
 //! What there is to count and to log, each by a reason code. `docs/oncall.md` explains the codes to operators.
 
+use asterramp_placement::event::Outcome;
+
 /// Declares [`ReasonCode`]: each code with its Rust name and the name that logs and counters print.
 macro_rules! reason_codes {
     ($($(#[$doc:meta])* $code:ident $name:literal,)*) => {
@@ -95,7 +97,7 @@
     /// The connection broke after the request was sent.
     AttemptReset "dial-reset",
     /// Cancelled, or sent away by a draining server.
-    AttemptCanceled "dial-called-off",
+    AttemptCancelled "dial-called-off",
     /// There was no socket, or no time to send the request.
     AttemptNotSent "dial-unsent",
 
@@ -174,6 +176,20 @@
     AcceptFailed "accept-failed",
 }
 
+/// The name of an outcome in log lines about health checks; operators search for it, so it does not change.
+pub fn outcome_log_name(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Ok => "Ok",
+        Outcome::ServerError => "Erred",
+        Outcome::Full => "Full",
+        Outcome::TimedOut => "TimedOut",
+        Outcome::Unreachable => "Unreachable",
+        Outcome::Reset => "Reset",
+        Outcome::Cancelled => "CalledOff",
+        Outcome::NotSent => "NeverSent",
+    }
+}
+
 /// Something that happened in the router, for the counters and perhaps the log.
 #[derive(Debug)]
 pub enum RouterEvent {
--- a/crates/proxy/src/routing/session_state/machine.rs
+++ b/crates/proxy/src/routing/session_state/machine.rs
@@ -251,7 +251,7 @@
             TransitionEffect::ShutDown => self.shut_down(out),
             TransitionEffect::AbandonUnsentDial => {
                 if !is_injected(InjectedFault::RequestSentForGoneClient) {
-                    self.end_dial(now, Outcome::CalledOff, Load::default(), out);
+                    self.end_dial(now, Outcome::Cancelled, Load::default(), out);
                 }
             }
         }
@@ -304,7 +304,7 @@
             out.push(SessionEffect::Count(ReasonCode::SessionOpened));
             out.push(SessionEffect::Notify(Event::SessionOpened {
                 session: self.request.session,
-                dial: self.dial(),
+                attempt: self.dial(),
             }));
         }
         out.push(SessionEffect::StartForwarding);
@@ -338,7 +338,7 @@
         out.push(SessionEffect::SetDeadline(None));
         out.push(SessionEffect::Notify(Event::AttemptEnded {
             session: self.request.session,
-            dial: self.dial(),
+            attempt: self.dial(),
             outcome,
             session_over: true,
             load,
@@ -389,7 +389,7 @@
         } else {
             out.push(SessionEffect::Notify(Event::AttemptEnded {
                 session: self.request.session,
-                dial: self.dial(),
+                attempt: self.dial(),
                 outcome,
                 session_over: !self.client_waiting,
                 load,
--- a/crates/proxy/src/routing/session_state/table.rs
+++ b/crates/proxy/src/routing/session_state/table.rs
@@ -90,9 +90,9 @@
     }
 }
 
-const NEVER_SENT: &[TransitionEffect] = &[EndDial(Outcome::NeverSent)];
+const NEVER_SENT: &[TransitionEffect] = &[EndDial(Outcome::NotSent)];
 const UNREACHABLE: &[TransitionEffect] = &[EndDial(Outcome::Unreachable)];
-const CANCELLED: &[TransitionEffect] = &[EndDial(Outcome::CalledOff)];
+const CANCELLED: &[TransitionEffect] = &[EndDial(Outcome::Cancelled)];
 const TIMED_OUT: &[TransitionEffect] = &[EndDial(Outcome::TimedOut)];
 const RESET: &[TransitionEffect] = &[EndDial(Outcome::Reset)];
 const UNWANTED: &[TransitionEffect] = &[EndDial(Outcome::Ok)];
@@ -175,10 +175,12 @@
 /// Whether the end of a dial proves that its server did not act on the request, so that it may be sent again.
 pub(super) fn proves_not_run(outcome: Outcome) -> bool {
     match outcome {
-        Outcome::Full | Outcome::Unreachable | Outcome::NeverSent => true,
-        Outcome::Ok | Outcome::Erred | Outcome::TimedOut | Outcome::Reset | Outcome::CalledOff => {
-            false
-        }
+        Outcome::Full | Outcome::Unreachable | Outcome::NotSent => true,
+        Outcome::Ok
+        | Outcome::ServerError
+        | Outcome::TimedOut
+        | Outcome::Reset
+        | Outcome::Cancelled => false,
     }
 }
 
@@ -186,12 +188,12 @@
 pub(super) fn dial_end_code(outcome: Outcome) -> Option<ReasonCode> {
     match outcome {
         Outcome::Ok => None,
-        Outcome::Erred => Some(ReasonCode::AttemptErred),
+        Outcome::ServerError => Some(ReasonCode::AttemptErred),
         Outcome::Full => Some(ReasonCode::AttemptServerFull),
         Outcome::TimedOut => Some(ReasonCode::AttemptTimedOut),
         Outcome::Unreachable => Some(ReasonCode::AttemptUnreachable),
         Outcome::Reset => Some(ReasonCode::AttemptReset),
-        Outcome::CalledOff => Some(ReasonCode::AttemptCanceled),
-        Outcome::NeverSent => Some(ReasonCode::AttemptNotSent),
+        Outcome::Cancelled => Some(ReasonCode::AttemptCancelled),
+        Outcome::NotSent => Some(ReasonCode::AttemptNotSent),
     }
 }
--- a/crates/proxy/src/routing/session_tasks.rs
+++ b/crates/proxy/src/routing/session_tasks.rs
@@ -5,7 +5,7 @@
 use super::report::ReasonCode;
 use super::session_state::{FinalAnswer, SessionEffect, SessionInput, SessionMachine};
 use super::session_table::SessionTask;
-use super::types::{Session, TimerKey};
+use super::types::{SessionConnections, TimerKey};
 use super::zones::ZoneTransition;
 use crate::protocol::client::{ERROR_LINE, busy_line};
 use crate::transport::SlotKey;
@@ -31,7 +31,7 @@
     }
 
     /// What the router keeps with a session.
-    pub(super) fn session_mut(&mut self, session: SlotKey) -> Option<&mut Session> {
+    pub(super) fn session_mut(&mut self, session: SlotKey) -> Option<&mut SessionConnections> {
         self.session_table
             .sessions
             .get_mut(session)
--- a/crates/proxy/src/routing/types.rs
+++ b/crates/proxy/src/routing/types.rs
@@ -79,9 +79,9 @@
     pub(super) last_activity: Duration,
 }
 
-/// What the router keeps with a session, beside its state machine.
+/// The connections of a session and what was read on them, which the router keeps beside the session's state machine.
 #[derive(Debug)]
-pub(super) struct Session {
+pub(super) struct SessionConnections {
     pub(super) client: Option<SlotKey>,
     pub(super) server: Option<SlotKey>,
     /// The client's request line, as it came.
@@ -98,7 +98,7 @@
     pub(super) announced_end: Option<(Outcome, Load)>,
 }
 
-impl Session {
+impl SessionConnections {
     /// The client's id of the session; empty if the request line holds none.
     pub(super) fn id(&self) -> &str {
         std::str::from_utf8(&self.request_line)
--- a/crates/proxy/src/routing/warm_start/discovery.rs
+++ b/crates/proxy/src/routing/warm_start/discovery.rs
@@ -101,7 +101,7 @@
 
     /// The probe of a server has ended. Any answer counts, since a server that rejects or fails a session is there.
     pub(in crate::routing) fn note_warm_start_probe(&mut self, server: ServerId, outcome: Outcome) {
-        let answered = matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Erred);
+        let answered = matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::ServerError);
         let now = self.now;
         if let Some(progress) = &mut self.warm_start {
             progress.machine.probe_finished(now, server, answered);
--- a/crates/proxy/src/routing/warm_start/snapshots.rs
+++ b/crates/proxy/src/routing/warm_start/snapshots.rs
@@ -163,7 +163,7 @@
     /// Everything that the next start needs, as it is now.
     fn snapshot(&self, clean_shutdown: bool) -> Snapshot {
         let schedule = self.snapshots.as_ref();
-        let discovery_heard = self.discovery_watch.last_heard().or_else(|| {
+        let discovery_heard = self.discovery_watch.last_line_at().or_else(|| {
             let progress = self.warm_start.as_ref();
             progress.and_then(|progress| progress.discovery_heard)
         });
@@ -183,7 +183,7 @@
     /// Revision of the newest endpoint list. Until discovery's own list counts, that may be the one from before the
     /// start.
     fn newest_list_revision(&self) -> u64 {
-        let listed = self.discovery_watch.rev();
+        let listed = self.discovery_watch.revision();
         match &self.warm_start {
             Some(progress) if !progress.is_over() || listed == 0 => {
                 listed.max(progress.newest_revision)
--- a/crates/proxy/src/routing/zones.rs
+++ b/crates/proxy/src/routing/zones.rs
@@ -40,9 +40,9 @@
 /// A reset shows neither: whoever sends it is up, and may have dropped this connection alone.
 fn sign_of(outcome: Outcome) -> ServerSign {
     match outcome {
-        Outcome::Ok | Outcome::Erred | Outcome::Full => ServerSign::Response,
+        Outcome::Ok | Outcome::ServerError | Outcome::Full => ServerSign::Response,
         Outcome::TimedOut | Outcome::Unreachable => ServerSign::Failure,
-        Outcome::Reset | Outcome::CalledOff | Outcome::NeverSent => ServerSign::Unclear,
+        Outcome::Reset | Outcome::Cancelled | Outcome::NotSent => ServerSign::Unclear,
     }
 }
 
--- /dev/null
+++ b/crates/proxy/tests/report.rs
@@ -0,0 +1,18 @@
+//! The names that the log prints.
+
+use asterramp_placement::event::Outcome;
+use asterramp_proxy::routing::report::outcome_log_name;
+use test_case::test_case;
+
+/// Operators search their logs for these, whatever the outcomes are called in the code.
+#[test_case(Outcome::Ok => "Ok")]
+#[test_case(Outcome::ServerError => "Erred")]
+#[test_case(Outcome::Full => "Full")]
+#[test_case(Outcome::TimedOut => "TimedOut")]
+#[test_case(Outcome::Unreachable => "Unreachable")]
+#[test_case(Outcome::Reset => "Reset")]
+#[test_case(Outcome::Cancelled => "CalledOff")]
+#[test_case(Outcome::NotSent => "NeverSent")]
+fn outcomes_keep_their_names_in_the_log(outcome: Outcome) -> &'static str {
+    outcome_log_name(outcome)
+}
--- a/crates/proxy/tests/session_machine.rs
+++ b/crates/proxy/tests/session_machine.rs
@@ -37,7 +37,7 @@
 }
 
 // A further dial of a session with an idempotency key has to be on its way before the key is forgotten.
-#[test_case(40, Some(Outcome::NeverSent); "established when the key is forgotten")]
+#[test_case(40, Some(Outcome::NotSent); "established when the key is forgotten")]
 #[test_case(39, None; "established just before")]
 fn a_request_is_not_written_after_its_time(established_ms: u64, outcome: Option<Outcome>) {
     let request = SessionRequest {
@@ -93,7 +93,7 @@
             effect,
             SessionEffect::Notify(Event::AttemptEnded {
                 session_over: true,
-                outcome: Outcome::CalledOff,
+                outcome: Outcome::Cancelled,
                 ..
             })
         )
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -74,16 +74,16 @@
             EventRecord::SessionInherited(request, address) => {
                 Some(self.session_inherited(&request, address)?)
             }
-            EventRecord::SessionOpened { handle, dial } => self
+            EventRecord::SessionOpened { handle, attempt } => self
                 .ids
                 .session(handle)
-                .map(|session| Event::SessionOpened { session, dial }),
+                .map(|session| Event::SessionOpened { session, attempt }),
             EventRecord::AttemptEnded(ended) => {
                 self.ids
                     .session(ended.handle)
                     .map(|session| Event::AttemptEnded {
                         session,
-                        dial: ended.dial,
+                        attempt: ended.attempt,
                         outcome: translate::outcome(ended.outcome),
                         session_over: ended.session_over,
                         load: self.load(&ended.load),
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -37,9 +37,9 @@
         3 => Outcome::TimedOut,
         4 => Outcome::Unreachable,
         5 => Outcome::Reset,
-        6 => Outcome::CalledOff,
-        7 => Outcome::NeverSent,
-        _ => Outcome::Erred,
+        6 => Outcome::Cancelled,
+        7 => Outcome::NotSent,
+        _ => Outcome::ServerError,
     }
 }
 
@@ -97,8 +97,8 @@
         } => of_session(action_code::START_ATTEMPT, session)
             .put(action_field::ATTEMPT_SERVER, ids.address(server))
             .put(action_field::ATTEMPT_TIMEOUT, microseconds(timeout)),
-        Action::Cancel { session, dial } => of_session(action_code::CANCEL_ATTEMPT, session)
-            .put(action_field::CANCELLED_DIAL, [dial]),
+        Action::Cancel { session, attempt } => of_session(action_code::CANCEL_ATTEMPT, session)
+            .put(action_field::CANCELLED_DIAL, [attempt]),
         Action::Reject {
             session,
             retry_after,
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -68,7 +68,7 @@
         /// The session.
         handle: u64,
         /// The attempt's number, from 0.
-        dial: u8,
+        attempt: u8,
     },
     /// An attempt failed, or the connection that it opened ended.
     AttemptEnded(AttemptEndedRecord),
@@ -97,7 +97,7 @@
     /// The attempt's session.
     pub(crate) handle: u64,
     /// The attempt's number, from 0.
-    pub(crate) dial: u8,
+    pub(crate) attempt: u8,
     /// How it ended.
     pub(crate) outcome: OutcomeCode,
     /// Whether the session is over, by this outcome or before.
@@ -172,7 +172,7 @@
             ),
             event_code::SESSION_OPENED => EventRecord::SessionOpened {
                 handle,
-                dial: fields.u8(DIAL),
+                attempt: fields.u8(DIAL),
             },
             event_code::ATTEMPT_ENDED => {
                 EventRecord::AttemptEnded(AttemptEndedRecord::decode(fields))
@@ -194,7 +194,7 @@
     fn decode(fields: Fields<'_>) -> Self {
         AttemptEndedRecord {
             handle: fields.u64(SESSION_HANDLE),
-            dial: fields.u8(DIAL),
+            attempt: fields.u8(DIAL),
             outcome: OutcomeCode(fields.u16(ATTEMPT_OUTCOME)),
             session_over: fields.u8(ATTEMPT_SESSION_OVER) != 0,
             load: LoadReport::decode(fields, ATTEMPT_LOAD),
