--- a/crates/admin-protocol/tests/golden.rs
+++ b/crates/admin-protocol/tests/golden.rs
@@ -1,32 +1,21 @@
 //! The bytes of the control socket as builds before the renames wrote and read them. The files under `golden/` were
 //! written by such a build and never change; only the Rust names in this file may.
 
+#[path = "support/golden.rs"]
+mod golden_files;
+
 use asterramp_admin_protocol::{
     AdminClient, AdminCommand, AdminReply, AdminRequest, AdmissionStatus, EndpointSourceCount,
     HTTP_CALLS, LeaderToken, ListenerSessions, MAX_REPLY_BYTES, MAX_REQUEST_BYTES,
     PROTOCOL_VERSION, ProxyStatus, RejectionCount, SessionCostEstimate, SnapshotCounts,
     WarmStartStatus, ZoneStatus,
 };
+use golden_files::{assert_golden, golden};
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::UnixListener;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-fn golden(name: &str) -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/golden")
-        .join(name);
-    std::fs::read_to_string(path).unwrap()
-}
-
-fn assert_golden(name: &str, actual: &str) {
-    let expected = golden(name);
-    for (nth, (expected, actual)) in expected.lines().zip(actual.lines()).enumerate() {
-        assert_eq!(actual, expected, "{name}, line {}", nth + 1);
-    }
-    assert_eq!(actual, expected, "{name}: lengths");
-}
-
 const COMMANDS: [AdminCommand; 7] = [
     AdminCommand::Status,
     AdminCommand::Drain,
--- a/crates/operator-config/tests/golden.rs
+++ b/crates/operator-config/tests/golden.rs
@@ -1,27 +1,15 @@
 //! The operator's file as builds before the renames read it: every key, every kind of mistake, every difference. The
 //! files under `golden/` were written by such a build and never change; only the Rust names in this file may.
 
+#[path = "../../admin-protocol/tests/support/golden.rs"]
+mod golden_files;
+
 use asterramp_operator_config::{
     ConfigChange, ConfigProblem, OperatorConfig, TakesEffect, parse_duration,
 };
-use std::path::Path;
+use golden_files::{assert_golden, golden};
 use std::time::Duration;
 
-fn golden(name: &str) -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/golden")
-        .join(name);
-    std::fs::read_to_string(path).unwrap()
-}
-
-fn assert_golden(name: &str, actual: &str) {
-    let expected = golden(name);
-    for (nth, (expected, actual)) in expected.lines().zip(actual.lines()).enumerate() {
-        assert_eq!(actual, expected, "{name}, line {}", nth + 1);
-    }
-    assert_eq!(actual, expected, "{name}: lengths");
-}
-
 /// Every value under its key, times in microseconds.
 fn values(file: &OperatorConfig) -> String {
     let mut lines = admin_socket_values(file);
--- a/crates/proxy/tests/endpoints.rs
+++ b/crates/proxy/tests/endpoints.rs
@@ -3,7 +3,10 @@
 mod support;
 
 use std::time::{Duration, Instant};
-use support::{OPEN_LINE, ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, list_line};
+use support::{
+    OPEN_LINE, ProxyHarness, ProxyOptions, SETTINGS, TIMEOUT, endpoint_json, list_line,
+    settings_with_health_checks,
+};
 use test_case::test_case;
 
 /// Opens and ends four sessions, each of which has to be dialled at one server.
@@ -92,7 +95,7 @@
         "\"pushed\"",
         &format!("\"{discovery}\",\"rules.must_ask_in\":2000000"),
     );
-    let proxy = ProxyHarness::with_descriptors(1, &settings, 512, 1024);
+    let proxy = ProxyOptions::new(1).settings(&settings).start();
     let begin = Instant::now();
     if ended {
         proxy.watch.send(String::new()).unwrap();
@@ -193,12 +196,8 @@
 
 #[test]
 fn health_checks_reuse_one_connection_and_precede_the_first_dial() {
-    let proxy = ProxyHarness::with_descriptors(
-        1,
-        &SETTINGS.replace("\"may_probe\":false", "\"may_probe\":true"),
-        512,
-        1024,
-    );
+    let settings = settings_with_health_checks();
+    let proxy = ProxyOptions::new(1).settings(&settings).start();
     let (mut clients, mut servers) = (Vec::new(), Vec::new());
     let (mut health_check, line) = {
         clients.push(proxy.connect(OPEN_LINE));
--- a/crates/proxy/tests/golden_admin.rs
+++ b/crates/proxy/tests/golden_admin.rs
@@ -14,21 +14,10 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::os::unix::net::UnixStream;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
-use support::{ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, list_line};
-
-fn assert_golden(name: &str, actual: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/golden/admin")
-        .join(name);
-    let expected = std::fs::read_to_string(path).unwrap();
-    for (nth, (expected, actual)) in expected.lines().zip(actual.lines()).enumerate() {
-        assert_eq!(actual, expected, "{name}, line {}", nth + 1);
-    }
-    assert_eq!(actual, expected, "{name}: lengths");
-}
+use support::{ProxyHarness, ProxyOptions, TIMEOUT, assert_golden, endpoint_json, list_line};
 
 /// Fields of a status whose numbers are of this run alone: times, names of the process, and connections that
 /// have said nothing or are on their way out.
@@ -94,7 +83,10 @@
             "[control]\nsocket = {socket:?}\n[drain]\nclosing = \"20s\"\nquiet = \"20s\"\n{more}"
         );
         std::fs::write(&operator, text).unwrap();
-        let harness = ProxyHarness::with_admin_http_and_file(servers, SETTINGS, Some(&operator));
+        let harness = ProxyOptions::new(servers)
+            .operator_file(&operator)
+            .admin_http()
+            .start();
         Operated {
             harness,
             socket,
@@ -182,7 +174,7 @@
     text += &proxy.told(r#"{"v":1,"do":"drain"}"#);
     text += &proxy.told(r#"{"v":1,"do":"undrain"}"#);
     text += &proxy.told(r#"{"v":1,"do":"ready"}"#);
-    assert_golden("drain.txt", &text);
+    assert_golden("admin/drain.txt", &text);
 }
 
 #[test]
@@ -204,7 +196,7 @@
         text += &proxy.told(line);
     }
     text += &format!("(2000 times x)\n    {}", proxy.ask(&"x".repeat(2_000)));
-    assert_golden("no_requests.txt", &text);
+    assert_golden("admin/no_requests.txt", &text);
 }
 
 #[test]
@@ -235,7 +227,7 @@
     told("leave, another process", order("leave", 7, boot ^ 1, until));
     told("leave, term 6", order("leave", 6, boot, until));
     told("leave, term 7", order("leave", 7, boot, until));
-    assert_golden("owners.txt", &text);
+    assert_golden("admin/owners.txt", &text);
 }
 
 #[test]
@@ -267,7 +259,7 @@
     let start = reply.split("\"start\":").nth(1).unwrap();
     let names: Vec<&str> = start.split('"').skip(1).step_by(2).collect();
     let text = names.join("\n") + "\n";
-    assert_golden("start_fields.txt", &text);
+    assert_golden("admin/start_fields.txt", &text);
 }
 
 #[test]
@@ -323,7 +315,7 @@
     text += &call("GET /ops/readiness");
     text += &call("POST /ops/drain/start");
     text += &call("POST /ops/drain/stop");
-    assert_golden("calls.txt", &text);
+    assert_golden("admin/calls.txt", &text);
 }
 
 fn listeners() -> [String; 2] {
@@ -400,5 +392,5 @@
         warm_start_text(None, Some(SnapshotCounts::default()))
     );
     text += &format!("neither\n{}", warm_start_text(None, None));
-    assert_golden("stats.txt", &text);
+    assert_golden("admin/stats.txt", &text);
 }
--- a/crates/proxy/tests/golden_command_line.rs
+++ b/crates/proxy/tests/golden_command_line.rs
@@ -2,32 +2,13 @@
 //! that commands send. The files under `golden/command_line/` were written by such a build and never change; only the
 //! Rust names in this file may.
 
+mod support;
+
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::UnixListener;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
-use std::sync::atomic::{AtomicU32, Ordering};
-
-fn assert_golden(name: &str, actual: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/golden/command_line")
-        .join(name);
-    let expected = std::fs::read_to_string(path).unwrap();
-    for (nth, (expected, actual)) in expected.lines().zip(actual.lines()).enumerate() {
-        assert_eq!(actual, expected, "{name}, line {}", nth + 1);
-    }
-    assert_eq!(actual, expected, "{name}: lengths");
-}
-
-/// A path of this test's own under the system's folder for such.
-fn fresh_path(end: &str) -> PathBuf {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    let nth = NEXT.fetch_add(1, Ordering::Relaxed);
-    std::env::temp_dir().join(format!(
-        "asterramp-golden-{}-{nth}.{end}",
-        std::process::id()
-    ))
-}
+use support::{assert_golden, temporary_path};
 
 /// The program without anything that the environment of this test would tell it.
 fn asterramp(args: &[&str]) -> Command {
@@ -59,8 +40,8 @@
 
 /// Runs a command against a control socket at which each request gets the next of the answers; what the command did, and
 /// the requests that came.
-fn against(answers: &[String], args: &[&str]) -> String {
-    let socket = fresh_path("sock");
+fn run_at_scripted_proxy(answers: &[String], args: &[&str]) -> String {
+    let socket = temporary_path("sock");
     let listener = UnixListener::bind(&socket).unwrap();
     let answers = answers.to_vec();
     let proxy = std::thread::spawn(move || {
@@ -229,10 +210,10 @@
     let mut text = String::new();
     for (name, changes) in STATUSES {
         let answer = [reply(changes)];
-        text += &format!("{name}\n{}", against(&answer, &["status"]));
-        text += &against(&answer, &["status", "--json"]);
+        text += &format!("{name}\n{}", run_at_scripted_proxy(&answer, &["status"]));
+        text += &run_at_scripted_proxy(&answer, &["status", "--json"]);
     }
-    assert_golden("status.txt", &text);
+    assert_golden("command_line/status.txt", &text);
 }
 
 #[test]
@@ -273,16 +254,20 @@
     ];
     let mut text = String::new();
     for (answers, args) in orders {
-        text += &format!("{}\n{}", args.join(" "), against(&answers, args));
+        text += &format!(
+            "{}\n{}",
+            args.join(" "),
+            run_at_scripted_proxy(&answers, args)
+        );
     }
-    assert_golden("orders.txt", &text);
+    assert_golden("command_line/orders.txt", &text);
 }
 
 /// A drain that is not done by its deadline and 5 s more.
 #[test]
 fn a_wait_that_ends_without_an_empty_proxy_says_how_many_are_left() {
     let moving = reply(&[("state", "\"late\""), ("open", "7")]);
-    let done = against(
+    let done = run_at_scripted_proxy(
         &vec![moving; 40],
         &["drain", "--deadline", "10ms", "--wait"],
     );
@@ -401,7 +386,7 @@
 
 #[test]
 fn what_is_wrong_with_a_configuration_is_told_in_the_same_words() {
-    let config = fresh_path("json");
+    let config = temporary_path("json");
     let mut text = String::new();
     for (part, other) in CONFIGURATIONS {
         assert!(GOOD.contains(part), "{part}");
@@ -426,118 +411,182 @@
     let output = asterramp(&["validate"]).env("LB_CONFIG", &config).output();
     text += &format!("too deep\n{}", shown(&output.unwrap(), &[]));
     std::fs::remove_file(config).unwrap();
-    assert_golden("configurations.txt", &text);
+    assert_golden("command_line/configurations.txt", &text);
+}
+
+const CONFIG: &str = "--config";
+const OPERATOR: &str = "--operator";
+const CONFIG_VARIABLE: &str = "LB_CONFIG";
+const OPERATOR_VARIABLE: &str = "ASTERRAMP_OPERATOR";
+
+/// Options of the program, or variables of its environment, that name files.
+type NamedFiles<'a> = &'a [(&'a str, &'a Path)];
+
+/// Good and bad files for a start; they are removed with the test.
+struct StartFiles {
+    config: PathBuf,
+    bad_config: PathBuf,
+    operator: PathBuf,
+    bad_operator: PathBuf,
+    /// Names the plain file below as the path of the admin socket.
+    operator_with_taken_socket: PathBuf,
+    plain_file: PathBuf,
+}
+
+impl StartFiles {
+    fn write() -> StartFiles {
+        let files = StartFiles {
+            config: temporary_path("json"),
+            bad_config: temporary_path("json"),
+            operator: temporary_path("toml"),
+            bad_operator: temporary_path("toml"),
+            operator_with_taken_socket: temporary_path("toml"),
+            plain_file: temporary_path("sock"),
+        };
+        let taken = format!("[control]\nsocket = {:?}\n", files.plain_file);
+        let bad_config = GOOD.replace("\"seed\":", "\"sead\":");
+        std::fs::write(&files.config, GOOD).unwrap();
+        std::fs::write(&files.bad_config, bad_config).unwrap();
+        std::fs::write(&files.operator, "[drain]\npace = 1\n").unwrap();
+        std::fs::write(&files.bad_operator, "[drain]\npase = 1\nquiet = \"x\"\n").unwrap();
+        std::fs::write(&files.operator_with_taken_socket, taken).unwrap();
+        std::fs::write(&files.plain_file, "keep me").unwrap();
+        files
+    }
+
+    fn placeholders(&self) -> [(&Path, &str); 6] {
+        [
+            (&self.config, "<config>"),
+            (&self.bad_config, "<bad config>"),
+            (&self.operator, "<operator>"),
+            (&self.bad_operator, "<bad operator>"),
+            (
+                &self.operator_with_taken_socket,
+                "<operator with a file for a socket>",
+            ),
+            (&self.plain_file, "<socket>"),
+        ]
+    }
+}
+
+impl StartFiles {
+    /// Runs a command, or the program without one; the title and what came out of the run.
+    fn record_start(
+        &self,
+        title: &str,
+        command: Option<&str>,
+        options: NamedFiles<'_>,
+        variables: NamedFiles<'_>,
+    ) -> String {
+        let mut process = asterramp(&[]);
+        process.args(command);
+        for (option, path) in options {
+            process.arg(option).arg(path);
+        }
+        for (variable, path) in variables {
+            process.env(variable, path);
+        }
+        let output = process.output().unwrap();
+        format!("{title}\n{}", shown(&output, &self.placeholders()))
+    }
+}
+
+impl Drop for StartFiles {
+    fn drop(&mut self) {
+        for (path, _) in self.placeholders() {
+            let _ = std::fs::remove_file(path);
+        }
+    }
+}
+
+/// Starts that end the same way with `serve` and `validate`: each file named by an option or by its variable, good, bad
+/// and missing.
+fn record_failing_starts(files: &StartFiles, command: &str) -> String {
+    let missing = Path::new("/nowhere/file");
+    let (config, bad_config) = (files.config.as_path(), files.bad_config.as_path());
+    let bad_operator = files.bad_operator.as_path();
+    let cases: [(&str, NamedFiles<'_>, NamedFiles<'_>); 9] = [
+        ("nothing", &[], &[]),
+        ("no configuration", &[(CONFIG, missing)], &[]),
+        (
+            "no configuration by the variable",
+            &[],
+            &[(CONFIG_VARIABLE, missing)],
+        ),
+        ("a bad configuration", &[(CONFIG, bad_config)], &[]),
+        (
+            "the option before the variable",
+            &[(CONFIG, bad_config)],
+            &[(CONFIG_VARIABLE, config)],
+        ),
+        (
+            "a bad operator's file",
+            &[(CONFIG, config), (OPERATOR, bad_operator)],
+            &[],
+        ),
+        (
+            "a bad operator's file by the variable",
+            &[],
+            &[(CONFIG_VARIABLE, config), (OPERATOR_VARIABLE, bad_operator)],
+        ),
+        (
+            "no operator's file",
+            &[(CONFIG, config), (OPERATOR, missing)],
+            &[],
+        ),
+        (
+            "both bad",
+            &[(CONFIG, bad_config), (OPERATOR, bad_operator)],
+            &[],
+        ),
+    ];
+    cases
+        .into_iter()
+        .map(|(name, options, variables)| {
+            let title = format!("{command}: {name}");
+            files.record_start(&title, Some(command), options, variables)
+        })
+        .collect()
 }
 
-/// The two files of a start, each named by an option or by its variable, good, bad and missing.
 #[test]
-#[allow(clippy::too_many_lines)] // A list of bad files, one step each.
 fn serve_and_validate_end_the_same_way_where_a_file_is_bad() {
-    let (good, bad) = (fresh_path("json"), fresh_path("json"));
-    let (fine, wrong, socket) = (fresh_path("toml"), fresh_path("toml"), fresh_path("sock"));
-    std::fs::write(&good, GOOD).unwrap();
-    std::fs::write(&bad, GOOD.replace("\"seed\":", "\"sead\":")).unwrap();
-    std::fs::write(&fine, "[drain]\npace = 1\n").unwrap();
-    std::fs::write(&wrong, "[drain]\npase = 1\nquiet = \"x\"\n").unwrap();
-    // A file that is no socket stands where the control socket is to be.
-    let taken = fresh_path("toml");
-    std::fs::write(&socket, "keep me").unwrap();
-    std::fs::write(&taken, format!("[control]\nsocket = {socket:?}\n")).unwrap();
-    let nowhere = Path::new("/nowhere/file");
-    let places: &[(&Path, &str)] = &[
-        (&good, "<config>"),
-        (&bad, "<bad config>"),
-        (&fine, "<operator>"),
-        (&wrong, "<bad operator>"),
-        (&taken, "<operator with a file for a socket>"),
-        (&socket, "<socket>"),
-    ];
-    let mut text = String::new();
-    let mut run = |name: &str, command: &mut Command| {
-        let output = command.output().unwrap();
-        text += &format!("{name}\n{}", shown(&output, places));
-    };
-    for verb in ["serve", "validate"] {
-        run(&format!("{verb}: nothing"), &mut asterramp(&[verb]));
-        run(
-            &format!("{verb}: no configuration"),
-            asterramp(&[verb, "--config"]).arg(nowhere),
-        );
-        run(
-            &format!("{verb}: no configuration by the variable"),
-            asterramp(&[verb]).env("LB_CONFIG", nowhere),
-        );
-        run(
-            &format!("{verb}: a bad configuration"),
-            asterramp(&[verb, "--config"]).arg(&bad),
-        );
-        run(
-            &format!("{verb}: the option before the variable"),
-            asterramp(&[verb, "--config"])
-                .arg(&bad)
-                .env("LB_CONFIG", &good),
-        );
-        run(
-            &format!("{verb}: a bad operator's file"),
-            asterramp(&[verb, "--config"])
-                .arg(&good)
-                .arg("--operator")
-                .arg(&wrong),
-        );
-        run(
-            &format!("{verb}: a bad operator's file by the variable"),
-            asterramp(&[verb])
-                .env("LB_CONFIG", &good)
-                .env("ASTERRAMP_OPERATOR", &wrong),
-        );
-        run(
-            &format!("{verb}: no operator's file"),
-            asterramp(&[verb, "--config"])
-                .arg(&good)
-                .arg("--operator")
-                .arg(nowhere),
-        );
-        run(
-            &format!("{verb}: both bad"),
-            asterramp(&[verb, "--config"])
-                .arg(&bad)
-                .arg("--operator")
-                .arg(&wrong),
-        );
-    }
-    run("no command and nothing", &mut asterramp(&[]));
-    run(
+    let files = StartFiles::write();
+    let config = files.config.as_path();
+    let taken = files.operator_with_taken_socket.as_path();
+    let mut text = record_failing_starts(&files, "serve");
+    text += &record_failing_starts(&files, "validate");
+    text += &files.record_start("no command and nothing", None, &[], &[]);
+    text += &files.record_start(
         "no command, a bad operator's file",
-        asterramp(&[])
-            .env("LB_CONFIG", &good)
-            .env("ASTERRAMP_OPERATOR", &wrong),
+        None,
+        &[],
+        &[
+            (CONFIG_VARIABLE, config),
+            (OPERATOR_VARIABLE, &files.bad_operator),
+        ],
     );
-    run(
+    text += &files.record_start(
         "serve: a file where the control socket is to be",
-        asterramp(&["serve", "--config"])
-            .arg(&good)
-            .arg("--operator")
-            .arg(&taken),
+        Some("serve"),
+        &[(CONFIG, config), (OPERATOR, taken)],
+        &[],
     );
-    run(
+    text += &files.record_start(
         "validate: the same is good",
-        asterramp(&["validate", "--config"])
-            .arg(&good)
-            .arg("--operator")
-            .arg(&taken),
+        Some("validate"),
+        &[(CONFIG, config), (OPERATOR, taken)],
+        &[],
     );
-    run(
+    text += &files.record_start(
         "validate: both good",
-        asterramp(&["validate", "--config"])
-            .arg(&good)
-            .arg("--operator")
-            .arg(&fine),
+        Some("validate"),
+        &[(CONFIG, config), (OPERATOR, &files.operator)],
+        &[],
     );
-    assert_eq!(std::fs::read_to_string(&socket).unwrap(), "keep me");
-    for path in [good, bad, fine, wrong, taken, socket] {
-        std::fs::remove_file(path).unwrap();
-    }
-    assert_golden("files.txt", &text);
+    let kept = std::fs::read_to_string(&files.plain_file).unwrap();
+    assert_eq!(kept, "keep me");
+    assert_golden("command_line/files.txt", &text);
 }
 
 /// Commands that reach nobody.
@@ -582,7 +631,7 @@
         let output = asterramp(command).output().unwrap();
         text += &format!("{}\n{}", command.join(" "), shown(&output, &[]));
     }
-    assert_golden("nobody.txt", &text);
+    assert_golden("command_line/nobody.txt", &text);
 }
 
 /// Of what the parser itself refuses, the exit code and the line of the error; the usage below names options by today's
@@ -639,5 +688,5 @@
         let said = String::from_utf8(output.stdout).unwrap();
         text += &format!("{}\nexit {code}\n{head}\n{said}", command.join(" "));
     }
-    assert_golden("usage.txt", &text);
+    assert_golden("command_line/usage.txt", &text);
 }
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -9,7 +9,8 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 use support::{
-    OPEN_LINE, ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, free_address, http_call, list_line,
+    OPEN_LINE, ProxyHarness, ProxyOptions, TIMEOUT, endpoint_json, free_address, http_call,
+    list_line, settings_with_health_checks, temporary_path,
 };
 use test_case::test_case;
 
@@ -52,10 +53,7 @@
 
 /// An operator's file by which a proxy may ask some peers.
 fn operator_file(peers: &[SocketAddr]) -> PathBuf {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    let nth = NEXT.fetch_add(1, Ordering::Relaxed);
-    let path =
-        std::env::temp_dir().join(format!("asterramp-peers-{}-{nth}.toml", std::process::id()));
+    let path = temporary_path("toml");
     let peers: Vec<String> = peers.iter().map(|at| format!("\"{at}\"")).collect();
     let text = format!(
         "[recovery]\nstages = true\nfleet = \"lake\"\nothers = [{}]\n",
@@ -95,8 +93,11 @@
 /// Runs a proxy that knows no endpoints and whose discovery sends no list; its log after a shutdown.
 fn run_with_peers(peers: &[SocketAddr], during: impl Fn(&mut ProxyHarness)) -> String {
     let file = operator_file(peers);
-    let settings = SETTINGS.replace("\"may_probe\":false", "\"may_probe\":true");
-    let mut proxy = ProxyHarness::without_endpoints(&settings, &file);
+    let settings = settings_with_health_checks();
+    let mut proxy = ProxyOptions::new(0)
+        .settings(&settings)
+        .operator_file(&file)
+        .start_without_list();
     during(&mut proxy);
     proxy.send_signal("TERM");
     let (code, log) = proxy.wait_for_exit();
@@ -180,7 +181,10 @@
 #[test]
 fn a_proxy_answers_its_fleet_and_no_one_without_a_fleet() {
     let file = operator_file(&[free_address(78)]);
-    let mut proxy = ProxyHarness::with_admin_http_and_file(2, SETTINGS, Some(&file));
+    let mut proxy = ProxyOptions::new(2)
+        .operator_file(&file)
+        .admin_http()
+        .start();
     let ready = (0..2).map(|n| endpoint_json(n, proxy.servers[n].local_addr().unwrap(), "ready"));
     proxy
         .watch
--- a/crates/proxy/tests/races.rs
+++ b/crates/proxy/tests/races.rs
@@ -7,7 +7,7 @@
 use std::io::Write;
 use std::net::Shutdown;
 use std::time::Duration;
-use support::{LineConnection, OPEN_LINE, ProxyHarness, SETTINGS};
+use support::{LineConnection, OPEN_LINE, ProxyHarness, ProxyOptions, settings_with_health_checks};
 use test_case::test_case;
 
 /// Makes sockets ready while the proxy stands still.
@@ -94,7 +94,7 @@
 // The descriptor of the client that has been pending longest is needed in the moment in which it speaks.
 #[test]
 fn a_client_crowded_out_as_it_speaks_is_answered_and_not_reset() {
-    let proxy = ProxyHarness::with_descriptors(1, SETTINGS, 64, 1024);
+    let proxy = ProxyOptions::new(1).descriptors(64, 1024).start();
     let mut pending: Vec<LineConnection> = (0..18).map(|_| proxy.connect("")).collect();
     std::thread::sleep(Duration::from_millis(100));
     let mut client = None;
@@ -115,8 +115,8 @@
 #[test_case("PON", false; "half a line")]
 #[test_case("", true; "its end")]
 fn a_kept_health_check_connection_is_checked_before_it_is_used_again(text: &str, ends: bool) {
-    let settings = SETTINGS.replace("\"may_probe\":false", "\"may_probe\":true");
-    let proxy = ProxyHarness::with_descriptors(1, &settings, 512, 1024);
+    let settings = settings_with_health_checks();
+    let proxy = ProxyOptions::new(1).settings(&settings).start();
     let mut first = proxy.connect(OPEN_LINE);
     let (mut health_check, line) = proxy.accept_at(0);
     assert_eq!(line, "STATS");
--- a/crates/proxy/tests/resource_limits.rs
+++ b/crates/proxy/tests/resource_limits.rs
@@ -5,12 +5,12 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 use support::{
-    LineConnection, OPEN_LINE, ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, list_line,
+    LineConnection, OPEN_LINE, ProxyHarness, ProxyOptions, TIMEOUT, endpoint_json, list_line,
 };
 
 #[test]
 fn idle_crowds_neither_keep_clients_out_nor_stay_long() {
-    let proxy = ProxyHarness::with_descriptors(1, SETTINGS, 128, 1024);
+    let proxy = ProxyOptions::new(1).descriptors(128, 1024).start();
     let mut idle: Vec<LineConnection> = (0..300).map(|_| proxy.connect("")).collect();
     idle.extend((0..100).map(|_| proxy.connect("PING\r\n")));
     idle.extend((0..100).map(|_| proxy.connect("what\r\n")));
@@ -54,7 +54,7 @@
 
 #[test]
 fn clients_beyond_the_limit_are_rejected_and_later_ones_served_again() {
-    let proxy = ProxyHarness::with_descriptors(1, SETTINGS, 64, 1024);
+    let proxy = ProxyOptions::new(1).descriptors(64, 1024).start();
     let mut open = Vec::new();
     let mut rejected = 0;
     for _ in 0..40 {
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_lower_limit_than_configured_is_met_without_spinning_and_recovers() {
-    let mut proxy = ProxyHarness::with_descriptors(1, SETTINGS, 512, 24);
+    let mut proxy = ProxyOptions::new(1).descriptors(512, 24).start();
     let waiting: Vec<LineConnection> = (0..40).map(|_| proxy.connect("")).collect();
     std::thread::sleep(Duration::from_millis(500));
     drop(waiting);
@@ -97,7 +97,7 @@
 // Idle clients hold every descriptor that they may, while the watch is down.
 #[test]
 fn idle_clients_prevent_neither_a_watch_nor_a_dial() {
-    let proxy = ProxyHarness::with_descriptors(2, SETTINGS, 128, 128);
+    let proxy = ProxyOptions::new(2).descriptors(128, 128).start();
     let pairs: Vec<_> = (0..30).map(|_| proxy.open_session_at(&[0, 1])).collect();
     let idle: Vec<LineConnection> = (0..300).map(|_| proxy.connect("")).collect();
     proxy.watch.send(String::new()).unwrap();
--- a/crates/proxy/tests/sessions.rs
+++ b/crates/proxy/tests/sessions.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
-use support::{LineConnection, OPEN_LINE, ProxyHarness, SETTINGS};
+use support::{LineConnection, OPEN_LINE, ProxyHarness, ProxyOptions, SETTINGS};
 use test_case::test_case;
 
 #[test_case(b"HELLO\r\n", true; "unknown word")]
@@ -194,10 +194,10 @@
 }
 
 #[test]
-fn a_line_delayed_by_the_network_moves_nobody() {
+fn a_line_delayed_by_the_network_migrates_nobody() {
     let settings = "\"specifics\":{\"message_aim\":[60000.0,60000.0]},\"weights\"";
-    let proxy =
-        ProxyHarness::with_descriptors(1, &SETTINGS.replace("\"weights\"", settings), 512, 1024);
+    let settings = SETTINGS.replace("\"weights\"", settings);
+    let proxy = ProxyOptions::new(1).settings(&settings).start();
     let mut pairs: Vec<(LineConnection, LineConnection)> =
         (0..10).map(|_| proxy.open_session()).collect();
     pairs[0].0.send("ping\r\n");
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -3,11 +3,13 @@
 mod support;
 
 use std::time::{Duration, Instant};
-use support::{LineConnection, OPEN_LINE, ProxyHarness, SETTINGS, TIMEOUT};
+use support::{
+    LineConnection, OPEN_LINE, ProxyHarness, ProxyOptions, SETTINGS, TIMEOUT, temporary_path,
+};
 use test_case::test_case;
 
 #[test]
-fn a_shutdown_serves_on_then_moves_all_and_answers_what_waits() {
+fn a_shutdown_serves_on_then_migrates_all_and_answers_what_waits() {
     let mut proxy = ProxyHarness::new(1);
     let (mut open, _server) = proxy.open_session();
     let begin = Instant::now();
@@ -55,16 +57,15 @@
 #[test_case("TERM"; "alone")]
 #[test_case("HUP"; "after a reload")]
 fn a_shutdown_before_the_proxy_serves_is_orderly(first: &str) {
-    let operator = std::env::temp_dir().join(format!(
-        "asterramp-moments-{}-{first}.toml",
-        std::process::id()
-    ));
-    std::fs::write(&operator, "").unwrap();
-    let mut proxy = ProxyHarness::without_endpoints(SETTINGS, &operator);
+    let operator_file = temporary_path("toml");
+    std::fs::write(&operator_file, "").unwrap();
+    let mut proxy = ProxyOptions::new(0)
+        .operator_file(&operator_file)
+        .start_without_list();
     proxy.send_signal(first);
     proxy.send_signal("TERM");
     let (code, log) = proxy.wait_for_exit();
-    std::fs::remove_file(&operator).unwrap();
+    std::fs::remove_file(&operator_file).unwrap();
     assert_eq!(code, Some(0), "{log}");
 }
 
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn a_client_that_comes_long_after_the_front_should_have_stopped_is_served_and_moved() {
+fn a_client_that_comes_long_after_the_front_should_have_stopped_is_served_and_migrated() {
     let proxy = ProxyHarness::new(1);
     let (_open, _server) = proxy.open_session();
     proxy.send_signal("TERM");
@@ -110,10 +111,11 @@
     exit_within_ms: u64,
 ) {
     let settings = SETTINGS.replace("\"give_up\":2000000", &format!("\"give_up\":{wait}"));
+    let options = ProxyOptions::new(1).settings(&settings);
     let mut proxy = if admin_http {
-        ProxyHarness::with_admin_http_and_file(1, &settings, None)
+        options.admin_http().start()
     } else {
-        ProxyHarness::with_descriptors(1, &settings, 512, 1024)
+        options.start()
     };
     let (mut open, _server) = proxy.open_session();
     let begin = Instant::now();
--- a/crates/proxy/tests/snapshots.rs
+++ b/crates/proxy/tests/snapshots.rs
@@ -1,13 +1,13 @@
 //! Snapshots of a running proxy: saved, restored, damaged, locked by another process, shown on the command line.
 
-#[allow(unreachable_pub, missing_debug_implementations)] // Not yet brought to the workspace lints.
 mod support;
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
-use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
-use support::{OPEN_LINE, ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, list_line};
+use support::{
+    OPEN_LINE, ProxyHarness, ProxyOptions, TIMEOUT, endpoint_json, list_line, temporary_path,
+};
 use test_case::test_case;
 
 /// A snapshot directory and an operator's file that names it; both are removed with the test.
@@ -25,14 +25,9 @@
 
 impl SnapshotDisk {
     fn new() -> SnapshotDisk {
-        static NEXT: AtomicU32 = AtomicU32::new(0);
-        let nth = NEXT.fetch_add(1, Ordering::Relaxed);
-        let at = |end: &str| {
-            std::env::temp_dir().join(format!("asterramp-disk-{}-{nth}.{end}", std::process::id()))
-        };
         let disk = SnapshotDisk {
-            directory: at("state"),
-            operator_file: at("toml"),
+            directory: temporary_path("state"),
+            operator_file: temporary_path("toml"),
         };
         let text = format!(
             "[state]\nfolder = {:?}\nevery = \"200ms\"\n[recovery]\nstages = true\n",
@@ -42,27 +37,29 @@
         disk
     }
 
-    fn world(&self) -> ProxyHarness {
-        ProxyHarness::with_operator_file(2, SETTINGS, (512, 1024), Some(&self.operator_file))
+    fn start_proxy(&self) -> ProxyHarness {
+        ProxyOptions::new(2)
+            .operator_file(&self.operator_file)
+            .start()
     }
 
     /// A proxy that serves, since discovery has listed warm endpoints.
-    fn serving_world(&self) -> ProxyHarness {
-        let world = self.world();
+    fn start_serving_proxy(&self) -> ProxyHarness {
+        let proxy = self.start_proxy();
         let ready =
-            (0..2).map(|n| endpoint_json(n, world.servers[n].local_addr().unwrap(), "ready"));
-        world
+            (0..2).map(|n| endpoint_json(n, proxy.servers[n].local_addr().unwrap(), "ready"));
+        proxy
             .watch
             .send(list_line(9, true, &ready.collect::<Vec<_>>()))
             .unwrap();
         // The rate limit of the warm start is lifted with its last stage.
         std::thread::sleep(Duration::from_millis(100));
-        drop(world.open_session_at(&[0, 1]));
-        world
+        drop(proxy.open_session_at(&[0, 1]));
+        proxy
     }
 
     /// Waits for the first snapshot, and checks that it names this proxy as its owner.
-    fn wait_for_snapshot_of(&self, world: &ProxyHarness) {
+    fn wait_for_snapshot_of(&self, proxy: &ProxyHarness) {
         let until = Instant::now() + TIMEOUT;
         while !self.directory.join("state.0").exists() {
             assert!(Instant::now() < until, "no snapshot is saved");
@@ -70,7 +67,7 @@
         }
         assert!(
             text_of(&state_command(&["show"], &self.directory))
-                .contains(&world.listen_address.to_string())
+                .contains(&proxy.listen_address.to_string())
         );
     }
 
@@ -99,9 +96,9 @@
 #[test]
 fn the_list_of_discovery_is_saved_and_the_last_snapshot_says_that_the_proxy_shut_down_gracefully() {
     let disk = SnapshotDisk::new();
-    let mut world = disk.world();
-    let at = |n: usize| world.servers[n].local_addr().unwrap();
-    world
+    let mut proxy = disk.start_proxy();
+    let at = |n: usize| proxy.servers[n].local_addr().unwrap();
+    proxy
         .watch
         .send(list_line(
             9,
@@ -112,7 +109,7 @@
             ],
         ))
         .unwrap();
-    disk.wait_for_snapshot_of(&world);
+    disk.wait_for_snapshot_of(&proxy);
     // A directory that a running proxy holds is not cleared.
     let held = state_command(&["clear"], &disk.directory);
     assert!(
@@ -120,8 +117,8 @@
         "{}",
         text_of(&held)
     );
-    world.send_signal("TERM");
-    let (code, log) = world.wait_for_exit();
+    proxy.send_signal("TERM");
+    let (code, log) = proxy.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
     assert!(
         log.contains("stage stage=normal why=\"discovery tells hosts that are warm\""),
@@ -165,9 +162,9 @@
         "{}",
         text_of(&verified)
     );
-    let mut world = disk.serving_world();
-    world.send_signal("TERM");
-    let (code, log) = world.wait_for_exit();
+    let mut proxy = disk.start_serving_proxy();
+    proxy.send_signal("TERM");
+    let (code, log) = proxy.wait_for_exit();
     let lines: Vec<&str> = log
         .lines()
         .filter(|line| line.contains("state-bad file="))
@@ -180,9 +177,9 @@
 fn a_directory_that_cannot_be_used_is_one_log_line_and_the_proxy_serves() {
     let disk = SnapshotDisk::new();
     std::fs::write(&disk.directory, "a file").unwrap();
-    let mut world = disk.serving_world();
-    world.send_signal("TERM");
-    let (code, log) = world.wait_for_exit();
+    let mut proxy = disk.start_serving_proxy();
+    proxy.send_signal("TERM");
+    let (code, log) = proxy.wait_for_exit();
     assert_eq!(
         (code, log.matches("state-bad ").count()),
         (Some(0), 1),
@@ -194,9 +191,9 @@
 #[test]
 fn a_second_proxy_on_the_same_directory_reports_it_and_writes_nothing() {
     let disk = SnapshotDisk::new();
-    let first = disk.world();
+    let first = disk.start_proxy();
     disk.wait_for_snapshot_of(&first);
-    let mut second = disk.serving_world();
+    let mut second = disk.start_serving_proxy();
     second.send_signal("TERM");
     let (code, log) = second.wait_for_exit();
     assert_eq!(code, Some(0));
@@ -214,11 +211,11 @@
 fn without_discovery_the_configured_endpoints_are_used_once_they_answer() {
     let disk = SnapshotDisk::new();
     // Only the configured list is known; discovery never sends one.
-    let mut world = disk.world();
+    let mut proxy = disk.start_proxy();
     // The endpoints count as just started, so the first clients are rejected and told to retry.
     let until = Instant::now() + TIMEOUT + TIMEOUT;
     loop {
-        let mut client = world.connect(OPEN_LINE);
+        let mut client = proxy.connect(OPEN_LINE);
         let answer = client.read_line_within(Duration::from_millis(300));
         match answer.as_deref() {
             Some(busy) => assert!(busy.starts_with("BUSY "), "{busy}"),
@@ -227,8 +224,8 @@
         assert!(Instant::now() < until, "no client is admitted");
         std::thread::sleep(Duration::from_millis(100));
     }
-    world.send_signal("TERM");
-    let (_, log) = world.wait_for_exit();
+    proxy.send_signal("TERM");
+    let (_, log) = proxy.wait_for_exit();
     let stage = |line: &'_ str| {
         Some(
             line.strip_prefix("stage stage=")?
--- /dev/null
+++ b/crates/proxy/tests/support/harness.rs
@@ -0,0 +1,175 @@
+//! A running proxy between the servers and the discovery of a test.
+
+use super::{
+    LineConnection, OPEN_ID, OPEN_LINE, OpenedWatch, ProxyOptions, QUIET_TIME, SecondProcess,
+    TIMEOUT, free_address, list_line, send_signal,
+};
+use std::io::Read;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::mpsc::{Receiver, Sender};
+use std::time::{Duration, Instant};
+
+/// A proxy, its servers and its discovery; the proxy ends with the test.
+pub(crate) struct ProxyHarness {
+    pub(crate) process: Child,
+    /// Where clients connect.
+    pub(crate) listen_address: SocketAddr,
+    pub(crate) servers: Vec<TcpListener>,
+    /// Further watches as they are opened.
+    pub(crate) watches: Receiver<OpenedWatch>,
+    /// Where lists for the first watch go.
+    pub(crate) watch: Sender<String>,
+    pub(crate) config_path: PathBuf,
+    /// Where operators call, if the proxy was started so.
+    pub(crate) admin_http: SocketAddr,
+    /// The directory that all processes of this proxy share.
+    pub(crate) directory: PathBuf,
+}
+
+impl Drop for ProxyHarness {
+    fn drop(&mut self) {
+        let _ = self.process.kill();
+        let _ = self.process.wait();
+        let _ = std::fs::remove_file(&self.config_path);
+        let _ = std::fs::remove_dir_all(&self.directory);
+    }
+}
+
+impl ProxyHarness {
+    /// A proxy that serves, with some servers and the usual settings.
+    pub(crate) fn new(servers: usize) -> ProxyHarness {
+        ProxyOptions::new(servers).start()
+    }
+
+    /// The same with an address for operators' HTTP calls, where processes may replace each other.
+    pub(crate) fn with_admin_http(servers: usize) -> ProxyHarness {
+        ProxyOptions::new(servers).admin_http().start()
+    }
+
+    /// The next watch that a process of this proxy opens: its request's first line, and where its lists go.
+    pub(crate) fn accept_watch(&self) -> OpenedWatch {
+        self.watches.recv_timeout(TIMEOUT).expect("another watch")
+    }
+
+    /// The address of a server.
+    pub(crate) fn server_address(&self, server: usize) -> SocketAddr {
+        self.servers[server].local_addr().unwrap()
+    }
+
+    /// The socket at which processes of this proxy replace each other.
+    pub(crate) fn hot_restart_socket(&self) -> PathBuf {
+        self.directory.join(format!(
+            "asterramp-{}-{}.sock",
+            self.listen_address.ip(),
+            self.listen_address.port()
+        ))
+    }
+
+    /// Starts another process of the same proxy, whose operators call elsewhere.
+    pub(crate) fn start_second_process(&self) -> SecondProcess {
+        static NEXT: AtomicU32 = AtomicU32::new(10_000);
+        let admin_http = free_address(NEXT.fetch_add(1, Ordering::Relaxed));
+        let process = Command::new(env!("CARGO_BIN_EXE_asterramp"))
+            .env("LB_CONFIG", &self.config_path)
+            .env("LB_OPERATOR", admin_http.to_string())
+            .env("TMPDIR", &self.directory)
+            .stderr(Stdio::null())
+            .spawn()
+            .unwrap();
+        SecondProcess {
+            process,
+            admin_http,
+        }
+    }
+
+    /// Starts another process, answers its watch and waits until it is ready.
+    pub(crate) fn start_ready_process(&self) -> (SecondProcess, Sender<String>) {
+        let second = self.start_second_process();
+        let (_, watch) = self.accept_watch();
+        watch.send(list_line(8, false, &[])).unwrap();
+        assert!(second.becomes_ready(), "it never serves");
+        (second, watch)
+    }
+
+    /// Connects a client that sends a text; the id of [`OPEN_LINE`] becomes one of its own.
+    pub(crate) fn connect(&self, text: &str) -> LineConnection {
+        static NEXT: AtomicU32 = AtomicU32::new(1);
+        let id = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
+        let mut client = LineConnection::of(TcpStream::connect(self.listen_address).unwrap());
+        client.send(&text.replace(OPEN_ID, &id));
+        client
+    }
+
+    /// The next connection that reaches a server, and its first line.
+    pub(crate) fn accept_at(&self, server: usize) -> (LineConnection, String) {
+        self.accept_at_any(&[server])
+    }
+
+    /// The next connection that reaches any of some servers, and its first line.
+    pub(crate) fn accept_at_any(&self, servers: &[usize]) -> (LineConnection, String) {
+        let until = Instant::now() + TIMEOUT;
+        for server in servers.iter().cycle() {
+            let listener = &self.servers[*server];
+            listener.set_nonblocking(true).unwrap();
+            match listener.accept() {
+                Ok((stream, _)) => {
+                    stream.set_nonblocking(false).unwrap();
+                    let mut connection = LineConnection::of(stream);
+                    let line = connection.read_line();
+                    return (connection, line);
+                }
+                Err(_) => assert!(Instant::now() < until, "no dial"),
+            }
+            std::thread::sleep(Duration::from_millis(2));
+        }
+        unreachable!("no servers")
+    }
+
+    /// Waits a moment and checks that the first server was not dialled.
+    pub(crate) fn assert_no_dial(&self) {
+        std::thread::sleep(QUIET_TIME);
+        self.assert_no_pending_dial("it was dialled");
+    }
+
+    /// Checks that no connection waits at the first server.
+    pub(crate) fn assert_no_pending_dial(&self, message: &str) {
+        let listener = &self.servers[0];
+        listener.set_nonblocking(true).unwrap();
+        assert!(listener.accept().is_err(), "{message}");
+    }
+
+    /// The client and the server of a session that is open.
+    pub(crate) fn open_session(&self) -> (LineConnection, LineConnection) {
+        self.open_session_at(&[0])
+    }
+
+    /// The same at whichever of some servers it is dialled.
+    pub(crate) fn open_session_at(&self, servers: &[usize]) -> (LineConnection, LineConnection) {
+        let mut client = self.connect(OPEN_LINE);
+        let (mut server, _) = self.accept_at_any(servers);
+        server.send("UP r1\r\n");
+        assert_eq!(client.read_line(), "UP r1");
+        (client, server)
+    }
+
+    /// Sends the proxy a signal by its name without `SIG`.
+    pub(crate) fn send_signal(&self, name: &str) {
+        send_signal(&self.process, name);
+    }
+
+    /// Waits for the proxy's exit; its code and log.
+    pub(crate) fn wait_for_exit(&mut self) -> (Option<i32>, String) {
+        let until = Instant::now() + 2 * TIMEOUT;
+        while self.process.try_wait().unwrap().is_none() {
+            assert!(Instant::now() < until, "it does not end");
+            std::thread::sleep(Duration::from_millis(5));
+        }
+        let mut log = String::new();
+        let mut stderr = self.process.stderr.take().unwrap();
+        stderr.read_to_string(&mut log).unwrap();
+        (self.process.wait().unwrap().code(), log)
+    }
+}
--- /dev/null
+++ b/crates/proxy/tests/support/hot_restart_link.rs
@@ -0,0 +1,100 @@
+//! One end of the link between the two processes of a hot restart, played by a test.
+
+use super::ProxyHarness;
+use asterramp_hot_restart::{HotRestartMessage, MAX_MESSAGE_BYTES};
+use asterramp_proxy::transport::{seqpacket, socket};
+use rustix::event::{PollFd, PollFlags, Timespec, poll};
+use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
+
+/// How long a message may take.
+const MESSAGE_TIMEOUT: Timespec = Timespec {
+    tv_sec: 3,
+    tv_nsec: 0,
+};
+
+/// A message and the descriptors attached to it.
+pub(crate) struct LinkMessage {
+    pub(crate) message: HotRestartMessage,
+    pub(crate) descriptors: Vec<OwnedFd>,
+}
+
+/// The test's end of the link.
+pub(crate) struct HotRestartLink(OwnedFd);
+
+impl HotRestartLink {
+    /// Connects to a proxy as its successor, and waits until it has sent its endpoints and its listener.
+    pub(crate) fn as_successor_of(proxy: &ProxyHarness) -> HotRestartLink {
+        let link = HotRestartLink(seqpacket::connect(&proxy.hot_restart_socket()).unwrap());
+        link.send(&HotRestartMessage::Hello);
+        while !matches!(link.expect().message, HotRestartMessage::Listener { .. }) {}
+        link
+    }
+
+    /// Waits for a successor at a listening socket.
+    pub(crate) fn accept(listener: &OwnedFd) -> HotRestartLink {
+        poll(&mut [PollFd::new(listener, PollFlags::IN)], None).unwrap();
+        HotRestartLink(socket::accept_unix(listener).unwrap().unwrap())
+    }
+
+    /// Sends a message without descriptors.
+    pub(crate) fn send(&self, message: &HotRestartMessage) {
+        self.send_with(message, &[]);
+    }
+
+    /// Sends a message with descriptors.
+    pub(crate) fn send_with(&self, message: &HotRestartMessage, descriptors: &[BorrowedFd<'_>]) {
+        assert!(seqpacket::send(&self.0, &message.encode(), descriptors).unwrap());
+    }
+
+    /// Sends bytes that need not be a message.
+    pub(crate) fn send_bytes(&self, bytes: &[u8]) {
+        assert!(seqpacket::send(&self.0, bytes, &[]).unwrap());
+    }
+
+    /// The next message; `None` at the link's end.
+    pub(crate) fn receive(&self) -> Option<LinkMessage> {
+        assert_eq!(
+            poll(
+                &mut [PollFd::new(&self.0, PollFlags::IN)],
+                Some(&MESSAGE_TIMEOUT)
+            ),
+            Ok(1),
+            "no message comes"
+        );
+        let (bytes, descriptors) = seqpacket::receive(&self.0, MAX_MESSAGE_BYTES)
+            .unwrap()
+            .expect("a message");
+        (!bytes.is_empty()).then(|| LinkMessage {
+            message: HotRestartMessage::decode(&bytes).unwrap(),
+            descriptors,
+        })
+    }
+
+    /// The next message, where the link must not have ended.
+    pub(crate) fn expect(&self) -> LinkMessage {
+        self.receive().expect("the link has ended")
+    }
+
+    /// Says that the successor serves, and receives how many descriptors the predecessor has open.
+    pub(crate) fn announce_serving(&self) {
+        self.send(&HotRestartMessage::Serving);
+        self.expect_open_descriptors();
+    }
+
+    /// Receives how many descriptors the predecessor has open.
+    pub(crate) fn expect_open_descriptors(&self) {
+        assert!(matches!(
+            self.expect().message,
+            HotRestartMessage::OpenDescriptors(_)
+        ));
+    }
+
+    /// Receives the offer of a session; its client's and its server's socket.
+    pub(crate) fn expect_session_offer(&self) -> Vec<OwnedFd> {
+        let received = self.expect();
+        match received.message {
+            HotRestartMessage::SessionOffer(_) => received.descriptors,
+            other => panic!("{other:?}"),
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/tests/support/options.rs
@@ -0,0 +1,181 @@
+//! How the proxy of a test is configured and started.
+
+use super::{
+    ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, free_address, list_line, serve_discovery,
+};
+use std::net::{Shutdown, SocketAddr, TcpListener};
+use std::path::Path;
+use std::process::{Command, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::time::{Duration, Instant};
+
+/// Limits on descriptors that are far from being met.
+const AMPLE_DESCRIPTORS: DescriptorLimits = DescriptorLimits {
+    configured: 512,
+    of_process: 1024,
+};
+/// The harnesses of a test program, from this number on, have their operators call at addresses of their own.
+const FIRST_ADMIN_ADDRESS: u32 = 5_000;
+
+/// How many descriptors a proxy may open.
+#[derive(Clone, Copy)]
+struct DescriptorLimits {
+    /// By its configuration.
+    configured: usize,
+    /// By the limit of its process.
+    of_process: usize,
+}
+
+/// How a proxy is started.
+#[derive(Clone, Copy)]
+pub(crate) struct ProxyOptions<'a> {
+    servers: usize,
+    settings: &'a str,
+    descriptors: DescriptorLimits,
+    operator_file: Option<&'a Path>,
+    admin_http: bool,
+}
+
+impl<'a> ProxyOptions<'a> {
+    /// With some servers, [`SETTINGS`], ample descriptors and nothing for operators.
+    pub(crate) fn new(servers: usize) -> ProxyOptions<'a> {
+        ProxyOptions {
+            servers,
+            settings: SETTINGS,
+            descriptors: AMPLE_DESCRIPTORS,
+            operator_file: None,
+            admin_http: false,
+        }
+    }
+
+    /// With these settings.
+    pub(crate) fn settings(self, settings: &'a str) -> ProxyOptions<'a> {
+        ProxyOptions { settings, ..self }
+    }
+
+    /// With a limit on descriptors in the configuration, and one of the process.
+    pub(crate) fn descriptors(self, configured: usize, of_process: usize) -> ProxyOptions<'a> {
+        let descriptors = DescriptorLimits {
+            configured,
+            of_process,
+        };
+        ProxyOptions {
+            descriptors,
+            ..self
+        }
+    }
+
+    /// With an operator's file.
+    pub(crate) fn operator_file(self, path: &'a Path) -> ProxyOptions<'a> {
+        ProxyOptions {
+            operator_file: Some(path),
+            ..self
+        }
+    }
+
+    /// With an address for operators' HTTP calls, and a directory in which processes may replace each other.
+    pub(crate) fn admin_http(self) -> ProxyOptions<'a> {
+        ProxyOptions {
+            admin_http: true,
+            ..self
+        }
+    }
+
+    /// Starts the proxy and waits until it serves.
+    pub(crate) fn start(self) -> ProxyHarness {
+        let harness = self.start_without_list();
+        harness.watch.send(list_line(8, false, &[])).unwrap();
+        let until = Instant::now() + TIMEOUT;
+        loop {
+            let mut ping = harness.connect("PING\r\n");
+            if ping.read_line() == "PONG" {
+                // Its end is waited for, so that no test finds a connection that it hasn't opened.
+                ping.0.get_ref().shutdown(Shutdown::Write).unwrap();
+                assert_eq!(ping.read_line(), "FIN");
+                return harness;
+            }
+            assert!(Instant::now() < until, "it does not serve");
+            std::thread::sleep(Duration::from_millis(20));
+        }
+    }
+
+    /// Starts the proxy; its watch is open, and discovery has sent no list.
+    pub(crate) fn start_without_list(self) -> ProxyHarness {
+        static NEXT: AtomicU32 = AtomicU32::new(0);
+        let nth = NEXT.fetch_add(1, Ordering::Relaxed);
+        let name = format!("asterramp-{}-{nth}", std::process::id());
+        let directory = std::env::temp_dir().join(format!("{name}.d"));
+        std::fs::create_dir_all(&directory).unwrap();
+        let servers: Vec<TcpListener> = (0..self.servers)
+            .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
+            .collect();
+        let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
+        let listen_address = free_address(nth);
+        let admin_http = free_address(nth + FIRST_ADMIN_ADDRESS);
+        let config_path = std::env::temp_dir().join(format!("{name}.json"));
+        let config = self.configuration(listen_address, discovery.local_addr().unwrap(), &servers);
+        std::fs::write(&config_path, config).unwrap();
+        let watches = serve_discovery(discovery);
+        let mut process = self
+            .command(&config_path, admin_http, &directory)
+            .spawn()
+            .unwrap();
+        let Ok((_, watch)) = watches.recv_timeout(TIMEOUT) else {
+            process.kill().unwrap();
+            panic!("no watch was opened: {:?}", process.wait_with_output());
+        };
+        ProxyHarness {
+            process,
+            listen_address,
+            servers,
+            watches,
+            watch,
+            config_path,
+            admin_http,
+            directory,
+        }
+    }
+
+    /// The text of a configuration, whose discovery and known endpoints are those of the test.
+    fn configuration(
+        &self,
+        listen: SocketAddr,
+        discovery: SocketAddr,
+        servers: &[TcpListener],
+    ) -> String {
+        let endpoints: Vec<String> = servers
+            .iter()
+            .enumerate()
+            .map(|(index, server)| endpoint_json(index, server.local_addr().unwrap(), "ready"))
+            .collect();
+        let known = list_line(7, true, &endpoints);
+        let settings = self.settings;
+        let descriptors = self.descriptors.configured;
+        format!(
+            r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
+        "limits":{{"cores":1.0,"memory_mb":192,"sockets":{descriptors}}},
+        "known":{known},"settings":{settings}}}"#
+        )
+    }
+
+    /// The command that starts the proxy, with a limit on its descriptors, and its log kept.
+    fn command(&self, config_path: &Path, admin_http: SocketAddr, directory: &Path) -> Command {
+        let script = format!(
+            "ulimit -n {} && exec '{}'",
+            self.descriptors.of_process,
+            env!("CARGO_BIN_EXE_asterramp")
+        );
+        let mut command = Command::new("/bin/sh");
+        command.args(["-c", &script]).stderr(Stdio::piped());
+        command.env("LB_CONFIG", config_path);
+        if let Some(operator_file) = self.operator_file {
+            command.env("ASTERRAMP_OPERATOR", operator_file);
+        }
+        if self.admin_http {
+            command
+                .env("LB_OPERATOR", admin_http.to_string())
+                .env("TMPDIR", directory);
+        }
+        command
+    }
+}
--- /dev/null
+++ b/crates/proxy/tests/support/temporary_path.rs
@@ -0,0 +1,12 @@
+//! Paths of a test's own.
+
+use std::path::PathBuf;
+use std::sync::atomic::{AtomicU32, Ordering};
+
+/// A path below the system's directory for temporary files, which no other test is given.
+pub(crate) fn temporary_path(extension: &str) -> PathBuf {
+    static NEXT: AtomicU32 = AtomicU32::new(0);
+    let nth = NEXT.fetch_add(1, Ordering::Relaxed);
+    let name = format!("asterramp-path-{}-{nth}.{extension}", std::process::id());
+    std::env::temp_dir().join(name)
+}
