--- a/crates/proxy/src/program/commands/mod.rs
+++ b/crates/proxy/src/program/commands/mod.rs
@@ -36,12 +36,12 @@
     /// Serve until told to shut down.
     Serve {
         #[command(flatten)]
-        files: serve::Files,
+        files: serve::StartFiles,
     },
     /// Check both files and report everything that is wrong with them.
     Validate {
         #[command(flatten)]
-        files: serve::Files,
+        files: serve::StartFiles,
     },
     /// Show a proxy's status.
     Status {
@@ -92,7 +92,7 @@
 /// Does what the command line says; errors go to standard error.
 pub fn run() -> ExitCode {
     let serve = Command::Serve {
-        files: serve::Files::default(),
+        files: serve::StartFiles::default(),
     };
     let command = CommandLine::parse().command.unwrap_or(serve);
     match execute(command) {
--- a/crates/proxy/src/program/commands/serve.rs
+++ b/crates/proxy/src/program/commands/serve.rs
@@ -10,7 +10,7 @@
 const OPERATOR_VARIABLE: &str = "ASTERRAMP_OPERATOR";
 
 #[derive(Args, Default)]
-pub(super) struct Files {
+pub(super) struct StartFiles {
     /// The platform's configuration; LB_CONFIG if absent.
     #[arg(long)]
     config: Option<PathBuf>,
@@ -19,7 +19,7 @@
     operator: Option<PathBuf>,
 }
 
-impl Files {
+impl StartFiles {
     /// Path of the platform's configuration.
     pub(super) fn config_path(&self) -> Option<String> {
         path_or_variable(self.config.as_ref(), CONFIG_VARIABLE)
@@ -31,7 +31,7 @@
     }
 }
 
-pub(super) fn serve(files: &Files) -> Result<(), CommandError> {
+pub(super) fn serve(files: &StartFiles) -> Result<(), CommandError> {
     let config = files.config_path();
     let operator = files.operator_path();
     run(config.as_deref(), operator.as_deref())?;
--- a/crates/proxy/src/program/commands/validate.rs
+++ b/crates/proxy/src/program/commands/validate.rs
@@ -1,11 +1,11 @@
 //! `asterramp validate`: checks both files without serving.
 
 use super::error::CommandError;
-use super::serve::Files;
+use super::serve::StartFiles;
 use crate::program::config::ConfigFile;
 use asterramp_operator_config::OperatorConfig;
 
-pub(super) fn validate(files: &Files) -> Result<(), CommandError> {
+pub(super) fn validate(files: &StartFiles) -> Result<(), CommandError> {
     let mut mistakes = Vec::new();
     match files.config_path() {
         Some(path) => {
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -83,13 +83,11 @@
         None => (None, Vec::new()),
     };
     let highest_term = snapshot.as_ref().map_or(0, |snapshot| snapshot.lease_term);
-    if config.warm_start.enabled {
-        options.warm_start = Some(WarmStartPlan {
-            settings: operator_file::warm_start_settings(&config.warm_start, &options.settings),
-            peers: operator_file::peer_settings(&config.warm_start),
-            snapshot,
-        });
-    }
+    options.warm_start = config.warm_start.enabled.then(|| WarmStartPlan {
+        settings: operator_file::warm_start_settings(&config.warm_start, &options.settings),
+        peers: operator_file::peer_settings(&config.warm_start),
+        snapshot,
+    });
     let mut router = Router::new(options, now).map_err(ServeError::Router)?;
     router
         .add_wake_source(wake_source)
@@ -109,21 +107,27 @@
     router.log_events.extend(events);
     router.restore_highest_term(highest_term);
     apply_operator_config(&mut router, config);
-    if let Some(admin_socket) = &config.admin_socket {
-        router
-            .open_admin_socket(
-                &admin_socket.path,
-                admin_socket.max_connections,
-                config.drain.default_deadline,
-            )
-            .map_err(|source| ServeError::AdminSocket {
-                path: admin_socket.path.clone(),
-                source,
-            })?;
-    }
+    open_admin_socket(&mut router, config)?;
     Ok(router)
 }
 
+/// Opens the admin socket, if the operator's file names one.
+fn open_admin_socket(router: &mut Router, config: &OperatorConfig) -> Result<(), ServeError> {
+    let Some(admin_socket) = &config.admin_socket else {
+        return Ok(());
+    };
+    router
+        .open_admin_socket(
+            &admin_socket.path,
+            admin_socket.max_connections,
+            config.drain.default_deadline,
+        )
+        .map_err(|source| ServeError::AdminSocket {
+            path: admin_socket.path.clone(),
+            source,
+        })
+}
+
 /// Sets what an operator may also change while the proxy runs.
 fn apply_operator_config(router: &mut Router, config: &OperatorConfig) {
     let zones = &config.zone_failover;
--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// Callers at once. When another comes, the one that has been idle longest is closed.
-pub(super) const MAX_CALLERS: usize = 32;
+const MAX_CONNECTIONS: usize = 32;
 
 /// Callers accepted in one turn of the event loop, so that a crowd of them does not delay clients.
 const MAX_ACCEPTS_PER_TURN: usize = 16;
@@ -56,7 +56,7 @@
         let listener = self
             .register(socket, ConnectionRole::AdminHttpListener, READ)
             .ok_or_else(|| io::Error::other("it cannot be watched"))?;
-        self.resource_budget = self.resource_budget.without(MAX_CALLERS + 1);
+        self.resource_budget = self.resource_budget.without(MAX_CONNECTIONS + 1);
         self.admin_http = Some(AdminHttp {
             listener,
             callers: Vec::new(),
@@ -80,7 +80,7 @@
                     return self.log_event(ReasonCode::AcceptFailed, text);
                 }
             };
-            if admin_http.callers.len() >= MAX_CALLERS {
+            if admin_http.callers.len() >= MAX_CONNECTIONS {
                 let longest_idle = admin_http.callers[0];
                 self.log_event(ReasonCode::AdminRequestFailed, "call why=\"crowded out\"");
                 self.close_caller(longest_idle);
--- a/crates/proxy/src/routing/hot_restart/adoption.rs
+++ b/crates/proxy/src/routing/hot_restart/adoption.rs
@@ -164,19 +164,11 @@
         };
         let machine =
             SessionMachine::open(self.now, request, server, self.settings.connect_timeout);
-        let client = ReceivedStream {
-            stream: next_stream(descriptors, &offer.from_client)?,
-            validated: offer.from_client.validated,
-        };
-        let server = ReceivedStream {
-            stream: next_stream(descriptors, &offer.from_server)?,
-            validated: offer.from_server.validated,
-        };
         Ok(ReceivedSession {
             machine,
             session,
-            client,
-            server,
+            client: ReceivedStream::next(descriptors, &offer.from_client)?,
+            server: ReceivedStream::next(descriptors, &offer.from_server)?,
             answer_within: offer.answer_within,
         })
     }
@@ -275,6 +267,18 @@
     }
 }
 
+impl ReceivedStream {
+    fn next(
+        descriptors: &mut vec::IntoIter<OwnedFd>,
+        buffered: &BufferedBytes,
+    ) -> Result<ReceivedStream, InvalidOffer> {
+        Ok(ReceivedStream {
+            stream: next_stream(descriptors, buffered)?,
+            validated: buffered.validated,
+        })
+    }
+}
+
 /// A stream of the next descriptor, with what the predecessor had read from it.
 fn next_stream(
     descriptors: &mut vec::IntoIter<OwnedFd>,
--- a/crates/proxy/src/routing/hot_restart/inherited_listener.rs
+++ b/crates/proxy/src/routing/hot_restart/inherited_listener.rs
@@ -5,7 +5,8 @@
 use super::endpoint_records::{UnreadableAddress, endpoint_from_record};
 use crate::protocol::discovery::{EndpointList, ListedEndpoint};
 use crate::routing::endpoints::MAX_ENDPOINTS;
-use crate::transport::{seqpacket, socket};
+use crate::transport::seqpacket::{self, ReceivedMessage};
+use crate::transport::socket;
 use asterramp_hot_restart::{HotRestartMessage, MAX_MESSAGE_BYTES, MessageError};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::fd::OwnedFd;
@@ -76,48 +77,54 @@
         }
         let deadline = Instant::now() + STATE_TIMEOUT;
         seqpacket::send(&link, &HotRestartMessage::Hello.encode(), &[])?;
-        let mut endpoints: Vec<ListedEndpoint> = Vec::new();
-        loop {
-            let (message, mut descriptors) = receive_before(&link, deadline)?;
-            match (HotRestartMessage::decode(&message)?, descriptors.pop()) {
-                (HotRestartMessage::Endpoints(records), None)
-                    if endpoints.len() < MAX_ENDPOINTS =>
-                {
-                    for record in records {
-                        endpoints.push(endpoint_from_record(record)?);
-                    }
-                }
-                (HotRestartMessage::Listener { list_revision }, Some(listener)) => {
-                    check_listener(&listener, listen)?;
-                    let list = EndpointList {
-                        revision: list_revision,
-                        complete: true,
-                        endpoints,
-                        first_error: None,
-                    };
-                    return Ok(Some(InheritedListener {
-                        link,
-                        listener,
-                        list,
-                    }));
+        let (listener, list) = receive_state(&link, listen, deadline)?;
+        Ok(Some(InheritedListener {
+            link,
+            listener,
+            list,
+        }))
+    }
+}
+
+/// Receives the endpoint list and then the listener, which must be bound to `listen`.
+fn receive_state(
+    link: &OwnedFd,
+    listen: SocketAddr,
+    deadline: Instant,
+) -> Result<(OwnedFd, EndpointList), InheritError> {
+    let mut endpoints: Vec<ListedEndpoint> = Vec::new();
+    loop {
+        let mut received = receive_before(link, deadline)?;
+        let message = HotRestartMessage::decode(&received.bytes)?;
+        match (message, received.descriptors.pop()) {
+            (HotRestartMessage::Endpoints(records), None) if endpoints.len() < MAX_ENDPOINTS => {
+                for record in records {
+                    endpoints.push(endpoint_from_record(record)?);
                 }
-                _ => return Err(InheritError::UnexpectedMessage),
             }
+            (HotRestartMessage::Listener { list_revision }, Some(listener)) => {
+                check_listener(&listener, listen)?;
+                let list = EndpointList {
+                    revision: list_revision,
+                    complete: true,
+                    endpoints,
+                    first_error: None,
+                };
+                return Ok((listener, list));
+            }
+            _ => return Err(InheritError::UnexpectedMessage),
         }
     }
 }
 
 /// The next message on the link and what came along, waiting until `deadline`.
-fn receive_before(
-    link: &OwnedFd,
-    deadline: Instant,
-) -> Result<(Vec<u8>, Vec<OwnedFd>), InheritError> {
+fn receive_before(link: &OwnedFd, deadline: Instant) -> Result<ReceivedMessage, InheritError> {
     loop {
-        if let Some((message, descriptors)) = seqpacket::receive(link, MAX_MESSAGE_BYTES)? {
-            if message.is_empty() {
+        if let Some(received) = seqpacket::receive(link, MAX_MESSAGE_BYTES)? {
+            if received.bytes.is_empty() {
                 return Err(InheritError::LinkClosed);
             }
-            return Ok((message, descriptors));
+            return Ok(received);
         }
         let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
--- a/crates/proxy/src/routing/hot_restart/messages.rs
+++ b/crates/proxy/src/routing/hot_restart/messages.rs
@@ -38,8 +38,8 @@
             };
             match seqpacket::receive(&connection.stream, MAX_MESSAGE_BYTES) {
                 Ok(None) => return,
-                Ok(Some((message, descriptors))) if !message.is_empty() => {
-                    self.handle_hot_restart_bytes(&message, descriptors);
+                Ok(Some(received)) if !received.bytes.is_empty() => {
+                    self.handle_hot_restart_bytes(&received.bytes, received.descriptors);
                 }
                 Ok(Some(_)) => return self.apply_hot_restart(HotRestartInput::LinkClosed),
                 Err(_) => return self.apply_hot_restart(HotRestartInput::PeerFailed),
--- a/crates/proxy/src/routing/hot_restart/offers.rs
+++ b/crates/proxy/src/routing/hot_restart/offers.rs
@@ -210,11 +210,11 @@
         // It fails only for a link that has ended, on which nothing more comes.
         let _ = seqpacket::shutdown_read(&link.stream);
         let mut accepted = 0;
-        while let Ok(Some((message, _))) = seqpacket::receive(&link.stream, MAX_MESSAGE_BYTES) {
-            if message.is_empty() {
+        while let Ok(Some(received)) = seqpacket::receive(&link.stream, MAX_MESSAGE_BYTES) {
+            if received.bytes.is_empty() {
                 break;
             }
-            if HotRestartMessage::decode(&message) == Ok(HotRestartMessage::OfferAccepted) {
+            if HotRestartMessage::decode(&received.bytes) == Ok(HotRestartMessage::OfferAccepted) {
                 accepted += 1;
             }
         }
--- a/crates/proxy/src/routing/peers/message.rs
+++ b/crates/proxy/src/routing/peers/message.rs
@@ -1,4 +1,4 @@
-//! What proxies tell each other after a power loss, as JSON over HTTP.
+//! What proxies send each other after a power loss, as JSON over HTTP.
 
 use super::PeerError;
 use serde::{Deserialize, Serialize};
--- a/crates/proxy/src/routing/session_state/machine.rs
+++ b/crates/proxy/src/routing/session_state/machine.rs
@@ -219,16 +219,8 @@
             TransitionEffect::EndDial(outcome) => {
                 self.end_dial(now, outcome, Load::default(), out);
             }
-            TransitionEffect::EndDialAsDeclined => {
-                if let SessionInput::ServerDeclined { outcome, load, .. } = input {
-                    self.end_dial(now, outcome, load, out);
-                }
-            }
-            TransitionEffect::RejectClient => {
-                if let SessionInput::Reject { retry_after } = input {
-                    self.answer(FinalAnswer::Rejected(retry_after), out);
-                }
-            }
+            TransitionEffect::EndDialAsDeclined => self.end_dial_as_declined(now, input, out),
+            TransitionEffect::RejectClient => self.reject_client(input, out),
             TransitionEffect::FailClient => {
                 self.answer(FinalAnswer::Failed(ReasonCode::SessionFailed), out);
             }
@@ -239,13 +231,11 @@
                 }
             }
             TransitionEffect::ReleaseClient => self.release_client(input, out),
-            TransitionEffect::Forget => {
-                out.extend([
-                    SessionEffect::SetDeadline(None),
-                    SessionEffect::CloseServer,
-                    SessionEffect::Forget,
-                ]);
-            }
+            TransitionEffect::Forget => out.extend([
+                SessionEffect::SetDeadline(None),
+                SessionEffect::CloseServer,
+                SessionEffect::Forget,
+            ]),
             TransitionEffect::NotifySessionOver => self.notify_session_over(input, out),
             TransitionEffect::NotifyClientLeft => self.notify_client_left(out),
             TransitionEffect::ShutDown => self.shut_down(out),
@@ -310,6 +300,23 @@
         out.push(SessionEffect::StartForwarding);
     }
 
+    fn end_dial_as_declined(
+        &mut self,
+        now: Duration,
+        input: SessionInput,
+        out: &mut Vec<SessionEffect>,
+    ) {
+        if let SessionInput::ServerDeclined { outcome, load, .. } = input {
+            self.end_dial(now, outcome, load, out);
+        }
+    }
+
+    fn reject_client(&mut self, input: SessionInput, out: &mut Vec<SessionEffect>) {
+        if let SessionInput::Reject { retry_after } = input {
+            self.answer(FinalAnswer::Rejected(retry_after), out);
+        }
+    }
+
     fn release_client(&mut self, input: SessionInput, out: &mut Vec<SessionEffect>) {
         if !self.client_waiting {
             return;
--- a/crates/proxy/src/routing/session_tasks.rs
+++ b/crates/proxy/src/routing/session_tasks.rs
@@ -96,20 +96,23 @@
             SessionEffect::Restore => self.restore(session),
             SessionEffect::Forget => self.forget(session),
             SessionEffect::Log(code) => self.log_session_end(session, code),
-            SessionEffect::Count(code) => {
-                if matches!(
-                    code,
-                    ReasonCode::SessionOpened | ReasonCode::SessionRestored
-                ) {
-                    self.count_session_end(session, SessionEnd::Success);
-                }
-                self.count_event(code);
-            }
+            SessionEffect::Count(code) => self.count_session_event(session, code),
             // The session table has given it to the engine.
             SessionEffect::Notify(_) => {}
         }
     }
 
+    /// Counts an event; a session that is open counts as served from then on.
+    fn count_session_event(&mut self, session: SlotKey, code: ReasonCode) {
+        if matches!(
+            code,
+            ReasonCode::SessionOpened | ReasonCode::SessionRestored
+        ) {
+            self.count_session_end(session, SessionEnd::Success);
+        }
+        self.count_event(code);
+    }
+
     /// A session has come to its one end, as its client sees it.
     pub(super) fn count_session_end(&mut self, session: SlotKey, end: SessionEnd) {
         let listener = self
--- a/crates/proxy/src/transport/seqpacket.rs
+++ b/crates/proxy/src/transport/seqpacket.rs
@@ -14,8 +14,14 @@
 /// Most descriptors attached to a message: both ends of a forwarded connection.
 const MAX_DESCRIPTORS: usize = 2;
 
-/// A received message: its bytes, empty at the connection's end, and the descriptors attached to it.
-pub type ReceivedMessage = (Vec<u8>, Vec<OwnedFd>);
+/// A received message.
+#[derive(Debug)]
+pub struct ReceivedMessage {
+    /// Its bytes; empty at the connection's end.
+    pub bytes: Vec<u8>,
+    /// The descriptors attached to it.
+    pub descriptors: Vec<OwnedFd>,
+}
 
 /// Connects to the process that listens on a path. Fails where none does.
 pub fn connect(path: &Path) -> Result<OwnedFd> {
@@ -86,7 +92,7 @@
         return Err(Errno::MSGSIZE);
     }
     bytes.truncate(received.bytes);
-    Ok(Some((bytes, descriptors)))
+    Ok(Some(ReceivedMessage { bytes, descriptors }))
 }
 
 fn receive_once(
--- a/crates/proxy/tests/support/hot_restart_link.rs
+++ b/crates/proxy/tests/support/hot_restart_link.rs
@@ -61,12 +61,12 @@
             Ok(1),
             "no message comes"
         );
-        let (bytes, descriptors) = seqpacket::receive(&self.0, MAX_MESSAGE_BYTES)
+        let received = seqpacket::receive(&self.0, MAX_MESSAGE_BYTES)
             .unwrap()
             .expect("a message");
-        (!bytes.is_empty()).then(|| LinkMessage {
-            message: HotRestartMessage::decode(&bytes).unwrap(),
-            descriptors,
+        (!received.bytes.is_empty()).then(|| LinkMessage {
+            message: HotRestartMessage::decode(&received.bytes).unwrap(),
+            descriptors: received.descriptors,
         })
     }
 
