--- a/crates/admin-protocol/tests/golden.rs
+++ b/crates/admin-protocol/tests/golden.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn requests_are_written_as_ever() {
+fn requests_are_encoded_as_before() {
     let mut text = String::new();
     for request in requests() {
         text += &serde_json::to_string(&request).unwrap();
@@ -69,10 +69,10 @@
 }
 
 #[test]
-fn requests_of_old_builds_are_read_or_refused_as_ever() {
+fn requests_of_earlier_builds_are_accepted_or_rejected_as_before() {
     let lines = golden("requests.jsonl");
     assert_eq!(lines.lines().count(), requests().len());
-    let mut refused = 0;
+    let mut rejected = 0;
     for (line, request) in lines.lines().zip(requests()) {
         let leader_needed = matches!(
             request.command,
@@ -82,15 +82,15 @@
             Ok(read) => assert_eq!(read, request, "{line}"),
             Err(_) => {
                 assert!(leader_needed && request.leader.is_none(), "{line}");
-                refused += 1;
+                rejected += 1;
             }
         }
     }
-    assert_eq!(refused, 2);
+    assert_eq!(rejected, 2);
 }
 
-/// Lines that must be refused, beside those that only spaces or the order of keys tell from good ones.
-const LINES: &[&str] = &[
+/// Lines that must be rejected, and some that differ from good ones only by spaces or the order of keys.
+const REQUEST_LINES: &[&str] = &[
     "",
     "x",
     "{}",
@@ -144,12 +144,12 @@
 ];
 
 #[test]
-fn what_is_no_request_is_refused_in_the_same_words() {
+fn an_invalid_request_is_rejected_in_the_same_words() {
     let mut text = String::new();
-    for line in LINES {
+    for line in REQUEST_LINES {
         let read = match AdminRequest::parse(line.as_bytes()) {
             Ok(request) => format!("read as {}", serde_json::to_string(&request).unwrap()),
-            Err(why) => format!("refused: {why}"),
+            Err(error) => format!("refused: {error}"),
         };
         text += &format!("{line}\n    {read}\n");
     }
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn replies_are_written_and_read_as_ever() {
+fn replies_are_encoded_and_decoded_as_before() {
     let replies = replies();
     let text: String = replies.iter().map(AdminReply::to_line).collect();
     assert_golden("replies.jsonl", &text);
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn what_operators_call_over_http_stays() {
+fn http_calls_and_limits_stay_as_they_are() {
     let mut text = format!(
         "version {PROTOCOL_VERSION}, request {MAX_REQUEST_BYTES}, reply {MAX_REPLY_BYTES}\n"
     );
@@ -302,20 +302,20 @@
     assert_golden("calls.txt", &text);
 }
 
-/// A socket whose other end takes one request and answers with the bytes given, and the request that came.
-fn answered_with(answer: &[u8]) -> (Result<ProxyStatus, String>, String) {
+/// What the client makes of a reply, to one request at a socket, and the request as it came.
+fn send_for_reply(reply: &[u8]) -> (Result<ProxyStatus, String>, String) {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let nth = NEXT.fetch_add(1, Ordering::Relaxed);
     let name = format!("asterramp-golden-{}-{nth}.sock", std::process::id());
     let path: PathBuf = std::env::temp_dir().join(name);
     let listener = UnixListener::bind(&path).unwrap();
-    let answer = answer.to_vec();
+    let reply = reply.to_vec();
     let proxy = std::thread::spawn(move || {
         let (stream, _) = listener.accept().unwrap();
         let mut stream = BufReader::new(stream);
         let mut request = String::new();
         stream.read_line(&mut request).unwrap();
-        let _ = stream.get_mut().write_all(&answer);
+        let _ = stream.get_mut().write_all(&reply);
         request
     });
     let request = AdminRequest {
@@ -326,13 +326,13 @@
     let status = client.send(&request);
     drop(client);
     std::fs::remove_file(&path).unwrap();
-    let place = path.display().to_string();
-    let status = status.map_err(|why| why.to_string().replace(&place, "<socket>"));
+    let shown_path = path.display().to_string();
+    let status = status.map_err(|error| error.to_string().replace(&shown_path, "<socket>"));
     (status, proxy.join().unwrap())
 }
 
 #[test]
-fn an_operators_end_says_the_same_of_each_answer() {
+fn the_client_reports_each_reply_in_the_same_words() {
     let empty = AdminReply {
         version: 1,
         error: None,
@@ -344,7 +344,7 @@
                    \"deadline_ms\":null,\"carries\":true,\"taken\":8,\"left\":[],\"hosts_ready\":9,\"hosts\":10,\
                    \"discovery_ms\":null}}\n";
     let both = minimal.replace("{\"v\":1,", "{\"v\":1,\"error\":\"no\",\"odd\":[1],");
-    let answers: Vec<(&str, Vec<u8>)> = vec![
+    let replies: Vec<(&str, Vec<u8>)> = vec![
         ("full", AdminReply::status(full_status()).to_line().into()),
         ("of a build without terms", minimal.into()),
         ("an error beside a status", both.into()),
@@ -367,15 +367,15 @@
         ("too long", vec![b'x'; MAX_REPLY_BYTES + 10]),
     ];
     let mut text = String::new();
-    for (name, answer) in answers {
-        let (status, request) = answered_with(&answer);
+    for (name, reply) in replies {
+        let (status, request) = send_for_reply(&reply);
         text += &match status {
             Ok(status) => format!("{name}: {}\n", serde_json::to_string(&status).unwrap()),
-            Err(why) => format!("{name}: error {why}\n"),
+            Err(error) => format!("{name}: error {error}\n"),
         };
         assert_eq!(request, "{\"v\":1,\"do\":\"drain\",\"deadline_ms\":1500}\n");
     }
-    let nobody = AdminClient::connect(Path::new("/nowhere/at.sock")).err();
-    text += &format!("nobody: error {}\n", nobody.unwrap());
+    let without_proxy = AdminClient::connect(Path::new("/nowhere/at.sock")).err();
+    text += &format!("nobody: error {}\n", without_proxy.unwrap());
     assert_golden("answers.txt", &text);
 }
--- a/crates/operator-config/tests/golden.rs
+++ b/crates/operator-config/tests/golden.rs
@@ -177,7 +177,7 @@
     assert_golden("empty.txt", &values(&OperatorConfig::parse("").unwrap()));
     assert_eq!(OperatorConfig::parse(&golden("full.toml")), Ok(full));
     assert_eq!(OperatorConfig::parse(""), Ok(OperatorConfig::default()));
-    // The least that switches the control socket and the snapshots on.
+    // The least that switches the admin socket and the snapshots on.
     let least = "[control]\nsocket = \"/a\"\n[state]\nfolder = \"/b\"\n";
     assert_golden("least.txt", &values(&OperatorConfig::parse(least).unwrap()));
 }
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn each_mistake_is_told_in_the_same_words() {
+fn each_mistake_is_reported_in_the_same_words() {
     let mut text = String::new();
     for file in mistakes() {
         text += &format!(
--- a/crates/proxy/tests/admin_socket.rs
+++ b/crates/proxy/tests/admin_socket.rs
@@ -6,16 +6,11 @@
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::Path;
-use std::process::{Command, Output};
+use std::process::Command;
 use std::time::{Duration, Instant};
-use support::{OperatedProxy, operator_file_text, temporary_path};
+use support::{OperatedProxy, operator_file_text, temporary_path, text_of};
 use test_case::test_case;
 
-/// Standard output and standard error, one after the other.
-fn text_of(output: Output) -> String {
-    String::from_utf8([output.stdout, output.stderr].concat()).unwrap()
-}
-
 #[test_case("x", "not a request"; "not JSON")]
 #[test_case("{}", "not a request"; "no command")]
 #[test_case(r#"{"v":2,"do":"status"}"#, "v is 2"; "another version")]
@@ -132,7 +127,7 @@
             .arg(command)
             .output()
             .unwrap();
-        let text = text_of(output);
+        let text = text_of(&output);
         assert!(
             text.contains("line 2: drain.pase") && text.contains("line 3: drain.quiet"),
             "{text}"
@@ -155,12 +150,12 @@
 fn the_status_is_printed_for_people_and_programs_and_so_are_completions() {
     let operated = OperatedProxy::start("");
     let _session = operated.proxy.open_session();
-    let line = text_of(operated.run(&["status"]));
+    let line = text_of(&operated.run(&["status"]));
     assert!(
         line.starts_with("serving  1 open") && line.contains("1 of 1 hosts ready"),
         "{line}"
     );
-    let json = text_of(operated.run(&["status", "--json"]));
+    let json = text_of(&operated.run(&["status", "--json"]));
     assert!(
         json.starts_with("{\"pid\":") && json.contains("\"open\":1"),
         "{json}"
@@ -169,7 +164,7 @@
         .args(["completions", "bash"])
         .output()
         .unwrap();
-    assert!(text_of(completions).contains("undrain"));
+    assert!(text_of(&completions).contains("undrain"));
     let without_proxy = Command::new(env!("CARGO_BIN_EXE_asterramp"))
         .args(["status", "--control", "/nowhere"])
         .output();
--- a/crates/proxy/tests/endpoints.rs
+++ b/crates/proxy/tests/endpoints.rs
@@ -4,8 +4,8 @@
 
 use std::time::{Duration, Instant};
 use support::{
-    OPEN_LINE, ProxyHarness, ProxyOptions, SETTINGS, TIMEOUT, endpoint_json, list_line,
-    settings_with_health_checks,
+    OPEN_LINE, OpenedWatch, ProxyHarness, ProxyOptions, SETTINGS, TIMEOUT, endpoint_json,
+    list_line, settings_with_health_checks,
 };
 use test_case::test_case;
 
@@ -36,7 +36,10 @@
         endpoint_json(1, proxy.server_address(1), "draining"),
     ];
     proxy.watch.send(list_line(10, true, &bad)).unwrap();
-    let (request, watch) = proxy.watches.recv_timeout(TIMEOUT).expect("another watch");
+    let OpenedWatch {
+        request,
+        lists: watch,
+    } = proxy.accept_watch();
     assert!(request.contains("stream=1&index=9 "), "{request}");
     open_four_sessions_at(&proxy, 0);
     watch
@@ -52,7 +55,10 @@
     std::thread::sleep(Duration::from_millis(100));
     open_four_sessions_at(&proxy, 1);
     watch.send("{\"rev\":11,\"targets\":[{\n".into()).unwrap();
-    let (request, watch) = proxy.watches.recv_timeout(TIMEOUT).expect("another watch");
+    let OpenedWatch {
+        request,
+        lists: watch,
+    } = proxy.accept_watch();
     assert!(request.contains("stream=1&index=10 "), "{request}");
     open_four_sessions_at(&proxy, 1);
     // The same uid at another endpoint.
@@ -100,10 +106,10 @@
     if ended {
         proxy.watch.send(String::new()).unwrap();
     }
-    let (request, _watch) = proxy
-        .watches
-        .recv_timeout(TIMEOUT + TIMEOUT)
-        .expect("another watch");
+    let OpenedWatch {
+        request,
+        lists: _watch,
+    } = proxy.accept_watch_within(TIMEOUT + TIMEOUT);
     assert!(
         begin.elapsed() > Duration::from_millis(min_delay_ms),
         "asked again after {:?}",
@@ -118,7 +124,10 @@
 fn a_watch_without_complete_lines_is_opened_again(text: &str) {
     let proxy = ProxyHarness::new(1);
     let begin = Instant::now();
-    let (request, _watch) = loop {
+    let OpenedWatch {
+        request,
+        lists: _watch,
+    } = loop {
         let _ = proxy.watch.send(text.into());
         match proxy.watches.recv_timeout(Duration::from_millis(300)) {
             Ok(opened) => break opened,
@@ -144,17 +153,9 @@
     let begin = Instant::now();
     let mut silent_watches = Vec::new();
     for _ in 0..silent {
-        silent_watches.push(
-            proxy
-                .watches
-                .recv_timeout(TIMEOUT + TIMEOUT)
-                .expect("another watch"),
-        );
+        silent_watches.push(proxy.accept_watch_within(TIMEOUT + TIMEOUT));
     }
-    let (_, watch) = proxy
-        .watches
-        .recv_timeout(TIMEOUT + TIMEOUT)
-        .expect("another watch");
+    let watch = proxy.accept_watch_within(TIMEOUT + TIMEOUT).lists;
     watch
         .send(list_line(
             9,
@@ -180,11 +181,7 @@
     let mut last = begin;
     for _ in 0..12 {
         let _ = watch.send(String::new());
-        watch = proxy
-            .watches
-            .recv_timeout(TIMEOUT)
-            .expect("another watch")
-            .1;
+        watch = proxy.accept_watch().lists;
         assert!(
             last.elapsed() < Duration::from_millis(800),
             "{:?}",
--- a/crates/proxy/tests/golden_admin.rs
+++ b/crates/proxy/tests/golden_admin.rs
@@ -15,9 +15,10 @@
 use std::net::TcpStream;
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
-use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
-use support::{ProxyHarness, ProxyOptions, TIMEOUT, assert_golden, endpoint_json, list_line};
+use support::{
+    ProxyHarness, ProxyOptions, TIMEOUT, assert_golden, endpoint_json, list_line, temporary_path,
+};
 
 /// Fields of a status whose numbers are of this run alone: times, names of the process, and connections that
 /// have said nothing or are on their way out.
@@ -52,51 +53,49 @@
     text
 }
 
-/// A proxy with a control socket, and one connection to that.
-struct Operated {
+/// A proxy with an admin socket and an address for HTTP calls, whose replies are recorded.
+struct RecordedProxy {
     harness: ProxyHarness,
-    socket: PathBuf,
-    operator: PathBuf,
-    folder: PathBuf,
+    admin_socket: PathBuf,
+    operator_file: PathBuf,
+    directory: PathBuf,
 }
 
-impl Drop for Operated {
+impl Drop for RecordedProxy {
     fn drop(&mut self) {
-        for file in [&self.socket, &self.operator] {
+        for file in [&self.admin_socket, &self.operator_file] {
             let _ = std::fs::remove_file(file);
         }
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-impl Operated {
-    /// `more` is of the operator's file; `<folder>` in it becomes one of this proxy's own.
-    fn new(servers: usize, more: &str) -> Operated {
-        static NEXT: AtomicU32 = AtomicU32::new(0);
-        let nth = NEXT.fetch_add(1, Ordering::Relaxed);
-        let name = format!("asterramp-golden-admin-{}-{nth}", std::process::id());
-        let at = |end: &str| std::env::temp_dir().join(format!("{name}.{end}"));
-        let (socket, operator, folder) = (at("sock"), at("toml"), at("d"));
-        let more = more.replace("<folder>", &folder.display().to_string());
+impl RecordedProxy {
+    /// Starts it with more lines at the end of the operator's file; `<folder>` in them becomes a directory of its own.
+    fn start(servers: usize, more_lines: &str) -> RecordedProxy {
+        let (admin_socket, operator_file) = (temporary_path("sock"), temporary_path("toml"));
+        let directory = temporary_path("d");
+        let more_lines = more_lines.replace("<folder>", &directory.display().to_string());
         // A drain closes for as long as its deadline lets it, whatever the machine is busy with.
         let text = format!(
-            "[control]\nsocket = {socket:?}\n[drain]\nclosing = \"20s\"\nquiet = \"20s\"\n{more}"
+            "[control]\nsocket = {admin_socket:?}\n[drain]\nclosing = \"20s\"\nquiet = \"20s\"\n{more_lines}"
         );
-        std::fs::write(&operator, text).unwrap();
+        std::fs::write(&operator_file, text).unwrap();
         let harness = ProxyOptions::new(servers)
-            .operator_file(&operator)
+            .operator_file(&operator_file)
             .admin_http()
             .start();
-        Operated {
+        RecordedProxy {
             harness,
-            socket,
-            operator,
-            folder,
+            admin_socket,
+            operator_file,
+            directory,
         }
     }
 
-    fn ask(&self, line: &str) -> String {
-        let stream = UnixStream::connect(&self.socket).unwrap();
+    /// The admin socket's reply to a line.
+    fn reply_to(&self, line: &str) -> String {
+        let stream = UnixStream::connect(&self.admin_socket).unwrap();
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let mut stream = BufReader::new(stream);
         // Of one that is too long the proxy stops reading before its end.
@@ -106,16 +105,16 @@
         reply
     }
 
-    /// The same with its question before it, as it stands in the golden text.
-    fn told(&self, line: &str) -> String {
-        format!("{line}\n    {}", placeholders(&self.ask(line)))
+    /// A request and its reply, as they stand in the golden text.
+    fn record(&self, line: &str) -> String {
+        format!("{line}\n    {}", placeholders(&self.reply_to(line)))
     }
 
-    /// The first status that says so, as it stands in the golden text.
-    fn until(&self, part: &str) -> String {
+    /// The first status that contains this, as it stands in the golden text.
+    fn record_when(&self, part: &str) -> String {
         let end = Instant::now() + TIMEOUT;
         loop {
-            let reply = self.ask(STATUS);
+            let reply = self.reply_to(STATUS);
             if reply.contains(part) {
                 return format!("until {part}\n    {}", placeholders(&reply));
             }
@@ -124,16 +123,16 @@
         }
     }
 
-    /// A number that a status tells.
+    /// A number in the status.
     fn number(&self, field: &str) -> u64 {
-        let reply = self.ask(STATUS);
+        let reply = self.reply_to(STATUS);
         let after = reply.split(&format!("\"{field}\":")).nth(1).unwrap();
         let digits: String = after.chars().take_while(char::is_ascii_digit).collect();
         digits.parse().unwrap()
     }
 
-    /// The bytes of the answer to an operator's HTTP call.
-    fn call(&self, request: &str) -> String {
+    /// An operator's HTTP call and the bytes of its response, as they stand in the golden text.
+    fn record_call(&self, request: &str) -> String {
         let mut stream = TcpStream::connect(self.harness.admin_http).unwrap();
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.write_all(request.as_bytes()).unwrap();
@@ -151,35 +150,35 @@
 const STATUS: &str = r#"{"v":1,"do":"status"}"#;
 
 #[test]
-fn a_drain_by_the_control_socket_is_told_as_ever() {
-    let proxy = Operated::new(1, "pace = 40\nback = \"0s\"\n");
-    let mut text = proxy.told(STATUS);
-    text += &proxy.told(r#"{"v":1,"do":"ready"}"#);
-    text += &proxy.told(r#"{"v":1,"do":"undrain"}"#);
-    let _pairs: Vec<_> = (0..2).map(|_| proxy.harness.open_session()).collect();
-    text += &proxy.told(STATUS);
-    text += &proxy.told(r#"{"v":1,"do":"stats"}"#);
-    text += &proxy.told(r#"{"v":1,"do":"drain"}"#);
-    text += &proxy.told(r#"{"v":1,"do":"ready"}"#);
-    text += &proxy.told(r#"{"v":1,"do":"drain","deadline_ms":2000,"pace":20.0}"#);
-    text += &proxy.until("\"state\":\"empty\"");
-    text += &proxy.told(r#"{"v":1,"do":"stats"}"#);
-    text += &proxy.told(r#"{"v":1,"do":"undrain"}"#);
-    text += &proxy.told(r#"{"v":1,"do":"undrain"}"#);
-    text += &proxy.told(r#"{"v":1,"do":"ready"}"#);
-    // One that stays, so that the proxy goes on for a while after it is told to leave.
+fn a_drain_by_the_admin_socket_gets_the_same_replies() {
+    let proxy = RecordedProxy::start(1, "pace = 40\nback = \"0s\"\n");
+    let mut text = proxy.record(STATUS);
+    text += &proxy.record(r#"{"v":1,"do":"ready"}"#);
+    text += &proxy.record(r#"{"v":1,"do":"undrain"}"#);
+    let _sessions: Vec<_> = (0..2).map(|_| proxy.harness.open_session()).collect();
+    text += &proxy.record(STATUS);
+    text += &proxy.record(r#"{"v":1,"do":"stats"}"#);
+    text += &proxy.record(r#"{"v":1,"do":"drain"}"#);
+    text += &proxy.record(r#"{"v":1,"do":"ready"}"#);
+    text += &proxy.record(r#"{"v":1,"do":"drain","deadline_ms":2000,"pace":20.0}"#);
+    text += &proxy.record_when("\"state\":\"empty\"");
+    text += &proxy.record(r#"{"v":1,"do":"stats"}"#);
+    text += &proxy.record(r#"{"v":1,"do":"undrain"}"#);
+    text += &proxy.record(r#"{"v":1,"do":"undrain"}"#);
+    text += &proxy.record(r#"{"v":1,"do":"ready"}"#);
+    // A session that stays open, so that the proxy goes on for a while after SIGTERM.
     let _stays = proxy.harness.open_session();
     proxy.harness.send_signal("TERM");
-    text += &proxy.until("\"state\":\"exiting\"");
-    text += &proxy.told(r#"{"v":1,"do":"drain"}"#);
-    text += &proxy.told(r#"{"v":1,"do":"undrain"}"#);
-    text += &proxy.told(r#"{"v":1,"do":"ready"}"#);
+    text += &proxy.record_when("\"state\":\"exiting\"");
+    text += &proxy.record(r#"{"v":1,"do":"drain"}"#);
+    text += &proxy.record(r#"{"v":1,"do":"undrain"}"#);
+    text += &proxy.record(r#"{"v":1,"do":"ready"}"#);
     assert_golden("admin/drain.txt", &text);
 }
 
 #[test]
-fn what_is_no_request_gets_the_same_error_from_a_proxy() {
-    let proxy = Operated::new(1, "");
+fn an_invalid_request_gets_the_same_error_from_a_proxy() {
+    let proxy = RecordedProxy::start(1, "");
     let mut text = String::new();
     for line in [
         "x",
@@ -193,47 +192,47 @@
         r#"{"v":1,"do":"leave"}"#,
         r#"{"v":1,"do":"hear"}"#,
     ] {
-        text += &proxy.told(line);
+        text += &proxy.record(line);
     }
-    text += &format!("(2000 times x)\n    {}", proxy.ask(&"x".repeat(2_000)));
+    text += &format!("(2000 times x)\n    {}", proxy.reply_to(&"x".repeat(2_000)));
     assert_golden("admin/no_requests.txt", &text);
 }
 
 #[test]
-fn orders_of_an_owner_are_heard_or_refused_in_the_same_words() {
-    let proxy = Operated::new(1, "");
+fn orders_of_a_leader_are_accepted_or_rejected_in_the_same_words() {
+    let proxy = RecordedProxy::start(1, "");
     let boot = proxy.number("boot");
     let late = proxy.number("clock_us");
     let until = late + 60_000_000;
     let order = |verb: &str, term: u64, boot: u64, until: u64| {
         let owner = format!("{{\"term\":{term},\"boot\":{boot},\"until_us\":{until}}}");
-        proxy.ask(&format!("{{\"v\":1,\"do\":\"{verb}\",\"owner\":{owner}}}"))
+        proxy.reply_to(&format!("{{\"v\":1,\"do\":\"{verb}\",\"owner\":{owner}}}"))
     };
     let mut text = String::new();
-    let mut told = |what: &str, reply: String| {
+    let mut record = |what: &str, reply: String| {
         text += &format!("{what}\n    {}", placeholders(&reply));
     };
-    told("hear, no term", order("hear", 0, boot, until));
-    told("hear, term 5", order("hear", 5, boot, until));
-    told("hear, term 5 again", order("hear", 5, boot, until));
-    told("hear, term 4", order("hear", 4, boot, until));
-    told("drain, term 4", order("drain", 4, boot, until));
-    told("drain, late", order("drain", 6, boot, late));
-    told("drain, another process", order("drain", 6, boot ^ 1, until));
-    told("status, term 4", order("status", 4, boot, until));
-    told("status, term 6", order("status", 6, boot, until));
-    told("undrain, term 7", order("undrain", 7, boot, until));
-    told("ready, term 7", order("ready", 7, boot, until));
-    told("leave, another process", order("leave", 7, boot ^ 1, until));
-    told("leave, term 6", order("leave", 6, boot, until));
-    told("leave, term 7", order("leave", 7, boot, until));
+    record("hear, no term", order("hear", 0, boot, until));
+    record("hear, term 5", order("hear", 5, boot, until));
+    record("hear, term 5 again", order("hear", 5, boot, until));
+    record("hear, term 4", order("hear", 4, boot, until));
+    record("drain, term 4", order("drain", 4, boot, until));
+    record("drain, late", order("drain", 6, boot, late));
+    record("drain, another process", order("drain", 6, boot ^ 1, until));
+    record("status, term 4", order("status", 4, boot, until));
+    record("status, term 6", order("status", 6, boot, until));
+    record("undrain, term 7", order("undrain", 7, boot, until));
+    record("ready, term 7", order("ready", 7, boot, until));
+    record("leave, another process", order("leave", 7, boot ^ 1, until));
+    record("leave, term 6", order("leave", 6, boot, until));
+    record("leave, term 7", order("leave", 7, boot, until));
     assert_golden("admin/owners.txt", &text);
 }
 
 #[test]
-fn what_else_is_switched_on_is_told_in_the_same_fields() {
+fn a_status_with_a_warm_start_has_the_same_fields() {
     let file = "[state]\nfolder = \"<folder>\"\nevery = \"200ms\"\n[recovery]\nstages = true\n";
-    let proxy = Operated::new(2, file);
+    let proxy = RecordedProxy::start(2, file);
     let ready = proxy.harness.servers.iter().enumerate();
     let ready: Vec<String> = ready
         .map(|(nth, server)| endpoint_json(nth, server.local_addr().unwrap(), "ready"))
@@ -249,11 +248,11 @@
             .iter()
             .all(|part| reply.contains(part))
     };
-    let mut reply = proxy.ask(STATUS);
+    let mut reply = proxy.reply_to(STATUS);
     while !settled(&reply) {
         assert!(Instant::now() < end, "{reply}");
         std::thread::sleep(Duration::from_millis(20));
-        reply = proxy.ask(STATUS);
+        reply = proxy.reply_to(STATUS);
     }
     // How often was saved hangs on times; the fields stay.
     let start = reply.split("\"start\":").nth(1).unwrap();
@@ -263,10 +262,10 @@
 }
 
 #[test]
-fn calls_over_http_get_the_same_bytes() {
-    let proxy = Operated::new(1, "");
+fn http_calls_get_the_same_bytes() {
+    let proxy = RecordedProxy::start(1, "");
     let end = " HTTP/1.1\r\nHost: a\r\n\r\n";
-    let call = |what: &str| proxy.call(&format!("{what}{end}"));
+    let call = |what: &str| proxy.record_call(&format!("{what}{end}"));
     let mut text = call("GET /ops/readiness");
     text += &call("GET /ops/stats");
     let up = proxy.harness.open_session();
@@ -294,14 +293,14 @@
         // Half a call, which meets its deadline.
         "GET /ops/stats HT",
     ] {
-        text += &proxy.call(request);
+        text += &proxy.record_call(request);
     }
     let long = format!(
         "GET / HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n",
         "x".repeat(5_000)
     );
     text += &proxy
-        .call(&long)
+        .record_call(&long)
         .replace(&"x".repeat(5_000), "(5000 times x)");
     text += &call("POST /ops/drain/start");
     text += &call("POST /ops/drain/start");
@@ -310,7 +309,7 @@
     let _stays = proxy.harness.open_session();
     proxy.harness.send_signal("TERM");
     text += &proxy
-        .until("\"state\":\"exiting\"")
+        .record_when("\"state\":\"exiting\"")
         .replace(STATUS, "status");
     text += &call("GET /ops/readiness");
     text += &call("POST /ops/drain/start");
@@ -322,7 +321,7 @@
     ["feed", "odd \"x\" \\ and\nmore"].map(String::from)
 }
 
-/// Counts and gauges, with nothing and with something to tell.
+/// Counts and gauges, with nothing and with something counted.
 fn session_stats() -> String {
     let listeners = listeners();
     let mut metrics = Metrics::new(listeners.len());
@@ -351,19 +350,19 @@
 }
 
 #[test]
-fn stats_have_the_same_text_with_nothing_and_with_something_to_tell() {
+fn metrics_have_the_same_text_with_and_without_values() {
     let listeners = listeners();
     let mut text = session_stats();
     let names = ["a", "b", "c", "d", "e \"x\""].map(String::from);
-    let places = ZoneState::ALL.into_iter().zip(1..).map(|(state, n)| {
-        let mut place = Zone::default();
-        place.state = state;
-        place.dropped_suspicions = n;
-        place.false_alarms = n * 10;
-        place
+    let zones = ZoneState::ALL.into_iter().zip(1..).map(|(state, n)| {
+        let mut zone = Zone::default();
+        zone.state = state;
+        zone.dropped_suspicions = n;
+        zone.false_alarms = n * 10;
+        zone
     });
-    let places: Vec<Zone> = places.collect();
-    text += &format!("places\n{}", zones_text(names.iter().zip(&places)));
+    let zones: Vec<Zone> = zones.collect();
+    text += &format!("places\n{}", zones_text(names.iter().zip(&zones)));
     text += &format!("no places\n{}", zones_text(std::iter::empty()));
     let counts = [[0; RejectReason::ALL.len()], [1, 2, 3, 4, 5]];
     text += &format!(
--- a/crates/proxy/tests/golden_roll/main.rs
+++ b/crates/proxy/tests/golden_roll/main.rs
@@ -271,7 +271,7 @@
     );
     let store = store_with_plan(PLAN_WITHOUT_REQUEST);
     let address = store.address.to_string();
-    // One that an earlier roll had told to shut down is waited for.
+    // A proxy that an earlier roll has shut down is waited for.
     assert_golden(
         "roll/unreachable-begun.txt",
         &fleet.roll(&["--store", &address, "--name", "patch"]).text,
--- a/crates/proxy/tests/golden_roll/scripted_proxy.rs
+++ b/crates/proxy/tests/golden_roll/scripted_proxy.rs
@@ -13,7 +13,7 @@
 pub(crate) enum Restarts {
     /// Once it is told to shut down.
     OnShutdown,
-    /// Once it has said that it is empty.
+    /// Once its status says that it is empty.
     WhenEmpty,
     Never,
 }
--- a/crates/proxy/tests/golden_roll/store_client.rs
+++ b/crates/proxy/tests/golden_roll/store_client.rs
@@ -102,7 +102,7 @@
             .unwrap();
     }
 
-    /// A node's data and what the store says of the node.
+    /// A node's data and its properties.
     pub(crate) fn data(&mut self, path: &str) -> (String, NodeStat) {
         let request = StoreRequest::GetData {
             path: path.into(),
--- a/crates/proxy/tests/golden_state_command.rs
+++ b/crates/proxy/tests/golden_state_command.rs
@@ -137,14 +137,14 @@
 }
 
 #[test]
-fn a_folder_that_is_not_there_is_refused_as_before() {
+fn a_folder_that_is_not_there_is_rejected_as_before() {
     let folder = TestFolder::new("no_folder");
     remove(&folder.0);
     assert_transcript("no_folder", &folder);
 }
 
 #[test]
-fn a_file_in_place_of_the_folder_is_refused_as_before() {
+fn a_file_in_place_of_the_folder_is_rejected_as_before() {
     let folder = TestFolder::new("a_file");
     remove(&folder.0);
     std::fs::write(&folder.0, "a file").unwrap();
--- a/crates/proxy/tests/hot_restart.rs
+++ b/crates/proxy/tests/hot_restart.rs
@@ -114,7 +114,7 @@
     let proxy = ProxyHarness::with_admin_http(1);
     let mut sessions: Vec<_> = (0..20).map(|_| proxy.open_session()).collect();
     let mut second = proxy.start_second_process();
-    let (_, watch) = proxy.accept_watch();
+    let watch = proxy.accept_watch().lists;
     if failure == Failure::FirstShutDownEarly {
         proxy.send_signal("TERM");
         std::thread::sleep(Duration::from_millis(100));
@@ -209,7 +209,7 @@
     if let (Found::Process(predecessor), Some(listener)) = (found, listener) {
         play(predecessor, &listener);
     }
-    let (_, watch) = proxy.accept_watch();
+    let watch = proxy.accept_watch().lists;
     watch.send(list_line(8, false, &[])).unwrap();
     assert!(second.becomes_ready());
     assert_eq!(proxy.connect("PING\r\n").read_line(), "PONG");
@@ -247,7 +247,7 @@
         GoingOn::DiscoveryOutage => {}
     }
     let second = proxy.start_second_process();
-    let (_, watch) = proxy.accept_watch();
+    let watch = proxy.accept_watch().lists;
     if going_on != GoingOn::DiscoveryOutage {
         watch.send(list_line(8, false, &[])).unwrap();
     }
--- a/crates/proxy/tests/hot_restart_messages.rs
+++ b/crates/proxy/tests/hot_restart_messages.rs
@@ -188,7 +188,7 @@
             &HotRestartMessage::Listener { list_revision: 7 },
             &[clients_listener.as_fd()],
         );
-        let (_, watch) = proxy.accept_watch();
+        let watch = proxy.accept_watch().lists;
         watch.send(list_line(8, false, &[])).unwrap();
         assert!(matches!(link.expect().message, HotRestartMessage::Serving));
         assert!(successor.becomes_ready());
@@ -243,21 +243,22 @@
     (LineConnection::of(near), listener.accept().unwrap().0)
 }
 
-/// A predecessor dies with offers in the link. The successor takes them, unless the predecessor said that it keeps them.
-#[test_case(false, ["on", "on"]; "it dies")]
-#[test_case(true, ["FIN", "FIN"]; "it keeps them")]
-fn offers_of_a_dead_predecessor_are_the_successors(keeps_them: bool, clients_read: [&str; 2]) {
+/// A predecessor ends with offers in the link. The successor adopts them, unless the predecessor has sent that it goes on
+/// with them.
+#[test_case(false, ["on", "on"]; "it ends")]
+#[test_case(true, ["FIN", "FIN"]; "it goes on with them")]
+fn offers_of_a_dead_predecessor_are_the_successors(goes_on: bool, clients_read: [&str; 2]) {
     let mut proxy = ProxyHarness::with_admin_http(1);
     let (predecessor, successor) = TestPredecessor::in_place_of(&mut proxy);
-    // The first is accepted, and the predecessor never reads that it is. From then on the successor does not run, so it
-    // can say nothing more before the predecessor is dead.
+    // The first is accepted, and the predecessor never reads that. From then on the successor does not run, so it can
+    // send nothing more before the predecessor is dead.
     let (mut client, mut server) = predecessor.offer_session(0);
     server.send("first\r\n");
     assert_eq!(client.read_line(), "first");
     successor.send_signal("STOP");
     let mut sessions = vec![(client, server)];
     sessions.extend((1..=clients_read.len()).map(|nth| predecessor.offer_session(nth)));
-    if keeps_them {
+    if goes_on {
         predecessor.link.send(&HotRestartMessage::HandoverStopped);
     }
     drop(predecessor);
--- a/crates/proxy/tests/leader_lease/main.rs
+++ b/crates/proxy/tests/leader_lease/main.rs
@@ -14,7 +14,7 @@
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
 use supervised_fleet::{SupervisedFleet, status};
-use support::{TIMEOUT, ZooKeeperStub, send_signal};
+use support::{TIMEOUT, ZooKeeperStub, send_signal, text_of};
 use test_case::test_case;
 
 const PROXIES: usize = 3;
@@ -161,8 +161,7 @@
         .unwrap();
     CommandResult {
         success: output.status.success(),
-        text: String::from_utf8_lossy(&output.stdout).to_string()
-            + &String::from_utf8_lossy(&output.stderr),
+        text: text_of(&output),
     }
 }
 
@@ -183,11 +182,11 @@
     assert!(replaced < PROXIES, "it was too fast to be paused");
     std::thread::sleep(Duration::from_secs(2));
     assert_eq!(fleet.replaced(), replaced);
-    let said = fleet_command(&store, "status").text;
+    let output = fleet_command(&store, "status").text;
     assert!(
-        said.contains(&format!("{replaced} of 3 are replaced; it is paused"))
-            && said.contains("owns, term"),
-        "{said}"
+        output.contains(&format!("{replaced} of 3 are replaced; it is paused"))
+            && output.contains("owns, term"),
+        "{output}"
     );
     // A successor stays paused too.
     let mut second = fleet.start_roll(&store);
--- a/crates/proxy/tests/races.rs
+++ b/crates/proxy/tests/races.rs
@@ -93,7 +93,7 @@
 
 // The descriptor of the client that has been pending longest is needed in the moment in which it speaks.
 #[test]
-fn a_client_crowded_out_as_it_speaks_is_answered_and_not_reset() {
+fn a_client_evicted_as_it_sends_is_answered_and_not_reset() {
     let proxy = ProxyOptions::new(1).descriptors(64, 1024).start();
     let mut pending: Vec<LineConnection> = (0..18).map(|_| proxy.connect("")).collect();
     std::thread::sleep(Duration::from_millis(100));
--- a/crates/proxy/tests/resource_limits.rs
+++ b/crates/proxy/tests/resource_limits.rs
@@ -15,7 +15,7 @@
     idle.extend((0..100).map(|_| proxy.connect("PING\r\n")));
     idle.extend((0..100).map(|_| proxy.connect("what\r\n")));
     let begin = Instant::now();
-    let pairs: Vec<_> = (0..8).map(|_| proxy.open_session()).collect();
+    let sessions: Vec<_> = (0..8).map(|_| proxy.open_session()).collect();
     assert!(
         begin.elapsed() < Duration::from_secs(1),
         "{:?}",
@@ -31,7 +31,7 @@
         );
     }
     assert!(begin.elapsed() < TIMEOUT, "{:?}", begin.elapsed());
-    drop(pairs);
+    drop(sessions);
 }
 
 #[test]
@@ -98,11 +98,11 @@
 #[test]
 fn idle_clients_prevent_neither_a_watch_nor_a_dial() {
     let proxy = ProxyOptions::new(2).descriptors(128, 128).start();
-    let pairs: Vec<_> = (0..30).map(|_| proxy.open_session_at(&[0, 1])).collect();
+    let sessions: Vec<_> = (0..30).map(|_| proxy.open_session_at(&[0, 1])).collect();
     let idle: Vec<LineConnection> = (0..300).map(|_| proxy.connect("")).collect();
     proxy.watch.send(String::new()).unwrap();
     let begin = Instant::now();
-    let (_, watch) = proxy.watches.recv_timeout(TIMEOUT).expect("another watch");
+    let watch = proxy.accept_watch().lists;
     watch
         .send(list_line(
             9,
@@ -119,5 +119,5 @@
         "{:?}",
         begin.elapsed()
     );
-    drop((pairs, idle));
+    drop((sessions, idle));
 }
--- a/crates/proxy/tests/sessions.rs
+++ b/crates/proxy/tests/sessions.rs
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_client_of_a_silent_server_is_moved() {
+fn a_client_of_a_silent_server_is_migrated() {
     let proxy = ProxyHarness::new(1);
     let (mut client, _server) = proxy.open_session();
     client.send("ping\r\n");
@@ -198,15 +198,15 @@
     let settings = "\"specifics\":{\"message_aim\":[60000.0,60000.0]},\"weights\"";
     let settings = SETTINGS.replace("\"weights\"", settings);
     let proxy = ProxyOptions::new(1).settings(&settings).start();
-    let mut pairs: Vec<(LineConnection, LineConnection)> =
+    let mut sessions: Vec<(LineConnection, LineConnection)> =
         (0..10).map(|_| proxy.open_session()).collect();
-    pairs[0].0.send("ping\r\n");
-    assert_eq!(pairs[0].1.read_line(), "ping");
+    sessions[0].0.send("ping\r\n");
+    assert_eq!(sessions[0].1.read_line(), "ping");
     std::thread::sleep(Duration::from_millis(200));
-    pairs[0].1.send("pong\r\n");
-    assert_eq!(pairs[0].0.read_line(), "pong");
+    sessions[0].1.send("pong\r\n");
+    assert_eq!(sessions[0].0.read_line(), "pong");
     assert!(
-        pairs.iter_mut().all(|(client, _)| client.is_quiet()),
+        sessions.iter_mut().all(|(client, _)| client.is_quiet()),
         "the network was taken for the server"
     );
 }
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -29,7 +29,7 @@
     );
     assert_eq!(late.read_line(), "MOVE");
     assert_eq!(pending.read_line(), "ERR");
-    // After four fifths of the longest wait it may still come up, and is moved then.
+    // After four fifths of the longest wait it may still be opened, and is migrated then.
     std::thread::sleep(Duration::from_millis(1_750).saturating_sub(begin.elapsed()));
     second.send("UP r3\r\n");
     assert_eq!([slow.read_line(), slow.read_line()], ["UP r3", "MOVE"]);
--- a/crates/proxy/tests/snapshots.rs
+++ b/crates/proxy/tests/snapshots.rs
@@ -7,6 +7,7 @@
 use std::time::{Duration, Instant};
 use support::{
     OPEN_LINE, ProxyHarness, ProxyOptions, TIMEOUT, endpoint_json, list_line, temporary_path,
+    text_of,
 };
 use test_case::test_case;
 
@@ -88,11 +89,6 @@
         .unwrap()
 }
 
-/// Standard output and standard error, one after the other.
-fn text_of(output: &Output) -> String {
-    String::from_utf8_lossy(&output.stdout).to_string() + &String::from_utf8_lossy(&output.stderr)
-}
-
 #[test]
 fn the_list_of_discovery_is_saved_and_the_last_snapshot_says_that_the_proxy_shut_down_gracefully() {
     let disk = SnapshotDisk::new();
@@ -212,7 +208,7 @@
     let disk = SnapshotDisk::new();
     // Only the configured list is known; discovery never sends one.
     let mut proxy = disk.start_proxy();
-    // The endpoints count as just started, so the first clients are rejected and told to retry.
+    // The endpoints count as just started, so the first clients are rejected with a Retry-After.
     let until = Instant::now() + TIMEOUT + TIMEOUT;
     loop {
         let mut client = proxy.connect(OPEN_LINE);
--- a/crates/proxy/tests/startup.rs
+++ b/crates/proxy/tests/startup.rs
@@ -6,7 +6,8 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 use support::{
-    LineConnection, ProxyHarness, endpoint_json, free_address, list_line, serve_discovery,
+    LineConnection, OpenedWatch, ProxyHarness, endpoint_json, free_address, list_line,
+    serve_discovery,
 };
 use test_case::test_case;
 
@@ -50,7 +51,10 @@
     let moved = with_discovery(&text, agent.local_addr().unwrap());
     let watches = serve_discovery(agent);
     reload(&proxy, &moved.replace("\"sockets\":512", "\"sockets\":513"));
-    let (request, watch) = watches.try_recv().expect("a watch at the new address");
+    let OpenedWatch {
+        request,
+        lists: watch,
+    } = watches.try_recv().expect("a watch at the new address");
     assert!(request.contains("stream=1&index=0 "), "{request}");
     let endpoints = [
         endpoint_json(0, proxy.server_address(0), "draining"),
@@ -173,7 +177,7 @@
     let watches = serve_discovery(agent);
     std::thread::spawn(move || {
         let mut open = Vec::new();
-        for (_, watch) in watches.iter() {
+        for OpenedWatch { lists: watch, .. } in watches.iter() {
             // Only the first waits.
             std::thread::sleep(std::mem::take(&mut delay));
             let _ = watch.send(list_line(8, false, &[]));
--- a/crates/proxy/tests/support/discovery.rs
+++ b/crates/proxy/tests/support/discovery.rs
@@ -4,8 +4,13 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-/// The first line of a watch's request, and where the lists go that answer it.
-pub(crate) type OpenedWatch = (String, Sender<String>);
+/// A watch that a proxy has opened.
+pub(crate) struct OpenedWatch {
+    /// The first line of its request.
+    pub(crate) request: String,
+    /// Where the lists go that answer it.
+    pub(crate) lists: Sender<String>,
+}
 
 /// An entry of an endpoint list.
 pub(crate) fn endpoint_json(index: usize, address: SocketAddr, state: &str) -> String {
@@ -33,13 +38,13 @@
             stream
                 .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 .unwrap();
-            let (send, lists) = channel::<String>();
+            let (lists, to_send) = channel::<String>();
             std::thread::spawn(move || {
-                for text in lists.iter().take_while(|text| !text.is_empty()) {
+                for text in to_send.iter().take_while(|text| !text.is_empty()) {
                     let _ = write!(stream, "{:x}\r\n{text}\r\n", text.len());
                 }
             });
-            if opened.send((request, send)).is_err() {
+            if opened.send(OpenedWatch { request, lists }).is_err() {
                 return;
             }
         }
--- a/crates/proxy/tests/support/harness.rs
+++ b/crates/proxy/tests/support/harness.rs
@@ -49,9 +49,14 @@
         ProxyOptions::new(servers).admin_http().start()
     }
 
-    /// The next watch that a process of this proxy opens: its request's first line, and where its lists go.
+    /// The next watch that a process of this proxy opens.
     pub(crate) fn accept_watch(&self) -> OpenedWatch {
-        self.watches.recv_timeout(TIMEOUT).expect("another watch")
+        self.accept_watch_within(TIMEOUT)
+    }
+
+    /// The same, for which the proxy may take this long.
+    pub(crate) fn accept_watch_within(&self, timeout: Duration) -> OpenedWatch {
+        self.watches.recv_timeout(timeout).expect("another watch")
     }
 
     /// The address of a server.
@@ -88,7 +93,7 @@
     /// Starts another process, answers its watch and waits until it is ready.
     pub(crate) fn start_ready_process(&self) -> (SecondProcess, Sender<String>) {
         let second = self.start_second_process();
-        let (_, watch) = self.accept_watch();
+        let watch = self.accept_watch().lists;
         watch.send(list_line(8, false, &[])).unwrap();
         assert!(second.becomes_ready(), "it never serves");
         (second, watch)
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -30,6 +30,7 @@
 pub(crate) use temporary_path::temporary_path;
 pub(crate) use zookeeper_stub::ZooKeeperStub;
 
+use std::process::Output;
 use std::time::{Duration, Instant};
 
 /// How long anything may take that the proxy does at once.
@@ -56,6 +57,12 @@
     SETTINGS.replace("\"may_probe\":false", "\"may_probe\":true")
 }
 
+/// Standard output and standard error of a command, one after the other.
+pub(crate) fn text_of(output: &Output) -> String {
+    let bytes = [output.stdout.as_slice(), output.stderr.as_slice()].concat();
+    String::from_utf8(bytes).unwrap()
+}
+
 /// Waits until a condition holds.
 pub(crate) fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let give_up_at = Instant::now() + TIMEOUT;
--- a/crates/proxy/tests/support/options.rs
+++ b/crates/proxy/tests/support/options.rs
@@ -1,7 +1,8 @@
 //! How the proxy of a test is configured and started.
 
 use super::{
-    ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, free_address, list_line, serve_discovery,
+    OpenedWatch, ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, free_address, list_line,
+    serve_discovery,
 };
 use std::net::{Shutdown, SocketAddr, TcpListener};
 use std::path::Path;
@@ -120,7 +121,7 @@
             .command(&config_path, admin_http, &directory)
             .spawn()
             .unwrap();
-        let Ok((_, watch)) = watches.recv_timeout(TIMEOUT) else {
+        let Ok(OpenedWatch { lists: watch, .. }) = watches.recv_timeout(TIMEOUT) else {
             process.kill().unwrap();
             panic!("no watch was opened: {:?}", process.wait_with_output());
         };
