--- a/crates/model-checker/src/world/drain.rs
+++ b/crates/model-checker/src/world/drain.rs
@@ -64,7 +64,7 @@
         };
         let advice = self.drain.advise(self.now, &view);
         for (_, session) in open.into_iter().take(advice.migrate) {
-            self.close_session(session, Outcome::CalledOff);
+            self.close_session(session, Outcome::Cancelled);
         }
         if advice.reject_pending {
             self.cut_off(pending);
--- a/crates/model-checker/src/world/effects.rs
+++ b/crates/model-checker/src/world/effects.rs
@@ -51,7 +51,7 @@
                 self.disconnect_client(key);
             }
             SessionEffect::StartForwarding => self.start_forwarding(key, session),
-            SessionEffect::Migrate => self.close_session(session, Outcome::CalledOff),
+            SessionEffect::Migrate => self.close_session(session, Outcome::Cancelled),
             SessionEffect::Forget => self.forget(key, session),
             SessionEffect::Restore
             | SessionEffect::Log(_)
--- a/crates/model-checker/src/world/events.rs
+++ b/crates/model-checker/src/world/events.rs
@@ -93,8 +93,8 @@
                 self.monitor.on_server_busy(session);
                 Outcome::Full
             }
-            ServerMessage::Err => Outcome::Erred,
-            ServerMessage::Move => Outcome::CalledOff,
+            ServerMessage::Err => Outcome::ServerError,
+            ServerMessage::Move => Outcome::Cancelled,
         };
         self.dial_input(session, |dial| SessionInput::ServerDeclined {
             dial,
--- a/crates/proxy/src/routing/hot_restart/adoption.rs
+++ b/crates/proxy/src/routing/hot_restart/adoption.rs
@@ -4,7 +4,7 @@
 use crate::protocol::client::{ClientGreeting, OpenRequest, parse_greeting};
 use crate::routing::client::{self, GREETING_TIMEOUT};
 use crate::routing::{
-    ConnectionRole, ReasonCode, Router, Session, SessionInput, SessionMachine, TimerKey,
+    ConnectionRole, ReasonCode, Router, SessionConnections, SessionInput, SessionMachine, TimerKey,
 };
 use crate::transport::{BufferedStream, SlotKey};
 use asterramp_hot_restart::{
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub(super) struct ReceivedSession {
     machine: SessionMachine,
-    session: Session,
+    session: SessionConnections,
     client: ReceivedStream,
     server: ReceivedStream,
     /// How long its server may still leave the client's last line unanswered.
@@ -152,7 +152,7 @@
             return Err(InvalidOffer::AlreadyOpen);
         }
         let request = client::session_request(&open, self.now, listener, member);
-        let session = Session {
+        let session = SessionConnections {
             client: None,
             server: None,
             request_line: offer.opening_line.clone(),
@@ -164,19 +164,11 @@
         };
         let machine =
             SessionMachine::open(self.now, request, server, self.settings.connect_timeout);
-        let client = ReceivedStream {
-            stream: next_stream(descriptors, &offer.from_client)?,
-            validated: offer.from_client.validated,
-        };
-        let server = ReceivedStream {
-            stream: next_stream(descriptors, &offer.from_server)?,
-            validated: offer.from_server.validated,
-        };
         Ok(ReceivedSession {
             machine,
             session,
-            client,
-            server,
+            client: ReceivedStream::next(descriptors, &offer.from_client)?,
+            server: ReceivedStream::next(descriptors, &offer.from_server)?,
             answer_within: offer.answer_within,
         })
     }
@@ -275,6 +267,18 @@
     }
 }
 
+impl ReceivedStream {
+    fn next(
+        descriptors: &mut vec::IntoIter<OwnedFd>,
+        buffered: &BufferedBytes,
+    ) -> Result<ReceivedStream, InvalidOffer> {
+        Ok(ReceivedStream {
+            stream: next_stream(descriptors, buffered)?,
+            validated: buffered.validated,
+        })
+    }
+}
+
 /// A stream of the next descriptor, with what the predecessor had read from it.
 fn next_stream(
     descriptors: &mut vec::IntoIter<OwnedFd>,
--- /dev/null
+++ b/crates/proxy/tests/golden_command_line/main.rs
@@ -0,0 +1,144 @@
+//! The command line as builds before the renames answered it: exit codes, error lines, the status texts, and the requests
+//! that commands send. The files under `golden/command_line/` were written by such a build and never change; only the
+//! Rust names in this file may.
+
+#[path = "../support/mod.rs"]
+mod support;
+
+mod admin_commands;
+mod configurations;
+mod start_files;
+
+use std::path::Path;
+use std::process::{Command, Output};
+use support::assert_golden;
+
+/// The program without the variables of this environment.
+fn asterramp(args: &[&str]) -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_asterramp"));
+    command.args(args);
+    for variable in ["LB_CONFIG", "LB_OPERATOR", "ASTERRAMP_OPERATOR", "TMPDIR"] {
+        command.env_remove(variable);
+    }
+    command
+}
+
+/// The exit code and the output of a run, each path that is of this run alone replaced by its placeholder.
+fn shown(output: &Output, placeholders: &[(&Path, &str)]) -> String {
+    let part = |bytes: &[u8]| {
+        let mut text = String::from_utf8(bytes.to_vec()).unwrap();
+        for (path, placeholder) in placeholders {
+            text = text.replace(&path.display().to_string(), placeholder);
+        }
+        text
+    };
+    let mut text = format!("exit {}\n", output.status.code().unwrap());
+    for (name, bytes) in [("out", &output.stdout), ("err", &output.stderr)] {
+        for line in part(bytes).lines() {
+            text += &format!("{name}: {line}\n");
+        }
+    }
+    text
+}
+
+/// Commands that reach nobody.
+#[test]
+fn commands_without_a_proxy_or_a_store_fail_the_same_way() {
+    let commands: &[&[&str]] = &[
+        &["status", "--control", "/nowhere/a.sock"],
+        &["status", "--json", "--control", "/nowhere/a.sock"],
+        &["status", "--watch", "--control", "/nowhere/a.sock"],
+        &["drain", "--control", "/nowhere/a.sock"],
+        &["drain", "--wait", "--control", "/nowhere/a.sock"],
+        &["undrain", "--control", "/nowhere/a.sock"],
+        &["roll", "--control", "/nowhere/a.sock"],
+        &[
+            "roll",
+            "--patience",
+            "1ms",
+            "--control",
+            "/nowhere/a.sock",
+            "--control",
+            "/nowhere/b.sock",
+        ],
+        &[
+            "roll",
+            "--control",
+            "/nowhere/a.sock",
+            "--store",
+            "127.0.0.1:9",
+        ],
+        &[
+            "fleet",
+            "status",
+            "--store",
+            "127.0.0.1:9",
+            "--name",
+            "june",
+        ],
+        &["fleet", "pause", "--store", "127.0.0.1:9", "--name", "june"],
+    ];
+    let mut text = String::new();
+    for command in commands {
+        let output = asterramp(command).output().unwrap();
+        text += &format!("{}\n{}", command.join(" "), shown(&output, &[]));
+    }
+    assert_golden("command_line/nobody.txt", &text);
+}
+
+/// Of what the parser itself rejects, the exit code and the line of the error; the usage below names options by today's
+/// texts.
+#[test]
+fn a_wrong_command_line_has_the_same_code_and_error() {
+    let commands: &[&[&str]] = &[
+        &["halt"],
+        &["status"],
+        &["drain"],
+        &["undrain"],
+        &["roll"],
+        &["fleet"],
+        &["fleet", "halt"],
+        &["fleet", "status", "--name", "june"],
+        &["fleet", "status", "--store", "127.0.0.1:9"],
+        &["fleet", "status", "--store", "here", "--name", "june"],
+        &["fleet", "cancel", "--store", "127.0.0.1:9", "--name", "a b"],
+        &["fleet", "resume", "--store", "127.0.0.1:9", "--name", ""],
+        &["drain", "--control", "/a", "--deadline", "5"],
+        &["drain", "--control", "/a", "--deadline", "5 s"],
+        &["drain", "--control", "/a", "--pace", "fast"],
+        &["roll", "--control", "/a", "--patience", "long"],
+        &["roll", "--control", "/a", "--name", "june"],
+        &["roll", "--control", "/a", "--share", "x"],
+        &[
+            "roll",
+            "--control",
+            "/a",
+            "--store",
+            "127.0.0.1:9",
+            "--name",
+            "a/b",
+        ],
+        &["status", "--control", "/a", "--odd"],
+        &["serve", "--odd"],
+        &["completions"],
+        &["completions", "odd"],
+        &["state"],
+        &["--version"],
+    ];
+    let mut text = String::new();
+    for command in commands {
+        let output = asterramp(command).output().unwrap();
+        let error = String::from_utf8(output.stderr).unwrap();
+        let head = error.split("\n\n").next().unwrap_or_default();
+        // Where a command wants another below it, the whole answer is help, which may change.
+        let head = if head.starts_with("error: ") {
+            head
+        } else {
+            "(help)"
+        };
+        let code = output.status.code().unwrap();
+        let stdout = String::from_utf8(output.stdout).unwrap();
+        text += &format!("{}\nexit {code}\n{head}\n{stdout}", command.join(" "));
+    }
+    assert_golden("command_line/usage.txt", &text);
+}
