--- a/crates/proxy/tests/hot_restart_messages.rs
+++ b/crates/proxy/tests/hot_restart_messages.rs
@@ -199,6 +199,11 @@
         (predecessor, successor)
     }
 
+    /// Ends as a process does that is killed.
+    fn end(self) {
+        self.link.shut_down();
+    }
+
     /// Offers an open session; its client and its server.
     fn offer_session(&self, session: usize) -> (LineConnection, LineConnection) {
         let ((client, client_side), (server, server_side)) = (connection(), connection());
@@ -261,7 +266,7 @@
     if goes_on {
         predecessor.link.send(&HotRestartMessage::HandoverStopped);
     }
-    drop(predecessor);
+    predecessor.end();
     successor.send_signal("CONT");
     for ((client, server), reads) in sessions
         .iter_mut()
--- a/crates/proxy/tests/support/hot_restart_link.rs
+++ b/crates/proxy/tests/support/hot_restart_link.rs
@@ -51,6 +51,12 @@
         assert!(seqpacket::send(&self.0, bytes, &[]).unwrap());
     }
 
+    /// Ends the link for the peer as a close does, but at once: a process that another test starts at this moment has a copy
+    /// of every descriptor until its `exec`, which delays what a close does.
+    pub(crate) fn shut_down(&self) {
+        rustix::net::shutdown(&self.0, rustix::net::Shutdown::Both).unwrap();
+    }
+
     /// The next message; `None` at the link's end.
     pub(crate) fn receive(&self) -> Option<LinkMessage> {
         assert_eq!(
