--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -213,15 +213,7 @@
     }
     let late = testbed.late();
     let records = testbed.event_log.take();
-    let hosts = testbed
-        .plan
-        .hosts
-        .iter()
-        .map(|h| (h.place, h.cell))
-        .collect();
-    let mut terms = JudgeSettings::of(&testbed.scenario, hosts, late);
-    terms.blur += testbed.plan.longest_delay();
-    terms.figures = !testbed.plan.linked(LinkKind::ClientProxy);
+    let terms = JudgeSettings::new(&testbed.scenario, &testbed.plan, late);
     let verdict = judge(&records, &terms);
     let void = late > testbed.scenario.platform.void_above;
     let used = used
--- /dev/null
+++ b/crates/testbed/tests/shrink.rs
@@ -0,0 +1,48 @@
+//! Fewer and fewer faults, for as long as a rule breaks.
+
+#[allow(unreachable_pub, rust_2018_idioms)] // Not yet brought to the workspace lints.
+mod help;
+
+use asterramp_testbed::plan::{Plan, PlannedFault};
+use asterramp_testbed::scenario::Scenario;
+use asterramp_testbed::shrink::{drawn, fewest, written};
+use std::time::Duration;
+use test_case::test_case;
+
+/// Whatever else strikes, these together are what fails.
+#[test_case(&[3]; "one")]
+#[test_case(&[0, 11]; "first and last")]
+#[test_case(&[2, 5, 7]; "three")]
+#[test_case(&[]; "none of them")]
+fn a_failing_draw_is_cut_down_to_what_fails(needed: &[u32]) {
+    let all: Vec<u32> = (0..12).collect();
+    let left = fewest(&all, 200, |left| needed.iter().all(|n| left.contains(n)));
+    assert_eq!(left, needed);
+    assert!(fewest(&all, 3, |left| needed.iter().all(|n| left.contains(n))).len() >= needed.len());
+}
+
+#[test]
+fn what_is_cut_down_is_written_as_it_was_drawn() {
+    let scenario = help::scenario("");
+    for chaos in 0..40 {
+        let plan = Plan::new(&scenario, 5, Some(chaos));
+        let text = written(help::BASE, &drawn(&plan.faults)).unwrap();
+        let read = Plan::new(&Scenario::read(&text).unwrap(), 5, None);
+        let ms = |at: Duration| at.as_millis();
+        let told = |s: &PlannedFault| {
+            (
+                s.kind,
+                s.on.clone(),
+                ms(s.at),
+                s.way,
+                s.half_open,
+                ms(s.span),
+                s.back,
+            )
+        };
+        assert_eq!(
+            read.faults.iter().map(told).collect::<Vec<_>>(),
+            plan.faults.iter().map(told).collect::<Vec<_>>()
+        );
+    }
+}
