--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -12,29 +12,29 @@
     Duration::from_millis(ms)
 }
 
-/// Records of session 1, asked of proxy 0 at 100 ms with a wait of 1 s, and what else a case tells.
-fn verdict(listener: u8, seen: Vec<(u64, Event)>) -> Verdict {
-    let asked = Event::Asked {
-        id: 1,
-        proxy: 0,
+fn asked(id: u64, proxy: u16, listener: u8) -> Event {
+    Event::Asked {
+        id,
+        proxy,
         place: 0,
         listener,
         wait: ms(1_000),
         inherited: false,
-    };
-    let mut records = vec![LoggedEvent {
-        at: ms(100),
-        seen: asked,
-    }];
-    records.extend(
-        seen.into_iter()
-            .map(|(at, seen)| LoggedEvent { at: ms(at), seen }),
-    );
-    records.push(LoggedEvent {
-        at: ms(9_000),
-        seen: Event::HostUp { host: 9 },
-    });
-    judge(&records, &settings())
+    }
+}
+
+fn events(seen: impl IntoIterator<Item = (u64, Event)>) -> Vec<LoggedEvent> {
+    seen.into_iter()
+        .map(|(at, seen)| LoggedEvent { at: ms(at), seen })
+        .collect()
+}
+
+/// Of session 1, asked of proxy 0 at 100 ms with a wait of 1 s, and what else happened.
+fn verdict(listener: u8, seen: Vec<(u64, Event)>) -> Verdict {
+    let first = (100, asked(1, 0, listener));
+    let last = (9_000, Event::HostUp { host: 9 });
+    let seen = [first].into_iter().chain(seen).chain([last]);
+    judge(&events(seen), &settings())
 }
 
 fn settings() -> JudgeSettings {
@@ -104,6 +104,37 @@
     }
 }
 
+/// A session that comes up at proxy 0 and stands until 9 s.
+fn long_session(id: u64, came: u64) -> [(u64, Event); 5] {
+    let dialled = Event::Dialled {
+        id,
+        host: 0,
+        dial: 1,
+        inherited: false,
+    };
+    let replied = Event::Replied {
+        id,
+        dial: 1,
+        reply: HostReply::Up,
+    };
+    let answered = Event::Answered {
+        id,
+        answer: ClientAnswer::Up,
+    };
+    let over = Event::DialOver {
+        id,
+        dial: 1,
+        by_host: true,
+    };
+    [
+        (came, asked(id, 0, 0)),
+        (came, dialled),
+        (came, replied),
+        (came, answered),
+        (9_000, over),
+    ]
+}
+
 /// Forty sessions come up at proxy 0, one each 10 ms from 1 s on, and stand until 9 s; a process beside it serves alone
 /// from `alone` on, if any; at `at` an operator hears `figures`.
 #[test_case(None, 3_000, 10, Some((40, 40)), None; "true")]
@@ -128,44 +159,7 @@
 ) {
     let mut seen = vec![(0, Event::ProxyStarted { proxy: 0 })];
     for id in 1..=40 {
-        let came = 1_000 + id * 10;
-        let asked = Event::Asked {
-            id,
-            proxy: 0,
-            place: 0,
-            listener: 0,
-            wait: ms(1_000),
-            inherited: false,
-        };
-        let dialled = Event::Dialled {
-            id,
-            host: 0,
-            dial: 1,
-            inherited: false,
-        };
-        let replied = Event::Replied {
-            id,
-            dial: 1,
-            reply: HostReply::Up,
-        };
-        let all = [
-            asked,
-            dialled,
-            replied,
-            Event::Answered {
-                id,
-                answer: ClientAnswer::Up,
-            },
-        ];
-        seen.extend(all.map(|seen| (came, seen)));
-        seen.push((
-            9_000,
-            Event::DialOver {
-                id,
-                dial: 1,
-                by_host: true,
-            },
-        ));
+        seen.extend(long_session(id, 1_000 + id * 10));
     }
     if let Some(alone) = alone {
         seen.push((alone - 100, Event::ProxyBeside { proxy: 0 }));
@@ -180,11 +174,7 @@
         },
     ));
     seen.sort_by_key(|seen| seen.0);
-    let records: Vec<LoggedEvent> = seen
-        .into_iter()
-        .map(|(at, seen)| LoggedEvent { at: ms(at), seen })
-        .collect();
-    let found: Vec<Rule> = judge(&records, &settings())
+    let found: Vec<Rule> = judge(&events(seen), &settings())
         .breaches
         .into_iter()
         .map(|b| b.rule)
@@ -258,15 +248,7 @@
     let mut seen = vec![(60, told), (200, answered(BUSY))];
     for id in 2..=6 {
         let proxy = u16::from(id > knowing);
-        let asked = Event::Asked {
-            id,
-            proxy,
-            place: 0,
-            listener: 0,
-            wait: ms(1_000),
-            inherited: false,
-        };
-        seen.push((100, asked));
+        seen.push((100, asked(id, proxy, 0)));
         seen.push((200, Event::Answered { id, answer: BUSY }));
     }
     seen.push((
