--- a/crates/testbed/src/drain_measurement.rs
+++ b/crates/testbed/src/drain_measurement.rs
@@ -1,215 +1,212 @@
-//! How a proxy is emptied: a drain on request beside SIGTERM, at several sizes, and a roll of a whole site.
+//! How a proxy is drained: on request beside SIGTERM, at several sizes, and a roll of a whole zone.
+
+mod scenario_text;
 
 use crate::event_log::{Event, LoggedEvent, SessionId};
 use crate::proxies::Program;
 use crate::report::Report;
-use crate::run::{RunError, RunOptions, own_folder, run};
+use crate::run::{RunError, RunOptions, RunOutcome, own_folder, run};
 use crate::scenario::Scenario;
+use scenario_text::{DRAIN_AT, DRAIN_ENDS_AT, scenario_text};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How the first of four proxies is emptied.
+/// Seed of all measurements.
+const SEED: u64 = 3;
+
+/// The proxy that is drained.
+const DRAINED_PROXY: u16 = 0;
+
+/// Most violations that are printed.
+const MAX_VIOLATIONS: usize = 2;
+
+/// How the first of several proxies is drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainMethod {
+    /// By a request at its admin socket.
     Drain,
+    /// By SIGTERM.
     Sigterm,
-    /// A roll over five, while a host falls silent.
+    /// A roll over five proxies, while a host falls silent.
     Roll,
 }
 
+/// What one drain did.
 #[derive(Clone, Debug)]
 pub struct DrainResult {
-    pub by: DrainMethod,
+    /// How the proxy was drained.
+    pub method: DrainMethod,
+    /// Sessions that the proxy had.
     pub sessions: u32,
-    pub moved: usize,
-    /// From the order to the last move, and the most in any second.
+    /// Sessions that were migrated.
+    pub migrated: usize,
+    /// From the order to the last migration.
     pub took: Duration,
-    pub most: usize,
-    pub peak_load: f64,
+    /// Most migrations in any second.
+    pub max_migrated_per_second: usize,
+    /// The highest utilization that any host had in any second.
+    pub peak_utilization: f64,
+    /// Share of the wanted seconds that were well served.
     pub well_served: f64,
-    pub worst_ten: f64,
+    /// The same of the worst ten seconds in a row.
+    pub worst_ten_seconds: f64,
     /// From the end of the drain until the proxy was sent a session again.
-    pub back: Option<Duration>,
+    pub back_after: Option<Duration>,
+    /// How long the roll took, or why it failed; none where there was no roll.
     pub rolled: Option<Result<Duration, String>>,
+    /// No rule was broken.
     pub held: bool,
-    pub rig_late_ms: f64,
-}
-
-const AT: u64 = 5;
-const DEADLINE: u64 = 10;
-const BACK_AT: u64 = 18;
-
-fn text(by: DrainMethod, sessions: u32) -> String {
-    let proxies = if by == DrainMethod::Roll { 5 } else { 4 };
-    let standing = sessions * proxies;
-    let length = if by == DrainMethod::Roll { 60 } else { 25 };
-    // Hosts stand at two fifths of what they can do.
-    let work = 0.4 * 12.0 / f64::from(standing);
-    let every = if standing > 4_000 { 4_000 } else { 1_000 };
-    let sockets = sessions * 5 + 2_048;
-    let fault = match by {
-        DrainMethod::Drain => format!(
-            "[[faults]]\nat = \"{AT}s\"\nfor = \"{}s\"\nkind = \"proxy-drains\"\non = [0]\nspan = \"{DEADLINE}s\"",
-            BACK_AT - AT
-        ),
-        DrainMethod::Sigterm => format!(
-            "[[faults]]\nat = \"{AT}s\"\nfor = \"{}s\"\nkind = \"proxy-leaves\"\non = [0]",
-            BACK_AT - AT
-        ),
-        DrainMethod::Roll => {
-            "[[faults]]\nat = \"20s\"\nfor = \"8s\"\nkind = \"host-silent\"\non = [3]".into()
-        }
-    };
-    let roll = if by == DrainMethod::Roll {
-        "roll_at = \"5s\""
-    } else {
-        ""
-    };
-    let rate = f64::from(standing) / 40.0;
-    format!(
-        r#"
-name = "emptied"
-length = "{length}s"
-places = ["a"]
-[fleet]
-told_within = "100ms"
-[[fleet.hosts]]
-count = 12
-places = 20000
-room = 20000
-[[listeners]]
-name = "feed"
-kind = "repeatable"
-handshake_target = "800ms"
-dial_timeout = "3s"
-message_target = "250ms"
-work = {work:.6}
-[[members]]
-name = "acme"
-[traffic]
-rate = {rate:.2}
-life = {{ median = "40s", sigma = 0.5 }}
-message_every = "{every}ms"
-inherited = {standing}
-[proxies]
-count = {proxies}
-sockets = {sockets}
-memory_mb = 512
-{roll}
-[platform]
-answer_slack = "1s"
-void_above = "1s"
-{fault}
-"#
-    )
+    /// How late the testbed was at worst, in milliseconds.
+    pub testbed_late_ms: f64,
 }
 
+/// Measures one drain of a proxy that has so many sessions, and prints the first violations.
 pub async fn emptied(
-    by: DrainMethod,
+    method: DrainMethod,
     sessions: u32,
     program: &Program,
 ) -> Result<DrainResult, RunError> {
-    let scenario = Scenario::read(&text(by, sessions)).map_err(RunError::Input)?;
+    let scenario = Scenario::read(&scenario_text(method, sessions)).map_err(RunError::Input)?;
+    let ran = run_without_files(scenario, program).await?;
+    let report = Report::of(&ran, &program.name, SEED, None);
+    print_violations(&report);
+    Ok(measured(method, sessions, &ran, &report))
+}
+
+async fn run_without_files(scenario: Scenario, program: &Program) -> Result<RunOutcome, RunError> {
     let folder = own_folder();
-    let job = RunOptions {
-        seed: 3,
+    let options = RunOptions {
+        seed: SEED,
         chaos: None,
         program: program.clone(),
         folder: folder.clone(),
         progress: false,
     };
-    let ran = run(scenario, &job).await;
+    let ran = run(scenario, &options).await;
     let _ = std::fs::remove_dir_all(&folder);
-    let ran = ran?;
-    let report = Report::of(&ran, &program.name, 3, None);
-    report
-        .breaches
-        .iter()
-        .take(2)
-        .for_each(|b| eprintln!("{}: {}\n{}", b.rule, b.what, b.timeline.join("\n")));
+    ran
+}
+
+fn print_violations(report: &Report) {
+    for violation in report.breaches.iter().take(MAX_VIOLATIONS) {
+        let timeline = violation.timeline.join("\n");
+        eprintln!("{}: {}\n{timeline}", violation.rule, violation.what);
+    }
+}
+
+fn measured(method: DrainMethod, sessions: u32, ran: &RunOutcome, report: &Report) -> DrainResult {
     let begin = ran.testbed.begin.borrow().unwrap_or_default();
-    let (from, until) = (
-        begin + Duration::from_secs(AT),
-        begin + Duration::from_secs(BACK_AT),
-    );
-    let moves = moved(
-        &ran.records,
-        (by != DrainMethod::Roll).then_some(0),
-        from,
-        until,
-    );
-    let most = (0..moves.len()).map(|at| {
-        let end = moves[at] + Duration::from_secs(1);
-        moves[at..].iter().take_while(|t| **t < end).count()
-    });
-    let asked = ran
-        .records
-        .iter()
-        .find(|r| r.at >= until && matches!(r.seen, Event::Asked { proxy: 0, .. }));
-    Ok(DrainResult {
-        by,
+    let drain = DrainInterval {
+        begin: begin + Duration::from_secs(DRAIN_AT),
+        end: begin + Duration::from_secs(DRAIN_ENDS_AT),
+    };
+    let of_proxy = (method != DrainMethod::Roll).then_some(DRAINED_PROXY);
+    let migrations = migrations(&ran.records, of_proxy, drain);
+    let took = migrations
+        .last()
+        .map_or(Duration::ZERO, |last| last.saturating_sub(drain.begin));
+    let back_after = (method == DrainMethod::Drain)
+        .then(|| back_after(&ran.records, drain.end))
+        .flatten();
+    DrainResult {
+        method,
         sessions,
-        moved: moves.len(),
-        took: moves
-            .last()
-            .map_or(Duration::ZERO, |last| last.saturating_sub(from)),
-        most: most.max().unwrap_or(0),
-        peak_load: report.hosts.peak,
-        well_served: report.service.whole,
-        worst_ten: report.service.worst_ten_seconds,
-        back: (by == DrainMethod::Drain)
-            .then(|| asked.map(|r| r.at.saturating_sub(until)))
-            .flatten(),
+        migrated: migrations.len(),
+        took,
+        max_migrated_per_second: max_per_second(&migrations),
+        peak_utilization: report.host_utilization.peak,
+        well_served: report.service.overall,
+        worst_ten_seconds: report.service.worst_ten_seconds,
+        back_after,
         rolled: ran.rolled.clone(),
         held: report.rules_held,
-        rig_late_ms: report.rig_late_ms,
-    })
+        testbed_late_ms: report.testbed_late_ms,
+    }
 }
 
-/// When clients were moved, of one proxy or of all, within a time.
-fn moved(
-    records: &[LoggedEvent],
-    of: Option<u16>,
-    from: Duration,
-    until: Duration,
+/// When a drain began, and when it was over.
+#[derive(Clone, Copy, Debug)]
+struct DrainInterval {
+    begin: Duration,
+    end: Duration,
+}
+
+/// When clients were migrated, of one proxy or of all, during the drain.
+fn migrations(
+    events: &[LoggedEvent],
+    of_proxy: Option<u16>,
+    drain: DrainInterval,
 ) -> Vec<Duration> {
     let mut proxies: HashMap<SessionId, u16> = HashMap::new();
-    let mut moves = Vec::new();
-    for record in records {
-        match record.seen {
-            Event::Asked { id, proxy, .. } => drop(proxies.insert(id, proxy)),
-            Event::Ended { id, told: true, .. } if record.at >= from && record.at < until => {
-                let right = of.is_none_or(|of| proxies.get(&id) == Some(&of));
-                moves.extend(right.then_some(record.at));
+    let mut migrations = Vec::new();
+    for event in events {
+        match event.seen {
+            Event::Asked { id, proxy, .. } => {
+                proxies.insert(id, proxy);
+            }
+            Event::Ended { id, told: true, .. } => {
+                let during_drain = (drain.begin..drain.end).contains(&event.at);
+                let right_proxy = of_proxy.is_none_or(|proxy| proxies.get(&id) == Some(&proxy));
+                if during_drain && right_proxy {
+                    migrations.push(event.at);
+                }
             }
             _ => {}
         }
     }
-    moves
+    migrations
 }
 
-pub fn row(e: &DrainResult) -> String {
-    let seconds = |span: Duration| format!("{:.2}", span.as_secs_f64());
-    let back = e.back.map_or("-".into(), seconds);
-    let rolled = match &e.rolled {
-        None => "-".into(),
-        Some(Ok(took)) => seconds(*took),
-        Some(Err(what)) => what.clone(),
+/// Most of the times that lie within one second; they are in order.
+fn max_per_second(times: &[Duration]) -> usize {
+    let within_second_from = |first: usize| {
+        let end = times[first] + Duration::from_secs(1);
+        times[first..]
+            .iter()
+            .take_while(|time| **time < end)
+            .count()
     };
-    format!(
-        "| {:?} | {} | {} | {} | {} | {:.2} | {:.4} | {:.4} | {back} | {rolled} | {} | {:.0} |",
-        e.by,
-        e.sessions,
-        e.moved,
-        seconds(e.took),
-        e.most,
-        e.peak_load,
-        e.well_served,
-        e.worst_ten,
-        if e.held { "held" } else { "BROKEN" },
-        e.rig_late_ms,
-    )
+    (0..times.len()).map(within_second_from).max().unwrap_or(0)
 }
 
+/// How long after the drain the proxy got its first session.
+fn back_after(events: &[LoggedEvent], drain_end: Duration) -> Option<Duration> {
+    events
+        .iter()
+        .find(|event| {
+            let to_proxy =
+                matches!(event.seen, Event::Asked { proxy, .. } if proxy == DRAINED_PROXY);
+            event.at >= drain_end && to_proxy
+        })
+        .map(|event| event.at.saturating_sub(drain_end))
+}
+
+/// The header of the table whose rows [`row`] gives.
 pub const HEAD: &str = "| by | sessions | moved | last after s | most in a second | peak load | well served | \
                         worst 10 s | back after s | rolled in s | rules | rig late ms |";
+
+/// One result as a row of a table in Markdown.
+pub fn row(result: &DrainResult) -> String {
+    let seconds = |span: Duration| format!("{:.2}", span.as_secs_f64());
+    let rolled = match &result.rolled {
+        None => "-".into(),
+        Some(Ok(took)) => seconds(*took),
+        Some(Err(error)) => error.to_string(),
+    };
+    let rules = if result.held { "held" } else { "BROKEN" };
+    let cells = [
+        format!("{:?}", result.method),
+        result.sessions.to_string(),
+        result.migrated.to_string(),
+        seconds(result.took),
+        result.max_migrated_per_second.to_string(),
+        format!("{:.2}", result.peak_utilization),
+        format!("{:.4}", result.well_served),
+        format!("{:.4}", result.worst_ten_seconds),
+        result.back_after.map_or("-".into(), seconds),
+        rolled,
+        rules.to_string(),
+        format!("{:.0}", result.testbed_late_ms),
+    ];
+    format!("| {} |", cells.join(" | "))
+}
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -259,7 +259,7 @@
             for size in scale::sizes(quick) {
                 if only
                     .as_ref()
-                    .is_some_and(|only| !size.what.ends_with(only.as_str()))
+                    .is_some_and(|only| !size.series.ends_with(only.as_str()))
                 {
                     continue;
                 }
@@ -277,7 +277,7 @@
             }
             print!("{}", scale::table(&points));
             if let Some(folder) = report {
-                scale::plots(&points, &folder).map_err(RunError::Run)?;
+                scale::plots(&points, &folder).map_err(|e| RunError::Run(e.to_string()))?;
             }
             Ok(ExitCode::from(u8::from(
                 points.iter().any(|p| !p.rules_held),
@@ -363,9 +363,9 @@
     };
     let programs = [named(Some(a))?, named(Some(b))?];
     let figures: [Figure; 6] = [
-        ("well served", |r| r.service.whole),
+        ("well served", |r| r.service.overall),
         ("worst ten seconds", |r| r.service.worst_ten_seconds),
-        ("worst listener", |r| r.service.worst_listener.1),
+        ("worst listener", |r| r.service.worst_listener.share),
         ("answer p99 ms", |r| r.answer_ms.p99),
         ("dials a session", |r| {
             r.tally.dials as f64 / r.tally.sessions.max(1) as f64
@@ -414,7 +414,7 @@
         }
         eprintln!(
             "seed {seed}: {:.4} and {:.4} well served",
-            first.service.whole, second.service.whole
+            first.service.overall, second.service.overall
         );
     }
     if found[0][0].len() < 2 {
@@ -514,7 +514,9 @@
     let ran: RunOutcome = ran?;
     let report = Report::of(&ran, &name, seed, common.chaos);
     if common.report.is_some() {
-        report.write(&folder, &ran).map_err(RunError::Run)?;
+        report
+            .write(&folder, &ran)
+            .map_err(|e| RunError::Run(e.to_string()))?;
     }
     if common.json {
         println!(
--- /dev/null
+++ b/crates/testbed/src/report/build.rs
@@ -0,0 +1,200 @@
+//! Makes a report from what a run recorded.
+
+use super::{
+    HostUtilization, LatencySummary, NamedShare, ProxyUsage, Report, ReportedViolation,
+    ServiceSecond, ServiceShares, SetUpLatency,
+};
+use crate::judge::Violation;
+use crate::proxies::ResourceUsage;
+use crate::run::RunOutcome;
+use crate::scenario::Scenario;
+use crate::testbed::ServiceMarks;
+use hdrhistogram::Histogram;
+
+/// Most violations that a report holds.
+const MAX_VIOLATIONS: usize = 50;
+
+/// Length of the worst span of seconds that a report shows.
+const WORST_SPAN: usize = 10;
+
+impl Report {
+    /// The report of one run.
+    pub fn of(ran: &RunOutcome, program: &str, seed: u64, chaos: Option<u64>) -> Report {
+        let scenario = &ran.testbed.scenario;
+        let marks = ran.testbed.score.marks();
+        let seconds = service_seconds(&marks);
+        let violations = ran.verdict.breaches.iter().take(MAX_VIOLATIONS);
+        Report {
+            scenario: scenario.name.clone(),
+            program: program.to_string(),
+            seed,
+            chaos,
+            simulated: true,
+            void: ran.void,
+            testbed_late_ms: ran.late.as_secs_f64() * 1e3,
+            rules_held: ran.verdict.breaches.is_empty(),
+            breaches: violations.map(reported).collect(),
+            tally: ran.verdict.tally,
+            service: service_shares(scenario, &marks, &seconds),
+            set_ups: set_up_latencies(scenario, &marks),
+            answer_ms: latency_summary(&marks.answers),
+            message_ms: latency_summary(&marks.messages),
+            clients_gave_up: marks.given_up,
+            no_proxy: marks.unreachable,
+            host_utilization: host_utilization(&ran.loads),
+            proxies: ran.used.iter().map(|used| proxy_usage(used)).collect(),
+            seconds,
+        }
+    }
+}
+
+fn reported(violation: &Violation) -> ReportedViolation {
+    ReportedViolation {
+        rule: violation.rule.text(),
+        what: violation.what.clone(),
+        timeline: violation.timeline.clone(),
+    }
+}
+
+/// Each second's sums over listeners and tenants.
+fn service_seconds(marks: &ServiceMarks) -> Vec<ServiceSecond> {
+    let sum = |cells: &Vec<(f64, f64)>| sum(cells.iter().copied().map(second));
+    marks.seconds.iter().map(sum).collect()
+}
+
+fn second((wanted, served): (f64, f64)) -> ServiceSecond {
+    ServiceSecond { wanted, served }
+}
+
+fn sum(seconds: impl Iterator<Item = ServiceSecond>) -> ServiceSecond {
+    seconds.fold(ServiceSecond::default(), |sum, second| ServiceSecond {
+        wanted: sum.wanted + second.wanted,
+        served: sum.served + second.served,
+    })
+}
+
+/// The share that was well served; all of it where nothing was wanted.
+fn share(seconds: impl Iterator<Item = ServiceSecond>) -> f64 {
+    let total = sum(seconds);
+    if total.wanted > 0.0 {
+        total.served / total.wanted
+    } else {
+        1.0
+    }
+}
+
+fn service_shares(
+    scenario: &Scenario,
+    marks: &ServiceMarks,
+    seconds: &[ServiceSecond],
+) -> ServiceShares {
+    // Cells of a second are ordered by listener and then by tenant.
+    let tenants = scenario.members.len();
+    let listener_names = scenario.listeners.iter().map(|listener| &listener.name);
+    let tenant_names = scenario.members.iter().map(|tenant| &tenant.name);
+    ServiceShares {
+        overall: share_of_cells(marks, |_| true),
+        worst_ten_seconds: worst_span(seconds),
+        worst_listener: worst_named(listener_names, |listener| {
+            share_of_cells(marks, |cell| cell / tenants == listener)
+        }),
+        worst_tenant: worst_named(tenant_names, |tenant| {
+            share_of_cells(marks, |cell| cell % tenants == tenant)
+        }),
+    }
+}
+
+/// The share over all seconds, of the cells that are picked.
+fn share_of_cells(marks: &ServiceMarks, picked: impl Fn(usize) -> bool) -> f64 {
+    let cells = marks.seconds.iter().flat_map(|row| row.iter().enumerate());
+    share(
+        cells
+            .filter(|(cell, _)| picked(*cell))
+            .map(|(_, marks)| second(*marks)),
+    )
+}
+
+fn worst_span(seconds: &[ServiceSecond]) -> f64 {
+    let length = WORST_SPAN.min(seconds.len().max(1));
+    let shares = seconds
+        .windows(length)
+        .map(|span| share(span.iter().copied()));
+    shares.fold(1.0, f64::min)
+}
+
+/// The first of the lowest shares.
+fn worst_named<'a>(
+    names: impl Iterator<Item = &'a String>,
+    share_of: impl Fn(usize) -> f64,
+) -> NamedShare {
+    let shares = names.enumerate().map(|(index, name)| NamedShare {
+        name: name.clone(),
+        share: share_of(index),
+    });
+    shares
+        .min_by(|one, other| one.share.total_cmp(&other.share))
+        .unwrap_or_default()
+}
+
+fn set_up_latencies(scenario: &Scenario, marks: &ServiceMarks) -> Vec<SetUpLatency> {
+    let listeners = scenario.listeners.iter().zip(&marks.set_ups);
+    listeners
+        .map(|(listener, times)| {
+            let target = listener.handshake_target.as_micros() as u64;
+            let within = times.count_between(0, target) as f64;
+            SetUpLatency {
+                listener: listener.name.clone(),
+                within_target: within / times.len().max(1) as f64,
+                ms: latency_summary(times),
+            }
+        })
+        .collect()
+}
+
+fn latency_summary(times: &Histogram<u64>) -> LatencySummary {
+    let ms = |us: u64| us as f64 / 1e3;
+    LatencySummary {
+        count: times.len(),
+        p50: ms(times.value_at_quantile(0.5)),
+        p90: ms(times.value_at_quantile(0.9)),
+        p99: ms(times.value_at_quantile(0.99)),
+        max: ms(times.max()),
+    }
+}
+
+/// From a row for each second, with the utilization of each host.
+fn host_utilization(rows: &[Vec<f32>]) -> HostUtilization {
+    let hosts = rows.first().map_or(0, Vec::len);
+    let mean =
+        |host: usize| rows.iter().map(|row| f64::from(row[host])).sum::<f64>() / rows.len() as f64;
+    let means: Vec<f64> = (0..hosts).map(mean).collect();
+    let all = rows
+        .iter()
+        .flatten()
+        .map(|utilization| f64::from(*utilization));
+    HostUtilization {
+        min: means.iter().copied().fold(f64::INFINITY, f64::min),
+        mean: means.iter().sum::<f64>() / means.len().max(1) as f64,
+        max: means.iter().copied().fold(0.0, f64::max),
+        peak: all.fold(0.0, f64::max),
+    }
+}
+
+/// Processor time counts since a process's start, so steps back are restarts.
+fn proxy_usage(used: &[ResourceUsage]) -> ProxyUsage {
+    let steps: Vec<f64> = used
+        .windows(2)
+        .map(|pair| pair[1].cpu - pair[0].cpu)
+        .filter(|step| *step >= 0.0)
+        .collect();
+    let mean = |steps: &[f64]| steps.iter().sum::<f64>() / steps.len().max(1) as f64;
+    let resident_kb = used.iter().map(|second| second.resident_kb).max();
+    let descriptors = used.iter().map(|second| second.descriptors).max();
+    ProxyUsage {
+        cpu_share: mean(&steps),
+        cpu_share_max: steps.iter().copied().fold(0.0, f64::max),
+        cpu_share_late: mean(&steps[steps.len() * 2 / 3..]),
+        resident_kb: resident_kb.unwrap_or(0),
+        descriptors: descriptors.unwrap_or(0),
+    }
+}
