--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -208,7 +208,7 @@
             print!(
                 "{}",
                 LogSummary::of_folder(&folder, span)
-                    .map_err(RunError::Input)?
+                    .map_err(|e| RunError::Input(e.to_string()))?
                     .table()
             );
             Ok(ExitCode::SUCCESS)
@@ -217,7 +217,7 @@
             print!(
                 "{}",
                 Journal::of_folder(&folder, &kind)
-                    .map_err(RunError::Input)?
+                    .map_err(|e| RunError::Input(e.to_string()))?
                     .table()
             );
             Ok(ExitCode::SUCCESS)
@@ -449,7 +449,7 @@
     save: &Path,
 ) -> Result<ExitCode, RunError> {
     let (seed, program) = (common.seed.unwrap_or(scenario.seed), program(common)?);
-    let all = shrink::drawn(&Plan::new(&scenario, seed, common.chaos).faults);
+    let all = shrink::scenario_faults(&Plan::new(&scenario, seed, common.chaos).faults);
     let runtime = tokio::runtime::Handle::current();
     let breaks = |faults: &[asterramp_testbed::scenario::ScenarioFault]| {
         let scenario = Scenario {
@@ -484,8 +484,8 @@
             "no rule breaks with all of its faults".into(),
         ));
     }
-    let left = shrink::fewest(&all, tries, breaks);
-    let text = shrink::written(text, &left).map_err(RunError::Run)?;
+    let left = shrink::minimize(&all, tries, breaks);
+    let text = shrink::with_faults(text, &left).map_err(|e| RunError::Run(e.to_string()))?;
     std::fs::write(save, text).map_err(|e| RunError::Run(format!("{}: {e}", save.display())))?;
     println!(
         "{} of {} faults are left, in {}",
--- a/crates/testbed/src/shrink.rs
+++ b/crates/testbed/src/shrink.rs
@@ -1,49 +1,73 @@
-//! Cuts what strikes a run down to the fewest faults with which a rule still breaks, and writes that as a scenario.
+//! Cuts the faults of a run down to the fewest with which a rule still breaks, and writes those as a scenario.
 
 use crate::plan::PlannedFault;
-use crate::scenario::{Scenario, ScenarioFault};
+use crate::scenario::{FaultKind, Scenario, ScenarioFault};
 use std::time::Duration;
+use thiserror::Error;
 use toml::{Table, Value};
 
-/// The faults as they were drawn, each with whom it strikes, so that they strike the same alone.
-pub fn drawn(faults: &[PlannedFault]) -> Vec<ScenarioFault> {
-    let fault = |struck: &PlannedFault| ScenarioFault {
-        at: struck.at,
-        lasts: struck.until.map(|until| until - struck.at),
-        kind: struck.kind,
-        on: Some(struck.on.iter().map(|n| u32::from(*n)).collect()),
+/// Why a scenario could not be written with other faults.
+#[derive(Debug, Error)]
+pub enum ShrinkError {
+    /// The text that the faults go into is not TOML.
+    #[error(transparent)]
+    Parse(#[from] toml::de::Error),
+    /// The scenario has no TOML form.
+    #[error(transparent)]
+    Write(#[from] toml::ser::Error),
+    /// What was written is not a scenario that can be read again.
+    #[error("{0}")]
+    Scenario(String),
+}
+
+/// The faults of a plan, each with whom it strikes, so that it strikes the same without the others.
+pub fn scenario_faults(faults: &[PlannedFault]) -> Vec<ScenarioFault> {
+    faults.iter().map(scenario_fault).collect()
+}
+
+fn scenario_fault(fault: &PlannedFault) -> ScenarioFault {
+    let numbers = |of: &[u16]| of.iter().map(|number| u32::from(*number)).collect();
+    ScenarioFault {
+        at: fault.at,
+        lasts: fault.until.map(|until| until - fault.at),
+        kind: fault.kind,
+        on: Some(numbers(&fault.on)),
         count: 1,
-        much: struck.much,
-        span: struck.span,
-        way: struck.way,
-        to: struck
-            .to
-            .as_ref()
-            .map(|to| to.iter().map(|n| u32::from(*n)).collect()),
-        half_open: struck.half_open,
-        back: struck.back,
-    };
-    faults.iter().map(fault).collect()
+        much: fault.much,
+        span: fault.span,
+        way: fault.way,
+        to: fault.to.as_deref().map(numbers),
+        half_open: fault.half_open,
+        back: fault.back,
+    }
 }
 
-/// Takes out halves, then quarters, then single ones, for as long as what is left still fails. A run is not the same
-/// twice, so what fails now and then only may keep more than it needs. `fails` is called `tries` times at most.
-pub fn fewest<T: Clone>(all: &[T], mut tries: u32, mut fails: impl FnMut(&[T]) -> bool) -> Vec<T> {
+/// Takes out halves, then quarters, then single items, for as long as what is left still fails.
+///
+/// `fails` is called `attempts` times at most. Two runs are never the same, so what fails only now and then may keep more
+/// than it needs.
+pub fn minimize<T: Clone>(
+    all: &[T],
+    mut attempts: u32,
+    mut fails: impl FnMut(&[T]) -> bool,
+) -> Vec<T> {
     let mut left = all.to_vec();
     let mut step = left.len().div_ceil(2).max(1);
     loop {
-        let (mut at, before) = (0, left.len());
-        while at < left.len() && tries > 0 {
-            let end = (at + step).min(left.len());
-            let without: Vec<T> = left[..at].iter().chain(&left[end..]).cloned().collect();
-            tries -= 1;
+        let length_before = left.len();
+        let mut start = 0;
+        while start < left.len() && attempts > 0 {
+            let end = (start + step).min(left.len());
+            let without = [&left[..start], &left[end..]].concat();
+            attempts -= 1;
             if fails(&without) {
-                left = without
+                left = without;
             } else {
-                at = end
+                start = end;
             }
         }
-        if tries == 0 || step == 1 && left.len() == before {
+        let nothing_more = step == 1 && left.len() == length_before;
+        if attempts == 0 || nothing_more {
             return left;
         }
         step = (step / 2).max(1);
@@ -51,38 +75,49 @@
 }
 
 /// A scenario's text with these faults in place of its own.
-pub fn written(text: &str, faults: &[ScenarioFault]) -> Result<String, String> {
-    let mut table: Table = text.parse().map_err(|e: toml::de::Error| e.to_string())?;
-    let ms = |span: Duration| Value::from(format!("{}ms", span.as_millis()));
-    let numbers = |of: &[u32]| Value::from(of.iter().map(|n| i64::from(*n)).collect::<Vec<_>>());
-    let named = |value: Result<Value, toml::ser::Error>| value.map_err(|e| e.to_string());
-    let mut list = Vec::new();
-    for fault in faults {
-        let mut entry = Table::new();
-        entry.insert("at".into(), ms(fault.at));
-        entry.extend(fault.lasts.map(|lasts| ("for".into(), ms(lasts))));
-        entry.insert("kind".into(), named(Value::try_from(fault.kind))?);
-        // Faults that strike nobody by number take no list of them.
-        let on = fault.on.as_deref().filter(|on| !on.is_empty());
-        entry.extend(on.map(|on| ("on".into(), numbers(on))));
-        entry.insert("much".into(), Value::from(fault.much));
-        entry.insert("span".into(), ms(fault.span));
-        if fault.kind.strikes_links() {
-            entry.insert("way".into(), named(Value::try_from(fault.way))?);
-        }
-        entry.extend(fault.to.as_deref().map(|to| ("to".into(), numbers(to))));
-        entry.extend(
-            fault
-                .half_open
-                .then(|| ("half_open".into(), Value::from(true))),
-        );
-        if fault.kind == crate::scenario::FaultKind::PlaceLost {
-            entry.insert("back".into(), named(Value::try_from(fault.back))?);
-        }
-        list.push(Value::Table(entry));
-    }
-    table.insert("faults".into(), Value::Array(list));
-    let text = toml::to_string(&table).map_err(|e| e.to_string())?;
+pub fn with_faults(text: &str, faults: &[ScenarioFault]) -> Result<String, ShrinkError> {
+    let mut table: Table = text.parse()?;
+    let tables: Result<Vec<Value>, ShrinkError> = faults.iter().map(fault_table).collect();
+    table.insert("faults".into(), Value::Array(tables?));
+    let text = toml::to_string(&table)?;
     // What is written must be read as it was meant.
-    Scenario::read(&text).map(|_| text)
+    Scenario::read(&text).map_err(|error| ShrinkError::Scenario(error.to_string()))?;
+    Ok(text)
+}
+
+fn fault_table(fault: &ScenarioFault) -> Result<Value, ShrinkError> {
+    let mut table = Table::new();
+    table.insert("at".into(), milliseconds(fault.at));
+    if let Some(lasts) = fault.lasts {
+        table.insert("for".into(), milliseconds(lasts));
+    }
+    table.insert("kind".into(), Value::try_from(fault.kind)?);
+    // Faults that strike nobody by number take no list of them.
+    if let Some(on) = fault.on.as_deref().filter(|on| !on.is_empty()) {
+        table.insert("on".into(), integers(on));
+    }
+    table.insert("much".into(), Value::from(fault.much));
+    table.insert("span".into(), milliseconds(fault.span));
+    if fault.kind.strikes_links() {
+        table.insert("way".into(), Value::try_from(fault.way)?);
+    }
+    if let Some(to) = fault.to.as_deref() {
+        table.insert("to".into(), integers(to));
+    }
+    if fault.half_open {
+        table.insert("half_open".into(), Value::from(true));
+    }
+    if fault.kind == FaultKind::PlaceLost {
+        table.insert("back".into(), Value::try_from(fault.back)?);
+    }
+    Ok(Value::Table(table))
+}
+
+fn milliseconds(span: Duration) -> Value {
+    Value::from(format!("{}ms", span.as_millis()))
+}
+
+fn integers(numbers: &[u32]) -> Value {
+    let integers: Vec<i64> = numbers.iter().map(|number| i64::from(*number)).collect();
+    Value::from(integers)
 }
--- a/crates/testbed/tests/shrink.rs
+++ b/crates/testbed/tests/shrink.rs
@@ -5,7 +5,7 @@
 
 use asterramp_testbed::plan::{Plan, PlannedFault};
 use asterramp_testbed::scenario::Scenario;
-use asterramp_testbed::shrink::{drawn, fewest, written};
+use asterramp_testbed::shrink::{minimize, scenario_faults, with_faults};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -16,9 +16,11 @@
 #[test_case(&[]; "none of them")]
 fn a_failing_draw_is_cut_down_to_what_fails(needed: &[u32]) {
     let all: Vec<u32> = (0..12).collect();
-    let left = fewest(&all, 200, |left| needed.iter().all(|n| left.contains(n)));
+    let left = minimize(&all, 200, |left| needed.iter().all(|n| left.contains(n)));
     assert_eq!(left, needed);
-    assert!(fewest(&all, 3, |left| needed.iter().all(|n| left.contains(n))).len() >= needed.len());
+    assert!(
+        minimize(&all, 3, |left| needed.iter().all(|n| left.contains(n))).len() >= needed.len()
+    );
 }
 
 #[test]
@@ -26,7 +28,7 @@
     let scenario = help::scenario("");
     for chaos in 0..40 {
         let plan = Plan::new(&scenario, 5, Some(chaos));
-        let text = written(help::BASE, &drawn(&plan.faults)).unwrap();
+        let text = with_faults(help::BASE, &scenario_faults(&plan.faults)).unwrap();
         let read = Plan::new(&Scenario::read(&text).unwrap(), 5, None);
         let ms = |at: Duration| at.as_millis();
         let told = |s: &PlannedFault| {
--- a/crates/testbed/tests/summaries.rs
+++ b/crates/testbed/tests/summaries.rs
@@ -10,11 +10,11 @@
     let a = [0.90, 0.80, 0.95, 0.70, 0.85];
     let better = a.map(|x| x + 0.02);
     let found = Difference::of(&a, &better, 1);
-    assert!(found.clear() && (found.mean - 0.02).abs() < 1e-9 && found.low > 0.019);
+    assert!(found.is_significant() && (found.mean - 0.02).abs() < 1e-9 && found.low > 0.019);
     let mixed = [0.92, 0.79, 0.94, 0.73, 0.84];
     let found = Difference::of(&a, &mixed, 1);
     assert!(
-        !found.clear() && found.low < 0.0 && found.high > 0.0,
+        !found.is_significant() && found.low < 0.0 && found.high > 0.0,
         "{found:?}"
     );
 }
