--- a/crates/testbed/src/drain_measurement/scenario_text.rs
+++ b/crates/testbed/src/drain_measurement/scenario_text.rs
@@ -1,6 +1,6 @@
 //! The scenario of one drain.
 
-use super::DrainMethod;
+use super::result::DrainMethod;
 
 /// Seconds after the run's begin at which the drain begins.
 pub(super) const DRAIN_AT: u64 = 5;
--- a/crates/testbed/src/journal.rs
+++ b/crates/testbed/src/journal.rs
@@ -4,10 +4,12 @@
 //!
 //! - `record.rs`: a record as far as it is read, and the days in it;
 //! - `effects.rs`: how each draw goes with the score;
+//! - `statistics.rs`: the mean;
 //! - `table.rs`: the tables.
 
 mod effects;
 mod record;
+mod statistics;
 mod table;
 
 use record::{DayRecord, DrawnDay, JournalRecord};
@@ -107,9 +109,3 @@
     }
     std::fs::read(path).ok()
 }
-
-/// Not a number if there are no values.
-fn mean(values: impl Iterator<Item = f64>) -> f64 {
-    let (sum, count) = values.fold((0.0, 0.0), |(sum, count), value| (sum + value, count + 1.0));
-    if count > 0.0 { sum / count } else { f64::NAN }
-}
--- a/crates/testbed/src/judge/reported_metrics.rs
+++ b/crates/testbed/src/judge/reported_metrics.rs
@@ -1,29 +1,27 @@
 //! The rules about what operators are given: metrics in time, and true against what clients and hosts saw.
 //!
-//! A metric may be late and a little off. Bounds are taken so that a proxy within its published accuracy is never blamed.
+//! A metric may be late and a little off. Bounds are taken so that a proxy within its published accuracy is never
+//! blamed.
+
+mod serving_process;
+mod session_lifetime;
 
 use super::intervals::Interval;
 use super::rule::{Rule, RunFinding};
 use super::run_history::RunHistory;
-use super::session_history::SessionHistory;
 use super::settings::JudgeSettings;
-use crate::event_log::{ClientAnswer, Event, LoggedEvent};
-use std::collections::BTreeMap;
+use crate::event_log::{Event, LoggedEvent};
+use serving_process::{CountRange, MAX_METRICS_AGE, ServingProcesses};
+use session_lifetime::SessionLifetime;
 use std::time::Duration;
 
 /// How long an answer to an operator may take.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(1);
 
-/// How old the metrics of an answer may be.
-const MAX_AGE: Duration = Duration::from_millis(500);
-
-/// A metric may always be off by this many sessions.
-const ABSOLUTE_ERROR: f64 = 3.0;
-
-/// Or by this share, for sessions brought up.
+/// By what share the number of sessions brought up may be off.
 const BROUGHT_UP_ERROR: f64 = 0.01;
 
-/// Or by this share, for sessions in flight.
+/// By what share the number of sessions in flight may be off.
 const IN_FLIGHT_ERROR: f64 = 0.1;
 
 /// Violations by what operators were answered, in the order of their calls.
@@ -33,10 +31,14 @@
     settings: &JudgeSettings,
 ) -> Vec<RunFinding> {
     let mut check = MetricsCheck {
-        lifetimes: run.sessions.values().filter_map(lifetime).collect(),
+        lifetimes: run
+            .sessions
+            .values()
+            .filter_map(SessionLifetime::of)
+            .collect(),
         run,
         settings,
-        processes: BTreeMap::new(),
+        processes: ServingProcesses::default(),
     };
     let mut findings = Vec::new();
     for LoggedEvent { at, seen } in events {
@@ -53,7 +55,7 @@
                 metrics: *figures,
             }));
         } else {
-            check.record_process(*at, seen);
+            check.processes.record(*at, seen);
         }
     }
     findings
@@ -77,108 +79,6 @@
     }
 }
 
-/// When a session was asked for, brought up, and known to have ended.
-#[derive(Debug)]
-struct SessionLifetime {
-    proxy: u16,
-    asked: Duration,
-    up: Option<Duration>,
-    end: Option<Duration>,
-}
-
-/// None for a session whose request is not recorded.
-fn lifetime(session: &SessionHistory) -> Option<SessionLifetime> {
-    let request = session.request?;
-    let answer = session.answers.first();
-    let is_up = answer.is_some_and(|answer| answer.answer == ClientAnswer::Up);
-    let answered = answer.map(|answer| answer.at);
-    let last_dial = session.dials.values().next_back();
-    let ends = [
-        answered.filter(|_| !is_up),
-        session.client_left,
-        session.cut.map(|cut| cut.at),
-        session.end.map(|end| end.at),
-        last_dial
-            .and_then(|dial| dial.end)
-            .filter(|_| is_up)
-            .map(|end| end.at),
-    ];
-    Some(SessionLifetime {
-        proxy: request.proxy,
-        asked: request.at,
-        up: answered.filter(|_| is_up),
-        end: ends.into_iter().flatten().min(),
-    })
-}
-
-/// Which process a proxy's metrics come from.
-#[derive(Debug, Default)]
-struct ServingProcess {
-    /// Since when it serves alone.
-    alone_since: Duration,
-    /// Since when it may have served beside its predecessor.
-    serving_since: Duration,
-    /// When a successor was started beside it.
-    successor_since: Option<Duration>,
-    /// Intervals in which there were two processes.
-    shared: Vec<Interval>,
-}
-
-/// The fewest and the most sessions that peers saw.
-#[derive(Clone, Copy, Debug)]
-struct CountRange {
-    min: usize,
-    max: usize,
-}
-
-impl CountRange {
-    /// Whether a metric is outside the range by more than it may be off.
-    fn excludes(&self, metric: f64, relative_error: f64) -> bool {
-        let (min, max) = (self.min as f64, self.max as f64);
-        let lowest = min - ABSOLUTE_ERROR.max(min * relative_error);
-        metric < lowest || metric > max + ABSOLUTE_ERROR.max(max * relative_error)
-    }
-}
-
-impl ServingProcess {
-    /// Whether another process may have had a part in what happened then.
-    fn is_shared(&self, within: Interval) -> bool {
-        self.successor_since.is_some_and(|since| within.to >= since)
-            || self.shared.iter().any(|shared| shared.overlaps(within))
-    }
-
-    /// Sessions that this process may have brought up; the fewest are those that it surely did.
-    fn brought_up(&self, lifetimes: &[&SessionLifetime], measured: Interval) -> CountRange {
-        let brought_up = || lifetimes.iter().filter_map(|lifetime| lifetime.up);
-        let surely = |up: &Duration| {
-            let moment = Interval { from: *up, to: *up };
-            *up > self.alone_since + MAX_AGE && *up <= measured.from && !self.is_shared(moment)
-        };
-        let possibly = |up: &Duration| *up >= self.serving_since && *up <= measured.to;
-        CountRange {
-            min: brought_up().filter(surely).count(),
-            max: brought_up().filter(possibly).count(),
-        }
-    }
-
-    /// Sessions that may have been in flight; the fewest are those that are known to have ended later.
-    fn in_flight(&self, lifetimes: &[&SessionLifetime], measured: Interval) -> CountRange {
-        let surely = |lifetime: &&&SessionLifetime| {
-            lifetime.asked <= measured.from && lifetime.end.is_some_and(|end| end > measured.to)
-        };
-        let possibly = |lifetime: &&&SessionLifetime| {
-            lifetime.asked <= measured.to && lifetime.end.is_none_or(|end| end >= measured.from)
-        };
-        let min = if self.is_shared(measured) {
-            0
-        } else {
-            lifetimes.iter().filter(surely).count()
-        };
-        let max = lifetimes.iter().filter(possibly).count();
-        CountRange { min, max }
-    }
-}
-
 /// Checks one call after the other, in the order of the events.
 #[derive(Debug)]
 struct MetricsCheck<'a> {
@@ -186,48 +86,13 @@
     run: &'a RunHistory,
     settings: &'a JudgeSettings,
     /// The process that serves for each proxy.
-    processes: BTreeMap<u16, ServingProcess>,
+    processes: ServingProcesses,
 }
 
 impl MetricsCheck<'_> {
-    /// Follows which process serves.
-    fn record_process(&mut self, at: Duration, event: &Event) {
-        match event {
-            Event::ProxyBeside { proxy } => {
-                self.processes.entry(*proxy).or_default().successor_since = Some(at);
-            }
-            Event::ProxyDead { proxy } => {
-                let process = self.processes.entry(*proxy).or_default();
-                let since = process.successor_since.take();
-                let shared = since.map(|since| Interval {
-                    from: since,
-                    to: at,
-                });
-                process.shared.extend(shared);
-            }
-            Event::ProxyStarted { proxy } | Event::ProxyServes { proxy } => {
-                let predecessor = self.processes.remove(proxy);
-                let serving_since = predecessor
-                    .and_then(|process| process.successor_since)
-                    .unwrap_or(at);
-                let process = ServingProcess {
-                    alone_since: at,
-                    serving_since,
-                    successor_since: None,
-                    shared: vec![Interval {
-                        from: serving_since,
-                        to: at,
-                    }],
-                };
-                self.processes.insert(*proxy, process);
-            }
-            _ => {}
-        }
-    }
-
     fn call(&self, call: &OperatorCall) -> Vec<RunFinding> {
         let measured_or_later = Interval {
-            from: call.sent(MAX_AGE),
+            from: call.sent(MAX_METRICS_AGE),
             to: call.at,
         };
         let stalls = &self.run.proxies.stalls;
@@ -262,12 +127,12 @@
 
     /// The metrics of an answer that are further off than they may be.
     fn untrue(&self, call: &OperatorCall, brought_up: u64, in_flight: u64) -> Vec<RunFinding> {
-        let Some(process) = self.processes.get(&call.proxy) else {
+        let Some(process) = self.processes.get(call.proxy) else {
             return Vec::new();
         };
         let tolerance = self.settings.tolerance;
         let measured = Interval {
-            from: call.sent(MAX_AGE + tolerance),
+            from: call.sent(MAX_METRICS_AGE + tolerance),
             to: call.at + tolerance,
         };
         let of_proxy = |lifetime: &&SessionLifetime| lifetime.proxy == call.proxy;
--- a/crates/testbed/src/report/build.rs
+++ b/crates/testbed/src/report/build.rs
@@ -1,6 +1,6 @@
 //! Makes a report from what a run recorded.
 
-use super::{
+use super::types::{
     HostUtilization, LatencySummary, NamedShare, ProxyUsage, Report, ReportedViolation,
     ServiceSecond, ServiceShares, SetUpLatency,
 };
--- a/crates/testbed/src/report/charts.rs
+++ b/crates/testbed/src/report/charts.rs
@@ -1,6 +1,6 @@
 //! The charts of a run.
 
-use super::Report;
+use super::types::Report;
 use crate::event_log::Event;
 use crate::plots::{Chart, ChartError, ChartLine};
 use crate::proxies::ResourceUsage;
--- a/crates/testbed/src/report/files.rs
+++ b/crates/testbed/src/report/files.rs
@@ -1,6 +1,7 @@
 //! The files that a report is written to.
 
-use super::{Report, charts};
+use super::charts;
+use super::types::Report;
 use crate::event_log::{Event, LoggedEvent};
 use crate::plots::ChartError;
 use crate::run::RunOutcome;
--- a/crates/testbed/src/report/table.rs
+++ b/crates/testbed/src/report/table.rs
@@ -1,6 +1,6 @@
 //! The table that ends a run.
 
-use super::{LatencySummary, ProxyUsage, Report};
+use super::types::{LatencySummary, ProxyUsage, Report};
 use std::collections::BTreeMap;
 
 /// Most proxies that have a row.
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -1,8 +1,10 @@
 //! How a proxy bears size: set-ups a second, lines a second, and what a standing connection costs.
 //!
+//! - `point.rs`: what was measured at one size;
 //! - `sizes.rs`: the sizes that are measured, and the scenario of one;
 //! - `results.rs`: the table and the charts of the results.
 
+mod point;
 mod results;
 mod sizes;
 
@@ -10,8 +12,8 @@
 use crate::report::{ProxyUsage, Report};
 use crate::run::{RunError, RunOptions, RunOutcome, own_folder, run};
 use crate::scenario::Scenario;
-use serde::Serialize;
 
+pub use point::ScalePoint;
 pub use results::{plots, table};
 pub use sizes::{ScaleSize, sizes};
 
@@ -21,47 +23,6 @@
 /// Lateness of the testbed, in milliseconds, above which a point tells nothing of the proxy.
 const MAX_LATE_MS: f64 = 100.0;
 
-/// What was measured at one size.
-#[derive(Clone, Copy, Debug, Serialize)]
-pub struct ScalePoint {
-    /// Name of the series that the size belongs to.
-    #[serde(rename = "what")]
-    pub series: &'static str,
-    /// Number of hosts.
-    pub hosts: u32,
-    /// Number of proxies.
-    pub proxies: u32,
-    /// Connections that stand throughout the run.
-    pub standing: u32,
-    /// Sessions a second, over all proxies.
-    pub set_ups: f64,
-    /// Lines a second, in one direction, over all proxies.
-    pub lines: f64,
-    /// Median time from a request to its answer, in milliseconds.
-    pub answer_p50_ms: f64,
-    /// 99th percentile of the time from a request to its answer, in milliseconds.
-    pub answer_p99_ms: f64,
-    /// 99th percentile of the time from a line to its answer, in milliseconds.
-    pub message_p99_ms: f64,
-    /// Share of a core that one proxy used, on average.
-    pub cpu: f64,
-    /// The same over the last third of the run.
-    pub cpu_late: f64,
-    /// Resident memory of one proxy in KiB, on average.
-    pub resident_kb: f64,
-    /// Descriptors of one proxy, on average.
-    pub descriptors: f64,
-    /// Share of sessions that were accepted.
-    pub accepted_share: f64,
-    /// How late the testbed was at worst, in milliseconds.
-    #[serde(rename = "rig_late_ms")]
-    pub testbed_late_ms: f64,
-    /// The testbed ran too late to tell anything of the proxy.
-    pub void: bool,
-    /// No rule was broken.
-    pub rules_held: bool,
-}
-
 /// Measures one size by a run of so many seconds.
 pub async fn point(
     size: &ScaleSize,
--- a/crates/testbed/src/scale/results.rs
+++ b/crates/testbed/src/scale/results.rs
@@ -1,6 +1,6 @@
 //! The table and the charts of the results.
 
-use super::ScalePoint;
+use super::point::ScalePoint;
 use super::sizes::{HOST_COUNTS, IDLE, LINES, SET_UPS};
 use crate::plots::{Chart, ChartLine};
 use crate::report::WriteError;
@@ -52,8 +52,8 @@
     format!("| {} |\n", cells.join(" | "))
 }
 
-/// Draws `scale-set-ups.svg` and `scale-standing.svg` into a folder: processor use by sessions a second, and by standing
-/// connections.
+/// Draws `scale-set-ups.svg` and `scale-standing.svg` into a folder: processor use by sessions a second, and by
+/// standing connections.
 pub fn plots(points: &[ScalePoint], folder: &Path) -> Result<(), WriteError> {
     std::fs::create_dir_all(folder).map_err(|source| WriteError::new(folder, source))?;
     let charts = [
--- a/crates/testbed/src/shrink.rs
+++ b/crates/testbed/src/shrink.rs
@@ -44,8 +44,8 @@
 
 /// Takes out halves, then quarters, then single items, for as long as what is left still fails.
 ///
-/// `fails` is called `attempts` times at most. Two runs are never the same, so what fails only now and then may keep more
-/// than it needs.
+/// `fails` is called `attempts` times at most. Two runs are never the same, so what fails only now and then may keep
+/// more than it needs.
 pub fn minimize<T: Clone>(
     all: &[T],
     mut attempts: u32,
