--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -462,7 +462,7 @@
             begins || struck.back == RecoveredPart::All || struck.back == back
         };
         for (host, plan) in testbed.hosts.iter().zip(&testbed.plan.hosts) {
-            if there(plan.place) && comes(RecoveredPart::HostGroup) {
+            if there(plan.place) && comes(RecoveredPart::Hosts) {
                 strike(testbed, host, nth, begins);
             }
         }
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -435,7 +435,7 @@
 pub enum RecoveredPart {
     #[default]
     All,
-    HostGroup,
+    Hosts,
     Proxies,
 }
 
