--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -64,7 +64,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-#[serde(rename = "Hosts", deny_unknown_fields)]
+#[serde(expecting = "struct Hosts", deny_unknown_fields)]
 pub struct HostGroup {
     pub count: u32,
     /// Absent: all places in turn.
@@ -84,7 +84,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename = "Kind", rename_all = "kebab-case")]
+#[serde(expecting = "enum Kind", rename_all = "kebab-case")]
 pub enum RetrySafety {
     Repeatable,
     Referenced,
@@ -92,7 +92,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename = "Circle", rename_all = "kebab-case")]
+#[serde(expecting = "enum Circle", rename_all = "kebab-case")]
 pub enum RetryScope {
     All,
     Zone,
@@ -158,7 +158,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-#[serde(rename = "Point", deny_unknown_fields)]
+#[serde(expecting = "struct Point", deny_unknown_fields)]
 pub struct RatePoint {
     #[serde(deserialize_with = "span")]
     pub at: Duration,
@@ -167,7 +167,7 @@
 
 /// Log-normal.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(rename = "Life", deny_unknown_fields)]
+#[serde(expecting = "struct Life", deny_unknown_fields)]
 pub struct SessionLength {
     #[serde(deserialize_with = "span")]
     pub median: Duration,
@@ -226,7 +226,7 @@
 
 /// The list that a proxy's configuration has when it is started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
-#[serde(rename = "Known", rename_all = "kebab-case")]
+#[serde(expecting = "enum Known", rename_all = "kebab-case")]
 pub enum InitialEndpointList {
     /// As it is then.
     #[default]
@@ -291,7 +291,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-#[serde(rename = "Fault", deny_unknown_fields)]
+#[serde(expecting = "struct Fault", deny_unknown_fields)]
 pub struct ScenarioFault {
     #[serde(deserialize_with = "span")]
     pub at: Duration,
@@ -421,7 +421,7 @@
 
 /// Which ways a fault of links strikes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
-#[serde(rename = "Way", rename_all = "kebab-case")]
+#[serde(expecting = "enum Way", rename_all = "kebab-case")]
 pub enum LinkKind {
     #[default]
     ProxyHost,
@@ -431,7 +431,7 @@
 
 /// What of a lost place comes back when the fault is over; the rest stays away.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
-#[serde(rename = "Back", rename_all = "kebab-case")]
+#[serde(expecting = "enum Back", rename_all = "kebab-case")]
 pub enum RecoveredPart {
     #[default]
     All,
