--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,11 +1,12 @@
 //! Clients: they want to be connected for a while, measure it, try again, come back, leave early.
 
+use crate::context::{ClientSignal, RunContext};
 use crate::discovery::uid;
 use crate::event_log::{ClientAnswer, ConnectionEnd, Event};
+use crate::front::Front;
 use crate::line_reader::{Line, LineReader};
 use crate::plan::{PlannedClient, SeededRng};
 use crate::scenario::{RetrySafety, RetryScope};
-use crate::testbed::Testbed;
 use rand::{RngExt, SeedableRng};
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,7 +37,8 @@
 }
 
 struct Client<'a> {
-    testbed: &'a Testbed,
+    context: &'a RunContext,
+    front: &'a Front,
     wanted: &'a PlannedClient,
     chance: SeededRng,
     /// Since when it has wanted what it has not got.
@@ -45,31 +47,32 @@
 }
 
 /// One client's whole time.
-pub async fn live(testbed: Arc<Testbed>, wanted: PlannedClient) {
-    testbed.done(wanted.at);
+pub async fn live(context: Arc<RunContext>, front: Arc<Front>, wanted: PlannedClient) {
+    context.record_lateness(wanted.at);
     let ends = wanted.at + wanted.life;
     let chance = SeededRng::seed_from_u64(wanted.chance);
     let mut client = Client {
-        testbed: &testbed,
+        context: &context,
+        front: &front,
         wanted: &wanted,
         chance,
         since: wanted.at,
         again: false,
     };
     let mut tries = 0;
-    while testbed.now() < ends {
+    while context.now() < ends {
         let before = client.since;
         let outcome = client.connect(ends).await;
         if client.since > before {
             tries = 0;
         }
-        let retries = &testbed.scenario.traffic.retries;
-        let listener = &testbed.scenario.listeners[usize::from(wanted.listener)];
+        let retries = &context.scenario.traffic.retries;
+        let listener = &context.scenario.listeners[usize::from(wanted.listener)];
         let jitter = 0.5 + client.chance.random::<f64>();
         let pause = match outcome {
             Outcome::Done => break,
             Outcome::Broken => {
-                (client.again, client.since, tries) = (true, testbed.now(), 0);
+                (client.again, client.since, tries) = (true, context.now(), 0);
                 Duration::from_millis(client.chance.random_range(COMES_AGAIN))
             }
             Outcome::Unreachable => NO_PROXY.mul_f64(jitter),
@@ -77,7 +80,7 @@
             Outcome::Failed => match (listener.kind, listener.circle) {
                 (RetrySafety::Repeatable, _) => retries.pause.mul_f64(jitter),
                 (RetrySafety::Referenced, RetryScope::All)
-                    if testbed.now() < client.since + listener.key_ttl =>
+                    if context.now() < client.since + listener.key_ttl =>
                 {
                     retries.pause.mul_f64(jitter)
                 }
@@ -86,27 +89,27 @@
         };
         tries += u32::from(outcome != Outcome::Unreachable && outcome != Outcome::Broken);
         if tries > retries.most {
-            testbed.score.marks().given_up += 1;
+            context.service_score.marks().given_up += 1;
             break;
         }
         sleep(pause).await;
     }
-    testbed
-        .score
-        .wanted(wanted.listener, wanted.member, wanted.at, ends);
+    context
+        .service_score
+        .add_wanted(wanted.listener, wanted.member, wanted.at, ends);
 }
 
 impl Client<'_> {
     /// One try, and the connection that comes of it.
     async fn connect(&mut self, ends: Duration) -> Outcome {
-        let (testbed, wanted) = (self.testbed, self.wanted);
+        let (context, wanted) = (self.context, self.wanted);
         let draw = self.chance.random();
-        let Some((proxy, at)) = testbed.front.pick(wanted.place, draw) else {
-            testbed.score.marks().unreachable += 1;
+        let Some((proxy, at)) = self.front.pick(wanted.place, draw) else {
+            context.service_score.marks().unreachable += 1;
             return Outcome::Unreachable;
         };
         let Ok(Ok(stream)) = timeout(CONNECT, TcpStream::connect(at)).await else {
-            testbed.score.marks().unreachable += 1;
+            context.service_score.marks().unreachable += 1;
             return Outcome::Unreachable;
         };
         let _ = stream.set_nodelay(true);
@@ -119,9 +122,9 @@
             return Outcome::Unreachable;
         }
         let listener = wanted.listener;
-        let kind = &testbed.scenario.listeners[usize::from(listener)];
-        let (wait, asked) = (kind.dial_timeout, testbed.event_log.now());
-        testbed.event_log.put(Event::Asked {
+        let kind = &context.scenario.listeners[usize::from(listener)];
+        let (wait, asked) = (kind.dial_timeout, context.event_log.now());
+        context.event_log.record(Event::Asked {
             id,
             proxy,
             place: wanted.place,
@@ -129,13 +132,13 @@
             wait,
             inherited: inherited.is_some(),
         });
-        let stays = wait + testbed.scenario.platform.answer_slack + OVERTIME;
+        let stays = wait + context.scenario.platform.answer_slack + OVERTIME;
         let leaves = wanted
             .patience
             .filter(|_| !self.again)
             .map_or(stays, |patience| patience.min(stays));
         let Ok(line) = timeout(leaves, lines.next()).await else {
-            testbed.event_log.put(Event::Left { id });
+            context.event_log.record(Event::Left { id });
             return if leaves < wait {
                 Outcome::Done
             } else {
@@ -154,11 +157,11 @@
                 } else {
                     ConnectionEnd::Reset
                 };
-                testbed.event_log.put(Event::Cut { id, end });
+                context.event_log.record(Event::Cut { id, end });
                 return Outcome::Failed;
             }
         };
-        testbed.event_log.put(Event::Answered {
+        context.event_log.record(Event::Answered {
             id,
             answer: answer.clone(),
         });
@@ -166,15 +169,15 @@
             ClientAnswer::Up => {
                 let us = |span: Duration| span.as_micros() as u64;
                 let (waited, took) = (
-                    testbed.now().saturating_sub(self.since),
-                    testbed.event_log.now() - asked,
+                    context.now().saturating_sub(self.since),
+                    context.event_log.now() - asked,
                 );
                 if inherited.is_none() {
-                    let mut marks = testbed.score.marks();
+                    let mut marks = context.service_score.marks();
                     marks.set_ups[usize::from(listener)].saturating_record(us(waited));
                     marks.answers.saturating_record(us(took));
                 }
-                self.since = testbed.now();
+                self.since = context.now();
                 self.stay(id, &mut lines, &mut write, ends).await
             }
             ClientAnswer::Busy(come_back) => {
@@ -196,15 +199,17 @@
             } else {
                 ClientAnswer::Failed
             };
-            self.testbed.event_log.put(Event::Answered { id, answer });
+            self.context
+                .event_log
+                .record(Event::Answered { id, answer });
         }
     }
 
     fn first_line(&self, inherited: Option<u16>) -> (u64, String) {
-        let (testbed, wanted) = (self.testbed, self.wanted);
-        let listener = &testbed.scenario.listeners[usize::from(wanted.listener)];
-        let member = &testbed.scenario.members[usize::from(wanted.member)].name;
-        let id = testbed.new_id();
+        let (context, wanted) = (self.context, self.wanted);
+        let listener = &context.scenario.listeners[usize::from(wanted.listener)];
+        let member = &context.scenario.members[usize::from(wanted.member)].name;
+        let id = context.new_session_id();
         let wait = listener.dial_timeout.as_millis();
         let mut line = format!(
             "OPEN {id:016x} {:016x} c={},t={member}",
@@ -231,23 +236,25 @@
         write: &mut OwnedWriteHalf,
         ends: Duration,
     ) -> Outcome {
-        let (testbed, wanted) = (self.testbed, self.wanted);
-        let every = testbed.scenario.traffic.message_every;
-        let target = testbed.scenario.listeners[usize::from(wanted.listener)].message_target;
-        let (mut reconnect, mut deafen) =
-            (testbed.reconnect.subscribe(), testbed.deafen.subscribe());
+        let (context, wanted) = (self.context, self.wanted);
+        let every = context.scenario.traffic.message_every;
+        let target = context.scenario.listeners[usize::from(wanted.listener)].message_target;
+        let (mut reconnect, mut deafen) = (
+            context.client_signals.reconnect.subscribe(),
+            context.client_signals.stop_reading.subscribe(),
+        );
         reconnect.mark_unchanged();
         deafen.mark_unchanged();
         let mut credit = Credit {
-            testbed,
+            context,
             wanted,
-            from: testbed.now(),
+            from: context.now(),
             good: true,
         };
-        let mut next = testbed.now() + every.mul_f64(self.chance.random::<f64>());
+        let mut next = context.now() + every.mul_f64(self.chance.random::<f64>());
         let (mut nth, mut waits, mut told) = (0u64, None::<(u64, Duration)>, false);
         loop {
-            let now = testbed.now();
+            let now = context.now();
             if now >= ends {
                 credit.close(ends);
                 // Half of them say so, and hear the host out.
@@ -265,7 +272,7 @@
                 if waits.is_none() {
                     waits = Some((nth, now));
                 }
-                let text = format!("MSG {nth} {}\r\n", testbed.event_log.now().as_micros());
+                let text = format!("MSG {nth} {}\r\n", context.event_log.now().as_micros());
                 // One whose proxy takes nothing any more is cut off by it sooner or later.
                 let _ = timeout(every, write.write_all(text.as_bytes())).await;
                 continue;
@@ -276,7 +283,7 @@
                 _ = sleep(sleeps) => continue,
                 _ = reconnect.changed() => {
                     if self.called(&mut reconnect) {
-                        credit.close(testbed.now());
+                        credit.close(context.now());
                         return Outcome::Broken;
                     }
                     continue;
@@ -284,9 +291,9 @@
                 _ = deafen.changed() => {
                     let span = deafen.borrow().span;
                     if self.called(&mut deafen) {
-                        credit.close(testbed.now());
+                        credit.close(context.now());
                         sleep(span).await;
-                        (credit.from, credit.good, waits) = (testbed.now(), false, None);
+                        (credit.from, credit.good, waits) = (context.now(), false, None);
                     }
                     continue;
                 }
@@ -294,7 +301,7 @@
             let text = match line {
                 Line::Text(text) => text,
                 Line::Bad => {
-                    testbed.event_log.put(Event::Garbled {
+                    context.event_log.record(Event::Garbled {
                         id,
                         line: "no text".into(),
                     });
@@ -306,8 +313,8 @@
                     } else {
                         ConnectionEnd::Reset
                     };
-                    testbed.event_log.put(Event::Ended { id, end, told });
-                    credit.close(testbed.now());
+                    context.event_log.record(Event::Ended { id, end, told });
+                    credit.close(context.now());
                     return Outcome::Broken;
                 }
             };
@@ -315,21 +322,21 @@
                 ("ACK", n) if n.parse::<u64>().is_ok_and(|n| n > 0 && n <= nth) => {
                     let answered = n.parse().unwrap_or(0);
                     if let Some((_, sent)) = waits.take_if(|(wait, _)| answered >= *wait) {
-                        let took = testbed.now().saturating_sub(sent);
+                        let took = context.now().saturating_sub(sent);
                         credit.good = took <= target && answered == nth;
-                        let mut marks = testbed.score.marks();
+                        let mut marks = context.service_score.marks();
                         marks.messages.saturating_record(took.as_micros() as u64);
                     }
                 }
                 ("LOAD", _) => {}
                 ("MOVE" | "BYE", _) => told = true,
-                _ => testbed.event_log.put(Event::Garbled { id, line: text }),
+                _ => context.event_log.record(Event::Garbled { id, line: text }),
             }
         }
     }
 
     /// Whether a call to a share of all clients reaches this one.
-    fn called(&mut self, call: &mut watch::Receiver<crate::testbed::ClientSignal>) -> bool {
+    fn called(&mut self, call: &mut watch::Receiver<ClientSignal>) -> bool {
         let share = call.borrow_and_update().share;
         self.chance.random::<f64>() < share
     }
@@ -337,7 +344,7 @@
 
 /// A span that counts as well served if its message was answered in time.
 struct Credit<'a> {
-    testbed: &'a Testbed,
+    context: &'a RunContext,
     wanted: &'a PlannedClient,
     from: Duration,
     good: bool,
@@ -346,9 +353,12 @@
 impl Credit<'_> {
     fn close(&mut self, to: Duration) {
         if std::mem::replace(&mut self.good, false) {
-            self.testbed
-                .score
-                .served(self.wanted.listener, self.wanted.member, self.from, to);
+            self.context.service_score.add_served(
+                self.wanted.listener,
+                self.wanted.member,
+                self.from,
+                to,
+            );
         }
     }
 }
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,18 +1,18 @@
 //! Discovery: what is known of the hosts, and an agent a proxy that tells it over HTTP, late or wrongly on
 //! request.
 
+use crate::context::RunContext;
 use crate::event_log::{Event, HostState};
-use crate::host::Host;
-use crate::link::LinkEnds;
-use crate::plan::Plan;
-use crate::scenario::Scenario;
-use crate::testbed::Testbed;
+use crate::link::Links;
+use crate::link_ends::LinkEnds;
+use crate::plan::HostPlan;
+use crate::sockets::listen_again;
 use rand::{RngExt, SeedableRng};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
@@ -22,10 +22,10 @@
     place: String,
     cell: u16,
     weight: f64,
-    standing: HostState,
+    state: HostState,
     /// On the ledger's clock.
     started: Option<Duration>,
-    rev: u64,
+    version: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -36,12 +36,17 @@
     pub older: u32,
 }
 
+#[derive(Debug)]
 pub struct EndpointRegistry {
+    pub context: Arc<RunContext>,
+    links: Arc<Links>,
     entries: Mutex<Vec<Entry>>,
     /// As they were before the run.
     first: Vec<Entry>,
-    rev: watch::Sender<u64>,
-    pub mood: watch::Sender<DiscoveryFaults>,
+    version: watch::Sender<u64>,
+    pub faults: watch::Sender<DiscoveryFaults>,
+    /// By proxy, how many faults keep its agent from hearing anything.
+    pub cut_off_agents: watch::Sender<Vec<u32>>,
 }
 
 /// How often something is written on a quiet watch.
@@ -49,22 +54,36 @@
 const LONGEST_HEAD: usize = 8192;
 
 impl EndpointRegistry {
-    pub fn new(plan: &Plan, hosts: &[Arc<Host>], scenario: &Scenario) -> EndpointRegistry {
-        let entry = |(host, at): (&crate::plan::HostPlan, &Arc<Host>)| Entry {
-            endpoint: at.address,
+    pub fn new(
+        context: Arc<RunContext>,
+        links: Arc<Links>,
+        addresses: impl Iterator<Item = SocketAddr>,
+    ) -> EndpointRegistry {
+        let scenario = &context.scenario;
+        let entry = |(host, endpoint): (&HostPlan, SocketAddr)| Entry {
+            endpoint,
             place: scenario.places[usize::from(host.place)].clone(),
             cell: host.cell,
             weight: host.weight,
-            standing: HostState::Ready,
+            state: HostState::Ready,
             started: None,
-            rev: 1,
+            version: 1,
         };
-        let first: Vec<Entry> = plan.hosts.iter().zip(hosts).map(entry).collect();
+        let first: Vec<Entry> = context
+            .plan
+            .hosts
+            .iter()
+            .zip(addresses)
+            .map(entry)
+            .collect();
         EndpointRegistry {
             entries: Mutex::new(first.clone()),
             first,
-            rev: watch::channel(1).0,
-            mood: watch::channel(DiscoveryFaults::default()).0,
+            version: watch::channel(1).0,
+            faults: watch::channel(DiscoveryFaults::default()).0,
+            cut_off_agents: watch::channel(vec![0; scenario.proxies.count as usize]).0,
+            context,
+            links,
         }
     }
 
@@ -75,69 +94,61 @@
     }
 
     /// Changes what is known of a host.
-    pub fn change(&self, host: u16, standing: HostState, started: Option<Duration>) {
-        let rev = *self.rev.borrow() + 1;
+    pub fn set_state(&self, host: u16, state: HostState, started: Option<Duration>) {
+        let version = *self.version.borrow() + 1;
         {
             let entry = &mut self.entries()[usize::from(host)];
-            (entry.standing, entry.rev) = (standing, rev);
+            (entry.state, entry.version) = (state, version);
             entry.started = started.or(entry.started);
         }
-        self.rev.send_replace(rev);
+        self.version.send_replace(version);
     }
 
-    pub fn started(&self, host: u16) -> Option<Duration> {
+    pub fn start_of(&self, host: u16) -> Option<Duration> {
         self.entries()[usize::from(host)].started
     }
 
-    /// The list as one line, of what changed after a version, or whole; and whom it names.
-    pub fn list(
-        &self,
-        testbed: &Testbed,
-        proxy: u16,
-        after: Option<u64>,
-    ) -> (u64, String, Vec<(u16, ListedHost)>) {
-        let rev = *self.rev.borrow();
-        self.told(testbed, proxy, after, rev, &self.entries())
+    /// The list as one line for a proxy, of what changed after a version, or complete.
+    pub fn list(&self, proxy: u16, after: Option<u64>) -> EndpointList {
+        let version = *self.version.borrow();
+        self.list_of(&self.entries(), version, proxy, after)
     }
 
-    /// The whole list as it was before the run, under its old number.
-    pub fn older(&self, testbed: &Testbed, proxy: u16) -> (u64, String, Vec<(u16, ListedHost)>) {
-        self.told(testbed, proxy, None, 1, &self.first)
+    /// The complete list as it was before the run, under its old number.
+    pub fn outdated_list(&self, proxy: u16) -> EndpointList {
+        self.list_of(&self.first, 1, proxy, None)
     }
 
-    fn told(
+    fn list_of(
         &self,
-        testbed: &Testbed,
+        entries: &[Entry],
+        version: u64,
         proxy: u16,
         after: Option<u64>,
-        rev: u64,
-        entries: &[Entry],
-    ) -> (u64, String, Vec<(u16, ListedHost)>) {
-        let unix = testbed.event_log.unix;
+    ) -> EndpointList {
+        let unix = self.context.event_log.unix;
         let mut named = Vec::new();
         let mut lines = Vec::new();
         for (nth, e) in entries.iter().enumerate() {
-            if after.is_some_and(|after| e.rev <= after) {
+            if after.is_some_and(|after| e.version <= after) {
                 continue;
             }
-            named.push((
-                nth as u16,
-                ListedHost {
-                    standing: e.standing,
-                    started: e.started,
-                },
-            ));
+            named.push(ListedHost {
+                number: nth as u16,
+                state: e.state,
+                started: e.started,
+            });
             // A whole list tells that one is gone by leaving it out.
-            if after.is_none() && e.standing == HostState::Gone {
+            if after.is_none() && e.state == HostState::Gone {
                 continue;
             }
-            let state = match e.standing {
+            let state = match e.state {
                 HostState::Ready => "ready",
                 HostState::Draining => "draining",
                 HostState::Gone => "gone",
             };
             // A proxy has its own way to a host where that goes through a stand-in.
-            let endpoint = testbed
+            let endpoint = self
                 .links
                 .address(LinkEnds::Proxy(proxy, nth as u16))
                 .unwrap_or(e.endpoint);
@@ -147,15 +158,30 @@
                 "pod_group": e.cell, "state": state, "capacity_hint": e.weight, "boot_ms": boot,
             }));
         }
-        let list = serde_json::json!({"rev": rev, "all": after.is_none(), "targets": lines});
-        (rev, list.to_string(), named)
+        let list = serde_json::json!({"rev": version, "all": after.is_none(), "targets": lines});
+        EndpointList {
+            version,
+            json: list.to_string(),
+            hosts: named,
+        }
     }
 }
 
-/// What a list told of a host.
+/// What one message of discovery tells a proxy.
+#[derive(Clone, Debug)]
+pub struct EndpointList {
+    pub version: u64,
+    /// The list as it is sent, in one line.
+    pub json: String,
+    /// Whom it tells of.
+    pub hosts: Vec<ListedHost>,
+}
+
+/// What a list tells of a host.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedHost {
-    pub standing: HostState,
+    pub number: u16,
+    pub state: HostState,
     pub started: Option<Duration>,
 }
 
@@ -164,19 +190,25 @@
 }
 
 /// The agent of one proxy; it may move to another address.
+#[derive(Debug)]
 pub struct DiscoveryAgent {
+    registry: Arc<EndpointRegistry>,
     proxy: u16,
     address: watch::Sender<SocketAddr>,
 }
 
 impl DiscoveryAgent {
-    pub async fn start(testbed: &Arc<Testbed>, proxy: u16) -> std::io::Result<Arc<DiscoveryAgent>> {
+    pub async fn start(
+        registry: &Arc<EndpointRegistry>,
+        proxy: u16,
+    ) -> std::io::Result<Arc<DiscoveryAgent>> {
         let door = TcpListener::bind(place(proxy)).await?;
         let agent = Arc::new(DiscoveryAgent {
+            registry: registry.clone(),
             proxy,
             address: watch::channel(door.local_addr()?).0,
         });
-        tokio::spawn(agent.clone().serve(testbed.clone(), door));
+        tokio::spawn(agent.clone().serve(door));
         Ok(agent)
     }
 
@@ -185,24 +217,23 @@
     }
 
     /// Stands at another address from now on; the old one is refused and its watches break.
-    pub async fn moves(self: &Arc<Self>, testbed: &Arc<Testbed>) -> std::io::Result<()> {
+    pub async fn change_address(self: &Arc<Self>) -> std::io::Result<()> {
         let door = TcpListener::bind(place(self.proxy)).await?;
         self.address.send_replace(door.local_addr()?);
-        tokio::spawn(self.clone().serve(testbed.clone(), door));
+        tokio::spawn(self.clone().serve(door));
         Ok(())
     }
 
-    async fn serve(self: Arc<Self>, testbed: Arc<Testbed>, door: TcpListener) {
+    async fn serve(self: Arc<Self>, door: TcpListener) {
         let Ok(own) = door.local_addr() else { return };
         let mut door = Some(door);
-        let (mut mood, mut address) =
-            (testbed.discovery.mood.subscribe(), self.address.subscribe());
+        let (mut mood, mut address) = (self.registry.faults.subscribe(), self.address.subscribe());
         while *address.borrow_and_update() == own {
             let refuses = mood.borrow_and_update().refuses > 0;
             if refuses {
                 door = None;
             } else if door.is_none() {
-                door = reopened(own);
+                door = listen_again(own);
                 if door.is_none() {
                     sleep(Duration::from_millis(50)).await;
                     continue;
@@ -218,20 +249,14 @@
                 _ = mood.changed() => {}
                 _ = address.changed() => {}
                 taken = taken => if let Ok((stream, _)) = taken {
-                    tokio::spawn(self.clone().answer(testbed.clone(), stream, own));
+                    tokio::spawn(self.clone().answer(stream, own));
                 }
             }
         }
     }
 
-    async fn answer(
-        self: Arc<Self>,
-        testbed: Arc<Testbed>,
-        mut stream: TcpStream,
-        own: SocketAddr,
-    ) {
-        let (mut mood, mut address) =
-            (testbed.discovery.mood.subscribe(), self.address.subscribe());
+    async fn answer(self: Arc<Self>, mut stream: TcpStream, own: SocketAddr) {
+        let (mut mood, mut address) = (self.registry.faults.subscribe(), self.address.subscribe());
         let over = async {
             loop {
                 if mood.borrow_and_update().refuses > 0 || *address.borrow_and_update() != own {
@@ -245,12 +270,12 @@
         };
         tokio::select! {
             _ = over => {}
-            _ = self.talk(&testbed, &mut stream) => {}
+            _ = self.talk(&mut stream) => {}
         }
     }
 
-    async fn talk(&self, testbed: &Testbed, stream: &mut TcpStream) -> Option<()> {
-        let mut mood = testbed.discovery.mood.subscribe();
+    async fn talk(&self, stream: &mut TcpStream) -> Option<()> {
+        let mut mood = self.registry.faults.subscribe();
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             if head.len() > LONGEST_HEAD {
@@ -264,7 +289,10 @@
         }
         let head = String::from_utf8(head).ok()?;
         let path = head.split(' ').nth(1)?;
-        let (mut apart, own) = (testbed.apart.subscribe(), usize::from(self.proxy));
+        let (mut apart, own) = (
+            self.registry.cut_off_agents.subscribe(),
+            usize::from(self.proxy),
+        );
         let _ = mood.wait_for(|mood| mood.silent == 0).await;
         let _ = apart.wait_for(|apart| apart[own] == 0).await;
         let Some(rest) = path.strip_prefix("/discovery/hosts") else {
@@ -272,20 +300,20 @@
             return stream.write_all(text.as_bytes()).await.ok();
         };
         if !rest.contains("stream=1") {
-            let (_, text, named) = testbed.discovery.list(testbed, self.proxy, None);
-            let length = text.len();
+            let list = self.registry.list(self.proxy, None);
+            let (length, text) = (list.json.len(), &list.json);
             let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{text}");
             stream.write_all(text.as_bytes()).await.ok()?;
-            self.told(testbed, &named);
+            self.record_listed(&list);
             return Some(());
         }
         let asked = rest
             .split("index=")
             .nth(1)
             .and_then(|n| n.split('&').next()?.parse::<u64>().ok());
-        let mut rev = testbed.discovery.rev.subscribe();
+        let mut version = self.registry.version.subscribe();
         // A version that this discovery never had tells nothing.
-        let mut after = asked.filter(|n| (1..=*rev.borrow()).contains(n));
+        let mut after = asked.filter(|n| (1..=*version.borrow()).contains(n));
         let mut old = false;
         let mut chance = crate::plan::SeededRng::seed_from_u64(u64::from(self.proxy) ^ 0xd15c);
         stream
@@ -296,48 +324,51 @@
             let _ = mood.wait_for(|mood| mood.silent == 0).await;
             let _ = apart.wait_for(|apart| apart[own] == 0).await;
             if mood.borrow_and_update().babbles > 0 {
-                let text = ["{\"rev\":[}", "{\"rev\":-1,\"targets\":7}", "\u{fffd}\u{1}"];
+                let text = [
+                    "{\"version\":[}",
+                    "{\"version\":-1,\"targets\":7}",
+                    "\u{fffd}\u{1}",
+                ];
                 chunk(stream, text[chance.random_range(0..text.len())])
                     .await
                     .ok()?;
                 sleep(Duration::from_millis(200)).await;
                 continue;
             }
-            rev.borrow_and_update();
+            version.borrow_and_update();
             let older = mood.borrow_and_update().older > 0;
             // Whoever was told the old list is told the whole one when that is over.
             if older != old {
                 (old, after) = (older, None);
             }
-            let (at, text, named) = match older {
-                true => testbed.discovery.older(testbed, self.proxy),
-                false => testbed.discovery.list(testbed, self.proxy, after),
+            let list = match older {
+                true => self.registry.outdated_list(self.proxy),
+                false => self.registry.list(self.proxy, after),
             };
-            if after.is_none_or(|after| after < at) {
-                chunk(stream, &text).await.ok()?;
-                self.told(testbed, &named);
-                after = Some(at);
+            if after.is_none_or(|after| after < list.version) {
+                chunk(stream, &list.json).await.ok()?;
+                self.record_listed(&list);
+                after = Some(list.version);
             }
             let blank = Instant::now() + BLANK;
             tokio::select! {
                 _ = sleep_until(blank) => chunk(stream, "").await.ok()?,
                 _ = mood.changed() => {}
                 _ = apart.changed() => {}
-                _ = rev.changed() => {
-                    sleep(testbed.scenario.fleet.told_within.mul_f64(chance.random::<f64>())).await;
+                _ = version.changed() => {
+                    sleep(self.registry.context.scenario.fleet.told_within.mul_f64(chance.random::<f64>())).await;
                 }
             }
         }
     }
 
-    fn told(&self, testbed: &Testbed, named: &[(u16, ListedHost)]) {
-        for (host, entry) in named {
-            let (standing, started) = (entry.standing, entry.started);
-            testbed.event_log.put(Event::HostListed {
+    fn record_listed(&self, list: &EndpointList) {
+        for host in &list.hosts {
+            self.registry.context.event_log.record(Event::HostListed {
                 proxy: self.proxy,
-                host: *host,
-                standing,
-                started,
+                host: host.number,
+                standing: host.state,
+                started: host.started,
             });
         }
     }
@@ -347,14 +378,6 @@
     SocketAddr::from(([127, 30, (proxy / 250) as u8, 1 + (proxy % 250) as u8], 0))
 }
 
-/// Listens again where a listener was closed.
-pub fn reopened(at: SocketAddr) -> Option<TcpListener> {
-    let socket = TcpSocket::new_v4().ok()?;
-    socket.set_reuseaddr(true).ok()?;
-    socket.bind(at).ok()?;
-    socket.listen(1024).ok()
-}
-
 async fn chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
     let text = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
     stream.write_all(text.as_bytes()).await
--- a/crates/testbed/src/drain_measurement.rs
+++ b/crates/testbed/src/drain_measurement.rs
@@ -127,7 +127,7 @@
         .iter()
         .take(2)
         .for_each(|b| eprintln!("{}: {}\n{}", b.rule, b.what, b.timeline.join("\n")));
-    let begin = ran.testbed.begin.borrow().unwrap_or_default();
+    let begin = ran.context.plan_start().unwrap_or_default();
     let (from, until) = (
         begin + Duration::from_secs(AT),
         begin + Duration::from_secs(BACK_AT),
--- a/crates/testbed/src/event_log.rs
+++ b/crates/testbed/src/event_log.rs
@@ -1,6 +1,6 @@
 //! What the peers saw, each record with the time it was seen. The judge reads nothing else.
 
-use crate::link::LinkEnds;
+use crate::link_ends::LinkEnds;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
@@ -237,7 +237,7 @@
         self.start.elapsed()
     }
 
-    pub fn put(&self, seen: Event) {
+    pub fn record(&self, seen: Event) {
         self.records().push(LoggedEvent {
             at: self.now(),
             seen,
--- a/crates/testbed/src/front.rs
+++ b/crates/testbed/src/front.rs
@@ -1,9 +1,10 @@
 //! The front: learns by `PING` which proxies live, deals clients out among those of a place, and forgets the
 //! dead late.
 
+use crate::context::RunContext;
 use crate::line_reader::{Line, LineReader};
-use crate::link::{LinkEnds, Links};
-use crate::testbed::Testbed;
+use crate::link::Links;
+use crate::link_ends::LinkEnds;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -107,13 +108,12 @@
     }
 
     /// Asks each proxy whether it lives, for as long as the run lasts.
-    pub fn watch(testbed: &Arc<Testbed>) {
-        let count = testbed.front.seats().len();
+    pub fn watch(self: &Arc<Self>, context: &RunContext) {
+        let (check, forget) = (context.scenario.front.check, context.scenario.front.forget);
+        let count = self.seats().len();
         for nth in 0..count {
-            let testbed = testbed.clone();
+            let front = self.clone();
             tokio::spawn(async move {
-                let front = &testbed.front;
-                let (check, forget) = (testbed.scenario.front.check, testbed.scenario.front.forget);
                 loop {
                     let address = front.seats()[nth].address;
                     let lives = timeout(ANSWER, asked(address)).await == Ok(true);
--- a/crates/testbed/src/host.rs
+++ b/crates/testbed/src/host.rs
@@ -1,14 +1,16 @@
 //! Stand-in hosts: the server's side of the protocol over a load model, with faults.
 
-use crate::discovery::reopened;
+use crate::context::RunContext;
+use crate::discovery::EndpointRegistry;
 use crate::event_log::{Event, HostReply, HostState};
 use crate::line_reader::{Line, LineReader};
-use crate::link::is_linked;
+use crate::link::{ConnectionNames, is_linked};
 use crate::load_model::{LoadModel, LoadModelSettings, SetUpOutcome};
-use crate::plan::{HostPlan, Plan};
+use crate::plan::Plan;
 use crate::scenario::{FaultKind, Scenario};
-use crate::testbed::Testbed;
-use rustix::net::sockopt;
+use crate::sockets::{
+    BoundListener, accept_new_connections, drop_new_connections, listen_again, reset,
+};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU8, AtomicU32, Ordering};
@@ -41,7 +43,11 @@
     }
 }
 
+#[derive(Debug)]
 pub struct Host {
+    context: Arc<RunContext>,
+    discovery: Arc<EndpointRegistry>,
+    connections: Arc<ConnectionNames>,
     pub number: u16,
     pub address: SocketAddr,
     fields: Vec<String>,
@@ -66,33 +72,32 @@
 /// Over how long a draining host sends its connections away.
 const SENDS_AWAY: u64 = 1_500;
 
-impl Host {
-    /// All hosts of a plan, each with its listener.
-    pub async fn all(
-        plan: &Plan,
-        scenario: &Scenario,
-    ) -> std::io::Result<Vec<(Arc<Host>, TcpListener)>> {
-        // Runs side by side have addresses apart: a port that one gives up must not become another's host.
-        static RUNS: AtomicU8 = AtomicU8::new(0);
-        let run = RUNS.fetch_add(1, Ordering::Relaxed) % 28;
-        let mut hosts = Vec::new();
-        for (nth, host) in plan.hosts.iter().enumerate() {
-            let at = SocketAddr::from((
-                [127, 10, run * 9 + (nth / 250) as u8, 1 + (nth % 250) as u8],
-                0,
-            ));
-            let door = TcpListener::bind(at).await?;
-            let address = door.local_addr()?;
-            hosts.push((
-                Arc::new(Host::new(nth as u16, address, host, scenario)),
-                door,
-            ));
-        }
-        Ok(hosts)
+/// Binds a listener for each host of a plan.
+pub async fn bind_all(plan: &Plan) -> std::io::Result<Vec<BoundListener>> {
+    // Runs side by side have addresses apart: a port that one gives up must not become another's host.
+    static RUNS: AtomicU8 = AtomicU8::new(0);
+    let run = RUNS.fetch_add(1, Ordering::Relaxed) % 28;
+    let mut bound = Vec::new();
+    for nth in 0..plan.hosts.len() {
+        let octets = [127, 10, run * 9 + (nth / 250) as u8, 1 + (nth % 250) as u8];
+        bound.push(BoundListener::bind(SocketAddr::from((octets, 0))).await?);
     }
+    Ok(bound)
+}
 
-    fn new(number: u16, address: SocketAddr, plan: &HostPlan, scenario: &Scenario) -> Host {
-        let fleet = &scenario.fleet;
+impl Host {
+    /// A host of the plan, which runs at an address but does not serve yet.
+    pub fn new(
+        number: u16,
+        address: SocketAddr,
+        discovery: Arc<EndpointRegistry>,
+        connections: Arc<ConnectionNames>,
+    ) -> Host {
+        let context = discovery.context.clone();
+        let (fleet, plan) = (
+            &context.scenario.fleet,
+            &context.plan.hosts[usize::from(number)],
+        );
         let nature = LoadModelSettings {
             speed: plan.speed,
             places: plan.places,
@@ -115,6 +120,9 @@
             model: Mutex::new(LoadModel::new(nature, u64::from(number) * 7919 + 1)),
             effects: Mutex::default(),
             mood: watch::channel(HostFaults::default()).0,
+            context,
+            discovery,
+            connections,
         }
     }
 
@@ -125,9 +133,9 @@
     }
 
     /// A fault, known by its number, begins or ends here.
-    pub fn strike(&self, testbed: &Arc<Testbed>, fault: usize, begins: bool) {
-        let now = testbed.event_log.now();
-        let struck = &testbed.plan.faults[fault];
+    pub fn apply_fault(&self, fault: usize, begins: bool) {
+        let now = self.context.event_log.now();
+        let struck = &self.context.plan.faults[fault];
         let kind = struck.kind;
         let mut effects = self
             .effects
@@ -171,9 +179,13 @@
         drop(effects);
         if before.down && !down {
             self.model().restart(now);
-            testbed.event_log.put(Event::HostUp { host: self.number });
+            self.context
+                .event_log
+                .record(Event::HostUp { host: self.number });
         } else if down && !before.down {
-            testbed.event_log.put(Event::HostDown { host: self.number });
+            self.context
+                .event_log
+                .record(Event::HostDown { host: self.number });
         }
         let standing = if has_gone(down, kind, begins) {
             HostState::Gone
@@ -183,9 +195,9 @@
             HostState::Ready
         };
         if before.down && !down {
-            testbed.discovery.change(self.number, standing, Some(now));
+            self.discovery.set_state(self.number, standing, Some(now));
         } else if before.draining != mood.draining || standing == HostState::Gone {
-            testbed.discovery.change(self.number, standing, None);
+            self.discovery.set_state(self.number, standing, None);
         }
         self.mood.send_replace(mood);
     }
@@ -200,14 +212,16 @@
     }
 
     /// Pushed over: it stays down.
-    fn collapse(&self, testbed: &Testbed) {
-        testbed.event_log.put(Event::HostDown { host: self.number });
+    fn collapse(&self) {
+        self.context
+            .event_log
+            .record(Event::HostDown { host: self.number });
         self.mood
             .send_modify(|mood| (mood.down, mood.life) = (true, mood.life + 1));
     }
 
     /// Takes connections in for as long as the run lasts.
-    pub async fn serve(self: Arc<Self>, testbed: Arc<Testbed>, door: TcpListener) {
+    pub async fn serve(self: Arc<Self>, door: TcpListener) {
         let mut door = Some(door);
         let mut mood = self.mood.subscribe();
         loop {
@@ -218,7 +232,7 @@
                 continue;
             }
             let Some(open) = &door else {
-                door = reopened(self.address);
+                door = listen_again(self.address);
                 if door.is_none() {
                     sleep(Duration::from_millis(20)).await;
                 }
@@ -226,11 +240,10 @@
             };
             if now.vanished {
                 // A full queue drops what else comes, as a machine that is cut off does.
-                let _ = rustix::net::listen(open, 0);
-                let fill = || timeout(Duration::from_millis(20), TcpStream::connect(self.address));
-                let _full = (fill().await, fill().await);
+                let _full =
+                    drop_new_connections(open, self.address, Duration::from_millis(20)).await;
                 let _ = mood.wait_for(|mood| !mood.vanished || mood.down).await;
-                let _ = rustix::net::listen(open, 1024);
+                accept_new_connections(open);
                 continue;
             }
             tokio::select! {
@@ -238,13 +251,13 @@
                 taken = open.accept() => if let Ok((stream, _)) = taken
                     && self.sockets.load(Ordering::Relaxed) < self.room
                 {
-                    tokio::spawn(self.clone().connection(testbed.clone(), stream, now.life));
+                    tokio::spawn(self.clone().connection(stream, now.life));
                 }
             }
         }
     }
 
-    async fn connection(self: Arc<Self>, testbed: Arc<Testbed>, stream: TcpStream, life: u32) {
+    async fn connection(self: Arc<Self>, stream: TcpStream, life: u32) {
         self.sockets.fetch_add(1, Ordering::Relaxed);
         let _ = stream.set_nodelay(true);
         let mut dial = None;
@@ -259,10 +272,10 @@
         let died = mood.wait_for(|mood| mood.life != life);
         let served = tokio::select! {
             _ = died => false,
-            _ = self.talk(&testbed, &mut peer, &mut dial) => true,
+            _ = self.talk(&mut peer, &mut dial) => true,
         };
         if let Some(mut dial) = dial.take() {
-            dial.end(&self, &testbed, !served);
+            dial.end(&self, !served);
         }
         if !served {
             peer.reset();
@@ -270,13 +283,13 @@
         self.sockets.fetch_sub(1, Ordering::Relaxed);
     }
 
-    async fn talk(&self, testbed: &Arc<Testbed>, peer: &mut Peer, slot: &mut Option<Dial>) {
+    async fn talk(&self, peer: &mut Peer, slot: &mut Option<Dial>) {
         let mut mood = self.mood.subscribe();
         loop {
             let line = match peer.lines.next().await {
                 Line::Text(line) => line,
                 Line::Bad => {
-                    testbed.event_log.put(Event::Unread {
+                    self.context.event_log.record(Event::Unread {
                         host: self.number,
                         line: "no text".into(),
                     });
@@ -286,23 +299,23 @@
             };
             match line.as_str() {
                 "PING" | "STATS" => {
-                    let took = self.model().message(testbed.event_log.now());
+                    let took = self.model().message(self.context.event_log.now());
                     sleep(took.min(Duration::from_secs(5))).await;
                     if !thawed(&mut mood, &mut peer.lines).await {
                         return;
                     }
                     let report = if line == "STATS" {
-                        self.report(testbed)
+                        self.report()
                     } else {
                         String::new()
                     };
                     peer.say(&format!("PONG{report}\r\n")).await;
                 }
-                _ => match open(&line, &testbed.scenario) {
-                    Some(open) => return self.session(testbed, peer, slot, open).await,
+                _ => match open(&line, &self.context.scenario) {
+                    Some(open) => return self.session(peer, slot, open).await,
                     None => {
                         let line = line.chars().take(160).collect();
-                        testbed.event_log.put(Event::Unread {
+                        self.context.event_log.record(Event::Unread {
                             host: self.number,
                             line,
                         });
@@ -314,8 +327,8 @@
     }
 
     /// A load report, with a blank before it.
-    fn report(&self, testbed: &Testbed) -> String {
-        let figures = self.model().report(testbed.event_log.now());
+    fn report(&self) -> String {
+        let figures = self.model().report(self.context.event_log.now());
         let field = |name: &String| match name.as_str() {
             "x0" => format!("x0={:.4}", figures.asked),
             _ => format!("outstanding={}", figures.outstanding),
@@ -328,16 +341,10 @@
         }
     }
 
-    async fn session(
-        &self,
-        testbed: &Arc<Testbed>,
-        peer: &mut Peer,
-        slot: &mut Option<Dial>,
-        open: Open,
-    ) {
-        let event_log = &testbed.event_log;
+    async fn session(&self, peer: &mut Peer, slot: &mut Option<Dial>, open: Open) {
+        let event_log = &self.context.event_log;
         let (id, host, inherited) = (open.id, self.number, open.inherited);
-        let number = testbed.new_dial();
+        let number = self.context.new_dial_number();
         let dial = slot.insert(Dial {
             id,
             number,
@@ -345,7 +352,7 @@
             up: None,
             over: false,
         });
-        event_log.put(Event::Dialled {
+        event_log.record(Event::Dialled {
             id,
             host,
             dial: number,
@@ -355,9 +362,9 @@
         let handle = peer.far.map_or_else(|| peer.lines.handle(), |_| None);
         peer.far
             .into_iter()
-            .for_each(|far| testbed.links.named.put(far, id, number));
-        for earlier in testbed.out.begin(id, number, handle) {
-            event_log.put(Event::StillOut {
+            .for_each(|far| self.connections.put(far, id, number));
+        for earlier in self.context.pending_dials.begin(id, number, handle) {
+            event_log.record(Event::StillOut {
                 id,
                 host,
                 dial: number,
@@ -374,14 +381,12 @@
             return;
         }
         if now.resets && !inherited {
-            dial.end(self, testbed, true);
+            dial.end(self, true);
             return peer.reset();
         }
         if now.erring && !inherited {
-            let text = format!("ERR{}\r\n", self.report(testbed));
-            return dial
-                .turn_away(self, testbed, peer, HostReply::Err, &text)
-                .await;
+            let text = format!("ERR{}\r\n", self.report());
+            return dial.turn_away(self, peer, HostReply::Err, &text).await;
         }
         if !inherited {
             let taken = if now.draining {
@@ -391,15 +396,13 @@
             };
             match taken {
                 SetUpOutcome::Full => {
-                    let text = format!("BUSY{}\r\n", self.report(testbed));
-                    return dial
-                        .turn_away(self, testbed, peer, HostReply::Busy, &text)
-                        .await;
+                    let text = format!("BUSY{}\r\n", self.report());
+                    return dial.turn_away(self, peer, HostReply::Busy, &text).await;
                 }
                 SetUpOutcome::Collapsed => {
-                    let (by, started) = (self.model().pressers(), testbed.discovery.started(host));
-                    event_log.put(Event::Collapsed { host, started, by });
-                    return self.collapse(testbed);
+                    let (by, started) = (self.model().pressers(), self.discovery.start_of(host));
+                    event_log.record(Event::Collapsed { host, started, by });
+                    return self.collapse();
                 }
                 SetUpOutcome::After(took) => {
                     dial.settling = true;
@@ -414,20 +417,20 @@
                 }
             }
         }
-        dial.connected(self, testbed, &open);
-        testbed.out.end(id, number);
-        event_log.put(Event::Replied {
+        dial.connected(self, &open);
+        self.context.pending_dials.end(id, number);
+        event_log.record(Event::Replied {
             id,
             dial: number,
             reply: HostReply::Up,
         });
         peer.say(&format!("UP r-{number}\r\nLOAD {:.1}\r\n", open.work * 1e6))
             .await;
-        self.serve_open(testbed, peer, dial).await;
+        self.serve_open(peer, dial).await;
     }
 
     /// Answers an open connection's lines until it ends.
-    async fn serve_open(&self, testbed: &Arc<Testbed>, peer: &mut Peer, dial: &mut Dial) {
+    async fn serve_open(&self, peer: &mut Peer, dial: &mut Dial) {
         let mut mood = self.mood.subscribe();
         let mut answers: VecDeque<(Instant, String)> = VecDeque::new();
         let mut sends_away: Option<Instant> = None;
@@ -450,22 +453,22 @@
                     }
                 }
                 _ = sleep_until(away.unwrap_or_else(Instant::now)), if away.is_some() => {
-                    return dial.turn_away(self, testbed, peer, HostReply::Move, "MOVE\r\n").await;
+                    return dial.turn_away(self, peer, HostReply::Move, "MOVE\r\n").await;
                 }
                 line = peer.lines.next() => match line {
                     Line::Text(line) if line == "END" => {
-                        let text = format!("BYE{}\r\n", self.report(testbed));
-                        return dial.turn_away(self, testbed, peer, HostReply::Bye, &text).await;
+                        let text = format!("BYE{}\r\n", self.report());
+                        return dial.turn_away(self, peer, HostReply::Bye, &text).await;
                     }
                     Line::Text(line) => {
-                        let at = testbed.event_log.now();
+                        let at = self.context.event_log.now();
                         let Some((nth, sent)) = message(&line) else {
-                            testbed.event_log.put(Event::Unread { host: self.number, line });
+                            self.context.event_log.record(Event::Unread { host: self.number, line });
                             return peer.part("SYNTAX\r\n").await;
                         };
                         let span = at.saturating_sub(sent);
                         if span > Duration::from_secs(1) {
-                            testbed.event_log.put(Event::Held { id: dial.id, span });
+                            self.context.event_log.record(Event::Held { id: dial.id, span });
                         }
                         let took = self.model().message(at);
                         answers.push_back((Instant::now() + took, format!("ACK {nth}\r\n")));
@@ -551,9 +554,7 @@
 
     fn reset(&mut self) {
         if let Some(write) = self.write.take() {
-            let _ = sockopt::set_socket_linger(write.as_ref(), Some(Duration::ZERO));
-            // Dropped, it would end its side in good order first.
-            write.forget();
+            reset(write);
         }
     }
 }
@@ -569,46 +570,39 @@
 }
 
 impl Dial {
-    fn connected(&mut self, host: &Host, testbed: &Testbed, open: &Open) {
+    fn connected(&mut self, host: &Host, open: &Open) {
         let mut model = host.model();
         if std::mem::take(&mut self.settling) {
             model.set_up_over();
         }
-        model.connect(testbed.event_log.now(), open.group, open.work);
+        model.connect(host.context.event_log.now(), open.group, open.work);
         self.up = Some((open.group, open.work));
     }
 
-    async fn turn_away(
-        &mut self,
-        host: &Host,
-        testbed: &Testbed,
-        peer: &mut Peer,
-        reply: HostReply,
-        text: &str,
-    ) {
-        testbed.event_log.put(Event::Replied {
+    async fn turn_away(&mut self, host: &Host, peer: &mut Peer, reply: HostReply, text: &str) {
+        host.context.event_log.record(Event::Replied {
             id: self.id,
             dial: self.number,
             reply,
         });
-        self.end(host, testbed, true);
+        self.end(host, true);
         peer.part(text).await;
     }
 
-    fn end(&mut self, host: &Host, testbed: &Testbed, by_host: bool) {
+    fn end(&mut self, host: &Host, by_host: bool) {
         if std::mem::replace(&mut self.over, true) {
             return;
         }
-        testbed.out.end(self.id, self.number);
+        host.context.pending_dials.end(self.id, self.number);
         let mut model = host.model();
         if std::mem::take(&mut self.settling) {
             model.set_up_over();
         }
         if let Some((group, work)) = self.up.take() {
-            model.disconnect(testbed.event_log.now(), group, work);
+            model.disconnect(host.context.event_log.now(), group, work);
         }
         drop(model);
-        testbed.event_log.put(Event::DialOver {
+        host.context.event_log.record(Event::DialOver {
             id: self.id,
             dial: self.number,
             by_host,
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -7,7 +7,7 @@
 use crate::event_log::{
     ClientAnswer, ConnectionEnd, Event, HostReply, HostState, LoggedEvent, SessionId,
 };
-use crate::link::LinkEnds;
+use crate::link_ends::LinkEnds;
 use crate::scenario::{RetrySafety, RetryScope, Scenario};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
--- a/crates/testbed/src/link.rs
+++ b/crates/testbed/src/link.rs
@@ -2,10 +2,13 @@
 //! until a fault drops, resets, refuses, delays or slows them. A way stands between one proxy and one host, or between
 //! the clients of one place and one proxy; who dials it thinks that it has the other side before it.
 
-use crate::event_log::Event;
+use crate::context::RunContext;
+use crate::event_log::{Event, SessionId};
+use crate::link_ends::LinkEnds;
 use crate::scenario::FaultKind;
-use crate::testbed::{Testbed, ended};
-use rustix::net::sockopt;
+use crate::sockets::{
+    accept_new_connections, drop_new_connections, listen_again, peer_has_ended, reset,
+};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -17,15 +20,6 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Which two a way lies between.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum LinkEnds {
-    /// A proxy and a host.
-    Proxy(u16, u16),
-    /// The clients and the front of a place, and a proxy.
-    Clients(u8, u16),
-}
-
 /// What faults make of a way now. `there` is the direction of whoever dials.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
@@ -62,11 +56,13 @@
     half_open: bool,
 }
 
+#[derive(Debug)]
 pub struct Link {
     pub ends: LinkEnds,
     pub address: SocketAddr,
     target: SocketAddr,
     effects: Mutex<Vec<Effect>>,
+    connections: Arc<ConnectionNames>,
     mood: watch::Sender<LinkFaults>,
     /// Counts half-open ends: connections from before one are dead.
     broken: watch::Sender<u32>,
@@ -81,7 +77,7 @@
         self.0.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
-    pub fn put(&self, peer: SocketAddr, id: u64, dial: u32) {
+    pub fn put(&self, peer: SocketAddr, id: SessionId, dial: u32) {
         self.all().insert(peer, (id, dial));
     }
 
@@ -91,11 +87,12 @@
 }
 
 /// All ways of a run that go through a stand-in.
-#[derive(Default)]
+#[derive(Debug, Default)]
 pub struct Links {
     all: Vec<Arc<Link>>,
     by_ends: HashMap<LinkEnds, usize>,
-    pub named: ConnectionNames,
+    /// Whose connections pass through them.
+    pub connections: Arc<ConnectionNames>,
 }
 
 /// Where stand-ins are reached, and whence they dial: a peer that is dialled knows by it that its clock and the
@@ -111,30 +108,32 @@
 }
 
 impl Links {
-    /// Opens a way for each pair of ends and what it leads to. They serve once `serve` is called.
-    pub async fn open(
+    /// Opens a way for each pair of ends and what it leads to.
+    pub async fn start(
+        context: &Arc<RunContext>,
         pairs: Vec<(LinkEnds, SocketAddr)>,
-    ) -> std::io::Result<(Links, Vec<TcpListener>)> {
+    ) -> std::io::Result<Links> {
         // Runs side by side have addresses apart: a proxy of one must not reach a port that another has given up.
         static RUNS: AtomicU8 = AtomicU8::new(0);
         let run = 2 + RUNS.fetch_add(1, Ordering::Relaxed) % 250;
-        let (mut links, mut doors) = (Links::default(), Vec::new());
+        let mut links = Links::default();
         for (ends, target) in pairs {
             let door =
                 TcpListener::bind(SocketAddr::from(([NETWORK[0], NETWORK[1], run, 1], 0))).await?;
-            let link = Link {
+            let link = Arc::new(Link {
                 ends,
                 address: door.local_addr()?,
                 target,
                 effects: Mutex::default(),
+                connections: links.connections.clone(),
                 mood: watch::channel(LinkFaults::default()).0,
                 broken: watch::channel(0).0,
-            };
+            });
+            tokio::spawn(link.clone().serve(context.clone(), door));
             links.by_ends.insert(ends, links.all.len());
-            links.all.push(Arc::new(link));
-            doors.push(door);
+            links.all.push(link);
         }
-        Ok((links, doors))
+        Ok(links)
     }
 
     /// Where a way is dialled, if it goes through a stand-in.
@@ -198,7 +197,7 @@
     }
 
     /// Takes connections for as long as the run lasts.
-    pub async fn serve(self: Arc<Self>, testbed: Arc<Testbed>, door: TcpListener) {
+    pub async fn serve(self: Arc<Self>, context: Arc<RunContext>, door: TcpListener) {
         let (mut door, mut mood) = (Some(door), self.mood.subscribe());
         loop {
             let now = *mood.borrow_and_update();
@@ -208,7 +207,7 @@
                 continue;
             }
             let Some(open) = &door else {
-                door = crate::discovery::reopened(self.address);
+                door = listen_again(self.address);
                 if door.is_none() {
                     sleep(LOOK).await;
                 }
@@ -216,24 +215,22 @@
             };
             if now.is_cut() {
                 // A full queue drops what else comes, as a way that leads nowhere does.
-                let _ = rustix::net::listen(open, 0);
-                let fill = || timeout(LOOK, TcpStream::connect(self.address));
-                let _full = (fill().await, fill().await);
+                let _full = drop_new_connections(open, self.address, LOOK).await;
                 let _ = mood.wait_for(|mood| !mood.is_cut()).await;
-                let _ = rustix::net::listen(open, 1024);
+                accept_new_connections(open);
                 continue;
             }
             tokio::select! {
                 _ = mood.changed() => {}
                 taken = open.accept() => if let Ok((near, _)) = taken {
-                    let (link, testbed) = (self.clone(), testbed.clone());
-                    tokio::spawn(async move { link.carry(&testbed, near).await });
+                    let (link, context) = (self.clone(), context.clone());
+                    tokio::spawn(async move { link.carry(&context, near).await });
                 }
             }
         }
     }
 
-    async fn carry(&self, testbed: &Testbed, near: TcpStream) {
+    async fn carry(&self, context: &RunContext, near: TcpStream) {
         let mut broken = self.broken.subscribe();
         broken.mark_unchanged();
         let (from, to) = near.into_split();
@@ -244,14 +241,14 @@
         let Some((far, own)) = self.reach().await else {
             // Who dialled was taken in by the way alone, where the other side would have refused.
             for fails in [true, self.fails()] {
-                testbed.event_log.put(Event::WayFails {
+                context.event_log.record(Event::WayFails {
                     ends: self.ends,
                     fails,
                 });
             }
             return near.reset();
         };
-        if ended(near.read.as_ref()) {
+        if peer_has_ended(near.read.as_ref()) {
             // It gave up while the other side could not be reached: nothing of it arrives there any more.
             return;
         }
@@ -272,11 +269,11 @@
                 _ = broken.changed() => Over::Broken,
             }
         };
-        let name = testbed.links.named.take(own);
+        let name = self.connections.take(own);
         let note = |by_host| {
             let seen = name.map(|(id, dial)| Event::DialOver { id, dial, by_host });
             seen.into_iter()
-                .for_each(|seen| testbed.event_log.put(seen));
+                .for_each(|seen| context.event_log.record(seen));
         };
         match how {
             // The one side has gone; what it had said before has been passed on, or is lost with the way.
@@ -357,7 +354,7 @@
             let dropped = mood.borrow().drops(there);
             let _ = mood.wait_for(|mood| !mood.drops(there)).await;
             // What waited for the way is lost with a source that has gone meanwhile.
-            if dropped && ended(from.as_ref()) {
+            if dropped && peer_has_ended(from.as_ref()) {
                 return false;
             }
             if to.write_all(&bytes[..n]).await.is_err() {
@@ -395,9 +392,7 @@
 
     fn reset(&mut self) {
         if let Some(write) = self.write.take() {
-            let _ = sockopt::set_socket_linger(write.as_ref(), Some(Duration::ZERO));
-            // Dropped, it would end its side in good order first.
-            write.forget();
+            reset(write);
         }
     }
 }
--- a/crates/testbed/src/metrics_calls.rs
+++ b/crates/testbed/src/metrics_calls.rs
@@ -1,7 +1,7 @@
 //! Operators at a proxy's door: they ask for figures again and again, note what they heard and how long it took.
 
+use crate::context::RunContext;
 use crate::event_log::Event;
-use crate::testbed::Testbed;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -69,7 +69,7 @@
 }
 
 /// Asks a proxy for its figures until the run ends.
-pub async fn ask(testbed: Arc<Testbed>, proxy: u16, door: SharedAddress) {
+pub async fn ask(context: Arc<RunContext>, proxy: u16, door: SharedAddress) {
     loop {
         sleep(EVERY).await;
         let Some(address) = at(&door) else { continue };
@@ -83,7 +83,7 @@
             let up = figure(&body, "svc_calls_total", "code=\"success\"")?;
             Some((up, figure(&body, "svc_inflight", "")?))
         });
-        testbed.event_log.put(Event::Called {
+        context.event_log.record(Event::Called {
             proxy,
             took: since.elapsed(),
             figures,
--- a/crates/testbed/src/misbehaving_clients.rs
+++ b/crates/testbed/src/misbehaving_clients.rs
@@ -1,8 +1,9 @@
 //! Bad clients: what they send, and whether they get the error or the close that they are owed in time.
 
+use crate::context::RunContext;
 use crate::event_log::Event;
+use crate::front::Front;
 use crate::line_reader::{Line, LineReader};
-use crate::testbed::Testbed;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -18,7 +19,7 @@
 /// What a sort of bad client does: what it sends, how often, and whether it closes its side then.
 struct Sort {
     name: &'static str,
-    text: fn(&Testbed) -> String,
+    text: fn(&RunContext) -> String,
     /// Filled up with so many bytes.
     much: usize,
     closes: bool,
@@ -26,13 +27,13 @@
     again: u32,
 }
 
-fn open(testbed: &Testbed, wait: &str, listener: Option<&str>) -> String {
-    let scenario = &testbed.scenario;
+fn open(context: &RunContext, wait: &str, listener: Option<&str>) -> String {
+    let scenario = &context.scenario;
     let listener = listener.unwrap_or(&scenario.listeners[0].name);
     let member = &scenario.members[0].name;
     format!(
         "OPEN {:016x} 1 c={listener},t={member},d={wait}\r\n",
-        testbed.new_id()
+        context.new_session_id()
     )
 }
 
@@ -124,17 +125,17 @@
 ];
 
 /// So many of every sort, against proxies of all places in turn.
-pub fn crowd(testbed: &Arc<Testbed>, count: u32) {
+pub fn crowd(context: &Arc<RunContext>, front: &Arc<Front>, count: u32) {
     for nth in 0..count {
         for sort in SORTS {
             // One value of that size is enough for a sitting.
             if sort.much == MUCH && nth > 0 {
                 continue;
             }
-            let testbed = testbed.clone();
+            let (context, front) = (context.clone(), front.clone());
             tokio::spawn(async move {
-                let place = nth as usize % testbed.scenario.places.len();
-                let Some((_, at)) = testbed.front.pick(place as u8, u64::from(nth)) else {
+                let place = nth as usize % context.scenario.places.len();
+                let Some((_, at)) = front.pick(place as u8, u64::from(nth)) else {
                     return;
                 };
                 let limit = if sort.much == MUCH { OWED_MUCH } else { OWED };
@@ -142,9 +143,9 @@
                     let Ok(stream) = TcpStream::connect(at).await else {
                         return;
                     };
-                    let told = timeout(limit, behave(&testbed, sort, stream)).await;
+                    let told = timeout(limit, behave(&context, sort, stream)).await;
                     let (owed, served) = (told.is_ok(), told == Ok(Some(true)));
-                    testbed.event_log.put(Event::MisbehavingClient {
+                    context.event_log.record(Event::MisbehavingClient {
                         sort: sort.name,
                         owed,
                         served,
@@ -156,8 +157,8 @@
 }
 
 /// `Some(true)` if it was served; returns once it was told its end.
-async fn behave(testbed: &Testbed, sort: &Sort, stream: TcpStream) -> Option<bool> {
-    let text = (sort.text)(testbed);
+async fn behave(context: &RunContext, sort: &Sort, stream: TcpStream) -> Option<bool> {
+    let text = (sort.text)(context);
     let (read, mut write) = stream.into_split();
     let closes = sort.closes;
     let much = sort.much;
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -1,6 +1,6 @@
 //! What a run will do, drawn from its seed before it starts: the same seed gives the same plan.
 
-use crate::link::LinkEnds;
+use crate::link_ends::LinkEnds;
 use crate::scenario::{FaultKind, LinkKind, RecoveredPart, RetrySafety, Scenario, ScenarioFault};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
--- a/crates/testbed/src/plots.rs
+++ b/crates/testbed/src/plots.rs
@@ -71,7 +71,7 @@
 
 /// `service.svg`, `hosts.svg` and `proxies.svg` of a run.
 pub fn write(report: &Report, ran: &RunOutcome, folder: &Path) -> Result<(), Box<dyn Error>> {
-    let begin = ran.testbed.begin.borrow().unwrap_or_default().as_secs_f64();
+    let begin = ran.context.plan_start().unwrap_or_default().as_secs_f64();
     let begins = |r: &crate::event_log::LoggedEvent| match r.seen {
         Event::Fault { begins: true, .. } => Some(r.at.as_secs_f64() - begin),
         _ => None,
--- a/crates/testbed/src/proxies.rs
+++ b/crates/testbed/src/proxies.rs
@@ -159,14 +159,14 @@
         program: &Program,
         folder: &Path,
     ) -> std::io::Result<Proxy> {
-        let agent = DiscoveryAgent::start(testbed, number).await?;
+        let agent = DiscoveryAgent::start(&testbed.discovery, number).await?;
         Ok(Proxy {
             number,
             place: at.0,
             listen: at.1,
             log: folder.join(format!("proxy-{number}.log")),
             config: folder.join(format!("proxy-{number}.json")),
-            control: control(testbed.run, number),
+            control: control(testbed.context.run_number, number),
             door: SharedAddress::default(),
             opens: None,
             started: 0,
@@ -183,19 +183,19 @@
     }
 
     fn configure(&self, testbed: &Testbed) -> std::io::Result<()> {
-        let known = match testbed.scenario.proxies.known {
-            InitialEndpointList::Fresh => testbed.discovery.list(testbed, self.number, None).1,
-            InitialEndpointList::Old => testbed.discovery.older(testbed, self.number).1,
+        let known = match testbed.context.scenario.proxies.known {
+            InitialEndpointList::Fresh => testbed.discovery.list(self.number, None).json,
+            InitialEndpointList::Old => testbed.discovery.outdated_list(self.number).json,
             InitialEndpointList::Empty => r#"{"rev":0,"all":true,"targets":[]}"#.into(),
         };
         let known: Value = serde_json::from_str(&known)?;
         let mixed = (u64::from(self.number) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let proxies = &testbed.scenario.proxies;
+        let proxies = &testbed.context.scenario.proxies;
         let config = json!({
             "name": format!("n{}", self.number), "listen": self.listen.to_string(),
             "discovery": self.agent.address().to_string(), "seed": format!("{mixed:016x}"),
             "limits": {"cores": 1.0, "memory_mb": proxies.memory_mb, "sockets": proxies.sockets},
-            "known": known, "settings": settings(&testbed.scenario, self.number, self.place),
+            "known": known, "settings": settings(&testbed.context.scenario, self.number, self.place),
         });
         // Whole or not at all: a proxy may read it at any time.
         let part = self.config.with_extension("part");
@@ -205,14 +205,16 @@
 
     /// Where the second of two processes has its control socket: it does not start where somebody listens.
     fn control_of_next(&self, testbed: &Testbed) -> PathBuf {
-        control(testbed.run, self.number).with_extension(format!("{}.sock", self.started))
+        control(testbed.context.run_number, self.number)
+            .with_extension(format!("{}.sock", self.started))
     }
 
     fn start(&mut self, testbed: &Testbed) -> std::io::Result<()> {
         let (child, door) = self.spawn(testbed)?;
         testbed
+            .context
             .event_log
-            .put(Event::ProxyStarted { proxy: self.number });
+            .record(Event::ProxyStarted { proxy: self.number });
         self.child = Some(child);
         self.opens = Some((door, Instant::now() + LISTENS));
         Ok(())
@@ -236,7 +238,7 @@
     fn spawn(&mut self, testbed: &Testbed) -> std::io::Result<(Child, SocketAddr)> {
         self.configure(testbed)?;
         self.started += 1;
-        let asked = testbed.scenario.proxies.asks && self.child.is_none();
+        let asked = testbed.context.scenario.proxies.asks && self.child.is_none();
         let door = if asked {
             door_of(self.listen)
         } else {
@@ -256,9 +258,9 @@
         command
             .env("LB_OPERATOR", door.to_string())
             .env("TMPDIR", shared);
-        let proxies = &testbed.scenario.proxies;
+        let proxies = &testbed.context.scenario.proxies;
         let mut text = String::new();
-        if testbed.plan.drains() || proxies.roll_at.is_some() || proxies.watchers > 0 {
+        if testbed.context.plan.drains() || proxies.roll_at.is_some() || proxies.watchers > 0 {
             let control = self.control.display().to_string();
             text += &format!("[control]\nsocket = {control:?}\n");
             text += "[drain]\nclosing = \"2s\"\nquiet = \"600ms\"\nback = \"2s\"\n";
@@ -332,7 +334,10 @@
         let number = self.number;
         let next = self.control_of_next(testbed);
         let control = std::mem::replace(&mut self.control, next);
-        testbed.event_log.put(Event::ProxyBeside { proxy: number });
+        testbed
+            .context
+            .event_log
+            .record(Event::ProxyBeside { proxy: number });
         let (mut second, door) = self
             .spawn(testbed)
             .map_err(|e| format!("proxy {number}: {e}"))?;
@@ -348,8 +353,9 @@
         match killed_after {
             Some(span) => sleep(span).await,
             None => testbed
+                .context
                 .event_log
-                .put(Event::Replaced { proxy: number, yes }),
+                .record(Event::Replaced { proxy: number, yes }),
         }
         if yes.is_none() {
             // The first goes on, as nobody told it to go.
@@ -362,7 +368,10 @@
         let first = self.child.replace(second);
         self.ends(testbed, first).await;
         let _ = std::fs::remove_file(control);
-        testbed.event_log.put(Event::ProxyServes { proxy: number });
+        testbed
+            .context
+            .event_log
+            .record(Event::ProxyServes { proxy: number });
         self.call_at(Some(door));
         Ok(())
     }
@@ -377,7 +386,7 @@
                 None
             }
         };
-        testbed.event_log.put(Event::ProxyExited {
+        testbed.context.event_log.record(Event::ProxyExited {
             proxy: self.number,
             code,
             asked: true,
@@ -414,7 +423,7 @@
                 order = orders.recv() => order,
                 status = ended => {
                     let code = status.ok().and_then(|status| status.code());
-                    testbed.event_log.put(Event::ProxyExited { proxy: number, code, asked: false });
+                    testbed.context.event_log.record(Event::ProxyExited { proxy: number, code, asked: false });
                     self.child = None;
                     continue;
                 }
@@ -443,7 +452,7 @@
                 Some(ProxyCommand::Reload) => {
                     let moved = self
                         .agent
-                        .moves(&testbed)
+                        .change_address()
                         .await
                         .and_then(|()| self.configure(&testbed));
                     moved.map_err(|e| format!("proxy {number}: {e}"))?;
@@ -489,14 +498,14 @@
         if self.child.is_some() {
             // What comes before the signal and after the other is not held against it.
             if stops {
-                testbed.event_log.put(Event::ProxyStalls {
+                testbed.context.event_log.record(Event::ProxyStalls {
                     proxy: self.number,
                     stops,
                 });
             }
             self.signal(if stops { Signal::STOP } else { Signal::CONT });
             if !stops {
-                testbed.event_log.put(Event::ProxyStalls {
+                testbed.context.event_log.record(Event::ProxyStalls {
                     proxy: self.number,
                     stops,
                 });
@@ -513,12 +522,14 @@
 
     async fn end_at_once(&self, testbed: &Testbed, child: &mut Child) {
         testbed
+            .context
             .event_log
-            .put(Event::ProxyKilled { proxy: self.number });
+            .record(Event::ProxyKilled { proxy: self.number });
         let _ = child.kill().await;
         testbed
+            .context
             .event_log
-            .put(Event::ProxyDead { proxy: self.number });
+            .record(Event::ProxyDead { proxy: self.number });
     }
 
     async fn leave(&mut self, testbed: &Testbed) {
@@ -529,8 +540,9 @@
         // One that is stopped could not even hear that it is to leave.
         self.signal(Signal::CONT);
         testbed
+            .context
             .event_log
-            .put(Event::ProxyLeaves { proxy: self.number });
+            .record(Event::ProxyLeaves { proxy: self.number });
         self.signal(Signal::TERM);
         let child = self.child.take();
         self.ends(testbed, child).await;
@@ -541,7 +553,7 @@
         let Some(id) = self.child.as_ref().and_then(Child::id) else {
             return;
         };
-        if let Some(used) = usage(id, testbed.now().as_secs()) {
+        if let Some(used) = usage(id, testbed.context.now().as_secs()) {
             self.used
                 .lock()
                 .unwrap_or_else(|broken| broken.into_inner())
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -104,8 +104,8 @@
 
 impl Report {
     pub fn of(ran: &RunOutcome, program: &str, seed: u64, chaos: Option<u64>) -> Report {
-        let scenario = &ran.testbed.scenario;
-        let marks = ran.testbed.score.marks();
+        let scenario = &ran.context.scenario;
+        let marks = ran.context.service_score.marks();
         let members = scenario.members.len();
         let all = |pick: &dyn Fn(usize) -> bool| {
             let cells = marks.seconds.iter().flat_map(|row| row.iter().enumerate());
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -1,17 +1,20 @@
 //! One run: starts a scenario's peers and proxies, plays its plan, ends all of it again.
 
 use crate::client;
+use crate::context::{ClientSignal, RunContext};
 use crate::event_log::{Event, HostState, LoggedEvent};
 use crate::front::Front;
-use crate::host::Host;
+use crate::host::{self, Host};
 use crate::judge::{JudgeSettings, Verdict, judge};
-use crate::link::{self, LinkEnds, Links};
+use crate::link::{self, Links};
+use crate::link_ends::LinkEnds;
 use crate::metrics_calls;
 use crate::misbehaving_clients;
 use crate::plan::{Plan, PlannedFault};
 use crate::proxies::{self, Program, Proxy, ProxyCommand, ResourceUsage};
 use crate::scenario::{FaultKind, LinkKind, RecoveredPart, Scenario};
-use crate::testbed::{ClientSignal, Testbed};
+use crate::sockets::BoundListener;
+use crate::testbed::Testbed;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -32,7 +35,7 @@
 }
 
 pub struct RunOutcome {
-    pub testbed: Arc<Testbed>,
+    pub context: Arc<RunContext>,
     pub records: Vec<LoggedEvent>,
     pub verdict: Verdict,
     /// The longest that the rig itself was late.
@@ -104,23 +107,14 @@
     fits(&scenario, &plan)?;
     let broke = |e: std::io::Error| RunError::Run(format!("starting: {e}"));
     std::fs::create_dir_all(&order.folder).map_err(broke)?;
-    let (hosts, doors): (Vec<_>, Vec<_>) = Host::all(&plan, &scenario)
-        .await
-        .map_err(broke)?
-        .into_iter()
-        .unzip();
+    let hosts = host::bind_all(&plan).await.map_err(broke)?;
     let at = proxies::addresses(&scenario);
-    let (links, ways) = Links::open(pairs(&scenario, &plan, &hosts, &at))
-        .await
-        .map_err(broke)?;
-    let front = Front::over(at.iter().copied(), &links, scenario.places.len() as u8);
-    let testbed = Arc::new(Testbed::new(scenario, plan, hosts, front, Arc::new(links)));
-    for (link, door) in testbed.links.all().iter().zip(ways) {
-        tokio::spawn(link.clone().serve(testbed.clone(), door));
-    }
-    for (host, door) in testbed.hosts.iter().zip(doors) {
-        tokio::spawn(host.clone().serve(testbed.clone(), door));
-    }
+    let pairs = pairs(&scenario, &plan, &hosts, &at);
+    let context = Arc::new(RunContext::new(scenario, plan));
+    let links = Links::start(&context, pairs).await.map_err(broke)?;
+    let places = context.scenario.places.len() as u8;
+    let front = Front::over(at.iter().copied(), &links, places);
+    let testbed = Arc::new(Testbed::start(context, hosts, front, Arc::new(links)));
     let (mut orders, mut used, mut running) = (Vec::new(), Vec::new(), JoinSet::new());
     let mut doors = Vec::new();
     let listens: Vec<SocketAddr> = at.iter().map(|at| at.1).collect();
@@ -142,7 +136,7 @@
         orders.push(send);
         running.spawn(proxy.run(testbed.clone(), receive));
     }
-    Front::watch(&testbed);
+    testbed.front.watch(&testbed.context);
     let since = Instant::now();
     while !testbed.front.all_up() {
         if since.elapsed() > READY {
@@ -169,31 +163,31 @@
     for (number, door) in doors
         .iter()
         .enumerate()
-        .filter(|_| testbed.scenario.proxies.callers > 0)
+        .filter(|_| testbed.context.scenario.proxies.callers > 0)
     {
         callers.spawn(metrics_calls::stall(door.clone()));
-        for _ in 0..testbed.scenario.proxies.callers {
+        for _ in 0..testbed.context.scenario.proxies.callers {
             callers.spawn(metrics_calls::ask(
-                testbed.clone(),
+                testbed.context.clone(),
                 number as u16,
                 door.clone(),
             ));
         }
     }
-    for number in 0..testbed.scenario.proxies.count {
-        for nth in 0..testbed.scenario.proxies.watchers * 5 / 4 {
-            let reads = nth < testbed.scenario.proxies.watchers;
+    for number in 0..testbed.context.scenario.proxies.count {
+        for nth in 0..testbed.context.scenario.proxies.watchers * 5 / 4 {
+            let reads = nth < testbed.context.scenario.proxies.watchers;
             tokio::spawn(operator(
-                proxies::control(testbed.run, number as u16),
+                proxies::control(testbed.context.run_number, number as u16),
                 reads,
             ));
         }
     }
-    testbed.begin.send_replace(Some(testbed.event_log.now()));
+    testbed.context.start_plan();
     if order.progress {
         tokio::spawn(progress(testbed.clone()));
     }
-    let roll = testbed.scenario.proxies.roll_at;
+    let roll = testbed.context.scenario.proxies.roll_at;
     let roll = roll.map(|at| tokio::spawn(rolled(testbed.clone(), order.program.clone(), at)));
     play(&testbed).await;
     let rolled = match roll {
@@ -211,26 +205,27 @@
             return Err(RunError::Run(what));
         }
     }
-    let late = testbed.late();
-    let records = testbed.event_log.take();
+    let late = testbed.context.lateness();
+    let records = testbed.context.event_log.take();
     let hosts = testbed
+        .context
         .plan
         .hosts
         .iter()
         .map(|h| (h.place, h.cell))
         .collect();
-    let mut terms = JudgeSettings::of(&testbed.scenario, hosts, late);
-    terms.blur += testbed.plan.longest_delay();
-    terms.figures = !testbed.plan.linked(LinkKind::ClientProxy);
+    let mut terms = JudgeSettings::of(&testbed.context.scenario, hosts, late);
+    terms.blur += testbed.context.plan.longest_delay();
+    terms.figures = !testbed.context.plan.linked(LinkKind::ClientProxy);
     let verdict = judge(&records, &terms);
-    let void = late > testbed.scenario.platform.void_above;
+    let void = late > testbed.context.scenario.platform.void_above;
     let used = used
         .iter()
         .map(|used| std::mem::take(&mut *lock(used)))
         .collect();
     let loads = std::mem::take(&mut *lock(&loads));
     Ok(RunOutcome {
-        testbed,
+        context: testbed.context.clone(),
         records,
         verdict,
         late,
@@ -268,7 +263,7 @@
 
 /// Restarts all proxies by their own command `roll`, which asks for each restart by a file.
 async fn rolled(testbed: Arc<Testbed>, program: Program, at: Duration) -> Result<Duration, String> {
-    testbed.until(at).await;
+    testbed.context.sleep_until(at).await;
     let mut command = tokio::process::Command::new(&program.path);
     command.args([
         "roll",
@@ -282,15 +277,15 @@
     command
         .args(["--restart", "touch \"${ASTERRAMP_CONTROL%.sock}.restart\""])
         .kill_on_drop(true);
-    for number in 0..testbed.scenario.proxies.count {
+    for number in 0..testbed.context.scenario.proxies.count {
         command
             .arg("--control")
-            .arg(proxies::control(testbed.run, number as u16));
+            .arg(proxies::control(testbed.context.run_number, number as u16));
     }
     let output = command.output().await.map_err(|e| e.to_string())?;
     info!(roll = %String::from_utf8_lossy(&output.stdout).lines().last().unwrap_or_default());
     if output.status.success() {
-        return Ok(testbed.now().saturating_sub(at));
+        return Ok(testbed.context.now().saturating_sub(at));
     }
     Err(String::from_utf8_lossy(&output.stderr).trim().to_string())
 }
@@ -298,21 +293,29 @@
 /// Sends each client off at its time and waits for all.
 async fn play(testbed: &Arc<Testbed>) {
     let mut clients = JoinSet::new();
-    for wanted in &testbed.plan.clients {
-        testbed.until(wanted.at).await;
-        clients.spawn(client::live(testbed.clone(), wanted.clone()));
+    for wanted in &testbed.context.plan.clients {
+        testbed.context.sleep_until(wanted.at).await;
+        clients.spawn(client::live(
+            testbed.context.clone(),
+            testbed.front.clone(),
+            wanted.clone(),
+        ));
         while clients.try_join_next().is_some() {}
     }
     let longest = testbed
+        .context
         .scenario
         .listeners
         .iter()
         .map(|l| l.dial_timeout)
         .max()
         .unwrap_or_default();
-    testbed.until(testbed.scenario.length).await;
+    testbed
+        .context
+        .sleep_until(testbed.context.scenario.length)
+        .await;
     // Whoever still waits has its answer, or none in time, by then.
-    let settles = longest + testbed.scenario.platform.answer_slack + Duration::from_secs(3);
+    let settles = longest + testbed.context.scenario.platform.answer_slack + Duration::from_secs(3);
     let _ = timeout(settles, async {
         while clients.join_next().await.is_some() {}
     })
@@ -323,15 +326,15 @@
 async fn lateness(testbed: Arc<Testbed>) {
     let step = Duration::from_millis(5);
     loop {
-        let at = testbed.now() + step;
+        let at = testbed.context.now() + step;
         sleep(step).await;
-        testbed.done(at);
+        testbed.context.record_lateness(at);
     }
 }
 
 async fn weigh(testbed: Arc<Testbed>, loads: Arc<Mutex<Vec<Vec<f32>>>>) {
     loop {
-        let now = testbed.event_log.now();
+        let now = testbed.context.event_log.now();
         let row = testbed
             .hosts
             .iter()
@@ -345,13 +348,13 @@
 async fn progress(testbed: Arc<Testbed>) {
     loop {
         sleep(Duration::from_secs(2)).await;
-        let now = testbed.now();
-        if now > testbed.scenario.length {
+        let now = testbed.context.now();
+        if now > testbed.context.scenario.length {
             return;
         }
         let open: u32 = testbed.hosts.iter().map(|host| host.model().open()).sum();
         let (given_up, unreachable) = {
-            let marks = testbed.score.marks();
+            let marks = testbed.context.service_score.marks();
             (marks.given_up, marks.unreachable)
         };
         let now = now.as_secs();
@@ -364,17 +367,20 @@
 /// Begins and ends each fault at its time.
 async fn faults(testbed: Arc<Testbed>, orders: Vec<mpsc::Sender<ProxyCommand>>) {
     let mut steps: Vec<(Duration, usize, bool)> = Vec::new();
-    for (nth, struck) in testbed.plan.faults.iter().enumerate() {
+    for (nth, struck) in testbed.context.plan.faults.iter().enumerate() {
         steps.push((struck.at, nth, true));
         steps.extend(struck.until.map(|until| (until, nth, false)));
     }
     steps.sort_unstable();
     for (at, nth, begins) in steps {
-        testbed.until(at).await;
-        let struck = &testbed.plan.faults[nth];
+        testbed.context.sleep_until(at).await;
+        let struck = &testbed.context.plan.faults[nth];
         let what = format!("{:?} on {:?}", struck.kind, struck.on);
         info!(fault = %what, begins);
-        testbed.event_log.put(Event::Fault { what, begins });
+        testbed
+            .context
+            .event_log
+            .record(Event::Fault { what, begins });
         for host in struck.on.iter().filter(|_| struck.kind.strikes_hosts()) {
             strike(&testbed, &testbed.hosts[usize::from(*host)], nth, begins);
         }
@@ -411,16 +417,16 @@
 fn pairs(
     scenario: &Scenario,
     plan: &Plan,
-    hosts: &[Arc<Host>],
+    hosts: &[BoundListener],
     proxies: &[(u8, SocketAddr)],
 ) -> Vec<(LinkEnds, SocketAddr)> {
     let mut pairs = Vec::new();
     for (proxy, (_, at)) in (0..).zip(proxies) {
         if plan.linked(LinkKind::ProxyHost) {
             pairs.extend(
-                hosts
-                    .iter()
-                    .map(|host| (LinkEnds::Proxy(proxy, host.number), host.address)),
+                (0..)
+                    .zip(hosts)
+                    .map(|(host, bound)| (LinkEnds::Proxy(proxy, host), bound.address)),
             );
         }
         if plan.linked(LinkKind::ClientProxy) {
@@ -435,9 +441,12 @@
 
 /// Places of whoever is at a way's two ends.
 fn places_of(testbed: &Testbed, ends: LinkEnds) -> (u8, u8) {
-    let of = |proxy: u16| (usize::from(proxy) % testbed.scenario.places.len()) as u8;
+    let of = |proxy: u16| (usize::from(proxy) % testbed.context.scenario.places.len()) as u8;
     match ends {
-        LinkEnds::Proxy(proxy, host) => (of(proxy), testbed.plan.hosts[usize::from(host)].place),
+        LinkEnds::Proxy(proxy, host) => (
+            of(proxy),
+            testbed.context.plan.hosts[usize::from(host)].place,
+        ),
         LinkEnds::Clients(place, proxy) => (place, of(proxy)),
     }
 }
@@ -449,7 +458,7 @@
     nth: usize,
     begins: bool,
 ) {
-    let struck = &testbed.plan.faults[nth];
+    let struck = &testbed.context.plan.faults[nth];
     let power = struck.kind == FaultKind::PowerCut;
     let there =
         |place: u8| power || struck.kind.strikes_places() && struck.on.contains(&u16::from(place));
@@ -461,7 +470,7 @@
         let comes = |back: RecoveredPart| {
             begins || struck.back == RecoveredPart::All || struck.back == back
         };
-        for (host, plan) in testbed.hosts.iter().zip(&testbed.plan.hosts) {
+        for (host, plan) in testbed.hosts.iter().zip(&testbed.context.plan.hosts) {
             if there(plan.place) && comes(RecoveredPart::HostGroup) {
                 strike(testbed, host, nth, begins);
             }
@@ -492,20 +501,22 @@
 
 /// Discovery notices after a while that the hosts of a lost place are gone.
 async fn told_as_gone(testbed: Arc<Testbed>, nth: usize) {
-    let struck = &testbed.plan.faults[nth];
-    testbed.until(struck.at + struck.span).await;
-    for (host, plan) in testbed.hosts.iter().zip(&testbed.plan.hosts) {
+    let struck = &testbed.context.plan.faults[nth];
+    testbed.context.sleep_until(struck.at + struck.span).await;
+    for (host, plan) in testbed.hosts.iter().zip(&testbed.context.plan.hosts) {
         if struck.on.contains(&u16::from(plan.place)) && host.is_down() {
-            testbed.discovery.change(host.number, HostState::Gone, None);
+            testbed
+                .discovery
+                .set_state(host.number, HostState::Gone, None);
         }
     }
 }
 
 /// A place that comes and goes until the fault is over.
 async fn flap(testbed: Arc<Testbed>, nth: usize) {
-    let struck = &testbed.plan.faults[nth];
-    let until = struck.until.unwrap_or(testbed.scenario.length);
-    while testbed.now() < until {
+    let struck = &testbed.context.plan.faults[nth];
+    let until = struck.until.unwrap_or(testbed.context.scenario.length);
+    while testbed.context.now() < until {
         cut(&testbed, nth, true);
         sleep(struck.span).await;
         cut(&testbed, nth, false);
@@ -515,7 +526,7 @@
 
 /// The ways that a fault strikes, and the agents that hear nothing beyond a border.
 fn cut(testbed: &Arc<Testbed>, nth: usize, begins: bool) {
-    let struck = &testbed.plan.faults[nth];
+    let struck = &testbed.context.plan.faults[nth];
     let mood = link::mood(struck.kind, struck.much, struck.span);
     for link in testbed.links.all() {
         if !struck.strikes(link.ends, |ends| places_of(testbed, ends)) {
@@ -526,13 +537,13 @@
         } else {
             link.end(nth);
         }
-        testbed.event_log.put(Event::WayFails {
+        testbed.context.event_log.record(Event::WayFails {
             ends: link.ends,
             fails: link.fails(),
         });
     }
     if matches!(struck.kind, FaultKind::PlaceCut | FaultKind::PlaceFlaps) {
-        testbed.apart.send_modify(|apart| {
+        testbed.discovery.cut_off_agents.send_modify(|apart| {
             for (proxy, faults) in apart.iter_mut().enumerate() {
                 let place = places_of(testbed, LinkEnds::Clients(0, proxy as u16)).1;
                 if struck.on.contains(&u16::from(place)) {
@@ -548,14 +559,14 @@
 }
 
 fn strike(testbed: &Arc<Testbed>, host: &Arc<Host>, nth: usize, begins: bool) {
-    host.strike(testbed, nth, begins);
-    let struck = &testbed.plan.faults[nth];
+    host.apply_fault(nth, begins);
+    let struck = &testbed.context.plan.faults[nth];
     if struck.kind == FaultKind::HostStarved && begins {
         let (testbed, host) = (testbed.clone(), host.clone());
         tokio::spawn(async move {
-            let struck = &testbed.plan.faults[nth];
-            let until = struck.until.unwrap_or(testbed.scenario.length);
-            while testbed.now() < until {
+            let struck = &testbed.context.plan.faults[nth];
+            let until = struck.until.unwrap_or(testbed.context.scenario.length);
+            while testbed.context.now() < until {
                 host.starve(Some(struck.much));
                 sleep(struck.span / 2).await;
                 host.starve(None);
@@ -565,7 +576,7 @@
     }
     if struck.kind == FaultKind::HostGone && begins {
         let number = host.number;
-        testbed.discovery.change(number, HostState::Gone, None);
+        testbed.discovery.set_state(number, HostState::Gone, None);
     }
 }
 
@@ -580,21 +591,35 @@
     };
     let call = |call: &mut ClientSignal| {
         *call = ClientSignal {
-            nth: call.nth + 1,
             share: struck.much,
             span: struck.span,
         }
     };
     match struck.kind {
-        FaultKind::DiscoverySilent | FaultKind::PowerCut => {
-            testbed.discovery.mood.send_modify(|m| step(&mut m.silent))
+        FaultKind::DiscoverySilent | FaultKind::PowerCut => testbed
+            .discovery
+            .faults
+            .send_modify(|m| step(&mut m.silent)),
+        FaultKind::DiscoveryRefuses => testbed
+            .discovery
+            .faults
+            .send_modify(|m| step(&mut m.refuses)),
+        FaultKind::DiscoveryOlder => testbed.discovery.faults.send_modify(|m| step(&mut m.older)),
+        FaultKind::DiscoveryBabbles => testbed
+            .discovery
+            .faults
+            .send_modify(|m| step(&mut m.babbles)),
+        FaultKind::ClientsReconnect if begins => {
+            testbed.context.client_signals.reconnect.send_modify(call)
+        }
+        FaultKind::ClientsDeaf if begins => testbed
+            .context
+            .client_signals
+            .stop_reading
+            .send_modify(call),
+        FaultKind::ClientsBad if begins => {
+            misbehaving_clients::crowd(&testbed.context, &testbed.front, struck.much as u32)
         }
-        FaultKind::DiscoveryRefuses => testbed.discovery.mood.send_modify(|m| step(&mut m.refuses)),
-        FaultKind::DiscoveryOlder => testbed.discovery.mood.send_modify(|m| step(&mut m.older)),
-        FaultKind::DiscoveryBabbles => testbed.discovery.mood.send_modify(|m| step(&mut m.babbles)),
-        FaultKind::ClientsReconnect if begins => testbed.reconnect.send_modify(call),
-        FaultKind::ClientsDeaf if begins => testbed.deafen.send_modify(call),
-        FaultKind::ClientsBad if begins => misbehaving_clients::crowd(testbed, struck.much as u32),
         _ => {}
     }
 }
--- a/crates/testbed/tests/chaos.rs
+++ b/crates/testbed/tests/chaos.rs
@@ -24,7 +24,7 @@
     assert!(
         ran.verdict.breaches.is_empty(),
         "faults: {:?}",
-        ran.testbed.plan.faults
+        ran.context.plan.faults
     );
     let tally = ran.verdict.tally;
     assert!(tally.sessions > 100 && tally.accepted > 50, "{tally:?}");
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -9,9 +9,10 @@
 
 mod help;
 
+use asterramp_testbed::context::RunContext;
 use asterramp_testbed::discovery::DiscoveryAgent;
 use asterramp_testbed::front::Front;
-use asterramp_testbed::host::Host;
+use asterramp_testbed::host;
 use asterramp_testbed::line_reader::{Line, LineReader};
 use asterramp_testbed::plan::Plan;
 use asterramp_testbed::proxies::addresses;
@@ -39,17 +40,10 @@
         },
     ));
     let plan = Plan::new(&scenario, 1, None);
-    let (hosts, doors): (Vec<_>, Vec<_>) = Host::all(&plan, &scenario)
-        .await
-        .unwrap()
-        .into_iter()
-        .unzip();
+    let hosts = host::bind_all(&plan).await.unwrap();
     let front = Front::new(addresses(&scenario).into_iter());
-    let testbed = Arc::new(Testbed::new(scenario, plan, hosts, front, Arc::default()));
-    for (host, door) in testbed.hosts.iter().zip(doors) {
-        tokio::spawn(host.clone().serve(testbed.clone(), door));
-    }
-    testbed
+    let context = Arc::new(RunContext::new(scenario, plan));
+    Arc::new(Testbed::start(context, hosts, front, Arc::default()))
 }
 
 /// What a session hears of host 0: its first line, how the connection ended, or nothing in time.
@@ -61,7 +55,10 @@
     let Ok(mut stream) = connected else {
         return "refused".into();
     };
-    let line = format!("OPEN {:x} 1 c=feed,t=acme,d=900,h=10\r\n", testbed.new_id());
+    let line = format!(
+        "OPEN {:x} 1 c=feed,t=acme,d=900,h=10\r\n",
+        testbed.context.new_session_id()
+    );
     stream.write_all(line.as_bytes()).await.unwrap();
     let (read, _write) = stream.into_split();
     match timeout(PATIENCE, LineReader::new(read).next()).await {
@@ -85,10 +82,10 @@
     help::runtime().block_on(async {
         let testbed = testbed(kind).await;
         assert_eq!(hears(&testbed).await, "UP", "before");
-        testbed.hosts[0].strike(&testbed, 0, true);
+        testbed.hosts[0].apply_fault(0, true);
         sleep(Duration::from_millis(100)).await;
         assert_eq!(hears(&testbed).await, during, "during");
-        testbed.hosts[0].strike(&testbed, 0, false);
+        testbed.hosts[0].apply_fault(0, false);
         sleep(Duration::from_millis(150)).await;
         assert_eq!(hears(&testbed).await, after, "after");
     });
@@ -108,7 +105,7 @@
         let mut lines = LineReader::new(read);
         assert!(matches!(lines.next().await, Line::Text(up) if up.starts_with("UP ")));
         assert!(matches!(lines.next().await, Line::Text(load) if load.starts_with("LOAD ")));
-        testbed.hosts[0].strike(&testbed, 0, true);
+        testbed.hosts[0].apply_fault(0, true);
         for hear in hear {
             let heard = match timeout(Duration::from_secs(3), lines.next()).await.unwrap() {
                 Line::Text(line) => line,
@@ -125,22 +122,11 @@
         let fault = |kind: &str| format!("[[faults]]\nat = \"1s\"\nkind = \"{kind}\"\non = [0]\n");
         let scenario = help::scenario(&[fault("host-draining"), fault("host-erring")].concat());
         let plan = Plan::new(&scenario, 1, None);
-        let (hosts, doors): (Vec<_>, Vec<_>) = Host::all(&plan, &scenario)
-            .await
-            .unwrap()
-            .into_iter()
-            .unzip();
-        let testbed = Arc::new(Testbed::new(
-            scenario,
-            plan,
-            hosts,
-            Front::new([].into_iter()),
-            Arc::default(),
-        ));
-        for (host, door) in testbed.hosts.iter().zip(doors) {
-            tokio::spawn(host.clone().serve(testbed.clone(), door));
-        }
-        let strike = |nth, begins| testbed.hosts[0].strike(&testbed, nth, begins);
+        let hosts = host::bind_all(&plan).await.unwrap();
+        let front = Front::new([].into_iter());
+        let context = Arc::new(RunContext::new(scenario, plan));
+        let testbed = Testbed::start(context, hosts, front, Arc::default());
+        let strike = |nth, begins| testbed.hosts[0].apply_fault(nth, begins);
         strike(0, true);
         strike(1, true);
         assert_eq!(hears(&testbed).await, "ERR");
@@ -164,7 +150,7 @@
         let mut text = String::new();
         stream.read_to_string(&mut text).await.unwrap();
         assert_eq!(text, "SYNTAX\r\n");
-        assert_eq!(testbed.event_log.take().len(), 1);
+        assert_eq!(testbed.context.event_log.take().len(), 1);
     });
 }
 
@@ -205,24 +191,24 @@
 fn discovery_tells_changes_and_shows_its_faults() {
     help::runtime().block_on(async {
         let testbed = testbed("host-draining").await;
-        let agent = DiscoveryAgent::start(&testbed, 0).await.unwrap();
+        let agent = DiscoveryAgent::start(&testbed.discovery, 0).await.unwrap();
         let whole = watch(&agent, 0).await;
         assert!(
             whole.contains("\"all\":true") && whole.matches("\"ready\"").count() == 4,
             "{whole}"
         );
-        testbed.hosts[0].strike(&testbed, 0, true);
+        testbed.hosts[0].apply_fault(0, true);
         let changed = watch(&agent, 1).await;
         assert!(
             changed.contains("\"all\":false") && changed.matches("uid").count() == 1,
             "{changed}"
         );
         assert!(changed.contains("\"draining\""), "{changed}");
-        testbed.discovery.mood.send_modify(|mood| mood.silent = 1);
+        testbed.discovery.faults.send_modify(|mood| mood.silent = 1);
         assert_eq!(watch(&agent, 1).await, "");
         testbed
             .discovery
-            .mood
+            .faults
             .send_modify(|mood| (mood.silent, mood.babbles) = (0, 1));
         let babble = watch(&agent, 1).await;
         assert!(
@@ -231,14 +217,17 @@
         );
         testbed
             .discovery
-            .mood
+            .faults
             .send_modify(|mood| (mood.babbles, mood.refuses) = (0, 1));
         sleep(Duration::from_millis(50)).await;
         assert_eq!(watch(&agent, 1).await, "refused");
-        testbed.discovery.mood.send_modify(|mood| mood.refuses = 0);
+        testbed
+            .discovery
+            .faults
+            .send_modify(|mood| mood.refuses = 0);
         sleep(Duration::from_millis(100)).await;
         let old = agent.address();
-        agent.moves(&testbed).await.unwrap();
+        agent.change_address().await.unwrap();
         assert_ne!(agent.address(), old);
         assert!(watch(&agent, 1).await.contains("draining"));
         sleep(Duration::from_millis(50)).await;
--- a/crates/testbed/tests/recovery.rs
+++ b/crates/testbed/tests/recovery.rs
@@ -56,7 +56,7 @@
     assert!(
         ran.verdict.breaches.is_empty(),
         "faults: {:?}",
-        ran.testbed.plan.faults
+        ran.context.plan.faults
     );
     // The sum of all proxies pushes nobody over, told or not.
     let over = ran
@@ -70,7 +70,7 @@
 
 /// Sessions brought up between two seconds of the run.
 fn up(ran: &RunOutcome, from: u64, to: u64) -> usize {
-    let begin = (*ran.testbed.begin.borrow()).unwrap();
+    let begin = ran.context.plan_start().unwrap();
     let within = |at: Duration| {
         at >= begin + Duration::from_secs(from) && at < begin + Duration::from_secs(to)
     };
@@ -122,7 +122,7 @@
     let (ran, _) = play(&(cut() + &faults));
     assert!(up(&ran, 6, 10) > least, "{} came up", up(&ran, 6, 10));
     // Nobody is dialled who has not answered.
-    let at = (*ran.testbed.begin.borrow()).unwrap() + Duration::from_secs(5);
+    let at = ran.context.plan_start().unwrap() + Duration::from_secs(5);
     let dials = |r: &&asterramp_testbed::event_log::LoggedEvent| {
         r.at > at && matches!(r.seen, Event::Dialled { .. })
     };
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -54,7 +54,7 @@
     assert!(
         ran.verdict.breaches.is_empty(),
         "faults: {:?}",
-        ran.testbed.plan.faults
+        ran.context.plan.faults
     );
     let tally = ran.verdict.tally;
     assert!(tally.sessions > 300 && tally.accepted > 200, "{tally:?}");
@@ -185,7 +185,7 @@
 fn everything_starts_anew_after_a_power_cut() {
     let (ran, _) = play(&fault("3s", "1s", "power-cut", ""), "");
     let since = |from: u64| {
-        let began = (*ran.testbed.begin.borrow()).unwrap() + Duration::from_secs(from);
+        let began = ran.context.plan_start().unwrap() + Duration::from_secs(from);
         let up = |seen: &Event| {
             matches!(
                 seen,
