--- /dev/null
+++ b/crates/testbed/src/commands/compare.rs
@@ -0,0 +1,195 @@
+//! The command `compare`: runs of two programs on the same seeds in alternation, so that a slow spell of the machine meets
+//! both.
+
+use super::error::CommandError;
+use super::{Outcome, program};
+use asterramp_testbed::compare::{Difference, row};
+use asterramp_testbed::proxy_process::Program;
+use asterramp_testbed::report::Report;
+use asterramp_testbed::run::{RunOptions, own_folder, run};
+use asterramp_testbed::scenario::Scenario;
+use clap::Args;
+use std::path::PathBuf;
+
+/// Violations of a run that are printed.
+const PRINTED_VIOLATIONS: usize = 2;
+/// Pairs by which a difference can be told.
+const MIN_PAIRS: usize = 2;
+
+#[derive(Args)]
+pub(super) struct CompareArgs {
+    scenario: PathBuf,
+    /// The programs.
+    #[arg(long, num_args = 1, required = true)]
+    proxy: Vec<PathBuf>,
+    /// Pairs of runs.
+    #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(2..=100))]
+    runs: u64,
+    /// The first pair's; each pair has the next.
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// Adds faults drawn from each pair's seed.
+    #[arg(long)]
+    chaos: bool,
+}
+
+/// A figure that two programs are compared by.
+struct ComparedFigure {
+    name: &'static str,
+    of_report: fn(&Report) -> f64,
+}
+
+const FIGURES: [ComparedFigure; 6] = [
+    ComparedFigure {
+        name: "well served",
+        of_report: |report| report.service.whole,
+    },
+    ComparedFigure {
+        name: "worst ten seconds",
+        of_report: |report| report.service.worst_ten_seconds,
+    },
+    ComparedFigure {
+        name: "worst listener",
+        of_report: |report| report.service.worst_listener.1,
+    },
+    ComparedFigure {
+        name: "answer p99 ms",
+        of_report: |report| report.answer_ms.p99,
+    },
+    ComparedFigure {
+        name: "dials a session",
+        of_report: dials_per_session,
+    },
+    ComparedFigure {
+        name: "cpu a proxy",
+        of_report: mean_cpu_share,
+    },
+];
+
+fn dials_per_session(report: &Report) -> f64 {
+    report.tally.dials as f64 / report.tally.sessions.max(1) as f64
+}
+
+fn mean_cpu_share(report: &Report) -> f64 {
+    let sum: f64 = report.proxies.iter().map(|proxy| proxy.cpu_share).sum();
+    sum / report.proxies.len() as f64
+}
+
+/// The reports of two programs on one seed; `None` for a run that was void.
+struct Pair {
+    reports: [Option<Report>; 2],
+    rules_held: bool,
+}
+
+/// What the pairs that were not void gave.
+#[derive(Default)]
+struct Comparison {
+    /// For each program, the values of each figure, pair by pair.
+    values: [[Vec<f64>; FIGURES.len()]; 2],
+    pairs: usize,
+}
+
+impl Comparison {
+    fn add(&mut self, reports: [&Report; 2]) {
+        for (values, report) in self.values.iter_mut().zip(reports) {
+            for (values, figure) in values.iter_mut().zip(&FIGURES) {
+                values.push((figure.of_report)(report));
+            }
+        }
+        self.pairs += 1;
+    }
+
+    fn print(&self, seed: u64) {
+        println!(
+            "  {:<28} {:>9} {:>9} {:>9}  95% of draws",
+            "", "A", "B", "B - A"
+        );
+        let [first, second] = &self.values;
+        for ((figure, first), second) in FIGURES.iter().zip(first).zip(second) {
+            let difference = Difference::of(first, second, seed);
+            println!("{}", row(figure.name, &difference));
+        }
+    }
+}
+
+/// Plays the pairs and prints the differences.
+pub(super) async fn compare(args: &CompareArgs) -> Result<Outcome, CommandError> {
+    let scenario = Scenario::open(&args.scenario)?;
+    let [first, second] = &args.proxy[..] else {
+        return Err(CommandError::NotTwoPrograms);
+    };
+    let programs = [
+        program::of_path(Some(first))?,
+        program::of_path(Some(second))?,
+    ];
+    let mut comparison = Comparison::default();
+    let (mut held, mut void) = (true, 0);
+    for seed in args.seed..args.seed + args.runs {
+        let chaos = args.chaos.then_some(seed);
+        let pair = play_pair(&scenario, &programs, seed, chaos).await?;
+        held &= pair.rules_held;
+        let [Some(first), Some(second)] = &pair.reports else {
+            void += 1;
+            continue;
+        };
+        comparison.add([first, second]);
+        let (first, second) = (first.service.whole, second.service.whole);
+        eprintln!("seed {seed}: {first:.4} and {second:.4} well served");
+    }
+    if comparison.pairs < MIN_PAIRS {
+        let runs = args.runs;
+        return Err(CommandError::TooFewPairs { void, runs });
+    }
+    comparison.print(args.seed);
+    println!(
+        "  pairs {}, void {void}, rules {}",
+        comparison.pairs,
+        if held { "held" } else { "BROKEN" }
+    );
+    Ok(Outcome::of_rules(held))
+}
+
+/// Plays a seed by both programs; who goes first changes from pair to pair.
+async fn play_pair(
+    scenario: &Scenario,
+    programs: &[Program; 2],
+    seed: u64,
+    chaos: Option<u64>,
+) -> Result<Pair, CommandError> {
+    let order = if seed.is_multiple_of(2) {
+        [0, 1]
+    } else {
+        [1, 0]
+    };
+    let mut pair = Pair {
+        reports: [None, None],
+        rules_held: true,
+    };
+    for which in order {
+        let report = play(scenario, &programs[which], seed, chaos).await?;
+        pair.rules_held &= report.rules_held;
+        for violation in report.breaches.iter().take(PRINTED_VIOLATIONS) {
+            eprintln!("{}: {}", violation.rule, violation.what);
+        }
+        pair.reports[which] = Some(report).filter(|report| !report.void);
+    }
+    Ok(pair)
+}
+
+async fn play(
+    scenario: &Scenario,
+    program: &Program,
+    seed: u64,
+    chaos: Option<u64>,
+) -> Result<Report, CommandError> {
+    let options = RunOptions {
+        seed,
+        chaos,
+        program: program.clone(),
+        folder: own_folder(),
+        progress: false,
+    };
+    let result = run(scenario.clone(), &options).await;
+    let _ = std::fs::remove_dir_all(&options.folder);
+    Ok(Report::of(&result?, &program.name, seed, chaos))
+}
--- /dev/null
+++ b/crates/testbed/src/commands/mod.rs
@@ -0,0 +1,158 @@
+//! The command line. Errors go to standard error, what was measured to standard output.
+//!
+//! Exit codes: 0 the rules held, 1 a rule was broken, 2 bad input, 3 the run tells nothing.
+
+mod compare;
+mod drain_measurement;
+mod error;
+mod play;
+mod program;
+mod scale;
+mod shrink;
+mod summaries;
+
+use asterramp_testbed::plain_proxy::{self, InjectedFault, Policy};
+use clap::{Parser, Subcommand};
+use error::CommandError;
+use std::process::ExitCode;
+use std::time::Duration;
+use tokio::signal::unix::{SignalKind, signal};
+
+/// How long what still runs in the background may take to end.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// A stand-in world on loopback around asterramp: hosts, clients, discovery, faults, and a judge of the rules.
+///
+/// Exit codes: 0 the rules held, 1 a rule was broken, 2 bad input, 3 void (the rig ran late, or something of
+/// its own failed).
+#[derive(Parser)]
+#[command(version)]
+struct CommandLine {
+    #[command(subcommand)]
+    command: Command,
+}
+
+#[derive(Subcommand)]
+enum Command {
+    /// Half a minute with three proxies and nine hosts: a hang, a drain, a proxy's death.
+    Demo(play::PlayArgs),
+    /// Plays a scenario once.
+    Run(play::RunArgs),
+    /// Plays a scenario by two programs in turn on the same seeds, and tells the difference.
+    Compare(compare::CompareArgs),
+    /// Measures how one proxy and many bear size.
+    Scale(scale::ScaleArgs),
+    /// Measures how a proxy is emptied: a drain on request beside SIGTERM, and a roll.
+    Empty(drain_measurement::DrainArgs),
+    /// Cuts a failing draw of faults down to the fewest with which a rule still breaks, and writes them as a scenario.
+    Shrink(shrink::ShrinkArgs),
+    /// Sums the logs of a fleet: how often each reason code came, by time and by server.
+    Logs(summaries::LogsArgs),
+    /// Sums the bench's records of drawn days: what each kind scored, and which draw goes with the loss.
+    Journal(summaries::JournalArgs),
+    /// A plain proxy that knows nothing of load, for comparison only; configured as the platform does.
+    PlainProxy {
+        policy: Policy,
+        /// Breaks one rule on purpose.
+        #[arg(long = "break", value_name = "BREAKS")]
+        fault: Option<InjectedFault>,
+    },
+}
+
+/// What came of a command that could be carried out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Outcome {
+    /// It was done, and no rule was broken.
+    RulesHeld,
+    /// A rule was broken.
+    RuleBroken,
+    /// The testbed ran late: the run tells nothing.
+    Void,
+}
+
+impl Outcome {
+    fn of_rules(held: bool) -> Outcome {
+        if held {
+            Outcome::RulesHeld
+        } else {
+            Outcome::RuleBroken
+        }
+    }
+
+    fn exit_code(self) -> ExitCode {
+        ExitCode::from(match self {
+            Outcome::RulesHeld => 0,
+            Outcome::RuleBroken => 1,
+            Outcome::Void => 3,
+        })
+    }
+}
+
+/// Does what the command line says.
+pub(crate) fn run() -> ExitCode {
+    let command = CommandLine::parse().command;
+    start_log();
+    match execute_until_interrupted(command) {
+        Ok(outcome) => outcome.exit_code(),
+        Err(error) => {
+            eprintln!("asterramp-testbed: {error}");
+            error.exit_code()
+        }
+    }
+}
+
+fn start_log() {
+    tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_target(false)
+        .without_time()
+        .with_max_level(tracing::Level::INFO)
+        .init();
+}
+
+fn execute_until_interrupted(command: Command) -> Result<Outcome, CommandError> {
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()
+        .map_err(CommandError::System)?;
+    // The plain proxy answers to its signals itself, and shuts down gracefully.
+    let handles_signals = matches!(command, Command::PlainProxy { .. });
+    let result = runtime.block_on(async {
+        tokio::select! {
+            result = execute(command) => result,
+            // Dropping the run ends its proxies.
+            () = interrupted(), if !handles_signals => Err(CommandError::Interrupted),
+        }
+    });
+    // Children are ended by their handles; nothing else is waited for.
+    runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
+    result
+}
+
+/// Waits for SIGTERM or SIGINT.
+async fn interrupted() {
+    let Ok(mut terminate) = signal(SignalKind::terminate()) else {
+        return std::future::pending().await;
+    };
+    tokio::select! {
+        _ = terminate.recv() => {}
+        _ = tokio::signal::ctrl_c() => {}
+    }
+}
+
+async fn execute(command: Command) -> Result<Outcome, CommandError> {
+    match command {
+        Command::Demo(args) => play::demo(&args).await,
+        Command::Run(args) => play::run_file(&args).await,
+        Command::Compare(args) => compare::compare(&args).await,
+        Command::Scale(args) => scale::scale(&args).await,
+        Command::Empty(args) => drain_measurement::measure(&args).await,
+        Command::Shrink(args) => shrink::shrink(&args).await,
+        Command::Logs(args) => summaries::logs(&args),
+        Command::Journal(args) => summaries::journal(&args),
+        Command::PlainProxy { policy, fault } => {
+            plain_proxy::serve(policy, fault).await?;
+            Ok(Outcome::RulesHeld)
+        }
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/commands/scale.rs
@@ -0,0 +1,51 @@
+//! The command `scale`: how one proxy and many bear size.
+
+use super::error::CommandError;
+use super::{Outcome, program};
+use asterramp_testbed::scale;
+use clap::Args;
+use std::path::PathBuf;
+
+#[derive(Args)]
+pub(super) struct ScaleArgs {
+    #[arg(long)]
+    proxy: Option<PathBuf>,
+    /// Fewer sizes.
+    #[arg(long)]
+    quick: bool,
+    /// Only sizes of this sort.
+    #[arg(long, value_parser = ["set-ups", "idle", "lines", "watched", "fleet"])]
+    only: Option<String>,
+    /// Seconds that each size is played for.
+    #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u32).range(3..=120))]
+    seconds: u32,
+    /// Writes the plots into this folder.
+    #[arg(long)]
+    report: Option<PathBuf>,
+}
+
+/// Plays the sizes one after the other and prints the table.
+pub(super) async fn scale(args: &ScaleArgs) -> Result<Outcome, CommandError> {
+    let program = program::of_path(args.proxy.as_deref())?;
+    let mut points = Vec::new();
+    for size in scale::sizes(args.quick) {
+        let is_wanted = args
+            .only
+            .as_ref()
+            .is_none_or(|sort| size.what.ends_with(sort.as_str()));
+        if !is_wanted {
+            continue;
+        }
+        let point = scale::point(&size, &program, args.seconds).await?;
+        let table = scale::table(&[point]);
+        eprintln!("{}", table.lines().last().unwrap_or_default());
+        points.push(point);
+    }
+    print!("{}", scale::table(&points));
+    if let Some(folder) = &args.report {
+        scale::plots(&points, folder).map_err(|error| CommandError::Report(error.into()))?;
+    }
+    Ok(Outcome::of_rules(
+        points.iter().all(|point| point.rules_held),
+    ))
+}
--- /dev/null
+++ b/crates/testbed/src/commands/shrink.rs
@@ -0,0 +1,91 @@
+//! The command `shrink`: plays a draw with fewer and fewer faults, and writes the fewest with which a rule still breaks.
+
+use super::error::CommandError;
+use super::play::PlayArgs;
+use super::{Outcome, program};
+use asterramp_testbed::plan::Plan;
+use asterramp_testbed::proxy_process::Program;
+use asterramp_testbed::run::{RunOptions, own_folder, run};
+use asterramp_testbed::scenario::{Scenario, ScenarioFault};
+use asterramp_testbed::shrink;
+use clap::Args;
+use std::path::PathBuf;
+use tokio::runtime::Handle;
+
+#[derive(Args)]
+pub(super) struct ShrinkArgs {
+    scenario: PathBuf,
+    #[command(flatten)]
+    play: PlayArgs,
+    /// Runs at most.
+    #[arg(long, default_value_t = 40, value_parser = clap::value_parser!(u32).range(1..=1000))]
+    tries: u32,
+    /// Where the scenario is written.
+    #[arg(long, default_value = "shrunk.toml")]
+    save: PathBuf,
+}
+
+/// Cuts the faults of a scenario down and saves it with those that are left.
+pub(super) async fn shrink(args: &ShrinkArgs) -> Result<Outcome, CommandError> {
+    let path = &args.scenario;
+    let text = std::fs::read_to_string(path).map_err(|source| CommandError::Unreadable {
+        path: path.clone(),
+        source,
+    })?;
+    let scenario = Scenario::open(path)?;
+    let seed = args.play.seed.unwrap_or(scenario.seed);
+    let program = program::chosen(&args.play)?;
+    let all = shrink::drawn(&Plan::new(&scenario, seed, args.play.chaos).faults);
+    let runtime = Handle::current();
+    let breaks = |faults: &[ScenarioFault]| {
+        tokio::task::block_in_place(|| {
+            runtime.block_on(breaks_a_rule(&scenario, faults, seed, &program))
+        })
+    };
+    if !breaks(&all) {
+        return Err(CommandError::NoRuleBreaks);
+    }
+    let left = shrink::fewest(&all, args.tries, breaks);
+    let text = shrink::written(&text, &left).map_err(|error| CommandError::Report(error.into()))?;
+    std::fs::write(&args.save, text).map_err(|source| CommandError::Unwritable {
+        path: args.save.clone(),
+        source,
+    })?;
+    println!(
+        "{} of {} faults are left, in {}",
+        left.len(),
+        all.len(),
+        args.save.display()
+    );
+    Ok(Outcome::RulesHeld)
+}
+
+/// Whether a run with these faults breaks a rule; one that is void or fails breaks none.
+async fn breaks_a_rule(
+    scenario: &Scenario,
+    faults: &[ScenarioFault],
+    seed: u64,
+    program: &Program,
+) -> bool {
+    let scenario = Scenario {
+        faults: faults.to_vec(),
+        ..scenario.clone()
+    };
+    let options = RunOptions {
+        seed,
+        chaos: None,
+        program: program.clone(),
+        folder: own_folder(),
+        progress: false,
+    };
+    let result = run(scenario, &options).await;
+    let _ = std::fs::remove_dir_all(&options.folder);
+    let broken = result.is_ok_and(|run| !run.void && !run.verdict.breaches.is_empty());
+    let found = if broken {
+        "a rule breaks"
+    } else {
+        "rules held, or void"
+    };
+    eprintln!("{} faults: {found}", faults.len());
+    broken
+}
--- /dev/null
+++ b/crates/testbed/src/commands/summaries.rs
@@ -0,0 +1,42 @@
+//! The commands `logs` and `journal`: sums of what runs have left behind.
+
+use super::Outcome;
+use super::error::CommandError;
+use asterramp_testbed::journal::Journal;
+use asterramp_testbed::log_summary::LogSummary;
+use clap::Args;
+use std::path::PathBuf;
+
+#[derive(Args)]
+pub(super) struct LogsArgs {
+    /// A folder with one file a proxy, each ending in .log.
+    folder: PathBuf,
+    /// Seconds that a row spans.
+    #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=3600))]
+    span: u64,
+}
+
+#[derive(Args)]
+pub(super) struct JournalArgs {
+    /// The folder of records.
+    folder: PathBuf,
+    /// Days count whose name holds this.
+    #[arg(long, default_value = "+mass")]
+    kind: String,
+}
+
+/// Prints how often each reason code came in the logs of a fleet.
+pub(super) fn logs(args: &LogsArgs) -> Result<Outcome, CommandError> {
+    let summary = LogSummary::of_folder(&args.folder, args.span)
+        .map_err(|error| CommandError::Summary(error.into()))?;
+    print!("{}", summary.table());
+    Ok(Outcome::RulesHeld)
+}
+
+/// Prints what each kind of simulated day scored.
+pub(super) fn journal(args: &JournalArgs) -> Result<Outcome, CommandError> {
+    let journal = Journal::of_folder(&args.folder, &args.kind)
+        .map_err(|error| CommandError::Summary(error.into()))?;
+    print!("{}", journal.table());
+    Ok(Outcome::RulesHeld)
+}
--- a/crates/testbed/src/drain_measurement.rs
+++ b/crates/testbed/src/drain_measurement.rs
@@ -1,7 +1,7 @@
 //! How a proxy is emptied: a drain on request beside SIGTERM, at several sizes, and a roll of a whole site.
 
 use crate::event_log::{Event, LoggedEvent, SessionId};
-use crate::proxies::Program;
+use crate::proxy_process::Program;
 use crate::report::Report;
 use crate::run::{RunError, RunOptions, own_folder, run};
 use crate::scenario::Scenario;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -8,7 +8,6 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-pub mod baseline;
 pub mod client;
 pub mod compare;
 pub mod context;
@@ -27,9 +26,10 @@
 pub mod metrics_calls;
 pub mod misbehaving_clients;
 pub mod pending_dials;
+pub mod plain_proxy;
 pub mod plan;
 pub mod plots;
-pub mod proxies;
+pub mod proxy_process;
 pub mod report;
 pub mod run;
 pub mod scale;
--- a/crates/testbed/src/plots.rs
+++ b/crates/testbed/src/plots.rs
@@ -117,7 +117,7 @@
         marks: marks.clone(),
     }
     .draw(&folder.join("hosts.svg"))?;
-    let line = |(n, used): (usize, &Vec<crate::proxies::ResourceUsage>)| {
+    let line = |(n, used): (usize, &Vec<crate::proxy_process::ResourceUsage>)| {
         let steps = used.windows(2).filter(|w| w[1].cpu >= w[0].cpu);
         (
             format!("proxy {n}"),
--- a/crates/testbed/src/proxies.rs
+++ b/crates/testbed/src/proxy_process.rs
@@ -58,6 +58,16 @@
     pub descriptors: u64,
 }
 
+/// A proxy's process cannot be started.
+#[derive(Debug, thiserror::Error)]
+#[error("proxy {proxy}: {source}")]
+pub struct ProxyError {
+    /// Its number.
+    proxy: u16,
+    /// Why not.
+    source: std::io::Error,
+}
+
 pub struct Proxy {
     pub number: u16,
     pub place: u8,
@@ -183,7 +193,7 @@
     }
 
     fn configure(&self, testbed: &Testbed) -> std::io::Result<()> {
-        let known = match testbed.context.scenario.proxies.known {
+        let known = match testbed.context.scenario.proxies.initial_endpoints {
             InitialEndpointList::Fresh => testbed.discovery.list(self.number, None).json,
             InitialEndpointList::Old => testbed.discovery.outdated_list(self.number).json,
             InitialEndpointList::Empty => r#"{"rev":0,"all":true,"targets":[]}"#.into(),
@@ -238,7 +248,7 @@
     fn spawn(&mut self, testbed: &Testbed) -> std::io::Result<(Child, SocketAddr)> {
         self.configure(testbed)?;
         self.started += 1;
-        let asked = testbed.context.scenario.proxies.asks && self.child.is_none();
+        let asked = testbed.context.scenario.proxies.asks_peers && self.child.is_none();
         let door = if asked {
             door_of(self.listen)
         } else {
@@ -260,20 +270,21 @@
             .env("TMPDIR", shared);
         let proxies = &testbed.context.scenario.proxies;
         let mut text = String::new();
-        if testbed.context.plan.drains() || proxies.roll_at.is_some() || proxies.watchers > 0 {
+        if testbed.context.plan.drains() || proxies.roll_at.is_some() || proxies.status_pollers > 0
+        {
             let control = self.control.display().to_string();
             text += &format!("[control]\nsocket = {control:?}\n");
             text += "[drain]\nclosing = \"2s\"\nquiet = \"600ms\"\nback = \"2s\"\n";
         }
-        if proxies.saves {
+        if proxies.saves_snapshots {
             text += &format!(
                 "[state]\nfolder = {:?}\nevery = \"200ms\"\n",
                 self.disk().display().to_string()
             );
         }
-        if proxies.stages {
+        if proxies.starts_by_stages {
             text += "[recovery]\nstages = true\n";
-            if proxies.asks {
+            if proxies.asks_peers {
                 let others = self.others.iter().filter(|at| **at != self.listen);
                 let doors: Vec<String> = others
                     .map(|at| format!("{:?}", door_of(*at).to_string()))
@@ -327,7 +338,7 @@
         &mut self,
         testbed: &Testbed,
         killed_after: Option<Duration>,
-    ) -> Result<(), String> {
+    ) -> Result<(), ProxyError> {
         if self.child.is_none() {
             return Ok(());
         }
@@ -338,9 +349,10 @@
             .context
             .event_log
             .record(Event::ProxyBeside { proxy: number });
-        let (mut second, door) = self
-            .spawn(testbed)
-            .map_err(|e| format!("proxy {number}: {e}"))?;
+        let (mut second, door) = self.spawn(testbed).map_err(|source| ProxyError {
+            proxy: number,
+            source,
+        })?;
         let since = Instant::now();
         let mut yes = None;
         while yes.is_none() && killed_after.is_none() && since.elapsed() < READY {
@@ -410,7 +422,7 @@
         mut self,
         testbed: Arc<Testbed>,
         mut orders: mpsc::Receiver<ProxyCommand>,
-    ) -> Result<(), String> {
+    ) -> Result<(), ProxyError> {
         let (number, mut looks) = (self.number, 0_u32);
         loop {
             let ended = async {
@@ -435,15 +447,17 @@
                     }
                     if std::fs::remove_file(marker(&self.control)).is_ok() {
                         self.leave(&testbed).await;
-                        self.start(&testbed).map_err(|e| format!("proxy {number}: {e}"))?;
+                        self.start(&testbed).map_err(|source| ProxyError { proxy: number, source })?;
                     }
                     continue;
                 }
             };
             match order {
                 Some(ProxyCommand::Start) if self.child.is_none() => {
-                    self.start(&testbed)
-                        .map_err(|e| format!("proxy {number}: {e}"))?;
+                    self.start(&testbed).map_err(|source| ProxyError {
+                        proxy: number,
+                        source,
+                    })?;
                 }
                 Some(ProxyCommand::Kill) => self.kill(&testbed).await,
                 Some(ProxyCommand::Stall) => self.stall(&testbed, true),
@@ -455,7 +469,10 @@
                         .change_address()
                         .await
                         .and_then(|()| self.configure(&testbed));
-                    moved.map_err(|e| format!("proxy {number}: {e}"))?;
+                    moved.map_err(|source| ProxyError {
+                        proxy: number,
+                        source,
+                    })?;
                     self.signal(Signal::HUP);
                 }
                 Some(ProxyCommand::Start) => {}
@@ -615,7 +632,7 @@
         "load_info": {"fields": scenario.fleet.report_fields, "how": "on_probe"},
         "permissions": {
             "max_dials": platform.max_dials, "cancelling": true, "retry_after": true,
-            "max_retry_after": us(platform.max_retry_after), "dial_timeout": us(platform.connect_within),
+            "max_retry_after": us(platform.max_retry_after), "dial_timeout": us(platform.connect_timeout),
             "may_probe": platform.may_probe, "second_copies": false, "peers": false,
         },
         "rules": {
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -304,7 +304,7 @@
 }
 
 /// CPU is told since a process's start; steps back are restarts.
-fn proxy_use(used: &[crate::proxies::ResourceUsage]) -> ProxyUse {
+fn proxy_use(used: &[crate::proxy_process::ResourceUsage]) -> ProxyUse {
     let steps: Vec<f64> = used
         .windows(2)
         .map(|w| w[1].cpu - w[0].cpu)
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -11,10 +11,11 @@
 use crate::metrics_calls;
 use crate::misbehaving_clients;
 use crate::plan::{Plan, PlannedFault};
-use crate::proxies::{self, Program, Proxy, ProxyCommand, ResourceUsage};
-use crate::scenario::{FaultKind, LinkKind, RecoveredPart, Scenario};
+use crate::proxy_process::{self, Program, Proxy, ProxyCommand, ProxyError, ResourceUsage};
+use crate::scenario::{FaultKind, LinkKind, RecoveredPart, Scenario, ScenarioError};
 use crate::sockets::BoundListener;
 use crate::testbed::Testbed;
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -25,13 +26,67 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing::info;
 
-/// Why a run told nothing.
-#[derive(Debug)]
+/// Why a run tells nothing.
+#[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The scenario or the machine: said before anything started.
-    Input(String),
-    /// Something did not work that is not the proxy's.
-    Run(String),
+    /// The scenario is wrong.
+    #[error(transparent)]
+    Input(#[from] ScenarioError),
+    /// The testbed would need more descriptors than it may have.
+    #[error(
+        "{connections} standing connections want {needed} descriptors of the rig, and this machine allows {allowed}"
+    )]
+    TooManyConnections {
+        /// Connections that stand at once.
+        connections: usize,
+        /// Descriptors that the testbed needs for them.
+        needed: u64,
+        /// Descriptors that a process may have.
+        allowed: u64,
+    },
+    /// The clients of a proxy would need more ports than an address has.
+    #[error("{connections} connections a proxy, and ports allow {allowed}")]
+    TooFewPorts {
+        /// Connections of each proxy.
+        connections: usize,
+        /// Connections that the ports of an address allow.
+        allowed: usize,
+    },
+    /// A proxy is to have more descriptors than it may.
+    #[error("proxies.sockets is {sockets}, and this machine allows {allowed}")]
+    TooManySockets {
+        /// Descriptors that each proxy is to have.
+        sockets: u64,
+        /// Descriptors that a process may have.
+        allowed: u64,
+    },
+    /// The folder, a host, a link or a proxy's discovery agent could not be started.
+    #[error("starting: {0}")]
+    Start(#[source] io::Error),
+    /// A proxy does not answer health checks.
+    #[error("proxy {proxy} never became ready; its log ends {log_end:?}")]
+    NeverReady {
+        /// Its number.
+        proxy: usize,
+        /// The last lines of its log, the last one first.
+        log_end: Vec<String>,
+    },
+    /// A proxy's process could not be started.
+    #[error(transparent)]
+    Proxy(#[from] ProxyError),
+}
+
+impl RunError {
+    /// Whether the scenario, or the machine that it was to run on, is the cause: nothing was started.
+    pub fn is_bad_input(&self) -> bool {
+        match self {
+            RunError::Input(_)
+            | RunError::TooManyConnections { .. }
+            | RunError::TooFewPorts { .. }
+            | RunError::TooManySockets { .. } => true,
+            RunError::Start(_) | RunError::NeverReady { .. } | RunError::Proxy(_) => false,
+        }
+    }
 }
 
 pub struct RunOutcome {
@@ -82,22 +137,25 @@
     let probes = u64::from(scenario.proxies.count) * u64::from(scenario.hosts()).min(64) * 2;
     let wants = standing as u64 * EACH + probes + SPARE;
     if wants > holds {
-        let what = format!("{standing} standing connections want {wants} descriptors of the rig");
-        return Err(RunError::Input(format!(
-            "{what}, and this machine allows {holds}"
-        )));
+        return Err(RunError::TooManyConnections {
+            connections: standing,
+            needed: wants,
+            allowed: holds,
+        });
     }
     let each = standing / scenario.proxies.count as usize;
     if each > PORTS {
-        return Err(RunError::Input(format!(
-            "{each} connections a proxy, and ports allow {PORTS}"
-        )));
+        return Err(RunError::TooFewPorts {
+            connections: each,
+            allowed: PORTS,
+        });
     }
     let most = u64::from(scenario.proxies.sockets);
     if most > holds {
-        return Err(RunError::Input(format!(
-            "proxies.sockets is {most}, and this machine allows {holds}"
-        )));
+        return Err(RunError::TooManySockets {
+            sockets: most,
+            allowed: holds,
+        });
     }
     Ok(())
 }
@@ -105,13 +163,14 @@
 pub async fn run(scenario: Scenario, order: &RunOptions) -> Result<RunOutcome, RunError> {
     let plan = Plan::new(&scenario, order.seed, order.chaos);
     fits(&scenario, &plan)?;
-    let broke = |e: std::io::Error| RunError::Run(format!("starting: {e}"));
-    std::fs::create_dir_all(&order.folder).map_err(broke)?;
-    let hosts = host::bind_all(&plan).await.map_err(broke)?;
-    let at = proxies::addresses(&scenario);
+    std::fs::create_dir_all(&order.folder).map_err(RunError::Start)?;
+    let hosts = host::bind_all(&plan).await.map_err(RunError::Start)?;
+    let at = proxy_process::addresses(&scenario);
     let pairs = pairs(&scenario, &plan, &hosts, &at);
     let context = Arc::new(RunContext::new(scenario, plan));
-    let links = Links::start(&context, pairs).await.map_err(broke)?;
+    let links = Links::start(&context, pairs)
+        .await
+        .map_err(RunError::Start)?;
     let places = context.scenario.places.len() as u8;
     let front = Front::over(at.iter().copied(), &links, places);
     let testbed = Arc::new(Testbed::start(context, hosts, front, Arc::new(links)));
@@ -128,7 +187,7 @@
             &order.folder,
         )
         .await
-        .map_err(broke)?;
+        .map_err(RunError::Start)?;
         used.push(proxy.used());
         doors.push(proxy.door.clone());
         let (send, receive) = mpsc::channel(64);
@@ -143,13 +202,13 @@
             let nth = testbed.front.waits_for().unwrap_or_default();
             let log = std::fs::read_to_string(order.folder.join(format!("proxy-{nth}.log")));
             let log = log.unwrap_or_default();
-            let last: Vec<&str> = log.lines().rev().take(3).collect();
-            return Err(RunError::Run(format!(
-                "proxy {nth} never became ready; its log ends {last:?}"
-            )));
+            return Err(RunError::NeverReady {
+                proxy: nth,
+                log_end: log.lines().rev().take(3).map(str::to_owned).collect(),
+            });
         }
         if let Some(Ok(Err(what))) = running.try_join_next() {
-            return Err(RunError::Run(what));
+            return Err(RunError::Proxy(what));
         }
         sleep(Duration::from_millis(20)).await;
     }
@@ -163,10 +222,10 @@
     for (number, door) in doors
         .iter()
         .enumerate()
-        .filter(|_| testbed.context.scenario.proxies.callers > 0)
+        .filter(|_| testbed.context.scenario.proxies.metrics_callers > 0)
     {
         callers.spawn(metrics_calls::stall(door.clone()));
-        for _ in 0..testbed.context.scenario.proxies.callers {
+        for _ in 0..testbed.context.scenario.proxies.metrics_callers {
             callers.spawn(metrics_calls::ask(
                 testbed.context.clone(),
                 number as u16,
@@ -175,10 +234,10 @@
         }
     }
     for number in 0..testbed.context.scenario.proxies.count {
-        for nth in 0..testbed.context.scenario.proxies.watchers * 5 / 4 {
-            let reads = nth < testbed.context.scenario.proxies.watchers;
+        for nth in 0..testbed.context.scenario.proxies.status_pollers * 5 / 4 {
+            let reads = nth < testbed.context.scenario.proxies.status_pollers;
             tokio::spawn(operator(
-                proxies::control(testbed.context.run_number, number as u16),
+                proxy_process::control(testbed.context.run_number, number as u16),
                 reads,
             ));
         }
@@ -202,7 +261,7 @@
     }
     while let Some(ended) = running.join_next().await {
         if let Ok(Err(what)) = ended {
-            return Err(RunError::Run(what));
+            return Err(RunError::Proxy(what));
         }
     }
     let late = testbed.context.lateness();
@@ -218,7 +277,7 @@
     terms.blur += testbed.context.plan.longest_delay();
     terms.figures = !testbed.context.plan.linked(LinkKind::ClientProxy);
     let verdict = judge(&records, &terms);
-    let void = late > testbed.context.scenario.platform.void_above;
+    let void = late > testbed.context.scenario.platform.max_lateness;
     let used = used
         .iter()
         .map(|used| std::mem::take(&mut *lock(used)))
@@ -278,9 +337,10 @@
         .args(["--restart", "touch \"${ASTERRAMP_CONTROL%.sock}.restart\""])
         .kill_on_drop(true);
     for number in 0..testbed.context.scenario.proxies.count {
-        command
-            .arg("--control")
-            .arg(proxies::control(testbed.context.run_number, number as u16));
+        command.arg("--control").arg(proxy_process::control(
+            testbed.context.run_number,
+            number as u16,
+        ));
     }
     let output = command.output().await.map_err(|e| e.to_string())?;
     info!(roll = %String::from_utf8_lossy(&output.stdout).lines().last().unwrap_or_default());
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -1,7 +1,7 @@
 //! How a proxy bears size: set-ups a second, lines a second, what a standing connection costs.
 
 use crate::plots::Chart;
-use crate::proxies::Program;
+use crate::proxy_process::Program;
 use crate::report::Report;
 use crate::run::{RunError, RunOptions, own_folder, run};
 use crate::scenario::Scenario;
--- /dev/null
+++ b/crates/testbed/src/scenario/clients.rs
@@ -0,0 +1,163 @@
+//! The tables `listeners`, `members` and `traffic`: which sessions clients ask for, for whom, and how often.
+
+use super::time_span::time_span;
+use serde::Deserialize;
+use std::time::Duration;
+
+/// What may be done with a session that perhaps has run already.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+#[serde(expecting = "enum Kind", rename_all = "kebab-case")]
+pub enum RetrySafety {
+    /// It is idempotent and may run again.
+    Repeatable,
+    /// It has an idempotency key, by which hosts within its [`RetryScope`] discard repeats.
+    Referenced,
+    /// It must not run twice.
+    OnceOnly,
+}
+
+/// Which hosts discard repeats with the same idempotency key.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+#[serde(expecting = "enum Circle", rename_all = "kebab-case")]
+pub enum RetryScope {
+    /// All of them.
+    All,
+    /// Those of the zone.
+    Zone,
+    /// Those of the cell.
+    Cell,
+}
+
+/// A kind of sessions.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Listener {
+    /// Its name on the wire.
+    pub name: String,
+    /// Whether its sessions may be retried.
+    pub kind: RetrySafety,
+    /// Where its idempotency keys count.
+    #[serde(default = "default_scope")]
+    pub circle: RetryScope,
+    /// How long a host keeps an idempotency key.
+    #[serde(default = "default_key_ttl", deserialize_with = "time_span")]
+    pub key_ttl: Duration,
+    /// Latency objective of a set-up.
+    #[serde(deserialize_with = "time_span")]
+    pub handshake_target: Duration,
+    /// How long a client waits for its answer.
+    #[serde(deserialize_with = "time_span")]
+    pub dial_timeout: Duration,
+    /// Latency objective of a message.
+    #[serde(deserialize_with = "time_span")]
+    pub message_target: Duration,
+    /// Priority weight of its sessions.
+    #[serde(default = "one")]
+    pub utility: f64,
+    /// Share of a standard host that a connection asks for, on average.
+    pub work: f64,
+    /// Its part of the sessions, beside the other listeners'.
+    #[serde(default = "one")]
+    pub portion: f64,
+}
+
+/// A tenant.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Member {
+    /// Its name on the wire.
+    pub name: String,
+    /// Its part of the sessions, and of the capacity, beside the other tenants'.
+    #[serde(default = "one")]
+    pub portion: f64,
+}
+
+/// What clients do.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Traffic {
+    /// New clients a second.
+    pub rate: f64,
+    /// Points between which the rate is a straight line, as multiples of it.
+    #[serde(default)]
+    pub curve: Vec<RatePoint>,
+    /// How long sessions last.
+    pub life: SessionLength,
+    /// Groups that clients belong to.
+    #[serde(default)]
+    pub groups: u32,
+    /// Share of clients that belong to a group.
+    #[serde(default)]
+    pub grouped: f64,
+    /// Time between a client's messages.
+    #[serde(default = "default_message_every", deserialize_with = "time_span")]
+    pub message_every: Duration,
+    /// What a client does that was not served.
+    #[serde(default)]
+    pub retries: Retries,
+    /// Share of clients that leave before they are answered.
+    #[serde(default)]
+    pub impatient: f64,
+    /// Clients connected before the run.
+    #[serde(default)]
+    pub inherited: u32,
+}
+
+/// The rate of new clients at a time.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(expecting = "struct Point", deny_unknown_fields)]
+pub struct RatePoint {
+    /// Since the start.
+    #[serde(deserialize_with = "time_span")]
+    pub at: Duration,
+    /// As a multiple of the traffic's rate.
+    pub times: f64,
+}
+
+/// The log-normal distribution of how long sessions last.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(expecting = "struct Life", deny_unknown_fields)]
+pub struct SessionLength {
+    /// Half of them last longer.
+    #[serde(deserialize_with = "time_span")]
+    pub median: Duration,
+    /// Standard deviation of the logarithm.
+    #[serde(default)]
+    pub sigma: f64,
+}
+
+/// What a client does that was not served.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Retries {
+    /// How often it comes again, at most.
+    pub most: u32,
+    /// How long it waits before that, unless it was told.
+    #[serde(deserialize_with = "time_span")]
+    pub pause: Duration,
+}
+
+impl Default for Retries {
+    fn default() -> Self {
+        Retries {
+            most: 4,
+            pause: Duration::from_millis(300),
+        }
+    }
+}
+
+fn default_scope() -> RetryScope {
+    RetryScope::All
+}
+
+fn default_key_ttl() -> Duration {
+    Duration::from_secs(5)
+}
+
+fn default_message_every() -> Duration {
+    Duration::from_secs(2)
+}
+
+fn one() -> f64 {
+    1.0
+}
--- /dev/null
+++ b/crates/testbed/src/scenario/fault_checks.rs
@@ -0,0 +1,85 @@
+//! The checks of a scenario's faults: whom they strike, by how much, and with which keys.
+
+use super::definition::Scenario;
+use super::error::ScenarioError;
+use super::faults::{FaultKind, LinkKind, RecoveredPart, ScenarioFault};
+use super::value_checks::check_range;
+use std::ops::RangeInclusive;
+
+/// The first mistake of a fault.
+pub(super) fn check_fault(
+    scenario: &Scenario,
+    index: usize,
+    fault: &ScenarioFault,
+) -> Result<(), ScenarioError> {
+    check_range(
+        format!("faults.{index}.on or .count"),
+        f64::from(struck_at_least(fault)),
+        1.0..=f64::from(struck_at_most(scenario, fault.kind)),
+    )?;
+    let key = format!("faults.{index}.much");
+    check_range(key, fault.much, allowed_measure(fault.kind))?;
+    if let Some(key) = misplaced_key(scenario, fault) {
+        return Err(ScenarioError::MisplacedFaultKey {
+            index,
+            key,
+            kind: fault.kind,
+        });
+    }
+    let hosts = scenario.hosts();
+    match fault.to.iter().flatten().max() {
+        Some(&host) if host >= hosts => Err(ScenarioError::UnknownLinkTarget {
+            index,
+            host,
+            last: hosts - 1,
+        }),
+        _ => Ok(()),
+    }
+}
+
+/// How many there must be for the fault to strike those that it names.
+fn struck_at_least(fault: &ScenarioFault) -> u32 {
+    let greatest = fault.on.iter().flatten().copied().max();
+    greatest.map_or(fault.count, |number| number + 1)
+}
+
+/// How many there are that a fault of this kind can strike.
+fn struck_at_most(scenario: &Scenario, kind: FaultKind) -> u32 {
+    if kind.strikes_hosts() {
+        scenario.hosts()
+    } else if kind.strikes_proxies() || kind.strikes_links() {
+        scenario.proxies.count
+    } else if kind.strikes_places() {
+        scenario.places.len() as u32
+    } else {
+        u32::MAX
+    }
+}
+
+fn allowed_measure(kind: FaultKind) -> RangeInclusive<f64> {
+    match kind {
+        FaultKind::ClientsBad => 1.0..=500.0,
+        FaultKind::LinkSlowed => 1.0..=1e6,
+        FaultKind::ClientsReconnect | FaultKind::ClientsDeaf => 0.0..=1.0,
+        _ => 0.001..=1.0,
+    }
+}
+
+/// The first key of a fault that means nothing for its kind.
+fn misplaced_key(scenario: &Scenario, fault: &ScenarioFault) -> Option<&'static str> {
+    let kind = fault.kind;
+    let of_links = kind.strikes_links();
+    if fault.to.is_some() && !(of_links && fault.way == LinkKind::ProxyHost) {
+        Some("to")
+    } else if fault.way != LinkKind::default() && !of_links {
+        Some("way")
+    } else if fault.half_open && !(of_links || kind.strikes_places()) {
+        Some("half_open")
+    } else if kind == FaultKind::DiskSpoilt && !scenario.proxies.saves_snapshots {
+        Some("on")
+    } else if fault.back != RecoveredPart::All && kind != FaultKind::PlaceLost {
+        Some("back")
+    } else {
+        None
+    }
+}
--- a/crates/testbed/src/shrink.rs
+++ b/crates/testbed/src/shrink.rs
@@ -84,5 +84,7 @@
     table.insert("faults".into(), Value::Array(list));
     let text = toml::to_string(&table).map_err(|e| e.to_string())?;
     // What is written must be read as it was meant.
-    Scenario::read(&text).map(|_| text)
+    Scenario::read(&text)
+        .map(|_| text)
+        .map_err(|error| error.to_string())
 }
--- a/crates/testbed/tests/breaks.rs
+++ b/crates/testbed/tests/breaks.rs
@@ -9,9 +9,9 @@
 
 mod help;
 
-use asterramp_testbed::baseline::{Break, Policy, program};
 use asterramp_testbed::event_log::Event;
 use asterramp_testbed::judge::Rule;
+use asterramp_testbed::plain_proxy::{InjectedFault, Policy, program};
 use asterramp_testbed::scenario::Scenario;
 use std::path::Path;
 use test_case::test_case;
@@ -44,7 +44,7 @@
 on = [0, 1, 2, 3]
 "#;
 
-fn rules_broken(policy: Policy, breaks: Option<Break>) -> Vec<Rule> {
+fn rules_broken(policy: Policy, breaks: Option<InjectedFault>) -> Vec<Rule> {
     let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-testbed"));
     let ran = help::play(
         help::scenario(TROUBLE),
@@ -67,30 +67,30 @@
     rules
 }
 
-#[test_case(Break::DoubleDial, Rule::NeverTwoDials)]
-#[test_case(Break::AnswerTwice, Rule::NoSessionLost)]
-#[test_case(Break::NoAnswer, Rule::NoSessionLost)]
-#[test_case(Break::LateAnswer, Rule::NoSessionLost)]
-#[test_case(Break::DialAfter, Rule::NoSessionLost)]
-#[test_case(Break::ManyDials, Rule::NoSessionLost)]
-#[test_case(Break::IgnoreDrains, Rule::DrainsKept)]
-#[test_case(Break::EffectTwice, Rule::NoEffectTwice)]
-#[test_case(Break::RefuseRun, Rule::NoEffectTwice)]
-#[test_case(Break::FloodCold, Rule::NoColdServerPushedOver)]
-#[test_case(Break::CutOff, Rule::NoSessionLost)]
-#[test_case(Break::HoldLines, Rule::NoSessionLost)]
-#[test_case(Break::MakeUp, Rule::NoSessionLost)]
-#[test_case(Break::SendOn, Rule::NothingUnreadableSentOn)]
-#[test_case(Break::Crash, Rule::ProxyStays)]
-fn a_planted_breach_is_caught(breaks: Break, rule: Rule) {
+#[test_case(InjectedFault::DoubleDial, Rule::NeverTwoDials)]
+#[test_case(InjectedFault::AnswerTwice, Rule::NoSessionLost)]
+#[test_case(InjectedFault::NoAnswer, Rule::NoSessionLost)]
+#[test_case(InjectedFault::LateAnswer, Rule::NoSessionLost)]
+#[test_case(InjectedFault::DialAfter, Rule::NoSessionLost)]
+#[test_case(InjectedFault::ManyDials, Rule::NoSessionLost)]
+#[test_case(InjectedFault::IgnoreDrains, Rule::DrainsKept)]
+#[test_case(InjectedFault::EffectTwice, Rule::NoEffectTwice)]
+#[test_case(InjectedFault::RefuseRun, Rule::NoEffectTwice)]
+#[test_case(InjectedFault::FloodCold, Rule::NoColdServerPushedOver)]
+#[test_case(InjectedFault::CutOff, Rule::NoSessionLost)]
+#[test_case(InjectedFault::HoldLines, Rule::NoSessionLost)]
+#[test_case(InjectedFault::MakeUp, Rule::NoSessionLost)]
+#[test_case(InjectedFault::SendOn, Rule::NothingUnreadableSentOn)]
+#[test_case(InjectedFault::Crash, Rule::ProxyStays)]
+fn a_planted_breach_is_caught(breaks: InjectedFault, rule: Rule) {
     let found = rules_broken(Policy::RoundRobin, Some(breaks));
     assert!(found.contains(&rule), "{found:?}");
 }
 
 /// Utility is to decide; the plain proxy refuses nobody without a dial, or what is worth most.
-#[test_case(Some(Break::RefuseWorth), true)]
+#[test_case(Some(InjectedFault::RefuseWorth), true)]
 #[test_case(None, false)]
-fn what_is_worth_most_refused_first_is_seen(breaks: Option<Break>, seen: bool) {
+fn what_is_worth_most_refused_first_is_seen(breaks: Option<InjectedFault>, seen: bool) {
     let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-testbed"));
     let text = help::BASE
         .replace("set_up_work = \"60ms\"", "set_up_work = \"2ms\"")
@@ -112,9 +112,9 @@
 }
 
 /// Hosts that answer within some ms, so that two dials are out at once for less than the times of peers are apart.
-#[test_case(Some(Break::DoubleDial), true)]
+#[test_case(Some(InjectedFault::DoubleDial), true)]
 #[test_case(None, false)]
-fn a_breach_shorter_than_the_blur_is_seen(breaks: Option<Break>, seen: bool) {
+fn a_breach_shorter_than_the_blur_is_seen(breaks: Option<InjectedFault>, seen: bool) {
     let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-testbed"));
     let text = help::BASE.replace("set_up_work = \"60ms\"", "set_up_work = \"2ms\"");
     let silent = "[[faults]]\nat = \"1s\"\nkind = \"host-silent\"\non = [1]";
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -15,7 +15,7 @@
 use asterramp_testbed::host;
 use asterramp_testbed::line_reader::{Line, LineReader};
 use asterramp_testbed::plan::Plan;
-use asterramp_testbed::proxies::addresses;
+use asterramp_testbed::proxy_process::addresses;
 use asterramp_testbed::testbed::Testbed;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -1,6 +1,6 @@
 //! Scenarios and runs that the tests share; none uses all.
 
-use asterramp_testbed::proxies::Program;
+use asterramp_testbed::proxy_process::Program;
 use asterramp_testbed::run::{RunOptions, RunOutcome, own_folder, own_proxy, run};
 use asterramp_testbed::scenario::Scenario;
 
--- a/crates/testbed/tests/parts.rs
+++ b/crates/testbed/tests/parts.rs
@@ -41,6 +41,7 @@
 fn a_bad_scenario_is_told_with_its_key_and_what_is_allowed(from: &str, to: &str, says: &[&str]) {
     assert!(help::BASE.contains(from));
     let error = Scenario::read(&help::BASE.replacen(from, to, 1)).unwrap_err();
+    let error = error.to_string();
     assert!(says.iter().all(|word| error.contains(word)), "{error}");
 }
 
