--- /dev/null
+++ b/crates/testbed/src/host/state.rs
@@ -0,0 +1,186 @@
+//! One host: its load model, the faults that it has, and what discovery is told of it.
+
+use super::faults::{ActiveFaults, HostFaults};
+use crate::context::RunContext;
+use crate::discovery::EndpointRegistry;
+use crate::event_log::{Event, HostState};
+use crate::link::ConnectionNames;
+use crate::load_model::{LoadModel, LoadModelSettings};
+use crate::plan::HostPlan;
+use crate::scenario::{FaultKind, Fleet};
+use std::net::SocketAddr;
+use std::sync::atomic::AtomicU32;
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::Duration;
+use tokio::sync::watch;
+
+/// Keeps the seeds of the hosts' load models apart.
+const SEED_FACTOR: u64 = 7919;
+
+/// An emulated host.
+#[derive(Debug)]
+pub struct Host {
+    /// Its place in the plan.
+    pub number: u16,
+    /// Where it is reached.
+    pub address: SocketAddr,
+    pub(super) context: Arc<RunContext>,
+    pub(super) discovery: Arc<EndpointRegistry>,
+    /// Whose connections come to it through a link.
+    pub(super) connections: Arc<ConnectionNames>,
+    /// Which figures a load report of its holds.
+    report_fields: Vec<String>,
+    /// The most connections that it takes at once.
+    pub(super) max_sockets: u32,
+    pub(super) open_sockets: AtomicU32,
+    model: Mutex<LoadModel>,
+    active_faults: Mutex<ActiveFaults>,
+    faults: watch::Sender<HostFaults>,
+}
+
+impl Host {
+    /// A host of the plan, which has an address but does not serve yet.
+    pub fn new(
+        number: u16,
+        address: SocketAddr,
+        discovery: Arc<EndpointRegistry>,
+        connections: Arc<ConnectionNames>,
+    ) -> Host {
+        let context = discovery.context.clone();
+        let fleet = &context.scenario.fleet;
+        let plan = &context.plan.hosts[usize::from(number)];
+        let seed = u64::from(number) * SEED_FACTOR + 1;
+        let model = LoadModel::new(load_model_settings(fleet, plan), seed);
+        Host {
+            number,
+            address,
+            report_fields: fleet.report_fields.clone(),
+            max_sockets: plan.room,
+            open_sockets: AtomicU32::new(0),
+            model: Mutex::new(model),
+            active_faults: Mutex::default(),
+            faults: watch::channel(HostFaults::default()).0,
+            context,
+            discovery,
+            connections,
+        }
+    }
+
+    /// What it can do, and has to.
+    pub fn model(&self) -> MutexGuard<'_, LoadModel> {
+        self.model
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
+    }
+
+    /// A fault of the plan, known by its place in it, begins or ends here.
+    pub fn apply_fault(&self, fault: usize, begins: bool) {
+        let now = self.context.event_log.now();
+        let planned = &self.context.plan.faults[fault];
+        let mut active = self.active_faults();
+        if begins {
+            active.begin(fault, planned);
+        } else {
+            active.end(fault);
+        }
+        let before = *self.faults.borrow();
+        let after = active.combined(before);
+        self.model().factor = active.speed_factor();
+        drop(active);
+        self.record_process(before, after, now);
+        let gone = after.down && planned.kind == FaultKind::HostGone && begins;
+        self.tell_discovery(before, after, gone, now);
+        self.faults.send_replace(after);
+    }
+
+    /// Starts the load model anew where the process does, and records that.
+    fn record_process(&self, before: HostFaults, after: HostFaults, now: Duration) {
+        let host = self.number;
+        if before.down && !after.down {
+            self.model().restart(now);
+            self.context.event_log.record(Event::HostUp { host });
+        } else if after.down && !before.down {
+            self.context.event_log.record(Event::HostDown { host });
+        }
+    }
+
+    /// Sets its state at discovery where that has changed. A host that is down keeps its state unless it never comes back.
+    fn tell_discovery(&self, before: HostFaults, after: HostFaults, gone: bool, now: Duration) {
+        let state = if gone {
+            HostState::Gone
+        } else if after.draining {
+            HostState::Draining
+        } else {
+            HostState::Ready
+        };
+        if before.down && !after.down {
+            self.discovery.set_state(self.number, state, Some(now));
+        } else if before.draining != after.draining || gone {
+            self.discovery.set_state(self.number, state, None);
+        }
+    }
+
+    /// Whether its process is not running.
+    pub fn is_down(&self) -> bool {
+        self.faults.borrow().down
+    }
+
+    /// Leaves it a share of its speed, or all of it.
+    pub fn starve(&self, speed_factor: Option<f64>) {
+        self.model().factor = speed_factor.unwrap_or(1.0);
+    }
+
+    /// Overloaded while it was warming up: it is down and stays so.
+    pub(super) fn collapse(&self) {
+        let host = self.number;
+        let (by, started) = (self.model().pressers(), self.discovery.start_of(host));
+        let event_log = &self.context.event_log;
+        event_log.record(Event::Collapsed { host, started, by });
+        event_log.record(Event::HostDown { host });
+        self.faults.send_modify(|faults| {
+            (faults.down, faults.incarnation) = (true, faults.incarnation + 1);
+        });
+    }
+
+    /// What its faults make of it, now and from now on.
+    pub(super) fn subscribe_faults(&self) -> watch::Receiver<HostFaults> {
+        self.faults.subscribe()
+    }
+
+    /// A load report as it is appended to an answer, with a blank before it; empty where hosts report nothing.
+    pub(super) fn load_report(&self) -> String {
+        let report = self.model().report(self.context.event_log.now());
+        let field = |name: &String| match name.as_str() {
+            "x0" => format!("x0={:.4}", report.asked),
+            _ => format!("outstanding={}", report.outstanding),
+        };
+        let fields: Vec<String> = self.report_fields.iter().map(field).collect();
+        if fields.is_empty() {
+            String::new()
+        } else {
+            format!(" {}", fields.join(","))
+        }
+    }
+
+    fn active_faults(&self) -> MutexGuard<'_, ActiveFaults> {
+        self.active_faults
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
+    }
+}
+
+fn load_model_settings(fleet: &Fleet, plan: &HostPlan) -> LoadModelSettings {
+    LoadModelSettings {
+        speed: plan.speed,
+        places: plan.places,
+        group_cost: fleet.group_cost,
+        cold_share: fleet.cold_share,
+        warm_after: fleet.warm_after,
+        tip_multiple: fleet.tip_multiple,
+        overload_for: fleet.overload_for,
+        set_up_work: fleet.set_up_work,
+        message_time: fleet.message_time,
+        report_age: fleet.report_age,
+        report_noise: fleet.report_noise,
+    }
+}
--- a/crates/testbed/src/link.rs
+++ b/crates/testbed/src/link.rs
@@ -77,7 +77,7 @@
         self.0.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
-    pub fn put(&self, peer: SocketAddr, id: SessionId, dial: u32) {
+    pub fn insert(&self, peer: SocketAddr, id: SessionId, dial: u32) {
         self.all().insert(peer, (id, dial));
     }
 
--- a/crates/testbed/src/testbed.rs
+++ b/crates/testbed/src/testbed.rs
@@ -3,7 +3,7 @@
 use crate::context::RunContext;
 use crate::discovery::EndpointRegistry;
 use crate::front::Front;
-use crate::host::Host;
+use crate::host::{self, Host};
 use crate::link::Links;
 use crate::sockets::BoundListener;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 }
 
 impl Testbed {
-    /// Starts the hosts of the plan, each at a listener that was bound for it; see [`crate::host::bind_all`].
+    /// Starts the hosts of the plan, each at a listener that was bound for it; see [`host::bind_all`].
     pub fn start(
         context: Arc<RunContext>,
         host_listeners: Vec<BoundListener>,
@@ -45,7 +45,7 @@
                 discovery.clone(),
                 links.connections.clone(),
             ));
-            tokio::spawn(host.clone().serve(bound.listener));
+            tokio::spawn(host::serve(host.clone(), bound.listener));
             hosts.push(host);
         }
         Testbed {
