--- a/crates/testbed/src/drain_measurement.rs
+++ b/crates/testbed/src/drain_measurement.rs
@@ -4,7 +4,7 @@
 mod scenario_text;
 
 use crate::event_log::{Event, LoggedEvent, SessionId};
-use crate::proxies::Program;
+use crate::proxy_process::Program;
 use crate::report::Report;
 use crate::run::{RunError, RunOptions, RunOutcome, own_folder, run};
 use crate::scenario::Scenario;
@@ -29,7 +29,7 @@
     sessions: u32,
     program: &Program,
 ) -> Result<DrainResult, RunError> {
-    let scenario = Scenario::read(&scenario_text(method, sessions)).map_err(RunError::Input)?;
+    let scenario = Scenario::read(&scenario_text(method, sessions))?;
     let ran = run_without_files(scenario, program).await?;
     let report = Report::of(&ran, &program.name, SEED, None);
     print_violations(&report);
@@ -58,7 +58,7 @@
 }
 
 fn measured(method: DrainMethod, sessions: u32, ran: &RunOutcome, report: &Report) -> DrainResult {
-    let begin = ran.testbed.begin.borrow().unwrap_or_default();
+    let begin = ran.context.plan_start().unwrap_or_default();
     let drain = DrainInterval {
         begin: begin + Duration::from_secs(DRAIN_AT),
         end: begin + Duration::from_secs(DRAIN_ENDS_AT),
--- a/crates/testbed/src/judge/proxy_history.rs
+++ b/crates/testbed/src/judge/proxy_history.rs
@@ -2,7 +2,7 @@
 
 use super::intervals::{Interval, Intervals};
 use crate::event_log::{Event, HostState};
-use crate::link::LinkEnds;
+use crate::link_ends::LinkEnds;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
--- a/crates/testbed/src/judge/session_context.rs
+++ b/crates/testbed/src/judge/session_context.rs
@@ -5,7 +5,7 @@
 use super::run_history::RunHistory;
 use super::session_history::{DialHistory, SessionHistory, SessionRequest};
 use super::settings::{JudgeSettings, ListenerPolicy};
-use crate::link::LinkEnds;
+use crate::link_ends::LinkEnds;
 use std::time::Duration;
 
 /// One session that a client asked for, with all that its rules look at.
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -8,9 +8,9 @@
 )] // Not yet brought to the workspace lints.
 #![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
-pub mod baseline;
 pub mod client;
 pub mod compare;
+pub mod context;
 pub mod discovery;
 pub mod drain_measurement;
 pub mod event_log;
@@ -20,16 +20,21 @@
 pub mod judge;
 pub mod line_reader;
 pub mod link;
+pub mod link_ends;
 pub mod load_model;
 pub mod log_summary;
 pub mod metrics_calls;
 pub mod misbehaving_clients;
+pub mod pending_dials;
+pub mod plain_proxy;
 pub mod plan;
 pub mod plots;
-pub mod proxies;
+pub mod proxy_process;
 pub mod report;
 pub mod run;
 pub mod scale;
 pub mod scenario;
+pub mod service_score;
 pub mod shrink;
+pub mod sockets;
 pub mod testbed;
--- a/crates/testbed/src/proxies.rs
+++ b/crates/testbed/src/proxy_process.rs
@@ -58,6 +58,16 @@
     pub descriptors: u64,
 }
 
+/// A proxy's process cannot be started.
+#[derive(Debug, thiserror::Error)]
+#[error("proxy {proxy}: {source}")]
+pub struct ProxyError {
+    /// Its number.
+    proxy: u16,
+    /// Why not.
+    source: std::io::Error,
+}
+
 pub struct Proxy {
     pub number: u16,
     pub place: u8,
@@ -159,14 +169,14 @@
         program: &Program,
         folder: &Path,
     ) -> std::io::Result<Proxy> {
-        let agent = DiscoveryAgent::start(testbed, number).await?;
+        let agent = DiscoveryAgent::start(&testbed.discovery, number).await?;
         Ok(Proxy {
             number,
             place: at.0,
             listen: at.1,
             log: folder.join(format!("proxy-{number}.log")),
             config: folder.join(format!("proxy-{number}.json")),
-            control: control(testbed.run, number),
+            control: control(testbed.context.run_number, number),
             door: SharedAddress::default(),
             opens: None,
             started: 0,
@@ -183,19 +193,19 @@
     }
 
     fn configure(&self, testbed: &Testbed) -> std::io::Result<()> {
-        let known = match testbed.scenario.proxies.known {
-            InitialEndpointList::Fresh => testbed.discovery.list(testbed, self.number, None).1,
-            InitialEndpointList::Old => testbed.discovery.older(testbed, self.number).1,
+        let known = match testbed.context.scenario.proxies.initial_endpoints {
+            InitialEndpointList::Fresh => testbed.discovery.list(self.number, None).json,
+            InitialEndpointList::Old => testbed.discovery.outdated_list(self.number).json,
             InitialEndpointList::Empty => r#"{"rev":0,"all":true,"targets":[]}"#.into(),
         };
         let known: Value = serde_json::from_str(&known)?;
         let mixed = (u64::from(self.number) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let proxies = &testbed.scenario.proxies;
+        let proxies = &testbed.context.scenario.proxies;
         let config = json!({
             "name": format!("n{}", self.number), "listen": self.listen.to_string(),
             "discovery": self.agent.address().to_string(), "seed": format!("{mixed:016x}"),
             "limits": {"cores": 1.0, "memory_mb": proxies.memory_mb, "sockets": proxies.sockets},
-            "known": known, "settings": settings(&testbed.scenario, self.number, self.place),
+            "known": known, "settings": settings(&testbed.context.scenario, self.number, self.place),
         });
         // Whole or not at all: a proxy may read it at any time.
         let part = self.config.with_extension("part");
@@ -205,14 +215,16 @@
 
     /// Where the second of two processes has its control socket: it does not start where somebody listens.
     fn control_of_next(&self, testbed: &Testbed) -> PathBuf {
-        control(testbed.run, self.number).with_extension(format!("{}.sock", self.started))
+        control(testbed.context.run_number, self.number)
+            .with_extension(format!("{}.sock", self.started))
     }
 
     fn start(&mut self, testbed: &Testbed) -> std::io::Result<()> {
         let (child, door) = self.spawn(testbed)?;
         testbed
+            .context
             .event_log
-            .put(Event::ProxyStarted { proxy: self.number });
+            .record(Event::ProxyStarted { proxy: self.number });
         self.child = Some(child);
         self.opens = Some((door, Instant::now() + LISTENS));
         Ok(())
@@ -236,7 +248,7 @@
     fn spawn(&mut self, testbed: &Testbed) -> std::io::Result<(Child, SocketAddr)> {
         self.configure(testbed)?;
         self.started += 1;
-        let asked = testbed.scenario.proxies.asks && self.child.is_none();
+        let asked = testbed.context.scenario.proxies.asks_peers && self.child.is_none();
         let door = if asked {
             door_of(self.listen)
         } else {
@@ -256,22 +268,23 @@
         command
             .env("LB_OPERATOR", door.to_string())
             .env("TMPDIR", shared);
-        let proxies = &testbed.scenario.proxies;
+        let proxies = &testbed.context.scenario.proxies;
         let mut text = String::new();
-        if testbed.plan.drains() || proxies.roll_at.is_some() || proxies.watchers > 0 {
+        if testbed.context.plan.drains() || proxies.roll_at.is_some() || proxies.status_pollers > 0
+        {
             let control = self.control.display().to_string();
             text += &format!("[control]\nsocket = {control:?}\n");
             text += "[drain]\nclosing = \"2s\"\nquiet = \"600ms\"\nback = \"2s\"\n";
         }
-        if proxies.saves {
+        if proxies.saves_snapshots {
             text += &format!(
                 "[state]\nfolder = {:?}\nevery = \"200ms\"\n",
                 self.disk().display().to_string()
             );
         }
-        if proxies.stages {
+        if proxies.starts_by_stages {
             text += "[recovery]\nstages = true\n";
-            if proxies.asks {
+            if proxies.asks_peers {
                 let others = self.others.iter().filter(|at| **at != self.listen);
                 let doors: Vec<String> = others
                     .map(|at| format!("{:?}", door_of(*at).to_string()))
@@ -325,17 +338,21 @@
         &mut self,
         testbed: &Testbed,
         killed_after: Option<Duration>,
-    ) -> Result<(), String> {
+    ) -> Result<(), ProxyError> {
         if self.child.is_none() {
             return Ok(());
         }
         let number = self.number;
         let next = self.control_of_next(testbed);
         let control = std::mem::replace(&mut self.control, next);
-        testbed.event_log.put(Event::ProxyBeside { proxy: number });
-        let (mut second, door) = self
-            .spawn(testbed)
-            .map_err(|e| format!("proxy {number}: {e}"))?;
+        testbed
+            .context
+            .event_log
+            .record(Event::ProxyBeside { proxy: number });
+        let (mut second, door) = self.spawn(testbed).map_err(|source| ProxyError {
+            proxy: number,
+            source,
+        })?;
         let since = Instant::now();
         let mut yes = None;
         while yes.is_none() && killed_after.is_none() && since.elapsed() < READY {
@@ -348,8 +365,9 @@
         match killed_after {
             Some(span) => sleep(span).await,
             None => testbed
+                .context
                 .event_log
-                .put(Event::Replaced { proxy: number, yes }),
+                .record(Event::Replaced { proxy: number, yes }),
         }
         if yes.is_none() {
             // The first goes on, as nobody told it to go.
@@ -362,7 +380,10 @@
         let first = self.child.replace(second);
         self.ends(testbed, first).await;
         let _ = std::fs::remove_file(control);
-        testbed.event_log.put(Event::ProxyServes { proxy: number });
+        testbed
+            .context
+            .event_log
+            .record(Event::ProxyServes { proxy: number });
         self.call_at(Some(door));
         Ok(())
     }
@@ -377,7 +398,7 @@
                 None
             }
         };
-        testbed.event_log.put(Event::ProxyExited {
+        testbed.context.event_log.record(Event::ProxyExited {
             proxy: self.number,
             code,
             asked: true,
@@ -401,7 +422,7 @@
         mut self,
         testbed: Arc<Testbed>,
         mut orders: mpsc::Receiver<ProxyCommand>,
-    ) -> Result<(), String> {
+    ) -> Result<(), ProxyError> {
         let (number, mut looks) = (self.number, 0_u32);
         loop {
             let ended = async {
@@ -414,7 +435,7 @@
                 order = orders.recv() => order,
                 status = ended => {
                     let code = status.ok().and_then(|status| status.code());
-                    testbed.event_log.put(Event::ProxyExited { proxy: number, code, asked: false });
+                    testbed.context.event_log.record(Event::ProxyExited { proxy: number, code, asked: false });
                     self.child = None;
                     continue;
                 }
@@ -426,15 +447,17 @@
                     }
                     if std::fs::remove_file(marker(&self.control)).is_ok() {
                         self.leave(&testbed).await;
-                        self.start(&testbed).map_err(|e| format!("proxy {number}: {e}"))?;
+                        self.start(&testbed).map_err(|source| ProxyError { proxy: number, source })?;
                     }
                     continue;
                 }
             };
             match order {
                 Some(ProxyCommand::Start) if self.child.is_none() => {
-                    self.start(&testbed)
-                        .map_err(|e| format!("proxy {number}: {e}"))?;
+                    self.start(&testbed).map_err(|source| ProxyError {
+                        proxy: number,
+                        source,
+                    })?;
                 }
                 Some(ProxyCommand::Kill) => self.kill(&testbed).await,
                 Some(ProxyCommand::Stall) => self.stall(&testbed, true),
@@ -443,10 +466,13 @@
                 Some(ProxyCommand::Reload) => {
                     let moved = self
                         .agent
-                        .moves(&testbed)
+                        .change_address()
                         .await
                         .and_then(|()| self.configure(&testbed));
-                    moved.map_err(|e| format!("proxy {number}: {e}"))?;
+                    moved.map_err(|source| ProxyError {
+                        proxy: number,
+                        source,
+                    })?;
                     self.signal(Signal::HUP);
                 }
                 Some(ProxyCommand::Start) => {}
@@ -489,14 +515,14 @@
         if self.child.is_some() {
             // What comes before the signal and after the other is not held against it.
             if stops {
-                testbed.event_log.put(Event::ProxyStalls {
+                testbed.context.event_log.record(Event::ProxyStalls {
                     proxy: self.number,
                     stops,
                 });
             }
             self.signal(if stops { Signal::STOP } else { Signal::CONT });
             if !stops {
-                testbed.event_log.put(Event::ProxyStalls {
+                testbed.context.event_log.record(Event::ProxyStalls {
                     proxy: self.number,
                     stops,
                 });
@@ -513,12 +539,14 @@
 
     async fn end_at_once(&self, testbed: &Testbed, child: &mut Child) {
         testbed
+            .context
             .event_log
-            .put(Event::ProxyKilled { proxy: self.number });
+            .record(Event::ProxyKilled { proxy: self.number });
         let _ = child.kill().await;
         testbed
+            .context
             .event_log
-            .put(Event::ProxyDead { proxy: self.number });
+            .record(Event::ProxyDead { proxy: self.number });
     }
 
     async fn leave(&mut self, testbed: &Testbed) {
@@ -529,8 +557,9 @@
         // One that is stopped could not even hear that it is to leave.
         self.signal(Signal::CONT);
         testbed
+            .context
             .event_log
-            .put(Event::ProxyLeaves { proxy: self.number });
+            .record(Event::ProxyLeaves { proxy: self.number });
         self.signal(Signal::TERM);
         let child = self.child.take();
         self.ends(testbed, child).await;
@@ -541,7 +570,7 @@
         let Some(id) = self.child.as_ref().and_then(Child::id) else {
             return;
         };
-        if let Some(used) = usage(id, testbed.now().as_secs()) {
+        if let Some(used) = usage(id, testbed.context.now().as_secs()) {
             self.used
                 .lock()
                 .unwrap_or_else(|broken| broken.into_inner())
@@ -603,7 +632,7 @@
         "load_info": {"fields": scenario.fleet.report_fields, "how": "on_probe"},
         "permissions": {
             "max_dials": platform.max_dials, "cancelling": true, "retry_after": true,
-            "max_retry_after": us(platform.max_retry_after), "dial_timeout": us(platform.connect_within),
+            "max_retry_after": us(platform.max_retry_after), "dial_timeout": us(platform.connect_timeout),
             "may_probe": platform.may_probe, "second_copies": false, "peers": false,
         },
         "rules": {
--- a/crates/testbed/src/report/build.rs
+++ b/crates/testbed/src/report/build.rs
@@ -5,10 +5,10 @@
     ServiceSecond, ServiceShares, SetUpLatency,
 };
 use crate::judge::Violation;
-use crate::proxies::ResourceUsage;
+use crate::proxy_process::ResourceUsage;
 use crate::run::RunOutcome;
 use crate::scenario::Scenario;
-use crate::testbed::ServiceMarks;
+use crate::service_score::ServiceMarks;
 use hdrhistogram::Histogram;
 
 /// Most violations that a report holds.
@@ -20,8 +20,8 @@
 impl Report {
     /// The report of one run.
     pub fn of(ran: &RunOutcome, program: &str, seed: u64, chaos: Option<u64>) -> Report {
-        let scenario = &ran.testbed.scenario;
-        let marks = ran.testbed.score.marks();
+        let scenario = &ran.context.scenario;
+        let marks = ran.context.service_score.marks();
         let seconds = service_seconds(&marks);
         let violations = ran.verdict.breaches.iter().take(MAX_VIOLATIONS);
         Report {
--- a/crates/testbed/src/report/charts.rs
+++ b/crates/testbed/src/report/charts.rs
@@ -3,7 +3,7 @@
 use super::types::Report;
 use crate::event_log::Event;
 use crate::plots::{Chart, ChartError, ChartLine};
-use crate::proxies::ResourceUsage;
+use crate::proxy_process::ResourceUsage;
 use crate::run::RunOutcome;
 use std::path::Path;
 
@@ -39,7 +39,7 @@
 
 /// In seconds since the run's begin.
 fn fault_beginnings(ran: &RunOutcome) -> Vec<f64> {
-    let begin = ran.testbed.begin.borrow().unwrap_or_default().as_secs_f64();
+    let begin = ran.context.plan_start().unwrap_or_default().as_secs_f64();
     let events = ran.records.iter();
     events
         .filter(|event| matches!(event.seen, Event::Fault { begins: true, .. }))
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -8,7 +8,7 @@
 mod results;
 mod sizes;
 
-use crate::proxies::Program;
+use crate::proxy_process::Program;
 use crate::report::{ProxyUsage, Report};
 use crate::run::{RunError, RunOptions, RunOutcome, own_folder, run};
 use crate::scenario::Scenario;
@@ -29,7 +29,7 @@
     program: &Program,
     seconds: u32,
 ) -> Result<ScalePoint, RunError> {
-    let scenario = Scenario::read(&sizes::scenario_text(size, seconds)).map_err(RunError::Input)?;
+    let scenario = Scenario::read(&sizes::scenario_text(size, seconds))?;
     let ran = run_without_files(scenario, program).await?;
     let report = Report::of(&ran, &program.name, SEED, None);
     Ok(measured(size, seconds, &report))
--- a/crates/testbed/src/shrink.rs
+++ b/crates/testbed/src/shrink.rs
@@ -1,7 +1,7 @@
 //! Cuts the faults of a run down to the fewest with which a rule still breaks, and writes those as a scenario.
 
 use crate::plan::PlannedFault;
-use crate::scenario::{FaultKind, Scenario, ScenarioFault};
+use crate::scenario::{FaultKind, Scenario, ScenarioError, ScenarioFault};
 use std::time::Duration;
 use thiserror::Error;
 use toml::{Table, Value};
@@ -16,8 +16,8 @@
     #[error(transparent)]
     Write(#[from] toml::ser::Error),
     /// What was written is not a scenario that can be read again.
-    #[error("{0}")]
-    Scenario(String),
+    #[error(transparent)]
+    Scenario(#[from] ScenarioError),
 }
 
 /// The faults of a plan, each with whom it strikes, so that it strikes the same without the others.
@@ -81,7 +81,7 @@
     table.insert("faults".into(), Value::Array(tables?));
     let text = toml::to_string(&table)?;
     // What is written must be read as it was meant.
-    Scenario::read(&text).map_err(|error| ShrinkError::Scenario(error.to_string()))?;
+    Scenario::read(&text)?;
     Ok(text)
 }
 
