--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -168,7 +168,7 @@
     for which in order {
         let report = play(scenario, &programs[which], seed, chaos).await?;
         pair.rules_held &= report.rules_held;
-        for violation in report.breaches.iter().take(PRINTED_VIOLATIONS) {
+        for violation in report.violations.iter().take(PRINTED_VIOLATIONS) {
             eprintln!("{}: {}", violation.rule, violation.what);
         }
         pair.reports[which] = Some(report).filter(|report| !report.void);
--- a/crates/testbed/src/commands/drain_measurement.rs
+++ b/crates/testbed/src/commands/drain_measurement.rs
@@ -27,12 +27,12 @@
         &[DrainMethod::Drain, DrainMethod::Sigterm]
     };
     let mut all_held = true;
-    println!("{}", drain_measurement::HEAD);
+    println!("{}", drain_measurement::TABLE_HEADER);
     for &sessions in &args.sessions {
         for method in methods {
-            let result = drain_measurement::emptied(*method, sessions, &program).await?;
-            println!("{}", drain_measurement::row(&result));
-            all_held &= result.held && !matches!(result.rolled, Some(Err(_)));
+            let result = drain_measurement::measure(*method, sessions, &program).await?;
+            println!("{}", drain_measurement::table_row(&result));
+            all_held &= result.rules_held && !matches!(result.rolled, Some(Err(_)));
         }
     }
     Ok(Outcome::of_rules(all_held))
--- a/crates/testbed/src/commands/scale.rs
+++ b/crates/testbed/src/commands/scale.rs
@@ -36,7 +36,7 @@
         if !is_wanted {
             continue;
         }
-        let point = scale::point(&size, &program, args.seconds).await?;
+        let point = scale::measure(&size, &program, args.seconds).await?;
         let table = scale::table(&[point]);
         eprintln!("{}", table.lines().last().unwrap_or_default());
         points.push(point);
--- a/crates/testbed/src/commands/shrink.rs
+++ b/crates/testbed/src/commands/shrink.rs
@@ -81,7 +81,7 @@
     };
     let result = run(scenario, &options).await;
     let _ = std::fs::remove_dir_all(&options.folder);
-    let broken = result.is_ok_and(|run| !run.void && !run.verdict.breaches.is_empty());
+    let broken = result.is_ok_and(|run| !run.void && !run.verdict.violations.is_empty());
     let found = if broken {
         "a rule breaks"
     } else {
--- a/crates/testbed/src/drain_measurement.rs
+++ b/crates/testbed/src/drain_measurement.rs
@@ -12,7 +12,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-pub use result::{DrainMethod, DrainResult, HEAD, row};
+pub use result::{DrainMethod, DrainResult, TABLE_HEADER, table_row};
 
 /// Seed of all measurements.
 const SEED: u64 = 3;
@@ -24,7 +24,7 @@
 const MAX_VIOLATIONS: usize = 2;
 
 /// Measures one drain of a proxy that has so many sessions, and prints the first violations.
-pub async fn emptied(
+pub async fn measure(
     method: DrainMethod,
     sessions: u32,
     program: &Program,
@@ -51,7 +51,7 @@
 }
 
 fn print_violations(report: &Report) {
-    for violation in report.breaches.iter().take(MAX_VIOLATIONS) {
+    for violation in report.violations.iter().take(MAX_VIOLATIONS) {
         let timeline = violation.timeline.join("\n");
         eprintln!("{}: {}\n{timeline}", violation.rule, violation.what);
     }
@@ -82,7 +82,7 @@
         worst_ten_seconds: report.service.worst_ten_seconds,
         back_after,
         rolled: ran.rolled.clone(),
-        held: report.rules_held,
+        rules_held: report.rules_held,
         testbed_late_ms: report.testbed_late_ms,
     }
 }
--- a/crates/testbed/src/drain_measurement/result.rs
+++ b/crates/testbed/src/drain_measurement/result.rs
@@ -37,24 +37,24 @@
     /// How long the roll took, or why it failed; none where there was no roll.
     pub rolled: Option<Result<Duration, String>>,
     /// No rule was broken.
-    pub held: bool,
+    pub rules_held: bool,
     /// How late the testbed was at worst, in milliseconds.
     pub testbed_late_ms: f64,
 }
 
-/// The header of the table whose rows [`row`] gives.
-pub const HEAD: &str = "| by | sessions | moved | last after s | most in a second | peak load | well served | \
+/// The header of the table whose rows [`table_row`] gives.
+pub const TABLE_HEADER: &str = "| by | sessions | moved | last after s | most in a second | peak load | well served | \
                         worst 10 s | back after s | rolled in s | rules | rig late ms |";
 
 /// One result as a row of a table in Markdown.
-pub fn row(result: &DrainResult) -> String {
+pub fn table_row(result: &DrainResult) -> String {
     let seconds = |span: Duration| format!("{:.2}", span.as_secs_f64());
     let rolled = match &result.rolled {
         None => "-".into(),
         Some(Ok(took)) => seconds(*took),
         Some(Err(error)) => error.to_string(),
     };
-    let rules = if result.held { "held" } else { "BROKEN" };
+    let rules = if result.rules_held { "held" } else { "BROKEN" };
     let cells = [
         format!("{:?}", result.method),
         result.sessions.to_string(),
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 pub struct Verdict {
     /// Every violation: of the run as a whole, then by session, then by collapsed host.
-    pub breaches: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// What became of the sessions.
     pub tally: Tally,
 }
@@ -55,11 +55,11 @@
 /// Checks every rule over the events of one run.
 pub fn judge(events: &[LoggedEvent], settings: &JudgeSettings) -> Verdict {
     let run = RunHistory::from_events(events);
-    let mut breaches = run_violations(events, &run, settings);
-    breaches.extend(session_violations(events, &run, settings));
-    breaches.extend(cold_starts::violations(events, &run));
+    let mut violations = run_violations(events, &run, settings);
+    violations.extend(session_violations(events, &run, settings));
+    violations.extend(cold_starts::violations(events, &run));
     Verdict {
-        breaches,
+        violations,
         tally: Tally::of(events, &run),
     }
 }
--- a/crates/testbed/src/judge/tally.rs
+++ b/crates/testbed/src/judge/tally.rs
@@ -5,7 +5,8 @@
 use super::session_history::SessionHistory;
 use crate::event_log::{ClientAnswer, Event, LoggedEvent};
 
-/// What became of the sessions of a run, counted. Reports show it with the names below.
+/// What became of the sessions of a run, counted. `report.json` has the counts under the names that serde gives
+/// them.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
 pub struct Tally {
     /// Sessions that clients asked for.
@@ -13,21 +14,27 @@
     /// Sessions whose first answer was `UP`.
     pub accepted: u64,
     /// Sessions that were rejected with `BUSY`.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Sessions whose first answer was another line: they failed.
-    pub torn_down: u64,
+    #[serde(rename = "torn_down")]
+    pub failed: u64,
     /// Sessions whose client left before an answer.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub client_left: u64,
     /// Sessions whose client was notified of the end by `MOVE` or `BYE`.
-    pub moved: u64,
+    #[serde(rename = "moved")]
+    pub migrated: u64,
     /// Sessions without an answer whose proxy was killed after their request.
     pub died_with_proxy: u64,
     /// Dials that hosts read.
     pub dials: u64,
     /// Misbehaving clients.
-    pub bad_clients: u64,
+    #[serde(rename = "bad_clients")]
+    pub misbehaving_clients: u64,
     /// Misbehaving clients that got their error or close in time.
-    pub bad_clients_owed: u64,
+    #[serde(rename = "bad_clients_owed")]
+    pub misbehaving_clients_answered: u64,
 }
 
 impl Tally {
@@ -38,8 +45,8 @@
         }
         for event in events {
             if let Event::MisbehavingClient { owed, .. } = event.seen {
-                tally.bad_clients += 1;
-                tally.bad_clients_owed += u64::from(owed);
+                tally.misbehaving_clients += 1;
+                tally.misbehaving_clients_answered += u64::from(owed);
             }
         }
         tally
@@ -57,14 +64,14 @@
         self.dials += session.dials.len() as u64;
         match session.answers.first().map(|first| &first.answer) {
             Some(ClientAnswer::Up) => self.accepted += 1,
-            Some(ClientAnswer::Busy(_)) => self.refused += 1,
-            Some(ClientAnswer::Failed) => self.torn_down += 1,
-            None if session.client_left.is_some() => self.left += 1,
+            Some(ClientAnswer::Busy(_)) => self.rejected += 1,
+            Some(ClientAnswer::Failed) => self.failed += 1,
+            None if session.client_left.is_some() => self.client_left += 1,
             None => {
                 let died = run.proxies.died(request.proxy, until_end);
                 self.died_with_proxy += u64::from(died);
             }
         }
-        self.moved += u64::from(session.end.is_some_and(|end| end.notified));
+        self.migrated += u64::from(session.end.is_some_and(|end| end.notified));
     }
 }
--- a/crates/testbed/src/report/build.rs
+++ b/crates/testbed/src/report/build.rs
@@ -23,7 +23,7 @@
         let scenario = &ran.context.scenario;
         let marks = ran.context.service_score.marks();
         let seconds = service_seconds(&marks);
-        let violations = ran.verdict.breaches.iter().take(MAX_VIOLATIONS);
+        let violations = ran.verdict.violations.iter().take(MAX_VIOLATIONS);
         Report {
             scenario: scenario.name.clone(),
             program: program.to_string(),
@@ -32,8 +32,8 @@
             simulated: true,
             void: ran.void,
             testbed_late_ms: ran.late.as_secs_f64() * 1e3,
-            rules_held: ran.verdict.breaches.is_empty(),
-            breaches: violations.map(reported).collect(),
+            rules_held: ran.verdict.violations.is_empty(),
+            violations: violations.map(reported).collect(),
             tally: ran.verdict.tally,
             service: service_shares(scenario, &marks, &seconds),
             set_ups: set_up_latencies(scenario, &marks),
--- a/crates/testbed/src/report/table.rs
+++ b/crates/testbed/src/report/table.rs
@@ -46,19 +46,22 @@
         table.row("sessions asked for", tally.sessions);
         table.row(
             "  accepted, refused, torn down",
-            format!("{}, {}, {}", tally.accepted, tally.refused, tally.torn_down),
+            format!("{}, {}, {}", tally.accepted, tally.rejected, tally.failed),
         );
         table.row(
             "  left, taken by a killed proxy",
-            format!("{}, {}", tally.left, tally.died_with_proxy),
+            format!("{}, {}", tally.client_left, tally.died_with_proxy),
         );
         let dials = tally.dials as f64 / tally.sessions.max(1) as f64;
         table.row("dials a session", format!("{dials:.3}"));
-        table.row("moved", tally.moved);
-        if tally.bad_clients > 0 {
+        table.row("moved", tally.migrated);
+        if tally.misbehaving_clients > 0 {
             table.row(
                 "bad clients told in time",
-                format!("{} of {}", tally.bad_clients_owed, tally.bad_clients),
+                format!(
+                    "{} of {}",
+                    tally.misbehaving_clients_answered, tally.misbehaving_clients
+                ),
             );
         }
     }
@@ -105,7 +108,7 @@
             return "void: the rig was too late to tell".to_string();
         }
         let mut rules: BTreeMap<&str, usize> = BTreeMap::new();
-        for violation in &self.breaches {
+        for violation in &self.violations {
             *rules.entry(violation.rule).or_default() += 1;
         }
         if rules.is_empty() {
@@ -117,7 +120,7 @@
 
     fn violations_text(&self) -> String {
         let mut text = String::new();
-        for violation in self.breaches.iter().take(MAX_VIOLATIONS) {
+        for violation in self.violations.iter().take(MAX_VIOLATIONS) {
             text.push_str(&format!("\n{}: {}\n", violation.rule, violation.what));
             for line in &violation.timeline {
                 text.push_str(&format!("  {line}\n"));
--- a/crates/testbed/src/report/types.rs
+++ b/crates/testbed/src/report/types.rs
@@ -24,7 +24,8 @@
     /// No rule was broken.
     pub rules_held: bool,
     /// The first violations.
-    pub breaches: Vec<ReportedViolation>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<ReportedViolation>,
     /// What became of the sessions.
     pub tally: Tally,
     /// How well clients were served.
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -24,7 +24,7 @@
 const MAX_LATE_MS: f64 = 100.0;
 
 /// Measures one size by a run of so many seconds.
-pub async fn point(
+pub async fn measure(
     size: &ScaleSize,
     program: &Program,
     seconds: u32,
--- a/crates/testbed/tests/breaks.rs
+++ b/crates/testbed/tests/breaks.rs
@@ -53,8 +53,8 @@
         None,
     );
     assert!(ran.verdict.tally.sessions > 50, "{:?}", ran.verdict.tally);
-    let mut rules: Vec<Rule> = ran.verdict.breaches.iter().map(|b| b.rule).collect();
-    for breach in ran.verdict.breaches.iter().take(2) {
+    let mut rules: Vec<Rule> = ran.verdict.violations.iter().map(|b| b.rule).collect();
+    for breach in ran.verdict.violations.iter().take(2) {
         println!(
             "{}: {}\n{}",
             breach.rule.text(),
@@ -104,7 +104,7 @@
     );
     assert_eq!(
         ran.verdict
-            .breaches
+            .violations
             .iter()
             .any(|breach| breach.rule == Rule::RefusedInOrder),
         seen
@@ -122,7 +122,7 @@
     let ran = help::play(scenario, program(rig, Policy::RoundRobin, breaks), 3, None);
     assert_eq!(
         ran.verdict
-            .breaches
+            .violations
             .iter()
             .any(|breach| breach.rule == Rule::NeverTwoDials),
         seen
@@ -137,12 +137,12 @@
     let ran = help::play(scenario, program(rig, Policy::Random, None), 3, None);
     assert!(
         ran.verdict
-            .breaches
+            .violations
             .iter()
             .all(|breach| breach.rule == Rule::OperatorsAnswered)
     );
     assert!(
-        ran.verdict.breaches.len() > 5,
+        ran.verdict.violations.len() > 5,
         "each call that was not answered counts"
     );
     let replaced: Vec<_> = ran
--- a/crates/testbed/tests/chaos.rs
+++ b/crates/testbed/tests/chaos.rs
@@ -22,7 +22,7 @@
     );
     help::show(&ran);
     assert!(
-        ran.verdict.breaches.is_empty(),
+        ran.verdict.violations.is_empty(),
         "faults: {:?}",
         ran.context.plan.faults
     );
@@ -54,9 +54,9 @@
         None,
     );
     help::show(&ran);
-    assert!(ran.verdict.breaches.is_empty());
+    assert!(ran.verdict.violations.is_empty());
     assert_eq!(
-        ran.verdict.tally.moved, 0,
+        ran.verdict.tally.migrated, 0,
         "nobody is moved for a replacement"
     );
     let count = |of: fn(&Event) -> bool| ran.records.iter().filter(|r| of(&r.seen)).count();
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -116,10 +116,10 @@
     (ran, text)
 }
 
-/// Prints the first breaches, for whoever reads a failed test.
+/// Prints the first violations, for whoever reads a failed test.
 #[allow(dead_code)]
 pub fn show(ran: &RunOutcome) {
-    for breach in ran.verdict.breaches.iter().take(3) {
+    for breach in ran.verdict.violations.iter().take(3) {
         println!(
             "{}: {}\n{}",
             breach.rule.text(),
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -175,7 +175,7 @@
     ));
     seen.sort_by_key(|seen| seen.0);
     let found: Vec<Rule> = judge(&events(seen), &settings())
-        .breaches
+        .violations
         .into_iter()
         .map(|b| b.rule)
         .collect();
@@ -230,9 +230,9 @@
     rule: Option<Rule>,
 ) {
     let verdict = verdict(listener, seen);
-    let mut found: Vec<Rule> = verdict.breaches.iter().map(|b| b.rule).collect();
+    let mut found: Vec<Rule> = verdict.violations.iter().map(|b| b.rule).collect();
     found.dedup();
-    assert_eq!(found, Vec::from_iter(rule), "{:#?}", verdict.breaches);
+    assert_eq!(found, Vec::from_iter(rule), "{:#?}", verdict.violations);
 }
 
 #[test_case(4, true; "two thirds knew it")]
@@ -259,7 +259,7 @@
             by: (1..=6).collect(),
         },
     ));
-    assert_eq!(!verdict(0, seen).breaches.is_empty(), broken);
+    assert_eq!(!verdict(0, seen).violations.is_empty(), broken);
 }
 
 #[test]
@@ -270,7 +270,7 @@
         (400, over(1)),
         (510, answered(BUSY)),
     ];
-    let breach = &verdict(0, seen).breaches[0];
+    let breach = &verdict(0, seen).violations[0];
     assert!(
         breach.timeline.len() == 5 && breach.timeline[1].contains("0.200 s"),
         "{breach:?}"
--- a/crates/testbed/tests/recovery.rs
+++ b/crates/testbed/tests/recovery.rs
@@ -54,7 +54,7 @@
     let (ran, logs) = help::play_and_read(scenario, help::real(), 3, None);
     help::show(&ran);
     assert!(
-        ran.verdict.breaches.is_empty(),
+        ran.verdict.violations.is_empty(),
         "faults: {:?}",
         ran.context.plan.faults
     );
@@ -224,7 +224,7 @@
     assert!(count(&logs, "stage stage=normal ") >= 8);
     assert_eq!(count(&logs, "stage stage=probing "), 0);
     assert!(
-        ran.verdict.tally.refused * 10 < ran.verdict.tally.sessions,
+        ran.verdict.tally.rejected * 10 < ran.verdict.tally.sessions,
         "{:?}",
         ran.verdict.tally
     );
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -52,7 +52,7 @@
     let (ran, logs) = help::play_and_read(scenario(faults, proxies), help::real(), 3, None);
     help::show(&ran);
     assert!(
-        ran.verdict.breaches.is_empty(),
+        ran.verdict.violations.is_empty(),
         "faults: {:?}",
         ran.context.plan.faults
     );
@@ -88,7 +88,7 @@
     let lost = fault("2s", "5s", "place-lost", "on = [1]\nspan = \"1s\"");
     let (ran, logs) = help::play_and_read(scenario_of(&lost, "", "0.07"), help::real(), 3, None);
     help::show(&ran);
-    assert!(ran.verdict.breaches.is_empty());
+    assert!(ran.verdict.violations.is_empty());
     let refused = |listener: &str| {
         let own = |line: &&str| {
             line.contains("room-short ") && line.contains(&format!("listener={listener} "))
