--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -83,7 +83,7 @@
     Event::Replied { id: 1, dial, reply }
 }
 
-fn over(dial: u32) -> Event {
+fn dial_over(dial: u32) -> Event {
     Event::DialOver {
         id: 1,
         dial,
@@ -95,7 +95,7 @@
     Event::Answered { id: 1, answer }
 }
 
-fn told(standing: HostState) -> Event {
+fn listed(standing: HostState) -> Event {
     Event::HostListed {
         proxy: 0,
         host: 0,
@@ -136,7 +136,7 @@
 }
 
 /// Forty sessions come up at proxy 0, one each 10 ms from 1 s on, and stand until 9 s; a process beside it serves alone
-/// from `alone` on, if any; at `at` an operator hears `figures`.
+/// from `serves_alone_at` on, if any; at `called_at` an operator is given `figures`.
 #[test_case(None, 3_000, 10, Some((40, 40)), None; "true")]
 #[test_case(None, 3_000, 10, Some((37, 44)), None; "within the bounds")]
 #[test_case(None, 1_700, 10, Some((12, 12)), None; "half a second old")]
@@ -150,23 +150,23 @@
 #[test_case(Some(2_000), 3_000, 10, Some((0, 20)), Some(Rule::FiguresTrue); "another process lost some")]
 #[test_case(Some(2_000), 3_000, 10, Some((40, 40)), Some(Rule::FiguresTrue); "another process counts what the first did")]
 #[test_case(Some(2_000), 1_990, 10, Some((40, 11)), None; "some are handed over already")]
-fn figures_are_held_against_what_peers_saw(
-    alone: Option<u64>,
-    at: u64,
+fn metrics_are_checked_against_what_peers_saw(
+    serves_alone_at: Option<u64>,
+    called_at: u64,
     took: u64,
     figures: Option<(u64, u64)>,
-    breaks: Option<Rule>,
+    broken: Option<Rule>,
 ) {
     let mut seen = vec![(0, Event::ProxyStarted { proxy: 0 })];
     for id in 1..=40 {
         seen.extend(long_session(id, 1_000 + id * 10));
     }
-    if let Some(alone) = alone {
-        seen.push((alone - 100, Event::ProxyBeside { proxy: 0 }));
-        seen.push((alone, Event::ProxyServes { proxy: 0 }));
+    if let Some(serves_alone_at) = serves_alone_at {
+        seen.push((serves_alone_at - 100, Event::ProxyBeside { proxy: 0 }));
+        seen.push((serves_alone_at, Event::ProxyServes { proxy: 0 }));
     }
     seen.push((
-        at,
+        called_at,
         Event::Called {
             proxy: 0,
             took: ms(took),
@@ -179,7 +179,7 @@
         .into_iter()
         .map(|b| b.rule)
         .collect();
-    assert_eq!(found, breaks.into_iter().collect::<Vec<_>>());
+    assert_eq!(found, broken.into_iter().collect::<Vec<_>>());
 }
 
 const BUSY: ClientAnswer = ClientAnswer::Busy(None);
@@ -197,34 +197,34 @@
 #[test_case(0, vec![(499, Event::ProxyKilled { proxy: 1 }), (500, Event::Cut { id: 1, end: ConnectionEnd::Reset })], Some(Rule::NoSessionLost); "another was killed")]
 #[test_case(0, vec![(300, answered(BUSY)), (310, answered(ClientAnswer::Failed))], Some(Rule::NoSessionLost); "two answers")]
 #[test_case(0, vec![(300, answered(BUSY)), (400, dialled(1, 0))], Some(Rule::NoSessionLost); "a dial after the answer")]
-#[test_case(0, vec![(200, dialled(1, 0)), (240, over(1)), (250, dialled(2, 1)), (300, over(2)), (310, answered(BUSY))], None; "one dial after the other")]
-#[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (400, over(1)), (500, over(2)), (510, answered(BUSY))], Some(Rule::NeverTwoDials); "two dials at once")]
-#[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (302, over(1)), (303, replied(2, HostReply::Up)), (304, answered(ClientAnswer::Up))], None; "two for less than peers note apart may be one after the other")]
-#[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (300, still_out(2, 1)), (302, over(1)), (303, replied(2, HostReply::Up)), (304, answered(ClientAnswer::Up))], Some(Rule::NeverTwoDials); "two for that long and seen to be")]
-#[test_case(0, vec![(200, dialled(1, 0)), (220, replied(1, HostReply::Busy)), (230, dialled(2, 1)), (400, over(1)), (410, answered(BUSY))], None; "the first was turned away")]
-#[test_case(0, vec![(110, dialled(1, 0)), (120, over(1)), (130, dialled(2, 1)), (140, over(2)), (150, dialled(3, 2)), (160, over(3)), (170, answered(BUSY))], Some(Rule::NoSessionLost); "three dials of two")]
-#[test_case(1, vec![(200, dialled(1, 0)), (300, over(1)), (310, dialled(2, 1)), (400, over(2)), (410, answered(ClientAnswer::Failed))], Some(Rule::NoEffectTwice); "once-only sent again")]
-#[test_case(1, vec![(200, dialled(1, 0)), (300, replied(1, HostReply::Busy)), (310, dialled(2, 1)), (400, over(2)), (410, answered(ClientAnswer::Failed))], None; "once-only that had not run")]
-#[test_case(1, vec![(200, dialled(1, 0)), (300, over(1)), (310, answered(BUSY))], Some(Rule::NoEffectTwice); "once-only refused though it may have run")]
-#[test_case(2, vec![(200, dialled(1, 0)), (300, over(1)), (310, dialled(2, 1)), (400, over(2)), (410, answered(ClientAnswer::Failed))], Some(Rule::NoEffectTwice); "referenced in another zone")]
-#[test_case(2, vec![(200, dialled(1, 0)), (300, over(1)), (310, dialled(2, 2)), (400, over(2)), (410, answered(ClientAnswer::Failed))], None; "referenced in its zone")]
-#[test_case(2, vec![(200, dialled(1, 0)), (300, over(1)), (900, dialled(2, 2)), (950, over(2)), (960, answered(ClientAnswer::Failed))], Some(Rule::NoEffectTwice); "referenced after its memory")]
-#[test_case(2, vec![(200, dialled(1, 0)), (300, over(1)), (310, answered(BUSY))], Some(Rule::NoEffectTwice); "referenced in a zone and refused")]
-#[test_case(3, vec![(200, dialled(1, 0)), (300, over(1)), (310, answered(BUSY))], None; "referenced everywhere and refused")]
-#[test_case(0, vec![(0, told(HostState::Draining)), (900, dialled(1, 0)), (950, over(1)), (960, answered(BUSY))], None; "within the drain grace")]
-#[test_case(0, vec![(0, told(HostState::Draining)), (1_060, dialled(1, 0)), (1_080, over(1)), (1_090, answered(BUSY))], Some(Rule::DrainsKept); "after the drain grace")]
-#[test_case(0, vec![(0, told(HostState::Gone)), (200, told(HostState::Ready)), (1_060, dialled(1, 0)), (1_080, over(1)), (1_090, answered(BUSY))], None; "back before")]
-#[test_case(0, vec![(0, told(HostState::Draining)), (300, told(HostState::Gone)), (1_060, dialled(1, 0)), (1_080, over(1)), (1_090, answered(BUSY))], Some(Rule::DrainsKept); "drained and then gone")]
-#[test_case(0, vec![(200, dialled(1, 0)), (210, replied(1, HostReply::Up)), (220, answered(ClientAnswer::Up)), (2_000, Event::Ended { id: 1, end: ConnectionEnd::Fin, told: false }), (2_001, over(1))], Some(Rule::NoSessionLost); "cut off while open")]
+#[test_case(0, vec![(200, dialled(1, 0)), (240, dial_over(1)), (250, dialled(2, 1)), (300, dial_over(2)), (310, answered(BUSY))], None; "one dial after the other")]
+#[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (400, dial_over(1)), (500, dial_over(2)), (510, answered(BUSY))], Some(Rule::NeverTwoDials); "two dials at once")]
+#[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (302, dial_over(1)), (303, replied(2, HostReply::Up)), (304, answered(ClientAnswer::Up))], None; "two for less than peers note apart may be one after the other")]
+#[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (300, still_out(2, 1)), (302, dial_over(1)), (303, replied(2, HostReply::Up)), (304, answered(ClientAnswer::Up))], Some(Rule::NeverTwoDials); "two for that long and seen to be")]
+#[test_case(0, vec![(200, dialled(1, 0)), (220, replied(1, HostReply::Busy)), (230, dialled(2, 1)), (400, dial_over(1)), (410, answered(BUSY))], None; "the first was turned away")]
+#[test_case(0, vec![(110, dialled(1, 0)), (120, dial_over(1)), (130, dialled(2, 1)), (140, dial_over(2)), (150, dialled(3, 2)), (160, dial_over(3)), (170, answered(BUSY))], Some(Rule::NoSessionLost); "three dials of two")]
+#[test_case(1, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, dialled(2, 1)), (400, dial_over(2)), (410, answered(ClientAnswer::Failed))], Some(Rule::NoEffectTwice); "once-only sent again")]
+#[test_case(1, vec![(200, dialled(1, 0)), (300, replied(1, HostReply::Busy)), (310, dialled(2, 1)), (400, dial_over(2)), (410, answered(ClientAnswer::Failed))], None; "once-only that had not run")]
+#[test_case(1, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, answered(BUSY))], Some(Rule::NoEffectTwice); "once-only refused though it may have run")]
+#[test_case(2, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, dialled(2, 1)), (400, dial_over(2)), (410, answered(ClientAnswer::Failed))], Some(Rule::NoEffectTwice); "referenced in another zone")]
+#[test_case(2, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, dialled(2, 2)), (400, dial_over(2)), (410, answered(ClientAnswer::Failed))], None; "referenced in its zone")]
+#[test_case(2, vec![(200, dialled(1, 0)), (300, dial_over(1)), (900, dialled(2, 2)), (950, dial_over(2)), (960, answered(ClientAnswer::Failed))], Some(Rule::NoEffectTwice); "referenced after its memory")]
+#[test_case(2, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, answered(BUSY))], Some(Rule::NoEffectTwice); "referenced in a zone and refused")]
+#[test_case(3, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, answered(BUSY))], None; "referenced everywhere and refused")]
+#[test_case(0, vec![(0, listed(HostState::Draining)), (900, dialled(1, 0)), (950, dial_over(1)), (960, answered(BUSY))], None; "within the drain grace")]
+#[test_case(0, vec![(0, listed(HostState::Draining)), (1_060, dialled(1, 0)), (1_080, dial_over(1)), (1_090, answered(BUSY))], Some(Rule::DrainsKept); "after the drain grace")]
+#[test_case(0, vec![(0, listed(HostState::Gone)), (200, listed(HostState::Ready)), (1_060, dialled(1, 0)), (1_080, dial_over(1)), (1_090, answered(BUSY))], None; "back before")]
+#[test_case(0, vec![(0, listed(HostState::Draining)), (300, listed(HostState::Gone)), (1_060, dialled(1, 0)), (1_080, dial_over(1)), (1_090, answered(BUSY))], Some(Rule::DrainsKept); "drained and then gone")]
+#[test_case(0, vec![(200, dialled(1, 0)), (210, replied(1, HostReply::Up)), (220, answered(ClientAnswer::Up)), (2_000, Event::Ended { id: 1, end: ConnectionEnd::Fin, told: false }), (2_001, dial_over(1))], Some(Rule::NoSessionLost); "cut off while open")]
 #[test_case(0, vec![(200, dialled(1, 0)), (210, replied(1, HostReply::Up)), (220, answered(ClientAnswer::Up)), (1_990, Event::DialOver { id: 1, dial: 1, by_host: true }), (2_000, Event::Ended { id: 1, end: ConnectionEnd::Fin, told: false })], None; "ended by its host")]
-#[test_case(0, vec![(200, dialled(1, 0)), (210, replied(1, HostReply::Up)), (220, answered(ClientAnswer::Up)), (2_000, Event::Ended { id: 1, end: ConnectionEnd::Fin, told: true }), (2_001, over(1))], None; "moved")]
+#[test_case(0, vec![(200, dialled(1, 0)), (210, replied(1, HostReply::Up)), (220, answered(ClientAnswer::Up)), (2_000, Event::Ended { id: 1, end: ConnectionEnd::Fin, told: true }), (2_001, dial_over(1))], None; "moved")]
 #[test_case(0, vec![(220, answered(ClientAnswer::Up)), (300, Event::Garbled { id: 1, line: "x".into() })], Some(Rule::NoSessionLost); "told what no host said")]
 #[test_case(0, vec![(220, answered(ClientAnswer::Up)), (300, Event::Held { id: 1, span: ms(1_040) })], None; "a line held within the blur")]
 #[test_case(0, vec![(220, answered(ClientAnswer::Up)), (300, Event::Held { id: 1, span: ms(1_100) })], Some(Rule::NoSessionLost); "a line held back")]
 #[test_case(0, vec![(220, answered(BUSY)), (300, Event::MisbehavingClient { sort: "x", owed: true, served: true })], Some(Rule::NoSessionLost); "a bad client served")]
 #[test_case(0, vec![(220, answered(BUSY)), (300, Event::ProxyExited { proxy: 0, code: Some(1), asked: true })], Some(Rule::ProxyStays); "an exit with an error")]
 #[test_case(0, vec![(220, answered(BUSY)), (300, Event::ProxyExited { proxy: 0, code: Some(0), asked: true })], None; "an exit in good order")]
-fn each_rule_is_told_from_what_is_allowed(
+fn each_rule_is_broken_by_what_it_forbids_alone(
     listener: u8,
     seen: Vec<(u64, Event)>,
     rule: Option<Rule>,
@@ -237,7 +237,7 @@
 
 #[test_case(4, true; "two thirds knew it")]
 #[test_case(3, false; "fewer knew it")]
-fn a_cold_host_pushed_over_counts_by_who_knew(knowing: u64, broken: bool) {
+fn a_collapse_counts_if_two_thirds_were_notified_of_the_start(knowing: u64, broken: bool) {
     let started = Some(ms(50));
     let told = Event::HostListed {
         proxy: 0,
@@ -263,16 +263,16 @@
 }
 
 #[test]
-fn a_breach_comes_with_what_led_there() {
+fn a_violation_comes_with_the_events_that_led_there() {
     let seen = vec![
         (200, dialled(1, 0)),
         (300, dialled(2, 1)),
-        (400, over(1)),
+        (400, dial_over(1)),
         (510, answered(BUSY)),
     ];
-    let breach = &verdict(0, seen).violations[0];
+    let violation = &verdict(0, seen).violations[0];
     assert!(
-        breach.timeline.len() == 5 && breach.timeline[1].contains("0.200 s"),
-        "{breach:?}"
+        violation.timeline.len() == 5 && violation.timeline[1].contains("0.200 s"),
+        "{violation:?}"
     );
 }
--- a/crates/testbed/tests/load_model.rs
+++ b/crates/testbed/tests/load_model.rs
@@ -7,7 +7,7 @@
     Duration::from_millis(ms)
 }
 
-fn nature() -> LoadModelSettings {
+fn settings() -> LoadModelSettings {
     LoadModelSettings {
         speed: 1.0,
         places: 50,
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_host_shares_its_speed_and_each_group_pays_once() {
-    let mut model = LoadModel::new(nature(), 1);
+    let mut model = LoadModel::new(settings(), 1);
     for group in [Some(1), Some(1), Some(2), None] {
         model.connect(ms(0), group, 0.05);
     }
@@ -58,7 +58,7 @@
 #[test]
 fn a_cold_host_collapses_by_too_many_set_ups_and_a_warm_one_does_not() {
     let collapses = |cold: bool, every: u64| {
-        let mut model = LoadModel::new(nature(), 1);
+        let mut model = LoadModel::new(settings(), 1);
         if cold {
             model.restart(ms(0));
         }
@@ -74,7 +74,7 @@
 
 #[test]
 fn reports_are_as_old_as_they_are_told_to_be_and_places_run_out() {
-    let mut model = LoadModel::new(nature(), 1);
+    let mut model = LoadModel::new(settings(), 1);
     (0..50).for_each(|n| model.connect(ms(n * 10), None, 0.0));
     assert_eq!(model.report(ms(600)).outstanding, 10);
     assert_eq!(model.report(ms(2_000)).outstanding, 50);
--- a/crates/testbed/tests/scenarios_and_plans.rs
+++ b/crates/testbed/tests/scenarios_and_plans.rs
@@ -23,7 +23,11 @@
 #[test_case("[platform]", "[[faults]]\nat = \"1s\"\nkind = \"host-mute\"\non = [4]\n[platform]", &["faults.0.on", "1 to 4"]; "a fault on no host")]
 #[test_case("[platform]", "[[faults]]\nat = \"1s\"\nkind = \"host-odd\"\n[platform]", &["host-odd", "`host-mute`"]; "unknown fault")]
 #[test_case("[[members]]\nname = \"acme\"", "[[members]]\nname = \"acme\"\nportion = 0", &["members", "one must be more"]; "no portion")]
-fn a_bad_scenario_is_told_with_its_key_and_what_is_allowed(from: &str, to: &str, says: &[&str]) {
+fn an_invalid_scenario_is_reported_with_its_key_and_what_is_allowed(
+    from: &str,
+    to: &str,
+    says: &[&str],
+) {
     assert!(help::BASE.contains(from));
     let error = Scenario::read(&help::BASE.replacen(from, to, 1))
         .unwrap_err()
--- a/crates/testbed/tests/shrink.rs
+++ b/crates/testbed/tests/shrink.rs
@@ -14,7 +14,7 @@
 #[test_case(&[0, 11]; "first and last")]
 #[test_case(&[2, 5, 7]; "three")]
 #[test_case(&[]; "none of them")]
-fn a_failing_draw_is_cut_down_to_what_fails(needed: &[u32]) {
+fn faults_are_cut_down_to_those_that_fail_together(needed: &[u32]) {
     let all: Vec<u32> = (0..12).collect();
     let left = minimize(&all, 200, |left| needed.iter().all(|n| left.contains(n)));
     assert_eq!(left, needed);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_is_cut_down_is_written_as_it_was_drawn() {
+fn shrunk_faults_are_written_as_they_were_planned() {
     let scenario = help::scenario("");
     for chaos in 0..40 {
         let plan = Plan::new(&scenario, 5, Some(chaos));
--- a/crates/testbed/tests/summaries.rs
+++ b/crates/testbed/tests/summaries.rs
@@ -6,7 +6,7 @@
 use test_case::test_case;
 
 #[test]
-fn a_difference_is_clear_only_where_the_pairs_agree() {
+fn a_difference_is_significant_only_where_the_pairs_agree() {
     let a = [0.90, 0.80, 0.95, 0.70, 0.85];
     let better = a.map(|x| x + 0.02);
     let found = Difference::of(&a, &better, 1);
