--- a/crates/testbed/src/drain_measurement/result.rs
+++ b/crates/testbed/src/drain_measurement/result.rs
@@ -1,5 +1,6 @@
 //! What one drain did, as a row of a table.
 
+use crate::run::RollError;
 use std::time::Duration;
 
 /// How the first of several proxies is drained.
@@ -35,7 +36,7 @@
     /// From the end of the drain until the proxy was sent a session again.
     pub back_after: Option<Duration>,
     /// How long the roll took, or why it failed; none where there was no roll.
-    pub rolled: Option<Result<Duration, String>>,
+    pub rolled: Option<Result<Duration, RollError>>,
     /// No rule was broken.
     pub rules_held: bool,
     /// How late the testbed was at worst, in milliseconds.
