--- a/crates/testbed/src/journal.rs
+++ b/crates/testbed/src/journal.rs
@@ -32,7 +32,7 @@
     Folder {
         /// The folder.
         folder: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// None of its files is a record.
--- a/crates/testbed/src/judge/settings.rs
+++ b/crates/testbed/src/judge/settings.rs
@@ -51,7 +51,7 @@
 
 impl JudgeSettings {
     /// The settings for a run of `scenario` by `plan` in which the testbed was late by `testbed_late` at worst.
-    pub fn new(scenario: &Scenario, plan: &Plan, testbed_late: Duration) -> JudgeSettings {
+    pub(crate) fn new(scenario: &Scenario, plan: &Plan, testbed_late: Duration) -> JudgeSettings {
         let policy = |listener: &crate::scenario::Listener| ListenerPolicy {
             retry_safety: listener.kind,
             retry_scope: listener.circle,
--- a/crates/testbed/src/log_summary.rs
+++ b/crates/testbed/src/log_summary.rs
@@ -14,7 +14,7 @@
 /// Longest reason code, in bytes.
 const MAX_CODE_BYTES: usize = 32;
 
-/// Most reason codes that are told apart.
+/// Most reason codes that are counted separately.
 const MAX_CODES: usize = 256;
 
 /// Most bad lines that are named; the others are counted.
@@ -31,7 +31,7 @@
     Read {
         /// The folder or the log.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The folder has no log.
@@ -157,7 +157,7 @@
         }
     }
 
-    /// False for one code more than are told apart.
+    /// False for a new code when there are `MAX_CODES` already.
     fn count(&mut self, proxy: usize, line: &LogLine<'_>) -> bool {
         if self.codes.len() >= MAX_CODES && !self.codes.contains_key(line.code) {
             return false;
--- a/crates/testbed/src/plots.rs
+++ b/crates/testbed/src/plots.rs
@@ -20,37 +20,37 @@
 /// Why a chart could not be drawn.
 #[derive(Debug, Error)]
 #[error(transparent)]
-pub struct ChartError(#[from] DrawingAreaErrorKind<io::Error>);
+pub(crate) struct ChartError(#[from] DrawingAreaErrorKind<io::Error>);
 
 /// One line of a chart.
 #[derive(Clone, Debug)]
-pub struct ChartLine {
+pub(crate) struct ChartLine {
     /// Its name in the legend.
-    pub name: String,
+    pub(crate) name: String,
     /// Its points, x and y.
-    pub points: Vec<(f64, f64)>,
+    pub(crate) points: Vec<(f64, f64)>,
 }
 
 /// Lines over common axes.
 #[derive(Clone, Debug)]
-pub struct Chart<'a> {
+pub(crate) struct Chart<'a> {
     /// Its heading.
-    pub title: &'a str,
+    pub(crate) title: &'a str,
     /// What the x axis shows.
-    pub x: &'a str,
+    pub(crate) x: &'a str,
     /// What the y axis shows.
-    pub y: &'a str,
+    pub(crate) y: &'a str,
     /// The lines.
-    pub lines: Vec<ChartLine>,
+    pub(crate) lines: Vec<ChartLine>,
     /// Positions on the x axis that get a vertical line.
-    pub marks: Vec<f64>,
+    pub(crate) marks: Vec<f64>,
 }
 
 type SvgChart<'p> = ChartContext<'p, SVGBackend<'p>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
 impl Chart<'_> {
     /// Draws the chart into a file.
-    pub fn draw(&self, path: &Path) -> Result<(), ChartError> {
+    pub(crate) fn draw(&self, path: &Path) -> Result<(), ChartError> {
         let root = SVGBackend::new(path, SIZE).into_drawing_area();
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
