--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -6,7 +6,7 @@
 use crate::front::Front;
 use crate::host::{self, Host};
 use crate::judge::{JudgeSettings, Verdict, judge};
-use crate::link::{self, Links};
+use crate::link::{LinkFaults, Links};
 use crate::link_ends::LinkEnds;
 use crate::metrics_calls;
 use crate::misbehaving_clients;
@@ -527,13 +527,13 @@
 /// The ways that a fault strikes, and the agents that hear nothing beyond a border.
 fn cut(testbed: &Arc<Testbed>, nth: usize, begins: bool) {
     let struck = &testbed.context.plan.faults[nth];
-    let mood = link::mood(struck.kind, struck.much, struck.span);
+    let faults = LinkFaults::of_kind(struck.kind, struck.much, struck.span);
     for link in testbed.links.all() {
         if !struck.strikes(link.ends, |ends| places_of(testbed, ends)) {
             continue;
         }
         if begins {
-            link.begin(nth, mood, struck.half_open);
+            link.begin(nth, faults, struck.half_open);
         } else {
             link.end(nth);
         }
