--- a/crates/testbed/src/run/faults/links.rs
+++ b/crates/testbed/src/run/faults/links.rs
@@ -1,7 +1,7 @@
 //! Faults of links between processes, and of the border of a zone.
 
 use crate::event_log::Event;
-use crate::link;
+use crate::link::LinkFaults;
 use crate::run::zones::{zone_of_proxy, zones_of_ends};
 use crate::scenario::FaultKind;
 use crate::testbed::Testbed;
@@ -10,7 +10,7 @@
 pub(super) fn apply(testbed: &Testbed, number: usize, begins: bool) {
     let context = &testbed.context;
     let fault = &context.plan.faults[number];
-    let effect = link::mood(fault.kind, fault.much, fault.span);
+    let effect = LinkFaults::of_kind(fault.kind, fault.much, fault.span);
     for link in testbed.links.all() {
         if !fault.strikes(link.ends, |ends| zones_of_ends(context, ends)) {
             continue;
