--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -42,7 +42,7 @@
 const FIGURES: [ComparedFigure; 6] = [
     ComparedFigure {
         name: "well served",
-        of_report: |report| report.service.whole,
+        of_report: |report| report.service.overall,
     },
     ComparedFigure {
         name: "worst ten seconds",
@@ -50,7 +50,7 @@
     },
     ComparedFigure {
         name: "worst listener",
-        of_report: |report| report.service.worst_listener.1,
+        of_report: |report| report.service.worst_listener.share,
     },
     ComparedFigure {
         name: "answer p99 ms",
@@ -133,7 +133,7 @@
             continue;
         };
         comparison.add([first, second]);
-        let (first, second) = (first.service.whole, second.service.whole);
+        let (first, second) = (first.service.overall, second.service.overall);
         eprintln!("seed {seed}: {first:.4} and {second:.4} well served");
     }
     if comparison.pairs < MIN_PAIRS {
@@ -168,7 +168,7 @@
     for which in order {
         let report = play(scenario, &programs[which], seed, chaos).await?;
         pair.rules_held &= report.rules_held;
-        for violation in report.breaches.iter().take(PRINTED_VIOLATIONS) {
+        for violation in report.violations.iter().take(PRINTED_VIOLATIONS) {
             eprintln!("{}: {}", violation.rule, violation.what);
         }
         pair.reports[which] = Some(report).filter(|report| !report.void);
--- a/crates/testbed/src/commands/scale.rs
+++ b/crates/testbed/src/commands/scale.rs
@@ -32,11 +32,11 @@
         let is_wanted = args
             .only
             .as_ref()
-            .is_none_or(|sort| size.what.ends_with(sort.as_str()));
+            .is_none_or(|sort| size.series.ends_with(sort.as_str()));
         if !is_wanted {
             continue;
         }
-        let point = scale::point(&size, &program, args.seconds).await?;
+        let point = scale::measure(&size, &program, args.seconds).await?;
         let table = scale::table(&[point]);
         eprintln!("{}", table.lines().last().unwrap_or_default());
         points.push(point);
--- a/crates/testbed/src/commands/shrink.rs
+++ b/crates/testbed/src/commands/shrink.rs
@@ -35,7 +35,7 @@
     let scenario = Scenario::open(path)?;
     let seed = args.play.seed.unwrap_or(scenario.seed);
     let program = program::chosen(&args.play)?;
-    let all = shrink::drawn(&Plan::new(&scenario, seed, args.play.chaos).faults);
+    let all = shrink::scenario_faults(&Plan::new(&scenario, seed, args.play.chaos).faults);
     let runtime = Handle::current();
     let breaks = |faults: &[ScenarioFault]| {
         tokio::task::block_in_place(|| {
@@ -45,8 +45,9 @@
     if !breaks(&all) {
         return Err(CommandError::NoRuleBreaks);
     }
-    let left = shrink::fewest(&all, args.tries, breaks);
-    let text = shrink::written(&text, &left).map_err(|error| CommandError::Report(error.into()))?;
+    let left = shrink::minimize(&all, args.tries, breaks);
+    let text =
+        shrink::with_faults(&text, &left).map_err(|error| CommandError::Report(error.into()))?;
     std::fs::write(&args.save, text).map_err(|source| CommandError::Unwritable {
         path: args.save.clone(),
         source,
@@ -80,7 +81,7 @@
     };
     let result = run(scenario, &options).await;
     let _ = std::fs::remove_dir_all(&options.folder);
-    let broken = result.is_ok_and(|run| !run.void && !run.verdict.breaches.is_empty());
+    let broken = result.is_ok_and(|run| !run.void && !run.verdict.violations.is_empty());
     let found = if broken {
         "a rule breaks"
     } else {
