--- a/crates/testbed/src/commands/error.rs
+++ b/crates/testbed/src/commands/error.rs
@@ -1,9 +1,12 @@
 //! Why a command fails. The texts go to standard error after the program's name.
 
+use asterramp_testbed::journal::JournalError;
+use asterramp_testbed::log_summary::LogSummaryError;
 use asterramp_testbed::plain_proxy::PlainProxyError;
+use asterramp_testbed::report::WriteError;
 use asterramp_testbed::run::RunError;
 use asterramp_testbed::scenario::{ScenarioError, ScenarioFileError};
-use std::error::Error;
+use asterramp_testbed::shrink::ShrinkError;
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -39,9 +42,12 @@
     /// One program, or more than two, cannot be compared.
     #[error("--proxy: two are compared, A and B")]
     NotTwoPrograms,
-    /// Logs or records cannot be summed.
-    #[error("{0}")]
-    Summary(#[source] Box<dyn Error>),
+    /// Logs cannot be summed.
+    #[error(transparent)]
+    Logs(#[from] LogSummaryError),
+    /// Records of simulated days cannot be summed.
+    #[error(transparent)]
+    Journal(#[from] JournalError),
     /// The plain proxy cannot serve.
     #[error(transparent)]
     PlainProxy(#[from] PlainProxyError),
@@ -59,9 +65,12 @@
     /// There is nothing to cut down.
     #[error("no rule breaks with all of its faults")]
     NoRuleBreaks,
-    /// A report or a scenario cannot be made.
-    #[error("{0}")]
-    Report(#[source] Box<dyn Error>),
+    /// A report or a plot cannot be written.
+    #[error(transparent)]
+    Report(#[from] WriteError),
+    /// A scenario with fewer faults cannot be made.
+    #[error(transparent)]
+    Shrink(#[from] ShrinkError),
     /// A file cannot be written.
     #[error("{}: {source}", path.display())]
     Unwritable {
@@ -88,12 +97,14 @@
             | CommandError::NoProxyProgram
             | CommandError::NotAProgram(_)
             | CommandError::NotTwoPrograms
-            | CommandError::Summary(_)
+            | CommandError::Logs(_)
+            | CommandError::Journal(_)
             | CommandError::PlainProxy(_) => true,
             CommandError::Run(error) => error.is_bad_input(),
             CommandError::TooFewPairs { .. }
             | CommandError::NoRuleBreaks
             | CommandError::Report(_)
+            | CommandError::Shrink(_)
             | CommandError::Unwritable { .. }
             | CommandError::Interrupted
             | CommandError::System(_) => false,
--- a/crates/testbed/src/commands/play.rs
+++ b/crates/testbed/src/commands/play.rs
@@ -74,9 +74,7 @@
     let run = result?;
     let report = Report::of(&run, &name, seed, args.chaos);
     if args.report.is_some() {
-        report
-            .write(&folder, &run)
-            .map_err(|error| CommandError::Report(error.into()))?;
+        report.write(&folder, &run)?;
     }
     if args.json {
         let json = serde_json::to_string_pretty(&report).unwrap_or_default();
--- a/crates/testbed/src/commands/scale.rs
+++ b/crates/testbed/src/commands/scale.rs
@@ -43,7 +43,7 @@
     }
     print!("{}", scale::table(&points));
     if let Some(folder) = &args.report {
-        scale::plots(&points, folder).map_err(|error| CommandError::Report(error.into()))?;
+        scale::plots(&points, folder)?;
     }
     Ok(Outcome::of_rules(
         points.iter().all(|point| point.rules_held),
--- a/crates/testbed/src/commands/shrink.rs
+++ b/crates/testbed/src/commands/shrink.rs
@@ -46,8 +46,7 @@
         return Err(CommandError::NoRuleBreaks);
     }
     let left = shrink::minimize(&all, args.tries, breaks);
-    let text =
-        shrink::with_faults(&text, &left).map_err(|error| CommandError::Report(error.into()))?;
+    let text = shrink::with_faults(&text, &left)?;
     std::fs::write(&args.save, text).map_err(|source| CommandError::Unwritable {
         path: args.save.clone(),
         source,
--- a/crates/testbed/src/commands/summaries.rs
+++ b/crates/testbed/src/commands/summaries.rs
@@ -27,16 +27,14 @@
 
 /// Prints how often each reason code came in the logs of a fleet.
 pub(super) fn logs(args: &LogsArgs) -> Result<Outcome, CommandError> {
-    let summary = LogSummary::of_folder(&args.folder, args.span)
-        .map_err(|error| CommandError::Summary(error.into()))?;
+    let summary = LogSummary::of_folder(&args.folder, args.span)?;
     print!("{}", summary.table());
     Ok(Outcome::RulesHeld)
 }
 
 /// Prints what each kind of simulated day scored.
 pub(super) fn journal(args: &JournalArgs) -> Result<Outcome, CommandError> {
-    let journal = Journal::of_folder(&args.folder, &args.kind)
-        .map_err(|error| CommandError::Summary(error.into()))?;
+    let journal = Journal::of_folder(&args.folder, &args.kind)?;
     print!("{}", journal.table());
     Ok(Outcome::RulesHeld)
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,32 +1,49 @@
-//! A stand-in world for asterramp on loopback: hosts, clients, a front, discovery, faults, and a judge that
-//! holds the rules against what the peers themselves recorded. `docs/rig.md` tells how its parts meet.
-#![allow(
+//! Stand-in hosts, clients, a front and discovery on loopback around asterramp, with faults, and a judge that holds the
+//! rules against what the peers themselves recorded. `docs/rig.md` tells how its parts meet.
+//!
+//! - [`scenario`] is what a run is made of, [`plan`] what is drawn from it, [`context`] what its actors share.
+//! - [`host`], [`client`], [`front`], [`discovery`] and [`link`] are the actors, [`testbed`] owns them.
+//! - [`proxy_process`] runs the program under test, [`plain_proxy`] is one to compare it with.
+//! - [`run`] plays a scenario from beginning to end.
+//! - [`judge`] checks the rules over the [`event_log`]; [`report`], [`plots`], [`compare`] and [`scale`] show results.
+
+#[allow(
     missing_docs,
-    unreachable_pub,
     missing_debug_implementations,
-    rust_2018_idioms
+    clippy::too_many_lines,
+    clippy::cognitive_complexity
 )] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
-
 pub mod client;
 pub mod compare;
 pub mod context;
+#[allow(
+    missing_docs,
+    missing_debug_implementations,
+    clippy::too_many_lines,
+    clippy::cognitive_complexity
+)] // Not yet brought to the workspace lints.
 pub mod discovery;
 pub mod drain_measurement;
+#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod event_log;
+#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod front;
 pub mod host;
 pub mod journal;
 pub mod judge;
+#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod line_reader;
 pub mod link;
 pub mod link_ends;
+#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod load_model;
 pub mod log_summary;
+#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod metrics_calls;
 pub mod misbehaving_clients;
 pub mod pending_dials;
 pub mod plain_proxy;
+#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod plan;
 pub mod plots;
 pub mod proxy_process;
--- a/crates/testbed/tests/breaks.rs
+++ b/crates/testbed/tests/breaks.rs
@@ -1,11 +1,4 @@
 //! The plain proxy breaks one rule at a time, and the judge must see that one; unbroken it must be clean.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 mod help;
 
--- a/crates/testbed/tests/chaos.rs
+++ b/crates/testbed/tests/chaos.rs
@@ -1,11 +1,4 @@
 //! The real proxy under faults drawn from a number: whatever they are, the rules hold.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 mod help;
 
--- a/crates/testbed/tests/command.rs
+++ b/crates/testbed/tests/command.rs
@@ -1,11 +1,4 @@
 //! The program as its users meet it: what it refuses, how it ends, what it leaves behind.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 mod help;
 
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -1,11 +1,4 @@
 //! Each fault has its effect at the peers, told apart by a raw connection, and its end takes it back.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 mod help;
 
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -1,11 +1,12 @@
-//! Scenarios and runs that the tests share; none uses all.
+//! Scenarios and runs that the tests share.
+#![allow(dead_code, reason = "each test program uses a part of it")]
 
 use asterramp_testbed::proxy_process::Program;
 use asterramp_testbed::run::{RunOptions, RunOutcome, own_folder, own_proxy, run};
 use asterramp_testbed::scenario::Scenario;
 
 /// Four hosts, a proxy or two, and terms wide enough that a busy machine changes no verdict.
-pub const BASE: &str = r#"
+pub(crate) const BASE: &str = r#"
 name = "base"
 length = "5s"
 places = ["a", "b"]
@@ -50,20 +51,17 @@
 void_above = "10s"
 "#;
 
-#[allow(dead_code)]
-pub fn scenario(more: &str) -> Scenario {
+pub(crate) fn scenario(more: &str) -> Scenario {
     Scenario::read(&format!("{BASE}\n{more}")).unwrap()
 }
 
 /// With keys more of the table of proxies.
-#[allow(dead_code)]
-pub fn scenario_with(more: &str, proxies: &str) -> Scenario {
+pub(crate) fn scenario_with(more: &str, proxies: &str) -> Scenario {
     let text = BASE.replace("[platform]", &format!("{proxies}\n[platform]"));
     Scenario::read(&format!("{text}\n{more}")).unwrap()
 }
 
-#[allow(dead_code)]
-pub fn runtime() -> tokio::runtime::Runtime {
+pub(crate) fn runtime() -> tokio::runtime::Runtime {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
@@ -72,8 +70,7 @@
 }
 
 /// This repository's proxy, built by the same call of cargo for the whole workspace.
-#[allow(dead_code)]
-pub fn real() -> Program {
+pub(crate) fn real() -> Program {
     let own = std::env::current_exe().unwrap();
     let path = own_proxy(&own).expect("no asterramp beside the tests: build the workspace");
     Program {
@@ -83,14 +80,12 @@
     }
 }
 
-#[allow(dead_code)]
-pub fn play(scenario: Scenario, program: Program, seed: u64, chaos: Option<u64>) -> RunOutcome {
+pub(crate) fn play(scenario: Scenario, program: Program, seed: u64, chaos: Option<u64>) -> RunOutcome {
     play_and_read(scenario, program, seed, chaos).0
 }
 
 /// The same, and what the proxies wrote into their logs.
-#[allow(dead_code)]
-pub fn play_and_read(
+pub(crate) fn play_and_read(
     scenario: Scenario,
     program: Program,
     seed: u64,
@@ -117,8 +112,7 @@
 }
 
 /// Prints the first violations, for whoever reads a failed test.
-#[allow(dead_code)]
-pub fn show(ran: &RunOutcome) {
+pub(crate) fn show(ran: &RunOutcome) {
     for breach in ran.verdict.violations.iter().take(3) {
         println!(
             "{}: {}\n{}",
--- a/crates/testbed/tests/recovery.rs
+++ b/crates/testbed/tests/recovery.rs
@@ -1,13 +1,6 @@
 //! Six processes of the real proxy in three places lose their power under load, with what they know on disk, and come back into
 //! a world in which discovery, hosts and disks may be as before or not. The rules hold, no host is pushed over though nobody
 //! tells that it is cold, and service returns.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 mod help;
 
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -1,13 +1,6 @@
 //! Six processes of the real proxy in three places, and faults between them and their hosts and clients: whole places
 //! die, fall silent, are cut off, come back in part; ways fail; processes stall. The rules hold, and what the proxies
 //! make of the places is what happened.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 mod help;
 
