--- a/crates/testbed/src/run/stages.rs
+++ b/crates/testbed/src/run/stages.rs
@@ -9,9 +9,7 @@
 use super::outcome::RunOutcome;
 use super::roll::{RollError, roll};
 use super::{clients, set_up};
-use crate::context::RunContext;
-use crate::event_log::LoggedEvent;
-use crate::judge::{JudgeSettings, Verdict, judge};
+use crate::judge::{JudgeSettings, judge};
 use crate::plan::Plan;
 use crate::scenario::Scenario;
 use std::time::Duration;
@@ -49,8 +47,9 @@
     let used = proxies.shut_down().await?;
     let late = context.lateness();
     let records = context.event_log.take();
+    let settings = JudgeSettings::new(&context.scenario, &context.plan, late);
     Ok(RunOutcome {
-        verdict: judge_run(&context, &records, late),
+        verdict: judge(&records, &settings),
         void: late > context.scenario.platform.max_lateness,
         loads: loads.take(),
         context,
@@ -75,8 +74,3 @@
         let _ = task.await;
     }
 }
-
-fn judge_run(context: &RunContext, records: &[LoggedEvent], late: Duration) -> Verdict {
-    let settings = JudgeSettings::new(&context.scenario, &context.plan, late);
-    judge(records, &settings)
-}
--- a/crates/testbed/tests/scenarios_and_plans.rs
+++ b/crates/testbed/tests/scenarios_and_plans.rs
@@ -1,6 +1,5 @@
 //! Scenario files and the plans that are drawn from them.
 
-#[allow(unreachable_pub, rust_2018_idioms)] // Not yet brought to the workspace lints.
 mod help;
 
 use asterramp_testbed::plan::Plan;
