--- a/crates/testbed/tests/golden_report.rs
+++ b/crates/testbed/tests/golden_report.rs
@@ -171,3 +171,10 @@
         assert!(is_same(line, golden), "{line}\n{golden}");
     }
 }
+
+#[test]
+fn a_violation_is_written_as_before() {
+    let golden = include_str!("golden/violation.json");
+    let violation = violation(&serde_json::from_str(golden).unwrap());
+    assert_eq!(serde_json::to_string_pretty(&violation).unwrap(), golden);
+}
