--- a/crates/testbed/tests/breaks.rs
+++ b/crates/testbed/tests/breaks.rs
@@ -1,16 +1,16 @@
-//! The plain proxy breaks one rule at a time, and the judge must see that one; unbroken it must be clean.
+//! The plain proxy breaks one rule at a time, and the judge must report that one; without a fault it breaks none.
 
 mod help;
 
 use asterramp_testbed::event_log::Event;
 use asterramp_testbed::judge::Rule;
-use asterramp_testbed::plain_proxy::{InjectedFault, Policy, program};
+use asterramp_testbed::plain_proxy::{InjectedFault, Policy};
 use asterramp_testbed::scenario::Scenario;
-use std::path::Path;
+use help::PlayedRun;
 use test_case::test_case;
 
-/// Trouble that brings each breach about: late hosts, mute ones, a drain, a cold start, bad clients.
-const TROUBLE: &str = r#"
+/// Faults that bring each violation about: late hosts, mute ones, a drain, a cold start, misbehaving clients.
+const FAULTS: &str = r#"
 [[faults]]
 at = "300ms"
 for = "300ms"
@@ -37,29 +37,31 @@
 on = [0, 1, 2, 3]
 "#;
 
-fn rules_broken(policy: Policy, breaks: Option<InjectedFault>) -> Vec<Rule> {
-    let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-testbed"));
-    let ran = help::play(
-        help::scenario(TROUBLE),
-        program(rig, policy, breaks),
-        3,
-        None,
-    );
-    assert!(ran.verdict.tally.sessions > 50, "{:?}", ran.verdict.tally);
-    let mut rules: Vec<Rule> = ran.verdict.violations.iter().map(|b| b.rule).collect();
-    for breach in ran.verdict.violations.iter().take(2) {
-        println!(
-            "{}: {}\n{}",
-            breach.rule.text(),
-            breach.what,
-            breach.timeline.join("\n")
-        );
-    }
+/// The rules that the judge finds broken.
+fn broken_rules(policy: Policy, fault: Option<InjectedFault>) -> Vec<Rule> {
+    let proxy = help::plain_proxy(policy, fault);
+    let run = help::play(help::scenario(FAULTS), proxy, 3, None);
+    run.show_violations();
+    let verdict = &run.outcome.verdict;
+    assert!(verdict.tally.sessions > 50, "{:?}", verdict.tally);
+    let mut rules: Vec<Rule> = verdict.violations.iter().map(|v| v.rule).collect();
     rules.sort_unstable();
     rules.dedup();
     rules
 }
 
+/// Hosts that answer within some ms, in place of the base's.
+fn base_with_fast_hosts() -> String {
+    help::BASE.replace("set_up_work = \"60ms\"", "set_up_work = \"2ms\"")
+}
+
+fn has_violation(run: &PlayedRun, rule: Rule) -> bool {
+    let violations = run.outcome.verdict.violations.iter();
+    violations
+        .map(|violation| violation.rule)
+        .any(|broken| broken == rule)
+}
+
 #[test_case(InjectedFault::DoubleDial, Rule::NeverTwoDials)]
 #[test_case(InjectedFault::AnswerTwice, Rule::NoSessionLost)]
 #[test_case(InjectedFault::NoAnswer, Rule::NoSessionLost)]
@@ -75,86 +77,61 @@
 #[test_case(InjectedFault::MakeUp, Rule::NoSessionLost)]
 #[test_case(InjectedFault::SendOn, Rule::NothingUnreadableSentOn)]
 #[test_case(InjectedFault::Crash, Rule::ProxyStays)]
-fn a_planted_breach_is_caught(breaks: InjectedFault, rule: Rule) {
-    let found = rules_broken(Policy::RoundRobin, Some(breaks));
+fn an_injected_fault_is_reported_as_the_rule_that_it_breaks(fault: InjectedFault, rule: Rule) {
+    let found = broken_rules(Policy::RoundRobin, Some(fault));
     assert!(found.contains(&rule), "{found:?}");
 }
 
-/// Utility is to decide; the plain proxy refuses nobody without a dial, or what is worth most.
+/// Priority weight is to decide; the plain proxy rejects nobody without a dial, or those of the most weight.
 #[test_case(Some(InjectedFault::RefuseWorth), true)]
 #[test_case(None, false)]
-fn what_is_worth_most_refused_first_is_seen(breaks: Option<InjectedFault>, seen: bool) {
-    let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-testbed"));
-    let text = help::BASE
-        .replace("set_up_work = \"60ms\"", "set_up_work = \"2ms\"")
+fn rejections_of_the_most_weight_first_are_reported(fault: Option<InjectedFault>, reported: bool) {
+    let text = base_with_fast_hosts()
         .replace("name = \"order\"", "name = \"order\"\nutility = 3.0")
         .replace("count = 2", "count = 2\nby_worth = true");
-    let ran = help::play(
-        Scenario::read(&text).unwrap(),
-        program(rig, Policy::Random, breaks),
-        3,
-        None,
-    );
-    assert_eq!(
-        ran.verdict
-            .violations
-            .iter()
-            .any(|breach| breach.rule == Rule::RefusedInOrder),
-        seen
-    );
+    let proxy = help::plain_proxy(Policy::Random, fault);
+    let run = help::play(Scenario::read(&text).unwrap(), proxy, 3, None);
+    assert_eq!(has_violation(&run, Rule::RefusedInOrder), reported);
 }
 
-/// Hosts that answer within some ms, so that two dials are out at once for less than the times of peers are apart.
+/// Two dials are out at once for less than the times of peers are apart.
 #[test_case(Some(InjectedFault::DoubleDial), true)]
 #[test_case(None, false)]
-fn a_breach_shorter_than_the_blur_is_seen(breaks: Option<InjectedFault>, seen: bool) {
-    let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-testbed"));
-    let text = help::BASE.replace("set_up_work = \"60ms\"", "set_up_work = \"2ms\"");
-    let silent = "[[faults]]\nat = \"1s\"\nkind = \"host-silent\"\non = [1]";
-    let scenario = Scenario::read(&format!("{text}\n{silent}")).unwrap();
-    let ran = help::play(scenario, program(rig, Policy::RoundRobin, breaks), 3, None);
-    assert_eq!(
-        ran.verdict
-            .violations
-            .iter()
-            .any(|breach| breach.rule == Rule::NeverTwoDials),
-        seen
-    );
+fn a_violation_shorter_than_the_tolerance_is_reported(
+    fault: Option<InjectedFault>,
+    reported: bool,
+) {
+    let silent = help::fault("1s", None, "host-silent", "on = [1]");
+    let text = format!("{}\n{silent}", base_with_fast_hosts());
+    let proxy = help::plain_proxy(Policy::RoundRobin, fault);
+    let run = help::play(Scenario::read(&text).unwrap(), proxy, 3, None);
+    assert_eq!(has_violation(&run, Rule::NeverTwoDials), reported);
 }
 
 #[test]
-fn a_proxy_without_a_door_is_told_from_one_that_answers() {
-    let rig = Path::new(env!("CARGO_BIN_EXE_asterramp-testbed"));
-    let fault = "[[faults]]\nat = \"1s\"\nkind = \"proxy-replaced\"\non = [0]";
-    let scenario = help::scenario_with(fault, "callers = 1");
-    let ran = help::play(scenario, program(rig, Policy::Random, None), 3, None);
+fn a_proxy_that_never_answers_operators_is_reported_and_its_hot_restart_given_up() {
+    let fault = help::fault("1s", None, "proxy-replaced", "on = [0]");
+    let scenario = help::scenario_with(&fault, "callers = 1");
+    let run = help::play(scenario, help::plain_proxy(Policy::Random, None), 3, None);
+    let violations = &run.outcome.verdict.violations;
     assert!(
-        ran.verdict
-            .violations
+        violations
             .iter()
-            .all(|breach| breach.rule == Rule::OperatorsAnswered)
+            .all(|violation| violation.rule == Rule::OperatorsAnswered)
     );
     assert!(
-        ran.verdict.violations.len() > 5,
+        violations.len() > 5,
         "each call that was not answered counts"
     );
-    let replaced: Vec<_> = ran
-        .records
-        .iter()
-        .filter(|r| matches!(r.seen, Event::Replaced { yes: None, .. }))
-        .collect();
-    assert_eq!(replaced.len(), 1, "the second never says yes");
-    let dead = ran
-        .records
-        .iter()
-        .filter(|r| matches!(r.seen, Event::ProxyDead { proxy: 0 }))
-        .count();
+    let unready = run.count(|event| matches!(event, Event::Replaced { yes: None, .. }));
+    assert_eq!(unready, 1, "the second is never ready");
+    let dead = run.count(|event| matches!(event, Event::ProxyDead { proxy: 0 }));
     assert_eq!(dead, 1, "so it is ended, and the first goes on");
 }
 
 #[test_case(Policy::Random)]
 #[test_case(Policy::RoundRobin)]
 #[test_case(Policy::LeastOpen)]
-fn a_sound_proxy_is_clean(policy: Policy) {
-    assert_eq!(rules_broken(policy, None), []);
+fn a_sound_proxy_breaks_no_rule(policy: Policy) {
+    assert_eq!(broken_rules(policy, None), []);
 }
--- a/crates/testbed/tests/command.rs
+++ b/crates/testbed/tests/command.rs
@@ -1,24 +1,32 @@
-//! The program as its users meet it: what it refuses, how it ends, what it leaves behind.
+//! The program as its users meet it: what it rejects, how it ends, what it leaves behind.
 
 mod help;
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-const RIG: &str = env!("CARGO_BIN_EXE_asterramp-testbed");
+const TESTBED: &str = env!("CARGO_BIN_EXE_asterramp-testbed");
+/// How long a rejected scenario may take.
+const REJECTED_WITHIN: Duration = Duration::from_secs(5);
+
+/// A path of this process and test alone.
+fn own_path(name: &str) -> PathBuf {
+    std::env::temp_dir().join(format!("asterramp-{}-{name}", std::process::id()))
+}
 
 /// A scenario in a file of its own.
-fn file(name: &str, text: &str) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("asterramp-{}-{name}.toml", std::process::id()));
+fn scenario_file(name: &str, text: &str) -> PathBuf {
+    let path = own_path(&format!("{name}.toml"));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-fn play(name: &str, text: &str, args: &[&str]) -> Output {
-    let path = file(name, text);
-    let output = Command::new(RIG)
+/// Plays a scenario by the command `run`.
+fn run(name: &str, scenario: &str, args: &[&str]) -> Output {
+    let path = scenario_file(name, scenario);
+    let output = Command::new(TESTBED)
         .arg("run")
         .arg(&path)
         .args(args)
@@ -31,48 +39,47 @@
 #[test_case("key", "rate = 45.0", "rat = 45.0", "unknown field `rat`"; "an unknown key")]
 #[test_case("large", "rate = 45.0", "rate = 45.0\ninherited = 50000", "descriptors of the rig, and this machine allows"; "larger than the machine")]
 #[test_case("sockets", "count = 2", "count = 2\nsockets = 900000", "proxies.sockets is 900000"; "more descriptors than there are")]
-fn what_cannot_be_played_is_refused_in_a_line_before_anything_starts(
+fn what_cannot_be_played_is_rejected_in_a_line_before_anything_starts(
     name: &str,
     from: &str,
     to: &str,
     says: &str,
 ) {
     let since = Instant::now();
-    let output = play(name, &help::BASE.replacen(from, to, 1), &[]);
-    let said = String::from_utf8(output.stderr).unwrap();
+    let output = run(name, &help::BASE.replacen(from, to, 1), &[]);
+    let error = String::from_utf8(output.stderr).unwrap();
     assert!(
-        output.status.code() == Some(2) && said.contains(says),
-        "{said}"
+        output.status.code() == Some(2) && error.contains(says),
+        "{error}"
     );
-    assert!(since.elapsed() < Duration::from_secs(5));
+    assert!(since.elapsed() < REJECTED_WITHIN);
+}
+
+/// A program that writes a line and never serves.
+fn write_sleeper(path: &Path) {
+    std::fs::write(path, "#!/bin/sh\necho not today >&2\nexec sleep 30\n").unwrap();
+    let status = Command::new("chmod").arg("+x").arg(path).status();
+    assert!(status.unwrap().success());
 }
 
 #[test]
 fn a_proxy_that_never_becomes_ready_is_named_with_its_last_words() {
-    let sleeper = std::env::temp_dir().join(format!("asterramp-{}-sleeper", std::process::id()));
-    std::fs::write(&sleeper, "#!/bin/sh\necho not today >&2\nexec sleep 30\n").unwrap();
-    Command::new("chmod")
-        .arg("+x")
-        .arg(&sleeper)
-        .status()
-        .unwrap();
-    let output = play(
-        "unready",
-        help::BASE,
-        &["--proxy", sleeper.to_str().unwrap()],
-    );
+    let sleeper = own_path("sleeper");
+    write_sleeper(&sleeper);
+    let args = ["--proxy", sleeper.to_str().unwrap()];
+    let output = run("unready", help::BASE, &args);
     std::fs::remove_file(sleeper).unwrap();
-    let said = String::from_utf8(output.stderr).unwrap();
+    let error = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(3));
     assert!(
-        said.contains("proxy 0 never became ready") && said.contains("not today"),
-        "{said}"
+        error.contains("proxy 0 never became ready") && error.contains("not today"),
+        "{error}"
     );
 }
 
 #[test]
-fn a_broken_rule_is_told_by_the_exit_and_in_the_report() {
-    let folder = std::env::temp_dir().join(format!("asterramp-{}-report", std::process::id()));
+fn a_broken_rule_is_told_by_the_exit_code_and_in_the_report() {
+    let folder = own_path("report");
     let args = [
         "--baseline",
         "random",
@@ -81,18 +88,12 @@
         "--report",
         folder.to_str().unwrap(),
     ];
-    let output = play(
-        "broken",
-        &help::BASE.replace("length = \"5s\"", "length = \"3s\""),
-        &args,
-    );
-    let report = std::fs::read_to_string(folder.join("report.json")).unwrap();
+    let scenario = help::BASE.replace("length = \"5s\"", "length = \"3s\"");
+    let output = run("broken", &scenario, &args);
+    let written = |name: &str| std::fs::read_to_string(folder.join(name)).unwrap();
+    let report = written("report.json");
     for plot in ["service.svg", "hosts.svg", "proxies.svg"] {
-        assert!(
-            std::fs::read_to_string(folder.join(plot))
-                .unwrap()
-                .contains("<svg")
-        );
+        assert!(written(plot).contains("<svg"), "{plot}");
     }
     std::fs::remove_dir_all(folder).unwrap();
     let table = String::from_utf8(output.stdout).unwrap();
@@ -103,42 +104,50 @@
     assert!(report.contains("\"rules_held\": false") && report.contains("cut off"));
 }
 
+/// The fields of a process behind its name, from its state on; `None` where there is no such process.
+fn process_fields(process: u32) -> Option<Vec<String>> {
+    let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
+    let fields = stat.rsplit_once(") ")?.1.split(' ');
+    Some(fields.map(str::to_owned).collect())
+}
+
+fn children(parent: u32) -> Vec<u32> {
+    let entries = std::fs::read_dir("/proc").unwrap().flatten();
+    let processes = entries.filter_map(|entry| entry.file_name().to_str()?.parse().ok());
+    let is_child =
+        |process: &u32| process_fields(*process).is_some_and(|f| f[1] == parent.to_string());
+    processes.filter(is_child).collect()
+}
+
+/// Whether a process exists and is no zombie.
+fn is_alive(process: u32) -> bool {
+    process_fields(process).is_some_and(|fields| fields[0] != "Z")
+}
+
 #[test_case("-INT")]
 #[test_case("-TERM")]
 fn an_interrupt_leaves_no_process_behind(signal: &str) {
-    let path = file(&format!("interrupt{signal}"), help::BASE);
-    let args = ["--baseline", "random"];
-    let mut rig = Command::new(RIG)
+    let path = scenario_file(&format!("interrupt{signal}"), help::BASE);
+    let mut testbed = Command::new(TESTBED)
         .arg("run")
         .arg(&path)
-        .args(args)
+        .args(["--baseline", "random"])
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let children = |of: u32| -> Vec<u32> {
-        let processes = std::fs::read_dir("/proc").unwrap().flatten();
-        let ids = processes.filter_map(|entry| entry.file_name().to_str()?.parse::<u32>().ok());
-        let parent = |id: u32| -> Option<u32> {
-            let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-            stat.rsplit_once(") ")?.1.split(' ').nth(1)?.parse().ok()
-        };
-        ids.filter(|id| parent(*id) == Some(of)).collect()
-    };
-    let until = Instant::now() + Duration::from_secs(5);
-    while children(rig.id()).len() < 2 && Instant::now() < until {
+    let deadline = Instant::now() + Duration::from_secs(5);
+    while children(testbed.id()).len() < 2 && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(20));
     }
-    let proxies = children(rig.id());
+    let proxies = children(testbed.id());
     assert_eq!(proxies.len(), 2);
     Command::new("kill")
-        .args([signal, &rig.id().to_string()])
+        .args([signal, &testbed.id().to_string()])
         .status()
         .unwrap();
-    assert_eq!(rig.wait().unwrap().code(), Some(3));
+    assert_eq!(testbed.wait().unwrap().code(), Some(3));
     std::thread::sleep(Duration::from_millis(200));
-    let alive = |id: &&u32| {
-        std::fs::read_to_string(format!("/proc/{id}/stat")).is_ok_and(|s| !s.contains(") Z"))
-    };
-    assert_eq!(proxies.iter().filter(alive).count(), 0);
+    let alive = proxies.iter().filter(|process| is_alive(**process)).count();
+    assert_eq!(alive, 0);
     std::fs::remove_file(path).unwrap();
 }
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -17,32 +17,28 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
+/// How long a raw connection waits for what it wants to hear.
 const PATIENCE: Duration = Duration::from_millis(250);
+/// The session that the tests ask for.
+const OPEN_LINE: &[u8] = b"OPEN 7 1 c=feed,t=acme,d=900\r\n";
 
-/// Hosts without proxies; the fault is the plan's only one, on host 0.
-async fn testbed(kind: &str) -> Arc<Testbed> {
-    let fault = format!(
-        "[[faults]]\nat = \"1s\"\nkind = \"{kind}\"\non = [0]\nspan = \"400ms\"\nmuch = 0.1"
-    );
-    let scenario = help::scenario(&fault.replace(
-        "on = [0]",
-        if kind.starts_with("host") {
-            "on = [0]"
-        } else {
-            ""
-        },
-    ));
+/// Hosts without proxies, and the faults of these tables.
+async fn testbed(faults: &str) -> Arc<Testbed> {
+    let scenario = help::scenario(faults);
     let plan = Plan::new(&scenario, 1, None);
     let hosts = host::bind_all(&plan).await.unwrap();
-    let front = Front::new(
-        addresses(&scenario)
-            .iter()
-            .map(|proxy| (proxy.zone, proxy.listen)),
-    );
+    let proxies = addresses(&scenario);
+    let front = Front::new(proxies.iter().map(|proxy| (proxy.zone, proxy.listen)));
     let context = Arc::new(RunContext::new(scenario, plan));
     Arc::new(Testbed::start(context, hosts, front, Arc::default()))
 }
 
+/// The same with one fault, on host 0.
+async fn testbed_with(kind: &str) -> Arc<Testbed> {
+    let rest = "on = [0]\nspan = \"400ms\"\nmuch = 0.1";
+    testbed(&help::fault("1s", None, kind, rest)).await
+}
+
 /// What a session hears of host 0: its first line, how the connection ended, or nothing in time.
 async fn hears(testbed: &Testbed) -> String {
     let Ok(connected) = timeout(PATIENCE, TcpStream::connect(testbed.hosts[0].address)).await
@@ -77,7 +73,7 @@
 #[test_case("host-gone", "refused", "UP")]
 fn a_host_shows_its_fault_and_recovers(kind: &str, during: &str, after: &str) {
     help::runtime().block_on(async {
-        let testbed = testbed(kind).await;
+        let testbed = testbed_with(kind).await;
         assert_eq!(hears(&testbed).await, "UP", "before");
         testbed.hosts[0].apply_fault(0, true);
         sleep(Duration::from_millis(100)).await;
@@ -90,14 +86,11 @@
 
 #[test_case("host-restarts", &["Reset"]; "a process that dies resets its connections")]
 #[test_case("host-draining", &["MOVE", "Fin"]; "one that drains sends them away")]
-fn open_connections_feel_it_too(kind: &str, hear: &[&str]) {
+fn a_fault_ends_open_connections_as_a_host_would(kind: &str, hear: &[&str]) {
     help::runtime().block_on(async {
-        let testbed = testbed(kind).await;
+        let testbed = testbed_with(kind).await;
         let mut stream = TcpStream::connect(testbed.hosts[0].address).await.unwrap();
-        stream
-            .write_all(b"OPEN 7 1 c=feed,t=acme,d=900\r\n")
-            .await
-            .unwrap();
+        stream.write_all(OPEN_LINE).await.unwrap();
         let (read, _write) = stream.into_split();
         let mut lines = LineReader::new(read);
         assert!(matches!(lines.next().await, Line::Text(up) if up.starts_with("UP ")));
@@ -116,20 +109,16 @@
 #[test]
 fn two_faults_on_one_host_end_one_by_one() {
     help::runtime().block_on(async {
-        let fault = |kind: &str| format!("[[faults]]\nat = \"1s\"\nkind = \"{kind}\"\non = [0]\n");
-        let scenario = help::scenario(&[fault("host-draining"), fault("host-erring")].concat());
-        let plan = Plan::new(&scenario, 1, None);
-        let hosts = host::bind_all(&plan).await.unwrap();
-        let front = Front::new([].into_iter());
-        let context = Arc::new(RunContext::new(scenario, plan));
-        let testbed = Testbed::start(context, hosts, front, Arc::default());
-        let strike = |nth, begins| testbed.hosts[0].apply_fault(nth, begins);
-        strike(0, true);
-        strike(1, true);
+        let fault = |kind: &str| help::fault("1s", None, kind, "on = [0]");
+        let faults = [fault("host-draining"), fault("host-erring")].concat();
+        let testbed = testbed(&faults).await;
+        let apply = |number, begins| testbed.hosts[0].apply_fault(number, begins);
+        apply(0, true);
+        apply(1, true);
         assert_eq!(hears(&testbed).await, "ERR");
-        strike(1, false);
+        apply(1, false);
         assert_eq!(hears(&testbed).await, "BUSY");
-        strike(0, false);
+        apply(0, false);
         assert_eq!(hears(&testbed).await, "UP");
     });
 }
@@ -141,7 +130,7 @@
 #[test_case("OPEN 1 2 c=feed,d=5\n"; "a line feed alone")]
 fn a_host_says_syntax_to_what_it_cannot_read(line: &str) {
     help::runtime().block_on(async {
-        let testbed = testbed("host-silent").await;
+        let testbed = testbed_with("host-silent").await;
         let mut stream = TcpStream::connect(testbed.hosts[0].address).await.unwrap();
         stream.write_all(line.as_bytes()).await.unwrap();
         let mut text = String::new();
@@ -152,9 +141,9 @@
 }
 
 #[test]
-fn stats_tell_load_and_count() {
+fn a_load_report_has_the_load_and_the_sessions() {
     help::runtime().block_on(async {
-        let testbed = testbed("host-silent").await;
+        let testbed = testbed_with("host-silent").await;
         let mut stream = TcpStream::connect(testbed.hosts[0].address).await.unwrap();
         stream.write_all(b"PING\r\nSTATS\r\n").await.unwrap();
         let (read, _write) = stream.into_split();
@@ -187,7 +176,7 @@
 #[test]
 fn discovery_tells_changes_and_shows_its_faults() {
     help::runtime().block_on(async {
-        let testbed = testbed("host-draining").await;
+        let testbed = testbed_with("host-draining").await;
         let agent = DiscoveryAgent::start(&testbed.discovery, 0).await.unwrap();
         let whole = watch(&agent, 0).await;
         assert!(
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -1,11 +1,18 @@
 //! Scenarios and runs that the tests share.
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
+use asterramp_testbed::event_log::{Event, HostReply};
+use asterramp_testbed::plain_proxy::{self, InjectedFault, Policy};
 use asterramp_testbed::proxy_process::Program;
 use asterramp_testbed::run::{RunOptions, RunOutcome, own_folder, own_proxy, run};
 use asterramp_testbed::scenario::Scenario;
+use std::path::Path;
+use std::time::Duration;
 
-/// Four hosts, a proxy or two, and terms wide enough that a busy machine changes no verdict.
+/// Violations of a run that are printed.
+const SHOWN_VIOLATIONS: usize = 3;
+
+/// Four hosts, two proxies, and terms wide enough that a busy machine changes no verdict.
 pub(crate) const BASE: &str = r#"
 name = "base"
 length = "5s"
@@ -51,14 +58,21 @@
 void_above = "10s"
 "#;
 
-pub(crate) fn scenario(more: &str) -> Scenario {
-    Scenario::read(&format!("{BASE}\n{more}")).unwrap()
+/// The base with further tables.
+pub(crate) fn scenario(tables: &str) -> Scenario {
+    Scenario::read(&format!("{BASE}\n{tables}")).unwrap()
 }
 
-/// With keys more of the table of proxies.
-pub(crate) fn scenario_with(more: &str, proxies: &str) -> Scenario {
+/// The base with further tables, and further keys of the table of proxies.
+pub(crate) fn scenario_with(tables: &str, proxies: &str) -> Scenario {
     let text = BASE.replace("[platform]", &format!("{proxies}\n[platform]"));
-    Scenario::read(&format!("{text}\n{more}")).unwrap()
+    Scenario::read(&format!("{text}\n{tables}")).unwrap()
+}
+
+/// The table of a fault. It lasts to the end, unless it is said how long; `rest` are its further keys.
+pub(crate) fn fault(at: &str, lasts: Option<&str>, kind: &str, rest: &str) -> String {
+    let lasts = lasts.map_or(String::new(), |lasts| format!("for = \"{lasts}\"\n"));
+    format!("[[faults]]\nat = \"{at}\"\n{lasts}kind = \"{kind}\"\n{rest}\n")
 }
 
 pub(crate) fn runtime() -> tokio::runtime::Runtime {
@@ -70,9 +84,10 @@
 }
 
 /// This repository's proxy, built by the same call of cargo for the whole workspace.
-pub(crate) fn real() -> Program {
-    let own = std::env::current_exe().unwrap();
-    let path = own_proxy(&own).expect("no asterramp beside the tests: build the workspace");
+pub(crate) fn real_proxy() -> Program {
+    let this_program = std::env::current_exe().unwrap();
+    let path =
+        own_proxy(&this_program).expect("no asterramp beside the tests: build the workspace");
     Program {
         path,
         args: Vec::new(),
@@ -80,45 +95,110 @@
     }
 }
 
-pub(crate) fn play(scenario: Scenario, program: Program, seed: u64, chaos: Option<u64>) -> RunOutcome {
-    play_and_read(scenario, program, seed, chaos).0
+/// The proxy for comparison, sound or with a fault.
+pub(crate) fn plain_proxy(policy: Policy, fault: Option<InjectedFault>) -> Program {
+    let testbed = Path::new(env!("CARGO_BIN_EXE_asterramp-testbed"));
+    plain_proxy::program(testbed, policy, fault)
+}
+
+/// A run that was played, and what the proxies wrote into their logs.
+pub(crate) struct PlayedRun {
+    pub(crate) outcome: RunOutcome,
+    pub(crate) logs: String,
 }
 
-/// The same, and what the proxies wrote into their logs.
-pub(crate) fn play_and_read(
+/// Plays a scenario once.
+pub(crate) fn play(
     scenario: Scenario,
     program: Program,
     seed: u64,
     chaos: Option<u64>,
-) -> (RunOutcome, String) {
-    let folder = own_folder();
-    let job = RunOptions {
+) -> PlayedRun {
+    let options = RunOptions {
         seed,
         chaos,
         program,
-        folder: folder.clone(),
+        folder: own_folder(),
         progress: false,
     };
-    let ran = runtime().block_on(run(scenario, &job)).unwrap();
-    let files = std::fs::read_dir(&folder)
+    let outcome = runtime().block_on(run(scenario, &options)).unwrap();
+    let logs = read_logs(&options.folder);
+    let _ = std::fs::remove_dir_all(options.folder);
+    PlayedRun { outcome, logs }
+}
+
+fn read_logs(folder: &Path) -> String {
+    std::fs::read_dir(folder)
         .unwrap()
-        .map(|file| file.unwrap().path());
-    let logs = files.filter(|path| path.extension().is_some_and(|ending| ending == "log"));
-    let text = logs
+        .map(|file| file.unwrap().path())
+        .filter(|path| path.extension().is_some_and(|ending| ending == "log"))
         .map(|path| std::fs::read_to_string(path).unwrap())
-        .collect();
-    let _ = std::fs::remove_dir_all(folder);
-    (ran, text)
+        .collect()
 }
 
-/// Prints the first violations, for whoever reads a failed test.
-pub(crate) fn show(ran: &RunOutcome) {
-    for breach in ran.verdict.violations.iter().take(3) {
-        println!(
-            "{}: {}\n{}",
-            breach.rule.text(),
-            breach.what,
-            breach.timeline.join("\n")
+impl PlayedRun {
+    /// Prints the first violations, for whoever reads a failed test.
+    pub(crate) fn show_violations(&self) {
+        for violation in self
+            .outcome
+            .verdict
+            .violations
+            .iter()
+            .take(SHOWN_VIOLATIONS)
+        {
+            println!(
+                "{}: {}\n{}",
+                violation.rule.text(),
+                violation.what,
+                violation.timeline.join("\n")
+            );
+        }
+    }
+
+    #[track_caller]
+    pub(crate) fn assert_rules_held(&self) {
+        self.show_violations();
+        assert!(
+            self.outcome.verdict.violations.is_empty(),
+            "faults: {:?}",
+            self.outcome.context.plan.faults
         );
     }
+
+    /// How many events of a sort there were.
+    pub(crate) fn count(&self, is_wanted: impl Fn(&Event) -> bool) -> usize {
+        let records = self.outcome.records.iter();
+        records.filter(|record| is_wanted(&record.seen)).count()
+    }
+
+    /// How many events of a sort there were from a second of the plan up to another.
+    pub(crate) fn count_between(
+        &self,
+        from: u64,
+        to: u64,
+        is_wanted: impl Fn(&Event) -> bool,
+    ) -> usize {
+        let start = self.outcome.context.plan_start().unwrap();
+        let times = start + Duration::from_secs(from)..start + Duration::from_secs(to);
+        let records = self.outcome.records.iter();
+        let records = records.filter(|record| times.contains(&record.at));
+        records.filter(|record| is_wanted(&record.seen)).count()
+    }
+
+    /// How many lines of the proxies' logs have a text in them.
+    pub(crate) fn log_lines_with(&self, text: &str) -> usize {
+        let lines = self.logs.lines();
+        lines.filter(|line| line.contains(text)).count()
+    }
+}
+
+/// Whether a host has accepted a session.
+pub(crate) fn is_up(event: &Event) -> bool {
+    matches!(
+        event,
+        Event::Replied {
+            reply: HostReply::Up,
+            ..
+        }
+    )
 }
