--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,7 +1,7 @@
 //! Clients: they want to be connected for a while, measure it, try again, come back, leave early.
 
 use crate::context::{ClientSignal, RunContext};
-use crate::discovery::uid;
+use crate::discovery::host_uid;
 use crate::event_log::{ClientAnswer, ConnectionEnd, Event};
 use crate::front::Front;
 use crate::line_reader::{Line, LineReader};
@@ -223,7 +223,7 @@
             line += ",again=1";
         }
         if let Some(host) = inherited {
-            line += &format!(",at={}", uid(host));
+            line += &format!(",at={}", host_uid(host));
         }
         (id, line + "\r\n")
     }
