--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -295,7 +295,7 @@
     let mut clients = JoinSet::new();
     for wanted in &testbed.context.plan.clients {
         testbed.context.sleep_until(wanted.at).await;
-        clients.spawn(client::live(
+        clients.spawn(client::run(
             testbed.context.clone(),
             testbed.front.clone(),
             wanted.clone(),
