--- a/crates/testbed/src/run/clients.rs
+++ b/crates/testbed/src/run/clients.rs
@@ -17,7 +17,7 @@
     for planned in &context.plan.clients {
         context.sleep_until(planned.at).await;
         let (context, front) = (context.clone(), testbed.front.clone());
-        clients.spawn(client::live(context, front, planned.clone()));
+        clients.spawn(client::run(context, front, planned.clone()));
         while clients.try_join_next().is_some() {}
     }
     context.sleep_until(scenario.length).await;
