--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -1,20 +1,14 @@
 //! Each fault has its effect at the peers, told apart by a raw connection, and its end takes it back.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 
 mod help;
 
+use asterramp_testbed::context::RunContext;
 use asterramp_testbed::discovery::DiscoveryAgent;
 use asterramp_testbed::front::Front;
-use asterramp_testbed::host::Host;
+use asterramp_testbed::host;
 use asterramp_testbed::line_reader::{Line, LineReader};
 use asterramp_testbed::plan::Plan;
-use asterramp_testbed::proxies::addresses;
+use asterramp_testbed::proxy_process::addresses;
 use asterramp_testbed::testbed::Testbed;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,33 +17,26 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
+/// How long a raw connection waits for what it wants to hear.
 const PATIENCE: Duration = Duration::from_millis(250);
+/// The session that the tests ask for.
+const OPEN_LINE: &[u8] = b"OPEN 7 1 c=feed,t=acme,d=900\r\n";
 
-/// Hosts without proxies; the fault is the plan's only one, on host 0.
-async fn testbed(kind: &str) -> Arc<Testbed> {
-    let fault = format!(
-        "[[faults]]\nat = \"1s\"\nkind = \"{kind}\"\non = [0]\nspan = \"400ms\"\nmuch = 0.1"
-    );
-    let scenario = help::scenario(&fault.replace(
-        "on = [0]",
-        if kind.starts_with("host") {
-            "on = [0]"
-        } else {
-            ""
-        },
-    ));
+/// Hosts without proxies, and the faults of these tables.
+async fn testbed(faults: &str) -> Arc<Testbed> {
+    let scenario = help::scenario(faults);
     let plan = Plan::new(&scenario, 1, None);
-    let (hosts, doors): (Vec<_>, Vec<_>) = Host::all(&plan, &scenario)
-        .await
-        .unwrap()
-        .into_iter()
-        .unzip();
-    let front = Front::new(addresses(&scenario).into_iter());
-    let testbed = Arc::new(Testbed::new(scenario, plan, hosts, front, Arc::default()));
-    for (host, door) in testbed.hosts.iter().zip(doors) {
-        tokio::spawn(host.clone().serve(testbed.clone(), door));
-    }
-    testbed
+    let hosts = host::bind_all(&plan).await.unwrap();
+    let proxies = addresses(&scenario);
+    let front = Front::new(proxies.iter().map(|proxy| (proxy.zone, proxy.listen)));
+    let context = Arc::new(RunContext::new(scenario, plan));
+    Arc::new(Testbed::start(context, hosts, front, Arc::default()))
+}
+
+/// The same with one fault, on host 0.
+async fn testbed_with(kind: &str) -> Arc<Testbed> {
+    let rest = "on = [0]\nspan = \"400ms\"\nmuch = 0.1";
+    testbed(&help::fault("1s", None, kind, rest)).await
 }
 
 /// What a session hears of host 0: its first line, how the connection ended, or nothing in time.
@@ -61,7 +48,10 @@
     let Ok(mut stream) = connected else {
         return "refused".into();
     };
-    let line = format!("OPEN {:x} 1 c=feed,t=acme,d=900,h=10\r\n", testbed.new_id());
+    let line = format!(
+        "OPEN {:x} 1 c=feed,t=acme,d=900,h=10\r\n",
+        testbed.context.new_session_id()
+    );
     stream.write_all(line.as_bytes()).await.unwrap();
     let (read, _write) = stream.into_split();
     match timeout(PATIENCE, LineReader::new(read).next()).await {
@@ -83,12 +73,12 @@
 #[test_case("host-gone", "refused", "UP")]
 fn a_host_shows_its_fault_and_recovers(kind: &str, during: &str, after: &str) {
     help::runtime().block_on(async {
-        let testbed = testbed(kind).await;
+        let testbed = testbed_with(kind).await;
         assert_eq!(hears(&testbed).await, "UP", "before");
-        testbed.hosts[0].strike(&testbed, 0, true);
+        testbed.hosts[0].apply_fault(0, true);
         sleep(Duration::from_millis(100)).await;
         assert_eq!(hears(&testbed).await, during, "during");
-        testbed.hosts[0].strike(&testbed, 0, false);
+        testbed.hosts[0].apply_fault(0, false);
         sleep(Duration::from_millis(150)).await;
         assert_eq!(hears(&testbed).await, after, "after");
     });
@@ -96,19 +86,16 @@
 
 #[test_case("host-restarts", &["Reset"]; "a process that dies resets its connections")]
 #[test_case("host-draining", &["MOVE", "Fin"]; "one that drains sends them away")]
-fn open_connections_feel_it_too(kind: &str, hear: &[&str]) {
+fn a_fault_ends_open_connections_as_a_host_would(kind: &str, hear: &[&str]) {
     help::runtime().block_on(async {
-        let testbed = testbed(kind).await;
+        let testbed = testbed_with(kind).await;
         let mut stream = TcpStream::connect(testbed.hosts[0].address).await.unwrap();
-        stream
-            .write_all(b"OPEN 7 1 c=feed,t=acme,d=900\r\n")
-            .await
-            .unwrap();
+        stream.write_all(OPEN_LINE).await.unwrap();
         let (read, _write) = stream.into_split();
         let mut lines = LineReader::new(read);
         assert!(matches!(lines.next().await, Line::Text(up) if up.starts_with("UP ")));
         assert!(matches!(lines.next().await, Line::Text(load) if load.starts_with("LOAD ")));
-        testbed.hosts[0].strike(&testbed, 0, true);
+        testbed.hosts[0].apply_fault(0, true);
         for hear in hear {
             let heard = match timeout(Duration::from_secs(3), lines.next()).await.unwrap() {
                 Line::Text(line) => line,
@@ -122,31 +109,16 @@
 #[test]
 fn two_faults_on_one_host_end_one_by_one() {
     help::runtime().block_on(async {
-        let fault = |kind: &str| format!("[[faults]]\nat = \"1s\"\nkind = \"{kind}\"\non = [0]\n");
-        let scenario = help::scenario(&[fault("host-draining"), fault("host-erring")].concat());
-        let plan = Plan::new(&scenario, 1, None);
-        let (hosts, doors): (Vec<_>, Vec<_>) = Host::all(&plan, &scenario)
-            .await
-            .unwrap()
-            .into_iter()
-            .unzip();
-        let testbed = Arc::new(Testbed::new(
-            scenario,
-            plan,
-            hosts,
-            Front::new([].into_iter()),
-            Arc::default(),
-        ));
-        for (host, door) in testbed.hosts.iter().zip(doors) {
-            tokio::spawn(host.clone().serve(testbed.clone(), door));
-        }
-        let strike = |nth, begins| testbed.hosts[0].strike(&testbed, nth, begins);
-        strike(0, true);
-        strike(1, true);
+        let fault = |kind: &str| help::fault("1s", None, kind, "on = [0]");
+        let faults = [fault("host-draining"), fault("host-erring")].concat();
+        let testbed = testbed(&faults).await;
+        let apply = |number, begins| testbed.hosts[0].apply_fault(number, begins);
+        apply(0, true);
+        apply(1, true);
         assert_eq!(hears(&testbed).await, "ERR");
-        strike(1, false);
+        apply(1, false);
         assert_eq!(hears(&testbed).await, "BUSY");
-        strike(0, false);
+        apply(0, false);
         assert_eq!(hears(&testbed).await, "UP");
     });
 }
@@ -158,20 +130,20 @@
 #[test_case("OPEN 1 2 c=feed,d=5\n"; "a line feed alone")]
 fn a_host_says_syntax_to_what_it_cannot_read(line: &str) {
     help::runtime().block_on(async {
-        let testbed = testbed("host-silent").await;
+        let testbed = testbed_with("host-silent").await;
         let mut stream = TcpStream::connect(testbed.hosts[0].address).await.unwrap();
         stream.write_all(line.as_bytes()).await.unwrap();
         let mut text = String::new();
         stream.read_to_string(&mut text).await.unwrap();
         assert_eq!(text, "SYNTAX\r\n");
-        assert_eq!(testbed.event_log.take().len(), 1);
+        assert_eq!(testbed.context.event_log.take().len(), 1);
     });
 }
 
 #[test]
-fn stats_tell_load_and_count() {
+fn a_load_report_has_the_load_and_the_sessions() {
     help::runtime().block_on(async {
-        let testbed = testbed("host-silent").await;
+        let testbed = testbed_with("host-silent").await;
         let mut stream = TcpStream::connect(testbed.hosts[0].address).await.unwrap();
         stream.write_all(b"PING\r\nSTATS\r\n").await.unwrap();
         let (read, _write) = stream.into_split();
@@ -204,25 +176,25 @@
 #[test]
 fn discovery_tells_changes_and_shows_its_faults() {
     help::runtime().block_on(async {
-        let testbed = testbed("host-draining").await;
-        let agent = DiscoveryAgent::start(&testbed, 0).await.unwrap();
+        let testbed = testbed_with("host-draining").await;
+        let agent = DiscoveryAgent::start(&testbed.discovery, 0).await.unwrap();
         let whole = watch(&agent, 0).await;
         assert!(
             whole.contains("\"all\":true") && whole.matches("\"ready\"").count() == 4,
             "{whole}"
         );
-        testbed.hosts[0].strike(&testbed, 0, true);
+        testbed.hosts[0].apply_fault(0, true);
         let changed = watch(&agent, 1).await;
         assert!(
             changed.contains("\"all\":false") && changed.matches("uid").count() == 1,
             "{changed}"
         );
         assert!(changed.contains("\"draining\""), "{changed}");
-        testbed.discovery.mood.send_modify(|mood| mood.silent = 1);
+        testbed.discovery.faults.send_modify(|mood| mood.silent = 1);
         assert_eq!(watch(&agent, 1).await, "");
         testbed
             .discovery
-            .mood
+            .faults
             .send_modify(|mood| (mood.silent, mood.babbles) = (0, 1));
         let babble = watch(&agent, 1).await;
         assert!(
@@ -231,14 +203,17 @@
         );
         testbed
             .discovery
-            .mood
+            .faults
             .send_modify(|mood| (mood.babbles, mood.refuses) = (0, 1));
         sleep(Duration::from_millis(50)).await;
         assert_eq!(watch(&agent, 1).await, "refused");
-        testbed.discovery.mood.send_modify(|mood| mood.refuses = 0);
+        testbed
+            .discovery
+            .faults
+            .send_modify(|mood| mood.refuses = 0);
         sleep(Duration::from_millis(100)).await;
         let old = agent.address();
-        agent.moves(&testbed).await.unwrap();
+        agent.change_address().await.unwrap();
         assert_ne!(agent.address(), old);
         assert!(watch(&agent, 1).await.contains("draining"));
         sleep(Duration::from_millis(50)).await;
