--- a/crates/proxy/tests/golden_admin.rs
+++ b/crates/proxy/tests/golden_admin.rs
@@ -261,6 +261,30 @@
     assert_golden("admin/start_fields.txt", &text);
 }
 
+/// Methods and paths, known and unknown.
+const CALLS: &[&str] = &[
+    "GET /ops/nothing",
+    "GET /",
+    "POST /ops/stats",
+    "POST /ops/readiness",
+    "GET /ops/drain/start",
+    "GET /ops/drain/stop",
+    "GET /ops/known",
+    "POST /ops/known",
+    "POST /ops/drain/stop",
+];
+
+/// Calls that are not well formed, or not supported.
+const MALFORMED_CALLS: &[&str] = &[
+    "GET / HTTP/1.1\r\n\r\n",
+    "GET / HTTP/1.0\r\nHost: a\r\n\r\n",
+    "nonsense\r\n\r\n",
+    "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n",
+    "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9999999\r\n\r\n",
+    // Half a call, which meets its deadline.
+    "GET /ops/stats HT",
+];
+
 #[test]
 fn http_calls_get_the_same_bytes() {
     let proxy = RecordedProxy::start(1, "");
@@ -271,28 +295,10 @@
     let up = proxy.harness.open_session();
     text += &call("GET /ops/stats?of=all");
     drop(up);
-    for what in [
-        "GET /ops/nothing",
-        "GET /",
-        "POST /ops/stats",
-        "POST /ops/readiness",
-        "GET /ops/drain/start",
-        "GET /ops/drain/stop",
-        "GET /ops/known",
-        "POST /ops/known",
-        "POST /ops/drain/stop",
-    ] {
+    for what in CALLS {
         text += &call(what);
     }
-    for request in [
-        "GET / HTTP/1.1\r\n\r\n",
-        "GET / HTTP/1.0\r\nHost: a\r\n\r\n",
-        "nonsense\r\n\r\n",
-        "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n",
-        "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9999999\r\n\r\n",
-        // Half a call, which meets its deadline.
-        "GET /ops/stats HT",
-    ] {
+    for request in MALFORMED_CALLS {
         text += &proxy.record_call(request);
     }
     let long = format!(
--- a/crates/proxy/tests/golden_command_line/main.rs
+++ b/crates/proxy/tests/golden_command_line/main.rs
@@ -42,91 +42,94 @@
 }
 
 /// Commands that reach nobody.
+const UNREACHABLE_COMMANDS: &[&[&str]] = &[
+    &["status", "--control", "/nowhere/a.sock"],
+    &["status", "--json", "--control", "/nowhere/a.sock"],
+    &["status", "--watch", "--control", "/nowhere/a.sock"],
+    &["drain", "--control", "/nowhere/a.sock"],
+    &["drain", "--wait", "--control", "/nowhere/a.sock"],
+    &["undrain", "--control", "/nowhere/a.sock"],
+    &["roll", "--control", "/nowhere/a.sock"],
+    &[
+        "roll",
+        "--patience",
+        "1ms",
+        "--control",
+        "/nowhere/a.sock",
+        "--control",
+        "/nowhere/b.sock",
+    ],
+    &[
+        "roll",
+        "--control",
+        "/nowhere/a.sock",
+        "--store",
+        "127.0.0.1:9",
+    ],
+    &[
+        "fleet",
+        "status",
+        "--store",
+        "127.0.0.1:9",
+        "--name",
+        "june",
+    ],
+    &["fleet", "pause", "--store", "127.0.0.1:9", "--name", "june"],
+];
+
 #[test]
 fn commands_without_a_proxy_or_a_store_fail_the_same_way() {
-    let commands: &[&[&str]] = &[
-        &["status", "--control", "/nowhere/a.sock"],
-        &["status", "--json", "--control", "/nowhere/a.sock"],
-        &["status", "--watch", "--control", "/nowhere/a.sock"],
-        &["drain", "--control", "/nowhere/a.sock"],
-        &["drain", "--wait", "--control", "/nowhere/a.sock"],
-        &["undrain", "--control", "/nowhere/a.sock"],
-        &["roll", "--control", "/nowhere/a.sock"],
-        &[
-            "roll",
-            "--patience",
-            "1ms",
-            "--control",
-            "/nowhere/a.sock",
-            "--control",
-            "/nowhere/b.sock",
-        ],
-        &[
-            "roll",
-            "--control",
-            "/nowhere/a.sock",
-            "--store",
-            "127.0.0.1:9",
-        ],
-        &[
-            "fleet",
-            "status",
-            "--store",
-            "127.0.0.1:9",
-            "--name",
-            "june",
-        ],
-        &["fleet", "pause", "--store", "127.0.0.1:9", "--name", "june"],
-    ];
     let mut text = String::new();
-    for command in commands {
+    for command in UNREACHABLE_COMMANDS {
         let output = asterramp(command).output().unwrap();
         text += &format!("{}\n{}", command.join(" "), shown(&output, &[]));
     }
     assert_golden("command_line/nobody.txt", &text);
 }
 
+/// Command lines that the parser rejects, or answers by itself.
+const WRONG_COMMAND_LINES: &[&[&str]] = &[
+    &["halt"],
+    &["status"],
+    &["drain"],
+    &["undrain"],
+    &["roll"],
+    &["fleet"],
+    &["fleet", "halt"],
+    &["fleet", "status", "--name", "june"],
+    &["fleet", "status", "--store", "127.0.0.1:9"],
+    &["fleet", "status", "--store", "here", "--name", "june"],
+    &["fleet", "cancel", "--store", "127.0.0.1:9", "--name", "a b"],
+    &["fleet", "resume", "--store", "127.0.0.1:9", "--name", ""],
+    &["drain", "--control", "/a", "--deadline", "5"],
+    &["drain", "--control", "/a", "--deadline", "5 s"],
+    &["drain", "--control", "/a", "--pace", "fast"],
+    &["roll", "--control", "/a", "--patience", "long"],
+    &["roll", "--control", "/a", "--name", "june"],
+    &["roll", "--control", "/a", "--share", "x"],
+    &[
+        "roll",
+        "--control",
+        "/a",
+        "--store",
+        "127.0.0.1:9",
+        "--name",
+        "a/b",
+    ],
+    &["status", "--control", "/a", "--odd"],
+    &["serve", "--odd"],
+    &["completions"],
+    &["completions", "odd"],
+    &["state"],
+    &["--version"],
+];
+
 /// Of what the parser itself rejects, the exit code and the line of the error; the usage below names options by today's
 /// texts.
 #[test]
 fn a_wrong_command_line_has_the_same_code_and_error() {
-    let commands: &[&[&str]] = &[
-        &["halt"],
-        &["status"],
-        &["drain"],
-        &["undrain"],
-        &["roll"],
-        &["fleet"],
-        &["fleet", "halt"],
-        &["fleet", "status", "--name", "june"],
-        &["fleet", "status", "--store", "127.0.0.1:9"],
-        &["fleet", "status", "--store", "here", "--name", "june"],
-        &["fleet", "cancel", "--store", "127.0.0.1:9", "--name", "a b"],
-        &["fleet", "resume", "--store", "127.0.0.1:9", "--name", ""],
-        &["drain", "--control", "/a", "--deadline", "5"],
-        &["drain", "--control", "/a", "--deadline", "5 s"],
-        &["drain", "--control", "/a", "--pace", "fast"],
-        &["roll", "--control", "/a", "--patience", "long"],
-        &["roll", "--control", "/a", "--name", "june"],
-        &["roll", "--control", "/a", "--share", "x"],
-        &[
-            "roll",
-            "--control",
-            "/a",
-            "--store",
-            "127.0.0.1:9",
-            "--name",
-            "a/b",
-        ],
-        &["status", "--control", "/a", "--odd"],
-        &["serve", "--odd"],
-        &["completions"],
-        &["completions", "odd"],
-        &["state"],
-        &["--version"],
-    ];
     let mut text = String::new();
-    for command in commands {
+    for command in WRONG_COMMAND_LINES {
         let output = asterramp(command).output().unwrap();
         let error = String::from_utf8(output.stderr).unwrap();
         let head = error.split("\n\n").next().unwrap_or_default();
