--- a/crates/model-checker/tests/injected_faults.rs
+++ b/crates/model-checker/tests/injected_faults.rs
@@ -1,93 +1,94 @@
 //! An injected fault is found. In a file of its own, since it is injected into the whole process.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    missing_debug_implementations,
-    rust_2018_idioms
-)] // Not yet brought to the workspace lints.
-#![allow(clippy::too_many_lines, clippy::cognitive_complexity)] // Not yet brought to the workspace lints.
 #![cfg(feature = "injected-faults")]
 
-use asterramp_model_checker::explore::{Limits, explore};
+use asterramp_model_checker::explorer::{Counterexample, Limits};
+use asterramp_model_checker::placement_model::explore;
 use asterramp_model_checker::shape::Shape;
 use asterramp_model_checker::trace::Trace;
+use std::fmt::{Debug, Display};
 
 #[test]
 fn an_injected_fault_is_found_and_its_trace_replays() {
     use asterramp_proxy::injected_fault::{InjectedFault, inject};
     inject(Some(InjectedFault::TimeoutReportedAsNeverRun));
     let shape = Shape::find("once-only").unwrap();
-    let explored = explore(shape, Limits::default());
-    let trace = Trace::of(shape, None, explored.found.as_ref().expect("it is found"));
-    let read = Trace::read(&trace.text()).unwrap();
-    assert_eq!(read.play(|_| ()), Err(explored.found.unwrap().breach));
+    let found = explore(shape, Limits::default()).counterexample;
+    let found = found.expect("the fault is found");
+    let trace = Trace::new(shape, None, &found.violation, &found.actions);
+    let read = Trace::read(&trace.to_string()).unwrap();
+    assert_eq!(read.play(|_| ()), Err(found.violation));
     inject(None);
     assert_eq!(read.play(|_| ()), Ok(()));
 
     // Recorded by the checker of 17cc2a9, under the fault's former name.
     let recorded = Trace::read(include_str!("golden/trace-timeout.txt")).unwrap();
-    let fault = recorded.plant.as_deref().and_then(InjectedFault::from_name);
+    let fault = recorded
+        .injected_fault
+        .as_deref()
+        .and_then(InjectedFault::from_name);
     assert_eq!(fault, Some(InjectedFault::TimeoutReportedAsNeverRun));
     inject(fault);
-    let breach = recorded.play(|_| ()).unwrap_err();
-    assert_eq!(breach.to_string(), recorded.breach);
+    let violation = recorded.play(|_| ()).unwrap_err();
+    assert_eq!(violation.to_string(), recorded.violation);
     inject(None);
     assert_eq!(recorded.play(|_| ()), Ok(()));
 }
 
-/// Each is found by `explore`, whose way there is told.
-fn all_found<P: Copy + std::fmt::Debug, S>(
-    all: &[P],
-    explore: impl Fn(P) -> Option<(String, Vec<S>)>,
-) {
-    let missed = all.iter().filter(|injected_fault| {
-        let found = explore(**injected_fault);
-        let told = found
-            .as_ref()
-            .map(|(what, way)| format!("{} steps: {what}", way.len()));
-        println!("{injected_fault:?}: {}", told.unwrap_or_default());
-        found.is_none()
-    });
-    assert!(
-        missed
-            .map(|injected_fault| format!("{injected_fault:?}"))
-            .collect::<Vec<_>>()
-            .is_empty()
-    );
+/// Looks for each fault, and prints what is found and in how many actions.
+fn assert_each_is_found<F, A, V>(faults: &[F], find: impl Fn(F) -> Option<Counterexample<A, V>>)
+where
+    F: Copy + Debug,
+    V: Display,
+{
+    let mut missed = Vec::new();
+    for fault in faults {
+        match find(*fault) {
+            Some(found) => println!(
+                "{fault:?}: {} steps: {}",
+                found.actions.len(),
+                found.violation
+            ),
+            None => missed.push(fault),
+        }
+    }
+    assert!(missed.is_empty(), "not found: {missed:?}");
 }
 
 #[test]
 fn each_fault_injected_into_zone_failover_is_found() {
-    use asterramp_model_checker::zone_failover::{RETURNED, explore};
+    use asterramp_model_checker::zone_failover::{ZoneSituation, explore_with_fault};
     use asterramp_zone_failover::InjectedFault;
-    all_found(&InjectedFault::ALL, |injected_fault| {
-        let late = matches!(injected_fault, InjectedFault::HoldDownSkipped);
-        explore(if late { RETURNED } else { &[] }, 7, Some(injected_fault)).found
+    assert_each_is_found(&InjectedFault::ALL, |fault| {
+        let situation = match fault {
+            InjectedFault::HoldDownSkipped => ZoneSituation::LostAfterRecovery,
+            _ => ZoneSituation::AllHealthy,
+        };
+        explore_with_fault(situation, 7, fault).counterexample
     });
 }
 
 #[test]
 fn each_fault_injected_into_warm_start_is_found() {
-    use asterramp_model_checker::warm_start::{ASKING, PROBED, explore, late};
+    use asterramp_model_checker::warm_start::{WarmStartSituation, explore_with_fault};
     use asterramp_warm_start::InjectedFault;
-    all_found(&InjectedFault::ALL, |injected_fault| {
-        let (before, depth) = match injected_fault {
-            InjectedFault::FutureCountsAsFresh => (late(), 2),
-            InjectedFault::PeerReportUsedUnprobed => (ASKING.to_vec(), 6),
-            InjectedFault::TwoAtOneAddress => (PROBED.to_vec(), 4),
-            _ => (Vec::new(), 6),
+    assert_each_is_found(&InjectedFault::ALL, |fault| {
+        let (situation, depth) = match fault {
+            InjectedFault::FutureCountsAsFresh => (WarmStartSituation::FutureReportExpired, 2),
+            InjectedFault::PeerReportUsedUnprobed => (WarmStartSituation::AskingPeers, 6),
+            InjectedFault::TwoAtOneAddress => (WarmStartSituation::EndpointResponsive, 4),
+            _ => (WarmStartSituation::PowerLoss, 6),
         };
-        explore(&before, depth, Some(injected_fault)).found
+        explore_with_fault(situation, depth, fault).counterexample
     });
 }
 
 #[test]
 fn each_fault_injected_into_the_leader_lease_is_found() {
     use asterramp_leader_lease::InjectedFault;
-    use asterramp_model_checker::leader_lease::{explore, ways};
-    all_found(&InjectedFault::ALL, |injected_fault| {
-        ways()
+    use asterramp_model_checker::leader_lease::{LeaseSituation, explore_with_fault};
+    assert_each_is_found(&InjectedFault::ALL, |fault| {
+        LeaseSituation::ALL
             .into_iter()
-            .find_map(|before| explore(&before, 6, Some(injected_fault)).found)
+            .find_map(|situation| explore_with_fault(situation, 6, fault).counterexample)
     });
 }
