--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -7,21 +7,9 @@
 //! - [`run`] plays a scenario from beginning to end.
 //! - [`judge`] checks the rules over the [`event_log`]; [`report`], [`plots`], [`compare`] and [`scale`] show results.
 
-#[allow(
-    missing_docs,
-    missing_debug_implementations,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity
-)] // Not yet brought to the workspace lints.
 pub mod client;
 pub mod compare;
 pub mod context;
-#[allow(
-    missing_docs,
-    missing_debug_implementations,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity
-)] // Not yet brought to the workspace lints.
 pub mod discovery;
 pub mod drain_measurement;
 #[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
@@ -31,7 +19,6 @@
 pub mod host;
 pub mod journal;
 pub mod judge;
-#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod line_reader;
 pub mod link;
 pub mod link_ends;
--- a/crates/testbed/tests/shrink.rs
+++ b/crates/testbed/tests/shrink.rs
@@ -1,6 +1,5 @@
 //! Fewer and fewer faults, for as long as a rule breaks.
 
-#[allow(unreachable_pub, rust_2018_idioms)] // Not yet brought to the workspace lints.
 mod help;
 
 use asterramp_testbed::plan::{Plan, PlannedFault};
