--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -2,7 +2,8 @@
 //! both.
 
 use super::error::CommandError;
-use super::{Outcome, program};
+use super::outcome::Outcome;
+use super::program;
 use asterramp_testbed::compare::{Difference, row};
 use asterramp_testbed::proxy_process::Program;
 use asterramp_testbed::report::Report;
--- a/crates/testbed/src/commands/drain_measurement.rs
+++ b/crates/testbed/src/commands/drain_measurement.rs
@@ -1,7 +1,8 @@
 //! The command `empty`: how a proxy is emptied, by a drain on request, by SIGTERM, or in a roll.
 
 use super::error::CommandError;
-use super::{Outcome, program};
+use super::outcome::Outcome;
+use super::program;
 use asterramp_testbed::drain_measurement::{self, DrainMethod};
 use clap::Args;
 use std::path::PathBuf;
--- a/crates/testbed/src/commands/error.rs
+++ b/crates/testbed/src/commands/error.rs
@@ -1,5 +1,6 @@
 //! Why a command fails. The texts go to standard error after the program's name.
 
+use super::outcome::EXIT_VOID;
 use asterramp_testbed::journal::JournalError;
 use asterramp_testbed::log_summary::LogSummaryError;
 use asterramp_testbed::plain_proxy::PlainProxyError;
@@ -13,8 +14,6 @@
 
 /// The exit code of a command that was given what it cannot work with.
 const EXIT_BAD_INPUT: u8 = 2;
-/// The exit code of a command that tells nothing, as something failed that is not the proxy's.
-const EXIT_VOID: u8 = 3;
 
 /// Why a command fails.
 #[derive(Debug, thiserror::Error)]
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -5,6 +5,7 @@
 mod compare;
 mod drain_measurement;
 mod error;
+mod outcome;
 mod play;
 mod program;
 mod scale;
@@ -14,6 +15,7 @@
 use asterramp_testbed::plain_proxy::{self, InjectedFault, Policy};
 use clap::{Parser, Subcommand};
 use error::CommandError;
+use outcome::Outcome;
 use std::process::ExitCode;
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
@@ -59,35 +61,6 @@
     },
 }
 
-/// What came of a command that could be carried out.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Outcome {
-    /// It was done, and no rule was broken.
-    RulesHeld,
-    /// A rule was broken.
-    RuleBroken,
-    /// The testbed ran late: the run tells nothing.
-    Void,
-}
-
-impl Outcome {
-    fn of_rules(held: bool) -> Outcome {
-        if held {
-            Outcome::RulesHeld
-        } else {
-            Outcome::RuleBroken
-        }
-    }
-
-    fn exit_code(self) -> ExitCode {
-        ExitCode::from(match self {
-            Outcome::RulesHeld => 0,
-            Outcome::RuleBroken => 1,
-            Outcome::Void => 3,
-        })
-    }
-}
-
 /// Does what the command line says.
 pub(crate) fn run() -> ExitCode {
     let command = CommandLine::parse().command;
--- a/crates/testbed/src/commands/play.rs
+++ b/crates/testbed/src/commands/play.rs
@@ -1,7 +1,8 @@
 //! The commands `demo` and `run`: one scenario, played once, with a report.
 
 use super::error::CommandError;
-use super::{Outcome, program};
+use super::outcome::Outcome;
+use super::program;
 use asterramp_testbed::plain_proxy::{InjectedFault, Policy};
 use asterramp_testbed::report::Report;
 use asterramp_testbed::run::{RunOptions, own_folder, run};
--- a/crates/testbed/src/commands/scale.rs
+++ b/crates/testbed/src/commands/scale.rs
@@ -1,7 +1,8 @@
 //! The command `scale`: how one proxy and many bear size.
 
 use super::error::CommandError;
-use super::{Outcome, program};
+use super::outcome::Outcome;
+use super::program;
 use asterramp_testbed::scale;
 use clap::Args;
 use std::path::PathBuf;
--- a/crates/testbed/src/commands/shrink.rs
+++ b/crates/testbed/src/commands/shrink.rs
@@ -1,8 +1,9 @@
 //! The command `shrink`: plays a draw with fewer and fewer faults, and writes the fewest with which a rule still breaks.
 
 use super::error::CommandError;
+use super::outcome::Outcome;
 use super::play::PlayArgs;
-use super::{Outcome, program};
+use super::program;
 use asterramp_testbed::plan::Plan;
 use asterramp_testbed::proxy_process::Program;
 use asterramp_testbed::run::{RunOptions, own_folder, run};
--- a/crates/testbed/src/commands/summaries.rs
+++ b/crates/testbed/src/commands/summaries.rs
@@ -1,7 +1,7 @@
 //! The commands `logs` and `journal`: sums of what runs have left behind.
 
-use super::Outcome;
 use super::error::CommandError;
+use super::outcome::Outcome;
 use asterramp_testbed::journal::Journal;
 use asterramp_testbed::log_summary::LogSummary;
 use clap::Args;
--- a/crates/testbed/src/plain_proxy/mod.rs
+++ b/crates/testbed/src/plain_proxy/mod.rs
@@ -3,12 +3,14 @@
 //! It keeps the rules in the simplest way, or breaks one on request, so that it can be seen whether the judge notices. It is
 //! a program like the proxy under test: the command `plain-proxy`, configured as the platform configures proxies.
 
+mod attempts;
 mod configuration;
 mod connection;
 mod endpoints;
 mod error;
 mod forwarding;
 mod options;
+mod request;
 mod serve;
 mod session;
 mod state;
--- a/crates/testbed/src/plain_proxy/session.rs
+++ b/crates/testbed/src/plain_proxy/session.rs
@@ -1,10 +1,10 @@
-//! A client's connection: health checks, and the session from its `OPEN` line to its final answer.
+//! A client's connection: health checks, and a session from its `OPEN` line to its end.
 
-use super::configuration::ListenerConfiguration;
+use super::attempts::{Placement, dial, place};
 use super::connection::LineConnection;
-use super::endpoints::Target;
 use super::forwarding::forward;
 use super::options::InjectedFault;
+use super::request::{SessionRequest, read_request};
 use super::state::ProxyState;
 use crate::line_reader::Line;
 use std::sync::Arc;
@@ -16,14 +16,6 @@
 
 /// How long a connection may take to say its next line.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait that a client may state, in milliseconds.
-const MAX_WAIT_MS: u64 = 3_600_000;
-/// Longest that an attempt which is not the last may take.
-const MAX_ATTEMPT: Duration = Duration::from_millis(400);
-/// How long an attempt takes where more of them are wanted than is right.
-const HURRIED_ATTEMPT: Duration = Duration::from_millis(60);
-/// Attempts that [`InjectedFault::ManyDials`] makes beyond what is allowed.
-const EXCESS_DIALS: u64 = 3;
 /// How long [`InjectedFault::NoAnswer`] says nothing.
 const SILENCE: Duration = Duration::from_secs(20);
 /// How late [`InjectedFault::LateAnswer`] answers.
@@ -38,43 +30,6 @@
 /// The answer to a session that did not run, or may run again; its Retry-After is in milliseconds.
 const REJECTED: &str = "BUSY 500";
 
-/// A session that a client asks for.
-struct SessionRequest<'a> {
-    /// Its line.
-    line: &'a str,
-    /// How long the client waits, as its line says.
-    wait_ms: u64,
-    /// By when the client wants its answer.
-    deadline: Instant,
-    /// The host that has the client's earlier session.
-    assigned: Option<&'a str>,
-    listener: &'a ListenerConfiguration,
-}
-
-/// What became of all attempts of a session.
-enum Placement {
-    /// A host has accepted it.
-    Up {
-        uid: String,
-        first_line: String,
-        host: LineConnection,
-    },
-    /// The client has left, or speaks before it is answered.
-    ClientLeft,
-    /// No host has; whether one may have run it.
-    Failed { may_have_run: bool },
-}
-
-/// What became of an attempt.
-enum Attempt {
-    /// The host has accepted the session with this line.
-    Up(String, LineConnection),
-    /// The session has not run.
-    NotRun,
-    /// It may have; the connection, where it is still up.
-    MayHaveRun(Option<LineConnection>),
-}
-
 /// Serves a connection of a client or the front until it ends.
 pub(super) async fn serve_connection(state: Arc<ProxyState>, stream: TcpStream) {
     let mut client = LineConnection::new(stream);
@@ -136,123 +91,6 @@
     }
 }
 
-/// What an `OPEN` line asks for; `None` for one that cannot be served.
-fn read_request<'a>(state: &'a ProxyState, line: &'a str) -> Option<SessionRequest<'a>> {
-    let field = |name: &str| line.split([',', ' ']).find_map(|p| p.strip_prefix(name));
-    let wait_ms = field("d=")?
-        .parse()
-        .ok()
-        .filter(|wait| *wait <= MAX_WAIT_MS)?;
-    let listeners = &state.configuration.listeners;
-    let listener = listeners
-        .iter()
-        .find(|listener| listener.name.as_deref() == field("c="))?;
-    Some(SessionRequest {
-        line,
-        wait_ms,
-        deadline: Instant::now() + Duration::from_millis(wait_ms),
-        assigned: field("at="),
-        listener,
-    })
-}
-
-/// Attempts until a host accepts the session, no further attempt is allowed, or the client's time is over.
-async fn place(
-    state: &ProxyState,
-    request: &SessionRequest<'_>,
-    client: &mut LineConnection,
-) -> Placement {
-    let many_dials = state.injects(InjectedFault::ManyDials);
-    let excess = if many_dials { EXCESS_DIALS } else { 0 };
-    let max_dials = state.configuration.max_dials + excess;
-    let (mut tried, mut may_have_run) = (Vec::new(), false);
-    // Connections that should have been closed before the next attempt.
-    let mut kept = Vec::new();
-    for number in 1..=max_dials {
-        let Some(target) = choose(state, request, &tried) else {
-            break;
-        };
-        let waits = attempt_timeout(state, request.deadline, number == max_dials);
-        let attempt = tokio::select! {
-            attempt = dial(state, request, &target, waits) => attempt,
-            _ = client.lines.end() => return Placement::ClientLeft,
-        };
-        match attempt {
-            Attempt::Up(first_line, host) => {
-                return Placement::Up {
-                    uid: target.uid,
-                    first_line,
-                    host,
-                };
-            }
-            Attempt::NotRun => {}
-            Attempt::MayHaveRun(connection) => {
-                may_have_run = true;
-                if state.injects(InjectedFault::DoubleDial) {
-                    kept.extend(connection);
-                }
-                if !request.listener.is_idempotent && !state.injects(InjectedFault::EffectTwice) {
-                    break;
-                }
-            }
-        }
-        if !many_dials {
-            tried.push(target.uid);
-        }
-        if Instant::now() >= request.deadline {
-            break;
-        }
-    }
-    Placement::Failed { may_have_run }
-}
-
-fn choose(state: &ProxyState, request: &SessionRequest<'_>, tried: &[String]) -> Option<Target> {
-    match request.assigned {
-        Some(uid) => state.endpoints.target(uid),
-        None => state.pick(tried),
-    }
-}
-
-/// How long an attempt may take: the last has all the time that is left.
-fn attempt_timeout(state: &ProxyState, deadline: Instant, is_last: bool) -> Duration {
-    let left = deadline.saturating_duration_since(Instant::now());
-    let hurries =
-        state.injects(InjectedFault::DoubleDial) || state.injects(InjectedFault::ManyDials);
-    if hurries {
-        HURRIED_ATTEMPT.min(left)
-    } else if is_last {
-        left
-    } else {
-        (left / 2).min(MAX_ATTEMPT)
-    }
-}
-
-async fn dial(
-    state: &ProxyState,
-    request: &SessionRequest<'_>,
-    target: &Target,
-    waits: Duration,
-) -> Attempt {
-    let connect_timeout = state.configuration.connect_timeout.min(waits);
-    let connecting = timeout(connect_timeout, TcpStream::connect(target.address));
-    let Ok(Ok(stream)) = connecting.await else {
-        return Attempt::NotRun;
-    };
-    let mut host = LineConnection::new(stream);
-    let client_wait = format!(",d={}", request.wait_ms);
-    let attempt_wait = format!(",d={}", waits.as_millis());
-    let line = request.line.replace(&client_wait, &attempt_wait);
-    if host.send(&line).await.is_err() {
-        return Attempt::MayHaveRun(None);
-    }
-    match timeout(waits, host.lines.next()).await {
-        Ok(Line::Text(line)) if line.starts_with("UP ") => Attempt::Up(line, host),
-        Ok(Line::Text(line)) if line.starts_with("BUSY") => Attempt::NotRun,
-        Ok(_) => Attempt::MayHaveRun(None),
-        Err(_) => Attempt::MayHaveRun(Some(host)),
-    }
-}
-
 /// The final answer to a session that no host has accepted.
 async fn answer(
     state: &ProxyState,
