--- a/crates/testbed/src/judge/settings.rs
+++ b/crates/testbed/src/judge/settings.rs
@@ -69,7 +69,7 @@
             answer_slack: scenario.platform.answer_slack + testbed_late,
             tolerance: RECORDING_TOLERANCE + testbed_late + plan.longest_delay(),
             max_dials: scenario.platform.max_dials as usize,
-            check_metrics: !plan.linked(LinkKind::ClientProxy),
+            check_metrics: !plan.needs_relays(LinkKind::ClientProxy),
             priority_weights: scenario.proxies.by_worth.then(|| weights.collect()),
         }
     }
--- /dev/null
+++ b/crates/testbed/src/plan/planned.rs
@@ -0,0 +1,119 @@
+//! The clients, faults and hosts of a plan.
+
+use crate::link_ends::LinkEnds;
+use crate::scenario::{FaultKind, LinkKind, RecoveredPart, Scenario};
+use std::time::Duration;
+
+/// A client, from when it wants to be connected.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PlannedClient {
+    /// When it wants to be connected.
+    pub at: Duration,
+    /// How long it wants to be connected, from then on.
+    pub life: Duration,
+    /// The listener that it wants, by its place in the scenario.
+    pub listener: u8,
+    /// The member that it belongs to, by its place in the scenario.
+    pub member: u16,
+    /// Where it is, by the place's place in the scenario.
+    pub place: u8,
+    /// The group whose cost it shares with others, if any.
+    pub group: Option<u64>,
+    /// The item that its session names.
+    pub item: u64,
+    /// What it asks of its host, as a share of a standard one.
+    pub work: f64,
+    /// When it leaves without an answer, if it is one who does.
+    pub patience: Option<Duration>,
+    /// Connected before the run, at this host.
+    pub inherited: Option<u16>,
+    /// The seed of what it draws itself.
+    pub chance: u64,
+}
+
+/// A fault, with whom it strikes.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PlannedFault {
+    /// When it begins.
+    pub at: Duration,
+    /// When it ends; `None`: with the run.
+    pub until: Option<Duration>,
+    /// What fails.
+    pub kind: FaultKind,
+    /// Numbers of the hosts, proxies or places that it strikes.
+    pub on: Vec<u16>,
+    /// By how much, where the kind has a measure.
+    pub much: f64,
+    /// A period or a delay, where the kind has one.
+    pub span: Duration,
+    /// For faults of links: which links.
+    pub way: LinkKind,
+    /// For faults of links: the hosts that they lead to; `None`: all.
+    pub to: Option<Vec<u16>>,
+    /// Connections from before a cut are reset when it is over: the other side has forgotten them.
+    pub half_open: bool,
+    /// For a lost place: what comes back.
+    pub back: RecoveredPart,
+}
+
+impl PlannedFault {
+    /// Whether it strikes the link between these, of which `places_of` tells the places.
+    pub fn strikes(&self, ends: LinkEnds, places_of: impl Fn(LinkEnds) -> (u8, u8)) -> bool {
+        let (from, to) = places_of(ends);
+        match (self.kind, ends) {
+            (FaultKind::PlaceCut | FaultKind::PlaceFlaps, _) => {
+                from != to
+                    && (self.on.contains(&u16::from(from)) || self.on.contains(&u16::from(to)))
+            }
+            (kind, LinkEnds::Proxy(proxy, host))
+                if kind.strikes_links() && self.way == LinkKind::ProxyHost =>
+            {
+                self.on.contains(&proxy) && self.to.as_ref().is_none_or(|to| to.contains(&host))
+            }
+            (kind, LinkEnds::Clients(_, proxy))
+                if kind.strikes_links() && self.way == LinkKind::ClientProxy =>
+            {
+                self.on.contains(&proxy)
+            }
+            _ => false,
+        }
+    }
+}
+
+/// A host of a plan.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HostPlan {
+    /// Where it is, by the place's place in the scenario.
+    pub place: u8,
+    /// The cell of its place.
+    pub cell: u16,
+    /// Its speed as a multiple of a standard host's.
+    pub speed: f64,
+    /// Its weight as discovery tells it.
+    pub weight: f64,
+    /// The most sessions that it has at once.
+    pub places: u32,
+    /// The most connections that it takes at once.
+    pub room: u32,
+}
+
+/// The hosts of a scenario. Those without a place of their own are spread over all.
+pub(super) fn hosts(scenario: &Scenario) -> Vec<HostPlan> {
+    let mut hosts = Vec::new();
+    for group in &scenario.fleet.hosts {
+        let is_named = |place: &String| group.place.as_ref() == Some(place);
+        let named = scenario.places.iter().position(is_named);
+        for _ in 0..group.count {
+            let place = named.unwrap_or(hosts.len() % scenario.places.len()) as u8;
+            hosts.push(HostPlan {
+                place,
+                cell: group.cell,
+                speed: group.speed,
+                weight: group.weight,
+                places: group.places,
+                room: group.room,
+            });
+        }
+    }
+    hosts
+}
--- a/crates/testbed/src/run/capacity.rs
+++ b/crates/testbed/src/run/capacity.rs
@@ -17,7 +17,7 @@
 /// Whether this machine can carry a scenario; the error says by how much not.
 pub(super) fn check_capacity(scenario: &Scenario, plan: &Plan) -> Result<(), RunError> {
     let allowed = raise_descriptor_limit();
-    let connections = plan.standing();
+    let connections = plan.peak_connections();
     let probes = u64::from(scenario.proxies.count) * u64::from(scenario.hosts()).min(PROBED_HOSTS);
     let needed = connections as u64 * DESCRIPTORS_PER_CONNECTION
         + probes * DESCRIPTORS_PER_CONNECTION
--- a/crates/testbed/src/run/links.rs
+++ b/crates/testbed/src/run/links.rs
@@ -17,13 +17,13 @@
     let zones = scenario.places.len() as u8;
     let mut pairs = Vec::new();
     for (proxy, address) in (0..).zip(proxies) {
-        if plan.linked(LinkKind::ProxyHost) {
+        if plan.needs_relays(LinkKind::ProxyHost) {
             let to_hosts = (0..).zip(hosts);
             pairs.extend(
                 to_hosts.map(|(host, bound)| (LinkEnds::Proxy(proxy, host), bound.address)),
             );
         }
-        if plan.linked(LinkKind::ClientProxy) {
+        if plan.needs_relays(LinkKind::ClientProxy) {
             let from_zones = (0..zones).map(|zone| LinkEnds::Clients(zone, proxy));
             pairs.extend(from_zones.map(|ends| (ends, address.listen)));
         }
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -80,7 +80,12 @@
     }
 }
 
-pub(crate) fn play(scenario: Scenario, program: Program, seed: u64, chaos: Option<u64>) -> RunOutcome {
+pub(crate) fn play(
+    scenario: Scenario,
+    program: Program,
+    seed: u64,
+    chaos: Option<u64>,
+) -> RunOutcome {
     play_and_read(scenario, program, seed, chaos).0
 }
 
