--- a/crates/testbed/src/front.rs
+++ b/crates/testbed/src/front.rs
@@ -1,131 +1,143 @@
-//! The front: learns by `PING` which proxies live, deals clients out among those of a place, and forgets the
-//! dead late.
+//! The front: learns by health checks which proxies live, deals clients out among those of their place, and drops dead ones
+//! late.
 
 use crate::context::RunContext;
 use crate::line_reader::{Line, LineReader};
 use crate::link::Links;
 use crate::link_ends::LinkEnds;
 use std::net::SocketAddr;
-use std::sync::Arc;
-use std::sync::Mutex;
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
+/// Longest that a proxy may take to answer a health check.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// A proxy as the clients of a place reach it.
 #[derive(Clone, Copy, Debug)]
-struct Seat {
+struct Backend {
+    /// Where the proxy is.
     place: u8,
-    /// Whose clients it is for, and over which way; all places', where ways are one.
-    of: Option<u8>,
+    /// The place whose clients reach it by this address; `None`: those of all places.
+    clients_of: Option<u8>,
     proxy: u16,
     address: SocketAddr,
     /// When it last answered; `None` while it is not used.
     answered: Option<Instant>,
 }
 
+impl Backend {
+    /// Whether it is in use for the clients of a place.
+    fn serves(&self, place: u8) -> bool {
+        self.answered.is_some() && self.clients_of.is_none_or(|own| own == place)
+    }
+}
+
+/// Where clients find a proxy.
 #[derive(Debug)]
 pub struct Front {
-    seats: Mutex<Vec<Seat>>,
+    backends: Mutex<Vec<Backend>>,
 }
 
-const ANSWER: Duration = Duration::from_millis(500);
-
 impl Front {
+    /// A front of proxies, each with its place, which all clients reach by the same address.
     pub fn new(proxies: impl Iterator<Item = (u8, SocketAddr)>) -> Front {
-        Front::over(proxies, &Links::default(), 1)
+        Front::with_links(proxies, &Links::default(), 1)
     }
 
-    /// The same, where the clients of each place have ways of their own.
-    pub fn over(
+    /// The same, where clients of each place reach a proxy by a link of their own if there is one.
+    pub fn with_links(
         proxies: impl Iterator<Item = (u8, SocketAddr)>,
         links: &Links,
         places: u8,
     ) -> Front {
-        let mut seats = Vec::new();
-        for (proxy, (place, at)) in (0..).zip(proxies) {
-            for of in 0..places {
-                let way = links.address(LinkEnds::Clients(of, proxy));
-                let seat = Seat {
+        let mut backends = Vec::new();
+        for (proxy, (place, direct)) in (0..).zip(proxies) {
+            for clients_of in 0..places {
+                let relay = links.address(LinkEnds::Clients(clients_of, proxy));
+                let (clients_of, address) = match relay {
+                    Some(relay) => (Some(clients_of), relay),
+                    None if clients_of == 0 => (None, direct),
+                    None => continue,
+                };
+                backends.push(Backend {
                     place,
-                    of: Some(of),
+                    clients_of,
                     proxy,
-                    address: at,
+                    address,
                     answered: None,
-                };
-                match way {
-                    Some(address) => seats.push(Seat { address, ..seat }),
-                    None if of == 0 => seats.push(Seat { of: None, ..seat }),
-                    None => {}
-                }
+                });
             }
         }
         Front {
-            seats: Mutex::new(seats),
+            backends: Mutex::new(backends),
         }
     }
 
-    fn seats(&self) -> std::sync::MutexGuard<'_, Vec<Seat>> {
-        self.seats
-            .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
-    }
-
+    /// Whether all proxies are in use.
     pub fn all_up(&self) -> bool {
-        self.seats().iter().all(|seat| seat.answered.is_some())
+        self.first_unanswered().is_none()
     }
 
     /// The first proxy that has not answered yet.
-    pub fn waits_for(&self) -> Option<usize> {
-        self.seats()
+    pub fn first_unanswered(&self) -> Option<usize> {
+        self.backends()
             .iter()
-            .find(|seat| seat.answered.is_none())
-            .map(|seat| usize::from(seat.proxy))
+            .find(|backend| backend.answered.is_none())
+            .map(|backend| usize::from(backend.proxy))
     }
 
     /// A proxy for a client of a place, by a number drawn; another place's where that has none.
-    pub fn pick(&self, place: u8, chance: u64) -> Option<(u16, SocketAddr)> {
-        let seats = self.seats();
-        let of = |near: bool| {
-            let up = seats
-                .iter()
-                .filter(|s| s.answered.is_some() && s.of.is_none_or(|of| of == place));
-            up.filter(|s| !near || s.place == place).collect::<Vec<_>>()
+    pub fn pick(&self, place: u8, draw: u64) -> Option<(u16, SocketAddr)> {
+        let backends = self.backends();
+        let in_use = || backends.iter().filter(|backend| backend.serves(place));
+        let near: Vec<&Backend> = in_use().filter(|backend| backend.place == place).collect();
+        let candidates = if near.is_empty() {
+            in_use().collect()
+        } else {
+            near
         };
-        let near = of(true);
-        let among = if near.is_empty() { of(false) } else { near };
-        let seat = among.get((chance % among.len().max(1) as u64) as usize)?;
-        Some((seat.proxy, seat.address))
+        let nth = draw % candidates.len().max(1) as u64;
+        let backend = candidates.get(nth as usize)?;
+        Some((backend.proxy, backend.address))
     }
 
-    fn note(&self, nth: usize, lives: bool, forget: Duration) {
-        let seat = &mut self.seats()[nth];
-        if lives {
-            seat.answered = Some(Instant::now());
-        } else if seat.answered.is_some_and(|at| at.elapsed() > forget) {
-            seat.answered = None;
-        }
-    }
-
-    /// Asks each proxy whether it lives, for as long as the run lasts.
+    /// Checks each proxy's health for as long as the run lasts.
     pub fn watch(self: &Arc<Self>, context: &RunContext) {
-        let (check, forget) = (context.scenario.front.check, context.scenario.front.forget);
-        let count = self.seats().len();
+        let (interval, drop_after) = (context.scenario.front.check, context.scenario.front.forget);
+        let count = self.backends().len();
         for nth in 0..count {
             let front = self.clone();
             tokio::spawn(async move {
                 loop {
-                    let address = front.seats()[nth].address;
-                    let lives = timeout(ANSWER, asked(address)).await == Ok(true);
-                    front.note(nth, lives, forget);
-                    sleep(check).await;
+                    let address = front.backends()[nth].address;
+                    let answer = timeout(HEALTH_CHECK_TIMEOUT, answers_ping(address)).await;
+                    front.record_health(nth, answer == Ok(true), drop_after);
+                    sleep(interval).await;
                 }
             });
         }
     }
+
+    fn record_health(&self, nth: usize, lives: bool, drop_after: Duration) {
+        let backend = &mut self.backends()[nth];
+        if lives {
+            backend.answered = Some(Instant::now());
+        } else if backend.answered.is_some_and(|at| at.elapsed() > drop_after) {
+            backend.answered = None;
+        }
+    }
+
+    fn backends(&self) -> MutexGuard<'_, Vec<Backend>> {
+        self.backends
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
+    }
 }
 
-async fn asked(address: SocketAddr) -> bool {
+async fn answers_ping(address: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(address).await else {
         return false;
     };
--- a/crates/testbed/src/host/server.rs
+++ b/crates/testbed/src/host/server.rs
@@ -131,7 +131,7 @@
     with_report: bool,
 ) -> bool {
     let mut faults = host.subscribe_faults();
-    let took = host.model().message(host.context.event_log.now());
+    let took = host.model().message_time(host.context.event_log.now());
     sleep(took.min(LONGEST_HEALTH_CHECK)).await;
     if !connection.wait_while_frozen(&mut faults).await {
         return false;
--- a/crates/testbed/src/host/session.rs
+++ b/crates/testbed/src/host/session.rs
@@ -219,7 +219,7 @@
             let id = self.dial.session;
             event_log.record(Event::Held { id, span });
         }
-        let took = self.host.model().message(now);
+        let took = self.host.model().message_time(now);
         self.answers.push_back(PendingAnswer {
             due: Instant::now() + took,
             text: format!("ACK {}\r\n", message.number),
--- a/crates/testbed/src/host/state.rs
+++ b/crates/testbed/src/host/state.rs
@@ -85,7 +85,7 @@
         }
         let before = *self.faults.borrow();
         let after = active.combined(before);
-        self.model().factor = active.speed_factor();
+        self.model().speed_factor = active.speed_factor();
         drop(active);
         self.record_process(before, after, now);
         let gone = after.down && planned.kind == FaultKind::HostGone && begins;
@@ -127,13 +127,16 @@
 
     /// Leaves it a share of its speed, or all of it.
     pub fn starve(&self, speed_factor: Option<f64>) {
-        self.model().factor = speed_factor.unwrap_or(1.0);
+        self.model().speed_factor = speed_factor.unwrap_or(1.0);
     }
 
     /// Overloaded while it was warming up: it is down and stays so.
     pub(super) fn collapse(&self) {
         let host = self.number;
-        let (by, started) = (self.model().pressers(), self.discovery.start_of(host));
+        let (by, started) = (
+            self.model().recent_sessions(),
+            self.discovery.start_of(host),
+        );
         let event_log = &self.context.event_log;
         event_log.record(Event::Collapsed { host, started, by });
         event_log.record(Event::HostDown { host });
@@ -151,7 +154,7 @@
     pub(super) fn load_report(&self) -> String {
         let report = self.model().report(self.context.event_log.now());
         let field = |name: &String| match name.as_str() {
-            "x0" => format!("x0={:.4}", report.asked),
+            "x0" => format!("x0={:.4}", report.utilization),
             _ => format!("outstanding={}", report.outstanding),
         };
         let fields: Vec<String> = self.report_fields.iter().map(field).collect();
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -7,43 +7,25 @@
 //! - [`run`] plays a scenario from beginning to end.
 //! - [`judge`] checks the rules over the [`event_log`]; [`report`], [`plots`], [`compare`] and [`scale`] show results.
 
-#[allow(
-    missing_docs,
-    missing_debug_implementations,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity
-)] // Not yet brought to the workspace lints.
 pub mod client;
 pub mod compare;
 pub mod context;
-#[allow(
-    missing_docs,
-    missing_debug_implementations,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity
-)] // Not yet brought to the workspace lints.
 pub mod discovery;
 pub mod drain_measurement;
-#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod event_log;
-#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod front;
 pub mod host;
 pub mod journal;
 pub mod judge;
-#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod line_reader;
 pub mod link;
 pub mod link_ends;
-#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod load_model;
 pub mod log_summary;
-#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod metrics_calls;
 pub mod misbehaving_clients;
 pub mod pending_dials;
 pub mod plain_proxy;
-#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod plan;
 pub mod plots;
 pub mod proxy_process;
--- a/crates/testbed/src/misbehaving_clients.rs
+++ b/crates/testbed/src/misbehaving_clients.rs
@@ -1,4 +1,4 @@
-//! Bad clients: what they send, and whether they get the error or the close that they are owed in time.
+//! Misbehaving clients: what they send, and whether they get the error or the close that they are owed in time.
 
 use crate::context::RunContext;
 use crate::event_log::Event;
@@ -8,181 +8,185 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
+use tokio::net::tcp::OwnedWriteHalf;
 use tokio::time::timeout;
 
-/// A bad client has its error or close within this, and one that sends much within the longer one.
-const OWED: Duration = Duration::from_secs(3);
-const OWED_MUCH: Duration = Duration::from_secs(6);
+/// Within this a misbehaving client has its error or close.
+const REPLY_LIMIT: Duration = Duration::from_secs(3);
+/// The same for one that sends [`HUGE_VALUE`].
+const HUGE_VALUE_REPLY_LIMIT: Duration = Duration::from_secs(6);
 /// Bytes of a value that is far too large.
-const MUCH: usize = 60 << 20;
+const HUGE_VALUE: usize = 60 << 20;
+/// Bytes of a line that never ends.
+const ENDLESS_LINE: usize = 1 << 20;
+/// Bytes that are sent at once to fill a line up.
+const BLOCK_BYTES: usize = 1 << 14;
+/// How often one that comes again at once does so.
+const RECONNECTS: u32 = 30;
+/// How many sessions are asked for at once.
+const SESSIONS_AT_ONCE: usize = 300;
+/// How long a session's client says that it waits, in milliseconds.
+const USUAL_WAIT: &str = "2000";
 
-/// What a sort of bad client does: what it sends, how often, and whether it closes its side then.
-struct Sort {
+/// A sort of misbehaving client.
+struct Misbehaviour {
+    /// What records and reports call it.
     name: &'static str,
+    /// What it sends first.
     text: fn(&RunContext) -> String,
-    /// Filled up with so many bytes.
-    much: usize,
+    /// How many bytes it sends behind that.
+    padding: usize,
+    /// It closes its side after that.
     closes: bool,
-    /// Comes again at once when it is told its end, so often.
-    again: u32,
+    /// How often it comes again at once when its connection has ended.
+    reconnects: u32,
 }
 
-fn open(context: &RunContext, wait: &str, listener: Option<&str>) -> String {
-    let scenario = &context.scenario;
-    let listener = listener.unwrap_or(&scenario.listeners[0].name);
-    let member = &scenario.members[0].name;
-    format!(
-        "OPEN {:016x} 1 c={listener},t={member},d={wait}\r\n",
-        context.new_session_id()
-    )
+impl Misbehaviour {
+    /// One that sends a text, once.
+    const fn sending(name: &'static str, text: fn(&RunContext) -> String) -> Misbehaviour {
+        Misbehaviour {
+            name,
+            text,
+            padding: 0,
+            closes: false,
+            reconnects: 0,
+        }
+    }
+
+    fn is_huge(&self) -> bool {
+        self.padding == HUGE_VALUE
+    }
 }
 
-const SORTS: &[Sort] = &[
-    Sort {
-        name: "again at once",
-        text: |_| "GET / HTTP/1.1\r\n".into(),
-        much: 0,
-        closes: false,
-        again: 30,
-    },
-    Sort {
-        name: "unreadable",
-        text: |_| "\u{1}\u{2}HELO me\r\n".into(),
-        much: 0,
-        closes: false,
-        again: 0,
-    },
-    Sort {
-        name: "endless line",
-        text: |_| String::new(),
-        much: 1 << 20,
-        closes: false,
-        again: 0,
+const SORTS: &[Misbehaviour] = &[
+    Misbehaviour {
+        reconnects: RECONNECTS,
+        ..Misbehaviour::sending("again at once", |_| "GET / HTTP/1.1\r\n".into())
     },
-    Sort {
-        name: "no such listener",
-        text: |w| open(w, "2000", Some("none")),
-        much: 0,
-        closes: false,
-        again: 0,
+    Misbehaviour::sending("unreadable", |_| "\u{1}\u{2}HELO me\r\n".into()),
+    Misbehaviour {
+        padding: ENDLESS_LINE,
+        ..Misbehaviour::sending("endless line", |_| String::new())
     },
-    Sort {
-        name: "time no number",
-        text: |w| open(w, "soon", None),
-        much: 0,
-        closes: false,
-        again: 0,
-    },
-    Sort {
-        name: "negative time",
-        text: |w| open(w, "-5", None),
-        much: 0,
-        closes: false,
-        again: 0,
-    },
-    Sort {
-        name: "huge time",
-        text: |w| open(w, "99999999999999999999", None),
-        much: 0,
-        closes: false,
-        again: 0,
-    },
-    Sort {
-        name: "no id",
-        text: |_| "OPEN \r\n".into(),
-        much: 0,
-        closes: false,
-        again: 0,
-    },
-    Sort {
-        name: "half a line and a close",
-        text: |_| "OPEN 12 3 c=".into(),
-        much: 0,
+    Misbehaviour::sending("no such listener", |context| {
+        open_line(context, USUAL_WAIT, Some("none"))
+    }),
+    Misbehaviour::sending("time no number", |context| open_line(context, "soon", None)),
+    Misbehaviour::sending("negative time", |context| open_line(context, "-5", None)),
+    Misbehaviour::sending("huge time", |context| {
+        open_line(context, "99999999999999999999", None)
+    }),
+    Misbehaviour::sending("no id", |_| "OPEN \r\n".into()),
+    Misbehaviour {
         closes: true,
-        again: 0,
+        ..Misbehaviour::sending("half a line and a close", |_| "OPEN 12 3 c=".into())
     },
-    Sort {
-        name: "hundreds at once",
-        text: |w| open(w, "2000", None).repeat(300),
-        much: 0,
-        closes: false,
-        again: 0,
-    },
-    Sort {
-        name: "says nothing",
-        text: |_| String::new(),
-        much: 0,
-        closes: false,
-        again: 0,
-    },
-    Sort {
-        name: "sixty megabytes",
-        text: |_| "OPEN 1 1 x=".into(),
-        much: MUCH,
-        closes: false,
-        again: 0,
+    Misbehaviour::sending("hundreds at once", |context| {
+        open_line(context, USUAL_WAIT, None).repeat(SESSIONS_AT_ONCE)
+    }),
+    Misbehaviour::sending("says nothing", |_| String::new()),
+    Misbehaviour {
+        padding: HUGE_VALUE,
+        ..Misbehaviour::sending("sixty megabytes", |_| "OPEN 1 1 x=".into())
     },
 ];
 
-/// So many of every sort, against proxies of all places in turn.
-pub fn crowd(context: &Arc<RunContext>, front: &Arc<Front>, count: u32) {
+/// A session's first line, with any text for the time that its client waits.
+fn open_line(context: &RunContext, wait: &str, listener: Option<&str>) -> String {
+    let scenario = &context.scenario;
+    let listener = listener.unwrap_or(&scenario.listeners[0].name);
+    let member = &scenario.members[0].name;
+    let session = context.new_session_id();
+    format!("OPEN {session:016x} 1 c={listener},t={member},d={wait}\r\n")
+}
+
+/// Starts so many clients of every sort, against proxies of all places in turn.
+pub fn start(context: &Arc<RunContext>, front: &Arc<Front>, count: u32) {
     for nth in 0..count {
         for sort in SORTS {
-            // One value of that size is enough for a sitting.
-            if sort.much == MUCH && nth > 0 {
+            // One value of that size is enough for a run.
+            if sort.is_huge() && nth > 0 {
                 continue;
             }
-            let (context, front) = (context.clone(), front.clone());
-            tokio::spawn(async move {
-                let place = nth as usize % context.scenario.places.len();
-                let Some((_, at)) = front.pick(place as u8, u64::from(nth)) else {
-                    return;
-                };
-                let limit = if sort.much == MUCH { OWED_MUCH } else { OWED };
-                for _ in 0..=sort.again {
-                    let Ok(stream) = TcpStream::connect(at).await else {
-                        return;
-                    };
-                    let told = timeout(limit, behave(&context, sort, stream)).await;
-                    let (owed, served) = (told.is_ok(), told == Ok(Some(true)));
-                    context.event_log.record(Event::MisbehavingClient {
-                        sort: sort.name,
-                        owed,
-                        served,
-                    });
-                }
-            });
+            tokio::spawn(run_client(context.clone(), front.clone(), sort, nth));
         }
     }
 }
 
-/// `Some(true)` if it was served; returns once it was told its end.
-async fn behave(context: &RunContext, sort: &Sort, stream: TcpStream) -> Option<bool> {
+/// Plays one client, and records for each of its connections whether it got what it is owed.
+async fn run_client(
+    context: Arc<RunContext>,
+    front: Arc<Front>,
+    sort: &'static Misbehaviour,
+    nth: u32,
+) {
+    let place = nth as usize % context.scenario.places.len();
+    let Some((_, address)) = front.pick(place as u8, u64::from(nth)) else {
+        return;
+    };
+    let limit = if sort.is_huge() {
+        HUGE_VALUE_REPLY_LIMIT
+    } else {
+        REPLY_LIMIT
+    };
+    for _ in 0..=sort.reconnects {
+        let Ok(stream) = TcpStream::connect(address).await else {
+            return;
+        };
+        let reply = timeout(limit, misbehave(&context, sort, stream)).await;
+        context.event_log.record(Event::MisbehavingClient {
+            sort: sort.name,
+            owed: reply.is_ok(),
+            served: reply == Ok(Reply::Served),
+        });
+    }
+}
+
+/// What a misbehaving client got.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Reply {
+    Served,
+    RejectedOrClosed,
+    /// Something else.
+    Other,
+}
+
+/// Sends what a sort sends, and returns the first answer to it.
+async fn misbehave(context: &RunContext, sort: &Misbehaviour, stream: TcpStream) -> Reply {
     let text = (sort.text)(context);
-    let (read, mut write) = stream.into_split();
-    let closes = sort.closes;
-    let much = sort.much;
+    let (read, write) = stream.into_split();
     // It reads what it is sent while it sends.
-    let sends = tokio::spawn(async move {
-        let mut sent = write.write_all(text.as_bytes()).await;
-        let block = [b'x'; 1 << 14];
-        let mut left = much;
-        while left > 0 && sent.is_ok() {
-            let n = left.min(block.len());
-            sent = write.write_all(&block[..n]).await;
-            left -= n;
-        }
-        if closes {
-            let _ = write.shutdown().await;
-        }
-        write
-    });
+    let sending = tokio::spawn(send(write, text, sort.padding, sort.closes));
     let line = LineReader::new(read).next().await;
-    sends.abort();
+    sending.abort();
     match line {
-        Line::Text(line) if line.starts_with("UP ") => Some(true),
-        Line::Text(line) if line.starts_with("ERR") || line.starts_with("BUSY") => Some(false),
-        Line::Fin | Line::Reset => Some(false),
-        Line::Text(_) | Line::Bad => None,
+        Line::Text(line) if line.starts_with("UP ") => Reply::Served,
+        Line::Text(line) if line.starts_with("ERR") || line.starts_with("BUSY") => {
+            Reply::RejectedOrClosed
+        }
+        Line::Fin | Line::Reset => Reply::RejectedOrClosed,
+        Line::Text(_) | Line::Bad => Reply::Other,
+    }
+}
+
+/// Sends a text and so many bytes more, and closes its side or keeps it open.
+async fn send(
+    mut write: OwnedWriteHalf,
+    text: String,
+    padding: usize,
+    closes: bool,
+) -> OwnedWriteHalf {
+    let mut sent = write.write_all(text.as_bytes()).await;
+    let block = [b'x'; BLOCK_BYTES];
+    let mut left = padding;
+    while left > 0 && sent.is_ok() {
+        let count = left.min(block.len());
+        sent = write.write_all(&block[..count]).await;
+        left -= count;
+    }
+    if closes {
+        let _ = write.shutdown().await;
     }
+    write
 }
--- a/crates/testbed/src/proxy_process/proxy.rs
+++ b/crates/testbed/src/proxy_process/proxy.rs
@@ -124,6 +124,6 @@
     /// Where operators call it from now on; nowhere, while no process serves.
     pub(super) fn set_operator_address(&mut self, address: Option<SocketAddr>) {
         self.starting = None;
-        metrics_calls::set(&self.operator_address, address);
+        self.operator_address.set(address);
     }
 }
--- a/crates/testbed/src/run/faults/discovery_and_clients.rs
+++ b/crates/testbed/src/run/faults/discovery_and_clients.rs
@@ -22,7 +22,7 @@
             signals.stop_reading.send_replace(signal);
         }
         FaultKind::ClientsBad if begins => {
-            misbehaving_clients::crowd(context, &testbed.front, fault.much as u32);
+            misbehaving_clients::start(context, &testbed.front, fault.much as u32);
         }
         kind => apply_to_discovery(testbed, kind, begins),
     }
--- a/crates/testbed/src/run/observers.rs
+++ b/crates/testbed/src/run/observers.rs
@@ -51,7 +51,7 @@
         let loads = testbed
             .hosts
             .iter()
-            .map(|host| host.model().asked(now) as f32);
+            .map(|host| host.model().utilization(now) as f32);
         samples.push(loads.collect());
         sleep(LOAD_INTERVAL).await;
     }
--- a/crates/testbed/src/run/operators.rs
+++ b/crates/testbed/src/run/operators.rs
@@ -29,9 +29,9 @@
         return callers;
     }
     for (proxy, address) in (0..).zip(addresses) {
-        callers.spawn(metrics_calls::stall(address.clone()));
+        callers.spawn(metrics_calls::stall_requests(address.clone()));
         for _ in 0..per_proxy {
-            let asks = metrics_calls::ask(context.clone(), proxy, address.clone());
+            let asks = metrics_calls::poll_metrics(context.clone(), proxy, address.clone());
             callers.spawn(asks);
         }
     }
--- a/crates/testbed/src/run/proxy_fleet.rs
+++ b/crates/testbed/src/run/proxy_fleet.rs
@@ -74,7 +74,7 @@
         let since = Instant::now();
         while !front.all_up() {
             if since.elapsed() > READY_TIMEOUT {
-                let proxy = front.waits_for().unwrap_or_default();
+                let proxy = front.first_unanswered().unwrap_or_default();
                 return Err(never_ready(proxy, folder));
             }
             if let Some(Ok(Err(error))) = self.tasks.try_join_next() {
--- a/crates/testbed/src/run/set_up.rs
+++ b/crates/testbed/src/run/set_up.rs
@@ -44,6 +44,6 @@
     let links = Links::start(&context, pairs).await?;
     let zones = context.scenario.places.len() as u8;
     let front_addresses = proxies.iter().map(|proxy| (proxy.zone, proxy.listen));
-    let front = Front::over(front_addresses, &links, zones);
+    let front = Front::with_links(front_addresses, &links, zones);
     Ok(Testbed::start(context, hosts, front, Arc::new(links)))
 }
--- a/crates/testbed/tests/load_model.rs
+++ b/crates/testbed/tests/load_model.rs
@@ -29,30 +29,30 @@
     for group in [Some(1), Some(1), Some(2), None] {
         model.connect(ms(0), group, 0.05);
     }
-    assert!((model.asked(ms(0)) - 0.4).abs() < 1e-9);
-    let light = model.message(ms(10));
-    model.factor = 0.42;
+    assert!((model.utilization(ms(0)) - 0.4).abs() < 1e-9);
+    let light = model.message_time(ms(10));
+    model.speed_factor = 0.42;
     assert!(
-        model.message(ms(20)) > light * 5,
+        model.message_time(ms(20)) > light * 5,
         "near its limit messages take long"
     );
     let queued = (
-        model.message(ms(1_020)),
-        model.factor = 0.2,
-        model.message(ms(3_020)),
+        model.message_time(ms(1_020)),
+        model.speed_factor = 0.2,
+        model.message_time(ms(3_020)),
     );
     assert!(
         queued.2 > queued.0 + ms(1_900),
         "over it work piles up: {queued:?}"
     );
-    model.factor = 1.0;
+    model.speed_factor = 1.0;
     model.disconnect(ms(3_020), Some(1), 0.05);
     assert!(
-        (model.asked(ms(3_020)) - 0.35).abs() < 1e-9,
+        (model.utilization(ms(3_020)) - 0.35).abs() < 1e-9,
         "the group is still held"
     );
     model.disconnect(ms(3_020), Some(1), 0.05);
-    assert!((model.asked(ms(3_020)) - 0.2).abs() < 1e-9);
+    assert!((model.utilization(ms(3_020)) - 0.2).abs() < 1e-9);
 }
 
 #[test]
