--- a/crates/testbed/src/client/attempt.rs
+++ b/crates/testbed/src/client/attempt.rs
@@ -132,13 +132,13 @@
     /// Connects to the proxy that the front gives it.
     async fn connect_to_proxy(&mut self) -> Option<ProxyConnection> {
         let draw = self.random.random();
-        let (proxy, address) = self.front.pick(self.planned.place, draw)?;
-        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+        let proxy = self.front.pick(self.planned.place, draw)?;
+        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(proxy.address)).await;
         let stream = connected.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
         Some(ProxyConnection {
-            proxy,
+            proxy: proxy.number,
             lines: LineReader::new(read),
             write,
         })
--- a/crates/testbed/src/discovery/endpoint_list.rs
+++ b/crates/testbed/src/discovery/endpoint_list.rs
@@ -36,7 +36,7 @@
 /// What a list tells of a host.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedHost {
-    /// Its place in the plan.
+    /// Its index in the plan.
     pub number: u16,
     /// Whether it takes sessions.
     pub state: HostState,
--- a/crates/testbed/src/discovery/registry.rs
+++ b/crates/testbed/src/discovery/registry.rs
@@ -105,7 +105,7 @@
             let ends = LinkEnds::Proxy(proxy, endpoint.number);
             self.links.address(ends).unwrap_or(endpoint.address)
         };
-        let clock_start = self.context.event_log.unix;
+        let clock_start = self.context.event_log.unix_start;
         EndpointList::new(endpoints, version, after, clock_start, address_of)
     }
 
--- a/crates/testbed/src/event_log.rs
+++ b/crates/testbed/src/event_log.rs
@@ -66,7 +66,7 @@
         proxy: u16,
         /// Where its client is.
         place: u8,
-        /// The listener's place in the scenario.
+        /// The listener's index in the scenario.
         listener: u8,
         /// How long its client waits.
         wait: Duration,
@@ -308,18 +308,18 @@
 pub struct EventLog {
     start: Instant,
     /// Unix time of the start, for discovery.
-    pub unix: Duration,
+    pub unix_start: Duration,
     events: Mutex<Vec<LoggedEvent>>,
 }
 
 impl Default for EventLog {
     fn default() -> Self {
-        let unix = std::time::SystemTime::now()
+        let unix_start = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .unwrap_or_default();
         EventLog {
             start: Instant::now(),
-            unix,
+            unix_start,
             events: Mutex::default(),
         }
     }
--- a/crates/testbed/src/front.rs
+++ b/crates/testbed/src/front.rs
@@ -1,4 +1,4 @@
-//! The front: learns by health checks which proxies live, deals clients out among those of their place, and drops dead ones
+//! The front: learns by health checks which proxies live, deals clients out among those of their zone, and drops dead ones
 //! late.
 
 use crate::context::RunContext;
@@ -15,12 +15,12 @@
 /// Longest that a proxy may take to answer a health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A proxy as the clients of a place reach it.
+/// A proxy as the clients of a zone reach it.
 #[derive(Clone, Copy, Debug)]
 struct Backend {
     /// Where the proxy is.
-    place: u8,
-    /// The place whose clients reach it by this address; `None`: those of all places.
+    zone: u8,
+    /// The zone whose clients reach it by this address; `None`: those of all zones.
     clients_of: Option<u8>,
     proxy: u16,
     address: SocketAddr,
@@ -29,12 +29,21 @@
 }
 
 impl Backend {
-    /// Whether it is in use for the clients of a place.
-    fn serves(&self, place: u8) -> bool {
-        self.answered.is_some() && self.clients_of.is_none_or(|own| own == place)
+    /// Whether it is in use for the clients of a zone.
+    fn serves(&self, zone: u8) -> bool {
+        self.answered.is_some() && self.clients_of.is_none_or(|own| own == zone)
     }
 }
 
+/// A proxy that a client is given.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PickedProxy {
+    /// The proxy's number.
+    pub number: u16,
+    /// Where the client reaches it.
+    pub address: SocketAddr,
+}
+
 /// Where clients find a proxy.
 #[derive(Debug)]
 pub struct Front {
@@ -42,20 +51,20 @@
 }
 
 impl Front {
-    /// A front of proxies, each with its place, which all clients reach by the same address.
+    /// A front of proxies, each with its zone, which all clients reach by the same address.
     pub fn new(proxies: impl Iterator<Item = (u8, SocketAddr)>) -> Front {
         Front::with_links(proxies, &Links::default(), 1)
     }
 
-    /// The same, where clients of each place reach a proxy by a link of their own if there is one.
+    /// The same, where clients of each zone reach a proxy by a link of their own if there is one.
     pub fn with_links(
         proxies: impl Iterator<Item = (u8, SocketAddr)>,
         links: &Links,
-        places: u8,
+        zones: u8,
     ) -> Front {
         let mut backends = Vec::new();
-        for (proxy, (place, direct)) in (0..).zip(proxies) {
-            for clients_of in 0..places {
+        for (proxy, (zone, direct)) in (0..).zip(proxies) {
+            for clients_of in 0..zones {
                 let relay = links.address(LinkEnds::Clients(clients_of, proxy));
                 let (clients_of, address) = match relay {
                     Some(relay) => (Some(clients_of), relay),
@@ -63,7 +72,7 @@
                     None => continue,
                 };
                 backends.push(Backend {
-                    place,
+                    zone,
                     clients_of,
                     proxy,
                     address,
@@ -89,11 +98,11 @@
             .map(|backend| usize::from(backend.proxy))
     }
 
-    /// A proxy for a client of a place, by a number drawn; another place's where that has none.
-    pub fn pick(&self, place: u8, draw: u64) -> Option<(u16, SocketAddr)> {
+    /// A proxy for a client of a zone, by a number drawn; another zone's where that has none.
+    pub fn pick(&self, zone: u8, draw: u64) -> Option<PickedProxy> {
         let backends = self.backends();
-        let in_use = || backends.iter().filter(|backend| backend.serves(place));
-        let near: Vec<&Backend> = in_use().filter(|backend| backend.place == place).collect();
+        let in_use = || backends.iter().filter(|backend| backend.serves(zone));
+        let near: Vec<&Backend> = in_use().filter(|backend| backend.zone == zone).collect();
         let candidates = if near.is_empty() {
             in_use().collect()
         } else {
@@ -101,7 +110,10 @@
         };
         let nth = draw % candidates.len().max(1) as u64;
         let backend = candidates.get(nth as usize)?;
-        Some((backend.proxy, backend.address))
+        Some(PickedProxy {
+            number: backend.proxy,
+            address: backend.address,
+        })
     }
 
     /// Checks each proxy's health for as long as the run lasts.
--- a/crates/testbed/src/host/faults.rs
+++ b/crates/testbed/src/host/faults.rs
@@ -45,7 +45,7 @@
 /// One fault that a host has now.
 #[derive(Clone, Copy, Debug)]
 struct ActiveFault {
-    /// Its place in the plan.
+    /// Its index in the plan.
     number: usize,
     kind: FaultKind,
     span: Duration,
--- a/crates/testbed/src/host/state.rs
+++ b/crates/testbed/src/host/state.rs
@@ -20,7 +20,7 @@
 /// An emulated host.
 #[derive(Debug)]
 pub struct Host {
-    /// Its place in the plan.
+    /// Its index in the plan.
     pub number: u16,
     /// Where it is reached.
     pub address: SocketAddr,
@@ -73,7 +73,7 @@
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// A fault of the plan, known by its place in it, begins or ends here.
+    /// A fault of the plan, known by its index in it, begins or ends here.
     pub fn apply_fault(&self, fault: usize, begins: bool) {
         let now = self.context.event_log.now();
         let planned = &self.context.plan.faults[fault];
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -24,7 +24,7 @@
 pub mod log_summary;
 pub mod metrics_calls;
 pub mod misbehaving_clients;
-pub mod pending_dials;
+mod pending_dials;
 pub mod plain_proxy;
 pub mod plan;
 pub mod plots;
--- a/crates/testbed/src/link/path.rs
+++ b/crates/testbed/src/link/path.rs
@@ -10,7 +10,7 @@
 /// One fault that a link has now.
 #[derive(Clone, Copy, Debug)]
 struct ActiveFault {
-    /// Its place in the plan.
+    /// Its index in the plan.
     number: usize,
     faults: LinkFaults,
     /// Connections that were open when it began are reset once it is over: the other side has forgotten them.
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A fault, known by its place in the plan, begins on this link.
+    /// A fault, known by its index in the plan, begins on this link.
     pub fn begin(&self, number: usize, faults: LinkFaults, half_open: bool) {
         self.active_faults().push(ActiveFault {
             number,
--- a/crates/testbed/src/link_ends.rs
+++ b/crates/testbed/src/link_ends.rs
@@ -5,6 +5,6 @@
 pub enum LinkEnds {
     /// A proxy and a host, by their numbers.
     Proxy(u16, u16),
-    /// The clients and the front of a place, and a proxy, by their numbers.
+    /// The clients and the front of a zone, and a proxy, by their numbers.
     Clients(u8, u16),
 }
--- a/crates/testbed/src/misbehaving_clients.rs
+++ b/crates/testbed/src/misbehaving_clients.rs
@@ -101,7 +101,7 @@
     format!("OPEN {session:016x} 1 c={listener},t={member},d={wait}\r\n")
 }
 
-/// Starts so many clients of every sort, against proxies of all places in turn.
+/// Starts so many clients of every sort, against proxies of all zones in turn.
 pub fn start(context: &Arc<RunContext>, front: &Arc<Front>, count: u32) {
     for nth in 0..count {
         for sort in SORTS {
@@ -122,7 +122,7 @@
     nth: u32,
 ) {
     let place = nth as usize % context.scenario.places.len();
-    let Some((_, address)) = front.pick(place as u8, u64::from(nth)) else {
+    let Some(proxy) = front.pick(place as u8, u64::from(nth)) else {
         return;
     };
     let limit = if sort.is_huge() {
@@ -131,7 +131,7 @@
         REPLY_LIMIT
     };
     for _ in 0..=sort.reconnects {
-        let Ok(stream) = TcpStream::connect(address).await else {
+        let Ok(stream) = TcpStream::connect(proxy.address).await else {
             return;
         };
         let reply = timeout(limit, misbehave(&context, sort, stream)).await;
--- a/crates/testbed/src/plan/faults.rs
+++ b/crates/testbed/src/plan/faults.rs
@@ -47,7 +47,7 @@
             .collect()
     }
 
-    /// How many hosts, proxies or places a fault could strike.
+    /// How many hosts, proxies or zones a fault could strike.
     fn possible_targets(&self, fault: &ScenarioFault) -> u32 {
         let kind = fault.kind;
         if kind.strikes_hosts() {
--- a/crates/testbed/src/plan/planned.rs
+++ b/crates/testbed/src/plan/planned.rs
@@ -11,11 +11,11 @@
     pub at: Duration,
     /// How long it wants to be connected, from then on.
     pub life: Duration,
-    /// The listener that it wants, by its place in the scenario.
+    /// The listener that it wants, by its index in the scenario.
     pub listener: u8,
-    /// The member that it belongs to, by its place in the scenario.
+    /// The tenant that it belongs to, by its index in the scenario.
     pub member: u16,
-    /// Where it is, by the place's place in the scenario.
+    /// Where it is, by the index of its zone in the scenario.
     pub place: u8,
     /// The group whose cost it shares with others, if any.
     pub group: Option<u64>,
@@ -40,7 +40,7 @@
     pub until: Option<Duration>,
     /// What fails.
     pub kind: FaultKind,
-    /// Numbers of the hosts, proxies or places that it strikes.
+    /// Numbers of the hosts, proxies or zones that it strikes.
     pub on: Vec<u16>,
     /// By how much, where the kind has a measure.
     pub much: f64,
@@ -52,12 +52,12 @@
     pub to: Option<Vec<u16>>,
     /// Connections from before a cut are reset when it is over: the other side has forgotten them.
     pub half_open: bool,
-    /// For a lost place: what comes back.
+    /// For a lost zone: what comes back.
     pub back: RecoveredPart,
 }
 
 impl PlannedFault {
-    /// Whether it strikes the link between these, of which `places_of` tells the places.
+    /// Whether it strikes the link between these, of which `places_of` tells the zones.
     pub fn strikes(&self, ends: LinkEnds, places_of: impl Fn(LinkEnds) -> (u8, u8)) -> bool {
         let (from, to) = places_of(ends);
         match (self.kind, ends) {
@@ -83,9 +83,9 @@
 /// A host of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostPlan {
-    /// Where it is, by the place's place in the scenario.
+    /// Where it is, by the index of its zone in the scenario.
     pub place: u8,
-    /// The cell of its place.
+    /// The cell of its zone.
     pub cell: u16,
     /// Its speed as a multiple of a standard host's.
     pub speed: f64,
@@ -97,7 +97,7 @@
     pub room: u32,
 }
 
-/// The hosts of a scenario. Those without a place of their own are spread over all.
+/// The hosts of a scenario. Those for which no zone is named are spread over all.
 pub(super) fn hosts(scenario: &Scenario) -> Vec<HostPlan> {
     let mut hosts = Vec::new();
     for group in &scenario.fleet.hosts {
--- a/crates/testbed/src/report/build.rs
+++ b/crates/testbed/src/report/build.rs
@@ -8,7 +8,7 @@
 use crate::proxy_process::ResourceUsage;
 use crate::run::RunOutcome;
 use crate::scenario::Scenario;
-use crate::service_score::ServiceMarks;
+use crate::service_score::{ServiceMarks, ServiceTime};
 use hdrhistogram::Histogram;
 
 /// Most violations that a report holds.
@@ -58,12 +58,15 @@
 
 /// Each second's sums over listeners and tenants.
 fn service_seconds(marks: &ServiceMarks) -> Vec<ServiceSecond> {
-    let sum = |cells: &Vec<(f64, f64)>| sum(cells.iter().copied().map(second));
+    let sum = |cells: &Vec<ServiceTime>| sum(cells.iter().copied().map(second));
     marks.seconds.iter().map(sum).collect()
 }
 
-fn second((wanted, served): (f64, f64)) -> ServiceSecond {
-    ServiceSecond { wanted, served }
+fn second(time: ServiceTime) -> ServiceSecond {
+    ServiceSecond {
+        wanted: time.wanted,
+        served: time.served,
+    }
 }
 
 fn sum(seconds: impl Iterator<Item = ServiceSecond>) -> ServiceSecond {
--- a/crates/testbed/src/service_score.rs
+++ b/crates/testbed/src/service_score.rs
@@ -17,11 +17,20 @@
     members: usize,
 }
 
+/// Time of clients within one second of the plan, in seconds.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ServiceTime {
+    /// For how long they wanted to be connected.
+    pub wanted: f64,
+    /// For how long they were served well.
+    pub served: f64,
+}
+
 /// The sums behind a [`ServiceScore`].
 #[derive(Debug)]
 pub struct ServiceMarks {
-    /// By second; then by listener and member: seconds that clients wanted, and those that were well served.
-    pub seconds: Vec<Vec<(f64, f64)>>,
+    /// By second; then by listener, and within that by tenant.
+    pub seconds: Vec<Vec<ServiceTime>>,
     cells: usize,
     /// By listener, in microseconds from when a client wanted to be connected.
     pub set_ups: Vec<Histogram<u64>>,
@@ -41,7 +50,7 @@
 }
 
 impl ServiceScore {
-    /// A score of so many listeners and members, without any service yet.
+    /// A score of so many listeners and tenants, without any service yet.
     pub(crate) fn new(listeners: usize, members: usize) -> ServiceScore {
         let marks = ServiceMarks {
             seconds: Vec::new(),
@@ -65,14 +74,14 @@
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// A client of a member wanted to be connected to a listener from one time of the plan to another.
+    /// A client of a tenant wanted to be connected to a listener from one time of the plan to another.
     pub(crate) fn add_wanted(&self, listener: u8, member: u16, from: Duration, to: Duration) {
-        self.spread(listener, member, from, to, |cell, part| cell.0 += part);
+        self.spread(listener, member, from, to, |time, part| time.wanted += part);
     }
 
-    /// A client of a member was served well from one time of the plan to another.
+    /// A client of a tenant was served well from one time of the plan to another.
     pub(crate) fn add_served(&self, listener: u8, member: u16, from: Duration, to: Duration) {
-        self.spread(listener, member, from, to, |cell, part| cell.1 += part);
+        self.spread(listener, member, from, to, |time, part| time.served += part);
     }
 
     /// Adds to each second the part of a time span that lies in it.
@@ -82,7 +91,7 @@
         member: u16,
         from: Duration,
         to: Duration,
-        add: impl Fn(&mut (f64, f64), f64),
+        add: impl Fn(&mut ServiceTime, f64),
     ) {
         let (from, to) = (from.as_secs_f64(), to.as_secs_f64());
         let cell = usize::from(listener) * self.members + usize::from(member);
@@ -93,7 +102,9 @@
             let second = at as usize;
             let until = to.min((second + 1) as f64);
             if marks.seconds.len() <= second {
-                marks.seconds.resize(second + 1, vec![(0.0, 0.0); cells]);
+                marks
+                    .seconds
+                    .resize(second + 1, vec![ServiceTime::default(); cells]);
             }
             add(&mut marks.seconds[second][cell], until - at);
             at = until;
