--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -12,9 +12,7 @@
 pub mod context;
 pub mod discovery;
 pub mod drain_measurement;
-#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod event_log;
-#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod front;
 pub mod host;
 pub mod journal;
@@ -22,15 +20,12 @@
 pub mod line_reader;
 pub mod link;
 pub mod link_ends;
-#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod load_model;
 pub mod log_summary;
-#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod metrics_calls;
 pub mod misbehaving_clients;
-pub mod pending_dials;
+mod pending_dials;
 pub mod plain_proxy;
-#[allow(missing_docs, missing_debug_implementations)] // Not yet brought to the workspace lints.
 pub mod plan;
 pub mod plots;
 pub mod proxy_process;
