--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,5 @@
 //! Stand-in hosts, clients, a front and discovery on loopback around asterramp, with faults, and a judge that holds the
-//! rules against what the peers themselves recorded. `docs/rig.md` tells how its parts meet.
+//! rules against what the peers themselves recorded. `docs/testbed.md` tells how its parts meet.
 //!
 //! - [`scenario`] is what a run is made of, [`plan`] what is drawn from it, [`context`] what its actors share.
 //! - [`host`], [`client`], [`front`], [`discovery`] and [`link`] are the actors, [`testbed`] owns them.
