--- a/crates/proxy/src/program/roll.rs
+++ b/crates/proxy/src/program/roll.rs
@@ -1,7 +1,7 @@
 //! A rolling restart: a site's proxies are replaced one after the other, without the front ever losing two.
 //!
 //! A guarded roll is led by one process at a time, by a [`LeaderLease`]. Its plan is kept at the store, so that a successor
-//! goes on where the leader stopped. `docs/ownership.md` says why it is done this way.
+//! goes on where the leader stopped. `docs/leader-lease.md` says why it is done this way.
 
 mod error;
 mod operator;
