--- a/crates/testbed/src/plain_proxy/connection.rs
+++ b/crates/testbed/src/plain_proxy/connection.rs
@@ -13,7 +13,9 @@
 
 /// Both halves of a connection.
 pub(super) struct LineConnection {
+    /// What the other side says.
     pub(super) lines: LineReader,
+    /// What is said to it.
     pub(super) write: OwnedWriteHalf,
 }
 
--- a/crates/testbed/src/plain_proxy/state.rs
+++ b/crates/testbed/src/plain_proxy/state.rs
@@ -14,7 +14,9 @@
     pub(super) policy: Policy,
     /// The rule that is broken on purpose.
     pub(super) fault: Option<InjectedFault>,
+    /// The platform's configuration, as it was at the start.
     pub(super) configuration: Configuration,
+    /// The hosts, as discovery tells them.
     pub(super) endpoints: Endpoints,
     /// Choices so far.
     turn: AtomicU64,
@@ -25,6 +27,7 @@
 }
 
 impl ProxyState {
+    /// The state of a proxy that serves nobody yet.
     pub(super) fn new(
         policy: Policy,
         fault: Option<InjectedFault>,
--- a/crates/testbed/src/proxy_process/admin.rs
+++ b/crates/testbed/src/proxy_process/admin.rs
@@ -6,6 +6,7 @@
 use tracing::warn;
 
 impl Proxy {
+    /// Asks the proxy to migrate its clients by a deadline.
     pub(super) async fn drain(&self, deadline: Duration) {
         let deadline_ms = Some(deadline.as_millis() as u64);
         self.send(AdminRequest {
@@ -15,6 +16,7 @@
         .await;
     }
 
+    /// Asks the proxy to serve again.
     pub(super) async fn undrain(&self) {
         self.send(AdminRequest::new(AdminCommand::Undrain)).await;
     }
--- a/crates/testbed/src/proxy_process/configuration.rs
+++ b/crates/testbed/src/proxy_process/configuration.rs
@@ -107,7 +107,9 @@
 /// What of a configuration is one proxy's own.
 pub(super) struct OwnConfiguration {
     pub(super) number: u16,
+    /// Its zone, by the number of its name in the scenario.
     pub(super) zone: u8,
+    /// Where it listens for clients.
     pub(super) listen: SocketAddr,
     /// Where its discovery agent is.
     pub(super) discovery: SocketAddr,
@@ -116,6 +118,7 @@
 }
 
 impl<'a> Configuration<'a> {
+    /// The configuration of one proxy of a scenario.
     pub(super) fn new(scenario: &'a Scenario, own: OwnConfiguration) -> Configuration<'a> {
         let seed = (u64::from(own.number) + 1).wrapping_mul(SEED_SPREAD);
         Configuration {
