--- a/crates/model-checker/src/explorer.rs
+++ b/crates/model-checker/src/explorer.rs
@@ -1,16 +1,19 @@
 //! Explores a [`Model`] breadth first, so that the way to a violation is a shortest one.
 //!
-//! The states of a level are expanded in parallel, a batch at a time. What they lead to is merged in order, so that two
-//! explorations of a model keep the same states and give the same counterexample, whichever thread was faster.
+//! The states of a level are expanded in parallel, a batch at a time. Of equal states the earliest in order is kept, so that
+//! two explorations of a model keep the same states and give the same counterexample, whichever thread was faster.
 
+use crate::known_states::{KnownStates, MeetingNumber};
 use crate::model::Model;
 use rayon::prelude::*;
-use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
 /// States that are expanded before their successors are merged: many enough to keep all cores busy, few enough that the
 /// successors that turn out to be equal do not matter beside the level.
 const BATCH_SIZE: usize = 1 << 11;
+/// Bits of a meeting's number for the action, and for the state in its batch; the batch has the rest.
+const ACTION_BITS: u32 = 16;
+const STATE_BITS: u32 = 16;
 
 /// Where to stop, whatever is left.
 #[derive(Clone, Copy, Debug)]
@@ -97,13 +100,24 @@
     action: A,
 }
 
-/// What an action led to: a state and its fingerprint, or a violation.
-type Outcome<M> = Result<(M, <M as Model>::Fingerprint), <M as Model>::Violation>;
+/// A state that an action led to.
+struct Met<M: Model> {
+    state: M,
+    fingerprint: M::Fingerprint,
+    number: MeetingNumber,
+}
 
-/// What an action led to, if that was not known when its batch began.
+/// What an action led to, if that was not known at the time.
 struct Successor<M: Model> {
     origin: Origin<M::Action>,
-    outcome: Outcome<M>,
+    outcome: Result<Met<M>, M::Violation>,
+}
+
+/// What the actions of one state led to.
+struct Expansion<M: Model> {
+    /// Number of actions.
+    steps: u64,
+    successors: Vec<Successor<M>>,
 }
 
 /// Explores every order of actions from `initial` on, until a property does not hold, all states have been seen or a limit
@@ -153,7 +167,9 @@
 struct Explorer<'a, M: Model> {
     limits: Limits,
     prefix: &'a [M::Action],
-    known: HashSet<M::Fingerprint>,
+    known: KnownStates<M::Fingerprint>,
+    /// Batches that were begun. The initial state counts as the first.
+    batches: u64,
     /// The states that are expanded next, or that the present level has led to so far.
     level: Vec<M>,
     level_origins: Vec<Origin<M::Action>>,
@@ -164,10 +180,13 @@
 
 impl<'a, M: Model> Explorer<'a, M> {
     fn new(initial: M, prefix: &'a [M::Action], limits: Limits) -> Self {
+        let known = KnownStates::new();
+        known.meet(initial.fingerprint(), 0);
         Explorer {
             limits,
             prefix,
-            known: HashSet::from([initial.fingerprint()]),
+            known,
+            batches: 1,
             level: vec![initial],
             level_origins: Vec::new(),
             earlier_origins: Vec::new(),
@@ -213,28 +232,37 @@
     /// What the states of a batch lead to, in their order; `first` is the number of the first of them in its level.
     fn expand_batch(&mut self, batch: &[M], first: usize) -> Vec<Successor<M>> {
         let known = &self.known;
-        let expansions: Vec<(u64, Vec<Successor<M>>)> = batch
+        let first_number = self.batches << (STATE_BITS + ACTION_BITS);
+        self.batches += 1;
+        let mut expansions: Vec<Expansion<M>> = batch
             .par_iter()
             .enumerate()
-            .map(|(offset, state)| expand(state, (first + offset) as u32, known))
+            .map(|(offset, state)| {
+                let number = first_number + ((offset as u64) << ACTION_BITS);
+                expand(state, (first + offset) as u32, number, known)
+            })
             .collect();
-        let mut all_successors = Vec::new();
-        for (steps, successors) in expansions {
-            self.result.steps += steps;
-            all_successors.extend(successors);
-        }
-        all_successors
+        expansions.par_iter_mut().for_each(|expansion| {
+            let is_first = |successor: &Successor<M>| match &successor.outcome {
+                Ok(met) => known.was_first_met_at(&met.fingerprint, met.number),
+                Err(_) => true,
+            };
+            expansion.successors.retain(is_first);
+        });
+        self.result.steps += expansions.iter().map(|each| each.steps).sum::<u64>();
+        expansions
+            .into_iter()
+            .flat_map(|expansion| expansion.successors)
+            .collect()
     }
 
-    /// Takes a successor into the next level, unless one that was merged before is equal; keeps the first violation.
+    /// Takes a successor into the next level; keeps the first violation.
     fn merge(&mut self, successor: Successor<M>) {
         let Successor { origin, outcome } = successor;
         match outcome {
-            Ok((state, fingerprint)) => {
-                if self.known.insert(fingerprint) {
-                    self.level.push(state);
-                    self.level_origins.push(origin);
-                }
+            Ok(met) => {
+                self.level.push(met.state);
+                self.level_origins.push(origin);
             }
             Err(violation) if self.result.counterexample.is_none() => {
                 let actions = self.actions_to(origin);
@@ -258,41 +286,52 @@
     }
 }
 
-/// Applies every action to a state; with the number of actions, and without the states that are known.
+/// Applies every action to a state. `number` is its own, and `first_meeting` that of its first action.
 fn expand<M: Model>(
     state: &M,
     number: u32,
-    known: &HashSet<M::Fingerprint>,
-) -> (u64, Vec<Successor<M>>) {
-    if state.is_finished() {
-        return (0, Vec::new());
-    }
-    let actions = state.actions();
+    first_meeting: MeetingNumber,
+    known: &KnownStates<M::Fingerprint>,
+) -> Expansion<M> {
+    let actions = if state.is_finished() {
+        Vec::new()
+    } else {
+        state.actions()
+    };
     let steps = actions.len() as u64;
-    let successors = actions.into_iter().filter_map(|action| {
-        let outcome = outcome_of(state, action, known)?;
+    let numbered = (first_meeting..).zip(actions);
+    let successors = numbered.filter_map(|(meeting, action)| {
+        let outcome = outcome_of(state, action, meeting, known)?;
         let origin = Origin {
             state: number,
             action,
         };
         Some(Successor { origin, outcome })
     });
-    (steps, successors.collect())
+    Expansion {
+        steps,
+        successors: successors.collect(),
+    }
 }
 
-/// What an action leads to; `None` if it is a state that is known.
+/// What an action leads to; `None` if it is a state that was met before.
 fn outcome_of<M: Model>(
     state: &M,
     action: M::Action,
-    known: &HashSet<M::Fingerprint>,
-) -> Option<Outcome<M>> {
+    number: MeetingNumber,
+    known: &KnownStates<M::Fingerprint>,
+) -> Option<Result<Met<M>, M::Violation>> {
     let mut next = state.clone();
     if let Err(violation) = next.apply(action) {
         return Some(Err(violation));
     }
     let fingerprint = next.fingerprint();
-    if known.contains(&fingerprint) {
+    if !known.meet(fingerprint.clone(), number) {
         return None;
     }
-    Some(next.check().map(|()| (next, fingerprint)))
+    Some(next.check().map(|()| Met {
+        state: next,
+        fingerprint,
+        number,
+    }))
 }
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -10,6 +10,7 @@
 mod action_text;
 pub mod explorer;
 pub mod hot_restart;
+mod known_states;
 pub mod leader_lease;
 pub mod model;
 mod monitor;
--- a/crates/model-checker/src/model.rs
+++ b/crates/model-checker/src/model.rs
@@ -12,7 +12,7 @@
     /// A property that does not hold.
     type Violation: Debug + Display + Send;
     /// What tells states apart.
-    type Fingerprint: Eq + Hash + Send + Sync;
+    type Fingerprint: Clone + Eq + Hash + Send + Sync;
 
     /// Equal for states that behave alike from here on; the explorer goes on from the first of them only.
     fn fingerprint(&self) -> Self::Fingerprint;
