--- a/crates/admission/src/control.rs
+++ b/crates/admission/src/control.rs
@@ -68,7 +68,7 @@
     pub fn set_rate(&mut self, now: Duration, rate: Option<f64>) {
         if let (None, Some(rate)) = (self.bucket.rate(), rate) {
             let head_start = self.rng.random::<f64>();
-            self.bucket.start(now, rate, head_start);
+            self.bucket.start_limit(now, rate, head_start);
         }
         self.bucket.set_rate(now, rate);
     }
@@ -90,7 +90,7 @@
     pub fn session_costs(&self, now: Duration) -> impl Iterator<Item = Option<SessionCost>> + '_ {
         self.cost_estimates
             .iter()
-            .map(move |estimate| estimate.known(now))
+            .map(move |estimate| estimate.known_cost(now))
     }
 
     /// Rejections so far, by listener.
@@ -111,7 +111,7 @@
         self.bucket.refill(now);
         let rank = self.rank(now, request);
         if self.bucket.admits(rank.total()) {
-            self.bucket.take_one();
+            self.bucket.take_token();
             self.quota_usage.record_admission(now, request.tenant);
             return Ok(());
         }
--- a/crates/admission/src/session_cost.rs
+++ b/crates/admission/src/session_cost.rs
@@ -46,7 +46,7 @@
     }
 
     /// The cost; `None` while there are too few reports, or they are too old.
-    pub(crate) fn known(&self, now: Duration) -> Option<SessionCost> {
+    pub(crate) fn known_cost(&self, now: Duration) -> Option<SessionCost> {
         let age = now.saturating_sub(self.updated_at);
         let is_known = self.reports >= MIN_REPORTS && self.mean > 0.0 && age <= MAX_AGE;
         if !is_known {
--- a/crates/admission/src/token_bucket.rs
+++ b/crates/admission/src/token_bucket.rs
@@ -24,7 +24,7 @@
     }
 
     /// Sets the level where a limit of this rate begins: `head_start` tokens more than come in [`SIZE_SECONDS`].
-    pub(crate) fn start(&mut self, now: Duration, rate: f64, head_start: f64) {
+    pub(crate) fn start_limit(&mut self, now: Duration, rate: f64, head_start: f64) {
         self.level = head_start + rate.max(0.0) * SIZE_SECONDS;
         self.refilled_at = now;
     }
@@ -42,7 +42,7 @@
         self.level = (self.level + rate * elapsed).min(size(rate));
     }
 
-    pub(crate) fn take_one(&mut self) {
+    pub(crate) fn take_token(&mut self) {
         self.level -= 1.0;
     }
 
--- a/crates/leader-lease/src/contender.rs
+++ b/crates/leader-lease/src/contender.rs
@@ -57,10 +57,10 @@
 /// | --- | --- | --- | --- |
 /// | any | [`joined_queue`](Self::joined_queue) | `Queued` | the term is its node's, the lease is renewed |
 /// | not `NotQueued` | [`store_answered`](Self::store_answered) | same | the lease is renewed |
-/// | `Queued` | [`queue_head`](Self::queue_head) is its own term | `AwaitingPredecessor` | the wait begins |
-/// | `AwaitingPredecessor`, `Leader` | `queue_head` is its own term | same | |
-/// | not `NotQueued` | `queue_head` is another's term | `Queued` | |
-/// | `AwaitingPredecessor` | [`all_receivers_know_term`](Self::all_receivers_know_term) | `Leader` | |
+/// | `Queued` | [`queue_head_read`](Self::queue_head_read) is its own term | `AwaitingPredecessor` | the wait begins |
+/// | `AwaitingPredecessor`, `Leader` | `queue_head_read` is its own term | same | |
+/// | not `NotQueued` | `queue_head_read` is another's term | `Queued` | |
+/// | `AwaitingPredecessor` | [`all_receivers_accepted_term`](Self::all_receivers_accepted_term) | `Leader` | |
 /// | `AwaitingPredecessor` | [`tick`](Self::tick) at the end of the wait | `Leader` | |
 /// | any | [`session_expired`](Self::session_expired) | `NotQueued` | |
 #[derive(Clone, Debug)]
@@ -105,7 +105,7 @@
     }
 
     /// Whether it may act at `now`: it leads and its lease lasts.
-    pub fn may_act(&self, now: Duration) -> bool {
+    pub fn holds_valid_lease(&self, now: Duration) -> bool {
         self.state == LeaseState::Leader && now < self.lease_expires_at
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// The lowest term in the queue, by the store's answer.
-    pub fn queue_head(&mut self, now: Duration, head: Term) {
+    pub fn queue_head_read(&mut self, now: Duration, head: Term) {
         let is_first = head == self.term || is_injected!(self, AnyQueuedLeads);
         self.state = match (self.state, is_first) {
             (LeaseState::NotQueued, _) => LeaseState::NotQueued,
@@ -158,7 +158,7 @@
     }
 
     /// Every receiver has accepted this term, so that none accepts an order of a predecessor any more.
-    pub fn all_receivers_know_term(&mut self) {
+    pub fn all_receivers_accepted_term(&mut self) {
         if self.state == LeaseState::AwaitingPredecessor {
             self.state = LeaseState::Leader;
         }
@@ -231,7 +231,7 @@
 
     /// Everything it knows, with times relative to `now`: equal for contenders that will behave alike. The model checker
     /// compares contenders by it.
-    pub fn relative_state(&self, now: Duration) -> String {
+    pub fn state_key(&self, now: Duration) -> String {
         let lease_remaining = self.lease_expires_at.saturating_sub(now).as_millis();
         let wait_remaining = self.wait_ends_at.saturating_sub(now).as_millis();
         format!(
--- a/crates/leader-lease/tests/contender.rs
+++ b/crates/leader-lease/tests/contender.rs
@@ -30,13 +30,13 @@
 /// One whose node is the first, by an answer at 10 s.
 fn awaiting() -> LeaseContender {
     let mut contender = queued();
-    contender.queue_head(at(10), TERM);
+    contender.queue_head_read(at(10), TERM);
     contender
 }
 
 fn leader() -> LeaseContender {
     let mut contender = awaiting();
-    contender.all_receivers_know_term();
+    contender.all_receivers_accepted_term();
     contender
 }
 
@@ -46,16 +46,16 @@
     assert_eq!(contender.state(), LeaseState::NotQueued);
     assert_eq!(contender.term(), NO_TERM);
     contender.store_answered(at(1), at(1));
-    contender.queue_head(at(1), NO_TERM);
+    contender.queue_head_read(at(1), NO_TERM);
     assert_eq!(contender.state(), LeaseState::NotQueued);
-    assert!(!contender.may_act(at(1)));
+    assert!(!contender.holds_valid_lease(at(1)));
 }
 
 #[test]
 fn a_contender_behind_another_only_waits() {
     let mut contender = queued();
-    contender.queue_head(at(10), TERM - 1);
-    contender.all_receivers_know_term();
+    contender.queue_head_read(at(10), TERM - 1);
+    contender.all_receivers_accepted_term();
     contender.tick(at(100));
     assert_eq!(contender.state(), LeaseState::Queued);
 }
@@ -64,7 +64,7 @@
 fn the_first_leads_once_all_receivers_know_its_term() {
     let mut contender = awaiting();
     assert_eq!(contender.state(), LeaseState::AwaitingPredecessor);
-    contender.all_receivers_know_term();
+    contender.all_receivers_accepted_term();
     assert_eq!(contender.state(), LeaseState::Leader);
 }
 
@@ -80,9 +80,9 @@
 #[test]
 fn a_leader_that_is_not_the_first_any_more_queues_again() {
     let mut contender = leader();
-    contender.queue_head(at(11), TERM);
+    contender.queue_head_read(at(11), TERM);
     assert_eq!(contender.state(), LeaseState::Leader);
-    contender.queue_head(at(11), TERM - 1);
+    contender.queue_head_read(at(11), TERM - 1);
     assert_eq!(contender.state(), LeaseState::Queued);
 }
 
@@ -97,17 +97,17 @@
 #[test]
 fn a_lease_is_counted_from_the_request_and_ends_by_the_margin_earlier() {
     let contender = leader();
-    assert!(contender.may_act(at(12) - Duration::from_millis(1)));
-    assert!(!contender.may_act(at(12)));
+    assert!(contender.holds_valid_lease(at(12) - Duration::from_millis(1)));
+    assert!(!contender.holds_valid_lease(at(12)));
 }
 
 #[test]
 fn a_late_answer_to_an_early_request_does_not_shorten_the_lease() {
     let mut contender = leader();
     contender.store_answered(at(11), at(5));
-    assert!(contender.may_act(at(11)));
+    assert!(contender.holds_valid_lease(at(11)));
     contender.store_answered(at(13), at(13));
-    assert!(contender.may_act(at(15)));
+    assert!(contender.holds_valid_lease(at(15)));
 }
 
 #[test]
--- a/crates/leader-lease/tests/golden.rs
+++ b/crates/leader-lease/tests/golden.rs
@@ -122,7 +122,7 @@
             self.now.as_millis(),
             self.contender.state().name(),
             self.contender.term(),
-            self.contender.may_act(self.now),
+            self.contender.holds_valid_lease(self.now),
             self.guard.highest_term()
         )
     }
@@ -149,11 +149,11 @@
                     term => term - self.draws.below(3) / 2,
                 };
                 self.contender.store_answered(self.now, self.sent_at);
-                self.contender.queue_head(self.now, head);
+                self.contender.queue_head_read(self.now, head);
                 format!("first {head}")
             }
             6 => {
-                self.contender.all_receivers_know_term();
+                self.contender.all_receivers_accepted_term();
                 "all heard".into()
             }
             _ if self.draws.below(4) == 0 => {
--- a/crates/model-checker/src/leader_lease/contender.rs
+++ b/crates/model-checker/src/leader_lease/contender.rs
@@ -109,7 +109,7 @@
                 queue_head: Some(head),
             }) => {
                 self.contender.store_answered(clock, sent_at);
-                self.contender.queue_head(clock, head);
+                self.contender.queue_head_read(clock, head);
                 Ok(())
             }
             Some(StoreRequest::Handled {
@@ -162,7 +162,7 @@
     pub(super) fn inform_receiver(&mut self, receiver: usize) {
         self.informed_receivers[receiver] = true;
         if self.informed_receivers == [true; RECEIVERS] {
-            self.contender.all_receivers_know_term();
+            self.contender.all_receivers_accepted_term();
         }
     }
 
@@ -173,7 +173,7 @@
 
     /// Equal for contenders that behave alike.
     pub(super) fn fingerprint(&self, reference: Reference) -> String {
-        let state = self.contender.relative_state(self.clock(reference.now));
+        let state = self.contender.state_key(self.clock(reference.now));
         let store_request = self.fingerprint_of_store_request(reference);
         let clock_requests: [String; RECEIVERS] =
             std::array::from_fn(|receiver| self.fingerprint_of_clock_request(receiver, reference));
--- a/crates/model-checker/src/monitor/slow_start.rs
+++ b/crates/model-checker/src/monitor/slow_start.rs
@@ -15,5 +15,5 @@
     let warm_after = rule.warm_after.as_secs_f64();
     let mean_capacity =
         rule.initial_capacity + (1.0 - rule.initial_capacity) * uptime / warm_after / 2.0;
-    rule.max_multiple * mean_capacity / (LOAD_PER_CONNECTION * warm_after) * uptime + 1.0
+    rule.overload_factor * mean_capacity / (LOAD_PER_CONNECTION * warm_after) * uptime + 1.0
 }
--- a/crates/model-checker/src/shape.rs
+++ b/crates/model-checker/src/shape.rs
@@ -68,8 +68,8 @@
 const SLOW_START: SlowStartRule = SlowStartRule {
     initial_capacity: 0.3,
     warm_after: Duration::from_millis(9_000),
-    max_multiple: 4.0,
-    span: Duration::from_millis(1_500),
+    overload_factor: 4.0,
+    overload_window: Duration::from_millis(1_500),
 };
 
 const BASE: Shape = Shape {
--- a/crates/model-checker/src/warm_start/proxy.rs
+++ b/crates/model-checker/src/warm_start/proxy.rs
@@ -24,7 +24,7 @@
     discovery_timeout: Duration::from_millis(500),
     peer_timeout: Duration::from_millis(500),
     probe_timeout: Duration::from_millis(1_000),
-    limited_admission: Duration::from_millis(1_500),
+    limited_admission_duration: Duration::from_millis(1_500),
     has_peers: true,
     max_probes: 1,
 };
@@ -127,7 +127,7 @@
             self.warm_start.report(now, report);
         }
         if self.awaited_peers.is_empty() {
-            self.warm_start.peers_asked(now);
+            self.warm_start.peer_queries_finished(now);
         }
     }
 
@@ -225,7 +225,7 @@
         self.admission = admission;
         let are_endpoints_warm = self
             .limited_since
-            .is_some_and(|since| now >= since + SETTINGS.limited_admission);
+            .is_some_and(|since| now >= since + SETTINGS.limited_admission_duration);
         if admission == ClientAdmission::Open && self.listed.is_none() && !are_endpoints_warm {
             let proxy = self.number;
             self.violation = Some(WarmStartViolation::AdmissionUnlimited { proxy });
@@ -284,7 +284,7 @@
             candidates.state(endpoint),
             CandidateState::AwaitingProbe | CandidateState::Unresponsive | CandidateState::Probing
         );
-        let reported = candidates.counts(EndpointSource::Snapshot).reported;
+        let reported = candidates.source_counts(EndpointSource::Snapshot).reported;
         is_tried && reported > 0 && self.listed.is_none()
     }
 
--- a/crates/model-checker/src/world/events.rs
+++ b/crates/model-checker/src/world/events.rs
@@ -6,19 +6,19 @@
 use crate::action::{Action, EndpointChange, ProbeResult, ServerMessage};
 use crate::shape::Shape;
 use asterramp_drain::{ADVICE_INTERVAL, DrainState};
-use asterramp_placement::Event;
+use asterramp_placement::PlacementEvent;
 use asterramp_placement::event::{
-    Endpoint, EndpointState, EndpointUpdate, Load, Outcome, SessionRequest,
+    Endpoint, EndpointState, EndpointUpdate, Outcome, ServerLoad, SessionRequest,
 };
 use asterramp_proxy::routing::session_state::{SessionInput, SessionState};
 
 /// The load report of a server that has hardly anything to do.
-const LIGHT_LOAD: Load = Load {
+const LIGHT_LOAD: ServerLoad = ServerLoad {
     connections: Some(1.0),
     utilization: Some(0.1),
 };
 /// The load report of a server that has more to do than it can.
-const OVERLOAD: Load = Load {
+const OVERLOAD: ServerLoad = ServerLoad {
     connections: Some(20.0),
     utilization: Some(1.2),
 };
@@ -67,7 +67,7 @@
         }
         let request = SessionRequest {
             listener: session,
-            dial_timeout: answer_deadline,
+            answer_deadline,
             ..SessionRequest::default()
         };
         let connections = SessionConnections {
@@ -160,7 +160,7 @@
         for endpoint in &endpoints {
             self.monitor.on_endpoint_change(endpoint, self.now);
         }
-        let changes = Event::Endpoints(EndpointUpdate::Changes(endpoints));
+        let changes = PlacementEvent::EndpointsUpdated(EndpointUpdate::Changes(endpoints));
         self.session_table.event(self.now, changes);
     }
 
@@ -173,7 +173,7 @@
             ProbeResult::TimedOut => (Outcome::TimedOut, NO_LOAD),
             ProbeResult::Refused => (Outcome::Unreachable, NO_LOAD),
         };
-        let probe_ended = Event::ProbeEnded {
+        let probe_ended = PlacementEvent::ProbeEnded {
             server,
             outcome,
             load,
@@ -187,7 +187,7 @@
         };
         self.now = self.now.max(due_at);
         match self.deadlines.pop_due(self.now) {
-            Some(Deadline::Tick) => self.session_table.event(self.now, Event::Tick),
+            Some(Deadline::Tick) => self.session_table.event(self.now, PlacementEvent::Tick),
             Some(Deadline::Session(key)) => {
                 self.session_table
                     .input(self.now, key, SessionInput::DeadlineReached);
--- a/crates/model-checker/src/world/mod.rs
+++ b/crates/model-checker/src/world/mod.rs
@@ -22,7 +22,7 @@
 use crate::properties::Violation;
 use crate::server_model::ServerModel;
 use crate::shape::Shape;
-use asterramp_placement::Event;
+use asterramp_placement::PlacementEvent;
 use asterramp_placement::event::EndpointUpdate;
 use state::IDLE_SEED;
 pub use state::World;
@@ -36,7 +36,7 @@
     pub fn new(shape: &Shape) -> World {
         let mut world = World::initial(shape);
         let endpoints = world.servers.iter().map(ServerModel::endpoint).collect();
-        let list = Event::Endpoints(EndpointUpdate::Complete(endpoints));
+        let list = PlacementEvent::EndpointsUpdated(EndpointUpdate::Complete(endpoints));
         world.session_table.event(world.now, list);
         world.carry_out_tasks();
         world
--- a/crates/model-checker/src/world/sessions.rs
+++ b/crates/model-checker/src/world/sessions.rs
@@ -3,11 +3,11 @@
 use super::connection::{Connection, ConnectionState};
 use super::state::World;
 use asterramp_drain::DrainState;
-use asterramp_placement::event::{Load, Outcome};
+use asterramp_placement::event::{Outcome, ServerLoad};
 use asterramp_proxy::routing::session_state::{SessionInput, SessionState};
 
 /// No load report.
-pub(super) const NO_LOAD: Load = Load {
+pub(super) const NO_LOAD: ServerLoad = ServerLoad {
     connections: None,
     utilization: None,
 };
--- a/crates/model-checker/tests/fuzz.rs
+++ b/crates/model-checker/tests/fuzz.rs
@@ -229,7 +229,7 @@
         let kept = pairs.iter().filter_map(|(path, value)| Some((*path, value.as_deref()?)));
         match settings::read(kept) {
             Ok(read) => {
-                prop_assert!(read.listeners.len() <= 255 && read.longest_wait.as_secs() <= u64::from(u32::MAX));
+                prop_assert!(read.listeners.len() <= 255 && read.max_client_wait.as_secs() <= u64::from(u32::MAX));
             }
             Err(error) => {
                 let what = error.to_string();
--- a/crates/placement/src/action.rs
+++ b/crates/placement/src/action.rs
@@ -5,7 +5,7 @@
 
 /// One thing to do. Actions are carried out in the order in which the engine gives them.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Action {
+pub enum PlacementAction {
     /// Open the session at a server. The attempts of a session are counted from 0, in the order of their dials.
     Dial {
         /// The session to open.
@@ -15,7 +15,7 @@
         /// How long the attempt may take.
         timeout: Duration,
         /// How long it may take until the last byte of the request is written. After that nothing of it may be.
-        write_within: Duration,
+        write_timeout: Duration,
     },
     /// Cancel an attempt whose client has left.
     Cancel {
@@ -48,7 +48,7 @@
     },
     /// Ask discovery for the endpoint list and its changes from now on.
     PollEndpoints,
-    /// Hand in [`Event::Tick`](crate::Event::Tick) later.
+    /// Hand in [`PlacementEvent::Tick`](crate::PlacementEvent::Tick) later.
     SetTimer {
         /// How much later.
         after: Duration,
--- a/crates/placement/src/deployment.rs
+++ b/crates/placement/src/deployment.rs
@@ -45,19 +45,19 @@
     pub initial_capacity: f64,
     /// Time from its start to its whole capacity.
     pub warm_after: Duration,
-    /// How often its present capacity may be sent to it over `span`, by all proxies.
-    pub max_multiple: f64,
+    /// How often its present capacity may be sent to it over `overload_window`, by all proxies.
+    pub overload_factor: f64,
     /// Span over which that is counted.
-    pub span: Duration,
+    pub overload_window: Duration,
 }
 
-/// How many retries, which are attempts beyond a session's first, a proxy may make over any `span`.
+/// How many retries, which are attempts beyond a session's first, a proxy may make over any `window`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetRule {
     /// Span over which retries and sessions are counted.
-    pub span: Duration,
+    pub window: Duration,
     /// Retries that are allowed whatever the traffic.
-    pub free_retries: f64,
+    pub min_retries: f64,
     /// Further retries for each session that came in the span.
     pub retries_per_session: f64,
 }
@@ -76,7 +76,7 @@
     /// How servers warm up.
     pub slow_start: SlowStartRule,
     /// Connections that all tenants together may have open within their quotas; 0 where that isn't known.
-    pub planned_connections: f64,
+    pub total_connection_quota: f64,
     /// Time after which a proxy is taken to know of a change of an endpoint list that must be polled; `None` where
     /// the list is pushed.
     pub endpoint_poll_delay: Option<Duration>,
--- a/crates/placement/src/engine.rs
+++ b/crates/placement/src/engine.rs
@@ -1,7 +1,7 @@
 //! The placement engine: every decision of one proxy, without I/O.
 //!
-//! Make one [`PlacementEngine`] for a proxy from its [`Deployment`] and a nonce, hand it each [`Event`] with the
-//! time since the clock began, and carry out the [`Action`]s that it appends, in order. `docs/design.md` gives
+//! Make one [`PlacementEngine`] for a proxy from its [`Deployment`] and a nonce, hand it each [`PlacementEvent`] with the
+//! time since the clock began, and carry out the [`PlacementAction`]s that it appends, in order. `docs/design.md` gives
 //! the reason of each rule, and what departs from the Charon paper.
 //!
 //! Each concern has a module: the ones below decide, those beside this file hold the state that they decide by.
@@ -15,10 +15,10 @@
 mod selection;
 mod sessions;
 
-use crate::action::Action;
+use crate::action::PlacementAction;
 use crate::deployment::Deployment;
 use crate::endpoint_polling::PollBackoff;
-use crate::event::{EndpointState, Event, Observation, ServerId, SessionId};
+use crate::event::{EndpointState, Observation, PlacementEvent, ServerId, SessionId};
 use crate::group_table::GroupTable;
 use crate::peer_traffic::DialRate;
 use crate::random::RandomSource;
@@ -86,19 +86,21 @@
 
     /// Handles one event and appends what has to be done to `out`. `now` is the time since the clock began and
     /// must not go back.
-    pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Duration, event: PlacementEvent, out: &mut Vec<PlacementAction>) {
         self.now = now;
         if !self.started {
             self.start(out);
         }
         match event {
-            Event::Endpoints(update) => self.update_endpoints(update),
-            Event::SessionRequested(request) => self.accept_session(request, out),
-            Event::SessionInherited(request, server) => self.inherit_session(request, server, out),
-            Event::SessionOpened { session, attempt } => {
-                self.advance_attempt(session, attempt, SessionInput::Opened, out);
+            PlacementEvent::EndpointsUpdated(update) => self.update_endpoints(update),
+            PlacementEvent::SessionRequested(request) => self.accept_session(request, out),
+            PlacementEvent::SessionInherited(request, server) => {
+                self.inherit_session(request, server, out)
             }
-            Event::AttemptEnded {
+            PlacementEvent::SessionOpened { session, attempt } => {
+                self.handle_attempt_input(session, attempt, SessionInput::Opened, out);
+            }
+            PlacementEvent::AttemptEnded {
                 session,
                 attempt,
                 outcome,
@@ -111,30 +113,34 @@
                 } else {
                     SessionInput::AttemptFailed
                 };
-                self.advance_attempt(session, attempt, input, out);
+                self.handle_attempt_input(session, attempt, input, out);
             }
-            Event::Observed {
+            PlacementEvent::ConnectionObserved {
                 server,
-                observation: Observation::Delay(delay),
+                observation: Observation::MessageDelay(delay),
                 ..
             } => self.record_message_delay(server, delay, out),
-            Event::ProbeEnded {
+            PlacementEvent::ProbeEnded {
                 server,
                 outcome,
                 load,
             } => self.record_probe_end(server, outcome, load, out),
-            Event::ClientLeft { session } => self.advance(session, SessionInput::ClientLeft, out),
-            Event::ZoneShare { zone, share } => self.set_zone_share(zone, share, out),
-            Event::ProbeRequested { server } if self.deployment.may_probe => {
+            PlacementEvent::ClientLeft { session } => {
+                self.handle_session_input(session, SessionInput::ClientLeft, out)
+            }
+            PlacementEvent::ZoneShareChanged { zone, share } => {
+                self.set_zone_share(zone, share, out)
+            }
+            PlacementEvent::ProbeRequested { server } if self.deployment.may_probe => {
                 self.send_probe(server, out);
             }
-            Event::ProbeRequested { .. } | Event::Observed { .. } => {}
-            Event::Tick => self.tick(out),
+            PlacementEvent::ProbeRequested { .. } | PlacementEvent::ConnectionObserved { .. } => {}
+            PlacementEvent::Tick => self.tick(out),
         }
     }
 
     /// Servers on the endpoint list that get no sessions for now, as they fail or answer no probe.
-    pub fn avoided(&self, now: Duration) -> usize {
+    pub fn excluded_server_count(&self, now: Duration) -> usize {
         let listed = self
             .servers
             .iter()
@@ -144,27 +150,27 @@
             .count()
     }
 
-    fn start(&mut self, out: &mut Vec<Action>) {
+    fn start(&mut self, out: &mut Vec<PlacementAction>) {
         self.started = true;
         self.refresh_averages();
-        out.push(Action::SetTimer {
+        out.push(PlacementAction::SetTimer {
             after: TICK_INTERVAL,
         });
         if self.deployment.endpoint_poll_delay.is_some() {
-            out.push(Action::PollEndpoints);
+            out.push(PlacementAction::PollEndpoints);
         }
     }
 
-    fn tick(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer {
+    fn tick(&mut self, out: &mut Vec<PlacementAction>) {
+        out.push(PlacementAction::SetTimer {
             after: TICK_INTERVAL,
         });
         while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
-                Timer::PollEndpoints => out.push(Action::PollEndpoints),
+                Timer::PollEndpoints => out.push(PlacementAction::PollEndpoints),
                 Timer::RefreshAverages => self.refresh_averages(),
-                Timer::ProbeWaitOver(session) => {
-                    self.advance(session, SessionInput::ProbesAnswered, out);
+                Timer::ProbeWaitExpired(session) => {
+                    self.handle_session_input(session, SessionInput::ProbesAnswered, out);
                 }
             }
         }
@@ -174,7 +180,7 @@
     /// A zone gets this part of its sessions from now on. Of a lost one all servers are unresponsive, and the
     /// sessions that wait for their probes are placed elsewhere. Its open sessions migrate at the next probe that
     /// fails: all at once would spread groups more.
-    fn set_zone_share(&mut self, zone: u8, share: f64, out: &mut Vec<Action>) {
+    fn set_zone_share(&mut self, zone: u8, share: f64, out: &mut Vec<PlacementAction>) {
         self.zone_shares.set(zone, share);
         let is_lost = share <= 0.0;
         if !is_lost {
@@ -186,8 +192,8 @@
                 continue;
             }
             server.probes.mark_unresponsive();
-            for session in server.probes.take_waiting() {
-                self.advance(session, SessionInput::ProbesAnswered, out);
+            for session in server.probes.take_waiting_sessions() {
+                self.handle_session_input(session, SessionInput::ProbesAnswered, out);
             }
         }
     }
--- a/crates/placement/src/engine/attempt_rules.rs
+++ b/crates/placement/src/engine/attempt_rules.rs
@@ -1,7 +1,7 @@
 //! The rules that every attempt keeps: which server a session may be sent, for how long, and its final answer.
 
 use super::PlacementEngine;
-use crate::action::Action;
+use crate::action::PlacementAction;
 use crate::deployment::{IdempotencyScope, Listener, RetrySafety};
 use crate::event::{ServerId, SessionId};
 use crate::outlier_ejection::BASE_EJECTION;
@@ -29,7 +29,7 @@
     }
 
     fn awaits_answer(&self, session: &Session) -> bool {
-        session.state == SessionState::Selecting && self.now < session.request.dial_timeout
+        session.state == SessionState::Selecting && self.now < session.request.answer_deadline
     }
 
     fn has_attempts_left(&self, session: &Session) -> bool {
@@ -90,9 +90,9 @@
     /// the servers with work that nobody awaits.
     pub(super) fn attempt_timeout(&self, id: SessionId) -> Duration {
         let session = self.session(id);
-        let left = session.request.dial_timeout.saturating_sub(self.now);
+        let left = session.request.answer_deadline.saturating_sub(self.now);
         let is_last = session.attempts + 1 >= self.deployment.max_attempts
-            || self.pacing.lets_attempts_wait()
+            || self.pacing.allows_long_attempts()
             || self.pacing.failed_everywhere(session);
         if is_last {
             return left;
@@ -115,19 +115,19 @@
 
     /// The final answer to a session that is given up: a rejection where it is safe to say that nothing was
     /// done, else a failure.
-    pub(super) fn final_answer(&self, id: SessionId) -> Action {
+    pub(super) fn final_answer(&self, id: SessionId) -> PlacementAction {
         let session = self.session(id);
         let is_repeatable = matches!(
             self.retry_safety(session),
             RetrySafety::Idempotent | RetrySafety::IdempotencyKey(IdempotencyScope::All, _)
         );
         if is_repeatable || session.first_execution.is_none() {
-            Action::Reject {
+            PlacementAction::Reject {
                 session: id,
                 retry_after: self.deployment.max_retry_after.min(BASE_EJECTION),
             }
         } else {
-            Action::Fail { session: id }
+            PlacementAction::Fail { session: id }
         }
     }
 }
--- a/crates/placement/src/engine/attempts.rs
+++ b/crates/placement/src/engine/attempts.rs
@@ -1,8 +1,8 @@
 //! Attempts to open a session: their start, and what is learned from their results.
 
 use super::PlacementEngine;
-use crate::action::Action;
-use crate::event::{Load, Outcome, ServerId, SessionId};
+use crate::action::PlacementAction;
+use crate::event::{Outcome, ServerId, ServerLoad, SessionId};
 use crate::session::{Attempt, SessionInput, SessionState};
 
 impl PlacementEngine {
@@ -10,11 +10,11 @@
         &mut self,
         id: SessionId,
         server_id: ServerId,
-        out: &mut Vec<Action>,
+        out: &mut Vec<PlacementAction>,
     ) -> SessionInput {
         let session = self.session(id);
-        if !self.may_dial(session, server_id) || self.pacing.holds_back(session, self.now) {
-            return SessionInput::GivenUp;
+        if !self.may_dial(session, server_id) || self.pacing.must_wait(session, self.now) {
+            return SessionInput::NoServerAvailable;
         }
         let is_retry = session.attempts > 0;
         let timeout = self.attempt_timeout(id);
@@ -27,18 +27,18 @@
             self.pacing.record_first_dial(self.now, jittered_pause);
         }
         self.dial_rate.record(self.now);
-        out.push(Action::Dial {
+        out.push(PlacementAction::Dial {
             session: id,
             server: server_id,
             timeout,
-            write_within: self.write_deadline(self.session(id), timeout),
+            write_timeout: self.write_deadline(self.session(id), timeout),
         });
         SessionInput::Dialed
     }
 
     fn record_dial_at_server(&mut self, id: SessionId, server_id: ServerId) {
         let now = self.now;
-        let bump = self.score_bump(id);
+        let bump = self.score_increment(id);
         let server = &mut self.servers[server_id as usize];
         server.load.record_dial(now, bump);
         let started_at = server.endpoint.started_at;
@@ -56,15 +56,15 @@
     }
 
     /// The latest attempt opened nothing, so its server's score loses what it gained.
-    pub(super) fn take_back_dial(&mut self, id: SessionId) {
+    pub(super) fn revert_dial(&mut self, id: SessionId) {
         let now = self.now;
-        let bump = self.score_bump(id);
+        let bump = self.score_increment(id);
         let session = self.session(id);
         let dialed_at = session.dialed_at;
         let server = session.server;
         self.server_mut(server)
             .load
-            .take_back_dial(now, dialed_at, bump);
+            .revert_dial(now, dialed_at, bump);
     }
 
     /// Takes in how an attempt or a connection ended, and the load that its server reported.
@@ -73,7 +73,7 @@
         id: SessionId,
         attempt: u8,
         outcome: Outcome,
-        load: Load,
+        load: ServerLoad,
     ) {
         if !self.is_latest_attempt(id, attempt) {
             return;
@@ -101,7 +101,7 @@
                 server: session.server,
             });
         }
-        self.take_back_dial(id);
+        self.revert_dial(id);
         if outcome == Outcome::TimedOut {
             // Slow for one is slow for the next; with little traffic a mean would show it too late.
             self.setup_time = self.setup_time.max(waited * 2);
--- a/crates/placement/src/engine/averages.rs
+++ b/crates/placement/src/engine/averages.rs
@@ -26,8 +26,9 @@
     }
 
     /// Share of its capacity that a server has at least.
-    pub(super) fn warmth(&self, server: &Server, now: Duration) -> f64 {
-        self.slow_start.warmth(server.endpoint.started_at, now)
+    pub(super) fn capacity_share(&self, server: &Server, now: Duration) -> f64 {
+        self.slow_start
+            .capacity_share(server.endpoint.started_at, now)
     }
 
     pub(super) fn refresh_averages(&mut self) {
@@ -35,7 +36,7 @@
             .mean_over_ready(|server| server.load.load_per_connection())
             .or(self.mean_load_per_connection);
         let open_if_warm = |server: &Server| {
-            let is_warm = self.warmth(server, self.now) >= 1.0;
+            let is_warm = self.capacity_share(server, self.now) >= 1.0;
             is_warm.then_some(f64::from(server.open_connections))
         };
         self.connections_per_warm_server = self
@@ -54,7 +55,7 @@
     /// Estimate of the connections that a server can hold, for when no server reports its utilization: what a warm
     /// one holds of all proxies, or, if more, what the settings plan for each server ever listed.
     fn connections_per_server(&self, proxy_count: f64) -> f64 {
-        let planned = self.deployment.planned_connections / self.servers.len().max(1) as f64;
+        let planned = self.deployment.total_connection_quota / self.servers.len().max(1) as f64;
         (self.connections_per_warm_server * proxy_count)
             .max(planned)
             .max(1.0)
@@ -92,7 +93,7 @@
 
     /// By how much a dial raises the score: a connection, and what the others send to one of two candidates. A
     /// client that reconnects is still in the counts of where it was, and often came from another proxy.
-    pub(super) fn score_bump(&self, session: SessionId) -> f64 {
+    pub(super) fn score_increment(&self, session: SessionId) -> f64 {
         let other_proxies = if self.session(session).request.reconnecting {
             0.0
         } else {
--- a/crates/placement/src/engine/probes.rs
+++ b/crates/placement/src/engine/probes.rs
@@ -1,26 +1,26 @@
 //! Sending of probes, and what is learned from their results.
 
 use super::{PlacementEngine, TICK_INTERVAL};
-use crate::action::Action;
-use crate::event::{Load, Outcome, ServerId};
+use crate::action::PlacementAction;
+use crate::event::{Outcome, ServerId, ServerLoad};
 use crate::session::SessionInput;
 
 /// A slowdown that counts; less is the swing of what connections ask for.
 const MIN_SLOWDOWN: f64 = 1.1;
 
 impl PlacementEngine {
-    pub(super) fn send_probe(&mut self, id: ServerId, out: &mut Vec<Action>) {
+    pub(super) fn send_probe(&mut self, id: ServerId, out: &mut Vec<PlacementAction>) {
         let Some(server) = self.servers.get_mut(id as usize) else {
             return;
         };
         let jitter = TICK_INTERVAL.mul_f64(2.0 * self.random.next_unit());
         if server.probes.request(self.now + jitter) {
-            out.push(Action::Probe { server: id });
+            out.push(PlacementAction::Probe { server: id });
         }
     }
 
     /// Probes the servers that hold connections of this proxy.
-    pub(super) fn send_regular_probes(&mut self, out: &mut Vec<Action>) {
+    pub(super) fn send_regular_probes(&mut self, out: &mut Vec<PlacementAction>) {
         if !self.deployment.may_probe {
             return;
         }
@@ -37,8 +37,8 @@
         &mut self,
         id: ServerId,
         outcome: Outcome,
-        load: Load,
-        out: &mut Vec<Action>,
+        load: ServerLoad,
+        out: &mut Vec<PlacementAction>,
     ) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(id as usize) else {
@@ -53,7 +53,7 @@
         } else {
             server.probes.record_answer(now);
         }
-        let waiting = server.probes.take_waiting();
+        let waiting = server.probes.take_waiting_sessions();
         if failed {
             let probe_again = !server.probes.is_unresponsive() && server.open_connections > 0;
             server.ejection.record_failure(now);
@@ -64,19 +64,24 @@
         self.record_load(id, load);
         self.relieve_by_report(id, load, out);
         for session in waiting {
-            self.advance(session, SessionInput::ProbesAnswered, out);
+            self.handle_session_input(session, SessionInput::ProbesAnswered, out);
         }
     }
 
     /// Takes in what a server reported of itself.
-    pub(super) fn record_load(&mut self, id: ServerId, load: Load) {
+    pub(super) fn record_load(&mut self, id: ServerId, load: ServerLoad) {
         let now = self.now;
         let mean = self.mean_load_per_connection;
         self.server_mut(id).load.record_report(now, load, mean);
     }
 
     /// Reports are late: a server that slowed down twice running has by now slowed down as much again.
-    fn relieve_by_report(&mut self, id: ServerId, load: Load, out: &mut Vec<Action>) {
+    fn relieve_by_report(
+        &mut self,
+        id: ServerId,
+        load: ServerLoad,
+        out: &mut Vec<PlacementAction>,
+    ) {
         let connections = load.connections.unwrap_or(0.0).max(1.0);
         let load_per_connection = load.utilization.unwrap_or(0.0) / connections;
         let slowdown = self.server_mut(id).update_slowdown(load_per_connection);
@@ -86,6 +91,6 @@
             1.0
         };
         let utilization = load.utilization.map(|utilization| utilization * foreseen);
-        self.relieve(id, utilization, out);
+        self.migrate_excess(id, utilization, out);
     }
 }
--- a/crates/placement/src/engine/rebalancing.rs
+++ b/crates/placement/src/engine/rebalancing.rs
@@ -1,15 +1,15 @@
 //! Migration of sessions away from servers that are overloaded or unresponsive.
 
 use super::PlacementEngine;
-use super::selection::{FULL_LOAD, HALF_LOAD};
-use crate::action::Action;
+use super::selection::{HALF_LOAD, MAX_PLACEMENT_LOAD};
+use crate::action::PlacementAction;
 use crate::deployment::RetrySafety;
 use crate::event::{ServerId, SessionId};
 use crate::load_estimate::MAX_REPORT_AGE;
 use crate::session::{Session, SessionInput, SessionState};
 use std::time::Duration;
 
-/// Utilization over which a server is relieved, down to [`FULL_LOAD`].
+/// Utilization over which a server is relieved, down to [`MAX_PLACEMENT_LOAD`].
 const OVERLOAD: f64 = 0.95;
 /// How much more than its excess a server with late messages is relieved of: this many times its capacity, for
 /// each second of delay and in proportion to the mean room of the servers.
@@ -23,7 +23,7 @@
         &mut self,
         server: ServerId,
         delay: Duration,
-        out: &mut Vec<Action>,
+        out: &mut Vec<PlacementAction>,
     ) {
         let is_late = self
             .deployment
@@ -39,40 +39,41 @@
                 Some(load.load_per_connection()? * load.aged_score(self.now))
             })
             .unwrap_or(HALF_LOAD);
-        let backlog = BACKLOG_RELIEF * (FULL_LOAD - mean_load).max(0.0) * delay.as_secs_f64();
-        self.relieve(server, Some(1.0 + backlog), out);
+        let backlog =
+            BACKLOG_RELIEF * (MAX_PLACEMENT_LOAD - mean_load).max(0.0) * delay.as_secs_f64();
+        self.migrate_excess(server, Some(1.0 + backlog), out);
     }
 
     /// A server that is asked for more than it can do, or is unresponsive, serves none of its connections in time
     /// until some leave: each proxy migrates its part of the excess, rounded by chance.
-    pub(super) fn relieve(
+    pub(super) fn migrate_excess(
         &mut self,
         id: ServerId,
         utilization: Option<f64>,
-        out: &mut Vec<Action>,
+        out: &mut Vec<PlacementAction>,
     ) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(id as usize) else {
             return;
         };
-        if server.next_relief_at > now {
+        if server.next_migration_at > now {
             return;
         }
         let kept_part = if server.probes.is_unresponsive() {
             0.0
         } else {
             match utilization {
-                Some(utilization) if utilization > OVERLOAD => FULL_LOAD / utilization,
+                Some(utilization) if utilization > OVERLOAD => MAX_PLACEMENT_LOAD / utilization,
                 _ => return,
             }
         };
-        server.next_relief_at = now + MAX_REPORT_AGE;
+        server.next_migration_at = now + MAX_REPORT_AGE;
         let excess = f64::from(server.open_connections) * (1.0 - kept_part);
         // A part rounded up at each of many proxies would empty the server.
         let excess = (excess + self.random.next_unit()) as usize;
         for session in self.sessions_to_migrate(id, excess) {
-            out.push(Action::Migrate { session });
-            self.advance(session, SessionInput::ClientLeft, out);
+            out.push(PlacementAction::Migrate { session });
+            self.handle_session_input(session, SessionInput::ClientLeft, out);
         }
     }
 
--- a/crates/placement/src/engine/selection.rs
+++ b/crates/placement/src/engine/selection.rs
@@ -1,7 +1,7 @@
 //! Selection of a server: two candidates from the best pool that has any, and the lower load of the two.
 
 use super::PlacementEngine;
-use crate::action::Action;
+use crate::action::PlacementAction;
 use crate::event::{ServerId, SessionId, SessionRequest};
 use crate::random::hash_to_unit;
 use crate::server::Server;
@@ -13,8 +13,8 @@
 /// Share of a server from which it takes sessions of a group only where it holds some of it.
 const ROOMY_LOAD: f64 = 0.75;
 /// Share of a server from which it takes no more, and down to which an overloaded one is relieved.
-pub(super) const FULL_LOAD: f64 = 0.85;
-/// Part of [`FULL_LOAD`] that is kept from sessions of priority weight 0, and in proportion from those between
+pub(super) const MAX_PLACEMENT_LOAD: f64 = 0.85;
+/// Part of [`MAX_PLACEMENT_LOAD`] that is kept from sessions of priority weight 0, and in proportion from those between
 /// 0 and 1.
 const PRIORITY_RESERVE: f64 = 0.1;
 /// Servers of a pool that are looked at, and probed for one session. More would spread a group.
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug)]
 enum LoadLimit {
     Fixed(f64),
-    /// [`FULL_LOAD`] less what is kept from sessions of lower priority.
+    /// [`MAX_PLACEMENT_LOAD`] less what is kept from sessions of lower priority.
     ByPriority,
 }
 
@@ -103,13 +103,17 @@
 
 impl PlacementEngine {
     /// Charon's choice. A candidate whose count is old is probed first.
-    pub(super) fn select_and_dial(&mut self, id: SessionId, out: &mut Vec<Action>) -> SessionInput {
+    pub(super) fn select_and_dial(
+        &mut self,
+        id: SessionId,
+        out: &mut Vec<PlacementAction>,
+    ) -> SessionInput {
         let drawn = Selection::new(self, self.session(id)).draw();
         match self.less_loaded(&drawn.candidates) {
             Some(_) if drawn.probe_first => self.probe_candidates(id, &drawn.candidates, out),
             Some(server) => self.dial(id, server, out),
             // One more session would spoil those that are open.
-            None => SessionInput::GivenUp,
+            None => SessionInput::NoServerAvailable,
         }
     }
 
@@ -134,16 +138,16 @@
         &mut self,
         id: SessionId,
         candidates: &[Candidate],
-        out: &mut Vec<Action>,
+        out: &mut Vec<PlacementAction>,
     ) -> SessionInput {
         let deadline = self.session(id).probe_deadline;
-        self.timers.schedule(deadline, Timer::ProbeWaitOver(id));
+        self.timers.schedule(deadline, Timer::ProbeWaitExpired(id));
         for candidate in candidates {
             if candidate.has_fresh_answer {
                 continue;
             }
             let probes = &mut self.server_mut(candidate.server).probes;
-            if probes.add_waiting(id) {
+            if probes.add_waiting_session(id) {
                 self.session_mut(id).probes_requested += 1;
             }
             self.send_probe(candidate.server, out);
@@ -265,7 +269,7 @@
             LoadLimit::Fixed(limit) => limit,
             LoadLimit::ByPriority => {
                 let weight = self.engine.listener(self.session).priority_weight;
-                FULL_LOAD * (1.0 - PRIORITY_RESERVE * (1.0 - weight))
+                MAX_PLACEMENT_LOAD * (1.0 - PRIORITY_RESERVE * (1.0 - weight))
             }
         }
     }
@@ -328,7 +332,7 @@
         let load_per_connection = server
             .load
             .load_per_connection()
-            .unwrap_or_else(|| mean / engine.warmth(server, engine.now));
+            .unwrap_or_else(|| mean / engine.capacity_share(server, engine.now));
         let connections = server.load.aged_score(engine.now) + self.unreported_sessions + 1.0;
         Candidate {
             server: id,
--- a/crates/placement/src/engine/sessions.rs
+++ b/crates/placement/src/engine/sessions.rs
@@ -1,7 +1,7 @@
 //! The way of a session through its states.
 
 use super::{PlacementEngine, grow_to_hold};
-use crate::action::Action;
+use crate::action::PlacementAction;
 use crate::event::{ServerId, SessionId, SessionRequest};
 use crate::session::{Session, SessionEffect, SessionInput, SessionState};
 use std::time::Duration;
@@ -10,7 +10,11 @@
 const DIAL_RESERVE: Duration = Duration::from_millis(200);
 
 impl PlacementEngine {
-    pub(super) fn accept_session(&mut self, request: SessionRequest, out: &mut Vec<Action>) {
+    pub(super) fn accept_session(
+        &mut self,
+        request: SessionRequest,
+        out: &mut Vec<PlacementAction>,
+    ) {
         self.retry_budget.record_session(self.now);
         if let Some(session) = self.new_session(request, ServerId::default()) {
             let zone_draw = self.random.next_unit();
@@ -21,7 +25,7 @@
                 zone_draw,
                 ..session
             };
-            self.advance(request.session, SessionInput::Requested, out);
+            self.handle_session_input(request.session, SessionInput::Requested, out);
         }
     }
 
@@ -30,7 +34,7 @@
         &mut self,
         request: SessionRequest,
         server: ServerId,
-        out: &mut Vec<Action>,
+        out: &mut Vec<PlacementAction>,
     ) {
         if let Some(session) = self.new_session(request, server) {
             let zone_draw = self.random.next_unit();
@@ -40,7 +44,7 @@
                 zone_draw,
                 ..session
             };
-            self.advance(request.session, SessionInput::Opened, out);
+            self.handle_session_input(request.session, SessionInput::Opened, out);
         }
     }
 
@@ -59,21 +63,21 @@
             request,
             server,
             dialed_at: self.now,
-            probe_deadline: longest_wait.min(request.dial_timeout.saturating_sub(DIAL_RESERVE)),
+            probe_deadline: longest_wait.min(request.answer_deadline.saturating_sub(DIAL_RESERVE)),
             ..Session::default()
         })
     }
 
-    /// As [`Self::advance`], for an input about one attempt: of an older attempt it is stray.
-    pub(super) fn advance_attempt(
+    /// As [`Self::handle_session_input`], for an input about one attempt: of an older attempt it is stray.
+    pub(super) fn handle_attempt_input(
         &mut self,
         session: SessionId,
         attempt: u8,
         input: SessionInput,
-        out: &mut Vec<Action>,
+        out: &mut Vec<PlacementAction>,
     ) {
         if self.is_latest_attempt(session, attempt) {
-            self.advance(session, input, out);
+            self.handle_session_input(session, input, out);
         }
     }
 
@@ -84,7 +88,12 @@
     }
 
     /// Takes the session from state to state until an effect leads to no further input.
-    pub(super) fn advance(&mut self, id: SessionId, input: SessionInput, out: &mut Vec<Action>) {
+    pub(super) fn handle_session_input(
+        &mut self,
+        id: SessionId,
+        input: SessionInput,
+        out: &mut Vec<PlacementAction>,
+    ) {
         if id as usize >= self.sessions.len() {
             return;
         }
@@ -97,7 +106,7 @@
             let is_over = session.state == SessionState::Over;
             next_input = self.apply_effect(id, effect, out);
             if is_over {
-                out.push(Action::Forget { session: id });
+                out.push(PlacementAction::Forget { session: id });
             }
         }
     }
@@ -106,7 +115,7 @@
         &mut self,
         id: SessionId,
         effect: SessionEffect,
-        out: &mut Vec<Action>,
+        out: &mut Vec<PlacementAction>,
     ) -> Option<SessionInput> {
         match effect {
             SessionEffect::Nothing => {}
@@ -119,8 +128,8 @@
         None
     }
 
-    fn send_final_answer(&mut self, id: SessionId, out: &mut Vec<Action>) {
-        let timed_out = self.now >= self.session(id).request.dial_timeout;
+    fn send_final_answer(&mut self, id: SessionId, out: &mut Vec<PlacementAction>) {
+        let timed_out = self.now >= self.session(id).request.answer_deadline;
         if timed_out || self.pacing.is_active() {
             self.pace_after_failure(id);
         }
@@ -143,10 +152,10 @@
         self.groups.add(group, server_id);
     }
 
-    fn cancel_attempt(&mut self, id: SessionId, out: &mut Vec<Action>) {
-        self.take_back_dial(id);
+    fn cancel_attempt(&mut self, id: SessionId, out: &mut Vec<PlacementAction>) {
+        self.revert_dial(id);
         if self.deployment.may_cancel {
-            out.push(Action::Cancel {
+            out.push(PlacementAction::Cancel {
                 session: id,
                 attempt: self.session(id).attempt_number(),
             });
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -71,7 +71,7 @@
     Unreachable,
     /// The connection broke after the request was written.
     Reset,
-    /// Cancelled by [`Action::Cancel`](crate::Action::Cancel).
+    /// Cancelled by [`PlacementAction::Cancel`](crate::PlacementAction::Cancel).
     Cancelled,
     /// Given up before anything was written.
     NotSent,
@@ -79,7 +79,7 @@
 
 /// What a server reports of its load, as far as it does.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct ServerLoad {
     /// Connections that it holds, of all proxies.
     pub connections: Option<f64>,
     /// Load that is asked of it over what it can do; over 1 in an overload.
@@ -90,9 +90,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
     /// Work that the connection asks for, in microseconds each second.
-    Work(f64),
+    WorkRate(f64),
     /// How long a message takes at the server now.
-    Delay(Duration),
+    MessageDelay(Duration),
 }
 
 /// A client's request for a session.
@@ -111,14 +111,14 @@
     /// Whether the client was connected before and was cut off or migrated.
     pub reconnecting: bool,
     /// When the client must have its final answer, as a time since the clock began.
-    pub dial_timeout: Duration,
+    pub answer_deadline: Duration,
 }
 
 /// One event that the engine handles.
 #[derive(Clone, Debug)]
-pub enum Event {
+pub enum PlacementEvent {
     /// News of the endpoint list.
-    Endpoints(EndpointUpdate),
+    EndpointsUpdated(EndpointUpdate),
     /// A client asks for a session.
     SessionRequested(SessionRequest),
     /// A session that was open at the server when this process started.
@@ -141,10 +141,10 @@
         /// Whether the session is over, so that no further attempt is wanted.
         session_over: bool,
         /// What the server reported as it ended.
-        load: Load,
+        load: ServerLoad,
     },
     /// Something was seen of an open connection.
-    Observed {
+    ConnectionObserved {
         /// The connection's session.
         session: SessionId,
         /// The server that holds it.
@@ -159,7 +159,7 @@
         /// How the probe ended.
         outcome: Outcome,
         /// What the server reported.
-        load: Load,
+        load: ServerLoad,
     },
     /// A client left before its session ended.
     ClientLeft {
@@ -167,7 +167,7 @@
         session: SessionId,
     },
     /// Another subsystem says which part of its sessions a zone gets from now on.
-    ZoneShare {
+    ZoneShareChanged {
         /// Index of the zone.
         zone: u8,
         /// From 0, for a lost zone, to 1.
@@ -178,6 +178,6 @@
         /// The server to ask.
         server: ServerId,
     },
-    /// The timer that [`Action::SetTimer`](crate::Action::SetTimer) set has run out.
+    /// The timer that [`PlacementAction::SetTimer`](crate::PlacementAction::SetTimer) set has run out.
     Tick,
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,7 +1,7 @@
 //! Placement decisions of asterramp, a balancer for long-lived connections: to which server a session goes, when
 //! it is retried, rejected or migrated, and which servers are probed.
 //!
-//! [`PlacementEngine`] takes [`Event`]s and answers with [`Action`]s; it does no I/O and reads no clock. It decides
+//! [`PlacementEngine`] takes [`PlacementEvent`]s and answers with [`PlacementAction`]s; it does no I/O and reads no clock. It decides
 //! by the facts of a [`Deployment`], which [`settings`] reads. `docs/design.md` gives the reasons of each rule.
 
 pub mod action;
@@ -24,7 +24,7 @@
 mod timers;
 mod zone_shares;
 
-pub use action::Action;
+pub use action::PlacementAction;
 pub use deployment::Deployment;
 pub use engine::PlacementEngine;
-pub use event::Event;
+pub use event::PlacementEvent;
--- a/crates/placement/src/load_estimate.rs
+++ b/crates/placement/src/load_estimate.rs
@@ -3,7 +3,7 @@
 //! After Rizzi, Yao, Desmouceaux, Townsley and Clausen, "Charon: Load-Aware Load-Balancing in P4" (NetPA 2021).
 //! `docs/design.md` lists what differs from the paper.
 
-use crate::event::Load;
+use crate::event::ServerLoad;
 use std::time::Duration;
 
 /// Span over which rates are averaged, in seconds.
@@ -95,7 +95,7 @@
     }
 
     /// The attempt that was dialed at `dialed_at` opened nothing.
-    pub(crate) fn take_back_dial(&mut self, now: Duration, dialed_at: Duration, bump: f64) {
+    pub(crate) fn revert_dial(&mut self, now: Duration, dialed_at: Duration, bump: f64) {
         self.recent_dials.retain(|dial| dial.at != dialed_at);
         self.age(now);
         self.score = (self.score - bump).max(0.0);
@@ -123,7 +123,7 @@
     pub(crate) fn record_report(
         &mut self,
         now: Duration,
-        load: Load,
+        load: ServerLoad,
         mean_load_per_connection: Option<f64>,
     ) {
         let Some(connections) = load.connections else {
--- a/crates/placement/src/probing.rs
+++ b/crates/placement/src/probing.rs
@@ -84,7 +84,7 @@
     }
 
     /// Lets the session wait for the next answer; whether it didn't wait already.
-    pub(crate) fn add_waiting(&mut self, session: SessionId) -> bool {
+    pub(crate) fn add_waiting_session(&mut self, session: SessionId) -> bool {
         let is_new = !self.waiting.contains(&session);
         if is_new {
             self.waiting.push(session);
@@ -92,7 +92,7 @@
         is_new
     }
 
-    pub(crate) fn take_waiting(&mut self) -> Vec<SessionId> {
+    pub(crate) fn take_waiting_sessions(&mut self) -> Vec<SessionId> {
         std::mem::take(&mut self.waiting)
     }
 }
--- a/crates/placement/src/retry_budget.rs
+++ b/crates/placement/src/retry_budget.rs
@@ -67,7 +67,7 @@
                 sessions += part.sessions;
             }
         }
-        let allowed = rule.free_retries + rule.retries_per_session * sessions;
+        let allowed = rule.min_retries + rule.retries_per_session * sessions;
         retries + 1.0 <= allowed + ROUNDING_MARGIN
     }
 
@@ -86,6 +86,6 @@
 }
 
 fn part_number(rule: RetryBudgetRule, now: Duration) -> u64 {
-    let span = rule.span.as_nanos().max(1);
+    let span = rule.window.as_nanos().max(1);
     (now.as_nanos() * u128::from(PARTS_PER_SPAN) / span) as u64
 }
--- a/crates/placement/src/server.rs
+++ b/crates/placement/src/server.rs
@@ -22,7 +22,7 @@
     /// Connections of this proxy.
     pub(crate) open_connections: u32,
     /// It is not relieved before, so that its reports can show the last relief.
-    pub(crate) next_relief_at: Duration,
+    pub(crate) next_migration_at: Duration,
     /// By what factor the last report showed the server slower than those before.
     slowdown: f64,
 }
--- a/crates/placement/src/session.rs
+++ b/crates/placement/src/session.rs
@@ -24,7 +24,7 @@
     ProbesSent,
     ProbesAnswered,
     Dialed,
-    GivenUp,
+    NoServerAvailable,
     Opened,
     AttemptFailed,
     Closed,
@@ -72,7 +72,7 @@
     &[
         on(Selecting, Requested, Selecting, SelectServer),
         on(Selecting, Dialed, Dialing, Nothing),
-        on(Selecting, GivenUp, Over, SendFinalAnswer),
+        on(Selecting, NoServerAvailable, Over, SendFinalAnswer),
         on(Selecting, ProbesSent, AwaitingProbes, Nothing),
         on(AwaitingProbes, ProbesAnswered, Selecting, SelectServer),
         on(AwaitingProbes, ClientLeft, Over, Nothing),
--- a/crates/placement/src/session_pacing.rs
+++ b/crates/placement/src/session_pacing.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether an attempt may take all the time that its session has left.
-    pub(crate) fn lets_attempts_wait(&self) -> bool {
+    pub(crate) fn allows_long_attempts(&self) -> bool {
         self.pause > MIN_PAUSE
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// Whether the session must wait for its turn. The client that failed last lets others go first.
-    pub(crate) fn holds_back(&self, session: &Session, now: Duration) -> bool {
+    pub(crate) fn must_wait(&self, session: &Session, now: Duration) -> bool {
         let failed_last = self.failed_client == Some(session.request.hash_key);
         let waits_longer = failed_last && now < self.next_session_at + self.pause;
         let is_early = now < self.next_session_at || waits_longer;
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -7,9 +7,9 @@
 pub use error::{AllowedRange, SettingsError};
 
 use crate::deployment::{Deployment, RetryBudgetRule, SlowStartRule};
-use crate::event::Load;
+use crate::event::ServerLoad;
 use std::time::Duration;
-use values::{SettingValues, time_from_microseconds, time_or_error};
+use values::{SettingValues, duration_from_microseconds, duration_or_error};
 
 /// How long a connection may take to come up where no setting says it. Within no time at all nothing could be
 /// dialed.
@@ -26,7 +26,7 @@
     /// What the placement engine decides by.
     pub deployment: Deployment,
     /// How a server's load report is read.
-    pub load_reports: LoadReportFormat,
+    pub load_report_format: LoadReportFormat,
     /// Names as clients use them, by index.
     pub listeners: Vec<String>,
     /// Names as clients use them, by index.
@@ -40,7 +40,7 @@
     /// How long after a drain was announced a server may still be sent something new.
     pub drain_grace: Duration,
     /// The longest that any client waits for an answer; zero where no setting says it.
-    pub longest_wait: Duration,
+    pub max_client_wait: Duration,
 }
 
 /// Which values of a load report mean what.
@@ -56,12 +56,12 @@
 impl LoadReportFormat {
     /// The load in a report, whose values `value` finds by their index and name. Values that are negative or not
     /// finite count as absent.
-    pub fn load(&self, value: impl Fn(usize, &str) -> Option<f64>) -> Load {
+    pub fn load(&self, value: impl Fn(usize, &str) -> Option<f64>) -> ServerLoad {
         let read = |field: Option<usize>| {
             let found = field.and_then(|index| value(index, &self.fields[index]));
             found.filter(|value| value.is_finite() && *value >= 0.0)
         };
-        Load {
+        ServerLoad {
             connections: read(self.connections),
             utilization: read(self.utilization),
         }
@@ -79,25 +79,25 @@
     let values = SettingValues::new(settings);
     let listeners = listeners::read_listeners(&values)?;
     let listener_count = listeners.len() as u32;
-    let longest_wait = listeners::longest_wait(&values, listeners.len())?;
+    let max_client_wait = listeners::max_client_wait(&values, listeners.len())?;
     let deployment = Deployment {
         listeners,
         ..read_deployment(&values)?
     };
-    let tenants = values.names("tenants", values.or("tenants.count", 0)?);
+    let tenants = values.names("tenants", values.value_or("tenants.count", 0)?);
     let tenant_shares = (0..tenants.len())
         .map(|index| tenant_share(&values, index))
         .collect::<Result<_, _>>()?;
     Ok(Settings {
         deployment,
-        load_reports: load_report_format(&values),
+        load_report_format: load_report_format(&values),
         listeners: values.names("listeners", listener_count),
         tenants,
         tenant_shares,
         zones: owned(values.list("localities")),
-        connect_timeout: values.time_or("permissions.dial_timeout", DEFAULT_CONNECT_TIMEOUT)?,
-        drain_grace: values.time_or("rules.drain_grace", Duration::ZERO)?,
-        longest_wait,
+        connect_timeout: values.duration_or("permissions.dial_timeout", DEFAULT_CONNECT_TIMEOUT)?,
+        drain_grace: values.duration_or("rules.drain_grace", Duration::ZERO)?,
+        max_client_wait,
     })
 }
 
@@ -109,20 +109,20 @@
         listeners: Vec::new(),
         proxy_count: values.required("instances")?,
         proxy_index: values.required("self_index")?,
-        zone: values.or("zone", 0)?,
+        zone: values.value_or("zone", 0)?,
         slow_start: SlowStartRule {
             initial_capacity: values.required("rules.cold_share")?,
-            warm_after: values.time("rules.cold")?,
-            max_multiple: values.required("rules.tip_multiple")?,
-            span: values.time_or("rules.overload_for", DEFAULT_SLOW_START_SPAN)?,
+            warm_after: values.duration("rules.cold")?,
+            overload_factor: values.required("rules.tip_multiple")?,
+            overload_window: values.duration_or("rules.overload_for", DEFAULT_SLOW_START_SPAN)?,
         },
-        planned_connections: planned_connections(values)?,
+        total_connection_quota: total_connection_quota(values)?,
         endpoint_poll_delay,
         weights_reflect_load: values.text("weights") == Some("live"),
-        max_attempts: values.or("permissions.max_dials", 1)?,
+        max_attempts: values.value_or("permissions.max_dials", 1)?,
         retry_budget: retry_budget(values)?,
-        may_probe: values.or("permissions.may_probe", false)?,
-        may_cancel: values.or("permissions.cancelling", false)?,
+        may_probe: values.value_or("permissions.may_probe", false)?,
+        may_cancel: values.value_or("permissions.cancelling", false)?,
         max_retry_after,
         packet_passthrough: values.text("specifics.mode") == Some("pass"),
     })
@@ -131,17 +131,17 @@
 fn endpoint_poll_delay(values: &SettingValues<'_>) -> Result<Option<Duration>, SettingsError> {
     let discovery: String = values.required("discovery")?;
     if discovery == "on_request" {
-        Ok(Some(values.time("rules.must_ask_in")?))
+        Ok(Some(values.duration("rules.must_ask_in")?))
     } else {
         Ok(None)
     }
 }
 
 fn max_retry_after(values: &SettingValues<'_>) -> Result<Duration, SettingsError> {
-    let is_allowed = values.or("permissions.retry_after", false)?;
-    let longest = values.or("permissions.max_retry_after", 0.0)?;
+    let is_allowed = values.value_or("permissions.retry_after", false)?;
+    let longest = values.value_or("permissions.max_retry_after", 0.0)?;
     Ok(if is_allowed {
-        time_from_microseconds(longest).unwrap_or_default()
+        duration_from_microseconds(longest).unwrap_or_default()
     } else {
         Duration::ZERO
     })
@@ -151,24 +151,24 @@
 fn retry_budget(values: &SettingValues<'_>) -> Result<Option<RetryBudgetRule>, SettingsError> {
     let span_path = "rules.counted_over";
     let span = not_negative(values, span_path)?;
-    let free_retries = not_negative(values, "rules.min_extra")?;
+    let min_retries = not_negative(values, "rules.min_extra")?;
     let retries_per_session = not_negative(values, "rules.repeat_ratio")?;
     let Some(span) = span.filter(|span| *span > 0.0) else {
         // A rule without its span could only be kept by no retry at all, or broken.
-        let is_set = free_retries.or(retries_per_session);
+        let is_set = min_retries.or(retries_per_session);
         if is_set.is_some_and(|retries| retries > 0.0) {
             let path = span_path.to_string();
-            return Err(SettingsError::MissingSpan { path });
+            return Err(SettingsError::MissingWindow { path });
         }
         return Ok(None);
     };
-    let span = time_or_error(span_path, span)?;
-    if free_retries.is_none() && retries_per_session.is_none() {
+    let span = duration_or_error(span_path, span)?;
+    if min_retries.is_none() && retries_per_session.is_none() {
         return Ok(None);
     }
     Ok(Some(RetryBudgetRule {
-        span,
-        free_retries: free_retries.unwrap_or(0.0),
+        window: span,
+        min_retries: min_retries.unwrap_or(0.0),
         retries_per_session: retries_per_session.unwrap_or(0.0),
     }))
 }
@@ -176,29 +176,29 @@
 fn not_negative(values: &SettingValues<'_>, path: &str) -> Result<Option<f64>, SettingsError> {
     let number = values.optional::<f64>(path)?;
     if number.is_some_and(|number| !number.is_finite() || number < 0.0) {
-        return Err(out_of_range(path, AllowedRange::NotNegative));
+        return Err(out_of_range(path, AllowedRange::NonNegative));
     }
     Ok(number)
 }
 
 /// The sum of the connections that each tenant's quota allows; 0 where no setting says it.
-fn planned_connections(values: &SettingValues<'_>) -> Result<f64, SettingsError> {
+fn total_connection_quota(values: &SettingValues<'_>) -> Result<f64, SettingsError> {
     let path = "specifics.tenant_quota_connections";
     let quotas = values.numbers(path)?;
     if quotas.iter().all(|quota| (0.0..=MAX_QUOTA).contains(quota)) {
         Ok(quotas.iter().sum())
     } else {
-        Err(out_of_range(path, AllowedRange::ListUpToBillion))
+        Err(out_of_range(path, AllowedRange::EachUpToBillion))
     }
 }
 
 fn tenant_share(values: &SettingValues<'_>, index: usize) -> Result<f64, SettingsError> {
     let path = format!("tenants.{index}.portion");
-    let share = values.or(&path, 0.0)?;
+    let share = values.value_or(&path, 0.0)?;
     if (0.0..=1.0).contains(&share) {
         Ok(share)
     } else {
-        Err(out_of_range(&path, AllowedRange::Part))
+        Err(out_of_range(&path, AllowedRange::Fraction))
     }
 }
 
--- a/crates/placement/src/settings/error.rs
+++ b/crates/placement/src/settings/error.rs
@@ -21,7 +21,7 @@
     },
     /// A number of microseconds that is negative, not finite or over 2^32 seconds.
     #[error("setting {path}: not a time")]
-    NotATime {
+    InvalidDuration {
         /// The setting.
         path: String,
     },
@@ -35,7 +35,7 @@
     },
     /// A retry budget without the span that it is counted over.
     #[error("setting {path}: a span over 0 is needed beside it")]
-    MissingSpan {
+    MissingWindow {
         /// The span's setting.
         path: String,
     },
@@ -62,14 +62,14 @@
 pub enum AllowedRange {
     /// A finite number from 0.
     #[error("allowed is a number from 0")]
-    NotNegative,
+    NonNegative,
     /// A number from 0 to 1.
     #[error("allowed is a number from 0 to 1")]
-    Part,
+    Fraction,
     /// A number from 0 to 1e9.
     #[error("allowed is a number from 0 to 1e9")]
     UpToBillion,
     /// A list of numbers from 0 to 1e9.
     #[error("allowed are numbers from 0 to 1e9")]
-    ListUpToBillion,
+    EachUpToBillion,
 }
--- a/crates/placement/src/settings/listeners.rs
+++ b/crates/placement/src/settings/listeners.rs
@@ -2,7 +2,7 @@
 
 use super::error::{AllowedRange, SettingsError};
 use super::out_of_range;
-use super::values::{SettingValues, time_from_microseconds};
+use super::values::{SettingValues, duration_from_microseconds};
 use crate::deployment::{IdempotencyScope, Listener, RetrySafety};
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
         let message_target = message_targets.get(usize::from(index)).copied();
         listeners.push(Listener {
             retry_safety: retry_safety(values, index)?,
-            handshake_target: values.time(&format!("listeners.{index}.handshake_target"))?,
-            message_target: message_target.and_then(time_from_microseconds),
+            handshake_target: values.duration(&format!("listeners.{index}.handshake_target"))?,
+            message_target: message_target.and_then(duration_from_microseconds),
             priority_weight,
         });
     }
@@ -27,14 +27,14 @@
 }
 
 /// The longest that a client of any listener waits for an answer; zero where no setting says it.
-pub(super) fn longest_wait(
+pub(super) fn max_client_wait(
     values: &SettingValues<'_>,
     count: usize,
 ) -> Result<Duration, SettingsError> {
     let mut longest = Duration::ZERO;
     for index in 0..count {
         let path = format!("listeners.{index}.give_up");
-        longest = longest.max(values.time_or(&path, Duration::ZERO)?);
+        longest = longest.max(values.duration_or(&path, Duration::ZERO)?);
     }
     Ok(longest)
 }
@@ -57,7 +57,7 @@
 
 fn utility(values: &SettingValues<'_>, index: u8) -> Result<f64, SettingsError> {
     let path = format!("listeners.{index}.utility");
-    let utility = values.or(&path, 1.0)?;
+    let utility = values.value_or(&path, 1.0)?;
     if (0.0..=MAX_UTILITY).contains(&utility) {
         Ok(utility)
     } else {
@@ -73,7 +73,7 @@
         "non_idempotent" => Ok(RetrySafety::NotIdempotent),
         "idempotency_key" => {
             let scope = idempotency_scope(values, index)?;
-            let key_lifetime = values.time(&format!("listeners.{index}.key_ttl"))?;
+            let key_lifetime = values.duration(&format!("listeners.{index}.key_ttl"))?;
             Ok(RetrySafety::IdempotencyKey(scope, key_lifetime))
         }
         _ => Err(SettingsError::UnknownSemantics {
--- a/crates/placement/src/settings/values.rs
+++ b/crates/placement/src/settings/values.rs
@@ -34,7 +34,7 @@
         })
     }
 
-    pub(super) fn or<T: FromStr>(&self, path: &str, default: T) -> Result<T, SettingsError> {
+    pub(super) fn value_or<T: FromStr>(&self, path: &str, default: T) -> Result<T, SettingsError> {
         Ok(self.optional(path)?.unwrap_or(default))
     }
 
@@ -51,16 +51,20 @@
     }
 
     /// A time in microseconds.
-    pub(super) fn time(&self, path: &str) -> Result<Duration, SettingsError> {
-        time_or_error(path, self.required(path)?)
+    pub(super) fn duration(&self, path: &str) -> Result<Duration, SettingsError> {
+        duration_or_error(path, self.required(path)?)
     }
 
     /// A time in microseconds. None at all says as little as no setting.
-    pub(super) fn time_or(&self, path: &str, default: Duration) -> Result<Duration, SettingsError> {
+    pub(super) fn duration_or(
+        &self,
+        path: &str,
+        default: Duration,
+    ) -> Result<Duration, SettingsError> {
         if self.text(path).is_none() {
             return Ok(default);
         }
-        let time = self.time(path)?;
+        let time = self.duration(path)?;
         Ok(if time.is_zero() { default } else { time })
     }
 
@@ -82,13 +86,13 @@
 }
 
 /// Microseconds as a time, also where they have a fraction; `None` where they are no time.
-pub(super) fn time_from_microseconds(microseconds: f64) -> Option<Duration> {
+pub(super) fn duration_from_microseconds(microseconds: f64) -> Option<Duration> {
     let time = Duration::try_from_secs_f64(microseconds / MICROSECONDS_PER_SECOND).ok();
     time.filter(|time| time.as_secs() <= MAX_SECONDS)
 }
 
-pub(super) fn time_or_error(path: &str, microseconds: f64) -> Result<Duration, SettingsError> {
-    time_from_microseconds(microseconds).ok_or_else(|| SettingsError::NotATime {
+pub(super) fn duration_or_error(path: &str, microseconds: f64) -> Result<Duration, SettingsError> {
+    duration_from_microseconds(microseconds).ok_or_else(|| SettingsError::InvalidDuration {
         path: path.to_string(),
     })
 }
--- a/crates/placement/src/slow_start.rs
+++ b/crates/placement/src/slow_start.rs
@@ -50,7 +50,7 @@
     }
 
     /// Share of its capacity that a server has at least, by the time since it started; `None` for long ago.
-    pub(crate) fn warmth(&self, started_at: Option<Duration>, now: Duration) -> f64 {
+    pub(crate) fn capacity_share(&self, started_at: Option<Duration>, now: Duration) -> f64 {
         let rule = self.rule;
         let up = started_at.map_or(rule.warm_after, |at| now.saturating_sub(at));
         let part = (up.as_secs_f64() / rule.warm_after.as_secs_f64()).min(1.0);
@@ -66,11 +66,11 @@
         now: Duration,
     ) -> f64 {
         let span = now.saturating_sub(allowance.updated_at).as_secs_f64();
-        let warmth_then = self.warmth(started_at, allowance.updated_at);
-        let warmth = (warmth_then + self.warmth(started_at, now)) / 2.0;
-        let rate = USED_PART_OF_MULTIPLE * self.rule.max_multiple * warmth * self.fill_rate;
+        let warmth_then = self.capacity_share(started_at, allowance.updated_at);
+        let warmth = (warmth_then + self.capacity_share(started_at, now)) / 2.0;
+        let rate = USED_PART_OF_MULTIPLE * self.rule.overload_factor * warmth * self.fill_rate;
         let saved = allowance.dials + rate * span;
-        let kept = rate * self.rule.span.as_secs_f64() * KEPT_PART_OF_SPAN;
+        let kept = rate * self.rule.overload_window.as_secs_f64() * KEPT_PART_OF_SPAN;
         if saved < 1.0 || saved.fract() < kept {
             saved.min(1.0 + saved.fract())
         } else {
@@ -85,7 +85,8 @@
         started_at: Option<Duration>,
         now: Duration,
     ) -> bool {
-        self.warmth(started_at, now) < 1.0 && self.available(allowance, started_at, now) < 1.0
+        self.capacity_share(started_at, now) < 1.0
+            && self.available(allowance, started_at, now) < 1.0
     }
 
     /// What is left of the allowance after one dial.
--- a/crates/placement/src/timers.rs
+++ b/crates/placement/src/timers.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// A session has waited long enough for probes.
-    ProbeWaitOver(SessionId),
+    ProbeWaitExpired(SessionId),
     /// The endpoint list is polled again after a failure.
     PollEndpoints,
     /// The averages over all servers are computed anew.
--- a/crates/placement/tests/engine/attempts.rs
+++ b/crates/placement/tests/engine/attempts.rs
@@ -6,7 +6,7 @@
 };
 use asterramp_placement::deployment::{RetryBudgetRule, RetrySafety};
 use asterramp_placement::event::{Endpoint, Outcome};
-use asterramp_placement::{Action, Deployment, Event};
+use asterramp_placement::{Deployment, PlacementAction, PlacementEvent};
 use test_case::test_case;
 
 // Each rule on every kind: what follows a failed dial.
@@ -71,7 +71,7 @@
     );
     for stray in [
         proxy.end_attempt(session, 0, Outcome::TimedOut, false),
-        proxy.handle(Event::ClientLeft { session }),
+        proxy.handle(PlacementEvent::ClientLeft { session }),
     ] {
         assert!(stray.is_empty(), "{stray:?}");
     }
@@ -85,9 +85,9 @@
     let mut seen = vec![dialed_server(&actions).unwrap()];
     assert!(
         proxy
-            .handle(Event::Tick)
+            .handle(PlacementEvent::Tick)
             .iter()
-            .all(|a| !matches!(a, Action::Dial { .. })),
+            .all(|a| !matches!(a, PlacementAction::Dial { .. })),
         "the first is still out"
     );
     for (dial, wanted) in [(0, 'D'), (1, 'D'), (2, 'R')] {
@@ -127,7 +127,7 @@
     for _ in 0..30 {
         let (session, _) = proxy.request_session(None);
         proxy.now += ms(1_000);
-        proxy.handle(Event::SessionOpened {
+        proxy.handle(PlacementEvent::SessionOpened {
             session,
             attempt: 0,
         });
@@ -138,8 +138,8 @@
 #[test]
 fn without_retry_budget_a_session_is_answered_at_once() {
     let rule = RetryBudgetRule {
-        span: ms(2_000),
-        free_retries: 1.0,
+        window: ms(2_000),
+        min_retries: 1.0,
         retries_per_session: 0.0,
     };
     let mut proxy = Proxy::with(
@@ -154,7 +154,13 @@
     assert!(dialed_server(&proxy.end_attempt(first, 0, Outcome::Unreachable, false)).is_some());
     let actions = proxy.end_attempt(second, 0, Outcome::Unreachable, false);
     assert!(
-        matches!(actions[..], [Action::Reject { .. }, Action::Forget { .. }]),
+        matches!(
+            actions[..],
+            [
+                PlacementAction::Reject { .. },
+                PlacementAction::Forget { .. }
+            ]
+        ),
         "{actions:?}"
     );
     assert!(
--- a/crates/placement/tests/engine/endpoint_list.rs
+++ b/crates/placement/tests/engine/endpoint_list.rs
@@ -4,7 +4,7 @@
     IDEMPOTENT, Proxy, count, deployment, dialed_server, endpoint, ms, outcome_letter,
 };
 use asterramp_placement::event::{Endpoint, EndpointState, EndpointUpdate};
-use asterramp_placement::{Action, Event};
+use asterramp_placement::{PlacementAction, PlacementEvent};
 use test_case::test_case;
 
 #[test_case(EndpointState::Draining; "draining")]
@@ -16,7 +16,9 @@
         ..endpoint(0)
     });
     assert!((0..50).all(|_| dialed_server(&proxy.request_session(None).1) != Some(0)));
-    proxy.handle(Event::Endpoints(EndpointUpdate::Complete(vec![])));
+    proxy.handle(PlacementEvent::EndpointsUpdated(EndpointUpdate::Complete(
+        vec![],
+    )));
     assert_eq!(
         outcome_letter(&proxy.request_session(None).1),
         'R',
@@ -28,15 +30,20 @@
 fn the_endpoint_list_is_polled_at_start_and_again_with_backoff() {
     let mut facts = deployment(IDEMPOTENT);
     facts.endpoint_poll_delay = Some(ms(10_000));
-    let asks = |actions: &[Action]| count(actions, |a| *a == Action::PollEndpoints);
+    let asks =
+        |actions: &[PlacementAction]| count(actions, |a| *a == PlacementAction::PollEndpoints);
     let mut proxy = Proxy::without_endpoints(facts, 1);
     assert_eq!(
-        asks(&proxy.handle(Event::Endpoints(EndpointUpdate::Stale(vec![endpoint(0)])))),
+        asks(
+            &proxy.handle(PlacementEvent::EndpointsUpdated(EndpointUpdate::Stale(
+                vec![endpoint(0)]
+            )))
+        ),
         1
     );
     let mut total = 0;
     for _ in 0..200 {
-        let actions = proxy.handle(Event::Endpoints(EndpointUpdate::Failed));
+        let actions = proxy.handle(PlacementEvent::EndpointsUpdated(EndpointUpdate::Failed));
         assert_eq!(asks(&actions), 0, "not in the same breath");
         total += asks(&proxy.wait(ms(200)));
     }
@@ -65,8 +72,11 @@
         while last < ms(58_000) {
             // Each call fails after two seconds in the queue.
             proxy.wait(ms(2_000));
-            proxy.handle(Event::Endpoints(EndpointUpdate::Failed));
-            while !proxy.wait(ms(100)).contains(&Action::PollEndpoints) {}
+            proxy.handle(PlacementEvent::EndpointsUpdated(EndpointUpdate::Failed));
+            while !proxy
+                .wait(ms(100))
+                .contains(&PlacementAction::PollEndpoints)
+            {}
             let now = proxy.now - began;
             assert!(
                 now - last < ms(40_000),
--- a/crates/placement/tests/engine/fleet_slow_start.rs
+++ b/crates/placement/tests/engine/fleet_slow_start.rs
@@ -3,7 +3,7 @@
 use crate::support::{Proxy, deployment, dialed_server, endpoint, ms};
 use asterramp_placement::Deployment;
 use asterramp_placement::deployment::RetrySafety;
-use asterramp_placement::event::{Endpoint, EndpointUpdate, Event};
+use asterramp_placement::event::{Endpoint, EndpointUpdate, PlacementEvent};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -69,10 +69,12 @@
         for proxy in &mut all {
             proxy.now = now;
             if at.is_multiple_of(100) {
-                proxy.handle(Event::Tick);
+                proxy.handle(PlacementEvent::Tick);
             }
             if demand == Demand::Sudden && at == 5_000 {
-                proxy.handle(Event::Endpoints(EndpointUpdate::Complete(vec![cold])));
+                proxy.handle(PlacementEvent::EndpointsUpdated(EndpointUpdate::Complete(
+                    vec![cold],
+                )));
             }
             if demand == Demand::Sudden && at < 5_000 {
                 continue;
@@ -85,7 +87,7 @@
             if dialed_server(&actions) == Some(9) {
                 sent.push(at);
             }
-            proxy.handle(Event::ClientLeft { session });
+            proxy.handle(PlacementEvent::ClientLeft { session });
         }
     }
     let (over, n) = worst_window(&sent);
--- a/crates/placement/tests/engine/outlier_ejection.rs
+++ b/crates/placement/tests/engine/outlier_ejection.rs
@@ -1,7 +1,7 @@
 //! Ejection of servers that fail.
 
 use crate::support::{IDEMPOTENT, Proxy, deployment, dialed_server, ms, outcome_letter};
-use asterramp_placement::Event;
+use asterramp_placement::PlacementEvent;
 use asterramp_placement::event::{Outcome, SessionRequest};
 use test_case::test_case;
 
@@ -22,7 +22,7 @@
                 dialed_server(&proxy.end_attempt(session, 0, outcome, false)),
                 Some(0)
             );
-            proxy.handle(Event::SessionOpened {
+            proxy.handle(PlacementEvent::SessionOpened {
                 session,
                 attempt: 1,
             });
@@ -65,7 +65,7 @@
     proxy.report_load(0, 50.0, 0.2);
     proxy.report_load(1, 50.0, 0.95);
     // Others have come up before; where none ever has, the first failure holds back.
-    proxy.handle(Event::SessionInherited(
+    proxy.handle(PlacementEvent::SessionInherited(
         SessionRequest {
             session: 99,
             ..SessionRequest::default()
--- a/crates/placement/tests/engine/probing.rs
+++ b/crates/placement/tests/engine/probing.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{IDEMPOTENT, IS_PROBE, Proxy, count, deployment, ms, outcome_letter};
 use asterramp_placement::event::SessionRequest;
-use asterramp_placement::{Action, Event};
+use asterramp_placement::{PlacementAction, PlacementEvent};
 use test_case::test_case;
 
 // Probes grow with what they are worth to us, not with proxies times servers.
@@ -56,17 +56,17 @@
 fn waiting_for_probes_ends(leaves: bool) -> char {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 3);
     let arrival = SessionRequest {
-        dial_timeout: proxy.now + ms(4_800),
+        answer_deadline: proxy.now + ms(4_800),
         ..SessionRequest::default()
     };
     assert_eq!(
-        outcome_letter(&proxy.handle(Event::SessionRequested(arrival))),
+        outcome_letter(&proxy.handle(PlacementEvent::SessionRequested(arrival))),
         '-'
     );
     if leaves {
         assert_eq!(
-            proxy.handle(Event::ClientLeft { session: 0 }),
-            [Action::Forget { session: 0 }]
+            proxy.handle(PlacementEvent::ClientLeft { session: 0 }),
+            [PlacementAction::Forget { session: 0 }]
         );
     }
     outcome_letter(&proxy.wait(ms(500)))
@@ -82,12 +82,14 @@
     let (session, actions) = proxy.request_session(None);
     assert_eq!(outcome_letter(&actions), 'D', "without a single report");
     let actions = [
-        proxy.handle(Event::ClientLeft { session }),
+        proxy.handle(PlacementEvent::ClientLeft { session }),
         proxy.wait(ms(5_000)),
     ]
     .concat();
     assert!(
-        actions.iter().all(|a| matches!(a, Action::SetTimer { .. })),
+        actions
+            .iter()
+            .all(|a| matches!(a, PlacementAction::SetTimer { .. })),
         "{actions:?}"
     );
 }
--- a/crates/placement/tests/engine/rebalancing.rs
+++ b/crates/placement/tests/engine/rebalancing.rs
@@ -3,7 +3,7 @@
 use crate::support::{IDEMPOTENT, Proxy, count, deployment, endpoint, ms};
 use asterramp_placement::deployment::RetrySafety;
 use asterramp_placement::event::Observation;
-use asterramp_placement::{Action, Event};
+use asterramp_placement::{PlacementAction, PlacementEvent};
 use test_case::test_case;
 
 // Connections on an overloaded or silent server are served nothing until some have gone.
@@ -18,7 +18,7 @@
         Some(asked) => proxy.report_load(0, 10.0, asked),
         None => [proxy.fail_probe(0), proxy.fail_probe(0)].concat(),
     };
-    count(&actions, |a| matches!(a, Action::Migrate { .. }))
+    count(&actions, |a| matches!(a, PlacementAction::Migrate { .. }))
 }
 
 // Where a server slows down from report to report, what it can do now is foreseen; one that jumps may jump back.
@@ -31,7 +31,7 @@
     proxy.open_sessions(20);
     asked.iter().any(|asked| {
         count(&proxy.report_load(0, 20.0, *asked), |a| {
-            matches!(a, Action::Migrate { .. })
+            matches!(a, PlacementAction::Migrate { .. })
         }) > 0
     })
 }
@@ -43,12 +43,12 @@
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 1);
     let (session, server) = proxy.open_sessions(10)[0];
     proxy.report_load(0, 10.0, 0.3);
-    let actions = proxy.handle(Event::Observed {
+    let actions = proxy.handle(PlacementEvent::ConnectionObserved {
         session,
         server,
-        observation: Observation::Delay(ms(millis)),
+        observation: Observation::MessageDelay(ms(millis)),
     });
-    count(&actions, |a| matches!(a, Action::Migrate { .. })) > 0
+    count(&actions, |a| matches!(a, PlacementAction::Migrate { .. })) > 0
 }
 
 // What is piled up keeps all messages late: with room elsewhere it pays to move many at once, without it none is better off.
@@ -65,13 +65,13 @@
         proxy.report_load(server, 20.0, asked);
     }
     proxy.now += ms(2_000);
-    let actions = proxy.handle(Event::Observed {
+    let actions = proxy.handle(PlacementEvent::ConnectionObserved {
         session,
         server,
-        observation: Observation::Delay(ms(millis)),
+        observation: Observation::MessageDelay(ms(millis)),
     });
     let held = 20.0;
-    (count(&actions, |a| matches!(a, Action::Migrate { .. })) as f64) < 0.35 * held
+    (count(&actions, |a| matches!(a, PlacementAction::Migrate { .. })) as f64) < 0.35 * held
 }
 
 // Where hundreds hold a connection or two each, parts rounded up would empty the server.
@@ -81,7 +81,7 @@
         let mut proxy = Proxy::new(deployment(IDEMPOTENT), nonce, vec![endpoint(0)]);
         proxy.open_session(None);
         count(&proxy.report_load(0, 200.0, 1.0), |a| {
-            matches!(a, Action::Migrate { .. })
+            matches!(a, PlacementAction::Migrate { .. })
         })
     });
     assert!((15..=50).contains(&moved.sum::<usize>()));
@@ -91,7 +91,9 @@
 fn relief_waits_until_it_can_show_in_reports() {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 1);
     proxy.open_sessions(20);
-    let moved = |actions: &[Action]| count(actions, |a| matches!(a, Action::Migrate { .. }));
+    let moved = |actions: &[PlacementAction]| {
+        count(actions, |a| matches!(a, PlacementAction::Migrate { .. }))
+    };
     assert!(moved(&proxy.report_load(0, 20.0, 1.2)) > 0);
     proxy.now += ms(600);
     assert_eq!(moved(&proxy.report_load(0, 20.0, 1.2)), 0);
--- a/crates/placement/tests/engine/robustness.rs
+++ b/crates/placement/tests/engine/robustness.rs
@@ -2,15 +2,15 @@
 
 use crate::support::{IDEMPOTENT, Proxy, deployment, endpoint, ms, outcome_letter};
 use asterramp_placement::deployment::RetrySafety;
-use asterramp_placement::event::{Endpoint, EndpointUpdate, Load, Outcome, SessionRequest};
-use asterramp_placement::{Action, Deployment, Event};
+use asterramp_placement::event::{Endpoint, EndpointUpdate, Outcome, ServerLoad, SessionRequest};
+use asterramp_placement::{Deployment, PlacementAction, PlacementEvent};
 use test_case::test_case;
 
 // Odd but legal settings neither panic nor leave a session without an answer.
 #[test_case(|f| f.proxy_count = 0; "no proxy counted")]
 #[test_case(|f| f.packet_passthrough = true; "packets pass through")]
 #[test_case(|f| f.weights_reflect_load = true; "weights that sink")]
-#[test_case(|f| (f.slow_start.warm_after, f.slow_start.initial_capacity, f.slow_start.max_multiple) = (ms(0), 0.0, 0.0); "no cold rule")]
+#[test_case(|f| (f.slow_start.warm_after, f.slow_start.initial_capacity, f.slow_start.overload_factor) = (ms(0), 0.0, 0.0); "no cold rule")]
 #[test_case(|f| f.endpoint_poll_delay = Some(ms(0)); "an endpoint list polled without a limit")]
 #[test_case(|f| (f.max_retry_after, f.listeners[0].handshake_target) = (ms(0), ms(0)); "no come-back, no target")]
 fn odd_settings_serve(odd: fn(&mut Deployment)) {
@@ -30,10 +30,10 @@
     let mut proxy = Proxy::new(facts, 0, servers);
     proxy.report_load(0, 0.0, 0.0);
     proxy.report_load(1, 3.0, 0.0);
-    proxy.handle(Event::Endpoints(EndpointUpdate::Failed));
+    proxy.handle(PlacementEvent::EndpointsUpdated(EndpointUpdate::Failed));
     proxy.wait(ms(1_000));
     // Others have come up before; where none ever has, the first failure holds back.
-    proxy.handle(Event::SessionInherited(
+    proxy.handle(PlacementEvent::SessionInherited(
         SessionRequest {
             session: 99,
             ..SessionRequest::default()
@@ -58,30 +58,32 @@
         ..SessionRequest::default()
     };
     assert!(
-        proxy.handle(Event::SessionInherited(arrival, 5)).is_empty(),
+        proxy
+            .handle(PlacementEvent::SessionInherited(arrival, 5))
+            .is_empty(),
         "a server that no list has named"
     );
     let lost = proxy.end_attempt(0, 0, Outcome::Reset, true);
-    assert_eq!(lost, [Action::Forget { session: 0 }]);
-    let load = Load::default();
+    assert_eq!(lost, [PlacementAction::Forget { session: 0 }]);
+    let load = ServerLoad::default();
     for stray in [
-        Event::SessionOpened {
+        PlacementEvent::SessionOpened {
             session: 99,
             attempt: 0,
         },
-        Event::SessionOpened {
+        PlacementEvent::SessionOpened {
             session: 0,
             attempt: 3,
         },
-        Event::AttemptEnded {
+        PlacementEvent::AttemptEnded {
             session: 0,
             attempt: 0,
             outcome: Outcome::Ok,
             session_over: true,
             load,
         },
-        Event::ClientLeft { session: 42 },
-        Event::ProbeEnded {
+        PlacementEvent::ClientLeft { session: 42 },
+        PlacementEvent::ProbeEnded {
             server: 77,
             outcome: Outcome::Ok,
             load,
--- a/crates/placement/tests/engine/selection.rs
+++ b/crates/placement/tests/engine/selection.rs
@@ -6,7 +6,7 @@
 };
 use asterramp_placement::deployment::Listener;
 use asterramp_placement::event::{Endpoint, EndpointState, ServerId};
-use asterramp_placement::{Action, Deployment};
+use asterramp_placement::{Deployment, PlacementAction};
 use test_case::test_case;
 
 #[test_case((10.0, 0.2), (20.0, 0.4) => 0; "fewer connections")]
@@ -79,7 +79,7 @@
     }
     let actions = proxy.request_session(None).1;
     assert!(actions.iter().all(
-        |a| !matches!(a, Action::Reject { retry_after: come_back, .. } if come_back.is_zero())
+        |a| !matches!(a, PlacementAction::Reject { retry_after: come_back, .. } if come_back.is_zero())
     ));
     outcome_letter(&actions)
 }
--- a/crates/placement/tests/engine/session_pacing.rs
+++ b/crates/placement/tests/engine/session_pacing.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{IDEMPOTENT, Proxy, deployment, dialed_server, endpoint, ms, outcome_letter};
 use asterramp_placement::event::{Endpoint, Outcome, SessionRequest};
-use asterramp_placement::{Deployment, Event};
+use asterramp_placement::{Deployment, PlacementEvent};
 use test_case::test_case;
 
 // What stands behind the servers is short: dials of all proxies, over and over, would keep it so.
@@ -38,7 +38,7 @@
     let up = |proxy: &mut Proxy| {
         proxy.wait(ms(100));
         let (session, actions) = proxy.request_session(None);
-        proxy.handle(Event::SessionOpened {
+        proxy.handle(PlacementEvent::SessionOpened {
             session,
             attempt: 0,
         });
@@ -75,7 +75,7 @@
             if server.is_multiple_of(2) {
                 actions = proxy.end_attempt(session, *dial, Outcome::ServerError, false);
             } else {
-                proxy.handle(Event::SessionOpened {
+                proxy.handle(PlacementEvent::SessionOpened {
                     session,
                     attempt: *dial,
                 });
@@ -153,7 +153,7 @@
     let (session, actions) = proxy.request_session(None);
     assert!(dialed_server(&actions).is_some());
     proxy.now += ms(took);
-    proxy.handle(Event::SessionOpened {
+    proxy.handle(PlacementEvent::SessionOpened {
         session,
         attempt: 0,
     });
@@ -187,12 +187,12 @@
 fn a_client_that_fails_alone_is_tried_again() {
     let mut proxy = Proxy::with(deployment(IDEMPOTENT), 10);
     let again = |proxy: &mut Proxy, session, item| {
-        let dial_timeout = proxy.now + ms(4_800);
+        let answer_deadline = proxy.now + ms(4_800);
         outcome_letter(
-            &proxy.handle_and_answer_probes(Event::SessionRequested(SessionRequest {
+            &proxy.handle_and_answer_probes(PlacementEvent::SessionRequested(SessionRequest {
                 session,
                 hash_key: item,
-                dial_timeout,
+                answer_deadline,
                 ..SessionRequest::default()
             })),
         )
--- a/crates/placement/tests/engine/slow_start.rs
+++ b/crates/placement/tests/engine/slow_start.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{IDEMPOTENT, Proxy, deployment, dialed_server, endpoint, ms};
 use asterramp_placement::event::{Endpoint, EndpointUpdate, Outcome};
-use asterramp_placement::{Deployment, Event};
+use asterramp_placement::{Deployment, PlacementEvent};
 use test_case::test_case;
 
 #[test_case(1, 1; "one proxy")]
@@ -69,17 +69,19 @@
     facts.proxy_count = 3;
     facts.proxy_index = 1;
     // For the ten servers that numbers up to the new one's stand for, four of which drain.
-    facts.planned_connections = planned;
+    facts.total_connection_quota = planned;
     let mut proxy = Proxy::with(facts, 4);
     proxy.open_sessions(open);
     for _ in 0..20 {
         proxy.wait(ms(100));
     }
     // All others drain.
-    proxy.handle(Event::Endpoints(EndpointUpdate::Complete(vec![Endpoint {
-        started_at: Some(proxy.now),
-        ..endpoint(9)
-    }])));
+    proxy.handle(PlacementEvent::EndpointsUpdated(EndpointUpdate::Complete(
+        vec![Endpoint {
+            started_at: Some(proxy.now),
+            ..endpoint(9)
+        }],
+    )));
     let mut sent = 0;
     for _ in 0..100 {
         proxy.wait(ms(100));
@@ -108,7 +110,7 @@
             started_at: Some(proxy.now),
             ..endpoint(0)
         }];
-        proxy.handle(Event::Endpoints(if inherited {
+        proxy.handle(PlacementEvent::EndpointsUpdated(if inherited {
             EndpointUpdate::Inherited(cold)
         } else {
             EndpointUpdate::Complete(cold)
--- a/crates/placement/tests/engine/support.rs
+++ b/crates/placement/tests/engine/support.rs
@@ -2,9 +2,10 @@
 
 use asterramp_placement::deployment::{IdempotencyScope, Listener, RetrySafety, SlowStartRule};
 use asterramp_placement::event::{
-    Endpoint, EndpointState, EndpointUpdate, Load, Outcome, ServerId, SessionId, SessionRequest,
+    Endpoint, EndpointState, EndpointUpdate, Outcome, ServerId, ServerLoad, SessionId,
+    SessionRequest,
 };
-use asterramp_placement::{Action, Deployment, Event, PlacementEngine};
+use asterramp_placement::{Deployment, PlacementAction, PlacementEngine, PlacementEvent};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -17,7 +18,8 @@
     RetrySafety::IdempotencyKey(IdempotencyScope::Cell, ms(5_000));
 pub(crate) const SHORT_KEY: RetrySafety =
     RetrySafety::IdempotencyKey(IdempotencyScope::All, ms(50));
-pub(crate) const IS_PROBE: fn(&Action) -> bool = |a| matches!(a, Action::Probe { .. });
+pub(crate) const IS_PROBE: fn(&PlacementAction) -> bool =
+    |a| matches!(a, PlacementAction::Probe { .. });
 
 pub(crate) const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -36,8 +38,8 @@
         slow_start: SlowStartRule {
             initial_capacity: 0.25,
             warm_after: ms(20_000),
-            max_multiple: 4.0,
-            span: ms(1_500),
+            overload_factor: 4.0,
+            overload_window: ms(1_500),
         },
         max_attempts: 3,
         may_probe: true,
@@ -64,7 +66,7 @@
     /// Whether clients were connected before.
     pub(crate) reconnecting: bool,
     /// What servers answer to probes that sessions wait for.
-    pub(crate) loads: BTreeMap<ServerId, Load>,
+    pub(crate) loads: BTreeMap<ServerId, ServerLoad>,
 }
 
 impl Proxy {
@@ -81,7 +83,9 @@
     /// A proxy that has just started and knows the servers given.
     pub(crate) fn new(facts: Deployment, nonce: u64, servers: Vec<Endpoint>) -> Self {
         let mut proxy = Self::without_endpoints(facts, nonce);
-        proxy.handle(Event::Endpoints(EndpointUpdate::Stale(servers)));
+        proxy.handle(PlacementEvent::EndpointsUpdated(EndpointUpdate::Stale(
+            servers,
+        )));
         proxy
     }
 
@@ -90,20 +94,23 @@
         Self::new(facts, 7, (0..servers).map(endpoint).collect())
     }
 
-    pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn handle(&mut self, event: PlacementEvent) -> Vec<PlacementAction> {
         let mut out = Vec::new();
         self.engine.handle(self.now, event, &mut out);
         out
     }
 
     /// The same, with the probes answered that follow at once.
-    pub(crate) fn handle_and_answer_probes(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn handle_and_answer_probes(
+        &mut self,
+        event: PlacementEvent,
+    ) -> Vec<PlacementAction> {
         let mut out = self.handle(event);
         let mut next = 0;
         while let Some(action) = out.get(next) {
-            if let Action::Probe { server } = *action {
+            if let PlacementAction::Probe { server } = *action {
                 let load = self.loads.get(&server).copied().unwrap_or_default();
-                out.extend(self.handle(Event::ProbeEnded {
+                out.extend(self.handle(PlacementEvent::ProbeEnded {
                     server,
                     outcome: Outcome::Ok,
                     load,
@@ -115,17 +122,20 @@
     }
 
     /// Lets time pass, with the timer ringing every tenth of a second and probes answered.
-    pub(crate) fn wait(&mut self, span: Duration) -> Vec<Action> {
+    pub(crate) fn wait(&mut self, span: Duration) -> Vec<PlacementAction> {
         let end = self.now + span;
         let mut out = Vec::new();
         while self.now < end {
             self.now += ms(100);
-            out.extend(self.handle_and_answer_probes(Event::Tick));
+            out.extend(self.handle_and_answer_probes(PlacementEvent::Tick));
         }
         out
     }
 
-    pub(crate) fn request_session(&mut self, group: Option<u64>) -> (SessionId, Vec<Action>) {
+    pub(crate) fn request_session(
+        &mut self,
+        group: Option<u64>,
+    ) -> (SessionId, Vec<PlacementAction>) {
         self.request_session_at(0, group)
     }
 
@@ -133,20 +143,20 @@
         &mut self,
         listener: u8,
         group: Option<u64>,
-    ) -> (SessionId, Vec<Action>) {
+    ) -> (SessionId, Vec<PlacementAction>) {
         let session = self.next_session;
         self.next_session += 1;
-        let dial_timeout = self.now + ms(4_800);
+        let answer_deadline = self.now + ms(4_800);
         let request = SessionRequest {
             session,
             listener,
             hash_key: u64::from(session),
             group,
-            dial_timeout,
+            answer_deadline,
             reconnecting: self.reconnecting,
             ..SessionRequest::default()
         };
-        let actions = self.handle_and_answer_probes(Event::SessionRequested(request));
+        let actions = self.handle_and_answer_probes(PlacementEvent::SessionRequested(request));
         (session, actions)
     }
 
@@ -154,7 +164,7 @@
     pub(crate) fn open_session(&mut self, group: Option<u64>) -> (SessionId, ServerId) {
         let (session, actions) = self.request_session(group);
         let server = dialed_server(&actions).expect("a dial");
-        self.handle(Event::SessionOpened {
+        self.handle(PlacementEvent::SessionOpened {
             session,
             attempt: 0,
         });
@@ -171,13 +181,13 @@
         attempt: u8,
         outcome: Outcome,
         over: bool,
-    ) -> Vec<Action> {
-        self.handle_and_answer_probes(Event::AttemptEnded {
+    ) -> Vec<PlacementAction> {
+        self.handle_and_answer_probes(PlacementEvent::AttemptEnded {
             session,
             attempt,
             outcome,
             session_over: over,
-            load: Load::default(),
+            load: ServerLoad::default(),
         })
     }
 
@@ -186,39 +196,41 @@
         server: ServerId,
         connections: f64,
         utilization: f64,
-    ) -> Vec<Action> {
+    ) -> Vec<PlacementAction> {
         let load = load(connections, utilization);
         self.loads.insert(server, load);
-        self.handle(Event::ProbeEnded {
+        self.handle(PlacementEvent::ProbeEnded {
             server,
             outcome: Outcome::Ok,
             load,
         })
     }
 
-    pub(crate) fn fail_probe(&mut self, server: ServerId) -> Vec<Action> {
-        self.handle(Event::ProbeEnded {
+    pub(crate) fn fail_probe(&mut self, server: ServerId) -> Vec<PlacementAction> {
+        self.handle(PlacementEvent::ProbeEnded {
             server,
             outcome: Outcome::TimedOut,
-            load: Load::default(),
+            load: ServerLoad::default(),
         })
     }
 
-    pub(crate) fn update_endpoint(&mut self, endpoint: Endpoint) -> Vec<Action> {
-        self.handle(Event::Endpoints(EndpointUpdate::Changes(vec![endpoint])))
+    pub(crate) fn update_endpoint(&mut self, endpoint: Endpoint) -> Vec<PlacementAction> {
+        self.handle(PlacementEvent::EndpointsUpdated(EndpointUpdate::Changes(
+            vec![endpoint],
+        )))
     }
 }
 
-pub(crate) fn load(connections: f64, utilization: f64) -> Load {
-    Load {
+pub(crate) fn load(connections: f64, utilization: f64) -> ServerLoad {
+    ServerLoad {
         connections: Some(connections),
         utilization: Some(utilization),
     }
 }
 
-pub(crate) fn dialed_server(actions: &[Action]) -> Option<ServerId> {
+pub(crate) fn dialed_server(actions: &[PlacementAction]) -> Option<ServerId> {
     actions.iter().find_map(|a| {
-        if let Action::Dial { server, .. } = a {
+        if let PlacementAction::Dial { server, .. } = a {
             Some(*server)
         } else {
             None
@@ -226,11 +238,11 @@
     })
 }
 
-pub(crate) fn dial_timeout_of(actions: &[Action]) -> Duration {
+pub(crate) fn dial_timeout_of(actions: &[PlacementAction]) -> Duration {
     actions
         .iter()
         .find_map(|a| {
-            if let Action::Dial { timeout, .. } = a {
+            if let PlacementAction::Dial { timeout, .. } = a {
                 Some(*timeout)
             } else {
                 None
@@ -240,16 +252,16 @@
 }
 
 /// What a session came to: `D` dialed, `R` rejected, `T` failed, `-` nothing.
-pub(crate) fn outcome_letter(actions: &[Action]) -> char {
-    let letter = |a: &Action| match a {
-        Action::Dial { .. } => Some('D'),
-        Action::Reject { .. } => Some('R'),
-        Action::Fail { .. } => Some('T'),
+pub(crate) fn outcome_letter(actions: &[PlacementAction]) -> char {
+    let letter = |a: &PlacementAction| match a {
+        PlacementAction::Dial { .. } => Some('D'),
+        PlacementAction::Reject { .. } => Some('R'),
+        PlacementAction::Fail { .. } => Some('T'),
         _ => None,
     };
     actions.iter().find_map(letter).unwrap_or('-')
 }
 
-pub(crate) fn count(actions: &[Action], of: fn(&Action) -> bool) -> usize {
+pub(crate) fn count(actions: &[PlacementAction], of: fn(&PlacementAction) -> bool) -> usize {
     actions.iter().filter(|a| of(a)).count()
 }
--- a/crates/placement/tests/engine/zone_shares.rs
+++ b/crates/placement/tests/engine/zone_shares.rs
@@ -3,8 +3,8 @@
 
 use crate::support::{Proxy, count, deployment, dialed_server, endpoint};
 use asterramp_placement::deployment::RetrySafety;
-use asterramp_placement::event::{Endpoint, Event, Outcome, ServerId, SessionRequest};
-use asterramp_placement::{Action, Deployment};
+use asterramp_placement::event::{Endpoint, Outcome, PlacementEvent, ServerId, SessionRequest};
+use asterramp_placement::{Deployment, PlacementAction};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -32,7 +32,7 @@
 #[test_case(0.0, 0..1; "lost")]
 fn a_zone_gets_its_share(open: f64, sessions: std::ops::Range<usize>) {
     let mut proxy = proxy();
-    proxy.handle(Event::ZoneShare {
+    proxy.handle(PlacementEvent::ZoneShareChanged {
         zone: 1,
         share: open,
     });
@@ -44,7 +44,7 @@
 fn a_restored_zone_is_used_as_before() {
     let mut proxy = proxy();
     for open in [0.0, 0.5, 1.0] {
-        proxy.handle(Event::ZoneShare {
+        proxy.handle(PlacementEvent::ZoneShareChanged {
             zone: 1,
             share: open,
         });
@@ -66,9 +66,11 @@
         .map(|s| s.0)
         .collect();
     assert!(there.len() > 5);
-    let moved = |actions: &[Action]| count(actions, |a| matches!(a, Action::Migrate { .. }));
+    let moved = |actions: &[PlacementAction]| {
+        count(actions, |a| matches!(a, PlacementAction::Migrate { .. }))
+    };
     assert_eq!(
-        moved(&proxy.handle(Event::ZoneShare {
+        moved(&proxy.handle(PlacementEvent::ZoneShareChanged {
             zone: 1,
             share: 0.0
         })),
@@ -96,30 +98,30 @@
     let mut waiting = 0;
     let mut placed = 0;
     for session in 0..12 {
-        let dial_timeout = proxy.now + Duration::from_secs(4);
-        let actions = proxy.handle(Event::SessionRequested(SessionRequest {
+        let answer_deadline = proxy.now + Duration::from_secs(4);
+        let actions = proxy.handle(PlacementEvent::SessionRequested(SessionRequest {
             session,
-            dial_timeout,
+            answer_deadline,
             ..SessionRequest::default()
         }));
         waiting += usize::from(dialed_server(&actions).is_none());
     }
     for server in 0..3 {
         placed += count(&proxy.report_load(server, 0.0, 0.0), |a| {
-            matches!(a, Action::Dial { .. })
+            matches!(a, PlacementAction::Dial { .. })
         });
     }
-    let actions = proxy.handle(Event::ZoneShare {
+    let actions = proxy.handle(PlacementEvent::ZoneShareChanged {
         zone: 1,
         share: 0.0,
     });
     assert!(
         actions
             .iter()
-            .all(|a| !matches!(a, Action::Dial { server: 3.., .. })),
+            .all(|a| !matches!(a, PlacementAction::Dial { server: 3.., .. })),
         "{actions:?}"
     );
-    placed += count(&actions, |a| matches!(a, Action::Dial { .. }));
+    placed += count(&actions, |a| matches!(a, PlacementAction::Dial { .. }));
     assert_eq!(
         (waiting, placed),
         (12, 12),
@@ -130,7 +132,7 @@
 #[test]
 fn a_lost_zone_is_not_tried_though_all_other_servers_are_ejected() {
     let mut proxy = proxy();
-    proxy.handle(Event::ZoneShare {
+    proxy.handle(PlacementEvent::ZoneShareChanged {
         zone: 1,
         share: 0.0,
     });
@@ -149,23 +151,36 @@
 #[test]
 fn a_requested_probe_is_sent_once() {
     let mut proxy = proxy();
-    let asks = |actions: Vec<Action>| count(&actions, |a| matches!(a, Action::Probe { server: 4 }));
-    assert_eq!(asks(proxy.handle(Event::ProbeRequested { server: 4 })), 1);
-    assert_eq!(asks(proxy.handle(Event::ProbeRequested { server: 4 })), 0);
-    assert_eq!(proxy.handle(Event::ProbeRequested { server: 400 }), []);
+    let asks = |actions: Vec<PlacementAction>| {
+        count(&actions, |a| {
+            matches!(a, PlacementAction::Probe { server: 4 })
+        })
+    };
+    assert_eq!(
+        asks(proxy.handle(PlacementEvent::ProbeRequested { server: 4 })),
+        1
+    );
+    assert_eq!(
+        asks(proxy.handle(PlacementEvent::ProbeRequested { server: 4 })),
+        0
+    );
+    assert_eq!(
+        proxy.handle(PlacementEvent::ProbeRequested { server: 400 }),
+        []
+    );
 }
 
 #[test]
 fn a_server_with_a_late_probe_is_not_dialed_while_another_can_be() {
     let mut proxy = Proxy::with(deployment(RetrySafety::Idempotent), 2);
-    proxy.handle(Event::ProbeRequested { server: 1 });
+    proxy.handle(PlacementEvent::ProbeRequested { server: 1 });
     proxy.now += Duration::from_millis(400);
     for _ in 0..20 {
         assert_eq!(dialed_server(&proxy.request_session(None).1), Some(0));
     }
     // Alone, it is tried all the same.
     let mut proxy = Proxy::with(deployment(RetrySafety::Idempotent), 1);
-    proxy.handle(Event::ProbeRequested { server: 0 });
+    proxy.handle(PlacementEvent::ProbeRequested { server: 0 });
     proxy.now += Duration::from_millis(400);
     let (_, actions) = proxy.request_session(None);
     let waited = proxy.wait(Duration::from_millis(500));
--- a/crates/placement/tests/retry_budget.rs
+++ b/crates/placement/tests/retry_budget.rs
@@ -11,8 +11,8 @@
 
 fn rule(over: Duration, free: f64, share: f64) -> RetryBudgetRule {
     RetryBudgetRule {
-        span: over,
-        free_retries: free,
+        window: over,
+        min_retries: free,
         retries_per_session: share,
     }
 }
@@ -40,10 +40,11 @@
         };
         for _ in 0..600 {
             now += match draw(40) {
-                0 => rule.span.min(ms(20_000)) + ms(draw(3)),
+                0 => rule.window.min(ms(20_000)) + ms(draw(3)),
                 n if n < 25 => Duration::ZERO,
                 _ => {
-                    rule.span.min(ms(2_000)) / 16 * draw(4) as u32 + Duration::from_micros(draw(3))
+                    rule.window.min(ms(2_000)) / 16 * draw(4) as u32
+                        + Duration::from_micros(draw(3))
                 }
             };
             if draw(3) > 0 {
@@ -53,9 +54,9 @@
                 budget.record_retry(now);
                 retries.push(now);
                 // Both edges, each the one that is worse for the rule.
-                let young = |at: &&Duration| now - **at <= rule.span;
-                let inside = |at: &&Duration| now - **at < rule.span;
-                let limit = rule.free_retries
+                let young = |at: &&Duration| now - **at <= rule.window;
+                let inside = |at: &&Duration| now - **at < rule.window;
+                let limit = rule.min_retries
                     + rule.retries_per_session * sessions.iter().filter(inside).count() as f64;
                 let made = retries.iter().filter(young).count();
                 assert!(
@@ -67,7 +68,7 @@
         sent += retries.len();
     }
     assert!(
-        sent >= 39 * rule.free_retries as usize,
+        sent >= 39 * rule.min_retries as usize,
         "it lets hardly any out: {sent}"
     );
 }
--- a/crates/placement/tests/settings.rs
+++ b/crates/placement/tests/settings.rs
@@ -9,10 +9,10 @@
     Duration::from_millis(n)
 }
 
-fn rule(span: Duration, free_retries: f64, retries_per_session: f64) -> RetryBudgetRule {
+fn rule(span: Duration, min_retries: f64, retries_per_session: f64) -> RetryBudgetRule {
     RetryBudgetRule {
-        span,
-        free_retries,
+        window: span,
+        min_retries,
         retries_per_session,
     }
 }
@@ -103,7 +103,7 @@
         read(&format!("specifics.tenant_quota_connections={told}")),
         sum,
     ) {
-        (Ok(setup), Some(sum)) => assert_eq!(setup.deployment.planned_connections, sum),
+        (Ok(setup), Some(sum)) => assert_eq!(setup.deployment.total_connection_quota, sum),
         (Err(why), None) => assert!(
             why.to_string()
                 .contains("specifics.tenant_quota_connections"),
@@ -129,7 +129,7 @@
 #[test_case("rules.overload_for=0", 1_000; "zero")]
 #[test_case("rules.overload_for=1", 0; "the smallest")]
 fn the_span_of_the_cold_rule_is_never_nothing(told: &str, span: u64) {
-    let over = read(told).unwrap().deployment.slow_start.span;
+    let over = read(told).unwrap().deployment.slow_start.overload_window;
     assert!(
         !over.is_zero() && over.as_millis() as u64 == span,
         "{over:?}"
--- a/crates/proxy/src/program/leader_lease.rs
+++ b/crates/proxy/src/program/leader_lease.rs
@@ -139,14 +139,14 @@
     /// Whether it leads now. A process that was stopped for long finds here that it does not, before it has heard why.
     pub(super) fn may_act(&self) -> bool {
         let now = self.now();
-        self.shared().contender.may_act(now)
+        self.shared().contender.holds_valid_lease(now)
     }
 
     /// Every receiver has accepted this term.
     pub(super) fn all_receivers_know_term(&self, term: Term) {
         let mut shared = self.shared();
         if shared.contender.term() == term {
-            shared.contender.all_receivers_know_term();
+            shared.contender.all_receivers_accepted_term();
         }
     }
 
--- a/crates/proxy/src/program/leader_lease/session_thread.rs
+++ b/crates/proxy/src/program/leader_lease/session_thread.rs
@@ -339,7 +339,7 @@
         if let Some(head) = self.queue.lowest_term {
             let mut shared = self.lease.shared();
             shared.contender.store_answered(now, list_sent_at);
-            shared.contender.queue_head(now, head);
+            shared.contender.queue_head_read(now, head);
         }
     }
 }
--- a/crates/proxy/src/program/operator_file.rs
+++ b/crates/proxy/src/program/operator_file.rs
@@ -80,7 +80,7 @@
     WarmStartSettings {
         discovery_timeout: config.discovery_wait,
         probe_timeout: config.health_check_wait,
-        limited_admission: settings.deployment.slow_start.warm_after,
+        limited_admission_duration: settings.deployment.slow_start.warm_after,
         ..WarmStartSettings::default()
     }
 }
--- a/crates/proxy/src/protocol/server.rs
+++ b/crates/proxy/src/protocol/server.rs
@@ -1,6 +1,6 @@
 //! Lines that servers send, and the load reports in them.
 
-use asterramp_placement::event::Load;
+use asterramp_placement::event::ServerLoad;
 use asterramp_placement::settings::LoadReportFormat;
 
 /// A line of a server. Those that may end with a load report carry it as text, empty where there is none.
@@ -47,7 +47,7 @@
 }
 
 /// The load in a report, whose values have the names that the settings give them.
-pub fn load_from_report(format: &LoadReportFormat, report: &str) -> Load {
+pub fn load_from_report(format: &LoadReportFormat, report: &str) -> ServerLoad {
     format.load(|_, name| report_value(report, name))
 }
 
--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -227,7 +227,7 @@
         let gauges = GaugeValues {
             inflight: self.connection_counts.clients(),
             listed,
-            down: self.session_table.engine.avoided(self.now),
+            down: self.session_table.engine.excluded_server_count(self.now),
         };
         let zones = self
             .session_table
--- a/crates/proxy/src/routing/admin_status.rs
+++ b/crates/proxy/src/routing/admin_status.rs
@@ -110,7 +110,7 @@
                 name: name.clone(),
                 state: zone.state.name().to_string(),
                 // A zone that was healthy from the start has not changed its state at any time of its own.
-                since_ms: self.milliseconds_since(zone.since.max(self.started_at)),
+                since_ms: self.milliseconds_since(zone.state_since.max(self.started_at)),
                 false_suspicions: zone.dropped_suspicions,
                 false_ejections: zone.false_alarms,
             })
@@ -124,7 +124,7 @@
         let warm_start = self.warm_start_state()?;
         let mut sources = Vec::new();
         for (source, name) in ENDPOINT_SOURCES {
-            let counts = warm_start.candidates().counts(source);
+            let counts = warm_start.candidates().source_counts(source);
             if counts.reported > 0 {
                 sources.push(EndpointSourceCount {
                     source: name.to_string(),
@@ -137,7 +137,7 @@
             stage: warm_start.stage().name().to_string(),
             since_ms: self.milliseconds_since(warm_start.stage_since()),
             sources,
-            dropped: warm_start.candidates().dropped(),
+            dropped: warm_start.candidates().dropped_count(),
             snapshots: self.snapshot_counts().map(|counts| SnapshotCounts {
                 saved: counts.saved,
                 failed: counts.failed,
--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -295,7 +295,7 @@
         group: open.group,
         hash_key: open.key,
         reconnecting: open.reconnecting,
-        dial_timeout: now + open.wait,
+        answer_deadline: now + open.wait,
     }
 }
 
--- a/crates/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -8,7 +8,7 @@
 use crate::protocol::server::{ServerLine, load_from_report, parse_server_line};
 use crate::transport::poller::{Interest, ReadyEvent};
 use crate::transport::{SlotKey, socket};
-use asterramp_placement::event::{Load, Outcome, ServerId};
+use asterramp_placement::event::{Outcome, ServerId, ServerLoad};
 use asterramp_placement::settings::LoadReportFormat;
 use rustix::io::Errno;
 use std::time::Duration;
@@ -173,7 +173,7 @@
         };
         let answer = match line::first_line(connection.stream.inbound.bytes()) {
             Ok(Some((text, _))) if is_written => {
-                read_answer(dial, text, &self.settings.load_reports)
+                read_answer(dial, text, &self.settings.load_report_format)
             }
             Ok(_) if has_ended => Ok(SessionInput::ServerEnded { dial }),
             Ok(_) => return self.watch_own_io(key),
@@ -184,7 +184,7 @@
                 ReasonCode::ServerProtocolError,
                 format!("dial line={shown}"),
             );
-            declined(dial, Outcome::ServerError, Load::default())
+            declined(dial, Outcome::ServerError, ServerLoad::default())
         });
         self.input(session, input);
     }
@@ -217,7 +217,7 @@
             Outcome::ServerError,
             load_from_report(reports, report),
         )),
-        ServerLine::Move => Ok(declined(dial, Outcome::Cancelled, Load::default())),
+        ServerLine::Move => Ok(declined(dial, Outcome::Cancelled, ServerLoad::default())),
         _ => {
             let start: String = text.chars().take(LOGGED_ANSWER_CHARS).collect();
             Err(MalformedAnswer(format!("{start:?}")))
@@ -225,7 +225,7 @@
     }
 }
 
-fn declined(dial: u8, outcome: Outcome, load: Load) -> SessionInput {
+fn declined(dial: u8, outcome: Outcome, load: ServerLoad) -> SessionInput {
     SessionInput::ServerDeclined {
         dial,
         outcome,
--- a/crates/proxy/src/routing/discovery_watch.rs
+++ b/crates/proxy/src/routing/discovery_watch.rs
@@ -9,7 +9,7 @@
 use crate::protocol::http_client::{ChunkedResponse, watch_request};
 use crate::transport::poller::{Interest, ReadyEvent};
 use crate::transport::{SlotKey, socket};
-use asterramp_placement::Event;
+use asterramp_placement::PlacementEvent;
 use asterramp_placement::event::{Endpoint, EndpointUpdate, Outcome, ServerId};
 use asterramp_placement::settings::Settings;
 use std::net::SocketAddr;
@@ -138,7 +138,7 @@
             .into_iter()
             .filter_map(|listed| Some(self.endpoints.update(listed)?.endpoint))
             .collect();
-        self.event(Event::Endpoints(as_update(endpoints)));
+        self.event(PlacementEvent::EndpointsUpdated(as_update(endpoints)));
         if !self.discovery_watch.paced_by_engine {
             self.connect_watch();
         }
@@ -201,7 +201,7 @@
         self.close_watch();
         if self.discovery_watch.paced_by_engine {
             self.deadlines.clear(TimerKey::DiscoveryWatch);
-            self.event(Event::Endpoints(EndpointUpdate::Failed));
+            self.event(PlacementEvent::EndpointsUpdated(EndpointUpdate::Failed));
             return;
         }
         let delay = self.discovery_watch.take_reconnect_delay();
@@ -326,7 +326,7 @@
         } else {
             EndpointUpdate::Changes(endpoints)
         };
-        self.event(Event::Endpoints(update));
+        self.event(PlacementEvent::EndpointsUpdated(update));
     }
 
     /// Ends the health check of a server that is gone or has moved: nobody will answer it.
--- a/crates/proxy/src/routing/endpoints.rs
+++ b/crates/proxy/src/routing/endpoints.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::discovery::ListedEndpoint;
 use crate::transport::SlotKey;
-use asterramp_placement::event::{Endpoint, EndpointState, Load, ServerId};
+use asterramp_placement::event::{Endpoint, EndpointState, ServerId, ServerLoad};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     /// Unix time of the server's start, where it is listed.
     pub(super) started_at: Option<Duration>,
     /// Its last load report.
-    pub(super) load: Load,
+    pub(super) load: ServerLoad,
     /// When the last load report came; zero before the first.
     pub(super) reported_at: Duration,
 }
@@ -172,7 +172,7 @@
     }
 
     /// Records a load report that came at `now`.
-    pub(super) fn record_load(&mut self, server: ServerId, load: Load, now: Duration) {
+    pub(super) fn record_load(&mut self, server: ServerId, load: ServerLoad, now: Duration) {
         if let Some(entry) = self.entry_mut(server) {
             entry.known.load = load;
             entry.known.reported_at = now;
--- a/crates/proxy/src/routing/event_loop.rs
+++ b/crates/proxy/src/routing/event_loop.rs
@@ -8,7 +8,7 @@
 use crate::protocol::client::ERROR_LINE;
 use crate::transport::SlotKey;
 use crate::transport::poller::{Interest, ReadyEvent};
-use asterramp_placement::Event;
+use asterramp_placement::PlacementEvent;
 use asterramp_placement::event::Outcome;
 use rustix::fd::OwnedFd;
 use std::io;
@@ -123,7 +123,7 @@
     fn deadline_reached(&mut self, due: TimerKey) {
         match due {
             TimerKey::Tick => {
-                self.event(Event::Tick);
+                self.event(PlacementEvent::Tick);
                 self.update_admission_rate();
                 self.save_snapshot_if_due();
             }
--- a/crates/proxy/src/routing/forwarding.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -9,8 +9,8 @@
 use crate::protocol::server::{ServerLine, load_from_report, parse_server_line};
 use crate::transport::poller::Interest;
 use crate::transport::{ReadBuffer, SlotKey, StreamEnd};
-use asterramp_placement::Event;
-use asterramp_placement::event::{Load, Observation, Outcome};
+use asterramp_placement::PlacementEvent;
+use asterramp_placement::event::{Observation, Outcome, ServerLoad};
 use asterramp_placement::settings::LoadReportFormat;
 use std::time::Duration;
 
@@ -128,7 +128,7 @@
         let server_id = slot.machine.server;
         let listener = slot.machine.request.listener;
         let data = &mut slot.driver_data;
-        let lines = check_server_lines(connection, data, &self.settings.load_reports)?;
+        let lines = check_server_lines(connection, data, &self.settings.load_report_format)?;
         if !data.awaiting_response && !client_left {
             self.deadlines.clear(TimerKey::Session(session));
         }
@@ -138,10 +138,10 @@
         }
         if let Some(work) = lines.last_work {
             self.admission.record_session_cost(self.now, listener, work);
-            self.event(Event::Observed {
+            self.event(PlacementEvent::ConnectionObserved {
                 session: session.slot,
                 server: server_id,
-                observation: Observation::Work(work),
+                observation: Observation::WorkRate(work),
             });
         }
         Ok(())
@@ -379,7 +379,9 @@
                 let load = load_from_report(reports, report);
                 data.announced_end = Some((Outcome::Ok, load));
             }
-            ServerLine::Move => data.announced_end = Some((Outcome::Cancelled, Load::default())),
+            ServerLine::Move => {
+                data.announced_end = Some((Outcome::Cancelled, ServerLoad::default()))
+            }
             _ => {}
         }
         data.awaiting_response = false;
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -10,7 +10,7 @@
     ADVICE_INTERVAL, DrainError, DrainSettings, DrainState, DrainView, ShutdownSchedule,
 };
 use asterramp_placement::deployment::RetrySafety;
-use asterramp_placement::event::{EndpointState, Load};
+use asterramp_placement::event::{EndpointState, ServerLoad};
 use std::time::Duration;
 
 /// The load balancer before this proxy goes on sending clients for this long after SIGTERM.
@@ -59,7 +59,7 @@
     /// When each step of a shutdown that begins now is due.
     fn exit_times(&self) -> ShutdownSchedule {
         let now = self.now;
-        let longest_wait = match self.settings.longest_wait {
+        let longest_wait = match self.settings.max_client_wait {
             wait if wait.is_zero() => KILL_DELAY,
             wait => wait.min(KILL_DELAY),
         };
@@ -309,7 +309,7 @@
 
 impl ReportedLoad {
     /// `None` unless both figures are reported.
-    fn of(load: Load) -> Option<ReportedLoad> {
+    fn of(load: ServerLoad) -> Option<ReportedLoad> {
         Some(ReportedLoad {
             connections: load.connections?,
             utilization: load.utilization?,
--- a/crates/proxy/src/routing/hot_restart/adoption.rs
+++ b/crates/proxy/src/routing/hot_restart/adoption.rs
@@ -10,7 +10,7 @@
 use asterramp_hot_restart::{
     BufferedBytes, HotRestartInput, HotRestartMessage, HotRestartState, OfferError, SessionOffer,
 };
-use asterramp_placement::event::{Load, Outcome};
+use asterramp_placement::event::{Outcome, ServerLoad};
 use rustix::fd::OwnedFd;
 use std::time::Duration;
 use std::vec;
@@ -249,7 +249,7 @@
         }
         let closed = SessionInput::SessionClosed {
             outcome: Outcome::Reset,
-            load: Load::default(),
+            load: ServerLoad::default(),
         };
         self.input(key, closed);
     }
--- a/crates/proxy/src/routing/hot_restart/offers.rs
+++ b/crates/proxy/src/routing/hot_restart/offers.rs
@@ -13,7 +13,7 @@
     BufferedBytes, Delivery, EndpointRecord, HotRestartMessage, MAX_ENDPOINTS_PER_MESSAGE,
     MAX_MESSAGE_BYTES, SessionOffer,
 };
-use asterramp_placement::event::{Load, Outcome};
+use asterramp_placement::event::{Outcome, ServerLoad};
 use std::time::Duration;
 
 /// How soon more is offered after the last offers, where the link was full, or a session has opened
@@ -237,7 +237,7 @@
                 }
                 let closed = SessionInput::SessionClosed {
                     outcome: Outcome::Cancelled,
-                    load: Load::default(),
+                    load: ServerLoad::default(),
                 };
                 self.input(key, closed);
             }
--- a/crates/proxy/src/routing/metrics.rs
+++ b/crates/proxy/src/routing/metrics.rs
@@ -150,7 +150,7 @@
         let _ = writeln!(
             text,
             "svc_start_hosts_dropped_total {}",
-            warm_start.candidates().dropped()
+            warm_start.candidates().dropped_count()
         );
     }
     if let Some(counts) = snapshots {
--- a/crates/proxy/src/routing/peers/answer.rs
+++ b/crates/proxy/src/routing/peers/answer.rs
@@ -4,7 +4,7 @@
 use crate::protocol::discovery::ListedEndpoint;
 use crate::routing::Router;
 use crate::routing::endpoints::KnownEndpoint;
-use asterramp_placement::event::{EndpointState, Load, ServerId};
+use asterramp_placement::event::{EndpointState, ServerId, ServerLoad};
 use asterramp_warm_start::{CandidateState, MIN_CONNECTIONS_FOR_LOAD, WarmStartStage};
 use std::time::Duration;
 
@@ -85,7 +85,7 @@
     }
 }
 
-fn load_per_connection(load: &Load) -> Option<f64> {
+fn load_per_connection(load: &ServerLoad) -> Option<f64> {
     let utilization = load.utilization?;
     let connections = load
         .connections
--- a/crates/proxy/src/routing/peers/mod.rs
+++ b/crates/proxy/src/routing/peers/mod.rs
@@ -128,7 +128,7 @@
     fn peer_round_ended(&mut self) {
         let now = self.now;
         if let Some(start) = &mut self.warm_start {
-            start.machine.peers_asked(now);
+            start.machine.peer_queries_finished(now);
         }
         self.apply_warm_start_effects();
     }
--- a/crates/proxy/src/routing/probe.rs
+++ b/crates/proxy/src/routing/probe.rs
@@ -7,8 +7,8 @@
 use crate::protocol::server::{STATS_LINE, ServerLine, load_from_report, parse_server_line};
 use crate::transport::poller::{Interest, ReadyEvent};
 use crate::transport::{SlotKey, socket};
-use asterramp_placement::Event;
-use asterramp_placement::event::{Load, Outcome, ServerId};
+use asterramp_placement::PlacementEvent;
+use asterramp_placement::event::{Outcome, ServerId, ServerLoad};
 use asterramp_placement::settings::LoadReportFormat;
 
 /// A probe waits for its reply this many times as long as for its connection: a slow server is not yet a silent one.
@@ -37,7 +37,7 @@
     /// One line of `line_len` bytes.
     Complete {
         outcome: Outcome,
-        load: Load,
+        load: ServerLoad,
         line_len: usize,
     },
 }
@@ -52,7 +52,7 @@
         let (outcome, load) = match parse_server_line(text) {
             ServerLine::Pong(report) => (Outcome::Ok, load_from_report(load_reports, report)),
             ServerLine::Busy(report) => (Outcome::Full, load_from_report(load_reports, report)),
-            _ => (Outcome::ServerError, Load::default()),
+            _ => (Outcome::ServerError, ServerLoad::default()),
         };
         ProbeReply::Complete {
             outcome,
@@ -73,14 +73,14 @@
             self.discard_probe(server, key);
         }
         if !self.make_room_for_probe() {
-            return self.report_probe(server, Outcome::NotSent, Load::default());
+            return self.report_probe(server, Outcome::NotSent, ServerLoad::default());
         }
         if let Some(key) = self.connect_probe(server) {
             self.endpoints.set_probe(server, Some(key));
             let deadline = self.now + self.settings.connect_timeout;
             self.deadlines.set(TimerKey::Connection(key), deadline);
         } else {
-            self.report_probe(server, Outcome::Unreachable, Load::default());
+            self.report_probe(server, Outcome::Unreachable, ServerLoad::default());
         }
     }
 
@@ -122,7 +122,7 @@
     fn send_probe(&mut self, server: ServerId, key: SlotKey, stage: ProbeStage) {
         let Some(connection) = self.connections.get_mut(key) else {
             self.endpoints.set_probe(server, None);
-            return self.report_probe(server, Outcome::Reset, Load::default());
+            return self.report_probe(server, Outcome::Reset, ServerLoad::default());
         };
         connection.role = ConnectionRole::Probe(server, stage);
         connection.stream.send(&[STATS_LINE]);
@@ -175,7 +175,7 @@
         connection.stream.read_once(event.failed);
         let has_ended = connection.stream.ended.is_some();
         let bytes = connection.stream.inbound.bytes();
-        match ProbeReply::parse(bytes, &self.settings.load_reports) {
+        match ProbeReply::parse(bytes, &self.settings.load_report_format) {
             ProbeReply::Incomplete if !has_ended => self.watch_own_io(key),
             ProbeReply::Incomplete if stage == ProbeStage::AwaitingReplyAfterIdle => {
                 // The server closed an idle connection, which says nothing about its health. A probe is idempotent.
@@ -211,7 +211,7 @@
         if let Some(key) = self.endpoints.probe(server) {
             self.close_probe(server, key);
         }
-        self.report_probe(server, outcome, Load::default());
+        self.report_probe(server, outcome, ServerLoad::default());
     }
 
     /// Closes a server's probe connection.
@@ -226,11 +226,11 @@
         self.count_event(ReasonCode::ProbeClosed);
     }
 
-    fn report_probe(&mut self, server: ServerId, outcome: Outcome, load: Load) {
+    fn report_probe(&mut self, server: ServerId, outcome: Outcome, load: ServerLoad) {
         if outcome == Outcome::Ok {
             self.endpoints.record_load(server, load, self.now);
         }
-        self.event(Event::ProbeEnded {
+        self.event(PlacementEvent::ProbeEnded {
             server,
             outcome,
             load,
--- a/crates/proxy/src/routing/session_state/machine.rs
+++ b/crates/proxy/src/routing/session_state/machine.rs
@@ -4,8 +4,8 @@
 use super::{FinalAnswer, SessionEffect, SessionInput, SessionState};
 use crate::injected_fault::{InjectedFault, is_injected};
 use crate::routing::report::ReasonCode;
-use asterramp_placement::Event;
-use asterramp_placement::event::{Load, Outcome, ServerId, SessionRequest};
+use asterramp_placement::PlacementEvent;
+use asterramp_placement::event::{Outcome, ServerId, ServerLoad, SessionRequest};
 use std::time::Duration;
 
 /// Pause between two dials of a restored session: its server may be coming up, and is not to be flooded.
@@ -217,7 +217,7 @@
             TransitionEffect::SendRequest => self.send_request(now, out),
             TransitionEffect::OpenSession => self.open_session(out),
             TransitionEffect::EndDial(outcome) => {
-                self.end_dial(now, outcome, Load::default(), out);
+                self.end_dial(now, outcome, ServerLoad::default(), out);
             }
             TransitionEffect::EndDialAsDeclined => self.end_dial_as_declined(now, input, out),
             TransitionEffect::RejectClient => self.reject_client(input, out),
@@ -241,7 +241,7 @@
             TransitionEffect::ShutDown => self.shut_down(out),
             TransitionEffect::AbandonUnsentDial => {
                 if !is_injected(InjectedFault::RequestSentForGoneClient) {
-                    self.end_dial(now, Outcome::Cancelled, Load::default(), out);
+                    self.end_dial(now, Outcome::Cancelled, ServerLoad::default(), out);
                 }
             }
         }
@@ -286,13 +286,13 @@
         if self.restored {
             self.dials = 1;
             out.push(SessionEffect::Count(ReasonCode::SessionRestored));
-            out.push(SessionEffect::Notify(Event::SessionInherited(
+            out.push(SessionEffect::Notify(PlacementEvent::SessionInherited(
                 self.request,
                 self.server,
             )));
         } else {
             out.push(SessionEffect::Count(ReasonCode::SessionOpened));
-            out.push(SessionEffect::Notify(Event::SessionOpened {
+            out.push(SessionEffect::Notify(PlacementEvent::SessionOpened {
                 session: self.request.session,
                 attempt: self.dial(),
             }));
@@ -333,7 +333,7 @@
 
     fn notify_client_left(&mut self, out: &mut Vec<SessionEffect>) {
         self.client_left = true;
-        out.push(SessionEffect::Notify(Event::ClientLeft {
+        out.push(SessionEffect::Notify(PlacementEvent::ClientLeft {
             session: self.request.session,
         }));
     }
@@ -343,7 +343,7 @@
             return;
         };
         out.push(SessionEffect::SetDeadline(None));
-        out.push(SessionEffect::Notify(Event::AttemptEnded {
+        out.push(SessionEffect::Notify(PlacementEvent::AttemptEnded {
             session: self.request.session,
             attempt: self.dial(),
             outcome,
@@ -374,7 +374,7 @@
         &mut self,
         now: Duration,
         outcome: Outcome,
-        load: Load,
+        load: ServerLoad,
         out: &mut Vec<SessionEffect>,
     ) {
         let timed_out = outcome == Outcome::TimedOut;
@@ -394,7 +394,7 @@
         if self.restored {
             self.restore_again_or_fail(now, outcome, out);
         } else {
-            out.push(SessionEffect::Notify(Event::AttemptEnded {
+            out.push(SessionEffect::Notify(PlacementEvent::AttemptEnded {
                 session: self.request.session,
                 attempt: self.dial(),
                 outcome,
--- a/crates/proxy/src/routing/session_state/types.rs
+++ b/crates/proxy/src/routing/session_state/types.rs
@@ -1,8 +1,8 @@
 //! What the session state machine is in, what it is given and what it asks for.
 
 use crate::routing::report::ReasonCode;
-use asterramp_placement::Event;
-use asterramp_placement::event::{Load, Outcome, ServerId};
+use asterramp_placement::PlacementEvent;
+use asterramp_placement::event::{Outcome, ServerId, ServerLoad};
 use std::time::Duration;
 
 /// Where a session stands. A *dial* is one attempt to open it at one server.
@@ -79,7 +79,7 @@
         /// What the answer says about the dial.
         outcome: Outcome,
         /// Load that the server reported with it.
-        load: Load,
+        load: ServerLoad,
     },
     /// The dial's connection ended before any answer.
     ServerEnded {
@@ -97,7 +97,7 @@
         /// How it ended.
         outcome: Outcome,
         /// Load that the server reported last.
-        load: Load,
+        load: ServerLoad,
     },
     /// The proxy exits and answers whoever still waits.
     ShutdownCutoff,
@@ -150,5 +150,5 @@
     /// Count, without a line.
     Count(ReasonCode),
     /// Give the placement engine an event.
-    Notify(Event),
+    Notify(PlacementEvent),
 }
--- a/crates/proxy/src/routing/session_table.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -7,7 +7,7 @@
 use crate::injected_fault::{InjectedFault, is_injected};
 use crate::transport::{SlotKey, SlotMap};
 use asterramp_placement::event::{ServerId, SessionRequest};
-use asterramp_placement::{Action, Deployment, Event, PlacementEngine};
+use asterramp_placement::{Deployment, PlacementAction, PlacementEngine, PlacementEvent};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     PollEndpoints,
     /// A zone's state has changed, for the log.
     ZoneChanged(ZoneTransition),
-    /// Give [`Event::Tick`] after so long.
+    /// Give [`PlacementEvent::Tick`] after so long.
     SetTimer(Duration),
 }
 
@@ -48,10 +48,10 @@
     /// Scratch space for zone transitions, kept for its allocation.
     transitions: Vec<ZoneTransition>,
     /// Events that the engine has not heard yet.
-    events: VecDeque<Event>,
+    events: VecDeque<PlacementEvent>,
     tasks: VecDeque<SessionTask>,
     /// Scratch space for the engine's actions.
-    actions: Vec<Action>,
+    actions: Vec<PlacementAction>,
     /// Scratch space for one session's effects.
     effects: Vec<SessionEffect>,
 }
@@ -88,7 +88,8 @@
             self.tasks
                 .push_back(SessionTask::Session(key, SessionEffect::Restore));
         } else {
-            self.events.push_back(Event::SessionRequested(request));
+            self.events
+                .push_back(PlacementEvent::SessionRequested(request));
         }
         self.settle(now);
         key
@@ -104,7 +105,7 @@
         let server = machine.server;
         let (key, request) = self.insert(machine, driver_data);
         self.events
-            .push_back(Event::SessionInherited(request, server));
+            .push_back(PlacementEvent::SessionInherited(request, server));
         self.settle(now);
         key
     }
@@ -140,9 +141,9 @@
     }
 
     /// Something happens that is no session's own: the endpoint list, a probe's answer, a tick.
-    pub fn event(&mut self, now: Duration, event: Event) {
+    pub fn event(&mut self, now: Duration, event: PlacementEvent) {
         if is_injected(InjectedFault::ChangeDuringDialLost)
-            && matches!(event, Event::Endpoints(_))
+            && matches!(event, PlacementEvent::EndpointsUpdated(_))
             && self.sessions.iter().any(|(_, slot)| is_dialling(slot))
         {
             return;
@@ -218,14 +219,13 @@
     }
 
     /// Lets the zone tracker see an event before the engine does.
-    fn show_zones(&mut self, now: Duration, event: &Event) {
+    fn show_zones(&mut self, now: Duration, event: &PlacementEvent) {
         let Some(zones) = &mut self.zones else {
             return;
         };
         let key = match event {
-            Event::SessionOpened { session, .. } | Event::AttemptEnded { session, .. } => {
-                self.sessions.key_at(*session)
-            }
+            PlacementEvent::SessionOpened { session, .. }
+            | PlacementEvent::AttemptEnded { session, .. } => self.sessions.key_at(*session),
             _ => None,
         };
         let server = key
@@ -235,29 +235,29 @@
     }
 
     /// Carries out an action of the engine, on its session or as a task.
-    fn apply(&mut self, now: Duration, action: Action) {
+    fn apply(&mut self, now: Duration, action: PlacementAction) {
         let (session, input) = match action {
-            Action::Dial {
+            PlacementAction::Dial {
                 session,
                 server,
                 timeout,
-                write_within,
+                write_timeout,
             } => (
                 session,
                 SessionInput::Dial {
                     server,
                     timeout,
-                    write_within,
+                    write_within: write_timeout,
                 },
             ),
-            Action::Cancel { session, .. } => (session, SessionInput::Cancel),
-            Action::Reject {
+            PlacementAction::Cancel { session, .. } => (session, SessionInput::Cancel),
+            PlacementAction::Reject {
                 session,
                 retry_after,
             } => (session, SessionInput::Reject { retry_after }),
-            Action::Fail { session } => (session, SessionInput::Fail),
-            Action::Migrate { session } => (session, SessionInput::Migrate),
-            Action::Forget { session } => {
+            PlacementAction::Fail { session } => (session, SessionInput::Fail),
+            PlacementAction::Migrate { session } => (session, SessionInput::Migrate),
+            PlacementAction::Forget { session } => {
                 if let Some(key) = self.sessions.key_at(session)
                     && !is_injected(InjectedFault::ForgottenSessionKept)
                 {
@@ -266,11 +266,15 @@
                 }
                 return;
             }
-            Action::Probe { server } => return self.tasks.push_back(SessionTask::Probe(server)),
-            Action::SetTimer { after } => {
+            PlacementAction::Probe { server } => {
+                return self.tasks.push_back(SessionTask::Probe(server));
+            }
+            PlacementAction::SetTimer { after } => {
                 return self.tasks.push_back(SessionTask::SetTimer(after));
             }
-            Action::PollEndpoints => return self.tasks.push_back(SessionTask::PollEndpoints),
+            PlacementAction::PollEndpoints => {
+                return self.tasks.push_back(SessionTask::PollEndpoints);
+            }
         };
         if let Some(key) = self.sessions.key_at(session) {
             self.step(now, key, input);
--- a/crates/proxy/src/routing/session_tasks.rs
+++ b/crates/proxy/src/routing/session_tasks.rs
@@ -9,7 +9,7 @@
 use super::zones::ZoneTransition;
 use crate::protocol::client::{ERROR_LINE, busy_line};
 use crate::transport::SlotKey;
-use asterramp_placement::Event;
+use asterramp_placement::PlacementEvent;
 
 impl Router {
     /// Something happens to a session.
@@ -18,7 +18,7 @@
     }
 
     /// Something happens that is no session's own.
-    pub(super) fn event(&mut self, event: Event) {
+    pub(super) fn event(&mut self, event: PlacementEvent) {
         self.session_table.event(self.now, event);
     }
 
--- a/crates/proxy/src/routing/types.rs
+++ b/crates/proxy/src/routing/types.rs
@@ -2,7 +2,7 @@
 
 use super::probe::ProbeStage;
 use crate::transport::{BufferedStream, SlotKey};
-use asterramp_placement::event::{Load, Outcome, ServerId};
+use asterramp_placement::event::{Outcome, ServerId, ServerLoad};
 use std::ops::Range;
 use std::time::Duration;
 
@@ -95,7 +95,7 @@
     /// The server has left that line for longer than a live one does.
     pub(super) server_quiet: bool,
     /// What the server announced of the session's end.
-    pub(super) announced_end: Option<(Outcome, Load)>,
+    pub(super) announced_end: Option<(Outcome, ServerLoad)>,
 }
 
 impl SessionConnections {
--- a/crates/proxy/src/routing/warm_start/admission.rs
+++ b/crates/proxy/src/routing/warm_start/admission.rs
@@ -2,7 +2,7 @@
 
 use super::WarmStartProgress;
 use crate::routing::Router;
-use asterramp_placement::event::Load;
+use asterramp_placement::event::ServerLoad;
 use asterramp_warm_start::{
     ClientAdmission, MIN_CONNECTIONS_FOR_LOAD, SlowStartProfile, admission_rate,
 };
@@ -16,7 +16,7 @@
 
 impl ReportedLoad {
     /// The load in a report; `None` if the report leaves out one of the two.
-    pub(super) fn from_report(load: &Load) -> Option<ReportedLoad> {
+    pub(super) fn from_report(load: &ServerLoad) -> Option<ReportedLoad> {
         Some(ReportedLoad {
             utilization: load.utilization?,
             connections: load.connections?,
@@ -67,9 +67,9 @@
     fn limited_admission_rate(&self, progress: &WarmStartProgress) -> f64 {
         let deployment = &self.settings.deployment;
         let profile = SlowStartProfile {
-            initial_share: deployment.slow_start.initial_capacity,
+            initial_capacity: deployment.slow_start.initial_capacity,
             warm_after: deployment.slow_start.warm_after,
-            overload_factor: deployment.slow_start.max_multiple,
+            overload_factor: deployment.slow_start.overload_factor,
         };
         // What endpoints report now counts more than what they took before.
         let load_per_connection = self
@@ -79,7 +79,7 @@
         let uptime = self.now.saturating_sub(progress.machine.stage_since());
         admission_rate(
             profile,
-            progress.machine.candidates().usable(),
+            progress.machine.candidates().usable_count(),
             load_per_connection,
             deployment.proxy_count,
             uptime,
--- a/crates/proxy/src/routing/warm_start/discovery.rs
+++ b/crates/proxy/src/routing/warm_start/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::WarmStartProgress;
 use crate::routing::{ReasonCode, Router};
-use asterramp_placement::Event;
+use asterramp_placement::PlacementEvent;
 use asterramp_placement::event::{Endpoint, EndpointState, EndpointUpdate, Outcome, ServerId};
 use asterramp_warm_start::{
     EndpointId, EndpointReport, EndpointSource, InformationAge, WarmStartStage,
@@ -61,7 +61,9 @@
             ReasonCode::EndpointListOutdated,
             format!("rev={list_revision} had={newest}"),
         );
-        self.event(Event::Endpoints(EndpointUpdate::Changes(out_of_use)));
+        self.event(PlacementEvent::EndpointsUpdated(EndpointUpdate::Changes(
+            out_of_use,
+        )));
         self.apply_warm_start_effects();
     }
 
--- a/crates/proxy/src/routing/warm_start/effects.rs
+++ b/crates/proxy/src/routing/warm_start/effects.rs
@@ -1,7 +1,7 @@
 //! Carrying out the effects of a warm start.
 
 use crate::routing::{ReasonCode, Router, TimerKey};
-use asterramp_placement::Event;
+use asterramp_placement::PlacementEvent;
 use asterramp_placement::event::{Endpoint, EndpointState, EndpointUpdate};
 use asterramp_warm_start::{ClientAdmission, EndpointId, WarmStartEffect};
 use std::time::Duration;
@@ -101,7 +101,9 @@
                 load_per_connection,
                 ..endpoint
             };
-            self.event(Event::Endpoints(EndpointUpdate::Changes(vec![changed])));
+            self.event(PlacementEvent::EndpointsUpdated(EndpointUpdate::Changes(
+                vec![changed],
+            )));
         }
     }
 }
--- a/crates/proxy/src/routing/zones.rs
+++ b/crates/proxy/src/routing/zones.rs
@@ -1,7 +1,7 @@
 //! Connects the placement engine with zone failover: what an event shows about a server goes to [`ZoneFailover`], and
 //! what that decides goes to the engine as events. No I/O.
 
-use asterramp_placement::Event;
+use asterramp_placement::PlacementEvent;
 use asterramp_placement::event::{Endpoint, EndpointState, EndpointUpdate, Outcome, ServerId};
 use asterramp_zone_failover::{
     ServerState, ZoneEffect, ZoneFailover, ZoneFailoverSettings, ZoneId, ZoneInput, ZoneState,
@@ -67,18 +67,23 @@
     }
 
     /// Observes an event before the engine handles it. `session_server` is the server of the event's session, if any.
-    pub fn observe(&mut self, now: Duration, event: &Event, session_server: Option<ServerId>) {
+    pub fn observe(
+        &mut self,
+        now: Duration,
+        event: &PlacementEvent,
+        session_server: Option<ServerId>,
+    ) {
         match event {
-            Event::Endpoints(update) => self.observe_update(now, update),
-            Event::SessionOpened { .. } => {
+            PlacementEvent::EndpointsUpdated(update) => self.observe_update(now, update),
+            PlacementEvent::SessionOpened { .. } => {
                 if let Some(server) = session_server {
                     self.failover.server_responded(now, server);
                 }
             }
-            Event::ProbeEnded {
+            PlacementEvent::ProbeEnded {
                 server, outcome, ..
             } => self.observe_outcome(now, *server, *outcome),
-            Event::AttemptEnded {
+            PlacementEvent::AttemptEnded {
                 outcome,
                 session_over: false,
                 ..
@@ -87,7 +92,7 @@
                     self.observe_outcome(now, server, *outcome);
                 }
             }
-            Event::Tick => {
+            PlacementEvent::Tick => {
                 let is_due = self.failover.next_timer().is_some_and(|due| due <= now);
                 if is_due {
                     self.failover.tick(now);
@@ -157,15 +162,17 @@
     /// Moves what was decided to `events`, which the engine handles, and to `transitions`, which are logged.
     pub fn take_decisions(
         &mut self,
-        events: &mut impl Extend<Event>,
+        events: &mut impl Extend<PlacementEvent>,
         transitions: &mut Vec<ZoneTransition>,
     ) {
         for effect in self.failover.drain_effects() {
             match effect {
                 ZoneEffect::SetShare { zone, share } => {
-                    events.extend([Event::ZoneShare { zone, share }]);
+                    events.extend([PlacementEvent::ZoneShareChanged { zone, share }]);
+                }
+                ZoneEffect::Probe { server } => {
+                    events.extend([PlacementEvent::ProbeRequested { server }])
                 }
-                ZoneEffect::Probe { server } => events.extend([Event::ProbeRequested { server }]),
                 ZoneEffect::StateChanged { zone, state, cause } => {
                     transitions.push(ZoneTransition { zone, state, cause });
                 }
--- a/crates/proxy/tests/session_machine.rs
+++ b/crates/proxy/tests/session_machine.rs
@@ -1,6 +1,6 @@
 //! The session state machine where a client leaves, or time runs out, while its dial is being established.
 
-use asterramp_placement::Event;
+use asterramp_placement::PlacementEvent;
 use asterramp_placement::event::{Outcome, SessionRequest};
 use asterramp_proxy::routing::session_state::{SessionEffect, SessionInput, SessionMachine};
 use std::time::Duration;
@@ -41,7 +41,7 @@
 #[test_case(39, None; "established just before")]
 fn a_request_is_not_written_after_its_time(established_ms: u64, outcome: Option<Outcome>) {
     let request = SessionRequest {
-        dial_timeout: ms(2_000),
+        answer_deadline: ms(2_000),
         ..SessionRequest::default()
     };
     let (mut machine, mut effects) = dialling_session(request, ms(400), ms(40));
@@ -56,7 +56,7 @@
         &mut effects,
     );
     let notified = effects.iter().find_map(|effect| match effect {
-        SessionEffect::Notify(Event::AttemptEnded { outcome, .. }) => Some(*outcome),
+        SessionEffect::Notify(PlacementEvent::AttemptEnded { outcome, .. }) => Some(*outcome),
         _ => None,
     });
     assert_eq!(
@@ -91,7 +91,7 @@
     let notified = |effect: &&SessionEffect| {
         matches!(
             effect,
-            SessionEffect::Notify(Event::AttemptEnded {
+            SessionEffect::Notify(PlacementEvent::AttemptEnded {
                 session_over: true,
                 outcome: Outcome::Cancelled,
                 ..
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -6,9 +6,9 @@
 use crate::wire::{
     EndpointListRecord, EventRecord, Fields, LoadReport, ServerAddress, SessionRecord, settings,
 };
-use asterramp_placement::event::{EndpointUpdate, Load, SessionId};
+use asterramp_placement::event::{EndpointUpdate, ServerLoad, SessionId};
 use asterramp_placement::settings::{self as engine_settings, LoadReportFormat};
-use asterramp_placement::{Action, Event, PlacementEngine};
+use asterramp_placement::{PlacementAction, PlacementEngine, PlacementEvent};
 use std::time::Duration;
 
 /// One running instance. Dropped whole when the simulator stops it.
@@ -31,7 +31,7 @@
         Ok(Instance {
             engine: PlacementEngine::new(settings.deployment, settings::random_seed(fields)),
             listener_count: settings.listeners.len(),
-            load_reports: settings.load_reports,
+            load_reports: settings.load_report_format,
             ids: IdTable::default(),
         })
     }
@@ -45,7 +45,7 @@
         &mut self,
         record: EventRecord,
         now: Duration,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<PlacementAction>,
     ) -> Result<(), RecordError> {
         if let Some(event) = self.event(record)? {
             self.engine.handle(now, event, actions);
@@ -54,8 +54,13 @@
     }
 
     /// Appends the record of one action to a reply. Ids that the engine forgets are freed.
-    pub(crate) fn append_action(&mut self, instance: u16, action: Action, reply: &mut Vec<u8>) {
-        if let Action::Forget { session } = action {
+    pub(crate) fn append_action(
+        &mut self,
+        instance: u16,
+        action: PlacementAction,
+        reply: &mut Vec<u8>,
+    ) {
+        if let PlacementAction::Forget { session } = action {
             self.ids.remove_session(session);
         } else if let Some(record) = translate::action_record(instance, action, &self.ids) {
             record.append(reply);
@@ -63,13 +68,15 @@
     }
 
     /// The engine's event; `None` where the record concerns nothing that the instance still has.
-    fn event(&mut self, record: EventRecord) -> Result<Option<Event>, RecordError> {
+    fn event(&mut self, record: EventRecord) -> Result<Option<PlacementEvent>, RecordError> {
         Ok(match record {
-            EventRecord::EndpointList(list) => Some(Event::Endpoints(self.endpoint_update(list))),
+            EventRecord::EndpointList(list) => {
+                Some(PlacementEvent::EndpointsUpdated(self.endpoint_update(list)))
+            }
             EventRecord::SessionRequested(request) => {
                 let session = self.add_session(&request)?;
                 let request = translate::session_request(session, &request);
-                Some(Event::SessionRequested(request))
+                Some(PlacementEvent::SessionRequested(request))
             }
             EventRecord::SessionInherited(request, address) => {
                 Some(self.session_inherited(&request, address)?)
@@ -77,11 +84,11 @@
             EventRecord::SessionOpened { handle, attempt } => self
                 .ids
                 .session(handle)
-                .map(|session| Event::SessionOpened { session, attempt }),
+                .map(|session| PlacementEvent::SessionOpened { session, attempt }),
             EventRecord::AttemptEnded(ended) => {
                 self.ids
                     .session(ended.handle)
-                    .map(|session| Event::AttemptEnded {
+                    .map(|session| PlacementEvent::AttemptEnded {
                         session,
                         attempt: ended.attempt,
                         outcome: translate::outcome(ended.outcome),
@@ -92,18 +99,18 @@
             EventRecord::ClientLeft { handle } => self
                 .ids
                 .session(handle)
-                .map(|session| Event::ClientLeft { session }),
+                .map(|session| PlacementEvent::ClientLeft { session }),
             EventRecord::Observed(observed) => translate::observed(&observed, &self.ids),
             EventRecord::ProbeEnded(ended) => {
                 self.ids
                     .server(ended.address)
-                    .map(|server| Event::ProbeEnded {
+                    .map(|server| PlacementEvent::ProbeEnded {
                         server,
                         outcome: translate::outcome(ended.outcome),
                         load: self.load(&ended.load),
                     })
             }
-            EventRecord::Timer => Some(Event::Tick),
+            EventRecord::Timer => Some(PlacementEvent::Tick),
             EventRecord::PeerMessage => None,
         })
     }
@@ -112,11 +119,11 @@
         &mut self,
         request: &SessionRecord,
         address: ServerAddress,
-    ) -> Result<Event, RecordError> {
+    ) -> Result<PlacementEvent, RecordError> {
         let session = self.add_session(request)?;
         let request = translate::session_request(session, request);
         let server = self.ids.server_or_add(address);
-        Ok(Event::SessionInherited(request, server))
+        Ok(PlacementEvent::SessionInherited(request, server))
     }
 
     /// Gives a session that comes in its id.
@@ -141,7 +148,7 @@
         translate::endpoint_update(list.mode, endpoints)
     }
 
-    fn load(&self, report: &LoadReport) -> Load {
+    fn load(&self, report: &LoadReport) -> ServerLoad {
         self.load_reports.load(|index, _| report.value(index))
     }
 }
--- a/crates/simulator-adapter/src/instance_table.rs
+++ b/crates/simulator-adapter/src/instance_table.rs
@@ -3,7 +3,7 @@
 use crate::error::{BatchError, RecordError};
 use crate::instance::Instance;
 use crate::wire::{BatchHeader, EVENT_SIZE, EventRecord, Fields, event_code, reply};
-use asterramp_placement::Action;
+use asterramp_placement::PlacementAction;
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 pub(crate) struct InstanceTable {
     instances: FxHashMap<u16, Instance>,
     /// Actions of the event that is being handled. Empty between events; kept for its memory.
-    actions: Vec<Action>,
+    actions: Vec<PlacementAction>,
 }
 
 impl InstanceTable {
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -8,7 +8,7 @@
 use asterramp_placement::event::{
     Endpoint, EndpointUpdate, Observation, Outcome, ServerId, SessionId, SessionRequest,
 };
-use asterramp_placement::{Action, Event};
+use asterramp_placement::{PlacementAction, PlacementEvent};
 use std::time::Duration;
 
 /// Milliseconds in a second.
@@ -25,7 +25,7 @@
         group: record.group,
         hash_key: record.hash_key,
         reconnecting: record.reconnecting,
-        dial_timeout: record.dial_timeout,
+        answer_deadline: record.dial_timeout,
     }
 }
 
@@ -45,16 +45,16 @@
 
 /// What was seen of an open connection; `None` where its session has ended, its server is unknown, or the observation
 /// is of an unknown kind or no time.
-pub(crate) fn observed(record: &ObservationRecord, ids: &IdTable) -> Option<Event> {
+pub(crate) fn observed(record: &ObservationRecord, ids: &IdTable) -> Option<PlacementEvent> {
     let observation = match record.kind {
-        ObservationKind::WorkRate => Observation::Work(record.amount),
+        ObservationKind::WorkRate => Observation::WorkRate(record.amount),
         ObservationKind::MessageDelay => {
             let delay = Duration::try_from_secs_f64(record.amount / MILLISECONDS_PER_SECOND);
-            Observation::Delay(delay.ok()?)
+            Observation::MessageDelay(delay.ok()?)
         }
         ObservationKind::Unknown => return None,
     };
-    Some(Event::Observed {
+    Some(PlacementEvent::ConnectionObserved {
         session: ids.session(record.handle)?,
         server: ids.server(record.address)?,
         observation,
@@ -85,11 +85,15 @@
     }
 }
 
-/// The record of one action; `None` for [`Action::Forget`], which the simulator isn't told of.
-pub(crate) fn action_record(instance: u16, action: Action, ids: &IdTable) -> Option<ActionRecord> {
+/// The record of one action; `None` for [`PlacementAction::Forget`], which the simulator isn't told of.
+pub(crate) fn action_record(
+    instance: u16,
+    action: PlacementAction,
+    ids: &IdTable,
+) -> Option<ActionRecord> {
     let of_session = |code, session| ActionRecord::new(code, instance).handle(ids.handle(session));
     let record = match action {
-        Action::Dial {
+        PlacementAction::Dial {
             session,
             server,
             timeout,
@@ -97,22 +101,24 @@
         } => of_session(action_code::START_ATTEMPT, session)
             .put(action_field::ATTEMPT_SERVER, ids.address(server))
             .put(action_field::ATTEMPT_TIMEOUT, microseconds(timeout)),
-        Action::Cancel { session, attempt } => of_session(action_code::CANCEL_ATTEMPT, session)
-            .put(action_field::CANCELLED_DIAL, [attempt]),
-        Action::Reject {
+        PlacementAction::Cancel { session, attempt } => {
+            of_session(action_code::CANCEL_ATTEMPT, session)
+                .put(action_field::CANCELLED_DIAL, [attempt])
+        }
+        PlacementAction::Reject {
             session,
             retry_after,
         } => of_session(action_code::REJECT, session)
             .put(action_field::RETRY_AFTER, microseconds(retry_after)),
-        Action::Fail { session } => of_session(action_code::FAIL, session),
-        Action::Migrate { session } => of_session(action_code::MIGRATE, session),
-        Action::Probe { server } => ActionRecord::new(action_code::PROBE, instance)
+        PlacementAction::Fail { session } => of_session(action_code::FAIL, session),
+        PlacementAction::Migrate { session } => of_session(action_code::MIGRATE, session),
+        PlacementAction::Probe { server } => ActionRecord::new(action_code::PROBE, instance)
             .put(action_field::PROBE_SERVER, ids.address(server)),
-        Action::PollEndpoints => ActionRecord::new(action_code::POLL_ENDPOINTS, instance)
+        PlacementAction::PollEndpoints => ActionRecord::new(action_code::POLL_ENDPOINTS, instance)
             .put(action_field::SUBSCRIPTION, [SUBSCRIBE]),
-        Action::SetTimer { after } => ActionRecord::new(action_code::SET_TIMER, instance)
+        PlacementAction::SetTimer { after } => ActionRecord::new(action_code::SET_TIMER, instance)
             .put(action_field::TIMER_DELAY, microseconds(after)),
-        Action::Forget { .. } => return None,
+        PlacementAction::Forget { .. } => return None,
     };
     Some(record)
 }
--- a/crates/warm-start/src/admission_rate.rs
+++ b/crates/warm-start/src/admission_rate.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartProfile {
     /// Share of its full capacity that it has at once, between 0 and 1.
-    pub initial_share: f64,
+    pub initial_capacity: f64,
     /// How long until it has all of it.
     pub warm_after: Duration,
     /// How many times its present capacity may be sent to it before it is overloaded.
@@ -39,7 +39,7 @@
 ) -> f64 {
     let warm_after = profile.warm_after.as_secs_f64().max(MIN_WARM_UP_SECONDS);
     let warmed_up = (uptime.as_secs_f64() / warm_after).min(1.0);
-    let capacity = profile.initial_share + (1.0 - profile.initial_share) * warmed_up;
+    let capacity = profile.initial_capacity + (1.0 - profile.initial_capacity) * warmed_up;
     let (least, most) = LOAD_PER_CONNECTION_RANGE;
     let load_per_connection = load_per_connection
         .filter(|load| load.is_finite() && *load > 0.0)
--- a/crates/warm-start/src/candidate.rs
+++ b/crates/warm-start/src/candidate.rs
@@ -127,11 +127,11 @@
     pub(crate) source: EndpointSource,
     pub(crate) list_revision: u64,
     /// When it is dropped unless it has answered; `None` for never.
-    pub(crate) expires: Option<Duration>,
+    pub(crate) expires_at: Option<Duration>,
     /// When it is to be probed.
-    pub(crate) next_probe: Duration,
+    pub(crate) next_probe_at: Duration,
     /// Probes without an answer, one after the other.
-    pub(crate) unanswered: u32,
+    pub(crate) unanswered_probes: u32,
 }
 
 impl Candidate {
@@ -145,9 +145,9 @@
 
     /// Postpones its next probe after one that was not answered.
     pub(crate) fn back_off(&mut self, now: Duration) {
-        let doublings = self.unanswered.min(MAX_PROBE_BACKOFF_DOUBLINGS);
+        let doublings = self.unanswered_probes.min(MAX_PROBE_BACKOFF_DOUBLINGS);
         let backoff = MIN_PROBE_BACKOFF * (1 << doublings);
-        self.next_probe = now + backoff.min(MAX_PROBE_BACKOFF);
-        self.unanswered += 1;
+        self.next_probe_at = now + backoff.min(MAX_PROBE_BACKOFF);
+        self.unanswered_probes += 1;
     }
 }
--- a/crates/warm-start/src/candidates.rs
+++ b/crates/warm-start/src/candidates.rs
@@ -56,12 +56,12 @@
     }
 
     /// On how many endpoints sessions may be placed.
-    pub fn usable(&self) -> usize {
+    pub fn usable_count(&self) -> usize {
         self.count(|candidate| candidate.state.is_usable())
     }
 
     /// How many endpoints a source reported, and how many of these can be used.
-    pub fn counts(&self, source: EndpointSource) -> SourceCounts {
+    pub fn source_counts(&self, source: EndpointSource) -> SourceCounts {
         let is_reported = |candidate: &Candidate| {
             candidate.source == source && candidate.state != CandidateState::Unknown
         };
@@ -72,7 +72,7 @@
     }
 
     /// How many reports were ignored, and how many candidates expired, were replaced or were delisted.
-    pub fn dropped(&self) -> u64 {
+    pub fn dropped_count(&self) -> u64 {
         self.dropped
     }
 
@@ -103,9 +103,9 @@
                 candidate.address,
                 candidate.source,
                 candidate.list_revision,
-                candidate.expires.map(remaining),
-                remaining(candidate.next_probe),
-                candidate.unanswered
+                candidate.expires_at.map(remaining),
+                remaining(candidate.next_probe_at),
+                candidate.unanswered_probes
             )
         };
         let keys: Vec<String> = self
@@ -147,9 +147,9 @@
             address: report.address,
             source: report.source,
             list_revision: report.list_revision,
-            expires: forget_after.map(|span| now + span),
-            next_probe: now,
-            unanswered: 0,
+            expires_at: forget_after.map(|span| now + span),
+            next_probe_at: now,
+            unanswered_probes: 0,
         };
         self.put(report.id, candidate);
         self.handle(now, report.id, CandidateInput::Reported);
@@ -200,9 +200,9 @@
             address,
             source: EndpointSource::Discovery,
             list_revision: CURRENT_LIST,
-            expires: None,
-            next_probe: now,
-            unanswered: 0,
+            expires_at: None,
+            next_probe_at: now,
+            unanswered_probes: 0,
         };
         self.put(id, candidate);
         self.handle(now, id, CandidateInput::Listed);
@@ -254,7 +254,7 @@
 
     /// When the next probe is due; `None` while as many are in flight as may be. An answer is what is waited for then: a
     /// deadline in the past would fire again and again.
-    pub(crate) fn next_probe(&self, max_probes: usize) -> Option<Duration> {
+    pub(crate) fn next_probe_at(&self, max_probes: usize) -> Option<Duration> {
         if self.probes_in_flight >= max_probes {
             return None;
         }
@@ -262,7 +262,7 @@
             .iter()
             .flatten()
             .filter(|candidate| candidate.state.wants_probe())
-            .map(|candidate| candidate.next_probe)
+            .map(|candidate| candidate.next_probe_at)
             .min()
     }
 
@@ -275,10 +275,12 @@
             if !candidate.state.wants_probe() {
                 continue;
             }
-            let is_expired = candidate.expires.is_some_and(|expires| expires <= now);
+            let is_expired = candidate
+                .expires_at
+                .is_some_and(|expires_at| expires_at <= now);
             if candidate.state == CandidateState::Unresponsive && is_expired {
                 self.handle(now, id, CandidateInput::Expired);
-            } else if candidate.next_probe <= now && self.probes_in_flight < max_probes {
+            } else if candidate.next_probe_at <= now && self.probes_in_flight < max_probes {
                 self.handle(now, id, CandidateInput::ProbeSent);
             }
         }
@@ -307,7 +309,7 @@
             CandidateInput::Unanswered => {
                 candidate.back_off(now);
                 if is_injected!(self, ProbedOnlyOnce) {
-                    candidate.next_probe = Duration::MAX;
+                    candidate.next_probe_at = Duration::MAX;
                 }
             }
             CandidateInput::Expired => {
--- a/crates/warm-start/src/stage.rs
+++ b/crates/warm-start/src/stage.rs
@@ -71,11 +71,11 @@
     /// Discovery sent a complete list, most of whose endpoints have just started.
     ColdList,
     /// All peers have answered or cannot be reached.
-    PeersAsked,
+    PeerQueriesFinished,
     /// An endpoint can be used.
     EndpointUsable,
     /// No endpoint can be used any more.
-    NoneUsable,
+    NoEndpointUsable,
     /// The stage's deadline has passed.
     TimedOut,
 }
@@ -112,7 +112,7 @@
         (WaitingForDiscovery, Input::TimedOut) => Some((AskingPeers, Action::AskPeers)),
         (AskingPeers, Input::WarmList) => Some((Normal, Action::AdmitClients)),
         (AskingPeers, Input::ColdList) => Some((LimitingAdmission, Action::LimitClients)),
-        (AskingPeers, Input::PeersAsked) => Some((Probing, Action::BeginProbing)),
+        (AskingPeers, Input::PeerQueriesFinished) => Some((Probing, Action::BeginProbing)),
         (AskingPeers, Input::TimedOut) => Some((Probing, Action::BeginProbing)),
         (Probing, Input::WarmList) => Some((Normal, Action::AdmitClients)),
         (Probing, Input::ColdList) => Some((LimitingAdmission, Action::LimitClients)),
@@ -120,7 +120,7 @@
         // No endpoint answers yet: clients are still rejected, and probing goes on.
         (Probing, Input::TimedOut) => Some((Probing, Action::RejectClients)),
         (LimitingAdmission, Input::WarmList) => Some((Normal, Action::AdmitClients)),
-        (LimitingAdmission, Input::NoneUsable) => Some((Probing, Action::RejectClients)),
+        (LimitingAdmission, Input::NoEndpointUsable) => Some((Probing, Action::RejectClients)),
         (LimitingAdmission, Input::TimedOut) => Some((Normal, Action::AdmitClients)),
         _ => None,
     }
@@ -139,7 +139,7 @@
 pub(crate) struct StageMachine {
     pub(crate) stage: WarmStartStage,
     /// Since when it is in this stage.
-    pub(crate) since: Duration,
+    pub(crate) stage_since: Duration,
     pub(crate) deadline: Option<Duration>,
     #[cfg(feature = "injected-faults")]
     pub(crate) injected_fault: Option<InjectedFault>,
@@ -153,14 +153,14 @@
         input: StageInput,
         settings: &WarmStartSettings,
     ) -> Option<StageTransition> {
-        if is_injected!(self, LossOfLastEndpointIgnored) && input == StageInput::NoneUsable {
+        if is_injected!(self, LossOfLastEndpointIgnored) && input == StageInput::NoEndpointUsable {
             return None;
         }
         let (next, action) = self.next(input, settings)?;
         let changed = next != self.stage;
         if changed {
             self.stage = next;
-            self.since = now;
+            self.stage_since = now;
         }
         self.deadline = self.timeout(settings).map(|timeout| now + timeout);
         Some(StageTransition { changed, action })
@@ -191,7 +191,7 @@
             WarmStartStage::WaitingForDiscovery => Some(settings.discovery_timeout),
             WarmStartStage::AskingPeers => Some(settings.peer_timeout),
             WarmStartStage::Probing => Some(settings.probe_timeout),
-            WarmStartStage::LimitingAdmission => Some(settings.limited_admission),
+            WarmStartStage::LimitingAdmission => Some(settings.limited_admission_duration),
         }
     }
 }
--- a/crates/warm-start/src/warm_start.rs
+++ b/crates/warm-start/src/warm_start.rs
@@ -21,7 +21,7 @@
     /// Discovery sent a complete list, most of whose endpoints are warm.
     WarmList,
     /// All peers have answered or cannot be reached.
-    PeersAsked,
+    PeerQueriesFinished,
     /// The deadline of the stage before has passed.
     TimedOut,
     /// An endpoint answered its probe.
@@ -29,7 +29,7 @@
     /// An endpoint could be used before probes began.
     EndpointKnown,
     /// No endpoint can be used any more.
-    NoneUsable,
+    NoEndpointUsable,
 }
 
 impl StageReason {
@@ -40,11 +40,11 @@
             StageReason::EndpointListed => "discovery tells a host",
             StageReason::ColdList => "discovery tells hosts that have just started",
             StageReason::WarmList => "discovery tells hosts that are warm",
-            StageReason::PeersAsked => "the others have been asked",
+            StageReason::PeerQueriesFinished => "the others have been asked",
             StageReason::TimedOut => "its time is over",
             StageReason::EndpointAnswered => "a host answers",
             StageReason::EndpointKnown => "a host is known",
-            StageReason::NoneUsable => "no host is left",
+            StageReason::NoEndpointUsable => "no host is left",
         }
     }
 
@@ -56,9 +56,9 @@
             | StageReason::EndpointKnown => StageInput::EndpointUsable,
             StageReason::ColdList => StageInput::ColdList,
             StageReason::WarmList => StageInput::WarmList,
-            StageReason::PeersAsked => StageInput::PeersAsked,
+            StageReason::PeerQueriesFinished => StageInput::PeerQueriesFinished,
             StageReason::TimedOut => StageInput::TimedOut,
-            StageReason::NoneUsable => StageInput::NoneUsable,
+            StageReason::NoEndpointUsable => StageInput::NoEndpointUsable,
         }
     }
 }
@@ -112,7 +112,7 @@
 
     /// Since when it is in this stage.
     pub fn stage_since(&self) -> Duration {
-        self.stages.since
+        self.stages.stage_since
     }
 
     /// The endpoints that were reported, and what is known of them.
@@ -160,8 +160,8 @@
     }
 
     /// All peers have answered or cannot be reached.
-    pub fn peers_asked(&mut self, now: Duration) {
-        self.advance(now, StageReason::PeersAsked);
+    pub fn peer_queries_finished(&mut self, now: Duration) {
+        self.advance(now, StageReason::PeerQueriesFinished);
     }
 
     /// The probe of an endpoint has ended.
@@ -172,12 +172,12 @@
 
     /// When [`handle_deadline`](Self::handle_deadline) is to be called next; `None` if only an input can change anything.
     pub fn next_deadline(&self) -> Option<Duration> {
-        let next_probe = if self.is_probing {
-            self.candidates.next_probe(self.settings.max_probes)
+        let next_probe_at = if self.is_probing {
+            self.candidates.next_probe_at(self.settings.max_probes)
         } else {
             None
         };
-        self.stages.deadline.into_iter().chain(next_probe).min()
+        self.stages.deadline.into_iter().chain(next_probe_at).min()
     }
 
     /// Does what is due at `now`.
@@ -218,8 +218,8 @@
         if any_answered {
             self.advance(now, StageReason::EndpointAnswered);
         }
-        if any_lost && self.candidates.usable() == 0 {
-            self.advance(now, StageReason::NoneUsable);
+        if any_lost && self.candidates.usable_count() == 0 {
+            self.advance(now, StageReason::NoEndpointUsable);
         }
     }
 
@@ -249,13 +249,13 @@
                 self.admit(ClientAdmission::Rejected);
                 self.update(now);
                 // Discovery may have listed one before.
-                if self.candidates.usable() > 0 {
+                if self.candidates.usable_count() > 0 {
                     self.advance(now, StageReason::EndpointKnown);
                 }
             }
             StageAction::RejectClients => {
                 // Peers may know by now what they did not know before.
-                if self.settings.has_peers && self.candidates.usable() == 0 {
+                if self.settings.has_peers && self.candidates.usable_count() == 0 {
                     self.effects.push(WarmStartEffect::AskPeers);
                 }
                 self.admit(ClientAdmission::Rejected);
--- a/crates/warm-start/tests/golden.rs
+++ b/crates/warm-start/tests/golden.rs
@@ -154,7 +154,7 @@
         (ms(500), ms(500))
     );
     assert_eq!(
-        (terms.probe_timeout, terms.limited_admission),
+        (terms.probe_timeout, terms.limited_admission_duration),
         (ms(2_000), ms(9_000))
     );
     assert_eq!((terms.has_peers, terms.max_probes), (false, 32));
@@ -163,12 +163,12 @@
 #[test]
 fn the_rate_of_admission_is_bit_for_bit_as_before() {
     let cold = SlowStartProfile {
-        initial_share: 0.31,
+        initial_capacity: 0.31,
         warm_after: ms(8_900),
         overload_factor: 4.0,
     };
     let zero = SlowStartProfile {
-        initial_share: 0.0,
+        initial_capacity: 0.0,
         warm_after: Duration::ZERO,
         overload_factor: 1.5,
     };
@@ -285,7 +285,7 @@
                 self.note(&format!("discovery's list {listed:?} cold={cold}"));
             }
             12 => {
-                self.start.peers_asked(self.now);
+                self.start.peer_queries_finished(self.now);
                 self.note("peers asked");
             }
             _ => self.pass(ms(100 * sequence.below(40))),
@@ -327,12 +327,12 @@
         let states: Vec<&str> = (0..HOSTS).map(|id| state_name(hosts.state(id))).collect();
         let sources: Vec<String> = SOURCES
             .iter()
-            .map(|source| counts_text(hosts.counts(*source)))
+            .map(|source| counts_text(hosts.source_counts(*source)))
             .collect();
         let stage = self.start.stage().name();
         let since = self.start.stage_since().as_millis();
         let due = self.start.next_deadline().map(|due| due.as_millis());
-        let (usable, dropped) = (hosts.usable(), hosts.dropped());
+        let (usable, dropped) = (hosts.usable_count(), hosts.dropped_count());
         let (states, sources) = (states.join(","), sources.join(""));
         writeln!(self.text, "  {stage} since {since} due {due:?}; {states}; {sources}; {usable} usable, {dropped} dropped").unwrap();
     }
--- a/crates/zone-failover/src/evidence.rs
+++ b/crates/zone-failover/src/evidence.rs
@@ -46,7 +46,7 @@
     /// It is ready and was not, or it was restarted.
     ReadyAgain,
     /// It is gone and was not.
-    Left,
+    Removed,
     /// Neither.
     Other,
 }
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ZoneEvidence {
     /// Ready servers with a failure sign.
-    pub(crate) silent_servers: usize,
+    pub(crate) unresponsive_servers: usize,
     /// All ready servers.
     pub(crate) ready_servers: usize,
     /// Time of the earliest failure sign.
@@ -102,7 +102,7 @@
             return ListingChange::ReadyAgain;
         }
         if state == ServerState::Gone && before.state != ServerState::Gone {
-            return ListingChange::Left;
+            return ListingChange::Removed;
         }
         ListingChange::Other
     }
@@ -163,7 +163,7 @@
                 .filter_map(|(_, record)| record.failure_since(last_response))
         };
         ZoneEvidence {
-            silent_servers: failures().count(),
+            unresponsive_servers: failures().count(),
             ready_servers: self.ready_in_zone(zone).count(),
             first_failure: failures().min(),
         }
--- a/crates/zone-failover/src/failover.rs
+++ b/crates/zone-failover/src/failover.rs
@@ -2,7 +2,7 @@
 
 use crate::evidence::{ListingChange, ServerTable, ZoneEvidence};
 use crate::state::{ZoneAction, transition};
-use crate::zone::{LOSS_MEMORY, RAMP_STEPS, Zone};
+use crate::zone::{LOSS_HISTORY_WINDOW, RAMP_STEPS, Zone};
 use crate::{ServerId, ServerState, ZoneFailoverSettings, ZoneId, ZoneInput, ZoneState};
 use asterramp_injected_faults::is_injected;
 use std::time::Duration;
@@ -84,14 +84,14 @@
     /// The whole state as text, with ages in place of times: two values with equal text behave alike from then on. For
     /// the model checker, which compares many of them.
     pub fn state_key(&self, now: Duration) -> String {
-        let age = |at: Duration| now.saturating_sub(at).min(LOSS_MEMORY).as_millis();
+        let age = |at: Duration| now.saturating_sub(at).min(LOSS_HISTORY_WINDOW).as_millis();
         let remaining = |at: Duration| at.saturating_sub(now).as_millis();
         let mut key = format!("{:?}", self.reconnected_at.map(age));
         for zone in &self.zones {
             let last_response = zone.last_response.map(age);
             let timer = zone.timer.map(remaining);
             let spans = (
-                age(zone.since),
+                age(zone.state_since),
                 age(zone.first_failure),
                 remaining(zone.held_down_until),
                 age(zone.in_use_since),
@@ -135,11 +135,11 @@
             ListingChange::ReadyAgain => {
                 self.apply_unless_held_down(now, zone, ZoneInput::ServerListedAgain);
             }
-            ListingChange::Left if self.servers.all_gone(zone) => {
+            ListingChange::Removed if self.servers.all_gone(zone) => {
                 self.zone_mut(zone).was_unlisted = true;
                 self.apply(now, zone, ZoneInput::AllServersGone);
             }
-            ListingChange::Left | ListingChange::Other => {}
+            ListingChange::Removed | ListingChange::Other => {}
         }
         self.ensure_zone_in_use(now);
     }
@@ -237,7 +237,9 @@
             return self.raise_share(now, id);
         }
         let zone = self.zone(id);
-        if zone.state == ZoneState::Suspected && self.evidence(id).silent_servers >= SUSPECT_AT {
+        if zone.state == ZoneState::Suspected
+            && self.evidence(id).unresponsive_servers >= SUSPECT_AT
+        {
             // Still no response: probe again.
             let next_probes = now + self.settings.suspicion_timeout;
             self.zone_mut(id).timer = Some(next_probes);
@@ -293,14 +295,14 @@
             zone.first_failure = first_failure;
         }
         let suspect_at = SUSPECT_AT.min(evidence.ready_servers);
-        if zone.state == ZoneState::Healthy && evidence.silent_servers >= suspect_at {
-            self.apply(now, id, ZoneInput::ServersSilent);
+        if zone.state == ZoneState::Healthy && evidence.unresponsive_servers >= suspect_at {
+            self.apply(now, id, ZoneInput::ServersUnresponsive);
         }
         let confirm_at = self.silent_servers_to_confirm(evidence.ready_servers);
         // Where no other zone responds either, it is this proxy that is disconnected.
         let connected =
             self.another_zone_responded(id, first_failure) || is_injected!(self, GivenUpAlone);
-        if evidence.silent_servers >= confirm_at && connected {
+        if evidence.unresponsive_servers >= confirm_at && connected {
             self.apply(now, id, ZoneInput::LossConfirmed);
         }
     }
@@ -362,7 +364,7 @@
         };
         if zone.state != state {
             zone.state = state;
-            zone.since = now;
+            zone.state_since = now;
             self.effects.push(ZoneEffect::StateChanged {
                 zone: id,
                 state,
@@ -385,14 +387,14 @@
                 self.zone_mut(id).hold_down(now, &settings);
                 self.set_share(id, 0.0);
             }
-            ZoneAction::NoteAbsence => self.zone_mut(id).hold_down(now, &settings),
+            ZoneAction::StartHoldDown => self.zone_mut(id).hold_down(now, &settings),
             ZoneAction::Probe => self.probe_closed(now, id),
             ZoneAction::StartRamp => {
                 let next_step = settings.recovery_ramp / RAMP_STEPS;
                 self.zone_mut(id).reopen(now, 0, next_step);
                 self.set_share(id, 1.0 / f64::from(RAMP_STEPS));
             }
-            ZoneAction::OpenInFull => {
+            ZoneAction::OpenFully => {
                 let all_steps = RAMP_STEPS;
                 self.zone_mut(id)
                     .reopen(now, all_steps, settings.recovery_ramp);
--- a/crates/zone-failover/src/state.rs
+++ b/crates/zone-failover/src/state.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneInput {
     /// Enough servers have not responded since the zone's last response to suspect the zone.
-    ServersSilent,
+    ServersUnresponsive,
     /// Enough servers have not responded to give the zone up.
     LossConfirmed,
     /// A server of the zone responded.
@@ -70,7 +70,7 @@
     /// Reason for a change of state, as log lines give it.
     pub fn reason(self) -> &'static str {
         match self {
-            ZoneInput::ServersSilent => "servers say nothing",
+            ZoneInput::ServersUnresponsive => "servers say nothing",
             ZoneInput::LossConfirmed => "nobody answers",
             ZoneInput::Response => "it answers",
             ZoneInput::TrialDue => "it is tried",
@@ -95,13 +95,13 @@
     /// Set the share of traffic to zero and start the hold-down.
     Close,
     /// Start the hold-down only. Discovery lists no servers, so there is no traffic to move.
-    NoteAbsence,
+    StartHoldDown,
     /// Probe one server.
     Probe,
     /// Use the zone again, at first with the lowest share.
     StartRamp,
     /// Use the zone again in full at once: its servers were restarted, and slow start limits each of them.
-    OpenInFull,
+    OpenFully,
     /// Give the zone its full share.
     FinishRamp,
     /// Use the zone in full although it does not respond: no other is left.
@@ -117,27 +117,27 @@
     use ZoneInput::*;
     use ZoneState::*;
     &[
-        (Healthy, ServersSilent, Suspected, StartSuspicion),
-        (Healthy, AllServersGone, Lost, NoteAbsence),
+        (Healthy, ServersUnresponsive, Suspected, StartSuspicion),
+        (Healthy, AllServersGone, Lost, StartHoldDown),
         (Suspected, Response, Healthy, DropSuspicion),
         (Suspected, TimerExpired, Healthy, DropSuspicion),
         (Suspected, LossConfirmed, Lost, Close),
-        (Suspected, AllServersGone, Lost, NoteAbsence),
+        (Suspected, AllServersGone, Lost, StartHoldDown),
         (Lost, TimerExpired, Lost, Probe),
         (Lost, Response, Recovering, StartRamp),
         (Lost, TrialDue, Recovering, StartRamp),
-        (Lost, ServerListedAgain, Recovering, OpenInFull),
+        (Lost, ServerListedAgain, Recovering, OpenFully),
         (Lost, ServersStillListed, Partitioned, Nothing),
         (Lost, NoZoneLeft, Suspected, UseAsLastResort),
         (Partitioned, TimerExpired, Partitioned, Probe),
         (Partitioned, Response, Recovering, StartRamp),
         (Partitioned, TrialDue, Recovering, StartRamp),
-        (Partitioned, ServerListedAgain, Recovering, OpenInFull),
+        (Partitioned, ServerListedAgain, Recovering, OpenFully),
         (Partitioned, AllServersGone, Lost, Nothing),
         (Partitioned, NoZoneLeft, Suspected, UseAsLastResort),
         (Recovering, TimerExpired, Healthy, FinishRamp),
         (Recovering, LossConfirmed, Lost, Close),
-        (Recovering, AllServersGone, Lost, NoteAbsence),
+        (Recovering, AllServersGone, Lost, StartHoldDown),
     ]
 };
 
--- a/crates/zone-failover/src/zone.rs
+++ b/crates/zone-failover/src/zone.rs
@@ -6,7 +6,7 @@
 /// Steps by which a recovering zone gets its share back, the first of them at once.
 pub(crate) const RAMP_STEPS: u32 = 6;
 /// How long a zone must have been in use until its earlier losses no longer lengthen the hold-down.
-pub(crate) const LOSS_MEMORY: Duration = Duration::from_secs(60);
+pub(crate) const LOSS_HISTORY_WINDOW: Duration = Duration::from_secs(60);
 /// Losses in a row that lengthen the hold-down; the bound keeps the doubling within range.
 const MAX_COUNTED_LOSSES: u32 = 16;
 /// How long after a zone was closed, or its share grew, capacity counts as short: its clients go on coming elsewhere.
@@ -18,7 +18,7 @@
     /// State of the zone.
     pub state: ZoneState,
     /// When it came into that state; zero if it never changed.
-    pub since: Duration,
+    pub state_since: Duration,
     /// Suspicions that were dropped.
     pub dropped_suspicions: u64,
     /// Times that the zone was closed and responded to the first probe, while discovery listed its servers throughout.
@@ -69,7 +69,7 @@
     /// Starts the hold-down, which is longer for a zone that is lost again soon after its recovery.
     pub(crate) fn hold_down(&mut self, now: Duration, settings: &ZoneFailoverSettings) {
         self.share_changed_at = Some(now);
-        let lost_again = now < self.in_use_since + LOSS_MEMORY;
+        let lost_again = now < self.in_use_since + LOSS_HISTORY_WINDOW;
         self.recent_losses = if lost_again {
             (self.recent_losses + 1).min(MAX_COUNTED_LOSSES)
         } else {
--- a/crates/zone-failover/tests/failover.rs
+++ b/crates/zone-failover/tests/failover.rs
@@ -126,7 +126,7 @@
     let suspected = ZoneEffect::StateChanged {
         zone: 0,
         state: ZoneState::Suspected,
-        cause: ZoneInput::ServersSilent,
+        cause: ZoneInput::ServersUnresponsive,
     };
     let probes = [2, 3, 0, 1].map(|server| ZoneEffect::Probe { server });
     assert_eq!(effects, [vec![suspected], probes.to_vec()].concat());
@@ -277,7 +277,7 @@
     let names = ZoneState::ALL.map(ZoneState::name);
     assert_eq!(names, ["whole", "doubtful", "lost", "cut-off", "returning"]);
     let reasons = [
-        (ZoneInput::ServersSilent, "servers say nothing"),
+        (ZoneInput::ServersUnresponsive, "servers say nothing"),
         (ZoneInput::LossConfirmed, "nobody answers"),
         (ZoneInput::Response, "it answers"),
         (ZoneInput::TrialDue, "it is tried"),
