--- a/crates/model-checker/src/zone_failover/settings.rs
+++ b/crates/model-checker/src/zone_failover/settings.rs
@@ -8,7 +8,7 @@
     suspicion_timeout: Duration::from_millis(2_000),
     probe_interval: Duration::from_millis(1_000),
     hold_down: Duration::from_millis(2_000),
-    hold_down_max: Duration::from_millis(4_000),
+    max_hold_down: Duration::from_millis(4_000),
     recovery_ramp: Duration::from_millis(3_000),
     discovery_delay: Duration::from_millis(2_000),
     in_flight_timeout: Duration::ZERO,
--- a/crates/placement/src/action.rs
+++ b/crates/placement/src/action.rs
@@ -54,7 +54,7 @@
         after: Duration,
     },
     /// The session is over: no further action names it, and its id may be used for another.
-    Forget {
+    ReleaseSession {
         /// The session that is over.
         session: SessionId,
     },
--- a/crates/placement/src/deployment.rs
+++ b/crates/placement/src/deployment.rs
@@ -79,7 +79,7 @@
     pub total_connection_quota: f64,
     /// Time after which a proxy is taken to know of a change of an endpoint list that must be polled; `None` where
     /// the list is pushed.
-    pub endpoint_poll_delay: Option<Duration>,
+    pub max_endpoint_list_age: Option<Duration>,
     /// Whether the weights on the endpoint list sink as servers fill.
     pub weights_reflect_load: bool,
     /// Attempts that a session may have.
--- a/crates/placement/src/engine.rs
+++ b/crates/placement/src/engine.rs
@@ -156,7 +156,7 @@
         out.push(PlacementAction::SetTimer {
             after: TICK_INTERVAL,
         });
-        if self.deployment.endpoint_poll_delay.is_some() {
+        if self.deployment.max_endpoint_list_age.is_some() {
             out.push(PlacementAction::PollEndpoints);
         }
     }
--- a/crates/placement/src/engine/attempt_rules.rs
+++ b/crates/placement/src/engine/attempt_rules.rs
@@ -38,7 +38,7 @@
             return false;
         }
         let is_at_fault = session.failed_servers.len() > MAX_FAILED_SERVERS
-            && self.pacing.failed_everywhere(session);
+            && self.pacing.no_session_opened_since_failure(session);
         if is_at_fault {
             return false;
         }
@@ -93,7 +93,7 @@
         let left = session.request.answer_deadline.saturating_sub(self.now);
         let is_last = session.attempts + 1 >= self.deployment.max_attempts
             || self.pacing.allows_long_attempts()
-            || self.pacing.failed_everywhere(session);
+            || self.pacing.no_session_opened_since_failure(session);
         if is_last {
             return left;
         }
--- a/crates/placement/src/engine/attempts.rs
+++ b/crates/placement/src/engine/attempts.rs
@@ -110,7 +110,7 @@
             outcome,
             Outcome::ServerError | Outcome::TimedOut | Outcome::Reset
         );
-        if failed && (attempt > 0 || self.pacing.nothing_opened_yet()) {
+        if failed && (attempt > 0 || self.pacing.no_session_opened_yet()) {
             self.pace_after_failure(id);
         }
     }
--- a/crates/placement/src/engine/endpoint_list.rs
+++ b/crates/placement/src/engine/endpoint_list.rs
@@ -31,7 +31,7 @@
         let part = self
             .poll_backoff
             .record_failure(proxy_count, &mut self.random);
-        let wait = poll_wait(self.deployment.endpoint_poll_delay, part);
+        let wait = poll_wait(self.deployment.max_endpoint_list_age, part);
         self.timers
             .reschedule(self.now + wait, Timer::PollEndpoints);
     }
--- a/crates/placement/src/engine/selection.rs
+++ b/crates/placement/src/engine/selection.rs
@@ -210,7 +210,7 @@
             all_are_ejected: false,
         };
         let ranked = &session.ranked_servers;
-        selection.avoids_failed_zones = engine.pacing.failed_everywhere(session)
+        selection.avoids_failed_zones = engine.pacing.no_session_opened_since_failure(session)
             && ranked
                 .iter()
                 .any(|&id| !selection.failed_in_zone_of(id) && engine.may_dial(session, id));
--- a/crates/placement/src/engine/sessions.rs
+++ b/crates/placement/src/engine/sessions.rs
@@ -106,7 +106,7 @@
             let is_over = session.state == SessionState::Over;
             next_input = self.apply_effect(id, effect, out);
             if is_over {
-                out.push(PlacementAction::Forget { session: id });
+                out.push(PlacementAction::ReleaseSession { session: id });
             }
         }
     }
--- a/crates/placement/src/session_pacing.rs
+++ b/crates/placement/src/session_pacing.rs
@@ -33,7 +33,7 @@
         !self.pause.is_zero()
     }
 
-    pub(crate) fn nothing_opened_yet(&self) -> bool {
+    pub(crate) fn no_session_opened_yet(&self) -> bool {
         self.last_opened_at.is_zero()
     }
 
@@ -49,7 +49,7 @@
 
     /// Whether an attempt of the session failed that may have been executed, and no session opened anywhere
     /// since.
-    pub(crate) fn failed_everywhere(&self, session: &Session) -> bool {
+    pub(crate) fn no_session_opened_since_failure(&self, session: &Session) -> bool {
         session
             .first_execution
             .is_some_and(|first| self.last_opened_at <= first.dialed_at)
@@ -85,14 +85,15 @@
         let dialed_since = session
             .first_execution
             .is_some_and(|first| self.lengthened_at <= first.dialed_at);
-        let is_evidence = nothing_opens && dialed_since && self.failed_everywhere(session);
+        let is_evidence =
+            nothing_opens && dialed_since && self.no_session_opened_since_failure(session);
         let client = session.request.hash_key;
         // A bad client fails again and again, alone.
         if !is_evidence || self.failed_client == Some(client) {
             return;
         }
         let other_client_failed = self.failed_client.replace(client).is_some();
-        if other_client_failed || self.nothing_opened_yet() {
+        if other_client_failed || self.no_session_opened_yet() {
             self.lengthen(now);
             self.next_session_at = now + self.jittered_pause(random);
         }
@@ -101,7 +102,7 @@
     fn lengthen(&mut self, now: Duration) {
         self.pause = if self.is_active() {
             MAX_PAUSE
-        } else if self.nothing_opened_yet() {
+        } else if self.no_session_opened_yet() {
             LONG_PAUSE
         } else {
             MIN_PAUSE
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -22,7 +22,7 @@
 
 /// What is known at the start, decoded and checked.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct ProxySettings {
     /// What the placement engine decides by.
     pub deployment: Deployment,
     /// How a server's load report is read.
@@ -32,7 +32,7 @@
     /// Names as clients use them, by index.
     pub tenants: Vec<String>,
     /// Part of the service that each tenant is entitled to, 0 to 1; 0 where no setting says it.
-    pub tenant_shares: Vec<f64>,
+    pub tenant_quotas: Vec<f64>,
     /// Names as the endpoint list uses them, by index.
     pub zones: Vec<String>,
     /// A connection that isn't up by then never comes up.
@@ -75,7 +75,7 @@
 /// The first setting that is missing, can't be read or is out of range.
 pub fn read<'a>(
     settings: impl Iterator<Item = (&'a str, &'a str)>,
-) -> Result<Settings, SettingsError> {
+) -> Result<ProxySettings, SettingsError> {
     let values = SettingValues::new(settings);
     let listeners = listeners::read_listeners(&values)?;
     let listener_count = listeners.len() as u32;
@@ -85,15 +85,15 @@
         ..read_deployment(&values)?
     };
     let tenants = values.names("tenants", values.value_or("tenants.count", 0)?);
-    let tenant_shares = (0..tenants.len())
+    let tenant_quotas = (0..tenants.len())
         .map(|index| tenant_share(&values, index))
         .collect::<Result<_, _>>()?;
-    Ok(Settings {
+    Ok(ProxySettings {
         deployment,
         load_report_format: load_report_format(&values),
         listeners: values.names("listeners", listener_count),
         tenants,
-        tenant_shares,
+        tenant_quotas,
         zones: owned(values.list("localities")),
         connect_timeout: values.duration_or("permissions.dial_timeout", DEFAULT_CONNECT_TIMEOUT)?,
         drain_grace: values.duration_or("rules.drain_grace", Duration::ZERO)?,
@@ -103,7 +103,7 @@
 
 /// All of it but the listeners.
 fn read_deployment(values: &SettingValues<'_>) -> Result<Deployment, SettingsError> {
-    let endpoint_poll_delay = endpoint_poll_delay(values)?;
+    let max_endpoint_list_age = max_endpoint_list_age(values)?;
     let max_retry_after = max_retry_after(values)?;
     Ok(Deployment {
         listeners: Vec::new(),
@@ -117,7 +117,7 @@
             overload_window: values.duration_or("rules.overload_for", DEFAULT_SLOW_START_SPAN)?,
         },
         total_connection_quota: total_connection_quota(values)?,
-        endpoint_poll_delay,
+        max_endpoint_list_age,
         weights_reflect_load: values.text("weights") == Some("live"),
         max_attempts: values.value_or("permissions.max_dials", 1)?,
         retry_budget: retry_budget(values)?,
@@ -128,7 +128,7 @@
     })
 }
 
-fn endpoint_poll_delay(values: &SettingValues<'_>) -> Result<Option<Duration>, SettingsError> {
+fn max_endpoint_list_age(values: &SettingValues<'_>) -> Result<Option<Duration>, SettingsError> {
     let discovery: String = values.required("discovery")?;
     if discovery == "on_request" {
         Ok(Some(values.duration("rules.must_ask_in")?))
--- a/crates/placement/tests/engine/attempts.rs
+++ b/crates/placement/tests/engine/attempts.rs
@@ -158,7 +158,7 @@
             actions[..],
             [
                 PlacementAction::Reject { .. },
-                PlacementAction::Forget { .. }
+                PlacementAction::ReleaseSession { .. }
             ]
         ),
         "{actions:?}"
--- a/crates/placement/tests/engine/endpoint_list.rs
+++ b/crates/placement/tests/engine/endpoint_list.rs
@@ -29,7 +29,7 @@
 #[test]
 fn the_endpoint_list_is_polled_at_start_and_again_with_backoff() {
     let mut facts = deployment(IDEMPOTENT);
-    facts.endpoint_poll_delay = Some(ms(10_000));
+    facts.max_endpoint_list_age = Some(ms(10_000));
     let asks =
         |actions: &[PlacementAction]| count(actions, |a| *a == PlacementAction::PollEndpoints);
     let mut proxy = Proxy::without_endpoints(facts, 1);
@@ -63,7 +63,7 @@
 fn calls_of_a_fleet_to_a_roster_that_fails_abate_and_spread(proxies: u32, a_second: usize) {
     let mut facts = deployment(IDEMPOTENT);
     facts.proxy_count = proxies;
-    facts.endpoint_poll_delay = Some(ms(10_000));
+    facts.max_endpoint_list_age = Some(ms(10_000));
     let mut calls = [0; 60];
     for nonce in 0..u64::from(proxies) {
         let mut proxy = Proxy::new(facts.clone(), nonce, vec![endpoint(0)]);
--- a/crates/placement/tests/engine/probing.rs
+++ b/crates/placement/tests/engine/probing.rs
@@ -66,7 +66,7 @@
     if leaves {
         assert_eq!(
             proxy.handle(PlacementEvent::ClientLeft { session: 0 }),
-            [PlacementAction::Forget { session: 0 }]
+            [PlacementAction::ReleaseSession { session: 0 }]
         );
     }
     outcome_letter(&proxy.wait(ms(500)))
--- a/crates/placement/tests/engine/robustness.rs
+++ b/crates/placement/tests/engine/robustness.rs
@@ -11,7 +11,7 @@
 #[test_case(|f| f.packet_passthrough = true; "packets pass through")]
 #[test_case(|f| f.weights_reflect_load = true; "weights that sink")]
 #[test_case(|f| (f.slow_start.warm_after, f.slow_start.initial_capacity, f.slow_start.overload_factor) = (ms(0), 0.0, 0.0); "no cold rule")]
-#[test_case(|f| f.endpoint_poll_delay = Some(ms(0)); "an endpoint list polled without a limit")]
+#[test_case(|f| f.max_endpoint_list_age = Some(ms(0)); "an endpoint list polled without a limit")]
 #[test_case(|f| (f.max_retry_after, f.listeners[0].handshake_target) = (ms(0), ms(0)); "no come-back, no target")]
 fn odd_settings_serve(odd: fn(&mut Deployment)) {
     let mut facts = deployment(IDEMPOTENT);
@@ -64,7 +64,7 @@
         "a server that no list has named"
     );
     let lost = proxy.end_attempt(0, 0, Outcome::Reset, true);
-    assert_eq!(lost, [PlacementAction::Forget { session: 0 }]);
+    assert_eq!(lost, [PlacementAction::ReleaseSession { session: 0 }]);
     let load = ServerLoad::default();
     for stray in [
         PlacementEvent::SessionOpened {
--- a/crates/placement/tests/settings.rs
+++ b/crates/placement/tests/settings.rs
@@ -57,7 +57,7 @@
 }
 
 /// The least that settings may tell, and what is told beside it.
-fn read(told: &str) -> Result<settings::Settings, settings::SettingsError> {
+fn read(told: &str) -> Result<settings::ProxySettings, settings::SettingsError> {
     let text = "discovery=pushed instances=1 self_index=0 listeners.count=0 rules.cold_share=0.3 rules.cold=1 \
                 rules.tip_multiple=4";
     let all = text.split_whitespace().chain(told.split_whitespace());
--- a/crates/proxy/src/program/config.rs
+++ b/crates/proxy/src/program/config.rs
@@ -4,7 +4,7 @@
 use crate::protocol::discovery::{self, EndpointList, EndpointListError};
 use crate::protocol::json::{self, JsonError, JsonValue};
 use crate::routing::RouterOptions;
-use asterramp_placement::settings::{self, Settings, SettingsError};
+use asterramp_placement::settings::{self, ProxySettings, SettingsError};
 use std::collections::BTreeSet;
 use std::io;
 use std::net::SocketAddr;
@@ -196,7 +196,7 @@
     u64::from_str_radix(value.as_str()?, 16).ok()
 }
 
-fn parse_settings(value: &JsonValue) -> Result<Settings, ConfigError> {
+fn parse_settings(value: &JsonValue) -> Result<ProxySettings, ConfigError> {
     let mut pairs = Vec::new();
     value.flatten("", &mut pairs);
     let pairs = pairs
--- a/crates/proxy/src/program/operator_file.rs
+++ b/crates/proxy/src/program/operator_file.rs
@@ -5,7 +5,7 @@
 use asterramp_operator_config::{
     ConfigProblem, DrainConfig, OperatorConfig, WarmStartConfig, ZoneFailoverConfig,
 };
-use asterramp_placement::settings::Settings;
+use asterramp_placement::settings::ProxySettings;
 use asterramp_warm_start::WarmStartSettings;
 use asterramp_zone_failover::ZoneFailoverSettings;
 use std::io;
@@ -66,7 +66,7 @@
     Some(ZoneFailoverSettings {
         probe_interval: config.health_check_interval,
         hold_down: config.initial_hold,
-        hold_down_max: config.max_hold,
+        max_hold_down: config.max_hold,
         recovery_ramp: config.recovery_ramp,
         ..ZoneFailoverSettings::default()
     })
@@ -75,7 +75,7 @@
 /// How a warm start goes.
 pub(super) fn warm_start_settings(
     config: &WarmStartConfig,
-    settings: &Settings,
+    settings: &ProxySettings,
 ) -> WarmStartSettings {
     WarmStartSettings {
         discovery_timeout: config.discovery_wait,
--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -13,7 +13,7 @@
 use crate::transport::{SlotKey, StreamEnd};
 use asterramp_admission::{AdmissionRequest, Rejection};
 use asterramp_placement::event::SessionRequest;
-use asterramp_placement::settings::Settings;
+use asterramp_placement::settings::ProxySettings;
 use std::time::Duration;
 
 /// How long a pending client may take to say what it wants, however often it asks for other things.
@@ -301,7 +301,7 @@
 
 /// The indices of a request's listener and tenant in the settings; `None` if either is unknown.
 pub(super) fn listener_and_tenant(
-    settings: &Settings,
+    settings: &ProxySettings,
     open: &OpenRequest<'_>,
 ) -> Option<(u8, u16)> {
     let listener = index_of(&settings.listeners, open.listener)?;
--- a/crates/proxy/src/routing/discovery_watch.rs
+++ b/crates/proxy/src/routing/discovery_watch.rs
@@ -11,7 +11,7 @@
 use crate::transport::{SlotKey, socket};
 use asterramp_placement::PlacementEvent;
 use asterramp_placement::event::{Endpoint, EndpointUpdate, Outcome, ServerId};
-use asterramp_placement::settings::Settings;
+use asterramp_placement::settings::ProxySettings;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -53,8 +53,12 @@
 
 impl DiscoveryWatch {
     /// A watch that is not open yet and asks for changes after a revision.
-    pub(super) fn new(address: SocketAddr, revision: u64, settings: &Settings) -> DiscoveryWatch {
-        let paced_by_engine = settings.deployment.endpoint_poll_delay.is_some();
+    pub(super) fn new(
+        address: SocketAddr,
+        revision: u64,
+        settings: &ProxySettings,
+    ) -> DiscoveryWatch {
+        let paced_by_engine = settings.deployment.max_endpoint_list_age.is_some();
         DiscoveryWatch {
             address,
             revision,
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -39,7 +39,7 @@
 use asterramp_admission::AdmissionControl;
 use asterramp_drain::{Drain, DrainState};
 use asterramp_leader_lease::{FencingGuard, Term};
-use asterramp_placement::settings::Settings;
+use asterramp_placement::settings::ProxySettings;
 use asterramp_zone_failover::ZoneFailoverSettings;
 use discovery_watch::DiscoveryWatch;
 use endpoints::EndpointTable;
@@ -59,7 +59,7 @@
 /// A proxy's connections, sessions and timers, driven by one thread.
 pub struct Router {
     session_table: SessionTable<SessionConnections>,
-    settings: Settings,
+    settings: ProxySettings,
     resource_budget: ResourceBudget,
     poll: Poller,
     /// What [`Router::wait`] found ready.
@@ -151,7 +151,7 @@
 }
 
 /// Zone failover's settings as the deployment's own figures have them.
-fn zone_failover_settings(settings: &Settings) -> ZoneFailoverSettings {
+fn zone_failover_settings(settings: &ProxySettings) -> ZoneFailoverSettings {
     ZoneFailoverSettings {
         probing_allowed: settings.deployment.may_probe,
         // A probe has so long to connect, and twice as long to answer.
@@ -161,7 +161,7 @@
 }
 
 /// Admission control's settings: sessions are admitted by their listener's priority weight and their tenant's share.
-fn admission_settings(settings: &Settings) -> asterramp_admission::AdmissionSettings {
+fn admission_settings(settings: &ProxySettings) -> asterramp_admission::AdmissionSettings {
     let priority_weights = settings
         .deployment
         .listeners
@@ -170,7 +170,7 @@
         .collect();
     asterramp_admission::AdmissionSettings {
         priority_weights,
-        quotas: settings.tenant_shares.clone(),
+        quotas: settings.tenant_quotas.clone(),
         max_retry_after: settings.deployment.max_retry_after,
         rank_by_weight_alone: false,
     }
--- a/crates/proxy/src/routing/session_table.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -257,7 +257,7 @@
             } => (session, SessionInput::Reject { retry_after }),
             PlacementAction::Fail { session } => (session, SessionInput::Fail),
             PlacementAction::Migrate { session } => (session, SessionInput::Migrate),
-            PlacementAction::Forget { session } => {
+            PlacementAction::ReleaseSession { session } => {
                 if let Some(key) = self.sessions.key_at(session)
                     && !is_injected(InjectedFault::ForgottenSessionKept)
                 {
--- a/crates/proxy/src/routing/startup.rs
+++ b/crates/proxy/src/routing/startup.rs
@@ -17,7 +17,7 @@
 use asterramp_admission::AdmissionControl;
 use asterramp_drain::{Drain, DrainSettings, DrainState};
 use asterramp_leader_lease::FencingGuard;
-use asterramp_placement::settings::Settings;
+use asterramp_placement::settings::ProxySettings;
 use rustix::fd::OwnedFd;
 use std::collections::HashSet;
 use std::io;
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct RouterOptions {
     /// The deployment's settings.
-    pub settings: Settings,
+    pub settings: ProxySettings,
     /// Seeds the placement engine's and admission control's draws.
     pub seed: u64,
     /// Where clients connect.
@@ -142,7 +142,7 @@
 
     /// A router that watches nothing yet.
     fn without_connections(
-        settings: Settings,
+        settings: ProxySettings,
         seed: u64,
         resource_budget: ResourceBudget,
         discovery_watch: DiscoveryWatch,
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -60,7 +60,7 @@
         action: PlacementAction,
         reply: &mut Vec<u8>,
     ) {
-        if let PlacementAction::Forget { session } = action {
+        if let PlacementAction::ReleaseSession { session } = action {
             self.ids.remove_session(session);
         } else if let Some(record) = translate::action_record(instance, action, &self.ids) {
             record.append(reply);
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// The record of one action; `None` for [`PlacementAction::Forget`], which the simulator isn't told of.
+/// The record of one action; `None` for [`PlacementAction::ReleaseSession`], which the simulator isn't told of.
 pub(crate) fn action_record(
     instance: u16,
     action: PlacementAction,
@@ -118,7 +118,7 @@
             .put(action_field::SUBSCRIPTION, [SUBSCRIBE]),
         PlacementAction::SetTimer { after } => ActionRecord::new(action_code::SET_TIMER, instance)
             .put(action_field::TIMER_DELAY, microseconds(after)),
-        PlacementAction::Forget { .. } => return None,
+        PlacementAction::ReleaseSession { .. } => return None,
     };
     Some(record)
 }
--- a/crates/zone-failover/src/settings.rs
+++ b/crates/zone-failover/src/settings.rs
@@ -12,7 +12,7 @@
     /// How long a zone that is lost again soon after its recovery stays closed at least; doubles with each further loss.
     pub hold_down: Duration,
     /// Upper bound of the hold-down.
-    pub hold_down_max: Duration,
+    pub max_hold_down: Duration,
     /// Time over which a recovering zone gets its share of traffic back.
     pub recovery_ramp: Duration,
     /// How late discovery may be: a zone lost for longer whose servers are still listed as ready is partitioned.
@@ -30,7 +30,7 @@
             suspicion_timeout: Duration::from_secs(3),
             probe_interval: Duration::from_millis(1500),
             hold_down: Duration::from_secs(2),
-            hold_down_max: Duration::from_secs(60),
+            max_hold_down: Duration::from_secs(60),
             recovery_ramp: Duration::from_secs(3),
             discovery_delay: Duration::from_secs(6),
             in_flight_timeout: Duration::from_secs(1),
--- a/crates/zone-failover/src/zone.rs
+++ b/crates/zone-failover/src/zone.rs
@@ -76,7 +76,7 @@
             1
         };
         let doublings = self.recent_losses - 1;
-        let hold_down = (settings.hold_down * (1 << doublings) / 2).min(settings.hold_down_max);
+        let hold_down = (settings.hold_down * (1 << doublings) / 2).min(settings.max_hold_down);
         self.held_down_until = if self.recent_losses > 1 {
             now + hold_down
         } else {
--- a/crates/zone-failover/tests/failover.rs
+++ b/crates/zone-failover/tests/failover.rs
@@ -16,7 +16,7 @@
     suspicion_timeout: ms(3_000),
     probe_interval: ms(1_500),
     hold_down: ms(2_000),
-    hold_down_max: ms(9_000),
+    max_hold_down: ms(9_000),
     recovery_ramp: ms(3_000),
     discovery_delay: ms(6_000),
     in_flight_timeout: ms(500),
