--- a/crates/former-name/src/lib.rs
+++ b/crates/former-name/src/lib.rs
@@ -14,7 +14,7 @@
 ///
 /// Returns only if that program cannot be started: the reason goes to standard error, and the exit code is 127.
 #[must_use]
-pub fn run_as(present_name: &str) -> ExitCode {
+pub fn exec_renamed_program(present_name: &str) -> ExitCode {
     let program = match path_beside_this_program(present_name) {
         Ok(program) => program,
         Err(error) => return cannot_start(present_name, &error),
--- a/crates/model-checker/src/action.rs
+++ b/crates/model-checker/src/action.rs
@@ -61,7 +61,7 @@
     /// The client closes its side.
     ClientLeaves(u8),
     /// The client speaks before it is answered.
-    ClientSpeaks(u8),
+    ClientSendsEarly(u8),
     /// The client closes its side, and the event of that is yet to come: only a check of the connection finds it.
     ClientLeavesUnnoticed(u8),
     /// The endpoint list reports a change of a server.
@@ -77,7 +77,7 @@
     /// An operator drains the proxy.
     OperatorDrains,
     /// An operator cancels the drain.
-    OperatorUndrains,
+    OperatorCancelsDrain,
 }
 
 /// An action, and the range from which the placement engine draws its random numbers meanwhile.
--- a/crates/model-checker/src/action_text.rs
+++ b/crates/model-checker/src/action_text.rs
@@ -62,7 +62,7 @@
             }
             Action::ServerCloses(s) => write!(f, "session {s} host ends"),
             Action::ClientLeaves(s) => write!(f, "session {s} client leaves"),
-            Action::ClientSpeaks(s) => write!(f, "session {s} client speaks"),
+            Action::ClientSendsEarly(s) => write!(f, "session {s} client speaks"),
             Action::ClientLeavesUnnoticed(s) => write!(f, "session {s} client leaves unseen"),
             Action::StaleEvent(s) => write!(f, "session {s} closed connection wakes"),
             Action::EndpointChanges(server, change) => {
@@ -76,7 +76,7 @@
             Action::NextDeadline => f.write_str("next deadline"),
             Action::Sigterm => f.write_str("SIGTERM"),
             Action::OperatorDrains => f.write_str("operator drains"),
-            Action::OperatorUndrains => f.write_str("operator undrains"),
+            Action::OperatorCancelsDrain => f.write_str("operator undrains"),
         }
     }
 }
@@ -118,7 +118,7 @@
         ["next", "deadline"] => Some(Action::NextDeadline),
         ["SIGTERM"] => Some(Action::Sigterm),
         ["operator", "drains"] => Some(Action::OperatorDrains),
-        ["operator", "undrains"] => Some(Action::OperatorUndrains),
+        ["operator", "undrains"] => Some(Action::OperatorCancelsDrain),
         ["session", session, ref event @ ..] => parse_session_action(session.parse().ok()?, event),
         ["host", server, ref event @ ..] => parse_server_action(server.parse().ok()?, event),
         _ => None,
@@ -135,7 +135,7 @@
         ["host", "says", word] => Some(Action::ServerAnswers(session, server_message(word)?)),
         ["host", "ends"] => Some(Action::ServerCloses(session)),
         ["client", "leaves"] => Some(Action::ClientLeaves(session)),
-        ["client", "speaks"] => Some(Action::ClientSpeaks(session)),
+        ["client", "speaks"] => Some(Action::ClientSendsEarly(session)),
         ["client", "leaves", "unseen"] => Some(Action::ClientLeavesUnnoticed(session)),
         ["closed", "connection", "wakes"] => Some(Action::StaleEvent(session)),
         _ => None,
--- a/crates/model-checker/src/commands/error.rs
+++ b/crates/model-checker/src/commands/error.rs
@@ -22,9 +22,9 @@
     /// A trace needs an injected fault, which this build has not.
     #[cfg(not(feature = "injected-faults"))]
     #[error("plant {name}: build with --features injected-faults")]
-    FaultNotBuilt { name: String },
+    FaultNotCompiledIn { name: String },
     /// The command needs injected faults, which this build has not.
     #[cfg(not(feature = "injected-faults"))]
     #[error("this build has no injected faults; build it with --features injected-faults")]
-    NoFaultsBuilt,
+    FaultsNotCompiledIn,
 }
--- a/crates/model-checker/src/commands/injected_faults.rs
+++ b/crates/model-checker/src/commands/injected_faults.rs
@@ -1,21 +1,21 @@
 //! `injected-faults`: injects each known fault and looks for it.
 
 #[cfg(feature = "injected-faults")]
-pub(super) use with_feature::{find, inject_by_name};
+pub(super) use with_feature::{find_faults, inject_by_name};
 #[cfg(not(feature = "injected-faults"))]
-pub(super) use without_feature::{find, inject_by_name};
+pub(super) use without_feature::{find_faults, inject_by_name};
 
 #[cfg(not(feature = "injected-faults"))]
 mod without_feature {
     use crate::commands::error::CommandError;
     use crate::report::Verdict;
 
-    pub(in crate::commands) fn find(_: Option<&str>) -> Result<Verdict, CommandError> {
-        Err(CommandError::NoFaultsBuilt)
+    pub(in crate::commands) fn find_faults(_: Option<&str>) -> Result<Verdict, CommandError> {
+        Err(CommandError::FaultsNotCompiledIn)
     }
 
     pub(in crate::commands) fn inject_by_name(name: &str) -> Result<(), CommandError> {
-        Err(CommandError::FaultNotBuilt {
+        Err(CommandError::FaultNotCompiledIn {
             name: name.to_owned(),
         })
     }
@@ -46,7 +46,7 @@
     }
 
     /// Searches for all faults, or for the one of that name, and prints how each was found.
-    pub(in crate::commands) fn find(name: Option<&str>) -> Result<Verdict, CommandError> {
+    pub(in crate::commands) fn find_faults(name: Option<&str>) -> Result<Verdict, CommandError> {
         let named = name.and_then(InjectedFault::from_name);
         let mut verdict = Verdict::Holds;
         for fault in InjectedFault::ALL {
@@ -77,12 +77,12 @@
         /// Explores the quick shapes, up to the first in which a property does not hold.
         fn through_quick_shapes() -> FaultSearch {
             let limits = Limits {
-                states: MAX_STATES,
-                time: MAX_TIME,
+                max_states: MAX_STATES,
+                max_time: MAX_TIME,
                 ..Limits::default()
             };
             let mut search = FaultSearch::default();
-            for shape in SHAPES.iter().filter(|shape| shape.quick) {
+            for shape in SHAPES.iter().filter(|shape| shape.is_quick) {
                 let exploration = explore(shape, limits);
                 search.elapsed += exploration.elapsed;
                 search.states += exploration.states;
--- a/crates/model-checker/src/commands/mod.rs
+++ b/crates/model-checker/src/commands/mod.rs
@@ -16,7 +16,7 @@
 pub(crate) fn run(command: Command) -> Result<Verdict, CommandError> {
     match command {
         Command::Run(args) => run::run(&args),
-        Command::InjectedFaults { fault } => injected_faults::find(fault.as_deref()),
+        Command::InjectedFaults { fault } => injected_faults::find_faults(fault.as_deref()),
         Command::HotRestart => Ok(models::hot_restart()),
         Command::ZoneFailover { depth } => Ok(models::zone_failover(depth.into())),
         Command::WarmStart { depth } => Ok(models::warm_start(depth.into())),
--- a/crates/model-checker/src/commands/run.rs
+++ b/crates/model-checker/src/commands/run.rs
@@ -13,8 +13,8 @@
 /// Explores the shapes that are asked for, up to the first violation.
 pub(super) fn run(args: &RunArgs) -> Result<Verdict, CommandError> {
     let limits = Limits {
-        states: args.states,
-        time: Duration::from_secs(args.seconds),
+        max_states: args.states,
+        max_time: Duration::from_secs(args.seconds),
         ..Limits::default()
     };
     let mut verdict = Verdict::Holds;
@@ -36,7 +36,9 @@
 fn selected_shapes(args: &RunArgs) -> Result<Vec<&'static Shape>, CommandError> {
     let Some(name) = &args.shape else {
         let shapes = SHAPES.iter();
-        return Ok(shapes.filter(|shape| shape.quick || !args.quick).collect());
+        return Ok(shapes
+            .filter(|shape| shape.is_quick || !args.quick)
+            .collect());
     };
     if Shape::find(name).is_none() {
         return Err(CommandError::UnknownShape { name: name.clone() });
--- a/crates/model-checker/src/commands/walk.rs
+++ b/crates/model-checker/src/commands/walk.rs
@@ -11,14 +11,14 @@
 
 pub(super) fn walk(args: &WalkArgs) -> Result<Verdict, CommandError> {
     let WalkSummary {
-        walks,
-        actions,
-        complete,
+        walk_count,
+        action_count,
+        complete_walk_count,
         counterexample,
     } = walk_for(&WALK, args.seed, Duration::from_secs(args.seconds));
     let first_seed = args.seed;
     println!(
-        "{walks} walks from seed {first_seed}, {actions} steps, {complete} to the end of every session"
+        "{walk_count} walks from seed {first_seed}, {action_count} steps, {complete_walk_count} to the end of every session"
     );
     let Some((seed, found)) = counterexample else {
         return Ok(Verdict::Holds);
--- a/crates/model-checker/src/explorer.rs
+++ b/crates/model-checker/src/explorer.rs
@@ -3,7 +3,7 @@
 //! The states of a level are expanded in parallel, a batch at a time. Of equal states the earliest in order is kept, so that
 //! two explorations of a model keep the same states and give the same counterexample, whichever thread was faster.
 
-use crate::known_states::{KnownStates, MeetingNumber};
+use crate::known_states::{KnownStates, VisitNumber};
 use crate::model::Model;
 use rayon::prelude::*;
 use std::time::{Duration, Instant};
@@ -19,28 +19,28 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Different states.
-    pub states: u64,
+    pub max_states: u64,
     /// States of one level, which are in memory at once; a state of the placement model takes some 3 KiB.
-    pub level_size: usize,
+    pub max_level_size: usize,
     /// Actions between the start and a state.
-    pub depth: usize,
+    pub max_depth: usize,
     /// Time after which no further level is begun.
-    pub time: Duration,
+    pub max_time: Duration,
 }
 
 impl Limits {
     /// No limit, for a model with few states.
     pub const NONE: Limits = Limits {
-        states: u64::MAX,
-        level_size: usize::MAX,
-        depth: usize::MAX,
-        time: Duration::MAX,
+        max_states: u64::MAX,
+        max_level_size: usize::MAX,
+        max_depth: usize::MAX,
+        max_time: Duration::MAX,
     };
 
     /// No limit but the number of actions.
     pub fn to_depth(depth: usize) -> Limits {
         Limits {
-            depth,
+            max_depth: depth,
             ..Limits::NONE
         }
     }
@@ -50,10 +50,10 @@
     /// Bounds for a model with many states.
     fn default() -> Self {
         Limits {
-            states: 40_000_000,
-            level_size: 2_000_000,
-            depth: 200,
-            time: Duration::from_secs(600),
+            max_states: 40_000_000,
+            max_level_size: 2_000_000,
+            max_depth: 200,
+            max_time: Duration::from_secs(600),
         }
     }
 }
@@ -104,7 +104,7 @@
 struct Met<M: Model> {
     state: M,
     fingerprint: M::Fingerprint,
-    number: MeetingNumber,
+    number: VisitNumber,
 }
 
 /// What an action led to, if that was not known at the time.
@@ -138,7 +138,7 @@
     let mut explorer = Explorer::new(initial, prefix, limits);
     explorer.result.counterexample = violation;
     while !explorer.level.is_empty() && explorer.result.counterexample.is_none() {
-        if explorer.is_limit_reached() || started.elapsed() > limits.time {
+        if explorer.is_limit_reached() || started.elapsed() > limits.max_time {
             explorer.result.unexpanded = explorer.level.len() as u64;
             explorer.result.is_truncated = true;
             break;
@@ -181,7 +181,7 @@
 impl<'a, M: Model> Explorer<'a, M> {
     fn new(initial: M, prefix: &'a [M::Action], limits: Limits) -> Self {
         let known = KnownStates::new();
-        known.meet(initial.fingerprint(), 0);
+        known.record_visit(initial.fingerprint(), 0);
         Explorer {
             limits,
             prefix,
@@ -204,8 +204,8 @@
 
     fn is_limit_reached(&self) -> bool {
         self.result.is_truncated
-            || self.result.states >= self.limits.states
-            || self.result.depth >= self.limits.depth
+            || self.result.states >= self.limits.max_states
+            || self.result.depth >= self.limits.max_depth
     }
 
     /// Replaces the level by the states that it leads to and that are not known yet.
@@ -219,7 +219,7 @@
             }
             let states = self.result.states + self.level.len() as u64;
             let is_full =
-                states >= self.limits.states || self.level.len() >= self.limits.level_size;
+                states >= self.limits.max_states || self.level.len() >= self.limits.max_level_size;
             self.result.is_truncated |= is_full;
             if is_full || self.result.counterexample.is_some() {
                 break;
@@ -244,7 +244,7 @@
             .collect();
         expansions.par_iter_mut().for_each(|expansion| {
             let is_first = |successor: &Successor<M>| match &successor.outcome {
-                Ok(met) => known.was_first_met_at(&met.fingerprint, met.number),
+                Ok(met) => known.is_earliest_visit(&met.fingerprint, met.number),
                 Err(_) => true,
             };
             expansion.successors.retain(is_first);
@@ -290,7 +290,7 @@
 fn expand<M: Model>(
     state: &M,
     number: u32,
-    first_meeting: MeetingNumber,
+    first_meeting: VisitNumber,
     known: &KnownStates<M::Fingerprint>,
 ) -> Expansion<M> {
     let actions = if state.is_finished() {
@@ -318,7 +318,7 @@
 fn outcome_of<M: Model>(
     state: &M,
     action: M::Action,
-    number: MeetingNumber,
+    number: VisitNumber,
     known: &KnownStates<M::Fingerprint>,
 ) -> Option<Result<Met<M>, M::Violation>> {
     let mut next = state.clone();
@@ -326,7 +326,7 @@
         return Some(Err(violation));
     }
     let fingerprint = next.fingerprint();
-    if !known.meet(fingerprint.clone(), number) {
+    if !known.record_visit(fingerprint.clone(), number) {
         return None;
     }
     Some(next.check().map(|()| Met {
--- a/crates/model-checker/src/hot_restart/model.rs
+++ b/crates/model-checker/src/hot_restart/model.rs
@@ -1,6 +1,6 @@
 //! The two processes, and what may happen to them.
 
-use super::process::{ConnectionSet, Message, Process, set_of};
+use super::process::{ConnectionSet, Message, Process, connection_set};
 use crate::model::Model;
 use asterramp_hot_restart::{
     Delivery, HotRestartEffect, HotRestartInput, HotRestartState, MAX_PENDING_OFFERS,
@@ -72,7 +72,7 @@
     ServedWithoutDescriptor(u8),
     /// These connections did not end with their owner, and belong to no process that lives.
     #[error("connections {0:#b} are nobody's")]
-    Lost(u8),
+    ConnectionsLost(u8),
 }
 
 /// A predecessor, its successor and the connections.
@@ -155,7 +155,7 @@
         let connection = predecessor.served.trailing_zeros() as u8;
         let delivery = predecessor.send(&mut self.successor, Message::Offer(connection));
         if delivery == Delivery::Sent {
-            predecessor.served &= !set_of([connection]);
+            predecessor.served &= !connection_set([connection]);
             predecessor.ownership.add_offer(connection);
         }
     }
@@ -185,8 +185,8 @@
             Delivery::PeerGone
         };
         let end = predecessor.ownership.end_handover(notice);
-        predecessor.served |= set_of(end.resumed);
-        predecessor.descriptors &= !set_of(end.released);
+        predecessor.served |= connection_set(end.resumed);
+        predecessor.descriptors &= !connection_set(end.released);
     }
 
     fn successor_reads(&mut self) {
@@ -201,7 +201,7 @@
         if effect == HotRestartEffect::AdoptOffer {
             return;
         }
-        let unconfirmed = set_of(successor.ownership.take_unconfirmed());
+        let unconfirmed = connection_set(successor.ownership.take_unconfirmed());
         if effect == HotRestartEffect::AdoptUnconfirmed {
             successor.served |= unconfirmed;
         } else {
@@ -217,8 +217,8 @@
         let acceptance = successor.send(&mut self.predecessor, Message::OfferAccepted);
         match successor.ownership.receive_offer(connection, acceptance) {
             Ok(adoptable) => {
-                successor.descriptors |= set_of([connection]);
-                successor.served |= set_of(adoptable);
+                successor.descriptors |= connection_set([connection]);
+                successor.served |= connection_set(adoptable);
                 HotRestartInput::OfferReceived
             }
             Err(_) => HotRestartInput::PeerFailed,
@@ -253,7 +253,7 @@
         let owned = self.predecessor.served | self.successor.served;
         let lost = ALL_CONNECTIONS & !(owned | self.ended);
         if is_quiet && is_anyone_alive && lost != 0 {
-            return Err(HotRestartViolation::Lost(lost));
+            return Err(HotRestartViolation::ConnectionsLost(lost));
         }
         Ok(())
     }
--- a/crates/model-checker/src/hot_restart/process.rs
+++ b/crates/model-checker/src/hot_restart/process.rs
@@ -10,7 +10,7 @@
 pub(super) type ConnectionSet = u8;
 
 /// The set of these connections.
-pub(super) fn set_of(connections: impl IntoIterator<Item = u8>) -> ConnectionSet {
+pub(super) fn connection_set(connections: impl IntoIterator<Item = u8>) -> ConnectionSet {
     connections
         .into_iter()
         .fold(0, |set, number| set | 1 << number)
@@ -93,6 +93,6 @@
 
     /// The successor has accepted the oldest offer, so the connection is not this process's any more.
     pub(super) fn release_oldest_offer(&mut self) {
-        self.descriptors &= !set_of(self.ownership.accept_oldest());
+        self.descriptors &= !connection_set(self.ownership.accept_oldest());
     }
 }
--- a/crates/model-checker/src/known_states.rs
+++ b/crates/model-checker/src/known_states.rs
@@ -9,12 +9,12 @@
 const SHARDS: usize = 256;
 
 /// Where a state was met in the order of the exploration: a lower number is earlier.
-pub(crate) type MeetingNumber = u64;
+pub(crate) type VisitNumber = u64;
 
 /// Fingerprints with the earliest place at which each was met, whichever thread came first.
 #[derive(Debug)]
 pub(crate) struct KnownStates<F> {
-    shards: Vec<Mutex<HashMap<F, MeetingNumber>>>,
+    shards: Vec<Mutex<HashMap<F, VisitNumber>>>,
     hasher: RandomState,
 }
 
@@ -27,7 +27,7 @@
     }
 
     /// Notes a meeting. Returns whether none before it is known by now; a thread may still bring one.
-    pub(crate) fn meet(&self, fingerprint: F, number: MeetingNumber) -> bool {
+    pub(crate) fn record_visit(&self, fingerprint: F, number: VisitNumber) -> bool {
         match self.shard(&fingerprint).entry(fingerprint) {
             Entry::Vacant(unknown) => {
                 unknown.insert(number);
@@ -42,11 +42,11 @@
     }
 
     /// Whether a state was met there for the first time. Settled once all threads are done with its batch.
-    pub(crate) fn was_first_met_at(&self, fingerprint: &F, number: MeetingNumber) -> bool {
+    pub(crate) fn is_earliest_visit(&self, fingerprint: &F, number: VisitNumber) -> bool {
         self.shard(fingerprint).get(fingerprint) == Some(&number)
     }
 
-    fn shard(&self, fingerprint: &F) -> MutexGuard<'_, HashMap<F, MeetingNumber>> {
+    fn shard(&self, fingerprint: &F) -> MutexGuard<'_, HashMap<F, VisitNumber>> {
         let shard = self.hasher.hash_one(fingerprint) as usize % SHARDS;
         self.shards[shard]
             .lock()
--- a/crates/model-checker/src/leader_lease/contender.rs
+++ b/crates/model-checker/src/leader_lease/contender.rs
@@ -1,8 +1,8 @@
 //! A contender, with its requests and orders that are not done yet. All times that are passed in are true ones.
 
-use super::clocks::time_by_contender;
-use super::reference::Reference;
-use super::settings::RECEIVERS;
+use super::clocks::contender_time;
+use super::reference::FingerprintReference;
+use super::settings::RECEIVER_COUNT;
 use super::violation::LeaseViolation;
 use asterramp_leader_lease::{
     FencingToken, LeaseContender, LeaseState, OrderPurpose, ReceiverClock, Term,
@@ -44,11 +44,11 @@
     /// Its times are by the contender's clock.
     pub(super) store_request: Option<StoreRequest>,
     /// Its request to each receiver.
-    pub(super) clock_requests: [ClockRequest; RECEIVERS],
+    pub(super) clock_requests: [ClockRequest; RECEIVER_COUNT],
     /// The order for each receiver that it has made and not sent.
-    pub(super) unsent_orders: [Option<FencingToken>; RECEIVERS],
+    pub(super) unsent_orders: [Option<FencingToken>; RECEIVER_COUNT],
     /// Receivers that have accepted its term.
-    informed_receivers: [bool; RECEIVERS],
+    informed_receivers: [bool; RECEIVER_COUNT],
     /// Whether it has led since it queued.
     has_led: bool,
 }
@@ -59,9 +59,9 @@
             number,
             contender,
             store_request: None,
-            clock_requests: [ClockRequest::None; RECEIVERS],
-            unsent_orders: [None; RECEIVERS],
-            informed_receivers: [false; RECEIVERS],
+            clock_requests: [ClockRequest::None; RECEIVER_COUNT],
+            unsent_orders: [None; RECEIVER_COUNT],
+            informed_receivers: [false; RECEIVER_COUNT],
             has_led: false,
         }
     }
@@ -79,7 +79,7 @@
     }
 
     fn clock(&self, now: Duration) -> Duration {
-        time_by_contender(self.number, now)
+        contender_time(self.number, now)
     }
 
     pub(super) fn tick(&mut self, now: Duration) {
@@ -91,7 +91,7 @@
     pub(super) fn join_queue(&mut self, now: Duration, term: Term) {
         let clock = self.clock(now);
         self.has_led = false;
-        self.informed_receivers = [false; RECEIVERS];
+        self.informed_receivers = [false; RECEIVER_COUNT];
         self.contender.joined_queue(clock, clock, term);
     }
 
@@ -159,33 +159,33 @@
     }
 
     /// A receiver has accepted its term.
-    pub(super) fn inform_receiver(&mut self, receiver: usize) {
+    pub(super) fn receiver_accepted_term(&mut self, receiver: usize) {
         self.informed_receivers[receiver] = true;
-        if self.informed_receivers == [true; RECEIVERS] {
+        if self.informed_receivers == [true; RECEIVER_COUNT] {
             self.contender.all_receivers_know_term();
         }
     }
 
     /// Whether it leads, or has led, with a later term than this.
-    pub(super) fn has_led_after(&self, term: Term) -> bool {
+    pub(super) fn has_led_with_later_term(&self, term: Term) -> bool {
         self.has_led && self.term() > term
     }
 
     /// Equal for contenders that behave alike.
-    pub(super) fn fingerprint(&self, reference: Reference) -> String {
+    pub(super) fn fingerprint(&self, reference: FingerprintReference) -> String {
         let state = self.contender.relative_state(self.clock(reference.now));
         let store_request = self.fingerprint_of_store_request(reference);
-        let clock_requests: [String; RECEIVERS] =
+        let clock_requests: [String; RECEIVER_COUNT] =
             std::array::from_fn(|receiver| self.fingerprint_of_clock_request(receiver, reference));
-        let unsent_orders: [_; RECEIVERS] = std::array::from_fn(|receiver| {
+        let unsent_orders: [_; RECEIVER_COUNT] = std::array::from_fn(|receiver| {
             let token = self.unsent_orders[receiver]?;
-            Some(reference.token(receiver, token))
+            Some(reference.relative_token(receiver, token))
         });
         let progress = (self.informed_receivers, self.has_led);
         format!("{state}{store_request}{clock_requests:?}{unsent_orders:?}{progress:?}")
     }
 
-    fn fingerprint_of_store_request(&self, reference: Reference) -> String {
+    fn fingerprint_of_store_request(&self, reference: FingerprintReference) -> String {
         let age = |sent_at: Duration| (self.clock(reference.now) - sent_at).as_millis();
         match self.store_request {
             None => "none".into(),
@@ -197,16 +197,20 @@
         }
     }
 
-    fn fingerprint_of_clock_request(&self, receiver: usize, reference: Reference) -> String {
+    fn fingerprint_of_clock_request(
+        &self,
+        receiver: usize,
+        reference: FingerprintReference,
+    ) -> String {
         match self.clock_requests[receiver] {
             ClockRequest::None => "none".into(),
             ClockRequest::Sent => "sent".into(),
             ClockRequest::Answered(clock) => {
-                format!("answered {:?}", reference.receiver_clock(receiver, clock))
+                format!("answered {:?}", reference.relative_clock(receiver, clock))
             }
             ClockRequest::Received { clock, received_at } => {
                 let age = self.clock(reference.now) - received_at;
-                let clock = reference.receiver_clock(receiver, clock);
+                let clock = reference.relative_clock(receiver, clock);
                 format!("received {clock:?} {age:?}")
             }
         }
--- a/crates/model-checker/src/leader_lease/factory.rs
+++ b/crates/model-checker/src/leader_lease/factory.rs
@@ -6,31 +6,31 @@
 
 /// What the code that decides is created with.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Factory {
+pub(super) struct LeaseFactory {
     #[cfg(feature = "injected-faults")]
     pub(super) injected_fault: Option<InjectedFault>,
 }
 
 #[cfg(not(feature = "injected-faults"))]
-impl Factory {
-    pub(super) fn contender(self, settings: LeaseSettings) -> LeaseContender {
+impl LeaseFactory {
+    pub(super) fn new_contender(self, settings: LeaseSettings) -> LeaseContender {
         LeaseContender::new(settings)
     }
 
-    pub(super) fn guard(self, incarnation: u64, highest_term: Term) -> FencingGuard {
+    pub(super) fn new_guard(self, incarnation: u64, highest_term: Term) -> FencingGuard {
         FencingGuard::new(incarnation, highest_term)
     }
 }
 
 #[cfg(feature = "injected-faults")]
-impl Factory {
-    pub(super) fn contender(self, settings: LeaseSettings) -> LeaseContender {
+impl LeaseFactory {
+    pub(super) fn new_contender(self, settings: LeaseSettings) -> LeaseContender {
         let mut contender = LeaseContender::new(settings);
         contender.injected_fault = self.injected_fault;
         contender
     }
 
-    pub(super) fn guard(self, incarnation: u64, highest_term: Term) -> FencingGuard {
+    pub(super) fn new_guard(self, incarnation: u64, highest_term: Term) -> FencingGuard {
         let mut guard = FencingGuard::new(incarnation, highest_term);
         guard.injected_fault = self.injected_fault;
         guard
--- a/crates/model-checker/src/leader_lease/mod.rs
+++ b/crates/model-checker/src/leader_lease/mod.rs
@@ -45,7 +45,7 @@
     type Fingerprint = String;
 
     fn fingerprint(&self) -> String {
-        self.relative_state()
+        self.fingerprint_text()
     }
 
     fn actions(&self) -> Vec<LeaseAction> {
@@ -53,7 +53,7 @@
     }
 
     fn apply(&mut self, action: LeaseAction) -> Result<(), LeaseViolation> {
-        self.handle(action)
+        self.apply_and_check(action)
     }
 }
 
--- a/crates/model-checker/src/leader_lease/model.rs
+++ b/crates/model-checker/src/leader_lease/model.rs
@@ -1,12 +1,12 @@
 //! Contenders, store, receivers and their clocks.
 
 use super::action::{LeaseAction, Link};
-use super::clocks::{START, TICK, phase, true_time};
+use super::clocks::{START_TIME, TICK, receiver_to_true_time, slow_clock_phase};
 use super::contender::{ClockRequest, ContenderModel, StoreRequest};
-use super::factory::Factory;
+use super::factory::LeaseFactory;
 use super::receiver::{OrderInFlight, ReceiverModel};
-use super::reference::Reference;
-use super::settings::{CONTENDERS, RECEIVERS, SETTINGS};
+use super::reference::FingerprintReference;
+use super::settings::{CONTENDER_COUNT, RECEIVER_COUNT, SETTINGS};
 use super::store::LeaseStore;
 use super::violation::LeaseViolation;
 #[cfg(feature = "injected-faults")]
@@ -20,13 +20,13 @@
 pub struct LeaderLeaseModel {
     /// The true time.
     pub(super) now: Duration,
-    pub(super) contenders: [ContenderModel; CONTENDERS],
+    pub(super) contenders: [ContenderModel; CONTENDER_COUNT],
     pub(super) store: LeaseStore,
-    receivers: [ReceiverModel; RECEIVERS],
+    receivers: [ReceiverModel; RECEIVER_COUNT],
     /// Processes of receivers so far.
     incarnations: u64,
     pub(super) orders_in_flight: BTreeSet<OrderInFlight>,
-    factory: Factory,
+    factory: LeaseFactory,
     /// The first violation of the present action.
     violation: Option<LeaseViolation>,
 }
@@ -40,29 +40,29 @@
 impl LeaderLeaseModel {
     /// Nobody is queued, and no order was ever given.
     pub fn new() -> LeaderLeaseModel {
-        LeaderLeaseModel::with_factory(Factory::default())
+        LeaderLeaseModel::with_factory(LeaseFactory::default())
     }
 
     /// The same with a fault in the code that decides.
     #[cfg(feature = "injected-faults")]
     pub fn with_fault(injected_fault: InjectedFault) -> LeaderLeaseModel {
-        LeaderLeaseModel::with_factory(Factory {
+        LeaderLeaseModel::with_factory(LeaseFactory {
             injected_fault: Some(injected_fault),
         })
     }
 
-    fn with_factory(factory: Factory) -> LeaderLeaseModel {
-        let contender = |number| ContenderModel::new(number, factory.contender(SETTINGS));
+    fn with_factory(factory: LeaseFactory) -> LeaderLeaseModel {
+        let contender = |number| ContenderModel::new(number, factory.new_contender(SETTINGS));
         let receiver = |number| {
-            let guard = factory.guard(number as u64 + 1, NO_TERM);
+            let guard = factory.new_guard(number as u64 + 1, NO_TERM);
             ReceiverModel::new(number, guard)
         };
         LeaderLeaseModel {
-            now: START,
+            now: START_TIME,
             contenders: [contender(0), contender(1)],
             store: LeaseStore::new(),
             receivers: [receiver(0), receiver(1)],
-            incarnations: RECEIVERS as u64,
+            incarnations: RECEIVER_COUNT as u64,
             orders_in_flight: BTreeSet::new(),
             factory,
             violation: None,
@@ -125,7 +125,7 @@
     fn handle_store_request(&mut self, contender: usize) {
         let request = &mut self.contenders[contender].store_request;
         if let Some(StoreRequest::Sent { sent_at }) = *request {
-            let queue_head = self.store.renew(contender, self.now);
+            let queue_head = self.store.renew_session(contender, self.now);
             *request = Some(StoreRequest::Handled {
                 sent_at,
                 queue_head,
@@ -134,7 +134,7 @@
     }
 
     fn restart_contender(&mut self, number: usize) {
-        let contender = self.factory.contender(SETTINGS);
+        let contender = self.factory.new_contender(SETTINGS);
         self.contenders[number] = ContenderModel::new(number, contender);
     }
 
@@ -158,13 +158,13 @@
         purpose: OrderPurpose,
     ) -> Result<(), LeaseViolation> {
         let contender = link.contender;
-        if self.store.lost[contender] {
+        if self.store.has_lost_session[contender] {
             return Ok(());
         }
         let Some(session) = self.store.sessions[contender] else {
             return Err(LeaseViolation::OrderWithoutSession { contender });
         };
-        if true_time(link.receiver, order.expires_at) > session.expires_at() {
+        if receiver_to_true_time(link.receiver, order.expires_at) > session.expires_at() {
             return Err(LeaseViolation::OrderOutlivesSession { contender });
         }
         let is_first = self.store.queue_head() == Some(session.term);
@@ -189,7 +189,7 @@
             self.record(checked);
             for contender in &mut self.contenders {
                 if contender.term() == order.term {
-                    contender.inform_receiver(order.receiver);
+                    contender.receiver_accepted_term(order.receiver);
                 }
             }
         }
@@ -199,7 +199,7 @@
     fn check_accepted(&mut self, order: &OrderInFlight) -> Result<(), LeaseViolation> {
         let receiver = &mut self.receivers[order.receiver];
         let checked = receiver.check_accepted(self.now, order);
-        let kept = receiver.keep_term(order.term);
+        let kept = receiver.record_accepted_term(order.term);
         checked?;
         self.check_not_superseded(order)?;
         kept
@@ -208,7 +208,8 @@
     /// No later leader may lead.
     fn check_not_superseded(&self, order: &OrderInFlight) -> Result<(), LeaseViolation> {
         let mut contenders = self.contenders.iter();
-        let later_leader = contenders.find(|contender| contender.has_led_after(order.term));
+        let later_leader =
+            contenders.find(|contender| contender.has_led_with_later_term(order.term));
         match later_leader {
             None => Ok(()),
             Some(later_leader) => Err(LeaseViolation::FormerLeaderAccepted {
@@ -220,15 +221,15 @@
     }
 
     fn restart_receiver(&mut self, receiver: usize, has_disk: bool) {
-        let kept_term = self.receivers[receiver].kept_term;
-        let known_term = if has_disk { kept_term } else { NO_TERM };
+        let persisted_term = self.receivers[receiver].persisted_term;
+        let known_term = if has_disk { persisted_term } else { NO_TERM };
         self.incarnations += 1;
-        let guard = self.factory.guard(self.incarnations, known_term);
+        let guard = self.factory.new_guard(self.incarnations, known_term);
         self.receivers[receiver].restart(guard, known_term);
     }
 
     /// Lets an action happen, and checks what must hold then.
-    pub(super) fn handle(&mut self, action: LeaseAction) -> Result<(), LeaseViolation> {
+    pub(super) fn apply_and_check(&mut self, action: LeaseAction) -> Result<(), LeaseViolation> {
         self.perform(action);
         for contender in &mut self.contenders {
             contender.tick(self.now);
@@ -237,12 +238,12 @@
     }
 
     /// Equal for models that behave alike.
-    pub(super) fn relative_state(&self) -> String {
-        let reference = Reference {
+    pub(super) fn fingerprint_text(&self) -> String {
+        let reference = FingerprintReference {
             now: self.now,
             incarnations: self.incarnations,
         };
-        let mut parts = vec![phase(self.now).to_string()];
+        let mut parts = vec![slow_clock_phase(self.now).to_string()];
         parts.push(self.store.fingerprint(reference));
         let contenders = self.contenders.iter();
         parts.extend(contenders.map(|contender| contender.fingerprint(reference)));
--- a/crates/model-checker/src/leader_lease/possible_actions.rs
+++ b/crates/model-checker/src/leader_lease/possible_actions.rs
@@ -3,18 +3,18 @@
 use super::action::{LeaseAction, Link};
 use super::contender::{ClockRequest, StoreRequest};
 use super::model::LeaderLeaseModel;
-use super::settings::{CONTENDERS, MAX_ORDERS_IN_FLIGHT, RECEIVER_WITH_DISK, RECEIVERS};
+use super::settings::{CONTENDER_COUNT, MAX_ORDERS_IN_FLIGHT, RECEIVER_COUNT, RECEIVER_WITH_DISK};
 use asterramp_leader_lease::{LeaseState, OrderPurpose};
 
 impl LeaderLeaseModel {
     /// All that may happen next.
     pub(super) fn possible_actions(&self) -> Vec<LeaseAction> {
         let mut actions = vec![LeaseAction::TimePasses, LeaseAction::LoseAllSessions];
-        for contender in 0..CONTENDERS {
+        for contender in 0..CONTENDER_COUNT {
             actions.extend(self.queue_actions(contender));
             actions.extend(self.request_actions(contender));
             actions.extend(self.session_actions(contender));
-            for receiver in 0..RECEIVERS {
+            for receiver in 0..RECEIVER_COUNT {
                 actions.extend(self.link_actions(Link {
                     contender,
                     receiver,
@@ -23,7 +23,7 @@
         }
         let in_flight = 0..self.orders_in_flight.len();
         actions.extend(in_flight.map(LeaseAction::DeliverOrder));
-        for receiver in 0..RECEIVERS {
+        for receiver in 0..RECEIVER_COUNT {
             actions.push(LeaseAction::RestartReceiver {
                 receiver,
                 has_disk: false,
--- a/crates/model-checker/src/leader_lease/receiver.rs
+++ b/crates/model-checker/src/leader_lease/receiver.rs
@@ -1,7 +1,7 @@
 //! A receiver of orders, and the orders in flight to receivers. All times that are passed in are true ones.
 
-use super::clocks::time_by_receiver;
-use super::reference::Reference;
+use super::clocks::receiver_time;
+use super::reference::FingerprintReference;
 use super::violation::LeaseViolation;
 use asterramp_leader_lease::{FencingGuard, FencingToken, NO_TERM, ReceiverClock, Term};
 use std::time::Duration;
@@ -34,8 +34,8 @@
     }
 
     /// Equal for orders that count alike.
-    pub(super) fn fingerprint(&self, reference: Reference) -> String {
-        let token = reference.token(self.receiver, self.token());
+    pub(super) fn fingerprint(&self, reference: FingerprintReference) -> String {
+        let token = reference.relative_token(self.receiver, self.token());
         format!("{}{token:?}", self.receiver)
     }
 }
@@ -45,7 +45,7 @@
     number: usize,
     guard: FencingGuard,
     /// The highest term that it has kept on disk.
-    pub(super) kept_term: Term,
+    pub(super) persisted_term: Term,
     /// The highest term that its present process has accepted or read from its disk.
     accepted_term: Term,
 }
@@ -55,7 +55,7 @@
         ReceiverModel {
             number,
             guard,
-            kept_term: NO_TERM,
+            persisted_term: NO_TERM,
             accepted_term: NO_TERM,
         }
     }
@@ -67,12 +67,12 @@
     }
 
     pub(super) fn clock(&self, now: Duration) -> ReceiverClock {
-        self.guard.clock(time_by_receiver(self.number, now))
+        self.guard.clock(receiver_time(self.number, now))
     }
 
     /// An order arrives; whether it is accepted.
     pub(super) fn accepts(&mut self, now: Duration, order: &OrderInFlight) -> bool {
-        let clock = time_by_receiver(self.number, now);
+        let clock = receiver_time(self.number, now);
         self.guard.check(clock, &order.token()).is_ok()
     }
 
@@ -101,10 +101,10 @@
     }
 
     /// Keeps the term of an order that has just been accepted.
-    pub(super) fn keep_term(&mut self, term: Term) -> Result<(), LeaseViolation> {
+    pub(super) fn record_accepted_term(&mut self, term: Term) -> Result<(), LeaseViolation> {
         self.accepted_term = self.accepted_term.max(term);
-        self.kept_term = self.guard.highest_term();
-        if self.kept_term < self.accepted_term {
+        self.persisted_term = self.guard.highest_term();
+        if self.persisted_term < self.accepted_term {
             let receiver = self.number;
             return Err(LeaseViolation::TermForgotten { receiver });
         }
@@ -112,9 +112,9 @@
     }
 
     /// Equal for receivers that behave alike.
-    pub(super) fn fingerprint(&self, reference: Reference) -> String {
+    pub(super) fn fingerprint(&self, reference: FingerprintReference) -> String {
         let incarnation = self.guard.clock(Duration::ZERO).incarnation;
-        let terms = (self.kept_term, self.accepted_term);
+        let terms = (self.persisted_term, self.accepted_term);
         format!("{terms:?}{}", reference.later_incarnations(incarnation))
     }
 }
--- a/crates/model-checker/src/leader_lease/settings.rs
+++ b/crates/model-checker/src/leader_lease/settings.rs
@@ -3,8 +3,8 @@
 use asterramp_leader_lease::LeaseSettings;
 use std::time::Duration;
 
-pub(super) const CONTENDERS: usize = 2;
-pub(super) const RECEIVERS: usize = 2;
+pub(super) const CONTENDER_COUNT: usize = 2;
+pub(super) const RECEIVER_COUNT: usize = 2;
 /// The receiver that may also restart with its disk.
 pub(super) const RECEIVER_WITH_DISK: usize = 0;
 /// Orders in flight at most.
--- a/crates/model-checker/src/leader_lease/situation.rs
+++ b/crates/model-checker/src/leader_lease/situation.rs
@@ -1,7 +1,7 @@
 //! Situations that are too far from the start for an exploration to reach them within its depth.
 
 use super::action::{LeaseAction, Link};
-use super::settings::CONTENDERS;
+use super::settings::CONTENDER_COUNT;
 use asterramp_leader_lease::OrderPurpose;
 
 /// The contender that leads first, and the one that follows it.
@@ -75,7 +75,7 @@
                 let mut actions = LeaseSituation::SuccessorQueued.actions();
                 for _ in 0..TICKS_UNTIL_LEADING {
                     actions.push(LeaseAction::TimePasses);
-                    actions.extend((0..CONTENDERS).flat_map(renew));
+                    actions.extend((0..CONTENDER_COUNT).flat_map(renew));
                 }
                 actions
             }
--- a/crates/model-checker/src/monitor/mod.rs
+++ b/crates/model-checker/src/monitor/mod.rs
@@ -16,7 +16,7 @@
 /// The zone of a server that is not known.
 const UNKNOWN_ZONE: u8 = u8::MAX;
 
-/// Watches over a world. The first violation of an action is kept until [`Monitor::verdict`].
+/// Watches over a world. The first violation of an action is kept until [`Monitor::take_violation`].
 #[derive(Clone, Debug)]
 pub(crate) struct Monitor {
     /// What is known of each session's idempotency.
@@ -47,7 +47,7 @@
     }
 
     /// The first violation since the last call.
-    pub(crate) fn verdict(&mut self) -> Result<(), Violation> {
+    pub(crate) fn take_violation(&mut self) -> Result<(), Violation> {
         self.violation.take().map_or(Ok(()), Err)
     }
 
@@ -283,7 +283,7 @@
 
     /// The client has closed its side, unnoticed so far: nothing may be begun for it any more, though a dial that is
     /// under way may go on.
-    pub(crate) fn on_client_gone(&mut self, session: u8) {
+    pub(crate) fn on_client_left_unnoticed(&mut self, session: u8) {
         self.session_mut(session).client_gone = true;
     }
 
@@ -338,7 +338,7 @@
 
     /// What has to hold at each moment: every answer came in time, and no dial is under way for a client that does not
     /// wait.
-    pub(crate) fn check_now(&mut self, now: Duration) {
+    pub(crate) fn check_sessions_now(&mut self, now: Duration) {
         for session in 0..self.sessions.len() as u8 {
             let observed = self.session(session);
             let is_late = observed.is_late(now);
--- a/crates/model-checker/src/placement_model.rs
+++ b/crates/model-checker/src/placement_model.rs
@@ -1,11 +1,11 @@
-//! Sessions and their placement as a [`Model`]: a [`World`] within the bounds of a [`Shape`].
+//! Sessions and their placement as a [`Model`]: a [`SystemState`] within the bounds of a [`Shape`].
 
 use crate::action::{Action, Choice};
 use crate::explorer::{self, Counterexample, Exploration, Limits};
 use crate::model::Model;
 use crate::properties::Violation;
 use crate::shape::Shape;
-use crate::world::World;
+use crate::system_state::SystemState;
 
 /// Ranges of random numbers that are explored of an arrival, whose placement is drawn among all servers.
 const RANGES_OF_ARRIVAL: u8 = 4;
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct PlacementModel {
     shape: &'static Shape,
-    world: World,
+    state: SystemState,
 }
 
 impl PlacementModel {
@@ -32,7 +32,7 @@
     pub fn new(shape: &'static Shape) -> PlacementModel {
         PlacementModel {
             shape,
-            world: World::new(shape),
+            state: SystemState::new(shape),
         }
     }
 }
@@ -45,7 +45,7 @@
         | Action::RequestWritten(_)
         | Action::Sigterm
         | Action::ClientLeaves(_)
-        | Action::ClientSpeaks(_) => RANGES_WITHOUT_PLACEMENT,
+        | Action::ClientSendsEarly(_) => RANGES_WITHOUT_PLACEMENT,
         _ => RANGES_OF_PLACEMENT,
     }
 }
@@ -56,16 +56,16 @@
     type Fingerprint = u128;
 
     fn fingerprint(&self) -> u128 {
-        self.world.fingerprint()
+        self.state.fingerprint()
     }
 
     fn is_finished(&self) -> bool {
-        self.world.is_finished(self.shape)
+        self.state.is_finished(self.shape)
     }
 
     fn actions(&self) -> Vec<Choice> {
         let mut actions = Vec::new();
-        self.world.actions(self.shape, &mut actions);
+        self.state.actions(self.shape, &mut actions);
         let with_ranges = |action| {
             (0..random_ranges(action)).map(move |random_range| Choice {
                 action,
@@ -76,7 +76,7 @@
     }
 
     fn apply(&mut self, choice: Choice) -> Result<(), Violation> {
-        self.world.apply(self.shape, choice)
+        self.state.apply(self.shape, choice)
     }
 }
 
--- a/crates/model-checker/src/shape.rs
+++ b/crates/model-checker/src/shape.rs
@@ -12,7 +12,7 @@
     /// One session each: whether it may run more than once.
     pub sessions: &'static [RetrySafety],
     /// How many servers there are.
-    pub servers: u8,
+    pub server_count: u8,
     /// Dials that a session may have.
     pub max_dials: u32,
     /// Whether the proxy may probe servers.
@@ -20,7 +20,7 @@
     /// Whether the proxy may cancel a dial that is under way.
     pub may_cancel_dials: bool,
     /// Changes of servers that the endpoint list may report.
-    pub endpoint_changes: u8,
+    pub max_endpoint_changes: u8,
     /// Whether clients may leave, or speak, before they are answered.
     pub clients_leave_early: bool,
     /// Whether clients may leave without an event at first.
@@ -28,17 +28,17 @@
     /// How long clients wait for an answer: several of the placement engine's ticks.
     pub client_wait: Duration,
     /// Whether SIGTERM may come.
-    pub sigterm: bool,
+    pub may_receive_sigterm: bool,
     /// How often an operator may drain the proxy or cancel that.
-    pub operator_orders: u8,
+    pub max_operator_orders: u8,
     /// Whether a dial may find no socket.
     pub dials_without_socket: bool,
     /// Events of connections that are closed already.
-    pub stale_events: u8,
+    pub max_stale_events: u8,
     /// Whether the last server is warming up at the start.
-    pub slow_start: bool,
+    pub last_server_warming_up: bool,
     /// Whether `run --quick` explores it.
-    pub quick: bool,
+    pub is_quick: bool,
 }
 
 const IDEMPOTENT: RetrySafety = RetrySafety::Idempotent;
@@ -75,20 +75,20 @@
 const BASE: Shape = Shape {
     name: "",
     sessions: &[],
-    servers: 2,
+    server_count: 2,
     max_dials: 2,
     may_probe: false,
     may_cancel_dials: true,
-    endpoint_changes: 1,
+    max_endpoint_changes: 1,
     clients_leave_early: true,
     clients_leave_unnoticed: false,
     client_wait: Duration::from_millis(250),
-    sigterm: false,
-    operator_orders: 0,
+    may_receive_sigterm: false,
+    max_operator_orders: 0,
     dials_without_socket: false,
-    stale_events: 0,
-    slow_start: false,
-    quick: true,
+    max_stale_events: 0,
+    last_server_warming_up: false,
+    is_quick: true,
 };
 
 /// The shapes that are explored. Each adds one subject to a small base, since their product is out of reach.
@@ -96,21 +96,21 @@
     Shape {
         name: "repeatable",
         sessions: &[IDEMPOTENT],
-        stale_events: 1,
+        max_stale_events: 1,
         dials_without_socket: true,
         ..BASE
     },
     Shape {
         name: "once-only",
         sessions: &[NOT_IDEMPOTENT],
-        stale_events: 1,
+        max_stale_events: 1,
         dials_without_socket: true,
         ..BASE
     },
     Shape {
         name: "referenced-zone",
         sessions: &[KEYED_IN_ZONE],
-        servers: 3,
+        server_count: 3,
         max_dials: 3,
         dials_without_socket: true,
         ..BASE
@@ -125,16 +125,16 @@
     Shape {
         name: "sigterm",
         sessions: &[IDEMPOTENT],
-        sigterm: true,
+        may_receive_sigterm: true,
         dials_without_socket: true,
         ..BASE
     },
     Shape {
         name: "drained",
         sessions: &[IDEMPOTENT],
-        operator_orders: 2,
-        endpoint_changes: 0,
-        sigterm: true,
+        max_operator_orders: 2,
+        max_endpoint_changes: 0,
+        may_receive_sigterm: true,
         client_wait: Duration::from_millis(150),
         ..BASE
     },
@@ -142,7 +142,7 @@
         name: "kept-dials",
         sessions: &[IDEMPOTENT],
         may_cancel_dials: false,
-        stale_events: 1,
+        max_stale_events: 1,
         ..BASE
     },
     Shape {
@@ -164,65 +164,65 @@
         name: "probes",
         sessions: &[IDEMPOTENT],
         may_probe: true,
-        endpoint_changes: 0,
+        max_endpoint_changes: 0,
         client_wait: Duration::from_millis(180),
         ..BASE
     },
     Shape {
         name: "cold",
         sessions: &[IDEMPOTENT],
-        slow_start: true,
+        last_server_warming_up: true,
         ..BASE
     },
     Shape {
         name: "four-dials",
         sessions: &[IDEMPOTENT],
         max_dials: 4,
-        endpoint_changes: 0,
+        max_endpoint_changes: 0,
         ..BASE
     },
     Shape {
         name: "probes-and-drains",
         sessions: &[NOT_IDEMPOTENT],
         may_probe: true,
-        quick: false,
+        is_quick: false,
         ..BASE
     },
     Shape {
         name: "four-dials-of-three",
         sessions: &[IDEMPOTENT],
-        servers: 3,
+        server_count: 3,
         max_dials: 4,
         clients_leave_early: false,
-        quick: false,
+        is_quick: false,
         ..BASE
     },
     Shape {
         name: "two-sessions",
         sessions: &[IDEMPOTENT, NOT_IDEMPOTENT],
-        stale_events: 1,
+        max_stale_events: 1,
         client_wait: Duration::from_millis(150),
-        quick: false,
+        is_quick: false,
         ..BASE
     },
     Shape {
         name: "two-in-turn",
         sessions: &[IDEMPOTENT, IDEMPOTENT],
-        sigterm: true,
-        endpoint_changes: 1,
-        stale_events: 1,
+        may_receive_sigterm: true,
+        max_endpoint_changes: 1,
+        max_stale_events: 1,
         client_wait: Duration::from_millis(150),
-        quick: false,
+        is_quick: false,
         ..BASE
     },
     Shape {
         name: "three-hosts",
         sessions: &[NOT_IDEMPOTENT],
-        servers: 3,
+        server_count: 3,
         max_dials: 4,
-        endpoint_changes: 2,
+        max_endpoint_changes: 2,
         may_probe: true,
-        quick: false,
+        is_quick: false,
         ..BASE
     },
 ];
@@ -252,14 +252,14 @@
         KEYED_EVERYWHERE,
         IDEMPOTENT,
     ],
-    servers: 10,
+    server_count: 10,
     max_dials: 4,
     may_probe: true,
-    endpoint_changes: 60,
-    sigterm: true,
-    operator_orders: 6,
+    max_endpoint_changes: 60,
+    may_receive_sigterm: true,
+    max_operator_orders: 6,
     dials_without_socket: true,
-    stale_events: 20,
+    max_stale_events: 20,
     clients_leave_unnoticed: true,
     client_wait: Duration::from_millis(1_500),
     ..BASE
--- a/crates/model-checker/src/world/drain.rs
+++ b/crates/model-checker/src/system_state/drain.rs
@@ -1,7 +1,7 @@
 //! An operator's drain and SIGTERM, by the state machine that serves.
 
 use super::connection::SessionConnections;
-use super::state::{Deadline, World};
+use super::state::{Deadline, SystemState};
 use crate::shape::Shape;
 use asterramp_drain::{ADVICE_INTERVAL, DrainState, DrainView, ShutdownSchedule};
 use asterramp_placement::event::Outcome;
@@ -18,7 +18,7 @@
 const MIGRATE_FROM: f64 = 0.7;
 const MIGRATE_UNTIL: f64 = 1.05;
 
-impl World {
+impl SystemState {
     /// The proxy receives SIGTERM, and makes the schedule of its end as the router does.
     pub(super) fn shut_down(&mut self, shape: &Shape) {
         let wait = shape.client_wait.min(MAX_SHUTDOWN_WAIT);
--- a/crates/model-checker/src/world/effects.rs
+++ b/crates/model-checker/src/system_state/effects.rs
@@ -1,19 +1,19 @@
 //! What the code that serves wants done, carried out as the router does it on sockets.
 
 use super::connection::{Connection, ConnectionState};
-use super::state::{Deadline, World};
+use super::state::{Deadline, SystemState};
 use asterramp_placement::event::{Outcome, ServerId};
 use asterramp_proxy::routing::session_state::{FinalAnswer, SessionEffect, SessionInput};
 use asterramp_proxy::routing::session_table::SessionTask;
 use asterramp_proxy::transport::SlotKey;
 
-impl World {
+impl SystemState {
     /// Carries out all that is to be done, and what comes of that.
     pub(super) fn carry_out_tasks(&mut self) {
         while let Some(task) = self.session_table.next_task() {
             match task {
                 SessionTask::Probe(server) => {
-                    self.probes.insert(server);
+                    self.probes_in_flight.insert(server);
                 }
                 // Endpoint lists are actions of their own.
                 SessionTask::PollEndpoints | SessionTask::ZoneChanged(_) => {}
--- a/crates/model-checker/src/world/events.rs
+++ b/crates/model-checker/src/system_state/events.rs
@@ -1,8 +1,8 @@
 //! What an action does to the model, and what the code that serves is told of it.
 
 use super::connection::{Connection, ConnectionState, SessionConnections};
-use super::sessions::NO_LOAD;
-use super::state::{Deadline, World};
+use super::sessions::NO_LOAD_REPORT;
+use super::state::{Deadline, SystemState};
 use crate::action::{Action, EndpointChange, ProbeResult, ServerMessage};
 use crate::shape::Shape;
 use asterramp_drain::{ADVICE_INTERVAL, DrainState};
@@ -23,7 +23,7 @@
     utilization: Some(1.2),
 };
 
-impl World {
+impl SystemState {
     pub(super) fn perform(&mut self, shape: &Shape, action: Action) {
         match action {
             Action::SessionArrives(session) => self.session_arrives(shape, session),
@@ -45,7 +45,9 @@
             Action::ServerAnswers(session, message) => self.server_answers(session, message),
             Action::ServerCloses(session) => self.server_closes(session),
             Action::ClientLeaves(session) => self.client_leaves(session),
-            Action::ClientSpeaks(session) => self.session_input(session, SessionInput::ClientSpoke),
+            Action::ClientSendsEarly(session) => {
+                self.session_input(session, SessionInput::ClientSpoke)
+            }
             Action::ClientLeavesUnnoticed(session) => self.client_leaves_unnoticed(session),
             Action::EndpointChanges(server, change) => self.endpoint_changes(server, change),
             Action::ProbeEnds(server, result) => self.probe_ends(server, result),
@@ -53,7 +55,7 @@
             Action::StaleEvent(session) => self.stale_event(session),
             Action::Sigterm => self.shut_down(shape),
             Action::OperatorDrains => self.start_drain(),
-            Action::OperatorUndrains => self.cancel_drain(),
+            Action::OperatorCancelsDrain => self.cancel_drain(),
         }
     }
 
@@ -99,7 +101,7 @@
         self.dial_input(session, |dial| SessionInput::ServerDeclined {
             dial,
             outcome,
-            load: NO_LOAD,
+            load: NO_LOAD_REPORT,
         });
     }
 
@@ -134,7 +136,7 @@
         if let Some(slot) = key.and_then(|key| self.session_table.sessions.get_mut(key)) {
             slot.driver_data.client_left_unnoticed = true;
         }
-        self.monitor.on_client_gone(session);
+        self.monitor.on_client_left_unnoticed(session);
     }
 
     fn endpoint_changes(&mut self, server: u8, change: EndpointChange) {
@@ -166,12 +168,12 @@
 
     fn probe_ends(&mut self, server: u8, result: ProbeResult) {
         let server = self.servers[usize::from(server)].id;
-        self.probes.remove(&server);
+        self.probes_in_flight.remove(&server);
         let (outcome, load) = match result {
             ProbeResult::LightLoad => (Outcome::Ok, LIGHT_LOAD),
             ProbeResult::Overload => (Outcome::Ok, OVERLOAD),
-            ProbeResult::TimedOut => (Outcome::TimedOut, NO_LOAD),
-            ProbeResult::Refused => (Outcome::Unreachable, NO_LOAD),
+            ProbeResult::TimedOut => (Outcome::TimedOut, NO_LOAD_REPORT),
+            ProbeResult::Refused => (Outcome::Unreachable, NO_LOAD_REPORT),
         };
         let probe_ended = Event::ProbeEnded {
             server,
--- a/crates/model-checker/src/world/fingerprint.rs
+++ b/crates/model-checker/src/system_state/fingerprint.rs
@@ -1,6 +1,6 @@
 //! What makes two worlds equal, as a hash.
 
-use super::state::World;
+use super::state::SystemState;
 use std::fmt::{self, Write};
 
 /// The offset basis and the prime of FNV-1a with 64 bits.
@@ -28,7 +28,7 @@
     }
 }
 
-impl World {
+impl SystemState {
     /// Equal for worlds that go on alike: a hash of all that this world is, except for what its last action did.
     ///
     /// It is taken over `Debug` texts, which leave out no field of the code that serves.
@@ -49,7 +49,7 @@
         write!(out, "{:?},", self.deadlines)?;
         write!(out, "{:?},", self.servers)?;
         write!(out, "{:?},", self.session_keys)?;
-        write!(out, "{:?},", self.probes)?;
+        write!(out, "{:?},", self.probes_in_flight)?;
         write!(out, "{:?},", self.closed_connections)?;
         write!(out, "{:?},", self.endpoint_changes_left)?;
         write!(out, "{:?},", self.stale_events_left)?;
--- a/crates/model-checker/src/world/invariants.rs
+++ b/crates/model-checker/src/system_state/invariants.rs
@@ -1,7 +1,7 @@
 //! Properties of a whole world, checked behind each action.
 
 use super::drain::MAX_SHUTDOWN_WAIT;
-use super::state::{Deadline, START, World};
+use super::state::{Deadline, START_TIME, SystemState};
 use crate::properties::Violation;
 use crate::shape::Shape;
 use std::time::Duration;
@@ -9,21 +9,21 @@
 /// The session's number in reports about none in particular.
 const NO_SESSION: u8 = 0;
 
-impl World {
+impl SystemState {
     pub(super) fn check(&mut self, shape: &Shape) -> Result<(), Violation> {
-        self.monitor.check_now(self.now);
+        self.monitor.check_sessions_now(self.now);
         self.check_connections();
         if !shape.may_probe {
             self.check_sessions();
         }
         self.check_deadlines();
         let all_have_ended =
-            START + shape.arrival_window() + shape.client_wait * 2 + MAX_SHUTDOWN_WAIT;
+            START_TIME + shape.arrival_window() + shape.client_wait * 2 + MAX_SHUTDOWN_WAIT;
         if self.now > all_have_ended && !self.all_sessions_are_open() {
             self.monitor
                 .report_left_behind(NO_SESSION, "a session long after its time");
         }
-        self.monitor.verdict()
+        self.monitor.take_violation()
     }
 
     /// Each connection is that of a session.
--- a/crates/model-checker/src/world/mod.rs
+++ b/crates/model-checker/src/system_state/mod.rs
@@ -25,24 +25,24 @@
 use asterramp_placement::Event;
 use asterramp_placement::event::EndpointUpdate;
 use state::IDLE_SEED;
-pub use state::World;
+pub use state::SystemState;
 
 /// Seeds of the placement engine's random numbers, by random range. The first number in [0, 1) that is drawn is 0, 0.5, just
 /// below 0.75 or just below 0.25.
 const RANGE_SEEDS: [u64; 4] = [0, 0x8000_0000, 0x4000_0001, 0xc000_0003];
 
-impl World {
+impl SystemState {
     /// The world with which a shape begins: the proxy knows its servers, and no client has come.
-    pub fn new(shape: &Shape) -> World {
-        let mut world = World::initial(shape);
-        let endpoints = world.servers.iter().map(ServerModel::endpoint).collect();
+    pub fn new(shape: &Shape) -> SystemState {
+        let mut state = SystemState::initial(shape);
+        let endpoints = state.servers.iter().map(ServerModel::endpoint).collect();
         let list = Event::Endpoints(EndpointUpdate::Complete(endpoints));
-        world.session_table.event(world.now, list);
-        world.carry_out_tasks();
-        world
+        state.session_table.event(state.now, list);
+        state.carry_out_tasks();
+        state
     }
 
-    /// Lets something happen that [`World::actions`] gives.
+    /// Lets something happen that [`SystemState::actions`] gives.
     ///
     /// # Errors
     ///
--- a/crates/model-checker/src/world/possible_actions.rs
+++ b/crates/model-checker/src/system_state/possible_actions.rs
@@ -1,7 +1,7 @@
 //! What may happen next in a world.
 
 use super::connection::{ConnectionState, SessionConnections};
-use super::state::{HORIZON, START, World};
+use super::state::{MAX_DURATION, START_TIME, SystemState};
 use crate::action::{Action, EndpointChange, ProbeResult, ServerMessage};
 use crate::shape::Shape;
 use asterramp_drain::DrainState;
@@ -34,17 +34,17 @@
 /// What may be reported of a server that is not.
 const CHANGES_OF_UNREADY: &[EndpointChange] = &[EndpointChange::Ready];
 
-impl World {
+impl SystemState {
     /// Whether every session has arrived and ended, or is merely open for long.
     pub fn is_finished(&self, shape: &Shape) -> bool {
         let arrivals_are_over =
-            self.now > START + shape.arrival_window() || self.is_shutting_down();
+            self.now > START_TIME + shape.arrival_window() || self.is_shutting_down();
         let all_arrived = self.session_keys.iter().all(Option::is_some);
         if !all_arrived && !arrivals_are_over {
             return false;
         }
         let is_only_open = self.drain.state() == DrainState::Serving
-            && self.now > START + shape.open_session_cutoff()
+            && self.now > START_TIME + shape.open_session_cutoff()
             && self.all_sessions_are_open();
         is_only_open || self.session_table.sessions.is_empty()
     }
@@ -56,13 +56,14 @@
         self.stale_event_actions(out);
         self.server_actions(out);
         self.operator_actions(shape, out);
-        if self.deadlines.next_due().is_some() && self.now < START + HORIZON {
+        if self.deadlines.next_due().is_some() && self.now < START_TIME + MAX_DURATION {
             out.push(Action::NextDeadline);
         }
     }
 
     fn sessions_actions(&self, shape: &Shape, out: &mut Vec<Action>) {
-        let may_arrive = self.now <= START + shape.arrival_window() && !self.is_shutting_down();
+        let may_arrive =
+            self.now <= START_TIME + shape.arrival_window() && !self.is_shutting_down();
         // Sessions arrive in the order of their numbers.
         let mut predecessor_arrived = true;
         for (session, key) in (0..).zip(&self.session_keys) {
@@ -127,7 +128,7 @@
 
     fn server_actions(&self, out: &mut Vec<Action>) {
         for (number, server) in (0..).zip(&self.servers) {
-            if self.probes.contains(&server.id) {
+            if self.probes_in_flight.contains(&server.id) {
                 out.extend(PROBE_RESULTS.map(|result| Action::ProbeEnds(number, result)));
             }
             if self.endpoint_changes_left == 0 {
@@ -151,10 +152,10 @@
             out.push(if is_serving {
                 Action::OperatorDrains
             } else {
-                Action::OperatorUndrains
+                Action::OperatorCancelsDrain
             });
         }
-        if shape.sigterm && self.session_keys.iter().any(Option::is_some) {
+        if shape.may_receive_sigterm && self.session_keys.iter().any(Option::is_some) {
             out.push(Action::Sigterm);
         }
     }
@@ -176,7 +177,7 @@
     if is_open || client_left_unnoticed {
         return;
     }
-    out.push(Action::ClientSpeaks(session));
+    out.push(Action::ClientSendsEarly(session));
     if shape.clients_leave_unnoticed {
         out.push(Action::ClientLeavesUnnoticed(session));
     }
--- a/crates/model-checker/src/world/sessions.rs
+++ b/crates/model-checker/src/system_state/sessions.rs
@@ -1,18 +1,18 @@
 //! Access to sessions by their numbers, and their connections.
 
 use super::connection::{Connection, ConnectionState};
-use super::state::World;
+use super::state::SystemState;
 use asterramp_drain::DrainState;
 use asterramp_placement::event::{Load, Outcome};
 use asterramp_proxy::routing::session_state::{SessionInput, SessionState};
 
 /// No load report.
-pub(super) const NO_LOAD: Load = Load {
+pub(super) const NO_LOAD_REPORT: Load = Load {
     connections: None,
     utilization: None,
 };
 
-impl World {
+impl SystemState {
     pub(super) fn is_shutting_down(&self) -> bool {
         self.drain.state() == DrainState::Exiting
     }
@@ -36,7 +36,7 @@
         self.monitor.on_session_ended(session);
         let session_closed = SessionInput::SessionClosed {
             outcome,
-            load: NO_LOAD,
+            load: NO_LOAD_REPORT,
         };
         self.session_table.input(self.now, key, session_closed);
     }
--- a/crates/model-checker/src/world/state.rs
+++ b/crates/model-checker/src/system_state/state.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 /// What the clock shows at the start. It is not zero, since servers may have started before.
-pub(super) const START: Duration = Duration::from_secs(100);
+pub(super) const START_TIME: Duration = Duration::from_secs(100);
 /// The longest that a world goes on; every session has ended long before.
-pub(super) const HORIZON: Duration = Duration::from_secs(10);
+pub(super) const MAX_DURATION: Duration = Duration::from_secs(10);
 /// Servers are spread over so many zones.
 const ZONES: u8 = 2;
 /// The seed of the placement engine's random numbers between actions, so that worlds do not differ by it.
@@ -40,7 +40,7 @@
 
 /// One state of the model.
 #[derive(Clone, Debug)]
-pub struct World {
+pub struct SystemState {
     pub(super) now: Duration,
     pub(super) session_table: SessionTable<SessionConnections>,
     /// Connections to servers.
@@ -52,7 +52,7 @@
     /// Keys of the sessions that have arrived, by number.
     pub(super) session_keys: Vec<Option<SlotKey>>,
     /// Servers with a probe under way.
-    pub(super) probes: BTreeSet<ServerId>,
+    pub(super) probes_in_flight: BTreeSet<ServerId>,
     /// Connections closed since the last deadline, which may still have an event.
     pub(super) closed_connections: Vec<(SlotKey, Connection)>,
     pub(super) endpoint_changes_left: u8,
@@ -65,24 +65,24 @@
     pub(super) last_effects: Vec<String>,
 }
 
-impl World {
+impl SystemState {
     /// The state before the proxy has heard of its servers.
-    pub(super) fn initial(shape: &Shape) -> World {
-        World {
-            now: START,
+    pub(super) fn initial(shape: &Shape) -> SystemState {
+        SystemState {
+            now: START_TIME,
             session_table: SessionTable::new(shape.deployment(), IDLE_SEED, CONNECT_TIMEOUT),
             connections: SlotMap::default(),
             deadlines: Deadlines::default(),
             servers: initial_servers(shape),
-            next_server_id: ServerId::from(shape.servers),
+            next_server_id: ServerId::from(shape.server_count),
             session_keys: vec![None; shape.sessions.len()],
-            probes: BTreeSet::new(),
+            probes_in_flight: BTreeSet::new(),
             closed_connections: Vec::new(),
-            endpoint_changes_left: shape.endpoint_changes,
-            stale_events_left: shape.stale_events,
-            operator_orders_left: shape.operator_orders,
+            endpoint_changes_left: shape.max_endpoint_changes,
+            stale_events_left: shape.max_stale_events,
+            operator_orders_left: shape.max_operator_orders,
             drain: Drain::new(DRAIN_SETTINGS),
-            last_arrival: START,
+            last_arrival: START_TIME,
             monitor: Monitor::new(shape),
             last_effects: Vec::new(),
         }
@@ -90,7 +90,7 @@
 
     /// The time since the start.
     pub fn elapsed(&self) -> Duration {
-        self.now - START
+        self.now - START_TIME
     }
 
     /// What the code did during the last action, a line each.
@@ -102,14 +102,14 @@
 /// The servers at the start. At most the last is warming up, or there would be nowhere else to go.
 fn initial_servers(shape: &Shape) -> Vec<ServerModel> {
     let server = |number: u8| {
-        let is_last = number + 1 == shape.servers;
-        let is_warming_up = shape.slow_start && is_last;
+        let is_last = number + 1 == shape.server_count;
+        let is_warming_up = shape.last_server_warming_up && is_last;
         ServerModel {
             id: ServerId::from(number),
             zone: number % ZONES,
             state: EndpointState::Ready,
-            started_at: is_warming_up.then_some(START),
+            started_at: is_warming_up.then_some(START_TIME),
         }
     };
-    (0..shape.servers).map(server).collect()
+    (0..shape.server_count).map(server).collect()
 }
--- a/crates/model-checker/src/trace.rs
+++ b/crates/model-checker/src/trace.rs
@@ -4,7 +4,7 @@
 use crate::action_text::ParseChoiceError;
 use crate::properties::Violation;
 use crate::shape::Shape;
-use crate::world::World;
+use crate::system_state::SystemState;
 use std::fmt;
 
 /// What the lines before the numbered ones begin with. An injected fault keeps the word that it had when the first traces
@@ -112,12 +112,12 @@
     ///
     /// The first violation, which ends the replay.
     pub fn play(&self, mut report: impl FnMut(&str)) -> Result<(), Violation> {
-        let mut world = World::new(self.shape);
+        let mut state = SystemState::new(self.shape);
         for (number, choice) in (1..).zip(&self.choices) {
-            let applied = world.apply(self.shape, *choice);
-            let elapsed_ms = world.elapsed().as_millis();
+            let applied = state.apply(self.shape, *choice);
+            let elapsed_ms = state.elapsed().as_millis();
             report(&format!("{number:>3}. at {elapsed_ms:>5} ms  {choice}"));
-            for effect in world.last_effects() {
+            for effect in state.last_effects() {
                 report(&format!("                   {effect}"));
             }
             applied?;
--- a/crates/model-checker/src/walk.rs
+++ b/crates/model-checker/src/walk.rs
@@ -3,7 +3,7 @@
 use crate::action::{Action, Choice};
 use crate::placement_model::PlacementCounterexample;
 use crate::shape::Shape;
-use crate::world::World;
+use crate::system_state::SystemState;
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rayon::prelude::*;
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct Walk {
     /// How many actions it had.
-    pub actions: usize,
+    pub action_count: usize,
     /// Whether it went on until every session had ended.
     pub is_complete: bool,
     /// What broke a property, if anything.
@@ -37,11 +37,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct WalkSummary {
     /// How many walks.
-    pub walks: u64,
+    pub walk_count: u64,
     /// Actions of all walks.
-    pub actions: u64,
+    pub action_count: u64,
     /// Walks that went on until every session had ended.
-    pub complete: u64,
+    pub complete_walk_count: u64,
     /// The lowest seed whose walk broke a property, and how.
     pub counterexample: Option<(u64, PlacementCounterexample)>,
 }
@@ -49,19 +49,19 @@
 /// Walks once, the same way for the same seed.
 pub fn walk(shape: &Shape, seed: u64) -> Walk {
     let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let mut world = World::new(shape);
+    let mut state = SystemState::new(shape);
     let mut possible = Vec::new();
     let mut choices = Vec::new();
     let hurry = MIN_HURRY + HURRY_SPREAD * random.random::<f64>();
-    while choices.len() < MAX_ACTIONS && !world.is_finished(shape) {
-        world.actions(shape, &mut possible);
+    while choices.len() < MAX_ACTIONS && !state.is_finished(shape) {
+        state.actions(shape, &mut possible);
         let Some(choice) = choose(&mut random, &possible, hurry) else {
             break;
         };
         choices.push(choice);
-        if let Err(violation) = world.apply(shape, choice) {
+        if let Err(violation) = state.apply(shape, choice) {
             return Walk {
-                actions: choices.len(),
+                action_count: choices.len(),
                 is_complete: false,
                 counterexample: Some(PlacementCounterexample {
                     violation,
@@ -71,8 +71,8 @@
         }
     }
     Walk {
-        actions: choices.len(),
-        is_complete: world.is_finished(shape),
+        action_count: choices.len(),
+        is_complete: state.is_finished(shape),
         counterexample: None,
     }
 }
@@ -100,7 +100,7 @@
     let began = Instant::now();
     let mut summary = WalkSummary::default();
     while began.elapsed() < time && summary.counterexample.is_none() {
-        let from = first_seed + summary.walks;
+        let from = first_seed + summary.walk_count;
         let seeds = from..from + SEEDS_PER_ROUND;
         let walks: Vec<(u64, Walk)> = seeds
             .into_par_iter()
@@ -116,9 +116,9 @@
 impl WalkSummary {
     /// Adds a walk, whose seed is higher than those of the walks before.
     fn add(&mut self, seed: u64, walk: Walk) {
-        self.walks += 1;
-        self.actions += walk.actions as u64;
-        self.complete += u64::from(walk.is_complete);
+        self.walk_count += 1;
+        self.action_count += walk.action_count as u64;
+        self.complete_walk_count += u64::from(walk.is_complete);
         if let Some(counterexample) = walk.counterexample {
             self.counterexample.get_or_insert((seed, counterexample));
         }
--- a/crates/model-checker/src/warm_start/model.rs
+++ b/crates/model-checker/src/warm_start/model.rs
@@ -2,7 +2,8 @@
 
 use super::action::{DiscoveryList, DiskState, WarmStartAction};
 use super::proxy::{
-    ENDPOINTS, FORMER_ENDPOINTS, PROXIES, ProxyModel, REPLACED, REPLACEMENT, SETTINGS,
+    ENDPOINT_COUNT, FORMER_ENDPOINTS, PROXY_COUNT, ProxyModel, REPLACED_ENDPOINT,
+    REPLACEMENT_ENDPOINT, SETTINGS,
 };
 use super::violation::WarmStartViolation;
 use crate::model::Model;
@@ -13,7 +14,7 @@
 use std::time::Duration;
 
 /// The clock at the beginning.
-const START: Duration = Duration::from_secs(1_000);
+const START_TIME: Duration = Duration::from_secs(1_000);
 /// By how much the clock goes on at once.
 const TICK: Duration = Duration::from_millis(500);
 /// Ticks within which every start that knows an endpoint that is up must end.
@@ -24,9 +25,9 @@
 pub struct WarmStartModel {
     now: Duration,
     /// The proxies that run.
-    proxies: [Option<ProxyModel>; PROXIES],
+    proxies: [Option<ProxyModel>; PROXY_COUNT],
     /// Which endpoints are up.
-    up: [bool; ENDPOINTS],
+    up: [bool; ENDPOINT_COUNT],
     #[cfg(feature = "injected-faults")]
     injected_fault: Option<InjectedFault>,
 }
@@ -41,7 +42,7 @@
     /// No proxy runs, and the second of the former endpoints has been replaced.
     pub fn new() -> WarmStartModel {
         WarmStartModel {
-            now: START,
+            now: START_TIME,
             proxies: [None, None, None],
             up: [true, false, true],
             #[cfg(feature = "injected-faults")]
@@ -72,7 +73,9 @@
                 self.update(proxy, |proxy, now| proxy.receive_delisting(now, endpoint));
             }
             WarmStartAction::ListReplacement { proxy } => {
-                self.update(proxy, |proxy, now| proxy.receive_listing(now, REPLACEMENT));
+                self.update(proxy, |proxy, now| {
+                    proxy.receive_listing(now, REPLACEMENT_ENDPOINT)
+                });
             }
             WarmStartAction::TimePasses => self.let_time_pass(),
         }
@@ -121,7 +124,7 @@
             .map(ProxyModel::responsive_endpoints)
             .unwrap_or_default();
         self.update(asking, |proxy, now| {
-            proxy.receive_answer(now, answering, responsive);
+            proxy.receive_peer_answer(now, answering, responsive);
         });
     }
 
@@ -136,7 +139,7 @@
 
     fn send_list(&mut self, proxy: usize, list: DiscoveryList) {
         let up = self.up;
-        let ready: Vec<EndpointId> = (0..ENDPOINTS as EndpointId)
+        let ready: Vec<EndpointId> = (0..ENDPOINT_COUNT as EndpointId)
             .filter(|endpoint| list != DiscoveryList::Empty && up[*endpoint as usize])
             .collect();
         let is_cold = list == DiscoveryList::Cold;
@@ -145,7 +148,7 @@
 
     fn let_time_pass(&mut self) {
         self.now += TICK;
-        for proxy in 0..PROXIES {
+        for proxy in 0..PROXY_COUNT {
             self.update(proxy, ProxyModel::handle_deadlines);
         }
     }
@@ -166,10 +169,10 @@
         let mut model = self.clone();
         model.up = [true, true, false];
         if has_discovery {
-            (0..PROXIES).for_each(|proxy| model.send_list(proxy, DiscoveryList::Cold));
+            (0..PROXY_COUNT).for_each(|proxy| model.send_list(proxy, DiscoveryList::Cold));
         }
         for _ in 0..TICKS_TO_RECOVER {
-            (0..PROXIES).for_each(|proxy| model.finish_all_probes(proxy));
+            (0..PROXY_COUNT).for_each(|proxy| model.finish_all_probes(proxy));
             model.let_time_pass();
         }
         for (number, proxy) in model.running_proxies() {
@@ -181,10 +184,10 @@
                     stage: stage.name(),
                 });
             }
-            if has_discovery && proxy.used != BTreeSet::from(FORMER_ENDPOINTS) {
+            if has_discovery && proxy.used_endpoints != BTreeSet::from(FORMER_ENDPOINTS) {
                 return Err(WarmStartViolation::ListNotFollowed {
                     proxy: number,
-                    used: proxy.used.clone(),
+                    used: proxy.used_endpoints.clone(),
                 });
             }
         }
@@ -200,8 +203,8 @@
 /// The other endpoint that is said to listen where this one does.
 fn other_at_address(endpoint: EndpointId) -> Option<EndpointId> {
     match endpoint {
-        REPLACED => Some(REPLACEMENT),
-        REPLACEMENT => Some(REPLACED),
+        REPLACED_ENDPOINT => Some(REPLACEMENT_ENDPOINT),
+        REPLACEMENT_ENDPOINT => Some(REPLACED_ENDPOINT),
         _ => None,
     }
 }
@@ -233,8 +236,8 @@
         asking: number,
         answering: *peer,
     }));
-    if proxy.listed.is_none() {
-        actions.extend(proxy.used.iter().map(|endpoint| Delist {
+    if proxy.listed_endpoints.is_none() {
+        actions.extend(proxy.used_endpoints.iter().map(|endpoint| Delist {
             proxy: number,
             endpoint: *endpoint,
         }));
@@ -268,12 +271,12 @@
 
     fn actions(&self) -> Vec<WarmStartAction> {
         let mut actions = vec![WarmStartAction::TimePasses];
-        let endpoints = 0..ENDPOINTS as EndpointId;
+        let endpoints = 0..ENDPOINT_COUNT as EndpointId;
         actions.extend(endpoints.map(WarmStartAction::ToggleEndpoint));
         for (number, proxy) in self.proxies.iter().enumerate() {
             match proxy {
                 Some(proxy) => {
-                    let is_replaced = self.up[REPLACEMENT as usize];
+                    let is_replaced = self.up[REPLACEMENT_ENDPOINT as usize];
                     actions.extend(actions_of(number, proxy, is_replaced));
                 }
                 None => actions.extend(disks_of(number).iter().map(|disk| {
--- a/crates/model-checker/src/warm_start/proxy.rs
+++ b/crates/model-checker/src/warm_start/proxy.rs
@@ -10,14 +10,14 @@
 use std::time::Duration;
 
 /// Endpoints that exist: two from before the power loss, and one that has the address of the second of them.
-pub(super) const ENDPOINTS: usize = 3;
+pub(super) const ENDPOINT_COUNT: usize = 3;
 /// Proxies, each a peer of the others.
-pub(super) const PROXIES: usize = 3;
+pub(super) const PROXY_COUNT: usize = 3;
 /// The endpoints from before the power loss, which snapshots name.
 pub(super) const FORMER_ENDPOINTS: [EndpointId; 2] = [0, 1];
 /// The endpoint that was replaced, and the one that has its address now.
-pub(super) const REPLACED: EndpointId = 1;
-pub(super) const REPLACEMENT: EndpointId = 2;
+pub(super) const REPLACED_ENDPOINT: EndpointId = 1;
+pub(super) const REPLACEMENT_ENDPOINT: EndpointId = 2;
 
 /// Round figures, so that different orders of actions lead to equal states.
 pub(super) const SETTINGS: WarmStartSettings = WarmStartSettings {
@@ -45,14 +45,14 @@
     pub(super) warm_start: WarmStart,
     admission: ClientAdmission,
     /// Endpoints that sessions may be placed on.
-    pub(super) used: BTreeSet<EndpointId>,
+    pub(super) used_endpoints: BTreeSet<EndpointId>,
     /// Endpoints that have answered this process, or that discovery listed to it.
     verified: BTreeSet<EndpointId>,
     pub(super) probes_in_flight: BTreeSet<EndpointId>,
     /// Peers whose answers it waits for.
     pub(super) awaited_peers: BTreeSet<usize>,
     /// The endpoints of discovery's last complete list.
-    pub(super) listed: Option<BTreeSet<EndpointId>>,
+    pub(super) listed_endpoints: Option<BTreeSet<EndpointId>>,
     deadlines_handled_at: Duration,
     /// Since when clients are admitted at a limited rate.
     limited_since: Option<Duration>,
@@ -64,8 +64,8 @@
 
 /// Where an endpoint is said to listen.
 fn address(endpoint: EndpointId) -> SocketAddr {
-    let number = if endpoint == REPLACEMENT {
-        REPLACED
+    let number = if endpoint == REPLACEMENT_ENDPOINT {
+        REPLACED_ENDPOINT
     } else {
         endpoint
     };
@@ -79,11 +79,11 @@
             number,
             warm_start,
             admission: ClientAdmission::Queued,
-            used: BTreeSet::new(),
+            used_endpoints: BTreeSet::new(),
             verified: BTreeSet::new(),
             probes_in_flight: BTreeSet::new(),
             awaited_peers: BTreeSet::new(),
-            listed: None,
+            listed_endpoints: None,
             deadlines_handled_at: now,
             limited_since: None,
             future_report_expires: None,
@@ -109,7 +109,7 @@
     }
 
     /// A peer answers with the endpoints that have answered it.
-    pub(super) fn receive_answer(
+    pub(super) fn receive_peer_answer(
         &mut self,
         now: Duration,
         peer: usize,
@@ -134,7 +134,7 @@
     /// The endpoints that have answered this proxy, as it tells its peers.
     pub(super) fn responsive_endpoints(&self) -> Vec<EndpointId> {
         let candidates = self.warm_start.candidates();
-        let all = 0..ENDPOINTS as EndpointId;
+        let all = 0..ENDPOINT_COUNT as EndpointId;
         all.filter(|endpoint| candidates.state(*endpoint) == CandidateState::Responsive)
             .collect()
     }
@@ -142,7 +142,7 @@
     pub(super) fn finish_probe(&mut self, now: Duration, endpoint: EndpointId, is_answered: bool) {
         self.probes_in_flight.remove(&endpoint);
         let is_listed = self
-            .listed
+            .listed_endpoints
             .as_ref()
             .is_none_or(|listed| listed.contains(&endpoint));
         if is_answered && is_listed {
@@ -157,8 +157,8 @@
         self.probes_in_flight
             .retain(|endpoint| listed.contains(endpoint));
         self.verified = listed.clone();
-        self.used = listed.clone();
-        self.listed = Some(listed);
+        self.used_endpoints = listed.clone();
+        self.listed_endpoints = Some(listed);
         for endpoint in ready {
             self.warm_start
                 .endpoint_listed(now, *endpoint, address(*endpoint), true);
@@ -168,7 +168,7 @@
 
     /// Discovery tells that one endpoint is gone.
     pub(super) fn receive_delisting(&mut self, now: Duration, endpoint: EndpointId) {
-        self.used.remove(&endpoint);
+        self.used_endpoints.remove(&endpoint);
         self.verified.remove(&endpoint);
         self.warm_start
             .endpoint_listed(now, endpoint, address(endpoint), false);
@@ -176,7 +176,7 @@
 
     /// Discovery tells that one endpoint is ready.
     pub(super) fn receive_listing(&mut self, now: Duration, endpoint: EndpointId) {
-        self.used.insert(endpoint);
+        self.used_endpoints.insert(endpoint);
         self.verified.insert(endpoint);
         self.warm_start
             .endpoint_listed(now, endpoint, address(endpoint), true);
@@ -198,7 +198,7 @@
                 }
                 WarmStartEffect::Use(endpoint) => self.use_endpoint(endpoint),
                 WarmStartEffect::Drop(endpoint, _) => {
-                    self.used.remove(&endpoint);
+                    self.used_endpoints.remove(&endpoint);
                     self.verified.remove(&endpoint);
                 }
                 WarmStartEffect::Admit(admission) => self.set_admission(now, admission),
@@ -208,7 +208,9 @@
     }
 
     fn ask_peers(&mut self) {
-        self.awaited_peers = (0..PROXIES).filter(|peer| *peer != self.number).collect();
+        self.awaited_peers = (0..PROXY_COUNT)
+            .filter(|peer| *peer != self.number)
+            .collect();
     }
 
     fn use_endpoint(&mut self, endpoint: EndpointId) {
@@ -218,7 +220,7 @@
                 endpoint,
             });
         }
-        self.used.insert(endpoint);
+        self.used_endpoints.insert(endpoint);
     }
 
     fn set_admission(&mut self, now: Duration, admission: ClientAdmission) {
@@ -226,7 +228,10 @@
         let are_endpoints_warm = self
             .limited_since
             .is_some_and(|since| now >= since + SETTINGS.limited_admission);
-        if admission == ClientAdmission::Open && self.listed.is_none() && !are_endpoints_warm {
+        if admission == ClientAdmission::Open
+            && self.listed_endpoints.is_none()
+            && !are_endpoints_warm
+        {
             let proxy = self.number;
             self.violation = Some(WarmStartViolation::AdmissionUnlimited { proxy });
         }
@@ -237,17 +242,21 @@
     pub(super) fn check(
         &self,
         now: Duration,
-        up: &[bool; ENDPOINTS],
+        up: &[bool; ENDPOINT_COUNT],
     ) -> Result<(), WarmStartViolation> {
         let proxy = self.number;
         self.check_deadline()?;
         self.check_admission()?;
-        let uses_both = self.used.contains(&REPLACED) && self.used.contains(&REPLACEMENT);
-        if uses_both && !(up[REPLACED as usize] && up[REPLACEMENT as usize]) {
+        let uses_both = self.used_endpoints.contains(&REPLACED_ENDPOINT)
+            && self.used_endpoints.contains(&REPLACEMENT_ENDPOINT);
+        if uses_both && !(up[REPLACED_ENDPOINT as usize] && up[REPLACEMENT_ENDPOINT as usize]) {
             return Err(WarmStartViolation::TwoEndpointsAtOneAddress { proxy });
         }
         let is_expired = self.future_report_expires.is_some_and(|at| now > at);
-        if is_expired && self.relies_on_snapshot_of(REPLACED) && !up[REPLACED as usize] {
+        if is_expired
+            && self.relies_on_snapshot_of(REPLACED_ENDPOINT)
+            && !up[REPLACED_ENDPOINT as usize]
+        {
             return Err(WarmStartViolation::FutureReportNeverExpires { proxy });
         }
         Ok(())
@@ -258,14 +267,14 @@
         let deadline = self.warm_start.next_deadline();
         if deadline.is_some_and(|due| due <= self.deadlines_handled_at) {
             let proxy = self.number;
-            return Err(WarmStartViolation::DeadlineWithoutEnd { proxy });
+            return Err(WarmStartViolation::DeadlineStaysDue { proxy });
         }
         Ok(())
     }
 
     fn check_admission(&self) -> Result<(), WarmStartViolation> {
         let proxy = self.number;
-        let has_no_endpoint = self.listed.is_none() && self.used.is_empty();
+        let has_no_endpoint = self.listed_endpoints.is_none() && self.used_endpoints.is_empty();
         if has_no_endpoint && self.admission == ClientAdmission::Limited {
             return Err(WarmStartViolation::AdmissionWithoutEndpoint { proxy });
         }
@@ -285,13 +294,13 @@
             CandidateState::AwaitingProbe | CandidateState::Unresponsive | CandidateState::Probing
         );
         let reported = candidates.counts(EndpointSource::Snapshot).reported;
-        is_tried && reported > 0 && self.listed.is_none()
+        is_tried && reported > 0 && self.listed_endpoints.is_none()
     }
 
     /// Whether any endpoint is known to it. Where discovery said that there is none, there is none.
     pub(super) fn knows_any_endpoint(&self) -> bool {
         let candidates = self.warm_start.candidates();
-        (0..ENDPOINTS as EndpointId)
+        (0..ENDPOINT_COUNT as EndpointId)
             .any(|endpoint| candidates.state(endpoint) != CandidateState::Unknown)
     }
 
@@ -300,8 +309,8 @@
         let remaining = |at: Duration| at.saturating_sub(now).as_millis();
         let stage = self.warm_start.stage();
         let stage_age = (now - self.warm_start.stage_since()).min(MAX_STAGE_AGE);
-        let endpoints = (&self.used, &self.verified, &self.probes_in_flight);
-        let peers_and_list = (&self.awaited_peers, &self.listed);
+        let endpoints = (&self.used_endpoints, &self.verified, &self.probes_in_flight);
+        let peers_and_list = (&self.awaited_peers, &self.listed_endpoints);
         let future_report = self.future_report_expires.map(remaining);
         let limited_for = self.limited_since.map(|since| now - since);
         let candidates = self.warm_start.candidates().state_key(now);
--- a/crates/model-checker/src/warm_start/violation.rs
+++ b/crates/model-checker/src/warm_start/violation.rs
@@ -23,7 +23,7 @@
     },
     /// A deadline that was handled is due still.
     #[error("proxy {proxy} is due at once, for ever")]
-    DeadlineWithoutEnd {
+    DeadlineStaysDue {
         /// The proxy.
         proxy: usize,
     },
--- a/crates/model-checker/src/zone_failover/liveness.rs
+++ b/crates/model-checker/src/zone_failover/liveness.rs
@@ -2,7 +2,7 @@
 
 use super::action::ZoneAction;
 use super::model::ZoneFailoverModel;
-use super::settings::{ZONE_OF_SERVER, ZONES};
+use super::settings::{ZONE_COUNT, ZONE_OF_SERVER};
 use super::violation::ZoneViolation;
 use asterramp_zone_failover::{ServerId, ZoneId, ZoneState};
 
@@ -21,7 +21,7 @@
     }
     list_all_zones(&mut model);
     let_time_pass(&mut model);
-    for zone in 0..ZONES {
+    for zone in 0..ZONE_COUNT {
         let state = model.zone_state(zone);
         if state != ZoneState::Healthy {
             return Err(ZoneViolation::NeverHealthy {
@@ -34,7 +34,7 @@
 }
 
 /// If a zone is cut off for good while the others respond, it is closed, by one contact of each server and by probes.
-pub(super) fn check_loss_is_noticed(state: &ZoneFailoverModel) -> Result<(), ZoneViolation> {
+pub(super) fn check_loss_detected(state: &ZoneFailoverModel) -> Result<(), ZoneViolation> {
     let mut model = state.clone();
     list_all_zones(&mut model);
     for (server, zone) in ZONE_OF_SERVER.into_iter().enumerate() {
@@ -49,14 +49,14 @@
     if state.is_closed() {
         return Ok(());
     }
-    Err(ZoneViolation::LossUnnoticed {
+    Err(ZoneViolation::LossUndetected {
         zone: ZONE_CUT_OFF,
         state: state.name(),
     })
 }
 
 fn list_all_zones(model: &mut ZoneFailoverModel) {
-    for zone in 0..ZONES {
+    for zone in 0..ZONE_COUNT {
         if !model.zones[zone].is_listed {
             model.perform(ZoneAction::ToggleListing(zone as ZoneId));
         }
--- a/crates/model-checker/src/zone_failover/mod.rs
+++ b/crates/model-checker/src/zone_failover/mod.rs
@@ -30,7 +30,7 @@
     type Fingerprint = String;
 
     fn fingerprint(&self) -> String {
-        self.relative_state()
+        self.fingerprint_text()
     }
 
     fn actions(&self) -> Vec<ZoneAction> {
@@ -38,12 +38,12 @@
     }
 
     fn apply(&mut self, action: ZoneAction) -> Result<(), ZoneViolation> {
-        self.handle(action)
+        self.apply_and_check(action)
     }
 
     fn check(&self) -> Result<(), ZoneViolation> {
         liveness::check_recovery(self)?;
-        liveness::check_loss_is_noticed(self)
+        liveness::check_loss_detected(self)
     }
 }
 
--- a/crates/model-checker/src/zone_failover/model.rs
+++ b/crates/model-checker/src/zone_failover/model.rs
@@ -1,7 +1,9 @@
 //! The servers of three zones, and what a proxy has observed of them.
 
 use super::action::ZoneAction;
-use super::settings::{SERVERS, SETTINGS, START, TICK, ZONE_OF_SERVER, ZONES, servers_of};
+use super::settings::{
+    SERVER_COUNT, SETTINGS, START_TIME, TICK, ZONE_COUNT, ZONE_OF_SERVER, servers_in_zone,
+};
 use super::violation::ZoneViolation;
 #[cfg(feature = "injected-faults")]
 use asterramp_zone_failover::InjectedFault;
@@ -13,14 +15,14 @@
 /// A zone that is lost within this time of an earlier loss must be held down.
 const LOST_AGAIN_WITHIN: Duration = Duration::from_secs(20);
 /// More probes than this in one action suggest that they never end.
-const MAX_PROBES_PER_ACTION: usize = 4 * ZONES;
+const MAX_PROBES_PER_ACTION: usize = 4 * ZONE_COUNT;
 /// A recovering zone whose share is below `LOW_SHARE` may not come above `HIGH_SHARE` at once.
 const LOW_SHARE: f64 = 0.2;
 const HIGH_SHARE: f64 = 0.4;
 
 /// One server.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ServerModel {
+pub(super) struct ZoneServer {
     pub(super) responds: bool,
     /// Whether it is one of its zone's failure signs.
     has_failed: bool,
@@ -28,7 +30,7 @@
 
 /// What the proxy has observed of one zone, and what was decided of it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ZoneModel {
+pub(super) struct ObservedZone {
     pub(super) is_listed: bool,
     /// Servers that failed since its last response.
     failure_signs: u8,
@@ -47,8 +49,8 @@
 pub struct ZoneFailoverModel {
     failover: ZoneFailover,
     now: Duration,
-    pub(super) servers: [ServerModel; SERVERS],
-    pub(super) zones: [ZoneModel; ZONES],
+    pub(super) servers: [ZoneServer; SERVER_COUNT],
+    pub(super) zones: [ObservedZone; ZONE_COUNT],
     /// Probes that the present action has led to.
     probes: usize,
     /// The first violation of the present action.
@@ -64,41 +66,41 @@
 impl ZoneFailoverModel {
     /// All servers are listed and have responded.
     pub fn new() -> ZoneFailoverModel {
-        ZoneFailoverModel::with_failover(ZoneFailover::new(SETTINGS, ZONES))
+        ZoneFailoverModel::with_failover(ZoneFailover::new(SETTINGS, ZONE_COUNT))
     }
 
     /// The same with a fault in the code that decides.
     #[cfg(feature = "injected-faults")]
     pub fn with_fault(injected_fault: InjectedFault) -> ZoneFailoverModel {
-        let mut failover = ZoneFailover::new(SETTINGS, ZONES);
+        let mut failover = ZoneFailover::new(SETTINGS, ZONE_COUNT);
         failover.injected_fault = Some(injected_fault);
         ZoneFailoverModel::with_failover(failover)
     }
 
     fn with_failover(mut failover: ZoneFailover) -> ZoneFailoverModel {
         for (server, zone) in (0..).zip(ZONE_OF_SERVER) {
-            failover.server_listed(START, server, zone, ServerState::Ready, None);
-            failover.server_responded(START, server);
+            failover.server_listed(START_TIME, server, zone, ServerState::Ready, None);
+            failover.server_responded(START_TIME, server);
         }
         failover.drain_effects();
-        let server = ServerModel {
+        let server = ZoneServer {
             responds: true,
             has_failed: false,
         };
-        let zone = ZoneModel {
+        let zone = ObservedZone {
             is_listed: true,
             failure_signs: 0,
-            last_response: START,
-            first_failure: START,
+            last_response: START_TIME,
+            first_failure: START_TIME,
             share: 1.0,
             closed_at: None,
             losses: 0,
         };
         ZoneFailoverModel {
             failover,
-            now: START,
-            servers: [server; SERVERS],
-            zones: [zone; ZONES],
+            now: START_TIME,
+            servers: [server; SERVER_COUNT],
+            zones: [zone; ZONE_COUNT],
             probes: 0,
             violation: None,
         }
@@ -121,8 +123,8 @@
     }
 
     fn toggle_zone(&mut self, zone: ZoneId) {
-        let any_responds = servers_of(zone).any(|server| self.servers[server].responds);
-        servers_of(zone).for_each(|server| self.servers[server].responds = !any_responds);
+        let any_responds = servers_in_zone(zone).any(|server| self.servers[server].responds);
+        servers_in_zone(zone).for_each(|server| self.servers[server].responds = !any_responds);
     }
 
     fn toggle_listing(&mut self, zone: ZoneId) {
@@ -133,7 +135,7 @@
         } else {
             (ServerState::Gone, None)
         };
-        for server in servers_of(zone) {
+        for server in servers_in_zone(zone) {
             self.servers[server].has_failed = false;
             self.failover
                 .server_listed(self.now, server as ServerId, zone, state, started_at);
@@ -167,7 +169,7 @@
         if zone.failure_signs == 0 {
             // Failures before the zone's last response do not count any more.
             zone.first_failure = self.now;
-            servers_of(zone_id).for_each(|other| self.servers[other].has_failed = false);
+            servers_in_zone(zone_id).for_each(|other| self.servers[other].has_failed = false);
         }
         zone.failure_signs += u8::from(!self.servers[server].has_failed);
         self.servers[server].has_failed = true;
@@ -187,7 +189,7 @@
         self.probes += probed.len();
         if self.probes > MAX_PROBES_PER_ACTION {
             let probes = self.probes;
-            return self.violate(ZoneViolation::ProbesWithoutEnd { probes });
+            return self.violate(ZoneViolation::TooManyProbes { probes });
         }
         probed.into_iter().for_each(|server| self.contact(server));
     }
@@ -201,7 +203,7 @@
         } else if before <= 0.0 {
             self.check_hold_down(zone_id);
         } else if before < LOW_SHARE && share > HIGH_SHARE && state == ZoneState::Healthy {
-            self.violate(ZoneViolation::ShareJumps {
+            self.violate(ZoneViolation::ShareRampTooSteep {
                 zone: zone_id,
                 before,
                 after: share,
@@ -211,7 +213,7 @@
 
     fn close(&mut self, zone_id: ZoneId) {
         let zone = self.zones[usize::from(zone_id)];
-        let servers = servers_of(zone_id).count() as u8;
+        let servers = servers_in_zone(zone_id).count() as u8;
         if zone.failure_signs < servers.min(MIN_FAILURE_SIGNS) {
             self.violate(ZoneViolation::ClosedTooEarly {
                 zone: zone_id,
@@ -252,7 +254,7 @@
         }
     }
 
-    fn other_zones(&self, zone: ZoneId) -> impl Iterator<Item = &ZoneModel> {
+    fn other_zones(&self, zone: ZoneId) -> impl Iterator<Item = &ObservedZone> {
         let zones = self.zones.iter().enumerate();
         let others = zones.filter(move |(other, _)| *other != usize::from(zone));
         others.map(|(_, zone)| zone)
@@ -268,7 +270,7 @@
 
     /// What must hold after each action.
     fn check_zones(&self) -> Result<(), ZoneViolation> {
-        let mut listed = (0..ZONES).filter(|zone| self.zones[*zone].is_listed);
+        let mut listed = (0..ZONE_COUNT).filter(|zone| self.zones[*zone].is_listed);
         let any_listed = self.zones.iter().any(|zone| zone.is_listed);
         if any_listed && listed.all(|zone| self.zone_state(zone).is_closed()) {
             return Err(ZoneViolation::AllZonesClosed);
@@ -285,7 +287,7 @@
     }
 
     /// Lets an action happen, and checks what must hold then.
-    pub(super) fn handle(&mut self, action: ZoneAction) -> Result<(), ZoneViolation> {
+    pub(super) fn apply_and_check(&mut self, action: ZoneAction) -> Result<(), ZoneViolation> {
         self.perform(action);
         self.check_zones()?;
         self.violation.take().map_or(Ok(()), Err)
@@ -294,9 +296,9 @@
     /// All that may happen next.
     pub(super) fn possible_actions(&self) -> Vec<ZoneAction> {
         let is_listed = |server: &usize| self.zones[usize::from(ZONE_OF_SERVER[*server])].is_listed;
-        let listed_servers = (0..SERVERS).filter(is_listed);
+        let listed_servers = (0..SERVER_COUNT).filter(is_listed);
         let contacts = listed_servers.map(|server| ZoneAction::Contact(server as ServerId));
-        let of_zones = (0..ZONES as ZoneId).flat_map(|zone| {
+        let of_zones = (0..ZONE_COUNT as ZoneId).flat_map(|zone| {
             [
                 ZoneAction::ToggleZone(zone),
                 ZoneAction::ToggleListing(zone),
@@ -308,7 +310,7 @@
     }
 
     /// Equal for models that behave alike.
-    pub(super) fn relative_state(&self) -> String {
+    pub(super) fn fingerprint_text(&self) -> String {
         let age = |at: Duration| (self.now - at).as_millis();
         let zones = self.zones.map(|zone| {
             let observed = (zone.is_listed, zone.failure_signs);
--- a/crates/model-checker/src/zone_failover/settings.rs
+++ b/crates/model-checker/src/zone_failover/settings.rs
@@ -15,16 +15,16 @@
     probing_allowed: true,
 };
 /// The clock at the beginning.
-pub(super) const START: Duration = Duration::from_secs(1_000);
+pub(super) const START_TIME: Duration = Duration::from_secs(1_000);
 /// By how much the clock goes on at once.
 pub(super) const TICK: Duration = Duration::from_millis(500);
 
-pub(super) const ZONES: usize = 3;
-pub(super) const SERVERS: usize = 8;
+pub(super) const ZONE_COUNT: usize = 3;
+pub(super) const SERVER_COUNT: usize = 8;
 /// The zone of each server.
-pub(super) const ZONE_OF_SERVER: [ZoneId; SERVERS] = [0, 0, 0, 1, 1, 1, 2, 2];
+pub(super) const ZONE_OF_SERVER: [ZoneId; SERVER_COUNT] = [0, 0, 0, 1, 1, 1, 2, 2];
 
 /// The servers of a zone.
-pub(super) fn servers_of(zone: ZoneId) -> impl Iterator<Item = usize> {
-    (0..SERVERS).filter(move |server| ZONE_OF_SERVER[*server] == zone)
+pub(super) fn servers_in_zone(zone: ZoneId) -> impl Iterator<Item = usize> {
+    (0..SERVER_COUNT).filter(move |server| ZONE_OF_SERVER[*server] == zone)
 }
--- a/crates/model-checker/src/zone_failover/violation.rs
+++ b/crates/model-checker/src/zone_failover/violation.rs
@@ -8,7 +8,7 @@
 pub enum ZoneViolation {
     /// One action leads to so many probes that they might never end.
     #[error("{probes} looks in one step")]
-    ProbesWithoutEnd {
+    TooManyProbes {
         /// Probes so far.
         probes: usize,
     },
@@ -34,7 +34,7 @@
     },
     /// A recovering zone gets its share back too fast.
     #[error("place {zone} goes from {before:.2} to {after:.2}")]
-    ShareJumps {
+    ShareRampTooSteep {
         /// The zone.
         zone: ZoneId,
         /// Its share until now.
@@ -55,7 +55,7 @@
     },
     /// A zone whose servers do not respond stays open.
     #[error("place {zone} stays {state} though nobody there answers")]
-    LossUnnoticed {
+    LossUndetected {
         /// The zone.
         zone: ZoneId,
         /// The state in which it stays.
--- a/crates/model-checker/tests/counterexample_lines.rs
+++ b/crates/model-checker/tests/counterexample_lines.rs
@@ -103,18 +103,18 @@
     assert_eq!(printed, recorded.lines().collect::<Vec<_>>());
 }
 
-#[test_case(ZoneViolation::ProbesWithoutEnd { probes: 15 }, "15 looks in one step")]
+#[test_case(ZoneViolation::TooManyProbes { probes: 15 }, "15 looks in one step")]
 #[test_case(ZoneViolation::ClosedTooEarly { zone: 1, failure_signs: 2 }, "place 1 is given up at 2 signs")]
 #[test_case(ZoneViolation::ClosedWhileDisconnected { zone: 0 }, "place 0 is given up though nobody answers anywhere")]
 #[test_case(ZoneViolation::OpenedDuringHoldDown { zone: 0 }, "place 0 fell again and is opened at once")]
-#[test_case(ZoneViolation::ShareJumps { zone: 0, before: 1.0 / 6.0, after: 1.0 }, "place 0 goes from 0.17 to 1.00")]
+#[test_case(ZoneViolation::ShareRampTooSteep { zone: 0, before: 1.0 / 6.0, after: 1.0 }, "place 0 goes from 0.17 to 1.00")]
 #[test_case(ZoneViolation::AllZonesClosed, "all places are shut")]
 #[test_case(ZoneViolation::HealthyWithoutShare { zone: 2, share: 0.5 }, "place 2 is whole and open for 0.50")]
-#[test_case(ZoneViolation::LossUnnoticed { zone: 0, state: "doubtful" }, "place 0 stays doubtful though nobody there answers")]
+#[test_case(ZoneViolation::LossUndetected { zone: 0, state: "doubtful" }, "place 0 stays doubtful though nobody there answers")]
 #[test_case(ZoneViolation::NeverHealthy { zone: 0, state: "lost" }, "place 0 stays lost though all answer")]
 #[test_case(WarmStartViolation::UnverifiedEndpointUsed { proxy: 0, endpoint: 1 }, "proxy 0 uses host 1, which has not answered it")]
 #[test_case(WarmStartViolation::AdmissionUnlimited { proxy: 0 }, "proxy 0 lets all in at once")]
-#[test_case(WarmStartViolation::DeadlineWithoutEnd { proxy: 0 }, "proxy 0 is due at once, for ever")]
+#[test_case(WarmStartViolation::DeadlineStaysDue { proxy: 0 }, "proxy 0 is due at once, for ever")]
 #[test_case(WarmStartViolation::AdmissionWithoutEndpoint { proxy: 0 }, "proxy 0 lets clients in, and has no host")]
 #[test_case(WarmStartViolation::OpenDuringWarmStart { proxy: 0, stage: "probing" }, "proxy 0 is open while it is probing")]
 #[test_case(WarmStartViolation::TwoEndpointsAtOneAddress { proxy: 0 }, "proxy 0 uses two hosts at one address")]
@@ -138,7 +138,10 @@
     HotRestartViolation::ServedWithoutDescriptor(0b1),
     "connections 0b1 are touched and not held"
 )]
-#[test_case(HotRestartViolation::Lost(0b10), "connections 0b10 are nobody's")]
+#[test_case(
+    HotRestartViolation::ConnectionsLost(0b10),
+    "connections 0b10 are nobody's"
+)]
 fn every_violation_is_printed_as_before(violation: impl Display, text: &str) {
     assert_eq!(violation.to_string(), text);
 }
--- a/crates/model-checker/tests/explore.rs
+++ b/crates/model-checker/tests/explore.rs
@@ -18,7 +18,7 @@
 #[test_case("cold")]
 fn all_properties_hold_in_a_small_shape(name: &str) {
     let limits = Limits {
-        states: 60_000,
+        max_states: 60_000,
         ..Limits::default()
     };
     let shape = Shape::find(name).unwrap();
@@ -33,7 +33,7 @@
 #[test]
 fn two_explorations_see_the_same_states() {
     let limits = Limits {
-        depth: 6,
+        max_depth: 6,
         ..Limits::default()
     };
     let seen = |_| {
--- a/crates/model-checker/tests/explorer.rs
+++ b/crates/model-checker/tests/explorer.rs
@@ -179,7 +179,7 @@
 #[test]
 fn the_number_of_states_is_limited() {
     let limits = Limits {
-        states: 10,
+        max_states: 10,
         ..Limits::NONE
     };
     let exploration = explore(Robot::on(BOARD), limits);
@@ -191,7 +191,7 @@
 #[test]
 fn the_size_of_a_level_is_limited() {
     let limits = Limits {
-        level_size: 3,
+        max_level_size: 3,
         ..Limits::NONE
     };
     let exploration = explore(Robot::on(BOARD), limits);
@@ -211,7 +211,7 @@
 #[test]
 fn the_time_is_limited() {
     let limits = Limits {
-        time: Duration::ZERO,
+        max_time: Duration::ZERO,
         ..Limits::NONE
     };
     let exploration = explore(Robot::on(BOARD), limits);
--- a/crates/model-checker/tests/trace.rs
+++ b/crates/model-checker/tests/trace.rs
@@ -2,8 +2,8 @@
 
 use asterramp_model_checker::action::{Action, Choice, EndpointChange, ProbeResult, ServerMessage};
 use asterramp_model_checker::shape::WALK;
+use asterramp_model_checker::system_state::SystemState;
 use asterramp_model_checker::trace::Trace;
-use asterramp_model_checker::world::World;
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -53,7 +53,7 @@
         (number(), server_message()).prop_map(|(session, m)| Action::ServerAnswers(session, m)),
         number().prop_map(Action::ServerCloses),
         number().prop_map(Action::ClientLeaves),
-        number().prop_map(Action::ClientSpeaks),
+        number().prop_map(Action::ClientSendsEarly),
         number().prop_map(Action::ClientLeavesUnnoticed),
         (number(), endpoint_change()).prop_map(|(server, c)| Action::EndpointChanges(server, c)),
         (number(), probe_result()).prop_map(|(server, r)| Action::ProbeEnds(server, r)),
@@ -61,7 +61,7 @@
         number().prop_map(Action::StaleEvent),
         Just(Action::Sigterm),
         Just(Action::OperatorDrains),
-        Just(Action::OperatorUndrains),
+        Just(Action::OperatorCancelsDrain),
     ]
 }
 
@@ -77,10 +77,10 @@
 
 #[test]
 fn every_action_that_is_possible_on_a_long_way_is_read_as_it_is_written() {
-    let mut world = World::new(&WALK);
+    let mut state = SystemState::new(&WALK);
     let mut possible = Vec::new();
     for nth in 0..400_usize {
-        world.actions(&WALK, &mut possible);
+        state.actions(&WALK, &mut possible);
         for action in &possible {
             let choice = Choice {
                 action: *action,
@@ -99,7 +99,7 @@
             action,
             random_range: 0,
         };
-        world.apply(&WALK, choice).unwrap();
+        state.apply(&WALK, choice).unwrap();
     }
 }
 
--- a/crates/model-checker/tests/walk.rs
+++ b/crates/model-checker/tests/walk.rs
@@ -13,7 +13,7 @@
         let trace = Trace::new(&WALK, None, &found.violation, &found.actions);
         panic!("seed {seed}: {trace}");
     }
-    let (complete, walks) = (summary.complete, summary.walks);
+    let (complete, walks) = (summary.complete_walk_count, summary.walk_count);
     assert!(complete * 2 > walks, "few walks end: {complete} of {walks}");
 }
 
@@ -22,7 +22,7 @@
 
 #[test]
 fn the_first_walks_are_those_of_earlier_builds() {
-    let actions: Vec<usize> = (1..=8).map(|seed| walk(&WALK, seed).actions).collect();
+    let actions: Vec<usize> = (1..=8).map(|seed| walk(&WALK, seed).action_count).collect();
     assert_eq!(actions, EARLIER_WALKS);
 }
 
@@ -38,7 +38,7 @@
         let first = walk(&WALK, seed);
         let second = walk(&WALK, seed);
         prop_assert!(first.counterexample.is_none(), "{:?}", first.counterexample);
-        prop_assert_eq!(first.actions, second.actions);
+        prop_assert_eq!(first.action_count, second.action_count);
         prop_assert_eq!(first.is_complete, second.is_complete);
     }
 }
--- a/crates/zookeeper/src/bin/asterramp-store.rs
+++ b/crates/zookeeper/src/bin/asterramp-store.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    asterramp_former_name::run_as("asterramp-zookeeper-stub")
+    asterramp_former_name::exec_renamed_program("asterramp-zookeeper-stub")
 }
