--- a/crates/admin-protocol/src/client.rs
+++ b/crates/admin-protocol/src/client.rs
@@ -19,7 +19,7 @@
 
 /// Why a request got no status. Each names the socket's path.
 #[derive(Debug, thiserror::Error)]
-pub enum ClientError {
+pub enum AdminClientError {
     /// The socket could not be connected to, written or read, or a time limit passed.
     #[error("{}: {source}", path.display())]
     Io {
@@ -57,9 +57,9 @@
     ///
     /// # Errors
     ///
-    /// [`ClientError::Io`] if nobody listens there.
-    pub fn connect(path: &Path) -> Result<AdminClient, ClientError> {
-        let stream = open(path).map_err(|source| ClientError::Io {
+    /// [`AdminClientError::Io`] if nobody listens there.
+    pub fn connect(path: &Path) -> Result<AdminClient, AdminClientError> {
+        let stream = open(path).map_err(|source| AdminClientError::Io {
             path: path.to_path_buf(),
             source,
         })?;
@@ -73,31 +73,31 @@
     ///
     /// # Errors
     ///
-    /// See [`ClientError`].
-    pub fn send(&mut self, request: &AdminRequest) -> Result<ProxyStatus, ClientError> {
+    /// See [`AdminClientError`].
+    pub fn send(&mut self, request: &AdminRequest) -> Result<ProxyStatus, AdminClientError> {
         let line = self.exchange(request)?;
         let reply: AdminReply =
-            serde_json::from_str(&line).map_err(|source| ClientError::MalformedReply {
+            serde_json::from_str(&line).map_err(|source| AdminClientError::MalformedReply {
                 path: self.path.clone(),
                 source,
             })?;
         match (reply.error, reply.status) {
-            (Some(message), _) => Err(ClientError::Rejected {
+            (Some(message), _) => Err(AdminClientError::Rejected {
                 path: self.path.clone(),
                 message,
             }),
             (None, Some(status)) => Ok(status),
-            (None, None) => Err(ClientError::EmptyReply {
+            (None, None) => Err(AdminClientError::EmptyReply {
                 path: self.path.clone(),
             }),
         }
     }
 
     /// Writes a request's line and reads its reply's, which is cut at [`MAX_REPLY_BYTES`].
-    fn exchange(&mut self, request: &AdminRequest) -> Result<String, ClientError> {
+    fn exchange(&mut self, request: &AdminRequest) -> Result<String, AdminClientError> {
         let stream = &mut self.stream;
         let result = write_line(stream.get_mut(), request).and_then(|()| read_line(stream));
-        result.map_err(|source| ClientError::Io {
+        result.map_err(|source| AdminClientError::Io {
             path: self.path.clone(),
             source,
         })
--- a/crates/admin-protocol/src/command.rs
+++ b/crates/admin-protocol/src/command.rs
@@ -43,7 +43,7 @@
 
 /// An HTTP call and the command that it stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HttpCall {
+pub struct HttpRoute {
     /// The only method that the path allows.
     pub method: &'static str,
     /// The path, without a query.
@@ -53,23 +53,23 @@
 }
 
 /// All HTTP calls of operators.
-pub const HTTP_CALLS: &[HttpCall] = &[
-    HttpCall {
+pub const HTTP_ROUTES: &[HttpRoute] = &[
+    HttpRoute {
         method: "GET",
         path: "/ops/readiness",
         command: AdminCommand::Readiness,
     },
-    HttpCall {
+    HttpRoute {
         method: "GET",
         path: "/ops/stats",
         command: AdminCommand::Stats,
     },
-    HttpCall {
+    HttpRoute {
         method: "POST",
         path: "/ops/drain/start",
         command: AdminCommand::Drain,
     },
-    HttpCall {
+    HttpRoute {
         method: "POST",
         path: "/ops/drain/stop",
         command: AdminCommand::Undrain,
--- a/crates/admin-protocol/src/lib.rs
+++ b/crates/admin-protocol/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A client connects to the proxy's Unix socket and sends [`AdminRequest`]s, JSON objects of one line each; the proxy
 //! answers each with one [`AdminReply`], also one line. Both carry [`PROTOCOL_VERSION`]. Four of the commands are also
-//! available as HTTP calls, listed in [`HTTP_CALLS`].
+//! available as HTTP calls, listed in [`HTTP_ROUTES`].
 //!
 //! [`AdminClient`] is the client's side; the server's side is `asterramp_proxy::routing::admin_socket` and `admin_http`.
 
@@ -13,10 +13,10 @@
 mod status;
 mod wire;
 
-pub use client::{AdminClient, ClientError};
-pub use command::{AdminCommand, HTTP_CALLS, HttpCall};
+pub use client::{AdminClient, AdminClientError};
+pub use command::{AdminCommand, HTTP_ROUTES, HttpRoute};
 pub use reply::AdminReply;
-pub use request::{AdminRequest, LeaderToken, RequestError};
+pub use request::{AdminRequest, AdminRequestError, LeaderToken};
 pub use status::{
     AdmissionStatus, EndpointSourceCount, ListenerSessions, ProxyStatus, RejectionCount,
     SessionCostEstimate, SnapshotCounts, WarmStartStatus, ZoneStatus,
--- a/crates/admin-protocol/src/request.rs
+++ b/crates/admin-protocol/src/request.rs
@@ -41,7 +41,7 @@
 
 /// Why a proxy rejects a request. The text is the `error` of the reply.
 #[derive(Debug, thiserror::Error)]
-pub enum RequestError {
+pub enum AdminRequestError {
     /// The line is not a JSON object with a request's fields.
     #[error("not a request: {0}")]
     Malformed(#[source] serde_json::Error),
@@ -53,10 +53,10 @@
     },
     /// `deadline_ms` or `pace` beside a command other than `drain`.
     #[error("deadline_ms and pace go with drain")]
-    NotADrain,
+    DrainOptionsWithoutDrain,
     /// A command that only a leader may send, without its token.
     #[error("hear and leave are an owner's: owner is missing")]
-    MissingLeader,
+    MissingLeaderToken,
     /// `deadline_ms` is over one day.
     #[error("deadline_ms is more than a day")]
     DeadlineTooLong,
@@ -64,7 +64,7 @@
     #[error(
         "pace is out of range; allowed are {MIN_MIGRATIONS_PER_SECOND} to {MAX_MIGRATIONS_PER_SECOND} a second"
     )]
-    PaceOutOfRange,
+    MigrationRateOutOfRange,
 }
 
 impl AdminRequest {
@@ -83,39 +83,39 @@
     ///
     /// # Errors
     ///
-    /// The first check that fails; see [`RequestError`].
-    pub fn parse(line: &[u8]) -> Result<AdminRequest, RequestError> {
+    /// The first check that fails; see [`AdminRequestError`].
+    pub fn parse(line: &[u8]) -> Result<AdminRequest, AdminRequestError> {
         let request: AdminRequest =
-            serde_json::from_slice(line).map_err(RequestError::Malformed)?;
+            serde_json::from_slice(line).map_err(AdminRequestError::Malformed)?;
         request.check()?;
         Ok(request)
     }
 
-    fn check(&self) -> Result<(), RequestError> {
+    fn check(&self) -> Result<(), AdminRequestError> {
         if self.version != PROTOCOL_VERSION {
-            return Err(RequestError::UnsupportedVersion {
+            return Err(AdminRequestError::UnsupportedVersion {
                 version: self.version,
             });
         }
         let has_drain_options = self.deadline_ms.is_some() || self.migrations_per_second.is_some();
         if has_drain_options && self.command != AdminCommand::Drain {
-            return Err(RequestError::NotADrain);
+            return Err(AdminRequestError::DrainOptionsWithoutDrain);
         }
         let needs_leader = matches!(
             self.command,
             AdminCommand::AnnounceTerm | AdminCommand::Shutdown
         );
         if needs_leader && self.leader.is_none() {
-            return Err(RequestError::MissingLeader);
+            return Err(AdminRequestError::MissingLeaderToken);
         }
         if self.deadline_ms.is_some_and(|ms| ms > MAX_DEADLINE_MS) {
-            return Err(RequestError::DeadlineTooLong);
+            return Err(AdminRequestError::DeadlineTooLong);
         }
         let allowed = MIN_MIGRATIONS_PER_SECOND..=MAX_MIGRATIONS_PER_SECOND;
         if let Some(pace) = self.migrations_per_second
             && !allowed.contains(&pace)
         {
-            return Err(RequestError::PaceOutOfRange);
+            return Err(AdminRequestError::MigrationRateOutOfRange);
         }
         Ok(())
     }
--- a/crates/admin-protocol/src/status.rs
+++ b/crates/admin-protocol/src/status.rs
@@ -27,7 +27,7 @@
     pub sessionless_connections: usize,
     /// Sessions migrated by this drain.
     #[serde(rename = "moved")]
-    pub migrated: u64,
+    pub migrated_sessions: u64,
     /// Sessions that a drain migrates per second now.
     #[serde(rename = "pace")]
     pub migrations_per_second: f64,
@@ -48,7 +48,7 @@
     pub accepted_sessions: u64,
     /// During a drain: the sessions that are left, by listener.
     #[serde(rename = "left")]
-    pub remaining: Vec<ListenerSessions>,
+    pub remaining_sessions: Vec<ListenerSessions>,
     /// Endpoints in state `ready`.
     #[serde(rename = "hosts_ready")]
     pub ready_endpoints: usize,
--- a/crates/admin-protocol/tests/golden.rs
+++ b/crates/admin-protocol/tests/golden.rs
@@ -6,7 +6,7 @@
 
 use asterramp_admin_protocol::{
     AdminClient, AdminCommand, AdminReply, AdminRequest, AdmissionStatus, EndpointSourceCount,
-    HTTP_CALLS, LeaderToken, ListenerSessions, MAX_REPLY_BYTES, MAX_REQUEST_BYTES,
+    HTTP_ROUTES, LeaderToken, ListenerSessions, MAX_REPLY_BYTES, MAX_REQUEST_BYTES,
     PROTOCOL_VERSION, ProxyStatus, RejectionCount, SessionCostEstimate, SnapshotCounts,
     WarmStartStatus, ZoneStatus,
 };
@@ -167,14 +167,14 @@
         open_sessions: 103,
         pending_sessions: 104,
         sessionless_connections: 105,
-        migrated: 106,
+        migrated_sessions: 106,
         migrations_per_second: 107.5,
         spare_capacity: Some(108.25),
         expected_empty_in_ms: Some(109),
         deadline_in_ms: Some(110),
         allows_next_drain: true,
         accepted_sessions: 111,
-        remaining: remaining_sessions(),
+        remaining_sessions: remaining_sessions(),
         ready_endpoints: 114,
         listed_endpoints: 115,
         discovery_age_ms: Some(116),
@@ -295,7 +295,7 @@
     let mut text = format!(
         "version {PROTOCOL_VERSION}, request {MAX_REQUEST_BYTES}, reply {MAX_REPLY_BYTES}\n"
     );
-    for call in HTTP_CALLS {
+    for call in HTTP_ROUTES {
         let command = serde_json::to_string(&call.command).unwrap();
         text += &format!("{} {} {command}\n", call.method, call.path);
     }
--- a/crates/drain/src/drain.rs
+++ b/crates/drain/src/drain.rs
@@ -1,6 +1,6 @@
 //! The drain itself: requests, and advice by state.
 
-use crate::pacing::{MigrationBudget, RequiredRate, predicted_time, rate};
+use crate::pacing::{MigrationBudget, RequiredRate, migration_rate, predicted_duration};
 use crate::{
     ADVICE_INTERVAL, DrainEffect, DrainError, DrainInput, DrainSettings, DrainState,
     ShutdownSchedule, Transition,
@@ -18,9 +18,9 @@
     /// Sessions that are being set up.
     pub pending_sessions: usize,
     /// Connections of clients in any state, those being closed among them.
-    pub clients: usize,
+    pub client_connections: usize,
     /// When a session last arrived.
-    pub last_arrival: Duration,
+    pub last_session_arrival: Duration,
     /// Sessions that endpoints can absorb now by their load reports; `None` where none has reported.
     pub spare_capacity: Option<f64>,
 }
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DrainAdvice {
     /// Sessions to migrate.
-    pub migrate: usize,
+    pub sessions_to_migrate: usize,
     /// Reject the sessions that are still being set up.
     pub reject_pending: bool,
     /// Close the listener and end the process.
@@ -95,7 +95,7 @@
     }
 
     /// Sessions migrated since the last drain began.
-    pub fn migrated(&self) -> u64 {
+    pub fn migrated_sessions(&self) -> u64 {
         self.migrated
     }
 
@@ -154,7 +154,7 @@
 
     /// Sessions that are migrated per second now.
     pub fn migrations_per_second(&self, view: &DrainView) -> f64 {
-        rate(self.requested_rate, view.spare_capacity, &self.settings)
+        migration_rate(self.requested_rate, view.spare_capacity, &self.settings)
     }
 
     /// Time until the proxy is expected to be empty at this rate, its deadline at the latest; `None` unless there is
@@ -163,7 +163,7 @@
         match self.state {
             DrainState::Closing | DrainState::Migrating | DrainState::Late => {
                 let predicted =
-                    predicted_time(view.open_sessions, self.migrations_per_second(view));
+                    predicted_duration(view.open_sessions, self.migrations_per_second(view));
                 Some(predicted.min(self.deadline.saturating_sub(now)))
             }
             DrainState::Serving | DrainState::Empty | DrainState::Exiting => None,
@@ -178,8 +178,8 @@
                 if !self.front_has_stopped(now, view) {
                     return DrainAdvice::default();
                 }
-                self.change_state(DrainInput::FrontStopped);
-                self.budget.restart(now);
+                self.change_state(DrainInput::NewSessionsStopped);
+                self.budget.restart_clock(now);
                 self.advise_migration(now, view)
             }
             (DrainState::Migrating | DrainState::Late | DrainState::Empty, _) => {
@@ -214,7 +214,7 @@
     }
 
     fn front_has_stopped(&self, now: Duration, view: &DrainView) -> bool {
-        let quiet_since = view.last_arrival.max(self.began_at);
+        let quiet_since = view.last_session_arrival.max(self.began_at);
         if now.saturating_sub(quiet_since) >= self.settings.quiet_period {
             return true;
         }
@@ -227,7 +227,7 @@
     }
 
     fn advise_migration(&mut self, now: Duration, view: &DrainView) -> DrainAdvice {
-        let elapsed = self.budget.elapse(now);
+        let elapsed = self.budget.take_elapsed(now);
         let reject_pending = self.should_reject_pending(now);
         let migrate = if view.open_sessions == 0 {
             self.budget.clear();
@@ -241,7 +241,7 @@
         };
         self.migrated += migrate as u64;
         DrainAdvice {
-            migrate,
+            sessions_to_migrate: migrate,
             reject_pending,
             ..DrainAdvice::default()
         }
@@ -267,9 +267,9 @@
         let rate = self.migrations_per_second(view);
         let time_left = self.deadline.saturating_sub(now);
         let required = RequiredRate::new(view.open_sessions, time_left);
-        if required.is_at_risk_by(rate) {
+        if required.clearly_exceeds(rate) {
             self.change_state(DrainInput::DeadlineAtRisk);
-        } else if required.is_safe_by(rate) {
+        } else if required.is_clearly_below(rate) {
             self.change_state(DrainInput::DeadlineSafe);
         }
         self.budget
@@ -301,11 +301,11 @@
             view.open_sessions.div_ceil(steps as usize)
         };
         self.migrated += migrate as u64;
-        let drop_remaining = now >= schedule.end_at;
+        let drop_remaining = now >= schedule.exit_at;
         DrainAdvice {
-            migrate,
+            sessions_to_migrate: migrate,
             reject_pending: now >= schedule.reject_pending_at,
-            exit: drop_remaining || view.clients == 0,
+            exit: drop_remaining || view.client_connections == 0,
             drop_remaining,
         }
     }
--- a/crates/drain/src/pacing.rs
+++ b/crates/drain/src/pacing.rs
@@ -30,7 +30,7 @@
 
 /// The rate of a drain in sessions per second: the requested one, or what endpoints can absorb, up to the operator's
 /// maximum.
-pub(crate) fn rate(
+pub(crate) fn migration_rate(
     requested: Option<f64>,
     spare_capacity: Option<f64>,
     settings: &DrainSettings,
@@ -44,7 +44,7 @@
 }
 
 /// How long it takes to migrate so many sessions.
-pub(crate) fn predicted_time(open_sessions: usize, rate: f64) -> Duration {
+pub(crate) fn predicted_duration(open_sessions: usize, rate: f64) -> Duration {
     let rate = rate.max(MIN_PREDICTED_RATE);
     Duration::from_secs_f64((open_sessions as f64 / rate).min(MAX_PREDICTION_S))
 }
@@ -62,12 +62,12 @@
     }
 
     /// Whether it is clearly above a rate.
-    pub(crate) fn is_at_risk_by(self, rate: f64) -> bool {
+    pub(crate) fn clearly_exceeds(self, rate: f64) -> bool {
         self.0 > rate * AT_RISK
     }
 
     /// Whether it is clearly below a rate.
-    pub(crate) fn is_safe_by(self, rate: f64) -> bool {
+    pub(crate) fn is_clearly_below(self, rate: f64) -> bool {
         self.0 < rate * SAFE
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Starts counting time anew; what was allowed stays.
-    pub(crate) fn restart(&mut self, now: Duration) {
+    pub(crate) fn restart_clock(&mut self, now: Duration) {
         self.updated_at = now;
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Time since the last call of this.
-    pub(crate) fn elapse(&mut self, now: Duration) -> Duration {
+    pub(crate) fn take_elapsed(&mut self, now: Duration) -> Duration {
         let elapsed = now.saturating_sub(self.updated_at);
         self.updated_at = now;
         elapsed
--- a/crates/drain/src/settings.rs
+++ b/crates/drain/src/settings.rs
@@ -40,5 +40,5 @@
     /// When the listener is closed, if the proxy is not empty before.
     pub close_listener_at: Duration,
     /// When the process ends, whoever is left.
-    pub end_at: Duration,
+    pub exit_at: Duration,
 }
--- a/crates/drain/src/state.rs
+++ b/crates/drain/src/state.rs
@@ -2,8 +2,8 @@
 
 use DrainEffect::{BeginDrain, BeginShutdown, ChangeDeadline, NoEffect, Reject, Resume};
 use DrainInput::{
-    AllSessionsEnded, DeadlineAtRisk, DeadlineSafe, DrainRequested, FrontStopped, SessionsOpen,
-    ShutdownRequested, UndrainRequested,
+    AllSessionsEnded, DeadlineAtRisk, DeadlineSafe, DrainRequested, NewSessionsStopped,
+    SessionsOpen, ShutdownRequested, UndrainRequested,
 };
 use DrainState::{Closing, Empty, Exiting, Late, Migrating, Serving};
 
@@ -48,7 +48,7 @@
     /// The proxy is to shut down.
     ShutdownRequested,
     /// The front has stopped sending sessions, or has had enough time to.
-    FrontStopped,
+    NewSessionsStopped,
     /// No session is open or being set up.
     AllSessionsEnded,
     /// Sessions are open.
@@ -157,7 +157,7 @@
     row(Migrating, ShutdownRequested, Exiting, BeginShutdown),
     row(Late, ShutdownRequested, Exiting, BeginShutdown),
     row(Empty, ShutdownRequested, Exiting, BeginShutdown),
-    row(Closing, FrontStopped, Migrating, NoEffect),
+    row(Closing, NewSessionsStopped, Migrating, NoEffect),
     row(Migrating, AllSessionsEnded, Empty, NoEffect),
     row(Late, AllSessionsEnded, Empty, NoEffect),
     row(Empty, SessionsOpen, Migrating, NoEffect),
--- a/crates/drain/tests/drain.rs
+++ b/crates/drain/tests/drain.rs
@@ -39,7 +39,7 @@
     fn view(&self) -> DrainView {
         DrainView {
             open_sessions: self.open,
-            clients: self.open,
+            client_connections: self.open,
             spare_capacity: self.spare_capacity,
             ..DrainView::default()
         }
@@ -51,8 +51,8 @@
             self.now += ADVICE_INTERVAL;
             let view = self.view();
             let advice = self.drain.advise(self.now, &view);
-            self.open -= advice.migrate;
-            self.migrations.push(advice.migrate);
+            self.open -= advice.sessions_to_migrate;
+            self.migrations.push(advice.sessions_to_migrate);
             if self.states.last() != Some(&self.drain.state()) {
                 self.states.push(self.drain.state());
             }
@@ -79,7 +79,7 @@
     simulation.drain.start(START, ms(deadline), rate).unwrap();
     simulation.run_for(ms(deadline + 1_000));
     assert_eq!((simulation.open, simulation.states.as_slice()), (0, states));
-    assert_eq!(simulation.drain.migrated(), open as u64);
+    assert_eq!(simulation.drain.migrated_sessions(), open as u64);
     let second = 1_000 / ADVICE_INTERVAL.as_millis() as usize;
     let worst = simulation
         .migrations
@@ -114,8 +114,8 @@
         let last_came = now.min(START + ms(1_500));
         let view = DrainView {
             open_sessions: 10,
-            clients: 10,
-            last_arrival: last_came,
+            client_connections: 10,
+            last_session_arrival: last_came,
             ..DrainView::default()
         };
         let _ = simulation.drain.advise(now, &view);
@@ -201,7 +201,7 @@
         migrate_from: after(2_100),
         migrate_until: after(3_150),
         reject_pending_at: after(3_000),
-        end_at: after(3_500),
+        exit_at: after(3_500),
     }
 }
 
@@ -240,7 +240,7 @@
     let advice = drain.advise(
         START + ms(after),
         &DrainView {
-            clients,
+            client_connections: clients,
             ..DrainView::default()
         },
     );
--- a/crates/hot-restart/src/codec.rs
+++ b/crates/hot-restart/src/codec.rs
@@ -113,7 +113,7 @@
     /// within the bounds of this package.
     pub fn decode(message: &[u8]) -> Result<HotRestartMessage, MessageError> {
         if message.len() < HEADER_BYTES || !message.starts_with(&MAGIC) {
-            return Err(MessageError::NotAMessage);
+            return Err(MessageError::InvalidHeader);
         }
         let version = message[VERSION_OFFSET];
         if version != PROTOCOL_VERSION {
@@ -176,7 +176,7 @@
     body.push(endpoint.state as u8);
     body.extend(endpoint.weight.to_bits().to_le_bytes());
     let started_ms = endpoint
-        .started
+        .started_at
         .map_or(START_UNKNOWN, |at| at.as_millis() as u64);
     body.extend(started_ms.to_le_bytes());
 }
@@ -202,7 +202,7 @@
         cell,
         state,
         weight,
-        started,
+        started_at: started,
     })
 }
 
@@ -216,7 +216,7 @@
 }
 
 fn encode_buffered_bytes(body: &mut Vec<u8>, buffered: &BufferedBytes) {
-    body.extend((buffered.validated as u32).to_le_bytes());
+    body.extend((buffered.validated_len as u32).to_le_bytes());
     encode_byte_string(body, &buffered.bytes);
 }
 
@@ -229,14 +229,17 @@
             length: bytes.len(),
         });
     }
-    Ok(BufferedBytes { validated, bytes })
+    Ok(BufferedBytes {
+        validated_len: validated,
+        bytes,
+    })
 }
 
 fn encode_session_offer(body: &mut Vec<u8>, offer: &SessionOffer) {
     encode_byte_string(body, &offer.opening_line);
     encode_byte_string(body, offer.server_uid.as_bytes());
     let answer_within_ms = offer
-        .answer_within
+        .response_timeout
         .map_or(NO_ANSWER_AWAITED, |within| within.as_millis() as u32);
     body.extend(answer_within_ms.to_le_bytes());
     encode_buffered_bytes(body, &offer.from_client);
@@ -255,7 +258,7 @@
     Ok(SessionOffer {
         opening_line,
         server_uid,
-        answer_within,
+        response_timeout: answer_within,
         from_client,
         from_server,
     })
--- a/crates/hot-restart/src/error.rs
+++ b/crates/hot-restart/src/error.rs
@@ -7,7 +7,7 @@
 pub enum MessageError {
     /// Shorter than a header, or without the magic bytes.
     #[error("no message of this kind")]
-    NotAMessage,
+    InvalidHeader,
     /// Encoded by a build that uses another version of the protocol.
     #[error("another version")]
     UnsupportedVersion {
@@ -75,7 +75,7 @@
     /// The predecessor has ended and left more offers in the link than
     /// [`crate::MAX_PENDING_OFFERS`].
     #[error("more offers than may be")]
-    TooMany,
+    TooManyOffers,
     /// The predecessor lives, and its end of the link is full: it cannot learn that the offer is
     /// accepted.
     #[error("the elder cannot be told")]
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -35,5 +35,5 @@
     BufferedBytes, EndpointRecord, EndpointRecordState, HotRestartMessage,
     MAX_ENDPOINTS_PER_MESSAGE, MAX_MESSAGE_BYTES, MAX_NAME_BYTES, PROTOCOL_VERSION, SessionOffer,
 };
-pub use ownership::{ConnectionOwnership, Delivery, HandoverEnd, MAX_PENDING_OFFERS};
+pub use ownership::{ConnectionOwnership, MAX_PENDING_OFFERS, SendOutcome, UnacceptedOffers};
 pub use state::{HotRestartEffect, HotRestartInput, HotRestartState};
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -80,7 +80,7 @@
     pub weight: f64,
     /// When the server started, as time since the Unix epoch in whole milliseconds. `None` where
     /// unknown.
-    pub started: Option<Duration>,
+    pub started_at: Option<Duration>,
 }
 
 /// State of an endpoint in an [`EndpointRecord`]. The discriminants are the encoding.
@@ -100,7 +100,7 @@
 pub struct BufferedBytes {
     /// How many of them, from the front, are complete lines that the predecessor has validated; at
     /// most as many as there are bytes.
-    pub validated: usize,
+    pub validated_len: usize,
     /// The bytes in the order in which they came.
     pub bytes: Vec<u8>,
 }
@@ -115,7 +115,7 @@
     pub server_uid: String,
     /// How long the server may still leave the client's last line unanswered, in whole
     /// milliseconds, under `u32::MAX` of them. `None` where no line waits for an answer.
-    pub answer_within: Option<Duration>,
+    pub response_timeout: Option<Duration>,
     /// What the client sent.
     pub from_client: BufferedBytes,
     /// What the server sent.
--- a/crates/hot-restart/src/ownership.rs
+++ b/crates/hot-restart/src/ownership.rs
@@ -14,7 +14,7 @@
 
 /// What became of a message that was to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Delivery {
+pub enum SendOutcome {
     /// It is in the link.
     Sent,
     /// The link is full: the other process lives and does not read.
@@ -38,7 +38,7 @@
 
 /// What a predecessor does with the offers that were not accepted when the handover ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HandoverEnd<O> {
+pub struct UnacceptedOffers<O> {
     /// It goes on with these.
     pub resumed: Vec<O>,
     /// It closes its descriptors of these: the successor may own them.
@@ -56,7 +56,7 @@
 
 impl<O: PartialEq, R> ConnectionOwnership<O, R> {
     /// How many more offers may be made now; at most [`MAX_PENDING_OFFERS`].
-    pub fn free_offers(&self) -> usize {
+    pub fn free_offer_slots(&self) -> usize {
         MAX_PENDING_OFFERS.saturating_sub(self.pending_offers.len())
     }
 
@@ -81,14 +81,14 @@
     ///
     /// A successor that lives and could not be sent the notice may accept any offer at any time, so
     /// all of them are released; otherwise all are resumed.
-    pub fn end_handover(&mut self, stop_notice: Delivery) -> HandoverEnd<O> {
+    pub fn end_handover(&mut self, stop_notice: SendOutcome) -> UnacceptedOffers<O> {
         let offers = Vec::from(std::mem::take(&mut self.pending_offers));
         match stop_notice {
-            Delivery::LinkFull => HandoverEnd {
+            SendOutcome::LinkFull => UnacceptedOffers {
                 resumed: Vec::new(),
                 released: offers,
             },
-            Delivery::Sent | Delivery::PeerGone => HandoverEnd {
+            SendOutcome::Sent | SendOutcome::PeerGone => UnacceptedOffers {
                 resumed: offers,
                 released: Vec::new(),
             },
@@ -107,16 +107,16 @@
     pub fn receive_offer(
         &mut self,
         received: R,
-        acceptance: Delivery,
+        acceptance: SendOutcome,
     ) -> Result<Option<R>, OfferError> {
         match acceptance {
-            Delivery::Sent => Ok(Some(received)),
-            Delivery::PeerGone if self.unconfirmed.len() < MAX_PENDING_OFFERS => {
+            SendOutcome::Sent => Ok(Some(received)),
+            SendOutcome::PeerGone if self.unconfirmed.len() < MAX_PENDING_OFFERS => {
                 self.unconfirmed.push(received);
                 Ok(None)
             }
-            Delivery::PeerGone => Err(OfferError::TooMany),
-            Delivery::LinkFull => Err(OfferError::LinkFull),
+            SendOutcome::PeerGone => Err(OfferError::TooManyOffers),
+            SendOutcome::LinkFull => Err(OfferError::LinkFull),
         }
     }
 
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -40,13 +40,13 @@
         cell: 7,
         state: STATES[state],
         weight,
-        started,
+        started_at: started,
     }
 }
 
 fn bytes(validated: usize, bytes: &[u8]) -> BufferedBytes {
     BufferedBytes {
-        validated,
+        validated_len: validated,
         bytes: bytes.to_vec(),
     }
 }
@@ -55,7 +55,7 @@
     SessionOffer {
         opening_line: b"OPEN s-17 lobby c=lakes\r\n".to_vec(),
         server_uid: "server-1".into(),
-        answer_within,
+        response_timeout: answer_within,
         from_client: bytes(0, b""),
         from_server: bytes(0, b""),
     }
@@ -138,7 +138,7 @@
         cell: n,
         state: STATES[usize::from(n % 3)],
         weight: f64::from(n) / 8.0,
-        started: (n % 2 == 1).then(|| millis(u64::from(n))),
+        started_at: (n % 2 == 1).then(|| millis(u64::from(n))),
     });
     vec![
         ("endpoints-none", HotRestartMessage::Endpoints(Vec::new())),
@@ -183,7 +183,7 @@
     let extremes = EndpointRecord {
         cell: u16::MAX,
         weight: f64::MAX,
-        started: Some(millis(u64::MAX)),
+        started_at: Some(millis(u64::MAX)),
         ..endpoint("server-1", 2, 0.0, None)
     };
     let named = |name: &str, weight| EndpointRecord {
@@ -232,7 +232,7 @@
         ..session(None)
     };
     let buffered_wait = SessionOffer {
-        answer_within: Some(millis(1500)),
+        response_timeout: Some(millis(1500)),
         ..buffered.clone()
     };
     let client_only = SessionOffer {
--- a/crates/hot-restart/tests/messages.rs
+++ b/crates/hot-restart/tests/messages.rs
@@ -14,13 +14,13 @@
         cell: 7,
         state,
         weight: 0.5,
-        started,
+        started_at: started,
     }
 }
 
 fn buffered(validated: usize, bytes: &[u8]) -> BufferedBytes {
     BufferedBytes {
-        validated,
+        validated_len: validated,
         bytes: bytes.to_vec(),
     }
 }
@@ -29,7 +29,7 @@
     SessionOffer {
         opening_line: b"OPEN 1 2 c=a\r\n".to_vec(),
         server_uid: "s-1".into(),
-        answer_within,
+        response_timeout: answer_within,
         from_client: buffered(3, b"a\r\nb"),
         from_server: buffered(0, b""),
     }
--- a/crates/hot-restart/tests/ownership.rs
+++ b/crates/hot-restart/tests/ownership.rs
@@ -2,7 +2,7 @@
 //! explores all orders of two processes; these are the rules of one.
 
 use asterramp_hot_restart::{
-    ConnectionOwnership, Delivery, HandoverEnd, MAX_PENDING_OFFERS, OfferError,
+    ConnectionOwnership, MAX_PENDING_OFFERS, OfferError, SendOutcome, UnacceptedOffers,
 };
 use test_case::test_case;
 
@@ -19,48 +19,48 @@
 #[test]
 fn offers_are_accepted_oldest_first_and_make_room_for_others() {
     let mut ownership = with_offers(0..MAX_PENDING_OFFERS);
-    assert_eq!(ownership.free_offers(), 0);
+    assert_eq!(ownership.free_offer_slots(), 0);
     assert!(ownership.is_offered(&0));
     assert_eq!(ownership.accept_oldest(), Some(0));
     assert!(!ownership.is_offered(&0));
-    assert_eq!(ownership.free_offers(), 1);
+    assert_eq!(ownership.free_offer_slots(), 1);
     assert_eq!(Ownership::default().accept_oldest(), None);
 }
 
-#[test_case(Delivery::Sent, &[1, 2], &[]; "the successor was notified")]
-#[test_case(Delivery::PeerGone, &[1, 2], &[]; "the successor is gone")]
-#[test_case(Delivery::LinkFull, &[], &[1, 2]; "the successor may accept")]
+#[test_case(SendOutcome::Sent, &[1, 2], &[]; "the successor was notified")]
+#[test_case(SendOutcome::PeerGone, &[1, 2], &[]; "the successor is gone")]
+#[test_case(SendOutcome::LinkFull, &[], &[1, 2]; "the successor may accept")]
 fn what_was_not_accepted_is_resumed_or_released(
-    stop_notice: Delivery,
+    stop_notice: SendOutcome,
     resumed: &[usize],
     released: &[usize],
 ) {
     let mut ownership = with_offers(0..3);
     assert_eq!(ownership.accept_oldest(), Some(0));
-    let end = HandoverEnd {
+    let end = UnacceptedOffers {
         resumed: resumed.to_vec(),
         released: released.to_vec(),
     };
     assert_eq!(ownership.end_handover(stop_notice), end);
-    assert_eq!(ownership.free_offers(), MAX_PENDING_OFFERS);
+    assert_eq!(ownership.free_offer_slots(), MAX_PENDING_OFFERS);
 }
 
 #[test]
 fn what_the_predecessor_was_not_notified_of_waits_within_the_bound() {
     let mut ownership = Ownership::default();
-    assert_eq!(ownership.receive_offer(0, Delivery::Sent), Ok(Some(0)));
+    assert_eq!(ownership.receive_offer(0, SendOutcome::Sent), Ok(Some(0)));
     assert_eq!(
-        ownership.receive_offer(1, Delivery::LinkFull),
+        ownership.receive_offer(1, SendOutcome::LinkFull),
         Err(OfferError::LinkFull)
     );
     for received in 0..MAX_PENDING_OFFERS {
         assert_eq!(
-            ownership.receive_offer(received, Delivery::PeerGone),
+            ownership.receive_offer(received, SendOutcome::PeerGone),
             Ok(None)
         );
     }
-    let beyond = ownership.receive_offer(MAX_PENDING_OFFERS, Delivery::PeerGone);
-    assert_eq!(beyond, Err(OfferError::TooMany));
+    let beyond = ownership.receive_offer(MAX_PENDING_OFFERS, SendOutcome::PeerGone);
+    assert_eq!(beyond, Err(OfferError::TooManyOffers));
     assert_eq!(
         ownership.take_unconfirmed(),
         (0..MAX_PENDING_OFFERS).collect::<Vec<_>>()
--- a/crates/model-checker/src/hot_restart/model.rs
+++ b/crates/model-checker/src/hot_restart/model.rs
@@ -3,7 +3,7 @@
 use super::process::{ConnectionSet, Message, Process, set_of};
 use crate::model::Model;
 use asterramp_hot_restart::{
-    Delivery, HotRestartEffect, HotRestartInput, HotRestartState, MAX_PENDING_OFFERS,
+    HotRestartEffect, HotRestartInput, HotRestartState, MAX_PENDING_OFFERS, SendOutcome,
 };
 use std::fmt;
 use thiserror::Error;
@@ -154,7 +154,7 @@
         let predecessor = &mut self.predecessor;
         let connection = predecessor.served.trailing_zeros() as u8;
         let delivery = predecessor.send(&mut self.successor, Message::Offer(connection));
-        if delivery == Delivery::Sent {
+        if delivery == SendOutcome::Sent {
             predecessor.served &= !set_of([connection]);
             predecessor.ownership.add_offer(connection);
         }
@@ -182,7 +182,7 @@
         let notice = if effect == HotRestartEffect::StopHandover {
             predecessor.send(&mut self.successor, Message::HandoverStopped)
         } else {
-            Delivery::PeerGone
+            SendOutcome::PeerGone
         };
         let end = predecessor.ownership.end_handover(notice);
         predecessor.served |= set_of(end.resumed);
--- a/crates/model-checker/src/hot_restart/process.rs
+++ b/crates/model-checker/src/hot_restart/process.rs
@@ -1,6 +1,6 @@
 //! One of the two processes, and its end of the link.
 
-use asterramp_hot_restart::{ConnectionOwnership, Delivery, HotRestartState};
+use asterramp_hot_restart::{ConnectionOwnership, HotRestartState, SendOutcome};
 use std::collections::VecDeque;
 
 /// Messages that the link holds one way before it is full for its sender.
@@ -53,15 +53,15 @@
         }
     }
 
-    pub(super) fn send(&self, to: &mut Process, message: Message) -> Delivery {
+    pub(super) fn send(&self, to: &mut Process, message: Message) -> SendOutcome {
         if !to.is_linked {
-            return Delivery::PeerGone;
+            return SendOutcome::PeerGone;
         }
         if to.inbox.len() >= LINK_CAPACITY {
-            return Delivery::LinkFull;
+            return SendOutcome::LinkFull;
         }
         to.inbox.push_back(message);
-        Delivery::Sent
+        SendOutcome::Sent
     }
 
     pub(super) fn die(&mut self) {
@@ -88,7 +88,7 @@
             && self.is_linked
             && self.state == HotRestartState::HandingOver
             && self.served != 0
-            && self.ownership.free_offers() > 0
+            && self.ownership.free_offer_slots() > 0
     }
 
     /// The successor has accepted the oldest offer, so the connection is not this process's any more.
--- a/crates/model-checker/src/world/drain.rs
+++ b/crates/model-checker/src/world/drain.rs
@@ -31,7 +31,7 @@
             migrate_from,
             migrate_until,
             reject_pending_at,
-            end_at: reject_pending_at + MAX_SHUTDOWN_WAIT,
+            exit_at: reject_pending_at + MAX_SHUTDOWN_WAIT,
         });
         self.deadlines.set(Deadline::DrainAdvice, migrate_from);
     }
@@ -58,12 +58,12 @@
         let view = DrainView {
             open_sessions: open.len(),
             pending_sessions: pending.len(),
-            clients: open.len() + pending.len(),
-            last_arrival: self.last_arrival,
+            client_connections: open.len() + pending.len(),
+            last_session_arrival: self.last_arrival,
             spare_capacity: None,
         };
         let advice = self.drain.advise(self.now, &view);
-        for (_, session) in open.into_iter().take(advice.migrate) {
+        for (_, session) in open.into_iter().take(advice.sessions_to_migrate) {
             self.close_session(session, Outcome::Cancelled);
         }
         if advice.reject_pending {
--- a/crates/operator-config/src/keys.rs
+++ b/crates/operator-config/src/keys.rs
@@ -83,9 +83,9 @@
     Key {
         table: "site",
         name: "watch",
-        kind: ValueKind::Flag,
+        kind: ValueKind::Boolean,
         takes_effect: TakesEffect::AfterRestart,
-        value_in: |config| Some(Value::Flag(config.zone_failover.enabled)),
+        value_in: |config| Some(Value::Boolean(config.zone_failover.enabled)),
     },
     Key {
         table: "site",
@@ -118,16 +118,16 @@
     Key {
         table: "site",
         name: "pace",
-        kind: ValueKind::Flag,
+        kind: ValueKind::Boolean,
         takes_effect: TakesEffect::Immediately,
-        value_in: |config| Some(Value::Flag(config.zone_failover.paces_admission)),
+        value_in: |config| Some(Value::Boolean(config.zone_failover.paces_admission)),
     },
     Key {
         table: "site",
         name: "by_worth",
-        kind: ValueKind::Flag,
+        kind: ValueKind::Boolean,
         takes_effect: TakesEffect::AfterRestart,
-        value_in: |config| Some(Value::Flag(config.zone_failover.rejects_by_priority)),
+        value_in: |config| Some(Value::Boolean(config.zone_failover.rejects_by_priority)),
     },
     Key {
         table: "state",
@@ -146,9 +146,9 @@
     Key {
         table: "recovery",
         name: "stages",
-        kind: ValueKind::Flag,
+        kind: ValueKind::Boolean,
         takes_effect: TakesEffect::AfterRestart,
-        value_in: |config| Some(Value::Flag(config.warm_start.enabled)),
+        value_in: |config| Some(Value::Boolean(config.warm_start.enabled)),
     },
     Key {
         table: "recovery",
--- a/crates/operator-config/src/parse.rs
+++ b/crates/operator-config/src/parse.rs
@@ -158,7 +158,7 @@
 
     fn flag(&self, table: &'static str, key: &'static str) -> Option<bool> {
         match self.0.get(&(table, key)) {
-            Some(Value::Flag(flag)) => Some(*flag),
+            Some(Value::Boolean(flag)) => Some(*flag),
             _ => None,
         }
     }
--- a/crates/operator-config/src/problem.rs
+++ b/crates/operator-config/src/problem.rs
@@ -89,7 +89,7 @@
     CountOutOfRange { min: i64, max: i64 },
     /// Neither `true` nor `false`.
     #[error("is neither true nor false; allowed are these two")]
-    NotAFlag,
+    NotABoolean,
     /// No text where a path is wanted.
     #[error("is no path; allowed is an absolute path of at most {max_bytes} bytes")]
     NotAPath { max_bytes: usize },
--- a/crates/operator-config/src/value.rs
+++ b/crates/operator-config/src/value.rs
@@ -30,7 +30,7 @@
     /// A whole number.
     Count { min: i64, max: i64 },
     /// `true` or `false`.
-    Flag,
+    Boolean,
     /// An absolute path that fits a Unix socket's address.
     SocketPath,
     /// An absolute path.
@@ -47,7 +47,7 @@
     Duration(Duration),
     Number(f64),
     Count(usize),
-    Flag(bool),
+    Boolean(bool),
     Path(PathBuf),
     Name(String),
     Addresses(Vec<SocketAddr>),
@@ -61,7 +61,7 @@
             ValueKind::Duration { min, max } => parse_bounded_duration(value, min, max),
             ValueKind::Number { min, max } => parse_number(value, min, max),
             ValueKind::Count { min, max } => parse_count(value, min, max),
-            ValueKind::Flag => parse_flag(value),
+            ValueKind::Boolean => parse_flag(value),
             ValueKind::SocketPath => parse_path(value, MAX_SOCKET_PATH_BYTES),
             ValueKind::DirectoryPath => parse_path(value, MAX_DIRECTORY_PATH_BYTES),
             ValueKind::Name => parse_name(value),
@@ -117,8 +117,8 @@
 
 fn parse_flag(value: &DeValue<'_>) -> Result<Value, ValueError> {
     match value {
-        DeValue::Boolean(flag) => Ok(Value::Flag(*flag)),
-        _ => Err(ValueError::NotAFlag),
+        DeValue::Boolean(flag) => Ok(Value::Boolean(*flag)),
+        _ => Err(ValueError::NotABoolean),
     }
 }
 
--- a/crates/proxy/src/program/commands/error.rs
+++ b/crates/proxy/src/program/commands/error.rs
@@ -5,14 +5,14 @@
 use crate::program::roll::RollError;
 use crate::program::run::ServeError;
 use crate::program::state::StateCommandError;
-use asterramp_admin_protocol::ClientError;
+use asterramp_admin_protocol::AdminClientError;
 
 /// Why a command fails.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CommandError {
     /// A proxy did not do as asked.
     #[error(transparent)]
-    Client(#[from] ClientError),
+    Client(#[from] AdminClientError),
     /// The program could not serve.
     #[error(transparent)]
     Serve(#[from] ServeError),
--- a/crates/proxy/src/program/drain_progress.rs
+++ b/crates/proxy/src/program/drain_progress.rs
@@ -1,7 +1,7 @@
 //! A proxy's status as a line for people, and the wait until a proxy that drains is empty.
 
 use asterramp_admin_protocol::{
-    AdminClient, AdminCommand, AdminRequest, AdmissionStatus, ClientError, ProxyStatus,
+    AdminClient, AdminClientError, AdminCommand, AdminRequest, AdmissionStatus, ProxyStatus,
     WarmStartStatus,
 };
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 pub(super) enum DrainProgressError {
     /// Its status could not be had.
     #[error(transparent)]
-    Status(#[from] ClientError),
+    Status(#[from] AdminClientError),
     /// It serves again.
     #[error("the drain was taken back")]
     Undrained,
@@ -77,7 +77,7 @@
 fn sessions_part(status: &ProxyStatus) -> String {
     let mut part = format!(
         "{}  {} open, {} pending, {} moved",
-        status.state, status.open_sessions, status.pending_sessions, status.migrated
+        status.state, status.open_sessions, status.pending_sessions, status.migrated_sessions
     );
     if let Some(deadline) = status.deadline_in_ms {
         part += &format!(", {:.1} s left", seconds(deadline));
@@ -87,7 +87,7 @@
         part += &format!(", empty in {:.1} s at {pace:.0}/s", seconds(expected));
     }
     let remaining: Vec<String> = status
-        .remaining
+        .remaining_sessions
         .iter()
         .map(|left| format!("{} {}", left.sessions, left.listener))
         .collect();
--- a/crates/proxy/src/program/leader_lease.rs
+++ b/crates/proxy/src/program/leader_lease.rs
@@ -7,7 +7,7 @@
 mod session_thread;
 
 use asterramp_admin_protocol::{
-    AdminClient, AdminCommand, AdminRequest, ClientError, LeaderToken, ProxyStatus,
+    AdminClient, AdminClientError, AdminCommand, AdminRequest, LeaderToken, ProxyStatus,
 };
 use asterramp_leader_lease::{
     LeaseContender, LeaseSettings, LeaseState, OrderPurpose, ReceiverClock, Term,
@@ -166,7 +166,7 @@
         &self,
         client: &mut AdminClient,
         request: AdminRequest,
-    ) -> Result<Option<ProxyStatus>, ClientError> {
+    ) -> Result<Option<ProxyStatus>, AdminClientError> {
         let status = client.send(&AdminRequest::new(AdminCommand::Status))?;
         let read_at = self.now();
         let receiver = ReceiverClock {
--- a/crates/proxy/src/program/leader_lease/session_thread.rs
+++ b/crates/proxy/src/program/leader_lease/session_thread.rs
@@ -4,7 +4,7 @@
 use asterramp_leader_lease::Term;
 use asterramp_zookeeper::record::{StoreError, StoreRequest};
 use asterramp_zookeeper::session::{
-    ClientSession, ClientSessionEffect, ClientSessionSettings as SessionSettings, StoreResponse,
+    StoreResponse, StoreSession, StoreSessionEffect, StoreSessionSettings as SessionSettings,
 };
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -78,7 +78,7 @@
     lease: LeaderLease,
     contends: bool,
     stores: Vec<SocketAddr>,
-    session: ClientSession,
+    session: StoreSession,
     stream: Option<TcpStream>,
     /// The path of this contender's node.
     own_path: String,
@@ -89,7 +89,7 @@
     queue_read_at: Duration,
     queue_read_interval: Duration,
     /// What the session wants done.
-    effects: Vec<ClientSessionEffect>,
+    effects: Vec<StoreSessionEffect>,
 }
 
 impl SessionThread {
@@ -108,7 +108,7 @@
         };
         let mut effects = Vec::new();
         let now = lease.now();
-        let session = ClientSession::new(now, settings, seed, &mut effects);
+        let session = StoreSession::new(now, settings, seed, &mut effects);
         SessionThread {
             lease,
             contends,
@@ -197,25 +197,25 @@
         }
     }
 
-    fn perform(&mut self, effect: ClientSessionEffect) {
+    fn perform(&mut self, effect: StoreSessionEffect) {
         match effect {
-            ClientSessionEffect::Connect(nth) => self.connect(nth),
-            ClientSessionEffect::Send(bytes) => self.write(&bytes),
-            ClientSessionEffect::CloseConnection => self.stream = None,
-            ClientSessionEffect::Established { new: true } => {
+            StoreSessionEffect::Connect(nth) => self.connect(nth),
+            StoreSessionEffect::Send(bytes) => self.write(&bytes),
+            StoreSessionEffect::CloseConnection => self.stream = None,
+            StoreSessionEffect::Established { new: true } => {
                 if self.contends {
                     self.create_nodes();
                 }
             }
-            ClientSessionEffect::Established { new: false } => self.queue_read_at = Duration::ZERO,
+            StoreSessionEffect::Established { new: false } => self.queue_read_at = Duration::ZERO,
             // The lease goes on to its end by itself, and no further.
-            ClientSessionEffect::ConnectionLost => self.queue = QueueReading::default(),
-            ClientSessionEffect::Expired => {
+            StoreSessionEffect::ConnectionLost => self.queue = QueueReading::default(),
+            StoreSessionEffect::Expired => {
                 self.lease.shared().contender.session_expired();
                 self.has_own_node = false;
                 self.queue.unanswered = 0;
             }
-            ClientSessionEffect::Responded {
+            StoreSessionEffect::ResponseReceived {
                 xid,
                 response: answer,
             } => {
@@ -223,12 +223,12 @@
                     self.answered(purpose, answer);
                 }
             }
-            ClientSessionEffect::ResponseLost { xid } => {
+            StoreSessionEffect::ResponseLost { xid } => {
                 if let Some(purpose) = self.in_flight.remove(&xid) {
                     purpose.fail();
                 }
             }
-            ClientSessionEffect::WatchFired(_) | ClientSessionEffect::ProtocolError(_) => {}
+            StoreSessionEffect::WatchTriggered(_) | StoreSessionEffect::ProtocolError(_) => {}
         }
     }
 
--- a/crates/proxy/src/program/roll/error.rs
+++ b/crates/proxy/src/program/roll/error.rs
@@ -2,7 +2,7 @@
 
 use crate::program::drain_progress::DrainProgressError;
 use crate::program::leader_lease::StoreRequestError;
-use asterramp_admin_protocol::ClientError;
+use asterramp_admin_protocol::AdminClientError;
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitStatus;
@@ -18,7 +18,7 @@
     Store(#[from] StoreRequestError),
     /// A proxy could not be asked, or rejected what it was ordered.
     #[error(transparent)]
-    Admin(#[from] ClientError),
+    Admin(#[from] AdminClientError),
     /// A drained proxy did not become empty.
     #[error(transparent)]
     Drain(#[from] DrainProgressError),
--- a/crates/proxy/src/program/state.rs
+++ b/crates/proxy/src/program/state.rs
@@ -144,7 +144,7 @@
         "snapshot {} of {}, saved at {} ms; the proxy {end}; list {}, term {}",
         snapshot.sequence,
         snapshot.owner,
-        snapshot.saved_ms,
+        snapshot.saved_at_ms,
         snapshot.list_revision,
         snapshot.lease_term
     );
@@ -164,6 +164,6 @@
     let last_report = saved.last_report_ms.unwrap_or(0);
     println!(
         "{} {} {} {state} unit={load} heard={last_report}",
-        saved.uid, saved.endpoint, saved.zone
+        saved.uid, saved.address, saved.zone
     );
 }
--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -7,7 +7,7 @@
 use crate::protocol::http_server::{self, HttpRequest, HttpStatus};
 use crate::transport::poller::{Interest, ReadyEvent};
 use crate::transport::{SlotKey, StreamEnd, socket};
-use asterramp_admin_protocol::{AdminCommand, AdminRequest, HTTP_CALLS};
+use asterramp_admin_protocol::{AdminCommand, AdminRequest, HTTP_ROUTES};
 use asterramp_drain::DrainState;
 use asterramp_placement::event::EndpointState;
 use rustix::fd::OwnedFd;
@@ -255,7 +255,7 @@
             _ => Err(HttpStatus::MethodNotAllowed("GET")),
         };
     }
-    match HTTP_CALLS.iter().find(|known| known.path == call.path) {
+    match HTTP_ROUTES.iter().find(|known| known.path == call.path) {
         None => Err(HttpStatus::NotFound),
         Some(known) if known.method != call.method => {
             Err(HttpStatus::MethodNotAllowed(known.method))
--- a/crates/proxy/src/routing/admin_status.rs
+++ b/crates/proxy/src/routing/admin_status.rs
@@ -39,7 +39,7 @@
             open_sessions: view.open_sessions,
             pending_sessions: view.pending_sessions,
             sessionless_connections: self.connection_counts.pending(),
-            migrated: self.drain.migrated(),
+            migrated_sessions: self.drain.migrated_sessions(),
             migrations_per_second: self.drain.migrations_per_second(&view),
             spare_capacity: view.spare_capacity,
             expected_empty_in_ms: self
@@ -49,7 +49,7 @@
             deadline_in_ms: self.drain.time_left(self.now).map(milliseconds),
             allows_next_drain: self.drain.allows_next_drain(self.now),
             accepted_sessions: self.sessions_accepted,
-            remaining: self.remaining_sessions(),
+            remaining_sessions: self.remaining_sessions(),
             ready_endpoints: self.count_endpoints(|state| state == EndpointState::Ready),
             listed_endpoints: self.count_endpoints(|state| state != EndpointState::Gone),
             discovery_age_ms: self
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -80,7 +80,7 @@
             migrate_from: moving,
             migrate_until: part(MIGRATION_END),
             reject_pending_at: answered,
-            end_at: (now + longest_wait + EXIT_MARGIN).max(answered + LAST_CLOSE),
+            exit_at: (now + longest_wait + EXIT_MARGIN).max(answered + LAST_CLOSE),
         }
     }
 
@@ -126,7 +126,7 @@
             state.name(),
             view.open_sessions,
             view.pending_sessions,
-            self.drain.migrated(),
+            self.drain.migrated_sessions(),
             self.drain.migrations_per_second(&view)
         );
         self.log_event(ReasonCode::DrainStateChanged, about);
@@ -164,12 +164,12 @@
         DrainView {
             open_sessions: self.open_sessions().len(),
             pending_sessions: self.pending_sessions().len(),
-            clients: self
+            client_connections: self
                 .connections
                 .iter()
                 .filter(|(_, connection)| is_client(connection.role))
                 .count(),
-            last_arrival: self.last_arrival,
+            last_session_arrival: self.last_arrival,
             spare_capacity: self.spare_capacity(),
         }
     }
@@ -208,8 +208,8 @@
         }
         let view = self.drain_view();
         let advice = self.drain.advise(self.now, &view);
-        if advice.migrate > 0 {
-            self.migrate_sessions(advice.migrate, exiting);
+        if advice.sessions_to_migrate > 0 {
+            self.migrate_sessions(advice.sessions_to_migrate, exiting);
         }
         if advice.reject_pending {
             self.answer_pending_sessions(exiting);
@@ -220,7 +220,7 @@
         if advice.exit {
             self.close_listener();
             // Whoever was let in this moment is answered first.
-            self.done = self.drain_view().clients == 0 || advice.drop_remaining;
+            self.done = self.drain_view().client_connections == 0 || advice.drop_remaining;
         }
         self.log_drain_state();
         if self.drain.state() != DrainState::Serving {
--- a/crates/proxy/src/routing/hot_restart/adoption.rs
+++ b/crates/proxy/src/routing/hot_restart/adoption.rs
@@ -158,7 +158,7 @@
             request_line: offer.opening_line.clone(),
             wait_at: open.wait_range.clone(),
             open_at: None,
-            awaiting_response: offer.answer_within.is_some(),
+            awaiting_response: offer.response_timeout.is_some(),
             server_quiet: true,
             announced_end: None,
         };
@@ -169,7 +169,7 @@
             session,
             client: ReceivedStream::next(descriptors, &offer.from_client)?,
             server: ReceivedStream::next(descriptors, &offer.from_server)?,
-            answer_within: offer.answer_within,
+            answer_within: offer.response_timeout,
         })
     }
 
@@ -274,7 +274,7 @@
     ) -> Result<ReceivedStream, InvalidOffer> {
         Ok(ReceivedStream {
             stream: next_stream(descriptors, buffered)?,
-            validated: buffered.validated,
+            validated: buffered.validated_len,
         })
     }
 }
--- a/crates/proxy/src/routing/hot_restart/endpoint_records.rs
+++ b/crates/proxy/src/routing/hot_restart/endpoint_records.rs
@@ -27,7 +27,7 @@
             EndpointState::Gone => EndpointRecordState::Gone,
         },
         weight: endpoint.weight,
-        started: endpoint.started_at,
+        started_at: endpoint.started_at,
     }
 }
 
@@ -54,6 +54,6 @@
             EndpointRecordState::Gone => EndpointState::Gone,
         },
         weight: record.weight,
-        started_at: record.started,
+        started_at: record.started_at,
     })
 }
--- a/crates/proxy/src/routing/hot_restart/messages.rs
+++ b/crates/proxy/src/routing/hot_restart/messages.rs
@@ -5,7 +5,7 @@
 use crate::routing::{ConnectionRole, ReasonCode, Router};
 use crate::transport::{SlotKey, seqpacket, socket};
 use asterramp_hot_restart::{
-    Delivery, HotRestartInput, HotRestartMessage, MAX_MESSAGE_BYTES, MAX_PENDING_OFFERS,
+    HotRestartInput, HotRestartMessage, MAX_MESSAGE_BYTES, MAX_PENDING_OFFERS, SendOutcome,
 };
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::io::Errno;
@@ -102,27 +102,27 @@
         &mut self,
         message: &HotRestartMessage,
         connections: &[SlotKey],
-    ) -> Delivery {
+    ) -> SendOutcome {
         let link = self
             .hot_restart_link()
             .and_then(|key| self.connections.get(key));
         let Some(link) = link else {
-            return Delivery::PeerGone;
+            return SendOutcome::PeerGone;
         };
         let mut descriptors: Vec<BorrowedFd<'_>> = Vec::with_capacity(connections.len());
         for key in connections {
             let Some(connection) = self.connections.get(*key) else {
-                return Delivery::LinkFull;
+                return SendOutcome::LinkFull;
             };
             descriptors.push(connection.stream.as_fd());
         }
         match seqpacket::send(&link.stream, &message.encode(), &descriptors) {
-            Ok(true) => Delivery::Sent,
+            Ok(true) => SendOutcome::Sent,
             Err(Errno::PIPE | Errno::CONNRESET | Errno::CONNREFUSED | Errno::NOTCONN) => {
-                Delivery::PeerGone
+                SendOutcome::PeerGone
             }
             // Any other failure leaves it open whether the other process lives: as if it did.
-            Ok(false) | Err(_) => Delivery::LinkFull,
+            Ok(false) | Err(_) => SendOutcome::LinkFull,
         }
     }
 
--- a/crates/proxy/src/routing/hot_restart/mod.rs
+++ b/crates/proxy/src/routing/hot_restart/mod.rs
@@ -25,7 +25,7 @@
 use crate::transport::socket::{self, SocketType};
 use adoption::ReceivedOffer;
 use asterramp_hot_restart::{
-    ConnectionOwnership, Delivery, HotRestartInput, HotRestartMessage, HotRestartState,
+    ConnectionOwnership, HotRestartInput, HotRestartMessage, HotRestartState, SendOutcome,
 };
 pub(super) use inherited_listener::InheritedListener;
 use rustix::fd::OwnedFd;
@@ -84,7 +84,7 @@
     pub(super) fn announce_serving(&mut self) {
         if self.hot_restart_link().is_some() {
             let notified = self.send_hot_restart(&HotRestartMessage::Serving, &[]);
-            if notified != Delivery::Sent {
+            if notified != SendOutcome::Sent {
                 self.apply_hot_restart(HotRestartInput::PeerFailed);
             }
         }
--- a/crates/proxy/src/routing/hot_restart/offers.rs
+++ b/crates/proxy/src/routing/hot_restart/offers.rs
@@ -10,8 +10,8 @@
 };
 use crate::transport::{SlotKey, seqpacket};
 use asterramp_hot_restart::{
-    BufferedBytes, Delivery, EndpointRecord, HotRestartMessage, MAX_ENDPOINTS_PER_MESSAGE,
-    MAX_MESSAGE_BYTES, SessionOffer,
+    BufferedBytes, EndpointRecord, HotRestartMessage, MAX_ENDPOINTS_PER_MESSAGE, MAX_MESSAGE_BYTES,
+    SendOutcome, SessionOffer,
 };
 use asterramp_placement::event::{Load, Outcome};
 use std::time::Duration;
@@ -38,14 +38,14 @@
             self.endpoints.listed_endpoints().map(record_of).collect();
         for records in records.chunks(MAX_ENDPOINTS_PER_MESSAGE) {
             let message = HotRestartMessage::Endpoints(records.to_vec());
-            if self.send_hot_restart(&message, &[]) != Delivery::Sent {
+            if self.send_hot_restart(&message, &[]) != SendOutcome::Sent {
                 return false;
             }
         }
         let message = HotRestartMessage::Listener {
             list_revision: self.discovery_watch.revision(),
         };
-        self.send_hot_restart(&message, &[listener]) == Delivery::Sent
+        self.send_hot_restart(&message, &[listener]) == SendOutcome::Sent
     }
 
     /// Offers what may be offered now, as much as may be pending at a time.
@@ -60,7 +60,7 @@
                 continue;
             };
             let delivery = self.send_hot_restart(&prepared.message, &prepared.connections);
-            if delivery != Delivery::Sent {
+            if delivery != SendOutcome::Sent {
                 return;
             }
             self.leave_alone(offer, &prepared.connections);
@@ -85,7 +85,7 @@
             .map(|(key, _)| Offer::Session(key));
         pending_connections
             .chain(sessions)
-            .take(hot_restart.ownership.free_offers())
+            .take(hot_restart.ownership.free_offer_slots())
             .collect()
     }
 
@@ -133,7 +133,7 @@
         let offer = SessionOffer {
             opening_line: slot.driver_data.request_line.clone(),
             server_uid: self.endpoints.uid(slot.machine.server).into(),
-            answer_within: self.answer_within(key, &slot.driver_data),
+            response_timeout: self.answer_within(key, &slot.driver_data),
             from_client: self.buffered_bytes(client)?,
             from_server: self.buffered_bytes(server)?,
         };
@@ -162,7 +162,7 @@
     fn buffered_bytes(&self, key: SlotKey) -> Option<BufferedBytes> {
         let connection = self.connections.get(key)?;
         Some(BufferedBytes {
-            validated: connection.complete_len,
+            validated_len: connection.complete_len,
             bytes: connection.stream.inbound.bytes().to_vec(),
         })
     }
--- a/crates/proxy/src/routing/hot_restart/transitions.rs
+++ b/crates/proxy/src/routing/hot_restart/transitions.rs
@@ -3,7 +3,7 @@
 use crate::routing::{ReasonCode, Router, TimerKey};
 use crate::transport::poller::Interest;
 use asterramp_hot_restart::{
-    Delivery, HotRestartEffect, HotRestartInput, HotRestartMessage, HotRestartState,
+    HotRestartEffect, HotRestartInput, HotRestartMessage, HotRestartState, SendOutcome,
 };
 use rustix::fd::OwnedFd;
 use std::time::Duration;
@@ -57,17 +57,17 @@
             HotRestartEffect::DiscardUnconfirmed => self.discard_unconfirmed(),
             HotRestartEffect::CloseLink => {
                 self.discard_unconfirmed();
-                self.end_hot_restart(before, Delivery::PeerGone);
+                self.end_hot_restart(before, SendOutcome::PeerGone);
             }
             HotRestartEffect::StopHandover => {
                 self.release_offers_accepted_so_far();
                 let notice = self.send_hot_restart(&HotRestartMessage::HandoverStopped, &[]);
                 self.end_hot_restart(before, notice);
             }
-            HotRestartEffect::ResumeOffers => self.end_hot_restart(before, Delivery::PeerGone),
+            HotRestartEffect::ResumeOffers => self.end_hot_restart(before, SendOutcome::PeerGone),
             HotRestartEffect::AdoptUnconfirmed => {
                 let received = self.take_unconfirmed();
-                self.end_hot_restart(before, Delivery::PeerGone);
+                self.end_hot_restart(before, SendOutcome::PeerGone);
                 for offer in received {
                     self.adopt(offer);
                 }
@@ -103,7 +103,7 @@
         let about = format!("by another process, {open_descriptors} descriptors");
         self.log_event(ReasonCode::SuccessorServing, about);
         let message = HotRestartMessage::OpenDescriptors(open_descriptors as u32);
-        if self.send_hot_restart(&message, &[]) == Delivery::Sent {
+        if self.send_hot_restart(&message, &[]) == SendOutcome::Sent {
             self.continue_offers();
         } else {
             self.apply_hot_restart(HotRestartInput::PeerFailed);
@@ -121,7 +121,7 @@
     }
 
     /// Closes the link, and settles what becomes of the offers that were not accepted.
-    fn end_hot_restart(&mut self, before: HotRestartState, stop_notice: Delivery) {
+    fn end_hot_restart(&mut self, before: HotRestartState, stop_notice: SendOutcome) {
         let Some(hot_restart) = &mut self.hot_restart else {
             return;
         };
--- a/crates/proxy/src/routing/warm_start/begin.rs
+++ b/crates/proxy/src/routing/warm_start/begin.rs
@@ -37,7 +37,7 @@
         let snapshot = plan.snapshot.unwrap_or_default();
         let mut progress = WarmStartProgress::new(self.now, settings);
         progress.newest_revision = configured.revision.max(snapshot.list_revision);
-        progress.discovery_heard = snapshot.discovery_heard_ms.map(unix_time);
+        progress.discovery_heard = snapshot.last_discovery_update_ms.map(unix_time);
         for remembered in remembered_endpoints(self.now, &snapshot, configured) {
             self.report_remembered(&mut progress, remembered);
         }
@@ -108,22 +108,22 @@
 
 /// How old a snapshot's endpoint list is: since discovery answered, not since the list was saved again.
 fn snapshot_age(now: Duration, snapshot: &Snapshot) -> InformationAge {
-    let saved = Some(unix_time(snapshot.saved_ms));
+    let saved = Some(unix_time(snapshot.saved_at_ms));
     if information_age(now, saved) == InformationAge::Unknown {
         return InformationAge::Unknown;
     }
-    information_age(now, snapshot.discovery_heard_ms.map(unix_time))
+    information_age(now, snapshot.last_discovery_update_ms.map(unix_time))
 }
 
 /// A saved endpoint in the form in which discovery lists it.
 fn line_of(saved: &SavedEndpoint) -> ListedEndpoint {
     ListedEndpoint {
         uid: saved.uid.clone(),
-        address: saved.endpoint,
+        address: saved.address,
         zone: saved.zone.clone(),
         cell: saved.cell,
         state: EndpointState::Ready,
         weight: saved.weight,
-        started_at: saved.started_ms.map(unix_time),
+        started_at: saved.started_at_ms.map(unix_time),
     }
 }
--- a/crates/proxy/src/routing/warm_start/snapshots.rs
+++ b/crates/proxy/src/routing/warm_start/snapshots.rs
@@ -171,9 +171,9 @@
             owner: schedule.map_or_else(String::new, |schedule| schedule.owner.clone()),
             // The writer numbers it.
             sequence: 0,
-            saved_ms: unix_ms(self.now),
+            saved_at_ms: unix_ms(self.now),
             list_revision: self.newest_list_revision(),
-            discovery_heard_ms: discovery_heard.map(unix_ms),
+            last_discovery_update_ms: discovery_heard.map(unix_ms),
             lease_term: schedule.map_or(0, |schedule| schedule.lease_term),
             clean_shutdown,
             endpoints: self.saved_endpoints(),
@@ -221,7 +221,7 @@
     };
     SavedEndpoint {
         uid: line.uid,
-        endpoint: line.address,
+        address: line.address,
         zone: line.zone,
         cell: line.cell,
         state: match line.state {
@@ -233,7 +233,7 @@
         } else {
             DEFAULT_WEIGHT
         },
-        started_ms: line.started_at.map(unix_ms),
+        started_at_ms: line.started_at.map(unix_ms),
         last_report_ms,
         load_per_connection,
     }
--- a/crates/proxy/tests/golden_roll/scripted_proxy.rs
+++ b/crates/proxy/tests/golden_roll/scripted_proxy.rs
@@ -121,7 +121,7 @@
                 self.status.state = "draining".into();
                 self.status.allows_next_drain = false;
                 self.status.deadline_in_ms = request.deadline_ms;
-                self.status.remaining = vec![remaining("feed", 2), remaining("order", 1)];
+                self.status.remaining_sessions = vec![remaining("feed", 2), remaining("order", 1)];
                 self.replies = 0;
             }
             AdminCommand::Shutdown if self.restarts == Restarts::OnShutdown => self.restart(),
@@ -141,8 +141,8 @@
             "draining" if self.replies == 2 => {
                 self.status.state = "empty".into();
                 self.status.open_sessions = 0;
-                self.status.migrated = 3;
-                self.status.remaining.clear();
+                self.status.migrated_sessions = 3;
+                self.status.remaining_sessions.clear();
             }
             "empty" if self.restarts == Restarts::WhenEmpty && self.replies > 2 => self.restart(),
             "serving" if self.replies > 1 && !self.idle => self.status.allows_next_drain = true,
@@ -156,7 +156,7 @@
         self.status.state = "serving".into();
         self.status.deadline_in_ms = None;
         self.status.open_sessions = 1;
-        self.status.migrated = 0;
+        self.status.migrated_sessions = 0;
         self.status.allows_next_drain = false;
         self.replies = 0;
     }
--- a/crates/proxy/tests/hot_restart_messages.rs
+++ b/crates/proxy/tests/hot_restart_messages.rs
@@ -208,7 +208,7 @@
     fn offer_session(&self, session: usize) -> (LineConnection, LineConnection) {
         let ((client, client_side), (server, server_side)) = (connection(), connection());
         let nothing_buffered = || BufferedBytes {
-            validated: 0,
+            validated_len: 0,
             bytes: Vec::new(),
         };
         let offer = SessionOffer {
@@ -216,7 +216,7 @@
                 .replace(OPEN_ID, &format!("00000000000000a{session}"))
                 .into_bytes(),
             server_uid: "s-0".into(),
-            answer_within: None,
+            response_timeout: None,
             from_client: nothing_buffered(),
             from_server: nothing_buffered(),
         };
@@ -237,7 +237,7 @@
         cell: 0,
         state: EndpointRecordState::Ready,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
--- a/crates/proxy/tests/leader_lease/main.rs
+++ b/crates/proxy/tests/leader_lease/main.rs
@@ -8,7 +8,7 @@
 mod supervised_fleet;
 
 use asterramp_admin_protocol::{
-    AdminClient, AdminCommand, AdminRequest, ClientError, LeaderToken, ProxyStatus,
+    AdminClient, AdminClientError, AdminCommand, AdminRequest, LeaderToken, ProxyStatus,
 };
 use std::path::Path;
 use std::process::{Child, Command};
@@ -248,7 +248,7 @@
         }
     }
 
-    fn send(&self, order: &Order) -> Result<ProxyStatus, ClientError> {
+    fn send(&self, order: &Order) -> Result<ProxyStatus, AdminClientError> {
         let clock = status(self.admin_socket).unwrap().clock_us;
         let leader = Some(LeaderToken {
             term: order.term,
@@ -261,14 +261,14 @@
         })
     }
 
-    fn request(&self, request: &AdminRequest) -> Result<ProxyStatus, ClientError> {
+    fn request(&self, request: &AdminRequest) -> Result<ProxyStatus, AdminClientError> {
         AdminClient::connect(self.admin_socket)
             .unwrap()
             .send(request)
     }
 }
 
-fn assert_rejected(answer: Result<ProxyStatus, ClientError>, reason: &str) {
+fn assert_rejected(answer: Result<ProxyStatus, AdminClientError>, reason: &str) {
     let error = answer.unwrap_err().to_string();
     assert!(error.contains(reason), "{error}");
 }
--- a/crates/simulator-adapter/src/id_table.rs
+++ b/crates/simulator-adapter/src/id_table.rs
@@ -20,7 +20,7 @@
 
 impl IdTable {
     /// The id of a session that is there; `None` where it has ended or never came.
-    pub(crate) fn session(&self, handle: u64) -> Option<SessionId> {
+    pub(crate) fn session_id(&self, handle: u64) -> Option<SessionId> {
         self.session_ids.get(&handle).copied()
     }
 
@@ -42,17 +42,17 @@
     }
 
     /// The handle of a session that the engine names.
-    pub(crate) fn handle(&self, session: SessionId) -> u64 {
+    pub(crate) fn session_handle(&self, session: SessionId) -> u64 {
         self.handles[session as usize]
     }
 
     /// The id of a server that was seen before; `None` where it wasn't.
-    pub(crate) fn server(&self, address: ServerAddress) -> Option<ServerId> {
+    pub(crate) fn server_id(&self, address: ServerAddress) -> Option<ServerId> {
         self.server_ids.get(&address).copied()
     }
 
     /// The id of a server, which is new where the server wasn't seen before.
-    pub(crate) fn server_or_add(&mut self, address: ServerAddress) -> ServerId {
+    pub(crate) fn get_or_add_server(&mut self, address: ServerAddress) -> ServerId {
         *self.server_ids.entry(address).or_insert_with(|| {
             self.addresses.push(address);
             (self.addresses.len() - 1) as ServerId
@@ -60,7 +60,7 @@
     }
 
     /// The address of a server that the engine names.
-    pub(crate) fn address(&self, server: ServerId) -> ServerAddress {
+    pub(crate) fn server_address(&self, server: ServerId) -> ServerAddress {
         self.addresses[server as usize]
     }
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -41,7 +41,7 @@
     /// # Errors
     ///
     /// A session that the instance already has or whose listener the settings don't name.
-    pub(crate) fn handle(
+    pub(crate) fn handle_event(
         &mut self,
         record: EventRecord,
         now: Duration,
@@ -58,7 +58,7 @@
         if let Action::Forget { session } = action {
             self.ids.remove_session(session);
         } else if let Some(record) = translate::action_record(instance, action, &self.ids) {
-            record.append(reply);
+            record.append_to(reply);
         }
     }
 
@@ -76,11 +76,11 @@
             }
             EventRecord::SessionOpened { handle, attempt } => self
                 .ids
-                .session(handle)
+                .session_id(handle)
                 .map(|session| Event::SessionOpened { session, attempt }),
             EventRecord::AttemptEnded(ended) => {
                 self.ids
-                    .session(ended.handle)
+                    .session_id(ended.handle)
                     .map(|session| Event::AttemptEnded {
                         session,
                         attempt: ended.attempt,
@@ -91,12 +91,12 @@
             }
             EventRecord::ClientLeft { handle } => self
                 .ids
-                .session(handle)
+                .session_id(handle)
                 .map(|session| Event::ClientLeft { session }),
-            EventRecord::Observed(observed) => translate::observed(&observed, &self.ids),
+            EventRecord::Observed(observed) => translate::observation_event(&observed, &self.ids),
             EventRecord::ProbeEnded(ended) => {
                 self.ids
-                    .server(ended.address)
+                    .server_id(ended.address)
                     .map(|server| Event::ProbeEnded {
                         server,
                         outcome: translate::outcome(ended.outcome),
@@ -115,7 +115,7 @@
     ) -> Result<Event, RecordError> {
         let session = self.add_session(request)?;
         let request = translate::session_request(session, request);
-        let server = self.ids.server_or_add(address);
+        let server = self.ids.get_or_add_server(address);
         Ok(Event::SessionInherited(request, server))
     }
 
@@ -126,7 +126,7 @@
             return Err(RecordError::UnknownListener { listener });
         }
         let handle = request.handle;
-        if self.ids.session(handle).is_some() {
+        if self.ids.session_id(handle).is_some() {
             return Err(RecordError::DuplicateSession { handle });
         }
         Ok(self.ids.add_session(handle))
@@ -135,7 +135,7 @@
     fn endpoint_update(&mut self, list: EndpointListRecord) -> EndpointUpdate {
         let mut endpoints = Vec::with_capacity(list.entries.len());
         for entry in list.entries {
-            let server = self.ids.server_or_add(entry.address);
+            let server = self.ids.get_or_add_server(entry.address);
             endpoints.push(translate::endpoint(server, &entry));
         }
         translate::endpoint_update(list.mode, endpoints)
--- a/crates/simulator-adapter/src/instance_table.rs
+++ b/crates/simulator-adapter/src/instance_table.rs
@@ -21,14 +21,14 @@
     /// # Errors
     ///
     /// The first record that is malformed or names an instance that isn't running. The reply is then useless.
-    pub(crate) fn answer(
+    pub(crate) fn handle_batch(
         &mut self,
         header: &BatchHeader,
         body: &[u8],
         reply: &mut Vec<u8>,
     ) -> Result<(), BatchError> {
-        let (records, tail) = body.split_at(header.records * EVENT_SIZE);
-        reply::begin(reply);
+        let (records, tail) = body.split_at(header.record_count * EVENT_SIZE);
+        reply::reserve_header(reply);
         for (index, record) in records.chunks_exact(EVENT_SIZE).enumerate() {
             let fields = Fields::new(record);
             self.handle_record(fields, tail, header.now, reply)
@@ -38,7 +38,7 @@
                     source,
                 })?;
         }
-        reply::finish(reply, header.number);
+        reply::write_header(reply, header.batch_number);
         Ok(())
     }
 
@@ -65,7 +65,7 @@
                     .get_mut(&id)
                     .ok_or(RecordError::UnknownInstance { instance: id })?;
                 let record = EventRecord::decode(fields, tail)?;
-                instance.handle(record, now, &mut self.actions)?;
+                instance.handle_event(record, now, &mut self.actions)?;
                 for action in self.actions.drain(..) {
                     instance.append_action(id, action, reply);
                 }
--- a/crates/simulator-adapter/src/serve.rs
+++ b/crates/simulator-adapter/src/serve.rs
@@ -19,19 +19,19 @@
     let mut body = Vec::new();
     let mut reply = Vec::new();
     while let Some(header) = read_header(&mut input)? {
-        let number = header.number;
+        let number = header.batch_number;
         let in_batch = |source| AdapterError::Batch { number, source };
-        header.check().map_err(in_batch)?;
-        let received = read_body(&mut input, header.size, &mut body)?;
-        if received < header.size {
+        header.validate().map_err(in_batch)?;
+        let received = read_body(&mut input, header.body_size, &mut body)?;
+        if received < header.body_size {
             return Err(in_batch(BatchError::TruncatedBody {
                 received,
-                size: header.size,
+                size: header.body_size,
             }));
         }
         reply.clear();
         instances
-            .answer(&header, &body, &mut reply)
+            .handle_batch(&header, &body, &mut reply)
             .map_err(in_batch)?;
         output.write_all(&reply).map_err(AdapterError::Write)?;
         output.flush().map_err(AdapterError::Write)?;
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -45,7 +45,7 @@
 
 /// What was seen of an open connection; `None` where its session has ended, its server is unknown, or the observation
 /// is of an unknown kind or no time.
-pub(crate) fn observed(record: &ObservationRecord, ids: &IdTable) -> Option<Event> {
+pub(crate) fn observation_event(record: &ObservationRecord, ids: &IdTable) -> Option<Event> {
     let observation = match record.kind {
         ObservationKind::WorkRate => Observation::Work(record.amount),
         ObservationKind::MessageDelay => {
@@ -55,8 +55,8 @@
         ObservationKind::Unknown => return None,
     };
     Some(Event::Observed {
-        session: ids.session(record.handle)?,
-        server: ids.server(record.address)?,
+        session: ids.session_id(record.handle)?,
+        server: ids.server_id(record.address)?,
         observation,
     })
 }
@@ -87,7 +87,9 @@
 
 /// The record of one action; `None` for [`Action::Forget`], which the simulator isn't told of.
 pub(crate) fn action_record(instance: u16, action: Action, ids: &IdTable) -> Option<ActionRecord> {
-    let of_session = |code, session| ActionRecord::new(code, instance).handle(ids.handle(session));
+    let of_session = |code, session| {
+        ActionRecord::new(code, instance).with_session_handle(ids.session_handle(session))
+    };
     let record = match action {
         Action::Dial {
             session,
@@ -95,23 +97,23 @@
             timeout,
             ..
         } => of_session(action_code::START_ATTEMPT, session)
-            .put(action_field::ATTEMPT_SERVER, ids.address(server))
-            .put(action_field::ATTEMPT_TIMEOUT, microseconds(timeout)),
+            .with_field(action_field::ATTEMPT_SERVER, ids.server_address(server))
+            .with_field(action_field::ATTEMPT_TIMEOUT, microseconds(timeout)),
         Action::Cancel { session, attempt } => of_session(action_code::CANCEL_ATTEMPT, session)
-            .put(action_field::CANCELLED_DIAL, [attempt]),
+            .with_field(action_field::CANCELLED_ATTEMPT, [attempt]),
         Action::Reject {
             session,
             retry_after,
         } => of_session(action_code::REJECT, session)
-            .put(action_field::RETRY_AFTER, microseconds(retry_after)),
+            .with_field(action_field::RETRY_AFTER, microseconds(retry_after)),
         Action::Fail { session } => of_session(action_code::FAIL, session),
         Action::Migrate { session } => of_session(action_code::MIGRATE, session),
         Action::Probe { server } => ActionRecord::new(action_code::PROBE, instance)
-            .put(action_field::PROBE_SERVER, ids.address(server)),
+            .with_field(action_field::PROBE_SERVER, ids.server_address(server)),
         Action::PollEndpoints => ActionRecord::new(action_code::POLL_ENDPOINTS, instance)
-            .put(action_field::SUBSCRIPTION, [SUBSCRIBE]),
+            .with_field(action_field::SUBSCRIPTION, [SUBSCRIBE]),
         Action::SetTimer { after } => ActionRecord::new(action_code::SET_TIMER, instance)
-            .put(action_field::TIMER_DELAY, microseconds(after)),
+            .with_field(action_field::TIMER_DELAY, microseconds(after)),
         Action::Forget { .. } => return None,
     };
     Some(record)
--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -30,7 +30,7 @@
     /// How long an attempt may take.
     pub(crate) const ATTEMPT_TIMEOUT: usize = 17;
     /// Number of a cancelled attempt.
-    pub(crate) const CANCELLED_DIAL: usize = 11;
+    pub(crate) const CANCELLED_ATTEMPT: usize = 11;
     /// How long a rejected client stays away.
     pub(crate) const RETRY_AFTER: usize = 11;
     /// Server of a probe.
@@ -54,23 +54,23 @@
     /// A record of an instance, without any field.
     pub(crate) fn new(code: u8, instance: u16) -> Self {
         ActionRecord([0; ACTION_SIZE])
-            .put(CODE, [code])
-            .put(INSTANCE, instance.to_le_bytes())
+            .with_field(CODE, [code])
+            .with_field(INSTANCE, instance.to_le_bytes())
     }
 
     /// Puts the handle of the session that the action is about.
-    pub(crate) fn handle(self, handle: u64) -> Self {
-        self.put(SESSION_HANDLE, handle.to_le_bytes())
+    pub(crate) fn with_session_handle(self, handle: u64) -> Self {
+        self.with_field(SESSION_HANDLE, handle.to_le_bytes())
     }
 
     /// Puts a field. `at` and `bytes` lie inside the record.
-    pub(crate) fn put<const N: usize>(mut self, at: usize, bytes: [u8; N]) -> Self {
+    pub(crate) fn with_field<const N: usize>(mut self, at: usize, bytes: [u8; N]) -> Self {
         self.0[at..at + N].copy_from_slice(&bytes);
         self
     }
 
     /// Appends the record to a reply.
-    pub(crate) fn append(self, reply: &mut Vec<u8>) {
+    pub(crate) fn append_to(self, reply: &mut Vec<u8>) {
         reply.extend_from_slice(&self.0);
     }
 }
--- a/crates/simulator-adapter/src/wire/batch.rs
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -18,11 +18,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BatchHeader {
     /// The batch's number, which the reply repeats.
-    pub(crate) number: u32,
+    pub(crate) batch_number: u32,
     /// Bytes that follow the header.
-    pub(crate) size: usize,
+    pub(crate) body_size: usize,
     /// Event records among them; what is left of the bytes is the tail.
-    pub(crate) records: usize,
+    pub(crate) record_count: usize,
     /// When all events of the batch happen, since the clock began.
     pub(crate) now: Duration,
 }
@@ -32,9 +32,9 @@
     pub(crate) fn decode(bytes: &[u8; BATCH_HEADER_SIZE]) -> Self {
         let fields = Fields::new(bytes);
         BatchHeader {
-            number: fields.u32(NUMBER),
-            size: fields.u32(SIZE) as usize,
-            records: fields.u32(RECORDS) as usize,
+            batch_number: fields.u32(NUMBER),
+            body_size: fields.u32(SIZE) as usize,
+            record_count: fields.u32(RECORDS) as usize,
             now: Duration::from_micros(fields.u64(NOW)),
         }
     }
@@ -44,12 +44,12 @@
     /// # Errors
     ///
     /// More records than that.
-    pub(crate) fn check(&self) -> Result<(), BatchError> {
-        match self.records.checked_mul(EVENT_SIZE) {
-            Some(size) if size <= self.size => Ok(()),
+    pub(crate) fn validate(&self) -> Result<(), BatchError> {
+        match self.record_count.checked_mul(EVENT_SIZE) {
+            Some(size) if size <= self.body_size => Ok(()),
             _ => Err(BatchError::TooManyRecords {
-                records: self.records,
-                size: self.size,
+                records: self.record_count,
+                size: self.body_size,
             }),
         }
     }
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -6,12 +6,12 @@
 const REPLY_HEADER_SIZE: usize = 12;
 
 /// Leaves room for the header in an empty reply. The action records are appended after it.
-pub(crate) fn begin(reply: &mut Vec<u8>) {
+pub(crate) fn reserve_header(reply: &mut Vec<u8>) {
     reply.resize(REPLY_HEADER_SIZE, 0);
 }
 
 /// Fills in the header of a reply to the batch `number`.
-pub(crate) fn finish(reply: &mut [u8], number: u32) {
+pub(crate) fn write_header(reply: &mut [u8], number: u32) {
     // Replies have no tail, so the size of what follows the header tells the number of records.
     let size = reply.len() - REPLY_HEADER_SIZE;
     let records = size / ACTION_SIZE;
--- a/crates/snapshot/src/error.rs
+++ b/crates/snapshot/src/error.rs
@@ -13,7 +13,7 @@
     Empty,
     /// The first line is missing, too long, not text, or of another program.
     #[error("no snapshot: its first line is none")]
-    FirstLine,
+    InvalidFirstLine,
     /// The first line has no version, or one that is not a number.
     #[error("its version cannot be read")]
     UnreadableVersion,
@@ -48,7 +48,7 @@
     WrongChecksum,
     /// The body is not JSON of the expected shape.
     #[error("not as this version writes it: {source}")]
-    Body {
+    InvalidBody {
         /// What the JSON parser found, with line and column.
         source: serde_json::Error,
     },
@@ -83,7 +83,7 @@
     /// The disk refused a step. Both generations are as before, or the new one is complete and may not be durable.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is longer than [`MAX_FILE_LEN`](crate::MAX_FILE_LEN), so that no start would read it again.
+    /// It is longer than [`MAX_FILE_BYTES`](crate::MAX_FILE_BYTES), so that no start would read it again.
     #[error("longer than what is read again")]
     TooLong {
         /// Length of the encoded snapshot in bytes.
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -13,7 +13,7 @@
 /// Version of the form that this build writes, and the only one that it reads.
 pub const FORMAT_VERSION: u32 = 1;
 /// Longest file that is read, in bytes: three times what a snapshot of 4,096 endpoints takes.
-pub const MAX_FILE_LEN: usize = 4 << 20;
+pub const MAX_FILE_BYTES: usize = 4 << 20;
 /// Most endpoints in a snapshot: the longest list that a proxy accepts from discovery.
 pub(crate) const MAX_ENDPOINTS: usize = 4096;
 
@@ -57,7 +57,7 @@
         return Err(DecodeError::WrongChecksum);
     }
     let snapshot: Snapshot =
-        serde_json::from_slice(body).map_err(|source| DecodeError::Body { source })?;
+        serde_json::from_slice(body).map_err(|source| DecodeError::InvalidBody { source })?;
     let count = snapshot.endpoints.len();
     if count > MAX_ENDPOINTS {
         return Err(DecodeError::TooManyEndpoints { count });
@@ -71,8 +71,9 @@
         .iter()
         .take(MAX_FIRST_LINE_LEN)
         .position(|byte| *byte == b'\n')
-        .ok_or(DecodeError::FirstLine)?;
-    let first_line = std::str::from_utf8(&bytes[..end]).map_err(|_| DecodeError::FirstLine)?;
+        .ok_or(DecodeError::InvalidFirstLine)?;
+    let first_line =
+        std::str::from_utf8(&bytes[..end]).map_err(|_| DecodeError::InvalidFirstLine)?;
     Ok((first_line, &bytes[end + 1..]))
 }
 
@@ -88,7 +89,7 @@
     fn parse(first_line: &str) -> Result<Header, DecodeError> {
         let mut words = first_line.split(' ');
         if words.next() != Some(MAGIC) {
-            return Err(DecodeError::FirstLine);
+            return Err(DecodeError::InvalidFirstLine);
         }
         let mut value_of = |key: &str| words.next()?.strip_prefix(key);
         let version = value_of("v=")
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use error::{DecodeError, FileError, SaveError, WriterError};
 pub use files::{SnapshotDirectory, SnapshotFiles};
-pub use format::{FORMAT_VERSION, MAX_FILE_LEN, decode, encode};
+pub use format::{FORMAT_VERSION, MAX_FILE_BYTES, decode, encode};
 pub use model::{Host as SavedEndpoint, SavedEndpointState, Snapshot};
 pub use store::{FileProblem, LoadedSnapshot, SnapshotStore};
 pub use writer::{SaveOutcome, SnapshotWriter};
--- a/crates/snapshot/src/model.rs
+++ b/crates/snapshot/src/model.rs
@@ -25,7 +25,8 @@
     /// Identity given by discovery; it outlives a change of address.
     pub uid: String,
     /// Where it listens.
-    pub endpoint: SocketAddr,
+    #[serde(rename = "endpoint")]
+    pub address: SocketAddr,
     /// Availability zone.
     pub zone: String,
     /// Number of its failure domain within the zone.
@@ -36,7 +37,8 @@
     /// Relative capacity; finite.
     pub weight: f64,
     /// When its process started, Unix time in milliseconds; `None` if that was long before the proxy began.
-    pub started_ms: Option<u64>,
+    #[serde(rename = "started_ms")]
+    pub started_at_ms: Option<u64>,
     /// When it last reported its load, Unix time in milliseconds; `None` if it never did.
     #[serde(rename = "heard_ms")]
     pub last_report_ms: Option<u64>,
@@ -55,13 +57,14 @@
     #[serde(rename = "seq")]
     pub sequence: u64,
     /// When the snapshot was made, Unix time in milliseconds.
-    pub saved_ms: u64,
+    #[serde(rename = "saved_ms")]
+    pub saved_at_ms: u64,
     /// Revision of discovery's endpoint list; 0 before the first.
     #[serde(rename = "rev")]
     pub list_revision: u64,
     /// When discovery last answered, Unix time in milliseconds; `None` if it never did.
     #[serde(rename = "told_ms")]
-    pub discovery_heard_ms: Option<u64>,
+    pub last_discovery_update_ms: Option<u64>,
     /// The highest term of a leader lease that was seen, the fencing token for commands; 0 before any.
     #[serde(rename = "term")]
     pub lease_term: u64,
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -9,7 +9,7 @@
 
 use crate::error::{FileError, SaveError};
 use crate::files::SnapshotFiles;
-use crate::format::{MAX_FILE_LEN, decode, encode};
+use crate::format::{MAX_FILE_BYTES, decode, encode};
 use crate::model::Snapshot;
 use std::io;
 
@@ -88,7 +88,7 @@
         file: &str,
         owner: Option<&str>,
     ) -> Result<Option<Snapshot>, FileError> {
-        let bytes = match self.files.read(file, MAX_FILE_LEN) {
+        let bytes = match self.files.read(file, MAX_FILE_BYTES) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             Err(error) => return Err(error.into()),
@@ -118,7 +118,7 @@
         let next = self.next_generation();
         snapshot.sequence = next.sequence;
         let bytes = encode(snapshot);
-        if bytes.len() > MAX_FILE_LEN {
+        if bytes.len() > MAX_FILE_BYTES {
             return Err(SaveError::TooLong { len: bytes.len() });
         }
         self.files.write(TEMPORARY_FILE, &bytes)?;
--- a/crates/snapshot/src/writer.rs
+++ b/crates/snapshot/src/writer.rs
@@ -30,7 +30,7 @@
         /// Its length in bytes.
         bytes: usize,
         /// How long the save took.
-        took: Duration,
+        duration: Duration,
     },
     /// A snapshot could not be saved, or none can be because the directory cannot be locked.
     Failed(WriterError),
@@ -170,7 +170,7 @@
             Ok(bytes) => SaveOutcome::Saved {
                 sequence: snapshot.sequence,
                 bytes,
-                took: began.elapsed(),
+                duration: began.elapsed(),
             },
             Err(error) => SaveOutcome::Failed(error.into()),
         };
--- a/crates/snapshot/tests/golden.rs
+++ b/crates/snapshot/tests/golden.rs
@@ -3,7 +3,7 @@
 //! changes.
 
 use asterramp_snapshot::{
-    LoadedSnapshot, MAX_FILE_LEN, SavedEndpoint, SavedEndpointState, Snapshot, SnapshotDirectory,
+    LoadedSnapshot, MAX_FILE_BYTES, SavedEndpoint, SavedEndpointState, Snapshot, SnapshotDirectory,
     SnapshotStore, decode, encode,
 };
 use std::net::SocketAddr;
@@ -34,12 +34,12 @@
 fn ready_host() -> SavedEndpoint {
     SavedEndpoint {
         uid: "game-7f".into(),
-        endpoint: address("192.0.2.10:4001"),
+        address: address("192.0.2.10:4001"),
         zone: "zone-a".into(),
         cell: 3,
         state: SavedEndpointState::Ready,
         weight: 1.5,
-        started_ms: Some(1_699_999_000_123),
+        started_at_ms: Some(1_699_999_000_123),
         last_report_ms: Some(1_700_000_000_456),
         load_per_connection: Some(0.03125),
     }
@@ -49,12 +49,12 @@
 fn draining_host() -> SavedEndpoint {
     SavedEndpoint {
         uid: "ga\"me\\8\u{7}é".into(),
-        endpoint: address("[2001:db8::1]:65535"),
+        address: address("[2001:db8::1]:65535"),
         zone: String::new(),
         cell: u16::MAX,
         state: SavedEndpointState::Draining,
         weight: 0.1,
-        started_ms: None,
+        started_at_ms: None,
         last_report_ms: None,
         load_per_connection: None,
     }
@@ -64,9 +64,9 @@
     Snapshot {
         owner: OWNER.into(),
         sequence: 42,
-        saved_ms: 1_700_000_001_000,
+        saved_at_ms: 1_700_000_001_000,
         list_revision: 9,
-        discovery_heard_ms: Some(1_700_000_000_500),
+        last_discovery_update_ms: Some(1_700_000_000_500),
         lease_term: 5,
         clean_shutdown: true,
         endpoints: vec![ready_host()],
@@ -81,9 +81,9 @@
     Snapshot {
         owner: OWNER.into(),
         sequence: 1,
-        saved_ms: 0,
+        saved_at_ms: 0,
         list_revision: 0,
-        discovery_heard_ms: None,
+        last_discovery_update_ms: None,
         lease_term: 0,
         clean_shutdown: false,
         endpoints: vec![ready_host(), draining_host(), ready_host()],
@@ -100,7 +100,7 @@
 fn greatest_figures() -> Snapshot {
     let host = SavedEndpoint {
         weight: f64::MAX,
-        started_ms: Some(u64::MAX),
+        started_at_ms: Some(u64::MAX),
         last_report_ms: Some(0),
         load_per_connection: Some(f64::MIN_POSITIVE),
         ..ready_host()
@@ -108,9 +108,9 @@
     Snapshot {
         owner: "[::]:1".into(),
         sequence: u64::MAX,
-        saved_ms: u64::MAX,
+        saved_at_ms: u64::MAX,
         list_revision: u64::MAX,
-        discovery_heard_ms: Some(u64::MAX),
+        last_discovery_update_ms: Some(u64::MAX),
         lease_term: u64::MAX,
         clean_shutdown: true,
         endpoints: vec![host],
@@ -278,7 +278,7 @@
     Snapshot {
         sequence: 0,
         list_revision: nth,
-        saved_ms: 1_700_000_000_000 + nth,
+        saved_at_ms: 1_700_000_000_000 + nth,
         ..ready_and_draining()
     }
 }
@@ -349,7 +349,7 @@
 fn files_that_cannot_be_used_are_named_with_the_same_texts() {
     let folder = TestFolder::new("named");
     folder.put("state.0", &golden("saves_2.state.0"));
-    folder.put("state.1", &vec![b'x'; MAX_FILE_LEN + 1]);
+    folder.put("state.1", &vec![b'x'; MAX_FILE_BYTES + 1]);
     let found = folder.store().load(Some("192.0.2.8:7000"));
     assert_eq!(found.snapshot, None);
     assert_eq!(
@@ -372,7 +372,7 @@
 fn a_snapshot_longer_than_is_read_is_not_written() {
     let folder = TestFolder::new("longer");
     let host = SavedEndpoint {
-        uid: "u".repeat(MAX_FILE_LEN),
+        uid: "u".repeat(MAX_FILE_BYTES),
         ..ready_host()
     };
     let error = folder
--- a/crates/snapshot/tests/snapshot/decoding.rs
+++ b/crates/snapshot/tests/snapshot/decoding.rs
@@ -2,7 +2,7 @@
 
 use crate::OWNER;
 use crate::simulated_disk::{Disk, snapshot};
-use asterramp_snapshot::{MAX_FILE_LEN, Snapshot, SnapshotStore, decode, encode};
+use asterramp_snapshot::{MAX_FILE_BYTES, Snapshot, SnapshotStore, decode, encode};
 use test_case::test_case;
 
 fn altered(change: impl Fn(&mut Vec<u8>)) -> Vec<u8> {
@@ -69,7 +69,7 @@
         "state.0",
         &encode(&Snapshot {
             sequence: 9,
-            saved_ms: 5,
+            saved_at_ms: 5,
             ..snapshot(9)
         }),
     );
@@ -77,7 +77,7 @@
         "state.1",
         &encode(&Snapshot {
             sequence: 8,
-            saved_ms: u64::MAX,
+            saved_at_ms: u64::MAX,
             ..snapshot(8)
         }),
     );
@@ -89,7 +89,7 @@
 fn another_proxys_snapshot_is_foreign_and_a_file_that_is_too_long_is_not_read() {
     let mut disk = Disk::default();
     disk.put("state.0", &encode(&snapshot(1)));
-    disk.put("state.1", &vec![b'x'; MAX_FILE_LEN + 1]);
+    disk.put("state.1", &vec![b'x'; MAX_FILE_BYTES + 1]);
     let loaded = SnapshotStore::new(disk).load(Some("127.0.0.1:7001"));
     assert!(loaded.snapshot.is_none());
     let reasons: Vec<String> = loaded
--- a/crates/snapshot/tests/snapshot/simulated_disk.rs
+++ b/crates/snapshot/tests/snapshot/simulated_disk.rs
@@ -217,19 +217,19 @@
 pub(crate) fn snapshot(list_revision: u64) -> Snapshot {
     let endpoint = |n: u64| SavedEndpoint {
         uid: format!("s-{n}"),
-        endpoint: std::net::SocketAddr::from(([127, 0, 0, 1], 4000 + n as u16)),
+        address: std::net::SocketAddr::from(([127, 0, 0, 1], 4000 + n as u16)),
         zone: "a".into(),
         cell: 1,
         state: SavedEndpointState::Ready,
         weight: 1.0,
-        started_ms: Some(1_000 + n),
+        started_at_ms: Some(1_000 + n),
         last_report_ms: None,
         load_per_connection: Some(0.03),
     };
     Snapshot {
         owner: "127.0.0.1:7000".into(),
         list_revision,
-        saved_ms: 1_700_000_000_000,
+        saved_at_ms: 1_700_000_000_000,
         lease_term: 3,
         endpoints: (0..3).map(endpoint).collect(),
         ..Snapshot::default()
--- a/crates/zookeeper/src/listing.rs
+++ b/crates/zookeeper/src/listing.rs
@@ -53,7 +53,7 @@
 
 /// A peculiarity of the list, to be counted and logged.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ListingRemark {
+pub enum ListingWarning {
     /// This node's data can't be read: its server stays as last reported.
     Unreadable(String),
     /// Several nodes name this server: the one that started last counts.
@@ -72,7 +72,7 @@
     /// The time within which arrivals are counted.
     pub flap_window: Duration,
     /// How long a flapping server has to stay to be reported again.
-    pub settle_time: Duration,
+    pub suppression_time: Duration,
 }
 
 impl Default for ListingSettings {
@@ -80,7 +80,7 @@
         ListingSettings {
             flap_count: 4,
             flap_window: Duration::from_secs(20),
-            settle_time: Duration::from_secs(5),
+            suppression_time: Duration::from_secs(5),
         }
     }
 }
@@ -117,7 +117,7 @@
         self.arrivals.push(now);
         let flaps = self.arrivals.len() >= settings.flap_count;
         if flaps {
-            self.suppressed_until = Some(now + settings.settle_time);
+            self.suppressed_until = Some(now + settings.suppression_time);
         }
         flaps
     }
@@ -187,7 +187,7 @@
         now: Duration,
         children: &[(String, Option<ListedNode>)],
         changes: &mut Vec<ListedChange>,
-        remarks: &mut Vec<ListingRemark>,
+        remarks: &mut Vec<ListingWarning>,
     ) {
         self.last_known = Some(now);
         self.available = true;
@@ -207,7 +207,7 @@
             self.nodes.remove(name);
         }
         if count_before > 1 && vanished.len() == count_before && self.nodes.is_empty() {
-            remarks.push(ListingRemark::AllGone);
+            remarks.push(ListingWarning::AllGone);
         }
         self.report(now, changes, remarks);
     }
@@ -219,7 +219,7 @@
         name: &str,
         node: Option<ListedNode>,
         changes: &mut Vec<ListedChange>,
-        remarks: &mut Vec<ListingRemark>,
+        remarks: &mut Vec<ListingWarning>,
     ) {
         self.set_node(name, node, remarks);
         self.report(now, changes, remarks);
@@ -231,7 +231,7 @@
         now: Duration,
         name: &str,
         changes: &mut Vec<ListedChange>,
-        remarks: &mut Vec<ListingRemark>,
+        remarks: &mut Vec<ListingWarning>,
     ) {
         self.nodes.remove(name);
         self.unreadable.remove(name);
@@ -243,13 +243,18 @@
         &mut self,
         now: Duration,
         changes: &mut Vec<ListedChange>,
-        remarks: &mut Vec<ListingRemark>,
+        remarks: &mut Vec<ListingWarning>,
     ) {
         self.report(now, changes, remarks);
     }
 
     /// A node that was read before and can't be read now stays what it was; one that never was names nobody.
-    fn set_node(&mut self, name: &str, node: Option<ListedNode>, remarks: &mut Vec<ListingRemark>) {
+    fn set_node(
+        &mut self,
+        name: &str,
+        node: Option<ListedNode>,
+        remarks: &mut Vec<ListingWarning>,
+    ) {
         match node {
             Some(node) => {
                 self.unreadable.remove(name);
@@ -257,7 +262,7 @@
             }
             None => {
                 if self.unreadable.insert(name.to_string()) {
-                    remarks.push(ListingRemark::Unreadable(name.to_string()));
+                    remarks.push(ListingWarning::Unreadable(name.to_string()));
                 }
             }
         }
@@ -268,7 +273,7 @@
         &mut self,
         now: Duration,
         changes: &mut Vec<ListedChange>,
-        remarks: &mut Vec<ListingRemark>,
+        remarks: &mut Vec<ListingWarning>,
     ) {
         let named = named_servers(&self.nodes);
         for (uid, server) in &named {
@@ -329,13 +334,13 @@
     server: &NamedServer<'_>,
     known: &mut KnownServer,
     settings: &ListingSettings,
-    remarks: &mut Vec<ListingRemark>,
+    remarks: &mut Vec<ListingWarning>,
 ) -> Option<ListedChange> {
     if server.node_names.len() > 1 && known.node_names.len() <= 1 {
-        remarks.push(ListingRemark::DuplicateUid(uid.to_string()));
+        remarks.push(ListingWarning::DuplicateUid(uid.to_string()));
     }
     if known.node_names.is_empty() && known.arrive(now, settings) {
-        remarks.push(ListingRemark::Flapping(uid.to_string()));
+        remarks.push(ListingWarning::Flapping(uid.to_string()));
     }
     known.node_names = server.node_names.clone();
     if known.suppressed_until.is_some_and(|until| now >= until) {
--- a/crates/zookeeper/src/session/mod.rs
+++ b/crates/zookeeper/src/session/mod.rs
@@ -28,9 +28,9 @@
 
 /// Where a session stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClientSessionState {
+pub enum StoreSessionState {
     /// Waits before the next address is tried.
-    Waiting,
+    BackingOff,
     /// A connection is being established.
     Connecting,
     /// The connection is established, and the store has not answered the handshake.
@@ -43,7 +43,7 @@
 
 /// What a session wants done, or reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClientSessionEffect {
+pub enum StoreSessionEffect {
     /// Connect to the address with this index.
     Connect(usize),
     /// Send these bytes over the connection.
@@ -60,7 +60,7 @@
     /// This client's session has expired at the store, which says nothing of other clients'.
     Expired,
     /// The store has responded to a request.
-    Responded {
+    ResponseReceived {
         /// The request's number.
         xid: i32,
         /// The response, or why the store did not do it.
@@ -72,7 +72,7 @@
         xid: i32,
     },
     /// A watch has fired.
-    WatchFired(WatchEvent),
+    WatchTriggered(WatchEvent),
     /// What came can't be decoded or was not requested; a text for the log.
     ProtocolError(String),
 }
@@ -94,7 +94,7 @@
 
 /// What a session is opened with.
 #[derive(Clone, Debug)]
-pub struct ClientSessionSettings {
+pub struct StoreSessionSettings {
     /// How many addresses the store has; they are tried one after the other.
     pub address_count: usize,
     /// The time that is requested of the store after which a silent session expires.
@@ -105,9 +105,9 @@
 
 /// The state machine of a client's session.
 #[derive(Debug)]
-pub struct ClientSession {
-    settings: ClientSessionSettings,
-    state: ClientSessionState,
+pub struct StoreSession {
+    settings: StoreSessionSettings,
+    state: StoreSessionState,
     /// The address that is connected to, or is tried next.
     address: usize,
     /// Addresses that failed since a session stood.
@@ -133,19 +133,19 @@
     random_state: u64,
 }
 
-impl ClientSession {
+impl StoreSession {
     /// Begins by connecting; `seed` chooses the first address and spreads the delays.
     pub fn new(
         now: Duration,
-        settings: ClientSessionSettings,
+        settings: StoreSessionSettings,
         seed: u64,
-        out: &mut Vec<ClientSessionEffect>,
-    ) -> ClientSession {
+        out: &mut Vec<StoreSessionEffect>,
+    ) -> StoreSession {
         let address_count = settings.address_count.max(1);
-        let mut session = ClientSession {
+        let mut session = StoreSession {
             timeout: settings.timeout,
             settings,
-            state: ClientSessionState::Waiting,
+            state: StoreSessionState::BackingOff,
             address: (seed % address_count as u64) as usize,
             failed_attempts: 0,
             state_ends: now,
@@ -165,15 +165,15 @@
     }
 
     /// Where the session stands.
-    pub fn state(&self) -> ClientSessionState {
+    pub fn state(&self) -> StoreSessionState {
         self.state
     }
 
-    /// When [`tick`](ClientSession::tick) has to be called next.
+    /// When [`tick`](StoreSession::tick) has to be called next.
     pub fn next_tick_due(&self) -> Duration {
         match self.state {
-            ClientSessionState::Connected => self.ping_due().min(self.silence_ends()),
-            ClientSessionState::Closed => Duration::MAX,
+            StoreSessionState::Connected => self.ping_due().min(self.silence_ends()),
+            StoreSessionState::Closed => Duration::MAX,
             _ => self.state_ends,
         }
     }
@@ -193,9 +193,9 @@
         &mut self,
         now: Duration,
         request: StoreRequest,
-        out: &mut Vec<ClientSessionEffect>,
+        out: &mut Vec<StoreSessionEffect>,
     ) -> Option<i32> {
-        if self.state != ClientSessionState::Connected || self.pending.len() >= MAX_PENDING_REQUESTS
+        if self.state != StoreSessionState::Connected || self.pending.len() >= MAX_PENDING_REQUESTS
         {
             return None;
         }
@@ -210,23 +210,23 @@
     }
 
     /// Closes the session at the store too, so that its ephemeral nodes vanish at once.
-    pub fn close(&mut self, now: Duration, out: &mut Vec<ClientSessionEffect>) {
-        if self.state == ClientSessionState::Connected {
+    pub fn close(&mut self, now: Duration, out: &mut Vec<StoreSessionEffect>) {
+        if self.state == StoreSessionState::Connected {
             let xid = self.last_xid.wrapping_add(1);
             self.send(now, xid, &StoreRequest::Close, out);
         }
-        if self.state != ClientSessionState::Closed {
-            self.state = ClientSessionState::Closed;
-            out.push(ClientSessionEffect::CloseConnection);
+        if self.state != StoreSessionState::Closed {
+            self.state = StoreSessionState::Closed;
+            out.push(StoreSessionEffect::CloseConnection);
         }
     }
 
     /// The connection is established.
-    pub fn connection_opened(&mut self, now: Duration, out: &mut Vec<ClientSessionEffect>) {
-        if self.state != ClientSessionState::Connecting {
+    pub fn connection_opened(&mut self, now: Duration, out: &mut Vec<StoreSessionEffect>) {
+        if self.state != StoreSessionState::Connecting {
             return;
         }
-        self.state = ClientSessionState::Handshaking;
+        self.state = StoreSessionState::Handshaking;
         self.state_ends = now + CONNECT_TIMEOUT;
         self.frames = FrameReader::default();
         let connect = ConnectRequest {
@@ -237,47 +237,47 @@
         };
         let mut bytes = Vec::new();
         write_frame(&mut bytes, |out| connect.write(out));
-        out.push(ClientSessionEffect::Send(bytes));
+        out.push(StoreSessionEffect::Send(bytes));
     }
 
     /// The connection could not be established, or broke.
-    pub fn connection_failed(&mut self, now: Duration, out: &mut Vec<ClientSessionEffect>) {
+    pub fn connection_failed(&mut self, now: Duration, out: &mut Vec<StoreSessionEffect>) {
         match self.state {
-            ClientSessionState::Closed | ClientSessionState::Waiting => return,
-            ClientSessionState::Connected => out.push(ClientSessionEffect::ConnectionLost),
-            ClientSessionState::Connecting | ClientSessionState::Handshaking => {}
+            StoreSessionState::Closed | StoreSessionState::BackingOff => return,
+            StoreSessionState::Connected => out.push(StoreSessionEffect::ConnectionLost),
+            StoreSessionState::Connecting | StoreSessionState::Handshaking => {}
         }
         // Whether the pending requests were done can't be known now.
         for xid in std::mem::take(&mut self.pending).into_keys() {
-            out.push(ClientSessionEffect::ResponseLost { xid });
+            out.push(StoreSessionEffect::ResponseLost { xid });
         }
-        self.state = ClientSessionState::Waiting;
+        self.state = StoreSessionState::BackingOff;
         self.address = (self.address + 1) % self.settings.address_count.max(1);
         let doublings = self.failed_attempts.min(MAX_DOUBLINGS);
         let delay = (MIN_RECONNECT_DELAY * (1 << doublings)).min(MAX_RECONNECT_DELAY);
         self.failed_attempts = self.failed_attempts.saturating_add(1);
         // Spread, or all clients would meet at a store that has just recovered.
         self.state_ends = now + delay.mul_f64(0.5 + self.random());
-        out.push(ClientSessionEffect::CloseConnection);
+        out.push(StoreSessionEffect::CloseConnection);
     }
 
     /// Does what is due at a time.
-    pub fn tick(&mut self, now: Duration, out: &mut Vec<ClientSessionEffect>) {
+    pub fn tick(&mut self, now: Duration, out: &mut Vec<StoreSessionEffect>) {
         match self.state {
-            ClientSessionState::Waiting if now >= self.state_ends => {
-                self.state = ClientSessionState::Connecting;
+            StoreSessionState::BackingOff if now >= self.state_ends => {
+                self.state = StoreSessionState::Connecting;
                 self.state_ends = now + CONNECT_TIMEOUT;
-                out.push(ClientSessionEffect::Connect(self.address));
+                out.push(StoreSessionEffect::Connect(self.address));
             }
-            ClientSessionState::Connecting | ClientSessionState::Handshaking
+            StoreSessionState::Connecting | StoreSessionState::Handshaking
                 if now >= self.state_ends =>
             {
                 self.connection_failed(now, out);
             }
-            ClientSessionState::Connected if now >= self.silence_ends() => {
+            StoreSessionState::Connected if now >= self.silence_ends() => {
                 self.connection_failed(now, out);
             }
-            ClientSessionState::Connected if now >= self.ping_due() => {
+            StoreSessionState::Connected if now >= self.ping_due() => {
                 self.send(now, XID_PING, &StoreRequest::Ping, out);
             }
             _ => {}
@@ -287,12 +287,12 @@
     fn is_receiving(&self) -> bool {
         matches!(
             self.state,
-            ClientSessionState::Handshaking | ClientSessionState::Connected
+            StoreSessionState::Handshaking | StoreSessionState::Connected
         )
     }
 
     /// Takes bytes that came over the connection, in pieces of any size.
-    pub fn receive(&mut self, now: Duration, bytes: &[u8], out: &mut Vec<ClientSessionEffect>) {
+    pub fn receive(&mut self, now: Duration, bytes: &[u8], out: &mut Vec<StoreSessionEffect>) {
         if self.is_receiving() {
             self.last_received = now;
             self.frames.append(bytes);
@@ -303,7 +303,7 @@
                 Ok(None) => return,
                 Err(error) => return self.protocol_error(now, error, out),
             };
-            let result = if self.state == ClientSessionState::Handshaking {
+            let result = if self.state == StoreSessionState::Handshaking {
                 self.finish_handshake(now, &frame, out)
             } else {
                 self.take_reply(&frame, out)
@@ -318,9 +318,9 @@
         &mut self,
         now: Duration,
         error: DecodeError,
-        out: &mut Vec<ClientSessionEffect>,
+        out: &mut Vec<StoreSessionEffect>,
     ) {
-        out.push(ClientSessionEffect::ProtocolError(error.to_string()));
+        out.push(StoreSessionEffect::ProtocolError(error.to_string()));
         self.connection_failed(now, out);
     }
 
@@ -328,19 +328,19 @@
         &mut self,
         now: Duration,
         frame: &[u8],
-        out: &mut Vec<ClientSessionEffect>,
+        out: &mut Vec<StoreSessionEffect>,
     ) -> Result<(), DecodeError> {
         let response = ConnectResponse::read(frame)?;
         if response.timeout_ms <= 0 {
             self.forget_session();
-            out.push(ClientSessionEffect::Expired);
+            out.push(StoreSessionEffect::Expired);
             self.connection_failed(now, out);
             return Ok(());
         }
         let new = self.session_id != response.session_id;
         self.session_id = response.session_id;
         self.password = response.password;
-        self.state = ClientSessionState::Connected;
+        self.state = StoreSessionState::Connected;
         self.failed_attempts = 0;
         self.timeout = Duration::from_millis(response.timeout_ms as u64);
         self.last_received = now;
@@ -354,7 +354,7 @@
             let request = self.watched.to_request(self.last_zxid);
             self.send(now, XID_SET_WATCHES, &request, out);
         }
-        out.push(ClientSessionEffect::Established { new });
+        out.push(StoreSessionEffect::Established { new });
         Ok(())
     }
 
@@ -369,7 +369,7 @@
     fn take_reply(
         &mut self,
         frame: &[u8],
-        out: &mut Vec<ClientSessionEffect>,
+        out: &mut Vec<StoreSessionEffect>,
     ) -> Result<(), DecodeError> {
         let mut reader = JuteReader::new(frame);
         let header = ReplyHeader::read(&mut reader)?;
@@ -379,15 +379,15 @@
             XID_PING | XID_AUTH | XID_SET_WATCHES => {
                 if let Some(error) = error {
                     let text = format!("the store refuses {}: {error}", header.xid);
-                    out.push(ClientSessionEffect::ProtocolError(text));
+                    out.push(StoreSessionEffect::ProtocolError(text));
                 }
                 Ok(())
             }
             XID_EVENT => {
                 let event = WatchEvent::read(&mut reader)?;
                 reader.finish()?;
-                self.watched.remove_fired(&event);
-                out.push(ClientSessionEffect::WatchFired(event));
+                self.watched.remove_triggered(&event);
+                out.push(StoreSessionEffect::WatchTriggered(event));
                 Ok(())
             }
             xid => self.take_response(xid, error, &mut reader, out),
@@ -399,11 +399,11 @@
         xid: i32,
         error: Option<StoreError>,
         reader: &mut JuteReader<'_>,
-        out: &mut Vec<ClientSessionEffect>,
+        out: &mut Vec<StoreSessionEffect>,
     ) -> Result<(), DecodeError> {
         let Some(request) = self.pending.remove(&xid) else {
             let text = format!("an answer to {xid}, which nobody asked");
-            out.push(ClientSessionEffect::ProtocolError(text));
+            out.push(StoreSessionEffect::ProtocolError(text));
             return Ok(());
         };
         // A request for a node that doesn't exist leaves a watch for its creation.
@@ -412,7 +412,7 @@
             Some(error) => Err(error),
             None => Ok(read_response(&request, reader)?),
         };
-        out.push(ClientSessionEffect::Responded { xid, response });
+        out.push(StoreSessionEffect::ResponseReceived { xid, response });
         Ok(())
     }
 
@@ -421,12 +421,12 @@
         now: Duration,
         xid: i32,
         request: &StoreRequest,
-        out: &mut Vec<ClientSessionEffect>,
+        out: &mut Vec<StoreSessionEffect>,
     ) {
         let mut bytes = Vec::new();
         write_frame(&mut bytes, |out| request.write(xid, out));
         self.last_sent = now;
-        out.push(ClientSessionEffect::Send(bytes));
+        out.push(StoreSessionEffect::Send(bytes));
     }
 
     /// The next pseudorandom number from 0 to 1, by xorshift.
--- a/crates/zookeeper/src/session/watches.rs
+++ b/crates/zookeeper/src/session/watches.rs
@@ -32,7 +32,7 @@
     }
 
     /// Removes the watches that an event uses up: each fires once.
-    pub(super) fn remove_fired(&mut self, event: &WatchEvent) {
+    pub(super) fn remove_triggered(&mut self, event: &WatchEvent) {
         let (data, exist, child) = match event.kind {
             WatchEventKind::Session => (false, false, false),
             WatchEventKind::Created => (true, true, false),
--- a/crates/zookeeper/src/store/nodes.rs
+++ b/crates/zookeeper/src/store/nodes.rs
@@ -65,8 +65,8 @@
             session.nodes.insert(path.to_string());
         }
         self.count_child(parent, 1);
-        self.fire(path, WatchTarget::Node, WatchEventKind::Created, events);
-        self.fire(
+        self.trigger_watches(path, WatchTarget::Node, WatchEventKind::Created, events);
+        self.trigger_watches(
             parent,
             WatchTarget::Children,
             WatchEventKind::Children,
@@ -116,9 +116,9 @@
         self.zxid += 1;
         let parent = parent_path(path);
         self.count_child(parent, -1);
-        self.fire(path, WatchTarget::Node, WatchEventKind::Deleted, events);
-        self.fire(path, WatchTarget::Children, WatchEventKind::Deleted, events);
-        self.fire(
+        self.trigger_watches(path, WatchTarget::Node, WatchEventKind::Deleted, events);
+        self.trigger_watches(path, WatchTarget::Children, WatchEventKind::Deleted, events);
+        self.trigger_watches(
             parent,
             WatchTarget::Children,
             WatchEventKind::Children,
@@ -145,7 +145,7 @@
         node.stat.modified_zxid = self.zxid;
         node.stat.modified_ms = now.as_millis() as i64;
         node.stat.data_length = data.len() as i32;
-        self.fire(path, WatchTarget::Node, WatchEventKind::Data, events);
+        self.trigger_watches(path, WatchTarget::Node, WatchEventKind::Data, events);
         Ok(())
     }
 }
--- a/crates/zookeeper/src/store/watches.rs
+++ b/crates/zookeeper/src/store/watches.rs
@@ -35,7 +35,7 @@
     }
 
     /// Fires the watches on a path, in the order of their connections.
-    pub(super) fn fire(
+    pub(super) fn trigger_watches(
         &mut self,
         path: &str,
         target: WatchTarget,
--- a/crates/zookeeper/tests/listing.rs
+++ b/crates/zookeeper/tests/listing.rs
@@ -1,7 +1,7 @@
 //! What vanished, returned, changed and unreadable nodes mean for their servers.
 
 use asterramp_zookeeper::listing::{
-    ListedChange, ListedNode, ListedState, ListingRemark, ListingSettings, NodeListing,
+    ListedChange, ListedNode, ListedState, ListingSettings, ListingWarning, NodeListing,
 };
 use std::time::Duration;
 use test_case::test_case;
@@ -24,7 +24,7 @@
 struct ListingHarness {
     listing: NodeListing,
     changes: Vec<ListedChange>,
-    remarks: Vec<ListingRemark>,
+    remarks: Vec<ListingWarning>,
 }
 
 impl ListingHarness {
@@ -107,7 +107,7 @@
         (harness.take_reports(), harness.remarks),
         (
             vec!["a gone".into(), "c gone".into()],
-            vec![ListingRemark::AllGone]
+            vec![ListingWarning::AllGone]
         )
     );
 }
@@ -159,8 +159,8 @@
     assert_eq!(
         harness.remarks,
         [
-            ListingRemark::Unreadable("b".into()),
-            ListingRemark::Unreadable("odd".into())
+            ListingWarning::Unreadable("b".into()),
+            ListingWarning::Unreadable("odd".into())
         ]
     );
     harness.deleted(400, "b");
@@ -190,7 +190,7 @@
     );
     assert_eq!(
         (harness.take_reports().len(), &harness.remarks[..]),
-        (1, &[ListingRemark::DuplicateUid("b".into())][..])
+        (1, &[ListingWarning::DuplicateUid("b".into())][..])
     );
     harness.deleted(2_000, "b");
     assert!(
@@ -212,7 +212,7 @@
         harness.take_reports(),
         ["b gone", "b ready", "b gone", "b ready", "b gone"]
     );
-    assert_eq!(harness.remarks, [ListingRemark::Flapping("b".into())]);
+    assert_eq!(harness.remarks, [ListingWarning::Flapping("b".into())]);
     harness.tick(8_000);
     assert!(harness.take_reports().is_empty());
     harness.tick(8_600);
--- a/crates/zookeeper/tests/session.rs
+++ b/crates/zookeeper/tests/session.rs
@@ -7,7 +7,7 @@
     WatchEventKind, XID_EVENT,
 };
 use asterramp_zookeeper::session::{
-    ClientSession, ClientSessionEffect, ClientSessionSettings, ClientSessionState, StoreResponse,
+    StoreResponse, StoreSession, StoreSessionEffect, StoreSessionSettings, StoreSessionState,
 };
 use std::time::Duration;
 use test_case::test_case;
@@ -17,20 +17,20 @@
 }
 
 struct SessionHarness {
-    session: ClientSession,
+    session: StoreSession,
     now: Duration,
-    out: Vec<ClientSessionEffect>,
+    out: Vec<StoreSessionEffect>,
 }
 
 impl SessionHarness {
     fn new(addresses: usize) -> SessionHarness {
         let mut out = Vec::new();
-        let settings = ClientSessionSettings {
+        let settings = StoreSessionSettings {
             address_count: addresses,
             timeout: ms(3_000),
             auth: None,
         };
-        let session = ClientSession::new(ms(0), settings, 4, &mut out);
+        let session = StoreSession::new(ms(0), settings, 4, &mut out);
         SessionHarness {
             session,
             now: ms(0),
@@ -38,7 +38,7 @@
         }
     }
 
-    fn take_effects(&mut self) -> Vec<ClientSessionEffect> {
+    fn take_effects(&mut self) -> Vec<StoreSessionEffect> {
         std::mem::take(&mut self.out)
     }
 
@@ -46,7 +46,7 @@
     fn handshake(&mut self, session: i64, timeout: i32) -> ConnectRequest {
         self.session.connection_opened(self.now, &mut self.out);
         let sent = self.take_effects();
-        let Some(ClientSessionEffect::Send(bytes)) = sent.last() else {
+        let Some(StoreSessionEffect::Send(bytes)) = sent.last() else {
             panic!("{sent:?}")
         };
         let mut frames = FrameReader::default();
@@ -69,7 +69,7 @@
         self.handshake(5, 3_000);
         assert_eq!(
             self.take_effects(),
-            [ClientSessionEffect::Established { new: true }]
+            [StoreSessionEffect::Established { new: true }]
         );
     }
 
@@ -99,7 +99,7 @@
         self.session.receive(self.now, second, &mut self.out);
     }
 
-    fn wait_for(&mut self, until: ClientSessionState) {
+    fn wait_for(&mut self, until: StoreSessionState) {
         for _ in 0..20 {
             if self.session.state() == until {
                 return;
@@ -130,7 +130,7 @@
 #[test]
 fn requests_are_responded_to_and_watches_fire() {
     let mut harness = SessionHarness::new(1);
-    assert_eq!(harness.take_effects(), [ClientSessionEffect::Connect(0)]);
+    assert_eq!(harness.take_effects(), [StoreSessionEffect::Connect(0)]);
     harness.establish();
     let xid = harness.request(children("/hosts"));
     harness.reply(xid, 9, 0, |out| {
@@ -143,7 +143,7 @@
     ));
     assert_eq!(
         harness.take_effects(),
-        [ClientSessionEffect::Responded {
+        [StoreSessionEffect::ResponseReceived {
             xid,
             response: answer
         }]
@@ -156,7 +156,7 @@
     harness.reply(XID_EVENT, -1, 0, |out| event.write(out));
     assert_eq!(
         harness.take_effects(),
-        [ClientSessionEffect::WatchFired(event)]
+        [StoreSessionEffect::WatchTriggered(event)]
     );
     let xid = harness.request(StoreRequest::GetData {
         path: "/none".into(),
@@ -165,7 +165,7 @@
     harness.reply(xid, 10, -101, |_| ());
     assert_eq!(
         harness.take_effects(),
-        [ClientSessionEffect::Responded {
+        [StoreSessionEffect::ResponseReceived {
             xid,
             response: Err(StoreError::NoNode)
         }]
@@ -175,7 +175,7 @@
 #[test]
 fn a_broken_connection_loses_responses_and_the_next_keeps_the_session_and_its_watches() {
     let mut harness = SessionHarness::new(3);
-    assert_eq!(harness.take_effects(), [ClientSessionEffect::Connect(1)]);
+    assert_eq!(harness.take_effects(), [StoreSessionEffect::Connect(1)]);
     harness.establish();
     watch_hosts(&mut harness, 77);
     let open = harness.request(StoreRequest::Exists {
@@ -189,9 +189,9 @@
     assert_eq!(
         harness.take_effects(),
         [
-            ClientSessionEffect::ConnectionLost,
-            ClientSessionEffect::ResponseLost { xid: open },
-            ClientSessionEffect::CloseConnection
+            StoreSessionEffect::ConnectionLost,
+            StoreSessionEffect::ResponseLost { xid: open },
+            StoreSessionEffect::CloseConnection
         ]
     );
     assert!(
@@ -200,10 +200,10 @@
             .request(harness.now, children("/y"), &mut harness.out)
             .is_none()
     );
-    harness.wait_for(ClientSessionState::Connecting);
+    harness.wait_for(StoreSessionState::Connecting);
     assert_eq!(
         harness.take_effects(),
-        [ClientSessionEffect::Connect(2)],
+        [StoreSessionEffect::Connect(2)],
         "the next address"
     );
     let connect = harness.handshake(5, 3_000);
@@ -213,8 +213,8 @@
     );
     let take_effects = harness.take_effects();
     let [
-        ClientSessionEffect::Send(watches),
-        ClientSessionEffect::Established { new: false },
+        StoreSessionEffect::Send(watches),
+        StoreSessionEffect::Established { new: false },
     ] = &take_effects[..]
     else {
         panic!("{take_effects:?}")
@@ -240,23 +240,23 @@
     harness
         .session
         .connection_failed(harness.now, &mut harness.out);
-    harness.wait_for(ClientSessionState::Connecting);
+    harness.wait_for(StoreSessionState::Connecting);
     harness.take_effects();
     harness.handshake(0, 0);
     assert_eq!(
         harness.take_effects(),
         [
-            ClientSessionEffect::Expired,
-            ClientSessionEffect::CloseConnection
+            StoreSessionEffect::Expired,
+            StoreSessionEffect::CloseConnection
         ]
     );
-    harness.wait_for(ClientSessionState::Connecting);
+    harness.wait_for(StoreSessionState::Connecting);
     harness.take_effects();
     let connect = harness.handshake(6, 3_000);
     assert_eq!((connect.session_id, connect.last_zxid), (0, 0));
     assert_eq!(
         harness.take_effects(),
-        [ClientSessionEffect::Established { new: true }]
+        [StoreSessionEffect::Established { new: true }]
     );
 }
 
@@ -265,16 +265,16 @@
     let mut harness = SessionHarness::new(1);
     harness.take_effects();
     harness.establish();
-    harness.wait_for(ClientSessionState::Waiting);
+    harness.wait_for(StoreSessionState::BackingOff);
     assert_eq!(harness.now, ms(2_000));
     let take_effects = harness.take_effects();
     let pings = take_effects.iter().filter(
-        |e| matches!(e, ClientSessionEffect::Send(bytes) if bytes[4..8] == [255, 255, 255, 254]),
+        |e| matches!(e, StoreSessionEffect::Send(bytes) if bytes[4..8] == [255, 255, 255, 254]),
     );
     assert_eq!(
         (
             pings.count(),
-            take_effects.contains(&ClientSessionEffect::ConnectionLost)
+            take_effects.contains(&StoreSessionEffect::ConnectionLost)
         ),
         (1, true),
         "{take_effects:?}"
@@ -316,14 +316,14 @@
         matches!(
             take_effects[..],
             [
-                ClientSessionEffect::ProtocolError(_),
-                ClientSessionEffect::ConnectionLost,
-                ClientSessionEffect::CloseConnection
+                StoreSessionEffect::ProtocolError(_),
+                StoreSessionEffect::ConnectionLost,
+                StoreSessionEffect::CloseConnection
             ]
         ),
         "{take_effects:?}"
     );
-    harness.wait_for(ClientSessionState::Connecting);
+    harness.wait_for(StoreSessionState::Connecting);
     assert_eq!(harness.handshake(5, 3_000).session_id, 5);
 }
 
@@ -335,7 +335,7 @@
     harness.session.close(harness.now, &mut harness.out);
     let take_effects = harness.take_effects();
     assert!(
-        matches!(&take_effects[..], [ClientSessionEffect::Send(bytes), ClientSessionEffect::CloseConnection] if bytes[8..] == [255, 255, 255, 245])
+        matches!(&take_effects[..], [StoreSessionEffect::Send(bytes), StoreSessionEffect::CloseConnection] if bytes[8..] == [255, 255, 255, 245])
     );
     harness
         .session
--- a/crates/zookeeper/tests/session_with_store.rs
+++ b/crates/zookeeper/tests/session_with_store.rs
@@ -3,7 +3,7 @@
 use asterramp_zookeeper::frame::FrameReader;
 use asterramp_zookeeper::record::{ANY_VERSION, StoreError, StoreRequest, WatchEventKind};
 use asterramp_zookeeper::session::{
-    ClientSession, ClientSessionEffect, ClientSessionSettings, ClientSessionState, StoreResponse,
+    StoreResponse, StoreSession, StoreSessionEffect, StoreSessionSettings, StoreSessionState,
 };
 use asterramp_zookeeper::store::{ConnectionId, StoreEffect, StubStore};
 use std::time::Duration;
@@ -14,13 +14,13 @@
 }
 
 struct Client {
-    session: ClientSession,
+    session: StoreSession,
     connection: Option<ConnectionId>,
     frames: FrameReader,
     /// Its process is stopped: it does nothing, and nothing reachable it.
     suspended: bool,
     /// Effects that are not the network's to do.
-    reported: Vec<ClientSessionEffect>,
+    reported: Vec<StoreSessionEffect>,
 }
 
 struct SimulatedNetwork {
@@ -43,12 +43,12 @@
         };
         for seed in 0..clients {
             let mut out = Vec::new();
-            let settings = ClientSessionSettings {
+            let settings = StoreSessionSettings {
                 address_count: 2,
                 timeout: ms(3_000),
                 auth: None,
             };
-            let session = ClientSession::new(network.now, settings, seed as u64 + 1, &mut out);
+            let session = StoreSession::new(network.now, settings, seed as u64 + 1, &mut out);
             let client = Client {
                 session,
                 connection: None,
@@ -63,10 +63,10 @@
     }
 
     /// Does what a client wants done.
-    fn perform(&mut self, nth: usize, effects: Vec<ClientSessionEffect>) {
+    fn perform(&mut self, nth: usize, effects: Vec<StoreSessionEffect>) {
         for effect in effects {
             match effect {
-                ClientSessionEffect::Connect(_) => {
+                StoreSessionEffect::Connect(_) => {
                     if !self.reachable {
                         self.event(nth, |session, now, out| session.connection_failed(now, out));
                         continue;
@@ -76,8 +76,8 @@
                     self.clients[nth].frames = FrameReader::default();
                     self.event(nth, |session, now, out| session.connection_opened(now, out));
                 }
-                ClientSessionEffect::Send(bytes) => self.deliver_to_store(nth, &bytes),
-                ClientSessionEffect::CloseConnection => {
+                StoreSessionEffect::Send(bytes) => self.deliver_to_store(nth, &bytes),
+                StoreSessionEffect::CloseConnection => {
                     if let Some(connection) = self.clients[nth].connection.take() {
                         self.store.connection_closed(connection);
                     }
@@ -90,7 +90,7 @@
     fn event(
         &mut self,
         nth: usize,
-        act: impl FnOnce(&mut ClientSession, Duration, &mut Vec<ClientSessionEffect>),
+        act: impl FnOnce(&mut StoreSession, Duration, &mut Vec<StoreSessionEffect>),
     ) {
         let mut out = Vec::new();
         act(&mut self.clients[nth].session, self.now, &mut out);
@@ -169,11 +169,11 @@
         });
         let asked = asked.expect("a session stands");
         let reported = &mut self.clients[nth].reported;
-        let at = reported
-            .iter()
-            .position(|e| matches!(e, ClientSessionEffect::Responded { xid, .. } if *xid == asked));
+        let at = reported.iter().position(
+            |e| matches!(e, StoreSessionEffect::ResponseReceived { xid, .. } if *xid == asked),
+        );
         match reported.remove(at.expect("an answer")) {
-            ClientSessionEffect::Responded {
+            StoreSessionEffect::ResponseReceived {
                 response: answer, ..
             } => answer,
             _ => unreachable!(),
@@ -197,13 +197,13 @@
     fn take_notifications(&mut self, nth: usize) -> Vec<(WatchEventKind, String)> {
         let reported = std::mem::take(&mut self.clients[nth].reported);
         let event = reported.into_iter().filter_map(|e| match e {
-            ClientSessionEffect::WatchFired(event) => Some((event.kind, event.path)),
+            StoreSessionEffect::WatchTriggered(event) => Some((event.kind, event.path)),
             _ => None,
         });
         event.collect()
     }
 
-    fn count_reported(&self, nth: usize, effect: &ClientSessionEffect) -> usize {
+    fn count_reported(&self, nth: usize, effect: &StoreSessionEffect) -> usize {
         self.clients[nth]
             .reported
             .iter()
@@ -278,7 +278,7 @@
     );
     for nth in 0..3 {
         assert_eq!(
-            network.count_reported(nth, &ClientSessionEffect::Established { new: false }),
+            network.count_reported(nth, &StoreSessionEffect::Established { new: false }),
             1
         );
     }
@@ -329,9 +329,9 @@
     network.advance(ms(3_500));
     network.clients[2].suspended = false;
     network.advance(ms(1_000));
-    assert_eq!(network.count_reported(2, &ClientSessionEffect::Expired), 1);
+    assert_eq!(network.count_reported(2, &StoreSessionEffect::Expired), 1);
     assert_eq!(
-        network.count_reported(2, &ClientSessionEffect::Established { new: true }),
+        network.count_reported(2, &StoreSessionEffect::Established { new: true }),
         1
     );
     assert_eq!(
@@ -350,7 +350,7 @@
             network.take_notifications(2).len(),
             network.clients[0].session.state()
         ),
-        (1, ClientSessionState::Closed)
+        (1, StoreSessionState::Closed)
     );
     assert_eq!(network.children(2, "/hosts"), ["b"]);
 }
