--- a/crates/hot-restart/src/ownership.rs
+++ b/crates/hot-restart/src/ownership.rs
@@ -72,7 +72,7 @@
 
     /// Predecessor: the successor has accepted the oldest offer, which is returned to be released.
     /// `None` where no offer is out.
-    pub fn accept_oldest(&mut self) -> Option<O> {
+    pub fn take_oldest_offer(&mut self) -> Option<O> {
         self.pending_offers.pop_front()
     }
 
--- a/crates/hot-restart/tests/ownership.rs
+++ b/crates/hot-restart/tests/ownership.rs
@@ -21,10 +21,10 @@
     let mut ownership = with_offers(0..MAX_PENDING_OFFERS);
     assert_eq!(ownership.free_offer_slots(), 0);
     assert!(ownership.is_offered(&0));
-    assert_eq!(ownership.accept_oldest(), Some(0));
+    assert_eq!(ownership.take_oldest_offer(), Some(0));
     assert!(!ownership.is_offered(&0));
     assert_eq!(ownership.free_offer_slots(), 1);
-    assert_eq!(Ownership::default().accept_oldest(), None);
+    assert_eq!(Ownership::default().take_oldest_offer(), None);
 }
 
 #[test_case(SendOutcome::Sent, &[1, 2], &[]; "the successor was notified")]
@@ -36,7 +36,7 @@
     released: &[usize],
 ) {
     let mut ownership = with_offers(0..3);
-    assert_eq!(ownership.accept_oldest(), Some(0));
+    assert_eq!(ownership.take_oldest_offer(), Some(0));
     let end = UnacceptedOffers {
         resumed: resumed.to_vec(),
         released: released.to_vec(),
--- a/crates/model-checker/src/hot_restart/process.rs
+++ b/crates/model-checker/src/hot_restart/process.rs
@@ -93,6 +93,6 @@
 
     /// The successor has accepted the oldest offer, so the connection is not this process's any more.
     pub(super) fn release_oldest_offer(&mut self) {
-        self.descriptors &= !set_of(self.ownership.accept_oldest());
+        self.descriptors &= !set_of(self.ownership.take_oldest_offer());
     }
 }
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -145,7 +145,7 @@
     let loaded = SnapshotStore::new(directory).load(Some(owner));
     let path = config.directory.display();
     let problems = loaded
-        .problems
+        .unusable_files
         .iter()
         .map(|problem| {
             format!(
--- a/crates/proxy/src/program/state.rs
+++ b/crates/proxy/src/program/state.rs
@@ -76,7 +76,7 @@
 
 fn verify(directory: &Path) -> Result<(), StateCommandError> {
     let loaded = load(directory)?;
-    let unusable = loaded.problems.len();
+    let unusable = loaded.unusable_files.len();
     let snapshot = loaded.snapshot.ok_or_else(|| no_snapshot(directory))?;
     let sequence = snapshot.sequence;
     if unusable > 0 {
@@ -114,7 +114,7 @@
 /// Loads the newest complete snapshot; files that cannot be used are reported on standard error.
 fn load(directory: &Path) -> Result<LoadedSnapshot, StateCommandError> {
     let loaded = SnapshotStore::new(open(directory)?).load(None);
-    for problem in &loaded.problems {
+    for problem in &loaded.unusable_files {
         let (path, file, error) = (directory.display(), problem.file, &problem.error);
         eprintln!("asterramp: {path}/{file}: {error}");
     }
--- a/crates/proxy/src/routing/hot_restart/offers.rs
+++ b/crates/proxy/src/routing/hot_restart/offers.rs
@@ -186,7 +186,7 @@
 
     /// The oldest offer, which the successor has accepted.
     pub(super) fn accept_oldest_offer(&mut self) -> Option<Offer> {
-        self.hot_restart.as_mut()?.ownership.accept_oldest()
+        self.hot_restart.as_mut()?.ownership.take_oldest_offer()
     }
 
     /// The successor lives: what it accepted before this moment is its own, and it can accept
--- a/crates/snapshot/src/error.rs
+++ b/crates/snapshot/src/error.rs
@@ -71,7 +71,7 @@
     Decode(#[from] DecodeError),
     /// It describes the endpoints of another proxy.
     #[error("foreign: it is of {owner:?}")]
-    ForeignOwner {
+    OwnerMismatch {
         /// The proxy that wrote it, by the address it listens at.
         owner: String,
     },
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -19,5 +19,5 @@
 pub use files::{SnapshotDirectory, SnapshotFiles};
 pub use format::{FORMAT_VERSION, MAX_FILE_BYTES, decode, encode};
 pub use model::{Host as SavedEndpoint, SavedEndpointState, Snapshot};
-pub use store::{FileProblem, LoadedSnapshot, SnapshotStore};
+pub use store::{LoadedSnapshot, SnapshotStore, UnusableFile};
 pub use writer::{SaveOutcome, SnapshotWriter};
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -22,7 +22,7 @@
 
 /// A file that a load did not use.
 #[derive(Debug)]
-pub struct FileProblem {
+pub struct UnusableFile {
     /// Its name within the directory.
     pub file: &'static str,
     /// Why it was not used.
@@ -35,7 +35,7 @@
     /// The newest complete snapshot; `None` if there is none.
     pub snapshot: Option<Snapshot>,
     /// The files that could not be used, in the order of their names. A file that is missing is not among them.
-    pub problems: Vec<FileProblem>,
+    pub unusable_files: Vec<UnusableFile>,
 }
 
 /// The newest generation on disk.
@@ -76,7 +76,7 @@
                     loaded.snapshot = Some(snapshot);
                 }
                 Ok(_) => {}
-                Err(error) => loaded.problems.push(FileProblem { file, error }),
+                Err(error) => loaded.unusable_files.push(UnusableFile { file, error }),
             }
         }
         loaded
@@ -95,7 +95,7 @@
         };
         let snapshot = decode(&bytes)?;
         match owner {
-            Some(owner) if snapshot.owner != owner => Err(FileError::ForeignOwner {
+            Some(owner) if snapshot.owner != owner => Err(FileError::OwnerMismatch {
                 owner: snapshot.owner,
             }),
             _ => Ok(Some(snapshot)),
--- a/crates/snapshot/tests/golden.rs
+++ b/crates/snapshot/tests/golden.rs
@@ -267,7 +267,7 @@
 /// The files that could not be used, each with the reason.
 fn reasons(found: &LoadedSnapshot) -> Vec<String> {
     found
-        .problems
+        .unusable_files
         .iter()
         .map(|problem| format!("{}: {}", problem.file, problem.error))
         .collect()
--- a/crates/snapshot/tests/snapshot/decoding.rs
+++ b/crates/snapshot/tests/snapshot/decoding.rs
@@ -51,7 +51,7 @@
         }),
     );
     let loaded = SnapshotStore::new(disk).load(Some(OWNER));
-    assert_eq!(loaded.problems.len(), 1);
+    assert_eq!(loaded.unusable_files.len(), 1);
     assert_eq!(loaded.snapshot.map(|s| s.list_revision), Some(1));
 }
 
@@ -93,7 +93,7 @@
     let loaded = SnapshotStore::new(disk).load(Some("127.0.0.1:7001"));
     assert!(loaded.snapshot.is_none());
     let reasons: Vec<String> = loaded
-        .problems
+        .unusable_files
         .iter()
         .map(|problem| problem.error.to_string())
         .collect();
--- a/crates/snapshot/tests/snapshot/writer.rs
+++ b/crates/snapshot/tests/snapshot/writer.rs
@@ -96,7 +96,7 @@
     let loaded = store.load(Some(OWNER));
     assert_eq!(
         (
-            loaded.problems.len(),
+            loaded.unusable_files.len(),
             loaded.snapshot.map(|s| s.list_revision)
         ),
         (1, Some(2))
@@ -104,6 +104,6 @@
     std::fs::remove_dir(path.join("state.0")).unwrap();
     store.clear().unwrap();
     let loaded = store.load(None);
-    assert!(loaded.snapshot.is_none() && loaded.problems.is_empty());
+    assert!(loaded.snapshot.is_none() && loaded.unusable_files.is_empty());
     std::fs::remove_dir_all(path).unwrap();
 }
--- a/crates/zookeeper/src/frame.rs
+++ b/crates/zookeeper/src/frame.rs
@@ -4,7 +4,7 @@
 
 /// Longest frame that is accepted, in bytes: a list of some thousand children, well above a store's own limit of a
 /// mebibyte.
-pub const MAX_FRAME_LENGTH: usize = 4 << 20;
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 /// Bytes of a frame's length.
 const PREFIX_LENGTH: usize = 4;
 
@@ -37,7 +37,7 @@
 
     /// The next complete frame without its length.
     ///
-    /// Fails where its length is negative or above [`MAX_FRAME_LENGTH`], as soon as the length is there.
+    /// Fails where its length is negative or above [`MAX_FRAME_BYTES`], as soon as the length is there.
     pub fn next_frame(&mut self) -> Result<Option<&[u8]>, DecodeError> {
         let Some(prefix) = self.bytes[self.start..].first_chunk::<PREFIX_LENGTH>() else {
             return Ok(None);
@@ -45,7 +45,7 @@
         let length = i32::from_be_bytes(*prefix);
         let record_length = usize::try_from(length)
             .ok()
-            .filter(|length| *length <= MAX_FRAME_LENGTH)
+            .filter(|length| *length <= MAX_FRAME_BYTES)
             .ok_or(DecodeError::InvalidLength(length))?;
         let from = self.start + PREFIX_LENGTH;
         let to = from + record_length;
--- a/crates/zookeeper/src/jute.rs
+++ b/crates/zookeeper/src/jute.rs
@@ -28,7 +28,7 @@
 /// The length or count that stands for none.
 const NONE: i32 = -1;
 /// Most entries of a vector, whatever its count says.
-pub const MAX_VECTOR_LENGTH: i32 = 100_000;
+pub const MAX_VECTOR_ENTRIES: i32 = 100_000;
 /// Fewest bytes that an entry of a vector takes: an empty string's length.
 const MIN_ENTRY_LENGTH: usize = 4;
 
@@ -103,14 +103,14 @@
     }
 
     /// A vector, each entry of which `entry` decodes; none at all counts as empty. Fails where it has more than
-    /// [`MAX_VECTOR_LENGTH`] entries.
+    /// [`MAX_VECTOR_ENTRIES`] entries.
     pub fn vector<T>(
         &mut self,
         entry: impl Fn(&mut Self) -> Result<T, DecodeError>,
     ) -> Result<Vec<T>, DecodeError> {
         match self.int()? {
             NONE => Ok(Vec::new()),
-            count if !(0..=MAX_VECTOR_LENGTH).contains(&count) => {
+            count if !(0..=MAX_VECTOR_ENTRIES).contains(&count) => {
                 Err(DecodeError::InvalidLength(count))
             }
             count if count as usize * MIN_ENTRY_LENGTH > self.remaining() => {
--- a/crates/zookeeper/src/main.rs
+++ b/crates/zookeeper/src/main.rs
@@ -107,7 +107,7 @@
     }
 
     fn expire_sessions(&mut self) {
-        let sessions: Vec<i64> = self.store.sessions().collect();
+        let sessions: Vec<i64> = self.store.session_ids().collect();
         let mut effects = Vec::new();
         for session in sessions {
             self.store.end_session(session, &mut effects);
--- a/crates/zookeeper/src/session/mod.rs
+++ b/crates/zookeeper/src/session/mod.rs
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreResponse {
     /// To a request without a result.
-    Done,
+    Empty,
     /// The path of the created node.
     Created(String),
     /// A node's metadata.
@@ -351,7 +351,7 @@
         if new {
             self.watched = WatchedPaths::default();
         } else if !self.watched.is_empty() {
-            let request = self.watched.to_request(self.last_zxid);
+            let request = self.watched.to_set_watches_request(self.last_zxid);
             self.send(now, XID_SET_WATCHES, &request, out);
         }
         out.push(StoreSessionEffect::Established { new });
@@ -457,8 +457,8 @@
             StoreResponse::Children(children, NodeStat::read(reader)?)
         }
         // The results of the parts are not decoded: all of it was done, or the response is an error.
-        StoreRequest::Multi(_) => return Ok(StoreResponse::Done),
-        _ => StoreResponse::Done,
+        StoreRequest::Multi(_) => return Ok(StoreResponse::Empty),
+        _ => StoreResponse::Empty,
     };
     reader.finish()?;
     Ok(response)
--- a/crates/zookeeper/src/session/watches.rs
+++ b/crates/zookeeper/src/session/watches.rs
@@ -52,7 +52,7 @@
     }
 
     /// The request that sets them again at a new connection.
-    pub(super) fn to_request(&self, since: i64) -> StoreRequest {
+    pub(super) fn to_set_watches_request(&self, since: i64) -> StoreRequest {
         StoreRequest::SetWatches {
             since,
             data: self.data.iter().cloned().collect(),
--- a/crates/zookeeper/src/store/mod.rs
+++ b/crates/zookeeper/src/store/mod.rs
@@ -89,7 +89,7 @@
     }
 
     /// The sessions that stand.
-    pub fn sessions(&self) -> impl Iterator<Item = i64> {
+    pub fn session_ids(&self) -> impl Iterator<Item = i64> {
         self.sessions.keys().copied()
     }
 
@@ -170,7 +170,7 @@
         // Watches fire before the reply to what made them fire, so that no client sees its own change too early.
         let mut events = Vec::new();
         let error = self
-            .perform(context, &request, &mut body, &mut events)
+            .apply_request(context, &request, &mut body, &mut events)
             .err();
         out.append(&mut events);
         let xid = match request {
--- a/crates/zookeeper/src/store/requests.rs
+++ b/crates/zookeeper/src/store/requests.rs
@@ -6,7 +6,7 @@
 
 impl StubStore {
     /// Performs a request: appends its response's body to `body` and the watch events that it causes to `events`.
-    pub(super) fn perform(
+    pub(super) fn apply_request(
         &mut self,
         context: RequestContext,
         request: &StoreRequest,
--- a/crates/zookeeper/tests/codec.rs
+++ b/crates/zookeeper/tests/codec.rs
@@ -1,6 +1,6 @@
 //! Records against bytes worked out by hand from the published format, and back.
 
-use asterramp_zookeeper::frame::{FrameReader, MAX_FRAME_LENGTH, write_frame};
+use asterramp_zookeeper::frame::{FrameReader, MAX_FRAME_BYTES, write_frame};
 use asterramp_zookeeper::jute::{DecodeError, JuteReader};
 use asterramp_zookeeper::record::{
     ANY_VERSION, ConnectRequest, ConnectResponse, NodeStat, ReplyHeader, StoreError, StoreRequest,
@@ -177,7 +177,7 @@
         }
         assert_eq!((found, frames.buffered_bytes()), (vec![0, 3, 300], 0));
     }
-    for length in [-1, MAX_FRAME_LENGTH as i32 + 1] {
+    for length in [-1, MAX_FRAME_BYTES as i32 + 1] {
         let mut frames = FrameReader::default();
         frames.append(&length.to_be_bytes());
         assert_eq!(frames.next_frame(), Err(DecodeError::InvalidLength(length)));
--- a/crates/zookeeper/tests/session_with_store.rs
+++ b/crates/zookeeper/tests/session_with_store.rs
@@ -264,7 +264,7 @@
 #[test]
 fn a_short_outage_keeps_sessions_nodes_and_watches() {
     let mut network = network_with_servers();
-    let up = network.store.sessions().count();
+    let up = network.store.session_ids().count();
     network.reachable = false;
     for nth in 0..3 {
         network.event(nth, |session, now, out| session.connection_failed(now, out));
@@ -273,7 +273,10 @@
     network.reachable = true;
     network.advance(ms(1_500));
     assert_eq!(
-        (network.store.sessions().count(), network.store.node_count()),
+        (
+            network.store.session_ids().count(),
+            network.store.node_count()
+        ),
         (up, 3)
     );
     for nth in 0..3 {
