--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -82,7 +82,9 @@
         Some(snapshots) => load_snapshot(snapshots, &owner),
         None => (None, Vec::new()),
     };
-    let highest_term = snapshot.as_ref().map_or(0, |snapshot| snapshot.lease_term);
+    let highest_term = snapshot
+        .as_ref()
+        .map_or(0, |snapshot| snapshot.highest_term);
     options.warm_start = config.warm_start.enabled.then(|| WarmStartPlan {
         settings: operator_file::warm_start_settings(&config.warm_start, &options.settings),
         peers: operator_file::peer_settings(&config.warm_start),
--- a/crates/proxy/src/program/state.rs
+++ b/crates/proxy/src/program/state.rs
@@ -146,7 +146,7 @@
         snapshot.owner,
         snapshot.saved_at_ms,
         snapshot.list_revision,
-        snapshot.lease_term
+        snapshot.highest_term
     );
     for endpoint in &snapshot.endpoints {
         print_endpoint(endpoint);
--- a/crates/proxy/src/routing/warm_start/snapshots.rs
+++ b/crates/proxy/src/routing/warm_start/snapshots.rs
@@ -7,7 +7,7 @@
 use crate::routing::{ReasonCode, Router};
 use asterramp_placement::event::EndpointState;
 use asterramp_snapshot::{
-    SaveOutcome, SavedEndpoint, SavedEndpointState, Snapshot, SnapshotWriter,
+    SavedEndpoint, SavedEndpointState, Snapshot, SnapshotWriter, WriterEvent,
 };
 use std::time::Duration;
 
@@ -114,7 +114,7 @@
             return;
         };
         let is_due = schedule.is_due(now);
-        let outcomes = schedule.writer.take_outcomes();
+        let outcomes = schedule.writer.take_events();
         self.report_save_outcomes(outcomes);
         if is_due {
             let snapshot = self.snapshot(false);
@@ -124,22 +124,22 @@
         }
     }
 
-    fn report_save_outcomes(&mut self, outcomes: Vec<SaveOutcome>) {
+    fn report_save_outcomes(&mut self, outcomes: Vec<WriterEvent>) {
         for outcome in outcomes {
             self.count_save_outcome(&outcome);
             match outcome {
-                SaveOutcome::Saved { .. } => self.count_event(ReasonCode::SnapshotSaved),
-                SaveOutcome::Failed(error) => {
+                WriterEvent::Saved { .. } => self.count_event(ReasonCode::SnapshotSaved),
+                WriterEvent::Failed(error) => {
                     let text = format!("save why={:?}", error.to_string());
                     self.log_event(ReasonCode::SnapshotFailed, text);
                 }
-                SaveOutcome::DirectoryLocked => {
+                WriterEvent::DirectoryLocked => {
                     self.log_event(
                         ReasonCode::SnapshotFailed,
                         "another process holds the folder",
                     );
                 }
-                SaveOutcome::DirectoryAcquired => {
+                WriterEvent::DirectoryAcquired => {
                     self.log_event(
                         ReasonCode::SnapshotLockAcquired,
                         "the other process has let go",
@@ -149,14 +149,14 @@
         }
     }
 
-    fn count_save_outcome(&mut self, outcome: &SaveOutcome) {
+    fn count_save_outcome(&mut self, outcome: &WriterEvent) {
         let Some(schedule) = &mut self.snapshots else {
             return;
         };
         match outcome {
-            SaveOutcome::Saved { .. } => schedule.counts.saved += 1,
-            SaveOutcome::Failed(_) => schedule.counts.failed += 1,
-            SaveOutcome::DirectoryLocked | SaveOutcome::DirectoryAcquired => {}
+            WriterEvent::Saved { .. } => schedule.counts.saved += 1,
+            WriterEvent::Failed(_) => schedule.counts.failed += 1,
+            WriterEvent::DirectoryLocked | WriterEvent::DirectoryAcquired => {}
         }
     }
 
@@ -174,7 +174,7 @@
             saved_at_ms: unix_ms(self.now),
             list_revision: self.newest_list_revision(),
             last_discovery_update_ms: discovery_heard.map(unix_ms),
-            lease_term: schedule.map_or(0, |schedule| schedule.lease_term),
+            highest_term: schedule.map_or(0, |schedule| schedule.lease_term),
             clean_shutdown,
             endpoints: self.saved_endpoints(),
         }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -27,7 +27,7 @@
     /// Settings that lie outside the tail, aren't UTF-8 or can't be used.
     pub(crate) fn start(fields: Fields<'_>, tail: &[u8]) -> Result<Self, RecordError> {
         let text = settings::text(fields, tail)?;
-        let settings = engine_settings::read(settings::pairs(text))?;
+        let settings = engine_settings::read(settings::key_value_pairs(text))?;
         Ok(Instance {
             engine: PlacementEngine::new(settings.deployment, settings::random_seed(fields)),
             listener_count: settings.listeners.len(),
--- a/crates/simulator-adapter/src/wire/settings.rs
+++ b/crates/simulator-adapter/src/wire/settings.rs
@@ -23,6 +23,6 @@
 }
 
 /// Paths and values of the settings. Lines without `=` are left out.
-pub(crate) fn pairs(text: &str) -> impl Iterator<Item = (&str, &str)> {
+pub(crate) fn key_value_pairs(text: &str) -> impl Iterator<Item = (&str, &str)> {
     text.lines().filter_map(|line| line.split_once('='))
 }
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -20,4 +20,4 @@
 pub use format::{FORMAT_VERSION, MAX_FILE_BYTES, decode, encode};
 pub use model::{Host as SavedEndpoint, SavedEndpointState, Snapshot};
 pub use store::{LoadedSnapshot, SnapshotStore, UnusableFile};
-pub use writer::{SaveOutcome, SnapshotWriter};
+pub use writer::{SnapshotWriter, WriterEvent};
--- a/crates/snapshot/src/model.rs
+++ b/crates/snapshot/src/model.rs
@@ -67,7 +67,7 @@
     pub last_discovery_update_ms: Option<u64>,
     /// The highest term of a leader lease that was seen, the fencing token for commands; 0 before any.
     #[serde(rename = "term")]
-    pub lease_term: u64,
+    pub highest_term: u64,
     /// Whether this is the last snapshot of a proxy that shut down gracefully.
     #[serde(rename = "clean")]
     pub clean_shutdown: bool,
--- a/crates/snapshot/src/writer.rs
+++ b/crates/snapshot/src/writer.rs
@@ -22,7 +22,7 @@
 
 /// What became of a submitted snapshot, or of the directory's lock.
 #[derive(Debug)]
-pub enum SaveOutcome {
+pub enum WriterEvent {
     /// A snapshot is durable.
     Saved {
         /// Its sequence number.
@@ -46,7 +46,7 @@
     /// The newest snapshot that is not being written yet.
     pending: Option<Snapshot>,
     /// Outcomes that were not collected yet, in order.
-    outcomes: Vec<SaveOutcome>,
+    outcomes: Vec<WriterEvent>,
     /// No more snapshots will come.
     closing: bool,
     /// The thread does nothing more.
@@ -67,7 +67,7 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn report(&self, outcome: SaveOutcome) {
+    fn report(&self, outcome: WriterEvent) {
         self.state().outcomes.push(outcome);
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Lets the thread end after the pending snapshot. Returns the outcomes, and whether it ended before `deadline`.
-    fn close(&self, deadline: Instant) -> (Vec<SaveOutcome>, bool) {
+    fn close(&self, deadline: Instant) -> (Vec<WriterEvent>, bool) {
         let mut state = self.state();
         state.closing = true;
         self.changed.notify_all();
@@ -134,12 +134,12 @@
     }
 
     /// Takes the outcomes since the last call, in order.
-    pub fn take_outcomes(&self) -> Vec<SaveOutcome> {
+    pub fn take_events(&self) -> Vec<WriterEvent> {
         std::mem::take(&mut self.shared.state().outcomes)
     }
 
     /// Waits at most one second for the last snapshot and ends the thread. Returns the remaining outcomes, in order.
-    pub fn close(self) -> Vec<SaveOutcome> {
+    pub fn close(self) -> Vec<WriterEvent> {
         let (outcomes, finished) = self.shared.close(Instant::now() + CLOSE_TIMEOUT);
         if finished {
             // A panic of the thread has been printed already and must not stop the shutdown.
@@ -167,12 +167,12 @@
     while let Some(mut snapshot) = shared.next_pending() {
         let began = Instant::now();
         let outcome = match store.save(&mut snapshot) {
-            Ok(bytes) => SaveOutcome::Saved {
+            Ok(bytes) => WriterEvent::Saved {
                 sequence: snapshot.sequence,
                 bytes,
                 duration: began.elapsed(),
             },
-            Err(error) => SaveOutcome::Failed(error.into()),
+            Err(error) => WriterEvent::Failed(error.into()),
         };
         shared.report(outcome);
     }
@@ -185,17 +185,17 @@
         match directory.lock() {
             Ok(Some(lock)) => {
                 if was_locked {
-                    shared.report(SaveOutcome::DirectoryAcquired);
+                    shared.report(WriterEvent::DirectoryAcquired);
                 }
                 return Some(lock);
             }
             Ok(None) if !was_locked => {
                 was_locked = true;
-                shared.report(SaveOutcome::DirectoryLocked);
+                shared.report(WriterEvent::DirectoryLocked);
             }
             Ok(None) => {}
             Err(error) => {
-                shared.report(SaveOutcome::Failed(WriterError::Lock(error)));
+                shared.report(WriterEvent::Failed(WriterError::Lock(error)));
                 return None;
             }
         }
--- a/crates/snapshot/tests/golden.rs
+++ b/crates/snapshot/tests/golden.rs
@@ -67,7 +67,7 @@
         saved_at_ms: 1_700_000_001_000,
         list_revision: 9,
         last_discovery_update_ms: Some(1_700_000_000_500),
-        lease_term: 5,
+        highest_term: 5,
         clean_shutdown: true,
         endpoints: vec![ready_host()],
     }
@@ -84,7 +84,7 @@
         saved_at_ms: 0,
         list_revision: 0,
         last_discovery_update_ms: None,
-        lease_term: 0,
+        highest_term: 0,
         clean_shutdown: false,
         endpoints: vec![ready_host(), draining_host(), ready_host()],
     }
@@ -111,7 +111,7 @@
         saved_at_ms: u64::MAX,
         list_revision: u64::MAX,
         last_discovery_update_ms: Some(u64::MAX),
-        lease_term: u64::MAX,
+        highest_term: u64::MAX,
         clean_shutdown: true,
         endpoints: vec![host],
     }
--- a/crates/snapshot/tests/snapshot/simulated_disk.rs
+++ b/crates/snapshot/tests/snapshot/simulated_disk.rs
@@ -230,7 +230,7 @@
         owner: "127.0.0.1:7000".into(),
         list_revision,
         saved_at_ms: 1_700_000_000_000,
-        lease_term: 3,
+        highest_term: 3,
         endpoints: (0..3).map(endpoint).collect(),
         ..Snapshot::default()
     }
--- a/crates/snapshot/tests/snapshot/writer.rs
+++ b/crates/snapshot/tests/snapshot/writer.rs
@@ -2,7 +2,7 @@
 
 use crate::OWNER;
 use crate::simulated_disk::snapshot;
-use asterramp_snapshot::{SaveOutcome, SnapshotDirectory, SnapshotStore, SnapshotWriter};
+use asterramp_snapshot::{SnapshotDirectory, SnapshotStore, SnapshotWriter, WriterEvent};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
@@ -40,27 +40,27 @@
     let second = SnapshotWriter::start(open(), OWNER.into()).unwrap();
     let mut outcomes = Vec::new();
     wait_until(|| {
-        outcomes.extend(second.take_outcomes());
+        outcomes.extend(second.take_events());
         outcomes
             .iter()
-            .any(|outcome| matches!(outcome, SaveOutcome::DirectoryLocked))
+            .any(|outcome| matches!(outcome, WriterEvent::DirectoryLocked))
     });
     second.submit(snapshot(2));
     first.submit(snapshot(3));
     assert!(matches!(
         first.close().last(),
-        Some(SaveOutcome::Saved { sequence: 2, .. })
+        Some(WriterEvent::Saved { sequence: 2, .. })
     ));
     wait_until(|| {
-        outcomes.extend(second.take_outcomes());
+        outcomes.extend(second.take_events());
         outcomes
             .iter()
-            .any(|outcome| matches!(outcome, SaveOutcome::Saved { sequence: 3, .. }))
+            .any(|outcome| matches!(outcome, WriterEvent::Saved { sequence: 3, .. }))
     });
     assert!(
         outcomes
             .iter()
-            .any(|outcome| matches!(outcome, SaveOutcome::DirectoryAcquired))
+            .any(|outcome| matches!(outcome, WriterEvent::DirectoryAcquired))
     );
     second.close();
     let loaded = SnapshotStore::new(open()).load(Some(OWNER));
@@ -78,7 +78,7 @@
     writer.submit(snapshot(1));
     let outcomes = writer.close();
     assert!(
-        matches!(outcomes.last(), Some(SaveOutcome::Failed(_))),
+        matches!(outcomes.last(), Some(WriterEvent::Failed(_))),
         "{outcomes:?}"
     );
     std::fs::remove_dir_all(path).unwrap();
