--- a/crates/proxy/src/routing/warm_start/snapshots.rs
+++ b/crates/proxy/src/routing/warm_start/snapshots.rs
@@ -7,7 +7,7 @@
 use crate::routing::{ReasonCode, Router};
 use asterramp_placement::event::EndpointState;
 use asterramp_snapshot::{
-    SaveOutcome, SavedEndpoint, SavedEndpointState, Snapshot, SnapshotWriter,
+    SavedEndpoint, SavedEndpointState, Snapshot, SnapshotWriter, WriterEvent,
 };
 use std::time::Duration;
 
@@ -114,7 +114,7 @@
             return;
         };
         let is_due = schedule.is_due(now);
-        let outcomes = schedule.writer.take_outcomes();
+        let outcomes = schedule.writer.take_events();
         self.report_save_outcomes(outcomes);
         if is_due {
             let snapshot = self.snapshot(false);
@@ -124,22 +124,22 @@
         }
     }
 
-    fn report_save_outcomes(&mut self, outcomes: Vec<SaveOutcome>) {
+    fn report_save_outcomes(&mut self, outcomes: Vec<WriterEvent>) {
         for outcome in outcomes {
             self.count_save_outcome(&outcome);
             match outcome {
-                SaveOutcome::Saved { .. } => self.count_event(ReasonCode::SnapshotSaved),
-                SaveOutcome::Failed(error) => {
+                WriterEvent::Saved { .. } => self.count_event(ReasonCode::SnapshotSaved),
+                WriterEvent::Failed(error) => {
                     let text = format!("save why={:?}", error.to_string());
                     self.log_event(ReasonCode::SnapshotFailed, text);
                 }
-                SaveOutcome::DirectoryLocked => {
+                WriterEvent::DirectoryLocked => {
                     self.log_event(
                         ReasonCode::SnapshotFailed,
                         "another process holds the folder",
                     );
                 }
-                SaveOutcome::DirectoryAcquired => {
+                WriterEvent::DirectoryAcquired => {
                     self.log_event(
                         ReasonCode::SnapshotLockAcquired,
                         "the other process has let go",
@@ -149,14 +149,14 @@
         }
     }
 
-    fn count_save_outcome(&mut self, outcome: &SaveOutcome) {
+    fn count_save_outcome(&mut self, outcome: &WriterEvent) {
         let Some(schedule) = &mut self.snapshots else {
             return;
         };
         match outcome {
-            SaveOutcome::Saved { .. } => schedule.counts.saved += 1,
-            SaveOutcome::Failed(_) => schedule.counts.failed += 1,
-            SaveOutcome::DirectoryLocked | SaveOutcome::DirectoryAcquired => {}
+            WriterEvent::Saved { .. } => schedule.counts.saved += 1,
+            WriterEvent::Failed(_) => schedule.counts.failed += 1,
+            WriterEvent::DirectoryLocked | WriterEvent::DirectoryAcquired => {}
         }
     }
 
@@ -171,10 +171,10 @@
             owner: schedule.map_or_else(String::new, |schedule| schedule.owner.clone()),
             // The writer numbers it.
             sequence: 0,
-            saved_ms: unix_ms(self.now),
+            saved_at_ms: unix_ms(self.now),
             list_revision: self.newest_list_revision(),
-            discovery_heard_ms: discovery_heard.map(unix_ms),
-            lease_term: schedule.map_or(0, |schedule| schedule.lease_term),
+            last_discovery_update_ms: discovery_heard.map(unix_ms),
+            highest_term: schedule.map_or(0, |schedule| schedule.lease_term),
             clean_shutdown,
             endpoints: self.saved_endpoints(),
         }
@@ -221,7 +221,7 @@
     };
     SavedEndpoint {
         uid: line.uid,
-        endpoint: line.address,
+        address: line.address,
         zone: line.zone,
         cell: line.cell,
         state: match line.state {
@@ -233,7 +233,7 @@
         } else {
             DEFAULT_WEIGHT
         },
-        started_ms: line.started_at.map(unix_ms),
+        started_at_ms: line.started_at.map(unix_ms),
         last_report_ms,
         load_per_connection,
     }
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -45,7 +45,10 @@
 
 /// What was seen of an open connection; `None` where its session has ended, its server is unknown, or the observation
 /// is of an unknown kind or no time.
-pub(crate) fn observed(record: &ObservationRecord, ids: &IdTable) -> Option<PlacementEvent> {
+pub(crate) fn observation_event(
+    record: &ObservationRecord,
+    ids: &IdTable,
+) -> Option<PlacementEvent> {
     let observation = match record.kind {
         ObservationKind::WorkRate => Observation::WorkRate(record.amount),
         ObservationKind::MessageDelay => {
@@ -55,8 +58,8 @@
         ObservationKind::Unknown => return None,
     };
     Some(PlacementEvent::ConnectionObserved {
-        session: ids.session(record.handle)?,
-        server: ids.server(record.address)?,
+        session: ids.session_id(record.handle)?,
+        server: ids.server_id(record.address)?,
         observation,
     })
 }
@@ -91,7 +94,9 @@
     action: PlacementAction,
     ids: &IdTable,
 ) -> Option<ActionRecord> {
-    let of_session = |code, session| ActionRecord::new(code, instance).handle(ids.handle(session));
+    let of_session = |code, session| {
+        ActionRecord::new(code, instance).with_session_handle(ids.session_handle(session))
+    };
     let record = match action {
         PlacementAction::Dial {
             session,
@@ -99,25 +104,25 @@
             timeout,
             ..
         } => of_session(action_code::START_ATTEMPT, session)
-            .put(action_field::ATTEMPT_SERVER, ids.address(server))
-            .put(action_field::ATTEMPT_TIMEOUT, microseconds(timeout)),
+            .with_field(action_field::ATTEMPT_SERVER, ids.server_address(server))
+            .with_field(action_field::ATTEMPT_TIMEOUT, microseconds(timeout)),
         PlacementAction::Cancel { session, attempt } => {
             of_session(action_code::CANCEL_ATTEMPT, session)
-                .put(action_field::CANCELLED_DIAL, [attempt])
+                .with_field(action_field::CANCELLED_ATTEMPT, [attempt])
         }
         PlacementAction::Reject {
             session,
             retry_after,
         } => of_session(action_code::REJECT, session)
-            .put(action_field::RETRY_AFTER, microseconds(retry_after)),
+            .with_field(action_field::RETRY_AFTER, microseconds(retry_after)),
         PlacementAction::Fail { session } => of_session(action_code::FAIL, session),
         PlacementAction::Migrate { session } => of_session(action_code::MIGRATE, session),
         PlacementAction::Probe { server } => ActionRecord::new(action_code::PROBE, instance)
-            .put(action_field::PROBE_SERVER, ids.address(server)),
+            .with_field(action_field::PROBE_SERVER, ids.server_address(server)),
         PlacementAction::PollEndpoints => ActionRecord::new(action_code::POLL_ENDPOINTS, instance)
-            .put(action_field::SUBSCRIPTION, [SUBSCRIBE]),
+            .with_field(action_field::SUBSCRIPTION, [SUBSCRIBE]),
         PlacementAction::SetTimer { after } => ActionRecord::new(action_code::SET_TIMER, instance)
-            .put(action_field::TIMER_DELAY, microseconds(after)),
+            .with_field(action_field::TIMER_DELAY, microseconds(after)),
         PlacementAction::ReleaseSession { .. } => return None,
     };
     Some(record)
--- a/crates/zookeeper/src/session/watches.rs
+++ b/crates/zookeeper/src/session/watches.rs
@@ -32,7 +32,7 @@
     }
 
     /// Removes the watches that an event uses up: each fires once.
-    pub(super) fn remove_fired(&mut self, event: &WatchEvent) {
+    pub(super) fn remove_triggered(&mut self, event: &WatchEvent) {
         let (data, exist, child) = match event.kind {
             WatchEventKind::Session => (false, false, false),
             WatchEventKind::Created => (true, true, false),
@@ -52,7 +52,7 @@
     }
 
     /// The request that sets them again at a new connection.
-    pub(super) fn to_request(&self, since: i64) -> StoreRequest {
+    pub(super) fn to_set_watches_request(&self, since: i64) -> StoreRequest {
         StoreRequest::SetWatches {
             since,
             data: self.data.iter().cloned().collect(),
