--- a/crates/testbed/src/client/attempt.rs
+++ b/crates/testbed/src/client/attempt.rs
@@ -24,7 +24,7 @@
 
 /// How one connection, or the attempt to have one, ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Outcome {
+pub(super) enum AttemptOutcome {
     /// The client wanted no more.
     Done,
     /// Moved, or cut off, once it was up.
@@ -69,7 +69,7 @@
             context,
             front,
             planned,
-            random: SeededRng::seed_from_u64(planned.chance),
+            random: SeededRng::seed_from_u64(planned.seed),
             unserved_since: planned.at,
             reconnects: false,
         }
@@ -81,18 +81,18 @@
     }
 
     /// One attempt, and the connection that comes of it.
-    pub(super) async fn connect(&mut self, ends: Duration) -> Outcome {
+    pub(super) async fn connect(&mut self, ends: Duration) -> AttemptOutcome {
         let Some(mut connection) = self.connect_to_proxy().await else {
-            self.context.service_score.marks().unreachable += 1;
-            return Outcome::Unreachable;
+            self.context.service_score.measurements().unreachable += 1;
+            return AttemptOutcome::Unreachable;
         };
-        let inherited_host = self.planned.inherited.filter(|_| !self.reconnects);
+        let inherited_host = self.planned.inherited_host.filter(|_| !self.reconnects);
         let session = self.context.new_session_id();
         let line = self.open_line(session, inherited_host);
         let written = connection.write.write_all(line.as_bytes()).await;
         if written.is_err() {
             // Nothing shows that it was taken.
-            return Outcome::Unreachable;
+            return AttemptOutcome::Unreachable;
         }
         let asked_at = self.context.event_log.now();
         self.record_asked(session, connection.proxy, inherited_host.is_some());
@@ -120,11 +120,11 @@
             ClientAnswer::Busy(retry_after_ms) => {
                 self.expect_end(session, &mut connection.lines).await;
                 let retry_after = retry_after_ms.map(Duration::from_millis);
-                Outcome::Rejected { retry_after }
+                AttemptOutcome::Rejected { retry_after }
             }
             ClientAnswer::Failed => {
                 self.expect_end(session, &mut connection.lines).await;
-                Outcome::Failed
+                AttemptOutcome::Failed
             }
         }
     }
@@ -132,7 +132,7 @@
     /// Connects to the proxy that the front gives it.
     async fn connect_to_proxy(&mut self) -> Option<ProxyConnection> {
         let draw = self.random.random();
-        let proxy = self.front.pick(self.planned.place, draw)?;
+        let proxy = self.front.pick(self.planned.zone, draw)?;
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(proxy.address)).await;
         let stream = connected.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
@@ -148,9 +148,9 @@
     fn open_line(&self, session: SessionId, inherited_host: Option<u16>) -> String {
         let planned = self.planned;
         let listener = self.listener();
-        let member = &self.context.scenario.members[usize::from(planned.member)].name;
+        let member = &self.context.scenario.tenants[usize::from(planned.tenant)].name;
         let (item, name) = (planned.item, &listener.name);
-        let wait = listener.dial_timeout.as_millis();
+        let wait = listener.answer_timeout.as_millis();
         let work = planned.work * WORK_UNITS;
         let mut line =
             format!("OPEN {session:016x} {item:016x} c={name},t={member},d={wait},h={work:.1}");
@@ -170,9 +170,9 @@
         self.context.event_log.record(Event::Asked {
             id: session,
             proxy,
-            place: self.planned.place,
+            place: self.planned.zone,
             listener: self.planned.listener,
-            wait: self.listener().dial_timeout,
+            wait: self.listener().answer_timeout,
             inherited,
         });
     }
@@ -182,23 +182,23 @@
         &self,
         session: SessionId,
         lines: &mut LineReader,
-    ) -> Result<ClientAnswer, Outcome> {
+    ) -> Result<ClientAnswer, AttemptOutcome> {
         let (event_log, id) = (&self.context.event_log, session);
-        let wait = self.listener().dial_timeout;
+        let wait = self.listener().answer_timeout;
         let longest = wait + self.context.scenario.platform.answer_slack + OVERTIME;
-        let patience = self.planned.patience.filter(|_| !self.reconnects);
+        let patience = self.planned.leaves_after.filter(|_| !self.reconnects);
         let leaves_after = patience.map_or(longest, |patience| patience.min(longest));
         let Ok(line) = timeout(leaves_after, lines.next()).await else {
             event_log.record(Event::Left { id });
             return Err(if leaves_after < wait {
-                Outcome::Done
+                AttemptOutcome::Done
             } else {
-                Outcome::Failed
+                AttemptOutcome::Failed
             });
         };
         if let Some(end) = line.connection_end() {
             event_log.record(Event::Cut { id, end });
-            return Err(Outcome::Failed);
+            return Err(AttemptOutcome::Failed);
         }
         let answer = answer_of(&line);
         event_log.record(Event::Answered {
@@ -212,7 +212,7 @@
     fn score_set_up(&self, asked_at: Duration) {
         let waited = self.context.now().saturating_sub(self.unserved_since);
         let took = self.context.event_log.now() - asked_at;
-        let mut marks = self.context.service_score.marks();
+        let mut marks = self.context.service_score.measurements();
         let set_ups = &mut marks.set_ups[usize::from(self.planned.listener)];
         set_ups.saturating_record(waited.as_micros() as u64);
         marks.answers.saturating_record(took.as_micros() as u64);
--- a/crates/testbed/src/client/lifetime.rs
+++ b/crates/testbed/src/client/lifetime.rs
@@ -1,6 +1,6 @@
 //! A client from its first attempt until it wants no more, with its pauses between attempts.
 
-use super::attempt::{Client, Outcome};
+use super::attempt::{AttemptOutcome, Client};
 use crate::context::RunContext;
 use crate::front::Front;
 use crate::plan::PlannedClient;
@@ -20,8 +20,8 @@
 /// Plays a client of the plan to its end.
 pub async fn run(context: Arc<RunContext>, front: Arc<Front>, planned: PlannedClient) {
     context.record_lateness(planned.at);
-    let ends = planned.at + planned.life;
-    let most_attempts = context.scenario.traffic.retries.most;
+    let ends = planned.at + planned.session_length;
+    let most_attempts = context.scenario.traffic.retries.max_retries;
     let mut client = Client::new(&context, &front, &planned);
     let mut failed_attempts = 0;
     while context.now() < ends {
@@ -34,44 +34,44 @@
             break;
         };
         match outcome {
-            Outcome::Broken => failed_attempts = 0,
-            Outcome::Unreachable => {}
+            AttemptOutcome::Broken => failed_attempts = 0,
+            AttemptOutcome::Unreachable => {}
             _ => failed_attempts += 1,
         }
         if failed_attempts > most_attempts {
-            context.service_score.marks().given_up += 1;
+            context.service_score.measurements().given_up += 1;
             break;
         }
         sleep(pause).await;
     }
-    let (listener, member) = (planned.listener, planned.member);
+    let (listener, member) = (planned.listener, planned.tenant);
     let score = &context.service_score;
     score.add_wanted(listener, member, planned.at, ends);
 }
 
 /// How long a client waits before its next attempt; `None` where it makes none.
-fn pause_after(client: &mut Client<'_>, outcome: Outcome) -> Option<Duration> {
+fn pause_after(client: &mut Client<'_>, outcome: AttemptOutcome) -> Option<Duration> {
     let retry_pause = client.context.scenario.traffic.retries.pause;
     let jitter = LEAST_JITTER + client.random.random::<f64>();
     match outcome {
-        Outcome::Done => None,
-        Outcome::Broken => {
+        AttemptOutcome::Done => None,
+        AttemptOutcome::Broken => {
             (client.reconnects, client.unserved_since) = (true, client.context.now());
             let pause = client.random.random_range(RECONNECT_PAUSE_MS);
             Some(Duration::from_millis(pause))
         }
-        Outcome::Unreachable => Some(NO_PROXY_PAUSE.mul_f64(jitter)),
-        Outcome::Rejected { retry_after } => {
+        AttemptOutcome::Unreachable => Some(NO_PROXY_PAUSE.mul_f64(jitter)),
+        AttemptOutcome::Rejected { retry_after } => {
             Some(retry_after.unwrap_or(retry_pause).mul_f64(jitter))
         }
-        Outcome::Failed => may_retry(client).then(|| retry_pause.mul_f64(jitter)),
+        AttemptOutcome::Failed => may_retry(client).then(|| retry_pause.mul_f64(jitter)),
     }
 }
 
 /// Whether a client may send a session again that may have taken effect.
 fn may_retry(client: &Client<'_>) -> bool {
     let listener: &Listener = client.listener();
-    match (listener.kind, listener.circle) {
+    match (listener.retry_safety, listener.retry_scope) {
         (RetrySafety::Repeatable, _) => true,
         (RetrySafety::Referenced, RetryScope::All) => {
             client.context.now() < client.unserved_since + listener.key_ttl
--- a/crates/testbed/src/client/open_connection.rs
+++ b/crates/testbed/src/client/open_connection.rs
@@ -1,6 +1,6 @@
 //! A client's open connection: a message now and then, its answer, and the signals that it follows.
 
-use super::attempt::{OVERTIME, Outcome};
+use super::attempt::{AttemptOutcome, OVERTIME};
 use super::service_credit::ServiceCredit;
 use crate::context::{ClientSignal, RunContext};
 use crate::event_log::{Event, SessionId};
@@ -62,7 +62,7 @@
         reconnect.mark_unchanged();
         stop_reading.mark_unchanged();
         let credit = ServiceCredit::new(context, planned);
-        let interval = context.scenario.traffic.message_every;
+        let interval = context.scenario.traffic.message_interval;
         let next_message_at = context.now() + interval.mul_f64(random.random::<f64>());
         OpenConnection {
             context,
@@ -82,12 +82,12 @@
     }
 
     /// Sends a line now and then and reads the answers, until the client wants no more or the connection ends.
-    pub(super) async fn serve(mut self, ends: Duration) -> Outcome {
+    pub(super) async fn serve(mut self, ends: Duration) -> AttemptOutcome {
         loop {
             let now = self.context.now();
             if now >= ends {
                 self.leave(ends).await;
-                return Outcome::Done;
+                return AttemptOutcome::Done;
             }
             if now >= self.next_message_at {
                 self.send_message(now).await;
@@ -105,7 +105,7 @@
                     let signal = *self.reconnect.borrow_and_update();
                     if self.follows(signal) {
                         self.credit.close(self.context.now());
-                        return Outcome::Broken;
+                        return AttemptOutcome::Broken;
                     }
                 }
                 Wakeup::StopReadingSignal => {
@@ -145,7 +145,7 @@
         self.credit.well_served &= self.unanswered.is_none();
         self.credit.close(now);
         self.credit.begin(now);
-        let interval = self.context.scenario.traffic.message_every;
+        let interval = self.context.scenario.traffic.message_interval;
         self.last_message += 1;
         self.next_message_at = now + interval;
         let number = self.last_message;
@@ -160,13 +160,13 @@
     }
 
     /// Handles what came; an outcome where the connection is over.
-    fn handle_line(&mut self, line: Line) -> Option<Outcome> {
+    fn handle_line(&mut self, line: Line) -> Option<AttemptOutcome> {
         let (event_log, id) = (&self.context.event_log, self.session);
         if let Some(end) = line.connection_end() {
             let told = self.end_announced;
             event_log.record(Event::Ended { id, end, told });
             self.credit.close(self.context.now());
-            return Some(Outcome::Broken);
+            return Some(AttemptOutcome::Broken);
         }
         let Line::Text(text) = line else {
             let line = "no text".into();
@@ -199,7 +199,7 @@
             let took = self.context.now().saturating_sub(message.sent_at);
             self.credit.well_served =
                 took <= listener.message_target && number == self.last_message;
-            let mut marks = self.context.service_score.marks();
+            let mut marks = self.context.service_score.measurements();
             marks.messages.saturating_record(took.as_micros() as u64);
         }
     }
@@ -207,7 +207,7 @@
     /// Ends the connection. Half of the clients say so, and read what the host says to that.
     async fn leave(&mut self, ends: Duration) {
         self.credit.close(ends);
-        let says_so = self.planned.chance.is_multiple_of(2);
+        let says_so = self.planned.seed.is_multiple_of(2);
         if says_so && self.write.write_all(b"END\r\n").await.is_ok() {
             let _ = timeout(OVERTIME, read_to_end(&mut self.lines)).await;
         }
--- a/crates/testbed/src/client/service_credit.rs
+++ b/crates/testbed/src/client/service_credit.rs
@@ -26,7 +26,7 @@
     /// Ends the span, and counts it if it was well served.
     pub(super) fn close(&mut self, to: Duration) {
         if std::mem::replace(&mut self.well_served, false) {
-            let (listener, member) = (self.planned.listener, self.planned.member);
+            let (listener, member) = (self.planned.listener, self.planned.tenant);
             let score = &self.context.service_score;
             score.add_served(listener, member, self.from, to);
         }
--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -2,7 +2,7 @@
 //! both.
 
 use super::error::CommandError;
-use super::outcome::Outcome;
+use super::outcome::CommandOutcome;
 use super::program;
 use asterramp_testbed::compare::{Difference, row};
 use asterramp_testbed::proxy_process::Program;
@@ -114,7 +114,7 @@
 }
 
 /// Plays the pairs and prints the differences.
-pub(super) async fn compare(args: &CompareArgs) -> Result<Outcome, CommandError> {
+pub(super) async fn compare(args: &CompareArgs) -> Result<CommandOutcome, CommandError> {
     let scenario = Scenario::open(&args.scenario)?;
     let [first, second] = &args.proxy[..] else {
         return Err(CommandError::NotTwoPrograms);
@@ -147,7 +147,7 @@
         comparison.pairs,
         if held { "held" } else { "BROKEN" }
     );
-    Ok(Outcome::of_rules(held))
+    Ok(CommandOutcome::of_rules(held))
 }
 
 /// Plays a seed by both programs; who goes first changes from pair to pair.
@@ -170,7 +170,7 @@
         let report = play(scenario, &programs[which], seed, chaos).await?;
         pair.rules_held &= report.rules_held;
         for violation in report.violations.iter().take(PRINTED_VIOLATIONS) {
-            eprintln!("{}: {}", violation.rule, violation.what);
+            eprintln!("{}: {}", violation.rule, violation.description);
         }
         pair.reports[which] = Some(report).filter(|report| !report.void);
     }
@@ -184,5 +184,5 @@
     chaos: Option<u64>,
 ) -> Result<Report, CommandError> {
     let run = run_without_files(scenario.clone(), program, seed, chaos).await?;
-    Ok(Report::of(&run, &program.name, seed, chaos))
+    Ok(Report::from_run(&run, &program.name, seed, chaos))
 }
--- a/crates/testbed/src/commands/drain_measurement.rs
+++ b/crates/testbed/src/commands/drain_measurement.rs
@@ -1,7 +1,7 @@
 //! The command `empty`: how a proxy is emptied, by a drain on request, by SIGTERM, or in a roll.
 
 use super::error::CommandError;
-use super::outcome::Outcome;
+use super::outcome::CommandOutcome;
 use super::program;
 use asterramp_testbed::drain_measurement::{self, DrainMethod};
 use clap::Args;
@@ -20,7 +20,7 @@
 }
 
 /// Measures each method with each number of sessions, and prints a row for each.
-pub(super) async fn measure(args: &DrainArgs) -> Result<Outcome, CommandError> {
+pub(super) async fn measure(args: &DrainArgs) -> Result<CommandOutcome, CommandError> {
     let program = program::of_path(args.proxy.as_deref())?;
     let methods: &[DrainMethod] = if args.roll {
         &[DrainMethod::Roll]
@@ -36,5 +36,5 @@
             all_held &= result.rules_held && !matches!(result.rolled, Some(Err(_)));
         }
     }
-    Ok(Outcome::of_rules(all_held))
+    Ok(CommandOutcome::of_rules(all_held))
 }
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -15,7 +15,7 @@
 use asterramp_testbed::plain_proxy::{self, InjectedFault, Policy};
 use clap::{Parser, Subcommand};
 use error::CommandError;
-use outcome::Outcome;
+use outcome::CommandOutcome;
 use std::process::ExitCode;
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
@@ -83,7 +83,7 @@
         .init();
 }
 
-fn execute_until_interrupted(command: Command) -> Result<Outcome, CommandError> {
+fn execute_until_interrupted(command: Command) -> Result<CommandOutcome, CommandError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
@@ -113,7 +113,7 @@
     }
 }
 
-async fn execute(command: Command) -> Result<Outcome, CommandError> {
+async fn execute(command: Command) -> Result<CommandOutcome, CommandError> {
     match command {
         Command::Demo(args) => play::demo(&args).await,
         Command::Run(args) => play::run_file(&args).await,
@@ -125,7 +125,7 @@
         Command::Journal(args) => summaries::journal(&args),
         Command::PlainProxy { policy, fault } => {
             plain_proxy::serve(policy, fault).await?;
-            Ok(Outcome::RulesHeld)
+            Ok(CommandOutcome::RulesHeld)
         }
     }
 }
--- a/crates/testbed/src/commands/outcome.rs
+++ b/crates/testbed/src/commands/outcome.rs
@@ -7,7 +7,7 @@
 
 /// What came of a command that could be carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Outcome {
+pub(super) enum CommandOutcome {
     /// It was done, and no rule was broken.
     RulesHeld,
     /// A rule was broken.
@@ -16,22 +16,22 @@
     Void,
 }
 
-impl Outcome {
+impl CommandOutcome {
     /// The outcome of a command after which the rules held, or did not.
-    pub(super) fn of_rules(held: bool) -> Outcome {
+    pub(super) fn of_rules(held: bool) -> CommandOutcome {
         if held {
-            Outcome::RulesHeld
+            CommandOutcome::RulesHeld
         } else {
-            Outcome::RuleBroken
+            CommandOutcome::RuleBroken
         }
     }
 
     /// The exit code that tells it.
     pub(super) fn exit_code(self) -> ExitCode {
         match self {
-            Outcome::RulesHeld => ExitCode::SUCCESS,
-            Outcome::RuleBroken => ExitCode::FAILURE,
-            Outcome::Void => ExitCode::from(EXIT_VOID),
+            CommandOutcome::RulesHeld => ExitCode::SUCCESS,
+            CommandOutcome::RuleBroken => ExitCode::FAILURE,
+            CommandOutcome::Void => ExitCode::from(EXIT_VOID),
         }
     }
 }
--- a/crates/testbed/src/commands/play.rs
+++ b/crates/testbed/src/commands/play.rs
@@ -1,7 +1,7 @@
 //! The commands `demo` and `run`: one scenario, played once, with a report.
 
 use super::error::CommandError;
-use super::outcome::Outcome;
+use super::outcome::CommandOutcome;
 use super::program;
 use asterramp_testbed::plain_proxy::{InjectedFault, Policy};
 use asterramp_testbed::report::Report;
@@ -47,16 +47,16 @@
 }
 
 /// Plays the built-in scenario.
-pub(super) async fn demo(args: &PlayArgs) -> Result<Outcome, CommandError> {
+pub(super) async fn demo(args: &PlayArgs) -> Result<CommandOutcome, CommandError> {
     play(Scenario::read(DEMO)?, args).await
 }
 
 /// Plays the scenario of a file.
-pub(super) async fn run_file(args: &RunArgs) -> Result<Outcome, CommandError> {
+pub(super) async fn run_file(args: &RunArgs) -> Result<CommandOutcome, CommandError> {
     play(Scenario::open(&args.scenario)?, &args.play).await
 }
 
-async fn play(scenario: Scenario, args: &PlayArgs) -> Result<Outcome, CommandError> {
+async fn play(scenario: Scenario, args: &PlayArgs) -> Result<CommandOutcome, CommandError> {
     let seed = args.seed.unwrap_or(scenario.seed);
     let program = program::chosen(args)?;
     let name = program.name.clone();
@@ -73,7 +73,7 @@
         let _ = std::fs::remove_dir_all(&folder);
     }
     let run = result?;
-    let report = Report::of(&run, &name, seed, args.chaos);
+    let report = Report::from_run(&run, &name, seed, args.chaos);
     if args.report.is_some() {
         report.write(&folder, &run)?;
     }
@@ -84,8 +84,8 @@
         print!("{}", report.table());
     }
     Ok(if report.void {
-        Outcome::Void
+        CommandOutcome::Void
     } else {
-        Outcome::of_rules(report.rules_held)
+        CommandOutcome::of_rules(report.rules_held)
     })
 }
--- a/crates/testbed/src/commands/scale.rs
+++ b/crates/testbed/src/commands/scale.rs
@@ -1,7 +1,7 @@
 //! The command `scale`: how one proxy and many bear size.
 
 use super::error::CommandError;
-use super::outcome::Outcome;
+use super::outcome::CommandOutcome;
 use super::program;
 use asterramp_testbed::scale;
 use clap::Args;
@@ -26,7 +26,7 @@
 }
 
 /// Plays the sizes one after the other and prints the table.
-pub(super) async fn scale(args: &ScaleArgs) -> Result<Outcome, CommandError> {
+pub(super) async fn scale(args: &ScaleArgs) -> Result<CommandOutcome, CommandError> {
     let program = program::of_path(args.proxy.as_deref())?;
     let mut points = Vec::new();
     for size in scale::sizes(args.quick) {
@@ -46,7 +46,7 @@
     if let Some(folder) = &args.report {
         scale::plots(&points, folder)?;
     }
-    Ok(Outcome::of_rules(
+    Ok(CommandOutcome::of_rules(
         points.iter().all(|point| point.rules_held),
     ))
 }
--- a/crates/testbed/src/commands/shrink.rs
+++ b/crates/testbed/src/commands/shrink.rs
@@ -1,7 +1,7 @@
 //! The command `shrink`: plays a draw with fewer and fewer faults, and writes the fewest with which a rule still breaks.
 
 use super::error::CommandError;
-use super::outcome::Outcome;
+use super::outcome::CommandOutcome;
 use super::play::PlayArgs;
 use super::program;
 use asterramp_testbed::plan::Plan;
@@ -27,7 +27,7 @@
 }
 
 /// Cuts the faults of a scenario down and saves it with those that are left.
-pub(super) async fn shrink(args: &ShrinkArgs) -> Result<Outcome, CommandError> {
+pub(super) async fn shrink(args: &ShrinkArgs) -> Result<CommandOutcome, CommandError> {
     let path = &args.scenario;
     let text = std::fs::read_to_string(path).map_err(|source| CommandError::Unreadable {
         path: path.clone(),
@@ -58,7 +58,7 @@
         all.len(),
         args.save.display()
     );
-    Ok(Outcome::RulesHeld)
+    Ok(CommandOutcome::RulesHeld)
 }
 
 /// Whether a run with these faults breaks a rule; one that is void or fails breaks none.
@@ -73,7 +73,7 @@
         ..scenario.clone()
     };
     let result = run_without_files(scenario, program, seed, None).await;
-    let broken = result.is_ok_and(|run| !run.void && !run.verdict.violations.is_empty());
+    let broken = result.is_ok_and(|run| !run.is_void && !run.verdict.violations.is_empty());
     let found = if broken {
         "a rule breaks"
     } else {
--- a/crates/testbed/src/commands/summaries.rs
+++ b/crates/testbed/src/commands/summaries.rs
@@ -1,7 +1,7 @@
 //! The commands `logs` and `journal`: sums of what runs have left behind.
 
 use super::error::CommandError;
-use super::outcome::Outcome;
+use super::outcome::CommandOutcome;
 use asterramp_testbed::journal::Journal;
 use asterramp_testbed::log_summary::LogSummary;
 use clap::Args;
@@ -26,15 +26,15 @@
 }
 
 /// Prints how often each reason code came in the logs of a fleet.
-pub(super) fn logs(args: &LogsArgs) -> Result<Outcome, CommandError> {
-    let summary = LogSummary::of_folder(&args.folder, args.span)?;
+pub(super) fn logs(args: &LogsArgs) -> Result<CommandOutcome, CommandError> {
+    let summary = LogSummary::from_folder(&args.folder, args.span)?;
     print!("{}", summary.table());
-    Ok(Outcome::RulesHeld)
+    Ok(CommandOutcome::RulesHeld)
 }
 
 /// Prints what each kind of simulated day scored.
-pub(super) fn journal(args: &JournalArgs) -> Result<Outcome, CommandError> {
-    let journal = Journal::of_folder(&args.folder, &args.kind)?;
+pub(super) fn journal(args: &JournalArgs) -> Result<CommandOutcome, CommandError> {
+    let journal = Journal::from_folder(&args.folder, &args.kind)?;
     print!("{}", journal.table());
-    Ok(Outcome::RulesHeld)
+    Ok(CommandOutcome::RulesHeld)
 }
--- a/crates/testbed/src/context.rs
+++ b/crates/testbed/src/context.rs
@@ -71,7 +71,7 @@
     pub fn new(scenario: Scenario, plan: Plan) -> RunContext {
         RunContext {
             event_log: EventLog::default(),
-            service_score: ServiceScore::new(scenario.listeners.len(), scenario.members.len()),
+            service_score: ServiceScore::new(scenario.listeners.len(), scenario.tenants.len()),
             client_signals: ClientSignals::default(),
             pending_dials: PendingDials::default(),
             run_number: RUNS.fetch_add(1, Ordering::Relaxed),
--- a/crates/testbed/src/discovery/answer.rs
+++ b/crates/testbed/src/discovery/answer.rs
@@ -135,7 +135,7 @@
         stream.write_all(WATCH_HEAD.as_bytes()).await.ok()?;
         loop {
             self.obstacles.wait_until_none().await;
-            if self.obstacles.faults.borrow_and_update().babbles > 0 {
+            if self.obstacles.faults.borrow_and_update().sends_garbage > 0 {
                 let garbage = GARBAGE[self.random.random_range(0..GARBAGE.len())];
                 write_chunk(stream, garbage).await.ok()?;
                 sleep(GARBAGE_INTERVAL).await;
@@ -155,7 +155,12 @@
     /// Writes what the proxy has not been told yet, if there is anything.
     async fn write_changes(&mut self, stream: &mut TcpStream) -> Option<()> {
         self.version.borrow_and_update();
-        let outdated = self.obstacles.faults.borrow_and_update().older > 0;
+        let outdated = self
+            .obstacles
+            .faults
+            .borrow_and_update()
+            .sends_outdated_list
+            > 0;
         // Whoever was told the old list is told the complete one when that is over.
         if outdated != self.outdated {
             (self.outdated, self.after) = (outdated, None);
@@ -175,7 +180,7 @@
 
     /// How long after a change it is told.
     fn notification_delay(&mut self) -> Duration {
-        let longest = self.registry.context.scenario.fleet.told_within;
+        let longest = self.registry.context.scenario.fleet.max_propagation_delay;
         longest.mul_f64(self.random.random::<f64>())
     }
 }
--- a/crates/testbed/src/discovery/endpoint_list.rs
+++ b/crates/testbed/src/discovery/endpoint_list.rs
@@ -12,7 +12,7 @@
 pub(super) struct Endpoint {
     pub(super) number: u16,
     pub(super) address: SocketAddr,
-    pub(super) place: String,
+    pub(super) zone: String,
     pub(super) cell: u16,
     pub(super) weight: f64,
     pub(super) state: HostState,
@@ -89,7 +89,7 @@
         .started
         .map_or(0, |at| (clock_start + at).as_millis() as u64);
     serde_json::json!({
-        "uid": host_uid(endpoint.number), "endpoint": address.to_string(), "az": endpoint.place, "model": MODEL,
+        "uid": host_uid(endpoint.number), "endpoint": address.to_string(), "az": endpoint.zone, "model": MODEL,
         "pod_group": endpoint.cell, "state": state, "capacity_hint": endpoint.weight, "boot_ms": started_ms,
     })
 }
--- a/crates/testbed/src/discovery/registry.rs
+++ b/crates/testbed/src/discovery/registry.rs
@@ -21,9 +21,9 @@
     /// It refuses connections.
     pub refuses: u32,
     /// It writes what is no endpoint list.
-    pub babbles: u32,
+    pub sends_garbage: u32,
     /// It writes the list as it was before the run, under its old version.
-    pub older: u32,
+    pub sends_outdated_list: u32,
 }
 
 /// The hosts as discovery knows them.
@@ -125,7 +125,7 @@
         .map(|((number, host), address)| Endpoint {
             number,
             address,
-            place: context.scenario.places[usize::from(host.place)].clone(),
+            zone: context.scenario.zones[usize::from(host.zone)].clone(),
             cell: host.cell,
             weight: host.weight,
             state: HostState::Ready,
--- a/crates/testbed/src/drain_measurement.rs
+++ b/crates/testbed/src/drain_measurement.rs
@@ -31,7 +31,7 @@
 ) -> Result<DrainResult, RunError> {
     let scenario = Scenario::read(&scenario_text(method, sessions))?;
     let ran = run_without_files(scenario, program, SEED, None).await?;
-    let report = Report::of(&ran, &program.name, SEED, None);
+    let report = Report::from_run(&ran, &program.name, SEED, None);
     print_violations(&report);
     Ok(measured(method, sessions, &ran, &report))
 }
@@ -39,7 +39,7 @@
 fn print_violations(report: &Report) {
     for violation in report.violations.iter().take(MAX_VIOLATIONS) {
         let timeline = violation.timeline.join("\n");
-        eprintln!("{}: {}\n{timeline}", violation.rule, violation.what);
+        eprintln!("{}: {}\n{timeline}", violation.rule, violation.description);
     }
 }
 
@@ -50,12 +50,12 @@
         end: begin + Duration::from_secs(DRAIN_ENDS_AT),
     };
     let of_proxy = (method != DrainMethod::Roll).then_some(DRAINED_PROXY);
-    let migrations = migrations(&ran.records, of_proxy, drain);
+    let migrations = migrations(&ran.events, of_proxy, drain);
     let took = migrations
         .last()
         .map_or(Duration::ZERO, |last| last.saturating_sub(drain.begin));
     let back_after = (method == DrainMethod::Drain)
-        .then(|| back_after(&ran.records, drain.end))
+        .then(|| back_after(&ran.events, drain.end))
         .flatten();
     DrainResult {
         method,
@@ -67,7 +67,7 @@
         well_served: report.service.overall,
         worst_ten_seconds: report.service.worst_ten_seconds,
         back_after,
-        rolled: ran.rolled.clone(),
+        rolled: ran.roll_result.clone(),
         rules_held: report.rules_held,
         testbed_late_ms: report.testbed_late_ms,
     }
--- a/crates/testbed/src/front.rs
+++ b/crates/testbed/src/front.rs
@@ -118,7 +118,10 @@
 
     /// Checks each proxy's health for as long as the run lasts.
     pub fn watch(self: &Arc<Self>, context: &RunContext) {
-        let (interval, drop_after) = (context.scenario.front.check, context.scenario.front.forget);
+        let (interval, drop_after) = (
+            context.scenario.front.health_check_interval,
+            context.scenario.front.removal_delay,
+        );
         let count = self.backends().len();
         for nth in 0..count {
             let front = self.clone();
--- a/crates/testbed/src/host/dial.rs
+++ b/crates/testbed/src/host/dial.rs
@@ -40,7 +40,7 @@
         let (group, work) = (request.group, request.work);
         let mut model = host.model();
         if std::mem::take(&mut self.setting_up) {
-            model.set_up_over();
+            model.finish_set_up();
         }
         model.connect(host.context.event_log.now(), group, work);
         self.held = Some(HeldLoad { group, work });
@@ -77,7 +77,7 @@
         context.pending_dials.end(self.session, self.number);
         let mut model = host.model();
         if std::mem::take(&mut self.setting_up) {
-            model.set_up_over();
+            model.finish_set_up();
         }
         if let Some(held) = self.held.take() {
             model.disconnect(context.event_log.now(), held.group, held.work);
--- a/crates/testbed/src/host/faults.rs
+++ b/crates/testbed/src/host/faults.rs
@@ -62,7 +62,7 @@
             number,
             kind: planned.kind,
             span: planned.span,
-            magnitude: planned.much,
+            magnitude: planned.magnitude,
         });
     }
 
--- a/crates/testbed/src/host/session.rs
+++ b/crates/testbed/src/host/session.rs
@@ -112,7 +112,7 @@
         SetUpOutcome::Full
     } else {
         host.model()
-            .arrive(host.context.event_log.now(), dial.session)
+            .begin_set_up(host.context.event_log.now(), dial.session)
     };
     match outcome {
         SetUpOutcome::Full => {
@@ -124,7 +124,7 @@
             host.collapse();
             ControlFlow::Break(())
         }
-        SetUpOutcome::After(took) => {
+        SetUpOutcome::UpAfter(took) => {
             dial.setting_up = true;
             let up_at = Instant::now() + took + now.answer_delay;
             wait_for_set_up(connection, faults, up_at).await
--- a/crates/testbed/src/host/state.rs
+++ b/crates/testbed/src/host/state.rs
@@ -4,9 +4,9 @@
 use crate::context::RunContext;
 use crate::discovery::EndpointRegistry;
 use crate::event_log::{Event, HostState};
-use crate::link::ConnectionNames;
+use crate::link::RelayedDials;
 use crate::load_model::{LoadModel, LoadModelSettings};
-use crate::plan::HostPlan;
+use crate::plan::PlannedHost;
 use crate::scenario::{FaultKind, Fleet};
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU32;
@@ -27,7 +27,7 @@
     pub(super) context: Arc<RunContext>,
     pub(super) discovery: Arc<EndpointRegistry>,
     /// Whose connections come to it through a link.
-    pub(super) connections: Arc<ConnectionNames>,
+    pub(super) connections: Arc<RelayedDials>,
     /// Which figures a load report of its holds.
     report_fields: Vec<String>,
     /// The most connections that it takes at once.
@@ -44,7 +44,7 @@
         number: u16,
         address: SocketAddr,
         discovery: Arc<EndpointRegistry>,
-        connections: Arc<ConnectionNames>,
+        connections: Arc<RelayedDials>,
     ) -> Host {
         let context = discovery.context.clone();
         let fleet = &context.scenario.fleet;
@@ -55,7 +55,7 @@
             number,
             address,
             report_fields: fleet.report_fields.clone(),
-            max_sockets: plan.room,
+            max_sockets: plan.max_connections,
             open_sockets: AtomicU32::new(0),
             model: Mutex::new(model),
             active_faults: Mutex::default(),
@@ -172,15 +172,15 @@
     }
 }
 
-fn load_model_settings(fleet: &Fleet, plan: &HostPlan) -> LoadModelSettings {
+fn load_model_settings(fleet: &Fleet, plan: &PlannedHost) -> LoadModelSettings {
     LoadModelSettings {
         speed: plan.speed,
-        places: plan.places,
+        max_sessions: plan.max_sessions,
         group_cost: fleet.group_cost,
         cold_share: fleet.cold_share,
-        warm_after: fleet.warm_after,
-        tip_multiple: fleet.tip_multiple,
-        overload_for: fleet.overload_for,
+        warm_up_time: fleet.warm_up_time,
+        overload_factor: fleet.overload_factor,
+        overload_window: fleet.overload_window,
         set_up_work: fleet.set_up_work,
         message_time: fleet.message_time,
         report_age: fleet.report_age,
--- a/crates/testbed/src/journal.rs
+++ b/crates/testbed/src/journal.rs
@@ -12,7 +12,7 @@
 mod statistics;
 mod table;
 
-use record::{DayRecord, DrawnDay, JournalRecord};
+use record::{GeneratedScenario, JournalRecord, RunRecord};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 pub struct Journal {
     /// By kind and seed, every play of the day.
-    days: BTreeMap<(String, u64), Vec<DayRecord>>,
+    days: BTreeMap<(String, u64), Vec<RunRecord>>,
     records: usize,
     /// Files that cannot be read as records.
     unreadable: usize,
@@ -55,7 +55,7 @@
 
 impl Journal {
     /// All records of a folder; of their days those count whose name contains `kind`.
-    pub fn of_folder(folder: &Path, kind: &str) -> Result<Journal, JournalError> {
+    pub fn from_folder(folder: &Path, kind: &str) -> Result<Journal, JournalError> {
         let failed = |source: io::Error| JournalError::Folder {
             folder: folder.to_path_buf(),
             source,
@@ -67,7 +67,7 @@
                 continue;
             }
             match read_record(&path) {
-                Some(text) => journal.take(&text, kind),
+                Some(text) => journal.add_record(&text, kind),
                 None => journal.unreadable += 1,
             }
         }
@@ -79,13 +79,13 @@
     }
 
     /// Takes in a record's bytes; what is no record is counted as unreadable.
-    pub fn take(&mut self, text: &[u8], kind: &str) {
+    pub fn add_record(&mut self, text: &[u8], kind: &str) {
         let Ok(record) = serde_json::from_slice::<JournalRecord>(text) else {
             self.unreadable += 1;
             return;
         };
         self.records += 1;
-        for day in record.into_days() {
+        for day in record.into_runs() {
             let counts = day.name.contains(kind) && day.score.is_some();
             if let Some(seed) = day.seed.filter(|_| counts) {
                 self.days.entry((day.kind(), seed)).or_default().push(day);
@@ -93,10 +93,10 @@
         }
     }
 
-    fn drawn_days(&self) -> Vec<DrawnDay> {
+    fn drawn_days(&self) -> Vec<GeneratedScenario> {
         self.days
             .iter()
-            .map(|((kind, seed), plays)| DrawnDay::new(kind, *seed, plays))
+            .map(|((kind, seed), plays)| GeneratedScenario::new(kind, *seed, plays))
             .collect()
     }
 }
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -79,7 +79,7 @@
         .into_iter()
         .map(|finding| Violation {
             rule: finding.rule,
-            what: finding.what,
+            description: finding.description,
             timeline: vec![timeline::at(events, finding.at)],
         })
         .collect()
@@ -102,7 +102,7 @@
         findings.extend(drains::findings(&context));
         violations.extend(findings.into_iter().map(|finding| Violation {
             rule: finding.rule,
-            what: finding.what,
+            description: finding.description,
             timeline: timeline::of_session(events, *id),
         }));
     }
--- a/crates/testbed/src/judge/cold_starts.rs
+++ b/crates/testbed/src/judge/cold_starts.rs
@@ -12,8 +12,8 @@
         Event::Collapsed { host, started, by } => {
             let what = pushed_over(run, *host, *started, by)?;
             Some(Violation {
-                rule: Rule::NoColdServerPushedOver,
-                what,
+                rule: Rule::NoColdHostOverloaded,
+                description: what,
                 timeline: vec![timeline::at(events, event.at)],
             })
         }
--- a/crates/testbed/src/judge/concurrent_dials.rs
+++ b/crates/testbed/src/judge/concurrent_dials.rs
@@ -24,5 +24,5 @@
             )
         })
     });
-    findings_of(Rule::NeverTwoDials, concurrent)
+    findings_of(Rule::NoConcurrentDials, concurrent)
 }
--- a/crates/testbed/src/judge/double_effects.rs
+++ b/crates/testbed/src/judge/double_effects.rs
@@ -22,7 +22,10 @@
             format!("dialled at host {at} though host {before} may have run it")
         });
     let unsafe_rejection = unsafe_rejection(context, first);
-    findings_of(Rule::NoEffectTwice, unsafe_retries.chain(unsafe_rejection))
+    findings_of(
+        Rule::NoDuplicateEffect,
+        unsafe_retries.chain(unsafe_rejection),
+    )
 }
 
 fn is_repeatable(context: &SessionContext<'_>) -> bool {
--- a/crates/testbed/src/judge/drains.rs
+++ b/crates/testbed/src/judge/drains.rs
@@ -16,5 +16,5 @@
             .then(|| format!("dialled at host {} {after} ms after its drain", dial.host))
     };
     let new_dials = context.dials().filter(|dial| !dial.inherited);
-    findings_of(Rule::DrainsKept, new_dials.filter_map(too_late))
+    findings_of(Rule::DrainsRespected, new_dials.filter_map(too_late))
 }
--- a/crates/testbed/src/judge/rejection_order.rs
+++ b/crates/testbed/src/judge/rejection_order.rs
@@ -57,9 +57,9 @@
                     of_less.rejected_share(),
                 );
                 findings.push(RunFinding {
-                    rule: Rule::RefusedInOrder,
+                    rule: Rule::RejectedByPriority,
                     at: Duration::ZERO,
-                    what,
+                    description: what,
                 });
             }
         }
--- a/crates/testbed/src/judge/reported_metrics.rs
+++ b/crates/testbed/src/judge/reported_metrics.rs
@@ -119,9 +119,9 @@
             call.proxy, call.metrics, call.took
         );
         (!excused).then_some(RunFinding {
-            rule: Rule::OperatorsAnswered,
+            rule: Rule::OperatorsAnsweredInTime,
             at: call.at,
-            what,
+            description: what,
         })
     }
 
@@ -140,9 +140,9 @@
         let finding = |name: &str, metric: u64, seen: CountRange, relative_error: f64| {
             let metric = metric as f64;
             seen.excludes(metric, relative_error).then(|| RunFinding {
-                rule: Rule::FiguresTrue,
+                rule: Rule::MetricsAccurate,
                 at: call.at,
-                what: format!(
+                description: format!(
                     "proxy {} told {metric} {name}; peers saw {} to {}",
                     call.proxy, seen.min, seen.max
                 ),
--- a/crates/testbed/src/judge/rule.rs
+++ b/crates/testbed/src/judge/rule.rs
@@ -8,23 +8,23 @@
     /// One final answer in time, never two; no dial after it; nothing cut off, held back or made up.
     NoSessionLost,
     /// A session that may have run is retried or rejected only where its retry safety allows it.
-    NoEffectTwice,
+    NoDuplicateEffect,
     /// A host that is draining or gone gets no new session once the grace is over.
-    DrainsKept,
+    DrainsRespected,
     /// A host that is warming up does not collapse under sessions of proxies that were notified of its start.
-    NoColdServerPushedOver,
+    NoColdHostOverloaded,
     /// A session has one dial under way at a time.
-    NeverTwoDials,
+    NoConcurrentDials,
     /// What a host reads must be a line of the protocol.
-    NothingUnreadableSentOn,
+    NoInvalidLineForwarded,
     /// A proxy exits only when it is asked to, and with code 0.
-    ProxyStays,
+    NoUnexpectedExit,
     /// Operators are answered within a second, and a second process says yes within six.
-    OperatorsAnswered,
+    OperatorsAnsweredInTime,
     /// The metrics that operators are given match what the peers saw.
-    FiguresTrue,
+    MetricsAccurate,
     /// While capacity is short, sessions of less priority weight are rejected before those of more.
-    RefusedInOrder,
+    RejectedByPriority,
 }
 
 impl Rule {
@@ -32,15 +32,15 @@
     pub fn text(self) -> &'static str {
         match self {
             Rule::NoSessionLost => "no session lost",
-            Rule::NoEffectTwice => "no effect twice",
-            Rule::DrainsKept => "drains kept",
-            Rule::NoColdServerPushedOver => "no cold server pushed over",
-            Rule::NeverTwoDials => "never two dials of a session at once",
-            Rule::NothingUnreadableSentOn => "nothing unreadable sent on",
-            Rule::ProxyStays => "a proxy stays until it is told to leave",
-            Rule::OperatorsAnswered => "operators are answered in time",
-            Rule::FiguresTrue => "figures are true",
-            Rule::RefusedInOrder => "what is worth less is refused first",
+            Rule::NoDuplicateEffect => "no effect twice",
+            Rule::DrainsRespected => "drains kept",
+            Rule::NoColdHostOverloaded => "no cold server pushed over",
+            Rule::NoConcurrentDials => "never two dials of a session at once",
+            Rule::NoInvalidLineForwarded => "nothing unreadable sent on",
+            Rule::NoUnexpectedExit => "a proxy stays until it is told to leave",
+            Rule::OperatorsAnsweredInTime => "operators are answered in time",
+            Rule::MetricsAccurate => "figures are true",
+            Rule::RejectedByPriority => "what is worth less is refused first",
         }
     }
 }
@@ -51,7 +51,7 @@
     /// The rule.
     pub rule: Rule,
     /// What broke it, in a sentence.
-    pub what: String,
+    pub description: String,
     /// The events that led there, a line each.
     pub timeline: Vec<String>,
 }
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub(super) struct SessionFinding {
     pub(super) rule: Rule,
-    pub(super) what: String,
+    pub(super) description: String,
 }
 
 /// A violation of no single session, with the time of the event that shows it.
@@ -68,5 +68,5 @@
 pub(super) struct RunFinding {
     pub(super) rule: Rule,
     pub(super) at: Duration,
-    pub(super) what: String,
+    pub(super) description: String,
 }
--- a/crates/testbed/src/judge/session_context.rs
+++ b/crates/testbed/src/judge/session_context.rs
@@ -112,6 +112,9 @@
 ) -> Vec<SessionFinding> {
     sentences
         .into_iter()
-        .map(|what| SessionFinding { rule, what })
+        .map(|what| SessionFinding {
+            rule,
+            description: what,
+        })
         .collect()
 }
--- a/crates/testbed/src/judge/settings.rs
+++ b/crates/testbed/src/judge/settings.rs
@@ -53,15 +53,18 @@
     /// The settings for a run of `scenario` by `plan` in which the testbed was late by `testbed_late` at worst.
     pub(crate) fn new(scenario: &Scenario, plan: &Plan, testbed_late: Duration) -> JudgeSettings {
         let policy = |listener: &crate::scenario::Listener| ListenerPolicy {
-            retry_safety: listener.kind,
-            retry_scope: listener.circle,
+            retry_safety: listener.retry_safety,
+            retry_scope: listener.retry_scope,
             key_ttl: listener.key_ttl,
         };
         let hosts = plan.hosts.iter().map(|host| HostLocation {
-            zone: host.place,
+            zone: host.zone,
             cell: host.cell,
         });
-        let weights = scenario.listeners.iter().map(|listener| listener.utility);
+        let weights = scenario
+            .listeners
+            .iter()
+            .map(|listener| listener.priority_weight);
         JudgeSettings {
             listeners: scenario.listeners.iter().map(policy).collect(),
             hosts: hosts.collect(),
@@ -70,7 +73,10 @@
             tolerance: RECORDING_TOLERANCE + testbed_late + plan.longest_delay(),
             max_dials: scenario.platform.max_dials as usize,
             check_metrics: !plan.needs_relays(LinkKind::ClientProxy),
-            priority_weights: scenario.proxies.by_worth.then(|| weights.collect()),
+            priority_weights: scenario
+                .proxies
+                .rejects_by_priority
+                .then(|| weights.collect()),
         }
     }
 }
--- a/crates/testbed/src/judge/single_events.rs
+++ b/crates/testbed/src/judge/single_events.rs
@@ -8,7 +8,11 @@
     let finding = |event: &LoggedEvent| {
         let (rule, what) = broken_rule(&event.seen)?;
         let at = event.at;
-        Some(RunFinding { rule, at, what })
+        Some(RunFinding {
+            rule,
+            at,
+            description: what,
+        })
     };
     events.iter().filter_map(finding).collect()
 }
@@ -17,7 +21,7 @@
     match event {
         Event::Replaced { proxy, yes: None } => {
             let what = format!("the process beside proxy {proxy} never said yes");
-            Some((Rule::OperatorsAnswered, what))
+            Some((Rule::OperatorsAnsweredInTime, what))
         }
         Event::MisbehavingClient {
             served: true, sort, ..
@@ -27,12 +31,12 @@
         }
         Event::Unread { host, line } => {
             let what = format!("host {host} read {line:?}");
-            Some((Rule::NothingUnreadableSentOn, what))
+            Some((Rule::NoInvalidLineForwarded, what))
         }
         Event::ProxyExited { proxy, code, asked } if !asked || *code != Some(0) => {
             let why = if *asked { "after SIGTERM" } else { "by itself" };
             let what = format!("proxy {proxy} ended {why}, code {code:?}");
-            Some((Rule::ProxyStays, what))
+            Some((Rule::NoUnexpectedExit, what))
         }
         _ => None,
     }
--- a/crates/testbed/src/link.rs
+++ b/crates/testbed/src/link.rs
@@ -5,14 +5,14 @@
 //! takes that for the other side.
 
 mod address;
-mod connection_names;
 mod faults;
 mod path;
 mod registry;
 mod relay;
+mod relayed_dials;
 
 pub use address::is_linked;
-pub use connection_names::ConnectionNames;
 pub use faults::LinkFaults;
 pub use path::Link;
 pub use registry::Links;
+pub use relayed_dials::RelayedDials;
--- a/crates/testbed/src/link/address.rs
+++ b/crates/testbed/src/link/address.rs
@@ -18,14 +18,14 @@
 
 /// Where the relays of another run listen, at any free port. Runs side by side have addresses apart: a proxy of one must
 /// not reach a port that another has given up.
-pub(super) fn next_run() -> SocketAddr {
+pub(super) fn next_listen_address() -> SocketAddr {
     static RUNS: AtomicU8 = AtomicU8::new(0);
     let run = FIRST_RUN + RUNS.fetch_add(1, Ordering::Relaxed) % RUNS_APART;
     SocketAddr::from(([NETWORK[0], NETWORK[1], run, 1], 0))
 }
 
 /// Where relays dial from, at any free port.
-pub(super) fn dialling() -> SocketAddr {
+pub(super) fn dial_address() -> SocketAddr {
     let [third, fourth] = DIALLING_HOST;
     SocketAddr::from(([NETWORK[0], NETWORK[1], third, fourth], 0))
 }
--- a/crates/testbed/src/link/faults.rs
+++ b/crates/testbed/src/link/faults.rs
@@ -49,7 +49,7 @@
     }
 
     /// What two faults make of a link together.
-    pub(super) fn and(self, other: LinkFaults) -> LinkFaults {
+    pub(super) fn combined_with(self, other: LinkFaults) -> LinkFaults {
         let rates = [self.bytes_per_second, other.bytes_per_second];
         LinkFaults {
             drops_forward: self.drops_forward || other.drops_forward,
--- a/crates/testbed/src/link/path.rs
+++ b/crates/testbed/src/link/path.rs
@@ -1,7 +1,7 @@
 //! One link: its ends, its relay's address, and the faults that it has.
 
-use super::connection_names::ConnectionNames;
 use super::faults::LinkFaults;
+use super::relayed_dials::RelayedDials;
 use crate::link_ends::LinkEnds;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -26,7 +26,7 @@
     pub address: SocketAddr,
     /// Where the relay connects to.
     pub(super) target: SocketAddr,
-    pub(super) connections: Arc<ConnectionNames>,
+    pub(super) connections: Arc<RelayedDials>,
     active_faults: Mutex<Vec<ActiveFault>>,
     faults: watch::Sender<LinkFaults>,
     /// Counts the ends of faults that leave connections half open: all from before one are dead.
@@ -38,7 +38,7 @@
         ends: LinkEnds,
         address: SocketAddr,
         target: SocketAddr,
-        connections: Arc<ConnectionNames>,
+        connections: Arc<RelayedDials>,
     ) -> Link {
         Link {
             ends,
@@ -52,7 +52,7 @@
     }
 
     /// A fault, known by its index in the plan, begins on this link.
-    pub fn begin(&self, number: usize, faults: LinkFaults, half_open: bool) {
+    pub fn begin_fault(&self, number: usize, faults: LinkFaults, half_open: bool) {
         self.active_faults().push(ActiveFault {
             number,
             faults,
@@ -62,7 +62,7 @@
     }
 
     /// It is over.
-    pub fn end(&self, number: usize) {
+    pub fn end_fault(&self, number: usize) {
         let mut leaves_half_open = false;
         self.active_faults().retain(|fault| {
             let ends = fault.number == number;
@@ -94,9 +94,9 @@
 
     fn combine_faults(&self) {
         let active = self.active_faults();
-        let combined = active
-            .iter()
-            .fold(LinkFaults::default(), |all, one| all.and(one.faults));
+        let combined = active.iter().fold(LinkFaults::default(), |all, one| {
+            all.combined_with(one.faults)
+        });
         self.faults.send_replace(combined);
     }
 
--- a/crates/testbed/src/link/registry.rs
+++ b/crates/testbed/src/link/registry.rs
@@ -1,7 +1,7 @@
 //! All links of a run, by what they join.
 
-use super::connection_names::ConnectionNames;
 use super::path::Link;
+use super::relayed_dials::RelayedDials;
 use super::{address, relay};
 use crate::context::RunContext;
 use crate::link_ends::LinkEnds;
@@ -16,7 +16,7 @@
     all: Vec<Arc<Link>>,
     by_ends: HashMap<LinkEnds, usize>,
     /// Whose connections pass through them.
-    pub(crate) connections: Arc<ConnectionNames>,
+    pub(crate) connections: Arc<RelayedDials>,
 }
 
 impl Links {
@@ -25,7 +25,7 @@
         context: &Arc<RunContext>,
         pairs: Vec<(LinkEnds, SocketAddr)>,
     ) -> std::io::Result<Links> {
-        let run_address = address::next_run();
+        let run_address = address::next_listen_address();
         let mut links = Links::default();
         for (ends, target) in pairs {
             let bound = BoundListener::bind(run_address).await?;
--- a/crates/testbed/src/link/relay.rs
+++ b/crates/testbed/src/link/relay.rs
@@ -1,9 +1,9 @@
 //! The relay of a link: accepts connections, connects on to the link's target, and forwards bytes both ways.
 
 use super::address;
-use super::connection_names::DialName;
 use super::faults::{Direction, LinkFaults};
 use super::path::Link;
+use super::relayed_dials::DialId;
 use crate::context::RunContext;
 use crate::event_log::{ConnectionEnd, Event};
 use crate::sockets::{
@@ -148,7 +148,7 @@
     }
 }
 
-fn record_dial_over(context: &RunContext, dial: Option<DialName>, by_host: bool) {
+fn record_dial_over(context: &RunContext, dial: Option<DialId>, by_host: bool) {
     if let Some(name) = dial {
         context.event_log.record(Event::DialOver {
             id: name.session,
@@ -161,7 +161,7 @@
 /// Connects to the target, from an address by which it knows a relay; returns that address, too.
 async fn connect_on(target: SocketAddr) -> Option<(TcpStream, SocketAddr)> {
     let socket = TcpSocket::new_v4().ok()?;
-    socket.bind(address::dialling()).ok()?;
+    socket.bind(address::dial_address()).ok()?;
     let connected = timeout(CONNECT_TIMEOUT, socket.connect(target)).await;
     let far = connected.ok()?.ok()?;
     let _ = far.set_nodelay(true);
--- a/crates/testbed/src/load_model.rs
+++ b/crates/testbed/src/load_model.rs
@@ -11,17 +11,17 @@
     /// Its speed as a multiple of a standard host's.
     pub speed: f64,
     /// The most sessions that it has at once.
-    pub places: u32,
+    pub max_sessions: u32,
     /// Load of each group that has a session here, as a share of what a standard host can do.
     pub group_cost: f64,
     /// The share of its speed that it has when its process has just started.
     pub cold_share: f64,
     /// How long after its start it has all of its speed.
-    pub warm_after: Duration,
+    pub warm_up_time: Duration,
     /// It collapses at so many times the work that it can do while it warms up.
-    pub tip_multiple: f64,
+    pub overload_factor: f64,
     /// Over how long that work is summed.
-    pub overload_for: Duration,
+    pub overload_window: Duration,
     /// What setting a session up takes of a standard host.
     pub set_up_work: Duration,
     /// What a message takes of an idle host.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SetUpOutcome {
     /// Up after so long.
-    After(Duration),
+    UpAfter(Duration),
     /// It has no room for another one.
     Full,
     /// Too much work came while it warmed up: it is down, and this was the last of it.
@@ -135,7 +135,7 @@
     }
 
     /// Open sessions.
-    pub fn open(&self) -> u32 {
+    pub fn open_sessions(&self) -> u32 {
         self.open
     }
 
@@ -148,9 +148,13 @@
     fn warmth(&self, now: Duration) -> f64 {
         let up = self
             .started
-            .map_or(self.settings.warm_after, |at| now.saturating_sub(at));
+            .map_or(self.settings.warm_up_time, |at| now.saturating_sub(at));
         let part = (up.as_secs_f64()
-            / self.settings.warm_after.as_secs_f64().max(SHORTEST_WARM_UP))
+            / self
+                .settings
+                .warm_up_time
+                .as_secs_f64()
+                .max(SHORTEST_WARM_UP))
         .min(1.0);
         self.settings.cold_share + (1.0 - self.settings.cold_share) * part
     }
@@ -192,7 +196,7 @@
     }
 
     /// A session's complete line has come.
-    pub fn arrive(&mut self, now: Duration, session: SessionId) -> SetUpOutcome {
+    pub fn begin_set_up(&mut self, now: Duration, session: SessionId) -> SetUpOutcome {
         self.update(now);
         let work = self.settings.set_up_work.as_secs_f64();
         self.recent_set_ups.push_back(RecentSetUp {
@@ -203,18 +207,18 @@
         if self.is_overloaded(now) {
             return SetUpOutcome::Collapsed;
         }
-        if self.open + self.setting_up >= self.settings.places {
+        if self.open + self.setting_up >= self.settings.max_sessions {
             return SetUpOutcome::Full;
         }
         self.setting_up += 1;
         // Set-ups queue with the messages, and take their own work.
         let own = Duration::from_secs_f64(work / self.capacity(now));
-        SetUpOutcome::After(self.delay(now) + own)
+        SetUpOutcome::UpAfter(self.delay(now) + own)
     }
 
     /// Whether too much work has come of late for a host that warms up.
     fn is_overloaded(&mut self, now: Duration) -> bool {
-        let window = self.settings.overload_for;
+        let window = self.settings.overload_window;
         let is_old = |set_up: &RecentSetUp| now.saturating_sub(set_up.at) > window;
         while self.recent_set_ups.front().is_some_and(is_old) {
             self.recent_set_ups.pop_front();
@@ -223,7 +227,7 @@
             return false;
         }
         let work: f64 = self.recent_set_ups.iter().map(|set_up| set_up.work).sum();
-        work > self.settings.tip_multiple * self.capacity(now) * window.as_secs_f64()
+        work > self.settings.overload_factor * self.capacity(now) * window.as_secs_f64()
     }
 
     /// The sessions that reached it of late.
@@ -234,8 +238,8 @@
             .collect()
     }
 
-    /// A set-up that `arrive` took has ended, well or not.
-    pub fn set_up_over(&mut self) {
+    /// A set-up that `begin_set_up` took has ended, well or not.
+    pub fn finish_set_up(&mut self) {
         self.setting_up = self.setting_up.saturating_sub(1);
     }
 
--- a/crates/testbed/src/log_summary.rs
+++ b/crates/testbed/src/log_summary.rs
@@ -103,7 +103,7 @@
     }
 
     /// Of all files of a folder whose names end in `.log`.
-    pub fn of_folder(folder: &Path, span: u64) -> Result<LogSummary, LogSummaryError> {
+    pub fn from_folder(folder: &Path, span: u64) -> Result<LogSummary, LogSummaryError> {
         let paths = log_paths(folder).map_err(LogSummaryError::read(folder))?;
         if paths.is_empty() {
             let folder = folder.to_path_buf();
@@ -114,14 +114,14 @@
             let name = path.file_name().unwrap_or_default().to_string_lossy();
             let file = File::open(&path).map_err(LogSummaryError::read(&path))?;
             summary
-                .take(&name, BufReader::new(file))
+                .add_log(&name, BufReader::new(file))
                 .map_err(LogSummaryError::read(&path))?;
         }
         Ok(summary)
     }
 
     /// Takes in one proxy's log, whose file is called `name`.
-    pub fn take(&mut self, name: &str, mut log: impl BufRead) -> io::Result<()> {
+    pub fn add_log(&mut self, name: &str, mut log: impl BufRead) -> io::Result<()> {
         let proxy = self.proxies;
         self.proxies += 1;
         let mut line = Vec::new();
--- a/crates/testbed/src/metrics_calls.rs
+++ b/crates/testbed/src/metrics_calls.rs
@@ -44,16 +44,16 @@
 
 /// A complete HTTP answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// Its status code.
     pub status: u16,
     /// Its body.
     pub body: String,
 }
 
-impl HttpAnswer {
+impl HttpResponse {
     /// Reads status and body of an answer, if it is complete.
-    fn parse(text: &str) -> Option<HttpAnswer> {
+    fn parse(text: &str) -> Option<HttpResponse> {
         let (head, body) = text.split_once("\r\n\r\n")?;
         let status = head.strip_prefix("HTTP/1.1 ")?.get(..3)?.parse().ok()?;
         let length: Option<usize> = head.lines().find_map(|line| {
@@ -62,7 +62,7 @@
         });
         length
             .is_none_or(|length| length == body.len())
-            .then(|| HttpAnswer {
+            .then(|| HttpResponse {
                 status,
                 body: body.to_string(),
             })
@@ -90,7 +90,7 @@
 }
 
 /// Makes one call, whose request begins with `request_line`; nothing where no complete answer came.
-pub async fn call(address: SocketAddr, request_line: &str) -> Option<HttpAnswer> {
+pub async fn call(address: SocketAddr, request_line: &str) -> Option<HttpResponse> {
     let answer = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream
@@ -102,7 +102,7 @@
         stream.read_to_string(&mut text).await.ok()?;
         Some(text)
     };
-    HttpAnswer::parse(&timeout(CALL_TIMEOUT, answer).await.ok()??)
+    HttpResponse::parse(&timeout(CALL_TIMEOUT, answer).await.ok()??)
 }
 
 /// Asks a proxy for its metrics until the run ends.
--- a/crates/testbed/src/misbehaving_clients.rs
+++ b/crates/testbed/src/misbehaving_clients.rs
@@ -96,7 +96,7 @@
 fn open_line(context: &RunContext, wait: &str, listener: Option<&str>) -> String {
     let scenario = &context.scenario;
     let listener = listener.unwrap_or(&scenario.listeners[0].name);
-    let member = &scenario.members[0].name;
+    let member = &scenario.tenants[0].name;
     let session = context.new_session_id();
     format!("OPEN {session:016x} 1 c={listener},t={member},d={wait}\r\n")
 }
@@ -121,7 +121,7 @@
     sort: &'static Misbehaviour,
     nth: u32,
 ) {
-    let place = nth as usize % context.scenario.places.len();
+    let place = nth as usize % context.scenario.zones.len();
     let Some(proxy) = front.pick(place as u8, u64::from(nth)) else {
         return;
     };
--- a/crates/testbed/src/plain_proxy/configuration.rs
+++ b/crates/testbed/src/plain_proxy/configuration.rs
@@ -12,7 +12,7 @@
     /// The address to listen at, as it is written.
     pub(super) listen: String,
     /// How long a host is cold after its start.
-    pub(super) warm_after: Duration,
+    pub(super) warm_up_time: Duration,
     /// How long a connection to a host may take.
     pub(super) connect_timeout: Duration,
     /// Attempts that a session may have.
@@ -27,7 +27,7 @@
     /// Its name on the wire.
     pub(super) name: Option<String>,
     /// Priority weight of its sessions.
-    pub(super) utility: f64,
+    pub(super) priority_weight: f64,
     /// Whether its sessions may run more than once.
     pub(super) is_idempotent: bool,
 }
@@ -41,7 +41,7 @@
         let listeners = settings["listeners"].as_array();
         Ok(Configuration {
             listen: file["listen"].as_str().unwrap_or_default().to_owned(),
-            warm_after: microseconds(&settings["rules"]["cold"]),
+            warm_up_time: microseconds(&settings["rules"]["cold"]),
             connect_timeout: microseconds(&permissions["dial_timeout"]),
             max_dials: permissions["max_dials"].as_u64().unwrap_or(1),
             listeners: listeners
@@ -53,8 +53,11 @@
     }
 
     /// The highest priority weight of all listeners.
-    pub(super) fn greatest_utility(&self) -> f64 {
-        let utilities = self.listeners.iter().map(|listener| listener.utility);
+    pub(super) fn highest_priority_weight(&self) -> f64 {
+        let utilities = self
+            .listeners
+            .iter()
+            .map(|listener| listener.priority_weight);
         utilities.fold(0.0, f64::max)
     }
 }
@@ -63,7 +66,7 @@
     fn of(entry: &Value) -> ListenerConfiguration {
         ListenerConfiguration {
             name: entry["name"].as_str().map(str::to_owned),
-            utility: entry["utility"].as_f64().unwrap_or(1.0),
+            priority_weight: entry["utility"].as_f64().unwrap_or(1.0),
             is_idempotent: entry["semantics"].as_str() == Some("read_like"),
         }
     }
--- a/crates/testbed/src/plain_proxy/serve.rs
+++ b/crates/testbed/src/plain_proxy/serve.rs
@@ -80,7 +80,7 @@
 
 /// Serves on until the front has noticed, then migrates what is open.
 async fn shut_down(state: &Arc<ProxyState>, listener: TcpListener) {
-    state.is_leaving.store(true, Ordering::Relaxed);
+    state.is_shutting_down.store(true, Ordering::Relaxed);
     let until = Instant::now() + SERVES_AFTER_SIGTERM;
     while let Ok(accepted) = timeout_at(until, listener.accept()).await {
         start_connection(state, accepted);
--- a/crates/testbed/src/plain_proxy/session.rs
+++ b/crates/testbed/src/plain_proxy/session.rs
@@ -36,8 +36,8 @@
     loop {
         match timeout(FIRST_LINE_TIMEOUT, client.lines.next()).await {
             Ok(Line::Text(line)) if line == "PING" => {
-                let is_leaving = state.is_leaving.load(Ordering::Relaxed);
-                if is_leaving || client.send("PONG").await.is_err() {
+                let is_shutting_down = state.is_shutting_down.load(Ordering::Relaxed);
+                if is_shutting_down || client.send("PONG").await.is_err() {
                     return;
                 }
             }
@@ -70,8 +70,8 @@
         return client.close_with(ERROR).await;
     };
     if state.injects(InjectedFault::RefuseWorth)
-        && request.listener.utility >= state.configuration.greatest_utility()
-        && state.next_turn().is_multiple_of(2)
+        && request.listener.priority_weight >= state.configuration.highest_priority_weight()
+        && state.next_choice_number().is_multiple_of(2)
     {
         return client.close_with(REJECTED).await;
     }
--- a/crates/testbed/src/plain_proxy/state.rs
+++ b/crates/testbed/src/plain_proxy/state.rs
@@ -21,7 +21,7 @@
     /// Choices so far.
     turn: AtomicU64,
     /// Set once the proxy shuts down: it no longer answers health checks.
-    pub(super) is_leaving: AtomicBool,
+    pub(super) is_shutting_down: AtomicBool,
     /// Set later in the shutdown: open sessions are migrated.
     pub(super) is_migrating: AtomicBool,
 }
@@ -39,7 +39,7 @@
             configuration,
             endpoints: Endpoints::default(),
             turn: AtomicU64::new(0),
-            is_leaving: AtomicBool::new(false),
+            is_shutting_down: AtomicBool::new(false),
             is_migrating: AtomicBool::new(false),
         }
     }
@@ -50,13 +50,13 @@
     }
 
     /// The number of this choice.
-    pub(super) fn next_turn(&self) -> u64 {
+    pub(super) fn next_choice_number(&self) -> u64 {
         self.turn.fetch_add(1, Ordering::Relaxed)
     }
 
     /// A host for an attempt, other than those tried. None that is cold: that is safe, and all that a plain proxy needs.
     pub(super) fn pick(&self, tried: &[String]) -> Option<Target> {
-        let warm_after = self.configuration.warm_after;
+        let warm_after = self.configuration.warm_up_time;
         let known = self.endpoints.lock();
         let target = |(uid, endpoint): (&String, &Endpoint)| Target {
             uid: uid.clone(),
@@ -79,7 +79,7 @@
                 host.is_ready && !host.is_cold(warm_after) && !tried.contains(uid)
             })
             .collect();
-        let turn = self.next_turn();
+        let turn = self.next_choice_number();
         if fit.is_empty() {
             return None;
         }
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -5,7 +5,7 @@
 mod faults;
 mod planned;
 
-pub use planned::{HostPlan, PlannedClient, PlannedFault};
+pub use planned::{PlannedClient, PlannedFault, PlannedHost};
 
 use crate::scenario::{FaultKind, LinkKind, Scenario};
 use faults::DrawnFaults;
@@ -28,7 +28,7 @@
     /// The faults, by when they begin.
     pub faults: Vec<PlannedFault>,
     /// The hosts, by their numbers.
-    pub hosts: Vec<HostPlan>,
+    pub hosts: Vec<PlannedHost>,
 }
 
 impl Plan {
@@ -56,14 +56,14 @@
         };
         self.faults
             .iter()
-            .any(|fault| cuts(fault) || fault.kind.strikes_links() && fault.way == kind)
+            .any(|fault| cuts(fault) || fault.kind.targets_links() && fault.link_kind == kind)
     }
 
     /// The longest that links hold anything back.
     pub fn longest_delay(&self) -> Duration {
         let delay = |fault: &PlannedFault| match fault.kind {
             FaultKind::LinkDelayed => fault.span,
-            FaultKind::LinkSlowed => Duration::from_secs_f64(SESSION_BYTES / fault.much),
+            FaultKind::LinkSlowed => Duration::from_secs_f64(SESSION_BYTES / fault.magnitude),
             _ => Duration::ZERO,
         };
         self.faults.iter().map(delay).sum()
@@ -81,7 +81,7 @@
         let mut steps: Vec<(Duration, i64)> = self
             .clients
             .iter()
-            .flat_map(|client| [(client.at, 1), (client.at + client.life, -1)])
+            .flat_map(|client| [(client.at, 1), (client.at + client.session_length, -1)])
             .collect();
         steps.sort_unstable();
         let at_once = steps.iter().scan(0, |open, (_, step)| {
--- a/crates/testbed/src/plan/chaos.rs
+++ b/crates/testbed/src/plan/chaos.rs
@@ -72,22 +72,22 @@
     };
     let count = random.random_range(1..=(scenario.hosts() / 4).max(1));
     let span = Duration::from_secs_f64(0.2 + random.random::<f64>());
-    let half_open = kind.strikes_links() && random.random::<f64>() < HALF_OPEN_SHARE;
+    let half_open = kind.targets_links() && random.random::<f64>() < HALF_OPEN_SHARE;
     ScenarioFault {
         at: Duration::from_secs_f64(at),
-        lasts: Some(Duration::from_secs_f64(lasts)),
+        duration: Some(Duration::from_secs_f64(lasts)),
         kind,
-        on: None,
-        count: if kind.strikes_hosts() { count } else { 1 },
-        much,
+        targets: None,
+        count: if kind.targets_hosts() { count } else { 1 },
+        magnitude: much,
         span: if kind == FaultKind::LinkDelayed {
             span / DELAY_PART
         } else {
             span
         },
-        way: LinkKind::default(),
-        to: None,
+        link_kind: LinkKind::default(),
+        to_hosts: None,
         half_open,
-        back: RecoveredPart::default(),
+        recovered_part: RecoveredPart::default(),
     }
 }
--- a/crates/testbed/src/plan/clients.rs
+++ b/crates/testbed/src/plan/clients.rs
@@ -36,7 +36,7 @@
 /// of it.
 fn draw_arrivals(scenario: &Scenario, seed: u64) -> Vec<f64> {
     let traffic = &scenario.traffic;
-    let factors = traffic.curve.iter().map(|point| point.times);
+    let factors = traffic.curve.iter().map(|point| point.rate_multiple);
     let highest_rate = factors.fold(1.0, f64::max) * traffic.rate;
     let last = scenario.length.as_secs_f64() - LAST_ARRIVAL_BEFORE_END;
     let mut random = SeededRng::seed_from_u64(seed);
@@ -58,12 +58,12 @@
     let curve = &scenario.traffic.curve;
     let next = curve.iter().position(|point| point.at > at);
     let factor = match next {
-        None => curve.last().map_or(1.0, |point| point.times),
-        Some(0) => curve[0].times,
+        None => curve.last().map_or(1.0, |point| point.rate_multiple),
+        Some(0) => curve[0].rate_multiple,
         Some(next) => {
             let (a, b) = (&curve[next - 1], &curve[next]);
             let part = (at - a.at).as_secs_f64() / (b.at - a.at).as_secs_f64();
-            a.times + (b.times - a.times) * part
+            a.rate_multiple + (b.rate_multiple - a.rate_multiple) * part
         }
     };
     scenario.traffic.rate * factor
@@ -79,7 +79,7 @@
 
 impl ClientDraw<'_> {
     fn new(scenario: &Scenario, seed: u64) -> ClientDraw<'_> {
-        let life = &scenario.traffic.life;
+        let life = &scenario.traffic.session_length;
         let median = life.median.as_secs_f64().max(SHORTEST_MEDIAN);
         ClientDraw {
             scenario,
@@ -91,29 +91,29 @@
     /// The next client. The order of the draws is part of what a seed means.
     fn client(&mut self, at: f64, inherited: Option<u16>) -> PlannedClient {
         let (scenario, traffic) = (self.scenario, &self.scenario.traffic);
-        let listener = self.pick(scenario.listeners.iter().map(|l| l.portion)) as u8;
-        let member = self.pick(scenario.members.iter().map(|m| m.portion)) as u16;
+        let listener = self.pick(scenario.listeners.iter().map(|l| l.traffic_weight)) as u8;
+        let member = self.pick(scenario.tenants.iter().map(|m| m.weight)) as u16;
         let life = self.draw_life(scenario.length.as_secs_f64() - at);
-        let grouped = traffic.groups > 0 && self.random.random::<f64>() < traffic.grouped;
+        let grouped = traffic.groups > 0 && self.random.random::<f64>() < traffic.grouped_share;
         let group = grouped.then(|| 1 + u64::from(self.random.random_range(0..traffic.groups)));
         let kind = &scenario.listeners[usize::from(listener)];
-        let impatient =
-            self.random.random::<f64>() < traffic.impatient && kind.kind != RetrySafety::OnceOnly;
+        let impatient = self.random.random::<f64>() < traffic.impatient_share
+            && kind.retry_safety != RetrySafety::OnceOnly;
         PlannedClient {
             at: Duration::from_secs_f64(at),
-            life,
+            session_length: life,
             listener,
-            member,
-            place: self.random.random_range(0..scenario.places.len()) as u8,
+            tenant: member,
+            zone: self.random.random_range(0..scenario.zones.len()) as u8,
             group,
             item: self.random.random(),
             work: kind.work * (LEAST_WORK + self.random.random::<f64>()),
-            patience: impatient.then(|| {
+            leaves_after: impatient.then(|| {
                 let part = self.random.random::<f64>() * LONGEST_PATIENCE;
-                kind.dial_timeout.mul_f64(part)
+                kind.answer_timeout.mul_f64(part)
             }),
-            inherited,
-            chance: self.random.random(),
+            inherited_host: inherited,
+            seed: self.random.random(),
         }
     }
 
--- a/crates/testbed/src/plan/faults.rs
+++ b/crates/testbed/src/plan/faults.rs
@@ -21,21 +21,21 @@
 
     /// Plans a fault, striking those that it names or as many as it counts.
     pub(super) fn plan(&mut self, fault: &ScenarioFault) -> PlannedFault {
-        let on = match &fault.on {
+        let on = match &fault.targets {
             Some(on) => numbers(on),
             None => self.draw_targets(fault),
         };
         PlannedFault {
             at: fault.at,
-            until: fault.lasts.map(|lasts| fault.at + lasts),
+            until: fault.duration.map(|lasts| fault.at + lasts),
             kind: fault.kind,
-            on,
-            much: fault.much,
+            targets: on,
+            magnitude: fault.magnitude,
             span: fault.span,
-            way: fault.way,
-            to: fault.to.as_deref().map(numbers),
+            link_kind: fault.link_kind,
+            to_hosts: fault.to_hosts.as_deref().map(numbers),
             half_open: fault.half_open,
-            back: fault.back,
+            recovered_part: fault.recovered_part,
         }
     }
 
@@ -50,12 +50,12 @@
     /// How many hosts, proxies or zones a fault could strike.
     fn possible_targets(&self, fault: &ScenarioFault) -> u32 {
         let kind = fault.kind;
-        if kind.strikes_hosts() {
+        if kind.targets_hosts() {
             self.scenario.hosts()
-        } else if kind.strikes_proxies() || kind.strikes_links() {
+        } else if kind.targets_proxies() || kind.targets_links() {
             self.scenario.proxies.count
-        } else if kind.strikes_places() {
-            self.scenario.places.len() as u32
+        } else if kind.targets_zones() {
+            self.scenario.zones.len() as u32
         } else {
             0
         }
--- a/crates/testbed/src/plan/planned.rs
+++ b/crates/testbed/src/plan/planned.rs
@@ -10,13 +10,13 @@
     /// When it wants to be connected.
     pub at: Duration,
     /// How long it wants to be connected, from then on.
-    pub life: Duration,
+    pub session_length: Duration,
     /// The listener that it wants, by its index in the scenario.
     pub listener: u8,
     /// The tenant that it belongs to, by its index in the scenario.
-    pub member: u16,
+    pub tenant: u16,
     /// Where it is, by the index of its zone in the scenario.
-    pub place: u8,
+    pub zone: u8,
     /// The group whose cost it shares with others, if any.
     pub group: Option<u64>,
     /// The item that its session names.
@@ -24,11 +24,11 @@
     /// What it asks of its host, as a share of a standard one.
     pub work: f64,
     /// When it leaves without an answer, if it is one who does.
-    pub patience: Option<Duration>,
+    pub leaves_after: Option<Duration>,
     /// Connected before the run, at this host.
-    pub inherited: Option<u16>,
+    pub inherited_host: Option<u16>,
     /// The seed of what it draws itself.
-    pub chance: u64,
+    pub seed: u64,
 }
 
 /// A fault, with whom it strikes.
@@ -41,39 +41,41 @@
     /// What fails.
     pub kind: FaultKind,
     /// Numbers of the hosts, proxies or zones that it strikes.
-    pub on: Vec<u16>,
+    pub targets: Vec<u16>,
     /// By how much, where the kind has a measure.
-    pub much: f64,
+    pub magnitude: f64,
     /// A period or a delay, where the kind has one.
     pub span: Duration,
     /// For faults of links: which links.
-    pub way: LinkKind,
+    pub link_kind: LinkKind,
     /// For faults of links: the hosts that they lead to; `None`: all.
-    pub to: Option<Vec<u16>>,
+    pub to_hosts: Option<Vec<u16>>,
     /// Connections from before a cut are reset when it is over: the other side has forgotten them.
     pub half_open: bool,
     /// For a lost zone: what comes back.
-    pub back: RecoveredPart,
+    pub recovered_part: RecoveredPart,
 }
 
 impl PlannedFault {
     /// Whether it strikes the link between these, of which `places_of` tells the zones.
-    pub fn strikes(&self, ends: LinkEnds, places_of: impl Fn(LinkEnds) -> (u8, u8)) -> bool {
+    pub fn affects_link(&self, ends: LinkEnds, places_of: impl Fn(LinkEnds) -> (u8, u8)) -> bool {
         let (from, to) = places_of(ends);
         match (self.kind, ends) {
             (FaultKind::PlaceCut | FaultKind::PlaceFlaps, _) => {
                 from != to
-                    && (self.on.contains(&u16::from(from)) || self.on.contains(&u16::from(to)))
+                    && (self.targets.contains(&u16::from(from))
+                        || self.targets.contains(&u16::from(to)))
             }
             (kind, LinkEnds::Proxy(proxy, host))
-                if kind.strikes_links() && self.way == LinkKind::ProxyHost =>
+                if kind.targets_links() && self.link_kind == LinkKind::ProxyHost =>
             {
-                self.on.contains(&proxy) && self.to.as_ref().is_none_or(|to| to.contains(&host))
+                self.targets.contains(&proxy)
+                    && self.to_hosts.as_ref().is_none_or(|to| to.contains(&host))
             }
             (kind, LinkEnds::Clients(_, proxy))
-                if kind.strikes_links() && self.way == LinkKind::ClientProxy =>
+                if kind.targets_links() && self.link_kind == LinkKind::ClientProxy =>
             {
-                self.on.contains(&proxy)
+                self.targets.contains(&proxy)
             }
             _ => false,
         }
@@ -82,9 +84,9 @@
 
 /// A host of a plan.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HostPlan {
+pub struct PlannedHost {
     /// Where it is, by the index of its zone in the scenario.
-    pub place: u8,
+    pub zone: u8,
     /// The cell of its zone.
     pub cell: u16,
     /// Its speed as a multiple of a standard host's.
@@ -92,26 +94,26 @@
     /// Its weight as discovery tells it.
     pub weight: f64,
     /// The most sessions that it has at once.
-    pub places: u32,
+    pub max_sessions: u32,
     /// The most connections that it takes at once.
-    pub room: u32,
+    pub max_connections: u32,
 }
 
 /// The hosts of a scenario. Those for which no zone is named are spread over all.
-pub(super) fn hosts(scenario: &Scenario) -> Vec<HostPlan> {
+pub(super) fn hosts(scenario: &Scenario) -> Vec<PlannedHost> {
     let mut hosts = Vec::new();
     for group in &scenario.fleet.hosts {
-        let is_named = |place: &String| group.place.as_ref() == Some(place);
-        let named = scenario.places.iter().position(is_named);
+        let is_named = |place: &String| group.zone.as_ref() == Some(place);
+        let named = scenario.zones.iter().position(is_named);
         for _ in 0..group.count {
-            let place = named.unwrap_or(hosts.len() % scenario.places.len()) as u8;
-            hosts.push(HostPlan {
-                place,
+            let place = named.unwrap_or(hosts.len() % scenario.zones.len()) as u8;
+            hosts.push(PlannedHost {
+                zone: place,
                 cell: group.cell,
                 speed: group.speed,
                 weight: group.weight,
-                places: group.places,
-                room: group.room,
+                max_sessions: group.max_sessions,
+                max_connections: group.max_connections,
             });
         }
     }
--- a/crates/testbed/src/proxy_process/addresses.rs
+++ b/crates/testbed/src/proxy_process/addresses.rs
@@ -34,7 +34,7 @@
     static RUNS: AtomicU8 = AtomicU8::new(0);
     // Runs side by side have addresses apart.
     let run = FIRST_RUN + RUNS.fetch_add(1, Ordering::Relaxed) % RUNS_APART;
-    let zones = scenario.places.len();
+    let zones = scenario.zones.len();
     let address = |number: u32| {
         let (block, host) = (number / ADDRESSES_OF_A_BLOCK, number % ADDRESSES_OF_A_BLOCK);
         let ip = [127, run, block as u8, 1 + host as u8];
--- a/crates/testbed/src/proxy_process/command_loop.rs
+++ b/crates/testbed/src/proxy_process/command_loop.rs
@@ -78,7 +78,7 @@
     }
 
     async fn look(&mut self, looks: u32) -> Result<(), ProxyError> {
-        self.look_at_starting_process().await;
+        self.check_starting_process().await;
         if looks.is_multiple_of(LOOKS_PER_SAMPLE) {
             self.sample_usage();
         }
@@ -110,7 +110,7 @@
             ProxyCommand::HotRestart { killed_after } => self.hot_restart(killed_after).await?,
             ProxyCommand::Drain { deadline } => self.drain(deadline).await,
             ProxyCommand::Undrain => self.undrain().await,
-            ProxyCommand::SpoilSnapshots => self.spoil_snapshots(),
+            ProxyCommand::SpoilSnapshots => self.corrupt_snapshots(),
         }
         Ok(())
     }
--- a/crates/testbed/src/proxy_process/configuration.rs
+++ b/crates/testbed/src/proxy_process/configuration.rs
@@ -17,7 +17,7 @@
 
 /// The whole configuration.
 #[derive(Debug, Serialize)]
-pub(super) struct Configuration<'a> {
+pub(super) struct ProxyConfiguration<'a> {
     name: String,
     listen: String,
     discovery: String,
@@ -105,7 +105,7 @@
 }
 
 /// What of a configuration is one proxy's own.
-pub(super) struct OwnConfiguration {
+pub(super) struct ProxyParameters {
     pub(super) number: u16,
     /// Its zone, by the number of its name in the scenario.
     pub(super) zone: u8,
@@ -114,14 +114,14 @@
     /// Where its discovery agent is.
     pub(super) discovery: SocketAddr,
     /// The endpoint list that it starts with.
-    pub(super) known: Value,
+    pub(super) initial_endpoints: Value,
 }
 
-impl<'a> Configuration<'a> {
+impl<'a> ProxyConfiguration<'a> {
     /// The configuration of one proxy of a scenario.
-    pub(super) fn new(scenario: &'a Scenario, own: OwnConfiguration) -> Configuration<'a> {
+    pub(super) fn new(scenario: &'a Scenario, own: ProxyParameters) -> ProxyConfiguration<'a> {
         let seed = (u64::from(own.number) + 1).wrapping_mul(SEED_SPREAD);
-        Configuration {
+        ProxyConfiguration {
             name: format!("n{}", own.number),
             listen: own.listen.to_string(),
             discovery: own.discovery.to_string(),
@@ -129,9 +129,9 @@
             limits: Limits {
                 cores: CORES,
                 memory_mb: scenario.proxies.memory_mb,
-                sockets: scenario.proxies.sockets,
+                sockets: scenario.proxies.max_descriptors,
             },
-            known: own.known,
+            known: own.initial_endpoints,
             settings: settings(scenario, own.number, own.zone),
         }
     }
@@ -153,7 +153,7 @@
         instances: scenario.proxies.count,
         self_index: number,
         zone,
-        localities: &scenario.places,
+        localities: &scenario.zones,
         weights: "fixed",
         listeners: scenario.listeners.iter().map(listener_settings).collect(),
         tenants: tenants(scenario),
@@ -174,20 +174,20 @@
 fn listener_settings(listener: &Listener) -> ListenerSettings<'_> {
     ListenerSettings {
         name: &listener.name,
-        semantics: match listener.kind {
+        semantics: match listener.retry_safety {
             RetrySafety::Repeatable => "read_like",
             RetrySafety::Referenced => "idempotency_key",
             RetrySafety::OnceOnly => "non_idempotent",
         },
-        group: match listener.circle {
+        group: match listener.retry_scope {
             RetryScope::All => "all",
             RetryScope::Zone => "zone",
             RetryScope::Cell => "cell",
         },
         key_ttl: microseconds(listener.key_ttl),
-        handshake_target: microseconds(listener.handshake_target),
-        give_up: microseconds(listener.dial_timeout),
-        utility: listener.utility,
+        handshake_target: microseconds(listener.set_up_target),
+        give_up: microseconds(listener.answer_timeout),
+        utility: listener.priority_weight,
         overdue_utility: 0.0,
         stream: true,
     }
@@ -195,12 +195,12 @@
 
 /// The tenants, each with its share of all portions.
 fn tenants(scenario: &Scenario) -> Vec<TenantSettings<'_>> {
-    let sum: f64 = scenario.members.iter().map(|member| member.portion).sum();
-    let members = scenario.members.iter();
+    let sum: f64 = scenario.tenants.iter().map(|member| member.weight).sum();
+    let members = scenario.tenants.iter();
     members
         .map(|member| TenantSettings {
             name: &member.name,
-            portion: member.portion / sum,
+            portion: member.weight / sum,
         })
         .collect()
 }
@@ -222,11 +222,11 @@
 fn rules(scenario: &Scenario) -> Rules {
     let fleet = &scenario.fleet;
     Rules {
-        cold: microseconds(fleet.warm_after),
+        cold: microseconds(fleet.warm_up_time),
         cold_share: fleet.cold_share,
-        tip_multiple: fleet.tip_multiple,
+        tip_multiple: fleet.overload_factor,
         drain_grace: microseconds(scenario.platform.drain_grace),
-        overload_for: microseconds(fleet.overload_for),
+        overload_for: microseconds(fleet.overload_window),
         answer_slack: ANSWER_SLACK_US,
     }
 }
--- a/crates/testbed/src/proxy_process/hot_restart.rs
+++ b/crates/testbed/src/proxy_process/hot_restart.rs
@@ -64,7 +64,7 @@
     /// The admin socket of a second process: it does not start where somebody listens.
     fn next_admin_socket(&self) -> PathBuf {
         let first = admin_socket(self.context.run_number, self.number);
-        first.with_extension(format!("{}.sock", self.started))
+        first.with_extension(format!("{}.sock", self.started_processes))
     }
 }
 
--- a/crates/testbed/src/proxy_process/launch.rs
+++ b/crates/testbed/src/proxy_process/launch.rs
@@ -1,7 +1,7 @@
 //! The start of a proxy's process, with its files and its environment.
 
 use super::addresses::{new_operator_address, peer_address};
-use super::configuration::{Configuration, OwnConfiguration};
+use super::configuration::{ProxyConfiguration, ProxyParameters};
 use super::operator_file::OperatorFile;
 use super::proxy::{Proxy, StartingProcess};
 use crate::event_log::Event;
@@ -48,20 +48,20 @@
             InitialEndpointList::Old => self.discovery.outdated_list(self.number).json,
             InitialEndpointList::Empty => EMPTY_LIST.into(),
         };
-        let own = OwnConfiguration {
+        let own = ProxyParameters {
             number: self.number,
             zone: self.address.zone,
             listen: self.address.listen,
             discovery: self.agent.address(),
-            known: serde_json::from_str(&known)?,
+            initial_endpoints: serde_json::from_str(&known)?,
         };
-        Configuration::new(scenario, own).write(&self.configuration)
+        ProxyConfiguration::new(scenario, own).write(&self.configuration)
     }
 
     /// Starts a process, which may be a second one, with an operators' address of its own.
     pub(super) fn launch(&mut self) -> io::Result<LaunchedProcess> {
         self.configure()?;
-        self.started += 1;
+        self.started_processes += 1;
         let answers_peers = self.context.scenario.proxies.asks_peers && self.child.is_none();
         let operator_address = if answers_peers {
             peer_address(self.address.listen)
@@ -104,7 +104,7 @@
 
     /// Writes the operator's file, if the proxy needs one.
     fn write_operator_file(&self) -> io::Result<Option<PathBuf>> {
-        let others = self.all_listen.iter().copied();
+        let others = self.all_listen_addresses.iter().copied();
         let others = others.filter(|listen| *listen != self.address.listen);
         let file = OperatorFile {
             plan: &self.context.plan,
--- a/crates/testbed/src/proxy_process/operator_file.rs
+++ b/crates/testbed/src/proxy_process/operator_file.rs
@@ -36,7 +36,7 @@
                 text += &self.peers_text();
             }
         }
-        if self.proxies.by_worth {
+        if self.proxies.rejects_by_priority {
             text += "[site]\nby_worth = true\n";
         }
         text
--- a/crates/testbed/src/proxy_process/proxy.rs
+++ b/crates/testbed/src/proxy_process/proxy.rs
@@ -36,7 +36,7 @@
     pub(super) number: u16,
     pub(super) address: ProxyAddress,
     /// Where all proxies listen.
-    pub(super) all_listen: Vec<SocketAddr>,
+    pub(super) all_listen_addresses: Vec<SocketAddr>,
     pub(super) program: Program,
     pub(super) context: Arc<RunContext>,
     pub(super) discovery: Arc<EndpointRegistry>,
@@ -50,7 +50,7 @@
     pub(super) operator_address: SharedAddress,
     pub(super) starting: Option<StartingProcess>,
     /// Processes started so far, by which what is a process's own is named.
-    pub(super) started: u32,
+    pub(super) started_processes: u32,
     pub(super) child: Option<Child>,
     pub(super) usage: UsageLog,
 }
@@ -68,7 +68,7 @@
         Ok(Proxy {
             number,
             address: addresses[usize::from(number)],
-            all_listen: addresses.iter().map(|address| address.listen).collect(),
+            all_listen_addresses: addresses.iter().map(|address| address.listen).collect(),
             program: program.clone(),
             context: testbed.context.clone(),
             discovery: testbed.discovery.clone(),
@@ -78,7 +78,7 @@
             admin_socket: admin_socket(testbed.context.run_number, number),
             operator_address: SharedAddress::default(),
             starting: None,
-            started: 0,
+            started_processes: 0,
             child: None,
             usage: UsageLog::default(),
         })
@@ -106,7 +106,7 @@
     }
 
     /// Lets operators call a process that has just started, once it listens or should.
-    pub(super) async fn look_at_starting_process(&mut self) {
+    pub(super) async fn check_starting_process(&mut self) {
         let Some(starting) = self.starting else {
             return;
         };
--- a/crates/testbed/src/proxy_process/snapshot_files.rs
+++ b/crates/testbed/src/proxy_process/snapshot_files.rs
@@ -12,7 +12,7 @@
 
 impl Proxy {
     /// One file is cut short, one overwritten.
-    pub(super) fn spoil_snapshots(&self) {
+    pub(super) fn corrupt_snapshots(&self) {
         let folder = self.snapshots();
         rewrite(&folder.join("state.0"), |bytes| {
             bytes.truncate(bytes.len() / 2);
--- a/crates/testbed/src/report/build.rs
+++ b/crates/testbed/src/report/build.rs
@@ -8,7 +8,7 @@
 use crate::proxy_process::ResourceUsage;
 use crate::run::RunOutcome;
 use crate::scenario::Scenario;
-use crate::service_score::{ServiceMarks, ServiceTime};
+use crate::service_score::{ServiceMeasurements, ServiceTime};
 use hdrhistogram::Histogram;
 
 /// Most violations that a report holds.
@@ -19,9 +19,9 @@
 
 impl Report {
     /// The report of one run.
-    pub fn of(ran: &RunOutcome, program: &str, seed: u64, chaos: Option<u64>) -> Report {
+    pub fn from_run(ran: &RunOutcome, program: &str, seed: u64, chaos: Option<u64>) -> Report {
         let scenario = &ran.context.scenario;
-        let marks = ran.context.service_score.marks();
+        let marks = ran.context.service_score.measurements();
         let seconds = service_seconds(&marks);
         let violations = ran.verdict.violations.iter().take(MAX_VIOLATIONS);
         Report {
@@ -30,8 +30,8 @@
             seed,
             chaos,
             simulated: true,
-            void: ran.void,
-            testbed_late_ms: ran.late.as_secs_f64() * 1e3,
+            void: ran.is_void,
+            testbed_late_ms: ran.testbed_lateness.as_secs_f64() * 1e3,
             rules_held: ran.verdict.violations.is_empty(),
             violations: violations.map(reported).collect(),
             tally: ran.verdict.tally,
@@ -41,8 +41,12 @@
             message_ms: latency_summary(&marks.messages),
             clients_gave_up: marks.given_up,
             no_proxy: marks.unreachable,
-            host_utilization: host_utilization(&ran.loads),
-            proxies: ran.used.iter().map(|used| proxy_usage(used)).collect(),
+            host_utilization: host_utilization(&ran.host_loads),
+            proxies: ran
+                .proxy_usage
+                .iter()
+                .map(|used| proxy_usage(used))
+                .collect(),
             seconds,
         }
     }
@@ -51,13 +55,13 @@
 fn reported(violation: &Violation) -> ReportedViolation {
     ReportedViolation {
         rule: violation.rule.text(),
-        what: violation.what.clone(),
+        description: violation.description.clone(),
         timeline: violation.timeline.clone(),
     }
 }
 
 /// Each second's sums over listeners and tenants.
-fn service_seconds(marks: &ServiceMarks) -> Vec<ServiceSecond> {
+fn service_seconds(marks: &ServiceMeasurements) -> Vec<ServiceSecond> {
     let sum = |cells: &Vec<ServiceTime>| sum(cells.iter().copied().map(second));
     marks.seconds.iter().map(sum).collect()
 }
@@ -88,13 +92,13 @@
 
 fn service_shares(
     scenario: &Scenario,
-    marks: &ServiceMarks,
+    marks: &ServiceMeasurements,
     seconds: &[ServiceSecond],
 ) -> ServiceShares {
     // Cells of a second are ordered by listener and then by tenant.
-    let tenants = scenario.members.len();
+    let tenants = scenario.tenants.len();
     let listener_names = scenario.listeners.iter().map(|listener| &listener.name);
-    let tenant_names = scenario.members.iter().map(|tenant| &tenant.name);
+    let tenant_names = scenario.tenants.iter().map(|tenant| &tenant.name);
     ServiceShares {
         overall: share_of_cells(marks, |_| true),
         worst_ten_seconds: worst_span(seconds),
@@ -108,7 +112,7 @@
 }
 
 /// The share over all seconds, of the cells that are picked.
-fn share_of_cells(marks: &ServiceMarks, picked: impl Fn(usize) -> bool) -> f64 {
+fn share_of_cells(marks: &ServiceMeasurements, picked: impl Fn(usize) -> bool) -> f64 {
     let cells = marks.seconds.iter().flat_map(|row| row.iter().enumerate());
     share(
         cells
@@ -139,11 +143,11 @@
         .unwrap_or_default()
 }
 
-fn set_up_latencies(scenario: &Scenario, marks: &ServiceMarks) -> Vec<SetUpLatency> {
+fn set_up_latencies(scenario: &Scenario, marks: &ServiceMeasurements) -> Vec<SetUpLatency> {
     let listeners = scenario.listeners.iter().zip(&marks.set_ups);
     listeners
         .map(|(listener, times)| {
-            let target = listener.handshake_target.as_micros() as u64;
+            let target = listener.set_up_target.as_micros() as u64;
             let within = times.count_between(0, target) as f64;
             SetUpLatency {
                 listener: listener.name.clone(),
--- a/crates/testbed/src/report/charts.rs
+++ b/crates/testbed/src/report/charts.rs
@@ -23,13 +23,13 @@
             file: "hosts.svg",
             title: "load of each host",
             y: "asked / can do",
-            lines: host_lines(&ran.loads),
+            lines: host_lines(&ran.host_loads),
         },
         RunChart {
             file: "proxies.svg",
             title: "processor of each proxy",
             y: "share of a core",
-            lines: proxy_lines(&ran.used),
+            lines: proxy_lines(&ran.proxy_usage),
         },
     ];
     for RunChart {
@@ -62,7 +62,7 @@
 /// In seconds since the run's begin.
 fn fault_beginnings(ran: &RunOutcome) -> Vec<f64> {
     let begin = ran.context.plan_start().unwrap_or_default().as_secs_f64();
-    let events = ran.records.iter();
+    let events = ran.events.iter();
     events
         .filter(|event| matches!(event.seen, Event::Fault { begins: true, .. }))
         .map(|event| event.at.as_secs_f64() - begin)
--- a/crates/testbed/src/report/files.rs
+++ b/crates/testbed/src/report/files.rs
@@ -52,7 +52,7 @@
         std::fs::create_dir_all(folder)?;
         let json = serde_json::to_string_pretty(self)?;
         std::fs::write(folder.join("report.json"), json)?;
-        std::fs::write(folder.join("faults.txt"), fault_lines(&ran.records))?;
+        std::fs::write(folder.join("faults.txt"), fault_lines(&ran.events))?;
         Ok(charts::draw(self, ran, folder)?)
     }
 }
--- a/crates/testbed/src/report/table.rs
+++ b/crates/testbed/src/report/table.rs
@@ -121,7 +121,10 @@
     fn violations_text(&self) -> String {
         let mut text = String::new();
         for violation in self.violations.iter().take(MAX_VIOLATIONS) {
-            text.push_str(&format!("\n{}: {}\n", violation.rule, violation.what));
+            text.push_str(&format!(
+                "\n{}: {}\n",
+                violation.rule, violation.description
+            ));
             for line in &violation.timeline {
                 text.push_str(&format!("  {line}\n"));
             }
--- a/crates/testbed/src/report/types.rs
+++ b/crates/testbed/src/report/types.rs
@@ -55,7 +55,8 @@
     /// Text of the rule.
     pub rule: &'static str,
     /// What broke it, in a sentence.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     /// The events that led there, a line each.
     pub timeline: Vec<String>,
 }
--- a/crates/testbed/src/run/capacity.rs
+++ b/crates/testbed/src/run/capacity.rs
@@ -36,7 +36,7 @@
             allowed: PORTS_OF_AN_ADDRESS,
         });
     }
-    let sockets = u64::from(scenario.proxies.sockets);
+    let sockets = u64::from(scenario.proxies.max_descriptors);
     if sockets > allowed {
         return Err(RunError::TooManySockets { sockets, allowed });
     }
--- a/crates/testbed/src/run/clients.rs
+++ b/crates/testbed/src/run/clients.rs
@@ -22,7 +22,7 @@
     }
     context.sleep_until(scenario.length).await;
     // Whoever still waits has its answer, or none in time, by then.
-    let waits = scenario.listeners.iter().map(|l| l.dial_timeout);
+    let waits = scenario.listeners.iter().map(|l| l.answer_timeout);
     let longest_wait = waits.max().unwrap_or_default();
     let settles = longest_wait + scenario.platform.answer_slack + SETTLING_TIME;
     let _ = timeout(settles, async {
--- a/crates/testbed/src/run/faults/discovery_and_clients.rs
+++ b/crates/testbed/src/run/faults/discovery_and_clients.rs
@@ -11,7 +11,7 @@
     let context = &testbed.context;
     let signals = &context.client_signals;
     let signal = ClientSignal {
-        share: fault.much,
+        share: fault.magnitude,
         span: fault.span,
     };
     match fault.kind {
@@ -22,7 +22,7 @@
             signals.stop_reading.send_replace(signal);
         }
         FaultKind::ClientsBad if begins => {
-            misbehaving_clients::start(context, &testbed.front, fault.much as u32);
+            misbehaving_clients::start(context, &testbed.front, fault.magnitude as u32);
         }
         kind => apply_to_discovery(testbed, kind, begins),
     }
@@ -43,8 +43,10 @@
             faults.send_modify(|faults| step(&mut faults.silent));
         }
         FaultKind::DiscoveryRefuses => faults.send_modify(|faults| step(&mut faults.refuses)),
-        FaultKind::DiscoveryOlder => faults.send_modify(|faults| step(&mut faults.older)),
-        FaultKind::DiscoveryBabbles => faults.send_modify(|faults| step(&mut faults.babbles)),
+        FaultKind::DiscoveryOlder => {
+            faults.send_modify(|faults| step(&mut faults.sends_outdated_list))
+        }
+        FaultKind::DiscoveryBabbles => faults.send_modify(|faults| step(&mut faults.sends_garbage)),
         _ => {}
     }
 }
--- a/crates/testbed/src/run/faults/hosts.rs
+++ b/crates/testbed/src/run/faults/hosts.rs
@@ -25,7 +25,7 @@
     let fault = &testbed.context.plan.faults[fault];
     let until = fault.until.unwrap_or(testbed.context.scenario.length);
     while testbed.context.now() < until {
-        host.starve(Some(fault.much));
+        host.starve(Some(fault.magnitude));
         sleep(fault.span / 2).await;
         host.starve(None);
         sleep(fault.span / 2).await;
--- a/crates/testbed/src/run/faults/links.rs
+++ b/crates/testbed/src/run/faults/links.rs
@@ -10,15 +10,15 @@
 pub(super) fn apply(testbed: &Testbed, number: usize, begins: bool) {
     let context = &testbed.context;
     let fault = &context.plan.faults[number];
-    let effect = LinkFaults::of_kind(fault.kind, fault.much, fault.span);
+    let effect = LinkFaults::of_kind(fault.kind, fault.magnitude, fault.span);
     for link in testbed.links.all() {
-        if !fault.strikes(link.ends, |ends| zones_of_ends(context, ends)) {
+        if !fault.affects_link(link.ends, |ends| zones_of_ends(context, ends)) {
             continue;
         }
         if begins {
-            link.begin(number, effect, fault.half_open);
+            link.begin_fault(number, effect, fault.half_open);
         } else {
-            link.end(number);
+            link.end_fault(number);
         }
         context.event_log.record(Event::WayFails {
             ends: link.ends,
@@ -26,7 +26,7 @@
         });
     }
     if matches!(fault.kind, FaultKind::PlaceCut | FaultKind::PlaceFlaps) {
-        cut_agents_off(testbed, &fault.on, begins);
+        cut_agents_off(testbed, &fault.targets, begins);
     }
 }
 
--- a/crates/testbed/src/run/faults/proxies.rs
+++ b/crates/testbed/src/run/faults/proxies.rs
@@ -14,7 +14,7 @@
     let Some(command) = command(fault, begins) else {
         return;
     };
-    for proxy in &fault.on {
+    for proxy in &fault.targets {
         let _ = commands[usize::from(*proxy)].send(command).await;
     }
 }
--- a/crates/testbed/src/run/faults/schedule.rs
+++ b/crates/testbed/src/run/faults/schedule.rs
@@ -53,19 +53,19 @@
 ) {
     let FaultStep { fault, begins, .. } = step;
     let planned = &testbed.context.plan.faults[fault];
-    let what = format!("{:?} on {:?}", planned.kind, planned.on);
+    let what = format!("{:?} on {:?}", planned.kind, planned.targets);
     info!(fault = %what, begins);
     testbed
         .context
         .event_log
         .record(Event::Fault { what, begins });
-    if planned.kind.strikes_hosts() {
-        for host in &planned.on {
+    if planned.kind.targets_hosts() {
+        for host in &planned.targets {
             hosts::apply(testbed, &testbed.hosts[usize::from(*host)], fault, begins);
         }
     }
     zones::apply(testbed, commands, fault, begins).await;
-    if planned.kind.strikes_proxies() {
+    if planned.kind.targets_proxies() {
         proxies::apply(commands, planned, begins).await;
     }
     discovery_and_clients::apply(testbed, planned, begins);
--- a/crates/testbed/src/run/faults/zones.rs
+++ b/crates/testbed/src/run/faults/zones.rs
@@ -39,13 +39,13 @@
 
 /// Whether a fault strikes a zone.
 fn strikes(fault: &PlannedFault, zone: u8) -> bool {
-    let strikes_zone = fault.kind.strikes_places() && fault.on.contains(&u16::from(zone));
+    let strikes_zone = fault.kind.targets_zones() && fault.targets.contains(&u16::from(zone));
     fault.kind == FaultKind::PowerCut || strikes_zone
 }
 
 /// Whether these processes follow the fault: all do when it begins, and those that come back when it ends.
 fn follows(fault: &PlannedFault, begins: bool, part: RecoveredPart) -> bool {
-    begins || fault.back == RecoveredPart::All || fault.back == part
+    begins || fault.recovered_part == RecoveredPart::All || fault.recovered_part == part
 }
 
 fn apply_to_hosts(testbed: &Arc<Testbed>, number: usize, begins: bool) {
@@ -55,7 +55,7 @@
         return;
     }
     for (host, planned) in testbed.hosts.iter().zip(&plan.hosts) {
-        if strikes(fault, planned.place) {
+        if strikes(fault, planned.zone) {
             hosts::apply(testbed, host, number, begins);
         }
     }
@@ -90,7 +90,7 @@
     let fault = &plan.faults[number];
     testbed.context.sleep_until(fault.at + fault.span).await;
     for (host, planned) in testbed.hosts.iter().zip(&plan.hosts) {
-        if fault.on.contains(&u16::from(planned.place)) && host.is_down() {
+        if fault.targets.contains(&u16::from(planned.zone)) && host.is_down() {
             let registry = &testbed.discovery;
             registry.set_state(host.number, HostState::Gone, None);
         }
--- a/crates/testbed/src/run/links.rs
+++ b/crates/testbed/src/run/links.rs
@@ -14,7 +14,7 @@
     hosts: &[BoundListener],
     proxies: &[ProxyAddress],
 ) -> Vec<(LinkEnds, SocketAddr)> {
-    let zones = scenario.places.len() as u8;
+    let zones = scenario.zones.len() as u8;
     let mut pairs = Vec::new();
     for (proxy, address) in (0..).zip(proxies) {
         if plan.needs_relays(LinkKind::ProxyHost) {
--- a/crates/testbed/src/run/observers.rs
+++ b/crates/testbed/src/run/observers.rs
@@ -65,9 +65,13 @@
         if now > testbed.context.scenario.length {
             return;
         }
-        let open: u32 = testbed.hosts.iter().map(|host| host.model().open()).sum();
+        let open: u32 = testbed
+            .hosts
+            .iter()
+            .map(|host| host.model().open_sessions())
+            .sum();
         let (given_up, unreachable) = {
-            let marks = testbed.context.service_score.marks();
+            let marks = testbed.context.service_score.measurements();
             (marks.given_up, marks.unreachable)
         };
         let now = now.as_secs();
--- a/crates/testbed/src/run/outcome.rs
+++ b/crates/testbed/src/run/outcome.rs
@@ -14,17 +14,17 @@
     /// The scenario, the plan, and how well clients were served.
     pub context: Arc<RunContext>,
     /// What the actors have seen.
-    pub records: Vec<LoggedEvent>,
+    pub events: Vec<LoggedEvent>,
     /// What the judge makes of it.
     pub verdict: Verdict,
     /// The longest that the testbed itself was late.
-    pub late: Duration,
+    pub testbed_lateness: Duration,
     /// Whether that was so late that the run tells nothing.
-    pub void: bool,
+    pub is_void: bool,
     /// What each proxy used, second by second.
-    pub used: Vec<Vec<ResourceUsage>>,
+    pub proxy_usage: Vec<Vec<ResourceUsage>>,
     /// What each host was asked for, second by second, as a multiple of what it could do.
-    pub loads: Vec<Vec<f32>>,
+    pub host_loads: Vec<Vec<f32>>,
     /// What became of a roll, where one was asked for: how long it took.
-    pub rolled: Option<Result<Duration, RollError>>,
+    pub roll_result: Option<Result<Duration, RollError>>,
 }
--- a/crates/testbed/src/run/set_up.rs
+++ b/crates/testbed/src/run/set_up.rs
@@ -42,7 +42,7 @@
     let pairs = linked_pairs(&scenario, &plan, &hosts, proxies);
     let context = Arc::new(RunContext::new(scenario, plan));
     let links = Links::start(&context, pairs).await?;
-    let zones = context.scenario.places.len() as u8;
+    let zones = context.scenario.zones.len() as u8;
     let front_addresses = proxies.iter().map(|proxy| (proxy.zone, proxy.listen));
     let front = Front::with_links(front_addresses, &links, zones);
     Ok(Testbed::start(context, hosts, front, Arc::new(links)))
--- a/crates/testbed/src/run/stages.rs
+++ b/crates/testbed/src/run/stages.rs
@@ -50,13 +50,13 @@
     let settings = JudgeSettings::new(&context.scenario, &context.plan, late);
     Ok(RunOutcome {
         verdict: judge(&records, &settings),
-        void: late > context.scenario.platform.max_lateness,
-        loads: loads.take(),
+        is_void: late > context.scenario.platform.max_lateness,
+        host_loads: loads.take(),
         context,
-        records,
-        late,
-        used,
-        rolled,
+        events: records,
+        testbed_lateness: late,
+        proxy_usage: used,
+        roll_result: rolled,
     })
 }
 
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -31,7 +31,7 @@
 ) -> Result<ScalePoint, RunError> {
     let scenario = Scenario::read(&sizes::scenario_text(size, seconds))?;
     let ran = run_without_files(scenario, program, SEED, None).await?;
-    let report = Report::of(&ran, &program.name, SEED, None);
+    let report = Report::from_run(&ran, &program.name, SEED, None);
     Ok(measured(size, seconds, &report))
 }
 
--- a/crates/testbed/src/scenario/clients.rs
+++ b/crates/testbed/src/scenario/clients.rs
@@ -35,41 +35,42 @@
     /// Its name on the wire.
     pub name: String,
     /// Whether its sessions may be retried.
-    pub kind: RetrySafety,
+    #[serde(rename = "kind")]
+    pub retry_safety: RetrySafety,
     /// Where its idempotency keys count.
-    #[serde(default = "default_scope")]
-    pub circle: RetryScope,
+    #[serde(default = "default_scope", rename = "circle")]
+    pub retry_scope: RetryScope,
     /// How long a host keeps an idempotency key.
     #[serde(default = "default_key_ttl", deserialize_with = "time_span")]
     pub key_ttl: Duration,
     /// Latency objective of a set-up.
-    #[serde(deserialize_with = "time_span")]
-    pub handshake_target: Duration,
+    #[serde(rename = "handshake_target", deserialize_with = "time_span")]
+    pub set_up_target: Duration,
     /// How long a client waits for its answer.
-    #[serde(deserialize_with = "time_span")]
-    pub dial_timeout: Duration,
+    #[serde(rename = "dial_timeout", deserialize_with = "time_span")]
+    pub answer_timeout: Duration,
     /// Latency objective of a message.
     #[serde(deserialize_with = "time_span")]
     pub message_target: Duration,
     /// Priority weight of its sessions.
-    #[serde(default = "one")]
-    pub utility: f64,
+    #[serde(default = "one", rename = "utility")]
+    pub priority_weight: f64,
     /// Share of a standard host that a connection asks for, on average.
     pub work: f64,
     /// Its part of the sessions, beside the other listeners'.
-    #[serde(default = "one")]
-    pub portion: f64,
+    #[serde(default = "one", rename = "portion")]
+    pub traffic_weight: f64,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Member {
+#[serde(expecting = "struct Member", deny_unknown_fields)]
+pub struct Tenant {
     /// Its name on the wire.
     pub name: String,
     /// Its part of the sessions, and of the capacity, beside the other tenants'.
-    #[serde(default = "one")]
-    pub portion: f64,
+    #[serde(default = "one", rename = "portion")]
+    pub weight: f64,
 }
 
 /// What clients do.
@@ -82,22 +83,27 @@
     #[serde(default)]
     pub curve: Vec<RatePoint>,
     /// How long sessions last.
-    pub life: SessionLength,
+    #[serde(rename = "life")]
+    pub session_length: SessionLength,
     /// Groups that clients belong to.
     #[serde(default)]
     pub groups: u32,
     /// Share of clients that belong to a group.
-    #[serde(default)]
-    pub grouped: f64,
+    #[serde(default, rename = "grouped")]
+    pub grouped_share: f64,
     /// Time between a client's messages.
-    #[serde(default = "default_message_every", deserialize_with = "time_span")]
-    pub message_every: Duration,
+    #[serde(
+        default = "default_message_every",
+        rename = "message_every",
+        deserialize_with = "time_span"
+    )]
+    pub message_interval: Duration,
     /// What a client does that was not served.
     #[serde(default)]
     pub retries: Retries,
     /// Share of clients that leave before they are answered.
-    #[serde(default)]
-    pub impatient: f64,
+    #[serde(default, rename = "impatient")]
+    pub impatient_share: f64,
     /// Clients connected before the run.
     #[serde(default)]
     pub inherited: u32,
@@ -111,7 +117,8 @@
     #[serde(deserialize_with = "time_span")]
     pub at: Duration,
     /// As a multiple of the traffic's rate.
-    pub times: f64,
+    #[serde(rename = "times")]
+    pub rate_multiple: f64,
 }
 
 /// The log-normal distribution of how long sessions last.
@@ -131,7 +138,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Retries {
     /// How often it comes again, at most.
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max_retries: u32,
     /// How long it waits before that, unless it was told.
     #[serde(deserialize_with = "time_span")]
     pub pause: Duration,
@@ -140,7 +148,7 @@
 impl Default for Retries {
     fn default() -> Self {
         Retries {
-            most: 4,
+            max_retries: 4,
             pause: Duration::from_millis(300),
         }
     }
--- a/crates/testbed/src/scenario/definition.rs
+++ b/crates/testbed/src/scenario/definition.rs
@@ -1,9 +1,9 @@
 //! The whole of a scenario file.
 
-use super::clients::{Listener, Member, Traffic};
+use super::clients::{Listener, Tenant, Traffic};
 use super::faults::ScenarioFault;
 use super::fleet::Fleet;
-use super::proxies::{Front, Platform, Proxies};
+use super::proxies::{FrontSettings, Platform, Proxies};
 use super::time_span::time_span;
 use serde::Deserialize;
 use std::time::Duration;
@@ -21,13 +21,15 @@
     #[serde(default)]
     pub seed: u64,
     /// Names of the zones.
-    pub places: Vec<String>,
+    #[serde(rename = "places")]
+    pub zones: Vec<String>,
     /// The stand-in hosts.
     pub fleet: Fleet,
     /// The kinds of sessions.
     pub listeners: Vec<Listener>,
     /// The tenants.
-    pub members: Vec<Member>,
+    #[serde(rename = "members")]
+    pub tenants: Vec<Tenant>,
     /// What clients do.
     pub traffic: Traffic,
     /// The proxies, which are processes of their own.
@@ -37,7 +39,7 @@
     pub platform: Platform,
     /// The load balancer before the proxies.
     #[serde(default)]
-    pub front: Front,
+    pub front: FrontSettings,
     /// What fails, and when.
     #[serde(default)]
     pub faults: Vec<ScenarioFault>,
--- a/crates/testbed/src/scenario/fault_checks.rs
+++ b/crates/testbed/src/scenario/fault_checks.rs
@@ -18,7 +18,7 @@
         1.0..=f64::from(struck_at_most(scenario, fault.kind)),
     )?;
     let key = format!("faults.{index}.much");
-    check_range(key, fault.much, allowed_measure(fault.kind))?;
+    check_range(key, fault.magnitude, allowed_measure(fault.kind))?;
     if let Some(key) = misplaced_key(scenario, fault) {
         return Err(ScenarioError::MisplacedFaultKey {
             index,
@@ -27,7 +27,7 @@
         });
     }
     let hosts = scenario.hosts();
-    match fault.to.iter().flatten().max() {
+    match fault.to_hosts.iter().flatten().max() {
         Some(&host) if host >= hosts => Err(ScenarioError::UnknownLinkTarget {
             index,
             host,
@@ -39,18 +39,18 @@
 
 /// How many there must be for the fault to strike those that it names.
 fn struck_at_least(fault: &ScenarioFault) -> u32 {
-    let greatest = fault.on.iter().flatten().copied().max();
+    let greatest = fault.targets.iter().flatten().copied().max();
     greatest.map_or(fault.count, |number| number + 1)
 }
 
 /// How many there are that a fault of this kind can strike.
 fn struck_at_most(scenario: &Scenario, kind: FaultKind) -> u32 {
-    if kind.strikes_hosts() {
+    if kind.targets_hosts() {
         scenario.hosts()
-    } else if kind.strikes_proxies() || kind.strikes_links() {
+    } else if kind.targets_proxies() || kind.targets_links() {
         scenario.proxies.count
-    } else if kind.strikes_places() {
-        scenario.places.len() as u32
+    } else if kind.targets_zones() {
+        scenario.zones.len() as u32
     } else {
         u32::MAX
     }
@@ -68,16 +68,16 @@
 /// The first key of a fault that means nothing for its kind.
 fn misplaced_key(scenario: &Scenario, fault: &ScenarioFault) -> Option<&'static str> {
     let kind = fault.kind;
-    let of_links = kind.strikes_links();
-    if fault.to.is_some() && !(of_links && fault.way == LinkKind::ProxyHost) {
+    let of_links = kind.targets_links();
+    if fault.to_hosts.is_some() && !(of_links && fault.link_kind == LinkKind::ProxyHost) {
         Some("to")
-    } else if fault.way != LinkKind::default() && !of_links {
+    } else if fault.link_kind != LinkKind::default() && !of_links {
         Some("way")
-    } else if fault.half_open && !(of_links || kind.strikes_places()) {
+    } else if fault.half_open && !(of_links || kind.targets_zones()) {
         Some("half_open")
     } else if kind == FaultKind::DiskSpoilt && !scenario.proxies.saves_snapshots {
         Some("on")
-    } else if fault.back != RecoveredPart::All && kind != FaultKind::PlaceLost {
+    } else if fault.recovered_part != RecoveredPart::All && kind != FaultKind::PlaceLost {
         Some("back")
     } else {
         None
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -13,36 +13,38 @@
     pub at: Duration,
     /// How long it lasts; absent: to the end.
     #[serde(default, rename = "for", deserialize_with = "optional_time_span")]
-    pub lasts: Option<Duration>,
+    pub duration: Option<Duration>,
     /// What fails.
     pub kind: FaultKind,
     /// Numbers of the hosts, proxies or zones it strikes; absent: `count` of them drawn.
-    pub on: Option<Vec<u32>>,
+    #[serde(rename = "on")]
+    pub targets: Option<Vec<u32>>,
     /// How many it strikes where `on` is absent.
     #[serde(default = "one")]
     pub count: u32,
     /// By how much, where the kind has a measure: a factor, a share, a number.
-    #[serde(default = "full_measure")]
-    pub much: f64,
+    #[serde(default = "full_measure", rename = "much")]
+    pub magnitude: f64,
     /// A span that the kind uses: a period, a delay.
     #[serde(default = "default_span", deserialize_with = "time_span")]
     pub span: Duration,
     /// For faults of links: which links.
-    #[serde(default)]
-    pub way: LinkKind,
+    #[serde(default, rename = "way")]
+    pub link_kind: LinkKind,
     /// For faults of links: to which hosts; absent: all.
-    pub to: Option<Vec<u32>>,
+    #[serde(rename = "to")]
+    pub to_hosts: Option<Vec<u32>>,
     /// Connections from before a cut are reset when it is over: the other side has forgotten them.
     #[serde(default)]
     pub half_open: bool,
     /// For `place-lost`: what comes back.
-    #[serde(default)]
-    pub back: RecoveredPart,
+    #[serde(default, rename = "back")]
+    pub recovered_part: RecoveredPart,
 }
 
 /// What fails.
 ///
-/// The order counts: [`FaultKind::strikes_hosts`] and its like are ranges of it. Logs and reports show the names.
+/// The order counts: [`FaultKind::targets_hosts`] and its like are ranges of it. Logs and reports show the names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
@@ -127,22 +129,22 @@
 
 impl FaultKind {
     /// Whether it strikes hosts one by one.
-    pub fn strikes_hosts(self) -> bool {
+    pub fn targets_hosts(self) -> bool {
         self <= FaultKind::HostGone
     }
 
     /// Whether it strikes whole zones.
-    pub fn strikes_places(self) -> bool {
+    pub fn targets_zones(self) -> bool {
         self >= FaultKind::PlaceLost && self <= FaultKind::PlaceFlaps
     }
 
     /// Whether it strikes links between processes.
-    pub fn strikes_links(self) -> bool {
+    pub fn targets_links(self) -> bool {
         self >= FaultKind::LinkDropped && self <= FaultKind::LinkSlowed
     }
 
     /// Whether it strikes proxies one by one.
-    pub fn strikes_proxies(self) -> bool {
+    pub fn targets_proxies(self) -> bool {
         self >= FaultKind::ProxyStalls && self <= FaultKind::DiskSpoilt
     }
 }
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -23,14 +23,22 @@
     #[serde(default = "default_cold_share")]
     pub cold_share: f64,
     /// When a host that has started has all of its speed.
-    #[serde(default = "default_warm_after", deserialize_with = "time_span")]
-    pub warm_after: Duration,
-    /// The multiple of its present capacity that a cold host may be sent for `overload_for` before it collapses.
-    #[serde(default = "default_tip_multiple")]
-    pub tip_multiple: f64,
+    #[serde(
+        default = "default_warm_after",
+        rename = "warm_after",
+        deserialize_with = "time_span"
+    )]
+    pub warm_up_time: Duration,
+    /// The multiple of its present capacity that a cold host may be sent for `overload_window` before it collapses.
+    #[serde(default = "default_tip_multiple", rename = "tip_multiple")]
+    pub overload_factor: f64,
     /// How long a cold host bears more than that.
-    #[serde(default = "default_overload_for", deserialize_with = "time_span")]
-    pub overload_for: Duration,
+    #[serde(
+        default = "default_overload_for",
+        rename = "overload_for",
+        deserialize_with = "time_span"
+    )]
+    pub overload_window: Duration,
     /// Share of a standard host that each group of clients costs every host holding any of it.
     #[serde(default)]
     pub group_cost: f64,
@@ -41,8 +49,12 @@
     #[serde(default = "default_message_time", deserialize_with = "time_span")]
     pub message_time: Duration,
     /// Longest time that a change takes to reach a proxy's discovery agent.
-    #[serde(default = "default_told_within", deserialize_with = "time_span")]
-    pub told_within: Duration,
+    #[serde(
+        default = "default_told_within",
+        rename = "told_within",
+        deserialize_with = "time_span"
+    )]
+    pub max_propagation_delay: Duration,
 }
 
 /// Hosts that are alike.
@@ -52,7 +64,8 @@
     /// How many there are.
     pub count: u32,
     /// Their zone. Absent: all zones in turn.
-    pub place: Option<String>,
+    #[serde(rename = "place")]
+    pub zone: Option<String>,
     /// Their speed, as a multiple of a standard host's.
     #[serde(default = "standard")]
     pub speed: f64,
@@ -60,11 +73,11 @@
     #[serde(default = "standard")]
     pub weight: f64,
     /// Connections that each serves at most.
-    #[serde(default = "default_places")]
-    pub places: u32,
+    #[serde(default = "default_places", rename = "places")]
+    pub max_sessions: u32,
     /// Sockets that each accepts at most, those of health checks among them.
-    #[serde(default = "default_room")]
-    pub room: u32,
+    #[serde(default = "default_room", rename = "room")]
+    pub max_connections: u32,
     /// The part of the zone in which they share idempotency keys.
     #[serde(default)]
     pub cell: u16,
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -16,10 +16,10 @@
 mod value_checks;
 
 pub use clients::{
-    Listener, Member, RatePoint, Retries, RetrySafety, RetryScope, SessionLength, Traffic,
+    Listener, RatePoint, Retries, RetrySafety, RetryScope, SessionLength, Tenant, Traffic,
 };
 pub use definition::Scenario;
 pub use error::{ScenarioError, ScenarioFileError};
 pub use faults::{FaultKind, LinkKind, RecoveredPart, ScenarioFault};
 pub use fleet::{Fleet, HostGroup};
-pub use proxies::{Front, InitialEndpointList, Platform, Proxies};
+pub use proxies::{FrontSettings, InitialEndpointList, Platform, Proxies};
--- a/crates/testbed/src/scenario/proxies.rs
+++ b/crates/testbed/src/scenario/proxies.rs
@@ -12,8 +12,8 @@
     /// How many there are.
     pub count: u32,
     /// Descriptors that each may use.
-    #[serde(default = "default_sockets")]
-    pub sockets: u32,
+    #[serde(default = "default_sockets", rename = "sockets")]
+    pub max_descriptors: u32,
     /// Memory that each may use.
     #[serde(default = "default_memory_mb")]
     pub memory_mb: u32,
@@ -39,8 +39,8 @@
     #[serde(default, rename = "asks")]
     pub asks_peers: bool,
     /// Whether the priority weight decides who is rejected first while capacity is short.
-    #[serde(default)]
-    pub by_worth: bool,
+    #[serde(default, rename = "by_worth")]
+    pub rejects_by_priority: bool,
 }
 
 /// The endpoint list that a proxy's configuration has when it is started.
@@ -97,21 +97,21 @@
 
 /// The load balancer before the proxies.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Front {
+#[serde(expecting = "struct Front", deny_unknown_fields, default)]
+pub struct FrontSettings {
     /// Time between its health checks of a proxy.
-    #[serde(deserialize_with = "time_span")]
-    pub check: Duration,
+    #[serde(rename = "check", deserialize_with = "time_span")]
+    pub health_check_interval: Duration,
     /// How long a dead proxy goes on being used.
-    #[serde(deserialize_with = "time_span")]
-    pub forget: Duration,
+    #[serde(rename = "forget", deserialize_with = "time_span")]
+    pub removal_delay: Duration,
 }
 
-impl Default for Front {
+impl Default for FrontSettings {
     fn default() -> Self {
-        Front {
-            check: Duration::from_millis(250),
-            forget: Duration::from_millis(1500),
+        FrontSettings {
+            health_check_interval: Duration::from_millis(250),
+            removal_delay: Duration::from_millis(1500),
         }
     }
 }
--- a/crates/testbed/src/service_score.rs
+++ b/crates/testbed/src/service_score.rs
@@ -13,7 +13,7 @@
 /// The service of a run's clients, which all of them add to.
 #[derive(Debug)]
 pub struct ServiceScore {
-    marks: Mutex<ServiceMarks>,
+    marks: Mutex<ServiceMeasurements>,
     members: usize,
 }
 
@@ -28,7 +28,7 @@
 
 /// The sums behind a [`ServiceScore`].
 #[derive(Debug)]
-pub struct ServiceMarks {
+pub struct ServiceMeasurements {
     /// By second; then by listener, and within that by tenant.
     pub seconds: Vec<Vec<ServiceTime>>,
     cells: usize,
@@ -52,7 +52,7 @@
 impl ServiceScore {
     /// A score of so many listeners and tenants, without any service yet.
     pub(crate) fn new(listeners: usize, members: usize) -> ServiceScore {
-        let marks = ServiceMarks {
+        let marks = ServiceMeasurements {
             seconds: Vec::new(),
             cells: listeners * members,
             set_ups: (0..listeners).map(|_| histogram()).collect(),
@@ -68,7 +68,7 @@
     }
 
     /// The sums so far.
-    pub fn marks(&self) -> MutexGuard<'_, ServiceMarks> {
+    pub fn measurements(&self) -> MutexGuard<'_, ServiceMeasurements> {
         self.marks
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
@@ -95,7 +95,7 @@
     ) {
         let (from, to) = (from.as_secs_f64(), to.as_secs_f64());
         let cell = usize::from(listener) * self.members + usize::from(member);
-        let mut marks = self.marks();
+        let mut marks = self.measurements();
         let cells = marks.cells;
         let mut at = from;
         while at < to {
--- a/crates/testbed/src/shrink.rs
+++ b/crates/testbed/src/shrink.rs
@@ -29,16 +29,16 @@
     let numbers = |of: &[u16]| of.iter().map(|number| u32::from(*number)).collect();
     ScenarioFault {
         at: fault.at,
-        lasts: fault.until.map(|until| until - fault.at),
+        duration: fault.until.map(|until| until - fault.at),
         kind: fault.kind,
-        on: Some(numbers(&fault.on)),
+        targets: Some(numbers(&fault.targets)),
         count: 1,
-        much: fault.much,
+        magnitude: fault.magnitude,
         span: fault.span,
-        way: fault.way,
-        to: fault.to.as_deref().map(numbers),
+        link_kind: fault.link_kind,
+        to_hosts: fault.to_hosts.as_deref().map(numbers),
         half_open: fault.half_open,
-        back: fault.back,
+        recovered_part: fault.recovered_part,
     }
 }
 
@@ -88,27 +88,27 @@
 fn fault_table(fault: &ScenarioFault) -> Result<Value, ShrinkError> {
     let mut table = Table::new();
     table.insert("at".into(), milliseconds(fault.at));
-    if let Some(lasts) = fault.lasts {
+    if let Some(lasts) = fault.duration {
         table.insert("for".into(), milliseconds(lasts));
     }
     table.insert("kind".into(), Value::try_from(fault.kind)?);
     // Faults that strike nobody by number take no list of them.
-    if let Some(on) = fault.on.as_deref().filter(|on| !on.is_empty()) {
+    if let Some(on) = fault.targets.as_deref().filter(|on| !on.is_empty()) {
         table.insert("on".into(), integers(on));
     }
-    table.insert("much".into(), Value::from(fault.much));
+    table.insert("much".into(), Value::from(fault.magnitude));
     table.insert("span".into(), milliseconds(fault.span));
-    if fault.kind.strikes_links() {
-        table.insert("way".into(), Value::try_from(fault.way)?);
+    if fault.kind.targets_links() {
+        table.insert("way".into(), Value::try_from(fault.link_kind)?);
     }
-    if let Some(to) = fault.to.as_deref() {
+    if let Some(to) = fault.to_hosts.as_deref() {
         table.insert("to".into(), integers(to));
     }
     if fault.half_open {
         table.insert("half_open".into(), Value::from(true));
     }
     if fault.kind == FaultKind::PlaceLost {
-        table.insert("back".into(), Value::try_from(fault.back)?);
+        table.insert("back".into(), Value::try_from(fault.recovered_part)?);
     }
     Ok(Value::Table(table))
 }
--- a/crates/testbed/tests/breaks.rs
+++ b/crates/testbed/tests/breaks.rs
@@ -62,21 +62,21 @@
         .any(|broken| broken == rule)
 }
 
-#[test_case(InjectedFault::DoubleDial, Rule::NeverTwoDials)]
+#[test_case(InjectedFault::DoubleDial, Rule::NoConcurrentDials)]
 #[test_case(InjectedFault::AnswerTwice, Rule::NoSessionLost)]
 #[test_case(InjectedFault::NoAnswer, Rule::NoSessionLost)]
 #[test_case(InjectedFault::LateAnswer, Rule::NoSessionLost)]
 #[test_case(InjectedFault::DialAfter, Rule::NoSessionLost)]
 #[test_case(InjectedFault::ManyDials, Rule::NoSessionLost)]
-#[test_case(InjectedFault::IgnoreDrains, Rule::DrainsKept)]
-#[test_case(InjectedFault::EffectTwice, Rule::NoEffectTwice)]
-#[test_case(InjectedFault::RefuseRun, Rule::NoEffectTwice)]
-#[test_case(InjectedFault::FloodCold, Rule::NoColdServerPushedOver)]
+#[test_case(InjectedFault::IgnoreDrains, Rule::DrainsRespected)]
+#[test_case(InjectedFault::EffectTwice, Rule::NoDuplicateEffect)]
+#[test_case(InjectedFault::RefuseRun, Rule::NoDuplicateEffect)]
+#[test_case(InjectedFault::FloodCold, Rule::NoColdHostOverloaded)]
 #[test_case(InjectedFault::CutOff, Rule::NoSessionLost)]
 #[test_case(InjectedFault::HoldLines, Rule::NoSessionLost)]
 #[test_case(InjectedFault::MakeUp, Rule::NoSessionLost)]
-#[test_case(InjectedFault::SendOn, Rule::NothingUnreadableSentOn)]
-#[test_case(InjectedFault::Crash, Rule::ProxyStays)]
+#[test_case(InjectedFault::SendOn, Rule::NoInvalidLineForwarded)]
+#[test_case(InjectedFault::Crash, Rule::NoUnexpectedExit)]
 fn an_injected_fault_is_reported_as_the_rule_that_it_breaks(fault: InjectedFault, rule: Rule) {
     let found = broken_rules(Policy::RoundRobin, Some(fault));
     assert!(found.contains(&rule), "{found:?}");
@@ -91,7 +91,7 @@
         .replace("count = 2", "count = 2\nby_worth = true");
     let proxy = help::plain_proxy(Policy::Random, fault);
     let run = help::play(Scenario::read(&text).unwrap(), proxy, 3, None);
-    assert_eq!(has_violation(&run, Rule::RefusedInOrder), reported);
+    assert_eq!(has_violation(&run, Rule::RejectedByPriority), reported);
 }
 
 /// Two dials are out at once for less than the times of peers are apart.
@@ -105,7 +105,7 @@
     let text = format!("{}\n{silent}", base_with_fast_hosts());
     let proxy = help::plain_proxy(Policy::RoundRobin, fault);
     let run = help::play(Scenario::read(&text).unwrap(), proxy, 3, None);
-    assert_eq!(has_violation(&run, Rule::NeverTwoDials), reported);
+    assert_eq!(has_violation(&run, Rule::NoConcurrentDials), reported);
 }
 
 #[test]
@@ -117,7 +117,7 @@
     assert!(
         violations
             .iter()
-            .all(|violation| violation.rule == Rule::OperatorsAnswered)
+            .all(|violation| violation.rule == Rule::OperatorsAnsweredInTime)
     );
     assert!(
         violations.len() > 5,
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -195,7 +195,7 @@
         testbed
             .discovery
             .faults
-            .send_modify(|mood| (mood.silent, mood.babbles) = (0, 1));
+            .send_modify(|mood| (mood.silent, mood.sends_garbage) = (0, 1));
         let babble = watch(&agent, 1).await;
         assert!(
             babble.contains("chunked") && !babble.contains("uid"),
@@ -204,7 +204,7 @@
         testbed
             .discovery
             .faults
-            .send_modify(|mood| (mood.babbles, mood.refuses) = (0, 1));
+            .send_modify(|mood| (mood.sends_garbage, mood.refuses) = (0, 1));
         sleep(Duration::from_millis(50)).await;
         assert_eq!(watch(&agent, 1).await, "refused");
         testbed
--- a/crates/testbed/tests/golden_report.rs
+++ b/crates/testbed/tests/golden_report.rs
@@ -11,15 +11,15 @@
 
 const RULES: [Rule; 10] = [
     Rule::NoSessionLost,
-    Rule::NoEffectTwice,
-    Rule::DrainsKept,
-    Rule::NoColdServerPushedOver,
-    Rule::NeverTwoDials,
-    Rule::NothingUnreadableSentOn,
-    Rule::ProxyStays,
-    Rule::OperatorsAnswered,
-    Rule::FiguresTrue,
-    Rule::RefusedInOrder,
+    Rule::NoDuplicateEffect,
+    Rule::DrainsRespected,
+    Rule::NoColdHostOverloaded,
+    Rule::NoConcurrentDials,
+    Rule::NoInvalidLineForwarded,
+    Rule::NoUnexpectedExit,
+    Rule::OperatorsAnsweredInTime,
+    Rule::MetricsAccurate,
+    Rule::RejectedByPriority,
 ];
 
 fn text(value: &Value) -> String {
@@ -74,7 +74,7 @@
         .find(|rule| value["rule"] == *rule);
     ReportedViolation {
         rule: rule.unwrap(),
-        what: text(&value["what"]),
+        description: text(&value["what"]),
         timeline: list(&value["timeline"], text),
     }
 }
--- a/crates/testbed/tests/golden_summaries.rs
+++ b/crates/testbed/tests/golden_summaries.rs
@@ -12,13 +12,13 @@
 
 #[test]
 fn records_are_summed_as_before() {
-    let journal = Journal::of_folder(&golden("journal"), "+mass").unwrap();
+    let journal = Journal::from_folder(&golden("journal"), "+mass").unwrap();
     assert_eq!(journal.table(), include_str!("golden/journal.txt"));
 }
 
 #[test]
 fn logs_are_summed_as_before() {
-    let summary = LogSummary::of_folder(&golden("logs"), 3).unwrap();
+    let summary = LogSummary::from_folder(&golden("logs"), 3).unwrap();
     assert_eq!(summary.table(), include_str!("golden/logs.txt"));
 }
 
@@ -26,19 +26,23 @@
 fn errors_name_the_folder_as_before() {
     let absent = Path::new("/no-such-folder");
     let system = "/no-such-folder: No such file or directory (os error 2)";
-    let journal = Journal::of_folder(absent, "+mass").unwrap_err();
-    let logs = LogSummary::of_folder(absent, 3).unwrap_err();
+    let journal = Journal::from_folder(absent, "+mass").unwrap_err();
+    let logs = LogSummary::from_folder(absent, 3).unwrap_err();
     assert_eq!(
         [journal.to_string(), logs.to_string()],
         [system.to_string(), system.to_string()]
     );
     let (journal, logs) = (golden("journal"), golden("logs"));
     assert_eq!(
-        Journal::of_folder(&logs, "+mass").unwrap_err().to_string(),
+        Journal::from_folder(&logs, "+mass")
+            .unwrap_err()
+            .to_string(),
         format!("{}: no record can be read", logs.display())
     );
     assert_eq!(
-        LogSummary::of_folder(&journal, 3).unwrap_err().to_string(),
+        LogSummary::from_folder(&journal, 3)
+            .unwrap_err()
+            .to_string(),
         format!("{}: no file ends in .log", journal.display())
     );
 }
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -149,7 +149,7 @@
             println!(
                 "{}: {}\n{}",
                 violation.rule.text(),
-                violation.what,
+                violation.description,
                 violation.timeline.join("\n")
             );
         }
@@ -167,7 +167,7 @@
 
     /// How many events of a sort there were.
     pub(crate) fn count(&self, is_wanted: impl Fn(&Event) -> bool) -> usize {
-        let records = self.outcome.records.iter();
+        let records = self.outcome.events.iter();
         records.filter(|record| is_wanted(&record.seen)).count()
     }
 
@@ -180,7 +180,7 @@
     ) -> usize {
         let start = self.outcome.context.plan_start().unwrap();
         let times = start + Duration::from_secs(from)..start + Duration::from_secs(to);
-        let records = self.outcome.records.iter();
+        let records = self.outcome.events.iter();
         let records = records.filter(|record| times.contains(&record.at));
         records.filter(|record| is_wanted(&record.seen)).count()
     }
@@ -188,7 +188,7 @@
     /// How many events of a kind there were later than a second of the plan.
     pub(crate) fn count_after(&self, second: u64, is_wanted: impl Fn(&Event) -> bool) -> usize {
         let start = self.outcome.context.plan_start().unwrap() + Duration::from_secs(second);
-        let records = self.outcome.records.iter();
+        let records = self.outcome.events.iter();
         let records = records.filter(|record| record.at > start);
         records.filter(|record| is_wanted(&record.seen)).count()
     }
--- a/crates/testbed/tests/load_model.rs
+++ b/crates/testbed/tests/load_model.rs
@@ -10,12 +10,12 @@
 fn settings() -> LoadModelSettings {
     LoadModelSettings {
         speed: 1.0,
-        places: 50,
+        max_sessions: 50,
         group_cost: 0.1,
         cold_share: 0.25,
-        warm_after: ms(8_000),
-        tip_multiple: 4.0,
-        overload_for: ms(1_000),
+        warm_up_time: ms(8_000),
+        overload_factor: 4.0,
+        overload_window: ms(1_000),
         set_up_work: ms(20),
         message_time: ms(5),
         report_age: ms(500),
@@ -63,8 +63,8 @@
             model.restart(ms(0));
         }
         (0..200).any(|n| {
-            let taken = model.arrive(ms(n * every), n);
-            model.set_up_over();
+            let taken = model.begin_set_up(ms(n * every), n);
+            model.finish_set_up();
             taken == SetUpOutcome::Collapsed
         })
     };
@@ -78,5 +78,5 @@
     (0..50).for_each(|n| model.connect(ms(n * 10), None, 0.0));
     assert_eq!(model.report(ms(600)).outstanding, 10);
     assert_eq!(model.report(ms(2_000)).outstanding, 50);
-    assert_eq!(model.arrive(ms(2_000), 1), SetUpOutcome::Full);
+    assert_eq!(model.begin_set_up(ms(2_000), 1), SetUpOutcome::Full);
 }
--- a/crates/testbed/tests/scenarios_and_plans.rs
+++ b/crates/testbed/tests/scenarios_and_plans.rs
@@ -70,7 +70,7 @@
             between(from, to)
         );
     }
-    let mut lives: Vec<Duration> = plan.clients.iter().map(|c| c.life).collect();
+    let mut lives: Vec<Duration> = plan.clients.iter().map(|c| c.session_length).collect();
     lives.sort_unstable();
     assert!((lives[lives.len() / 2].as_secs_f64() - 2.0).abs() < 0.1);
 }
--- a/crates/testbed/tests/shrink.rs
+++ b/crates/testbed/tests/shrink.rs
@@ -33,12 +33,12 @@
         let told = |s: &PlannedFault| {
             (
                 s.kind,
-                s.on.clone(),
+                s.targets.clone(),
                 ms(s.at),
-                s.way,
+                s.link_kind,
                 s.half_open,
                 ms(s.span),
-                s.back,
+                s.recovered_part,
             )
         };
         assert_eq!(
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -88,7 +88,7 @@
         order * 2 < ticket.min(feed / 2),
         "{feed}, {order}, {ticket}"
     );
-    let answers = run.outcome.records.iter().map(|record| &record.seen);
+    let answers = run.outcome.events.iter().map(|record| &record.seen);
     let tenths: BTreeSet<u64> = answers.filter_map(retry_after_tenths).collect();
     assert!(
         tenths.len() > 8,
@@ -162,7 +162,7 @@
         "roll_at = \"1s\"",
     );
     // It ends well, or says where it stopped; proxies of the lost place cannot be asked.
-    let rolled = run.outcome.rolled.expect("a roll was asked for");
+    let rolled = run.outcome.roll_result.expect("a roll was asked for");
     assert!(rolled.is_ok() || rolled.is_err_and(|why| !why.to_string().is_empty()));
 }
 
--- a/crates/testbed/tests/summaries.rs
+++ b/crates/testbed/tests/summaries.rs
@@ -25,7 +25,7 @@
 #[test_case(&[b'x'; 40_000], &["3 lines, 3 bad"]; "an endless line")]
 fn the_logs_of_a_fleet_are_summed_and_bad_lines_named(log: &[u8], says: &[&str]) {
     let mut logs = LogSummary::new(2);
-    logs.take("n0.log", log).unwrap();
+    logs.add_log("n0.log", log).unwrap();
     assert!(
         says.iter().all(|part| logs.table().contains(part)),
         "{}",
@@ -51,12 +51,12 @@
             {{"name":"fleet","seed":1,"score":0.1}}]}}"#,
             70 + seed % 4
         );
-        journal.take(text.as_bytes(), "+mass");
+        journal.add_record(text.as_bytes(), "+mass");
         if seed == 0 {
-            journal.take(text.as_bytes(), "+mass");
+            journal.add_record(text.as_bytes(), "+mass");
         }
     }
-    journal.take(b"{\"days\":7}", "+mass");
+    journal.add_record(b"{\"days\":7}", "+mass");
     let table = journal.table();
     assert!(
         table.contains("13 records, 12 days, 1 files cannot be read"),
@@ -72,5 +72,5 @@
         first.starts_with("| trouble slow | -0.2") && !table.contains("| trouble burst |"),
         "{first}\n{table}"
     );
-    assert!(Journal::of_folder(std::path::Path::new("no-such-folder"), "+mass").is_err());
+    assert!(Journal::from_folder(std::path::Path::new("no-such-folder"), "+mass").is_err());
 }
