--- a/crates/testbed/src/client/attempt.rs
+++ b/crates/testbed/src/client/attempt.rs
@@ -18,7 +18,7 @@
 /// How long a client waits for a connection to its proxy.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long past its time a client stays to see whether an answer comes, or anything behind one.
-pub(super) const OVERTIME: Duration = Duration::from_secs(1);
+pub(super) const LATE_ANSWER_WINDOW: Duration = Duration::from_secs(1);
 /// How many of a standard host's units of work a line's `h` counts.
 const WORK_UNITS: f64 = 1e6;
 
@@ -185,7 +185,7 @@
     ) -> Result<ClientAnswer, AttemptOutcome> {
         let (event_log, id) = (&self.context.event_log, session);
         let wait = self.listener().answer_timeout;
-        let longest = wait + self.context.scenario.platform.answer_slack + OVERTIME;
+        let longest = wait + self.context.scenario.platform.answer_slack + LATE_ANSWER_WINDOW;
         let patience = self.planned.leaves_after.filter(|_| !self.reconnects);
         let leaves_after = patience.map_or(longest, |patience| patience.min(longest));
         let Ok(line) = timeout(leaves_after, lines.next()).await else {
@@ -220,7 +220,7 @@
 
     /// Nothing may follow a final answer but the end.
     async fn expect_end(&self, id: SessionId, lines: &mut LineReader) {
-        if let Ok(Line::Text(line)) = timeout(OVERTIME, lines.next()).await {
+        if let Ok(Line::Text(line)) = timeout(LATE_ANSWER_WINDOW, lines.next()).await {
             let answer = if line.starts_with("UP ") {
                 ClientAnswer::Up
             } else {
--- a/crates/testbed/src/client/lifetime.rs
+++ b/crates/testbed/src/client/lifetime.rs
@@ -4,7 +4,7 @@
 use crate::context::RunContext;
 use crate::front::Front;
 use crate::plan::PlannedClient;
-use crate::scenario::{Listener, RetrySafety, RetryScope};
+use crate::scenario::{IdempotencyScope, Listener, RetrySafety};
 use rand::RngExt;
 use std::sync::Arc;
 use std::time::Duration;
@@ -71,9 +71,9 @@
 /// Whether a client may send a session again that may have taken effect.
 fn may_retry(client: &Client<'_>) -> bool {
     let listener: &Listener = client.listener();
-    match (listener.retry_safety, listener.retry_scope) {
-        (RetrySafety::Repeatable, _) => true,
-        (RetrySafety::Referenced, RetryScope::All) => {
+    match (listener.retry_safety, listener.idempotency_scope) {
+        (RetrySafety::Idempotent, _) => true,
+        (RetrySafety::IdempotencyKey, IdempotencyScope::All) => {
             client.context.now() < client.unserved_since + listener.key_ttl
         }
         _ => false,
--- a/crates/testbed/src/client/open_connection.rs
+++ b/crates/testbed/src/client/open_connection.rs
@@ -1,6 +1,6 @@
 //! A client's open connection: a message now and then, its answer, and the signals that it follows.
 
-use super::attempt::{AttemptOutcome, OVERTIME};
+use super::attempt::{AttemptOutcome, LATE_ANSWER_WINDOW};
 use super::service_credit::ServiceCredit;
 use crate::context::{ClientSignal, RunContext};
 use crate::event_log::{Event, SessionId};
@@ -209,12 +209,12 @@
         self.credit.close(ends);
         let says_so = self.planned.seed.is_multiple_of(2);
         if says_so && self.write.write_all(b"END\r\n").await.is_ok() {
-            let _ = timeout(OVERTIME, read_to_end(&mut self.lines)).await;
+            let _ = timeout(LATE_ANSWER_WINDOW, read_to_end(&mut self.lines)).await;
         }
-        let _ = timeout(OVERTIME, self.write.shutdown()).await;
+        let _ = timeout(LATE_ANSWER_WINDOW, self.write.shutdown()).await;
     }
 }
 
 async fn read_to_end(lines: &mut LineReader) {
-    while let Line::Text(_) | Line::Bad = lines.next().await {}
+    while let Line::Text(_) | Line::Invalid = lines.next().await {}
 }
--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -120,8 +120,8 @@
         return Err(CommandError::NotTwoPrograms);
     };
     let programs = [
-        program::of_path(Some(first))?,
-        program::of_path(Some(second))?,
+        program::program_at_path(Some(first))?,
+        program::program_at_path(Some(second))?,
     ];
     let mut comparison = Comparison::default();
     let (mut held, mut void) = (true, 0);
--- a/crates/testbed/src/commands/drain_measurement.rs
+++ b/crates/testbed/src/commands/drain_measurement.rs
@@ -21,7 +21,7 @@
 
 /// Measures each method with each number of sessions, and prints a row for each.
 pub(super) async fn measure(args: &DrainArgs) -> Result<CommandOutcome, CommandError> {
-    let program = program::of_path(args.proxy.as_deref())?;
+    let program = program::program_at_path(args.proxy.as_deref())?;
     let methods: &[DrainMethod] = if args.roll {
         &[DrainMethod::Roll]
     } else {
--- a/crates/testbed/src/commands/play.rs
+++ b/crates/testbed/src/commands/play.rs
@@ -5,7 +5,7 @@
 use super::program;
 use asterramp_testbed::plain_proxy::{InjectedFault, Policy};
 use asterramp_testbed::report::Report;
-use asterramp_testbed::run::{RunOptions, own_folder, run};
+use asterramp_testbed::run::{RunOptions, run, unique_output_folder};
 use asterramp_testbed::scenario::Scenario;
 use clap::Args;
 use std::path::PathBuf;
@@ -58,9 +58,9 @@
 
 async fn play(scenario: Scenario, args: &PlayArgs) -> Result<CommandOutcome, CommandError> {
     let seed = args.seed.unwrap_or(scenario.seed);
-    let program = program::chosen(args)?;
+    let program = program::selected_program(args)?;
     let name = program.name.clone();
-    let folder = args.report.clone().unwrap_or_else(own_folder);
+    let folder = args.report.clone().unwrap_or_else(unique_output_folder);
     let options = RunOptions {
         seed,
         chaos: args.chaos,
--- a/crates/testbed/src/commands/program.rs
+++ b/crates/testbed/src/commands/program.rs
@@ -4,23 +4,23 @@
 use super::play::PlayArgs;
 use asterramp_testbed::plain_proxy;
 use asterramp_testbed::proxy_process::Program;
-use asterramp_testbed::run::own_proxy;
+use asterramp_testbed::run::find_proxy_program;
 use std::path::{Path, PathBuf};
 
 /// The program that the command line asks for: the plain proxy, a path's, or the one beside this.
-pub(super) fn chosen(args: &PlayArgs) -> Result<Program, CommandError> {
+pub(super) fn selected_program(args: &PlayArgs) -> Result<Program, CommandError> {
     match args.baseline {
         Some(policy) => Ok(plain_proxy::program(&this_program()?, policy, args.fault)),
-        None => of_path(args.proxy.as_deref()),
+        None => program_at_path(args.proxy.as_deref()),
     }
 }
 
 /// The program of a path, or the proxy built beside this one.
-pub(super) fn of_path(path: Option<&Path>) -> Result<Program, CommandError> {
+pub(super) fn program_at_path(path: Option<&Path>) -> Result<Program, CommandError> {
     let this_program = this_program()?;
     let path = path
         .map(Path::to_owned)
-        .or_else(|| own_proxy(&this_program))
+        .or_else(|| find_proxy_program(&this_program))
         .ok_or(CommandError::NoProxyProgram)?;
     if !path.is_file() {
         return Err(CommandError::NotAProgram(path));
--- a/crates/testbed/src/commands/scale.rs
+++ b/crates/testbed/src/commands/scale.rs
@@ -27,7 +27,7 @@
 
 /// Plays the sizes one after the other and prints the table.
 pub(super) async fn scale(args: &ScaleArgs) -> Result<CommandOutcome, CommandError> {
-    let program = program::of_path(args.proxy.as_deref())?;
+    let program = program::program_at_path(args.proxy.as_deref())?;
     let mut points = Vec::new();
     for size in scale::sizes(args.quick) {
         let is_wanted = args
--- a/crates/testbed/src/commands/shrink.rs
+++ b/crates/testbed/src/commands/shrink.rs
@@ -35,7 +35,7 @@
     })?;
     let scenario = Scenario::open(path)?;
     let seed = args.play.seed.unwrap_or(scenario.seed);
-    let program = program::chosen(&args.play)?;
+    let program = program::selected_program(&args.play)?;
     let all = shrink::scenario_faults(&Plan::new(&scenario, seed, args.play.chaos).faults);
     let runtime = Handle::current();
     let breaks = |faults: &[ScenarioFault]| {
--- a/crates/testbed/src/host/connection.rs
+++ b/crates/testbed/src/host/connection.rs
@@ -2,7 +2,7 @@
 
 use super::faults::HostFaults;
 use crate::line_reader::LineReader;
-use crate::link::is_linked;
+use crate::link::is_relay_address;
 use crate::sockets;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,7 +29,10 @@
 impl HostConnection {
     pub(super) fn new(stream: TcpStream) -> HostConnection {
         let _ = stream.set_nodelay(true);
-        let relay = stream.peer_addr().ok().filter(|peer| is_linked(*peer));
+        let relay = stream
+            .peer_addr()
+            .ok()
+            .filter(|peer| is_relay_address(*peer));
         let (read, write) = stream.into_split();
         HostConnection {
             lines: LineReader::new(read),
@@ -51,7 +54,7 @@
         if let Some(write) = &mut self.write {
             let _ = write.shutdown().await;
         }
-        let _ = timeout(CLOSE_TIMEOUT, self.lines.end()).await;
+        let _ = timeout(CLOSE_TIMEOUT, self.lines.wait_for_end()).await;
     }
 
     pub(super) fn reset(&mut self) {
@@ -68,7 +71,7 @@
         tokio::select! {
             biased;
             _ = faults.wait_for(|faults| !faults.is_frozen()) => true,
-            _ = self.lines.end() => false,
+            _ = self.lines.wait_for_end() => false,
         }
     }
 }
--- a/crates/testbed/src/host/server.rs
+++ b/crates/testbed/src/host/server.rs
@@ -105,7 +105,7 @@
     loop {
         let line = match connection.lines.next().await {
             Line::Text(line) => line,
-            Line::Bad => return reject_line(host, connection, "no text".into()).await,
+            Line::Invalid => return reject_line(host, connection, "no text".into()).await,
             Line::Fin | Line::Reset => return,
         };
         if line == "PING" || line == "STATS" {
--- a/crates/testbed/src/host/session.rs
+++ b/crates/testbed/src/host/session.rs
@@ -71,7 +71,7 @@
     // Behind a relay an end may come later than what was sent after it.
     let handle = match connection.relay {
         Some(_) => None,
-        None => connection.lines.handle(),
+        None => connection.lines.duplicate_handle(),
     };
     if let Some(relay) = connection.relay {
         host.connections.insert(relay, id, number);
@@ -95,7 +95,7 @@
 ) -> ControlFlow<()> {
     let now = *faults.borrow_and_update();
     if now.ignores_sessions {
-        connection.lines.end().await;
+        connection.lines.wait_for_end().await;
         return ControlFlow::Break(());
     }
     if now.resets_sessions {
@@ -140,7 +140,7 @@
 ) -> ControlFlow<()> {
     tokio::select! {
         _ = sleep_until(up_at) => {}
-        _ = connection.lines.end() => return ControlFlow::Break(()),
+        _ = connection.lines.wait_for_end() => return ControlFlow::Break(()),
     }
     if connection.wait_while_frozen(faults).await {
         ControlFlow::Continue(())
--- a/crates/testbed/src/host/state.rs
+++ b/crates/testbed/src/host/state.rs
@@ -126,7 +126,7 @@
     }
 
     /// Leaves it a share of its speed, or all of it.
-    pub fn starve(&self, speed_factor: Option<f64>) {
+    pub fn limit_speed(&self, speed_factor: Option<f64>) {
         self.model().speed_factor = speed_factor.unwrap_or(1.0);
     }
 
--- a/crates/testbed/src/judge/settings.rs
+++ b/crates/testbed/src/judge/settings.rs
@@ -1,7 +1,7 @@
 //! The figures that the rules rest on.
 
 use crate::plan::Plan;
-use crate::scenario::{LinkKind, RetrySafety, RetryScope, Scenario};
+use crate::scenario::{IdempotencyScope, LinkKind, RetrySafety, Scenario};
 use std::time::Duration;
 
 /// How far apart two peers of the testbed may record what happened at once, when the testbed itself is on time.
@@ -13,7 +13,7 @@
     /// Whether a session may run more than once.
     pub retry_safety: RetrySafety,
     /// Among which hosts an idempotency key is known.
-    pub retry_scope: RetryScope,
+    pub idempotency_scope: IdempotencyScope,
     /// For how long hosts remember an idempotency key.
     pub key_ttl: Duration,
 }
@@ -54,7 +54,7 @@
     pub(crate) fn new(scenario: &Scenario, plan: &Plan, testbed_late: Duration) -> JudgeSettings {
         let policy = |listener: &crate::scenario::Listener| ListenerPolicy {
             retry_safety: listener.retry_safety,
-            retry_scope: listener.retry_scope,
+            idempotency_scope: listener.idempotency_scope,
             key_ttl: listener.key_ttl,
         };
         let hosts = plan.hosts.iter().map(|host| HostLocation {
--- a/crates/testbed/src/line_reader.rs
+++ b/crates/testbed/src/line_reader.rs
@@ -24,7 +24,7 @@
     /// The connection was reset.
     Reset,
     /// A line that is too long, or no text.
-    Bad,
+    Invalid,
 }
 
 impl Line {
@@ -33,7 +33,7 @@
         match self {
             Line::Fin => Some(ConnectionEnd::Fin),
             Line::Reset => Some(ConnectionEnd::Reset),
-            Line::Text(_) | Line::Bad => None,
+            Line::Text(_) | Line::Invalid => None,
         }
     }
 }
@@ -73,7 +73,7 @@
     }
 
     /// Waits for the connection's end and keeps up to 64 KiB of lines for later.
-    pub async fn end(&mut self) -> Line {
+    pub async fn wait_for_end(&mut self) -> Line {
         loop {
             if let Some(end) = &self.ended {
                 return end.clone();
@@ -86,12 +86,12 @@
     }
 
     /// A second handle of the connection, by which its end is seen without reading it.
-    pub(crate) fn handle(&self) -> Option<OwnedFd> {
+    pub(crate) fn duplicate_handle(&self) -> Option<OwnedFd> {
         rustix::io::dup(self.half.as_ref()).ok()
     }
 
     /// Whether a line or the end is there already.
-    pub fn ready(&self) -> bool {
+    pub fn is_line_ready(&self) -> bool {
         self.ended.is_some() || self.bytes.contains(&b'\n')
     }
 
@@ -119,7 +119,7 @@
             }
             // What comes next of it is another bad line; kept, it would be found again at once, for ever.
             (self.bytes, self.searched) = (VecDeque::new(), 0);
-            return Some(Line::Bad);
+            return Some(Line::Invalid);
         };
         self.searched = 0;
         let line: Vec<u8> = self.bytes.drain(..=end).collect();
@@ -128,7 +128,7 @@
             .and_then(|line| std::str::from_utf8(line).ok());
         Some(match text {
             Some(text) if line.len() <= LONGEST_LINE => Line::Text(text.to_string()),
-            _ => Line::Bad,
+            _ => Line::Invalid,
         })
     }
 }
--- a/crates/testbed/src/link.rs
+++ b/crates/testbed/src/link.rs
@@ -11,7 +11,7 @@
 mod relay;
 mod relayed_dials;
 
-pub use address::is_linked;
+pub use address::is_relay_address;
 pub use faults::LinkFaults;
 pub use path::Link;
 pub use registry::Links;
--- a/crates/testbed/src/link/address.rs
+++ b/crates/testbed/src/link/address.rs
@@ -12,7 +12,7 @@
 const RUNS_APART: u8 = 250;
 
 /// Whether a connection came through a relay.
-pub fn is_linked(peer: SocketAddr) -> bool {
+pub fn is_relay_address(peer: SocketAddr) -> bool {
     matches!(peer.ip(), IpAddr::V4(ip) if ip.octets()[..2] == NETWORK)
 }
 
--- a/crates/testbed/src/metrics_calls.rs
+++ b/crates/testbed/src/metrics_calls.rs
@@ -90,7 +90,7 @@
 }
 
 /// Makes one call, whose request begins with `request_line`; nothing where no complete answer came.
-pub async fn call(address: SocketAddr, request_line: &str) -> Option<HttpResponse> {
+pub async fn send_request(address: SocketAddr, request_line: &str) -> Option<HttpResponse> {
     let answer = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream
@@ -113,7 +113,7 @@
             continue;
         };
         let since = Instant::now();
-        let answer = call(address, METRICS_REQUEST).await;
+        let answer = send_request(address, METRICS_REQUEST).await;
         // One that was replaced meanwhile may be gone; so may one that is being killed.
         if answer.is_none() && shared.get() != Some(address) {
             continue;
--- a/crates/testbed/src/misbehaving_clients.rs
+++ b/crates/testbed/src/misbehaving_clients.rs
@@ -166,7 +166,7 @@
             Reply::RejectedOrClosed
         }
         Line::Fin | Line::Reset => Reply::RejectedOrClosed,
-        Line::Text(_) | Line::Bad => Reply::Other,
+        Line::Text(_) | Line::Invalid => Reply::Other,
     }
 }
 
--- a/crates/testbed/src/plain_proxy/attempts.rs
+++ b/crates/testbed/src/plain_proxy/attempts.rs
@@ -18,7 +18,7 @@
 const EXCESS_DIALS: u64 = 3;
 
 /// What became of all attempts of a session.
-pub(super) enum Placement {
+pub(super) enum PlacementOutcome {
     /// A host has accepted it.
     Up {
         uid: String,
@@ -32,7 +32,7 @@
 }
 
 /// What became of an attempt.
-pub(super) enum Attempt {
+pub(super) enum DialOutcome {
     /// The host has accepted the session with this line.
     Up(String, LineConnection),
     /// The session has not run.
@@ -46,7 +46,7 @@
     state: &ProxyState,
     request: &SessionRequest<'_>,
     client: &mut LineConnection,
-) -> Placement {
+) -> PlacementOutcome {
     let many_dials = state.injects(InjectedFault::ManyDials);
     let excess = if many_dials { EXCESS_DIALS } else { 0 };
     let max_dials = state.configuration.max_dials + excess;
@@ -60,18 +60,18 @@
         let waits = attempt_timeout(state, request.deadline, number == max_dials);
         let attempt = tokio::select! {
             attempt = dial(state, request, &target, waits) => attempt,
-            _ = client.lines.end() => return Placement::ClientLeft,
+            _ = client.lines.wait_for_end() => return PlacementOutcome::ClientLeft,
         };
         match attempt {
-            Attempt::Up(first_line, host) => {
-                return Placement::Up {
+            DialOutcome::Up(first_line, host) => {
+                return PlacementOutcome::Up {
                     uid: target.uid,
                     first_line,
                     host,
                 };
             }
-            Attempt::NotRun => {}
-            Attempt::MayHaveRun(connection) => {
+            DialOutcome::NotRun => {}
+            DialOutcome::MayHaveRun(connection) => {
                 may_have_run = true;
                 if state.injects(InjectedFault::DoubleDial) {
                     kept.extend(connection);
@@ -88,7 +88,7 @@
             break;
         }
     }
-    Placement::Failed { may_have_run }
+    PlacementOutcome::Failed { may_have_run }
 }
 
 fn may_run_again(state: &ProxyState, request: &SessionRequest<'_>) -> bool {
@@ -123,23 +123,23 @@
     request: &SessionRequest<'_>,
     target: &Target,
     waits: Duration,
-) -> Attempt {
+) -> DialOutcome {
     let connect_timeout = state.configuration.connect_timeout.min(waits);
     let connecting = timeout(connect_timeout, TcpStream::connect(target.address));
     let Ok(Ok(stream)) = connecting.await else {
-        return Attempt::NotRun;
+        return DialOutcome::NotRun;
     };
     let mut host = LineConnection::new(stream);
     let client_wait = format!(",d={}", request.wait_ms);
     let attempt_wait = format!(",d={}", waits.as_millis());
     let line = request.line.replace(&client_wait, &attempt_wait);
     if host.send(&line).await.is_err() {
-        return Attempt::MayHaveRun(None);
+        return DialOutcome::MayHaveRun(None);
     }
     match timeout(waits, host.lines.next()).await {
-        Ok(Line::Text(line)) if line.starts_with("UP ") => Attempt::Up(line, host),
-        Ok(Line::Text(line)) if line.starts_with("BUSY") => Attempt::NotRun,
-        Ok(_) => Attempt::MayHaveRun(None),
-        Err(_) => Attempt::MayHaveRun(Some(host)),
+        Ok(Line::Text(line)) if line.starts_with("UP ") => DialOutcome::Up(line, host),
+        Ok(Line::Text(line)) if line.starts_with("BUSY") => DialOutcome::NotRun,
+        Ok(_) => DialOutcome::MayHaveRun(None),
+        Err(_) => DialOutcome::MayHaveRun(Some(host)),
     }
 }
--- a/crates/testbed/src/plain_proxy/session.rs
+++ b/crates/testbed/src/plain_proxy/session.rs
@@ -1,6 +1,6 @@
 //! A client's connection: health checks, and a session from its `OPEN` line to its end.
 
-use super::attempts::{Placement, dial, place};
+use super::attempts::{PlacementOutcome, dial, place};
 use super::connection::LineConnection;
 use super::forwarding::forward;
 use super::options::InjectedFault;
@@ -66,7 +66,7 @@
 async fn serve_session(state: &ProxyState, line: &str, client: &mut LineConnection) {
     let request = read_request(state, line);
     // A client waits for its answer, so more than one line is none of its.
-    let Some(request) = request.filter(|_| !client.lines.ready()) else {
+    let Some(request) = request.filter(|_| !client.lines.is_line_ready()) else {
         return client.close_with(ERROR).await;
     };
     if state.injects(InjectedFault::RefuseWorth)
@@ -76,7 +76,7 @@
         return client.close_with(REJECTED).await;
     }
     match place(state, &request, client).await {
-        Placement::Up {
+        PlacementOutcome::Up {
             uid,
             first_line,
             host,
@@ -86,8 +86,10 @@
             forward(state, client, host).await;
             state.endpoints.session_closed(&uid);
         }
-        Placement::ClientLeft => {}
-        Placement::Failed { may_have_run } => answer(state, &request, may_have_run, client).await,
+        PlacementOutcome::ClientLeft => {}
+        PlacementOutcome::Failed { may_have_run } => {
+            answer(state, &request, may_have_run, client).await
+        }
     }
 }
 
--- a/crates/testbed/src/plan/clients.rs
+++ b/crates/testbed/src/plan/clients.rs
@@ -98,7 +98,7 @@
         let group = grouped.then(|| 1 + u64::from(self.random.random_range(0..traffic.groups)));
         let kind = &scenario.listeners[usize::from(listener)];
         let impatient = self.random.random::<f64>() < traffic.impatient_share
-            && kind.retry_safety != RetrySafety::OnceOnly;
+            && kind.retry_safety != RetrySafety::NotIdempotent;
         PlannedClient {
             at: Duration::from_secs_f64(at),
             session_length: life,
--- a/crates/testbed/src/plots.rs
+++ b/crates/testbed/src/plots.rs
@@ -37,13 +37,13 @@
     /// Its heading.
     pub(crate) title: &'a str,
     /// What the x axis shows.
-    pub(crate) x: &'a str,
+    pub(crate) x_label: &'a str,
     /// What the y axis shows.
-    pub(crate) y: &'a str,
+    pub(crate) y_label: &'a str,
     /// The lines.
     pub(crate) lines: Vec<ChartLine>,
     /// Positions on the x axis that get a vertical line.
-    pub(crate) marks: Vec<f64>,
+    pub(crate) vertical_marks: Vec<f64>,
 }
 
 type SvgChart<'p> = ChartContext<'p, SVGBackend<'p>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
@@ -61,8 +61,8 @@
             .build_cartesian_2d(0.0..self.right(), 0.0..self.top())?;
         chart
             .configure_mesh()
-            .x_desc(self.x)
-            .y_desc(self.y)
+            .x_desc(self.x_label)
+            .y_desc(self.y_label)
             .light_line_style(WHITE)
             .draw()?;
         self.draw_marks(&mut chart)?;
@@ -88,7 +88,7 @@
 
     fn draw_marks(&self, chart: &mut SvgChart<'_>) -> Result<(), ChartError> {
         let top = self.top();
-        for mark in &self.marks {
+        for mark in &self.vertical_marks {
             let line = [(*mark, 0.0), (*mark, top)];
             chart.draw_series(LineSeries::new(line, MARK_COLOUR))?;
         }
--- a/crates/testbed/src/proxy_process/command.rs
+++ b/crates/testbed/src/proxy_process/command.rs
@@ -30,5 +30,5 @@
     /// Take the drain back, by the admin socket.
     Undrain,
     /// Spoil the snapshots that it keeps on disk.
-    SpoilSnapshots,
+    CorruptSnapshots,
 }
--- a/crates/testbed/src/proxy_process/command_loop.rs
+++ b/crates/testbed/src/proxy_process/command_loop.rs
@@ -110,7 +110,7 @@
             ProxyCommand::HotRestart { killed_after } => self.hot_restart(killed_after).await?,
             ProxyCommand::Drain { deadline } => self.drain(deadline).await,
             ProxyCommand::Undrain => self.undrain().await,
-            ProxyCommand::SpoilSnapshots => self.corrupt_snapshots(),
+            ProxyCommand::CorruptSnapshots => self.corrupt_snapshots(),
         }
         Ok(())
     }
--- a/crates/testbed/src/proxy_process/configuration.rs
+++ b/crates/testbed/src/proxy_process/configuration.rs
@@ -1,6 +1,6 @@
 //! The configuration of a proxy, as the platform that a scenario stands for nests it. Times are in microseconds.
 
-use crate::scenario::{Listener, RetrySafety, RetryScope, Scenario};
+use crate::scenario::{IdempotencyScope, Listener, RetrySafety, Scenario};
 use serde::Serialize;
 use serde_json::Value;
 use std::io;
@@ -175,14 +175,14 @@
     ListenerSettings {
         name: &listener.name,
         semantics: match listener.retry_safety {
-            RetrySafety::Repeatable => "read_like",
-            RetrySafety::Referenced => "idempotency_key",
-            RetrySafety::OnceOnly => "non_idempotent",
+            RetrySafety::Idempotent => "read_like",
+            RetrySafety::IdempotencyKey => "idempotency_key",
+            RetrySafety::NotIdempotent => "non_idempotent",
         },
-        group: match listener.retry_scope {
-            RetryScope::All => "all",
-            RetryScope::Zone => "zone",
-            RetryScope::Cell => "cell",
+        group: match listener.idempotency_scope {
+            IdempotencyScope::All => "all",
+            IdempotencyScope::Zone => "zone",
+            IdempotencyScope::Cell => "cell",
         },
         key_ttl: microseconds(listener.key_ttl),
         handshake_target: microseconds(listener.set_up_target),
--- a/crates/testbed/src/proxy_process/hot_restart.rs
+++ b/crates/testbed/src/proxy_process/hot_restart.rs
@@ -72,7 +72,7 @@
 async fn ready_after(operator_address: SocketAddr) -> Option<Duration> {
     let since = Instant::now();
     while since.elapsed() < READY_TIMEOUT {
-        let response = metrics_calls::call(operator_address, READINESS_REQUEST).await;
+        let response = metrics_calls::send_request(operator_address, READINESS_REQUEST).await;
         let is_ready = response.is_some_and(|response| response.status == HTTP_OK);
         let elapsed = since.elapsed();
         sleep(READY_POLL_INTERVAL).await;
--- a/crates/testbed/src/proxy_process/proxy.rs
+++ b/crates/testbed/src/proxy_process/proxy.rs
@@ -113,7 +113,7 @@
         let address = starting.operator_address;
         let response = timeout(
             LOOK_TIMEOUT,
-            metrics_calls::call(address, READINESS_REQUEST),
+            metrics_calls::send_request(address, READINESS_REQUEST),
         );
         let listens = matches!(response.await, Ok(Some(_)));
         if listens || Instant::now() >= starting.deadline {
--- a/crates/testbed/src/report/charts.rs
+++ b/crates/testbed/src/report/charts.rs
@@ -41,10 +41,10 @@
     {
         let chart = Chart {
             title,
-            x: SECONDS_AXIS,
-            y,
+            x_label: SECONDS_AXIS,
+            y_label: y,
             lines,
-            marks: marks.clone(),
+            vertical_marks: marks.clone(),
         };
         chart.draw(&folder.join(file))?;
     }
--- a/crates/testbed/src/run/faults/hosts.rs
+++ b/crates/testbed/src/run/faults/hosts.rs
@@ -25,9 +25,9 @@
     let fault = &testbed.context.plan.faults[fault];
     let until = fault.until.unwrap_or(testbed.context.scenario.length);
     while testbed.context.now() < until {
-        host.starve(Some(fault.magnitude));
+        host.limit_speed(Some(fault.magnitude));
         sleep(fault.span / 2).await;
-        host.starve(None);
+        host.limit_speed(None);
         sleep(fault.span / 2).await;
     }
 }
--- a/crates/testbed/src/run/faults/proxies.rs
+++ b/crates/testbed/src/run/faults/proxies.rs
@@ -35,7 +35,7 @@
             deadline: fault.span,
         },
         (FaultKind::ProxyDrains, false) => ProxyCommand::Undrain,
-        (FaultKind::DiskSpoilt, true) => ProxyCommand::SpoilSnapshots,
+        (FaultKind::DiskSpoilt, true) => ProxyCommand::CorruptSnapshots,
         (
             FaultKind::DiskSpoilt
             | FaultKind::ProxyReloads
--- a/crates/testbed/src/run/mod.rs
+++ b/crates/testbed/src/run/mod.rs
@@ -20,7 +20,7 @@
 mod zones;
 
 pub use error::RunError;
-pub use files::{own_folder, own_proxy};
+pub use files::{find_proxy_program, unique_output_folder};
 pub use options::RunOptions;
 pub use outcome::RunOutcome;
 pub use roll::RollError;
--- a/crates/testbed/src/run/without_files.rs
+++ b/crates/testbed/src/run/without_files.rs
@@ -1,6 +1,6 @@
 //! A run of which only the outcome is wanted.
 
-use super::{RunError, RunOptions, RunOutcome, own_folder, run};
+use super::{RunError, RunOptions, RunOutcome, run, unique_output_folder};
 use crate::proxy_process::Program;
 use crate::scenario::Scenario;
 
@@ -19,7 +19,7 @@
         seed,
         chaos,
         program: program.clone(),
-        folder: own_folder(),
+        folder: unique_output_folder(),
         progress: false,
     };
     let outcome = run(scenario, &options).await;
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -40,12 +40,14 @@
         report.proxies.iter().map(of).sum::<f64>() / report.proxies.len().max(1) as f64
     };
     let tally = &report.tally;
-    let new_sessions = tally.sessions.saturating_sub(u64::from(size.standing));
+    let new_sessions = tally
+        .sessions
+        .saturating_sub(u64::from(size.idle_connections));
     ScalePoint {
         series: size.series,
         hosts: size.hosts,
         proxies: size.proxies,
-        standing: size.standing,
+        standing: size.idle_connections,
         set_ups: new_sessions as f64 / f64::from(seconds),
         lines: report.message_ms.count as f64 / f64::from(seconds),
         answer_p50_ms: report.answer_ms.p50,
--- a/crates/testbed/src/scale/results.rs
+++ b/crates/testbed/src/scale/results.rs
@@ -79,10 +79,10 @@
     };
     Chart {
         title: "one proxy: processor by set-ups",
-        x: "set-ups a second",
-        y: "share of a core",
+        x_label: "set-ups a second",
+        y_label: "share of a core",
         lines: HOST_COUNTS.map(line).to_vec(),
-        marks: Vec::new(),
+        vertical_marks: Vec::new(),
     }
 }
 
@@ -97,9 +97,9 @@
     };
     Chart {
         title: "one proxy: processor by connections",
-        x: "standing connections",
-        y: "share of a core",
+        x_label: "standing connections",
+        y_label: "share of a core",
         lines: [IDLE, LINES].map(line).to_vec(),
-        marks: Vec::new(),
+        vertical_marks: Vec::new(),
     }
 }
--- a/crates/testbed/src/scale/sizes.rs
+++ b/crates/testbed/src/scale/sizes.rs
@@ -32,26 +32,26 @@
     /// Number of proxies.
     pub proxies: u32,
     /// Connections that stand before the run begins.
-    pub standing: u32,
+    pub idle_connections: u32,
     /// New sessions a second.
-    pub rate: f64,
+    pub set_ups_per_second: f64,
     /// How often each connection sends a line, in milliseconds.
     pub message_every_ms: u64,
     /// Whether proxies may send health checks.
     pub probes: bool,
     /// Operators at each proxy's admin socket.
-    pub watchers: u32,
+    pub status_pollers: u32,
 }
 
 const BASE: ScaleSize = ScaleSize {
     series: "",
     hosts: 10,
     proxies: 1,
-    standing: 0,
-    rate: 0.0,
+    idle_connections: 0,
+    set_ups_per_second: 0.0,
     message_every_ms: IDLE_MESSAGE_MS,
     probes: true,
-    watchers: 0,
+    status_pollers: 0,
 };
 
 /// The sizes of the standing table; `quick` takes a few.
@@ -74,7 +74,7 @@
         rates.iter().map(move |rate| ScaleSize {
             series: SET_UPS,
             hosts,
-            rate: *rate,
+            set_ups_per_second: *rate,
             ..BASE
         })
     };
@@ -91,7 +91,7 @@
     let of_series = |(series, message_every_ms): (&'static str, u64)| {
         counts.iter().map(move |standing| ScaleSize {
             series,
-            standing: *standing,
+            idle_connections: *standing,
             message_every_ms,
             ..BASE
         })
@@ -108,8 +108,8 @@
         .into_iter()
         .map(|watchers| ScaleSize {
             series: if watchers > 0 { WATCHED } else { UNWATCHED },
-            rate: 400.0,
-            watchers,
+            set_ups_per_second: 400.0,
+            status_pollers: watchers,
             ..BASE
         })
         .collect()
@@ -122,8 +122,8 @@
             series: FLEET,
             hosts,
             proxies,
-            standing: 2_000,
-            rate: 50.0,
+            idle_connections: 2_000,
+            set_ups_per_second: 50.0,
             message_every_ms: 2_000,
             ..BASE
         })
@@ -133,21 +133,21 @@
 
 /// A scenario with hosts so fast that they add next to nothing of their own.
 pub(super) fn scenario_text(size: &ScaleSize, seconds: u32) -> String {
-    let sockets = (f64::from(size.standing) * 2.2 / f64::from(size.proxies)) as u32 + 2_048;
+    let sockets = (f64::from(size.idle_connections) * 2.2 / f64::from(size.proxies)) as u32 + 2_048;
     let memory = 256 + sockets / 16;
     // Those that were connected before stay to the end; new ones pass by.
-    let lasts_ms = if size.standing > 0 {
+    let lasts_ms = if size.idle_connections > 0 {
         u64::from(seconds) * 1000
     } else {
         SHORT_SESSION_MS
     };
     let ScaleSize {
         hosts,
-        rate,
+        set_ups_per_second: rate,
         message_every_ms,
-        standing,
+        idle_connections: standing,
         proxies,
-        watchers,
+        status_pollers: watchers,
         probes,
         ..
     } = size;
--- a/crates/testbed/src/scenario/clients.rs
+++ b/crates/testbed/src/scenario/clients.rs
@@ -9,17 +9,20 @@
 #[serde(expecting = "enum Kind", rename_all = "kebab-case")]
 pub enum RetrySafety {
     /// It is idempotent and may run again.
-    Repeatable,
-    /// It has an idempotency key, by which hosts within its [`RetryScope`] discard repeats.
-    Referenced,
+    #[serde(rename = "repeatable")]
+    Idempotent,
+    /// It has an idempotency key, by which hosts within its [`IdempotencyScope`] discard repeats.
+    #[serde(rename = "referenced")]
+    IdempotencyKey,
     /// It must not run twice.
-    OnceOnly,
+    #[serde(rename = "once-only")]
+    NotIdempotent,
 }
 
 /// Which hosts discard repeats with the same idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(expecting = "enum Circle", rename_all = "kebab-case")]
-pub enum RetryScope {
+pub enum IdempotencyScope {
     /// All of them.
     All,
     /// Those of the zone.
@@ -39,7 +42,7 @@
     pub retry_safety: RetrySafety,
     /// Where its idempotency keys count.
     #[serde(default = "default_scope", rename = "circle")]
-    pub retry_scope: RetryScope,
+    pub idempotency_scope: IdempotencyScope,
     /// How long a host keeps an idempotency key.
     #[serde(default = "default_key_ttl", deserialize_with = "time_span")]
     pub key_ttl: Duration,
@@ -154,8 +157,8 @@
     }
 }
 
-fn default_scope() -> RetryScope {
-    RetryScope::All
+fn default_scope() -> IdempotencyScope {
+    IdempotencyScope::All
 }
 
 fn default_key_ttl() -> Duration {
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -16,7 +16,7 @@
 mod value_checks;
 
 pub use clients::{
-    Listener, RatePoint, Retries, RetrySafety, RetryScope, SessionLength, Tenant, Traffic,
+    IdempotencyScope, Listener, RatePoint, Retries, RetrySafety, SessionLength, Tenant, Traffic,
 };
 pub use definition::Scenario;
 pub use error::{ScenarioError, ScenarioFileError};
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -4,7 +4,9 @@
 use asterramp_testbed::event_log::{Event, HostReply};
 use asterramp_testbed::plain_proxy::{self, InjectedFault, Policy};
 use asterramp_testbed::proxy_process::Program;
-use asterramp_testbed::run::{RunOptions, RunOutcome, own_folder, own_proxy, run};
+use asterramp_testbed::run::{
+    RunOptions, RunOutcome, find_proxy_program, run, unique_output_folder,
+};
 use asterramp_testbed::scenario::Scenario;
 use std::path::Path;
 use std::time::Duration;
@@ -86,8 +88,8 @@
 /// This repository's proxy, built by the same call of cargo for the whole workspace.
 pub(crate) fn real_proxy() -> Program {
     let this_program = std::env::current_exe().unwrap();
-    let path =
-        own_proxy(&this_program).expect("no asterramp beside the tests: build the workspace");
+    let path = find_proxy_program(&this_program)
+        .expect("no asterramp beside the tests: build the workspace");
     Program {
         path,
         args: Vec::new(),
@@ -118,7 +120,7 @@
         seed,
         chaos,
         program,
-        folder: own_folder(),
+        folder: unique_output_folder(),
         progress: false,
     };
     let outcome = runtime().block_on(run(scenario, &options)).unwrap();
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -4,7 +4,7 @@
     ClientAnswer, ConnectionEnd, Event, HostReply, HostState, LoggedEvent,
 };
 use asterramp_testbed::judge::{HostLocation, JudgeSettings, ListenerPolicy, Rule, Verdict, judge};
-use asterramp_testbed::scenario::{RetrySafety, RetryScope};
+use asterramp_testbed::scenario::{IdempotencyScope, RetrySafety};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -38,18 +38,18 @@
 }
 
 fn settings() -> JudgeSettings {
-    let policy = |retry_safety, retry_scope, key_ttl| ListenerPolicy {
+    let policy = |retry_safety, idempotency_scope, key_ttl| ListenerPolicy {
         retry_safety,
-        retry_scope,
+        idempotency_scope,
         key_ttl,
     };
     let location = |zone, cell| HostLocation { zone, cell };
     JudgeSettings {
         listeners: vec![
-            policy(RetrySafety::Repeatable, RetryScope::All, ms(0)),
-            policy(RetrySafety::OnceOnly, RetryScope::All, ms(0)),
-            policy(RetrySafety::Referenced, RetryScope::Zone, ms(600)),
-            policy(RetrySafety::Referenced, RetryScope::All, ms(600)),
+            policy(RetrySafety::Idempotent, IdempotencyScope::All, ms(0)),
+            policy(RetrySafety::NotIdempotent, IdempotencyScope::All, ms(0)),
+            policy(RetrySafety::IdempotencyKey, IdempotencyScope::Zone, ms(600)),
+            policy(RetrySafety::IdempotencyKey, IdempotencyScope::All, ms(600)),
         ],
         hosts: vec![location(0, 0), location(1, 0), location(0, 1)],
         drain_grace: ms(1_000),
