--- a/crates/testbed/src/commands/scale.rs
+++ b/crates/testbed/src/commands/scale.rs
@@ -1,7 +1,7 @@
 //! The command `scale`: how one proxy and many bear size.
 
 use super::error::CommandError;
-use super::outcome::Outcome;
+use super::outcome::CommandOutcome;
 use super::program;
 use asterramp_testbed::scale;
 use clap::Args;
@@ -26,8 +26,8 @@
 }
 
 /// Plays the sizes one after the other and prints the table.
-pub(super) async fn scale(args: &ScaleArgs) -> Result<Outcome, CommandError> {
-    let program = program::of_path(args.proxy.as_deref())?;
+pub(super) async fn scale(args: &ScaleArgs) -> Result<CommandOutcome, CommandError> {
+    let program = program::program_at_path(args.proxy.as_deref())?;
     let mut points = Vec::new();
     for size in scale::sizes(args.quick) {
         let is_wanted = args
@@ -46,7 +46,7 @@
     if let Some(folder) = &args.report {
         scale::plots(&points, folder)?;
     }
-    Ok(Outcome::of_rules(
+    Ok(CommandOutcome::of_rules(
         points.iter().all(|point| point.rules_held),
     ))
 }
--- a/crates/testbed/src/plain_proxy/session.rs
+++ b/crates/testbed/src/plain_proxy/session.rs
@@ -1,6 +1,6 @@
 //! A client's connection: health checks, and a session from its `OPEN` line to its end.
 
-use super::attempts::{Placement, dial, place};
+use super::attempts::{PlacementOutcome, dial, place};
 use super::connection::LineConnection;
 use super::forwarding::forward;
 use super::options::InjectedFault;
@@ -36,8 +36,8 @@
     loop {
         match timeout(FIRST_LINE_TIMEOUT, client.lines.next()).await {
             Ok(Line::Text(line)) if line == "PING" => {
-                let is_leaving = state.is_leaving.load(Ordering::Relaxed);
-                if is_leaving || client.send("PONG").await.is_err() {
+                let is_shutting_down = state.is_shutting_down.load(Ordering::Relaxed);
+                if is_shutting_down || client.send("PONG").await.is_err() {
                     return;
                 }
             }
@@ -66,17 +66,17 @@
 async fn serve_session(state: &ProxyState, line: &str, client: &mut LineConnection) {
     let request = read_request(state, line);
     // A client waits for its answer, so more than one line is none of its.
-    let Some(request) = request.filter(|_| !client.lines.ready()) else {
+    let Some(request) = request.filter(|_| !client.lines.is_line_ready()) else {
         return client.close_with(ERROR).await;
     };
     if state.injects(InjectedFault::RefuseWorth)
-        && request.listener.utility >= state.configuration.greatest_utility()
-        && state.next_turn().is_multiple_of(2)
+        && request.listener.priority_weight >= state.configuration.highest_priority_weight()
+        && state.next_choice_number().is_multiple_of(2)
     {
         return client.close_with(REJECTED).await;
     }
     match place(state, &request, client).await {
-        Placement::Up {
+        PlacementOutcome::Up {
             uid,
             first_line,
             host,
@@ -86,8 +86,10 @@
             forward(state, client, host).await;
             state.endpoints.session_closed(&uid);
         }
-        Placement::ClientLeft => {}
-        Placement::Failed { may_have_run } => answer(state, &request, may_have_run, client).await,
+        PlacementOutcome::ClientLeft => {}
+        PlacementOutcome::Failed { may_have_run } => {
+            answer(state, &request, may_have_run, client).await
+        }
     }
 }
 
--- a/crates/testbed/src/run/faults/proxies.rs
+++ b/crates/testbed/src/run/faults/proxies.rs
@@ -14,7 +14,7 @@
     let Some(command) = command(fault, begins) else {
         return;
     };
-    for proxy in &fault.on {
+    for proxy in &fault.targets {
         let _ = commands[usize::from(*proxy)].send(command).await;
     }
 }
@@ -35,7 +35,7 @@
             deadline: fault.span,
         },
         (FaultKind::ProxyDrains, false) => ProxyCommand::Undrain,
-        (FaultKind::DiskSpoilt, true) => ProxyCommand::SpoilSnapshots,
+        (FaultKind::DiskSpoilt, true) => ProxyCommand::CorruptSnapshots,
         (
             FaultKind::DiskSpoilt
             | FaultKind::ProxyReloads
--- a/crates/testbed/src/scale.rs
+++ b/crates/testbed/src/scale.rs
@@ -31,7 +31,7 @@
 ) -> Result<ScalePoint, RunError> {
     let scenario = Scenario::read(&sizes::scenario_text(size, seconds))?;
     let ran = run_without_files(scenario, program, SEED, None).await?;
-    let report = Report::of(&ran, &program.name, SEED, None);
+    let report = Report::from_run(&ran, &program.name, SEED, None);
     Ok(measured(size, seconds, &report))
 }
 
@@ -40,12 +40,14 @@
         report.proxies.iter().map(of).sum::<f64>() / report.proxies.len().max(1) as f64
     };
     let tally = &report.tally;
-    let new_sessions = tally.sessions.saturating_sub(u64::from(size.standing));
+    let new_sessions = tally
+        .sessions
+        .saturating_sub(u64::from(size.idle_connections));
     ScalePoint {
         series: size.series,
         hosts: size.hosts,
         proxies: size.proxies,
-        standing: size.standing,
+        standing: size.idle_connections,
         set_ups: new_sessions as f64 / f64::from(seconds),
         lines: report.message_ms.count as f64 / f64::from(seconds),
         answer_p50_ms: report.answer_ms.p50,
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -4,7 +4,7 @@
     ClientAnswer, ConnectionEnd, Event, HostReply, HostState, LoggedEvent,
 };
 use asterramp_testbed::judge::{HostLocation, JudgeSettings, ListenerPolicy, Rule, Verdict, judge};
-use asterramp_testbed::scenario::{RetrySafety, RetryScope};
+use asterramp_testbed::scenario::{IdempotencyScope, RetrySafety};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -38,18 +38,18 @@
 }
 
 fn settings() -> JudgeSettings {
-    let policy = |retry_safety, retry_scope, key_ttl| ListenerPolicy {
+    let policy = |retry_safety, idempotency_scope, key_ttl| ListenerPolicy {
         retry_safety,
-        retry_scope,
+        idempotency_scope,
         key_ttl,
     };
     let location = |zone, cell| HostLocation { zone, cell };
     JudgeSettings {
         listeners: vec![
-            policy(RetrySafety::Repeatable, RetryScope::All, ms(0)),
-            policy(RetrySafety::OnceOnly, RetryScope::All, ms(0)),
-            policy(RetrySafety::Referenced, RetryScope::Zone, ms(600)),
-            policy(RetrySafety::Referenced, RetryScope::All, ms(600)),
+            policy(RetrySafety::Idempotent, IdempotencyScope::All, ms(0)),
+            policy(RetrySafety::NotIdempotent, IdempotencyScope::All, ms(0)),
+            policy(RetrySafety::IdempotencyKey, IdempotencyScope::Zone, ms(600)),
+            policy(RetrySafety::IdempotencyKey, IdempotencyScope::All, ms(600)),
         ],
         hosts: vec![location(0, 0), location(1, 0), location(0, 1)],
         drain_grace: ms(1_000),
@@ -140,15 +140,15 @@
 #[test_case(None, 3_000, 10, Some((40, 40)), None; "true")]
 #[test_case(None, 3_000, 10, Some((37, 44)), None; "within the bounds")]
 #[test_case(None, 1_700, 10, Some((12, 12)), None; "half a second old")]
-#[test_case(None, 3_000, 10, Some((36, 40)), Some(Rule::FiguresTrue); "too few")]
-#[test_case(None, 3_000, 10, Some((44, 40)), Some(Rule::FiguresTrue); "too many")]
-#[test_case(None, 3_000, 10, Some((40, 35)), Some(Rule::FiguresTrue); "fewer in flight")]
-#[test_case(None, 3_000, 10, Some((40, 45)), Some(Rule::FiguresTrue); "more in flight")]
-#[test_case(None, 3_000, 1_200, Some((40, 40)), Some(Rule::OperatorsAnswered); "late")]
-#[test_case(None, 3_000, 10, None, Some(Rule::OperatorsAnswered); "no figures")]
+#[test_case(None, 3_000, 10, Some((36, 40)), Some(Rule::MetricsAccurate); "too few")]
+#[test_case(None, 3_000, 10, Some((44, 40)), Some(Rule::MetricsAccurate); "too many")]
+#[test_case(None, 3_000, 10, Some((40, 35)), Some(Rule::MetricsAccurate); "fewer in flight")]
+#[test_case(None, 3_000, 10, Some((40, 45)), Some(Rule::MetricsAccurate); "more in flight")]
+#[test_case(None, 3_000, 1_200, Some((40, 40)), Some(Rule::OperatorsAnsweredInTime); "late")]
+#[test_case(None, 3_000, 10, None, Some(Rule::OperatorsAnsweredInTime); "no figures")]
 #[test_case(Some(2_000), 3_000, 10, Some((0, 40)), None; "another process counts from nothing")]
-#[test_case(Some(2_000), 3_000, 10, Some((0, 20)), Some(Rule::FiguresTrue); "another process lost some")]
-#[test_case(Some(2_000), 3_000, 10, Some((40, 40)), Some(Rule::FiguresTrue); "another process counts what the first did")]
+#[test_case(Some(2_000), 3_000, 10, Some((0, 20)), Some(Rule::MetricsAccurate); "another process lost some")]
+#[test_case(Some(2_000), 3_000, 10, Some((40, 40)), Some(Rule::MetricsAccurate); "another process counts what the first did")]
 #[test_case(Some(2_000), 1_990, 10, Some((40, 11)), None; "some are handed over already")]
 fn metrics_are_checked_against_what_peers_saw(
     serves_alone_at: Option<u64>,
@@ -198,23 +198,23 @@
 #[test_case(0, vec![(300, answered(BUSY)), (310, answered(ClientAnswer::Failed))], Some(Rule::NoSessionLost); "two answers")]
 #[test_case(0, vec![(300, answered(BUSY)), (400, dialled(1, 0))], Some(Rule::NoSessionLost); "a dial after the answer")]
 #[test_case(0, vec![(200, dialled(1, 0)), (240, dial_over(1)), (250, dialled(2, 1)), (300, dial_over(2)), (310, answered(BUSY))], None; "one dial after the other")]
-#[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (400, dial_over(1)), (500, dial_over(2)), (510, answered(BUSY))], Some(Rule::NeverTwoDials); "two dials at once")]
+#[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (400, dial_over(1)), (500, dial_over(2)), (510, answered(BUSY))], Some(Rule::NoConcurrentDials); "two dials at once")]
 #[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (302, dial_over(1)), (303, replied(2, HostReply::Up)), (304, answered(ClientAnswer::Up))], None; "two for less than peers note apart may be one after the other")]
-#[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (300, still_out(2, 1)), (302, dial_over(1)), (303, replied(2, HostReply::Up)), (304, answered(ClientAnswer::Up))], Some(Rule::NeverTwoDials); "two for that long and seen to be")]
+#[test_case(0, vec![(200, dialled(1, 0)), (300, dialled(2, 1)), (300, still_out(2, 1)), (302, dial_over(1)), (303, replied(2, HostReply::Up)), (304, answered(ClientAnswer::Up))], Some(Rule::NoConcurrentDials); "two for that long and seen to be")]
 #[test_case(0, vec![(200, dialled(1, 0)), (220, replied(1, HostReply::Busy)), (230, dialled(2, 1)), (400, dial_over(1)), (410, answered(BUSY))], None; "the first was turned away")]
 #[test_case(0, vec![(110, dialled(1, 0)), (120, dial_over(1)), (130, dialled(2, 1)), (140, dial_over(2)), (150, dialled(3, 2)), (160, dial_over(3)), (170, answered(BUSY))], Some(Rule::NoSessionLost); "three dials of two")]
-#[test_case(1, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, dialled(2, 1)), (400, dial_over(2)), (410, answered(ClientAnswer::Failed))], Some(Rule::NoEffectTwice); "once-only sent again")]
+#[test_case(1, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, dialled(2, 1)), (400, dial_over(2)), (410, answered(ClientAnswer::Failed))], Some(Rule::NoDuplicateEffect); "once-only sent again")]
 #[test_case(1, vec![(200, dialled(1, 0)), (300, replied(1, HostReply::Busy)), (310, dialled(2, 1)), (400, dial_over(2)), (410, answered(ClientAnswer::Failed))], None; "once-only that had not run")]
-#[test_case(1, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, answered(BUSY))], Some(Rule::NoEffectTwice); "once-only refused though it may have run")]
-#[test_case(2, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, dialled(2, 1)), (400, dial_over(2)), (410, answered(ClientAnswer::Failed))], Some(Rule::NoEffectTwice); "referenced in another zone")]
+#[test_case(1, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, answered(BUSY))], Some(Rule::NoDuplicateEffect); "once-only refused though it may have run")]
+#[test_case(2, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, dialled(2, 1)), (400, dial_over(2)), (410, answered(ClientAnswer::Failed))], Some(Rule::NoDuplicateEffect); "referenced in another zone")]
 #[test_case(2, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, dialled(2, 2)), (400, dial_over(2)), (410, answered(ClientAnswer::Failed))], None; "referenced in its zone")]
-#[test_case(2, vec![(200, dialled(1, 0)), (300, dial_over(1)), (900, dialled(2, 2)), (950, dial_over(2)), (960, answered(ClientAnswer::Failed))], Some(Rule::NoEffectTwice); "referenced after its memory")]
-#[test_case(2, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, answered(BUSY))], Some(Rule::NoEffectTwice); "referenced in a zone and refused")]
+#[test_case(2, vec![(200, dialled(1, 0)), (300, dial_over(1)), (900, dialled(2, 2)), (950, dial_over(2)), (960, answered(ClientAnswer::Failed))], Some(Rule::NoDuplicateEffect); "referenced after its memory")]
+#[test_case(2, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, answered(BUSY))], Some(Rule::NoDuplicateEffect); "referenced in a zone and refused")]
 #[test_case(3, vec![(200, dialled(1, 0)), (300, dial_over(1)), (310, answered(BUSY))], None; "referenced everywhere and refused")]
 #[test_case(0, vec![(0, listed(HostState::Draining)), (900, dialled(1, 0)), (950, dial_over(1)), (960, answered(BUSY))], None; "within the drain grace")]
-#[test_case(0, vec![(0, listed(HostState::Draining)), (1_060, dialled(1, 0)), (1_080, dial_over(1)), (1_090, answered(BUSY))], Some(Rule::DrainsKept); "after the drain grace")]
+#[test_case(0, vec![(0, listed(HostState::Draining)), (1_060, dialled(1, 0)), (1_080, dial_over(1)), (1_090, answered(BUSY))], Some(Rule::DrainsRespected); "after the drain grace")]
 #[test_case(0, vec![(0, listed(HostState::Gone)), (200, listed(HostState::Ready)), (1_060, dialled(1, 0)), (1_080, dial_over(1)), (1_090, answered(BUSY))], None; "back before")]
-#[test_case(0, vec![(0, listed(HostState::Draining)), (300, listed(HostState::Gone)), (1_060, dialled(1, 0)), (1_080, dial_over(1)), (1_090, answered(BUSY))], Some(Rule::DrainsKept); "drained and then gone")]
+#[test_case(0, vec![(0, listed(HostState::Draining)), (300, listed(HostState::Gone)), (1_060, dialled(1, 0)), (1_080, dial_over(1)), (1_090, answered(BUSY))], Some(Rule::DrainsRespected); "drained and then gone")]
 #[test_case(0, vec![(200, dialled(1, 0)), (210, replied(1, HostReply::Up)), (220, answered(ClientAnswer::Up)), (2_000, Event::Ended { id: 1, end: ConnectionEnd::Fin, told: false }), (2_001, dial_over(1))], Some(Rule::NoSessionLost); "cut off while open")]
 #[test_case(0, vec![(200, dialled(1, 0)), (210, replied(1, HostReply::Up)), (220, answered(ClientAnswer::Up)), (1_990, Event::DialOver { id: 1, dial: 1, by_host: true }), (2_000, Event::Ended { id: 1, end: ConnectionEnd::Fin, told: false })], None; "ended by its host")]
 #[test_case(0, vec![(200, dialled(1, 0)), (210, replied(1, HostReply::Up)), (220, answered(ClientAnswer::Up)), (2_000, Event::Ended { id: 1, end: ConnectionEnd::Fin, told: true }), (2_001, dial_over(1))], None; "moved")]
@@ -222,7 +222,7 @@
 #[test_case(0, vec![(220, answered(ClientAnswer::Up)), (300, Event::Held { id: 1, span: ms(1_040) })], None; "a line held within the blur")]
 #[test_case(0, vec![(220, answered(ClientAnswer::Up)), (300, Event::Held { id: 1, span: ms(1_100) })], Some(Rule::NoSessionLost); "a line held back")]
 #[test_case(0, vec![(220, answered(BUSY)), (300, Event::MisbehavingClient { sort: "x", owed: true, served: true })], Some(Rule::NoSessionLost); "a bad client served")]
-#[test_case(0, vec![(220, answered(BUSY)), (300, Event::ProxyExited { proxy: 0, code: Some(1), asked: true })], Some(Rule::ProxyStays); "an exit with an error")]
+#[test_case(0, vec![(220, answered(BUSY)), (300, Event::ProxyExited { proxy: 0, code: Some(1), asked: true })], Some(Rule::NoUnexpectedExit); "an exit with an error")]
 #[test_case(0, vec![(220, answered(BUSY)), (300, Event::ProxyExited { proxy: 0, code: Some(0), asked: true })], None; "an exit in good order")]
 fn each_rule_is_broken_by_what_it_forbids_alone(
     listener: u8,
