--- a/crates/model-checker/src/world/drain.rs
+++ b/crates/model-checker/src/world/drain.rs
@@ -97,7 +97,7 @@
             SessionInput::DrainCutoff
         };
         for (key, _) in pending {
-            self.session_table.input(self.now, key, input);
+            self.session_table.handle_input(self.now, key, input);
         }
     }
 }
--- a/crates/model-checker/src/world/effects.rs
+++ b/crates/model-checker/src/world/effects.rs
@@ -3,7 +3,7 @@
 use super::connection::{Connection, ConnectionState};
 use super::state::{Deadline, World};
 use asterramp_placement::event::{Outcome, ServerId};
-use asterramp_proxy::routing::session_state::{FinalAnswer, SessionEffect, SessionInput};
+use asterramp_proxy::routing::session_state::{FinalResponse, SessionEffect, SessionInput};
 use asterramp_proxy::routing::session_table::SessionTask;
 use asterramp_proxy::transport::SlotKey;
 
@@ -74,7 +74,7 @@
     fn notice_client_left(&mut self, key: SlotKey, session: u8) -> bool {
         self.monitor.on_client_left(session);
         self.session_table
-            .found_gone(self.now, key, SessionInput::ClientLeft)
+            .cancel_before_send(self.now, key, SessionInput::ClientLeft)
     }
 
     fn connect(&mut self, key: SlotKey, session: u8, server: ServerId) {
@@ -84,7 +84,7 @@
             let connection = self.connections.insert(Connection {
                 session_key: key,
                 session,
-                dial: slot.machine.dial(),
+                dial: slot.machine.dial_number(),
                 state: ConnectionState::Connecting,
             });
             slot.driver_data.server = Some(connection);
@@ -105,9 +105,9 @@
         self.monitor.on_connection_closed(session);
     }
 
-    fn answer_client(&mut self, key: SlotKey, session: u8, answer: FinalAnswer) {
+    fn answer_client(&mut self, key: SlotKey, session: u8, answer: FinalResponse) {
         if self.disconnect_client(key) {
-            let is_rejected = matches!(answer, FinalAnswer::Rejected(_));
+            let is_rejected = matches!(answer, FinalResponse::Rejected(_));
             self.monitor
                 .on_client_answered(session, self.now, is_rejected);
         } else {
--- a/crates/model-checker/src/world/events.rs
+++ b/crates/model-checker/src/world/events.rs
@@ -45,7 +45,9 @@
             Action::ServerAnswers(session, message) => self.server_answers(session, message),
             Action::ServerCloses(session) => self.server_closes(session),
             Action::ClientLeaves(session) => self.client_leaves(session),
-            Action::ClientSpeaks(session) => self.session_input(session, SessionInput::ClientSpoke),
+            Action::ClientSpeaks(session) => {
+                self.session_input(session, SessionInput::ClientSentEarlyData)
+            }
             Action::ClientLeavesUnnoticed(session) => self.client_leaves_unnoticed(session),
             Action::EndpointChanges(server, change) => self.endpoint_changes(server, change),
             Action::ProbeEnds(server, result) => self.probe_ends(server, result),
@@ -110,7 +112,7 @@
         if state == Some(ConnectionState::Open) {
             self.close_session(session, Outcome::Reset);
         } else {
-            self.dial_input(session, |dial| SessionInput::ServerEnded { dial });
+            self.dial_input(session, |dial| SessionInput::ServerDisconnected { dial });
         }
     }
 
@@ -123,7 +125,7 @@
         let was_open = slot.is_some_and(|slot| slot.machine.state == SessionState::Open);
         self.monitor.on_client_left(session);
         self.session_table
-            .input(self.now, key, SessionInput::ClientLeft);
+            .handle_input(self.now, key, SessionInput::ClientLeft);
         if was_open {
             self.close_session(session, Outcome::Ok);
         }
@@ -161,7 +163,7 @@
             self.monitor.on_endpoint_change(endpoint, self.now);
         }
         let changes = Event::Endpoints(EndpointUpdate::Changes(endpoints));
-        self.session_table.event(self.now, changes);
+        self.session_table.handle_event(self.now, changes);
     }
 
     fn probe_ends(&mut self, server: u8, result: ProbeResult) {
@@ -178,7 +180,7 @@
             outcome,
             load,
         };
-        self.session_table.event(self.now, probe_ended);
+        self.session_table.handle_event(self.now, probe_ended);
     }
 
     fn next_deadline(&mut self) {
@@ -187,10 +189,10 @@
         };
         self.now = self.now.max(due_at);
         match self.deadlines.pop_due(self.now) {
-            Some(Deadline::Tick) => self.session_table.event(self.now, Event::Tick),
+            Some(Deadline::Tick) => self.session_table.handle_event(self.now, Event::Tick),
             Some(Deadline::Session(key)) => {
                 self.session_table
-                    .input(self.now, key, SessionInput::DeadlineReached);
+                    .handle_input(self.now, key, SessionInput::DeadlineReached);
             }
             Some(Deadline::DrainAdvice) => self.follow_drain_advice(),
             None => {}
@@ -209,9 +211,9 @@
         match self.connections.get(key).copied() {
             Some(found) => {
                 self.monitor.on_stale_event(found.session);
-                let server_ended = SessionInput::ServerEnded { dial: found.dial };
+                let server_ended = SessionInput::ServerDisconnected { dial: found.dial };
                 self.session_table
-                    .input(self.now, found.session_key, server_ended);
+                    .handle_input(self.now, found.session_key, server_ended);
             }
             None => self.late_answer(closed),
         }
@@ -222,7 +224,7 @@
         if closed.state == ConnectionState::AwaitingAnswer {
             let server_accepted = SessionInput::ServerAccepted { dial: closed.dial };
             self.session_table
-                .input(self.now, closed.session_key, server_accepted);
+                .handle_input(self.now, closed.session_key, server_accepted);
         }
     }
 }
--- a/crates/model-checker/src/world/mod.rs
+++ b/crates/model-checker/src/world/mod.rs
@@ -37,7 +37,7 @@
         let mut world = World::initial(shape);
         let endpoints = world.servers.iter().map(ServerModel::endpoint).collect();
         let list = Event::Endpoints(EndpointUpdate::Complete(endpoints));
-        world.session_table.event(world.now, list);
+        world.session_table.handle_event(world.now, list);
         world.carry_out_tasks();
         world
     }
--- a/crates/model-checker/src/world/sessions.rs
+++ b/crates/model-checker/src/world/sessions.rs
@@ -38,7 +38,8 @@
             outcome,
             load: NO_LOAD,
         };
-        self.session_table.input(self.now, key, session_closed);
+        self.session_table
+            .handle_input(self.now, key, session_closed);
     }
 
     pub(super) fn connection_of(&self, session: u8) -> Option<&Connection> {
@@ -58,7 +59,7 @@
 
     pub(super) fn session_input(&mut self, session: u8, input: SessionInput) {
         if let Some(key) = self.session_keys[usize::from(session)] {
-            self.session_table.input(self.now, key, input);
+            self.session_table.handle_input(self.now, key, input);
         }
     }
 
@@ -68,7 +69,7 @@
         if let Some(connection) = connection {
             let input = input(connection.dial);
             self.session_table
-                .input(self.now, connection.session_key, input);
+                .handle_input(self.now, connection.session_key, input);
         }
     }
 }
--- a/crates/proxy/src/program/commands/fleet.rs
+++ b/crates/proxy/src/program/commands/fleet.rs
@@ -46,8 +46,8 @@
     let lease = LeaderLease::observe(roll.store, STORE_SESSION);
     lease.wait_until_reachable(STORE_PATIENCE)?;
     let result = match requested {
-        None => roll::print_status(&roll.name, &lease),
-        Some(requested) => roll::request_state(&roll.name, &lease, requested),
+        None => roll::print_roll_status(&roll.name, &lease),
+        Some(requested) => roll::request_roll_state(&roll.name, &lease, requested),
     };
     lease.resign();
     Ok(result?)
--- a/crates/proxy/src/program/commands/roll.rs
+++ b/crates/proxy/src/program/commands/roll.rs
@@ -43,12 +43,12 @@
         admin_sockets: args.control,
         drain_deadline: args.deadline,
         restart_command: args.restart,
-        patience: args.patience,
-        min_share: args.share,
+        step_timeout: args.patience,
+        min_session_share: args.share,
     };
     match args.name {
-        _ if args.store.is_empty() => roll::roll_unguarded(&options)?,
-        Some(name) => roll::roll_guarded(&options, &name, args.store, args.session)?,
+        _ if args.store.is_empty() => roll::roll_without_lease(&options)?,
+        Some(name) => roll::roll_with_lease(&options, &name, args.store, args.session)?,
         None => return Err(CommandError::RollWithoutName),
     }
     Ok(())
--- a/crates/proxy/src/program/config.rs
+++ b/crates/proxy/src/program/config.rs
@@ -140,25 +140,25 @@
 fn parse(config: &JsonValue) -> Result<RouterOptions, ConfigError> {
     let seed = parse_seed(required(config, "seed")?);
     let settings = parse_settings(required(config, "settings")?)?;
-    let known_endpoints = parse_known_endpoints(required(config, "known")?)?;
-    let listen = address(config, "listen")?;
+    let initial_endpoints = parse_known_endpoints(required(config, "known")?)?;
+    let listen_address = address(config, "listen")?;
     let max_descriptors = limit(config, "sockets", DEFAULT_MAX_SOCKETS)?;
     if max_descriptors < MIN_SOCKETS {
         return Err(ConfigError::TooFewSockets);
     }
     let seed = seed.ok_or(ConfigError::InvalidSeed)?;
-    let discovery = address(config, "discovery")?;
-    let operator = operator_address(config)?;
-    let hot_restart_socket = operator.and_then(|_| hot_restart_socket(listen));
+    let discovery_address = address(config, "discovery")?;
+    let admin_http_address = operator_address(config)?;
+    let hot_restart_socket = admin_http_address.and_then(|_| hot_restart_socket(listen_address));
     let max_memory_bytes = limit(config, "memory_mb", DEFAULT_MAX_MEMORY_MB)? * BYTES_PER_MB;
     Ok(RouterOptions {
         settings,
         seed,
-        listen,
-        discovery,
+        listen_address,
+        discovery_address,
         hot_restart_socket,
-        operator,
-        known_endpoints,
+        admin_http_address,
+        initial_endpoints,
         warm_start: None,
         max_descriptors,
         max_memory_bytes,
--- a/crates/proxy/src/program/leader_lease.rs
+++ b/crates/proxy/src/program/leader_lease.rs
@@ -137,7 +137,7 @@
     }
 
     /// Whether it leads now. A process that was stopped for long finds here that it does not, before it has heard why.
-    pub(super) fn may_act(&self) -> bool {
+    pub(super) fn is_leader(&self) -> bool {
         let now = self.now();
         self.shared().contender.may_act(now)
     }
@@ -151,7 +151,10 @@
     }
 
     /// Asks the store and waits for its answer, [`ANSWER_TIMEOUT`] at most.
-    pub(super) fn ask(&self, request: StoreRequest) -> Result<StoreResponse, StoreRequestError> {
+    pub(super) fn send_request(
+        &self,
+        request: StoreRequest,
+    ) -> Result<StoreResponse, StoreRequestError> {
         let (answer_to, answer) = channel();
         self.shared()
             .pending
@@ -162,7 +165,7 @@
     }
 
     /// Orders a receiver something in this leader's name. `None` if it may not give the order now.
-    pub(super) fn order(
+    pub(super) fn send_as_leader(
         &self,
         client: &mut AdminClient,
         request: AdminRequest,
@@ -194,19 +197,20 @@
     }
 
     /// The queue of contenders, the lowest term first.
-    pub(super) fn queue(&self) -> Result<Vec<QueuedContender>, StoreRequestError> {
+    pub(super) fn queued_contenders(&self) -> Result<Vec<QueuedContender>, StoreRequestError> {
         let request = StoreRequest::GetChildren {
             path: QUEUE_PATH.into(),
             watch: false,
         };
-        let nodes = match self.ask(request)? {
+        let nodes = match self.send_request(request)? {
             StoreResponse::Children(nodes, _) => nodes,
             _ => Vec::new(),
         };
         let mut queue = Vec::new();
         for node in nodes {
             // A node that has been removed meanwhile is left out.
-            if let Ok(StoreResponse::Stat(stat)) = self.ask(exists(queue_node_path(&node))) {
+            if let Ok(StoreResponse::Stat(stat)) = self.send_request(exists(queue_node_path(&node)))
+            {
                 let term = stat.created_zxid as Term;
                 queue.push(QueuedContender { term, node });
             }
@@ -218,7 +222,7 @@
     /// Waits until the store answers, for about so long at most.
     pub(super) fn wait_until_reachable(&self, timeout: Duration) -> Result<(), StoreRequestError> {
         let give_up_at = Instant::now() + timeout;
-        while self.ask(exists("/".into())).is_err() {
+        while self.send_request(exists("/".into())).is_err() {
             if Instant::now() > give_up_at {
                 return Err(StoreRequestError::Unreachable);
             }
--- a/crates/proxy/src/program/roll.rs
+++ b/crates/proxy/src/program/roll.rs
@@ -19,7 +19,7 @@
 use std::time::{Duration, Instant};
 
 pub(super) use error::RollError;
-pub(super) use operator::{print_status, request_state};
+pub(super) use operator::{print_roll_status, request_roll_state};
 pub(super) use plan::RequestedRollState;
 
 /// How often a contender looks whether it leads.
@@ -35,9 +35,9 @@
     /// Run by the shell once a proxy is empty; without it somebody else restarts proxies.
     pub(super) restart_command: Option<String>,
     /// How long a restart may take, and how long until the proxy carries its share.
-    pub(super) patience: Duration,
+    pub(super) step_timeout: Duration,
     /// What a restarted proxy holds to carry its share, as a part of what the others hold on average.
-    pub(super) min_share: f64,
+    pub(super) min_session_share: f64,
 }
 
 impl RollOptions {
@@ -55,7 +55,7 @@
 }
 
 /// Replaces the proxies without a lead; nothing prevents a second roll at the same time. Stops at the first proxy that fails.
-pub(super) fn roll_unguarded(options: &RollOptions) -> Result<(), RollError> {
+pub(super) fn roll_without_lease(options: &RollOptions) -> Result<(), RollError> {
     println!("this roll is not guarded: nobody keeps a second one away, and no store is named");
     for admin_socket in &options.admin_sockets {
         let replacement = Replacement {
@@ -73,7 +73,7 @@
 
 /// Replaces the proxies under one leader at a time: waits for the lead, goes on with the plan where it stands and, when the
 /// lead is lost, waits again.
-pub(super) fn roll_guarded(
+pub(super) fn roll_with_lease(
     options: &RollOptions,
     name: &str,
     stores: Vec<SocketAddr>,
@@ -111,7 +111,7 @@
         match status.state {
             LeaseState::Leader => return Ok(()),
             LeaseState::AwaitingPredecessor => announce_term(options, lease, status.term),
-            LeaseState::NotQueued if state_since.elapsed() > options.patience => {
+            LeaseState::NotQueued if state_since.elapsed() > options.step_timeout => {
                 return Err(StoreRequestError::Unreachable.into());
             }
             LeaseState::NotQueued | LeaseState::Queued => {}
@@ -127,7 +127,8 @@
         let Ok(mut client) = AdminClient::connect(admin_socket) else {
             return;
         };
-        let accepted = lease.order(&mut client, AdminRequest::new(AdminCommand::AnnounceTerm));
+        let accepted =
+            lease.send_as_leader(&mut client, AdminRequest::new(AdminCommand::AnnounceTerm));
         if !matches!(accepted, Ok(Some(_))) {
             return;
         }
@@ -159,7 +160,7 @@
             // Whatever fails once the lead is lost is the next leader's to judge.
             return Err(match error {
                 RollError::LeaseLost => RollError::LeaseLost,
-                _ if !lease.may_act() => RollError::LeaseLost,
+                _ if !lease.is_leader() => RollError::LeaseLost,
                 error => stopped_at(admin_socket, error),
             });
         }
@@ -232,14 +233,14 @@
         };
         if requested_state != printed_state {
             printed_state = requested_state;
-            println!("{name} {}", requested_state.predicate());
+            println!("{name} {}", requested_state.status_text());
         }
         match requested_state {
             RequestedRollState::Running => return Ok(()),
             RequestedRollState::Cancelled => {
                 return Err(RollError::Cancelled { name: name.into() });
             }
-            RequestedRollState::Paused if !lease.may_act() => return Err(RollError::LeaseLost),
+            RequestedRollState::Paused if !lease.is_leader() => return Err(RollError::LeaseLost),
             RequestedRollState::Paused => std::thread::sleep(POLL_INTERVAL),
         }
     }
--- a/crates/proxy/src/program/roll/error.rs
+++ b/crates/proxy/src/program/roll/error.rs
@@ -59,13 +59,13 @@
     },
     /// A proxy that is not being replaced does not carry its share of the traffic.
     #[error("{} does not carry its share", admin_socket.display())]
-    PeerNotCarrying {
+    PeerNotReady {
         /// That proxy's admin socket.
         admin_socket: PathBuf,
     },
     /// The replaced proxy does not carry its share of the traffic in time.
     #[error("it does not carry its share")]
-    NotCarrying,
+    ShareNotReached,
     /// The proxy has not been restarted in time.
     #[error("it has not come back")]
     NotRestarted,
--- a/crates/proxy/src/program/roll/operator.rs
+++ b/crates/proxy/src/program/roll/operator.rs
@@ -7,8 +7,11 @@
 use std::path::Path;
 
 /// Prints who leads, how many wait for that, and what has become of each proxy of the roll.
-pub(in crate::program) fn print_status(name: &str, lease: &LeaderLease) -> Result<(), RollError> {
-    let queue = lease.queue().unwrap_or_default();
+pub(in crate::program) fn print_roll_status(
+    name: &str,
+    lease: &LeaderLease,
+) -> Result<(), RollError> {
+    let queue = lease.queued_contenders().unwrap_or_default();
     match queue.first() {
         Some(leader) => println!(
             "{} owns, term {}; {} wait",
@@ -28,7 +31,7 @@
 }
 
 /// Asks the leader for something; it is heeded before the next proxy.
-pub(in crate::program) fn request_state(
+pub(in crate::program) fn request_roll_state(
     name: &str,
     lease: &LeaderLease,
     requested_state: RequestedRollState,
@@ -38,7 +41,7 @@
         return Err(RollError::AlreadyDone { name: name.into() });
     }
     write_requested_state(name, stored, requested_state, lease)?;
-    println!("{name} {}", requested_state.predicate());
+    println!("{name} {}", requested_state.status_text());
     Ok(())
 }
 
@@ -57,7 +60,7 @@
     let predicate = if plan.done {
         "is done"
     } else {
-        plan.requested_state.predicate()
+        plan.requested_state.status_text()
     };
     println!(
         "{name}: {replaced} of {} are replaced; it {predicate}",
--- a/crates/proxy/src/program/roll/plan.rs
+++ b/crates/proxy/src/program/roll/plan.rs
@@ -39,7 +39,7 @@
 
 impl RequestedRollState {
     /// What is said of a roll in this state, behind its name.
-    pub(super) fn predicate(self) -> &'static str {
+    pub(super) fn status_text(self) -> &'static str {
         match self {
             RequestedRollState::Running => "goes on",
             RequestedRollState::Paused => "is paused",
@@ -67,7 +67,7 @@
         path: path.clone(),
         watch: false,
     };
-    let Ok(StoreResponse::Data(data, stat)) = lease.ask(request) else {
+    let Ok(StoreResponse::Data(data, stat)) = lease.send_request(request) else {
         return Ok(None);
     };
     match serde_json::from_slice(&data) {
@@ -90,7 +90,7 @@
         data: encode(plan)?,
         ephemeral: false,
     };
-    match lease.ask(request) {
+    match lease.send_request(request) {
         Ok(_) => Ok(()),
         Err(_) => Err(RollError::LeaseLost),
     }
@@ -105,7 +105,7 @@
         data: encode(&plan)?,
         version: ANY_VERSION,
     };
-    match lease.ask(request) {
+    match lease.send_request(request) {
         Ok(_) => Ok(()),
         Err(_) => Err(RollError::LeaseLost),
     }
@@ -127,7 +127,7 @@
         data: encode(&plan)?,
         version: stored.version,
     };
-    lease.ask(request)?;
+    lease.send_request(request)?;
     Ok(())
 }
 
--- a/crates/proxy/src/program/roll/replacement.rs
+++ b/crates/proxy/src/program/roll/replacement.rs
@@ -55,7 +55,7 @@
                     .ok()
                     .filter(|status| status.allows_next_drain)
             };
-            poll(self.options.patience, carrying).ok_or_else(|| RollError::PeerNotCarrying {
+            poll(self.options.step_timeout, carrying).ok_or_else(|| RollError::PeerNotReady {
                 admin_socket: peer.into(),
             })?;
         }
@@ -87,7 +87,7 @@
             };
         };
         // The command is not fenced: a leader that is stopped right here may run it late.
-        if self.lease.is_some_and(|lease| !lease.may_act()) {
+        if self.lease.is_some_and(|lease| !lease.is_leader()) {
             return Err(RollError::LeaseLost);
         }
         let status = Command::new("/bin/sh")
@@ -108,7 +108,10 @@
             client.send(&request).map_err(RollError::Admin)?;
             return Ok(());
         };
-        match lease.order(client, request).map_err(RollError::Admin)? {
+        match lease
+            .send_as_leader(client, request)
+            .map_err(RollError::Admin)?
+        {
             Some(_) => Ok(()),
             None => Err(RollError::LeaseLost),
         }
@@ -121,13 +124,13 @@
             let serves = status.state == "serving" && Some(status.pid) != before;
             serves.then_some(status)
         };
-        poll(self.options.patience, restarted).ok_or(RollError::NotRestarted)?;
+        poll(self.options.step_timeout, restarted).ok_or(RollError::NotRestarted)?;
         println!(
             "{}: back; waiting until it carries its share",
             self.admin_socket.display()
         );
-        let status = poll(self.options.patience, || self.status_if_carrying())
-            .ok_or(RollError::NotCarrying)?;
+        let status = poll(self.options.step_timeout, || self.status_if_carrying())
+            .ok_or(RollError::ShareNotReached)?;
         println!("{}: {}", self.admin_socket.display(), status_line(&status));
         Ok(())
     }
@@ -141,8 +144,8 @@
             .filter_map(|peer| Some(proxy_status(peer).ok()?.open_sessions))
             .collect();
         let mean = peers_open.iter().sum::<usize>() as f64 / peers_open.len().max(1) as f64;
-        let carries =
-            own.allows_next_drain && own.open_sessions as f64 >= mean * self.options.min_share;
+        let carries = own.allows_next_drain
+            && own.open_sessions as f64 >= mean * self.options.min_session_share;
         carries.then_some(own)
     }
 }
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -77,7 +77,7 @@
     now: Duration,
     wake_source: OwnedFd,
 ) -> Result<Router, ServeError> {
-    let owner = options.listen.to_string();
+    let owner = options.listen_address.to_string();
     let (snapshot, mut file_problems) = match &config.snapshots {
         Some(snapshots) => load_snapshot(snapshots, &owner),
         None => (None, Vec::new()),
@@ -193,14 +193,14 @@
                 .map_err(ServeError::Wait)?;
             let now = self.clock.now();
             self.router.process(now);
-            if self.signals.take_reload() {
+            if self.signals.take_reload_request() {
                 self.reload(now);
             }
-            if self.signals.wants_shutdown() {
+            if self.signals.is_shutdown_requested() {
                 self.router.begin_shutdown(now);
             }
             self.log_events(now);
-            if self.signals.take_print_counters() {
+            if self.signals.take_counters_request() {
                 self.log_counters(now);
             }
         }
@@ -245,7 +245,7 @@
                 for key in kept_keys {
                     self.log_later(ReasonCode::ConfigUnchanged, format!("key={key}"));
                 }
-                self.router.reload(now, options.discovery);
+                self.router.reload(now, options.discovery_address);
             }
             Err(error) => self.report_bad_file(&error.to_string()),
         }
--- a/crates/proxy/src/program/signals.rs
+++ b/crates/proxy/src/program/signals.rs
@@ -40,17 +40,17 @@
     }
 
     /// Whether the proxy is to shut down; that stays.
-    pub(super) fn wants_shutdown(&self) -> bool {
+    pub(super) fn is_shutdown_requested(&self) -> bool {
         self.shutdown.load(Ordering::Relaxed)
     }
 
     /// Whether the counters were asked for since the last call.
-    pub(super) fn take_print_counters(&self) -> bool {
+    pub(super) fn take_counters_request(&self) -> bool {
         self.print_counters.swap(false, Ordering::Relaxed)
     }
 
     /// Whether the configuration is to be read again since the last call.
-    pub(super) fn take_reload(&self) -> bool {
+    pub(super) fn take_reload_request(&self) -> bool {
         self.reload.swap(false, Ordering::Relaxed)
     }
 }
--- a/crates/proxy/src/routing/admin_commands.rs
+++ b/crates/proxy/src/routing/admin_commands.rs
@@ -70,7 +70,9 @@
 
     /// Whether new sessions are taken and may stay for as long as they like.
     pub(super) fn accepts_sessions(&self) -> bool {
-        self.serving && self.warm_start_serves() && self.drain.state() == DrainState::Serving
+        self.serving
+            && self.warm_start_admits_sessions()
+            && self.drain.state() == DrainState::Serving
     }
 
     fn default_drain_deadline(&self) -> Duration {
--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -56,7 +56,7 @@
         let listener = self
             .register(socket, ConnectionRole::AdminHttpListener, READ)
             .ok_or_else(|| io::Error::other("it cannot be watched"))?;
-        self.resource_budget = self.resource_budget.without(MAX_CONNECTIONS + 1);
+        self.resource_budget = self.resource_budget.reduced_by(MAX_CONNECTIONS + 1);
         self.admin_http = Some(AdminHttp {
             listener,
             callers: Vec::new(),
@@ -139,18 +139,18 @@
         if sent {
             stream.shutdown_write();
         }
-        self.watch_own_io(key);
+        self.update_interest(key);
     }
 
     fn read_call(&mut self, key: SlotKey) {
-        let answers_peers = self.answers_peers();
+        let serves_peer_queries = self.serves_peer_queries();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         let received = connection.stream.inbound.bytes();
         let has_ended = connection.stream.ended.is_some();
         let route = match http_server::parse(received) {
-            Ok(Some(call)) => route(&call, answers_peers),
+            Ok(Some(call)) => route(&call, serves_peer_queries),
             Ok(None) if !has_ended => return self.wait_for_call(key),
             Ok(None) if received.is_empty() => return self.close_caller(key),
             Ok(None) => Err(HttpStatus::BadRequest("the call is not whole")),
@@ -173,7 +173,7 @@
             admin_http.callers.retain(|caller| *caller != key);
             admin_http.callers.push(key);
         }
-        self.watch_own_io(key);
+        self.update_interest(key);
     }
 
     fn answer_call(&mut self, key: SlotKey, status: HttpStatus, text: Option<String>) {
@@ -225,9 +225,9 @@
             .filter(|endpoint| endpoint.state != EndpointState::Gone)
             .count();
         let gauges = GaugeValues {
-            inflight: self.connection_counts.clients(),
-            listed,
-            down: self.session_table.engine.avoided(self.now),
+            sessions_in_flight: self.connection_counts.clients(),
+            listed_endpoints: listed,
+            down_endpoints: self.session_table.engine.avoided(self.now),
         };
         let zones = self
             .session_table
@@ -248,8 +248,8 @@
 }
 
 /// What a call is answered with, or why it is rejected. Other proxies' call is there only where this proxy has a fleet.
-fn route(call: &HttpRequest<'_>, answers_peers: bool) -> Result<Route, HttpStatus> {
-    if call.path == peers::PATH && answers_peers {
+fn route(call: &HttpRequest<'_>, serves_peer_queries: bool) -> Result<Route, HttpStatus> {
+    if call.path == peers::KNOWN_ENDPOINTS_PATH && serves_peer_queries {
         return match call.method {
             "GET" => Ok(Route::KnownEndpoints),
             _ => Err(HttpStatus::MethodNotAllowed("GET")),
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -52,7 +52,7 @@
         let listener = self
             .register(socket, ConnectionRole::AdminSocketListener, READ)
             .ok_or_else(|| io::Error::other("it cannot be watched"))?;
-        self.resource_budget = self.resource_budget.without(max_connections + 1);
+        self.resource_budget = self.resource_budget.reduced_by(max_connections + 1);
         self.admin_socket = Some(AdminSocket {
             path: path.to_path_buf(),
             listener,
@@ -139,7 +139,7 @@
                 .position(|byte| *byte == b'\n');
             let Some(line_end) = line_end else {
                 if received.len() < MAX_REQUEST_BYTES {
-                    return self.watch_own_io(key);
+                    return self.update_interest(key);
                 }
                 return self.reject_long_request(key);
             };
--- a/crates/proxy/src/routing/admission.rs
+++ b/crates/proxy/src/routing/admission.rs
@@ -12,7 +12,9 @@
     /// Without a limit, proxies that admit all clients by load reports a second old overload the servers they choose, and
     /// those clients come again.
     pub(super) fn update_admission_rate(&mut self) {
-        let rate = self.warm_start_pace().or_else(|| self.failover_rate());
+        let rate = self
+            .warm_start_admission_rate()
+            .or_else(|| self.failover_rate());
         self.admission.set_rate(self.now, rate);
     }
 
@@ -24,7 +26,7 @@
         }
         let mut ready_servers = 0;
         let mut reports = Vec::new();
-        for (endpoint, zone_name) in self.endpoints.known_with_zone() {
+        for (endpoint, zone_name) in self.endpoints.known_endpoints_with_zone() {
             if endpoint.state != EndpointState::Ready || self.is_zone_closed(zone_name) {
                 continue;
             }
--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -48,7 +48,7 @@
         let bytes = stream.inbound.bytes();
         let is_empty = bytes.is_empty();
         match parse_first_line(bytes) {
-            Ok(None) if ended.is_none() => self.watch_own_io(key),
+            Ok(None) if ended.is_none() => self.update_interest(key),
             Ok(None) if is_empty || ended == Some(StreamEnd::Reset) => {
                 self.close(key);
                 self.log_event(ReasonCode::ClosedBeforeRequest, "client said nothing more");
@@ -67,7 +67,7 @@
 
     /// Answers a front's ping, and reads on; a proxy that wants no sessions fails it.
     fn answer_ping(&mut self, key: SlotKey, line_len: usize) {
-        let accepts_sessions = self.drain.answers_pings() && self.warm_start_serves();
+        let accepts_sessions = self.drain.answers_pings() && self.warm_start_admits_sessions();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -106,10 +106,10 @@
                 client: Some(client),
                 server: None,
                 request_line: bytes[..line_len].to_vec(),
-                wait_at: open.wait_range.clone(),
-                open_at: open.inherited_from.map(String::from),
+                wait_range: open.wait_range.clone(),
+                restored_server_uid: open.inherited_from.map(String::from),
                 awaiting_response: false,
-                server_quiet: false,
+                response_overdue: false,
                 announced_end: None,
             },
             line_len,
@@ -140,10 +140,10 @@
             data,
             line_len,
         } = client;
-        if !self.make_room_for_session() {
+        if !self.ensure_descriptors_for_session() {
             return self.reject_at_limit(key, request, &data);
         }
-        let restored = data.open_at.is_some();
+        let restored = data.restored_server_uid.is_some();
         if !restored && let Err(rejection) = self.ask_admission(request, failed) {
             return self.shed_load(key, request, &data, rejection);
         }
@@ -228,11 +228,11 @@
             return;
         };
         if !connection.stream.inbound.is_empty() {
-            self.input(session, SessionInput::ClientSpoke);
+            self.handle_session_input(session, SessionInput::ClientSentEarlyData);
         } else if connection.stream.ended.is_some() {
-            self.input(session, SessionInput::ClientLeft);
+            self.handle_session_input(session, SessionInput::ClientLeft);
         } else {
-            self.watch_own_io(key);
+            self.update_interest(key);
         }
     }
 
@@ -258,7 +258,7 @@
         };
         let machine = &slot.machine;
         let listener = &self.settings.listeners[usize::from(machine.request.listener)];
-        let server = if machine.dials > 0 {
+        let server = if machine.dials_started > 0 {
             self.endpoints.uid(machine.server)
         } else {
             "-"
@@ -267,7 +267,7 @@
         let about = format!(
             "sess={} listener={listener} server={server} dials={} ms={ms}",
             slot.driver_data.id(),
-            machine.dials
+            machine.dials_started
         );
         self.log_event(code, about);
     }
--- a/crates/proxy/src/routing/connections.rs
+++ b/crates/proxy/src/routing/connections.rs
@@ -45,7 +45,7 @@
             self.connections.remove(key);
             return None;
         }
-        self.connection_counts.change(None, Some(role));
+        self.connection_counts.record_role_change(None, Some(role));
         Some(key)
     }
 
@@ -74,7 +74,8 @@
     pub(super) fn unregister(&mut self, key: SlotKey) -> Option<(ConnectionRole, BufferedStream)> {
         self.deadlines.clear(TimerKey::Connection(key));
         let connection = self.connections.remove(key)?;
-        self.connection_counts.change(Some(connection.role), None);
+        self.connection_counts
+            .record_role_change(Some(connection.role), None);
         Some((connection.role, connection.stream))
     }
 
@@ -82,7 +83,8 @@
     pub(super) fn set_role(&mut self, key: SlotKey, role: ConnectionRole) {
         if let Some(connection) = self.connections.get_mut(key) {
             let before = std::mem::replace(&mut connection.role, role);
-            self.connection_counts.change(Some(before), Some(role));
+            self.connection_counts
+                .record_role_change(Some(before), Some(role));
         }
     }
 
@@ -95,12 +97,12 @@
         {
             connection.stream.interest = want;
             // It fails only for a socket that is not watched, and all registered ones are.
-            let _ = self.poll.change(&connection.stream, key, want);
+            let _ = self.poll.modify(&connection.stream, key, want);
         }
     }
 
     /// Watches a connection that exchanges texts with the router itself for what it can do next.
-    pub(super) fn watch_own_io(&mut self, key: SlotKey) {
+    pub(super) fn update_interest(&mut self, key: SlotKey) {
         if let Some(connection) = self.connections.get(key) {
             let want = Interest {
                 read: connection.stream.can_read(),
@@ -143,6 +145,6 @@
         if stream.is_flushed() {
             stream.shutdown_write();
         }
-        self.watch_own_io(key);
+        self.update_interest(key);
     }
 }
--- a/crates/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -25,7 +25,10 @@
         if self.client_has_gone(session) {
             return;
         }
-        let Some(dial) = self.session_machine(session).map(|machine| machine.dial()) else {
+        let Some(dial) = self
+            .session_machine(session)
+            .map(|machine| machine.dial_number())
+        else {
             return;
         };
         let connected = self
@@ -36,19 +39,19 @@
         let registered = match connected {
             Ok(fd) => self.register(fd, ConnectionRole::Server(session), Interest::WRITE),
             Err(Errno::CONNREFUSED | Errno::NETUNREACH | Errno::HOSTUNREACH) => {
-                return self.input(session, SessionInput::Unreachable { dial });
+                return self.handle_session_input(session, SessionInput::Unreachable { dial });
             }
             Err(_) => None,
         };
         let Some(key) = registered else {
-            return self.input(session, SessionInput::NoSocket { dial });
+            return self.handle_session_input(session, SessionInput::NoSocket { dial });
         };
         let Some(data) = self.session_mut(session) else {
             return;
         };
         data.server = Some(key);
         if data.client.is_none() {
-            self.connection_counts.lone_servers += 1;
+            self.connection_counts.servers_without_client += 1;
         }
     }
 
@@ -66,24 +69,25 @@
         let stream = &mut connection.stream;
         stream.read_once(false);
         let input = if !stream.inbound.is_empty() {
-            SessionInput::ClientSpoke
+            SessionInput::ClientSentEarlyData
         } else if stream.ended.is_some() {
             SessionInput::ClientLeft
         } else {
             return false;
         };
-        self.session_table.found_gone(self.now, session, input)
+        self.session_table
+            .cancel_before_send(self.now, session, input)
     }
 
     /// Dials the server that held a session before this proxy started.
-    pub(super) fn restore(&mut self, session: SlotKey) {
+    pub(super) fn restore_session(&mut self, session: SlotKey) {
         let Some(slot) = self.session_table.sessions.get(session) else {
             return;
         };
-        let remaining = slot.machine.restored_until().saturating_sub(self.now);
+        let remaining = slot.machine.restore_deadline().saturating_sub(self.now);
         let server = slot
             .driver_data
-            .open_at
+            .restored_server_uid
             .as_deref()
             .and_then(|uid| self.endpoints.find(uid));
         let input = match server {
@@ -93,10 +97,10 @@
                 write_within: remaining,
             },
             None => SessionInput::NoSocket {
-                dial: slot.machine.dial(),
+                dial: slot.machine.dial_number(),
             },
         };
-        self.input(session, input);
+        self.handle_session_input(session, input);
     }
 
     /// Something happened on the connection of a session's server.
@@ -105,7 +109,7 @@
             return;
         };
         let state = machine.state;
-        let dial = machine.dial();
+        let dial = machine.dial_number();
         let Some(connection) = self.connections.get_mut(event.key) else {
             return;
         };
@@ -116,9 +120,11 @@
             }
             SessionState::Connecting if !(event.writable || event.failed) => {}
             SessionState::Connecting if !connection.stream.is_connected() => {
-                self.input(session, SessionInput::Unreachable { dial });
+                self.handle_session_input(session, SessionInput::Unreachable { dial });
+            }
+            SessionState::Connecting => {
+                self.handle_session_input(session, SessionInput::Connected { dial })
             }
-            SessionState::Connecting => self.input(session, SessionInput::Connected { dial }),
             _ => {
                 connection.stream.read_once(event.failed);
                 self.continue_dial(session, event.key);
@@ -145,8 +151,8 @@
         match wait {
             None => connection.stream.send(&[&data.request_line]),
             Some(wait) => {
-                let before = &data.request_line[..data.wait_at.start];
-                let after = &data.request_line[data.wait_at.end..];
+                let before = &data.request_line[..data.wait_range.start];
+                let after = &data.request_line[data.wait_range.end..];
                 let wait_ms = wait.as_millis().to_string();
                 connection.stream.send(&[before, wait_ms.as_bytes(), after]);
             }
@@ -163,10 +169,10 @@
         };
         let has_ended = connection.stream.ended.is_some();
         let is_written = connection.stream.is_flushed();
-        let dial = machine.dial();
+        let dial = machine.dial_number();
         if is_written && machine.state == SessionState::SendingRequest {
             self.metrics.count_attempt();
-            self.input(session, SessionInput::RequestWritten { dial });
+            self.handle_session_input(session, SessionInput::RequestWritten { dial });
         }
         let Some(connection) = self.connections.get(key) else {
             return;
@@ -175,8 +181,8 @@
             Ok(Some((text, _))) if is_written => {
                 read_answer(dial, text, &self.settings.load_reports)
             }
-            Ok(_) if has_ended => Ok(SessionInput::ServerEnded { dial }),
-            Ok(_) => return self.watch_own_io(key),
+            Ok(_) if has_ended => Ok(SessionInput::ServerDisconnected { dial }),
+            Ok(_) => return self.update_interest(key),
             Err(fault) => Err(MalformedAnswer(format!("{fault:?}"))),
         };
         let input = answer.unwrap_or_else(|MalformedAnswer(shown)| {
@@ -186,14 +192,14 @@
             );
             declined(dial, Outcome::ServerError, Load::default())
         });
-        self.input(session, input);
+        self.handle_session_input(session, input);
     }
 
     /// A session's deadline has passed.
     pub(super) fn session_deadline(&mut self, session: SlotKey) {
         match self.session_machine(session).map(|machine| machine.state) {
             Some(SessionState::Open) => self.open_session_deadline(session),
-            Some(_) => self.input(session, SessionInput::DeadlineReached),
+            Some(_) => self.handle_session_input(session, SessionInput::DeadlineReached),
             None => self.deadlines.clear(TimerKey::Session(session)),
         }
     }
--- a/crates/proxy/src/routing/discovery_watch.rs
+++ b/crates/proxy/src/routing/discovery_watch.rs
@@ -119,7 +119,7 @@
 
 impl Router {
     /// Begins with the list known from before the start, and asks discovery for changes.
-    pub(super) fn apply_known_list(&mut self, list: EndpointList) {
+    pub(super) fn apply_initial_list(&mut self, list: EndpointList) {
         self.apply_first_list(list, EndpointUpdate::Stale);
     }
 
@@ -138,7 +138,7 @@
             .into_iter()
             .filter_map(|listed| Some(self.endpoints.update(listed)?.endpoint))
             .collect();
-        self.event(Event::Endpoints(as_update(endpoints)));
+        self.handle_placement_event(Event::Endpoints(as_update(endpoints)));
         if !self.discovery_watch.paced_by_engine {
             self.connect_watch();
         }
@@ -201,7 +201,7 @@
         self.close_watch();
         if self.discovery_watch.paced_by_engine {
             self.deadlines.clear(TimerKey::DiscoveryWatch);
-            self.event(Event::Endpoints(EndpointUpdate::Failed));
+            self.handle_placement_event(Event::Endpoints(EndpointUpdate::Failed));
             return;
         }
         let delay = self.discovery_watch.take_reconnect_delay();
@@ -222,7 +222,7 @@
             self.discovery_watch.last_line_at = Some(self.now);
             self.deadlines
                 .set(TimerKey::DiscoveryWatch, self.now + MAX_SILENCE);
-            self.session_table.note_discovery_alive(self.now);
+            self.session_table.record_discovery_activity(self.now);
         }
         for line in input.lines {
             if let Err(error) = self.apply_watch_line(&line) {
@@ -235,7 +235,7 @@
         }
         match input.end {
             Some(reason) => self.end_watch(ReasonCode::WatchEnded, &reason),
-            None => self.watch_own_io(event.key),
+            None => self.update_interest(event.key),
         }
     }
 
@@ -253,7 +253,7 @@
             self.discovery_watch.revision,
         );
         connection.stream.send(&[request.as_bytes()]);
-        self.watch_own_io(key);
+        self.update_interest(key);
     }
 
     /// Reads the watch's connection once; `None` where it is gone.
@@ -303,7 +303,7 @@
             }
         }
         if self.is_outdated_list(list.revision) {
-            self.apply_older_list(list.revision, endpoints);
+            self.apply_outdated_list(list.revision, endpoints);
         } else {
             self.apply_endpoints(endpoints, complete);
         }
@@ -320,18 +320,18 @@
         if complete {
             self.endpoints.mark_unlisted_as_gone(&endpoints);
         }
-        self.note_listed_endpoints(&mut endpoints, complete);
+        self.record_listed_endpoints(&mut endpoints, complete);
         let update = if complete {
             EndpointUpdate::Complete(endpoints)
         } else {
             EndpointUpdate::Changes(endpoints)
         };
-        self.event(Event::Endpoints(update));
+        self.handle_placement_event(Event::Endpoints(update));
     }
 
     /// Ends the health check of a server that is gone or has moved: nobody will answer it.
     fn cancel_stale_probe(&mut self, server: ServerId) {
-        let Some(key) = self.endpoints.probe(server) else {
+        let Some(key) = self.endpoints.probe_connection(server) else {
             return;
         };
         match self.connections.get(key).map(|connection| connection.role) {
--- a/crates/proxy/src/routing/endpoints.rs
+++ b/crates/proxy/src/routing/endpoints.rs
@@ -152,7 +152,7 @@
     }
 
     /// What is known of each server, with the name of its zone.
-    pub(super) fn known_with_zone(&self) -> impl Iterator<Item = (&KnownEndpoint, &str)> {
+    pub(super) fn known_endpoints_with_zone(&self) -> impl Iterator<Item = (&KnownEndpoint, &str)> {
         self.entries
             .iter()
             .map(|entry| (&entry.known, entry.listed.zone.as_str()))
@@ -203,12 +203,12 @@
     }
 
     /// The connection kept for a server's probes.
-    pub(super) fn probe(&self, server: ServerId) -> Option<SlotKey> {
+    pub(super) fn probe_connection(&self, server: ServerId) -> Option<SlotKey> {
         self.entry(server)?.probe
     }
 
     /// Keeps a connection for a server's probes, or none.
-    pub(super) fn set_probe(&mut self, server: ServerId, key: Option<SlotKey>) {
+    pub(super) fn set_probe_connection(&mut self, server: ServerId, key: Option<SlotKey>) {
         if let Some(entry) = self.entry_mut(server) {
             entry.probe = key;
         }
--- a/crates/proxy/src/routing/event_loop.rs
+++ b/crates/proxy/src/routing/event_loop.rs
@@ -123,7 +123,7 @@
     fn deadline_reached(&mut self, due: TimerKey) {
         match due {
             TimerKey::Tick => {
-                self.event(Event::Tick);
+                self.handle_placement_event(Event::Tick);
                 self.update_admission_rate();
                 self.save_snapshot_if_due();
             }
--- a/crates/proxy/src/routing/forwarding.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -31,7 +31,7 @@
 }
 
 /// How much longer it may wait, once the server is quiet, until its client is migrated.
-pub(super) fn time_from_quiet_to_migration(connect_timeout: Duration) -> Duration {
+pub(super) fn time_from_overdue_to_migration(connect_timeout: Duration) -> Duration {
     RESPONSE_TIMEOUT - quiet_timeout(connect_timeout)
 }
 
@@ -105,7 +105,7 @@
         if let Err(fault) = self.read_client_lines(session, client) {
             let code = ReasonCode::ClientProtocolError;
             self.log_event(code, format!("client line={fault:?}"));
-            self.input(session, SessionInput::ClientLeft);
+            self.handle_session_input(session, SessionInput::ClientLeft);
             return self.end_session(session, SessionClose::text(code, Outcome::Ok, ERROR_LINE));
         }
         self.forward_lines(server, client);
@@ -134,11 +134,11 @@
         }
         if lines.has_answered {
             self.session_table
-                .note_server_activity(self.now, session, true);
+                .record_server_activity(self.now, session, true);
         }
         if let Some(work) = lines.last_work {
             self.admission.record_session_cost(self.now, listener, work);
-            self.event(Event::Observed {
+            self.handle_placement_event(Event::Observed {
                 session: session.slot,
                 server: server_id,
                 observation: Observation::Work(work),
@@ -164,7 +164,7 @@
             connection.complete_len += line_len;
             if !data.awaiting_response && !client_left {
                 data.awaiting_response = true;
-                data.server_quiet = false;
+                data.response_overdue = false;
                 self.deadlines.set(TimerKey::Session(session), quiet_at);
             }
         }
@@ -212,7 +212,7 @@
                 SessionClose::fin(ReasonCode::ClientLeft, Outcome::Ok)
             }
             (Some(StreamEnd::Reset), _) => {
-                self.input(session, SessionInput::ClientLeft);
+                self.handle_session_input(session, SessionInput::ClientLeft);
                 SessionClose::reset(ReasonCode::ClientReset, Outcome::Ok)
             }
             (_, Some(StreamEnd::Reset)) => {
@@ -224,7 +224,7 @@
                 None => SessionClose::fin(ReasonCode::ServerClosed, Outcome::Reset),
             },
             (Some(StreamEnd::Fin), None) if !client_left => {
-                self.input(session, SessionInput::ClientLeft);
+                self.handle_session_input(session, SessionInput::ClientLeft);
                 self.deadlines
                     .set(TimerKey::Session(session), self.now + SERVER_CLOSE_TIMEOUT);
                 return false;
@@ -279,7 +279,7 @@
             let close = SessionClose::fin(ReasonCode::ClientLeft, Outcome::Ok);
             return self.end_session(session, close);
         }
-        let server_quiet = slot.driver_data.server_quiet;
+        let response_overdue = slot.driver_data.response_overdue;
         let stalled_at = slot
             .driver_data
             .server
@@ -293,23 +293,23 @@
                     .set(TimerKey::Session(session), self.now + RESPONSE_TIMEOUT);
             }
             Some(_) => {
-                self.input(session, SessionInput::ClientLeft);
+                self.handle_session_input(session, SessionInput::ClientLeft);
                 let close = SessionClose::reset(ReasonCode::ClientStalled, Outcome::Ok);
                 self.end_session(session, close);
             }
-            None if server_quiet => self.migrate(session, ReasonCode::ServerSilent),
+            None if response_overdue => self.migrate(session, ReasonCode::ServerSilent),
             None => self.mark_server_quiet(session),
         }
     }
 
     fn mark_server_quiet(&mut self, session: SlotKey) {
-        let migrate_at = self.now + time_from_quiet_to_migration(self.settings.connect_timeout);
+        let migrate_at = self.now + time_from_overdue_to_migration(self.settings.connect_timeout);
         self.deadlines.set(TimerKey::Session(session), migrate_at);
         if let Some(data) = self.session_mut(session) {
-            data.server_quiet = true;
+            data.response_overdue = true;
         }
         self.session_table
-            .note_server_activity(self.now, session, false);
+            .record_server_activity(self.now, session, false);
     }
 
     /// Closes both sides of an open session and gives its state machine the end.
@@ -327,7 +327,7 @@
         self.close_side(client, close.to_client, &for_client);
         self.close_side(server, close.to_server, &for_server);
         let outcome = close.outcome;
-        self.input(session, SessionInput::SessionClosed { outcome, load });
+        self.handle_session_input(session, SessionInput::SessionClosed { outcome, load });
     }
 
     fn close_side(&mut self, key: Option<SlotKey>, close: CloseWith, lines: &[u8]) {
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -251,7 +251,7 @@
             SessionInput::DrainCutoff
         };
         for session in self.pending_sessions() {
-            self.input(session, cutoff);
+            self.handle_session_input(session, cutoff);
         }
     }
 
--- a/crates/proxy/src/routing/hot_restart/adoption.rs
+++ b/crates/proxy/src/routing/hot_restart/adoption.rs
@@ -156,10 +156,10 @@
             client: None,
             server: None,
             request_line: offer.opening_line.clone(),
-            wait_at: open.wait_range.clone(),
-            open_at: None,
+            wait_range: open.wait_range.clone(),
+            restored_server_uid: None,
             awaiting_response: offer.answer_within.is_some(),
-            server_quiet: true,
+            response_overdue: true,
             announced_end: None,
         };
         let machine =
@@ -174,7 +174,7 @@
     }
 
     /// What the predecessor could not be notified of.
-    pub(super) fn take_unconfirmed(&mut self) -> Vec<ReceivedOffer> {
+    pub(super) fn take_unconfirmed_offers(&mut self) -> Vec<ReceivedOffer> {
         self.hot_restart
             .as_mut()
             .map(|hot_restart| hot_restart.ownership.take_unconfirmed())
@@ -183,8 +183,8 @@
 
     /// Closes what the predecessor could not be notified of. Its connections stay open, since the
     /// predecessor has them too.
-    pub(super) fn discard_unconfirmed(&mut self) {
-        drop(self.take_unconfirmed());
+    pub(super) fn discard_unconfirmed_offers(&mut self) {
+        drop(self.take_unconfirmed_offers());
     }
 
     /// Goes on with a connection that was the predecessor's.
@@ -251,7 +251,7 @@
             outcome: Outcome::Reset,
             load: Load::default(),
         };
-        self.input(key, closed);
+        self.handle_session_input(key, closed);
     }
 }
 
--- a/crates/proxy/src/routing/hot_restart/endpoint_records.rs
+++ b/crates/proxy/src/routing/hot_restart/endpoint_records.rs
@@ -15,7 +15,7 @@
     pub(super) source: AddrParseError,
 }
 
-pub(super) fn record_of(endpoint: ListedEndpoint) -> EndpointRecord {
+pub(super) fn record_from_endpoint(endpoint: ListedEndpoint) -> EndpointRecord {
     EndpointRecord {
         uid: endpoint.uid,
         address: endpoint.address.to_string(),
--- a/crates/proxy/src/routing/hot_restart/mod.rs
+++ b/crates/proxy/src/routing/hot_restart/mod.rs
@@ -162,7 +162,7 @@
     }
 
     /// How many descriptors the predecessor still has open, of those that both processes share.
-    pub(super) fn descriptors_of_peer(&self) -> usize {
+    pub(super) fn predecessor_descriptors(&self) -> usize {
         self.hot_restart
             .as_ref()
             .map_or(0, |hot_restart| hot_restart.peer_descriptors)
--- a/crates/proxy/src/routing/hot_restart/offers.rs
+++ b/crates/proxy/src/routing/hot_restart/offers.rs
@@ -1,6 +1,6 @@
 //! The predecessor's part: sends its state, offers its connections, and releases or resumes them.
 
-use super::endpoint_records::record_of;
+use super::endpoint_records::record_from_endpoint;
 use super::{Offer, READABLE};
 use crate::routing::client::GREETING_TIMEOUT;
 use crate::routing::forwarding;
@@ -34,8 +34,11 @@
         let Some(listener) = self.listener else {
             return false;
         };
-        let records: Vec<EndpointRecord> =
-            self.endpoints.listed_endpoints().map(record_of).collect();
+        let records: Vec<EndpointRecord> = self
+            .endpoints
+            .listed_endpoints()
+            .map(record_from_endpoint)
+            .collect();
         for records in records.chunks(MAX_ENDPOINTS_PER_MESSAGE) {
             let message = HotRestartMessage::Endpoints(records.to_vec());
             if self.send_hot_restart(&message, &[]) != Delivery::Sent {
@@ -151,10 +154,10 @@
             return None;
         }
         let timer = self.deadlines.get(TimerKey::Session(key))?;
-        let after_quiet = if session.server_quiet {
+        let after_quiet = if session.response_overdue {
             Duration::ZERO
         } else {
-            forwarding::time_from_quiet_to_migration(self.settings.connect_timeout)
+            forwarding::time_from_overdue_to_migration(self.settings.connect_timeout)
         };
         Some(timer.saturating_sub(self.now) + after_quiet)
     }
@@ -172,7 +175,7 @@
     fn leave_alone(&mut self, offer: Offer, connections: &[SlotKey]) {
         for key in connections {
             if let Some(connection) = self.connections.get(*key) {
-                self.poll.forget(&connection.stream);
+                self.poll.remove(&connection.stream);
             }
             self.deadlines.clear(TimerKey::Connection(*key));
         }
@@ -191,10 +194,10 @@
 
     /// The successor lives: what it accepted before this moment is its own, and it can accept
     /// nothing after.
-    pub(super) fn release_offers_accepted_so_far(&mut self) {
+    pub(super) fn release_accepted_offers(&mut self) {
         for _ in 0..self.drain_accepted_count() {
             if let Some(offer) = self.accept_oldest_offer() {
-                self.release(offer);
+                self.release_offer(offer);
             }
         }
     }
@@ -223,7 +226,7 @@
 
     /// Closes this process's descriptors of an offer that is the successor's. Nothing is read or
     /// written for it, and the connections stay open.
-    pub(super) fn release(&mut self, offer: Offer) {
+    pub(super) fn release_offer(&mut self, offer: Offer) {
         match offer {
             Offer::PendingConnection(key) => {
                 self.unregister(key);
@@ -239,13 +242,13 @@
                     outcome: Outcome::Cancelled,
                     load: Load::default(),
                 };
-                self.input(key, closed);
+                self.handle_session_input(key, closed);
             }
         }
     }
 
     /// Goes on with an offer that was not accepted.
-    pub(super) fn resume(&mut self, offer: Offer) {
+    pub(super) fn resume_offer(&mut self, offer: Offer) {
         match offer {
             Offer::PendingConnection(key) => {
                 self.watch_again(key);
@@ -272,7 +275,7 @@
                 self.now + forwarding::RESPONSE_TIMEOUT,
             );
             if let Some(session) = self.session_mut(key) {
-                session.server_quiet = true;
+                session.response_overdue = true;
             }
         }
         self.forward(key);
--- a/crates/proxy/src/routing/hot_restart/transitions.rs
+++ b/crates/proxy/src/routing/hot_restart/transitions.rs
@@ -54,19 +54,19 @@
             HotRestartEffect::SendState => self.send_state(),
             HotRestartEffect::StopAccepting => self.stop_accepting(),
             HotRestartEffect::ReleaseOldestOffer => self.release_oldest_offer(),
-            HotRestartEffect::DiscardUnconfirmed => self.discard_unconfirmed(),
+            HotRestartEffect::DiscardUnconfirmed => self.discard_unconfirmed_offers(),
             HotRestartEffect::CloseLink => {
-                self.discard_unconfirmed();
+                self.discard_unconfirmed_offers();
                 self.end_hot_restart(before, Delivery::PeerGone);
             }
             HotRestartEffect::StopHandover => {
-                self.release_offers_accepted_so_far();
+                self.release_accepted_offers();
                 let notice = self.send_hot_restart(&HotRestartMessage::HandoverStopped, &[]);
                 self.end_hot_restart(before, notice);
             }
             HotRestartEffect::ResumeOffers => self.end_hot_restart(before, Delivery::PeerGone),
             HotRestartEffect::AdoptUnconfirmed => {
-                let received = self.take_unconfirmed();
+                let received = self.take_unconfirmed_offers();
                 self.end_hot_restart(before, Delivery::PeerGone);
                 for offer in received {
                     self.adopt(offer);
@@ -113,7 +113,7 @@
     fn release_oldest_offer(&mut self) {
         match self.accept_oldest_offer() {
             Some(offer) => {
-                self.release(offer);
+                self.release_offer(offer);
                 self.continue_offers();
             }
             None => self.apply_hot_restart(HotRestartInput::PeerFailed),
@@ -140,10 +140,10 @@
         );
         self.log_event(ReasonCode::HotRestartEnded, about);
         for offer in end.resumed {
-            self.resume(offer);
+            self.resume_offer(offer);
         }
         for offer in end.released {
-            self.release(offer);
+            self.release_offer(offer);
         }
         if !self.drain.closes_listener(self.now) && self.serving {
             self.open_listener();
--- a/crates/proxy/src/routing/listener.rs
+++ b/crates/proxy/src/routing/listener.rs
@@ -43,7 +43,7 @@
             let Some(listener) = self.listener.filter(|_| !self.has_successor()) else {
                 return;
             };
-            let may_accept = self.make_room_for_pending();
+            let may_accept = self.ensure_descriptors_for_pending_client();
             let Some(connection) = self.connections.get(listener) else {
                 return;
             };
--- a/crates/proxy/src/routing/metrics.rs
+++ b/crates/proxy/src/routing/metrics.rs
@@ -39,11 +39,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct GaugeValues {
     /// Sessions whose client is there.
-    pub inflight: usize,
+    pub sessions_in_flight: usize,
     /// Servers that discovery lists.
-    pub listed: usize,
+    pub listed_endpoints: usize,
     /// Those among them that count as down.
-    pub down: usize,
+    pub down_endpoints: usize,
 }
 
 impl Metrics {
@@ -81,9 +81,9 @@
         }
         let rest = [
             ("svc_backend_calls_total", "counter", self.attempts),
-            ("svc_inflight", "gauge", gauges.inflight as u64),
-            ("svc_hosts_listed", "gauge", gauges.listed as u64),
-            ("svc_hosts_down", "gauge", gauges.down as u64),
+            ("svc_inflight", "gauge", gauges.sessions_in_flight as u64),
+            ("svc_hosts_listed", "gauge", gauges.listed_endpoints as u64),
+            ("svc_hosts_down", "gauge", gauges.down_endpoints as u64),
         ];
         for (name, kind, value) in rest {
             let _ = writeln!(text, "# TYPE {name} {kind}\n{name} {value}");
--- a/crates/proxy/src/routing/peers/message.rs
+++ b/crates/proxy/src/routing/peers/message.rs
@@ -7,7 +7,7 @@
 /// Version of the message; an answer of another one is not used.
 pub(super) const MESSAGE_VERSION: u32 = 1;
 /// Endpoints that an answer names at most.
-pub(super) const MAX_ENDPOINTS_IN_ANSWER: usize = 256;
+pub(super) const MAX_ENDPOINTS_IN_RESPONSE: usize = 256;
 
 /// The start of an answer that was granted, and the end of any answer's head.
 const STATUS_OK: &[u8] = b"HTTP/1.1 200 ";
@@ -58,7 +58,7 @@
 /// # Errors
 ///
 /// A [`PeerError`] for an answer that is not complete, refused, not readable, or of another version or fleet.
-pub(super) fn parse_answer(answer: &[u8], fleet: &str) -> Result<Known, PeerError> {
+pub(super) fn parse_response(answer: &[u8], fleet: &str) -> Result<Known, PeerError> {
     let head_len = answer
         .windows(END_OF_HEAD.len())
         .position(|window| window == END_OF_HEAD)
@@ -74,7 +74,7 @@
     if known.fleet != fleet {
         return Err(PeerError::OtherFleet);
     }
-    if known.hosts.len() > MAX_ENDPOINTS_IN_ANSWER {
+    if known.hosts.len() > MAX_ENDPOINTS_IN_RESPONSE {
         return Err(PeerError::TooManyEndpoints);
     }
     Ok(known)
--- a/crates/proxy/src/routing/peers/mod.rs
+++ b/crates/proxy/src/routing/peers/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! An answer is evidence, never an order: the endpoints in it are probed first, so a false one costs no more than that.
 
-mod answer;
 mod message;
+mod response;
 
 use super::types::{ConnectionRole, TimerKey};
 use super::{ReasonCode, Router};
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// Path of the HTTP call, beside those of `asterramp_admin_protocol::CALLS`.
-pub const PATH: &str = "/ops/known";
+pub const KNOWN_ENDPOINTS_PATH: &str = "/ops/known";
 
 /// Longest answer that is read, in bytes.
 const MAX_ANSWER_LEN: usize = 128 << 10;
@@ -160,9 +160,9 @@
             return self.fail_peer_query(key, &PeerError::Unreachable);
         }
         self.peers.queries[index].is_sent = true;
-        let request = format!("GET {PATH} HTTP/1.1\r\nHost: proxy\r\n\r\n");
+        let request = format!("GET {KNOWN_ENDPOINTS_PATH} HTTP/1.1\r\nHost: proxy\r\n\r\n");
         connection.stream.send(&[request.as_bytes()]);
-        self.watch_own_io(key);
+        self.update_interest(key);
     }
 
     fn read_peer_answer(&mut self, index: usize, event: ReadyEvent) {
@@ -181,10 +181,10 @@
             return self.fail_peer_query(key, &PeerError::TooLong);
         }
         if !has_ended {
-            return self.watch_own_io(key);
+            return self.update_interest(key);
         }
         let answer = std::mem::take(answer);
-        match message::parse_answer(&answer, &self.peers.settings.fleet) {
+        match message::parse_response(&answer, &self.peers.settings.fleet) {
             Ok(known) => {
                 self.apply_peer_answer(known);
                 self.close_peer_query(key);
--- a/crates/proxy/src/routing/peers/answer.rs
+++ b/crates/proxy/src/routing/peers/response.rs
@@ -1,6 +1,6 @@
 //! What this proxy answers to other ones that ask.
 
-use super::message::{Known, KnownHost, MAX_ENDPOINTS_IN_ANSWER, MESSAGE_VERSION};
+use super::message::{Known, KnownHost, MAX_ENDPOINTS_IN_RESPONSE, MESSAGE_VERSION};
 use crate::protocol::discovery::ListedEndpoint;
 use crate::routing::Router;
 use crate::routing::endpoints::KnownEndpoint;
@@ -13,7 +13,7 @@
 
 impl Router {
     /// Whether other proxies are answered at all.
-    pub(in crate::routing) fn answers_peers(&self) -> bool {
+    pub(in crate::routing) fn serves_peer_queries(&self) -> bool {
         !self.peers.settings.fleet.is_empty()
     }
 
@@ -45,7 +45,7 @@
             .map(|(_, (listed, known))| self.host_for_peers(listed, known))
             .collect();
         hosts.sort_by_key(|host| host.age_ms);
-        hosts.truncate(MAX_ENDPOINTS_IN_ANSWER);
+        hosts.truncate(MAX_ENDPOINTS_IN_RESPONSE);
         hosts
     }
 
--- a/crates/proxy/src/routing/probe.rs
+++ b/crates/proxy/src/routing/probe.rs
@@ -64,8 +64,8 @@
 
 impl Router {
     /// Probes a server, over the connection kept from its last probe where that is still good.
-    pub(super) fn probe(&mut self, server: ServerId) {
-        if let Some(key) = self.endpoints.probe(server) {
+    pub(super) fn start_probe(&mut self, server: ServerId) {
+        if let Some(key) = self.endpoints.probe_connection(server) {
             if self.is_up_and_silent(key) {
                 return self.send_probe(server, key, ProbeStage::AwaitingReplyAfterIdle);
             }
@@ -76,7 +76,7 @@
             return self.report_probe(server, Outcome::NotSent, Load::default());
         }
         if let Some(key) = self.connect_probe(server) {
-            self.endpoints.set_probe(server, Some(key));
+            self.endpoints.set_probe_connection(server, Some(key));
             let deadline = self.now + self.settings.connect_timeout;
             self.deadlines.set(TimerKey::Connection(key), deadline);
         } else {
@@ -86,7 +86,7 @@
 
     /// Whether there may be one more probe connection; closes an idle one for it where needed.
     fn make_room_for_probe(&mut self) -> bool {
-        if self.connection_counts.probes < self.resource_budget.probes {
+        if self.connection_counts.probes < self.resource_budget.max_probes {
             return true;
         }
         let idle = self
@@ -121,7 +121,7 @@
 
     fn send_probe(&mut self, server: ServerId, key: SlotKey, stage: ProbeStage) {
         let Some(connection) = self.connections.get_mut(key) else {
-            self.endpoints.set_probe(server, None);
+            self.endpoints.set_probe_connection(server, None);
             return self.report_probe(server, Outcome::Reset, Load::default());
         };
         connection.role = ConnectionRole::Probe(server, stage);
@@ -129,7 +129,7 @@
         let deadline = self.now + self.settings.connect_timeout * REPLY_TIMEOUT_FACTOR;
         self.deadlines.set(TimerKey::Connection(key), deadline);
         self.count_event(ReasonCode::ProbeSent);
-        self.watch_own_io(key);
+        self.update_interest(key);
     }
 
     /// Something came on a probe's connection, or it came up.
@@ -176,11 +176,11 @@
         let has_ended = connection.stream.ended.is_some();
         let bytes = connection.stream.inbound.bytes();
         match ProbeReply::parse(bytes, &self.settings.load_reports) {
-            ProbeReply::Incomplete if !has_ended => self.watch_own_io(key),
+            ProbeReply::Incomplete if !has_ended => self.update_interest(key),
             ProbeReply::Incomplete if stage == ProbeStage::AwaitingReplyAfterIdle => {
                 // The server closed an idle connection, which says nothing about its health. A probe is idempotent.
                 self.discard_probe(server, key);
-                self.probe(server);
+                self.start_probe(server);
             }
             ProbeReply::Incomplete => self.fail_probe(server, Outcome::Reset),
             ProbeReply::Malformed => self.fail_probe(server, Outcome::ServerError),
@@ -208,7 +208,7 @@
             outcome_log_name(outcome)
         );
         self.log_event(ReasonCode::ProbeFailed, about);
-        if let Some(key) = self.endpoints.probe(server) {
+        if let Some(key) = self.endpoints.probe_connection(server) {
             self.close_probe(server, key);
         }
         self.report_probe(server, outcome, Load::default());
@@ -217,7 +217,7 @@
     /// Closes a server's probe connection.
     pub(super) fn close_probe(&mut self, server: ServerId, key: SlotKey) {
         self.close(key);
-        self.endpoints.set_probe(server, None);
+        self.endpoints.set_probe_connection(server, None);
     }
 
     /// Closes a kept connection that is of no use any more.
@@ -230,11 +230,11 @@
         if outcome == Outcome::Ok {
             self.endpoints.record_load(server, load, self.now);
         }
-        self.event(Event::ProbeEnded {
+        self.handle_placement_event(Event::ProbeEnded {
             server,
             outcome,
             load,
         });
-        self.note_warm_start_probe(server, outcome);
+        self.record_warm_start_probe(server, outcome);
     }
 }
--- a/crates/proxy/src/routing/resource_budget.rs
+++ b/crates/proxy/src/routing/resource_budget.rs
@@ -35,7 +35,7 @@
     /// Pending clients that may come on top of those.
     pending_reserve: usize,
     /// Health checks' connections.
-    pub(super) probes: usize,
+    pub(super) max_probes: usize,
 }
 
 impl ResourceBudget {
@@ -51,12 +51,12 @@
         ResourceBudget {
             session_descriptors: by_descriptors.min(by_memory),
             pending_reserve,
-            probes,
+            max_probes: probes,
         }
     }
 
     /// The budget less so many descriptors, which connections to other proxies take.
-    pub(super) fn without(self, descriptors: usize) -> ResourceBudget {
+    pub(super) fn reduced_by(self, descriptors: usize) -> ResourceBudget {
         ResourceBudget {
             session_descriptors: self.session_descriptors.saturating_sub(descriptors),
             ..self
@@ -70,7 +70,7 @@
 pub(super) struct ConnectionCounts {
     clients: usize,
     /// Servers of sessions whose client is gone.
-    pub(super) lone_servers: usize,
+    pub(super) servers_without_client: usize,
     /// Clients that have asked for nothing yet or were sent their last text.
     pending: usize,
     /// Health checks' connections.
@@ -79,7 +79,11 @@
 
 impl ConnectionCounts {
     /// A connection changes from one role to another; `None` is before it comes and after it goes.
-    pub(super) fn change(&mut self, from: Option<ConnectionRole>, to: Option<ConnectionRole>) {
+    pub(super) fn record_role_change(
+        &mut self,
+        from: Option<ConnectionRole>,
+        to: Option<ConnectionRole>,
+    ) {
         if let Some(count) = from.and_then(|role| self.count_of(role)) {
             *count -= 1;
         }
@@ -122,13 +126,13 @@
 
     /// Descriptors for sessions, those included that clients will need.
     fn session_descriptors(&self) -> usize {
-        DESCRIPTORS_PER_SESSION * self.clients + self.lone_servers
+        DESCRIPTORS_PER_SESSION * self.clients + self.servers_without_client
     }
 }
 
 impl Router {
     /// Whether there are descriptors for one more session; pending clients are closed for it.
-    pub(super) fn make_room_for_session(&mut self) -> bool {
+    pub(super) fn ensure_descriptors_for_session(&mut self) -> bool {
         loop {
             self.check_counts();
             let sessions = self.connection_counts.session_descriptors() + DESCRIPTORS_PER_SESSION;
@@ -146,7 +150,7 @@
 
     /// Whether one more pending client may be held; another is closed for it if it must be. Pending clients may
     /// take half of what sessions leave, so that clients with a request are never kept out by those without.
-    pub(super) fn make_room_for_pending(&mut self) -> bool {
+    pub(super) fn ensure_descriptors_for_pending_client(&mut self) -> bool {
         self.check_counts();
         let sessions = self.connection_counts.session_descriptors();
         let free = self.session_descriptor_limit().saturating_sub(sessions);
@@ -158,7 +162,7 @@
     fn session_descriptor_limit(&self) -> usize {
         self.resource_budget
             .session_descriptors
-            .saturating_sub(self.descriptors_of_peer())
+            .saturating_sub(self.predecessor_descriptors())
     }
 
     /// In debug builds, holds the kept counts against the connections counted anew.
--- a/crates/proxy/src/routing/session_state/machine.rs
+++ b/crates/proxy/src/routing/session_state/machine.rs
@@ -1,7 +1,7 @@
 //! The session state machine: looks inputs up in the table and performs what the transitions say.
 
 use super::table::{InputKind, TransitionEffect, dial_end_code, proves_not_run, transition};
-use super::{FinalAnswer, SessionEffect, SessionInput, SessionState};
+use super::{FinalResponse, SessionEffect, SessionInput, SessionState};
 use crate::injected_fault::{InjectedFault, is_injected};
 use crate::routing::report::ReasonCode;
 use asterramp_placement::Event;
@@ -27,7 +27,7 @@
     /// When it asked.
     pub requested_at: Duration,
     /// Dials begun so far; 255 at most, where counting stops.
-    pub dials: u8,
+    pub dials_started: u8,
     /// The server of the present dial or the last; 0 before the first.
     pub server: ServerId,
     /// When the present dial times out.
@@ -56,7 +56,7 @@
             state: SessionState::Idle,
             request,
             requested_at: now,
-            dials: 0,
+            dials_started: 0,
             server: 0,
             dial_deadline: now,
             write_deadline: now,
@@ -76,19 +76,19 @@
     ) -> SessionMachine {
         SessionMachine {
             state: SessionState::Open,
-            dials: 1,
+            dials_started: 1,
             server,
             ..SessionMachine::new(now, request, false, connect_timeout)
         }
     }
 
     /// The number of the present dial or the last, from 0.
-    pub fn dial(&self) -> u8 {
-        self.dials.saturating_sub(1)
+    pub fn dial_number(&self) -> u8 {
+        self.dials_started.saturating_sub(1)
     }
 
     /// Until when a restored session is dialled again.
-    pub fn restored_until(&self) -> Duration {
+    pub fn restore_deadline(&self) -> Duration {
         self.requested_at + RESTORE_TIMEOUT
     }
 
@@ -100,7 +100,7 @@
         let late_answer =
             is_injected(InjectedFault::LateUpAccepted) && kind == InputKind::ServerAccepted;
         let state = if late_answer && self.state != SessionState::Ended {
-            SessionState::AwaitingAnswer
+            SessionState::AwaitingResponse
         } else {
             self.state
         };
@@ -134,7 +134,7 @@
             return true;
         }
         is_injected(InjectedFault::CancelledDialLeftOpen)
-            && state == SessionState::AwaitingAnswer
+            && state == SessionState::AwaitingResponse
             && kind == InputKind::Cancel
     }
 
@@ -159,10 +159,12 @@
             SessionInput::ServerDeclined { dial, .. } => {
                 self.of_dial(dial, InputKind::ServerDeclined)
             }
-            SessionInput::ServerEnded { dial } => self.of_dial(dial, InputKind::ServerEnded),
+            SessionInput::ServerDisconnected { dial } => {
+                self.of_dial(dial, InputKind::ServerDisconnected)
+            }
             SessionInput::DeadlineReached => Some(self.deadline_kind(now)),
             SessionInput::ClientLeft => self.client_kind(InputKind::ClientLeft),
-            SessionInput::ClientSpoke => self.client_kind(InputKind::ClientSpoke),
+            SessionInput::ClientSentEarlyData => self.client_kind(InputKind::ClientSentEarlyData),
             SessionInput::SessionClosed { .. } => Some(InputKind::SessionClosed),
             SessionInput::ShutdownCutoff => Some(InputKind::ShutdownCutoff),
             // The engine has not heard of it, so there is nothing to take back.
@@ -176,7 +178,7 @@
     fn of_dial(&self, dial: u8, kind: InputKind) -> Option<InputKind> {
         let late_answer =
             is_injected(InjectedFault::LateUpAccepted) && kind == InputKind::ServerAccepted;
-        (dial == self.dial() || late_answer).then_some(kind)
+        (dial == self.dial_number() || late_answer).then_some(kind)
     }
 
     fn acceptance(&self) -> InputKind {
@@ -222,7 +224,7 @@
             TransitionEffect::EndDialAsDeclined => self.end_dial_as_declined(now, input, out),
             TransitionEffect::RejectClient => self.reject_client(input, out),
             TransitionEffect::FailClient => {
-                self.answer(FinalAnswer::Failed(ReasonCode::SessionFailed), out);
+                self.answer(FinalResponse::Failed(ReasonCode::SessionFailed), out);
             }
             TransitionEffect::MigrateClient => out.push(SessionEffect::Migrate),
             TransitionEffect::Restore => {
@@ -259,7 +261,7 @@
         self.server = server;
         self.dial_deadline = now + timeout;
         self.write_deadline = now + write_within;
-        self.dials = self.dials.saturating_add(1);
+        self.dials_started = self.dials_started.saturating_add(1);
         if is_injected(InjectedFault::DialOutlastsClientWait) {
             self.dial_deadline += INJECTED_DELAY;
         }
@@ -284,7 +286,7 @@
     fn open_session(&mut self, out: &mut Vec<SessionEffect>) {
         out.push(SessionEffect::SetDeadline(None));
         if self.restored {
-            self.dials = 1;
+            self.dials_started = 1;
             out.push(SessionEffect::Count(ReasonCode::SessionRestored));
             out.push(SessionEffect::Notify(Event::SessionInherited(
                 self.request,
@@ -294,7 +296,7 @@
             out.push(SessionEffect::Count(ReasonCode::SessionOpened));
             out.push(SessionEffect::Notify(Event::SessionOpened {
                 session: self.request.session,
-                attempt: self.dial(),
+                attempt: self.dial_number(),
             }));
         }
         out.push(SessionEffect::StartForwarding);
@@ -313,7 +315,7 @@
 
     fn reject_client(&mut self, input: SessionInput, out: &mut Vec<SessionEffect>) {
         if let SessionInput::Reject { retry_after } = input {
-            self.answer(FinalAnswer::Rejected(retry_after), out);
+            self.answer(FinalResponse::Rejected(retry_after), out);
         }
     }
 
@@ -321,8 +323,8 @@
         if !self.client_waiting {
             return;
         }
-        if input == SessionInput::ClientSpoke {
-            self.answer(FinalAnswer::Failed(ReasonCode::ClientProtocolError), out);
+        if input == SessionInput::ClientSentEarlyData {
+            self.answer(FinalResponse::Failed(ReasonCode::ClientProtocolError), out);
         } else {
             out.push(SessionEffect::Log(ReasonCode::ClientLeft));
             out.push(SessionEffect::DropClient);
@@ -345,7 +347,7 @@
         out.push(SessionEffect::SetDeadline(None));
         out.push(SessionEffect::Notify(Event::AttemptEnded {
             session: self.request.session,
-            attempt: self.dial(),
+            attempt: self.dial_number(),
             outcome,
             session_over: true,
             load,
@@ -356,13 +358,13 @@
         out.push(SessionEffect::SetDeadline(None));
         out.push(SessionEffect::CloseServer);
         if !is_injected(InjectedFault::WaitingClientsNotAnswered) {
-            self.answer(FinalAnswer::Failed(ReasonCode::SessionFailed), out);
+            self.answer(FinalResponse::Failed(ReasonCode::SessionFailed), out);
         }
         out.push(SessionEffect::Forget);
     }
 
     /// The only way to a final answer: a client that has one, or has left, gets none.
-    fn answer(&mut self, answer: FinalAnswer, out: &mut Vec<SessionEffect>) {
+    fn answer(&mut self, answer: FinalResponse, out: &mut Vec<SessionEffect>) {
         if self.client_waiting {
             out.push(SessionEffect::AnswerClient(answer));
         }
@@ -380,8 +382,8 @@
         let timed_out = outcome == Outcome::TimedOut;
         if is_injected(InjectedFault::ClientAnsweredDuringDial) && timed_out && self.client_waiting
         {
-            self.state = SessionState::AwaitingAnswer;
-            return self.answer(FinalAnswer::Failed(ReasonCode::SessionFailed), out);
+            self.state = SessionState::AwaitingResponse;
+            return self.answer(FinalResponse::Failed(ReasonCode::SessionFailed), out);
         }
         if !(is_injected(InjectedFault::DialBeforePreviousClosed) && timed_out) {
             out.push(SessionEffect::CloseServer);
@@ -396,7 +398,7 @@
         } else {
             out.push(SessionEffect::Notify(Event::AttemptEnded {
                 session: self.request.session,
-                attempt: self.dial(),
+                attempt: self.dial_number(),
                 outcome,
                 session_over: !self.client_waiting,
                 load,
@@ -412,11 +414,11 @@
         out: &mut Vec<SessionEffect>,
     ) {
         let next_dial = now + RESTORE_RETRY_INTERVAL;
-        if proves_not_run(outcome) && next_dial < self.restored_until() {
+        if proves_not_run(outcome) && next_dial < self.restore_deadline() {
             out.push(SessionEffect::SetDeadline(Some(next_dial)));
         } else {
             self.state = SessionState::Ended;
-            self.answer(FinalAnswer::Failed(ReasonCode::SessionFailed), out);
+            self.answer(FinalResponse::Failed(ReasonCode::SessionFailed), out);
             out.push(SessionEffect::Forget);
         }
     }
--- a/crates/proxy/src/routing/session_state/mod.rs
+++ b/crates/proxy/src/routing/session_state/mod.rs
@@ -9,4 +9,4 @@
 mod types;
 
 pub use machine::SessionMachine;
-pub use types::{FinalAnswer, SessionEffect, SessionInput, SessionState};
+pub use types::{FinalResponse, SessionEffect, SessionInput, SessionState};
--- a/crates/proxy/src/routing/session_state/table.rs
+++ b/crates/proxy/src/routing/session_state/table.rs
@@ -3,11 +3,12 @@
 use super::SessionState;
 use crate::routing::report::ReasonCode;
 use InputKind::{
-    Cancel, ClientLeft, ClientSpoke, Connected, DeadlineReached, Dial, DrainCutoff, Fail, Migrate,
-    NoSocket, Reject, RequestWritten, RestoredClientGone, ServerAccepted, ServerAcceptedClientGone,
-    ServerDeclined, ServerEnded, SessionClosed, ShutdownCutoff, Unreachable,
+    Cancel, ClientLeft, ClientSentEarlyData, Connected, DeadlineReached, Dial, DrainCutoff, Fail,
+    Migrate, NoSocket, Reject, RequestWritten, RestoredClientGone, ServerAccepted,
+    ServerAcceptedClientGone, ServerDeclined, ServerDisconnected, SessionClosed, ShutdownCutoff,
+    Unreachable,
 };
-use SessionState::{AwaitingAnswer, Connecting, Ended, Idle, Open, SendingRequest};
+use SessionState::{AwaitingResponse, Connecting, Ended, Idle, Open, SendingRequest};
 use TransitionEffect::{
     AbandonUnsentDial, BeginDial, EndDial, EndDialAsDeclined, FailClient, Forget, MigrateClient,
     NotifyClientLeft, NotifySessionOver, OpenSession, RejectClient, ReleaseClient, Restore,
@@ -31,10 +32,10 @@
     /// Accepted, but the client has left.
     ServerAcceptedClientGone,
     ServerDeclined,
-    ServerEnded,
+    ServerDisconnected,
     DeadlineReached,
     ClientLeft,
-    ClientSpoke,
+    ClientSentEarlyData,
     /// The client of a restored session, which the engine has not heard of yet, left or spoke.
     RestoredClientGone,
     SessionClosed,
@@ -115,36 +116,46 @@
     on(Connecting, DeadlineReached, Idle, UNREACHABLE),
     on(Connecting, Cancel, Idle, CANCELLED),
     on(Connecting, Connected, SendingRequest, &[SendRequest]),
-    on(SendingRequest, RequestWritten, AwaitingAnswer, &[]),
+    on(SendingRequest, RequestWritten, AwaitingResponse, &[]),
     // The request's last byte was never written.
-    on(SendingRequest, ServerEnded, Idle, UNREACHABLE),
+    on(SendingRequest, ServerDisconnected, Idle, UNREACHABLE),
     on(SendingRequest, DeadlineReached, Idle, UNREACHABLE),
     on(SendingRequest, Cancel, Idle, CANCELLED),
     // The client had gone before the request's first byte was written.
     on(SendingRequest, NoSocket, Idle, NEVER_SENT),
-    on(AwaitingAnswer, ServerAccepted, Open, &[OpenSession]),
+    on(AwaitingResponse, ServerAccepted, Open, &[OpenSession]),
     // The client left while its dial could not be cancelled.
-    on(AwaitingAnswer, ServerAcceptedClientGone, Idle, UNWANTED),
-    on(AwaitingAnswer, ServerDeclined, Idle, &[EndDialAsDeclined]),
-    on(AwaitingAnswer, ServerEnded, Idle, RESET),
-    on(AwaitingAnswer, DeadlineReached, Idle, TIMED_OUT),
-    on(AwaitingAnswer, Cancel, Idle, CANCELLED),
+    on(AwaitingResponse, ServerAcceptedClientGone, Idle, UNWANTED),
+    on(AwaitingResponse, ServerDeclined, Idle, &[EndDialAsDeclined]),
+    on(AwaitingResponse, ServerDisconnected, Idle, RESET),
+    on(AwaitingResponse, DeadlineReached, Idle, TIMED_OUT),
+    on(AwaitingResponse, Cancel, Idle, CANCELLED),
     on(Open, Migrate, Open, &[MigrateClient]),
     on(Open, ClientLeft, Open, &[NotifyClientLeft]),
     on(Open, SessionClosed, Ended, &[NotifySessionOver]),
     on(Idle, ClientLeft, Idle, CLIENT_GONE),
     on(Connecting, ClientLeft, Idle, CLIENT_GONE_UNSENT),
     on(SendingRequest, ClientLeft, Idle, CLIENT_GONE_UNSENT),
-    on(AwaitingAnswer, ClientLeft, AwaitingAnswer, CLIENT_GONE),
+    on(AwaitingResponse, ClientLeft, AwaitingResponse, CLIENT_GONE),
     // It was to wait for its answer: what it said would reach its server unasked.
-    on(Idle, ClientSpoke, Idle, CLIENT_GONE),
-    on(Connecting, ClientSpoke, Idle, CLIENT_GONE_UNSENT),
-    on(SendingRequest, ClientSpoke, Idle, CLIENT_GONE_UNSENT),
-    on(AwaitingAnswer, ClientSpoke, AwaitingAnswer, CLIENT_GONE),
+    on(Idle, ClientSentEarlyData, Idle, CLIENT_GONE),
+    on(Connecting, ClientSentEarlyData, Idle, CLIENT_GONE_UNSENT),
+    on(
+        SendingRequest,
+        ClientSentEarlyData,
+        Idle,
+        CLIENT_GONE_UNSENT,
+    ),
+    on(
+        AwaitingResponse,
+        ClientSentEarlyData,
+        AwaitingResponse,
+        CLIENT_GONE,
+    ),
     on(Idle, DrainCutoff, Idle, CUT_OFF),
     on(Connecting, DrainCutoff, Idle, CUT_OFF_UNSENT),
     on(SendingRequest, DrainCutoff, Idle, CUT_OFF_UNSENT),
-    on(AwaitingAnswer, DrainCutoff, AwaitingAnswer, CUT_OFF),
+    on(AwaitingResponse, DrainCutoff, AwaitingResponse, CUT_OFF),
     on(Idle, RestoredClientGone, Ended, RESTORED_CLIENT_GONE),
     on(Connecting, RestoredClientGone, Ended, RESTORED_CLIENT_GONE),
     on(
@@ -154,7 +165,7 @@
         RESTORED_CLIENT_GONE,
     ),
     on(
-        AwaitingAnswer,
+        AwaitingResponse,
         RestoredClientGone,
         Ended,
         RESTORED_CLIENT_GONE,
@@ -162,7 +173,7 @@
     on(Idle, ShutdownCutoff, Ended, &[ShutDown]),
     on(Connecting, ShutdownCutoff, Ended, &[ShutDown]),
     on(SendingRequest, ShutdownCutoff, Ended, &[ShutDown]),
-    on(AwaitingAnswer, ShutdownCutoff, Ended, &[ShutDown]),
+    on(AwaitingResponse, ShutdownCutoff, Ended, &[ShutDown]),
 ];
 
 /// The transition of a state on an input, if there is one.
--- a/crates/proxy/src/routing/session_state/types.rs
+++ b/crates/proxy/src/routing/session_state/types.rs
@@ -15,7 +15,7 @@
     /// The connection is up and the request line is being written.
     SendingRequest,
     /// The request's last byte is written: the server may act on it from now on.
-    AwaitingAnswer,
+    AwaitingResponse,
     /// The server accepted; lines are forwarded both ways.
     Open,
     /// The client has its final answer, or the open connection has ended.
@@ -82,7 +82,7 @@
         load: Load,
     },
     /// The dial's connection ended before any answer.
-    ServerEnded {
+    ServerDisconnected {
         /// Number of the dial.
         dial: u8,
     },
@@ -91,7 +91,7 @@
     /// The client ended its side.
     ClientLeft,
     /// The client sent something before it was answered, which the protocol forbids.
-    ClientSpoke,
+    ClientSentEarlyData,
     /// The open connection is closed on both sides.
     SessionClosed {
         /// How it ended.
@@ -108,7 +108,7 @@
 
 /// The final answer that a client is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FinalAnswer {
+pub enum FinalResponse {
     /// Rejected for now; the client should come back after so long.
     Rejected(Duration),
     /// Not brought up, for this reason.
@@ -134,7 +134,7 @@
     /// Give [`SessionInput::DeadlineReached`] at that time; `None` withdraws the deadline.
     SetDeadline(Option<Duration>),
     /// Send the client its final answer and close its connection.
-    AnswerClient(FinalAnswer),
+    AnswerClient(FinalResponse),
     /// The client has left: close its connection.
     DropClient,
     /// Forward lines both ways from now on.
--- a/crates/proxy/src/routing/session_table.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -124,23 +124,28 @@
     }
 
     /// Something happens to a session; ignored if the session is gone.
-    pub fn input(&mut self, now: Duration, session: SlotKey, input: SessionInput) {
+    pub fn handle_input(&mut self, now: Duration, session: SlotKey, input: SessionInput) {
         self.step(now, session, input);
         self.settle(now);
     }
 
     /// The client of a session was found to have left, or to have spoken, right before something would be sent for
     /// it. Whether nothing is to be sent.
-    pub fn found_gone(&mut self, now: Duration, session: SlotKey, how: SessionInput) -> bool {
+    pub fn cancel_before_send(
+        &mut self,
+        now: Duration,
+        session: SlotKey,
+        how: SessionInput,
+    ) -> bool {
         if is_injected(InjectedFault::DialForGoneClient) {
             return false;
         }
-        self.input(now, session, how);
+        self.handle_input(now, session, how);
         true
     }
 
     /// Something happens that is no session's own: the endpoint list, a probe's answer, a tick.
-    pub fn event(&mut self, now: Duration, event: Event) {
+    pub fn handle_event(&mut self, now: Duration, event: Event) {
         if is_injected(InjectedFault::ChangeDuringDialLost)
             && matches!(event, Event::Endpoints(_))
             && self.sessions.iter().any(|(_, slot)| is_dialling(slot))
@@ -152,7 +157,7 @@
     }
 
     /// The server of an open session has sent a line (`answered`), or has left a line without an answer for long.
-    pub fn note_server_activity(&mut self, now: Duration, session: SlotKey, answered: bool) {
+    pub fn record_server_activity(&mut self, now: Duration, session: SlotKey, answered: bool) {
         let server = self.sessions.get(session).map(|slot| slot.machine.server);
         if let (Some(zones), Some(server)) = (&mut self.zones, server) {
             if answered {
@@ -165,7 +170,7 @@
     }
 
     /// Discovery is alive, though it has nothing new to say.
-    pub fn note_discovery_alive(&mut self, now: Duration) {
+    pub fn record_discovery_activity(&mut self, now: Duration) {
         if let Some(zones) = &mut self.zones {
             zones.failover.discovery_responded(now);
             self.settle(now);
@@ -282,6 +287,6 @@
 fn is_dialling<T>(slot: &SessionSlot<T>) -> bool {
     matches!(
         slot.machine.state,
-        SessionState::Connecting | SessionState::SendingRequest | SessionState::AwaitingAnswer
+        SessionState::Connecting | SessionState::SendingRequest | SessionState::AwaitingResponse
     )
 }
--- a/crates/proxy/src/routing/session_tasks.rs
+++ b/crates/proxy/src/routing/session_tasks.rs
@@ -3,7 +3,7 @@
 use super::Router;
 use super::metrics::SessionEnd;
 use super::report::ReasonCode;
-use super::session_state::{FinalAnswer, SessionEffect, SessionInput, SessionMachine};
+use super::session_state::{FinalResponse, SessionEffect, SessionInput, SessionMachine};
 use super::session_table::SessionTask;
 use super::types::{SessionConnections, TimerKey};
 use super::zones::ZoneTransition;
@@ -13,13 +13,13 @@
 
 impl Router {
     /// Something happens to a session.
-    pub(super) fn input(&mut self, session: SlotKey, input: SessionInput) {
-        self.session_table.input(self.now, session, input);
+    pub(super) fn handle_session_input(&mut self, session: SlotKey, input: SessionInput) {
+        self.session_table.handle_input(self.now, session, input);
     }
 
     /// Something happens that is no session's own.
-    pub(super) fn event(&mut self, event: Event) {
-        self.session_table.event(self.now, event);
+    pub(super) fn handle_placement_event(&mut self, event: Event) {
+        self.session_table.handle_event(self.now, event);
     }
 
     /// A session's state machine.
@@ -42,7 +42,7 @@
     pub(super) fn run_tasks(&mut self) {
         while let Some(task) = self.session_table.next_task() {
             match task {
-                SessionTask::Probe(server) => self.probe(server),
+                SessionTask::Probe(server) => self.start_probe(server),
                 SessionTask::PollEndpoints => self.connect_watch(),
                 SessionTask::ZoneChanged(transition) => self.log_zone_change(transition),
                 SessionTask::SetTimer(after) => {
@@ -78,11 +78,11 @@
                 self.deadlines.set(TimerKey::Session(session), at);
             }
             SessionEffect::SetDeadline(None) => self.deadlines.clear(TimerKey::Session(session)),
-            SessionEffect::AnswerClient(FinalAnswer::Rejected(retry_after)) => {
+            SessionEffect::AnswerClient(FinalResponse::Rejected(retry_after)) => {
                 let text = busy_line(retry_after);
                 self.answer_client(session, text.as_bytes(), ReasonCode::Rejected);
             }
-            SessionEffect::AnswerClient(FinalAnswer::Failed(code)) => {
+            SessionEffect::AnswerClient(FinalResponse::Failed(code)) => {
                 self.answer_client(session, ERROR_LINE, code);
             }
             SessionEffect::DropClient => {
@@ -93,7 +93,7 @@
             }
             SessionEffect::StartForwarding => self.forward(session),
             SessionEffect::Migrate => self.migrate(session, ReasonCode::Rebalanced),
-            SessionEffect::Restore => self.restore(session),
+            SessionEffect::Restore => self.restore_session(session),
             SessionEffect::Forget => self.forget(session),
             SessionEffect::Log(code) => self.log_session_end(session, code),
             SessionEffect::Count(code) => self.count_session_event(session, code),
@@ -130,7 +130,7 @@
         let client = data.client.take();
         let has_server = data.server.is_some();
         if client.is_some() && has_server {
-            self.connection_counts.lone_servers += 1;
+            self.connection_counts.servers_without_client += 1;
         }
         client
     }
@@ -141,7 +141,7 @@
         let server = data.server.take();
         let has_client = data.client.is_some();
         if server.is_some() && !has_client {
-            self.connection_counts.lone_servers -= 1;
+            self.connection_counts.servers_without_client -= 1;
         }
         server
     }
--- a/crates/proxy/src/routing/startup.rs
+++ b/crates/proxy/src/routing/startup.rs
@@ -36,16 +36,16 @@
     /// Seeds the placement engine's and admission control's draws.
     pub seed: u64,
     /// Where clients connect.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// Where discovery answers.
-    pub discovery: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// Where operators' HTTP calls connect, if they do.
-    pub operator: Option<SocketAddr>,
+    pub admin_http_address: Option<SocketAddr>,
     /// The Unix socket at which the process that replaces this one finds it; `None` where none may.
     pub hot_restart_socket: Option<PathBuf>,
     /// The endpoint list of the last run.
-    pub known_endpoints: EndpointList,
-    /// How a start goes on from what was saved; `None` where discovery and `known_endpoints` are believed.
+    pub initial_endpoints: EndpointList,
+    /// How a start goes on from what was saved; `None` where discovery and `initial_endpoints` are believed.
     pub warm_start: Option<WarmStartPlan>,
     /// Most descriptors that the process may hold.
     pub max_descriptors: usize,
@@ -72,42 +72,47 @@
         let RouterOptions {
             settings,
             seed,
-            listen,
-            discovery,
-            operator,
+            listen_address,
+            discovery_address,
+            admin_http_address,
             hot_restart_socket,
-            known_endpoints,
+            initial_endpoints,
             warm_start,
             max_descriptors,
             max_memory_bytes,
         } = options;
-        let (inherited, failure) = ask_predecessor(hot_restart_socket.as_deref(), listen);
+        let (inherited, failure) = ask_predecessor(hot_restart_socket.as_deref(), listen_address);
         let revision = inherited
             .as_ref()
-            .map_or(known_endpoints.revision, |inherited| {
+            .map_or(initial_endpoints.revision, |inherited| {
                 inherited.list.revision
             });
         let budget = ResourceBudget::new(max_descriptors, max_memory_bytes);
-        let watch = DiscoveryWatch::new(discovery, revision, &settings);
+        let watch = DiscoveryWatch::new(discovery_address, revision, &settings);
         let mut router = Router::without_connections(settings, seed, budget, watch, now)?;
         if let Some(why) = failure {
             router.log_event(ReasonCode::HotRestartFailed, format!("elder why={why:?}"));
         }
         let listener = match inherited {
             Some(inherited) => Listener::inherited(inherited),
-            None => Listener::bind(listen, operator.is_some())?,
+            None => Listener::bind(listen_address, admin_http_address.is_some())?,
         };
         if let Some(path) = hot_restart_socket {
             router.open_hot_restart(path, listener.predecessor);
         }
         router.listener =
             router.register(listener.fd, ConnectionRole::Listener, Interest::default());
-        if let Some(address) = operator {
+        if let Some(address) = admin_http_address {
             router
                 .open_admin_http(address)
                 .map_err(|error| listen_error("operator", address, error))?;
         }
-        router.learn_endpoints(listener.list, warm_start, known_endpoints, discovery);
+        router.learn_endpoints(
+            listener.list,
+            warm_start,
+            initial_endpoints,
+            discovery_address,
+        );
         router.run_tasks();
         Ok(router)
     }
@@ -135,7 +140,7 @@
             }
             (None, None) => {
                 self.set_listener_delay();
-                self.apply_known_list(known);
+                self.apply_initial_list(known);
             }
         }
     }
@@ -218,12 +223,12 @@
 /// Asks the process of this proxy that may run already for its listener and list; the second is why that failed.
 fn ask_predecessor(
     socket: Option<&Path>,
-    listen: SocketAddr,
+    listen_address: SocketAddr,
 ) -> (Option<InheritedListener>, Option<String>) {
     let Some(socket) = socket else {
         return (None, None);
     };
-    match InheritedListener::request(socket, listen) {
+    match InheritedListener::request(socket, listen_address) {
         Ok(inherited) => (inherited, None),
         Err(why) => (None, Some(why.to_string())),
     }
--- a/crates/proxy/src/routing/types.rs
+++ b/crates/proxy/src/routing/types.rs
@@ -87,13 +87,13 @@
     /// The client's request line, as it came.
     pub(super) request_line: Vec<u8>,
     /// Where in `request_line` the client's wait stands, in milliseconds.
-    pub(super) wait_at: Range<usize>,
+    pub(super) wait_range: Range<usize>,
     /// Uid of the server that held the session before this proxy started, if one did.
-    pub(super) open_at: Option<String>,
+    pub(super) restored_server_uid: Option<String>,
     /// The client has sent a line that the server has not answered yet.
     pub(super) awaiting_response: bool,
     /// The server has left that line for longer than a live one does.
-    pub(super) server_quiet: bool,
+    pub(super) response_overdue: bool,
     /// What the server announced of the session's end.
     pub(super) announced_end: Option<(Outcome, Load)>,
 }
--- a/crates/proxy/src/routing/warm_start/admission.rs
+++ b/crates/proxy/src/routing/warm_start/admission.rs
@@ -55,7 +55,7 @@
 
 impl Router {
     /// Sessions per second that the warm start admits; `None` where it sets no limit.
-    pub(in crate::routing) fn warm_start_pace(&self) -> Option<f64> {
+    pub(in crate::routing) fn warm_start_admission_rate(&self) -> Option<f64> {
         let progress = self.warm_start.as_ref()?;
         match progress.admission {
             ClientAdmission::Open => None,
--- a/crates/proxy/src/routing/warm_start/begin.rs
+++ b/crates/proxy/src/routing/warm_start/begin.rs
@@ -29,11 +29,15 @@
     ) {
         let peers = plan.peers.addresses.len();
         let reserved = peers.min(MAX_RESERVED_PEERS);
-        self.resource_budget = self.resource_budget.without(reserved);
+        self.resource_budget = self.resource_budget.reduced_by(reserved);
         self.configure_peers(plan.peers);
         let mut settings = plan.settings;
         settings.has_peers = peers > 0;
-        settings.max_probes = self.resource_budget.probes.min(settings.max_probes).max(1);
+        settings.max_probes = self
+            .resource_budget
+            .max_probes
+            .min(settings.max_probes)
+            .max(1);
         let snapshot = plan.snapshot.unwrap_or_default();
         let mut progress = WarmStartProgress::new(self.now, settings);
         progress.newest_revision = configured.revision.max(snapshot.list_revision);
--- a/crates/proxy/src/routing/warm_start/discovery.rs
+++ b/crates/proxy/src/routing/warm_start/discovery.rs
@@ -26,7 +26,7 @@
 
     /// Applies an outdated list: endpoints that are draining or gone are taken out of use at once, those that are ready
     /// have to answer a probe first.
-    pub(in crate::routing) fn apply_older_list(
+    pub(in crate::routing) fn apply_outdated_list(
         &mut self,
         list_revision: u64,
         listed: Vec<Endpoint>,
@@ -61,13 +61,13 @@
             ReasonCode::EndpointListOutdated,
             format!("rev={list_revision} had={newest}"),
         );
-        self.event(Event::Endpoints(EndpointUpdate::Changes(out_of_use)));
+        self.handle_placement_event(Event::Endpoints(EndpointUpdate::Changes(out_of_use)));
         self.apply_warm_start_effects();
     }
 
     /// Notifies the warm start of endpoints that discovery has listed, and fills in what a connection took of each
     /// before. `complete` says whether they are the complete list. The caller passes them on to the placement engine.
-    pub(in crate::routing) fn note_listed_endpoints(
+    pub(in crate::routing) fn record_listed_endpoints(
         &mut self,
         listed: &mut [Endpoint],
         complete: bool,
@@ -100,7 +100,11 @@
     }
 
     /// The probe of a server has ended. Any answer counts, since a server that rejects or fails a session is there.
-    pub(in crate::routing) fn note_warm_start_probe(&mut self, server: ServerId, outcome: Outcome) {
+    pub(in crate::routing) fn record_warm_start_probe(
+        &mut self,
+        server: ServerId,
+        outcome: Outcome,
+    ) {
         let answered = matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::ServerError);
         let now = self.now;
         if let Some(progress) = &mut self.warm_start {
--- a/crates/proxy/src/routing/warm_start/effects.rs
+++ b/crates/proxy/src/routing/warm_start/effects.rs
@@ -67,7 +67,7 @@
     /// is placed on it is its probe.
     fn probe_candidate(&mut self, id: EndpointId) {
         if self.settings.deployment.may_probe {
-            self.probe(id);
+            self.start_probe(id);
             return;
         }
         let now = self.now;
@@ -101,7 +101,7 @@
                 load_per_connection,
                 ..endpoint
             };
-            self.event(Event::Endpoints(EndpointUpdate::Changes(vec![changed])));
+            self.handle_placement_event(Event::Endpoints(EndpointUpdate::Changes(vec![changed])));
         }
     }
 }
--- a/crates/proxy/src/routing/warm_start/mod.rs
+++ b/crates/proxy/src/routing/warm_start/mod.rs
@@ -84,7 +84,7 @@
     }
 
     /// Whether the proxy says that it serves, when it is asked.
-    pub(super) fn warm_start_serves(&self) -> bool {
+    pub(super) fn warm_start_admits_sessions(&self) -> bool {
         match &self.warm_start {
             None => true,
             Some(progress) => match progress.admission {
--- a/crates/proxy/src/transport/poller.rs
+++ b/crates/proxy/src/transport/poller.rs
@@ -84,13 +84,13 @@
     }
 
     /// Changes what a registered socket is watched for.
-    pub fn change(&self, fd: impl AsFd, key: SlotKey, interest: Interest) -> Result<()> {
+    pub fn modify(&self, fd: impl AsFd, key: SlotKey, interest: Interest) -> Result<()> {
         let data = EventData::new_u64(key.to_bits());
         epoll::modify(&self.epoll, fd, data, interest.flags())
     }
 
     /// Removes a socket. Closing it does that too, unless another process still holds a duplicate.
-    pub fn forget(&self, fd: impl AsFd) {
+    pub fn remove(&self, fd: impl AsFd) {
         let _ = epoll::delete(&self.epoll, fd);
     }
 
--- a/crates/proxy/tests/admin_socket.rs
+++ b/crates/proxy/tests/admin_socket.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::process::Command;
 use std::time::{Duration, Instant};
-use support::{OperatedProxy, operator_file_text, temporary_path, text_of};
+use support::{OperatedProxy, operator_file_text, output_text, temporary_path};
 use test_case::test_case;
 
 #[test_case("x", "not a request"; "not JSON")]
@@ -127,7 +127,7 @@
             .arg(command)
             .output()
             .unwrap();
-        let text = text_of(&output);
+        let text = output_text(&output);
         assert!(
             text.contains("line 2: drain.pase") && text.contains("line 3: drain.quiet"),
             "{text}"
@@ -150,12 +150,12 @@
 fn the_status_is_printed_for_people_and_programs_and_so_are_completions() {
     let operated = OperatedProxy::start("");
     let _session = operated.proxy.open_session();
-    let line = text_of(&operated.run(&["status"]));
+    let line = output_text(&operated.run(&["status"]));
     assert!(
         line.starts_with("serving  1 open") && line.contains("1 of 1 hosts ready"),
         "{line}"
     );
-    let json = text_of(&operated.run(&["status", "--json"]));
+    let json = output_text(&operated.run(&["status", "--json"]));
     assert!(
         json.starts_with("{\"pid\":") && json.contains("\"open\":1"),
         "{json}"
@@ -164,7 +164,7 @@
         .args(["completions", "bash"])
         .output()
         .unwrap();
-    assert!(text_of(&completions).contains("undrain"));
+    assert!(output_text(&completions).contains("undrain"));
     let without_proxy = Command::new(env!("CARGO_BIN_EXE_asterramp"))
         .args(["status", "--control", "/nowhere"])
         .output();
--- a/crates/proxy/tests/golden_admin.rs
+++ b/crates/proxy/tests/golden_admin.rs
@@ -332,9 +332,9 @@
     let listeners = listeners();
     let mut metrics = Metrics::new(listeners.len());
     let none = GaugeValues {
-        inflight: 0,
-        listed: 0,
-        down: 0,
+        sessions_in_flight: 0,
+        listed_endpoints: 0,
+        down_endpoints: 0,
     };
     let mut text = format!("nothing\n{}", metrics.text(&listeners, none));
     for (listener, end, times) in [
@@ -347,9 +347,9 @@
     }
     (0..11).for_each(|_| metrics.count_attempt());
     let some = GaugeValues {
-        inflight: 4,
-        listed: 5,
-        down: 6,
+        sessions_in_flight: 4,
+        listed_endpoints: 5,
+        down_endpoints: 6,
     };
     text += &format!("something\n{}", metrics.text(&listeners, some));
     text
--- a/crates/proxy/tests/hot_restart_messages.rs
+++ b/crates/proxy/tests/hot_restart_messages.rs
@@ -29,7 +29,7 @@
 
 /// A client's socket as it was handed over.
 fn adopted_client(mut descriptors: Vec<OwnedFd>) -> LineConnection {
-    LineConnection::of(TcpStream::from(descriptors.remove(0)))
+    LineConnection::from_stream(TcpStream::from(descriptors.remove(0)))
 }
 
 /// What is offered is left alone by the predecessor, and goes on there if the successor ends, or sends rubbish, before
@@ -71,7 +71,10 @@
     }
     if failure != SuccessorFailure::Close {
         assert!(
-            matches!(link.expect().message, HotRestartMessage::HandoverStopped),
+            matches!(
+                link.expect_message().message,
+                HotRestartMessage::HandoverStopped
+            ),
             "the predecessor says what becomes of the rest"
         );
         assert!(link.receive().is_none());
@@ -110,7 +113,7 @@
     if handed_over == HandedOver::Session {
         return link.expect_session_offer();
     }
-    let received = link.expect();
+    let received = link.expect_message();
     match received.message {
         HotRestartMessage::PendingConnectionOffer(buffered) => {
             assert_eq!(buffered.bytes, b"OPEN 0000", "it had been read");
@@ -182,7 +185,10 @@
                 .unwrap();
         let successor = proxy.start_second_process();
         let link = HotRestartLink::accept(&link_listener);
-        assert!(matches!(link.expect().message, HotRestartMessage::Hello));
+        assert!(matches!(
+            link.expect_message().message,
+            HotRestartMessage::Hello
+        ));
         link.send(&HotRestartMessage::Endpoints(vec![endpoint_record(proxy)]));
         link.send_with(
             &HotRestartMessage::Listener { list_revision: 7 },
@@ -190,7 +196,10 @@
         );
         let watch = proxy.accept_watch().lists;
         watch.send(list_line(8, false, &[])).unwrap();
-        assert!(matches!(link.expect().message, HotRestartMessage::Serving));
+        assert!(matches!(
+            link.expect_message().message,
+            HotRestartMessage::Serving
+        ));
         assert!(successor.becomes_ready());
         let predecessor = TestPredecessor {
             link,
@@ -245,7 +254,10 @@
 fn connection() -> (LineConnection, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    (LineConnection::of(near), listener.accept().unwrap().0)
+    (
+        LineConnection::from_stream(near),
+        listener.accept().unwrap().0,
+    )
 }
 
 /// A predecessor ends with offers in the link. The successor adopts them, unless the predecessor has sent that it goes on
--- a/crates/proxy/tests/leader_lease/main.rs
+++ b/crates/proxy/tests/leader_lease/main.rs
@@ -14,7 +14,7 @@
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
 use supervised_fleet::{SupervisedFleet, status};
-use support::{TIMEOUT, ZooKeeperStub, send_signal, text_of};
+use support::{TIMEOUT, ZooKeeperStub, output_text, send_signal};
 use test_case::test_case;
 
 const PROXIES: usize = 3;
@@ -161,7 +161,7 @@
         .unwrap();
     CommandResult {
         success: output.status.success(),
-        text: text_of(&output),
+        text: output_text(&output),
     }
 }
 
--- a/crates/proxy/tests/session_machine.rs
+++ b/crates/proxy/tests/session_machine.rs
@@ -70,8 +70,8 @@
 /// may not cancel.
 #[test_case(&[], SessionInput::ClientLeft; "it leaves while its dial connects")]
 #[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::ClientLeft; "it leaves as its dial is established")]
-#[test_case(&[], SessionInput::ClientSpoke; "it speaks while its dial connects")]
-#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::ClientSpoke; "it speaks as its dial is established")]
+#[test_case(&[], SessionInput::ClientSentEarlyData; "it speaks while its dial connects")]
+#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::ClientSentEarlyData; "it speaks as its dial is established")]
 #[test_case(&[], SessionInput::DrainCutoff; "it is rejected while its dial connects")]
 #[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::DrainCutoff; "it is rejected as its dial is established")]
 fn nothing_is_written_for_a_client_that_waits_no_more(before: &[SessionInput], end: SessionInput) {
--- a/crates/proxy/tests/snapshots.rs
+++ b/crates/proxy/tests/snapshots.rs
@@ -6,8 +6,8 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 use support::{
-    OPEN_LINE, ProxyHarness, ProxyOptions, TIMEOUT, endpoint_json, list_line, temporary_path,
-    text_of,
+    OPEN_LINE, ProxyHarness, ProxyOptions, TIMEOUT, endpoint_json, list_line, output_text,
+    temporary_path,
 };
 use test_case::test_case;
 
@@ -67,7 +67,7 @@
             std::thread::sleep(Duration::from_millis(10));
         }
         assert!(
-            text_of(&state_command(&["show"], &self.directory))
+            output_text(&state_command(&["show"], &self.directory))
                 .contains(&proxy.listen_address.to_string())
         );
     }
@@ -109,9 +109,9 @@
     // A directory that a running proxy holds is not cleared.
     let held = state_command(&["clear"], &disk.directory);
     assert!(
-        !held.status.success() && text_of(&held).contains("a proxy holds it"),
+        !held.status.success() && output_text(&held).contains("a proxy holds it"),
         "{}",
-        text_of(&held)
+        output_text(&held)
     );
     proxy.send_signal("TERM");
     let (code, log) = proxy.wait_for_exit();
@@ -120,7 +120,7 @@
         log.contains("stage stage=normal why=\"discovery tells hosts that are warm\""),
         "{log}"
     );
-    let shown = text_of(&state_command(&["show"], &disk.directory));
+    let shown = output_text(&state_command(&["show"], &disk.directory));
     assert!(
         shown.contains("left in good order")
             && shown.contains("list 9")
@@ -137,7 +137,7 @@
     assert!(state_command(&["verify"], &disk.directory).status.success());
     assert!(state_command(&["clear"], &disk.directory).status.success());
     let none = state_command(&["verify"], &disk.directory);
-    assert!(!none.status.success() && text_of(&none).contains("no whole snapshot"));
+    assert!(!none.status.success() && output_text(&none).contains("no whole snapshot"));
 }
 
 #[test_case("state.0", b"", "empty"; "empty")]
@@ -154,9 +154,9 @@
     disk.put(file, bytes);
     let verified = state_command(&["verify"], &disk.directory);
     assert!(
-        !verified.status.success() && text_of(&verified).contains(why),
+        !verified.status.success() && output_text(&verified).contains(why),
         "{}",
-        text_of(&verified)
+        output_text(&verified)
     );
     let mut proxy = disk.start_serving_proxy();
     proxy.send_signal("TERM");
@@ -198,7 +198,7 @@
         "{log}"
     );
     assert!(
-        text_of(&state_command(&["show"], &disk.directory))
+        output_text(&state_command(&["show"], &disk.directory))
             .contains(&first.listen_address.to_string())
     );
 }
--- a/crates/proxy/tests/startup.rs
+++ b/crates/proxy/tests/startup.rs
@@ -209,7 +209,7 @@
     let Ok(stream) = TcpStream::connect(listen) else {
         return false;
     };
-    let mut front = LineConnection::of(stream);
+    let mut front = LineConnection::from_stream(stream);
     front.send("PING\r\n");
     front
         .read_line_within(Duration::from_millis(100))
--- a/crates/proxy/tests/support/harness.rs
+++ b/crates/proxy/tests/support/harness.rs
@@ -103,7 +103,8 @@
     pub(crate) fn connect(&self, text: &str) -> LineConnection {
         static NEXT: AtomicU32 = AtomicU32::new(1);
         let id = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
-        let mut client = LineConnection::of(TcpStream::connect(self.listen_address).unwrap());
+        let mut client =
+            LineConnection::from_stream(TcpStream::connect(self.listen_address).unwrap());
         client.send(&text.replace(OPEN_ID, &id));
         client
     }
@@ -122,7 +123,7 @@
             match listener.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(false).unwrap();
-                    let mut connection = LineConnection::of(stream);
+                    let mut connection = LineConnection::from_stream(stream);
                     let line = connection.read_line();
                     return (connection, line);
                 }
--- a/crates/proxy/tests/support/hot_restart_link.rs
+++ b/crates/proxy/tests/support/hot_restart_link.rs
@@ -26,7 +26,10 @@
     pub(crate) fn as_successor_of(proxy: &ProxyHarness) -> HotRestartLink {
         let link = HotRestartLink(seqpacket::connect(&proxy.hot_restart_socket()).unwrap());
         link.send(&HotRestartMessage::Hello);
-        while !matches!(link.expect().message, HotRestartMessage::Listener { .. }) {}
+        while !matches!(
+            link.expect_message().message,
+            HotRestartMessage::Listener { .. }
+        ) {}
         link
     }
 
@@ -77,7 +80,7 @@
     }
 
     /// The next message, where the link must not have ended.
-    pub(crate) fn expect(&self) -> LinkMessage {
+    pub(crate) fn expect_message(&self) -> LinkMessage {
         self.receive().expect("the link has ended")
     }
 
@@ -90,14 +93,14 @@
     /// Receives how many descriptors the predecessor has open.
     pub(crate) fn expect_open_descriptors(&self) {
         assert!(matches!(
-            self.expect().message,
+            self.expect_message().message,
             HotRestartMessage::OpenDescriptors(_)
         ));
     }
 
     /// Receives the offer of a session; its client's and its server's socket.
     pub(crate) fn expect_session_offer(&self) -> Vec<OwnedFd> {
-        let received = self.expect();
+        let received = self.expect_message();
         match received.message {
             HotRestartMessage::SessionOffer(_) => received.descriptors,
             other => panic!("{other:?}"),
--- a/crates/proxy/tests/support/line_connection.rs
+++ b/crates/proxy/tests/support/line_connection.rs
@@ -13,7 +13,7 @@
 
 impl LineConnection {
     /// A connection whose reads end after a time.
-    pub(crate) fn of(stream: TcpStream) -> LineConnection {
+    pub(crate) fn from_stream(stream: TcpStream) -> LineConnection {
         stream.set_read_timeout(Some(LINE_TIMEOUT)).unwrap();
         LineConnection(BufReader::new(stream))
     }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -58,7 +58,7 @@
 }
 
 /// Standard output and standard error of a command, one after the other.
-pub(crate) fn text_of(output: &Output) -> String {
+pub(crate) fn output_text(output: &Output) -> String {
     let bytes = [output.stdout.as_slice(), output.stderr.as_slice()].concat();
     String::from_utf8(bytes).unwrap()
 }
