--- a/crates/model-checker/tests/fuzz.rs
+++ b/crates/model-checker/tests/fuzz.rs
@@ -144,7 +144,7 @@
             prop_assert!(text.contains(open.id) && !open.id.is_empty());
             prop_assert!(open.wait.as_secs() <= 3_600);
             let wait: f64 = text[open.wait_range.clone()].parse().unwrap_or(0.0);
-            prop_assert!(open.inherited_from.is_some() || (wait / 1e3 - open.wait.as_secs_f64()).abs() < 1e-6);
+            prop_assert!(open.restored_server_uid.is_some() || (wait / 1e3 - open.wait.as_secs_f64()).abs() < 1e-6);
         }
     }
 
--- a/crates/proxy/src/program/counters.rs
+++ b/crates/proxy/src/program/counters.rs
@@ -1,6 +1,6 @@
 //! How often each reason code came up since the start of the process.
 
-use crate::routing::report::{ReasonCode, RouterEvent};
+use crate::routing::events::{ReasonCode, RouterEvent};
 use std::fmt;
 
 /// One counter for each [`ReasonCode`]. `Display` is the line that SIGUSR1 and the end of the process log.
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -6,7 +6,7 @@
 use super::log::Log;
 use super::operator_file::{self, OperatorFileError};
 use super::signals::Signals;
-use crate::routing::report::{ReasonCode, RouterEvent};
+use crate::routing::events::{ReasonCode, RouterEvent};
 use crate::routing::warm_start::{SnapshotSchedule, WarmStartPlan};
 use crate::routing::{Router, RouterOptions};
 use asterramp_operator_config::{OperatorConfig, SnapshotConfig, TakesEffect, ZoneFailoverConfig};
@@ -104,7 +104,7 @@
     let events = file_problems
         .into_iter()
         .map(|problem| RouterEvent::Log(ReasonCode::SnapshotFailed, problem));
-    router.log_events.extend(events);
+    router.pending_events.extend(events);
     router.restore_highest_term(highest_term);
     apply_operator_config(&mut router, config);
     open_admin_socket(&mut router, config)?;
@@ -219,7 +219,7 @@
     }
 
     fn log_events(&mut self, now: Duration) {
-        for event in self.router.log_events.drain(..) {
+        for event in self.router.pending_events.drain(..) {
             self.counters.count(&event);
             if let RouterEvent::Log(code, text) = event {
                 self.log.write(now, format_args!("{} {text}", code.name()));
@@ -235,7 +235,9 @@
     }
 
     fn log_later(&mut self, code: ReasonCode, text: String) {
-        self.router.log_events.push(RouterEvent::Log(code, text));
+        self.router
+            .pending_events
+            .push(RouterEvent::Log(code, text));
     }
 
     /// Reads both files again. A bad file changes nothing.
--- a/crates/proxy/src/protocol/client.rs
+++ b/crates/proxy/src/protocol/client.rs
@@ -41,7 +41,7 @@
     /// The client says that an earlier attempt failed (`r`).
     pub earlier_attempt_failed: bool,
     /// The server at which the session was open before the proxy started (`at`).
-    pub inherited_from: Option<&'a str>,
+    pub restored_server_uid: Option<&'a str>,
 }
 
 /// The answer to a health check.
@@ -86,7 +86,7 @@
         group: fields.group,
         reconnecting: fields.reconnecting,
         earlier_attempt_failed: fields.earlier_attempt_failed,
-        inherited_from: fields.inherited_from,
+        restored_server_uid: fields.restored_server_uid,
     }))
 }
 
@@ -99,7 +99,7 @@
     group: Option<u64>,
     reconnecting: bool,
     earlier_attempt_failed: bool,
-    inherited_from: Option<&'a str>,
+    restored_server_uid: Option<&'a str>,
 }
 
 /// Parses the fields in `list`, with which `line` ends.
@@ -116,7 +116,7 @@
             "g" => fields.group = Some(parse_hex(value).ok_or(LineError::Malformed("g"))?),
             "again" => fields.reconnecting = value == "1",
             "r" => fields.earlier_attempt_failed = value == "1",
-            "at" => fields.inherited_from = Some(value),
+            "at" => fields.restored_server_uid = Some(value),
             "d" => {
                 let wait_ms = parse_milliseconds(value).ok_or(LineError::Malformed("d"))?;
                 fields.wait_ms = Some((wait_ms, value_range));
@@ -130,7 +130,7 @@
 impl OpenFields<'_> {
     /// How long the client waits, and where that is in the line.
     fn wait(&self) -> Result<(Duration, Range<usize>), LineError> {
-        let inherited = self.inherited_from.is_some();
+        let inherited = self.restored_server_uid.is_some();
         let (wait_ms, range) = match &self.wait_ms {
             Some((wait_ms, range)) => (*wait_ms, range.clone()),
             // A session that is open already waits for nothing.
--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -1,8 +1,8 @@
 //! Clients until their session is open: request lines, admission, answers.
 
 use super::Router;
+use super::events::ReasonCode;
 use super::metrics::SessionEnd;
-use super::report::ReasonCode;
 use super::session_state::{SessionInput, SessionState};
 use super::types::{ConnectionRole, SessionConnections, TimerKey};
 use crate::protocol::client::{
@@ -107,7 +107,7 @@
                 server: None,
                 request_line: bytes[..line_len].to_vec(),
                 wait_range: open.wait_range.clone(),
-                restored_server_uid: open.inherited_from.map(String::from),
+                restored_server_uid: open.restored_server_uid.map(String::from),
                 awaiting_response: false,
                 response_overdue: false,
                 announced_end: None,
--- a/crates/proxy/src/routing/connections.rs
+++ b/crates/proxy/src/routing/connections.rs
@@ -10,7 +10,7 @@
 /// How long a connection that was sent its last text may take to close.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Most bytes that are read from a connection right before it closes.
-pub(super) const MAX_DISCARD_AT_CLOSE: usize = 64 << 10;
+pub(super) const MAX_BYTES_DISCARDED_AT_CLOSE: usize = 64 << 10;
 /// Most bytes that a lingering connection may still send before it is closed all the same.
 const MAX_LINGER_BYTES: usize = 1 << 20;
 
@@ -40,7 +40,9 @@
             last_activity: self.now,
         };
         let key = self.connections.insert(connection);
-        let added = self.poll.add(&self.connections.get(key)?.stream, key, want);
+        let added = self
+            .poller
+            .add(&self.connections.get(key)?.stream, key, want);
         if added.is_err() {
             self.connections.remove(key);
             return None;
@@ -65,7 +67,7 @@
                 | ConnectionRole::AdminHttp { .. }
         );
         if callers && !on_offer {
-            stream.discard_input(MAX_DISCARD_AT_CLOSE);
+            stream.discard_input(MAX_BYTES_DISCARDED_AT_CLOSE);
         }
         Some(stream)
     }
@@ -97,7 +99,7 @@
         {
             connection.stream.interest = want;
             // It fails only for a socket that is not watched, and all registered ones are.
-            let _ = self.poll.modify(&connection.stream, key, want);
+            let _ = self.poller.modify(&connection.stream, key, want);
         }
     }
 
--- a/crates/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -1,7 +1,7 @@
 //! Dials: one attempt to open a session at a server, from its connection's start to the server's first answer.
 
 use super::Router;
-use super::report::ReasonCode;
+use super::events::ReasonCode;
 use super::session_state::{SessionInput, SessionState};
 use super::types::{ConnectionRole, TimerKey};
 use crate::protocol::line;
--- a/crates/proxy/src/routing/event_loop.rs
+++ b/crates/proxy/src/routing/event_loop.rs
@@ -1,9 +1,9 @@
 //! The event loop: waits for sockets and deadlines, and hands each to what it is for.
 
 use super::Router;
-use super::connections::MAX_DISCARD_AT_CLOSE;
+use super::connections::MAX_BYTES_DISCARDED_AT_CLOSE;
+use super::events::ReasonCode;
 use super::peers::PeerError;
-use super::report::ReasonCode;
 use super::types::{ConnectionRole, TimerKey};
 use crate::protocol::client::ERROR_LINE;
 use crate::transport::SlotKey;
@@ -28,7 +28,7 @@
             .deadlines
             .next_due()
             .map_or(MAX_IDLE_WAIT, |at| at.saturating_sub(now));
-        Ok(self.poll.wait(timeout, &mut self.ready)?)
+        Ok(self.poller.wait(timeout, &mut self.ready)?)
     }
 
     /// Takes in what is ready and what is due.
@@ -90,7 +90,9 @@
             ConnectionRole::HotRestart => return self.hot_restart_ready(event.key),
             ConnectionRole::AdminHttpListener => return self.accept_admin_http(),
             ConnectionRole::SignalPipe => {
-                return connection.stream.discard_input(MAX_DISCARD_AT_CLOSE);
+                return connection
+                    .stream
+                    .discard_input(MAX_BYTES_DISCARDED_AT_CLOSE);
             }
             _ => {}
         }
--- a/crates/proxy/src/routing/forwarding.rs
+++ b/crates/proxy/src/routing/forwarding.rs
@@ -1,7 +1,7 @@
 //! Open sessions: complete lines are forwarded both ways, and the end of one side ends the other.
 
 use super::Router;
-use super::report::ReasonCode;
+use super::events::ReasonCode;
 use super::session_state::{SessionInput, SessionState};
 use super::types::{Connection, SessionConnections, TimerKey};
 use crate::protocol::client::{ERROR_LINE, MOVE_LINE};
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -1,7 +1,7 @@
 //! Draining and shutting down: carries out on sockets what `asterramp_drain` advises.
 
 use super::Router;
-use super::report::ReasonCode;
+use super::events::ReasonCode;
 use super::session_state::{SessionInput, SessionState};
 use super::types::{ConnectionRole, TimerKey};
 use crate::protocol::client::ERROR_LINE;
--- a/crates/proxy/src/routing/hot_restart/adoption.rs
+++ b/crates/proxy/src/routing/hot_restart/adoption.rs
@@ -86,7 +86,7 @@
     pub(super) fn receive_offer(&mut self, offer: HotRestartMessage, descriptors: Vec<OwnedFd>) {
         match self.accept_offer(offer, descriptors) {
             Ok(adoptable) => {
-                self.apply_hot_restart(HotRestartInput::OfferReceived);
+                self.handle_hot_restart_input(HotRestartInput::OfferReceived);
                 if let Some(received) = adoptable {
                     self.adopt(received);
                 }
@@ -94,7 +94,7 @@
             Err(error) => {
                 let text = error.to_string();
                 self.log_event(ReasonCode::HotRestartFailed, format!("offer why={text:?}"));
-                self.apply_hot_restart(HotRestartInput::PeerFailed);
+                self.handle_hot_restart_input(HotRestartInput::PeerFailed);
             }
         }
     }
--- a/crates/proxy/src/routing/hot_restart/inherited_listener.rs
+++ b/crates/proxy/src/routing/hot_restart/inherited_state.rs
@@ -51,7 +51,7 @@
 
 /// What a process that starts has inherited from its predecessor.
 #[derive(Debug)]
-pub(in crate::routing) struct InheritedListener {
+pub(in crate::routing) struct InheritedState {
     /// The connection to the predecessor.
     pub(in crate::routing) link: OwnedFd,
     /// The socket at which both processes listen for clients.
@@ -60,13 +60,13 @@
     pub(in crate::routing) list: EndpointList,
 }
 
-impl InheritedListener {
+impl InheritedState {
     /// Asks the predecessor that listens at `socket_path` for its listener, which must be bound to
     /// `listen`. `None` where no process listens there.
     pub(in crate::routing) fn request(
         socket_path: &Path,
         listen: SocketAddr,
-    ) -> Result<Option<InheritedListener>, InheritError> {
+    ) -> Result<Option<InheritedState>, InheritError> {
         let link = match seqpacket::connect(socket_path) {
             Ok(link) => link,
             Err(Errno::NOENT | Errno::CONNREFUSED) => return Ok(None),
@@ -78,7 +78,7 @@
         let deadline = Instant::now() + STATE_TIMEOUT;
         seqpacket::send(&link, &HotRestartMessage::Hello.encode(), &[])?;
         let (listener, list) = receive_state(&link, listen, deadline)?;
-        Ok(Some(InheritedListener {
+        Ok(Some(InheritedState {
             link,
             listener,
             list,
--- a/crates/proxy/src/routing/hot_restart/messages.rs
+++ b/crates/proxy/src/routing/hot_restart/messages.rs
@@ -41,8 +41,8 @@
                 Ok(Some(received)) if !received.bytes.is_empty() => {
                     self.handle_hot_restart_bytes(&received.bytes, received.descriptors);
                 }
-                Ok(Some(_)) => return self.apply_hot_restart(HotRestartInput::LinkClosed),
-                Err(_) => return self.apply_hot_restart(HotRestartInput::PeerFailed),
+                Ok(Some(_)) => return self.handle_hot_restart_input(HotRestartInput::LinkClosed),
+                Err(_) => return self.handle_hot_restart_input(HotRestartInput::PeerFailed),
             }
         }
     }
@@ -59,7 +59,7 @@
             ReasonCode::HotRestartFailed,
             format!("message why={problem:?}"),
         );
-        self.apply_hot_restart(HotRestartInput::PeerFailed);
+        self.handle_hot_restart_input(HotRestartInput::PeerFailed);
     }
 
     fn handle_hot_restart_message(
@@ -81,20 +81,20 @@
                 }
                 HotRestartInput::OpenDescriptorsReceived
             }
-            // These come before the event loop of a successor, see `InheritedListener::request`.
+            // These come before the event loop of a successor, see `InheritedState::request`.
             HotRestartMessage::Endpoints(_) | HotRestartMessage::Listener { .. } => {
                 HotRestartInput::PeerFailed
             }
         };
         // A listener that nobody asked for is closed here.
         drop(descriptors);
-        self.apply_hot_restart(input);
+        self.handle_hot_restart_input(input);
     }
 
     /// The other process has not sent what it owes in time.
     pub(in crate::routing) fn hot_restart_deadline(&mut self) {
         self.log_event(ReasonCode::HotRestartFailed, "silent");
-        self.apply_hot_restart(HotRestartInput::PeerFailed);
+        self.handle_hot_restart_input(HotRestartInput::PeerFailed);
     }
 
     /// Sends a message and, along with it, the sockets of these connections.
--- a/crates/proxy/src/routing/hot_restart/mod.rs
+++ b/crates/proxy/src/routing/hot_restart/mod.rs
@@ -5,7 +5,7 @@
 //! Whatever goes wrong between the two, each stays whole: a successor that inherits nothing binds
 //! the clients' address itself, and its predecessor shuts down as at SIGTERM.
 //!
-//! - [`inherited_listener`]: what a starting process gets from its predecessor, before its event
+//! - [`inherited_state`]: what a starting process gets from its predecessor, before its event
 //!   loop.
 //! - [`messages`]: the link while the event loop runs.
 //! - [`transitions`]: what each effect of the state machine does.
@@ -14,7 +14,7 @@
 
 mod adoption;
 mod endpoint_records;
-mod inherited_listener;
+mod inherited_state;
 mod messages;
 mod offers;
 mod transitions;
@@ -27,7 +27,7 @@
 use asterramp_hot_restart::{
     ConnectionOwnership, Delivery, HotRestartInput, HotRestartMessage, HotRestartState,
 };
-pub(super) use inherited_listener::InheritedListener;
+pub(super) use inherited_state::InheritedState;
 use rustix::fd::OwnedFd;
 use std::path::PathBuf;
 
@@ -85,7 +85,7 @@
         if self.hot_restart_link().is_some() {
             let notified = self.send_hot_restart(&HotRestartMessage::Serving, &[]);
             if notified != Delivery::Sent {
-                self.apply_hot_restart(HotRestartInput::PeerFailed);
+                self.handle_hot_restart_input(HotRestartInput::PeerFailed);
             }
         }
         self.open_successor_listener();
--- a/crates/proxy/src/routing/hot_restart/offers.rs
+++ b/crates/proxy/src/routing/hot_restart/offers.rs
@@ -175,7 +175,7 @@
     fn leave_alone(&mut self, offer: Offer, connections: &[SlotKey]) {
         for key in connections {
             if let Some(connection) = self.connections.get(*key) {
-                self.poll.remove(&connection.stream);
+                self.poller.remove(&connection.stream);
             }
             self.deadlines.clear(TimerKey::Connection(*key));
         }
@@ -286,7 +286,7 @@
             connection.stream.interest = READABLE;
             // It fails only for a socket that cannot be watched, and this one was.
             let _ = self
-                .poll
+                .poller
                 .add(&connection.stream, key, connection.stream.interest);
         }
     }
--- a/crates/proxy/src/routing/hot_restart/transitions.rs
+++ b/crates/proxy/src/routing/hot_restart/transitions.rs
@@ -33,7 +33,7 @@
     }
 
     /// Applies an input that came over the link, and carries out what follows from it.
-    pub(super) fn apply_hot_restart(&mut self, input: HotRestartInput) {
+    pub(super) fn handle_hot_restart_input(&mut self, input: HotRestartInput) {
         if let Some(hot_restart) = &mut self.hot_restart {
             let before = hot_restart.state;
             let effect = hot_restart.state.apply(input);
@@ -86,7 +86,7 @@
         if sent {
             self.close_hot_restart();
         } else {
-            self.apply_hot_restart(HotRestartInput::PeerFailed);
+            self.handle_hot_restart_input(HotRestartInput::PeerFailed);
         }
     }
 
@@ -106,7 +106,7 @@
         if self.send_hot_restart(&message, &[]) == Delivery::Sent {
             self.continue_offers();
         } else {
-            self.apply_hot_restart(HotRestartInput::PeerFailed);
+            self.handle_hot_restart_input(HotRestartInput::PeerFailed);
         }
     }
 
@@ -116,7 +116,7 @@
                 self.release_offer(offer);
                 self.continue_offers();
             }
-            None => self.apply_hot_restart(HotRestartInput::PeerFailed),
+            None => self.handle_hot_restart_input(HotRestartInput::PeerFailed),
         }
     }
 
--- a/crates/proxy/src/routing/listener.rs
+++ b/crates/proxy/src/routing/listener.rs
@@ -2,7 +2,7 @@
 
 use super::Router;
 use super::client::GREETING_TIMEOUT;
-use super::report::ReasonCode;
+use super::events::ReasonCode;
 use super::types::{ConnectionRole, TimerKey};
 use crate::transport::poller::{Interest, ReadyEvent};
 use crate::transport::socket;
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -14,6 +14,7 @@
 mod discovery_watch;
 mod endpoints;
 mod event_loop;
+pub mod events;
 mod forwarding;
 mod graceful_shutdown;
 mod hot_restart;
@@ -21,7 +22,6 @@
 pub mod metrics;
 pub mod peers;
 mod probe;
-pub mod report;
 mod resource_budget;
 pub mod session_state;
 pub mod session_table;
@@ -43,10 +43,10 @@
 use asterramp_zone_failover::ZoneFailoverSettings;
 use discovery_watch::DiscoveryWatch;
 use endpoints::EndpointTable;
+use events::{ReasonCode, RouterEvent};
 use hot_restart::HotRestart;
 use metrics::Metrics;
 use peers::Peers;
-use report::{ReasonCode, RouterEvent};
 use resource_budget::{ConnectionCounts, ResourceBudget};
 use session_state::{SessionInput, SessionMachine, SessionState};
 use session_table::SessionTable;
@@ -61,7 +61,7 @@
     session_table: SessionTable<SessionConnections>,
     settings: Settings,
     resource_budget: ResourceBudget,
-    poll: Poller,
+    poller: Poller,
     /// What [`Router::wait`] found ready.
     ready: Vec<ReadyEvent>,
     connections: SlotMap<Connection>,
@@ -75,7 +75,7 @@
     serving: bool,
     deadlines: Deadlines<TimerKey>,
     /// What there is to count and to log since it was last taken.
-    pub log_events: Vec<RouterEvent>,
+    pub pending_events: Vec<RouterEvent>,
     /// The time of the present turn of the loop.
     now: Duration,
     drain: Drain,
@@ -142,11 +142,12 @@
     }
 
     fn count_event(&mut self, code: ReasonCode) {
-        self.log_events.push(RouterEvent::Count(code));
+        self.pending_events.push(RouterEvent::Count(code));
     }
 
     fn log_event(&mut self, code: ReasonCode, about: impl Into<String>) {
-        self.log_events.push(RouterEvent::Log(code, about.into()));
+        self.pending_events
+            .push(RouterEvent::Log(code, about.into()));
     }
 }
 
--- a/crates/proxy/src/routing/probe.rs
+++ b/crates/proxy/src/routing/probe.rs
@@ -1,6 +1,6 @@
 //! Health checks: a probe asks a server for its load report, over a connection that is kept for the next probe.
 
-use super::report::outcome_log_name;
+use super::events::outcome_log_name;
 use super::types::{ConnectionRole, TimerKey};
 use super::{ReasonCode, Router};
 use crate::protocol::line;
--- a/crates/proxy/src/routing/resource_budget.rs
+++ b/crates/proxy/src/routing/resource_budget.rs
@@ -2,7 +2,7 @@
 //! to a client that wants to be served.
 
 use super::Router;
-use super::report::ReasonCode;
+use super::events::ReasonCode;
 use super::types::{Connection, ConnectionRole};
 use crate::protocol::client::ERROR_LINE;
 use crate::transport::ReadBuffer;
--- a/crates/proxy/src/routing/session_state/machine.rs
+++ b/crates/proxy/src/routing/session_state/machine.rs
@@ -3,7 +3,7 @@
 use super::table::{InputKind, TransitionEffect, dial_end_code, proves_not_run, transition};
 use super::{FinalResponse, SessionEffect, SessionInput, SessionState};
 use crate::injected_fault::{InjectedFault, is_injected};
-use crate::routing::report::ReasonCode;
+use crate::routing::events::ReasonCode;
 use asterramp_placement::Event;
 use asterramp_placement::event::{Load, Outcome, ServerId, SessionRequest};
 use std::time::Duration;
--- a/crates/proxy/src/routing/session_state/table.rs
+++ b/crates/proxy/src/routing/session_state/table.rs
@@ -1,7 +1,7 @@
 //! The transitions of a session as a table, and what the end of a dial means.
 
 use super::SessionState;
-use crate::routing::report::ReasonCode;
+use crate::routing::events::ReasonCode;
 use InputKind::{
     Cancel, ClientLeft, ClientSentEarlyData, Connected, DeadlineReached, Dial, DrainCutoff, Fail,
     Migrate, NoSocket, Reject, RequestWritten, RestoredClientGone, ServerAccepted,
--- a/crates/proxy/src/routing/session_state/types.rs
+++ b/crates/proxy/src/routing/session_state/types.rs
@@ -1,6 +1,6 @@
 //! What the session state machine is in, what it is given and what it asks for.
 
-use crate::routing::report::ReasonCode;
+use crate::routing::events::ReasonCode;
 use asterramp_placement::Event;
 use asterramp_placement::event::{Load, Outcome, ServerId};
 use std::time::Duration;
--- a/crates/proxy/src/routing/session_tasks.rs
+++ b/crates/proxy/src/routing/session_tasks.rs
@@ -1,8 +1,8 @@
 //! Carries out on sockets what the session table wants done.
 
 use super::Router;
+use super::events::ReasonCode;
 use super::metrics::SessionEnd;
-use super::report::ReasonCode;
 use super::session_state::{FinalResponse, SessionEffect, SessionInput, SessionMachine};
 use super::session_table::SessionTask;
 use super::types::{SessionConnections, TimerKey};
--- a/crates/proxy/src/routing/startup.rs
+++ b/crates/proxy/src/routing/startup.rs
@@ -1,9 +1,9 @@
 //! Building a router: from nothing, from what was saved before a power loss, or from the process that it replaces.
 
-use super::hot_restart::InheritedListener;
+use super::events::ReasonCode;
+use super::hot_restart::InheritedState;
 use super::metrics::Metrics;
 use super::peers::Peers;
-use super::report::ReasonCode;
 use super::resource_budget::{ConnectionCounts, ResourceBudget};
 use super::types::{ConnectionRole, TimerKey};
 use super::warm_start::WarmStartPlan;
@@ -160,7 +160,7 @@
         Ok(Router {
             session_table,
             resource_budget,
-            poll: Poller::new()?,
+            poller: Poller::new()?,
             ready: Vec::new(),
             connections: SlotMap::default(),
             session_ids: HashSet::new(),
@@ -170,7 +170,7 @@
             listener: None,
             serving: false,
             deadlines: Deadlines::default(),
-            log_events: Vec::new(),
+            pending_events: Vec::new(),
             now,
             drain: Drain::new(DrainSettings::default()),
             admission: AdmissionControl::new(admission_settings(&settings), seed),
@@ -200,7 +200,7 @@
 }
 
 impl Listener {
-    fn inherited(inherited: InheritedListener) -> Listener {
+    fn inherited(inherited: InheritedState) -> Listener {
         Listener {
             fd: inherited.listener,
             predecessor: Some(inherited.link),
@@ -224,11 +224,11 @@
 fn ask_predecessor(
     socket: Option<&Path>,
     listen_address: SocketAddr,
-) -> (Option<InheritedListener>, Option<String>) {
+) -> (Option<InheritedState>, Option<String>) {
     let Some(socket) = socket else {
         return (None, None);
     };
-    match InheritedListener::request(socket, listen_address) {
+    match InheritedState::request(socket, listen_address) {
         Ok(inherited) => (inherited, None),
         Err(why) => (None, Some(why.to_string())),
     }
--- a/crates/proxy/src/routing/warm_start/admission.rs
+++ b/crates/proxy/src/routing/warm_start/admission.rs
@@ -9,22 +9,22 @@
 
 /// Utilization and connections of one or more endpoints, by their last load reports.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct ReportedLoad {
+pub(super) struct LoadTotals {
     utilization: f64,
     connections: f64,
 }
 
-impl ReportedLoad {
+impl LoadTotals {
     /// The load in a report; `None` if the report leaves out one of the two.
-    pub(super) fn from_report(load: &Load) -> Option<ReportedLoad> {
-        Some(ReportedLoad {
+    pub(super) fn from_report(load: &Load) -> Option<LoadTotals> {
+        Some(LoadTotals {
             utilization: load.utilization?,
             connections: load.connections?,
         })
     }
 
-    fn plus(self, other: ReportedLoad) -> ReportedLoad {
-        ReportedLoad {
+    fn plus(self, other: LoadTotals) -> LoadTotals {
+        LoadTotals {
             utilization: self.utilization + other.utilization,
             connections: self.connections + other.connections,
         }
@@ -87,10 +87,10 @@
     }
 
     /// The load of all endpoints that report both utilization and connections.
-    pub(super) fn total_reported_load(&self) -> ReportedLoad {
+    pub(super) fn total_reported_load(&self) -> LoadTotals {
         self.endpoints
             .known_endpoints()
-            .filter_map(|host| ReportedLoad::from_report(&host.load))
-            .fold(ReportedLoad::default(), ReportedLoad::plus)
+            .filter_map(|host| LoadTotals::from_report(&host.load))
+            .fold(LoadTotals::default(), LoadTotals::plus)
     }
 }
--- a/crates/proxy/src/routing/warm_start/snapshots.rs
+++ b/crates/proxy/src/routing/warm_start/snapshots.rs
@@ -1,6 +1,6 @@
 //! Snapshots for the next start: when one is due, what it contains, and what became of it.
 
-use super::admission::ReportedLoad;
+use super::admission::LoadTotals;
 use super::unix_ms;
 use crate::protocol::discovery::ListedEndpoint;
 use crate::routing::endpoints::KnownEndpoint;
@@ -210,8 +210,8 @@
     host: &KnownEndpoint,
     average: Option<f64>,
 ) -> SavedEndpoint {
-    let load_per_connection = ReportedLoad::from_report(&host.load)
-        .and_then(ReportedLoad::per_connection)
+    let load_per_connection = LoadTotals::from_report(&host.load)
+        .and_then(LoadTotals::per_connection)
         .or(average)
         .filter(|load| load.is_finite());
     let last_report_ms = if host.reported_at.is_zero() {
--- a/crates/proxy/tests/protocol.rs
+++ b/crates/proxy/tests/protocol.rs
@@ -53,7 +53,7 @@
         ("9b1f", 0x7f3a, "feed", Some("acme"))
     );
     assert_eq!(
-        (open.wait, open.group, open.inherited_from),
+        (open.wait, open.group, open.restored_server_uid),
         (Duration::from_millis(250), Some(255), Some("s-1"))
     );
     assert_eq!((&text[open.wait_range], open.reconnecting), ("250", true));
--- a/crates/proxy/tests/report.rs
+++ b/crates/proxy/tests/report.rs
@@ -1,7 +1,7 @@
 //! The names that the log prints.
 
 use asterramp_placement::event::Outcome;
-use asterramp_proxy::routing::report::outcome_log_name;
+use asterramp_proxy::routing::events::outcome_log_name;
 use test_case::test_case;
 
 /// Operators search their logs for these, whatever the outcomes are called in the code.
