--- a/crates/model-checker/src/system_state/mod.rs
+++ b/crates/model-checker/src/system_state/mod.rs
@@ -37,7 +37,7 @@
         let mut state = SystemState::initial(shape);
         let endpoints = state.servers.iter().map(ServerModel::endpoint).collect();
         let list = PlacementEvent::EndpointsUpdated(EndpointUpdate::Complete(endpoints));
-        state.session_table.event(state.now, list);
+        state.session_table.handle_event(state.now, list);
         state.carry_out_tasks();
         state
     }
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -6,7 +6,7 @@
 use super::log::Log;
 use super::operator_file::{self, OperatorFileError};
 use super::signals::Signals;
-use crate::routing::report::{ReasonCode, RouterEvent};
+use crate::routing::events::{ReasonCode, RouterEvent};
 use crate::routing::warm_start::{SnapshotSchedule, WarmStartPlan};
 use crate::routing::{Router, RouterOptions};
 use asterramp_operator_config::{OperatorConfig, SnapshotConfig, TakesEffect, ZoneFailoverConfig};
@@ -77,7 +77,7 @@
     now: Duration,
     wake_source: OwnedFd,
 ) -> Result<Router, ServeError> {
-    let owner = options.listen.to_string();
+    let owner = options.listen_address.to_string();
     let (snapshot, mut file_problems) = match &config.snapshots {
         Some(snapshots) => load_snapshot(snapshots, &owner),
         None => (None, Vec::new()),
@@ -106,7 +106,7 @@
     let events = file_problems
         .into_iter()
         .map(|problem| RouterEvent::Log(ReasonCode::SnapshotFailed, problem));
-    router.log_events.extend(events);
+    router.pending_events.extend(events);
     router.restore_highest_term(highest_term);
     apply_operator_config(&mut router, config);
     open_admin_socket(&mut router, config)?;
@@ -195,14 +195,14 @@
                 .map_err(ServeError::Wait)?;
             let now = self.clock.now();
             self.router.process(now);
-            if self.signals.take_reload() {
+            if self.signals.take_reload_request() {
                 self.reload(now);
             }
-            if self.signals.wants_shutdown() {
+            if self.signals.is_shutdown_requested() {
                 self.router.begin_shutdown(now);
             }
             self.log_events(now);
-            if self.signals.take_print_counters() {
+            if self.signals.take_counters_request() {
                 self.log_counters(now);
             }
         }
@@ -221,7 +221,7 @@
     }
 
     fn log_events(&mut self, now: Duration) {
-        for event in self.router.log_events.drain(..) {
+        for event in self.router.pending_events.drain(..) {
             self.counters.count(&event);
             if let RouterEvent::Log(code, text) = event {
                 self.log.write(now, format_args!("{} {text}", code.name()));
@@ -237,7 +237,9 @@
     }
 
     fn log_later(&mut self, code: ReasonCode, text: String) {
-        self.router.log_events.push(RouterEvent::Log(code, text));
+        self.router
+            .pending_events
+            .push(RouterEvent::Log(code, text));
     }
 
     /// Reads both files again. A bad file changes nothing.
@@ -247,7 +249,7 @@
                 for key in kept_keys {
                     self.log_later(ReasonCode::ConfigUnchanged, format!("key={key}"));
                 }
-                self.router.reload(now, options.discovery);
+                self.router.reload(now, options.discovery_address);
             }
             Err(error) => self.report_bad_file(&error.to_string()),
         }
--- a/crates/proxy/src/routing/connections.rs
+++ b/crates/proxy/src/routing/connections.rs
@@ -10,7 +10,7 @@
 /// How long a connection that was sent its last text may take to close.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Most bytes that are read from a connection right before it closes.
-pub(super) const MAX_DISCARD_AT_CLOSE: usize = 64 << 10;
+pub(super) const MAX_BYTES_DISCARDED_AT_CLOSE: usize = 64 << 10;
 /// Most bytes that a lingering connection may still send before it is closed all the same.
 const MAX_LINGER_BYTES: usize = 1 << 20;
 
@@ -40,12 +40,14 @@
             last_activity: self.now,
         };
         let key = self.connections.insert(connection);
-        let added = self.poll.add(&self.connections.get(key)?.stream, key, want);
+        let added = self
+            .poller
+            .add(&self.connections.get(key)?.stream, key, want);
         if added.is_err() {
             self.connections.remove(key);
             return None;
         }
-        self.connection_counts.change(None, Some(role));
+        self.connection_counts.record_role_change(None, Some(role));
         Some(key)
     }
 
@@ -65,7 +67,7 @@
                 | ConnectionRole::AdminHttp { .. }
         );
         if callers && !on_offer {
-            stream.discard_input(MAX_DISCARD_AT_CLOSE);
+            stream.discard_input(MAX_BYTES_DISCARDED_AT_CLOSE);
         }
         Some(stream)
     }
@@ -74,7 +76,8 @@
     pub(super) fn unregister(&mut self, key: SlotKey) -> Option<(ConnectionRole, BufferedStream)> {
         self.deadlines.clear(TimerKey::Connection(key));
         let connection = self.connections.remove(key)?;
-        self.connection_counts.change(Some(connection.role), None);
+        self.connection_counts
+            .record_role_change(Some(connection.role), None);
         Some((connection.role, connection.stream))
     }
 
@@ -82,7 +85,8 @@
     pub(super) fn set_role(&mut self, key: SlotKey, role: ConnectionRole) {
         if let Some(connection) = self.connections.get_mut(key) {
             let before = std::mem::replace(&mut connection.role, role);
-            self.connection_counts.change(Some(before), Some(role));
+            self.connection_counts
+                .record_role_change(Some(before), Some(role));
         }
     }
 
@@ -95,12 +99,12 @@
         {
             connection.stream.interest = want;
             // It fails only for a socket that is not watched, and all registered ones are.
-            let _ = self.poll.change(&connection.stream, key, want);
+            let _ = self.poller.modify(&connection.stream, key, want);
         }
     }
 
     /// Watches a connection that exchanges texts with the router itself for what it can do next.
-    pub(super) fn watch_own_io(&mut self, key: SlotKey) {
+    pub(super) fn update_interest(&mut self, key: SlotKey) {
         if let Some(connection) = self.connections.get(key) {
             let want = Interest {
                 read: connection.stream.can_read(),
@@ -143,6 +147,6 @@
         if stream.is_flushed() {
             stream.shutdown_write();
         }
-        self.watch_own_io(key);
+        self.update_interest(key);
     }
 }
--- a/crates/proxy/src/routing/hot_restart/adoption.rs
+++ b/crates/proxy/src/routing/hot_restart/adoption.rs
@@ -86,7 +86,7 @@
     pub(super) fn receive_offer(&mut self, offer: HotRestartMessage, descriptors: Vec<OwnedFd>) {
         match self.accept_offer(offer, descriptors) {
             Ok(adoptable) => {
-                self.apply_hot_restart(HotRestartInput::OfferReceived);
+                self.handle_hot_restart_input(HotRestartInput::OfferReceived);
                 if let Some(received) = adoptable {
                     self.adopt(received);
                 }
@@ -94,7 +94,7 @@
             Err(error) => {
                 let text = error.to_string();
                 self.log_event(ReasonCode::HotRestartFailed, format!("offer why={text:?}"));
-                self.apply_hot_restart(HotRestartInput::PeerFailed);
+                self.handle_hot_restart_input(HotRestartInput::PeerFailed);
             }
         }
     }
@@ -156,10 +156,10 @@
             client: None,
             server: None,
             request_line: offer.opening_line.clone(),
-            wait_at: open.wait_range.clone(),
-            open_at: None,
+            wait_range: open.wait_range.clone(),
+            restored_server_uid: None,
             awaiting_response: offer.response_timeout.is_some(),
-            server_quiet: true,
+            response_overdue: true,
             announced_end: None,
         };
         let machine =
@@ -174,7 +174,7 @@
     }
 
     /// What the predecessor could not be notified of.
-    pub(super) fn take_unconfirmed(&mut self) -> Vec<ReceivedOffer> {
+    pub(super) fn take_unconfirmed_offers(&mut self) -> Vec<ReceivedOffer> {
         self.hot_restart
             .as_mut()
             .map(|hot_restart| hot_restart.ownership.take_unconfirmed())
@@ -183,8 +183,8 @@
 
     /// Closes what the predecessor could not be notified of. Its connections stay open, since the
     /// predecessor has them too.
-    pub(super) fn discard_unconfirmed(&mut self) {
-        drop(self.take_unconfirmed());
+    pub(super) fn discard_unconfirmed_offers(&mut self) {
+        drop(self.take_unconfirmed_offers());
     }
 
     /// Goes on with a connection that was the predecessor's.
@@ -251,7 +251,7 @@
             outcome: Outcome::Reset,
             load: ServerLoad::default(),
         };
-        self.input(key, closed);
+        self.handle_session_input(key, closed);
     }
 }
 
--- a/crates/proxy/src/routing/hot_restart/transitions.rs
+++ b/crates/proxy/src/routing/hot_restart/transitions.rs
@@ -33,7 +33,7 @@
     }
 
     /// Applies an input that came over the link, and carries out what follows from it.
-    pub(super) fn apply_hot_restart(&mut self, input: HotRestartInput) {
+    pub(super) fn handle_hot_restart_input(&mut self, input: HotRestartInput) {
         if let Some(hot_restart) = &mut self.hot_restart {
             let before = hot_restart.state;
             let effect = hot_restart.state.apply(input);
@@ -54,19 +54,19 @@
             HotRestartEffect::SendState => self.send_state(),
             HotRestartEffect::StopAccepting => self.stop_accepting(),
             HotRestartEffect::ReleaseOldestOffer => self.release_oldest_offer(),
-            HotRestartEffect::DiscardUnconfirmed => self.discard_unconfirmed(),
+            HotRestartEffect::DiscardUnconfirmed => self.discard_unconfirmed_offers(),
             HotRestartEffect::CloseLink => {
-                self.discard_unconfirmed();
+                self.discard_unconfirmed_offers();
                 self.end_hot_restart(before, SendOutcome::PeerGone);
             }
             HotRestartEffect::StopHandover => {
-                self.release_offers_accepted_so_far();
+                self.release_accepted_offers();
                 let notice = self.send_hot_restart(&HotRestartMessage::HandoverStopped, &[]);
                 self.end_hot_restart(before, notice);
             }
             HotRestartEffect::ResumeOffers => self.end_hot_restart(before, SendOutcome::PeerGone),
             HotRestartEffect::AdoptUnconfirmed => {
-                let received = self.take_unconfirmed();
+                let received = self.take_unconfirmed_offers();
                 self.end_hot_restart(before, SendOutcome::PeerGone);
                 for offer in received {
                     self.adopt(offer);
@@ -86,7 +86,7 @@
         if sent {
             self.close_hot_restart();
         } else {
-            self.apply_hot_restart(HotRestartInput::PeerFailed);
+            self.handle_hot_restart_input(HotRestartInput::PeerFailed);
         }
     }
 
@@ -106,17 +106,17 @@
         if self.send_hot_restart(&message, &[]) == SendOutcome::Sent {
             self.continue_offers();
         } else {
-            self.apply_hot_restart(HotRestartInput::PeerFailed);
+            self.handle_hot_restart_input(HotRestartInput::PeerFailed);
         }
     }
 
     fn release_oldest_offer(&mut self) {
         match self.accept_oldest_offer() {
             Some(offer) => {
-                self.release(offer);
+                self.release_offer(offer);
                 self.continue_offers();
             }
-            None => self.apply_hot_restart(HotRestartInput::PeerFailed),
+            None => self.handle_hot_restart_input(HotRestartInput::PeerFailed),
         }
     }
 
@@ -140,10 +140,10 @@
         );
         self.log_event(ReasonCode::HotRestartEnded, about);
         for offer in end.resumed {
-            self.resume(offer);
+            self.resume_offer(offer);
         }
         for offer in end.released {
-            self.release(offer);
+            self.release_offer(offer);
         }
         if !self.drain.closes_listener(self.now) && self.serving {
             self.open_listener();
--- a/crates/proxy/src/routing/warm_start/admission.rs
+++ b/crates/proxy/src/routing/warm_start/admission.rs
@@ -9,22 +9,22 @@
 
 /// Utilization and connections of one or more endpoints, by their last load reports.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct ReportedLoad {
+pub(super) struct LoadTotals {
     utilization: f64,
     connections: f64,
 }
 
-impl ReportedLoad {
+impl LoadTotals {
     /// The load in a report; `None` if the report leaves out one of the two.
-    pub(super) fn from_report(load: &ServerLoad) -> Option<ReportedLoad> {
-        Some(ReportedLoad {
+    pub(super) fn from_report(load: &ServerLoad) -> Option<LoadTotals> {
+        Some(LoadTotals {
             utilization: load.utilization?,
             connections: load.connections?,
         })
     }
 
-    fn plus(self, other: ReportedLoad) -> ReportedLoad {
-        ReportedLoad {
+    fn plus(self, other: LoadTotals) -> LoadTotals {
+        LoadTotals {
             utilization: self.utilization + other.utilization,
             connections: self.connections + other.connections,
         }
@@ -55,7 +55,7 @@
 
 impl Router {
     /// Sessions per second that the warm start admits; `None` where it sets no limit.
-    pub(in crate::routing) fn warm_start_pace(&self) -> Option<f64> {
+    pub(in crate::routing) fn warm_start_admission_rate(&self) -> Option<f64> {
         let progress = self.warm_start.as_ref()?;
         match progress.admission {
             ClientAdmission::Open => None,
@@ -87,10 +87,10 @@
     }
 
     /// The load of all endpoints that report both utilization and connections.
-    pub(super) fn total_reported_load(&self) -> ReportedLoad {
+    pub(super) fn total_reported_load(&self) -> LoadTotals {
         self.endpoints
             .known_endpoints()
-            .filter_map(|host| ReportedLoad::from_report(&host.load))
-            .fold(ReportedLoad::default(), ReportedLoad::plus)
+            .filter_map(|host| LoadTotals::from_report(&host.load))
+            .fold(LoadTotals::default(), LoadTotals::plus)
     }
 }
