--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -1,5 +1,5 @@
-//! Operators' HTTP calls: a listener of their own, one call per connection, and callers that send little or read nothing.
-//! Callers have descriptors of their own, so that a crowd of clients cannot keep operators out.
+//! Operators' HTTP calls: a listener of their own, one call per connection, and callers that send little or read
+//! nothing. Callers have descriptors of their own, so that a crowd of clients cannot keep operators out.
 
 use super::metrics::{self, GaugeValues};
 use super::peers;
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -1,5 +1,5 @@
-//! The admin socket: a Unix socket on which operators' tools send requests, one line each. It is served by the same event
-//! loop as clients; a peer that does not read holds back only its own replies.
+//! The admin socket: a Unix socket on which operators' tools send requests, one line each. It is served by the same
+//! event loop as clients; a peer that does not read holds back only its own replies.
 
 use super::admin_commands::AdminError;
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
--- a/crates/proxy/src/routing/admission.rs
+++ b/crates/proxy/src/routing/admission.rs
@@ -1,4 +1,4 @@
-//! Session setups per second that this proxy admits while capacity is short.
+//! The rate of session setups that this proxy admits while capacity is short, per second.
 
 use super::Router;
 use super::endpoints::KnownEndpoint;
@@ -6,11 +6,11 @@
 use asterramp_zone_failover::capacity::{self, ServerLoadReport};
 
 impl Router {
-    /// Sets the admission rate: that of the warm start while it lasts, or that of the remaining zones while a zone's clients
-    /// move to them, or none.
+    /// Sets the admission rate: that of a warm start in progress, or else that of a zone failover while the remaining
+    /// zones are short of capacity, or else no limit.
     ///
-    /// Without a limit, proxies that admit all clients by load reports a second old overload the servers they choose, and
-    /// those clients come again.
+    /// Without a limit, proxies that place all clients by load reports that are one second old overload the servers
+    /// that they choose, and those clients retry.
     pub(super) fn update_admission_rate(&mut self) {
         let rate = self
             .warm_start_admission_rate()
@@ -18,7 +18,8 @@
         self.admission.set_rate(self.now, rate);
     }
 
-    /// `None` while capacity is not short, or too little is known of it.
+    /// Session setups per second during a zone failover; `None` while admission control is off, capacity is not short,
+    /// or too few servers have reported their load.
     fn failover_rate(&self) -> Option<f64> {
         let zones = self.session_table.zones.as_ref()?;
         if !self.admission_enabled || !zones.failover.is_capacity_short(self.now) {
@@ -37,6 +38,7 @@
         capacity::setup_rate(reports.into_iter(), ready_servers, proxies)
     }
 
+    /// Whether zone failover keeps clients away from a zone; false for an unknown name.
     fn is_zone_closed(&self, name: &str) -> bool {
         let Some(zones) = &self.session_table.zones else {
             return false;
@@ -47,8 +49,8 @@
             .is_some_and(|zone| zone.state.is_closed())
     }
 
-    /// What a server last reported; `None` before the first report and while the server is warming up, when its load says
-    /// nothing of its capacity.
+    /// A server's last load report; `None` before the first, and while the server is warming up, when its load says
+    /// nothing about its capacity.
     fn load_report(&self, endpoint: &KnownEndpoint) -> Option<ServerLoadReport> {
         let warm_after = self.settings.deployment.slow_start.warm_after;
         let is_warm = |started_at| self.now.saturating_sub(started_at) >= warm_after;
--- a/crates/proxy/src/routing/discovery_watch.rs
+++ b/crates/proxy/src/routing/discovery_watch.rs
@@ -1,7 +1,7 @@
-//! The watch on discovery: a long-lived HTTP request whose response brings endpoint lists, one on each line.
+//! The discovery watch: a long-lived HTTP request whose response body carries endpoint lists, one per line.
 //!
-//! The watch is opened again whenever it ends or falls silent. Where discovery has to be polled, the placement engine
-//! says when; otherwise the delay between two watches grows up to a bound.
+//! The watch is reopened whenever it ends or times out. Where discovery has to be polled, the placement engine decides
+//! when; otherwise the delay before reopening doubles with each failed attempt, up to a bound.
 
 use super::probe::ProbeStage;
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
@@ -15,44 +15,45 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// After so long without a complete line the watch counts as dead, whatever else its socket shows. By the protocol
+/// Longest time without a complete line before the watch counts as dead, even if its connection is up. By the protocol
 /// discovery sends at least a blank line every 2 s.
-const MAX_SILENCE: Duration = Duration::from_secs(3);
-/// How long the first line of a watch may take at the first attempt; it doubles up to [`MAX_SILENCE`].
+const LINE_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long the first line of a watch may take at the first attempt; doubles with each attempt up to [`LINE_TIMEOUT`].
 ///
-/// By the protocol the proxy has to know of a change 6 s after its watch fell silent. The silence itself, two attempts
-/// and the delays between them fit in that.
-const FIRST_LINE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Delay before the watch is opened again, at first; it doubles up to at most [`MAX_RECONNECT_DELAY`].
+/// By the protocol the proxy must know of a change within 6 s after its watch fell silent. The timeout of the silent
+/// watch, two attempts and the delays between them fit into that.
+const MIN_FIRST_LINE_TIMEOUT: Duration = Duration::from_secs(1);
+/// First delay before the watch is reopened; doubles with each attempt.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(25);
+/// Longest delay before the watch is reopened; half of the drain grace, if that is shorter.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
-/// The state of the watch; one is open at most.
+/// State of the discovery watch; at most one is open at a time.
 #[derive(Debug)]
 pub(super) struct DiscoveryWatch {
     address: SocketAddr,
-    /// The revision after which changes are asked for.
+    /// Revision after which the next request asks for changes; 0 asks for the complete list.
     revision: u64,
-    /// The open watch's connection.
+    /// Connection of the open watch; `None` while no watch is open.
     connection: Option<SlotKey>,
     request_sent: bool,
     response: ChunkedResponse,
     /// Delay before the next attempt.
     reconnect_delay: Duration,
-    /// The bound of that delay. The proxy counts as knowing what discovery says meanwhile, so that half of the time
-    /// in which it has to act on it is left.
+    /// Upper bound of `reconnect_delay`. A drain that is announced while no watch is open counts as known to the proxy
+    /// all the same, so the delay takes at most half of the drain grace and leaves the rest to act on it.
     max_reconnect_delay: Duration,
     /// How long the first line of the next attempt may take.
     first_line_timeout: Duration,
-    /// Discovery answers only when polled: requests wait in one queue with those of all other proxies, and the
-    /// placement engine paces them. A delay of the proxy's own, which knows of no others, would keep that queue full.
+    /// Whether discovery has to be polled. The requests of all proxies then wait in one queue, and the placement engine
+    /// paces them; a retry delay that ignores the other proxies would keep that queue full.
     paced_by_engine: bool,
-    /// When the last complete line came.
+    /// When the last complete line was received; `None` before the first.
     last_line_at: Option<Duration>,
 }
 
 impl DiscoveryWatch {
-    /// A watch that is not open yet and asks for changes after a revision.
+    /// A watch that is not open yet and will ask for changes after `revision`.
     pub(super) fn new(
         address: SocketAddr,
         revision: u64,
@@ -74,17 +75,18 @@
         }
     }
 
-    /// The revision of the last list that could be read whole.
+    /// Revision of the last list without an invalid entry; at first the one that the watch was created with.
     pub(super) fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// When discovery last sent a complete line.
+    /// When discovery last sent a complete line; `None` before the first.
     pub(super) fn last_line_at(&self) -> Option<Duration> {
         self.last_line_at
     }
 
-    /// Asks another discovery from now on, for everything that it has: its revisions need not be those of the former.
+    /// Switches to another discovery service and asks it for the complete list: its revisions may be unrelated to those
+    /// of the former.
     fn change_address(&mut self, address: SocketAddr) {
         self.address = address;
         self.revision = 0;
@@ -97,14 +99,14 @@
         self.first_line_timeout = first_line_timeout(self.paced_by_engine);
     }
 
-    /// How long the attempt that begins now may take to its first line; the next may take twice as long.
+    /// Timeout of the first line for the attempt that begins now; doubles the one for the next attempt.
     fn take_first_line_timeout(&mut self) -> Duration {
         let timeout = self.first_line_timeout;
-        self.first_line_timeout = (timeout * 2).min(MAX_SILENCE);
+        self.first_line_timeout = (timeout * 2).min(LINE_TIMEOUT);
         timeout
     }
 
-    /// The delay before the next attempt; the one after that waits twice as long.
+    /// Delay before the next attempt; doubles the one before the attempt after that.
     fn take_reconnect_delay(&mut self) -> Duration {
         let delay = self.reconnect_delay;
         self.reconnect_delay = (delay * 2).min(self.max_reconnect_delay);
@@ -112,22 +114,23 @@
     }
 }
 
-/// An agent on the proxy's own machine answers at once; a discovery that is polled has a queue.
+/// Timeout of the first line at the first attempt. Pushed lists come from an agent on the proxy's own machine, which
+/// responds at once; a polled discovery service queues requests.
 fn first_line_timeout(paced_by_engine: bool) -> Duration {
     if paced_by_engine {
-        MAX_SILENCE
+        LINE_TIMEOUT
     } else {
-        FIRST_LINE_TIMEOUT
+        MIN_FIRST_LINE_TIMEOUT
     }
 }
 
 impl Router {
-    /// Begins with the list known from before the start, and asks discovery for changes.
+    /// Applies the endpoint list of the last run, and asks discovery for changes.
     pub(super) fn apply_initial_list(&mut self, list: EndpointList) {
         self.apply_first_list(list, EndpointUpdate::Stale);
     }
 
-    /// Begins with the list of the process that this one replaces, and asks discovery for changes.
+    /// Applies the predecessor's endpoint list, and asks discovery for changes.
     pub(super) fn apply_inherited_list(&mut self, list: EndpointList) {
         self.apply_first_list(list, EndpointUpdate::Inherited);
     }
@@ -168,8 +171,8 @@
             .set(TimerKey::DiscoveryWatch, self.now + timeout);
     }
 
-    /// Applies a configuration that was read again: discovery may be at another address from now on. The former one's
-    /// watch is closed, as that agent will end and say nothing more.
+    /// Applies a reloaded configuration, in which `discovery` may be a new address. The watch on the former address is
+    /// closed, since the agent there is about to end and sends no more changes.
     pub fn reload(&mut self, now: Duration, discovery: SocketAddr) {
         self.now = now;
         let changed = self.discovery_watch.address != discovery;
@@ -190,7 +193,7 @@
         }
     }
 
-    /// The watch's deadline has passed: an open one is silent, and a closed one is to be opened again.
+    /// Handles the watch's deadline: an open watch has timed out and ends; a closed one is reopened.
     pub(super) fn watch_deadline(&mut self) {
         if self.discovery_watch.connection.is_some() {
             self.end_watch(ReasonCode::WatchSilent, "silent");
@@ -199,7 +202,8 @@
         }
     }
 
-    /// Closes the watch and arranges for the next.
+    /// Closes the watch, and schedules the next attempt; where discovery is polled, reports the failure to the
+    /// placement engine instead.
     fn end_watch(&mut self, code: ReasonCode, reason: &str) {
         self.log_event(code, format!("watch why={reason:?}"));
         self.close_watch();
@@ -213,7 +217,7 @@
             .set(TimerKey::DiscoveryWatch, self.now + delay);
     }
 
-    /// The watch's connection is ready: at first to send the request, afterwards with input.
+    /// Handles readiness of the watch's connection: sends the request at first, reads the response afterwards.
     pub(super) fn watch_ready(&mut self, event: ReadyEvent) {
         if !self.discovery_watch.request_sent {
             return self.send_watch_request(event.key);
@@ -221,18 +225,19 @@
         let Some(input) = self.read_watch(event) else {
             return;
         };
-        // Half a line, or a response without end, must not keep a dead watch alive.
+        // Only complete lines extend the deadline: part of a line, or a line without end, must not keep a dead watch
+        // open.
         if !input.lines.is_empty() {
             self.discovery_watch.last_line_at = Some(self.now);
             self.deadlines
-                .set(TimerKey::DiscoveryWatch, self.now + MAX_SILENCE);
+                .set(TimerKey::DiscoveryWatch, self.now + LINE_TIMEOUT);
             self.session_table.record_discovery_activity(self.now);
         }
         for line in input.lines {
             if let Err(error) = self.apply_watch_line(&line) {
                 self.log_event(
                     ReasonCode::EndpointListInvalid,
-                    format!("roster why={:?}", error.to_string()),
+                    format!("endpoint list why={:?}", error.to_string()),
                 );
                 return self.end_watch(ReasonCode::WatchEnded, "bad list");
             }
@@ -243,7 +248,7 @@
         }
     }
 
-    /// Sends the request at the connection's first writability, unless that shows that it failed.
+    /// Sends the request once the connection is writable, or ends the watch if connecting failed.
     fn send_watch_request(&mut self, key: SlotKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -260,17 +265,17 @@
         self.update_interest(key);
     }
 
-    /// Reads the watch's connection once; `None` where it is gone.
+    /// Reads the watch's connection once; `None` if it is closed already.
     fn read_watch(&mut self, event: ReadyEvent) -> Option<WatchInput> {
         let stream = &mut self.connections.get_mut(event.key)?.stream;
         let response = &mut self.discovery_watch.response;
         stream.read_once(event.failed);
         let bytes = stream.inbound.bytes();
-        let read = bytes.len();
+        let read_len = bytes.len();
         let mut lines = Vec::new();
-        let fed = response.feed(bytes, &mut lines);
-        stream.inbound.consume(read);
-        let end = match fed {
+        let parsed = response.feed(bytes, &mut lines);
+        stream.inbound.consume(read_len);
+        let end = match parsed {
             Err(error) => Some(error.to_string()),
             Ok(()) if stream.ended.is_some() || response.is_complete() => Some("closed".into()),
             Ok(()) => None,
@@ -278,10 +283,10 @@
         Some(WatchInput { lines, end })
     }
 
-    /// Applies one line of the watch; a blank one only shows that discovery is alive.
+    /// Applies one line of the watch; a blank line is a heartbeat.
     ///
-    /// A list with an invalid entry fails. The rest of it is applied nevertheless, as a drain may be in it, but what
-    /// it leaves out is not gone, and it is asked for again from the revision before.
+    /// A list with an invalid entry is an error. Its valid entries are applied nevertheless, since one of them may be a
+    /// drain, but endpoints that it omits are not marked as gone, and the next request repeats the revision before it.
     fn apply_watch_line(&mut self, line: &[u8]) -> Result<(), EndpointListError> {
         if !line.is_empty() {
             self.apply_watch_list(discovery::parse(line)?)?;
@@ -333,7 +338,8 @@
         self.handle_placement_event(PlacementEvent::EndpointsUpdated(update));
     }
 
-    /// Ends the health check of a server that is gone or has moved: nobody will answer it.
+    /// Closes the probe connection of a server that is gone or listed at another address, and cancels a probe under
+    /// way.
     fn cancel_stale_probe(&mut self, server: ServerId) {
         let Some(key) = self.endpoints.probe_connection(server) else {
             return;
@@ -345,10 +351,10 @@
     }
 }
 
-/// What one read of the watch brought.
+/// Result of one read from the watch's connection.
 struct WatchInput {
     /// Complete lines of the response's body.
     lines: Vec<Vec<u8>>,
-    /// Why the watch can't go on, if it can't.
+    /// Why the response has ended; `None` while more may follow.
     end: Option<String>,
 }
--- a/crates/proxy/src/routing/endpoints.rs
+++ b/crates/proxy/src/routing/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoint table: all servers that this proxy knows, and the indices by which the placement engine names them.
+//! The endpoint table: all servers that this proxy knows, and the indices by which the placement engine identifies
+//! them.
 
 use crate::protocol::discovery::ListedEndpoint;
 use crate::transport::SlotKey;
@@ -7,7 +8,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Servers that the table holds at most. A uid is never forgotten, so the table needs a bound.
+/// Most servers that the table holds; new ones beyond that are ignored. A bound is needed since entries are never
+/// removed.
 pub(super) const MAX_ENDPOINTS: usize = 4096;
 
 /// Offset basis and prime of the 64-bit FNV-1a hash.
@@ -18,34 +20,34 @@
 struct EndpointEntry {
     /// As discovery last listed it; the address is the last one that it was listed as ready or draining at.
     listed: ListedEndpoint,
-    /// The connection kept for probes.
-    probe: Option<SlotKey>,
+    /// The connection kept for probes; `None` while there is none.
+    probe_connection: Option<SlotKey>,
     known: KnownEndpoint,
 }
 
-/// What the router itself knows of a server, beside what the placement engine keeps.
+/// What the router records about a server, apart from the placement engine's own state.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct KnownEndpoint {
-    /// State as listed, or as a warm start found it.
+    /// State as discovery listed it, or as a warm start set it.
     pub(super) state: EndpointState,
-    /// Unix time of the server's start, where it is listed.
+    /// Unix time of the server's start; `None` where discovery does not list it.
     pub(super) started_at: Option<Duration>,
-    /// Its last load report.
+    /// Its last load report; without any figures before the first.
     pub(super) load: ServerLoad,
-    /// When the last load report came; zero before the first.
+    /// When the last load report was received; zero before the first.
     pub(super) reported_at: Duration,
 }
 
-/// What a discovery entry led to.
+/// Result of applying a discovery entry to the table.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndpointChange {
-    /// The entry in the placement engine's terms.
+    /// The endpoint in the placement engine's form.
     pub(super) endpoint: Endpoint,
-    /// The connection kept for probes is of no use any more: the server is gone, or listed at another address.
+    /// Whether the connection kept for probes has become useless: the server is gone, or listed at another address.
     pub(super) is_probe_stale: bool,
 }
 
-/// Servers by uid. Another server may take over an address; a uid names the same server for ever.
+/// All known servers. A uid always identifies the same server, while an address may pass to another server.
 #[derive(Debug)]
 pub(super) struct EndpointTable {
     zones: Vec<String>,
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Takes in a discovery entry; `None` for a new server when the table is full.
+    /// Inserts or updates the server of a discovery entry; `None` for a new server when the table is full.
     pub(super) fn update(&mut self, listed: ListedEndpoint) -> Option<EndpointChange> {
         let server = self.find_or_insert(&listed)?;
         let entry = self.entries.get_mut(server as usize)?;
@@ -99,7 +101,7 @@
         let server = self.entries.len() as ServerId;
         self.entries.push(EndpointEntry {
             listed: listed.clone(),
-            probe: None,
+            probe_connection: None,
             known: KnownEndpoint::default(),
         });
         self.by_uid.insert(listed.uid.clone(), server);
@@ -114,8 +116,8 @@
         self.entries.get_mut(server as usize)
     }
 
-    /// A server in the placement engine's terms, in its present state. A zone that is not in the deployment has the highest
-    /// index.
+    /// A server in the placement engine's form, in its present state. A zone that is not in the settings has the index
+    /// `u8::MAX`.
     pub(super) fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
         let entry = self.entry(server)?;
         let listed = &entry.listed;
@@ -139,26 +141,25 @@
         }
     }
 
-    /// Sets the state of a server.
     pub(super) fn set_state(&mut self, server: ServerId, state: EndpointState) {
         if let Some(entry) = self.entry_mut(server) {
             entry.known.state = state;
         }
     }
 
-    /// What is known of each server, by index.
+    /// The record of each server, in the order of their indices.
     pub(super) fn known_endpoints(&self) -> impl Iterator<Item = &KnownEndpoint> {
         self.entries.iter().map(|entry| &entry.known)
     }
 
-    /// What is known of each server, with the name of its zone.
+    /// The record of each server with the name of its zone, in the order of their indices.
     pub(super) fn known_endpoints_with_zone(&self) -> impl Iterator<Item = (&KnownEndpoint, &str)> {
         self.entries
             .iter()
             .map(|entry| (&entry.known, entry.listed.zone.as_str()))
     }
 
-    /// Marks servers as gone that a complete list leaves out.
+    /// Marks all servers as gone that are not in `listed`, the entries of a complete list.
     pub(super) fn mark_unlisted_as_gone(&mut self, listed: &[Endpoint]) {
         let mut is_listed = vec![false; self.entries.len()];
         for endpoint in listed {
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Records a load report that came at `now`.
+    /// Records a load report that was received at `now`.
     pub(super) fn record_load(&mut self, server: ServerId, load: ServerLoad, now: Duration) {
         if let Some(entry) = self.entry_mut(server) {
             entry.known.load = load;
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Each server as it was last listed, in its present state, by index.
+    /// Each server as it was last listed, in its present state, in the order of their indices.
     pub(super) fn listed_endpoints(&self) -> impl Iterator<Item = ListedEndpoint> {
         self.entries.iter().map(|entry| ListedEndpoint {
             state: entry.known.state,
@@ -187,12 +188,12 @@
         })
     }
 
-    /// The index of a server.
+    /// The index of the server with a uid; `None` if it is unknown.
     pub(super) fn find(&self, uid: &str) -> Option<ServerId> {
         self.by_uid.get(uid).copied()
     }
 
-    /// The address of a server.
+    /// The address of a server; `None` if it is unknown.
     pub(super) fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.entry(server).map(|entry| entry.listed.address)
     }
@@ -202,15 +203,15 @@
         self.entry(server).map_or("-", |entry| &entry.listed.uid)
     }
 
-    /// The connection kept for a server's probes.
+    /// The connection kept for a server's probes; `None` if there is none.
     pub(super) fn probe_connection(&self, server: ServerId) -> Option<SlotKey> {
-        self.entry(server)?.probe
+        self.entry(server)?.probe_connection
     }
 
-    /// Keeps a connection for a server's probes, or none.
+    /// Sets the connection kept for a server's probes; `None` once it is closed.
     pub(super) fn set_probe_connection(&mut self, server: ServerId, key: Option<SlotKey>) {
         if let Some(entry) = self.entry_mut(server) {
-            entry.probe = key;
+            entry.probe_connection = key;
         }
     }
 }
--- a/crates/proxy/src/routing/graceful_shutdown.rs
+++ b/crates/proxy/src/routing/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Draining and shutting down: carries out on sockets what `asterramp_drain` advises.
+//! Drain and graceful shutdown: carries out on sockets what `asterramp_drain` advises.
 
 use super::Router;
 use super::events::ReasonCode;
@@ -13,29 +13,31 @@
 use asterramp_placement::event::{EndpointState, ServerLoad};
 use std::time::Duration;
 
-/// The load balancer before this proxy goes on sending clients for this long after SIGTERM.
-const FRONT_DELAY: Duration = Duration::from_millis(500);
-/// A process that does not end by itself is killed, though not before the longest wait of a client, or this, and some
-/// tenths of a second more have passed.
-const KILL_DELAY: Duration = Duration::from_secs(3);
-/// How long after the longest wait the process goes on, for what is under way.
+/// How long the load balancer in front of this proxy keeps sending new clients after SIGTERM.
+const FRONT_REMOVAL_DELAY: Duration = Duration::from_millis(500);
+/// Longest client wait that a shutdown allows for; also used where no setting gives a wait. A process that has not
+/// ended some tenths of a second after the client wait, limited to this, is killed by the platform.
+const MAX_SHUTDOWN_WAIT: Duration = Duration::from_secs(3);
+/// How long the process runs beyond the longest client wait, to complete work in progress.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
-/// How long whoever was answered last has to close, at least.
-const LAST_CLOSE: Duration = Duration::from_millis(100);
-/// The parts of the time until the last answers at which migrating begins and ends: as late as may be, since the other
-/// proxies, which are to take the sessions, may have been restarted just before, and the load balancer is slow to see
-/// them.
-const MIGRATION_START: f64 = 0.7;
-const MIGRATION_END: f64 = 1.05;
-/// How old a server's load report may be to count for its capacity.
+/// Least time that the clients answered last have to close their connections before the process exits.
+const LAST_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
+/// When a shutdown begins to migrate sessions, as a fraction of the time until pending sessions are rejected. As late
+/// as possible, since the other proxies, which are to take the sessions, may have been restarted just before, and the
+/// load balancer is slow to notice them.
+const MIGRATION_START_FRACTION: f64 = 0.7;
+/// When a shutdown is to have migrated all sessions, as a fraction of the time until pending sessions are rejected.
+const MIGRATION_END_FRACTION: f64 = 1.05;
+/// Oldest load report that counts towards a server's spare capacity.
 const LOAD_REPORT_MAX_AGE: Duration = Duration::from_secs(5);
-/// The utilization that migrated sessions may fill a server to.
-const FULL_UTILIZATION: f64 = 0.85;
-/// A server's connections count for at least the mean divided by this: what is migrated to it may be heavier than what
-/// it holds.
-const LIGHTEST_DIVISOR: f64 = 4.0;
+/// Utilization, from 0 to 1, up to which migrated sessions may fill a server.
+const MAX_TARGET_UTILIZATION: f64 = 0.85;
+/// A server's load per connection counts as at least the mean of all servers divided by this, since the sessions
+/// migrated to it may be heavier than those it holds. A greater divisor gives lightly loaded servers more spare
+/// capacity.
+const MIN_LOAD_DIVISOR: f64 = 4.0;
 
-/// The load of a server that has reported all of it.
+/// The load of a server that has reported both figures.
 #[derive(Clone, Copy, Debug)]
 struct ReportedLoad {
     connections: f64,
@@ -43,64 +45,70 @@
 }
 
 impl Router {
-    /// Begins to leave for good; a drain under way becomes that.
+    /// Begins a graceful shutdown, which cannot be cancelled and replaces a drain in progress. Has no effect if a
+    /// shutdown is in progress.
     pub fn begin_shutdown(&mut self, now: Duration) {
         if self.drain.state() == DrainState::Exiting {
             return;
         }
         self.now = now;
-        let exit = self.exit_times();
-        let serve_on = exit.serve_until;
-        self.drain.begin_shutdown(exit);
-        self.deadlines.set(TimerKey::Shutdown, serve_on);
+        let schedule = self.shutdown_schedule();
+        let serve_until = schedule.serve_until;
+        self.drain.begin_shutdown(schedule);
+        self.deadlines.set(TimerKey::Shutdown, serve_until);
         self.log_drain_state();
     }
 
     /// When each step of a shutdown that begins now is due.
-    fn exit_times(&self) -> ShutdownSchedule {
+    fn shutdown_schedule(&self) -> ShutdownSchedule {
         let now = self.now;
         let longest_wait = match self.settings.max_client_wait {
-            wait if wait.is_zero() => KILL_DELAY,
-            wait => wait.min(KILL_DELAY),
+            wait if wait.is_zero() => MAX_SHUTDOWN_WAIT,
+            wait => wait.min(MAX_SHUTDOWN_WAIT),
         };
-        // However short their wait, clients come for as long as the load balancer sends them.
-        let answered = now + longest_wait.max(FRONT_DELAY);
-        let part = |part| now + (answered - now).mul_f64(part);
-        let moving = part(MIGRATION_START);
-        // A successor shares the address, and is to have all clients that come. Where there can be none, whoever comes
-        // late is served and migrated rather than reset.
+        // However short their wait, clients arrive for as long as the load balancer sends them.
+        let reject_pending_at = now + longest_wait.max(FRONT_REMOVAL_DELAY);
+        let at_fraction = |fraction| now + (reject_pending_at - now).mul_f64(fraction);
+        let migrate_from = at_fraction(MIGRATION_START_FRACTION);
+        // A successor shares the address and should accept all further clients. Without hot restart there is no
+        // successor, so late clients are served and migrated rather than reset.
         let close_listener_at = if self.hot_restart.is_some() {
-            now + FRONT_DELAY
+            now + FRONT_REMOVAL_DELAY
         } else {
-            answered
+            reject_pending_at
         };
         ShutdownSchedule {
-            serve_until: (now + FRONT_DELAY).min(moving),
+            serve_until: (now + FRONT_REMOVAL_DELAY).min(migrate_from),
             close_listener_at,
-            migrate_from: moving,
-            migrate_until: part(MIGRATION_END),
-            reject_pending_at: answered,
-            exit_at: (now + longest_wait + EXIT_MARGIN).max(answered + LAST_CLOSE),
+            migrate_from,
+            migrate_until: at_fraction(MIGRATION_END_FRACTION),
+            reject_pending_at,
+            exit_at: (now + longest_wait + EXIT_MARGIN).max(reject_pending_at + LAST_CLOSE_TIMEOUT),
         }
     }
 
-    /// Begins to drain within so long, or changes how; `pace` is in sessions a second.
+    /// Starts a drain that is to end within `within`, or changes the deadline and rate of the drain in progress.
+    /// `requested_rate` is in sessions migrated per second; `None` derives it from the servers' spare capacity.
     ///
     /// # Errors
     ///
-    /// If the drain's state or settings do not allow it.
-    pub fn drain(&mut self, within: Duration, pace: Option<f64>) -> Result<(), DrainError> {
-        self.drain.start(self.now, within, pace)?;
+    /// If the proxy is shutting down.
+    pub fn drain(
+        &mut self,
+        within: Duration,
+        requested_rate: Option<f64>,
+    ) -> Result<(), DrainError> {
+        self.drain.start(self.now, within, requested_rate)?;
         self.deadlines.set(TimerKey::Shutdown, self.now);
         self.log_drain_state();
         Ok(())
     }
 
-    /// Ends a drain; the proxy serves on.
+    /// Cancels a drain; the proxy serves normally again.
     ///
     /// # Errors
     ///
-    /// If the drain's state does not allow it.
+    /// If no drain is in progress, or the proxy is shutting down.
     pub fn undrain(&mut self) -> Result<(), DrainError> {
         self.drain.cancel(self.now)?;
         self.deadlines.clear(TimerKey::Shutdown);
@@ -108,12 +116,12 @@
         Ok(())
     }
 
-    /// Changes how drains go from now on.
+    /// Replaces the settings of drains; they apply to a drain in progress, too.
     pub fn set_drain_settings(&mut self, settings: DrainSettings) {
         self.drain.set_settings(settings);
     }
 
-    /// Logs a line for each change of the drain's state.
+    /// Logs the drain's state if it has changed since it was last logged.
     fn log_drain_state(&mut self) {
         let state = self.drain.state();
         if state == self.logged_drain_state {
@@ -140,7 +148,7 @@
         self.sessions_with_client(|state| state != SessionState::Open)
     }
 
-    /// The sessions in a state whose client is there and that are not offered to another process.
+    /// Sessions in a wanted state whose client is connected and that are not offered to a successor.
     fn sessions_with_client(&self, is_wanted: impl Fn(SessionState) -> bool) -> Vec<SlotKey> {
         self.session_table
             .sessions
@@ -151,7 +159,7 @@
             .collect()
     }
 
-    /// What the drain goes by now.
+    /// The counts that the drain's advice is based on, as of now.
     pub(super) fn drain_view(&self) -> DrainView {
         let is_client = |role| {
             matches!(
@@ -174,8 +182,8 @@
         }
     }
 
-    /// Connections that warm, ready servers can absorb by their load reports of late; `None` where the reports do not
-    /// say. A server that holds none is taken for one whose connections are of the mean size.
+    /// How many more connections warm, ready servers can take, by their recent load reports; `None` where these show no
+    /// load per connection. A server without connections counts with the mean load per connection of all servers.
     pub(super) fn spare_capacity(&self) -> Option<f64> {
         let reports = self.recent_loads();
         let (connections, utilization) = reports.iter().fold((0.0, 0.0), |sum, report| {
@@ -186,7 +194,7 @@
         Some(spare.sum())
     }
 
-    /// What warm, ready servers have reported of late.
+    /// Loads that warm, ready servers have reported within [`LOAD_REPORT_MAX_AGE`].
     fn recent_loads(&self) -> Vec<ReportedLoad> {
         let warm_after = self.settings.deployment.slow_start.warm_after;
         let is_warm = |started: Option<Duration>| {
@@ -194,13 +202,13 @@
         };
         self.endpoints
             .known_endpoints()
-            .filter(|host| host.state == EndpointState::Ready && is_warm(host.started_at))
-            .filter(|host| self.now.saturating_sub(host.reported_at) <= LOAD_REPORT_MAX_AGE)
-            .filter_map(|host| ReportedLoad::of(host.load))
+            .filter(|server| server.state == EndpointState::Ready && is_warm(server.started_at))
+            .filter(|server| self.now.saturating_sub(server.reported_at) <= LOAD_REPORT_MAX_AGE)
+            .filter_map(|server| ReportedLoad::from_report(server.load))
             .collect()
     }
 
-    /// Takes the next step of a drain or shutdown.
+    /// Carries out the next step of a drain or shutdown.
     pub(super) fn continue_shutdown(&mut self) {
         let exiting = self.drain.state() == DrainState::Exiting;
         if self.drain.closes_listener(self.now) {
@@ -212,14 +220,14 @@
             self.migrate_sessions(advice.sessions_to_migrate, exiting);
         }
         if advice.reject_pending {
-            self.answer_pending_sessions(exiting);
+            self.reject_pending_sessions(exiting);
         }
         if advice.reject_pending && exiting {
-            self.answer_pending_clients();
+            self.reject_pending_clients();
         }
         if advice.exit {
             self.close_listener();
-            // Whoever was let in this moment is answered first.
+            // Clients accepted while the listener closed are answered first.
             self.done = self.drain_view().client_connections == 0 || advice.drop_remaining;
         }
         self.log_drain_state();
@@ -229,7 +237,8 @@
         }
     }
 
-    /// Migrates so many open sessions; a drain, which has time, begins with those that may run again without harm.
+    /// Migrates up to `count` open sessions. A drain, which has more time than a shutdown, begins with those whose
+    /// request is the safest to run again.
     fn migrate_sessions(&mut self, count: usize, exiting: bool) {
         let mut open = self.open_sessions();
         let code = if exiting {
@@ -243,8 +252,8 @@
         }
     }
 
-    /// Gives every session that is not open its final answer.
-    fn answer_pending_sessions(&mut self, exiting: bool) {
+    /// Ends every session that is not open yet with a final answer to its client.
+    fn reject_pending_sessions(&mut self, exiting: bool) {
         let cutoff = if exiting {
             SessionInput::ShutdownCutoff
         } else {
@@ -255,8 +264,8 @@
         }
     }
 
-    /// Fails every client that has not said yet what it wants.
-    fn answer_pending_clients(&mut self) {
+    /// Sends an error to every client whose first line is not complete yet, and closes its connection.
+    fn reject_pending_clients(&mut self) {
         let pending: Vec<SlotKey> = self
             .connections
             .iter()
@@ -269,7 +278,7 @@
         }
     }
 
-    /// Closes the listener; whoever waits there has been sent by the load balancer, and would be lost with it.
+    /// Closes the listener. The connections in its backlog are accepted first, since closing would reset them.
     fn close_listener(&mut self) {
         self.accept_all();
         self.close_hot_restart();
@@ -279,7 +288,7 @@
         self.deadlines.clear(TimerKey::Listener);
     }
 
-    /// Closes what is left as the process ends: the router's own texts go out as far as their sockets take them.
+    /// Closes all connections as the process ends. Buffered output is written as far as the sockets accept it.
     pub fn close_all(&mut self) {
         let keys: Vec<SlotKey> = self.connections.iter().map(|(key, _)| key).collect();
         for key in keys {
@@ -290,7 +299,8 @@
         }
     }
 
-    /// How much harm it may do to run a session's request again, from 0.
+    /// Rank of a session by how harmful it may be to run its request again: 0 for an idempotent request, 1 for one
+    /// with an idempotency key, 2 for any other.
     fn retry_risk(&self, session: SlotKey) -> u8 {
         let retry_safety = self
             .session_machine(session)
@@ -309,20 +319,21 @@
 
 impl ReportedLoad {
     /// `None` unless both figures are reported.
-    fn of(load: ServerLoad) -> Option<ReportedLoad> {
+    fn from_report(load: ServerLoad) -> Option<ReportedLoad> {
         Some(ReportedLoad {
             connections: load.connections?,
             utilization: load.utilization?,
         })
     }
 
-    /// How many connections more fill the server, where one is of its own mean size or, if it has none, of `mean`.
-    fn spare_connections(self, mean: f64) -> f64 {
-        let per_connection = if self.connections >= 1.0 {
-            (self.utilization / self.connections).max(mean / LIGHTEST_DIVISOR)
+    /// How many more connections the server can take. Its load per connection is its own or, if it holds none,
+    /// `mean_load_per_connection`, that of all servers.
+    fn spare_connections(self, mean_load_per_connection: f64) -> f64 {
+        let load_per_connection = if self.connections >= 1.0 {
+            (self.utilization / self.connections).max(mean_load_per_connection / MIN_LOAD_DIVISOR)
         } else {
-            mean
+            mean_load_per_connection
         };
-        ((FULL_UTILIZATION - self.utilization) / per_connection).max(0.0)
+        ((MAX_TARGET_UTILIZATION - self.utilization) / load_per_connection).max(0.0)
     }
 }
--- a/crates/proxy/src/routing/hot_restart/adoption.rs
+++ b/crates/proxy/src/routing/hot_restart/adoption.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use std::vec;
 
-/// Why an offer is not accepted. The texts appear in the log and stay as they are.
+/// Why an offer is rejected. Operators see the texts in the log, so they must not change.
 #[derive(Debug, thiserror::Error)]
 enum InvalidOffer {
     /// This process is not taking over from another.
@@ -33,45 +33,51 @@
     /// The client's first line does not open a session.
     #[error("its first line is none")]
     NoOpeningLine,
-    /// The first line names a listener or a member that is not in the settings.
+    /// The first line names a listener or a tenant that is not in the settings.
     #[error("a name is unknown")]
     UnknownName,
-    /// The endpoint list has no such server.
+    /// The endpoint table does not contain the session's server.
     #[error("its server is unknown")]
     UnknownServer,
-    /// A session of the same id is open in this process.
+    /// This process has a session with the same id.
     #[error("it is open here")]
     AlreadyOpen,
-    /// The ownership of the connection cannot pass over.
+    /// The acceptance could not be sent, or too many offers are unconfirmed.
     #[error(transparent)]
     Ownership(#[from] OfferError),
 }
 
-/// An offer that was read and can be adopted.
+/// A valid offer, which can be adopted.
 #[derive(Debug)]
 pub(super) enum ReceivedOffer {
+    /// A client's connection without a complete first line.
     PendingConnection(BufferedStream),
+    /// An open session with its two connections.
     Session(Box<ReceivedSession>),
 }
 
+/// An open session, as the predecessor passed it on.
 #[derive(Debug)]
 pub(super) struct ReceivedSession {
     machine: SessionMachine,
     session: SessionConnections,
     client: ReceivedStream,
     server: ReceivedStream,
-    /// How long its server may still leave the client's last line unanswered.
-    answer_within: Option<Duration>,
+    /// How much longer the server may take to answer the client's last line; `None` if no answer is
+    /// awaited.
+    response_timeout: Option<Duration>,
 }
 
+/// One of a session's connections, with what the predecessor had read from it.
 #[derive(Debug)]
 struct ReceivedStream {
     stream: BufferedStream,
-    /// How many of its buffered bytes are complete, validated endpoints.
-    validated: usize,
+    /// How many of its buffered bytes, from the front, are complete, validated lines.
+    validated_len: usize,
 }
 
 impl ReceivedOffer {
+    /// Descriptors that came with the offer.
     fn descriptor_count(&self) -> usize {
         match self {
             ReceivedOffer::PendingConnection(_) => 1,
@@ -81,13 +87,13 @@
 }
 
 impl Router {
-    /// The predecessor offers a connection. It is accepted only where it is whole and known, and
-    /// the predecessor is notified before anything is done with it.
+    /// Handles an offer of the predecessor. A valid offer is accepted, and the predecessor is
+    /// notified of that before the connection is used; an invalid one ends the handover.
     pub(super) fn receive_offer(&mut self, offer: HotRestartMessage, descriptors: Vec<OwnedFd>) {
         match self.accept_offer(offer, descriptors) {
-            Ok(adoptable) => {
+            Ok(accepted) => {
                 self.handle_hot_restart_input(HotRestartInput::OfferReceived);
-                if let Some(received) = adoptable {
+                if let Some(received) = accepted {
                     self.adopt(received);
                 }
             }
@@ -99,13 +105,15 @@
         }
     }
 
-    /// Returns what may be adopted now; nothing where that depends on how the link ends.
+    /// Checks and accepts an offer. Returns it if it may be adopted now; `None` if the predecessor
+    /// is gone, so that the offer is unconfirmed until the link has ended.
     fn accept_offer(
         &mut self,
         offer: HotRestartMessage,
         descriptors: Vec<OwnedFd>,
     ) -> Result<Option<ReceivedOffer>, InvalidOffer> {
-        let is_taking_over = |found: &HotRestart| found.state == HotRestartState::TakingOver;
+        let is_taking_over =
+            |hot_restart: &HotRestart| hot_restart.state == HotRestartState::TakingOver;
         if !self.hot_restart.as_ref().is_some_and(is_taking_over) {
             return Err(InvalidOffer::NotTakingOver);
         }
@@ -141,8 +149,8 @@
         offer: SessionOffer,
         descriptors: &mut vec::IntoIter<OwnedFd>,
     ) -> Result<ReceivedSession, InvalidOffer> {
-        let open = opening(&offer.opening_line)?;
-        let (listener, member) =
+        let open = parse_opening_line(&offer.opening_line)?;
+        let (listener, tenant) =
             client::listener_and_tenant(&self.settings, &open).ok_or(InvalidOffer::UnknownName)?;
         let server = self
             .endpoints
@@ -151,7 +159,7 @@
         if self.session_ids.contains(open.id) {
             return Err(InvalidOffer::AlreadyOpen);
         }
-        let request = client::session_request(&open, self.now, listener, member);
+        let request = client::session_request(&open, self.now, listener, tenant);
         let session = SessionConnections {
             client: None,
             server: None,
@@ -169,11 +177,11 @@
             session,
             client: ReceivedStream::next(descriptors, &offer.from_client)?,
             server: ReceivedStream::next(descriptors, &offer.from_server)?,
-            answer_within: offer.response_timeout,
+            response_timeout: offer.response_timeout,
         })
     }
 
-    /// What the predecessor could not be notified of.
+    /// Takes the offers whose acceptance the predecessor could not be notified of.
     pub(super) fn take_unconfirmed_offers(&mut self) -> Vec<ReceivedOffer> {
         self.hot_restart
             .as_mut()
@@ -181,13 +189,15 @@
             .unwrap_or_default()
     }
 
-    /// Closes what the predecessor could not be notified of. Its connections stay open, since the
-    /// predecessor has them too.
+    /// Closes this process's descriptors of the offers whose acceptance the predecessor could not
+    /// be notified of. The connections stay open, since the predecessor has descriptors of them
+    /// too.
     pub(super) fn discard_unconfirmed_offers(&mut self) {
         drop(self.take_unconfirmed_offers());
     }
 
-    /// Goes on with a connection that was the predecessor's.
+    /// Takes an accepted offer into service: its connections are watched, and what the predecessor
+    /// had read from them is processed.
     pub(super) fn adopt(&mut self, received: ReceivedOffer) {
         if let Some(hot_restart) = &mut self.hot_restart {
             hot_restart.peer_descriptors = hot_restart
@@ -211,12 +221,12 @@
 
     fn adopt_session(&mut self, received: ReceivedSession) {
         self.session_ids.insert(received.session.id().to_string());
-        let awaits_answer = received.session.awaiting_response;
+        let awaiting_response = received.session.awaiting_response;
         let key = self
             .session_table
             .inherit_session(self.now, received.machine, received.session);
-        let client = self.keep_received(received.client, ConnectionRole::Client(key));
-        let server = self.keep_received(received.server, ConnectionRole::Server(key));
+        let client = self.register_received(received.client, ConnectionRole::Client(key));
+        let server = self.register_received(received.server, ConnectionRole::Server(key));
         if let Some(session) = self.session_mut(key) {
             session.client = client;
             session.server = server;
@@ -225,20 +235,23 @@
         if client.is_none() || server.is_none() {
             return self.abandon_session(key, [client, server]);
         }
-        if awaits_answer {
-            let within = received.answer_within.unwrap_or_default();
+        if awaiting_response {
+            let timeout = received.response_timeout.unwrap_or_default();
             self.deadlines
-                .set(TimerKey::Session(key), self.now + within);
+                .set(TimerKey::Session(key), self.now + timeout);
         }
         self.forward(key);
     }
 
-    fn keep_received(&mut self, received: ReceivedStream, role: ConnectionRole) -> Option<SlotKey> {
-        self.register_stream(received.stream, role, received.validated)
+    fn register_received(
+        &mut self,
+        received: ReceivedStream,
+        role: ConnectionRole,
+    ) -> Option<SlotKey> {
+        self.register_stream(received.stream, role, received.validated_len)
     }
 
-    /// One of its sockets could not be watched and is closed already; the session must not stay
-    /// behind.
+    /// Ends a session of which one connection could not be registered and is closed already.
     fn abandon_session(&mut self, key: SlotKey, connections: [Option<SlotKey>; 2]) {
         for connection in connections.into_iter().flatten() {
             self.close(connection);
@@ -255,8 +268,8 @@
     }
 }
 
-/// The request that a session's first line makes.
-fn opening(line: &[u8]) -> Result<OpenRequest<'_>, InvalidOffer> {
+/// Parses a session's first line, which must open a session.
+fn parse_opening_line(line: &[u8]) -> Result<OpenRequest<'_>, InvalidOffer> {
     let text = line
         .strip_suffix(b"\r\n")
         .and_then(|line| std::str::from_utf8(line).ok())
@@ -274,12 +287,12 @@
     ) -> Result<ReceivedStream, InvalidOffer> {
         Ok(ReceivedStream {
             stream: next_stream(descriptors, buffered)?,
-            validated: buffered.validated_len,
+            validated_len: buffered.validated_len,
         })
     }
 }
 
-/// A stream of the next descriptor, with what the predecessor had read from it.
+/// A stream from the next descriptor, with the bytes that the predecessor had read from it.
 fn next_stream(
     descriptors: &mut vec::IntoIter<OwnedFd>,
     buffered: &BufferedBytes,
--- a/crates/proxy/src/routing/hot_restart/endpoint_records.rs
+++ b/crates/proxy/src/routing/hot_restart/endpoint_records.rs
@@ -1,11 +1,13 @@
-//! Endpoints as discovery lists them, to and from the records of a hot restart.
+//! Converts endpoints between the form in which discovery lists them and the records of a hot
+//! restart.
 
 use crate::protocol::discovery::ListedEndpoint;
 use asterramp_hot_restart::{EndpointRecord, EndpointRecordState};
 use asterramp_placement::event::EndpointState;
 use std::net::AddrParseError;
 
-/// A record's address is no socket address. The text appears in the log and stays as it is.
+/// The address of a record is not a socket address. Operators see the text in the log, so it must
+/// not change.
 #[derive(Debug, thiserror::Error)]
 #[error("an endpoint is none")]
 pub(in crate::routing) struct UnreadableAddress {
--- a/crates/proxy/src/routing/hot_restart/inherited_state.rs
+++ b/crates/proxy/src/routing/hot_restart/inherited_state.rs
@@ -1,6 +1,7 @@
-//! What a starting process gets from its predecessor: the clients' listener and the endpoint list.
+//! Requests the state that a starting process inherits from its predecessor: the listener for
+//! clients and the endpoint list.
 //!
-//! This runs before the event loop, so it may block; the wait is bounded.
+//! This runs before the event loop, so it may block, for at most [`STATE_TIMEOUT`].
 
 use super::endpoint_records::{UnreadableAddress, endpoint_from_record};
 use crate::protocol::discovery::{EndpointList, ListedEndpoint};
@@ -16,11 +17,11 @@
 use std::time::{Duration, Instant};
 
 /// How long the predecessor may take to send everything; after that the process starts without it.
-/// Under a second, as the whole of it goes into the nanoseconds of a [`Timespec`].
+/// Must be less than 1 s, since it is passed on in the nanoseconds of a [`Timespec`] alone.
 const STATE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Why a starting process inherits nothing from a predecessor that is there. The texts appear in
-/// the log and stay as they are.
+/// Why a starting process inherits nothing from a running predecessor. Operators see the texts in
+/// the log, so they must not change.
 #[derive(Debug, thiserror::Error)]
 pub(in crate::routing) enum InheritError {
     /// A call on the link failed.
@@ -32,16 +33,17 @@
     /// The predecessor closed the link before it had sent the listener.
     #[error("it hung up")]
     LinkClosed,
-    /// The predecessor sent something that is no message.
+    /// The predecessor sent bytes that are not a valid message.
     #[error(transparent)]
     Message(#[from] MessageError),
     /// The address of an endpoint cannot be read.
     #[error(transparent)]
     Endpoint(#[from] UnreadableAddress),
-    /// What was sent does not listen, or listens at another address than this process is to.
+    /// The descriptor is not a listening socket, or is bound to another address than the one
+    /// configured for this process.
     #[error("its door is another")]
     WrongListener,
-    /// The predecessor sent a message out of place, or too many endpoints.
+    /// The predecessor sent an unexpected message, or too many endpoints.
     #[error("it says what makes no sense now")]
     UnexpectedMessage,
     /// The predecessor did not send everything within [`STATE_TIMEOUT`].
@@ -49,23 +51,23 @@
     TimedOut,
 }
 
-/// What a process that starts has inherited from its predecessor.
+/// State that a starting process has inherited from its predecessor.
 #[derive(Debug)]
 pub(in crate::routing) struct InheritedState {
     /// The connection to the predecessor.
     pub(in crate::routing) link: OwnedFd,
-    /// The socket at which both processes listen for clients.
+    /// The listening socket for clients, which both processes have open.
     pub(in crate::routing) listener: OwnedFd,
-    /// The endpoints that the predecessor knows.
+    /// The predecessor's complete endpoint list.
     pub(in crate::routing) list: EndpointList,
 }
 
 impl InheritedState {
-    /// Asks the predecessor that listens at `socket_path` for its listener, which must be bound to
-    /// `listen`. `None` where no process listens there.
+    /// Requests the state of the predecessor that listens at `socket_path`. Its listener for
+    /// clients must be bound to `listen_address`. `None` where no process listens at `socket_path`.
     pub(in crate::routing) fn request(
         socket_path: &Path,
-        listen: SocketAddr,
+        listen_address: SocketAddr,
     ) -> Result<Option<InheritedState>, InheritError> {
         let link = match seqpacket::connect(socket_path) {
             Ok(link) => link,
@@ -77,7 +79,7 @@
         }
         let deadline = Instant::now() + STATE_TIMEOUT;
         seqpacket::send(&link, &HotRestartMessage::Hello.encode(), &[])?;
-        let (listener, list) = receive_state(&link, listen, deadline)?;
+        let (listener, list) = receive_state(&link, listen_address, deadline)?;
         Ok(Some(InheritedState {
             link,
             listener,
@@ -86,10 +88,10 @@
     }
 }
 
-/// Receives the endpoint list and then the listener, which must be bound to `listen`.
+/// Receives the endpoint list and then the listener, which must be bound to `listen_address`.
 fn receive_state(
     link: &OwnedFd,
-    listen: SocketAddr,
+    listen_address: SocketAddr,
     deadline: Instant,
 ) -> Result<(OwnedFd, EndpointList), InheritError> {
     let mut endpoints: Vec<ListedEndpoint> = Vec::new();
@@ -103,7 +105,7 @@
                 }
             }
             (HotRestartMessage::Listener { list_revision }, Some(listener)) => {
-                check_listener(&listener, listen)?;
+                check_listener(&listener, listen_address)?;
                 let list = EndpointList {
                     revision: list_revision,
                     complete: true,
@@ -117,7 +119,7 @@
     }
 }
 
-/// The next message on the link and what came along, waiting until `deadline`.
+/// Waits until `deadline` for the next message on the link and its descriptors.
 fn receive_before(link: &OwnedFd, deadline: Instant) -> Result<ReceivedMessage, InheritError> {
     loop {
         if let Some(received) = seqpacket::receive(link, MAX_MESSAGE_BYTES)? {
@@ -141,11 +143,12 @@
     }
 }
 
-fn check_listener(listener: &OwnedFd, listen: SocketAddr) -> Result<(), InheritError> {
+/// Checks that a descriptor is a listening socket bound to `listen_address`.
+fn check_listener(listener: &OwnedFd, listen_address: SocketAddr) -> Result<(), InheritError> {
     let bound_to: Option<SocketAddr> = rustix::net::getsockname(listener)
         .ok()
         .and_then(|address| address.try_into().ok());
-    if bound_to != Some(listen) || !socket::is_listening(listener) {
+    if bound_to != Some(listen_address) || !socket::is_listening(listener) {
         return Err(InheritError::WrongListener);
     }
     Ok(())
--- a/crates/proxy/src/routing/hot_restart/messages.rs
+++ b/crates/proxy/src/routing/hot_restart/messages.rs
@@ -1,5 +1,5 @@
-//! The link to the other process while the event loop runs: who connects, what is received, what is
-//! sent.
+//! The link to the other process while the event loop runs: accepts it, and receives and sends
+//! messages on it.
 
 use super::READABLE;
 use crate::routing::{ConnectionRole, ReasonCode, Router};
@@ -10,14 +10,17 @@
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::io::Errno;
 
-/// Most messages that one wake-up reads, so that a busy link does not hold up the event loop: all
-/// offers that may be pending, and as many others.
+/// Most messages that are read in one wake-up, so that a busy link does not delay other
+/// connections: enough for all pending offers and as many other messages.
 const MAX_MESSAGES_PER_WAKEUP: usize = 2 * MAX_PENDING_OFFERS;
 
 impl Router {
-    /// Accepts the process that connects to the hot-restart socket.
+    /// Accepts a process that connects to the hot-restart socket, if it belongs to the same user.
     pub(in crate::routing) fn accept_successor(&mut self) {
-        let listener = self.hot_restart.as_ref().and_then(|found| found.listener);
+        let listener = self
+            .hot_restart
+            .as_ref()
+            .and_then(|hot_restart| hot_restart.listener);
         let Some(listener) = listener.and_then(|key| self.connections.get(key)) else {
             return;
         };
@@ -30,7 +33,7 @@
         self.hot_restart_peer_connected(fd);
     }
 
-    /// Reads what has come on the link.
+    /// Receives and handles messages on the link, at most [`MAX_MESSAGES_PER_WAKEUP`].
     pub(in crate::routing) fn hot_restart_ready(&mut self, link: SlotKey) {
         for _ in 0..MAX_MESSAGES_PER_WAKEUP {
             let Some(connection) = self.connections.get(link) else {
@@ -81,23 +84,23 @@
                 }
                 HotRestartInput::OpenDescriptorsReceived
             }
-            // These come before the event loop of a successor, see `InheritedState::request`.
+            // A successor receives these before its event loop runs, see `InheritedState::request`.
             HotRestartMessage::Endpoints(_) | HotRestartMessage::Listener { .. } => {
                 HotRestartInput::PeerFailed
             }
         };
-        // A listener that nobody asked for is closed here.
+        // Closes the descriptor of an unexpected `Listener` message.
         drop(descriptors);
         self.handle_hot_restart_input(input);
     }
 
-    /// The other process has not sent what it owes in time.
+    /// Handles the deadline of the link: the other process did not send the next message in time.
     pub(in crate::routing) fn hot_restart_deadline(&mut self) {
         self.log_event(ReasonCode::HotRestartFailed, "silent");
         self.handle_hot_restart_input(HotRestartInput::PeerFailed);
     }
 
-    /// Sends a message and, along with it, the sockets of these connections.
+    /// Sends a message with the descriptors of `connections`.
     pub(super) fn send_hot_restart(
         &mut self,
         message: &HotRestartMessage,
@@ -121,12 +124,13 @@
             Err(Errno::PIPE | Errno::CONNRESET | Errno::CONNREFUSED | Errno::NOTCONN) => {
                 SendOutcome::PeerGone
             }
-            // Any other failure leaves it open whether the other process lives: as if it did.
+            // After any other error the other process may be alive, so it is treated as alive.
             Ok(false) | Err(_) => SendOutcome::LinkFull,
         }
     }
 
-    /// Begins to watch the link to a process that has connected.
+    /// Begins to watch the link to a process that has connected; `None` if it cannot be watched,
+    /// and is closed.
     pub(super) fn watch_hot_restart_link(&mut self, fd: OwnedFd) -> Option<SlotKey> {
         let link = self.register(fd, ConnectionRole::HotRestart, READABLE);
         if let Some(hot_restart) = &mut self.hot_restart {
--- a/crates/proxy/src/routing/hot_restart/mod.rs
+++ b/crates/proxy/src/routing/hot_restart/mod.rs
@@ -1,16 +1,17 @@
-//! Hot restart: replaces the process, without ending a session.
+//! Hot restart: replaces the process without ending a session.
 //!
-//! [`asterramp_hot_restart`] defines the messages, the states and who may touch a connection; this
-//! module carries that out on sockets. The predecessor listens for a successor at a Unix socket.
-//! Whatever goes wrong between the two, each stays whole: a successor that inherits nothing binds
-//! the clients' address itself, and its predecessor shuts down as at SIGTERM.
+//! [`asterramp_hot_restart`] defines the messages, the states and which process may use a
+//! connection; this module carries that out on sockets. The predecessor listens for a successor at
+//! a Unix socket. If the handover fails, each process works without the other: a successor that
+//! inherits nothing binds the clients' address itself, and its predecessor shuts down as on
+//! SIGTERM.
 //!
-//! - [`inherited_state`]: what a starting process gets from its predecessor, before its event
-//!   loop.
+//! - [`inherited_state`]: requests the predecessor's listener and endpoint list, before the event
+//!   loop runs.
 //! - [`messages`]: the link while the event loop runs.
-//! - [`transitions`]: what each effect of the state machine does.
-//! - [`offers`]: the predecessor's part.
-//! - [`adoption`]: the successor's part.
+//! - [`transitions`]: applies inputs to the state machine and carries out its effects.
+//! - [`offers`]: the predecessor's part of the handover.
+//! - [`adoption`]: the successor's part of the handover.
 
 mod adoption;
 mod endpoint_records;
@@ -31,12 +32,13 @@
 use rustix::fd::OwnedFd;
 use std::path::PathBuf;
 
+/// Readiness for reading alone.
 const READABLE: Interest = Interest {
     read: true,
     write: false,
 };
 
-/// What this process offers to its successor.
+/// What this process offers to its successor, as its predecessor.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Offer {
     /// An open session, by its key in the session table.
@@ -45,23 +47,24 @@
     PendingConnection(SlotKey),
 }
 
-/// A process's place in a hot restart.
+/// State of this process in a hot restart, as predecessor or successor.
 #[derive(Debug)]
 pub(super) struct HotRestart {
     /// The Unix socket at which a successor connects.
     socket_path: PathBuf,
     state: HotRestartState,
     ownership: ConnectionOwnership<Offer, ReceivedOffer>,
-    /// Listens at `socket_path`, while a successor may connect.
+    /// Listener at `socket_path`; `None` while no successor may connect.
     listener: Option<SlotKey>,
-    /// Connection to the other process, while there is one.
+    /// Connection to the other process; `None` while there is none.
     link: Option<SlotKey>,
-    /// How many descriptors the predecessor still has open. Both processes share one limit.
+    /// Number of connections that the predecessor still has open, by its own report; 0 without a
+    /// predecessor. Both processes share one limit of descriptors.
     peer_descriptors: usize,
 }
 
 impl Router {
-    /// Allows hot restarts from now on, with `socket_path` as the place where a successor connects.
+    /// Enables hot restart. A successor will connect at `socket_path`, once this process serves.
     /// `link` is the connection to this process's predecessor, if it has one.
     pub(super) fn open_hot_restart(&mut self, socket_path: PathBuf, link: Option<OwnedFd>) {
         let link = link.and_then(|fd| self.register(fd, ConnectionRole::HotRestart, READABLE));
@@ -79,12 +82,11 @@
         });
     }
 
-    /// This process accepts clients from now on: its predecessor is notified, and a successor may
-    /// connect.
+    /// Notifies the predecessor that this process accepts clients, and lets a successor connect.
     pub(super) fn announce_serving(&mut self) {
         if self.hot_restart_link().is_some() {
-            let notified = self.send_hot_restart(&HotRestartMessage::Serving, &[]);
-            if notified != SendOutcome::Sent {
+            let send_outcome = self.send_hot_restart(&HotRestartMessage::Serving, &[]);
+            if send_outcome != SendOutcome::Sent {
                 self.handle_hot_restart_input(HotRestartInput::PeerFailed);
             }
         }
@@ -108,19 +110,19 @@
             Err(error) => {
                 self.log_event(
                     ReasonCode::HotRestartFailed,
-                    format!("door error={error:?}"),
+                    format!("listener error={error:?}"),
                 );
             }
         }
     }
 
-    /// No successor may connect any more: closes the Unix socket and removes its file.
+    /// Closes the Unix socket at which a successor connects, and removes its file.
     pub fn close_hot_restart(&mut self) {
         let Some(hot_restart) = &mut self.hot_restart else {
             return;
         };
         if let Some(listener) = hot_restart.listener.take() {
-            // It fails only where the file is gone already.
+            // This fails only where the file is gone already.
             let _ = std::fs::remove_file(&hot_restart.socket_path);
             self.close(listener);
         }
@@ -130,13 +132,15 @@
         self.hot_restart.as_ref()?.link
     }
 
-    /// Whether a successor accepts clients in place of this process.
+    /// Whether a successor accepts clients in place of this process, and connections are handed
+    /// over.
     pub(super) fn has_successor(&self) -> bool {
         self.hot_restart
             .as_ref()
             .is_some_and(|hot_restart| hot_restart.state == HotRestartState::HandingOver)
     }
 
+    /// Whether `offer` has been sent to the successor and not been accepted yet.
     fn is_pending_offer(&self, offer: Offer) -> bool {
         self.hot_restart
             .as_ref()
@@ -148,7 +152,8 @@
         self.is_pending_offer(Offer::Session(session))
     }
 
-    /// Whether a connection belongs to a pending offer, so that it may be neither read nor written.
+    /// Whether a connection belongs to a pending offer. Such a connection must not be read or
+    /// written.
     pub(super) fn is_connection_offered(&self, connection: SlotKey) -> bool {
         match self.connections.get(connection).map(|found| found.role) {
             Some(ConnectionRole::Client(session) | ConnectionRole::Server(session)) => {
@@ -161,7 +166,8 @@
         }
     }
 
-    /// How many descriptors the predecessor still has open, of those that both processes share.
+    /// Number of descriptors that the predecessor still has open, which count towards the limit
+    /// that both processes share; 0 without a predecessor.
     pub(super) fn predecessor_descriptors(&self) -> usize {
         self.hot_restart
             .as_ref()
--- a/crates/proxy/src/routing/hot_restart/offers.rs
+++ b/crates/proxy/src/routing/hot_restart/offers.rs
@@ -1,4 +1,5 @@
-//! The predecessor's part: sends its state, offers its connections, and releases or resumes them.
+//! The predecessor's part of a hot restart: sends its state, offers its connections, and releases
+//! or resumes them.
 
 use super::endpoint_records::record_from_endpoint;
 use super::{Offer, READABLE};
@@ -16,20 +17,21 @@
 use asterramp_placement::event::{Outcome, ServerLoad};
 use std::time::Duration;
 
-/// How soon more is offered after the last offers, where the link was full, or a session has opened
-/// meanwhile.
+/// Delay before offering is tried again, in case the link was full or more sessions have opened
+/// meanwhile. Accepted offers are followed by the next ones without this delay.
 const OFFER_INTERVAL: Duration = Duration::from_millis(10);
 
-/// An offer as it is sent.
+/// An offer in the form in which it is sent.
 #[derive(Debug)]
 struct PreparedOffer {
     message: HotRestartMessage,
-    /// Connections whose sockets go along, in the order that the message asks for.
+    /// Connections whose descriptors are sent along, in the order that the message prescribes.
     connections: Vec<SlotKey>,
 }
 
 impl Router {
-    /// Whether the successor has been sent the whole endpoint list and the listener.
+    /// Sends the successor the complete endpoint list and then the listener. Returns whether all of
+    /// it was sent.
     pub(super) fn send_endpoints_and_listener(&mut self) -> bool {
         let Some(listener) = self.listener else {
             return false;
@@ -51,7 +53,8 @@
         self.send_hot_restart(&message, &[listener]) == SendOutcome::Sent
     }
 
-    /// Offers what may be offered now, as much as may be pending at a time.
+    /// Offers connections that may be offered now, up to the limit of pending offers, and schedules
+    /// the next attempt.
     pub(in crate::routing) fn continue_offers(&mut self) {
         if !self.has_successor() {
             return;
@@ -62,15 +65,15 @@
             let Some(prepared) = self.prepare_offer(offer) else {
                 continue;
             };
-            let delivery = self.send_hot_restart(&prepared.message, &prepared.connections);
-            if delivery != SendOutcome::Sent {
+            let send_outcome = self.send_hot_restart(&prepared.message, &prepared.connections);
+            if send_outcome != SendOutcome::Sent {
                 return;
             }
-            self.leave_alone(offer, &prepared.connections);
+            self.suspend_offered(offer, &prepared.connections);
         }
     }
 
-    /// What is offered next, pending connections first, as many as may be.
+    /// The next offers, pending connections first, up to the limit of pending offers.
     fn next_offers(&self) -> Vec<Offer> {
         let Some(hot_restart) = &self.hot_restart else {
             return Vec::new();
@@ -93,17 +96,17 @@
     }
 
     fn may_offer_pending_connection(&self, key: SlotKey) -> bool {
-        let waits_for_its_first_line = self
+        let awaits_first_line = self
             .connections
             .get(key)
             .is_some_and(|connection| connection.role == ConnectionRole::PendingClient);
-        waits_for_its_first_line
+        awaits_first_line
             && self.has_no_pending_io(Some(key))
             && !self.is_pending_offer(Offer::PendingConnection(key))
     }
 
-    /// Whether a session is open on both sides and may go as it is: this process has nothing half
-    /// sent, and no end is on its way.
+    /// Whether a session is open on both sides and can be offered: this process has no output left
+    /// to write, and neither side has begun to end the session.
     fn may_offer_session(&self, key: SlotKey, slot: &SessionSlot<SessionConnections>) -> bool {
         let is_open = slot.machine.state == SessionState::Open && !slot.machine.client_left;
         is_open
@@ -113,10 +116,12 @@
             && !self.is_session_offered(key)
     }
 
-    /// Whether a connection has not ended and nothing waits to be written to it.
+    /// Whether a connection has not ended and has no buffered output.
     fn has_no_pending_io(&self, key: Option<SlotKey>) -> bool {
         key.and_then(|key| self.connections.get(key))
-            .is_some_and(|found| found.stream.ended.is_none() && found.stream.is_flushed())
+            .is_some_and(|connection| {
+                connection.stream.ended.is_none() && connection.stream.is_flushed()
+            })
     }
 
     fn prepare_offer(&self, offer: Offer) -> Option<PreparedOffer> {
@@ -136,7 +141,7 @@
         let offer = SessionOffer {
             opening_line: slot.driver_data.request_line.clone(),
             server_uid: self.endpoints.uid(slot.machine.server).into(),
-            response_timeout: self.answer_within(key, &slot.driver_data),
+            response_timeout: self.remaining_response_timeout(key, &slot.driver_data),
             from_client: self.buffered_bytes(client)?,
             from_server: self.buffered_bytes(server)?,
         };
@@ -146,22 +151,28 @@
         })
     }
 
-    /// How long until the session is migrated because its server leaves a line unanswered. The
-    /// timer of a server that is not quiet yet runs to the moment when it counts as quiet, and the
-    /// successor does not make that difference, so the rest is added.
-    fn answer_within(&self, key: SlotKey, session: &SessionConnections) -> Option<Duration> {
+    /// How long until the session is migrated because its server does not answer a line; `None` if
+    /// no answer is awaited. While the answer is not overdue, the session's timer runs until it is;
+    /// the successor regards it as overdue from the beginning, so the time from there until the
+    /// migration is added.
+    fn remaining_response_timeout(
+        &self,
+        key: SlotKey,
+        session: &SessionConnections,
+    ) -> Option<Duration> {
         if !session.awaiting_response {
             return None;
         }
         let timer = self.deadlines.get(TimerKey::Session(key))?;
-        let after_quiet = if session.response_overdue {
+        let time_after_overdue = if session.response_overdue {
             Duration::ZERO
         } else {
             forwarding::time_from_overdue_to_migration(self.settings.connect_timeout)
         };
-        Some(timer.saturating_sub(self.now) + after_quiet)
+        Some(timer.saturating_sub(self.now) + time_after_overdue)
     }
 
+    /// What this process has read from a connection and not forwarded yet.
     fn buffered_bytes(&self, key: SlotKey) -> Option<BufferedBytes> {
         let connection = self.connections.get(key)?;
         Some(BufferedBytes {
@@ -170,9 +181,9 @@
         })
     }
 
-    /// An offer has been sent: its connections are neither read nor written nor timed any more,
-    /// until it is released or resumed.
-    fn leave_alone(&mut self, offer: Offer, connections: &[SlotKey]) {
+    /// Records an offer that has been sent, and stops watching and timing its connections until it
+    /// is released or resumed.
+    fn suspend_offered(&mut self, offer: Offer, connections: &[SlotKey]) {
         for key in connections {
             if let Some(connection) = self.connections.get(*key) {
                 self.poller.remove(&connection.stream);
@@ -187,30 +198,31 @@
         }
     }
 
-    /// The oldest offer, which the successor has accepted.
-    pub(super) fn accept_oldest_offer(&mut self) -> Option<Offer> {
+    /// Takes the oldest pending offer, which the successor has accepted; `None` if none is pending.
+    pub(super) fn take_accepted_offer(&mut self) -> Option<Offer> {
         self.hot_restart.as_mut()?.ownership.take_oldest_offer()
     }
 
-    /// The successor lives: what it accepted before this moment is its own, and it can accept
-    /// nothing after.
+    /// Releases the offers that a living successor has accepted so far. Receiving on the link ends,
+    /// so the successor cannot accept more.
     pub(super) fn release_accepted_offers(&mut self) {
-        for _ in 0..self.drain_accepted_count() {
-            if let Some(offer) = self.accept_oldest_offer() {
+        for _ in 0..self.shut_down_and_count_accepted() {
+            if let Some(offer) = self.take_accepted_offer() {
                 self.release_offer(offer);
             }
         }
     }
 
-    /// Ends receiving on the link and counts the `OfferAccepted` among what had come before.
-    fn drain_accepted_count(&self) -> usize {
+    /// Ends receiving on the link, and returns the number of `OfferAccepted` messages that had
+    /// arrived before.
+    fn shut_down_and_count_accepted(&self) -> usize {
         let link = self
             .hot_restart_link()
             .and_then(|key| self.connections.get(key));
         let Some(link) = link else {
             return 0;
         };
-        // It fails only for a link that has ended, on which nothing more comes.
+        // This fails only for a link that has ended, on which nothing more arrives.
         let _ = seqpacket::shutdown_read(&link.stream);
         let mut accepted = 0;
         while let Ok(Some(received)) = seqpacket::receive(&link.stream, MAX_MESSAGE_BYTES) {
@@ -224,8 +236,8 @@
         accepted
     }
 
-    /// Closes this process's descriptors of an offer that is the successor's. Nothing is read or
-    /// written for it, and the connections stay open.
+    /// Closes this process's descriptors of an offer that the successor owns or may own. Nothing is
+    /// read or written on its connections, and they stay open.
     pub(super) fn release_offer(&mut self, offer: Offer) {
         match offer {
             Offer::PendingConnection(key) => {
@@ -247,11 +259,11 @@
         }
     }
 
-    /// Goes on with an offer that was not accepted.
+    /// Serves the connections of an offer again that was not accepted.
     pub(super) fn resume_offer(&mut self, offer: Offer) {
         match offer {
             Offer::PendingConnection(key) => {
-                self.watch_again(key);
+                self.resume_watching(key);
                 self.deadlines
                     .set(TimerKey::Connection(key), self.now + GREETING_TIMEOUT);
                 self.read_greeting(key);
@@ -265,11 +277,11 @@
             return;
         };
         let connections = [session.client, session.server];
-        let awaits_answer = session.awaiting_response;
+        let awaiting_response = session.awaiting_response;
         for connection in connections.into_iter().flatten() {
-            self.watch_again(connection);
+            self.resume_watching(connection);
         }
-        if awaits_answer {
+        if awaiting_response {
             self.deadlines.set(
                 TimerKey::Session(key),
                 self.now + forwarding::RESPONSE_TIMEOUT,
@@ -281,10 +293,10 @@
         self.forward(key);
     }
 
-    fn watch_again(&mut self, key: SlotKey) {
+    fn resume_watching(&mut self, key: SlotKey) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.stream.interest = READABLE;
-            // It fails only for a socket that cannot be watched, and this one was.
+            // This fails only for a socket that cannot be watched, and this one was watched before.
             let _ = self
                 .poller
                 .add(&connection.stream, key, connection.stream.interest);
--- a/crates/proxy/src/routing/hot_restart/transitions.rs
+++ b/crates/proxy/src/routing/hot_restart/transitions.rs
@@ -8,18 +8,19 @@
 use rustix::fd::OwnedFd;
 use std::time::Duration;
 
-/// How long a process that has connected may take to send `Hello`.
+/// How long a process that has connected may take to send `Hello` before the link is closed.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a successor may take from there until it accepts clients.
+/// How long a successor may take to accept clients once it has been sent the listener; after that
+/// the handover ends.
 const SERVING_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Router {
-    /// Another process of this user has connected.
+    /// Applies the connection of another process of the same user, which may become the successor.
     pub(super) fn hot_restart_peer_connected(&mut self, fd: OwnedFd) {
         let Some(hot_restart) = &mut self.hot_restart else {
             return;
         };
-        let before = hot_restart.state;
+        let previous_state = hot_restart.state;
         match hot_restart.state.apply(HotRestartInput::PeerConnected) {
             HotRestartEffect::AwaitHello => {
                 if let Some(link) = self.watch_hot_restart_link(fd) {
@@ -28,22 +29,23 @@
                 }
             }
             // The connection closes as `fd` is dropped.
-            effect => self.carry_out_hot_restart(before, effect),
+            effect => self.carry_out_hot_restart(previous_state, effect),
         }
     }
 
-    /// Applies an input that came over the link, and carries out what follows from it.
+    /// Applies an input to the state machine and carries out the effect; nothing where hot restart
+    /// is disabled.
     pub(super) fn handle_hot_restart_input(&mut self, input: HotRestartInput) {
         if let Some(hot_restart) = &mut self.hot_restart {
-            let before = hot_restart.state;
+            let previous_state = hot_restart.state;
             let effect = hot_restart.state.apply(input);
-            self.carry_out_hot_restart(before, effect);
+            self.carry_out_hot_restart(previous_state, effect);
         }
     }
 
-    fn carry_out_hot_restart(&mut self, before: HotRestartState, effect: HotRestartEffect) {
+    fn carry_out_hot_restart(&mut self, previous_state: HotRestartState, effect: HotRestartEffect) {
         match effect {
-            // Done by whoever has the connection or the message at hand.
+            // Carried out by the callers, which have the connection or the message at hand.
             HotRestartEffect::AwaitHello
             | HotRestartEffect::ReserveDescriptors
             | HotRestartEffect::AdoptOffer => {}
@@ -57,17 +59,19 @@
             HotRestartEffect::DiscardUnconfirmed => self.discard_unconfirmed_offers(),
             HotRestartEffect::CloseLink => {
                 self.discard_unconfirmed_offers();
-                self.end_hot_restart(before, SendOutcome::PeerGone);
+                self.end_hot_restart(previous_state, SendOutcome::PeerGone);
             }
             HotRestartEffect::StopHandover => {
                 self.release_accepted_offers();
                 let notice = self.send_hot_restart(&HotRestartMessage::HandoverStopped, &[]);
-                self.end_hot_restart(before, notice);
+                self.end_hot_restart(previous_state, notice);
+            }
+            HotRestartEffect::ResumeOffers => {
+                self.end_hot_restart(previous_state, SendOutcome::PeerGone)
             }
-            HotRestartEffect::ResumeOffers => self.end_hot_restart(before, SendOutcome::PeerGone),
             HotRestartEffect::AdoptUnconfirmed => {
                 let received = self.take_unconfirmed_offers();
-                self.end_hot_restart(before, SendOutcome::PeerGone);
+                self.end_hot_restart(previous_state, SendOutcome::PeerGone);
                 for offer in received {
                     self.adopt(offer);
                 }
@@ -90,7 +94,8 @@
         }
     }
 
-    /// The successor accepts clients: this process accepts none, and begins to hand over.
+    /// Stops accepting clients, as the successor accepts them now, and begins to hand over
+    /// connections.
     fn stop_accepting(&mut self) {
         if let Some(link) = self.hot_restart_link() {
             self.deadlines.clear(TimerKey::Connection(link));
@@ -111,7 +116,7 @@
     }
 
     fn release_oldest_offer(&mut self) {
-        match self.accept_oldest_offer() {
+        match self.take_accepted_offer() {
             Some(offer) => {
                 self.release_offer(offer);
                 self.continue_offers();
@@ -120,8 +125,9 @@
         }
     }
 
-    /// Closes the link, and settles what becomes of the offers that were not accepted.
-    fn end_hot_restart(&mut self, before: HotRestartState, stop_notice: SendOutcome) {
+    /// Closes the link, and resumes or releases the offers that were not accepted. `stop_notice` is
+    /// the result of sending `HandoverStopped`; `PeerGone` where it was not to be sent.
+    fn end_hot_restart(&mut self, previous_state: HotRestartState, stop_notice: SendOutcome) {
         let Some(hot_restart) = &mut self.hot_restart else {
             return;
         };
@@ -134,7 +140,7 @@
         self.deadlines.clear(TimerKey::HotRestart);
         let about = format!(
             "from={} kept={} dropped={}",
-            before.log_name(),
+            previous_state.log_name(),
             end.resumed.len(),
             end.released.len()
         );
--- a/crates/proxy/src/routing/peers/response.rs
+++ b/crates/proxy/src/routing/peers/response.rs
@@ -49,7 +49,8 @@
         hosts
     }
 
-    /// Whether an endpoint responded to this proxy or is listed by discovery, and not only known from before a warm start.
+    /// Whether an endpoint responded to this proxy or is listed by discovery, and not only known from before a warm
+    /// start.
     fn is_confirmed(&self, server: ServerId) -> bool {
         let Some(start) = self.warm_start_state() else {
             return true;
--- a/crates/proxy/src/routing/startup.rs
+++ b/crates/proxy/src/routing/startup.rs
@@ -1,4 +1,5 @@
-//! Building a router: from nothing, from what was saved before a power loss, or from the process that it replaces.
+//! Builds a router: from a known endpoint list, from a snapshot (warm start), or from the state of its predecessor (hot
+//! restart).
 
 use super::events::ReasonCode;
 use super::hot_restart::InheritedState;
@@ -25,49 +26,51 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How long discovery is waited for before clients are served by the list of the last run.
-const LISTENER_DELAY: Duration = Duration::from_millis(500);
+/// How long the proxy waits for discovery before it accepts clients by the endpoint list of the last run or of the
+/// predecessor.
+const MAX_DISCOVERY_WAIT: Duration = Duration::from_millis(500);
 
 /// What a proxy starts from.
 #[derive(Debug)]
 pub struct RouterOptions {
     /// The deployment's settings.
     pub settings: ProxySettings,
-    /// Seeds the placement engine's and admission control's draws.
+    /// Seed of the random numbers of the placement engine and of admission control.
     pub seed: u64,
-    /// Where clients connect.
+    /// Address of the listener for clients.
     pub listen_address: SocketAddr,
-    /// Where discovery answers.
+    /// Address of the discovery service.
     pub discovery_address: SocketAddr,
-    /// Where operators' HTTP calls connect, if they do.
+    /// Address of the listener for operators' HTTP calls; `None` for no such listener.
     pub admin_http_address: Option<SocketAddr>,
-    /// The Unix socket at which the process that replaces this one finds it; `None` where none may.
+    /// Path of the Unix socket at which a predecessor listens and later a successor connects; `None` disables hot
+    /// restart.
     pub hot_restart_socket: Option<PathBuf>,
     /// The endpoint list of the last run.
     pub initial_endpoints: EndpointList,
-    /// How a start goes on from what was saved; `None` where discovery and `initial_endpoints` are believed.
+    /// What a warm start begins from; `None` where discovery and `initial_endpoints` are trusted without a probe.
     pub warm_start: Option<WarmStartPlan>,
-    /// Most descriptors that the process may hold.
+    /// Most file descriptors that the process may have open.
     pub max_descriptors: usize,
-    /// Most memory that the process may take, in bytes.
+    /// Most memory that the process may use, in bytes.
     pub max_memory_bytes: usize,
 }
 
-/// Whose the listener's descriptor is, and what came with it.
+/// The listener for clients, bound by this process or inherited from its predecessor.
 struct Listener {
     fd: OwnedFd,
-    /// The connection to the process that handed it over.
+    /// Connection to the predecessor that passed the listener on; `None` if this process has bound it.
     predecessor: Option<OwnedFd>,
-    /// The endpoint list of that process.
-    list: Option<EndpointList>,
+    /// The predecessor's endpoint list.
+    inherited_list: Option<EndpointList>,
 }
 
 impl Router {
-    /// Builds a router and opens its listeners; a process of the same proxy that runs already is asked for its own.
+    /// Builds a router and opens its listeners. The one for clients is inherited if a predecessor is running.
     ///
     /// # Errors
     ///
-    /// If an address cannot be listened at (the error names its key), or epoll cannot be opened.
+    /// If a listener cannot be opened (the error names the address and its key), or epoll cannot.
     pub fn new(options: RouterOptions, now: Duration) -> io::Result<Router> {
         let RouterOptions {
             settings,
@@ -81,7 +84,8 @@
             max_descriptors,
             max_memory_bytes,
         } = options;
-        let (inherited, failure) = ask_predecessor(hot_restart_socket.as_deref(), listen_address);
+        let (inherited, inherit_error) =
+            request_inherited_state(hot_restart_socket.as_deref(), listen_address);
         let revision = inherited
             .as_ref()
             .map_or(initial_endpoints.revision, |inherited| {
@@ -90,8 +94,11 @@
         let budget = ResourceBudget::new(max_descriptors, max_memory_bytes);
         let watch = DiscoveryWatch::new(discovery_address, revision, &settings);
         let mut router = Router::without_connections(settings, seed, budget, watch, now)?;
-        if let Some(why) = failure {
-            router.log_event(ReasonCode::HotRestartFailed, format!("elder why={why:?}"));
+        if let Some(why) = inherit_error {
+            router.log_event(
+                ReasonCode::HotRestartFailed,
+                format!("predecessor why={why:?}"),
+            );
         }
         let listener = match inherited {
             Some(inherited) => Listener::inherited(inherited),
@@ -107,8 +114,8 @@
                 .open_admin_http(address)
                 .map_err(|error| listen_error("operator", address, error))?;
         }
-        router.learn_endpoints(
-            listener.list,
+        router.initialize_endpoints(
+            listener.inherited_list,
             warm_start,
             initial_endpoints,
             discovery_address,
@@ -117,35 +124,35 @@
         Ok(router)
     }
 
-    /// Begins with the endpoint list of the predecessor, with what was saved before a power loss, or with the list of the
-    /// last run; `discovery` tells more in each case.
-    fn learn_endpoints(
+    /// Applies the predecessor's endpoint list, or begins a warm start, or applies the list of the last run, in this
+    /// order of preference. Discovery, at address `discovery`, is asked for updates in each case.
+    fn initialize_endpoints(
         &mut self,
         inherited: Option<EndpointList>,
         warm_start: Option<WarmStartPlan>,
-        known: EndpointList,
+        initial: EndpointList,
         discovery: SocketAddr,
     ) {
         match (inherited, warm_start) {
             (Some(list), _) => {
-                self.set_listener_delay();
+                self.set_discovery_wait_deadline();
                 self.apply_inherited_list(list);
             }
             (None, Some(plan)) => {
-                // The complete list is asked for: changes since an earlier revision mean nothing to a discovery that has
-                // started anew.
+                // Asks for the complete list: a discovery service that has restarted cannot give the changes since an
+                // earlier revision.
                 self.discovery_watch = DiscoveryWatch::new(discovery, 0, &self.settings);
-                self.begin_warm_start(plan, &known);
+                self.begin_warm_start(plan, &initial);
                 self.connect_watch();
             }
             (None, None) => {
-                self.set_listener_delay();
-                self.apply_initial_list(known);
+                self.set_discovery_wait_deadline();
+                self.apply_initial_list(initial);
             }
         }
     }
 
-    /// A router that watches nothing yet.
+    /// A router without connections and listeners.
     fn without_connections(
         settings: ProxySettings,
         seed: u64,
@@ -192,10 +199,10 @@
         })
     }
 
-    /// Clients are let in once discovery has answered, or after so long by the list of the last run.
-    fn set_listener_delay(&mut self) {
+    /// Limits the wait for discovery, after which clients are accepted by the endpoint list known so far.
+    fn set_discovery_wait_deadline(&mut self) {
         self.deadlines
-            .set(TimerKey::Listener, self.now + LISTENER_DELAY);
+            .set(TimerKey::Listener, self.now + MAX_DISCOVERY_WAIT);
     }
 }
 
@@ -204,24 +211,25 @@
         Listener {
             fd: inherited.listener,
             predecessor: Some(inherited.link),
-            list: Some(inherited.list),
+            inherited_list: Some(inherited.list),
         }
     }
 
-    /// Listens at an address; `shared` lets another process of this proxy listen there too.
+    /// Listens at an address; `shared` lets other processes of the same user listen there too.
     fn bind(address: SocketAddr, shared: bool) -> io::Result<Listener> {
         let fd = socket::listen(address, shared)
             .map_err(|errno| listen_error("listen", address, errno.into()))?;
         Ok(Listener {
             fd,
             predecessor: None,
-            list: None,
+            inherited_list: None,
         })
     }
 }
 
-/// Asks the process of this proxy that may run already for its listener and list; the second is why that failed.
-fn ask_predecessor(
+/// Requests the state of a predecessor, if one is running. Returns the state, or the reason why a running predecessor
+/// did not pass it on.
+fn request_inherited_state(
     socket: Option<&Path>,
     listen_address: SocketAddr,
 ) -> (Option<InheritedState>, Option<String>) {
@@ -234,7 +242,7 @@
     }
 }
 
-/// An error that names the key of the address that cannot be listened at.
+/// Adds the address and its key to an error of opening a listener.
 fn listen_error(key: &str, address: SocketAddr, error: io::Error) -> io::Error {
     io::Error::new(error.kind(), format!("{key}: {address}: {error}"))
 }
--- a/crates/proxy/src/routing/warm_start/effects.rs
+++ b/crates/proxy/src/routing/warm_start/effects.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Probes an endpoint. Where the deployment forbids probes, the endpoint counts as answering: the first session that
-    /// is placed on it is its probe.
+    /// Probes an endpoint. Where the deployment forbids probes, the endpoint counts as answering: the first session
+    /// that is placed on it is its probe.
     fn probe_candidate(&mut self, id: EndpointId) {
         if self.settings.deployment.may_probe {
             self.start_probe(id);
--- a/crates/proxy/src/routing/warm_start/snapshots.rs
+++ b/crates/proxy/src/routing/warm_start/snapshots.rs
@@ -11,8 +11,8 @@
 };
 use std::time::Duration;
 
-/// After how many times the least interval a snapshot is saved though no list has changed: what a connection takes of an
-/// endpoint is learned all the time.
+/// After how many times the least interval a snapshot is saved though no list has changed: what a connection takes of
+/// an endpoint is learned all the time.
 const MAX_INTERVAL_FACTOR: u32 = 10;
 /// Weight of an endpoint in a snapshot whose own is not finite, which JSON cannot express.
 const DEFAULT_WEIGHT: f64 = 1.0;
@@ -39,8 +39,8 @@
 }
 
 impl SnapshotSchedule {
-    /// Snapshots of `owner`, at least `min_interval` apart. `lease_term` is the highest leader's term seen so far; 0 for
-    /// none.
+    /// Snapshots of `owner`, at least `min_interval` apart. `lease_term` is the highest leader's term seen so far; 0
+    /// for none.
     pub fn new(
         writer: SnapshotWriter,
         min_interval: Duration,
--- a/crates/proxy/src/routing/zones.rs
+++ b/crates/proxy/src/routing/zones.rs
@@ -1,5 +1,5 @@
-//! Connects the placement engine with zone failover: what an event shows about a server goes to [`ZoneFailover`], and
-//! what that decides goes to the engine as events. No I/O.
+//! Connects the placement engine with zone failover. Evidence about servers in the engine's events is passed to
+//! [`ZoneFailover`], whose decisions are returned to the engine as further events. No I/O.
 
 use asterramp_placement::PlacementEvent;
 use asterramp_placement::event::{Endpoint, EndpointState, EndpointUpdate, Outcome, ServerId};
@@ -15,34 +15,36 @@
     pub zone: ZoneId,
     /// Its new state.
     pub state: ZoneState,
-    /// What led to it.
+    /// The input that caused the change.
     pub cause: ZoneInput,
 }
 
-/// Zone failover, with the endpoint list that it needs to tell which servers a complete list leaves out.
+/// Zone failover, with the endpoints that are needed to find which servers a complete list omits.
 #[derive(Clone, Debug)]
 pub struct ZoneTracker {
-    /// State of each zone.
+    /// The state machine of all zones.
     pub failover: ZoneFailover,
-    /// Last entry of each server that discovery has listed, by index.
+    /// Last entry of each server, by server index; `None` for servers that discovery has not listed.
     endpoints: Vec<Option<Endpoint>>,
 }
 
-/// What the end of an attempt or probe shows about its server.
+/// What the outcome of an attempt or probe shows about its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ServerSign {
+enum ServerEvidence {
+    /// The server responded, if only with a rejection or an error.
     Response,
+    /// The server did not respond.
     Failure,
-    /// Neither.
-    Unclear,
+    /// The outcome shows neither.
+    Inconclusive,
 }
 
-/// A reset shows neither: whoever sends it is up, and may have dropped this connection alone.
-fn sign_of(outcome: Outcome) -> ServerSign {
+/// A reset is inconclusive: its sender is up, and may have dropped only this connection.
+fn evidence_from_outcome(outcome: Outcome) -> ServerEvidence {
     match outcome {
-        Outcome::Ok | Outcome::ServerError | Outcome::Full => ServerSign::Response,
-        Outcome::TimedOut | Outcome::Unreachable => ServerSign::Failure,
-        Outcome::Reset | Outcome::Cancelled | Outcome::NotSent => ServerSign::Unclear,
+        Outcome::Ok | Outcome::ServerError | Outcome::Full => ServerEvidence::Response,
+        Outcome::TimedOut | Outcome::Unreachable => ServerEvidence::Failure,
+        Outcome::Reset | Outcome::Cancelled | Outcome::NotSent => ServerEvidence::Inconclusive,
     }
 }
 
@@ -55,7 +57,7 @@
 }
 
 impl ZoneTracker {
-    /// `None` where there is only one zone: a proxy then has no other to use.
+    /// `None` for fewer than two zones, as there is no other zone to fail over to.
     pub fn new(zone_count: usize, settings: ZoneFailoverSettings) -> Option<ZoneTracker> {
         if zone_count <= 1 {
             return None;
@@ -66,7 +68,8 @@
         })
     }
 
-    /// Observes an event before the engine handles it. `session_server` is the server of the event's session, if any.
+    /// Evaluates an event before the engine handles it. `session_server` is the server of the event's session, if it
+    /// has one.
     pub fn observe(
         &mut self,
         now: Duration,
@@ -113,7 +116,7 @@
                 self.observe_entries(now, entries);
                 self.failover.discovery_responded(now);
             }
-            // A saved list says which servers there are, but is no sign that discovery is up.
+            // A saved or inherited list names servers, but does not show that discovery is up.
             EndpointUpdate::Stale(entries) | EndpointUpdate::Inherited(entries) => {
                 self.observe_entries(now, entries);
             }
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Servers that a complete list leaves out are gone.
+    /// Marks servers as gone that a complete list omits.
     fn mark_unlisted_as_gone(&mut self, now: Duration, entries: &[Endpoint]) {
         let mut unlisted: Vec<Endpoint> = self.endpoints.iter().flatten().copied().collect();
         unlisted.retain(|known| entries.iter().all(|entry| entry.server != known.server));
@@ -152,14 +155,15 @@
     }
 
     fn observe_outcome(&mut self, now: Duration, server: ServerId, outcome: Outcome) {
-        match sign_of(outcome) {
-            ServerSign::Response => self.failover.server_responded(now, server),
-            ServerSign::Failure => self.failover.server_failed(now, server),
-            ServerSign::Unclear => {}
+        match evidence_from_outcome(outcome) {
+            ServerEvidence::Response => self.failover.server_responded(now, server),
+            ServerEvidence::Failure => self.failover.server_failed(now, server),
+            ServerEvidence::Inconclusive => {}
         }
     }
 
-    /// Moves what was decided to `events`, which the engine handles, and to `transitions`, which are logged.
+    /// Moves pending decisions to `events`, which the engine handles, and changes of state to `transitions`, which are
+    /// logged.
     pub fn take_decisions(
         &mut self,
         events: &mut impl Extend<PlacementEvent>,
