--- a/crates/proxy/src/routing/admin_commands.rs
+++ b/crates/proxy/src/routing/admin_commands.rs
@@ -1,4 +1,4 @@
-//! What operators' commands do, whether they come over the admin socket or as HTTP calls.
+//! Executes operators' commands, from the admin socket as well as from HTTP calls.
 
 use super::{ReasonCode, Router};
 use asterramp_admin_protocol::{AdminCommand, AdminReply, AdminRequest, LeaderToken};
@@ -6,15 +6,15 @@
 use asterramp_leader_lease::{FencingToken, OrderRejection};
 use std::time::Duration;
 
-/// Why a command was not carried out.
+/// Why a command was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.message())]
 pub(super) enum AdminError {
-    /// A leader's order that is too late or for another process.
+    /// A leader's order that is of an earlier term or of none, has expired, or was made for another process.
     Fenced(OrderRejection),
-    /// A drain that cannot be started or cancelled now.
+    /// The drain cannot be started or cancelled now.
     Drain(DrainError),
-    /// The proxy takes no new sessions.
+    /// The proxy does not accept new sessions, in reply to the readiness query.
     NotReady,
 }
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The reply that says so.
+    /// The reply with this error.
     pub(super) fn into_reply(self) -> AdminReply {
         AdminReply::error(self.message())
     }
@@ -41,7 +41,7 @@
 }
 
 impl Router {
-    /// Carries a command out and answers it.
+    /// Executes a command and returns the reply. An order of a leader is checked against the highest term first.
     pub(super) fn execute(&mut self, request: &AdminRequest) -> Result<AdminReply, AdminError> {
         if let Some(token) = request.leader {
             self.check_leader(request.command, token)?;
@@ -68,13 +68,15 @@
         Ok(AdminReply::status(self.status()))
     }
 
-    /// Whether new sessions are taken and may stay for as long as they like.
+    /// Whether the proxy accepts new sessions and does not intend to migrate them: it serves, and no drain or shutdown
+    /// is in progress.
     pub(super) fn accepts_sessions(&self) -> bool {
         self.serving
             && self.warm_start_admits_sessions()
             && self.drain.state() == DrainState::Serving
     }
 
+    /// Time that a drain may take if the command gives no deadline; zero without an admin socket.
     fn default_drain_deadline(&self) -> Duration {
         match &self.admin_socket {
             Some(admin_socket) => admin_socket.default_drain_deadline,
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Rejects a leader's order that does not count any more, and records a new leader's term.
+    /// Rejects a leader's order that is no longer valid, and records the term of a new leader.
     fn check_leader(
         &mut self,
         command: AdminCommand,
--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -1,5 +1,5 @@
-//! Operators' HTTP calls: a listener of their own, one call per connection, and callers that send little or read
-//! nothing. Callers have descriptors of their own, so that a crowd of clients cannot keep operators out.
+//! Operators' HTTP calls: a listener of their own, with one call per connection and a time limit for callers that send
+//! or read nothing. Callers have descriptors of their own, so that many clients cannot keep operators out.
 
 use super::metrics::{self, GaugeValues};
 use super::peers;
@@ -15,19 +15,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Callers at once. When another comes, the one that has been idle longest is closed.
+/// Most callers connected at once. If another one connects, the one that has been idle longest is closed.
 const MAX_CONNECTIONS: usize = 32;
 
-/// Callers accepted in one turn of the event loop, so that a crowd of them does not delay clients.
+/// Most callers accepted in one turn of the event loop, so that many callers at once do not delay clients.
 const MAX_ACCEPTS_PER_TURN: usize = 16;
 
-/// How long a call may take to arrive, and how long its caller may take to read the answer and close.
+/// How long a call may take to arrive, and how long its caller may take afterwards to read the response and close.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Within how long a drain by HTTP empties the proxy: the platform looks 4 s after its call.
+/// Deadline of a drain that is started by HTTP. The platform checks 4 s after its call whether the proxy is empty.
 const DRAIN_DEADLINE: Duration = Duration::from_millis(3_300);
 
-const READ: Interest = Interest {
+/// Interest in input alone.
+const READABLE: Interest = Interest {
     read: true,
     write: false,
 };
@@ -36,26 +37,27 @@
 #[derive(Debug)]
 pub(super) struct AdminHttp {
     listener: SlotKey,
-    /// Callers, the one that has been idle longest first.
+    /// Connections of callers, the one that has been idle longest first.
     callers: Vec<SlotKey>,
 }
 
-/// What a well-formed call is answered with.
+/// What a valid call asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Route {
     /// The endpoints that this proxy knows, for other proxies of its fleet.
     KnownEndpoints,
-    /// What a command answers.
+    /// The result of a command.
     Command(AdminCommand),
 }
 
 impl Router {
-    /// Listens for calls. Only a start does; the descriptors for callers are taken from those that clients may have.
+    /// Opens the listener, once at the start. The descriptors for it and its callers are deducted from those for
+    /// clients.
     pub(super) fn open_admin_http(&mut self, address: SocketAddr) -> io::Result<()> {
         let socket = socket::listen(address, false)?;
         let listener = self
-            .register(socket, ConnectionRole::AdminHttpListener, READ)
-            .ok_or_else(|| io::Error::other("it cannot be watched"))?;
+            .register(socket, ConnectionRole::AdminHttpListener, READABLE)
+            .ok_or_else(|| io::Error::other("its listener cannot be registered with epoll"))?;
         self.resource_budget = self.resource_budget.reduced_by(MAX_CONNECTIONS + 1);
         self.admin_http = Some(AdminHttp {
             listener,
@@ -64,6 +66,7 @@
         Ok(())
     }
 
+    /// Accepts callers, at most [`MAX_ACCEPTS_PER_TURN`].
     pub(super) fn accept_admin_http(&mut self) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(admin_http) = &self.admin_http else {
@@ -91,7 +94,7 @@
 
     fn add_caller(&mut self, fd: OwnedFd) {
         let role = ConnectionRole::AdminHttp { answered: false };
-        let Some(key) = self.register(fd, role, READ) else {
+        let Some(key) = self.register(fd, role, READABLE) else {
             return;
         };
         if let Some(admin_http) = &mut self.admin_http {
@@ -99,7 +102,7 @@
         }
         self.deadlines
             .set(TimerKey::Connection(key), self.now + CALL_TIMEOUT);
-        // A call has often arrived already.
+        // Often the call has arrived already, so it is read without another turn of the event loop.
         self.connection_ready(ReadyEvent {
             key,
             writable: false,
@@ -107,6 +110,7 @@
         });
     }
 
+    /// Handles readiness of a caller's connection; `answered` says whether its call has been answered.
     pub(super) fn admin_http_ready(&mut self, key: SlotKey, answered: bool) {
         if answered {
             self.finish_caller(key);
@@ -115,7 +119,8 @@
         }
     }
 
-    /// A call did not arrive in time, or its answer was not read.
+    /// Handles a caller's deadline: the call did not arrive in time, or the caller did not read the response and
+    /// close.
     pub(super) fn admin_http_deadline(&mut self, key: SlotKey, answered: bool) {
         if answered {
             self.close_caller(key);
@@ -124,7 +129,7 @@
         }
     }
 
-    /// After the answer: waits until it is sent and the caller closes. What else the caller sends is not looked at.
+    /// After the response: waits until it is sent and the caller has closed. Further input is discarded.
     fn finish_caller(&mut self, key: SlotKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -142,6 +147,7 @@
         self.update_interest(key);
     }
 
+    /// Executes a call once it is complete, and responds to it.
     fn read_call(&mut self, key: SlotKey) {
         let serves_peer_queries = self.serves_peer_queries();
         let Some(connection) = self.connections.get_mut(key) else {
@@ -151,7 +157,7 @@
         let has_ended = connection.stream.ended.is_some();
         let route = match http_server::parse(received) {
             Ok(Some(call)) => route(&call, serves_peer_queries),
-            Ok(None) if !has_ended => return self.wait_for_call(key),
+            Ok(None) if !has_ended => return self.await_rest_of_call(key),
             Ok(None) if received.is_empty() => return self.close_caller(key),
             Ok(None) => Err(HttpStatus::BadRequest("the call is not whole")),
             Err(status) => Err(status),
@@ -167,8 +173,8 @@
         self.answer_call(key, status, text);
     }
 
-    /// A caller that has sent something is the last to be closed for another.
-    fn wait_for_call(&mut self, key: SlotKey) {
+    /// Waits for the rest of a call. A caller that has just sent something counts as the least idle.
+    fn await_rest_of_call(&mut self, key: SlotKey) {
         if let Some(admin_http) = &mut self.admin_http {
             admin_http.callers.retain(|caller| *caller != key);
             admin_http.callers.push(key);
@@ -176,6 +182,7 @@
         self.update_interest(key);
     }
 
+    /// Responds to a call, and logs why if it is invalid or too late.
     fn answer_call(&mut self, key: SlotKey, status: HttpStatus, text: Option<String>) {
         if !matches!(status, HttpStatus::Ok | HttpStatus::ServiceUnavailable(_)) {
             self.log_event(
@@ -186,8 +193,8 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let answer = http_server::response_text(status, text.as_deref());
-        connection.stream.send(&[answer.as_bytes()]);
+        let response = http_server::response_text(status, text.as_deref());
+        connection.stream.send(&[response.as_bytes()]);
         self.set_role(key, ConnectionRole::AdminHttp { answered: true });
         self.deadlines
             .set(TimerKey::Connection(key), self.now + CALL_TIMEOUT);
@@ -201,7 +208,8 @@
         }
     }
 
-    /// Carries a call's command out. Starting a drain twice, or stopping none, succeeds and changes nothing.
+    /// Executes a call's command. Starting a drain during a drain, or stopping one while none is in progress, succeeds
+    /// without an effect.
     fn execute_call(&mut self, command: AdminCommand) -> (HttpStatus, Option<String>) {
         let is_serving = self.drain.state() == DrainState::Serving;
         let mut request = AdminRequest::new(command);
@@ -217,7 +225,7 @@
         }
     }
 
-    /// The metrics in the text form that scrapers read.
+    /// The metrics in the text format of scrapers.
     pub(super) fn metrics_text(&self) -> String {
         let listed = self
             .endpoints
@@ -247,7 +255,7 @@
     }
 }
 
-/// What a call is answered with, or why it is rejected. Other proxies' call is there only where this proxy has a fleet.
+/// What a call asks for, or why it is rejected. The call for known endpoints exists only if `serves_peer_queries`.
 fn route(call: &HttpRequest<'_>, serves_peer_queries: bool) -> Result<Route, HttpStatus> {
     if call.path == peers::KNOWN_ENDPOINTS_PATH && serves_peer_queries {
         return match call.method {
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -1,5 +1,5 @@
-//! The admin socket: a Unix socket on which operators' tools send requests, one line each. It is served by the same
-//! event loop as clients; a peer that does not read holds back only its own replies.
+//! The admin socket: a Unix socket on which operators' tools send requests, one per line. It is served by the same
+//! event loop as clients; a tool that does not read delays only its own replies.
 
 use super::admin_commands::AdminError;
 use super::{ConnectionRole, ReasonCode, Router, TimerKey};
@@ -10,38 +10,43 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How long a peer may send nothing, or read none of a reply, before it is closed.
+/// How long a tool may send nothing, or read none of a reply, before its connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Peers accepted in one turn of the event loop, so that a crowd of them does not delay clients.
+/// Most connections accepted in one turn of the event loop, so that many at once do not delay clients.
 const MAX_ACCEPTS_PER_TURN: usize = 8;
 
-const READ: Interest = Interest {
+/// Interest in input alone.
+const READABLE: Interest = Interest {
     read: true,
     write: false,
 };
-const WRITE: Interest = Interest {
+/// Interest in being able to write alone.
+const WRITABLE: Interest = Interest {
     read: false,
     write: true,
 };
 
-/// The open socket.
+/// The open admin socket.
 #[derive(Debug)]
 pub struct AdminSocket {
     path: PathBuf,
     listener: SlotKey,
-    connections: usize,
+    /// Number of open connections.
+    open_connections: usize,
+    /// Most connections open at once; further ones are rejected.
     max_connections: usize,
-    /// How long a drain may take whose request gives no deadline.
+    /// How long a drain may take if its request gives no deadline.
     pub(super) default_drain_deadline: Duration,
 }
 
 impl Router {
-    /// Opens the socket. A file that a crashed proxy left is replaced; one that another process listens on is not.
+    /// Opens the socket, for at most `max_connections` at once. Their descriptors are deducted from those for clients.
+    /// A file that a crashed proxy left is replaced; one on which another process listens is not.
     ///
     /// # Errors
     ///
-    /// The system's, or if the path is in use.
+    /// If the path is in use, or a system call fails.
     pub fn open_admin_socket(
         &mut self,
         path: &Path,
@@ -50,20 +55,20 @@
     ) -> io::Result<()> {
         let socket = socket::listen_unix(path, socket::SocketType::STREAM)?;
         let listener = self
-            .register(socket, ConnectionRole::AdminSocketListener, READ)
-            .ok_or_else(|| io::Error::other("it cannot be watched"))?;
+            .register(socket, ConnectionRole::AdminSocketListener, READABLE)
+            .ok_or_else(|| io::Error::other("the socket cannot be registered with epoll"))?;
         self.resource_budget = self.resource_budget.reduced_by(max_connections + 1);
         self.admin_socket = Some(AdminSocket {
             path: path.to_path_buf(),
             listener,
-            connections: 0,
+            open_connections: 0,
             max_connections,
             default_drain_deadline,
         });
         Ok(())
     }
 
-    /// Changes how long a drain may take whose request gives no deadline.
+    /// Changes how long a drain may take if its request gives no deadline.
     pub fn set_default_drain_deadline(&mut self, deadline: Duration) {
         if let Some(admin_socket) = &mut self.admin_socket {
             admin_socket.default_drain_deadline = deadline;
@@ -74,17 +79,18 @@
     pub fn close_admin_socket(&mut self) {
         if let Some(admin_socket) = self.admin_socket.take() {
             self.close(admin_socket.listener);
-            // If it is gone already, all is as it should be.
+            // This fails only where the file is gone already.
             let _ = std::fs::remove_file(admin_socket.path);
         }
     }
 
+    /// Accepts connections of the same user, at most [`MAX_ACCEPTS_PER_TURN`].
     pub(super) fn accept_admin_socket(&mut self) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(admin_socket) = &self.admin_socket else {
                 return;
             };
-            let is_full = admin_socket.connections >= admin_socket.max_connections;
+            let is_full = admin_socket.open_connections >= admin_socket.max_connections;
             let Some(listener) = self.connections.get(admin_socket.listener) else {
                 return;
             };
@@ -98,7 +104,7 @@
                     );
                 }
             };
-            // A rejected peer's descriptor closes as it is dropped.
+            // The descriptor of a rejected connection is closed as it is dropped.
             if is_full || !socket::peer_is_same_user(&fd) {
                 let why = if is_full {
                     "too many peers"
@@ -108,18 +114,18 @@
                 self.log_event(ReasonCode::AdminSocketError, format!("peer why={why:?}"));
                 continue;
             }
-            let Some(key) = self.register(fd, ConnectionRole::AdminSocket, READ) else {
+            let Some(key) = self.register(fd, ConnectionRole::AdminSocket, READABLE) else {
                 continue;
             };
             if let Some(admin_socket) = &mut self.admin_socket {
-                admin_socket.connections += 1;
+                admin_socket.open_connections += 1;
             }
             self.deadlines
                 .set(TimerKey::Connection(key), self.now + IDLE_TIMEOUT);
         }
     }
 
-    /// Answers the requests of a peer that have arrived, one after the other.
+    /// Answers the requests that have arrived on a connection, one after the other.
     pub(super) fn admin_socket_ready(&mut self, key: SlotKey) {
         loop {
             let Some(connection) = self.connections.get_mut(key) else {
@@ -128,9 +134,9 @@
             if connection.stream.ended.is_some() {
                 return self.close_admin_connection(key);
             }
-            // The next request is read once the reply to the last one is written.
+            // The next request is read only after the reply to the last one is written.
             if !connection.stream.is_flushed() {
-                return self.set_interest(key, WRITE);
+                return self.set_interest(key, WRITABLE);
             }
             let received = connection.stream.inbound.bytes();
             let line_end = received
@@ -161,7 +167,8 @@
         }
     }
 
-    /// Where a line without an end stops being read, no request after it could be found either.
+    /// Rejects a line that exceeds `MAX_REQUEST_BYTES` and closes the connection, since the start of the next request
+    /// cannot be found.
     fn reject_long_request(&mut self, key: SlotKey) {
         self.send_reply(key, &AdminReply::error("a request is too long"));
         self.log_event(ReasonCode::AdminSocketError, "request why=\"too long\"");
@@ -174,10 +181,11 @@
         }
     }
 
+    /// Closes a connection of the admin socket.
     pub(super) fn close_admin_connection(&mut self, key: SlotKey) {
         self.close(key);
         if let Some(admin_socket) = &mut self.admin_socket {
-            admin_socket.connections = admin_socket.connections.saturating_sub(1);
+            admin_socket.open_connections = admin_socket.open_connections.saturating_sub(1);
         }
     }
 }
--- a/crates/proxy/src/routing/admin_status.rs
+++ b/crates/proxy/src/routing/admin_status.rs
@@ -1,4 +1,4 @@
-//! The proxy's status, as the admin socket reports it.
+//! Collects the proxy's status that the admin socket reports.
 
 use super::Router;
 use asterramp_admin_protocol::{
@@ -12,12 +12,15 @@
 use asterramp_zone_failover::ZoneState;
 use std::time::Duration;
 
-/// Entries of each list in a status, so that a reply stays within `MAX_REPLY_BYTES`. What is left out is in the sums.
+/// Most listeners whose remaining sessions a status lists, so that a reply stays within `MAX_REPLY_BYTES`. The totals
+/// of the status include the sessions of the others.
 const MAX_LISTENERS_WITH_SESSIONS: usize = 32;
+/// Most zones that a status lists, so that a reply stays within `MAX_REPLY_BYTES`.
 const MAX_ZONES: usize = 16;
+/// Most listeners whose admission figures a status lists, so that a reply stays within `MAX_REPLY_BYTES`.
 const MAX_ADMISSION_ENTRIES: usize = 16;
 
-/// Sources of endpoints in a warm start, in the order in which a status lists them.
+/// Sources of endpoints in a warm start with their names in a status, in the order in which a status lists them.
 const ENDPOINT_SOURCES: [(EndpointSource, &str); 4] = [
     (EndpointSource::Snapshot, "saved"),
     (EndpointSource::Configuration, "configured"),
@@ -30,6 +33,7 @@
 }
 
 impl Router {
+    /// The present status of the proxy.
     pub(super) fn status(&self) -> ProxyStatus {
         let view = self.drain_view();
         ProxyStatus {
@@ -76,7 +80,8 @@
             .count()
     }
 
-    /// During a drain, the sessions that are left by listener, in the order in which they are found.
+    /// Number of remaining sessions by listener, in the order of their first session in the table; empty unless a drain
+    /// or shutdown is in progress.
     fn remaining_sessions(&self) -> Vec<ListenerSessions> {
         let mut remaining: Vec<ListenerSessions> = Vec::new();
         if self.drain.state() == DrainState::Serving {
@@ -99,7 +104,7 @@
         remaining
     }
 
-    /// The zones; of many, those with a fault come first.
+    /// Status of the zones, the ones that are not healthy first, at most [`MAX_ZONES`]; empty without zone failover.
     fn zone_statuses(&self) -> Vec<ZoneStatus> {
         let Some(tracker) = &self.session_table.zones else {
             return Vec::new();
@@ -109,7 +114,7 @@
             .map(|(name, zone)| ZoneStatus {
                 name: name.clone(),
                 state: zone.state.name().to_string(),
-                // A zone that was healthy from the start has not changed its state at any time of its own.
+                // A zone whose state has never changed has had it since the proxy started.
                 since_ms: self.milliseconds_since(zone.state_since.max(self.started_at)),
                 false_suspicions: zone.dropped_suspicions,
                 false_ejections: zone.false_alarms,
@@ -120,6 +125,7 @@
         statuses
     }
 
+    /// Status of the warm start; `None` where the proxy started without one.
     fn warm_start_status(&self) -> Option<WarmStartStatus> {
         let warm_start = self.warm_start_state()?;
         let mut sources = Vec::new();
@@ -145,7 +151,8 @@
         })
     }
 
-    /// Listeners with rejected sessions or a known cost per session; of many, the first.
+    /// Admission figures of the listeners with rejected sessions or a known cost per session, at most
+    /// [`MAX_ADMISSION_ENTRIES`].
     fn admission_statuses(&self) -> Vec<AdmissionStatus> {
         let listeners = self.settings.listeners.iter();
         let counts = self.admission.rejection_counts();
@@ -168,7 +175,7 @@
     }
 }
 
-/// The reasons that came up.
+/// Rejected sessions by reason, without the reasons that have not occurred.
 fn rejections(counts: &[u64; RejectReason::ALL.len()]) -> Vec<RejectionCount> {
     RejectReason::ALL
         .into_iter()
--- a/crates/proxy/src/routing/hot_restart/mod.rs
+++ b/crates/proxy/src/routing/hot_restart/mod.rs
@@ -32,7 +32,7 @@
 use rustix::fd::OwnedFd;
 use std::path::PathBuf;
 
-/// Readiness for reading alone.
+/// Interest in input alone.
 const READABLE: Interest = Interest {
     read: true,
     write: false,
--- a/crates/proxy/src/routing/peers/message.rs
+++ b/crates/proxy/src/routing/peers/message.rs
@@ -1,40 +1,44 @@
-//! What proxies send each other after a power loss, as JSON over HTTP.
+//! The JSON message, carried over HTTP, with which proxies exchange known endpoints after a power loss.
 
 use super::PeerError;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Version of the message; an answer of another one is not used.
+/// Version of the message; a response of another version is not used.
 pub(super) const MESSAGE_VERSION: u32 = 1;
-/// Endpoints that an answer names at most.
+/// Most endpoints that a response may contain.
 pub(super) const MAX_ENDPOINTS_IN_RESPONSE: usize = 256;
 
-/// The start of an answer that was granted, and the end of any answer's head.
+/// How a successful HTTP response begins.
 const STATUS_OK: &[u8] = b"HTTP/1.1 200 ";
-const END_OF_HEAD: &[u8] = b"\r\n\r\n";
+/// Separates the head of an HTTP response from its body.
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// What a proxy knows. Parse errors show this type's name to operators, so it stays short.
+/// The endpoints that a proxy knows, and its own state. Parse errors show this type's name to operators, so it must not
+/// change.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Known {
     #[serde(rename = "v")]
     pub(super) version: u32,
+    /// Name of the fleet that the proxy belongs to.
     pub(super) fleet: String,
-    /// Stage of the proxy's warm start.
+    /// Stage of the proxy's warm start; `normal` if it started without one.
     pub(super) stage: String,
     /// Revision of its endpoint list.
     #[serde(rename = "rev")]
     pub(super) list_revision: u64,
-    /// When discovery last responded, Unix time in milliseconds.
+    /// When discovery last responded to the proxy, Unix time in milliseconds; `None` if it has not yet.
     #[serde(rename = "told_ms")]
     pub(super) discovery_responded_ms: Option<u64>,
-    /// Sessions that are being set up.
+    /// Sessions that the proxy is setting up.
     #[serde(rename = "pending")]
     pub(super) pending_sessions: usize,
+    /// Known endpoints, at most [`MAX_ENDPOINTS_IN_RESPONSE`].
     pub(super) hosts: Vec<KnownHost>,
 }
 
-/// An endpoint that a proxy knows. Parse errors show this type's name, too.
+/// An endpoint that a proxy knows. Parse errors show this type's name, too, so it must not change.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct KnownHost {
@@ -44,29 +48,30 @@
     pub(super) zone: String,
     pub(super) cell: u16,
     pub(super) weight: f64,
-    /// Start of the server, Unix time in milliseconds.
+    /// When the server started, Unix time in milliseconds; `None` if that is unknown.
     pub(super) started_ms: Option<u64>,
-    /// Milliseconds since it last responded, or discovery did.
+    /// Time since the later of its last load report and discovery's last response, in milliseconds.
     pub(super) age_ms: u64,
-    /// Utilization for each open connection.
+    /// Utilization per open connection; `None` if it has too few connections to tell.
     #[serde(rename = "unit")]
     pub(super) load_per_connection: Option<f64>,
 }
 
-/// Parses an HTTP answer and checks that it can be used by a proxy of this fleet.
+/// Parses a peer's HTTP response and checks that a proxy of the fleet `fleet` can use it.
 ///
 /// # Errors
 ///
-/// A [`PeerError`] for an answer that is not complete, refused, not readable, or of another version or fleet.
-pub(super) fn parse_response(answer: &[u8], fleet: &str) -> Result<Known, PeerError> {
-    let head_len = answer
-        .windows(END_OF_HEAD.len())
-        .position(|window| window == END_OF_HEAD)
+/// A [`PeerError`] for a response that is incomplete, has another status than 200, is not readable, or is of another
+/// version or fleet.
+pub(super) fn parse_response(response: &[u8], fleet: &str) -> Result<Known, PeerError> {
+    let head_len = response
+        .windows(HEAD_END.len())
+        .position(|window| window == HEAD_END)
         .ok_or(PeerError::NoHead)?;
-    if !answer.starts_with(STATUS_OK) {
+    if !response.starts_with(STATUS_OK) {
         return Err(PeerError::Refused);
     }
-    let body = &answer[head_len + END_OF_HEAD.len()..];
+    let body = &response[head_len + HEAD_END.len()..];
     let known: Known = serde_json::from_slice(body).map_err(PeerError::Unreadable)?;
     if known.version != MESSAGE_VERSION {
         return Err(PeerError::OtherVersion(known.version));
--- a/crates/proxy/src/routing/peers/mod.rs
+++ b/crates/proxy/src/routing/peers/mod.rs
@@ -1,6 +1,7 @@
-//! After a power loss, a proxy asks others which endpoints they know, and answers those that ask.
+//! Queries between proxies: after a power loss, a proxy asks others which endpoints they know, and responds to their
+//! queries.
 //!
-//! An answer is evidence, never an order: the endpoints in it are probed first, so a false one costs no more than that.
+//! Endpoints in a response are not trusted: they are probed before use, so a false one costs no more than a probe.
 
 mod message;
 mod response;
@@ -16,40 +17,40 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Path of the HTTP call, beside those of `asterramp_admin_protocol::CALLS`.
+/// Path of the HTTP query between proxies, in addition to those of `asterramp_admin_protocol::HTTP_ROUTES`.
 pub const KNOWN_ENDPOINTS_PATH: &str = "/ops/known";
 
-/// Longest answer that is read, in bytes.
-const MAX_ANSWER_LEN: usize = 128 << 10;
-/// Proxies that are asked at once.
-const MAX_QUERIES: usize = 8;
-/// An answer is waited for this many times as long as a connection.
-const ANSWER_TIMEOUT_FACTOR: u32 = 2;
-/// Longest uid that is taken from an answer, in bytes.
-const MAX_UID_LEN: usize = 256;
+/// Longest response that is read, in bytes; a longer one is not used.
+const MAX_RESPONSE_BYTES: usize = 128 << 10;
+/// Most proxies that are queried in one round.
+const MAX_QUERIES_PER_ROUND: usize = 8;
+/// Timeout of a query, from connecting to the end of the response, as a multiple of the connect timeout.
+const QUERY_TIMEOUT_FACTOR: u32 = 2;
+/// Longest uid of an endpoint in a response, in bytes; endpoints with a longer one are ignored.
+const MAX_UID_BYTES: usize = 256;
 
-/// Whom to ask, and what tells a fleet's proxies from others.
+/// Which proxies to query, and the fleet whose proxies trust each other's responses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PeerSettings {
-    /// Name of the fleet; empty where proxies neither ask nor answer.
+    /// Name of the fleet; empty where this proxy neither queries other proxies nor responds to them.
     pub fleet: String,
-    /// Addresses of the other proxies.
+    /// Addresses of the other proxies' HTTP listeners for operators; empty if none is queried.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// Why a proxy's answer is not used.
+/// Why a peer's response is not used. Operators see the texts in the log.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
     /// The connection failed.
     #[error("it cannot be reached")]
     Unreachable,
-    /// No answer came in time.
+    /// The response was not complete in time.
     #[error("it does not answer in time")]
     TimedOut,
-    /// The answer is longer than an answer may be.
+    /// The response is longer than `MAX_RESPONSE_BYTES`.
     #[error("its answer is too long")]
     TooLong,
-    /// The connection ended within the HTTP head.
+    /// The connection ended before the end of the HTTP head.
     #[error("its answer has no head")]
     NoHead,
     /// The HTTP status is not 200.
@@ -59,36 +60,36 @@
     #[error("its answer cannot be read: {0}")]
     Unreadable(#[source] serde_json::Error),
     /// The message has another version.
-    #[error("it speaks version {0}")]
+    #[error("its answer has version {0}")]
     OtherVersion(u32),
     /// The proxy belongs to another fleet.
     #[error("it is of another fleet")]
     OtherFleet,
-    /// The answer names more endpoints than an answer may.
-    #[error("it names too many hosts")]
+    /// The response contains more endpoints than allowed.
+    #[error("its answer lists too many endpoints")]
     TooManyEndpoints,
 }
 
-/// A query that is out.
+/// A query in progress.
 #[derive(Debug)]
 struct PeerQuery {
     connection: SlotKey,
     is_sent: bool,
-    /// What has come of the answer.
-    answer: Vec<u8>,
+    /// The part of the response that has been received.
+    response: Vec<u8>,
 }
 
-/// Queries that are out, and whom to ask next.
+/// Queries in progress, and the order in which peers are queried.
 #[derive(Debug, Default)]
 pub struct Peers {
     settings: PeerSettings,
     queries: Vec<PeerQuery>,
-    /// Index of the address with which the next round begins.
+    /// Index of the address with which the next round begins, modulo the number of addresses.
     next_address: usize,
 }
 
 impl Router {
-    /// Sets whom to ask. Each proxy of a fleet begins with another address.
+    /// Sets the peers to query. Each proxy of a fleet begins with another address, which spreads the queries.
     pub fn configure_peers(&mut self, settings: PeerSettings) {
         self.peers = Peers {
             settings,
@@ -97,14 +98,15 @@
         };
     }
 
-    /// Asks some of the other proxies, different ones in each round.
+    /// Queries up to [`MAX_QUERIES_PER_ROUND`] peers, beginning after those of the last round. Queries still in
+    /// progress are closed.
     pub(super) fn query_peers(&mut self) {
-        self.close_peers();
+        self.close_peer_queries();
         for address in self.peers.next_round() {
             self.query_peer(address);
         }
         if self.peers.queries.is_empty() {
-            self.peer_round_ended();
+            self.finish_peer_round();
         }
     }
 
@@ -118,14 +120,15 @@
         self.peers.queries.push(PeerQuery {
             connection,
             is_sent: false,
-            answer: Vec::new(),
+            response: Vec::new(),
         });
-        let deadline = self.now + self.settings.connect_timeout * ANSWER_TIMEOUT_FACTOR;
+        let deadline = self.now + self.settings.connect_timeout * QUERY_TIMEOUT_FACTOR;
         self.deadlines
             .set(TimerKey::Connection(connection), deadline);
     }
 
-    fn peer_round_ended(&mut self) {
+    /// Notifies the warm start that all queries of a round have ended.
+    fn finish_peer_round(&mut self) {
         let now = self.now;
         if let Some(start) = &mut self.warm_start {
             start.machine.peer_queries_finished(now);
@@ -133,20 +136,20 @@
         self.apply_warm_start_effects();
     }
 
-    /// Drops all queries.
-    pub(super) fn close_peers(&mut self) {
+    /// Closes all queries in progress.
+    pub(super) fn close_peer_queries(&mut self) {
         for query in std::mem::take(&mut self.peers.queries) {
             self.close(query.connection);
         }
     }
 
-    /// Something came on the connection of a query, or it came up.
+    /// Handles readiness of a query's connection: sends the query at first, reads the response afterwards.
     pub(super) fn peer_ready(&mut self, event: ReadyEvent) {
         let Some(index) = self.peers.find_query(event.key) else {
             return;
         };
         if self.peers.queries[index].is_sent {
-            self.read_peer_answer(index, event);
+            self.read_peer_response(index, event);
         } else {
             self.send_peer_query(index, event.key);
         }
@@ -165,41 +168,41 @@
         self.update_interest(key);
     }
 
-    fn read_peer_answer(&mut self, index: usize, event: ReadyEvent) {
+    fn read_peer_response(&mut self, index: usize, event: ReadyEvent) {
         let key = event.key;
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         connection.stream.read_once(event.failed);
         let has_ended = connection.stream.ended.is_some();
-        let answer = &mut self.peers.queries[index].answer;
+        let response = &mut self.peers.queries[index].response;
         let bytes = connection.stream.inbound.bytes();
         let read_len = bytes.len();
-        answer.extend_from_slice(bytes);
+        response.extend_from_slice(bytes);
         connection.stream.inbound.consume(read_len);
-        if answer.len() > MAX_ANSWER_LEN {
+        if response.len() > MAX_RESPONSE_BYTES {
             return self.fail_peer_query(key, &PeerError::TooLong);
         }
         if !has_ended {
             return self.update_interest(key);
         }
-        let answer = std::mem::take(answer);
-        match message::parse_response(&answer, &self.peers.settings.fleet) {
+        let response = std::mem::take(response);
+        match message::parse_response(&response, &self.peers.settings.fleet) {
             Ok(known) => {
-                self.apply_peer_answer(known);
+                self.apply_peer_response(known);
                 self.close_peer_query(key);
-                self.end_round_if_last();
+                self.finish_round_if_last();
             }
             Err(error) => self.fail_peer_query(key, &error),
         }
     }
 
-    /// Ends a query whose answer cannot be used.
+    /// Ends a query whose response cannot be used, and logs why.
     pub(super) fn fail_peer_query(&mut self, key: SlotKey, error: &PeerError) {
         self.close_peer_query(key);
         let about = format!("peer why={:?}", error.to_string());
         self.log_event(ReasonCode::PeerFailed, about);
-        self.end_round_if_last();
+        self.finish_round_if_last();
     }
 
     fn close_peer_query(&mut self, key: SlotKey) {
@@ -207,36 +210,37 @@
         self.close(key);
     }
 
-    fn end_round_if_last(&mut self) {
+    fn finish_round_if_last(&mut self) {
         if self.peers.queries.is_empty() {
-            self.peer_round_ended();
+            self.finish_peer_round();
         }
     }
 
-    fn apply_peer_answer(&mut self, known: Known) {
+    fn apply_peer_response(&mut self, known: Known) {
         self.count_event(ReasonCode::PeerAnswered);
         for host in known.hosts {
             if self.warm_start.is_some() && self.is_usable(&host) {
-                self.apply_peer_host(host, known.list_revision);
+                self.apply_peer_endpoint(host, known.list_revision);
             }
         }
     }
 
+    /// Whether an endpoint of a response has valid values and a zone of this proxy's settings.
     fn is_usable(&self, host: &KnownHost) -> bool {
         self.settings.zones.contains(&host.zone)
             && host.weight.is_finite()
             && host.weight >= 0.0
-            && host.uid.len() <= MAX_UID_LEN
+            && host.uid.len() <= MAX_UID_BYTES
     }
 
-    fn apply_peer_host(&mut self, host: KnownHost, list_revision: u64) {
-        // The peer's clock may differ, but a time span by it is good.
-        let news_at = self.now.checked_sub(Duration::from_millis(host.age_ms));
-        let age = news_at.map_or(InformationAge::Unknown, |at| {
+    fn apply_peer_endpoint(&mut self, host: KnownHost, list_revision: u64) {
+        // The peer's clock may differ, so its message gives an age rather than a time.
+        let confirmed_at = self.now.checked_sub(Duration::from_millis(host.age_ms));
+        let age = confirmed_at.map_or(InformationAge::Unknown, |at| {
             information_age(self.now, Some(at))
         });
         if let Some(server) = self.endpoints.find(&host.uid) {
-            // A peer's answer does not change the address of an endpoint that is known already.
+            // A peer's response does not change the address of an endpoint that is known already.
             let address = host.address;
             if self.endpoints.address(server) == Some(address) {
                 self.report_peer_endpoint(server, address, age, list_revision);
@@ -247,7 +251,7 @@
         let load_per_connection = host
             .load_per_connection
             .filter(|load| load.is_finite() && *load > 0.0);
-        // It does not count as listed before it responds.
+        // The endpoint is not used before it has responded to a probe.
         let listed = listed_as_gone(host);
         let Some(change) = self.endpoints.update(listed) else {
             return;
@@ -288,7 +292,7 @@
             .position(|query| query.connection == connection)
     }
 
-    /// Addresses to ask now; the next round goes on after them, whether or not they can be reached.
+    /// Addresses to query now. The next round begins after them, whether or not they can be reached.
     fn next_round(&mut self) -> Vec<SocketAddr> {
         let addresses = &self.settings.addresses;
         let first = self.next_address % addresses.len().max(1);
@@ -296,7 +300,7 @@
             .iter()
             .cycle()
             .skip(first)
-            .take(addresses.len().min(MAX_QUERIES))
+            .take(addresses.len().min(MAX_QUERIES_PER_ROUND))
             .copied()
             .collect();
         self.next_address += round.len();
@@ -304,6 +308,7 @@
     }
 }
 
+/// An endpoint of a response in discovery's form, in the state in which it is not used.
 fn listed_as_gone(host: KnownHost) -> ListedEndpoint {
     ListedEndpoint {
         uid: host.uid,
--- a/crates/proxy/src/routing/peers/response.rs
+++ b/crates/proxy/src/routing/peers/response.rs
@@ -1,4 +1,4 @@
-//! What this proxy answers to other ones that ask.
+//! This proxy's response to the queries of other proxies.
 
 use super::message::{Known, KnownHost, MAX_ENDPOINTS_IN_RESPONSE, MESSAGE_VERSION};
 use crate::protocol::discovery::ListedEndpoint;
@@ -8,16 +8,17 @@
 use asterramp_warm_start::{CandidateState, MIN_CONNECTIONS_FOR_LOAD, WarmStartStage};
 use std::time::Duration;
 
-/// Weight given for an endpoint whose own JSON cannot express.
+/// Weight sent for an endpoint whose own weight is not finite, which JSON cannot express.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 impl Router {
-    /// Whether other proxies are answered at all.
+    /// Whether this proxy responds to other proxies' queries, which it does only as a member of a fleet.
     pub(in crate::routing) fn serves_peer_queries(&self) -> bool {
         !self.peers.settings.fleet.is_empty()
     }
 
-    /// The answer's body: ready endpoints that responded or that discovery lists, those with the latest news first.
+    /// The response's body: ready endpoints that responded to this proxy or that discovery lists, the most recently
+    /// confirmed first.
     pub(in crate::routing) fn known_endpoints_text(&self) -> String {
         let known = Known {
             version: MESSAGE_VERSION,
@@ -42,7 +43,7 @@
             .filter(|(server, (listed, _))| {
                 listed.state == EndpointState::Ready && self.is_confirmed(*server)
             })
-            .map(|(_, (listed, known))| self.host_for_peers(listed, known))
+            .map(|(_, (listed, known))| self.endpoint_for_peers(listed, known))
             .collect();
         hosts.sort_by_key(|host| host.age_ms);
         hosts.truncate(MAX_ENDPOINTS_IN_RESPONSE);
@@ -55,19 +56,20 @@
         let Some(start) = self.warm_start_state() else {
             return true;
         };
-        let is_trusted = matches!(
+        let has_responded_or_is_listed = matches!(
             start.candidates().state(server),
             CandidateState::Responsive | CandidateState::Listed
         );
-        start.stage() == WarmStartStage::Normal || is_trusted
+        start.stage() == WarmStartStage::Normal || has_responded_or_is_listed
     }
 
-    fn host_for_peers(&self, listed: ListedEndpoint, known: &KnownEndpoint) -> KnownHost {
+    /// An endpoint in the form of the response.
+    fn endpoint_for_peers(&self, listed: ListedEndpoint, known: &KnownEndpoint) -> KnownHost {
         let discovery_responded_at = self
             .discovery_watch
             .last_line_at()
             .unwrap_or(self.started_at);
-        let last_news = known.reported_at.max(discovery_responded_at);
+        let last_confirmed_at = known.reported_at.max(discovery_responded_at);
         let weight = if listed.weight.is_finite() {
             listed.weight
         } else {
@@ -80,12 +82,13 @@
             cell: listed.cell,
             weight,
             started_ms: listed.started_at.map(milliseconds),
-            age_ms: milliseconds(self.now.saturating_sub(last_news)),
+            age_ms: milliseconds(self.now.saturating_sub(last_confirmed_at)),
             load_per_connection: load_per_connection(&known.load),
         }
     }
 }
 
+/// Utilization per connection by a load report; `None` if a figure is missing or the connections are too few.
 fn load_per_connection(load: &ServerLoad) -> Option<f64> {
     let utilization = load.utilization?;
     let connections = load
--- a/crates/proxy/src/routing/warm_start/admission.rs
+++ b/crates/proxy/src/routing/warm_start/admission.rs
@@ -1,4 +1,4 @@
-//! The rate at which a warm start admits clients.
+//! The rate at which a warm start admits sessions.
 
 use super::WarmStartProgress;
 use crate::routing::Router;
@@ -7,7 +7,7 @@
     ClientAdmission, MIN_CONNECTIONS_FOR_LOAD, SlowStartProfile, admission_rate,
 };
 
-/// Utilization and connections of one or more endpoints, by their last load reports.
+/// Sums of utilization and connections over one or more endpoints, by their last load reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LoadTotals {
     utilization: f64,
@@ -15,7 +15,7 @@
 }
 
 impl LoadTotals {
-    /// The load in a report; `None` if the report leaves out one of the two.
+    /// The load in a report; `None` if the report omits one of the two figures.
     pub(super) fn from_report(load: &ServerLoad) -> Option<LoadTotals> {
         Some(LoadTotals {
             utilization: load.utilization?,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// What one connection takes on average; `None` where there are too few for an average.
+    /// Mean utilization per connection; `None` for fewer than [`MIN_CONNECTIONS_FOR_LOAD`] connections.
     pub(super) fn per_connection(self) -> Option<f64> {
         if self.connections >= MIN_CONNECTIONS_FOR_LOAD {
             Some(self.utilization / self.connections)
@@ -41,7 +41,8 @@
 }
 
 impl WarmStartProgress {
-    /// What a connection took of an endpoint on average before the proxy started.
+    /// Mean utilization per connection of the endpoints for which it is known from before the start; `None` if it is
+    /// known for none.
     fn mean_load_per_connection(&self) -> Option<f64> {
         let mut sum = 0.0;
         let mut known = 0.0;
@@ -54,7 +55,7 @@
 }
 
 impl Router {
-    /// Sessions per second that the warm start admits; `None` where it sets no limit.
+    /// Sessions per second that the warm start admits; `None` if it sets no limit or the proxy started without one.
     pub(in crate::routing) fn warm_start_admission_rate(&self) -> Option<f64> {
         let progress = self.warm_start.as_ref()?;
         match progress.admission {
@@ -64,6 +65,7 @@
         }
     }
 
+    /// This proxy's part of the sessions per second that the usable endpoints can take.
     fn limited_admission_rate(&self, progress: &WarmStartProgress) -> f64 {
         let deployment = &self.settings.deployment;
         let profile = SlowStartProfile {
@@ -71,7 +73,7 @@
             warm_after: deployment.slow_start.warm_after,
             overload_factor: deployment.slow_start.overload_factor,
         };
-        // What endpoints report now counts more than what they took before.
+        // Present load reports take precedence over the load known from before the start.
         let load_per_connection = self
             .total_reported_load()
             .per_connection()
@@ -90,7 +92,7 @@
     pub(super) fn total_reported_load(&self) -> LoadTotals {
         self.endpoints
             .known_endpoints()
-            .filter_map(|host| LoadTotals::from_report(&host.load))
+            .filter_map(|endpoint| LoadTotals::from_report(&endpoint.load))
             .fold(LoadTotals::default(), LoadTotals::plus)
     }
 }
--- a/crates/proxy/src/routing/warm_start/begin.rs
+++ b/crates/proxy/src/routing/warm_start/begin.rs
@@ -1,4 +1,4 @@
-//! The beginning of a warm start: endpoints known from the last snapshot and from the configuration.
+//! Begins a warm start, with the endpoints known from the last snapshot and from the configuration.
 
 use super::{WarmStartPlan, WarmStartProgress, unix_time};
 use crate::protocol::discovery::{EndpointList, ListedEndpoint};
@@ -8,20 +8,23 @@
 use asterramp_warm_start::{EndpointReport, EndpointSource, InformationAge, information_age};
 use std::time::Duration;
 
-/// Connections to peers that the resource budget sets aside at most.
+/// Most connections to peers for which descriptors are reserved.
 const MAX_RESERVED_PEERS: usize = 8;
 
 /// An endpoint that is known from before the start.
 struct RememberedEndpoint {
-    line: ListedEndpoint,
+    /// The endpoint in discovery's form.
+    listed: ListedEndpoint,
     source: EndpointSource,
     age: InformationAge,
+    /// Revision of the list that contained it.
     list_revision: u64,
+    /// Utilization per connection; `None` if it is unknown.
     load_per_connection: Option<f64>,
 }
 
 impl Router {
-    /// Begins a warm start. No endpoint is used before it has answered a probe, or discovery has listed it.
+    /// Begins a warm start. No endpoint is used before it has responded to a probe or discovery has listed it.
     pub(in crate::routing) fn begin_warm_start(
         &mut self,
         plan: WarmStartPlan,
@@ -41,7 +44,7 @@
         let snapshot = plan.snapshot.unwrap_or_default();
         let mut progress = WarmStartProgress::new(self.now, settings);
         progress.newest_revision = configured.revision.max(snapshot.list_revision);
-        progress.discovery_heard = snapshot.last_discovery_update_ms.map(unix_time);
+        progress.last_discovery_update = snapshot.last_discovery_update_ms.map(unix_time);
         for remembered in remembered_endpoints(self.now, &snapshot, configured) {
             self.report_remembered(&mut progress, remembered);
         }
@@ -49,15 +52,16 @@
         self.apply_warm_start_effects();
     }
 
+    /// Adds an endpoint to the endpoint table and reports it to the warm start.
     fn report_remembered(
         &mut self,
         progress: &mut WarmStartProgress,
         remembered: RememberedEndpoint,
     ) {
-        let address = remembered.line.address;
+        let address = remembered.listed.address;
         let Some(endpoint) = self
             .endpoints
-            .update(remembered.line)
+            .update(remembered.listed)
             .map(|change| change.endpoint)
         else {
             return;
@@ -75,8 +79,8 @@
     }
 }
 
-/// The endpoints of the snapshot and of the configuration that were ready. Those of the newer list come last: where two
-/// endpoints have one address, the last one counts.
+/// The ready endpoints of the snapshot and of the configuration. Those of the newer list come last, since the last one
+/// takes precedence where two endpoints have the same address.
 fn remembered_endpoints(
     now: Duration,
     snapshot: &Snapshot,
@@ -88,7 +92,7 @@
         .iter()
         .filter(|saved| saved.state == SavedEndpointState::Ready)
         .map(|saved| RememberedEndpoint {
-            line: line_of(saved),
+            listed: listed_from_saved(saved),
             source: EndpointSource::Snapshot,
             age,
             list_revision: snapshot.list_revision,
@@ -97,9 +101,9 @@
     let configured = configured
         .endpoints
         .iter()
-        .filter(|line| line.state == EndpointState::Ready)
-        .map(|line| RememberedEndpoint {
-            line: line.clone(),
+        .filter(|listed| listed.state == EndpointState::Ready)
+        .map(|listed| RememberedEndpoint {
+            listed: listed.clone(),
             source: EndpointSource::Configuration,
             age: InformationAge::Unknown,
             list_revision: configured.revision,
@@ -110,7 +114,7 @@
     remembered
 }
 
-/// How old a snapshot's endpoint list is: since discovery answered, not since the list was saved again.
+/// Age of a snapshot's endpoint list: the time since discovery last responded, not since the list was last saved.
 fn snapshot_age(now: Duration, snapshot: &Snapshot) -> InformationAge {
     let saved = Some(unix_time(snapshot.saved_at_ms));
     if information_age(now, saved) == InformationAge::Unknown {
@@ -119,8 +123,8 @@
     information_age(now, snapshot.last_discovery_update_ms.map(unix_time))
 }
 
-/// A saved endpoint in the form in which discovery lists it.
-fn line_of(saved: &SavedEndpoint) -> ListedEndpoint {
+/// A saved endpoint in the form in which discovery lists it, as ready.
+fn listed_from_saved(saved: &SavedEndpoint) -> ListedEndpoint {
     ListedEndpoint {
         uid: saved.uid.clone(),
         address: saved.address,
--- a/crates/proxy/src/routing/warm_start/discovery.rs
+++ b/crates/proxy/src/routing/warm_start/discovery.rs
@@ -1,4 +1,4 @@
-//! What discovery and probes say while a warm start lasts.
+//! Passes endpoint lists from discovery and results of probes to the warm start while it lasts.
 
 use super::WarmStartProgress;
 use crate::routing::{ReasonCode, Router};
@@ -10,13 +10,15 @@
 use std::time::Duration;
 
 impl WarmStartProgress {
+    /// Whether the warm start is complete, so that discovery alone counts.
     pub(super) fn is_over(&self) -> bool {
         self.machine.stage() == WarmStartStage::Normal
     }
 }
 
 impl Router {
-    /// Whether a list from discovery is older than one that was known at the start, while that may matter.
+    /// Whether a list from discovery is older than one that was known at the start. Always false once the warm start is
+    /// over.
     pub(in crate::routing) fn is_outdated_list(&self, list_revision: u64) -> bool {
         self.warm_start
             .as_ref()
@@ -24,8 +26,8 @@
             .is_some_and(|progress| list_revision < progress.newest_revision)
     }
 
-    /// Applies an outdated list: endpoints that are draining or gone are taken out of use at once, those that are ready
-    /// have to answer a probe first.
+    /// Applies an outdated list: endpoints that are draining or gone are taken out of use at once, while ready ones
+    /// must respond to a probe first.
     pub(in crate::routing) fn apply_outdated_list(
         &mut self,
         list_revision: u64,
@@ -67,8 +69,9 @@
         self.apply_warm_start_effects();
     }
 
-    /// Notifies the warm start of endpoints that discovery has listed, and fills in what a connection took of each
-    /// before. `complete` says whether they are the complete list. The caller passes them on to the placement engine.
+    /// Notifies the warm start of endpoints that discovery has listed, and fills in the load per connection known from
+    /// before the start. `complete` says whether they are the complete list. The caller passes them on to the placement
+    /// engine.
     pub(in crate::routing) fn record_listed_endpoints(
         &mut self,
         listed: &mut [Endpoint],
@@ -101,22 +104,24 @@
         self.apply_warm_start_effects();
     }
 
-    /// The probe of a server has ended. Any answer counts, since a server that rejects or fails a session is there.
+    /// Reports the end of a probe to the warm start. Any response counts as success, since a server that rejects or
+    /// fails a session is running.
     pub(in crate::routing) fn record_warm_start_probe(
         &mut self,
         server: ServerId,
         outcome: Outcome,
     ) {
-        let answered = matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::ServerError);
+        let responded = matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::ServerError);
         let now = self.now;
         if let Some(progress) = &mut self.warm_start {
-            progress.machine.probe_finished(now, server, answered);
+            progress.machine.probe_finished(now, server, responded);
             self.apply_warm_start_effects();
         }
     }
 }
 
-/// Whether more than half of the ready endpoints have started less than `warm_after` ago.
+/// Whether more than half of the ready endpoints started less than `warm_after` ago. Those with an unknown start count
+/// as warm.
 fn is_mostly_cold(now: Duration, warm_after: Duration, listed: &[Endpoint]) -> bool {
     let mut ready = 0;
     let mut cold = 0;
--- a/crates/proxy/src/routing/warm_start/effects.rs
+++ b/crates/proxy/src/routing/warm_start/effects.rs
@@ -1,4 +1,4 @@
-//! Carrying out the effects of a warm start.
+//! Carries out the effects of a warm start.
 
 use crate::routing::{ReasonCode, Router, TimerKey};
 use asterramp_placement::PlacementEvent;
@@ -6,7 +6,7 @@
 use asterramp_warm_start::{ClientAdmission, EndpointId, WarmStartEffect};
 use std::time::Duration;
 
-/// Why the proxy begins to serve, in the log line that says so.
+/// Reason why the proxy begins to serve, as logged.
 const SERVING_REASON: &str = "recovery";
 
 impl Router {
@@ -39,7 +39,7 @@
             WarmStartEffect::AskPeers => self.query_peers(),
             WarmStartEffect::Probe(id) => self.probe_candidate(id),
             WarmStartEffect::Use(id) => {
-                // Nobody said when it started, so it counts as just started.
+                // Its start time is unknown, so it counts as just started and slow start applies.
                 let started_at = Some(self.now);
                 let load = self
                     .warm_start
@@ -49,8 +49,8 @@
                 self.update_endpoint(id, EndpointState::Ready, started_at, load);
             }
             WarmStartEffect::Drop(id, reason) => {
-                let name = self.endpoints.uid(id);
-                let text = format!("server={name} why={:?}", reason.text());
+                let uid = self.endpoints.uid(id);
+                let text = format!("server={uid} why={:?}", reason.text());
                 self.log_event(ReasonCode::EndpointDropped, text);
                 self.endpoints.set_state(id, EndpointState::Gone);
                 self.update_endpoint(id, EndpointState::Gone, None, None);
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Probes an endpoint. Where the deployment forbids probes, the endpoint counts as answering: the first session
-    /// that is placed on it is its probe.
+    /// Probes an endpoint. Where the deployment forbids probes, the endpoint counts as responsive, and the first
+    /// session placed on it shows whether it is.
     fn probe_candidate(&mut self, id: EndpointId) {
         if self.settings.deployment.may_probe {
             self.start_probe(id);
@@ -76,6 +76,8 @@
         }
     }
 
+    /// Applies how clients are admitted. The proxy begins to serve as soon as clients are no longer queued at the
+    /// listener.
     fn set_admission(&mut self, admission: ClientAdmission) {
         if let Some(progress) = &mut self.warm_start {
             progress.admission = admission;
@@ -86,7 +88,7 @@
         self.update_admission_rate();
     }
 
-    /// Notifies the placement engine of a change of an endpoint.
+    /// Notifies the placement engine of an endpoint's new state, start time and utilization per connection.
     fn update_endpoint(
         &mut self,
         id: EndpointId,
--- a/crates/proxy/src/routing/warm_start/mod.rs
+++ b/crates/proxy/src/routing/warm_start/mod.rs
@@ -1,12 +1,12 @@
-//! Warm start on the event loop.
+//! Runs a warm start on the event loop.
 //!
 //! [`asterramp_warm_start`] decides which endpoints are used after a power loss and how clients are admitted meanwhile;
-//! this module feeds it and carries out what it decides:
+//! this module passes it its inputs and carries out its effects:
 //!
 //! - `begin.rs`: the endpoints known from the last snapshot and from the configuration;
-//! - `discovery.rs`: what discovery and probes say while the warm start lasts;
-//! - `effects.rs`: carrying out its effects;
-//! - `admission.rs`: the rate at which it admits clients;
+//! - `discovery.rs`: endpoint lists from discovery and results of probes;
+//! - `effects.rs`: the effects;
+//! - `admission.rs`: the rate at which sessions are admitted;
 //! - `snapshots.rs`: the snapshots for the next start.
 
 mod admission;
@@ -24,28 +24,30 @@
 use asterramp_warm_start::{ClientAdmission, WarmStart, WarmStartSettings};
 use std::time::Duration;
 
-/// What a warm start begins from, beside the configured endpoint list.
+/// What a warm start begins from, in addition to the configured endpoint list.
 #[derive(Clone, Debug)]
 pub struct WarmStartPlan {
-    /// Timeouts and limits; whether there are peers follows from `peers`.
+    /// Timeouts and limits. `has_peers` is replaced by whether `peers` has addresses, and `max_probes` is limited by
+    /// the proxy's resource budget.
     pub settings: WarmStartSettings,
-    /// Which proxies are asked for endpoints.
+    /// Which proxies are queried for endpoints.
     pub peers: PeerSettings,
     /// The last snapshot, if one could be read.
     pub snapshot: Option<Snapshot>,
 }
 
-/// A warm start that is under way, or over.
+/// A warm start, in progress or complete.
 #[derive(Debug)]
 pub struct WarmStartProgress {
     pub(super) machine: WarmStart,
-    /// Revision of the newest endpoint list known when the proxy started; of an older list from discovery, only what
-    /// takes endpoints out of use counts at once.
+    /// Revision of the newest endpoint list known when the proxy started. A list from discovery with a smaller revision
+    /// is outdated: it may only take endpoints out of use without a probe.
     newest_revision: u64,
-    /// When discovery last answered before the proxy started, Unix time.
-    discovery_heard: Option<Duration>,
-    /// Share of an endpoint that one connection took before the proxy started, by server.
+    /// When discovery last responded before the proxy started, Unix time; `None` if that is unknown.
+    last_discovery_update: Option<Duration>,
+    /// Utilization of a server per connection as known from before the start, by server index; `None` if it is unknown.
     loads_per_connection: Vec<Option<f64>>,
+    /// How clients are admitted at present.
     admission: ClientAdmission,
 }
 
@@ -54,13 +56,14 @@
         WarmStartProgress {
             machine: WarmStart::new(now, settings),
             newest_revision: 0,
-            discovery_heard: None,
+            last_discovery_update: None,
             loads_per_connection: Vec::new(),
             admission: ClientAdmission::Queued,
         }
     }
 
-    /// Notes what a connection took of a server before, if that is known.
+    /// Records the utilization per connection of a server as known from before the start; `None` keeps the recorded
+    /// one.
     pub(super) fn restore_load_per_connection(&mut self, server: ServerId, load: Option<f64>) {
         let index = server as usize;
         if self.loads_per_connection.len() <= index {
@@ -71,6 +74,7 @@
         }
     }
 
+    /// Utilization per connection of a server as known from before the start.
     fn load_per_connection(&self, server: ServerId) -> Option<f64> {
         let index = server as usize;
         self.loads_per_connection.get(index).copied().flatten()
@@ -83,7 +87,7 @@
         self.warm_start.as_ref().map(|progress| &progress.machine)
     }
 
-    /// Whether the proxy says that it serves, when it is asked.
+    /// Whether the warm start, if there is one, admits sessions, so that the proxy reports that it is ready.
     pub(super) fn warm_start_admits_sessions(&self) -> bool {
         match &self.warm_start {
             None => true,
@@ -94,7 +98,7 @@
         }
     }
 
-    /// A deadline of the warm start has passed.
+    /// Handles a deadline of the warm start.
     pub(super) fn warm_start_deadline(&mut self) {
         let now = self.now;
         if let Some(progress) = &mut self.warm_start {
@@ -104,12 +108,12 @@
     }
 }
 
-/// A time in milliseconds, as snapshots hold it, on the proxy's clock; both are Unix time.
+/// Converts Unix time in milliseconds, as in snapshots, to the proxy's clock, which is Unix time, too.
 fn unix_time(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// A time on the proxy's clock in milliseconds.
+/// Converts a time of the proxy's clock to Unix time in milliseconds.
 fn unix_ms(at: Duration) -> u64 {
     at.as_millis() as u64
 }
