--- a/crates/proxy/src/injected_fault.rs
+++ b/crates/proxy/src/injected_fault.rs
@@ -1,42 +1,43 @@
-//! Faults that the model checker injects one at a time, to show that it finds them. Without the feature
-//! `injected-faults`, which no build that serves traffic has, there are none.
+//! Faults that the model checker injects, one at a time, to show that it detects them. Injection exists only with the
+//! feature `injected-faults`, which no build that serves traffic has.
 
-/// A mistake of a kind that happens in practice.
+/// A realistic programming fault. Traces contain the variants' names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// An `UP` that comes after its dial timed out is accepted.
+    /// An `UP` that arrives after its dial has timed out is accepted.
     LateUpAccepted,
-    /// The next dial begins before the last one's connection is closed.
+    /// The next dial begins before the connection of the previous one is closed.
     DialBeforePreviousClosed,
-    /// A client that speaks too early is answered, and again by the outcome of its dial.
+    /// A client that was answered, for example because it sent data too early, is answered again with its dial's
+    /// outcome.
     ClientAnsweredTwice,
-    /// Changes of endpoints that come during a dial are lost.
+    /// Endpoint changes that arrive during a dial are lost.
     ChangeDuringDialLost,
-    /// A slot that was used again is found by its former key.
+    /// The key of a removed item finds the item that uses its slot now.
     StaleSlotKeyAccepted,
-    /// A dial that timed out is reported as one that never ran.
+    /// A dial that timed out is reported as one whose request never ran.
     TimeoutReportedAsNeverRun,
-    /// A reset behind the last byte is reported as a connection that was never established.
+    /// A reset after the last byte is reported as a connection that was never established.
     ResetReportedAsNeverConnected,
-    /// A request that was written has no deadline.
+    /// The response to a request that was written has no deadline.
     NoResponseDeadline,
     /// The connection of a cancelled dial stays open.
     CancelledDialLeftOpen,
-    /// A dial for which there was no socket is not reported.
+    /// A dial that failed because no socket could be opened is not reported.
     NoSocketNotReported,
-    /// Clients that still wait when the proxy shuts down are not answered.
+    /// Clients that wait for an answer when the proxy shuts down get none.
     WaitingClientsNotAnswered,
     /// A session is opened for a client that has left.
     SessionOpenedWithoutClient,
     /// A dial may take longer than the client waits.
     DialOutlastsClientWait,
-    /// A session that the placement engine forgets is kept.
+    /// A session that the placement engine has forgotten is kept.
     ForgottenSessionKept,
     /// A client is answered while its dial is still open.
     ClientAnsweredDuringDial,
-    /// A client that is found to have left right before a dial or its request is dialled for all the same.
+    /// A client that is found to have left right before its dial or request is dialled for nevertheless.
     DialForGoneClient,
-    /// The request of a client that left as its dial was established is sent.
+    /// The request of a client that left while its dial was established is sent.
     RequestSentForGoneClient,
 }
 
@@ -83,7 +84,7 @@
         "GoneAsked",
     ];
 
-    /// The fault with this name, or with this name in a trace recorded before the faults were renamed.
+    /// The fault with this name, which may be a present one or one of the former names in recorded traces.
     pub fn from_name(name: &str) -> Option<InjectedFault> {
         let former = InjectedFault::FORMER_NAMES.iter();
         let mut names = InjectedFault::ALL.into_iter().zip(former);
@@ -97,16 +98,16 @@
     use super::InjectedFault;
     use std::sync::atomic::{AtomicU8, Ordering};
 
-    /// One more than the fault's index in [`InjectedFault::ALL`]; 0 for none. The checker's threads share it.
+    /// One more than the fault's index in [`InjectedFault::ALL`]; 0 for none. All threads of the checker share it.
     static SELECTED: AtomicU8 = AtomicU8::new(0);
 
-    /// Injects one fault from now on, or none, in the whole process.
+    /// Selects the fault that is injected from now on in the whole process, or none.
     pub fn inject(fault: Option<InjectedFault>) {
         let index = fault.and_then(|fault| InjectedFault::ALL.iter().position(|f| *f == fault));
         SELECTED.store(index.map_or(0, |index| index as u8 + 1), Ordering::SeqCst);
     }
 
-    /// Whether this fault is injected now.
+    /// Whether this fault is selected now.
     pub fn is_injected(fault: InjectedFault) -> bool {
         let selected = SELECTED.load(Ordering::Relaxed);
         selected > 0 && InjectedFault::ALL[usize::from(selected) - 1] == fault
@@ -116,7 +117,7 @@
 #[cfg(feature = "injected-faults")]
 pub use selection::{inject, is_injected};
 
-/// Whether this fault is injected now: never, in a build without the feature `injected-faults`.
+/// Whether this fault is selected now: always `false` without the feature `injected-faults`.
 #[cfg(not(feature = "injected-faults"))]
 #[inline(always)]
 pub fn is_injected(_: InjectedFault) -> bool {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,5 +1,6 @@
-//! The proxy on sockets. Layers, each resting on those before it: [`transport`], [`protocol`], [`routing`],
-//! [`program`]; beside them [`injected_fault`], empty in every build that serves. `docs/architecture.md` follows a request through them.
+//! The proxy on sockets, in layers that each use those before it: [`transport`], [`protocol`], [`routing`] and
+//! [`program`]. [`injected_fault`] has no effect in builds that serve traffic. `docs/architecture.md` follows a request
+//! through the layers.
 
 pub mod injected_fault;
 pub mod program;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `asterramp`: serves, or talks to proxies that do.
+//! The program `asterramp`: runs the proxy, or a command that inspects or controls running proxies.
 
 use asterramp_proxy::program::commands::run;
 use std::process::ExitCode;
--- a/crates/proxy/src/program/commands/drain.rs
+++ b/crates/proxy/src/program/commands/drain.rs
@@ -1,15 +1,15 @@
-//! `asterramp drain` and `asterramp undrain`.
+//! The commands `asterramp drain` and `asterramp undrain`.
 
 use super::duration;
 use super::error::CommandError;
-use crate::program::drain_progress::{status_line, wait_until_empty};
+use crate::program::drain_progress::{format_status, wait_until_empty};
 use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest};
 use clap::Args;
 use std::path::Path;
 use std::time::Duration;
 
-/// How long `--wait` waits where no deadline is given: the longest drain that a proxy accepts.
-const MAX_DRAIN: Duration = Duration::from_secs(24 * 60 * 60);
+/// How long `--wait` waits without `--deadline`: the longest drain that a proxy accepts.
+const MAX_DRAIN_TIME: Duration = Duration::from_secs(24 * 60 * 60);
 
 #[derive(Args)]
 pub(super) struct DrainOptions {
@@ -24,18 +24,18 @@
     wait: bool,
 }
 
-/// Starts a drain, and with `--wait` shows its progress.
+/// Starts a drain; with `--wait` prints its progress until the proxy is empty.
 pub(super) fn drain(socket: &Path, options: &DrainOptions) -> Result<(), CommandError> {
     let request = AdminRequest {
-        deadline_ms: options.deadline.map(|span| span.as_millis() as u64),
+        deadline_ms: options.deadline.map(|deadline| deadline.as_millis() as u64),
         migrations_per_second: options.pace,
         ..AdminRequest::new(AdminCommand::Drain)
     };
     let mut client = AdminClient::connect(socket)?;
     let status = client.send(&request)?;
-    println!("{}", status_line(&status));
+    println!("{}", format_status(&status));
     if options.wait {
-        let deadline = options.deadline.unwrap_or(MAX_DRAIN);
+        let deadline = options.deadline.unwrap_or(MAX_DRAIN_TIME);
         wait_until_empty(&mut client, deadline)?;
     }
     Ok(())
@@ -45,6 +45,6 @@
 pub(super) fn undrain(socket: &Path) -> Result<(), CommandError> {
     let mut client = AdminClient::connect(socket)?;
     let status = client.send(&AdminRequest::new(AdminCommand::Undrain))?;
-    println!("{}", status_line(&status));
+    println!("{}", format_status(&status));
     Ok(())
 }
--- a/crates/proxy/src/program/commands/error.rs
+++ b/crates/proxy/src/program/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails. The texts go to standard error after the program's name.
+//! Why a command fails. The texts are printed on standard error behind the program's name.
 
 use crate::program::drain_progress::DrainProgressError;
 use crate::program::leader_lease::StoreRequestError;
@@ -10,10 +10,10 @@
 /// Why a command fails.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CommandError {
-    /// A proxy did not do as asked.
+    /// A request to a proxy's admin socket failed or was rejected.
     #[error(transparent)]
     Client(#[from] AdminClientError),
-    /// The program could not serve.
+    /// The proxy could not start, or stopped with an error.
     #[error(transparent)]
     Serve(#[from] ServeError),
     /// A drained proxy did not become empty.
@@ -25,25 +25,25 @@
     /// The store could not be reached.
     #[error(transparent)]
     Store(#[from] StoreRequestError),
-    /// Everything that is wrong with the files that were checked.
+    /// The errors in the checked files, one line each.
     #[error("{}", .0.join("\n"))]
     InvalidFiles(Vec<String>),
-    /// A roll under a leader has no name.
+    /// `--store` is given without `--name`.
     #[error("roll: --store wants a --name for the roll")]
     RollWithoutName,
-    /// A status could not become JSON.
+    /// A status could not be encoded as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// What is on disk could not be shown, checked or removed.
+    /// The snapshots on disk could not be shown, checked or removed.
     #[error(transparent)]
     State(#[from] StateCommandError),
 }
 
 impl CommandError {
-    /// The lines for standard error: one for each file's mistake, or one.
+    /// The lines for standard error: one for each error in the checked files, otherwise a single one.
     pub(super) fn lines(&self) -> Vec<String> {
         match self {
-            CommandError::InvalidFiles(mistakes) => mistakes.clone(),
+            CommandError::InvalidFiles(problems) => problems.clone(),
             error => vec![error.to_string()],
         }
     }
--- a/crates/proxy/src/program/commands/mod.rs
+++ b/crates/proxy/src/program/commands/mod.rs
@@ -18,7 +18,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Longest name of a roll in bytes; it becomes part of a node's path at the store.
+/// Longest name of a roll, in bytes. The name is part of a node's path at the store.
 const MAX_ROLL_NAME_BYTES: usize = 64;
 
 /// A proxy for long-lived connections. Without a command it serves by the configuration that LB_CONFIG names.
@@ -89,7 +89,7 @@
     path: PathBuf,
 }
 
-/// Does what the command line says; errors go to standard error.
+/// Runs the command of the process's command line; errors are printed on standard error.
 pub fn run() -> ExitCode {
     let serve = Command::Serve {
         files: serve::StartFiles::default(),
@@ -137,28 +137,28 @@
     );
 }
 
-/// Reads a duration of the command line. clap shows the error beside the option.
+/// Parses a duration option. clap prints the error together with the option's name.
 fn duration(text: &str) -> Result<Duration, InvalidDuration> {
     parse_duration(text).ok_or_else(|| InvalidDuration(text.to_string()))
 }
 
-/// A duration of the command line that cannot be read.
+/// A duration option that cannot be parsed.
 #[derive(Debug, thiserror::Error)]
 #[error("{0:?} is no time; allowed are a number and ms, s, m or h")]
 struct InvalidDuration(String);
 
-/// Reads the name of a roll.
-fn roll_name(text: &str) -> Result<String, InvalidName> {
+/// Parses the name of a roll.
+fn roll_name(text: &str) -> Result<String, InvalidRollName> {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-';
     let is_valid = (1..=MAX_ROLL_NAME_BYTES).contains(&text.len()) && text.bytes().all(is_allowed);
     if is_valid {
         Ok(text.to_string())
     } else {
-        Err(InvalidName(text.to_string()))
+        Err(InvalidRollName(text.to_string()))
     }
 }
 
-/// A roll's name that is empty, too long or has other characters in it.
+/// A roll's name that is empty, longer than [`MAX_ROLL_NAME_BYTES`] or contains other characters.
 #[derive(Debug, thiserror::Error)]
 #[error("{0:?} is no name; allowed are letters, digits and -")]
-struct InvalidName(String);
+struct InvalidRollName(String);
--- a/crates/proxy/src/program/commands/roll.rs
+++ b/crates/proxy/src/program/commands/roll.rs
@@ -1,4 +1,4 @@
-//! `asterramp roll`: its options, and whether it goes under a leader.
+//! The command `asterramp roll`: with `--store` it runs a guarded roll, otherwise an unguarded one.
 
 use super::error::CommandError;
 use super::{duration, roll_name};
@@ -11,18 +11,23 @@
 #[derive(Args)]
 pub(super) struct RollArgs {
     /// The admin socket of each proxy, in order.
-    #[arg(long, required = true, num_args = 1)]
-    control: Vec<PathBuf>,
+    #[arg(
+        long = "control",
+        value_name = "CONTROL",
+        required = true,
+        num_args = 1
+    )]
+    admin_sockets: Vec<PathBuf>,
     /// By when a proxy is to be empty, from the start of its drain.
     #[arg(long, value_parser = duration, default_value = "60s")]
     deadline: Duration,
     /// Run by the shell once a proxy is empty, with its socket in ASTERRAMP_CONTROL; without it somebody else
     /// restarts it.
-    #[arg(long)]
-    restart: Option<String>,
+    #[arg(long = "restart", value_name = "RESTART")]
+    restart_command: Option<String>,
     /// How long a restart may take, and how long until it carries its share.
-    #[arg(long, value_parser = duration, default_value = "120s")]
-    patience: Duration,
+    #[arg(long = "patience", value_name = "PATIENCE", value_parser = duration, default_value = "120s")]
+    step_timeout: Duration,
     /// A member of the store that elects one leader at a time; without any, nothing keeps a second roll away.
     #[arg(long, num_args = 1)]
     store: Vec<SocketAddr>,
@@ -30,25 +35,25 @@
     #[arg(long, requires = "store", value_parser = roll_name)]
     name: Option<String>,
     /// Time without a sign of the leader after which the store elects another.
-    #[arg(long, value_parser = duration, default_value = "6s")]
-    session: Duration,
+    #[arg(long = "session", value_name = "SESSION", value_parser = duration, default_value = "6s")]
+    session_timeout: Duration,
     /// What a restarted proxy holds to carry its share, as a part of what the others hold on average.
-    #[arg(long, default_value_t = 0.3)]
-    share: f64,
+    #[arg(long = "share", value_name = "SHARE", default_value_t = 0.3)]
+    min_session_share: f64,
 }
 
-/// Restarts proxies one after the other.
+/// Runs the roll, guarded if a store is named.
 pub(super) fn roll(args: RollArgs) -> Result<(), CommandError> {
     let options = RollOptions {
-        admin_sockets: args.control,
+        admin_sockets: args.admin_sockets,
         drain_deadline: args.deadline,
-        restart_command: args.restart,
-        step_timeout: args.patience,
-        min_session_share: args.share,
+        restart_command: args.restart_command,
+        step_timeout: args.step_timeout,
+        min_session_share: args.min_session_share,
     };
     match args.name {
         _ if args.store.is_empty() => roll::roll_without_lease(&options)?,
-        Some(name) => roll::roll_with_lease(&options, &name, args.store, args.session)?,
+        Some(name) => roll::roll_with_lease(&options, &name, args.store, args.session_timeout)?,
         None => return Err(CommandError::RollWithoutName),
     }
     Ok(())
--- a/crates/proxy/src/program/commands/serve.rs
+++ b/crates/proxy/src/program/commands/serve.rs
@@ -1,12 +1,13 @@
-//! `asterramp serve`, and the files that it reads.
+//! The command `asterramp serve`, and the files that it reads.
 
 use super::error::CommandError;
 use crate::program::run::run;
 use clap::Args;
 use std::path::PathBuf;
 
-/// Variables that name the files where the command line does not.
+/// Environment variable that names the platform's configuration if the command line does not.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
+/// Environment variable that names the operator's file if the command line does not.
 const OPERATOR_VARIABLE: &str = "ASTERRAMP_OPERATOR";
 
 #[derive(Args, Default)]
@@ -20,17 +21,18 @@
 }
 
 impl StartFiles {
-    /// Path of the platform's configuration.
+    /// Path of the platform's configuration; `None` if neither the command line nor the variable names it.
     pub(super) fn config_path(&self) -> Option<String> {
         path_or_variable(self.config.as_ref(), CONFIG_VARIABLE)
     }
 
-    /// Path of the operator's file.
+    /// Path of the operator's file; `None` if neither the command line nor the variable names it.
     pub(super) fn operator_path(&self) -> Option<String> {
         path_or_variable(self.operator.as_ref(), OPERATOR_VARIABLE)
     }
 }
 
+/// Serves until the proxy is shut down.
 pub(super) fn serve(files: &StartFiles) -> Result<(), CommandError> {
     let config = files.config_path();
     let operator = files.operator_path();
@@ -38,9 +40,9 @@
     Ok(())
 }
 
-/// A path as given, or as the environment has it.
-fn path_or_variable(given: Option<&PathBuf>, variable: &str) -> Option<String> {
-    match given {
+/// The path of an option, or the value of an environment variable if the option is absent.
+fn path_or_variable(option: Option<&PathBuf>, variable: &str) -> Option<String> {
+    match option {
         Some(path) => Some(path.to_string_lossy().into_owned()),
         None => std::env::var(variable).ok(),
     }
--- a/crates/proxy/src/program/commands/status.rs
+++ b/crates/proxy/src/program/commands/status.rs
@@ -1,15 +1,15 @@
-//! `asterramp status`.
+//! The command `asterramp status`.
 
 use super::error::CommandError;
-use crate::program::drain_progress::status_line;
+use crate::program::drain_progress::format_status;
 use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest};
 use std::path::Path;
 use std::time::Duration;
 
-/// Time between two statuses of `--watch`.
+/// Interval at which `--watch` prints the status.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Prints a proxy's status, once or every second.
+/// Prints a proxy's status once or, with `watch`, every second.
 pub(super) fn status(socket: &Path, json: bool, watch: bool) -> Result<(), CommandError> {
     let mut client = AdminClient::connect(socket)?;
     loop {
@@ -17,7 +17,7 @@
         if json {
             println!("{}", serde_json::to_string(&status)?);
         } else {
-            println!("{}", status_line(&status));
+            println!("{}", format_status(&status));
         }
         if !watch {
             return Ok(());
--- a/crates/proxy/src/program/config.rs
+++ b/crates/proxy/src/program/config.rs
@@ -10,19 +10,20 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// File descriptors that the proxy may use where the file gives no limit.
+/// Most file descriptors that the proxy uses if the file gives no `limits.sockets`.
 const DEFAULT_MAX_SOCKETS: usize = 1024;
-/// Fewest that it can serve with: its own sockets, and some sessions of two each.
+/// Smallest `limits.sockets` that is accepted, in file descriptors: the proxy needs some for its own sockets and two
+/// for each session.
 const MIN_SOCKETS: usize = 64;
-/// Memory in MiB that the proxy may use for buffers where the file gives no limit.
-const DEFAULT_MAX_MEMORY_MB: usize = 256;
-const BYTES_PER_MB: usize = 1024 * 1024;
-/// A limit beyond any machine, so that none overflows when it is reckoned with.
+/// Most memory for buffers, in MiB, if the file gives no `limits.memory_mb`.
+const DEFAULT_MAX_MEMORY_MIB: usize = 256;
+const BYTES_PER_MIB: usize = 1024 * 1024;
+/// Greatest value of a limit: more than any machine has, and small enough that arithmetic on limits does not overflow.
 const MAX_LIMIT: f64 = 1e9;
 
-/// Keys that a reload does not report as kept: `discovery`, which takes effect at once, and `known`, which only a start
-/// reads.
-const NOT_KEPT: &[&str] = &["discovery", "known"];
+/// Keys whose changes a reload does not report as waiting for a restart: `discovery` takes effect at once, and `known`
+/// is only read at a start.
+const UNREPORTED_KEYS: &[&str] = &["discovery", "known"];
 
 /// Why a configuration is rejected.
 #[derive(Debug, thiserror::Error)]
@@ -53,16 +54,16 @@
         /// The key.
         key: &'static str,
     },
-    /// The address for operators' HTTP calls is none.
+    /// The address for operators' HTTP requests is invalid.
     #[error("{source_name} is no address; allowed is one as in 10.0.0.4:9000")]
-    InvalidOperatorAddress {
-        /// The key or environment variable that it stands in.
+    InvalidAdminHttpAddress {
+        /// The key or environment variable that contains it.
         source_name: &'static str,
     },
-    /// The seed cannot be read.
+    /// The seed is not a hexadecimal 64-bit number.
     #[error("seed is no number of up to 16 hexadecimal digits")]
     InvalidSeed,
-    /// A setting is missing or wrong.
+    /// A setting is missing or invalid.
     #[error(transparent)]
     InvalidSetting(#[from] SettingsError),
     /// A limit is not a number from 1 to 1e9.
@@ -71,15 +72,15 @@
         /// The key under `limits`.
         key: &'static str,
     },
-    /// The limit on sockets leaves none for sessions.
+    /// The limit on sockets leaves too few for sessions.
     #[error("limits.sockets is under {MIN_SOCKETS}, too few to serve")]
     TooFewSockets,
-    /// The list of known endpoints is wrong.
+    /// The list of known endpoints is invalid.
     #[error("known: {0}")]
     InvalidKnownEndpoints(#[source] EndpointListError),
 }
 
-/// The configuration's file, and what it said at the start.
+/// The configuration file, with its contents at the start of the process.
 #[derive(Debug)]
 pub struct ConfigFile {
     path: String,
@@ -87,40 +88,42 @@
 }
 
 impl ConfigFile {
-    /// Reads and checks the file at `path`, which is what `LB_CONFIG` or the command line names.
+    /// Reads and checks the file at `path`, which `LB_CONFIG` or the command line names.
     ///
     /// # Errors
     ///
-    /// The first mistake; see [`ConfigError`].
+    /// The first error in the file; see [`ConfigError`].
     pub fn open(path: Option<&str>) -> Result<(ConfigFile, RouterOptions), ConfigError> {
         let path = path.ok_or(ConfigError::NotNamed)?.to_string();
         let initial = read_file(&path)?;
-        let start = parse(&initial)?;
-        Ok((ConfigFile { path, initial }, start))
+        let options = parse(&initial)?;
+        Ok((ConfigFile { path, initial }, options))
     }
 
-    /// Reads the file again. Returns what it says now, and the keys that differ from the start and cannot change while the
-    /// proxy runs.
+    /// Reads the file again. Returns its present options, and the keys whose values differ from those at the start and
+    /// take effect only after a restart.
     ///
     /// # Errors
     ///
-    /// The first mistake. A bad file changes nothing.
+    /// The first error in the file. An invalid file changes nothing.
     pub fn reload(&self) -> Result<(RouterOptions, Vec<String>), ConfigError> {
         let current = read_file(&self.path)?;
-        let start = parse(&current)?;
-        let keys: BTreeSet<&str> = keys(&self.initial).chain(keys(&current)).collect();
+        let options = parse(&current)?;
+        let keys: BTreeSet<&str> = object_keys(&self.initial)
+            .chain(object_keys(&current))
+            .collect();
         let differs = |key: &&str| self.initial.get(key) != current.get(key);
-        let kept = keys
+        let unapplied_keys = keys
             .into_iter()
-            .filter(|key| !NOT_KEPT.contains(key))
+            .filter(|key| !UNREPORTED_KEYS.contains(key))
             .filter(differs)
             .map(String::from)
             .collect();
-        Ok((start, kept))
+        Ok((options, unapplied_keys))
     }
 }
 
-fn keys(value: &JsonValue) -> impl Iterator<Item = &str> {
+fn object_keys(value: &JsonValue) -> impl Iterator<Item = &str> {
     let pairs = match value {
         JsonValue::Object(pairs) => pairs.as_slice(),
         _ => &[],
@@ -136,21 +139,23 @@
     json::parse(&bytes).map_err(ConfigError::Malformed)
 }
 
-/// Checks the keys in turn; the first mistake is the one that is reported.
+/// Checks the keys in a fixed order; the first error is reported.
 fn parse(config: &JsonValue) -> Result<RouterOptions, ConfigError> {
     let seed = parse_seed(required(config, "seed")?);
     let settings = parse_settings(required(config, "settings")?)?;
     let initial_endpoints = parse_known_endpoints(required(config, "known")?)?;
-    let listen_address = address(config, "listen")?;
-    let max_descriptors = limit(config, "sockets", DEFAULT_MAX_SOCKETS)?;
+    let listen_address = parse_address(config, "listen")?;
+    let max_descriptors = parse_limit(config, "sockets", DEFAULT_MAX_SOCKETS)?;
     if max_descriptors < MIN_SOCKETS {
         return Err(ConfigError::TooFewSockets);
     }
     let seed = seed.ok_or(ConfigError::InvalidSeed)?;
-    let discovery_address = address(config, "discovery")?;
-    let admin_http_address = operator_address(config)?;
-    let hot_restart_socket = admin_http_address.and_then(|_| hot_restart_socket(listen_address));
-    let max_memory_bytes = limit(config, "memory_mb", DEFAULT_MAX_MEMORY_MB)? * BYTES_PER_MB;
+    let discovery_address = parse_address(config, "discovery")?;
+    let admin_http_address = admin_http_address(config)?;
+    let hot_restart_socket =
+        admin_http_address.and_then(|_| hot_restart_socket_path(listen_address));
+    let max_memory_bytes =
+        parse_limit(config, "memory_mb", DEFAULT_MAX_MEMORY_MIB)? * BYTES_PER_MIB;
     Ok(RouterOptions {
         settings,
         seed,
@@ -169,14 +174,16 @@
     config.get(key).ok_or(ConfigError::MissingKey { key })
 }
 
-fn address(config: &JsonValue, key: &'static str) -> Result<SocketAddr, ConfigError> {
+/// An IP address with a port under `key`.
+fn parse_address(config: &JsonValue, key: &'static str) -> Result<SocketAddr, ConfigError> {
     let text = required(config, key)?.as_str();
     text.and_then(|text| text.parse().ok())
         .ok_or(ConfigError::InvalidAddress { key })
 }
 
-/// Where operators' HTTP calls are served. Older configurations have no such key; the variable says the same.
-fn operator_address(config: &JsonValue) -> Result<Option<SocketAddr>, ConfigError> {
+/// Where operators' HTTP requests are served: the key `operator` or, if that is absent or null, the variable
+/// `LB_OPERATOR`, because older configurations do not have the key. `None` if neither is set.
+fn admin_http_address(config: &JsonValue) -> Result<Option<SocketAddr>, ConfigError> {
     let (source_name, text) = match config.get("operator") {
         Some(value) if *value != JsonValue::Null => {
             ("operator", value.as_str().unwrap_or_default().to_string())
@@ -188,7 +195,7 @@
     };
     match text.parse() {
         Ok(address) => Ok(Some(address)),
-        Err(_) => Err(ConfigError::InvalidOperatorAddress { source_name }),
+        Err(_) => Err(ConfigError::InvalidAdminHttpAddress { source_name }),
     }
 }
 
@@ -207,14 +214,19 @@
 
 fn parse_known_endpoints(value: &JsonValue) -> Result<EndpointList, ConfigError> {
     let mut list = discovery::from_json(value).map_err(ConfigError::InvalidKnownEndpoints)?;
-    // Discovery's lists are used without their bad entries; one in a file is a mistake to be mended.
+    // Invalid entries of discovery's lists are ignored, but one in a file is a mistake that should be corrected.
     match list.first_error.take() {
         Some(error) => Err(ConfigError::InvalidKnownEndpoints(error)),
         None => Ok(list),
     }
 }
 
-fn limit(config: &JsonValue, key: &'static str, default: usize) -> Result<usize, ConfigError> {
+/// A number under `limits`, or `default` if it is absent or null.
+fn parse_limit(
+    config: &JsonValue,
+    key: &'static str,
+    default: usize,
+) -> Result<usize, ConfigError> {
     let value = config.get("limits").and_then(|limits| limits.get(key));
     match value {
         None | Some(JsonValue::Null) => Ok(default),
@@ -225,10 +237,14 @@
     }
 }
 
-/// Where processes of this proxy meet for a hot restart: in the folder that they share, and only where `TMPDIR` says which
-/// it is.
-fn hot_restart_socket(listen: SocketAddr) -> Option<PathBuf> {
+/// Path of the Unix socket over which a successor of this proxy takes over its connections. It is in the directory
+/// `TMPDIR`, which both processes share; `None` if the variable is not set.
+fn hot_restart_socket_path(listen_address: SocketAddr) -> Option<PathBuf> {
     let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
-    let name = format!("asterramp-{}-{}.sock", listen.ip(), listen.port());
+    let name = format!(
+        "asterramp-{}-{}.sock",
+        listen_address.ip(),
+        listen_address.port()
+    );
     Some(PathBuf::from(directory).join(name))
 }
--- a/crates/proxy/src/program/counters.rs
+++ b/crates/proxy/src/program/counters.rs
@@ -1,9 +1,9 @@
-//! How often each reason code came up since the start of the process.
+//! Counts of the router's events by reason code, since the start of the process.
 
 use crate::routing::events::{ReasonCode, RouterEvent};
 use std::fmt;
 
-/// One counter for each [`ReasonCode`]. `Display` is the line that SIGUSR1 and the end of the process log.
+/// One counter for each [`ReasonCode`]. `Display` is the line that is logged on SIGUSR1 and when the process ends.
 #[derive(Debug)]
 pub struct Counters([u64; ReasonCode::ALL.len()]);
 
@@ -14,7 +14,7 @@
 }
 
 impl Counters {
-    /// Counts an event, whether it is also logged or not.
+    /// Counts an event, whether or not it is also logged.
     pub fn count(&mut self, event: &RouterEvent) {
         let (RouterEvent::Count(code) | RouterEvent::Log(code, _)) = event;
         self.0[*code as usize] += 1;
--- a/crates/proxy/src/program/drain_progress.rs
+++ b/crates/proxy/src/program/drain_progress.rs
@@ -1,4 +1,4 @@
-//! A proxy's status as a line for people, and the wait until a proxy that drains is empty.
+//! A proxy's status as a human-readable line, and the wait until a draining proxy is empty.
 
 use asterramp_admin_protocol::{
     AdminClient, AdminClientError, AdminCommand, AdminRequest, AdmissionStatus, ProxyStatus,
@@ -6,21 +6,22 @@
 };
 use std::time::{Duration, Instant};
 
-/// How often progress is shown.
+/// How often the status is polled and printed.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
-/// How much longer than its deadline a drain may take: what comes up at the last moment is still migrated.
+/// How much longer than its deadline a drain may take, because sessions that open at the last moment are still
+/// migrated.
 const DEADLINE_TOLERANCE: Duration = Duration::from_secs(5);
 
 /// Why a drained proxy did not become empty.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DrainProgressError {
-    /// Its status could not be had.
+    /// A request for its status failed.
     #[error(transparent)]
     Status(#[from] AdminClientError),
-    /// It serves again.
+    /// The drain was cancelled: the proxy serves again.
     #[error("the drain was taken back")]
     Undrained,
-    /// The deadline is over.
+    /// The deadline and [`DEADLINE_TOLERANCE`] are over.
     #[error("{open} are still open")]
     DeadlineExceeded {
         /// Sessions that are still open.
@@ -28,7 +29,7 @@
     },
 }
 
-/// Shows progress until a proxy is empty, for its drain's deadline and [`DEADLINE_TOLERANCE`] at most.
+/// Polls and prints a draining proxy's status until it is empty, for at most `deadline` and [`DEADLINE_TOLERANCE`].
 pub(super) fn wait_until_empty(
     client: &mut AdminClient,
     deadline: Duration,
@@ -37,7 +38,7 @@
     loop {
         std::thread::sleep(PROGRESS_INTERVAL);
         let status = client.send(&AdminRequest::new(AdminCommand::Status))?;
-        println!("{}", status_line(&status));
+        println!("{}", format_status(&status));
         match status.state.as_str() {
             "empty" => return Ok(()),
             "serving" => return Err(DrainProgressError::Undrained),
@@ -51,56 +52,56 @@
     }
 }
 
-/// A status as a line for people.
-pub(super) fn status_line(status: &ProxyStatus) -> String {
-    let mut line = sessions_part(status);
-    line += &discovery_part(status);
+/// A status as a human-readable line.
+pub(super) fn format_status(status: &ProxyStatus) -> String {
+    let mut line = format_sessions(status);
+    line += &format_discovery(status);
     if let Some(start) = &status.warm_start {
-        line += &warm_start_part(start);
+        line += &format_warm_start(start);
     }
     for admission in &status.admission {
-        line += &admission_part(admission);
+        line += &format_admission(admission);
     }
     for zone in &status.zones {
         if zone.state != "whole" {
-            let since = seconds(zone.since_ms);
+            let since = to_seconds(zone.since_ms);
             line += &format!("; {} {} for {since:.1} s", zone.name, zone.state);
         }
     }
     line
 }
 
-fn seconds(ms: u64) -> f64 {
+fn to_seconds(ms: u64) -> f64 {
     ms as f64 / 1e3
 }
 
-fn sessions_part(status: &ProxyStatus) -> String {
-    let mut part = format!(
+fn format_sessions(status: &ProxyStatus) -> String {
+    let mut text = format!(
         "{}  {} open, {} pending, {} moved",
         status.state, status.open_sessions, status.pending_sessions, status.migrated_sessions
     );
-    if let Some(deadline) = status.deadline_in_ms {
-        part += &format!(", {:.1} s left", seconds(deadline));
+    if let Some(deadline_ms) = status.deadline_in_ms {
+        text += &format!(", {:.1} s left", to_seconds(deadline_ms));
     }
-    if let Some(expected) = status.expected_empty_in_ms {
+    if let Some(expected_ms) = status.expected_empty_in_ms {
         let pace = status.migrations_per_second;
-        part += &format!(", empty in {:.1} s at {pace:.0}/s", seconds(expected));
+        text += &format!(", empty in {:.1} s at {pace:.0}/s", to_seconds(expected_ms));
     }
     let remaining: Vec<String> = status
         .remaining_sessions
         .iter()
-        .map(|left| format!("{} {}", left.sessions, left.listener))
+        .map(|count| format!("{} {}", count.sessions, count.listener))
         .collect();
     if !remaining.is_empty() {
-        part += &format!(" ({})", remaining.join(", "));
+        text += &format!(" ({})", remaining.join(", "));
     }
-    part
+    text
 }
 
-fn discovery_part(status: &ProxyStatus) -> String {
+fn format_discovery(status: &ProxyStatus) -> String {
     let age = match status.discovery_age_ms {
         None => "never heard".to_string(),
-        Some(ms) => format!("heard {:.1} s ago", seconds(ms)),
+        Some(ms) => format!("heard {:.1} s ago", to_seconds(ms)),
     };
     let next_drain = if status.allows_next_drain {
         "another may be drained"
@@ -111,27 +112,27 @@
     format!("; {ready} of {listed} hosts ready, discovery {age}; {next_drain}")
 }
 
-/// Nothing once the warm start is over.
-fn warm_start_part(start: &WarmStartStatus) -> String {
+/// The stage of a warm start; empty once it is over.
+fn format_warm_start(start: &WarmStartStatus) -> String {
     if start.stage == "normal" {
         return String::new();
     }
-    let mut part = format!(
+    let mut text = format!(
         "; start {} for {:.1} s",
         start.stage,
-        seconds(start.since_ms)
+        to_seconds(start.since_ms)
     );
     for count in &start.sources {
-        part += &format!(
+        text += &format!(
             ", {} {} of {} answer",
             count.source, count.confirmed, count.reported
         );
     }
-    part
+    text
 }
 
-/// Nothing where no session was rejected.
-fn admission_part(admission: &AdmissionStatus) -> String {
+/// A listener's sessions that admission rejected, by reason; empty if there are none.
+fn format_admission(admission: &AdmissionStatus) -> String {
     let reasons: Vec<String> = admission
         .rejected
         .iter()
--- a/crates/proxy/src/program/leader_lease.rs
+++ b/crates/proxy/src/program/leader_lease.rs
@@ -1,8 +1,8 @@
-//! The lead over the fleet's work, held at the store: a thread keeps the session, so that the lease is renewed whatever the
-//! work waits for.
+//! The leader lease of a roll, held at a ZooKeeper store.
 //!
-//! [`LeaderLease`] is the work's handle; the thread is in [`session_thread`]. Everything that is decided about the lease is
-//! [`LeaseContender`]'s.
+//! [`LeaderLease`] is the handle that a roll uses. The thread in [`session_thread`] keeps the session with the store
+//! and renews the lease, also while the roll waits for something else. [`LeaseContender`] makes all decisions about the
+//! lease.
 
 mod session_thread;
 
@@ -19,35 +19,37 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Everything this program keeps at the store is below this node.
+/// Node below which this program keeps all its data at the store.
 const ROOT_PATH: &str = "/asterramp";
-/// The queue of contenders: an ephemeral node each.
+/// Node of the queue of contenders, in which each contender has an ephemeral node.
 const QUEUE_PATH: &str = "/asterramp/owner";
-/// Longest wait for an answer of the store's. It bounds how long the work hangs while the store does.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause between two attempts to reach the store.
+/// Longest wait for a response of the store, which bounds how long the caller blocks while the store is unreachable.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause between two requests of [`LeaderLease::wait_until_reachable`].
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for the thread to tell the store that the lead is given up. If that fails the session expires by itself.
-const RESIGN_TIME: Duration = Duration::from_millis(100);
-/// Clocks of this process and the store may drift apart by this part of a session's timeout.
+/// Time that [`LeaderLease::resign`] gives the thread to close the session. If that fails, the session expires at the
+/// store after its timeout.
+const RESIGN_WAIT: Duration = Duration::from_millis(100);
+/// The clock margin of a lease is the session timeout divided by this number. By at most that margin the clocks of this
+/// process and the store may drift apart in one session timeout.
 const CLOCK_MARGIN_DIVISOR: u32 = 6;
 
-/// Why the store did not do what it was asked.
+/// Why a request to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum StoreRequestError {
-    /// It answered that it does not.
-    #[error("the store refuses: {0:?}")]
-    Refused(StoreError),
-    /// There was no session, the connection broke before the answer, or the answer did not come in time: it may have been
-    /// done or not.
+    /// The store rejected it.
+    #[error("the store rejected the request: {0:?}")]
+    Rejected(StoreError),
+    /// There was no session, the connection failed before the response, or the response did not arrive in time. The
+    /// store may or may not have carried the request out.
     #[error("the store cannot be heard")]
     Unreachable,
 }
 
-/// Where a contender stands, and with which term.
+/// A contender's state and term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LeaseStatus {
-    /// Its state.
+    /// Whether it is queued, waits for its predecessor's orders to expire, or leads.
     pub(super) state: LeaseState,
     /// The term of its node in the queue.
     pub(super) term: Term,
@@ -56,66 +58,77 @@
 /// A node in the queue of contenders. They are ordered by term.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuedContender {
-    /// The lowest in the queue is the leader's, or that of whoever is about to lead.
+    /// The term of its node. The contender with the lowest one is the leader, or the next leader.
     pub(super) term: Term,
     /// The node's name.
     pub(super) node: String,
 }
 
-/// A request of the work's, and where its answer goes.
+/// A request of the caller, with the channel for its response.
 #[derive(Debug)]
 struct PendingRequest {
     request: StoreRequest,
-    answer_to: Sender<Result<StoreResponse, StoreRequestError>>,
+    response_sender: Sender<Result<StoreResponse, StoreRequestError>>,
 }
 
-/// What the handle and the thread share.
+/// The state that the handle and the thread share.
 #[derive(Debug)]
-struct Shared {
+struct SharedState {
     contender: LeaseContender,
-    /// Requests that the thread has not taken yet.
-    pending: Vec<PendingRequest>,
-    /// The session is to be closed.
+    /// Requests that the thread has not sent yet.
+    pending_requests: Vec<PendingRequest>,
+    /// Whether the thread is to close the session and to end.
     resigned: bool,
 }
 
-/// A session with the store, and the lease that is held by it. Clones share the session.
+/// A session with the store, and the leader lease that depends on it. Clones share the session.
 #[derive(Clone, Debug)]
 pub(super) struct LeaderLease {
-    shared: Arc<Mutex<Shared>>,
+    shared: Arc<Mutex<SharedState>>,
+    /// Origin of the times that [`LeaseContender`] is given.
     started_at: Instant,
 }
 
 impl LeaderLease {
-    /// Opens a session at one of the store's members and queues for the lead. Returns at once.
-    pub(super) fn contend(stores: Vec<SocketAddr>, session_timeout: Duration) -> LeaderLease {
-        LeaderLease::open(stores, session_timeout, true)
+    /// Opens a session with one of the store's members and joins the queue of contenders. Does not wait for either.
+    pub(super) fn contend(
+        store_addresses: Vec<SocketAddr>,
+        session_timeout: Duration,
+    ) -> LeaderLease {
+        LeaderLease::open(store_addresses, session_timeout, true)
     }
 
-    /// Opens a session that only reads and writes, and never leads. Returns at once.
-    pub(super) fn observe(stores: Vec<SocketAddr>, session_timeout: Duration) -> LeaderLease {
-        LeaderLease::open(stores, session_timeout, false)
+    /// Opens a session that does not contend for the lease, only for requests to the store. Does not wait for it.
+    pub(super) fn observe(
+        store_addresses: Vec<SocketAddr>,
+        session_timeout: Duration,
+    ) -> LeaderLease {
+        LeaderLease::open(store_addresses, session_timeout, false)
     }
 
-    fn open(stores: Vec<SocketAddr>, session_timeout: Duration, contends: bool) -> LeaderLease {
+    fn open(
+        store_addresses: Vec<SocketAddr>,
+        session_timeout: Duration,
+        contends: bool,
+    ) -> LeaderLease {
         let contender = LeaseContender::new(LeaseSettings {
             session_timeout,
             clock_margin: session_timeout / CLOCK_MARGIN_DIVISOR,
         });
-        let shared = Shared {
+        let shared = SharedState {
             contender,
-            pending: Vec::new(),
+            pending_requests: Vec::new(),
             resigned: false,
         };
         let lease = LeaderLease {
             shared: Arc::new(Mutex::new(shared)),
             started_at: Instant::now(),
         };
-        session_thread::spawn(lease.clone(), stores, session_timeout, contends);
+        session_thread::spawn(lease.clone(), store_addresses, session_timeout, contends);
         lease
     }
 
-    fn shared(&self) -> MutexGuard<'_, Shared> {
+    fn lock_shared(&self) -> MutexGuard<'_, SharedState> {
         self.shared
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
@@ -125,10 +138,10 @@
         self.started_at.elapsed()
     }
 
-    /// Where this contender stands now.
+    /// This contender's present state and term.
     pub(super) fn status(&self) -> LeaseStatus {
         let now = self.now();
-        let mut shared = self.shared();
+        let mut shared = self.lock_shared();
         shared.contender.tick(now);
         LeaseStatus {
             state: shared.contender.state(),
@@ -136,35 +149,38 @@
         }
     }
 
-    /// Whether it leads now. A process that was stopped for long finds here that it does not, before it has heard why.
+    /// Whether it holds a valid lease now. A process that was suspended learns here that its lease has expired, before
+    /// the store reports the end of its session.
     pub(super) fn is_leader(&self) -> bool {
         let now = self.now();
-        self.shared().contender.holds_valid_lease(now)
+        self.lock_shared().contender.holds_valid_lease(now)
     }
 
-    /// Every receiver has accepted this term.
-    pub(super) fn all_receivers_know_term(&self, term: Term) {
-        let mut shared = self.shared();
+    /// Records that every proxy has accepted `term`; ignored if that is not this contender's present term.
+    pub(super) fn all_receivers_accepted_term(&self, term: Term) {
+        let mut shared = self.lock_shared();
         if shared.contender.term() == term {
             shared.contender.all_receivers_accepted_term();
         }
     }
 
-    /// Asks the store and waits for its answer, [`ANSWER_TIMEOUT`] at most.
+    /// Sends a request to the store and waits for the response, at most [`RESPONSE_TIMEOUT`].
     pub(super) fn send_request(
         &self,
         request: StoreRequest,
     ) -> Result<StoreResponse, StoreRequestError> {
-        let (answer_to, answer) = channel();
-        self.shared()
-            .pending
-            .push(PendingRequest { request, answer_to });
-        answer
-            .recv_timeout(ANSWER_TIMEOUT)
+        let (response_sender, response_receiver) = channel();
+        self.lock_shared().pending_requests.push(PendingRequest {
+            request,
+            response_sender,
+        });
+        response_receiver
+            .recv_timeout(RESPONSE_TIMEOUT)
             .unwrap_or(Err(StoreRequestError::Unreachable))
     }
 
-    /// Orders a receiver something in this leader's name. `None` if it may not give the order now.
+    /// Sends a request to a proxy with this leader's fencing token. `None` if this contender may not give the order
+    /// now.
     pub(super) fn send_as_leader(
         &self,
         client: &mut AdminClient,
@@ -181,7 +197,7 @@
             _ => OrderPurpose::Command,
         };
         let token = self
-            .shared()
+            .lock_shared()
             .contender
             .order(self.now(), receiver, read_at, purpose);
         let Some(token) = token else { return Ok(None) };
@@ -208,8 +224,9 @@
         };
         let mut queue = Vec::new();
         for node in nodes {
-            // A node that has been removed meanwhile is left out.
-            if let Ok(StoreResponse::Stat(stat)) = self.send_request(exists(queue_node_path(&node)))
+            // A node that was removed meanwhile is left out.
+            if let Ok(StoreResponse::Stat(stat)) =
+                self.send_request(exists_request(queue_node_path(&node)))
             {
                 let term = stat.created_zxid as Term;
                 queue.push(QueuedContender { term, node });
@@ -219,10 +236,10 @@
         Ok(queue)
     }
 
-    /// Waits until the store answers, for about so long at most.
+    /// Waits until the store responds, for at most about `timeout`.
     pub(super) fn wait_until_reachable(&self, timeout: Duration) -> Result<(), StoreRequestError> {
         let give_up_at = Instant::now() + timeout;
-        while self.send_request(exists("/".into())).is_err() {
+        while self.send_request(exists_request("/".into())).is_err() {
             if Instant::now() > give_up_at {
                 return Err(StoreRequestError::Unreachable);
             }
@@ -231,14 +248,14 @@
         Ok(())
     }
 
-    /// Closes the session, which gives up the lead and the place in the queue at once.
+    /// Closes the session, which gives up the lease and the position in the queue at once.
     pub(super) fn resign(&self) {
-        self.shared().resigned = true;
-        std::thread::sleep(RESIGN_TIME);
+        self.lock_shared().resigned = true;
+        std::thread::sleep(RESIGN_WAIT);
     }
 }
 
-fn exists(path: String) -> StoreRequest {
+fn exists_request(path: String) -> StoreRequest {
     StoreRequest::Exists { path, watch: false }
 }
 
--- a/crates/proxy/src/program/leader_lease/session_thread.rs
+++ b/crates/proxy/src/program/leader_lease/session_thread.rs
@@ -1,10 +1,12 @@
-//! The thread that keeps a session with the store, contends for the lead by it and asks what the work wants to know.
+//! The thread that keeps a session with the store, contends for the leader lease and sends the handle's requests.
 
-use super::{LeaderLease, QUEUE_PATH, ROOT_PATH, StoreRequestError, exists, queue_node_path};
+use super::{
+    LeaderLease, QUEUE_PATH, ROOT_PATH, StoreRequestError, exists_request, queue_node_path,
+};
 use asterramp_leader_lease::Term;
 use asterramp_zookeeper::record::{StoreError, StoreRequest};
 use asterramp_zookeeper::session::{
-    StoreResponse, StoreSession, StoreSessionEffect, StoreSessionSettings as SessionSettings,
+    StoreResponse, StoreSession, StoreSessionEffect, StoreSessionSettings,
 };
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -12,97 +14,104 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-/// Longest wait of one read, and so the longest that a request of the work's waits to be sent.
+/// Longest wait of one read from the store, and so the longest delay before a caller's request is sent.
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
-/// Longest time for connecting to a member of the store, and for one write. A member on the same network takes far less.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often the queue is read in one session timeout: a lease is renewed by each answer, so some may be lost.
+/// Longest time for connecting to a member of the store, and for one write. A member in the same network needs far
+/// less.
+const CONNECT_OR_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often the queue is read in one session timeout. Each response renews the lease, so several may be lost before it
+/// expires.
 const QUEUE_READS_PER_TIMEOUT: u32 = 8;
-/// Bytes read at once; longer answers are put together by the session.
+/// Most bytes of one read; the session reassembles longer responses.
 const READ_BUFFER_BYTES: usize = 8192;
-/// Spreads process ids over 64 bits: the fraction of the golden ratio.
+/// Spreads process ids over 64 bits: the fractional part of the golden ratio, times 2^64.
 const PID_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Keeps the seed of process 0 from being 0.
 const SEED_MASK: u64 = 0x5ca1;
 
-/// Starts the thread. It ends once the lease is resigned.
+/// Starts the thread, which ends once the lease is resigned.
 pub(super) fn spawn(
     lease: LeaderLease,
-    stores: Vec<SocketAddr>,
+    store_addresses: Vec<SocketAddr>,
     session_timeout: Duration,
     contends: bool,
 ) {
     std::thread::spawn(move || {
-        SessionThread::new(lease, stores, session_timeout, contends).run();
+        SessionThread::new(lease, store_addresses, session_timeout, contends).run();
     });
 }
 
-/// What a request to the store was for.
+/// Why a request was sent to the store, and so how its response is handled.
 enum RequestPurpose {
-    /// A folder that the contender's node needs; it may exist already.
-    CreateFolder,
-    /// The contender's own node.
+    /// Create a parent of the contender's node, which may exist already.
+    CreateParent,
+    /// Create the contender's own node.
     CreateOwnNode,
-    /// The term of the own node, after it was created.
+    /// Read the term of the own node, after it was created.
     ReadOwnTerm { sent_at: Duration },
-    /// The names in the queue.
+    /// Read the names of the nodes in the queue.
     ListQueue { sent_at: Duration },
-    /// The term of one of these.
+    /// Read the term of a node in the queue.
     ReadQueuedTerm {
-        /// When the names were asked for.
+        /// When the request for the names in the queue was sent.
         list_sent_at: Duration,
     },
-    /// The work wants the answer.
-    Work(Sender<Result<StoreResponse, StoreRequestError>>),
+    /// A request of [`LeaderLease::send_request`], to which the response is passed.
+    Caller(Sender<Result<StoreResponse, StoreRequestError>>),
 }
 
 impl RequestPurpose {
-    /// There will be no answer.
+    /// Reports to a caller that there will be no response.
     fn fail(self) {
-        if let RequestPurpose::Work(answer_to) = self {
-            // The work may have stopped waiting.
-            let _ = answer_to.send(Err(StoreRequestError::Unreachable));
+        if let RequestPurpose::Caller(response_sender) = self {
+            // The caller may have stopped waiting.
+            let _ = response_sender.send(Err(StoreRequestError::Unreachable));
         }
     }
 }
 
-/// The queue as far as it has been read.
+/// A read of the queue that is under way: its names, and then the term of each node.
 #[derive(Default)]
-struct QueueReading {
-    /// Nodes whose term is still to be answered.
-    unanswered: usize,
+struct QueueScan {
+    /// How many nodes' terms have not been received yet.
+    pending_terms: usize,
+    /// The lowest term received so far.
     lowest_term: Option<Term>,
 }
 
 struct SessionThread {
     lease: LeaderLease,
+    /// Whether the thread contends for the lease; otherwise it only sends the handle's requests.
     contends: bool,
-    stores: Vec<SocketAddr>,
+    store_addresses: Vec<SocketAddr>,
     session: StoreSession,
+    /// The connection to a member of the store, if there is one.
     stream: Option<TcpStream>,
-    /// The path of this contender's node.
+    /// Path of this contender's node.
     own_path: String,
+    /// Requests without a response, by request number (xid).
     in_flight: BTreeMap<i32, RequestPurpose>,
-    queue: QueueReading,
-    /// The own node exists.
+    queue_scan: QueueScan,
+    /// Whether the own node exists and its term is known.
     has_own_node: bool,
+    /// When the last read of the queue was begun.
     queue_read_at: Duration,
     queue_read_interval: Duration,
-    /// What the session wants done.
+    /// Effects of the session that are not performed yet.
     effects: Vec<StoreSessionEffect>,
 }
 
 impl SessionThread {
     fn new(
         lease: LeaderLease,
-        stores: Vec<SocketAddr>,
+        store_addresses: Vec<SocketAddr>,
         session_timeout: Duration,
         contends: bool,
     ) -> SessionThread {
         let pid = std::process::id();
         let seed = u64::from(pid).wrapping_mul(PID_MULTIPLIER) ^ SEED_MASK;
-        let settings = SessionSettings {
-            address_count: stores.len(),
+        let settings = StoreSessionSettings {
+            address_count: store_addresses.len(),
             timeout: session_timeout,
             auth: None,
         };
@@ -112,12 +121,12 @@
         SessionThread {
             lease,
             contends,
-            stores,
+            store_addresses,
             session,
             stream: None,
             own_path: queue_node_path(&format!("c-{pid}-{:08x}", seed as u32)),
             in_flight: BTreeMap::new(),
-            queue: QueueReading::default(),
+            queue_scan: QueueScan::default(),
             has_own_node: false,
             queue_read_at: now,
             queue_read_interval: session_timeout / QUEUE_READS_PER_TIMEOUT,
@@ -129,7 +138,7 @@
         loop {
             self.perform_effects();
             let now = self.lease.now();
-            if self.lease.shared().resigned {
+            if self.lease.lock_shared().resigned {
                 self.session.close(now, &mut self.effects);
                 return self.perform_effects();
             }
@@ -152,18 +161,19 @@
         }
     }
 
-    /// Sends what the work has asked for.
+    /// Sends the callers' requests.
     fn send_pending(&mut self, now: Duration) {
-        let pending = std::mem::take(&mut self.lease.shared().pending);
-        for request in pending {
-            let purpose = RequestPurpose::Work(request.answer_to);
-            self.send(now, request.request, purpose);
+        let pending_requests = std::mem::take(&mut self.lease.lock_shared().pending_requests);
+        for pending in pending_requests {
+            let purpose = RequestPurpose::Caller(pending.response_sender);
+            self.send(now, pending.request, purpose);
         }
     }
 
+    /// Starts to read the queue, if the interval has passed and no earlier read is under way.
     fn read_queue_if_due(&mut self, now: Duration) {
         let is_due = now >= self.queue_read_at + self.queue_read_interval;
-        if !self.has_own_node || !is_due || self.queue.unanswered > 0 {
+        if !self.has_own_node || !is_due || self.queue_scan.pending_terms > 0 {
             return;
         }
         self.queue_read_at = now;
@@ -174,6 +184,7 @@
         self.send(now, request, RequestPurpose::ListQueue { sent_at: now });
     }
 
+    /// Reads from the store and passes the bytes to the session; waits at most [`READ_TIMEOUT`].
     fn read(&mut self) {
         let Some(stream) = &mut self.stream else {
             return std::thread::sleep(READ_TIMEOUT);
@@ -199,7 +210,7 @@
 
     fn perform(&mut self, effect: StoreSessionEffect) {
         match effect {
-            StoreSessionEffect::Connect(nth) => self.connect(nth),
+            StoreSessionEffect::Connect(index) => self.connect(index),
             StoreSessionEffect::Send(bytes) => self.write(&bytes),
             StoreSessionEffect::CloseConnection => self.stream = None,
             StoreSessionEffect::Established { new: true } => {
@@ -208,19 +219,16 @@
                 }
             }
             StoreSessionEffect::Established { new: false } => self.queue_read_at = Duration::ZERO,
-            // The lease goes on to its end by itself, and no further.
-            StoreSessionEffect::ConnectionLost => self.queue = QueueReading::default(),
+            // The lease is not renewed until the session is established again, and may expire before.
+            StoreSessionEffect::ConnectionLost => self.queue_scan = QueueScan::default(),
             StoreSessionEffect::Expired => {
-                self.lease.shared().contender.session_expired();
+                self.lease.lock_shared().contender.session_expired();
                 self.has_own_node = false;
-                self.queue.unanswered = 0;
+                self.queue_scan.pending_terms = 0;
             }
-            StoreSessionEffect::ResponseReceived {
-                xid,
-                response: answer,
-            } => {
+            StoreSessionEffect::ResponseReceived { xid, response } => {
                 if let Some(purpose) = self.in_flight.remove(&xid) {
-                    self.answered(purpose, answer);
+                    self.handle_response(purpose, response);
                 }
             }
             StoreSessionEffect::ResponseLost { xid } => {
@@ -232,10 +240,10 @@
         }
     }
 
-    fn connect(&mut self, nth: usize) {
-        let connected = connect(&self.stores[nth % self.stores.len()]);
+    fn connect(&mut self, index: usize) {
+        let result = connect(&self.store_addresses[index % self.store_addresses.len()]);
         let now = self.lease.now();
-        match connected {
+        match result {
             Ok(stream) => {
                 self.stream = Some(stream);
                 self.session.connection_opened(now, &mut self.effects);
@@ -254,6 +262,7 @@
         }
     }
 
+    /// Creates the contender's node in the queue, and its parents.
     fn create_nodes(&mut self) {
         let now = self.lease.now();
         for path in [ROOT_PATH, QUEUE_PATH] {
@@ -262,7 +271,7 @@
                 data: Vec::new(),
                 ephemeral: false,
             };
-            self.send(now, request, RequestPurpose::CreateFolder);
+            self.send(now, request, RequestPurpose::CreateParent);
         }
         let request = StoreRequest::Create {
             path: self.own_path.clone(),
@@ -272,31 +281,35 @@
         self.send(now, request, RequestPurpose::CreateOwnNode);
     }
 
-    fn answered(&mut self, purpose: RequestPurpose, answer: Result<StoreResponse, StoreError>) {
+    fn handle_response(
+        &mut self,
+        purpose: RequestPurpose,
+        response: Result<StoreResponse, StoreError>,
+    ) {
         let now = self.lease.now();
-        match (purpose, answer) {
-            (RequestPurpose::Work(answer_to), answer) => {
-                // The work may have stopped waiting.
-                let _ = answer_to.send(answer.map_err(StoreRequestError::Refused));
+        match (purpose, response) {
+            (RequestPurpose::Caller(response_sender), response) => {
+                // The caller may have stopped waiting.
+                let _ = response_sender.send(response.map_err(StoreRequestError::Rejected));
             }
             (RequestPurpose::CreateOwnNode, Ok(_) | Err(StoreError::NodeExists)) => {
-                let request = exists(self.own_path.clone());
+                let request = exists_request(self.own_path.clone());
                 self.send(now, request, RequestPurpose::ReadOwnTerm { sent_at: now });
             }
             (RequestPurpose::ReadOwnTerm { sent_at }, Ok(StoreResponse::Stat(stat))) => {
                 let term = stat.created_zxid as Term;
-                let mut shared = self.lease.shared();
+                let mut shared = self.lease.lock_shared();
                 shared.contender.joined_queue(now, sent_at, term);
                 self.has_own_node = true;
             }
             (RequestPurpose::ListQueue { sent_at }, Ok(StoreResponse::Children(nodes, _))) => {
-                self.read_terms(now, sent_at, &nodes);
+                self.read_queued_terms(now, sent_at, &nodes);
             }
-            (RequestPurpose::ReadQueuedTerm { list_sent_at }, answer) => {
-                self.queued_term_answered(now, list_sent_at, answer);
+            (RequestPurpose::ReadQueuedTerm { list_sent_at }, response) => {
+                self.handle_queued_term(now, list_sent_at, response);
             }
             (
-                RequestPurpose::CreateFolder
+                RequestPurpose::CreateParent
                 | RequestPurpose::CreateOwnNode
                 | RequestPurpose::ReadOwnTerm { .. }
                 | RequestPurpose::ListQueue { .. },
@@ -305,39 +318,40 @@
         }
     }
 
-    fn read_terms(&mut self, now: Duration, list_sent_at: Duration, nodes: &[String]) {
-        self.queue = QueueReading {
-            unanswered: nodes.len(),
+    /// Requests the terms of the nodes in the queue.
+    fn read_queued_terms(&mut self, now: Duration, list_sent_at: Duration, nodes: &[String]) {
+        self.queue_scan = QueueScan {
+            pending_terms: nodes.len(),
             lowest_term: None,
         };
         for node in nodes {
             let purpose = RequestPurpose::ReadQueuedTerm { list_sent_at };
-            self.send(now, exists(queue_node_path(node)), purpose);
+            self.send(now, exists_request(queue_node_path(node)), purpose);
         }
     }
 
-    /// The contender hears of the queue once all its terms are answered. A node that has been removed meanwhile counts no
-    /// more.
-    fn queued_term_answered(
+    /// Records the term of a node in the queue, and reports the lowest to the contender once all are received. A node
+    /// that was removed meanwhile is ignored.
+    fn handle_queued_term(
         &mut self,
         now: Duration,
         list_sent_at: Duration,
-        answer: Result<StoreResponse, StoreError>,
+        response: Result<StoreResponse, StoreError>,
     ) {
-        if let Ok(StoreResponse::Stat(stat)) = answer {
+        if let Ok(StoreResponse::Stat(stat)) = response {
             let term = stat.created_zxid as Term;
             let lowest = self
-                .queue
+                .queue_scan
                 .lowest_term
                 .map_or(term, |lowest| lowest.min(term));
-            self.queue.lowest_term = Some(lowest);
+            self.queue_scan.lowest_term = Some(lowest);
         }
-        self.queue.unanswered = self.queue.unanswered.saturating_sub(1);
-        if self.queue.unanswered > 0 {
+        self.queue_scan.pending_terms = self.queue_scan.pending_terms.saturating_sub(1);
+        if self.queue_scan.pending_terms > 0 {
             return;
         }
-        if let Some(head) = self.queue.lowest_term {
-            let mut shared = self.lease.shared();
+        if let Some(head) = self.queue_scan.lowest_term {
+            let mut shared = self.lease.lock_shared();
             shared.contender.store_answered(now, list_sent_at);
             shared.contender.queue_head_read(now, head);
         }
@@ -345,14 +359,14 @@
 }
 
 fn connect(address: &SocketAddr) -> std::io::Result<TcpStream> {
-    let stream = TcpStream::connect_timeout(address, CONNECT_TIMEOUT)?;
+    let stream = TcpStream::connect_timeout(address, CONNECT_OR_WRITE_TIMEOUT)?;
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(READ_TIMEOUT))?;
-    stream.set_write_timeout(Some(CONNECT_TIMEOUT))?;
+    stream.set_write_timeout(Some(CONNECT_OR_WRITE_TIMEOUT))?;
     Ok(stream)
 }
 
-/// Whether a read failed only because nothing came in time.
+/// Whether a read failed only because no data arrived in time.
 fn is_transient(kind: ErrorKind) -> bool {
     matches!(
         kind,
--- a/crates/proxy/src/program/mod.rs
+++ b/crates/proxy/src/program/mod.rs
@@ -1,4 +1,5 @@
-//! What makes the proxy a program: configuration, clock, signals, counters, log, loop.
+//! The process around the router: the command line, configuration, clock, signals, counters, log and the main loop,
+//! and the commands that operators run against proxies.
 
 pub mod clock;
 pub mod commands;
--- a/crates/proxy/src/program/operator_file.rs
+++ b/crates/proxy/src/program/operator_file.rs
@@ -1,4 +1,4 @@
-//! The operator's file, and the settings that the modules of the proxy get from it.
+//! The operator's file, and its conversion into the settings of the proxy's modules.
 
 use crate::routing::peers::PeerSettings;
 use asterramp_drain::DrainSettings;
@@ -21,17 +21,17 @@
         /// Why.
         source: io::Error,
     },
-    /// Everything that is wrong with it.
-    #[error("{path}: {}", join(problems))]
+    /// The file has one or more errors.
+    #[error("{path}: {}", join_problems(problems))]
     Invalid {
         /// The file.
         path: String,
-        /// The mistakes, by line.
+        /// The errors, by line.
         problems: Vec<ConfigProblem>,
     },
 }
 
-fn join(problems: &[ConfigProblem]) -> String {
+fn join_problems(problems: &[ConfigProblem]) -> String {
     let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
     lines.join("; ")
 }
@@ -48,7 +48,7 @@
     })
 }
 
-/// How drains go.
+/// The settings of the drain module.
 pub(super) fn drain_settings(config: &DrainConfig) -> DrainSettings {
     DrainSettings {
         max_closing_time: config.max_closing_time,
@@ -58,7 +58,7 @@
     }
 }
 
-/// How zones are failed over; `None` where they are not watched.
+/// The settings of zone failover; `None` if it is disabled.
 pub(super) fn zone_failover_settings(config: &ZoneFailoverConfig) -> Option<ZoneFailoverSettings> {
     if !config.enabled {
         return None;
@@ -72,7 +72,7 @@
     })
 }
 
-/// How a warm start goes.
+/// The settings of the warm start, which also depend on the slow start in the platform's configuration.
 pub(super) fn warm_start_settings(
     config: &WarmStartConfig,
     settings: &ProxySettings,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Which other proxies are asked for the endpoints that they know.
+/// The other proxies that are asked for the endpoints that they know.
 pub(super) fn peer_settings(config: &WarmStartConfig) -> PeerSettings {
     PeerSettings {
         fleet: config.fleet.clone(),
--- a/crates/proxy/src/program/roll.rs
+++ b/crates/proxy/src/program/roll.rs
@@ -1,7 +1,8 @@
-//! A rolling restart: a site's proxies are replaced one after the other, without the front ever losing two.
+//! A rolling restart: a site's proxies are replaced one after the other, so that at most one of them is out of service
+//! for the front proxy at any time.
 //!
-//! A guarded roll is led by one process at a time, by a [`LeaderLease`]. Its plan is kept at the store, so that a successor
-//! goes on where the leader stopped. `docs/leader-lease.md` says why it is done this way.
+//! A guarded roll is run by one process at a time, the holder of a [`LeaderLease`]. Its plan is kept at the store, so
+//! that the next leader can continue the roll. `docs/leader-lease.md` gives the reasons for this design.
 
 mod error;
 mod operator;
@@ -22,26 +23,27 @@
 pub(super) use operator::{print_roll_status, request_roll_state};
 pub(super) use plan::RequestedRollState;
 
-/// How often a contender looks whether it leads.
+/// How often a contender checks whether it leads.
 const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(125);
 
-/// How a roll is done.
+/// The options of a roll.
 #[derive(Clone, Debug)]
 pub(super) struct RollOptions {
     /// The proxies' admin sockets, in the order in which they are replaced.
     pub(super) admin_sockets: Vec<PathBuf>,
-    /// By when a drained proxy is to be empty.
+    /// Time from the start of a proxy's drain until it has to be empty.
     pub(super) drain_deadline: Duration,
-    /// Run by the shell once a proxy is empty; without it somebody else restarts proxies.
+    /// Shell command that restarts a proxy, run once it is empty. If absent, proxies have to be restarted from outside.
     pub(super) restart_command: Option<String>,
-    /// How long a restart may take, and how long until the proxy carries its share.
+    /// Longest time for each wait of a replacement: for the restart, and for a proxy to carry its share of the
+    /// sessions.
     pub(super) step_timeout: Duration,
-    /// What a restarted proxy holds to carry its share, as a part of what the others hold on average.
+    /// Sessions that a restarted proxy must hold to carry its share, as a fraction of the other proxies' mean.
     pub(super) min_session_share: f64,
 }
 
 impl RollOptions {
-    /// The other proxies.
+    /// The admin sockets of the proxies other than this one.
     fn peers_of<'a>(&'a self, admin_socket: &'a Path) -> impl Iterator<Item = &'a Path> {
         self.admin_sockets
             .iter()
@@ -49,12 +51,13 @@
             .filter(move |peer| *peer != admin_socket)
     }
 
-    fn print_done(&self) {
+    fn print_completion(&self) {
         println!("all {} are patched", self.admin_sockets.len());
     }
 }
 
-/// Replaces the proxies without a lead; nothing prevents a second roll at the same time. Stops at the first proxy that fails.
+/// Replaces the proxies without a leader lease, so that nothing prevents a second roll at the same time. Stops at the
+/// first proxy whose replacement fails.
 pub(super) fn roll_without_lease(options: &RollOptions) -> Result<(), RollError> {
     println!("this roll is not guarded: nobody keeps a second one away, and no store is named");
     for admin_socket in &options.admin_sockets {
@@ -64,31 +67,31 @@
             lease: None,
             planned_pid: None,
         };
-        let replaced = replacement.run();
-        replaced.map_err(|error| stopped_at(admin_socket, error))?;
+        let result = replacement.run();
+        result.map_err(|error| replacement_error(admin_socket, error))?;
     }
-    options.print_done();
+    options.print_completion();
     Ok(())
 }
 
-/// Replaces the proxies under one leader at a time: waits for the lead, goes on with the plan where it stands and, when the
-/// lead is lost, waits again.
+/// Replaces the proxies while holding the leader lease: waits for the lease, continues the plan at the store and waits
+/// again if the lease is lost. `name` is the roll's name at the store.
 pub(super) fn roll_with_lease(
     options: &RollOptions,
     name: &str,
-    stores: Vec<SocketAddr>,
+    store_addresses: Vec<SocketAddr>,
     session_timeout: Duration,
 ) -> Result<(), RollError> {
-    let lease = LeaderLease::contend(stores, session_timeout);
+    let lease = LeaderLease::contend(store_addresses, session_timeout);
     loop {
-        wait_for_lead(options, &lease)?;
-        match lead(options, name, &lease) {
+        wait_for_lease(options, &lease)?;
+        match run_as_leader(options, name, &lease) {
             Ok(()) => {
                 lease.resign();
-                options.print_done();
+                options.print_completion();
                 return Ok(());
             }
-            Err(RollError::LeaseLost) => println!("{}; waiting for it", RollError::LeaseLost),
+            Err(RollError::LeaseLost) => println!("{}; contending again", RollError::LeaseLost),
             Err(error) => {
                 lease.resign();
                 return Err(error);
@@ -97,8 +100,8 @@
     }
 }
 
-/// Waits until this process leads, and prints each change of its state.
-fn wait_for_lead(options: &RollOptions, lease: &LeaderLease) -> Result<(), RollError> {
+/// Waits until this process holds the leader lease, and prints each change of its state.
+fn wait_for_lease(options: &RollOptions, lease: &LeaderLease) -> Result<(), RollError> {
     let mut printed_state = None;
     let mut state_since = Instant::now();
     loop {
@@ -120,8 +123,8 @@
     }
 }
 
-/// Makes the term known to every proxy: once all know it, no order of a predecessor counts anywhere, and the wait for the
-/// predecessor is over.
+/// Announces the term to every proxy. Once all have accepted it, none accepts an order of a predecessor, and the wait
+/// for the predecessor ends early.
 fn announce_term(options: &RollOptions, lease: &LeaderLease, term: Term) {
     for admin_socket in &options.admin_sockets {
         let Ok(mut client) = AdminClient::connect(admin_socket) else {
@@ -133,23 +136,23 @@
             return;
         }
     }
-    lease.all_receivers_know_term(term);
+    lease.all_receivers_accepted_term(term);
 }
 
-/// Replaces what the plan says is not replaced yet.
-fn lead(options: &RollOptions, name: &str, lease: &LeaderLease) -> Result<(), RollError> {
-    let plan = open_plan(options, name, lease)?;
+/// Replaces the proxies that are not replaced yet according to the plan.
+fn run_as_leader(options: &RollOptions, name: &str, lease: &LeaderLease) -> Result<(), RollError> {
+    let plan = load_or_create_plan(options, name, lease)?;
     if plan.done {
         println!("{name} was done before");
         return Ok(());
     }
     for admin_socket in replacement_order(options, &plan) {
-        let planned_pid = plan.replaced_pids.get(admin_socket).copied();
+        let planned_pid = plan.pids_to_replace.get(admin_socket).copied();
         if is_replaced(admin_socket, planned_pid) {
             println!("{}: replaced already", admin_socket.display());
             continue;
         }
-        wait_until_running(name, lease)?;
+        wait_while_paused(name, lease)?;
         let replacement = Replacement {
             options,
             admin_socket,
@@ -157,45 +160,45 @@
             planned_pid,
         };
         if let Err(error) = replacement.run() {
-            // Whatever fails once the lead is lost is the next leader's to judge.
+            // After the lease is lost, the next leader retries the replacement, whatever the error was.
             return Err(match error {
                 RollError::LeaseLost => RollError::LeaseLost,
                 _ if !lease.is_leader() => RollError::LeaseLost,
-                error => stopped_at(admin_socket, error),
+                error => replacement_error(admin_socket, error),
             });
         }
     }
     mark_done(name, plan, lease)
 }
 
-fn stopped_at(admin_socket: &Path, error: RollError) -> RollError {
+fn replacement_error(admin_socket: &Path, error: RollError) -> RollError {
     RollError::Replacement {
         admin_socket: admin_socket.into(),
         source: Box::new(error),
     }
 }
 
-/// The plan as it stands at the store, or a new one that is created there.
-fn open_plan(
+/// Loads the plan from the store, or creates it there. Fails if the stored plan has other proxies than this roll.
+fn load_or_create_plan(
     options: &RollOptions,
     name: &str,
     lease: &LeaderLease,
 ) -> Result<RollPlan, RollError> {
     if let Some(stored) = read_plan(name, lease)? {
-        let planned: BTreeSet<&PathBuf> = stored.plan.replaced_pids.keys().collect();
+        let planned: BTreeSet<&PathBuf> = stored.plan.pids_to_replace.keys().collect();
         if planned == options.admin_sockets.iter().collect() {
             return Ok(stored.plan);
         }
         let path = plan_path(name);
         return Err(RollError::PlanOfOtherProxies { path });
     }
-    let mut replaced_pids = BTreeMap::new();
+    let mut pids_to_replace = BTreeMap::new();
     for admin_socket in &options.admin_sockets {
         let pid = proxy_status(admin_socket)?.pid;
-        replaced_pids.insert(admin_socket.clone(), pid);
+        pids_to_replace.insert(admin_socket.clone(), pid);
     }
     let plan = RollPlan {
-        replaced_pids,
+        pids_to_replace,
         done: false,
         requested_state: RequestedRollState::Running,
     };
@@ -203,28 +206,31 @@
     Ok(plan)
 }
 
-/// The proxies with those first that a former leader may have left half done, or two would be out of service at once.
+/// The proxies in the order of replacement: first those that a former leader may have left half replaced, since
+/// otherwise two would be out of service at once.
 fn replacement_order<'a>(options: &'a RollOptions, plan: &RollPlan) -> Vec<&'a Path> {
-    let is_half_done = |admin_socket: &&Path| match proxy_status(admin_socket) {
+    let is_half_replaced = |admin_socket: &&Path| match proxy_status(admin_socket) {
         Ok(status) => {
-            let planned_pid = plan.replaced_pids.get(*admin_socket);
+            let planned_pid = plan.pids_to_replace.get(*admin_socket);
             status.state != "serving" && planned_pid == Some(&status.pid)
         }
         Err(_) => true,
     };
     let admin_sockets = options.admin_sockets.iter().map(PathBuf::as_path);
-    let (mut half_done, others): (Vec<&Path>, Vec<&Path>) = admin_sockets.partition(is_half_done);
-    half_done.extend(others);
-    half_done
+    let (mut half_replaced, others): (Vec<&Path>, Vec<&Path>) =
+        admin_sockets.partition(is_half_replaced);
+    half_replaced.extend(others);
+    half_replaced
 }
 
+/// Whether another process than the planned one serves behind the admin socket.
 fn is_replaced(admin_socket: &Path, planned_pid: Option<u32>) -> bool {
     proxy_status(admin_socket)
         .is_ok_and(|status| Some(status.pid) != planned_pid && status.state == "serving")
 }
 
-/// Waits while an operator wants a pause; an error if the roll is cancelled or the lead lost meanwhile.
-fn wait_until_running(name: &str, lease: &LeaderLease) -> Result<(), RollError> {
+/// Waits while an operator has paused the roll. Fails if the roll is cancelled or the lease is lost meanwhile.
+fn wait_while_paused(name: &str, lease: &LeaderLease) -> Result<(), RollError> {
     let mut printed_state = RequestedRollState::Running;
     loop {
         let requested_state = match read_plan(name, lease)? {
--- a/crates/proxy/src/program/roll/error.rs
+++ b/crates/proxy/src/program/roll/error.rs
@@ -10,19 +10,19 @@
 /// Why a rolling restart, or an operator's request about one, failed.
 #[derive(Debug, thiserror::Error)]
 pub(in crate::program) enum RollError {
-    /// Another leads, or may; whoever does goes on with the plan.
-    #[error("the work is not ours any more")]
+    /// The leader lease is lost, or may be; the next leader continues the plan.
+    #[error("the leader lease was lost")]
     LeaseLost,
-    /// The store did not do what it was asked.
+    /// A request to the store failed.
     #[error(transparent)]
     Store(#[from] StoreRequestError),
-    /// A proxy could not be asked, or rejected what it was ordered.
+    /// A request to a proxy's admin socket failed or was rejected.
     #[error(transparent)]
     Admin(#[from] AdminClientError),
     /// A drained proxy did not become empty.
     #[error(transparent)]
     Drain(#[from] DrainProgressError),
-    /// The plan at the store is not one of this format.
+    /// The plan at the store cannot be decoded.
     #[error("{path}: {source}")]
     PlanUnreadable {
         /// The plan's node.
@@ -33,7 +33,7 @@
     /// The plan could not be encoded.
     #[error(transparent)]
     PlanEncoding(serde_json::Error),
-    /// The plan at the store is about other proxies.
+    /// The plan at the store is for other proxies.
     #[error("{path}: it is of other proxies; give this roll another name")]
     PlanOfOtherProxies {
         /// The plan's node.
@@ -45,7 +45,7 @@
         /// The roll's name.
         name: String,
     },
-    /// An operator asked for something of a roll that has ended.
+    /// An operator requested a change of a roll that is complete.
     #[error("{name} is done")]
     AlreadyDone {
         /// The roll's name.
@@ -66,7 +66,7 @@
     /// The replaced proxy does not carry its share of the traffic in time.
     #[error("it does not carry its share")]
     ShareNotReached,
-    /// The proxy has not been restarted in time.
+    /// The proxy was not restarted in time.
     #[error("it has not come back")]
     NotRestarted,
     /// The restart command could not be run.
--- a/crates/proxy/src/program/roll/operator.rs
+++ b/crates/proxy/src/program/roll/operator.rs
@@ -1,4 +1,5 @@
-//! What an operator may do about a guarded roll from anywhere: see how far it is, pause, resume and cancel it.
+//! Operators' requests about a guarded roll, which go through the store: print its progress, pause, resume or cancel
+//! it.
 
 use super::plan::{RequestedRollState, StoredPlan, read_plan, write_requested_state};
 use super::replacement::proxy_status;
@@ -6,7 +7,7 @@
 use crate::program::leader_lease::LeaderLease;
 use std::path::Path;
 
-/// Prints who leads, how many wait for that, and what has become of each proxy of the roll.
+/// Prints the leader, the number of queued contenders, and the state of each proxy of the roll.
 pub(in crate::program) fn print_roll_status(
     name: &str,
     lease: &LeaderLease,
@@ -23,14 +24,14 @@
     }
     let plan = existing_plan(name, lease)?.plan;
     print_progress(name, &plan);
-    for (admin_socket, pid) in &plan.replaced_pids {
+    for (admin_socket, pid) in &plan.pids_to_replace {
         let state = replacement_state(admin_socket, *pid);
         println!("{}: {state}", admin_socket.display());
     }
     Ok(())
 }
 
-/// Asks the leader for something; it is heeded before the next proxy.
+/// Stores a request to the roll's leader, which checks for requests before each replacement.
 pub(in crate::program) fn request_roll_state(
     name: &str,
     lease: &LeaderLease,
@@ -51,7 +52,7 @@
 
 fn print_progress(name: &str, plan: &RollPlan) {
     let replaced = plan
-        .replaced_pids
+        .pids_to_replace
         .iter()
         .filter(|(admin_socket, pid)| {
             proxy_status(admin_socket).is_ok_and(|status| status.pid != **pid)
@@ -64,7 +65,7 @@
     };
     println!(
         "{name}: {replaced} of {} are replaced; it {predicate}",
-        plan.replaced_pids.len()
+        plan.pids_to_replace.len()
     );
 }
 
--- a/crates/proxy/src/program/roll/plan.rs
+++ b/crates/proxy/src/program/roll/plan.rs
@@ -1,4 +1,4 @@
-//! A guarded roll's plan, which is kept at the store under the roll's name and outlives whoever leads the roll.
+//! A guarded roll's plan, which is kept at the store under the roll's name and outlives the roll's leaders.
 
 use super::RollError;
 use crate::program::leader_lease::LeaderLease;
@@ -8,37 +8,38 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// What is left to do, and what an operator wants of the leader. Leaders of other builds read it: its encoding stays.
+/// The progress of a roll, and the state that an operator has requested. Leaders of other versions read it, so its
+/// encoding must not change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(expecting = "struct Plan")] // As errors have named it before.
+#[serde(expecting = "struct Plan")] // Keeps the text of decoding errors.
 pub(super) struct RollPlan {
-    /// The processes that are to be replaced, by admin socket. One that runs as another process has been.
+    /// Process ids at the start of the roll, by admin socket. A proxy that runs with another id has been replaced.
     #[serde(rename = "pids")]
-    pub(super) replaced_pids: BTreeMap<PathBuf, u32>,
-    /// Every proxy has been replaced.
+    pub(super) pids_to_replace: BTreeMap<PathBuf, u32>,
+    /// Whether every proxy has been replaced.
     pub(super) done: bool,
-    /// Absent in plans of builds before an operator could ask for anything.
+    /// The state that an operator has requested. Plans of versions without such requests omit it.
     #[serde(rename = "wish", default)]
     pub(super) requested_state: RequestedRollState,
 }
 
-/// What an operator wants of a roll; the leader looks before each proxy.
+/// The state of a roll that an operator requests; the leader checks it before each replacement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(in crate::program) enum RequestedRollState {
-    /// One proxy is replaced after the other.
+    /// The proxies are replaced one after the other.
     #[default]
     #[serde(rename = "go-on")]
     Running,
-    /// No further proxy is begun.
+    /// No further replacement begins until the roll is resumed.
     #[serde(rename = "pause")]
     Paused,
-    /// The roll ends; no further proxy is begun.
+    /// The roll ends without a further replacement.
     #[serde(rename = "cancel")]
     Cancelled,
 }
 
 impl RequestedRollState {
-    /// What is said of a roll in this state, behind its name.
+    /// The state as the commands print it behind the roll's name.
     pub(super) fn status_text(self) -> &'static str {
         match self {
             RequestedRollState::Running => "goes on",
@@ -48,19 +49,19 @@
     }
 }
 
-/// A plan as it was read, with its node's version, so that a change of what was read is not overwritten.
+/// A plan with the version of its node, which prevents that a later change of the plan is overwritten.
 #[derive(Debug)]
 pub(super) struct StoredPlan {
     pub(super) plan: RollPlan,
     pub(super) version: i32,
 }
 
-/// The node that holds the plan of the roll by this name.
+/// Path of the node that holds the plan of the roll with this name.
 pub(super) fn plan_path(name: &str) -> String {
     format!("/asterramp/roll-{name}")
 }
 
-/// The plan as it stands at the store. `None` also where the store does not answer.
+/// Reads the plan from the store. `None` if there is none, and also if the store does not respond.
 pub(super) fn read_plan(name: &str, lease: &LeaderLease) -> Result<Option<StoredPlan>, RollError> {
     let path = plan_path(name);
     let request = StoreRequest::GetData {
@@ -79,7 +80,7 @@
     }
 }
 
-/// Creates the plan's node. It fails as [`RollError::LeaseLost`], since another leader may have created it.
+/// Creates the plan's node. Any failure is a [`RollError::LeaseLost`], since another leader may have created the node.
 pub(super) fn create_plan(
     name: &str,
     plan: &RollPlan,
@@ -96,8 +97,8 @@
     }
 }
 
-/// Writes that every proxy has been replaced, over whatever an operator wants meanwhile. It fails as
-/// [`RollError::LeaseLost`], since the next leader finds the same.
+/// Writes that every proxy has been replaced, which overwrites a request that an operator makes meanwhile. Any failure
+/// is a [`RollError::LeaseLost`], since the next leader finds every proxy replaced and writes the same.
 pub(super) fn mark_done(name: &str, plan: RollPlan, lease: &LeaderLease) -> Result<(), RollError> {
     let plan = RollPlan { done: true, ..plan };
     let request = StoreRequest::SetData {
@@ -111,7 +112,7 @@
     }
 }
 
-/// Writes what an operator wants, unless the plan has changed since it was read.
+/// Writes the state that an operator requests, unless the plan has changed since it was read.
 pub(super) fn write_requested_state(
     name: &str,
     stored: StoredPlan,
--- a/crates/proxy/src/program/roll/replacement.rs
+++ b/crates/proxy/src/program/roll/replacement.rs
@@ -1,25 +1,25 @@
-//! One step of a roll: a proxy is drained, restarted and waited for until it carries its share of the traffic again.
+//! One step of a roll: drains a proxy, has it restarted and waits until it carries its share of the sessions again.
 
 use super::{RollError, RollOptions};
-use crate::program::drain_progress::{status_line, wait_until_empty};
+use crate::program::drain_progress::{format_status, wait_until_empty};
 use crate::program::leader_lease::LeaderLease;
 use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest, ProxyStatus};
 use std::path::Path;
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// How often a proxy's status is looked at while something is waited for.
+/// Interval of polls of a proxy's status, and of a paused roll's plan.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The replacement of one proxy.
 pub(super) struct Replacement<'a> {
-    /// How the roll is done.
+    /// The options of the roll.
     pub(super) options: &'a RollOptions,
     /// The proxy that is replaced.
     pub(super) admin_socket: &'a Path,
-    /// The lead by which a guarded roll gives its orders.
+    /// The leader lease of a guarded roll; `None` if the roll is not guarded.
     pub(super) lease: Option<&'a LeaderLease>,
-    /// The process that is to be replaced, by a guarded roll's plan.
+    /// Process id of the proxy by the plan of a guarded roll; `None` if the roll is not guarded.
     pub(super) planned_pid: Option<u32>,
 }
 
@@ -29,7 +29,7 @@
         self.wait_for_peers()?;
         let mut client = match AdminClient::connect(self.admin_socket) {
             Ok(client) => client,
-            // An earlier leader has ordered it to shut down.
+            // Not reachable because an earlier leader has ordered it to shut down.
             Err(_) if self.planned_pid.is_some() => {
                 return self.wait_for_restart(self.planned_pid);
             }
@@ -47,21 +47,24 @@
         self.wait_for_restart(Some(before.pid))
     }
 
-    /// Waits until each of the others carries its share: the front must not lose two at once.
+    /// Waits until each of the other proxies carries its share, so that the front proxy never loses two at once.
     fn wait_for_peers(&self) -> Result<(), RollError> {
         for peer in self.options.peers_of(self.admin_socket) {
-            let carrying = || {
+            let ready_status = || {
                 proxy_status(peer)
                     .ok()
                     .filter(|status| status.allows_next_drain)
             };
-            poll(self.options.step_timeout, carrying).ok_or_else(|| RollError::PeerNotReady {
-                admin_socket: peer.into(),
+            poll(self.options.step_timeout, ready_status).ok_or_else(|| {
+                RollError::PeerNotReady {
+                    admin_socket: peer.into(),
+                }
             })?;
         }
         Ok(())
     }
 
+    /// Drains the proxy and waits until it is empty.
     fn drain(&self, client: &mut AdminClient, before: &ProxyStatus) -> Result<(), RollError> {
         println!(
             "{}: draining, {} open",
@@ -72,21 +75,21 @@
             deadline_ms: Some(self.options.drain_deadline.as_millis() as u64),
             ..AdminRequest::new(AdminCommand::Drain)
         };
-        self.order(client, request)?;
+        self.send_order(client, request)?;
         wait_until_empty(client, self.options.drain_deadline)?;
         Ok(())
     }
 
-    /// Has the empty proxy restarted: by the command, by an order to shut down where a leader may give it, or by somebody
-    /// else.
+    /// Has the empty proxy restarted: by the restart command or, without one, by an order to shut down in a guarded
+    /// roll. In an unguarded roll without a command, the proxy has to be restarted from outside.
     fn shut_down(&self, client: &mut AdminClient) -> Result<(), RollError> {
         let Some(command) = &self.options.restart_command else {
             return match self.lease {
-                Some(_) => self.order(client, AdminRequest::new(AdminCommand::Shutdown)),
+                Some(_) => self.send_order(client, AdminRequest::new(AdminCommand::Shutdown)),
                 None => Ok(()),
             };
         };
-        // The command is not fenced: a leader that is stopped right here may run it late.
+        // The command is not fenced: a leader that is suspended after this check may still run it, too late.
         if self.lease.is_some_and(|lease| !lease.is_leader()) {
             return Err(RollError::LeaseLost);
         }
@@ -102,8 +105,8 @@
         }
     }
 
-    /// Orders the proxy something: in the leader's name in a guarded roll, otherwise as an operator.
-    fn order(&self, client: &mut AdminClient, request: AdminRequest) -> Result<(), RollError> {
+    /// Sends an order to the proxy: as the leader in a guarded roll, otherwise as an operator.
+    fn send_order(&self, client: &mut AdminClient, request: AdminRequest) -> Result<(), RollError> {
         let Some(lease) = self.lease else {
             client.send(&request).map_err(RollError::Admin)?;
             return Ok(());
@@ -117,11 +120,11 @@
         }
     }
 
-    /// Waits until another process than `before` serves, and then until it carries its share.
-    fn wait_for_restart(&self, before: Option<u32>) -> Result<(), RollError> {
+    /// Waits until a process with another id than `replaced_pid` serves, and then until it carries its share.
+    fn wait_for_restart(&self, replaced_pid: Option<u32>) -> Result<(), RollError> {
         let restarted = || {
             let status = proxy_status(self.admin_socket).ok()?;
-            let serves = status.state == "serving" && Some(status.pid) != before;
+            let serves = status.state == "serving" && Some(status.pid) != replaced_pid;
             serves.then_some(status)
         };
         poll(self.options.step_timeout, restarted).ok_or(RollError::NotRestarted)?;
@@ -129,24 +132,29 @@
             "{}: back; waiting until it carries its share",
             self.admin_socket.display()
         );
-        let status = poll(self.options.step_timeout, || self.status_if_carrying())
+        let status = poll(self.options.step_timeout, || self.status_with_share())
             .ok_or(RollError::ShareNotReached)?;
-        println!("{}: {}", self.admin_socket.display(), status_line(&status));
+        println!(
+            "{}: {}",
+            self.admin_socket.display(),
+            format_status(&status)
+        );
         Ok(())
     }
 
-    /// The proxy's status, if it says that it carries its share and holds enough sessions beside the others' mean.
-    fn status_if_carrying(&self) -> Option<ProxyStatus> {
+    /// The proxy's status, if it allows the next drain and the proxy holds at least
+    /// [`min_session_share`](RollOptions::min_session_share) of the other proxies' mean number of sessions.
+    fn status_with_share(&self) -> Option<ProxyStatus> {
         let own = proxy_status(self.admin_socket).ok()?;
-        let peers_open: Vec<usize> = self
+        let peer_sessions: Vec<usize> = self
             .options
             .peers_of(self.admin_socket)
             .filter_map(|peer| Some(proxy_status(peer).ok()?.open_sessions))
             .collect();
-        let mean = peers_open.iter().sum::<usize>() as f64 / peers_open.len().max(1) as f64;
-        let carries = own.allows_next_drain
+        let mean = peer_sessions.iter().sum::<usize>() as f64 / peer_sessions.len().max(1) as f64;
+        let has_share = own.allows_next_drain
             && own.open_sessions as f64 >= mean * self.options.min_session_share;
-        carries.then_some(own)
+        has_share.then_some(own)
     }
 }
 
@@ -157,13 +165,13 @@
         .map_err(RollError::Admin)
 }
 
-/// Looks until there is something to see, at least once; `None` once `timeout` is over.
-fn poll<T>(timeout: Duration, mut look: impl FnMut() -> Option<T>) -> Option<T> {
+/// Calls `check`, at least once, until it returns a value; `None` if it returns none within `timeout`.
+fn poll<T>(timeout: Duration, mut check: impl FnMut() -> Option<T>) -> Option<T> {
     let give_up_at = Instant::now() + timeout;
     loop {
-        let seen = look();
-        if seen.is_some() || Instant::now() > give_up_at {
-            return seen;
+        let value = check();
+        if value.is_some() || Instant::now() > give_up_at {
+            return value;
         }
         std::thread::sleep(POLL_INTERVAL);
     }
--- a/crates/proxy/src/program/run.rs
+++ b/crates/proxy/src/program/run.rs
@@ -1,4 +1,4 @@
-//! Serving: starts the router, runs its event loop, and reacts to signals.
+//! The serving process: starts the router, runs its event loop, and handles signals and reloads.
 
 use super::clock::Clock;
 use super::config::{ConfigError, ConfigFile};
@@ -16,35 +16,36 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Why the proxy could not start, or had to end.
+/// Why the proxy could not start, or stopped with an error.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// Signals could not be handled.
+    /// The signal handlers could not be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
-    /// The platform's configuration is bad.
+    /// The platform's configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The operator's file is bad.
+    /// The operator's file is invalid.
     #[error(transparent)]
     OperatorFile(#[from] OperatorFileError),
-    /// The router could not start: an address is taken, or the system gave no descriptor.
+    /// The router could not start: an address is in use, or no file descriptor is free.
     #[error("{0}")]
     Router(#[source] io::Error),
     /// The admin socket could not be opened.
     #[error("control.socket: {}: {source}", path.display())]
     AdminSocket {
-        /// Where it was to be.
+        /// The socket's path.
         path: PathBuf,
-        /// Why not.
+        /// Why.
         source: io::Error,
     },
     /// Waiting for events failed.
-    #[error("waiting: {0}")]
+    #[error("waiting for events: {0}")]
     Wait(#[source] io::Error),
 }
 
-/// Serves until a signal or a leader's order ends it. `config` and `operator` are the paths of the two files.
+/// Serves until a signal or a leader's order shuts the proxy down. `config` is the path of the platform's
+/// configuration, `operator` that of the operator's file; without the latter its defaults apply.
 ///
 /// # Errors
 ///
@@ -58,7 +59,7 @@
         None => OperatorConfig::default(),
     };
     let router = start_router(options, &operator_config, clock.now(), wake_source)?;
-    let server = Server {
+    let process = ProxyProcess {
         clock,
         signals,
         config_file,
@@ -68,7 +69,7 @@
         log: Log::default(),
         counters: Counters::default(),
     };
-    server.serve()
+    process.serve()
 }
 
 fn start_router(
@@ -78,7 +79,7 @@
     wake_source: OwnedFd,
 ) -> Result<Router, ServeError> {
     let owner = options.listen_address.to_string();
-    let (snapshot, mut file_problems) = match &config.snapshots {
+    let (snapshot, mut snapshot_problems) = match &config.snapshots {
         Some(snapshots) => load_snapshot(snapshots, &owner),
         None => (None, Vec::new()),
     };
@@ -99,11 +100,11 @@
             Ok(schedule) => router.enable_snapshots(schedule),
             Err(error) => {
                 let directory = snapshots.directory.display();
-                file_problems.push(format!("folder={directory} why=\"{error}\""));
+                snapshot_problems.push(format!("folder={directory} why=\"{error}\""));
             }
         }
     }
-    let events = file_problems
+    let events = snapshot_problems
         .into_iter()
         .map(|problem| RouterEvent::Log(ReasonCode::SnapshotFailed, problem));
     router.pending_events.extend(events);
@@ -130,7 +131,7 @@
         })
 }
 
-/// Sets what an operator may also change while the proxy runs.
+/// Applies the part of the operator's configuration that may change while the proxy runs.
 fn apply_operator_config(router: &mut Router, config: &OperatorConfig) {
     let zones = &config.zone_failover;
     router.configure_admission(zones.paces_admission, zones.rejects_by_priority);
@@ -138,9 +139,9 @@
     router.configure_zone_failover(operator_file::zone_failover_settings(zones));
 }
 
-/// The newest snapshot of this proxy, and a log text for each file that could not be used.
+/// Loads the newest snapshot of this proxy, with a log text for each unusable file.
 fn load_snapshot(config: &SnapshotConfig, owner: &str) -> (Option<Snapshot>, Vec<String>) {
-    // A directory that cannot be opened is reported when it is opened for writing.
+    // The error is reported when the directory is opened again for writing.
     let Ok(directory) = SnapshotDirectory::open(&config.directory) else {
         return (None, Vec::new());
     };
@@ -175,19 +176,21 @@
     ))
 }
 
-/// A proxy that serves.
-struct Server {
+/// The state of a serving proxy.
+struct ProxyProcess {
     clock: Clock,
     signals: Signals,
     config_file: ConfigFile,
+    /// Path of the operator's file, if there is one.
     operator_path: Option<String>,
+    /// The operator's configuration that is in effect.
     operator_config: OperatorConfig,
     router: Router,
     log: Log,
     counters: Counters,
 }
 
-impl Server {
+impl ProxyProcess {
     fn serve(mut self) -> Result<(), ServeError> {
         while !self.router.is_done() {
             self.router
@@ -236,22 +239,22 @@
             .write(now, format_args!("{counters} log-dropped={dropped}"));
     }
 
-    fn log_later(&mut self, code: ReasonCode, text: String) {
+    fn queue_log_line(&mut self, code: ReasonCode, text: String) {
         self.router
             .pending_events
             .push(RouterEvent::Log(code, text));
     }
 
-    /// Reads both files again. A bad file changes nothing.
+    /// Reads both files again and applies what may change while the proxy runs. An invalid file is logged and ignored.
     fn reload(&mut self, now: Duration) {
         match self.config_file.reload() {
-            Ok((options, kept_keys)) => {
-                for key in kept_keys {
-                    self.log_later(ReasonCode::ConfigUnchanged, format!("key={key}"));
+            Ok((options, unapplied_keys)) => {
+                for key in unapplied_keys {
+                    self.queue_log_line(ReasonCode::ConfigUnchanged, format!("key={key}"));
                 }
                 self.router.reload(now, options.discovery_address);
             }
-            Err(error) => self.report_bad_file(&error.to_string()),
+            Err(error) => self.report_invalid_file(&error.to_string()),
         }
         if let Some(path) = self.operator_path.clone() {
             self.reload_operator_file(&path);
@@ -261,28 +264,28 @@
     fn reload_operator_file(&mut self, path: &str) {
         let new_config = match operator_file::read(path) {
             Ok(config) => config,
-            Err(error) => return self.report_bad_file(&error.to_string()),
+            Err(error) => return self.report_invalid_file(&error.to_string()),
         };
         for change in self.operator_config.changes(&new_config) {
             let code = match change.takes_effect {
                 TakesEffect::Immediately => ReasonCode::ConfigReloaded,
                 TakesEffect::AfterRestart => ReasonCode::ConfigUnchanged,
             };
-            self.log_later(code, format!("key={}", change.key));
+            self.queue_log_line(code, format!("key={}", change.key));
         }
         self.router
             .set_default_drain_deadline(new_config.drain.default_deadline);
-        keep_until_restart(&mut self.operator_config, new_config);
+        copy_immediate_changes(&mut self.operator_config, new_config);
         apply_operator_config(&mut self.router, &self.operator_config);
     }
 
-    fn report_bad_file(&mut self, error: &str) {
-        self.log_later(ReasonCode::ConfigReloadFailed, format!("why={error:?}"));
+    fn report_invalid_file(&mut self, error: &str) {
+        self.queue_log_line(ReasonCode::ConfigReloadFailed, format!("why={error:?}"));
     }
 }
 
-/// Takes over from a new configuration what takes effect at once.
-fn keep_until_restart(current: &mut OperatorConfig, new: OperatorConfig) {
+/// Copies the parts of a new configuration that take effect at once; the rest applies after the next restart.
+fn copy_immediate_changes(current: &mut OperatorConfig, new: OperatorConfig) {
     current.drain = new.drain;
     current.zone_failover = ZoneFailoverConfig {
         enabled: current.zone_failover.enabled,
--- a/crates/proxy/src/program/signals.rs
+++ b/crates/proxy/src/program/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: each sets a flag and wakes the event loop.
+//! Signal handling: each signal sets a flag and wakes the event loop.
 
 use rustix::fd::OwnedFd;
 use rustix::pipe::{PipeFlags, pipe_with};
@@ -8,20 +8,21 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The flags that signals set.
+/// The flags that the signal handlers set.
 #[derive(Debug, Default)]
 pub(super) struct Signals {
-    /// SIGTERM and SIGINT.
+    /// Set by SIGTERM and SIGINT, and never cleared.
     shutdown: Arc<AtomicBool>,
-    /// SIGUSR1.
+    /// Set by SIGUSR1.
     print_counters: Arc<AtomicBool>,
-    /// SIGHUP.
+    /// Set by SIGHUP.
     reload: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Handles signals from now on. The descriptor becomes readable once a signal has come, and is to be waited for: a flag
-    /// alone would be seen only at the next wake-up if the signal came between the look at it and the wait.
+    /// Installs the signal handlers. The event loop has to wait for the returned descriptor, which becomes readable
+    /// with a signal: if a signal arrives after the flags are checked and before the wait, a flag alone would be seen
+    /// only at the next wake-up.
     pub(super) fn register() -> io::Result<(Signals, OwnedFd)> {
         let (readable, writable) = pipe_with(PipeFlags::CLOEXEC | PipeFlags::NONBLOCK)?;
         let signals = Signals::default();
@@ -32,24 +33,24 @@
             (SIGHUP, &signals.reload),
         ];
         for (signal, flag) in flags {
-            // Actions of a signal run in the order of their registration: the flag is set before the loop is woken.
+            // Handlers of a signal run in the order of their registration: the flag is set before the loop is woken.
             flag::register(signal, Arc::clone(flag))?;
             low_level::pipe::register(signal, writable.try_clone()?)?;
         }
         Ok((signals, readable))
     }
 
-    /// Whether the proxy is to shut down; that stays.
+    /// Whether a shutdown was requested; once `true`, it stays so.
     pub(super) fn is_shutdown_requested(&self) -> bool {
         self.shutdown.load(Ordering::Relaxed)
     }
 
-    /// Whether the counters were asked for since the last call.
+    /// Whether printing the counters was requested since the last call.
     pub(super) fn take_counters_request(&self) -> bool {
         self.print_counters.swap(false, Ordering::Relaxed)
     }
 
-    /// Whether the configuration is to be read again since the last call.
+    /// Whether a reload of the configuration was requested since the last call.
     pub(super) fn take_reload_request(&self) -> bool {
         self.reload.swap(false, Ordering::Relaxed)
     }
--- a/crates/proxy/src/program/state.rs
+++ b/crates/proxy/src/program/state.rs
@@ -33,7 +33,7 @@
     },
 }
 
-/// Why a state command failed; its text is printed, and the exit code is 1.
+/// Why a state command failed. The text is printed and the exit code is 1.
 #[derive(Debug, Error)]
 pub(super) enum StateCommandError {
     #[error("{}: no folder", directory.display())]
@@ -65,7 +65,7 @@
 fn show(directory: &Path, json: bool) -> Result<(), StateCommandError> {
     let snapshot = load(directory)?
         .snapshot
-        .ok_or_else(|| no_snapshot(directory))?;
+        .ok_or_else(|| no_snapshot_error(directory))?;
     if json {
         println!("{}", serde_json::to_string(&snapshot)?);
     } else {
@@ -77,7 +77,9 @@
 fn verify(directory: &Path) -> Result<(), StateCommandError> {
     let loaded = load(directory)?;
     let unusable = loaded.unusable_files.len();
-    let snapshot = loaded.snapshot.ok_or_else(|| no_snapshot(directory))?;
+    let snapshot = loaded
+        .snapshot
+        .ok_or_else(|| no_snapshot_error(directory))?;
     let sequence = snapshot.sequence;
     if unusable > 0 {
         return Err(StateCommandError::UnusableFiles { unusable, sequence });
@@ -89,8 +91,10 @@
 
 fn clear(directory: &Path) -> Result<(), StateCommandError> {
     let opened = open(directory)?;
-    let lock = opened.lock().map_err(|source| disk(directory, source))?;
-    // Held until the files are removed, so that no proxy begins to write meanwhile.
+    let lock = opened
+        .lock()
+        .map_err(|source| disk_error(directory, source))?;
+    // Held until the files are removed, so that no proxy starts to write meanwhile.
     let Some(_lock) = lock else {
         return Err(StateCommandError::Locked {
             directory: directory.to_path_buf(),
@@ -98,17 +102,17 @@
     };
     SnapshotStore::new(opened)
         .clear()
-        .map_err(|source| disk(directory, source))
+        .map_err(|source| disk_error(directory, source))
 }
 
-/// Opens a directory that exists; unlike the proxy, a command creates none.
+/// Opens an existing directory; unlike the proxy, a command does not create it.
 fn open(directory: &Path) -> Result<SnapshotDirectory, StateCommandError> {
     if !directory.is_dir() {
         return Err(StateCommandError::NotADirectory {
             directory: directory.to_path_buf(),
         });
     }
-    SnapshotDirectory::open(directory).map_err(|source| disk(directory, source))
+    SnapshotDirectory::open(directory).map_err(|source| disk_error(directory, source))
 }
 
 /// Loads the newest complete snapshot; files that cannot be used are reported on standard error.
@@ -121,27 +125,27 @@
     Ok(loaded)
 }
 
-fn disk(directory: &Path, source: io::Error) -> StateCommandError {
+fn disk_error(directory: &Path, source: io::Error) -> StateCommandError {
     StateCommandError::Disk {
         directory: directory.to_path_buf(),
         source,
     }
 }
 
-fn no_snapshot(directory: &Path) -> StateCommandError {
+fn no_snapshot_error(directory: &Path) -> StateCommandError {
     StateCommandError::NoSnapshot {
         directory: directory.to_path_buf(),
     }
 }
 
 fn print_snapshot(snapshot: &Snapshot) {
-    let end = if snapshot.clean_shutdown {
+    let shutdown = if snapshot.clean_shutdown {
         "left in good order"
     } else {
         "was running"
     };
     println!(
-        "snapshot {} of {}, saved at {} ms; the proxy {end}; list {}, term {}",
+        "snapshot {} of {}, saved at {} ms; the proxy {shutdown}; list {}, term {}",
         snapshot.sequence,
         snapshot.owner,
         snapshot.saved_at_ms,
--- a/crates/proxy/src/protocol/client.rs
+++ b/crates/proxy/src/protocol/client.rs
@@ -1,18 +1,18 @@
-//! The first line of a client or of the front proxy, and the lines that they are answered with.
+//! The first line of a client's or the front proxy's connection, and the lines with which the proxy answers.
 
 use super::line::LineError;
 use std::ops::Range;
 use std::time::Duration;
 
-/// Longest wait in milliseconds, an hour: no client means a longer one, and servers reject it.
+/// Longest time that a client may wait, in milliseconds: one hour. No client means a longer one, and servers reject it.
 const MAX_WAIT_MS: f64 = 3_600_000.0;
-/// Most digits of a hexadecimal number of 64 bits.
+/// Most digits of a hexadecimal 64-bit number.
 const MAX_HEX_DIGITS: usize = 16;
 
-/// What a connection begins with.
+/// The first line of a connection.
 #[derive(Debug, PartialEq)]
 pub enum ClientGreeting<'a> {
-    /// The front's health check.
+    /// The front proxy's health check.
     Ping,
     /// A client's request for a session.
     Open(OpenRequest<'a>),
@@ -21,26 +21,26 @@
 /// A client's request for a session: `OPEN <id> <key> <name>=<value>,...`.
 #[derive(Debug, PartialEq)]
 pub struct OpenRequest<'a> {
-    /// The client's name for the session.
+    /// The client's identifier of the session.
     pub id: &'a str,
-    /// By which the choice of a server is hashed.
+    /// The session's hash key for the choice of a server.
     pub key: u64,
     /// The listener's name (`c`).
     pub listener: &'a str,
-    /// The tenant's name (`t`).
+    /// The tenant's name (`t`), if the client names one.
     pub tenant: Option<&'a str>,
-    /// How long the client waits (`d`); may be absent only in a session that was open before the proxy started, and
-    /// is zero then.
+    /// How long the client waits (`d`), at most one hour. Only a session that was open before the proxy started may
+    /// omit `d`; the wait is zero then.
     pub wait: Duration,
-    /// Where the value of `d` is in the line.
+    /// Position of the value of `d` in the line, in bytes; empty if `d` is absent.
     pub wait_range: Range<usize>,
-    /// Connections of one group share work (`g`).
+    /// The group (`g`), if the client names one. Sessions of one group share work at a server.
     pub group: Option<u64>,
     /// The client was connected before (`again`).
     pub reconnecting: bool,
     /// The client says that an earlier attempt failed (`r`).
     pub earlier_attempt_failed: bool,
-    /// The server at which the session was open before the proxy started (`at`).
+    /// Unique name of the server at which the session was open before the proxy started (`at`), if it was.
     pub restored_server_uid: Option<&'a str>,
 }
 
@@ -48,10 +48,10 @@
 pub const PONG_LINE: &[u8] = b"PONG\r\n";
 /// The request failed.
 pub const ERROR_LINE: &[u8] = b"ERR\r\n";
-/// The client shall connect again elsewhere.
+/// The client is to connect again elsewhere.
 pub const MOVE_LINE: &[u8] = b"MOVE\r\n";
 
-/// The rejection of a request, with the time after which to retry in milliseconds unless that is zero.
+/// The rejection of a request, with the time after which to retry in milliseconds. A zero time is omitted.
 pub fn busy_line(retry_after: Duration) -> String {
     match retry_after.as_millis() {
         0 => "BUSY\r\n".into(),
@@ -59,10 +59,9 @@
     }
 }
 
-/// Parses a connection's first line, which comes without its end.
+/// Parses a connection's first line, given without its CRLF.
 ///
-/// Fields of names that the proxy doesn't use are passed over. Fails where the line is none of the greetings, or names
-/// the field that is missing or wrong.
+/// Fields with unknown names are ignored. The error names the field that is missing or invalid.
 pub fn parse_greeting(line: &str) -> Result<ClientGreeting<'_>, LineError> {
     if line == "PING" {
         return Ok(ClientGreeting::Ping);
@@ -90,7 +89,7 @@
     }))
 }
 
-/// The fields of a request in any order; of a repeated one the last.
+/// The fields of a request, which may be in any order; the last one of a repeated field counts.
 #[derive(Default)]
 struct OpenFields<'a> {
     listener: Option<&'a str>,
@@ -128,16 +127,16 @@
 }
 
 impl OpenFields<'_> {
-    /// How long the client waits, and where that is in the line.
+    /// How long the client waits, and the position of that value in the line.
     fn wait(&self) -> Result<(Duration, Range<usize>), LineError> {
-        let inherited = self.restored_server_uid.is_some();
+        let restored = self.restored_server_uid.is_some();
         let (wait_ms, range) = match &self.wait_ms {
             Some((wait_ms, range)) => (*wait_ms, range.clone()),
-            // A session that is open already waits for nothing.
-            None if inherited => (0.0, 0..0),
+            // A session that was open before does not wait for a server.
+            None if restored => (0.0, 0..0),
             None => return Err(LineError::Malformed("d")),
         };
-        if wait_ms > MAX_WAIT_MS && !inherited {
+        if wait_ms > MAX_WAIT_MS && !restored {
             return Err(LineError::Malformed("d"));
         }
         let wait = Duration::from_secs_f64(wait_ms.min(MAX_WAIT_MS) / 1e3);
@@ -150,7 +149,7 @@
     Some(number).filter(|_| digits.len() <= MAX_HEX_DIGITS)
 }
 
-/// A plain decimal number; signs, exponents and words such as `inf` are none.
+/// Parses a decimal number without a sign or an exponent; words such as `inf` are rejected.
 fn parse_milliseconds(text: &str) -> Option<f64> {
     let plain = text
         .bytes()
--- a/crates/proxy/src/protocol/discovery.rs
+++ b/crates/proxy/src/protocol/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's endpoint lists.
+//! The endpoint lists that discovery sends and the configuration contains.
 
 use super::json::{self, JsonError, JsonValue};
 use asterramp_placement::event::EndpointState;
@@ -6,21 +6,21 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Longest unique name of an endpoint, in bytes.
+/// Longest unique name (`uid`) of an endpoint, in bytes.
 const MAX_UID_LENGTH: usize = 256;
-/// Weight of an endpoint that names none.
+/// Weight of an endpoint whose entry has no `capacity_hint`.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Endpoints as discovery names them, all of them or those that changed.
+/// A list of endpoints: either all of them or only those that changed.
 #[derive(Debug, PartialEq)]
 pub struct EndpointList {
-    /// The list's version; later ones are greater.
+    /// The list's version; later lists have greater ones.
     pub revision: u64,
-    /// Whether endpoints that the list doesn't name are gone.
+    /// Whether the list is complete, so that endpoints missing from it are gone.
     pub complete: bool,
-    /// The entries that could be read.
+    /// The valid entries.
     pub endpoints: Vec<ListedEndpoint>,
-    /// What is wrong with the first entry that could not be read.
+    /// The error of the first invalid entry, if there is one.
     pub first_error: Option<EndpointListError>,
 }
 
@@ -29,33 +29,33 @@
 pub struct ListedEndpoint {
     /// The endpoint's unique name, at most 256 bytes.
     pub uid: String,
-    /// Where it listens; unspecified where it is gone and the list doesn't say.
+    /// The address at which it listens; `0.0.0.0:0` if it is gone and the entry has no address.
     pub address: SocketAddr,
-    /// The zone's name, empty where the list names none.
+    /// The zone's name; empty if the entry has none.
     pub zone: String,
-    /// The group of endpoints within the zone that it belongs to.
+    /// Number of its cell, a group of endpoints within the zone; 0 if the entry has none.
     pub cell: u16,
-    /// Whether it takes sessions.
+    /// Whether it accepts sessions.
     pub state: EndpointState,
-    /// Its capacity in relation to others, not negative.
+    /// Its capacity in proportion to that of other endpoints, not negative; 1 if the entry has none.
     pub weight: f64,
-    /// When its process started, as Unix time.
+    /// When its process started, as Unix time; `None` if the entry has no time, or 0.
     pub started_at: Option<Duration>,
 }
 
-/// Why an endpoint list, or an entry of it, can't be read.
+/// Why an endpoint list, or an entry of it, is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EndpointListError {
-    /// It is not JSON.
+    /// The list is not JSON.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// It has no revision.
+    /// The list has no valid revision.
     #[error("rev is missing or no number")]
     Revision,
-    /// It has no entries.
+    /// The list has no array of entries.
     #[error("targets is missing or no list")]
     Targets,
-    /// A key of an entry is missing or has a wrong value.
+    /// A key of an entry is missing or has an invalid value.
     #[error("targets.{index}.{key} is missing or wrong")]
     Entry {
         /// The entry's index in the list.
@@ -70,8 +70,8 @@
     from_json(&json::parse(bytes)?)
 }
 
-/// Reads a list; entries that can't be read are left out, and the first of them named in
-/// [`first_error`](EndpointList::first_error).
+/// Converts a list from JSON. Invalid entries are left out; [`first_error`](EndpointList::first_error) names the first
+/// of them.
 pub fn from_json(value: &JsonValue) -> Result<EndpointList, EndpointListError> {
     let revision = value
         .get("rev")
@@ -100,7 +100,7 @@
     Ok(list)
 }
 
-/// Reads an entry; fails with the key that is missing or wrong.
+/// Converts an entry from JSON; fails with the key that is missing or invalid.
 fn endpoint_from_json(target: &JsonValue) -> Result<ListedEndpoint, &'static str> {
     let state = match required_text(target, "state")? {
         "ready" => EndpointState::Ready,
@@ -114,7 +114,7 @@
         .ok_or("uid")?;
     Ok(ListedEndpoint {
         uid: uid.to_string(),
-        address: address(target, state)?,
+        address: endpoint_address(target, state)?,
         zone: target
             .get("az")
             .and_then(JsonValue::as_str)
@@ -131,7 +131,7 @@
     target.get(key).and_then(JsonValue::as_str).ok_or(key)
 }
 
-/// A number that is not negative; `None` where it is absent.
+/// A number that is not negative; `None` if it is absent or null.
 fn optional_number(target: &JsonValue, key: &'static str) -> Result<Option<f64>, &'static str> {
     match target.get(key) {
         None | Some(JsonValue::Null) => Ok(None),
@@ -143,8 +143,8 @@
     }
 }
 
-/// An endpoint that is gone needs no address.
-fn address(target: &JsonValue, state: EndpointState) -> Result<SocketAddr, &'static str> {
+/// The address of an entry, which may be missing if the endpoint is gone.
+fn endpoint_address(target: &JsonValue, state: EndpointState) -> Result<SocketAddr, &'static str> {
     let text = required_text(target, "endpoint").ok();
     match text.and_then(|text| text.parse().ok()) {
         Some(address) => Ok(address),
--- a/crates/proxy/src/protocol/http_client.rs
+++ b/crates/proxy/src/protocol/http_client.rs
@@ -1,27 +1,28 @@
-//! As much of HTTP/1.1 as a discovery watch needs: its request, and a chunked response taken apart into lines.
+//! The part of HTTP/1.1 that a discovery watch needs: its request, and a parser that splits a chunked response into
+//! lines.
 
 use thiserror::Error;
 
-/// Longest head, and longest line between two chunks, in bytes.
+/// Longest response head, and longest line between two chunks, in bytes.
 const MAX_HEAD_LENGTH: usize = 8192;
-/// Longest line of the body in bytes: a list of some ten thousand endpoints.
+/// Longest line of the body in bytes: enough for a list of some ten thousand endpoints.
 const MAX_BODY_LINE_LENGTH: usize = 4 << 20;
 /// The end of a head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 /// The end of a line between chunks.
 const LINE_END: &[u8] = b"\r\n";
-/// The only status with which a watch goes on.
+/// The only status that a watch accepts.
 const STATUS_OK: u16 = 200;
 
-/// The request for a watch that tells of changes after a revision.
+/// The request for a watch that reports the changes after a revision.
 pub fn watch_request(host: &str, after_revision: u64) -> String {
     format!("GET /discovery/hosts?stream=1&index={after_revision} HTTP/1.1\r\nHost: {host}\r\n\r\n")
 }
 
-/// Why a response can't be used.
+/// Why a response is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpResponseError {
-    /// The head, a line between chunks or a line of the body is longer than its bound.
+    /// The head, a line between chunks or a line of the body is longer than allowed.
     #[error("too long")]
     TooLong,
     /// The head or a line between chunks is not UTF-8.
@@ -35,38 +36,38 @@
     Status(u16),
 }
 
-/// What comes next in a response.
+/// Which part of the response the parser expects next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ResponseState {
     #[default]
     Head,
     ChunkSize,
-    /// So many bytes of a chunk's data.
+    /// The data of a chunk, of which so many bytes are missing.
     ChunkData(usize),
     /// The line end behind a chunk's data.
     ChunkEnd,
-    /// Nothing that counts: the last chunk has come.
+    /// Nothing: the last chunk has been received, and later bytes are ignored.
     Complete,
 }
 
-/// Parses a chunked response as it comes, in pieces of any size.
+/// An incremental parser of a chunked response, which may arrive in pieces of any size.
 #[derive(Debug, Default)]
 pub struct ChunkedResponse {
     state: ResponseState,
-    /// The incomplete head, or the incomplete line between chunks.
+    /// The bytes so far of the head, or of the line between chunks.
     framing: Vec<u8>,
-    /// The incomplete line of the body.
+    /// The bytes so far of the body's current line, without an end of line.
     body_line: Vec<u8>,
 }
 
 impl ChunkedResponse {
-    /// Whether the last chunk has come.
+    /// Whether the last chunk has been received.
     pub fn is_complete(&self) -> bool {
         self.state == ResponseState::Complete
     }
 
-    /// Takes bytes in and adds the lines of the body that they complete, without white space around them and blank
-    /// ones too. After an error the response is of no more use.
+    /// Parses the next bytes and appends the lines of the body that they complete to `lines`: trimmed, and including
+    /// blank ones. The parser must not be used after an error.
     pub fn feed(
         &mut self,
         mut bytes: &[u8],
@@ -74,19 +75,19 @@
     ) -> Result<(), HttpResponseError> {
         while let Some((&byte, after)) = bytes.split_first() {
             match self.state {
-                ResponseState::ChunkData(expected) => {
-                    let (data, rest) = bytes.split_at(expected.min(bytes.len()));
-                    self.take_data(data, lines)?;
+                ResponseState::ChunkData(remaining) => {
+                    let (data, rest) = bytes.split_at(remaining.min(bytes.len()));
+                    self.parse_chunk_data(data, lines)?;
                     bytes = rest;
-                    self.state = if data.len() == expected {
+                    self.state = if data.len() == remaining {
                         ResponseState::ChunkEnd
                     } else {
-                        ResponseState::ChunkData(expected - data.len())
+                        ResponseState::ChunkData(remaining - data.len())
                     };
                 }
                 ResponseState::Complete => return Ok(()),
                 ResponseState::Head | ResponseState::ChunkSize | ResponseState::ChunkEnd => {
-                    self.take_framing(byte)?;
+                    self.parse_framing_byte(byte)?;
                     bytes = after;
                 }
             }
@@ -94,8 +95,8 @@
         Ok(())
     }
 
-    /// Takes one byte of the head or of a line between chunks.
-    fn take_framing(&mut self, byte: u8) -> Result<(), HttpResponseError> {
+    /// Parses one byte of the head or of a line between chunks.
+    fn parse_framing_byte(&mut self, byte: u8) -> Result<(), HttpResponseError> {
         self.framing.push(byte);
         if self.framing.len() > MAX_HEAD_LENGTH {
             return Err(HttpResponseError::TooLong);
@@ -113,6 +114,7 @@
         Ok(())
     }
 
+    /// The state that follows the complete head, or a complete line between chunks.
     fn state_after(&self, text: &str) -> Result<ResponseState, HttpResponseError> {
         match self.state {
             ResponseState::Head => check_head(text).map(|()| ResponseState::ChunkSize),
@@ -125,7 +127,8 @@
         }
     }
 
-    fn take_data(
+    /// Parses data of the body and appends the lines that it completes.
+    fn parse_chunk_data(
         &mut self,
         data: &[u8],
         lines: &mut Vec<Vec<u8>>,
@@ -144,7 +147,7 @@
     }
 }
 
-/// A head is good where its status is 200 and its body chunked.
+/// Accepts a head with status 200 and a chunked body.
 fn check_head(head: &str) -> Result<(), HttpResponseError> {
     let mut lines = head.split("\r\n");
     let status: Option<u16> = lines
@@ -163,7 +166,7 @@
     }
 }
 
-/// The size in a chunk's first line; extensions behind it don't count.
+/// The size in a chunk's first line; chunk extensions are ignored.
 fn parse_chunk_size(line: &str) -> Result<usize, HttpResponseError> {
     let digits = line.split(';').next().unwrap_or_default().trim();
     usize::from_str_radix(digits, 16).map_err(|_| HttpResponseError::Malformed("chunk size"))
--- a/crates/proxy/src/protocol/http_server.rs
+++ b/crates/proxy/src/protocol/http_server.rs
@@ -1,39 +1,39 @@
-//! Operators' calls: requests and responses of HTTP/1.1, one for each connection. A second request behind the first is
-//! not looked at.
+//! The server side of HTTP/1.1 for operators: parses requests and writes responses. Each connection carries one
+//! request; a second one behind it is ignored.
 
 use thiserror::Error;
 
-/// Longest head of a request, in bytes without its end.
+/// Longest head of a request, in bytes without the empty line.
 pub const MAX_HEAD_LENGTH: usize = 4096;
 /// Longest body of a request, in bytes.
 const MAX_BODY_LENGTH: usize = 2048;
 /// The end of a head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// The only version that is spoken.
+/// The only supported version.
 const HTTP_VERSION: &str = "HTTP/1.1";
 
-/// A request, whose body has come and is not looked at.
+/// A complete request. Its body has been received and is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpRequest<'a> {
-    /// The method, in capital letters.
+    /// The method, in upper case.
     pub method: &'a str,
     /// The path without a query.
     pub path: &'a str,
 }
 
-/// A response's status. As an error it shows its explanation, which is also the body of a response that has no other.
+/// A response's status. Its `Display` text is the body of a response that has no other body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpStatus {
     /// 200.
     #[error("yes")]
     Ok,
-    /// 400, and why.
+    /// 400, with the reason.
     #[error("{0}")]
     BadRequest(&'static str),
     /// 404.
     #[error("nothing is called by this path")]
     NotFound,
-    /// 405, and the method that the path has.
+    /// 405, with the method that the path allows.
     #[error("another method is allowed")]
     MethodNotAllowed(&'static str),
     /// 408.
@@ -42,13 +42,13 @@
     /// 411.
     #[error("a body needs its length")]
     LengthRequired,
-    /// 413: the body is longer than two KiB.
+    /// 413: the body is longer than 2 KiB.
     #[error("the body is too long")]
     ContentTooLarge,
     /// 431: the head is longer than [`MAX_HEAD_LENGTH`].
     #[error("the head is too long")]
     HeaderFieldsTooLarge,
-    /// 503, and why.
+    /// 503, with the reason.
     #[error("{0}")]
     ServiceUnavailable(&'static str),
     /// 505: another version than 1.1.
@@ -56,12 +56,14 @@
     VersionNotSupported,
 }
 
-const BAD_REQUEST_LINE: HttpStatus =
+/// The request line is not of the form `METHOD /path HTTP/1.1`.
+const INVALID_REQUEST_LINE: HttpStatus =
     HttpStatus::BadRequest("the first line is not a method, a path and a version");
-const BAD_LENGTH: HttpStatus = HttpStatus::BadRequest("the body's length is none");
+/// `Content-Length` is not a number, or two such headers differ.
+const INVALID_CONTENT_LENGTH: HttpStatus = HttpStatus::BadRequest("Content-Length is invalid");
 
 impl HttpStatus {
-    /// The status's number and its standard phrase.
+    /// The status code and its standard reason phrase.
     fn code_and_phrase(self) -> (u16, &'static str) {
         match self {
             HttpStatus::Ok => (200, "OK"),
@@ -77,13 +79,13 @@
         }
     }
 
-    /// What the status means, in a few words.
+    /// The reason for the status in a few words, as in the response's body.
     pub fn explanation(self) -> String {
         self.to_string()
     }
 }
 
-/// A complete response; without a body of its own it has the status's explanation as one.
+/// A complete response. Without `body`, its body is the status's explanation.
 pub fn response_text(status: HttpStatus, body: Option<&str>) -> String {
     let (code, phrase) = status.code_and_phrase();
     let allow = match status {
@@ -98,7 +100,7 @@
     )
 }
 
-/// Parses the request in `bytes` once it has come with its body; `None` while it has not.
+/// Parses the request in `bytes`; `None` while its head or body is incomplete.
 ///
 /// Fails with the status to respond with.
 pub fn parse(bytes: &[u8]) -> Result<Option<HttpRequest<'_>>, HttpStatus> {
@@ -133,23 +135,24 @@
     let (Some(method), Some(target), Some(version), None) =
         (words.next(), words.next(), words.next(), words.next())
     else {
-        return Err(BAD_REQUEST_LINE);
+        return Err(INVALID_REQUEST_LINE);
     };
     if version != HTTP_VERSION {
         return Err(if version.starts_with("HTTP/") {
             HttpStatus::VersionNotSupported
         } else {
-            HttpStatus::BadRequest("the version is none")
+            HttpStatus::BadRequest("the HTTP version is malformed")
         });
     }
     let is_method = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase());
     if !is_method || !target.starts_with('/') {
-        return Err(BAD_REQUEST_LINE);
+        return Err(INVALID_REQUEST_LINE);
     }
     Ok((method, target))
 }
 
-/// The body's length that the headers name, or zero; checks the headers on the way.
+/// The body's length by `Content-Length`, or zero without it. Also checks the syntax of all headers, and that `Host` is
+/// there once.
 fn parse_body_length<'a>(headers: impl Iterator<Item = &'a str>) -> Result<usize, HttpStatus> {
     let mut host_headers = 0;
     let mut body_length = None;
@@ -158,7 +161,9 @@
             .split_once(':')
             .ok_or(HttpStatus::BadRequest("a header has no colon"))?;
         if name.is_empty() || name.bytes().any(|byte| byte.is_ascii_whitespace()) {
-            return Err(HttpStatus::BadRequest("a header's name is none"));
+            return Err(HttpStatus::BadRequest(
+                "a header's name is empty or has a space in it",
+            ));
         }
         if name.eq_ignore_ascii_case("host") {
             host_headers += 1;
@@ -168,9 +173,9 @@
             let length = parse_content_length(value.trim())?;
             if body_length
                 .replace(length)
-                .is_some_and(|before| before != length)
+                .is_some_and(|previous| previous != length)
             {
-                return Err(BAD_LENGTH);
+                return Err(INVALID_CONTENT_LENGTH);
             }
         }
     }
@@ -182,8 +187,8 @@
 
 fn parse_content_length(digits: &str) -> Result<usize, HttpStatus> {
     if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
-        return Err(BAD_LENGTH);
+        return Err(INVALID_CONTENT_LENGTH);
     }
-    // A number that doesn't fit is a body that is too long.
+    // A number too large for `usize` is a body that is too long.
     Ok(digits.parse().unwrap_or(usize::MAX))
 }
--- a/crates/proxy/src/protocol/json.rs
+++ b/crates/proxy/src/protocol/json.rs
@@ -1,12 +1,11 @@
-//! A JSON parser for input from outside: discovery's lists and the configuration.
+//! A JSON parser for untrusted input: discovery's lists and the configuration.
 //!
-//! Unlike a parser into fixed types it keeps numbers as they are written, so that the reader of a value chooses its
-//! type, and bounds the depth.
+//! It keeps numbers as they are written, so that the reader of a value chooses its type, and bounds the nesting depth.
 
 use std::str::{FromStr, Utf8Error};
 use thiserror::Error;
 
-/// How deep lists and objects may be nested, so that the recursion is bounded.
+/// How deep arrays and objects may be nested, which bounds the parser's recursion.
 const MAX_DEPTH: usize = 24;
 
 /// A JSON value.
@@ -16,18 +15,18 @@
     Null,
     /// `true` or `false`.
     Bool(bool),
-    /// A number as it is written.
+    /// A number as it is written in the text.
     Number(String),
-    /// A text without its escapes.
+    /// A string with its escapes resolved.
     String(String),
-    /// A list.
+    /// An array.
     Array(Vec<JsonValue>),
-    /// Pairs in the order in which they are written.
+    /// Names and values in the order of the text; a name may be repeated.
     Object(Vec<(String, JsonValue)>),
 }
 
 impl JsonValue {
-    /// The value under a name, of several the first; `None` where this is no object or has none.
+    /// The value under a name, the first if the name is repeated; `None` if this is not an object or has no such name.
     pub fn get(&self, name: &str) -> Option<&JsonValue> {
         let JsonValue::Object(pairs) = self else {
             return None;
@@ -35,7 +34,7 @@
         pairs.iter().find(|pair| pair.0 == name).map(|pair| &pair.1)
     }
 
-    /// The text, if this is one.
+    /// The text, if this is a string.
     pub fn as_str(&self) -> Option<&str> {
         match self {
             JsonValue::String(text) => Some(text),
@@ -43,7 +42,7 @@
         }
     }
 
-    /// The number, if this is one that the type can hold.
+    /// The number, if this is a number that `T` can hold.
     pub fn parse_number<T: FromStr>(&self) -> Option<T> {
         match self {
             JsonValue::Number(text) => text.parse().ok(),
@@ -51,7 +50,7 @@
         }
     }
 
-    /// The items, if this is a list.
+    /// The items, if this is an array.
     pub fn as_array(&self) -> Option<&[JsonValue]> {
         match self {
             JsonValue::Array(items) => Some(items),
@@ -59,10 +58,10 @@
         }
     }
 
-    /// Appends paths and values in the settings' flat form.
+    /// Appends pairs of path and value to `out`, in the flat form that the settings use.
     ///
-    /// A list of lists or objects becomes its items under their indices and their `count`; any other list becomes one
-    /// value, joined by commas.
+    /// An array that contains arrays or objects becomes its `count` and its items under their indices; any other array
+    /// becomes one value, joined by commas.
     pub fn flatten(&self, path: &str, out: &mut Vec<(String, String)>) {
         match self {
             JsonValue::Object(pairs) => {
@@ -88,7 +87,7 @@
         matches!(self, JsonValue::Object(_) | JsonValue::Array(_))
     }
 
-    /// A scalar in the settings' flat form, which has no spaces and no commas within a value.
+    /// A scalar in the settings' flat form, in which a value has no spaces and no commas: underscores replace them.
     fn flat_text(&self) -> String {
         match self {
             JsonValue::Bool(flag) => flag.to_string(),
@@ -107,29 +106,29 @@
     }
 }
 
-/// Why a text is no JSON.
+/// Why a text is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum JsonError {
     /// It is not UTF-8.
     #[error(transparent)]
     NotUtf8(#[from] Utf8Error),
-    /// It breaks the grammar or a bound.
+    /// It violates the grammar or a limit.
     #[error("{problem} at byte {offset}")]
     Syntax {
         /// What is wrong.
         problem: JsonProblem,
-        /// Where, in bytes from the beginning.
+        /// Position of the error, in bytes from the beginning.
         offset: usize,
     },
 }
 
-/// How a text breaks JSON's grammar or a bound.
+/// How a text violates JSON's grammar or a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum JsonProblem {
-    /// Something follows the value.
+    /// There is more input behind the value.
     #[error("more than one value")]
     TrailingInput,
-    /// Lists and objects are nested deeper than 24.
+    /// Arrays and objects are nested more than 24 levels deep.
     #[error("too deep")]
     TooDeep,
     /// A value is missing.
@@ -147,22 +146,22 @@
     /// A name doesn't begin with a quotation mark.
     #[error("no text")]
     NoString,
-    /// A text has no closing quotation mark.
+    /// A string has no closing quotation mark.
     #[error("text without end")]
     UnterminatedString,
-    /// A text contains a control character.
+    /// A string contains a control character.
     #[error("control character")]
     ControlCharacter,
-    /// A text contains an escape that JSON doesn't have.
+    /// A string contains an escape that JSON does not define.
     #[error("unknown escape")]
     UnknownEscape,
 }
 
-/// Parses a text that is one JSON value.
+/// Parses a text that consists of one JSON value.
 pub fn parse(bytes: &[u8]) -> Result<JsonValue, JsonError> {
     let text = std::str::from_utf8(bytes)?;
     let mut parser = Parser { text, offset: 0 };
-    let value = parser.value(0)?;
+    let value = parser.parse_value(0)?;
     parser.skip_whitespace();
     if parser.offset < text.len() {
         return Err(parser.error(JsonProblem::TrailingInput));
@@ -172,7 +171,7 @@
 
 struct Parser<'a> {
     text: &'a str,
-    /// Bytes of the text that are parsed.
+    /// How many bytes of the text are parsed.
     offset: usize,
 }
 
@@ -184,7 +183,7 @@
         }
     }
 
-    /// What is not parsed yet.
+    /// The part of the text that is not parsed yet.
     fn rest(&self) -> &'a str {
         &self.text[self.offset..]
     }
@@ -199,27 +198,27 @@
         }
     }
 
-    /// Takes a byte behind white space, if it is the next.
-    fn take(&mut self, byte: u8) -> bool {
+    /// Skips white space, and the next byte if it is `byte`. Returns whether it was.
+    fn skip_byte(&mut self, byte: u8) -> bool {
         self.skip_whitespace();
         let found = self.peek() == Some(byte);
         self.offset += usize::from(found);
         found
     }
 
-    fn value(&mut self, depth: usize) -> Result<JsonValue, JsonError> {
+    fn parse_value(&mut self, depth: usize) -> Result<JsonValue, JsonError> {
         self.skip_whitespace();
         match self.peek() {
             Some(b'{' | b'[') if depth == MAX_DEPTH => Err(self.error(JsonProblem::TooDeep)),
-            Some(b'{') => self.object(depth + 1),
-            Some(b'[') => self.array(depth + 1),
-            Some(b'"') => self.string().map(JsonValue::String),
-            Some(b'-' | b'0'..=b'9') => self.number(),
-            _ => self.keyword(),
+            Some(b'{') => self.parse_object(depth + 1),
+            Some(b'[') => self.parse_array(depth + 1),
+            Some(b'"') => self.parse_string().map(JsonValue::String),
+            Some(b'-' | b'0'..=b'9') => self.parse_number(),
+            _ => self.parse_keyword(),
         }
     }
 
-    fn keyword(&mut self) -> Result<JsonValue, JsonError> {
+    fn parse_keyword(&mut self) -> Result<JsonValue, JsonError> {
         let keywords = [
             ("null", JsonValue::Null),
             ("true", JsonValue::Bool(true)),
@@ -234,46 +233,46 @@
         Ok(value)
     }
 
-    fn object(&mut self, depth: usize) -> Result<JsonValue, JsonError> {
+    fn parse_object(&mut self, depth: usize) -> Result<JsonValue, JsonError> {
         let pair = |parser: &mut Self| {
             parser.skip_whitespace();
-            let name = parser.string()?;
-            if !parser.take(b':') {
+            let name = parser.parse_string()?;
+            if !parser.skip_byte(b':') {
                 return Err(parser.error(JsonProblem::NoColon));
             }
-            Ok((name, parser.value(depth)?))
+            Ok((name, parser.parse_value(depth)?))
         };
-        self.items(b'}', pair).map(JsonValue::Object)
+        self.parse_items(b'}', pair).map(JsonValue::Object)
     }
 
-    fn array(&mut self, depth: usize) -> Result<JsonValue, JsonError> {
-        self.items(b']', |parser| parser.value(depth))
+    fn parse_array(&mut self, depth: usize) -> Result<JsonValue, JsonError> {
+        self.parse_items(b']', |parser| parser.parse_value(depth))
             .map(JsonValue::Array)
     }
 
-    /// Parses what is between brackets, separated by commas.
-    fn items<T>(
+    /// Parses the items between two brackets, separated by commas.
+    fn parse_items<T>(
         &mut self,
         closing_bracket: u8,
         item: impl Fn(&mut Self) -> Result<T, JsonError>,
     ) -> Result<Vec<T>, JsonError> {
         self.offset += 1;
         let mut items = Vec::new();
-        if self.take(closing_bracket) {
+        if self.skip_byte(closing_bracket) {
             return Ok(items);
         }
         loop {
             items.push(item(self)?);
-            if self.take(closing_bracket) {
+            if self.skip_byte(closing_bracket) {
                 return Ok(items);
             }
-            if !self.take(b',') {
+            if !self.skip_byte(b',') {
                 return Err(self.error(JsonProblem::NoComma));
             }
         }
     }
 
-    fn number(&mut self) -> Result<JsonValue, JsonError> {
+    fn parse_number(&mut self) -> Result<JsonValue, JsonError> {
         let rest = self.rest();
         let end = rest.find(|c: char| !matches!(c, '0'..='9' | '+' | '-' | '.' | 'e' | 'E'));
         let number = &rest[..end.unwrap_or(rest.len())];
@@ -284,7 +283,7 @@
         Ok(JsonValue::Number(number.to_string()))
     }
 
-    fn string(&mut self) -> Result<String, JsonError> {
+    fn parse_string(&mut self) -> Result<String, JsonError> {
         if self.peek() != Some(b'"') {
             return Err(self.error(JsonProblem::NoString));
         }
@@ -299,14 +298,14 @@
             self.offset += stop + 1;
             match rest.as_bytes()[stop] {
                 b'"' => return Ok(text),
-                b'\\' => text.push(self.escaped_character()?),
+                b'\\' => text.push(self.parse_escaped_character()?),
                 _ => return Err(self.error(JsonProblem::ControlCharacter)),
             }
         }
     }
 
-    /// What is behind a backslash.
-    fn escaped_character(&mut self) -> Result<char, JsonError> {
+    /// Parses the part of an escape behind the backslash.
+    fn parse_escaped_character(&mut self) -> Result<char, JsonError> {
         let byte = self
             .peek()
             .ok_or_else(|| self.error(JsonProblem::UnterminatedString))?;
@@ -318,19 +317,19 @@
             b'n' => Ok('\n'),
             b'r' => Ok('\r'),
             b't' => Ok('\t'),
-            b'u' => self.unicode_escape(),
+            b'u' => self.parse_unicode_escape(),
             _ => Err(self.error(JsonProblem::UnknownEscape)),
         }
     }
 
-    /// What is behind `\u`: one code unit of UTF-16, or two that make one character. Half a pair becomes the
-    /// replacement character.
-    fn unicode_escape(&mut self) -> Result<char, JsonError> {
-        let unit = self.code_unit()?;
+    /// Parses the part of an escape behind `\u`: one code unit of UTF-16, or a surrogate pair. A surrogate
+    /// without a second escape becomes the replacement character.
+    fn parse_unicode_escape(&mut self) -> Result<char, JsonError> {
+        let unit = self.parse_code_unit()?;
         let is_pair = matches!(unit, 0xd800..0xdc00) && self.rest().starts_with("\\u");
         let code = if is_pair {
             self.offset += "\\u".len();
-            let low = self.code_unit()?.wrapping_sub(0xdc00);
+            let low = self.parse_code_unit()?.wrapping_sub(0xdc00);
             0x1_0000 + ((unit - 0xd800) << 10) + (low & 0x3ff)
         } else {
             unit
@@ -338,8 +337,8 @@
         Ok(char::from_u32(code).unwrap_or(char::REPLACEMENT_CHARACTER))
     }
 
-    /// Four hexadecimal digits.
-    fn code_unit(&mut self) -> Result<u32, JsonError> {
+    /// Parses the four hexadecimal digits of a code unit.
+    fn parse_code_unit(&mut self) -> Result<u32, JsonError> {
         let digits = self
             .text
             .get(self.offset..self.offset + 4)
--- a/crates/proxy/src/protocol/line.rs
+++ b/crates/proxy/src/protocol/line.rs
@@ -2,10 +2,10 @@
 
 use thiserror::Error;
 
-/// Longest line in bytes, its end included; the protocol's bound.
+/// Longest line that the protocol allows, in bytes with the CRLF.
 pub const MAX_LINE_LENGTH: usize = 4096;
 
-/// Why a line can't be used. Log lines show the debug form too.
+/// Why a line is rejected. Some log lines contain the `Debug` form, so the variants keep their names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LineError {
     /// Longer than [`MAX_LINE_LENGTH`].
@@ -14,27 +14,27 @@
     /// Not UTF-8.
     #[error("not text")]
     NotText,
-    /// No line that the protocol has.
+    /// Not a line of the protocol.
     #[error("unknown")]
     Unknown,
-    /// The named part is missing or wrong.
+    /// The named part of the line is missing or invalid.
     #[error("malformed {0}")]
     Malformed(&'static str),
 }
 
-/// The first line without its end, and its length with it; `None` while it is incomplete.
+/// The first line without its CRLF, and its length with the CRLF; `None` while the line is incomplete.
 ///
-/// Fails where the line is longer than [`MAX_LINE_LENGTH`], ends in a line feed alone or is not UTF-8.
+/// Fails if the line is longer than [`MAX_LINE_LENGTH`], ends in a line feed alone or is not UTF-8.
 pub fn first_line(bytes: &[u8]) -> Result<Option<(&str, usize)>, LineError> {
-    let within = &bytes[..bytes.len().min(MAX_LINE_LENGTH)];
-    let Some(end) = within.iter().position(|byte| *byte == b'\n') else {
+    let searched = &bytes[..bytes.len().min(MAX_LINE_LENGTH)];
+    let Some(end) = searched.iter().position(|byte| *byte == b'\n') else {
         return if bytes.len() >= MAX_LINE_LENGTH {
             Err(LineError::TooLong)
         } else {
             Ok(None)
         };
     };
-    let line = within[..end]
+    let line = searched[..end]
         .strip_suffix(b"\r")
         .ok_or(LineError::Malformed("line end"))?;
     let text = std::str::from_utf8(line).map_err(|_| LineError::NotText)?;
--- a/crates/proxy/src/protocol/mod.rs
+++ b/crates/proxy/src/protocol/mod.rs
@@ -1,8 +1,9 @@
-//! The wire formats: parsers and writers as pure functions with bounds, without I/O.
+//! The wire formats: bounded parsers and writers without I/O.
 //!
-//! - [`mod@line`] finds lines ended by CRLF; [`client`] and [`server`] are what these say.
-//! - [`discovery`] is the endpoint list, written in [`json`] and carried by [`http_client`].
-//! - [`http_server`] is what operators call.
+//! - [`mod@line`] splits input into lines that end with CRLF; [`client`] and [`server`] parse and write the lines of
+//!   clients and servers.
+//! - [`discovery`] parses the endpoint list, which is encoded as [`json`] and received by [`http_client`].
+//! - [`http_server`] parses operators' HTTP requests and writes the responses.
 
 pub mod client;
 pub mod discovery;
--- a/crates/proxy/src/protocol/server.rs
+++ b/crates/proxy/src/protocol/server.rs
@@ -1,33 +1,33 @@
-//! Lines that servers send, and the load reports in them.
+//! The lines that servers send, with their load reports, and the health check that servers receive.
 
 use asterramp_placement::event::ServerLoad;
 use asterramp_placement::settings::LoadReportFormat;
 
-/// A line of a server. Those that may end with a load report carry it as text, empty where there is none.
+/// A line from a server. Variants for lines that may end with a load report hold its text, empty if there is none.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerLine<'a> {
     /// The session is open.
     Up,
-    /// The session was served and ends; with a load report.
+    /// The session has ended normally; with a load report.
     Bye(&'a str),
-    /// The server is draining: the client shall connect again elsewhere.
+    /// The server is draining: the client is to connect again elsewhere.
     Move,
     /// The attempt failed; with a load report.
     Error(&'a str),
     /// The server is full; with a load report.
     Busy(&'a str),
-    /// The answer to a health check; with a load report.
+    /// The response to a health check; with a load report.
     Pong(&'a str),
-    /// What the connection asks of the server now, in the unit of its load reports.
+    /// The load that this connection causes at the server now, in the unit of the server's load reports.
     Load(f64),
-    /// Anything else, such as `NO` to a health check that is not allowed, or what only the client understands.
+    /// Any other line, such as `NO`, which rejects a health check, or a line that is meant for the client.
     Other,
 }
 
 /// The health check, which asks for a load report.
 pub const STATS_LINE: &[u8] = b"STATS\r\n";
 
-/// What a server's line means; the line comes without its end.
+/// Parses a server's line, given without its CRLF.
 pub fn parse_server_line(line: &str) -> ServerLine<'_> {
     let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
     match word {
@@ -46,12 +46,12 @@
     }
 }
 
-/// The load in a report, whose values have the names that the settings give them.
+/// The load in a report. `format`, from the settings, says which names its values have.
 pub fn load_from_report(format: &LoadReportFormat, report: &str) -> ServerLoad {
     format.load(|_, name| report_value(report, name))
 }
 
-/// One value of a load report such as `x0=0.5,queue=2`; `None` where it is absent, negative or no finite number.
+/// One value of a load report such as `x0=0.5,queue=2`; `None` if it is absent, negative or not finite.
 pub fn report_value(report: &str, name: &str) -> Option<f64> {
     let mut pairs = report.split(',').filter_map(|pair| pair.split_once('='));
     let value: f64 = pairs.find(|pair| pair.0 == name)?.1.parse().ok()?;
--- a/crates/proxy/src/transport/buffer.rs
+++ b/crates/proxy/src/transport/buffer.rs
@@ -1,18 +1,19 @@
-//! A bounded buffer for bytes that were read and not yet consumed.
+//! The buffer of bytes that were read from a connection and not consumed yet.
 
 /// Bytes read from a connection and not yet forwarded or parsed, oldest first.
 ///
-/// The buffer doesn't enforce its capacity: whoever reads asks [`free_space`](ReadBuffer::free_space) first.
+/// [`append`](ReadBuffer::append) does not enforce the capacity: the caller reads at most
+/// [`free_space`](ReadBuffer::free_space) bytes.
 #[derive(Debug, Default)]
 pub struct ReadBuffer {
     bytes: Vec<u8>,
-    /// Where the unconsumed bytes begin; those before are dropped with the next append.
+    /// Index of the first unconsumed byte. The consumed bytes before it are removed by the next append.
     start: usize,
 }
 
 impl ReadBuffer {
-    /// Most bytes that may wait: two lines of the greatest length, so that a whole line always fits beside the rest
-    /// of another.
+    /// Most unconsumed bytes: two lines of the maximum length, so that a complete line always fits behind the rest of
+    /// another.
     pub const CAPACITY: usize = 8192;
 
     /// The unconsumed bytes.
@@ -25,18 +26,18 @@
         self.start == self.bytes.len()
     }
 
-    /// How many more bytes may be appended.
+    /// How many more bytes fit before the buffer is full.
     pub fn free_space(&self) -> usize {
         Self::CAPACITY.saturating_sub(self.bytes.len() - self.start)
     }
 
-    /// Adds bytes behind those that wait.
-    pub fn append(&mut self, more: &[u8]) {
+    /// Adds bytes behind the unconsumed ones.
+    pub fn append(&mut self, new_bytes: &[u8]) {
         if self.start > 0 {
             self.bytes.drain(..self.start);
             self.start = 0;
         }
-        self.bytes.extend_from_slice(more);
+        self.bytes.extend_from_slice(new_bytes);
     }
 
     /// Removes the oldest `count` bytes, or all of them if there are fewer.
--- a/crates/proxy/src/transport/deadlines.rs
+++ b/crates/proxy/src/transport/deadlines.rs
@@ -1,9 +1,9 @@
-//! Deadlines in the order in which they fall due, at most one for each key.
+//! A timer queue with at most one deadline for each key.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Pending deadlines; times are counted from the process's start.
+/// Pending deadlines, ordered by time. All times come from one clock, the caller's.
 #[derive(Clone, Debug)]
 pub struct Deadlines<K> {
     by_time: BTreeSet<(Duration, K)>,
@@ -20,7 +20,7 @@
 }
 
 impl<K: Ord + Copy> Deadlines<K> {
-    /// Sets the key's deadline in place of any that it had.
+    /// Sets the key's deadline and replaces its previous one.
     pub fn set(&mut self, key: K, at: Duration) {
         self.clear(key);
         self.by_key.insert(key, at);
@@ -39,12 +39,12 @@
         self.by_key.get(&key).copied()
     }
 
-    /// When the earliest deadline falls due.
+    /// When the earliest deadline is due; `None` if there is no deadline.
     pub fn next_due(&self) -> Option<Duration> {
         self.by_time.first().map(|(at, _)| *at)
     }
 
-    /// Removes the earliest deadline and gives its key, if it is due at `now`.
+    /// Removes the earliest deadline and returns its key, if it is due at `now`.
     pub fn pop_due(&mut self, now: Duration) -> Option<K> {
         let (_, key) = *self.by_time.first().filter(|(at, _)| *at <= now)?;
         self.clear(key);
--- a/crates/proxy/src/transport/mod.rs
+++ b/crates/proxy/src/transport/mod.rs
@@ -1,10 +1,11 @@
-//! Non-blocking sockets, readiness and timers. Knows no protocol.
+//! Non-blocking sockets, readiness and timers, independent of the protocols above them.
 //!
 //! - [`poller`] waits for readiness of registered sockets (epoll, level-triggered).
 //! - [`stream`] is one connection with its bounded [`ReadBuffer`] and its unsent output.
-//! - [`slots`] gives each connection a key that is never mistaken for a later one's.
-//! - [`deadlines`] orders the times at which something is due.
-//! - [`socket`] and [`seqpacket`] are the system calls on TCP sockets and on Unix sockets that carry file descriptors.
+//! - [`slots`] stores connections under keys that are never used again for a later connection.
+//! - [`deadlines`] is the timer queue.
+//! - [`socket`] wraps the system calls on TCP and Unix stream sockets, [`seqpacket`] those on Unix sockets that carry
+//!   file descriptors.
 
 pub mod buffer;
 pub mod deadlines;
--- a/crates/proxy/src/transport/poller.rs
+++ b/crates/proxy/src/transport/poller.rs
@@ -8,27 +8,27 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Most events taken by one wait, so that one turn of the event loop is bounded. Those left over come with the next.
+/// Most events returned by one wait, which bounds one iteration of the event loop. The next wait returns the rest.
 const MAX_EVENTS: usize = 256;
-/// Longest single wait, in seconds; keeps the time within what the system call takes.
+/// Longest single wait, in seconds, so that the timeout fits the system call's argument.
 const MAX_WAIT_SECONDS: u64 = 3600;
 
-/// What a socket is watched for. Errors and hang-ups are reported always.
+/// Which readiness of a socket is reported. Errors and hang-ups are always reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Interest {
-    /// Whether it can be read from.
+    /// Report when the socket can be read from.
     pub read: bool,
-    /// Whether it can be written to.
+    /// Report when the socket can be written to.
     pub write: bool,
 }
 
 impl Interest {
-    /// Watch for input only.
+    /// Readability only.
     pub const READ: Interest = Interest {
         read: true,
         write: false,
     };
-    /// Watch for room for output only.
+    /// Writability only.
     pub const WRITE: Interest = Interest {
         read: false,
         write: true,
@@ -45,18 +45,18 @@
 /// A registered socket that is ready.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadyEvent {
-    /// The key that it was registered under.
+    /// The key under which the socket was registered.
     pub key: SlotKey,
-    /// It can be written to.
+    /// The socket can be written to.
     pub writable: bool,
-    /// The connection broke, or ended both ways.
+    /// The connection failed, or both of its directions are closed (`EPOLLERR`, `EPOLLHUP`).
     pub failed: bool,
 }
 
 /// An epoll instance.
 pub struct Poller {
     epoll: OwnedFd,
-    /// Where the kernel writes events; kept so that a wait allocates nothing.
+    /// Buffer into which the kernel writes events; kept so that a wait does not allocate.
     events: Vec<epoll::Event>,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl Poller {
-    /// Creates an instance without sockets. Fails where the process has no descriptor left.
+    /// Creates an instance without sockets. Fails if the process has no free file descriptor.
     pub fn new() -> Result<Poller> {
         Ok(Poller {
             epoll: epoll::create(CreateFlags::CLOEXEC)?,
@@ -83,19 +83,19 @@
         epoll::add(&self.epoll, fd, data, interest.flags())
     }
 
-    /// Changes what a registered socket is watched for.
+    /// Changes the interest of a registered socket.
     pub fn modify(&self, fd: impl AsFd, key: SlotKey, interest: Interest) -> Result<()> {
         let data = EventData::new_u64(key.to_bits());
         epoll::modify(&self.epoll, fd, data, interest.flags())
     }
 
-    /// Removes a socket. Closing it does that too, unless another process still holds a duplicate.
+    /// Removes a socket. Closing the socket removes it too, unless another process holds a duplicate of it.
     pub fn remove(&self, fd: impl AsFd) {
         let _ = epoll::delete(&self.epoll, fd);
     }
 
-    /// Waits until a socket is ready, `timeout` has passed or a signal comes, and puts the ready sockets into `ready`
-    /// in place of what was there.
+    /// Waits until a socket is ready, `timeout` has passed or a signal arrives, and replaces the contents of `ready` by
+    /// the ready sockets.
     pub fn wait(&mut self, timeout: Duration, ready: &mut Vec<ReadyEvent>) -> Result<()> {
         let timeout = rustix::event::Timespec {
             tv_sec: timeout.as_secs().min(MAX_WAIT_SECONDS) as i64,
@@ -117,7 +117,7 @@
 }
 
 fn ready_event(event: &epoll::Event) -> ReadyEvent {
-    // The event is packed in memory, so its fields are copied out before they are used.
+    // The struct is packed, so references to its fields would be unaligned: they are copied first.
     let flags = event.flags;
     let data = event.data;
     ReadyEvent {
--- a/crates/proxy/src/transport/seqpacket.rs
+++ b/crates/proxy/src/transport/seqpacket.rs
@@ -1,5 +1,5 @@
-//! Unix sockets of type `SOCK_SEQPACKET`: whole messages between two processes of one machine, with file descriptors
-//! attached.
+//! Unix sockets of type `SOCK_SEQPACKET`: messages with attached file descriptors between two processes of one
+//! machine.
 
 use rustix::cmsg_space;
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
@@ -17,13 +17,13 @@
 /// A received message.
 #[derive(Debug)]
 pub struct ReceivedMessage {
-    /// Its bytes; empty at the connection's end.
+    /// The message's bytes; empty if the peer has closed the connection.
     pub bytes: Vec<u8>,
     /// The descriptors attached to it.
     pub descriptors: Vec<OwnedFd>,
 }
 
-/// Connects to the process that listens on a path. Fails where none does.
+/// Connects to the process that listens on a path. Fails if no process listens there.
 pub fn connect(path: &Path) -> Result<OwnedFd> {
     let fd = net::socket_with(
         AddressFamily::UNIX,
@@ -35,8 +35,8 @@
     Ok(fd)
 }
 
-/// Sends a message with at most two descriptors. Returns whether it was sent: `false` where the peer doesn't keep up
-/// and the message has to be sent again later.
+/// Sends a message with at most two descriptors. Returns `false` if the message was not sent because the peer reads
+/// too slowly, and has to be sent again later.
 pub fn send(socket: impl AsFd, message: &[u8], descriptors: &[BorrowedFd<'_>]) -> Result<bool> {
     let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
     let mut control = SendAncillaryBuffer::new(&mut space);
@@ -51,22 +51,23 @@
     ) {
         Ok(sent) if sent == message.len() => Ok(true),
         Ok(_) => Err(Errno::MSGSIZE),
-        // The kernel holds only a limited number of descriptors that are sent and not yet received.
+        // TOOMANYREFS: the kernel limits the number of descriptors that are in flight, sent and not received yet.
         Err(Errno::AGAIN | Errno::INTR | Errno::TOOMANYREFS) => Ok(false),
         Err(error) => Err(error),
     }
 }
 
-/// Ends the receiving direction: the peer's later sends fail, and what it sent before can still be received.
+/// Closes the receiving direction: later sends of the peer fail, and messages sent before can still be received.
 pub fn shutdown_read(socket: impl AsFd) -> Result<()> {
     net::shutdown(socket, net::Shutdown::Read)
 }
 
-/// Receives the next message of up to `max_length` bytes, if there is one; an empty one is the connection's end.
+/// Receives the next message of up to `max_length` bytes, if there is one. An empty message means that the peer has
+/// closed the connection.
 ///
-/// Fails with `MSGSIZE` where the message or its descriptors had to be cut. Where the peer closed with messages
-/// unread, the kernel reports that once, as a reset, before the messages that the peer had sent; these are still
-/// received.
+/// Fails with `MSGSIZE` if the message or its descriptors were truncated. If the peer closed the connection with
+/// messages unread, the kernel first reports one reset and then delivers the messages that the peer had sent, so one
+/// reset is skipped.
 pub fn receive(socket: impl AsFd, max_length: usize) -> Result<Option<ReceivedMessage>> {
     let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
@@ -87,8 +88,8 @@
             descriptors.extend(attached);
         }
     }
-    let cut = ReturnFlags::TRUNC | ReturnFlags::CTRUNC;
-    if received.flags.intersects(cut) {
+    let truncation_flags = ReturnFlags::TRUNC | ReturnFlags::CTRUNC;
+    if received.flags.intersects(truncation_flags) {
         return Err(Errno::MSGSIZE);
     }
     bytes.truncate(received.bytes);
--- a/crates/proxy/src/transport/socket.rs
+++ b/crates/proxy/src/transport/socket.rs
@@ -13,11 +13,11 @@
 
 /// Flags of every socket that the proxy opens or accepts.
 pub(super) const SOCKET_FLAGS: SocketFlags = SocketFlags::NONBLOCK.union(SocketFlags::CLOEXEC);
-/// Connections that may wait to be accepted at a TCP listener.
+/// Most connections that may wait to be accepted at a TCP listener.
 pub const LISTEN_BACKLOG: i32 = 1024;
-/// The same at a Unix listener, which only processes of this machine connect to.
+/// Most connections that may wait to be accepted at a Unix listener, to which only processes of this machine connect.
 const UNIX_LISTEN_BACKLOG: i32 = 32;
-/// Permissions of a Unix listener's file: read and write for its owner alone.
+/// File mode of a Unix listener's socket: read and write for its owner only.
 const UNIX_SOCKET_MODE: u32 = 0o600;
 
 fn open_tcp(address: SocketAddr) -> Result<OwnedFd> {
@@ -29,21 +29,22 @@
     net::socket_with(family, SocketType::STREAM, SOCKET_FLAGS, None)
 }
 
-/// Listens on a TCP address; with `shared`, other processes of this user may listen on it at the same time.
-pub fn listen(address: SocketAddr, shared: bool) -> Result<OwnedFd> {
+/// Listens on a TCP address; with `reuse_port`, other processes of this user may listen on it at the same time.
+pub fn listen(address: SocketAddr, reuse_port: bool) -> Result<OwnedFd> {
     let fd = open_tcp(address)?;
     sockopt::set_socket_reuseaddr(&fd, true)?;
-    sockopt::set_socket_reuseport(&fd, shared)?;
+    sockopt::set_socket_reuseport(&fd, reuse_port)?;
     net::bind(&fd, &address)?;
     net::listen(&fd, LISTEN_BACKLOG)?;
     Ok(fd)
 }
 
-/// Accepts a pending connection, if there is one. Fails where no descriptor is left.
+/// Accepts a pending connection at a TCP listener, if there is one, and sets `TCP_NODELAY`. Fails if the process has no
+/// free file descriptor.
 pub fn accept(listener: impl AsFd) -> Result<Option<OwnedFd>> {
     let accepted = accept_unix(listener)?;
     if let Some(fd) = &accepted {
-        // This fails only where the connection is gone already, which reading shows.
+        // This fails only if the connection is already closed, which the next read reports.
         let _ = sockopt::set_tcp_nodelay(fd, true);
     }
     Ok(accepted)
@@ -54,7 +55,7 @@
     sockopt::socket_acceptconn(fd).unwrap_or(false)
 }
 
-/// Begins to connect; the connection is established, or has failed, when it becomes writable.
+/// Starts to connect. The connection is established, or has failed, once the socket becomes writable.
 pub fn connect(address: SocketAddr) -> Result<OwnedFd> {
     let fd = open_tcp(address)?;
     sockopt::set_tcp_nodelay(&fd, true)?;
@@ -64,14 +65,14 @@
     }
 }
 
-/// Takes the error with which a connection broke, if it did: the kernel reports it once.
+/// Reads and clears the socket's pending error (`SO_ERROR`), with which its connection failed.
 pub fn take_error(fd: impl AsFd) -> Result<()> {
     sockopt::socket_error(fd)?
 }
 
-/// Ends the sending direction, so that the peer reads an end of file.
+/// Closes the sending direction, so that the peer reads an end of file.
 pub fn shutdown_write(fd: impl AsFd) {
-    // This fails only where the connection is gone already.
+    // This fails only if the connection is already closed.
     let _ = net::shutdown(fd, Shutdown::Write);
 }
 
@@ -80,30 +81,31 @@
     let _ = sockopt::set_socket_linger(&fd, Some(Duration::ZERO));
 }
 
-/// Listens on a path, for this user alone.
+/// Listens on a path with a socket that only this user may connect to.
 ///
-/// A socket file on which nobody listens any more is replaced. Fails with `AddrInUse` where somebody does listen, and
-/// with `AlreadyExists` where the file is no socket.
+/// A socket file on which no process listens is replaced. Fails with `AddrInUse` if a process listens on it, and with
+/// `AlreadyExists` if there is a file that is not a socket.
 pub fn listen_unix(path: &Path, kind: SocketType) -> io::Result<OwnedFd> {
     let address = SocketAddrUnix::new(path)?;
     let fd = net::socket_with(AddressFamily::UNIX, kind, SOCKET_FLAGS, None)?;
     remove_abandoned_socket(path, &address, kind)?;
     net::bind(&fd, &address)?;
-    // Nobody can connect before it listens, so the permissions hold from the first connection on.
+    // Connections are possible only after `listen`, so the permissions apply to every one.
     std::fs::set_permissions(path, std::fs::Permissions::from_mode(UNIX_SOCKET_MODE))?;
     net::listen(&fd, UNIX_LISTEN_BACKLOG)?;
     Ok(fd)
 }
 
+/// Removes a socket file on which no process listens, left by a process that did not clean up.
 fn remove_abandoned_socket(
     path: &Path,
     address: &SocketAddrUnix,
     kind: SocketType,
 ) -> io::Result<()> {
-    let Ok(found) = std::fs::symlink_metadata(path) else {
+    let Ok(metadata) = std::fs::symlink_metadata(path) else {
         return Ok(());
     };
-    if !found.file_type().is_socket() {
+    if !metadata.file_type().is_socket() {
         return Err(io::Error::new(
             io::ErrorKind::AlreadyExists,
             "there is a file that is no socket",
@@ -119,11 +121,11 @@
     }
 }
 
-/// Accepts a pending connection at a Unix listener, if there is one. Fails where no descriptor is left.
+/// Accepts a pending connection at a Unix listener, if there is one. Fails if the process has no free file descriptor.
 pub fn accept_unix(listener: impl AsFd) -> Result<Option<OwnedFd>> {
     match net::accept_with(listener, SOCKET_FLAGS) {
         Ok(fd) => Ok(Some(fd)),
-        // A connection that broke while it was pending concerns nobody.
+        // A connection that was aborted while it was pending needs no handling.
         Err(Errno::AGAIN | Errno::CONNABORTED | Errno::INTR) => Ok(None),
         Err(error) => Err(error),
     }
--- a/crates/proxy/src/transport/stream.rs
+++ b/crates/proxy/src/transport/stream.rs
@@ -1,5 +1,4 @@
-//! One non-blocking connection: its socket, the input that waits to be consumed and the output that waits to be
-//! written.
+//! One non-blocking connection: its socket, the input that is not consumed yet and the output that is not written yet.
 
 use super::buffer::ReadBuffer;
 use super::poller::Interest;
@@ -11,21 +10,21 @@
 /// How the peer ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// In good order, with an end of file.
+    /// With an end of file.
     Fin,
     /// With a reset, or by another error.
     Reset,
 }
 
-/// A connection with its buffers. Errors of the socket show as [`ended`](BufferedStream::ended).
+/// A connection with its buffers. Errors of the socket are recorded in [`ended`](BufferedStream::ended).
 #[derive(Debug)]
 pub struct BufferedStream {
     fd: OwnedFd,
     /// Input not yet consumed, within [`ReadBuffer::CAPACITY`].
     pub inbound: ReadBuffer,
-    /// The part of the proxy's own messages that the socket did not take at once.
+    /// The part of the proxy's own messages that the socket has not accepted yet.
     unsent: Vec<u8>,
-    /// What the socket is registered for at the poller.
+    /// The interest with which the socket is registered at the poller.
     pub interest: Interest,
     /// How the peer ended the connection, once it has.
     pub ended: Option<StreamEnd>,
@@ -49,8 +48,8 @@
         }
     }
 
-    /// A connection inherited from another process, with the input that it had read and not consumed. `None` where
-    /// that is more than [`ReadBuffer::CAPACITY`].
+    /// A connection inherited from another process, with the input that the process had read and not consumed. `None`
+    /// if that input is longer than [`ReadBuffer::CAPACITY`].
     pub fn inherited(fd: OwnedFd, inbound: &[u8]) -> Option<BufferedStream> {
         if inbound.len() > ReadBuffer::CAPACITY {
             return None;
@@ -60,9 +59,9 @@
         Some(stream)
     }
 
-    /// Reads once, so that one turn of the event loop is bounded for each connection.
+    /// Reads once, which bounds the work for each connection in one iteration of the event loop.
     ///
-    /// With `failed`, the socket's error is looked at as well: reading doesn't show it where the buffer is full.
+    /// With `failed`, the socket's pending error is checked as well, because nothing is read while the buffer is full.
     pub fn read_once(&mut self, failed: bool) {
         let mut bytes = [0; ReadBuffer::CAPACITY];
         let free_space = self.inbound.free_space();
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Reads and drops input, at most `max_bytes` rounded up to whole reads.
+    /// Reads and discards input: at most `max_bytes`, rounded up to a multiple of the read size.
     pub fn discard_input(&mut self, max_bytes: usize) {
         let mut bytes = [0; ReadBuffer::CAPACITY];
         for _ in 0..max_bytes.div_ceil(bytes.len()) {
@@ -95,12 +94,13 @@
         }
     }
 
-    /// Whether more input may come and there is space for it.
+    /// Whether the peer may send more input and the buffer has space for it.
     pub fn can_read(&self) -> bool {
         self.ended.is_none() && self.inbound.free_space() > 0
     }
 
-    /// Writes forwarded bytes and returns how many the socket took: none while messages of the proxy's own are unsent.
+    /// Writes forwarded bytes and returns how many the socket accepted: none while messages of the proxy's own are
+    /// unsent.
     pub fn forward(&self, bytes: &[u8]) -> Result<usize, StreamEnd> {
         if !self.unsent.is_empty() || bytes.is_empty() {
             return Ok(0);
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Writes a message of the proxy's own, given in parts, and keeps what the socket does not take.
+    /// Writes a message of the proxy's own, given in parts, and keeps the rest that the socket does not accept.
     pub fn send(&mut self, parts: &[&[u8]]) {
         let mut written = 0;
         if self.unsent.is_empty() && parts.iter().any(|part| !part.is_empty()) {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Writes what the socket takes of the messages that are unsent.
+    /// Writes as much of the unsent messages as the socket accepts.
     pub fn flush(&mut self) {
         if !self.unsent.is_empty() {
             let result = write(&self.fd, &self.unsent);
@@ -135,12 +135,12 @@
         }
     }
 
-    /// Whether all messages of the proxy's own are written to the last byte.
+    /// Whether all messages of the proxy's own are completely written.
     pub fn is_flushed(&self) -> bool {
         self.unsent.is_empty()
     }
 
-    /// How many bytes a write took; an error of the connection is noted as its end.
+    /// How many bytes a write accepted; an error of the connection is recorded in `ended`.
     fn written_bytes(&mut self, result: Result<usize, Errno>) -> usize {
         match result {
             Ok(count) => count,
@@ -152,12 +152,13 @@
         }
     }
 
-    /// Whether no error has broken the connection; asked at its first writability, whether it was established.
+    /// Whether the socket has no pending error, which the call clears. When a new connection first becomes writable,
+    /// this is whether it was established.
     pub fn is_connected(&self) -> bool {
         socket::take_error(&self.fd).is_ok()
     }
 
-    /// Ends the sending direction.
+    /// Closes the sending direction, so that the peer reads an end of file.
     pub fn shutdown_write(&self) {
         socket::shutdown_write(&self.fd);
     }
