--- a/crates/proxy/src/program/commands/drain.rs
+++ b/crates/proxy/src/program/commands/drain.rs
@@ -1,7 +1,7 @@
 //! The commands `asterramp drain` and `asterramp undrain`.
 
-use super::duration;
 use super::error::CommandError;
+use super::parse_duration_option;
 use crate::program::drain_progress::{format_status, wait_until_empty};
 use asterramp_admin_protocol::{AdminClient, AdminCommand, AdminRequest};
 use clap::Args;
@@ -14,7 +14,7 @@
 #[derive(Args)]
 pub(super) struct DrainOptions {
     /// By when it is to be empty, as in 60s; the operator's file says if absent.
-    #[arg(long, value_parser = duration)]
+    #[arg(long, value_parser = parse_duration_option)]
     deadline: Option<Duration>,
     /// Sessions to migrate per second; by what the endpoints can absorb if absent.
     #[arg(long)]
--- a/crates/proxy/src/program/commands/fleet.rs
+++ b/crates/proxy/src/program/commands/fleet.rs
@@ -1,7 +1,7 @@
 //! The command `asterramp fleet`: shows, pauses, resumes or cancels a guarded roll, through the store.
 
 use super::error::CommandError;
-use super::roll_name;
+use super::parse_roll_name;
 use crate::program::leader_lease::LeaderLease;
 use crate::program::roll::{self, RequestedRollState};
 use clap::{Args, Subcommand};
@@ -19,7 +19,7 @@
     #[arg(long, required = true, num_args = 1)]
     store: Vec<SocketAddr>,
     /// The roll's name.
-    #[arg(long, value_parser = roll_name)]
+    #[arg(long, value_parser = parse_roll_name)]
     name: String,
 }
 
--- a/crates/proxy/src/program/commands/mod.rs
+++ b/crates/proxy/src/program/commands/mod.rs
@@ -106,6 +106,7 @@
     }
 }
 
+/// Runs one command.
 fn execute(command: Command) -> Result<(), CommandError> {
     match command {
         Command::Serve { files } => serve::serve(&files),
@@ -127,6 +128,7 @@
     }
 }
 
+/// Prints a completion script on standard output.
 fn print_completions(shell: clap_complete::Shell) {
     let mut command_line = CommandLine::command();
     clap_complete::generate(
@@ -138,7 +140,7 @@
 }
 
 /// Parses a duration option. clap prints the error together with the option's name.
-fn duration(text: &str) -> Result<Duration, InvalidDuration> {
+fn parse_duration_option(text: &str) -> Result<Duration, InvalidDuration> {
     parse_duration(text).ok_or_else(|| InvalidDuration(text.to_string()))
 }
 
@@ -148,7 +150,7 @@
 struct InvalidDuration(String);
 
 /// Parses the name of a roll.
-fn roll_name(text: &str) -> Result<String, InvalidRollName> {
+fn parse_roll_name(text: &str) -> Result<String, InvalidRollName> {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-';
     let is_valid = (1..=MAX_ROLL_NAME_BYTES).contains(&text.len()) && text.bytes().all(is_allowed);
     if is_valid {
--- a/crates/proxy/src/program/config.rs
+++ b/crates/proxy/src/program/config.rs
@@ -238,7 +238,8 @@
 }
 
 /// Path of the Unix socket over which a successor of this proxy takes over its connections. It is in the directory
-/// `TMPDIR`, which both processes share; `None` if the variable is not set.
+/// `TMPDIR`, which both processes share; `None` if the variable is unset
+/// or empty.
 fn hot_restart_socket_path(listen_address: SocketAddr) -> Option<PathBuf> {
     let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
     let name = format!(
--- a/crates/proxy/src/program/roll/plan.rs
+++ b/crates/proxy/src/program/roll/plan.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// A plan with the version of its node, which prevents that a later change of the plan is overwritten.
+/// A plan with the version of its node. A write with this version fails if the plan has changed since it was read.
 #[derive(Debug)]
 pub(super) struct StoredPlan {
     pub(super) plan: RollPlan,
--- a/crates/proxy/src/protocol/http_server.rs
+++ b/crates/proxy/src/protocol/http_server.rs
@@ -151,8 +151,8 @@
     Ok((method, target))
 }
 
-/// The body's length by `Content-Length`, or zero without it. Also checks the syntax of all headers, and that `Host` is
-/// there once.
+/// The body's length by `Content-Length`, or zero without it. Also checks the syntax of all headers, and that there is
+/// exactly one `Host`.
 fn parse_body_length<'a>(headers: impl Iterator<Item = &'a str>) -> Result<usize, HttpStatus> {
     let mut host_headers = 0;
     let mut body_length = None;
