--- a/crates/proxy/src/program/leader_lease.rs
+++ b/crates/proxy/src/program/leader_lease.rs
@@ -134,6 +134,7 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
+    /// Time since the handle was opened, by the monotonic clock.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
@@ -259,6 +260,7 @@
     StoreRequest::Exists { path, watch: false }
 }
 
+/// Path of a node in the queue.
 fn queue_node_path(node: &str) -> String {
     format!("{QUEUE_PATH}/{node}")
 }
--- a/crates/proxy/src/program/leader_lease/session_thread.rs
+++ b/crates/proxy/src/program/leader_lease/session_thread.rs
@@ -134,6 +134,7 @@
         }
     }
 
+    /// Runs until the lease is resigned.
     fn run(mut self) {
         loop {
             self.perform_effects();
@@ -152,6 +153,7 @@
         }
     }
 
+    /// Sends a request, or reports its failure at once if there is no session.
     fn send(&mut self, now: Duration, request: StoreRequest, purpose: RequestPurpose) {
         match self.session.request(now, request, &mut self.effects) {
             Some(request_id) => {
--- a/crates/proxy/src/program/roll.rs
+++ b/crates/proxy/src/program/roll.rs
@@ -171,6 +171,7 @@
     mark_done(name, plan, lease)
 }
 
+/// Adds the proxy's admin socket to the error with which its replacement failed.
 fn replacement_error(admin_socket: &Path, error: RollError) -> RollError {
     RollError::Replacement {
         admin_socket: admin_socket.into(),
