--- a/crates/proxy/src/program/roll.rs
+++ b/crates/proxy/src/program/roll.rs
@@ -91,7 +91,7 @@
                 options.print_completion();
                 return Ok(());
             }
-            Err(RollError::LeaseLost) => println!("{}; contending again", RollError::LeaseLost),
+            Err(RollError::LeaseLost) => println!("{}; waiting for it", RollError::LeaseLost),
             Err(error) => {
                 lease.resign();
                 return Err(error);
--- a/crates/proxy/src/program/roll/error.rs
+++ b/crates/proxy/src/program/roll/error.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(in crate::program) enum RollError {
     /// The leader lease is lost, or may be; the next leader continues the plan.
-    #[error("the leader lease was lost")]
+    #[error("the work is not ours any more")]
     LeaseLost,
     /// A request to the store failed.
     #[error(transparent)]
--- a/crates/proxy/src/protocol/http_server.rs
+++ b/crates/proxy/src/protocol/http_server.rs
@@ -60,7 +60,7 @@
 const INVALID_REQUEST_LINE: HttpStatus =
     HttpStatus::BadRequest("the first line is not a method, a path and a version");
 /// `Content-Length` is not a number, or two such headers differ.
-const INVALID_CONTENT_LENGTH: HttpStatus = HttpStatus::BadRequest("Content-Length is invalid");
+const INVALID_CONTENT_LENGTH: HttpStatus = HttpStatus::BadRequest("the body's length is none");
 
 impl HttpStatus {
     /// The status code and its standard reason phrase.
@@ -141,7 +141,7 @@
         return Err(if version.starts_with("HTTP/") {
             HttpStatus::VersionNotSupported
         } else {
-            HttpStatus::BadRequest("the HTTP version is malformed")
+            HttpStatus::BadRequest("the version is none")
         });
     }
     let is_method = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase());
@@ -161,9 +161,7 @@
             .split_once(':')
             .ok_or(HttpStatus::BadRequest("a header has no colon"))?;
         if name.is_empty() || name.bytes().any(|byte| byte.is_ascii_whitespace()) {
-            return Err(HttpStatus::BadRequest(
-                "a header's name is empty or has a space in it",
-            ));
+            return Err(HttpStatus::BadRequest("a header's name is none"));
         }
         if name.eq_ignore_ascii_case("host") {
             host_headers += 1;
--- a/crates/proxy/src/routing/startup.rs
+++ b/crates/proxy/src/routing/startup.rs
@@ -95,10 +95,7 @@
         let watch = DiscoveryWatch::new(discovery_address, revision, &settings);
         let mut router = Router::without_connections(settings, seed, budget, watch, now)?;
         if let Some(why) = inherit_error {
-            router.log_event(
-                ReasonCode::HotRestartFailed,
-                format!("predecessor why={why:?}"),
-            );
+            router.log_event(ReasonCode::HotRestartFailed, format!("elder why={why:?}"));
         }
         let listener = match inherited {
             Some(inherited) => Listener::inherited(inherited),
