--- a/crates/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -1,4 +1,4 @@
-//! Dials: one attempt to open a session at a server, from its connection's start to the server's first answer.
+//! Dials: the connection of one attempt to open a session at a server, from connecting to the server's first response.
 
 use super::Router;
 use super::events::ReasonCode;
@@ -13,16 +13,16 @@
 use rustix::io::Errno;
 use std::time::Duration;
 
-/// Characters of an answer that makes no sense that are logged.
-const LOGGED_ANSWER_CHARS: usize = 80;
+/// Most characters of a malformed response that are logged.
+const MAX_LOGGED_RESPONSE_CHARS: usize = 80;
 
-/// An answer that makes no sense, as the log shows it.
-struct MalformedAnswer(String);
+/// A response that is not a line of the protocol, as the log shows it.
+struct MalformedResponse(String);
 
 impl Router {
-    /// Begins a dial's connection.
+    /// Starts to connect to a session's server, unless the client has left.
     pub(super) fn dial(&mut self, session: SlotKey, server: ServerId) {
-        if self.client_has_gone(session) {
+        if self.cancel_if_client_left(session) {
             return;
         }
         let Some(dial) = self
@@ -55,9 +55,10 @@
         }
     }
 
-    /// Looks at a session's client once more, right before something is sent for it: its end may have come behind
-    /// other events of this turn, or with what was read before. For one that has gone nothing is begun.
-    fn client_has_gone(&mut self, session: SlotKey) -> bool {
+    /// Checks a session's client once more, right before something is sent for it: its end may be queued behind other
+    /// events of this turn of the loop, or have come with data read before. Cancels the dial if the client has left or
+    /// sent data too early; returns whether it did.
+    fn cancel_if_client_left(&mut self, session: SlotKey) -> bool {
         let client = self
             .session_table
             .sessions
@@ -79,7 +80,8 @@
             .cancel_before_send(self.now, session, input)
     }
 
-    /// Dials the server that held a session before this proxy started.
+    /// Dials the server that held a restored session, with the time that is left for restoring it; a server that is
+    /// not listed counts as a dial without a socket, which is retried.
     pub(super) fn restore_session(&mut self, session: SlotKey) {
         let Some(slot) = self.session_table.sessions.get(session) else {
             return;
@@ -94,7 +96,7 @@
             Some(server) => SessionInput::Dial {
                 server,
                 timeout: remaining,
-                write_within: remaining,
+                write_timeout: remaining,
             },
             None => SessionInput::NoSocket {
                 dial: slot.machine.dial_number(),
@@ -103,7 +105,7 @@
         self.handle_session_input(session, input);
     }
 
-    /// Something happened on the connection of a session's server.
+    /// Handles readiness of the connection to a session's server.
     pub(super) fn server_ready(&mut self, session: SlotKey, event: ReadyEvent) {
         let Some(machine) = self.session_machine(session) else {
             return;
@@ -132,10 +134,10 @@
         }
     }
 
-    /// Writes the client's request line; `wait` is how long this dial may still take, and replaces the
-    /// client's own.
+    /// Writes the client's request line to the server, unless the client has left. `wait` is how long this dial may
+    /// still take, and replaces the client's own wait; `None` leaves the line as it is.
     pub(super) fn send_request_line(&mut self, session: SlotKey, wait: Option<Duration>) {
-        if self.client_has_gone(session) {
+        if self.cancel_if_client_left(session) {
             return;
         }
         let Some(slot) = self.session_table.sessions.get(session) else {
@@ -160,7 +162,7 @@
         self.continue_dial(session, key);
     }
 
-    /// Sees whether the request is written to its last byte, and what the server has answered since.
+    /// Reports to the session when the request is written to its last byte, and then the first response of the server.
     fn continue_dial(&mut self, session: SlotKey, key: SlotKey) {
         let (Some(connection), Some(machine)) =
             (self.connections.get(key), self.session_machine(session))
@@ -177,25 +179,25 @@
         let Some(connection) = self.connections.get(key) else {
             return;
         };
-        let answer = match line::first_line(connection.stream.inbound.bytes()) {
+        let response = match line::first_line(connection.stream.inbound.bytes()) {
             Ok(Some((text, _))) if is_written => {
-                read_answer(dial, text, &self.settings.load_report_format)
+                parse_first_response(dial, text, &self.settings.load_report_format)
             }
             Ok(_) if has_ended => Ok(SessionInput::ServerDisconnected { dial }),
             Ok(_) => return self.update_interest(key),
-            Err(fault) => Err(MalformedAnswer(format!("{fault:?}"))),
+            Err(fault) => Err(MalformedResponse(format!("{fault:?}"))),
         };
-        let input = answer.unwrap_or_else(|MalformedAnswer(shown)| {
+        let input = response.unwrap_or_else(|MalformedResponse(details)| {
             self.log_event(
                 ReasonCode::ServerProtocolError,
-                format!("dial line={shown}"),
+                format!("dial line={details}"),
             );
             declined(dial, Outcome::ServerError, ServerLoad::default())
         });
         self.handle_session_input(session, input);
     }
 
-    /// A session's deadline has passed.
+    /// Handles a session's deadline that has passed.
     pub(super) fn session_deadline(&mut self, session: SlotKey) {
         match self.session_machine(session).map(|machine| machine.state) {
             Some(SessionState::Open) => self.open_session_deadline(session),
@@ -205,28 +207,28 @@
     }
 }
 
-/// What a server's first line says of its dial.
-fn read_answer(
+/// The input that a server's first line to a dial stands for.
+fn parse_first_response(
     dial: u8,
     text: &str,
-    reports: &LoadReportFormat,
-) -> Result<SessionInput, MalformedAnswer> {
+    report_format: &LoadReportFormat,
+) -> Result<SessionInput, MalformedResponse> {
     match parse_server_line(text) {
         ServerLine::Up => Ok(SessionInput::ServerAccepted { dial }),
         ServerLine::Busy(report) => Ok(declined(
             dial,
             Outcome::Full,
-            load_from_report(reports, report),
+            load_from_report(report_format, report),
         )),
         ServerLine::Error(report) | ServerLine::Bye(report) => Ok(declined(
             dial,
             Outcome::ServerError,
-            load_from_report(reports, report),
+            load_from_report(report_format, report),
         )),
         ServerLine::Move => Ok(declined(dial, Outcome::Cancelled, ServerLoad::default())),
         _ => {
-            let start: String = text.chars().take(LOGGED_ANSWER_CHARS).collect();
-            Err(MalformedAnswer(format!("{start:?}")))
+            let excerpt: String = text.chars().take(MAX_LOGGED_RESPONSE_CHARS).collect();
+            Err(MalformedResponse(format!("{excerpt:?}")))
         }
     }
 }
--- a/crates/proxy/src/routing/session_state/machine.rs
+++ b/crates/proxy/src/routing/session_state/machine.rs
@@ -1,6 +1,6 @@
-//! The session state machine: looks inputs up in the table and performs what the transitions say.
+//! The session state machine: classifies each input, looks up its transition and performs the transition's effects.
 
-use super::table::{InputKind, TransitionEffect, dial_end_code, proves_not_run, transition};
+use super::table::{InputKind, TransitionEffect, dial_end_code, find_transition, proves_not_run};
 use super::{FinalResponse, SessionEffect, SessionInput, SessionState};
 use crate::injected_fault::{InjectedFault, is_injected};
 use crate::routing::events::ReasonCode;
@@ -8,44 +8,44 @@
 use asterramp_placement::event::{Outcome, ServerId, ServerLoad, SessionRequest};
 use std::time::Duration;
 
-/// Pause between two dials of a restored session: its server may be coming up, and is not to be flooded.
+/// Interval between two dials of a restored session, so that a server that is still starting is not flooded.
 const RESTORE_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a restored session is dialled again before its client is answered that it failed.
+/// How long after its request a restored session is dialled again; its client is then sent the failure.
 const RESTORE_TIMEOUT: Duration = Duration::from_secs(38);
-/// The least wait that a request line may state; zero would ask for nothing.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
-/// By how much [`InjectedFault::DeadlineTooLate`] puts a dial's deadline off.
-const INJECTED_DELAY: Duration = Duration::from_millis(400);
+/// Shortest wait that is written into a request line; a wait of zero would leave the server no time.
+const MIN_STATED_WAIT: Duration = Duration::from_millis(1);
+/// By how much [`InjectedFault::DialOutlastsClientWait`] extends a dial's deadline.
+const INJECTED_DEADLINE_EXTENSION: Duration = Duration::from_millis(400);
 
-/// One session's state. Times are since the start of the process's clock.
+/// The state machine of one session. Times are since the start of the process's clock.
 #[derive(Clone, Debug)]
 pub struct SessionMachine {
-    /// Where the session stands.
+    /// The current state.
     pub state: SessionState,
     /// What the client asked for.
     pub request: SessionRequest,
-    /// When it asked.
+    /// When the client asked.
     pub requested_at: Duration,
-    /// Dials begun so far; 255 at most, where counting stops.
+    /// Number of dials begun so far; stays at 255 once it is reached.
     pub dials_started: u8,
-    /// The server of the present dial or the last; 0 before the first.
+    /// The server of the current or last dial; 0 before the first dial.
     pub server: ServerId,
-    /// When the present dial times out.
+    /// When the current dial times out.
     dial_deadline: Duration,
-    /// From when on the present dial's request line is not written any more.
+    /// When it becomes too late to write the current dial's request line; the dial then ends as not sent.
     write_deadline: Duration,
-    /// The client is there and has no final answer.
+    /// The client is connected and has not been sent a final response.
     client_waiting: bool,
-    /// The client has ended its side, or is treated as if it had.
+    /// The client has closed its side of the connection, or has broken the protocol and is treated as gone.
     pub client_left: bool,
-    /// It was open before this proxy started, and the engine hears of it once it is open again.
+    /// The session was open before this proxy started; the placement engine is notified only once it is open again.
     restored: bool,
-    /// Longest that a connection may take to come up.
+    /// Timeout for the connection to a server to be established.
     connect_timeout: Duration,
 }
 
 impl SessionMachine {
-    /// A session that a client asks for at `now`; `restored` if it was open before this proxy started.
+    /// A session that a client requests at `now`; `restored` if it was open before this proxy started.
     pub fn new(
         now: Duration,
         request: SessionRequest,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// A session that another process of this proxy has opened at `server`.
+    /// An open session, taken over from another process of this proxy that opened it at `server`.
     pub fn open(
         now: Duration,
         request: SessionRequest,
@@ -82,32 +82,32 @@
         }
     }
 
-    /// The number of the present dial or the last, from 0.
+    /// The number of the current or last dial, from 0.
     pub fn dial_number(&self) -> u8 {
         self.dials_started.saturating_sub(1)
     }
 
-    /// Until when a restored session is dialled again.
+    /// Until when a restored session may be dialled again.
     pub fn restore_deadline(&self) -> Duration {
         self.requested_at + RESTORE_TIMEOUT
     }
 
-    /// Takes an input in and appends what is to be done to `out`, in order.
-    pub fn step(&mut self, now: Duration, input: SessionInput, out: &mut Vec<SessionEffect>) {
+    /// Handles an input and appends the resulting effects to `effects`, in the order in which to carry them out.
+    pub fn step(&mut self, now: Duration, input: SessionInput, effects: &mut Vec<SessionEffect>) {
         let Some(kind) = self.classify(now, input) else {
             return;
         };
-        let late_answer =
+        let late_acceptance =
             is_injected(InjectedFault::LateUpAccepted) && kind == InputKind::ServerAccepted;
-        let state = if late_answer && self.state != SessionState::Ended {
+        let state = if late_acceptance && self.state != SessionState::Ended {
             SessionState::AwaitingResponse
         } else {
             self.state
         };
-        let Some(transition) = transition(state, kind) else {
+        let Some(transition) = find_transition(state, kind) else {
             return;
         };
-        if self.replaced_by_fault(state, kind, out) {
+        if self.apply_injected_fault(state, kind, effects) {
             return;
         }
         let keeps_dial = is_injected(InjectedFault::RequestSentForGoneClient)
@@ -116,21 +116,21 @@
                 .contains(&TransitionEffect::AbandonUnsentDial);
         self.state = if keeps_dial { state } else { transition.next };
         for effect in transition.effects {
-            self.perform(now, *effect, input, out);
+            self.perform(now, *effect, input, effects);
         }
     }
 
-    /// Whether an injected fault replaces the transition.
-    fn replaced_by_fault(
+    /// Performs the injected fault that replaces this transition, if any; returns whether one did.
+    fn apply_injected_fault(
         &mut self,
         state: SessionState,
         kind: InputKind,
-        out: &mut Vec<SessionEffect>,
+        effects: &mut Vec<SessionEffect>,
     ) -> bool {
         if is_injected(InjectedFault::NoSocketNotReported) && kind == InputKind::NoSocket {
             self.state = SessionState::Idle;
-            out.push(SessionEffect::CloseServer);
-            out.push(SessionEffect::SetDeadline(None));
+            effects.push(SessionEffect::CloseServer);
+            effects.push(SessionEffect::SetDeadline(None));
             return true;
         }
         is_injected(InjectedFault::CancelledDialLeftOpen)
@@ -138,8 +138,8 @@
             && kind == InputKind::Cancel
     }
 
-    /// The kind of an input, given the time and the session; `None` if it is about an earlier dial, or about a
-    /// client that is known to have left.
+    /// The kind of an input, given the time and the state of the session; `None`, and thus ignored, if it is about an
+    /// earlier dial or a client that is already known to have left.
     fn classify(&self, now: Duration, input: SessionInput) -> Option<InputKind> {
         match input {
             SessionInput::Dial { .. } => Some(InputKind::Dial),
@@ -147,41 +147,49 @@
             SessionInput::Reject { .. } => Some(InputKind::Reject),
             SessionInput::Fail => Some(InputKind::Fail),
             SessionInput::Migrate => Some(InputKind::Migrate),
-            SessionInput::NoSocket { dial } => self.of_dial(dial, InputKind::NoSocket),
-            SessionInput::Unreachable { dial } => self.of_dial(dial, InputKind::Unreachable),
-            // A connection that came up too late for its request is closed with nothing sent on it.
+            SessionInput::NoSocket { dial } => self.if_current_dial(dial, InputKind::NoSocket),
+            SessionInput::Unreachable { dial } => {
+                self.if_current_dial(dial, InputKind::Unreachable)
+            }
+            // Too late to write the request: the connection is closed with nothing sent on it.
             SessionInput::Connected { dial } if now >= self.write_deadline => {
-                self.of_dial(dial, InputKind::NoSocket)
+                self.if_current_dial(dial, InputKind::NoSocket)
+            }
+            SessionInput::Connected { dial } => self.if_current_dial(dial, InputKind::Connected),
+            SessionInput::RequestWritten { dial } => {
+                self.if_current_dial(dial, InputKind::RequestWritten)
+            }
+            SessionInput::ServerAccepted { dial } => {
+                self.if_current_dial(dial, self.classify_acceptance())
             }
-            SessionInput::Connected { dial } => self.of_dial(dial, InputKind::Connected),
-            SessionInput::RequestWritten { dial } => self.of_dial(dial, InputKind::RequestWritten),
-            SessionInput::ServerAccepted { dial } => self.of_dial(dial, self.acceptance()),
             SessionInput::ServerDeclined { dial, .. } => {
-                self.of_dial(dial, InputKind::ServerDeclined)
+                self.if_current_dial(dial, InputKind::ServerDeclined)
             }
             SessionInput::ServerDisconnected { dial } => {
-                self.of_dial(dial, InputKind::ServerDisconnected)
+                self.if_current_dial(dial, InputKind::ServerDisconnected)
+            }
+            SessionInput::DeadlineReached => Some(self.classify_deadline(now)),
+            SessionInput::ClientLeft => self.classify_client_input(InputKind::ClientLeft),
+            SessionInput::ClientSentEarlyData => {
+                self.classify_client_input(InputKind::ClientSentEarlyData)
             }
-            SessionInput::DeadlineReached => Some(self.deadline_kind(now)),
-            SessionInput::ClientLeft => self.client_kind(InputKind::ClientLeft),
-            SessionInput::ClientSentEarlyData => self.client_kind(InputKind::ClientSentEarlyData),
             SessionInput::SessionClosed { .. } => Some(InputKind::SessionClosed),
             SessionInput::ShutdownCutoff => Some(InputKind::ShutdownCutoff),
-            // The engine has not heard of it, so there is nothing to take back.
+            // The engine does not know a restored session that is not open, so it need not be notified.
             SessionInput::DrainCutoff if self.restored => Some(InputKind::ShutdownCutoff),
             SessionInput::DrainCutoff if self.client_left => None,
             SessionInput::DrainCutoff => Some(InputKind::DrainCutoff),
         }
     }
 
-    /// `kind` if it is about the present dial.
-    fn of_dial(&self, dial: u8, kind: InputKind) -> Option<InputKind> {
-        let late_answer =
+    /// `kind` if `dial` is the current dial.
+    fn if_current_dial(&self, dial: u8, kind: InputKind) -> Option<InputKind> {
+        let late_acceptance =
             is_injected(InjectedFault::LateUpAccepted) && kind == InputKind::ServerAccepted;
-        (dial == self.dial_number() || late_answer).then_some(kind)
+        (dial == self.dial_number() || late_acceptance).then_some(kind)
     }
 
-    fn acceptance(&self) -> InputKind {
+    fn classify_acceptance(&self) -> InputKind {
         if self.client_waiting || is_injected(InjectedFault::SessionOpenedWithoutClient) {
             InputKind::ServerAccepted
         } else {
@@ -189,7 +197,7 @@
         }
     }
 
-    fn deadline_kind(&self, now: Duration) -> InputKind {
+    fn classify_deadline(&self, now: Duration) -> InputKind {
         if self.state == SessionState::Connecting && now >= self.write_deadline {
             InputKind::NoSocket
         } else {
@@ -197,7 +205,7 @@
         }
     }
 
-    fn client_kind(&self, kind: InputKind) -> Option<InputKind> {
+    fn classify_client_input(&self, kind: InputKind) -> Option<InputKind> {
         if self.restored && self.state != SessionState::Open {
             Some(InputKind::RestoredClientGone)
         } else if self.client_left {
@@ -212,140 +220,143 @@
         now: Duration,
         effect: TransitionEffect,
         input: SessionInput,
-        out: &mut Vec<SessionEffect>,
+        effects: &mut Vec<SessionEffect>,
     ) {
         match effect {
-            TransitionEffect::BeginDial => self.begin_dial(now, input, out),
-            TransitionEffect::SendRequest => self.send_request(now, out),
-            TransitionEffect::OpenSession => self.open_session(out),
+            TransitionEffect::BeginDial => self.begin_dial(now, input, effects),
+            TransitionEffect::SendRequest => self.send_request(now, effects),
+            TransitionEffect::OpenSession => self.open_session(effects),
             TransitionEffect::EndDial(outcome) => {
-                self.end_dial(now, outcome, ServerLoad::default(), out);
+                self.end_dial(now, outcome, ServerLoad::default(), effects);
             }
-            TransitionEffect::EndDialAsDeclined => self.end_dial_as_declined(now, input, out),
-            TransitionEffect::RejectClient => self.reject_client(input, out),
+            TransitionEffect::EndDialAsDeclined => self.end_dial_as_declined(now, input, effects),
+            TransitionEffect::RejectClient => self.reject_client(input, effects),
             TransitionEffect::FailClient => {
-                self.answer(FinalResponse::Failed(ReasonCode::SessionFailed), out);
+                self.send_final_response(FinalResponse::Failed(ReasonCode::SessionFailed), effects);
             }
-            TransitionEffect::MigrateClient => out.push(SessionEffect::Migrate),
+            TransitionEffect::MigrateClient => effects.push(SessionEffect::Migrate),
             TransitionEffect::Restore => {
                 if self.restored {
-                    out.push(SessionEffect::Restore);
+                    effects.push(SessionEffect::Restore);
                 }
             }
-            TransitionEffect::ReleaseClient => self.release_client(input, out),
-            TransitionEffect::Forget => out.extend([
+            TransitionEffect::ReleaseClient => self.release_client(input, effects),
+            TransitionEffect::Forget => effects.extend([
                 SessionEffect::SetDeadline(None),
                 SessionEffect::CloseServer,
                 SessionEffect::Forget,
             ]),
-            TransitionEffect::NotifySessionOver => self.notify_session_over(input, out),
-            TransitionEffect::NotifyClientLeft => self.notify_client_left(out),
-            TransitionEffect::ShutDown => self.shut_down(out),
+            TransitionEffect::NotifySessionOver => self.notify_session_over(input, effects),
+            TransitionEffect::NotifyClientLeft => self.notify_client_left(effects),
+            TransitionEffect::ShutDown => self.shut_down(effects),
             TransitionEffect::AbandonUnsentDial => {
                 if !is_injected(InjectedFault::RequestSentForGoneClient) {
-                    self.end_dial(now, Outcome::Cancelled, ServerLoad::default(), out);
+                    self.end_dial(now, Outcome::Cancelled, ServerLoad::default(), effects);
                 }
             }
         }
     }
 
-    fn begin_dial(&mut self, now: Duration, input: SessionInput, out: &mut Vec<SessionEffect>) {
+    fn begin_dial(&mut self, now: Duration, input: SessionInput, effects: &mut Vec<SessionEffect>) {
         let SessionInput::Dial {
             server,
             timeout,
-            write_within,
+            write_timeout,
         } = input
         else {
             return;
         };
         self.server = server;
         self.dial_deadline = now + timeout;
-        self.write_deadline = now + write_within;
+        self.write_deadline = now + write_timeout;
         self.dials_started = self.dials_started.saturating_add(1);
         if is_injected(InjectedFault::DialOutlastsClientWait) {
-            self.dial_deadline += INJECTED_DELAY;
+            self.dial_deadline += INJECTED_DEADLINE_EXTENSION;
         }
         let connect_deadline = (now + self.connect_timeout)
             .min(self.dial_deadline)
             .min(self.write_deadline);
-        out.push(SessionEffect::SetDeadline(Some(connect_deadline)));
-        out.push(SessionEffect::Connect { server });
+        effects.push(SessionEffect::SetDeadline(Some(connect_deadline)));
+        effects.push(SessionEffect::Connect { server });
     }
 
-    fn send_request(&self, now: Duration, out: &mut Vec<SessionEffect>) {
-        let remaining = self.dial_deadline.saturating_sub(now).max(SHORTEST_WAIT);
+    fn send_request(&self, now: Duration, effects: &mut Vec<SessionEffect>) {
+        let remaining = self.dial_deadline.saturating_sub(now).max(MIN_STATED_WAIT);
         let deadline =
             (!is_injected(InjectedFault::NoResponseDeadline)).then_some(self.dial_deadline);
-        out.push(SessionEffect::SetDeadline(deadline));
-        out.push(SessionEffect::Count(ReasonCode::AttemptSent));
-        out.push(SessionEffect::SendRequest {
+        effects.push(SessionEffect::SetDeadline(deadline));
+        effects.push(SessionEffect::Count(ReasonCode::AttemptSent));
+        effects.push(SessionEffect::SendRequest {
             wait: (!self.restored).then_some(remaining),
         });
     }
 
-    fn open_session(&mut self, out: &mut Vec<SessionEffect>) {
-        out.push(SessionEffect::SetDeadline(None));
+    fn open_session(&mut self, effects: &mut Vec<SessionEffect>) {
+        effects.push(SessionEffect::SetDeadline(None));
         if self.restored {
             self.dials_started = 1;
-            out.push(SessionEffect::Count(ReasonCode::SessionRestored));
-            out.push(SessionEffect::Notify(PlacementEvent::SessionInherited(
+            effects.push(SessionEffect::Count(ReasonCode::SessionRestored));
+            effects.push(SessionEffect::Notify(PlacementEvent::SessionInherited(
                 self.request,
                 self.server,
             )));
         } else {
-            out.push(SessionEffect::Count(ReasonCode::SessionOpened));
-            out.push(SessionEffect::Notify(PlacementEvent::SessionOpened {
+            effects.push(SessionEffect::Count(ReasonCode::SessionOpened));
+            effects.push(SessionEffect::Notify(PlacementEvent::SessionOpened {
                 session: self.request.session,
                 attempt: self.dial_number(),
             }));
         }
-        out.push(SessionEffect::StartForwarding);
+        effects.push(SessionEffect::StartForwarding);
     }
 
     fn end_dial_as_declined(
         &mut self,
         now: Duration,
         input: SessionInput,
-        out: &mut Vec<SessionEffect>,
+        effects: &mut Vec<SessionEffect>,
     ) {
         if let SessionInput::ServerDeclined { outcome, load, .. } = input {
-            self.end_dial(now, outcome, load, out);
+            self.end_dial(now, outcome, load, effects);
         }
     }
 
-    fn reject_client(&mut self, input: SessionInput, out: &mut Vec<SessionEffect>) {
+    fn reject_client(&mut self, input: SessionInput, effects: &mut Vec<SessionEffect>) {
         if let SessionInput::Reject { retry_after } = input {
-            self.answer(FinalResponse::Rejected(retry_after), out);
+            self.send_final_response(FinalResponse::Rejected(retry_after), effects);
         }
     }
 
-    fn release_client(&mut self, input: SessionInput, out: &mut Vec<SessionEffect>) {
+    fn release_client(&mut self, input: SessionInput, effects: &mut Vec<SessionEffect>) {
         if !self.client_waiting {
             return;
         }
         if input == SessionInput::ClientSentEarlyData {
-            self.answer(FinalResponse::Failed(ReasonCode::ClientProtocolError), out);
+            self.send_final_response(
+                FinalResponse::Failed(ReasonCode::ClientProtocolError),
+                effects,
+            );
         } else {
-            out.push(SessionEffect::Log(ReasonCode::ClientLeft));
-            out.push(SessionEffect::DropClient);
+            effects.push(SessionEffect::Log(ReasonCode::ClientLeft));
+            effects.push(SessionEffect::DropClient);
         }
         self.client_waiting = is_injected(InjectedFault::ClientAnsweredTwice);
         self.client_left = true;
     }
 
-    fn notify_client_left(&mut self, out: &mut Vec<SessionEffect>) {
+    fn notify_client_left(&mut self, effects: &mut Vec<SessionEffect>) {
         self.client_left = true;
-        out.push(SessionEffect::Notify(PlacementEvent::ClientLeft {
+        effects.push(SessionEffect::Notify(PlacementEvent::ClientLeft {
             session: self.request.session,
         }));
     }
 
-    fn notify_session_over(&self, input: SessionInput, out: &mut Vec<SessionEffect>) {
+    fn notify_session_over(&self, input: SessionInput, effects: &mut Vec<SessionEffect>) {
         let SessionInput::SessionClosed { outcome, load } = input else {
             return;
         };
-        out.push(SessionEffect::SetDeadline(None));
-        out.push(SessionEffect::Notify(PlacementEvent::AttemptEnded {
+        effects.push(SessionEffect::SetDeadline(None));
+        effects.push(SessionEffect::Notify(PlacementEvent::AttemptEnded {
             session: self.request.session,
             attempt: self.dial_number(),
             outcome,
@@ -354,49 +365,50 @@
         }));
     }
 
-    fn shut_down(&mut self, out: &mut Vec<SessionEffect>) {
-        out.push(SessionEffect::SetDeadline(None));
-        out.push(SessionEffect::CloseServer);
+    fn shut_down(&mut self, effects: &mut Vec<SessionEffect>) {
+        effects.push(SessionEffect::SetDeadline(None));
+        effects.push(SessionEffect::CloseServer);
         if !is_injected(InjectedFault::WaitingClientsNotAnswered) {
-            self.answer(FinalResponse::Failed(ReasonCode::SessionFailed), out);
+            self.send_final_response(FinalResponse::Failed(ReasonCode::SessionFailed), effects);
         }
-        out.push(SessionEffect::Forget);
+        effects.push(SessionEffect::Forget);
     }
 
-    /// The only way to a final answer: a client that has one, or has left, gets none.
-    fn answer(&mut self, answer: FinalResponse, out: &mut Vec<SessionEffect>) {
+    /// Sends the client its final response, unless it has had one or has left. Every final response goes through here.
+    fn send_final_response(&mut self, response: FinalResponse, effects: &mut Vec<SessionEffect>) {
         if self.client_waiting {
-            out.push(SessionEffect::AnswerClient(answer));
+            effects.push(SessionEffect::AnswerClient(response));
         }
         self.client_waiting = is_injected(InjectedFault::ClientAnsweredTwice);
     }
 
-    /// Closes the dial before anything else is sent for its session, and notifies the engine how it ended.
+    /// Closes the dial before anything else is sent for its session, and notifies the engine of its outcome.
     fn end_dial(
         &mut self,
         now: Duration,
         outcome: Outcome,
         load: ServerLoad,
-        out: &mut Vec<SessionEffect>,
+        effects: &mut Vec<SessionEffect>,
     ) {
         let timed_out = outcome == Outcome::TimedOut;
         if is_injected(InjectedFault::ClientAnsweredDuringDial) && timed_out && self.client_waiting
         {
             self.state = SessionState::AwaitingResponse;
-            return self.answer(FinalResponse::Failed(ReasonCode::SessionFailed), out);
+            return self
+                .send_final_response(FinalResponse::Failed(ReasonCode::SessionFailed), effects);
         }
         if !(is_injected(InjectedFault::DialBeforePreviousClosed) && timed_out) {
-            out.push(SessionEffect::CloseServer);
+            effects.push(SessionEffect::CloseServer);
         }
-        out.push(SessionEffect::SetDeadline(None));
-        let outcome = outcome_with_faults(outcome);
+        effects.push(SessionEffect::SetDeadline(None));
+        let outcome = reported_outcome(outcome);
         if let Some(code) = dial_end_code(outcome) {
-            out.push(SessionEffect::Log(code));
+            effects.push(SessionEffect::Log(code));
         }
         if self.restored {
-            self.restore_again_or_fail(now, outcome, out);
+            self.retry_restore_or_fail(now, outcome, effects);
         } else {
-            out.push(SessionEffect::Notify(PlacementEvent::AttemptEnded {
+            effects.push(SessionEffect::Notify(PlacementEvent::AttemptEnded {
                 session: self.request.session,
                 attempt: self.dial_number(),
                 outcome,
@@ -406,32 +418,33 @@
         }
     }
 
-    /// Dials a restored session again after a pause, if that is safe and there is time; or gives it up.
-    fn restore_again_or_fail(
+    /// Schedules the next dial of a restored session, or fails the session if its server may have acted on the request
+    /// or the time for restoring it is over.
+    fn retry_restore_or_fail(
         &mut self,
         now: Duration,
         outcome: Outcome,
-        out: &mut Vec<SessionEffect>,
+        effects: &mut Vec<SessionEffect>,
     ) {
         let next_dial = now + RESTORE_RETRY_INTERVAL;
         if proves_not_run(outcome) && next_dial < self.restore_deadline() {
-            out.push(SessionEffect::SetDeadline(Some(next_dial)));
+            effects.push(SessionEffect::SetDeadline(Some(next_dial)));
         } else {
             self.state = SessionState::Ended;
-            self.answer(FinalResponse::Failed(ReasonCode::SessionFailed), out);
-            out.push(SessionEffect::Forget);
+            self.send_final_response(FinalResponse::Failed(ReasonCode::SessionFailed), effects);
+            effects.push(SessionEffect::Forget);
         }
     }
 }
 
-/// The outcome as the engine hears it; another than the true one only where a fault is injected.
-fn outcome_with_faults(outcome: Outcome) -> Outcome {
-    let hidden = match outcome {
+/// The outcome that is reported to the engine; differs from the true one only under an injected fault.
+fn reported_outcome(outcome: Outcome) -> Outcome {
+    let is_misreported = match outcome {
         Outcome::TimedOut => is_injected(InjectedFault::TimeoutReportedAsNeverRun),
         Outcome::Reset => is_injected(InjectedFault::ResetReportedAsNeverConnected),
         _ => false,
     };
-    if hidden {
+    if is_misreported {
         Outcome::Unreachable
     } else {
         outcome
--- a/crates/proxy/src/routing/session_state/mod.rs
+++ b/crates/proxy/src/routing/session_state/mod.rs
@@ -1,8 +1,8 @@
 //! The state machine of one session, from its client's request line to its end.
 //!
 //! [`SessionMachine`] has no I/O and no clock: each [`SessionInput`] comes with the time, each [`SessionEffect`]
-//! is carried out by whoever drives the machine (the router on sockets, the model checker on a model of them).
-//! The transitions are one table, in `table`; what each transition does is in `machine`.
+//! is carried out by the driver of the machine (the router on sockets, the model checker on a model of them).
+//! `table` lists the transitions; `machine` performs their effects.
 
 mod machine;
 mod table;
--- a/crates/proxy/src/routing/session_state/table.rs
+++ b/crates/proxy/src/routing/session_state/table.rs
@@ -1,4 +1,4 @@
-//! The transitions of a session as a table, and what the end of a dial means.
+//! The transition table of a session, and what the outcome of a dial implies.
 
 use super::SessionState;
 use crate::routing::events::ReasonCode;
@@ -16,7 +16,7 @@
 };
 use asterramp_placement::event::Outcome;
 
-/// An input without its data, distinguished further by the session that it meets.
+/// A [`super::SessionInput`] without its data, split further by the state of the session where that decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InputKind {
     Dial,
@@ -29,46 +29,46 @@
     Connected,
     RequestWritten,
     ServerAccepted,
-    /// Accepted, but the client has left.
+    /// The server accepted, but the client has left.
     ServerAcceptedClientGone,
     ServerDeclined,
     ServerDisconnected,
     DeadlineReached,
     ClientLeft,
     ClientSentEarlyData,
-    /// The client of a restored session, which the engine has not heard of yet, left or spoke.
+    /// The client of a restored session that is not open yet left or sent data; the engine does not know the session.
     RestoredClientGone,
     SessionClosed,
     ShutdownCutoff,
     DrainCutoff,
 }
 
-/// What a transition does; most stand for several [`super::SessionEffect`]s.
+/// An effect of a transition; most expand to several [`super::SessionEffect`]s.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TransitionEffect {
     BeginDial,
     SendRequest,
     OpenSession,
-    /// Closes the dial and notifies the engine how it ended.
+    /// Closes the dial and notifies the engine of this outcome.
     EndDial(Outcome),
-    /// The same, by what its server answered.
+    /// Closes the dial and notifies the engine of the outcome in its server's response.
     EndDialAsDeclined,
     RejectClient,
     FailClient,
     MigrateClient,
     Restore,
-    /// The client has left or broken the protocol: it is dropped or answered, and counts as gone.
+    /// The client has left (it is dropped) or broken the protocol (it is sent a failure); either way it counts as gone.
     ReleaseClient,
     Forget,
     NotifySessionOver,
     NotifyClientLeft,
     ShutDown,
-    /// Closes a dial whose request is not at its server, also where the engine may not cancel dials: nothing runs
-    /// there yet, and what would be written now would be an attempt for a client that is gone.
+    /// Closes a dial whose request is not completely written, also where the engine may not cancel dials: the server
+    /// has nothing to run yet, and completing the request would start an attempt for a client that is gone.
     AbandonUnsentDial,
 }
 
-/// One row of the table.
+/// What an input does in a state: the next state and the effects, in order.
 #[derive(Debug)]
 pub(super) struct Transition {
     state: SessionState,
@@ -77,7 +77,8 @@
     pub(super) effects: &'static [TransitionEffect],
 }
 
-const fn on(
+/// One row of the table.
+const fn row(
     state: SessionState,
     input: InputKind,
     next: SessionState,
@@ -91,12 +92,12 @@
     }
 }
 
-const NEVER_SENT: &[TransitionEffect] = &[EndDial(Outcome::NotSent)];
+const NOT_SENT: &[TransitionEffect] = &[EndDial(Outcome::NotSent)];
 const UNREACHABLE: &[TransitionEffect] = &[EndDial(Outcome::Unreachable)];
 const CANCELLED: &[TransitionEffect] = &[EndDial(Outcome::Cancelled)];
 const TIMED_OUT: &[TransitionEffect] = &[EndDial(Outcome::TimedOut)];
 const RESET: &[TransitionEffect] = &[EndDial(Outcome::Reset)];
-const UNWANTED: &[TransitionEffect] = &[EndDial(Outcome::Ok)];
+const ACCEPTED_CLIENT_GONE: &[TransitionEffect] = &[EndDial(Outcome::Ok)];
 const CLIENT_GONE: &[TransitionEffect] = &[ReleaseClient, NotifyClientLeft];
 const CLIENT_GONE_UNSENT: &[TransitionEffect] =
     &[ReleaseClient, NotifyClientLeft, AbandonUnsentDial];
@@ -104,86 +105,94 @@
 const CUT_OFF_UNSENT: &[TransitionEffect] = &[FailClient, NotifyClientLeft, AbandonUnsentDial];
 const RESTORED_CLIENT_GONE: &[TransitionEffect] = &[ReleaseClient, Forget];
 
-/// All transitions. An input that its state does not list is late or stray, and ignored.
+/// All transitions. An input without a row for the current state is late or stray, and is ignored.
 const TRANSITIONS: &[Transition] = &[
-    on(Idle, Dial, Connecting, &[BeginDial]),
-    on(Idle, Reject, Ended, &[RejectClient]),
-    on(Idle, Fail, Ended, &[FailClient]),
-    on(Idle, DeadlineReached, Idle, &[Restore]),
-    on(Idle, NoSocket, Idle, NEVER_SENT),
-    on(Connecting, NoSocket, Idle, NEVER_SENT),
-    on(Connecting, Unreachable, Idle, UNREACHABLE),
-    on(Connecting, DeadlineReached, Idle, UNREACHABLE),
-    on(Connecting, Cancel, Idle, CANCELLED),
-    on(Connecting, Connected, SendingRequest, &[SendRequest]),
-    on(SendingRequest, RequestWritten, AwaitingResponse, &[]),
-    // The request's last byte was never written.
-    on(SendingRequest, ServerDisconnected, Idle, UNREACHABLE),
-    on(SendingRequest, DeadlineReached, Idle, UNREACHABLE),
-    on(SendingRequest, Cancel, Idle, CANCELLED),
-    // The client had gone before the request's first byte was written.
-    on(SendingRequest, NoSocket, Idle, NEVER_SENT),
-    on(AwaitingResponse, ServerAccepted, Open, &[OpenSession]),
-    // The client left while its dial could not be cancelled.
-    on(AwaitingResponse, ServerAcceptedClientGone, Idle, UNWANTED),
-    on(AwaitingResponse, ServerDeclined, Idle, &[EndDialAsDeclined]),
-    on(AwaitingResponse, ServerDisconnected, Idle, RESET),
-    on(AwaitingResponse, DeadlineReached, Idle, TIMED_OUT),
-    on(AwaitingResponse, Cancel, Idle, CANCELLED),
-    on(Open, Migrate, Open, &[MigrateClient]),
-    on(Open, ClientLeft, Open, &[NotifyClientLeft]),
-    on(Open, SessionClosed, Ended, &[NotifySessionOver]),
-    on(Idle, ClientLeft, Idle, CLIENT_GONE),
-    on(Connecting, ClientLeft, Idle, CLIENT_GONE_UNSENT),
-    on(SendingRequest, ClientLeft, Idle, CLIENT_GONE_UNSENT),
-    on(AwaitingResponse, ClientLeft, AwaitingResponse, CLIENT_GONE),
-    // It was to wait for its answer: what it said would reach its server unasked.
-    on(Idle, ClientSentEarlyData, Idle, CLIENT_GONE),
-    on(Connecting, ClientSentEarlyData, Idle, CLIENT_GONE_UNSENT),
-    on(
+    row(Idle, Dial, Connecting, &[BeginDial]),
+    row(Idle, Reject, Ended, &[RejectClient]),
+    row(Idle, Fail, Ended, &[FailClient]),
+    row(Idle, DeadlineReached, Idle, &[Restore]),
+    row(Idle, NoSocket, Idle, NOT_SENT),
+    row(Connecting, NoSocket, Idle, NOT_SENT),
+    row(Connecting, Unreachable, Idle, UNREACHABLE),
+    row(Connecting, DeadlineReached, Idle, UNREACHABLE),
+    row(Connecting, Cancel, Idle, CANCELLED),
+    row(Connecting, Connected, SendingRequest, &[SendRequest]),
+    row(SendingRequest, RequestWritten, AwaitingResponse, &[]),
+    // The request's last byte was not written, so the server cannot have acted on it.
+    row(SendingRequest, ServerDisconnected, Idle, UNREACHABLE),
+    row(SendingRequest, DeadlineReached, Idle, UNREACHABLE),
+    row(SendingRequest, Cancel, Idle, CANCELLED),
+    // The client left before the request's first byte was written.
+    row(SendingRequest, NoSocket, Idle, NOT_SENT),
+    row(AwaitingResponse, ServerAccepted, Open, &[OpenSession]),
+    // The client left earlier, when the dial could not be cancelled.
+    row(
+        AwaitingResponse,
+        ServerAcceptedClientGone,
+        Idle,
+        ACCEPTED_CLIENT_GONE,
+    ),
+    row(AwaitingResponse, ServerDeclined, Idle, &[EndDialAsDeclined]),
+    row(AwaitingResponse, ServerDisconnected, Idle, RESET),
+    row(AwaitingResponse, DeadlineReached, Idle, TIMED_OUT),
+    row(AwaitingResponse, Cancel, Idle, CANCELLED),
+    row(Open, Migrate, Open, &[MigrateClient]),
+    row(Open, ClientLeft, Open, &[NotifyClientLeft]),
+    row(Open, SessionClosed, Ended, &[NotifySessionOver]),
+    row(Idle, ClientLeft, Idle, CLIENT_GONE),
+    row(Connecting, ClientLeft, Idle, CLIENT_GONE_UNSENT),
+    row(SendingRequest, ClientLeft, Idle, CLIENT_GONE_UNSENT),
+    row(AwaitingResponse, ClientLeft, AwaitingResponse, CLIENT_GONE),
+    // The client must wait for its response: data sent before would reach the server ahead of the session.
+    row(Idle, ClientSentEarlyData, Idle, CLIENT_GONE),
+    row(Connecting, ClientSentEarlyData, Idle, CLIENT_GONE_UNSENT),
+    row(
         SendingRequest,
         ClientSentEarlyData,
         Idle,
         CLIENT_GONE_UNSENT,
     ),
-    on(
+    row(
         AwaitingResponse,
         ClientSentEarlyData,
         AwaitingResponse,
         CLIENT_GONE,
     ),
-    on(Idle, DrainCutoff, Idle, CUT_OFF),
-    on(Connecting, DrainCutoff, Idle, CUT_OFF_UNSENT),
-    on(SendingRequest, DrainCutoff, Idle, CUT_OFF_UNSENT),
-    on(AwaitingResponse, DrainCutoff, AwaitingResponse, CUT_OFF),
-    on(Idle, RestoredClientGone, Ended, RESTORED_CLIENT_GONE),
-    on(Connecting, RestoredClientGone, Ended, RESTORED_CLIENT_GONE),
-    on(
+    row(Idle, DrainCutoff, Idle, CUT_OFF),
+    row(Connecting, DrainCutoff, Idle, CUT_OFF_UNSENT),
+    row(SendingRequest, DrainCutoff, Idle, CUT_OFF_UNSENT),
+    row(AwaitingResponse, DrainCutoff, AwaitingResponse, CUT_OFF),
+    row(Idle, RestoredClientGone, Ended, RESTORED_CLIENT_GONE),
+    row(Connecting, RestoredClientGone, Ended, RESTORED_CLIENT_GONE),
+    row(
         SendingRequest,
         RestoredClientGone,
         Ended,
         RESTORED_CLIENT_GONE,
     ),
-    on(
+    row(
         AwaitingResponse,
         RestoredClientGone,
         Ended,
         RESTORED_CLIENT_GONE,
     ),
-    on(Idle, ShutdownCutoff, Ended, &[ShutDown]),
-    on(Connecting, ShutdownCutoff, Ended, &[ShutDown]),
-    on(SendingRequest, ShutdownCutoff, Ended, &[ShutDown]),
-    on(AwaitingResponse, ShutdownCutoff, Ended, &[ShutDown]),
+    row(Idle, ShutdownCutoff, Ended, &[ShutDown]),
+    row(Connecting, ShutdownCutoff, Ended, &[ShutDown]),
+    row(SendingRequest, ShutdownCutoff, Ended, &[ShutDown]),
+    row(AwaitingResponse, ShutdownCutoff, Ended, &[ShutDown]),
 ];
 
-/// The transition of a state on an input, if there is one.
-pub(super) fn transition(state: SessionState, input: InputKind) -> Option<&'static Transition> {
+/// The transition of a state on an input; `None` if the input is to be ignored.
+pub(super) fn find_transition(
+    state: SessionState,
+    input: InputKind,
+) -> Option<&'static Transition> {
     TRANSITIONS
         .iter()
         .find(|row| row.state == state && row.input == input)
 }
 
-/// Whether the end of a dial proves that its server did not act on the request, so that it may be sent again.
+/// Whether the outcome of a dial proves that the server did not act on the request, so that a retry is safe.
 pub(super) fn proves_not_run(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Full | Outcome::Unreachable | Outcome::NotSent => true,
@@ -195,7 +204,7 @@
     }
 }
 
-/// The code under which the end of a dial is logged; none for one that was accepted.
+/// The reason code under which the outcome of a dial is logged; `None` for a dial that was accepted.
 pub(super) fn dial_end_code(outcome: Outcome) -> Option<ReasonCode> {
     match outcome {
         Outcome::Ok => None,
--- a/crates/proxy/src/routing/session_state/types.rs
+++ b/crates/proxy/src/routing/session_state/types.rs
@@ -1,63 +1,63 @@
-//! What the session state machine is in, what it is given and what it asks for.
+//! States, inputs and effects of the session state machine.
 
 use crate::routing::events::ReasonCode;
 use asterramp_placement::PlacementEvent;
 use asterramp_placement::event::{Outcome, ServerId, ServerLoad};
 use std::time::Duration;
 
-/// Where a session stands. A *dial* is one attempt to open it at one server.
+/// The state of a session. A *dial* is the connection of one attempt to open the session at one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SessionState {
     /// Not open, and no dial is under way.
     Idle,
-    /// The dial's connection is being set up.
+    /// The dial's connection is being established.
     Connecting,
-    /// The connection is up and the request line is being written.
+    /// The connection is established and the request line is being written.
     SendingRequest,
-    /// The request's last byte is written: the server may act on it from now on.
+    /// The request line is written to its last byte: from now on the server may act on it.
     AwaitingResponse,
     /// The server accepted; lines are forwarded both ways.
     Open,
-    /// The client has its final answer, or the open connection has ended.
+    /// The client has been sent its final response, or the open session has ended.
     Ended,
 }
 
 /// Something that happens to a session.
 ///
-/// Inputs about a dial carry its number, so that a late one about an earlier dial is recognised and ignored.
+/// An input about a dial carries the dial's number, so that a late input about an earlier dial is ignored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SessionInput {
-    /// The placement engine chose a server, or, for a restored session, the server that held it is known.
+    /// The placement engine chose a server; or, for a restored session, the server that held it was found.
     Dial {
         /// The server to connect to.
         server: ServerId,
-        /// How long the dial may take until the server has accepted.
+        /// Timeout of the dial, until the server has accepted.
         timeout: Duration,
-        /// How long until the request line must be under way; later, none of it is written.
-        write_within: Duration,
+        /// How long after now writing the request line may still begin; later, none of it is written.
+        write_timeout: Duration,
     },
-    /// The engine cancels the dial that is under way.
+    /// The engine cancels the current dial.
     Cancel,
     /// The engine rejects the session.
     Reject {
-        /// When the client should come back.
+        /// How long the client should wait before it retries.
         retry_after: Duration,
     },
     /// The engine gives the session up.
     Fail,
     /// The engine wants an open session moved to another server.
     Migrate,
-    /// There was no socket for the dial.
+    /// No socket could be opened for the dial, or the server to dial is not known.
     NoSocket {
         /// Number of the dial.
         dial: u8,
     },
-    /// The dial's connection was refused or never came up.
+    /// The dial's connection was refused or not established.
     Unreachable {
         /// Number of the dial.
         dial: u8,
     },
-    /// The dial's connection is up.
+    /// The dial's connection is established.
     Connected {
         /// Number of the dial.
         dial: u8,
@@ -72,83 +72,83 @@
         /// Number of the dial.
         dial: u8,
     },
-    /// The dial's server answered with something that ends the dial.
+    /// The dial's server sent a response that ends the dial.
     ServerDeclined {
         /// Number of the dial.
         dial: u8,
-        /// What the answer says about the dial.
+        /// The outcome that the response stands for.
         outcome: Outcome,
-        /// Load that the server reported with it.
+        /// Load that the server reported in the response.
         load: ServerLoad,
     },
-    /// The dial's connection ended before any answer.
+    /// The dial's connection ended before any response.
     ServerDisconnected {
         /// Number of the dial.
         dial: u8,
     },
     /// The deadline last set by [`SessionEffect::SetDeadline`] has passed.
     DeadlineReached,
-    /// The client ended its side.
+    /// The client closed its side of the connection.
     ClientLeft,
-    /// The client sent something before it was answered, which the protocol forbids.
+    /// The client sent data before it had a response, which the protocol forbids.
     ClientSentEarlyData,
-    /// The open connection is closed on both sides.
+    /// The open session is closed on both sides.
     SessionClosed {
         /// How it ended.
         outcome: Outcome,
-        /// Load that the server reported last.
+        /// Load that the server reported as the session ended.
         load: ServerLoad,
     },
-    /// The proxy exits and answers whoever still waits.
+    /// The proxy exits: the client, if it still waits, is sent a failure.
     ShutdownCutoff,
-    /// The proxy answers whoever still waits, but serves on: the engine must hear of it, or it would go on
-    /// reserving capacity for the session.
+    /// A drain ends the wait of the client with a failure, while the proxy keeps running: the engine must be notified,
+    /// or it would keep capacity reserved for the session.
     DrainCutoff,
 }
 
-/// The final answer that a client is sent.
+/// The final response to a client whose session was not opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
-    /// Rejected for now; the client should come back after so long.
+    /// Rejected for now; the client should retry after this time.
     Rejected(Duration),
-    /// Not brought up, for this reason.
+    /// Not opened, for this reason.
     Failed(ReasonCode),
 }
 
-/// Something that the session's driver has to do, in the order given.
+/// Something that the session's driver has to do; effects are carried out in the order given.
 #[derive(Clone, Debug)]
 pub enum SessionEffect {
-    /// Begin the dial's connection.
+    /// Start to connect to the server of the dial.
     Connect {
         /// The server to connect to.
         server: ServerId,
     },
     /// Write the request line.
     SendRequest {
-        /// How long this dial may still wait for its answer, to stand in the line in place of the client's own
+        /// How long this dial may still wait for its response, written into the line in place of the client's own
         /// wait; `None` leaves the line as the client wrote it.
         wait: Option<Duration>,
     },
     /// Close the dial's connection, before anything else is done for the session.
     CloseServer,
-    /// Give [`SessionInput::DeadlineReached`] at that time; `None` withdraws the deadline.
+    /// Deliver [`SessionInput::DeadlineReached`] at that time, in place of any earlier deadline; `None` clears it.
     SetDeadline(Option<Duration>),
-    /// Send the client its final answer and close its connection.
+    /// Send the client its final response and close its connection.
     AnswerClient(FinalResponse),
     /// The client has left: close its connection.
     DropClient,
-    /// Forward lines both ways from now on.
+    /// The session is open: forward lines both ways from now on.
     StartForwarding,
-    /// Ask the client of an open connection to come again, and end both sides.
+    /// Ask the client of an open session to reconnect, and close both sides.
     Migrate,
     /// Look up the server that held a restored session, and dial it again.
     Restore,
-    /// Take the session out of the table.
+    /// Remove the session from the table.
     Forget,
-    /// Log a line about the session, and count it.
+    /// Log and count an event of the session.
     Log(ReasonCode),
-    /// Count, without a line.
+    /// Count an event of the session without logging it.
     Count(ReasonCode),
-    /// Give the placement engine an event.
+    /// Give this event to the placement engine.
     Notify(PlacementEvent),
 }
--- a/crates/proxy/src/routing/session_table.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -1,6 +1,6 @@
-//! All sessions, and the placement engine that decides about them: carries what happens to sessions to the engine,
-//! and the engine's actions to the sessions. No I/O: what is to be done on sockets waits as [`SessionTask`]s, in order,
-//! for whoever drives the table.
+//! All sessions of a proxy, and the placement engine that decides about them: passes the events of sessions to the
+//! engine, and the engine's actions to the sessions. No I/O: what has to be done on sockets is queued as
+//! [`SessionTask`]s for the driver of the table (the router, or the model checker).
 
 use super::session_state::{SessionEffect, SessionInput, SessionMachine, SessionState};
 use super::zones::{ZoneTracker, ZoneTransition};
@@ -11,7 +11,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Something to be done, for a session or for none.
+/// Something that the driver of the table has to do.
 #[derive(Clone, Debug)]
 pub enum SessionTask {
     /// An effect of a session's state machine; never [`SessionEffect::Notify`], which stays in the table.
@@ -22,50 +22,52 @@
     PollEndpoints,
     /// A zone's state has changed, for the log.
     ZoneChanged(ZoneTransition),
-    /// Give [`PlacementEvent::Tick`] after so long.
+    /// Deliver [`PlacementEvent::Tick`] after this time, in place of any earlier timer.
     SetTimer(Duration),
 }
 
-/// A session's state machine, and what its driver keeps with it.
+/// A session's state machine, and the driver's data for the session.
 #[derive(Clone, Debug)]
 pub struct SessionSlot<T> {
-    /// The session's state.
+    /// The session's state machine.
     pub machine: SessionMachine,
-    /// The driver's own, which the table does not look at.
+    /// The driver's own data, which the table does not read.
     pub driver_data: T,
 }
 
-/// The sessions of a proxy, by key; `T` is what the driver keeps with each.
+/// The sessions of a proxy, by key; `T` is the driver's data for each.
 #[derive(Clone, Debug)]
 pub struct SessionTable<T> {
-    /// Decides where sessions go.
+    /// Chooses the servers of sessions.
     pub engine: PlacementEngine,
-    /// The sessions. A slot's number is the engine's id of its session.
+    /// The sessions. The number of a session's slot is the engine's id of the session.
     pub sessions: SlotMap<SessionSlot<T>>,
+    /// Timeout for the connection to a server to be established.
     connect_timeout: Duration,
-    /// The states of zones, where there are several.
+    /// Zone failover; `None` in a deployment of one zone, or where it is turned off.
     pub zones: Option<ZoneTracker>,
     /// Scratch space for zone transitions, kept for its allocation.
-    transitions: Vec<ZoneTransition>,
-    /// Events that the engine has not heard yet.
+    zone_transitions: Vec<ZoneTransition>,
+    /// Events that the engine has not handled yet, oldest first.
     events: VecDeque<PlacementEvent>,
+    /// Tasks that the driver has not taken yet, oldest first.
     tasks: VecDeque<SessionTask>,
-    /// Scratch space for the engine's actions.
+    /// Scratch space for the engine's actions, kept for its allocation.
     actions: Vec<PlacementAction>,
-    /// Scratch space for one session's effects.
+    /// Scratch space for one session's effects, kept for its allocation.
     effects: Vec<SessionEffect>,
 }
 
 impl<T> SessionTable<T> {
-    /// An empty table. `nonce` seeds the engine's draws; `connect_timeout` is the longest that a connection to a server
-    /// may take to come up.
+    /// An empty table. `nonce` seeds the engine's random draws; `connect_timeout` is how long a connection to a server
+    /// may take to be established.
     pub fn new(deployment: Deployment, nonce: u64, connect_timeout: Duration) -> SessionTable<T> {
         SessionTable {
             engine: PlacementEngine::new(deployment, nonce),
             sessions: SlotMap::default(),
             connect_timeout,
             zones: None,
-            transitions: Vec::new(),
+            zone_transitions: Vec::new(),
             events: VecDeque::new(),
             tasks: VecDeque::new(),
             actions: Vec::new(),
@@ -73,8 +75,8 @@
         }
     }
 
-    /// A client asks for a session. The engine hears of a `restored` one, which was open before this proxy started,
-    /// only once it is open again.
+    /// Begins a session that a client requests. For a `restored` session, which was open before this proxy started,
+    /// the engine is notified only once it is open again.
     pub fn start_session(
         &mut self,
         now: Duration,
@@ -91,11 +93,11 @@
             self.events
                 .push_back(PlacementEvent::SessionRequested(request));
         }
-        self.settle(now);
+        self.process_events(now);
         key
     }
 
-    /// A session begins that another process has opened already.
+    /// Takes over an open session from another process of this proxy.
     pub fn inherit_session(
         &mut self,
         now: Duration,
@@ -106,11 +108,11 @@
         let (key, request) = self.insert(machine, driver_data);
         self.events
             .push_back(PlacementEvent::SessionInherited(request, server));
-        self.settle(now);
+        self.process_events(now);
         key
     }
 
-    /// Puts a session into a slot and its number into the request.
+    /// Puts a session into a free slot, and the slot's number into its request as the session's id.
     fn insert(&mut self, machine: SessionMachine, driver_data: T) -> (SlotKey, SessionRequest) {
         let mut request = machine.request;
         let key = self.sessions.insert(SessionSlot {
@@ -124,67 +126,71 @@
         (key, request)
     }
 
-    /// Something happens to a session; ignored if the session is gone.
+    /// Handles an input for a session; ignored if the session has been removed.
     pub fn handle_input(&mut self, now: Duration, session: SlotKey, input: SessionInput) {
-        self.step(now, session, input);
-        self.settle(now);
+        self.step_session(now, session, input);
+        self.process_events(now);
     }
 
-    /// The client of a session was found to have left, or to have spoken, right before something would be sent for
-    /// it. Whether nothing is to be sent.
+    /// Handles a client that was found to have left, or to have sent data too early, right before something is sent to
+    /// a server for it. Returns whether the sending is cancelled.
     pub fn cancel_before_send(
         &mut self,
         now: Duration,
         session: SlotKey,
-        how: SessionInput,
+        input: SessionInput,
     ) -> bool {
         if is_injected(InjectedFault::DialForGoneClient) {
             return false;
         }
-        self.handle_input(now, session, how);
+        self.handle_input(now, session, input);
         true
     }
 
-    /// Something happens that is no session's own: the endpoint list, a probe's answer, a tick.
+    /// Handles an event that no session's state machine emits: an endpoint list, a probe's end, an observation, a tick.
     pub fn handle_event(&mut self, now: Duration, event: PlacementEvent) {
         if is_injected(InjectedFault::ChangeDuringDialLost)
             && matches!(event, PlacementEvent::EndpointsUpdated(_))
-            && self.sessions.iter().any(|(_, slot)| is_dialling(slot))
+            && self
+                .sessions
+                .iter()
+                .any(|(_, slot)| has_dial_in_progress(slot))
         {
             return;
         }
         self.events.push_back(event);
-        self.settle(now);
+        self.process_events(now);
     }
 
-    /// The server of an open session has sent a line (`answered`), or has left a line without an answer for long.
-    pub fn record_server_activity(&mut self, now: Duration, session: SlotKey, answered: bool) {
+    /// Records for zone failover that the server of an open session sent a line (`responded`), or is overdue with a
+    /// response.
+    pub fn record_server_activity(&mut self, now: Duration, session: SlotKey, responded: bool) {
         let server = self.sessions.get(session).map(|slot| slot.machine.server);
         if let (Some(zones), Some(server)) = (&mut self.zones, server) {
-            if answered {
+            if responded {
                 zones.failover.server_responded(now, server);
             } else {
                 zones.failover.server_failed(now, server);
             }
-            self.settle(now);
+            self.process_events(now);
         }
     }
 
-    /// Discovery is alive, though it has nothing new to say.
+    /// Records for zone failover that discovery responded, though without a change.
     pub fn record_discovery_activity(&mut self, now: Duration) {
         if let Some(zones) = &mut self.zones {
             zones.failover.discovery_responded(now);
-            self.settle(now);
+            self.process_events(now);
         }
     }
 
-    /// The next thing to do, if any. Whoever carries out a [`SessionEffect::Forget`] takes the session out of
-    /// `sessions`; its slot is not used again before.
+    /// Takes the next task, if any. To carry out [`SessionEffect::Forget`], the driver removes the session from
+    /// `sessions`; its slot is not reused before.
     pub fn next_task(&mut self) -> Option<SessionTask> {
         self.tasks.pop_front()
     }
 
-    fn step(&mut self, now: Duration, session: SlotKey, input: SessionInput) {
+    fn step_session(&mut self, now: Duration, session: SlotKey, input: SessionInput) {
         let Some(slot) = self.sessions.get_mut(session) else {
             return;
         };
@@ -199,32 +205,35 @@
         self.effects = effects;
     }
 
-    /// Queues what was decided of zones: events for the engine, changes of state for the log.
+    /// Queues the decisions of zone failover: events for the engine, and changes of zone states for the log.
     fn collect_zone_decisions(&mut self) {
         if let Some(zones) = &mut self.zones {
-            zones.take_decisions(&mut self.events, &mut self.transitions);
-            self.tasks
-                .extend(self.transitions.drain(..).map(SessionTask::ZoneChanged));
+            zones.take_decisions(&mut self.events, &mut self.zone_transitions);
+            self.tasks.extend(
+                self.zone_transitions
+                    .drain(..)
+                    .map(SessionTask::ZoneChanged),
+            );
         }
     }
 
-    /// Gives the engine events and carries out its actions until there are no more of either.
-    fn settle(&mut self, now: Duration) {
+    /// Gives the queued events to the engine and carries out its actions, until no event is left.
+    fn process_events(&mut self, now: Duration) {
         self.collect_zone_decisions();
         while let Some(event) = self.events.pop_front() {
-            self.show_zones(now, &event);
+            self.notify_zone_tracker(now, &event);
             self.collect_zone_decisions();
             let mut actions = std::mem::take(&mut self.actions);
             self.engine.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.apply(now, action);
+                self.apply_action(now, action);
             }
             self.actions = actions;
         }
     }
 
-    /// Lets the zone tracker see an event before the engine does.
-    fn show_zones(&mut self, now: Duration, event: &PlacementEvent) {
+    /// Passes an event to the zone tracker, before the engine handles it.
+    fn notify_zone_tracker(&mut self, now: Duration, event: &PlacementEvent) {
         let Some(zones) = &mut self.zones else {
             return;
         };
@@ -239,8 +248,8 @@
         zones.observe(now, event, server);
     }
 
-    /// Carries out an action of the engine, on its session or as a task.
-    fn apply(&mut self, now: Duration, action: PlacementAction) {
+    /// Carries out an action of the engine: as an input of its session, or as a task.
+    fn apply_action(&mut self, now: Duration, action: PlacementAction) {
         let (session, input) = match action {
             PlacementAction::Dial {
                 session,
@@ -252,7 +261,7 @@
                 SessionInput::Dial {
                     server,
                     timeout,
-                    write_within: write_timeout,
+                    write_timeout,
                 },
             ),
             PlacementAction::Cancel { session, .. } => (session, SessionInput::Cancel),
@@ -282,13 +291,13 @@
             }
         };
         if let Some(key) = self.sessions.key_at(session) {
-            self.step(now, key, input);
+            self.step_session(now, key, input);
         }
     }
 }
 
 /// Whether a dial of the session is under way.
-fn is_dialling<T>(slot: &SessionSlot<T>) -> bool {
+fn has_dial_in_progress<T>(slot: &SessionSlot<T>) -> bool {
     matches!(
         slot.machine.state,
         SessionState::Connecting | SessionState::SendingRequest | SessionState::AwaitingResponse
--- a/crates/proxy/src/routing/session_tasks.rs
+++ b/crates/proxy/src/routing/session_tasks.rs
@@ -1,4 +1,4 @@
-//! Carries out on sockets what the session table wants done.
+//! Carries out the tasks of the session table on sockets, timers and logs.
 
 use super::Router;
 use super::events::ReasonCode;
@@ -12,17 +12,17 @@
 use asterramp_placement::PlacementEvent;
 
 impl Router {
-    /// Something happens to a session.
+    /// Gives an input to a session; ignored if the session has been removed.
     pub(super) fn handle_session_input(&mut self, session: SlotKey, input: SessionInput) {
         self.session_table.handle_input(self.now, session, input);
     }
 
-    /// Something happens that is no session's own.
+    /// Gives the placement engine an event that no session's state machine emits.
     pub(super) fn handle_placement_event(&mut self, event: PlacementEvent) {
         self.session_table.handle_event(self.now, event);
     }
 
-    /// A session's state machine.
+    /// A session's state machine; `None` if the session has been removed.
     pub(super) fn session_machine(&self, session: SlotKey) -> Option<&SessionMachine> {
         self.session_table
             .sessions
@@ -30,7 +30,7 @@
             .map(|slot| &slot.machine)
     }
 
-    /// What the router keeps with a session.
+    /// The connections of a session; `None` if the session has been removed.
     pub(super) fn session_mut(&mut self, session: SlotKey) -> Option<&mut SessionConnections> {
         self.session_table
             .sessions
@@ -38,7 +38,7 @@
             .map(|slot| &mut slot.driver_data)
     }
 
-    /// Carries out what there is to do, until there is no more.
+    /// Carries out the queued tasks, and those that follow from them, until none is left.
     pub(super) fn run_tasks(&mut self) {
         while let Some(task) = self.session_table.next_task() {
             match task {
@@ -79,8 +79,8 @@
             }
             SessionEffect::SetDeadline(None) => self.deadlines.clear(TimerKey::Session(session)),
             SessionEffect::AnswerClient(FinalResponse::Rejected(retry_after)) => {
-                let text = busy_line(retry_after);
-                self.answer_client(session, text.as_bytes(), ReasonCode::Rejected);
+                let line = busy_line(retry_after);
+                self.answer_client(session, line.as_bytes(), ReasonCode::Rejected);
             }
             SessionEffect::AnswerClient(FinalResponse::Failed(code)) => {
                 self.answer_client(session, ERROR_LINE, code);
@@ -94,15 +94,15 @@
             SessionEffect::StartForwarding => self.forward(session),
             SessionEffect::Migrate => self.migrate(session, ReasonCode::Rebalanced),
             SessionEffect::Restore => self.restore_session(session),
-            SessionEffect::Forget => self.forget(session),
+            SessionEffect::Forget => self.remove_session(session),
             SessionEffect::Log(code) => self.log_session_end(session, code),
             SessionEffect::Count(code) => self.count_session_event(session, code),
-            // The session table has given it to the engine.
+            // The session table has passed the event to the engine.
             SessionEffect::Notify(_) => {}
         }
     }
 
-    /// Counts an event; a session that is open counts as served from then on.
+    /// Counts an event of a session; an opened or restored session also counts as a success.
     fn count_session_event(&mut self, session: SlotKey, code: ReasonCode) {
         if matches!(
             code,
@@ -113,7 +113,7 @@
         self.count_event(code);
     }
 
-    /// A session has come to its one end, as its client sees it.
+    /// Counts the end of a session as its client sees it; called once for each session.
     pub(super) fn count_session_end(&mut self, session: SlotKey, end: SessionEnd) {
         let listener = self
             .session_machine(session)
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Parts a session from its client's connection. A server's that stays behind holds one descriptor, where
-    /// the two held two, as a client alone does.
+    /// Detaches the client's connection from a session, without closing it. A client counts as two descriptors, its
+    /// server's included; a server that remains without its client is counted on its own, as one.
     pub(super) fn take_client(&mut self, session: SlotKey) -> Option<SlotKey> {
         let data = self.session_mut(session)?;
         let client = data.client.take();
@@ -135,7 +135,7 @@
         client
     }
 
-    /// Parts a session from its server's connection.
+    /// Detaches the server's connection from a session, without closing it.
     pub(super) fn take_server(&mut self, session: SlotKey) -> Option<SlotKey> {
         let data = self.session_mut(session)?;
         let server = data.server.take();
@@ -146,8 +146,8 @@
         server
     }
 
-    /// Takes a session out of the tables and closes what it has.
-    fn forget(&mut self, session: SlotKey) {
+    /// Removes a session from the tables and closes its connections.
+    fn remove_session(&mut self, session: SlotKey) {
         let client = self.take_client(session);
         let server = self.take_server(session);
         if let Some(slot) = self.session_table.sessions.remove(session) {
--- a/crates/proxy/tests/session_machine.rs
+++ b/crates/proxy/tests/session_machine.rs
@@ -17,14 +17,14 @@
 fn dialling_session(
     request: SessionRequest,
     timeout: Duration,
-    write_within: Duration,
+    write_timeout: Duration,
 ) -> (SessionMachine, Vec<SessionEffect>) {
     let mut machine = SessionMachine::new(Duration::ZERO, request, false, RESPONSE_TIMEOUT);
     let mut effects = Vec::new();
     let dial = SessionInput::Dial {
         server: 1,
         timeout,
-        write_within,
+        write_timeout,
     };
     machine.step(Duration::ZERO, dial, &mut effects);
     (machine, effects)
