--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -1,4 +1,4 @@
-//! Clients until their session is open: request lines, admission, answers.
+//! Clients whose session is not open yet: reads pings and request lines, asks admission control, sends final responses.
 
 use super::Router;
 use super::events::ReasonCode;
@@ -16,31 +16,31 @@
 use asterramp_placement::settings::ProxySettings;
 use std::time::Duration;
 
-/// How long a pending client may take to say what it wants, however often it asks for other things.
+/// How long a connection may take to send its request for a session; pings do not extend it.
 pub(super) const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
-/// Retry-After of a client that is rejected because no more connections can be held, at most.
-const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Bytes of a malformed request line that are logged.
-const LOGGED_LINE_BYTES: usize = 160;
+/// Longest Retry-After of a client that is rejected because no more connections can be held.
+const MAX_RETRY_AFTER_AT_LIMIT: Duration = Duration::from_secs(1);
+/// Most bytes of a malformed request line that are logged.
+const MAX_LOGGED_LINE_BYTES: usize = 160;
 
-/// A client's request that is well formed and new.
+/// A valid request for a session that is not there yet.
 struct ClientRequest {
     request: SessionRequest,
-    /// The client says that a session of its own has just failed.
-    failed: bool,
+    /// The client says that an earlier attempt of its own failed.
+    earlier_attempt_failed: bool,
     data: SessionConnections,
-    /// Bytes of the request line.
+    /// Length of the request line in bytes, with its end.
     line_len: usize,
 }
 
 impl Router {
-    /// Reads what a pending client wants.
+    /// Reads the first line of a pending client: a ping or a request for a session.
     pub(super) fn read_greeting(&mut self, key: SlotKey) {
         let Some(connection) = self.connections.get(key) else {
             return;
         };
         let stream = &connection.stream;
-        // One that asks and takes no answers would pile them up here.
+        // A client that sends pings and does not read the responses must not make them pile up.
         if !stream.is_flushed() && stream.ended.is_none() {
             return self.set_interest(key, Interest::WRITE);
         }
@@ -51,13 +51,16 @@
             Ok(None) if ended.is_none() => self.update_interest(key),
             Ok(None) if is_empty || ended == Some(StreamEnd::Reset) => {
                 self.close(key);
-                self.log_event(ReasonCode::ClosedBeforeRequest, "client said nothing more");
+                self.log_event(
+                    ReasonCode::ClosedBeforeRequest,
+                    "client closed without a session request",
+                );
             }
             Ok(None) => self.reject_malformed(key, LineError::Malformed("end of line")),
             Err(fault) => self.reject_malformed(key, fault),
             Ok(Some((ClientGreeting::Ping, line_len))) => self.answer_ping(key, line_len),
             Ok(Some((ClientGreeting::Open(open), line_len))) => {
-                match self.client_request(key, bytes, &open, line_len) {
+                match self.validate_request(key, bytes, &open, line_len) {
                     Ok(request) => self.admit(key, request),
                     Err(fault) => self.reject_malformed(key, fault),
                 }
@@ -65,7 +68,8 @@
         }
     }
 
-    /// Answers a front's ping, and reads on; a proxy that wants no sessions fails it.
+    /// Responds to a ping, the health check of the front proxy, and reads on; the ping fails while this proxy is to get
+    /// no sessions.
     fn answer_ping(&mut self, key: SlotKey, line_len: usize) {
         let accepts_sessions = self.drain.answers_pings() && self.warm_start_admits_sessions();
         let Some(connection) = self.connections.get_mut(key) else {
@@ -80,19 +84,19 @@
         self.read_greeting(key);
     }
 
-    /// A request to open a session, checked against the settings and the sessions there are.
-    fn client_request(
+    /// Validates a request for a session against the settings and the ids of the current sessions.
+    fn validate_request(
         &self,
         client: SlotKey,
         bytes: &[u8],
         open: &OpenRequest<'_>,
         line_len: usize,
     ) -> Result<ClientRequest, LineError> {
-        // A client waits for its answer before it says more, so this is none.
+        // A client must wait for its response before it sends more.
         if line_len < bytes.len() {
             return Err(LineError::Malformed("more than one line"));
         }
-        // The servers would reject it one after the other, and look unsound by that.
+        // Each server that is tried would reject the duplicate id, and the errors would count against its health.
         if self.session_ids.contains(open.id) {
             return Err(LineError::Malformed("id: open already"));
         }
@@ -101,7 +105,7 @@
         };
         Ok(ClientRequest {
             request: session_request(open, self.now, listener, tenant),
-            failed: open.earlier_attempt_failed,
+            earlier_attempt_failed: open.earlier_attempt_failed,
             data: SessionConnections {
                 client: Some(client),
                 server: None,
@@ -122,7 +126,7 @@
             .get(key)
             .map(|connection| connection.stream.inbound.bytes())
             .unwrap_or_default();
-        let line = bytes[..bytes.len().min(LOGGED_LINE_BYTES)]
+        let line = bytes[..bytes.len().min(MAX_LOGGED_LINE_BYTES)]
             .escape_ascii()
             .to_string();
         self.log_event(
@@ -132,11 +136,12 @@
         self.close_gracefully(key, &[ERROR_LINE]);
     }
 
-    /// Begins a session for a client, or rejects it for want of descriptors or capacity.
+    /// Begins a session for a client, or rejects the client for lack of descriptors or capacity. A restored session is
+    /// not subject to admission control.
     fn admit(&mut self, key: SlotKey, client: ClientRequest) {
         let ClientRequest {
             request,
-            failed,
+            earlier_attempt_failed,
             data,
             line_len,
         } = client;
@@ -144,7 +149,7 @@
             return self.reject_at_limit(key, request, &data);
         }
         let restored = data.restored_server_uid.is_some();
-        if !restored && let Err(rejection) = self.ask_admission(request, failed) {
+        if !restored && let Err(rejection) = self.check_admission(request, earlier_attempt_failed) {
             return self.shed_load(key, request, &data, rejection);
         }
         if let Some(connection) = self.connections.get_mut(key) {
@@ -164,18 +169,22 @@
         self.client_ready(session);
     }
 
-    /// Asks admission control, which ranks clients while capacity is short; it queues none.
-    fn ask_admission(&mut self, request: SessionRequest, failed: bool) -> Result<(), Rejection> {
+    /// Asks admission control, which ranks clients while capacity is short, and rejects rather than queues.
+    fn check_admission(
+        &mut self,
+        request: SessionRequest,
+        earlier_attempt_failed: bool,
+    ) -> Result<(), Rejection> {
         let admission_request = AdmissionRequest {
             listener: request.listener,
             tenant: request.tenant,
             reconnecting: request.reconnecting,
-            failed_before: failed,
+            failed_before: earlier_attempt_failed,
         };
         self.admission.admit(self.now, admission_request)
     }
 
-    /// No more connections can be held.
+    /// Rejects a client because no more connections can be held.
     fn reject_at_limit(
         &mut self,
         key: SlotKey,
@@ -189,11 +198,11 @@
             .settings
             .deployment
             .max_retry_after
-            .min(FULL_RETRY_AFTER);
+            .min(MAX_RETRY_AFTER_AT_LIMIT);
         self.close_gracefully(key, &[busy_line(retry_after).as_bytes()]);
     }
 
-    /// Capacity is short, and others go first.
+    /// Rejects a client because capacity is short and others rank before it.
     fn shed_load(
         &mut self,
         key: SlotKey,
@@ -202,18 +211,18 @@
         rejection: Rejection,
     ) {
         let listener = &self.settings.listeners[usize::from(request.listener)];
-        let about = format!(
+        let details = format!(
             "sess={} listener={listener} why={}",
             data.id(),
             rejection.reason.name()
         );
-        self.log_event(ReasonCode::LoadShed, about);
+        self.log_event(ReasonCode::LoadShed, details);
         self.metrics
             .count_session_end(request.listener, SessionEnd::Rejected);
         self.close_gracefully(key, &[busy_line(rejection.retry_after).as_bytes()]);
     }
 
-    /// Something came on the connection of a session's client.
+    /// Handles input or an end on the connection of a session's client.
     pub(super) fn client_ready(&mut self, session: SlotKey) {
         let Some(slot) = self.session_table.sessions.get(session) else {
             return;
@@ -236,7 +245,7 @@
         }
     }
 
-    /// Sends the final answer to the client of a session that is not open.
+    /// Sends the final response to the client of a session that is not open, and closes its connection.
     pub(super) fn answer_client(&mut self, session: SlotKey, text: &[u8], code: ReasonCode) {
         let Some(client) = self.take_client(session) else {
             return;
@@ -251,7 +260,7 @@
         self.close_gracefully(client, &[text]);
     }
 
-    /// Logs an end that a session or one of its dials has come to.
+    /// Logs how a session or one of its dials ended.
     pub(super) fn log_session_end(&mut self, session: SlotKey, code: ReasonCode) {
         let Some(slot) = self.session_table.sessions.get(session) else {
             return;
@@ -263,17 +272,17 @@
         } else {
             "-"
         };
-        let ms = self.now.saturating_sub(machine.requested_at).as_millis();
-        let about = format!(
-            "sess={} listener={listener} server={server} dials={} ms={ms}",
+        let elapsed_ms = self.now.saturating_sub(machine.requested_at).as_millis();
+        let details = format!(
+            "sess={} listener={listener} server={server} dials={} ms={elapsed_ms}",
             slot.driver_data.id(),
             machine.dials_started
         );
-        self.log_event(code, about);
+        self.log_event(code, details);
     }
 }
 
-/// The first line of what a client sent, read, and its length in bytes; `None` if the line is not complete.
+/// Parses a client's first line and returns it with its length in bytes; `None` if the line is not complete.
 fn parse_first_line(bytes: &[u8]) -> Result<Option<(ClientGreeting<'_>, usize)>, LineError> {
     let Some((text, line_len)) = line::first_line(bytes)? else {
         return Ok(None);
@@ -281,7 +290,8 @@
     Ok(Some((parse_greeting(text)?, line_len)))
 }
 
-/// A client's request in the placement engine's terms, its wait counted from `now`; the session has no number yet.
+/// A client's request in the placement engine's terms, with its wait counted from `now`. The session table assigns the
+/// session's id.
 pub(super) fn session_request(
     open: &OpenRequest<'_>,
     now: Duration,
@@ -299,7 +309,8 @@
     }
 }
 
-/// The indices of a request's listener and tenant in the settings; `None` if either is unknown.
+/// The indices of a request's listener and tenant in the settings, 0 for a request without a tenant; `None` if either
+/// is unknown.
 pub(super) fn listener_and_tenant(
     settings: &ProxySettings,
     open: &OpenRequest<'_>,
--- a/crates/proxy/src/routing/connections.rs
+++ b/crates/proxy/src/routing/connections.rs
@@ -1,4 +1,4 @@
-//! The router's connections: watching them, what each is for, and how they are closed.
+//! The router's connections: registers them with epoll, tracks their roles and interest, and closes them.
 
 use super::Router;
 use super::types::{Connection, ConnectionRole, TimerKey};
@@ -7,32 +7,33 @@
 use rustix::fd::OwnedFd;
 use std::time::Duration;
 
-/// How long a connection that was sent its last text may take to close.
+/// How long the other side may take to close a connection after its last message; it is closed then in any case.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Most bytes that are read from a connection right before it closes.
+/// Most bytes of unread input that are dropped right before a connection is closed.
 pub(super) const MAX_BYTES_DISCARDED_AT_CLOSE: usize = 64 << 10;
-/// Most bytes that a lingering connection may still send before it is closed all the same.
+/// Most bytes that a lingering connection may send before it is closed without waiting further.
 const MAX_LINGER_BYTES: usize = 1 << 20;
 
 impl Router {
-    /// Begins to watch a descriptor; `None` if it cannot be watched, and is closed.
+    /// Registers a descriptor with epoll; returns `None` and closes it if that fails.
     pub(super) fn register(
         &mut self,
         fd: OwnedFd,
         role: ConnectionRole,
-        want: Interest,
+        interest: Interest,
     ) -> Option<SlotKey> {
-        self.register_stream(BufferedStream::new(fd, want), role, 0)
+        self.register_stream(BufferedStream::new(fd, interest), role, 0)
     }
 
-    /// The same for a stream with bytes that came already, the first `complete_len` of which are checked lines.
+    /// Registers a stream that may have input already, of which the first `complete_len` bytes are checked, complete
+    /// lines; returns `None` and closes it if that fails.
     pub(super) fn register_stream(
         &mut self,
         stream: BufferedStream,
         role: ConnectionRole,
         complete_len: usize,
     ) -> Option<SlotKey> {
-        let want = stream.interest;
+        let interest = stream.interest;
         let connection = Connection {
             stream,
             role,
@@ -42,7 +43,7 @@
         let key = self.connections.insert(connection);
         let added = self
             .poller
-            .add(&self.connections.get(key)?.stream, key, want);
+            .add(&self.connections.get(key)?.stream, key, interest);
         if added.is_err() {
             self.connections.remove(key);
             return None;
@@ -51,28 +52,28 @@
         Some(key)
     }
 
-    /// Takes a connection out of the tables; dropped, it closes.
+    /// Removes a connection from the tables; it closes when the returned stream is dropped.
     ///
-    /// What a client or an HTTP caller has sent and was not read is read before: a close over it would reset the
-    /// connection, and with it what was written last. Not so where another process may hold the connection too: that
-    /// one is to read it, and this one's close ends nothing.
+    /// Unread input of a client or an HTTP caller is dropped first: closing with unread input would reset the
+    /// connection, and the other side could lose what was written last. A connection that is offered to another process
+    /// keeps its input for that process to read; this process's close does not end it.
     pub(super) fn close(&mut self, key: SlotKey) -> Option<BufferedStream> {
-        let on_offer = self.is_connection_offered(key);
+        let is_offered = self.is_connection_offered(key);
         let (role, mut stream) = self.unregister(key)?;
-        let callers = matches!(
+        let discards_unread_input = matches!(
             role,
             ConnectionRole::PendingClient
                 | ConnectionRole::Client(_)
                 | ConnectionRole::Lingering { .. }
                 | ConnectionRole::AdminHttp { .. }
         );
-        if callers && !on_offer {
+        if discards_unread_input && !is_offered {
             stream.discard_input(MAX_BYTES_DISCARDED_AT_CLOSE);
         }
         Some(stream)
     }
 
-    /// Takes a connection out of the tables as it is.
+    /// Removes a connection from the tables without reading from it.
     pub(super) fn unregister(&mut self, key: SlotKey) -> Option<(ConnectionRole, BufferedStream)> {
         self.deadlines.clear(TimerKey::Connection(key));
         let connection = self.connections.remove(key)?;
@@ -81,44 +82,45 @@
         Some((connection.role, connection.stream))
     }
 
-    /// Changes what a connection is for.
+    /// Changes the role of a connection, and the counts by role.
     pub(super) fn set_role(&mut self, key: SlotKey, role: ConnectionRole) {
         if let Some(connection) = self.connections.get_mut(key) {
-            let before = std::mem::replace(&mut connection.role, role);
+            let previous_role = std::mem::replace(&mut connection.role, role);
             self.connection_counts
-                .record_role_change(Some(before), Some(role));
+                .record_role_change(Some(previous_role), Some(role));
         }
     }
 
-    /// Changes what a connection is watched for.
-    pub(super) fn set_interest(&mut self, key: SlotKey, want: Interest) {
+    /// Changes the readiness that a connection is watched for.
+    pub(super) fn set_interest(&mut self, key: SlotKey, interest: Interest) {
         if let Some(connection) = self
             .connections
             .get_mut(key)
-            .filter(|connection| connection.stream.interest != want)
+            .filter(|connection| connection.stream.interest != interest)
         {
-            connection.stream.interest = want;
-            // It fails only for a socket that is not watched, and all registered ones are.
-            let _ = self.poller.modify(&connection.stream, key, want);
+            connection.stream.interest = interest;
+            // Fails only for a socket that is not registered, and every connection in the table is.
+            let _ = self.poller.modify(&connection.stream, key, interest);
         }
     }
 
-    /// Watches a connection that exchanges texts with the router itself for what it can do next.
+    /// Watches a connection that the router itself exchanges messages on: for input while there is space, and for
+    /// writability while output is unsent.
     pub(super) fn update_interest(&mut self, key: SlotKey) {
         if let Some(connection) = self.connections.get(key) {
-            let want = Interest {
+            let interest = Interest {
                 read: connection.stream.can_read(),
                 write: !connection.stream.is_flushed(),
             };
-            self.set_interest(key, want);
+            self.set_interest(key, interest);
         }
     }
 
-    /// Sends a last text, ends sending and waits a little for the other side to close: closing at once would reset
-    /// the connection over bytes not read yet, and lose the text with it.
-    pub(super) fn close_gracefully(&mut self, key: SlotKey, text: &[&[u8]]) {
+    /// Sends a last message, given in parts, shuts down the sending side and waits up to [`LINGER_TIMEOUT`] for the
+    /// other side to close: closing at once would reset the connection if input is unread, and lose the message.
+    pub(super) fn close_gracefully(&mut self, key: SlotKey, message_parts: &[&[u8]]) {
         if let Some(connection) = self.connections.get_mut(key) {
-            connection.stream.send(text);
+            connection.stream.send(message_parts);
             connection.last_activity = self.now;
             self.set_role(key, ConnectionRole::Lingering { discarded: 0 });
             self.deadlines
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Discards what a lingering connection sent, and closes it once both sides are done.
+    /// Drops the input of a lingering connection, and closes it once the other side has closed and all output is sent.
     pub(super) fn lingering_ready(&mut self, key: SlotKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -136,11 +138,12 @@
             return;
         };
         let stream = &mut connection.stream;
-        let came = stream.inbound.bytes().len();
-        stream.inbound.consume(came);
-        *discarded += came;
-        let done = stream.ended.is_some() && stream.is_flushed() || *discarded > MAX_LINGER_BYTES;
-        if done || stream.ended == Some(StreamEnd::Reset) {
+        let received = stream.inbound.bytes().len();
+        stream.inbound.consume(received);
+        *discarded += received;
+        let is_finished =
+            stream.ended.is_some() && stream.is_flushed() || *discarded > MAX_LINGER_BYTES;
+        if is_finished || stream.ended == Some(StreamEnd::Reset) {
             self.close(key);
             return;
         }
--- a/crates/proxy/src/routing/event_loop.rs
+++ b/crates/proxy/src/routing/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: waits for sockets and deadlines, and hands each to what it is for.
+//! The event loop: waits for sockets and deadlines, and dispatches each to its handler.
 
 use super::Router;
 use super::connections::MAX_BYTES_DISCARDED_AT_CLOSE;
@@ -14,7 +14,7 @@
 use std::io;
 use std::time::Duration;
 
-/// Longest wait while nothing has a deadline.
+/// Longest wait for sockets while no deadline is set.
 const MAX_IDLE_WAIT: Duration = Duration::from_millis(500);
 
 impl Router {
@@ -22,20 +22,20 @@
     ///
     /// # Errors
     ///
-    /// What epoll fails with.
+    /// The error of epoll.
     pub fn wait(&mut self, now: Duration) -> io::Result<()> {
         let timeout = self
             .deadlines
             .next_due()
-            .map_or(MAX_IDLE_WAIT, |at| at.saturating_sub(now));
+            .map_or(MAX_IDLE_WAIT, |deadline| deadline.saturating_sub(now));
         Ok(self.poller.wait(timeout, &mut self.ready)?)
     }
 
-    /// Takes in what is ready and what is due.
+    /// Handles the sockets that are ready, then the deadlines that have passed.
     pub fn process(&mut self, now: Duration) {
         self.now = now;
         let mut ready = std::mem::take(&mut self.ready);
-        // Operators are answered in time whatever else there is to do.
+        // Operators' calls come first, so that they are answered in time under any load.
         if self.admin_http.is_some() {
             ready.sort_by_key(|event| !self.is_admin_http(event.key));
         }
@@ -44,21 +44,21 @@
             self.run_tasks();
         }
         self.ready = ready;
-        while let Some(due) = self.deadlines.pop_due(now) {
-            self.deadline_reached(due);
+        while let Some(timer) = self.deadlines.pop_due(now) {
+            self.deadline_reached(timer);
             self.run_tasks();
         }
     }
 
-    /// Wakes [`Router::wait`] when there is something to read from a descriptor, whose bytes say nothing.
+    /// Makes [`Router::wait`] return when this descriptor becomes readable; its bytes are discarded.
     ///
     /// # Errors
     ///
-    /// If the descriptor cannot be watched.
-    pub fn add_wake_source(&mut self, wakes: OwnedFd) -> io::Result<()> {
-        self.register(wakes, ConnectionRole::SignalPipe, Interest::READ)
+    /// If the descriptor cannot be registered with epoll.
+    pub fn add_wake_source(&mut self, wake_fd: OwnedFd) -> io::Result<()> {
+        self.register(wake_fd, ConnectionRole::SignalPipe, Interest::READ)
             .map(drop)
-            .ok_or_else(|| io::Error::other("it cannot be watched"))
+            .ok_or_else(|| io::Error::other("cannot register the descriptor with epoll"))
     }
 
     /// Whether a shutdown is over and the process may end.
@@ -74,9 +74,10 @@
         )
     }
 
+    /// Handles readiness of a connection, by its role.
     pub(super) fn connection_ready(&mut self, event: ReadyEvent) {
-        // An event of the wake-up in which the connection was offered to another process: what came is read by one
-        // process alone.
+        // The connection was offered to another process during this turn of the loop: only one of the two processes may
+        // read its input.
         if self.is_connection_offered(event.key) {
             return;
         }
@@ -106,13 +107,13 @@
             ConnectionRole::Peer => self.peer_ready(event),
             role => {
                 connection.stream.read_once(event.failed);
-                self.caller_ready(event.key, role);
+                self.inbound_ready(event.key, role);
             }
         }
     }
 
-    /// Something came on a connection that another side has opened.
-    fn caller_ready(&mut self, key: SlotKey, role: ConnectionRole) {
+    /// Handles input or an end on a connection that the other side opened.
+    fn inbound_ready(&mut self, key: SlotKey, role: ConnectionRole) {
         match role {
             ConnectionRole::Client(session) => self.client_ready(session),
             ConnectionRole::PendingClient => self.read_greeting(key),
@@ -122,15 +123,15 @@
         }
     }
 
-    fn deadline_reached(&mut self, due: TimerKey) {
-        match due {
+    fn deadline_reached(&mut self, timer: TimerKey) {
+        match timer {
             TimerKey::Tick => {
                 self.handle_placement_event(PlacementEvent::Tick);
                 self.update_admission_rate();
                 self.save_snapshot_if_due();
             }
             TimerKey::DiscoveryWatch => self.watch_deadline(),
-            TimerKey::Listener if !self.serving => self.start_serving("list of old"),
+            TimerKey::Listener if !self.serving => self.start_serving("endpoint list of last run"),
             TimerKey::Listener => self.open_listener(),
             TimerKey::WarmStart => self.warm_start_deadline(),
             TimerKey::Shutdown => self.continue_shutdown(),
@@ -152,7 +153,7 @@
         }
     }
 
-    /// A pending client has had its time; what it wants may have come this moment.
+    /// Rejects a pending client at its deadline, unless its request has just arrived.
     fn greeting_deadline(&mut self, key: SlotKey) {
         self.connection_ready(ReadyEvent {
             key,
--- a/crates/proxy/src/routing/events.rs
+++ b/crates/proxy/src/routing/events.rs
@@ -1,11 +1,11 @@
-//! What there is to count and to log, each by a reason code. `docs/oncall.md` explains the codes to operators.
+//! Events that are counted and logged, each under a reason code. `docs/oncall.md` explains the codes to operators.
 
 use asterramp_placement::event::Outcome;
 
-/// Declares [`ReasonCode`]: each code with its Rust name and the name that logs and counters print.
+/// Declares [`ReasonCode`]: each code with its Rust name and its outward name, which logs and counters print.
 macro_rules! reason_codes {
     ($($(#[$doc:meta])* $code:ident $name:literal,)*) => {
-        /// Why something was counted or logged.
+        /// The kind of an event that is counted or logged.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum ReasonCode { $($(#[$doc])* $code,)* }
 
@@ -22,25 +22,25 @@
 }
 
 reason_codes! {
-    /// Clients are let in from now on.
+    /// The proxy began to accept clients.
     Serving "serving",
 
-    // Requests, attempts and answers.
-    /// A front's ping was answered.
+    // Requests, attempts and responses.
+    /// A ping, the health check of the front proxy, was answered.
     PingAnswered "ping",
-    /// A session was admitted.
+    /// A new session was admitted.
     SessionAccepted "taken",
-    /// A session that was open before the start is open again.
+    /// A session that was open before this proxy started is open again.
     SessionRestored "restored",
-    /// A request is being sent to a server.
+    /// A server was connected to and its request is being written.
     AttemptSent "dialled",
-    /// A health check was sent.
+    /// A probe was sent.
     ProbeSent "probed",
     /// A server accepted a session.
     SessionOpened "up",
     /// A session was rejected, with a Retry-After.
     Rejected "refused",
-    /// A session failed before it was open.
+    /// A session failed before it was opened.
     SessionFailed "torn-down",
     /// An endpoint list, or changes of it, took effect.
     EndpointsApplied "roster",
@@ -48,97 +48,97 @@
     ZoneStateChanged "place",
 
     // Ends of clients' connections.
-    /// The client ended its connection in good order.
+    /// The client closed its connection with an end of stream, or left before its session was open.
     ClientLeft "client-left",
-    /// The client broke its connection.
+    /// The client reset its connection.
     ClientReset "client-reset",
-    /// The client took no line for too long.
+    /// The client read no line for too long.
     ClientStalled "client-stalled",
-    /// The client did not say in time what it wants.
+    /// The client did not send its request in time.
     ClientSilent "client-silent",
-    /// The client's line was malformed, or came before its answer.
+    /// The client's line was malformed, or came before the response to its request.
     ClientProtocolError "client-bad-line",
-    /// A connection that never asked for anything ended.
+    /// A connection ended without a request for a session.
     ClosedBeforeRequest "front-left",
-    /// Rejected for want of descriptors or memory.
+    /// A client was rejected for lack of descriptors or memory.
     AtConnectionLimit "at-limit",
-    /// Rejected by admission control, while capacity is short.
+    /// A client was rejected by admission control, while capacity is short.
     LoadShed "room-short",
-    /// A client that had not said what it wants was closed in favour of others.
+    /// A client that had not requested a session was closed to free its descriptor for others.
     PendingClientEvicted "crowded-out",
-    /// The server ended the session and said that it was served.
+    /// The server ended the session and announced before that it was served.
     ServerFinished "server-bye",
     /// The server, which is draining, asked for the session to be migrated.
     ServerMigrated "server-move",
-    /// The server ended the session and said nothing.
+    /// The server ended the session without announcing it.
     ServerClosed "server-closed",
-    /// The server broke the session's connection.
+    /// The server reset the session's connection.
     ServerReset "server-reset",
-    /// The server left a line unanswered for too long; the client was migrated.
+    /// The server did not respond to a line in time; the client was migrated.
     ServerSilent "server-silent",
     /// The server's line was malformed or unknown.
     ServerProtocolError "server-bad-line",
-    /// Migrated because its server was overloaded or an outlier.
+    /// A session was migrated because its server was overloaded or an outlier.
     Rebalanced "relieved",
-    /// Migrated because the proxy shuts down.
+    /// A session was migrated because the proxy shuts down.
     ShuttingDown "proxy-leaving",
-    /// Migrated by a drain on request.
+    /// A session was migrated by a requested drain.
     Draining "proxy-draining",
 
     // Ends of attempts that did not open a session.
-    /// The server answered with an error.
+    /// The server responded with an error.
     AttemptErred "dial-erred",
-    /// The server answered that it is full.
+    /// The server responded that it is full.
     AttemptServerFull "dial-full",
-    /// No answer within the attempt's time.
+    /// No response within the attempt's timeout.
     AttemptTimedOut "dial-timed-out",
-    /// Refused, not connected in time, or broken before the request's last byte.
+    /// The connection was refused, not established in time, or ended before the request was completely written.
     AttemptUnreachable "dial-unreachable",
-    /// The connection broke after the request was sent.
+    /// The connection ended without a response after the request was completely written.
     AttemptReset "dial-reset",
-    /// Cancelled, or sent away by a draining server.
+    /// The attempt was cancelled, or the server, which is draining, sent it elsewhere.
     AttemptCancelled "dial-called-off",
-    /// There was no socket, or no time to send the request.
+    /// No socket was available, or there was no time left to send the request.
     AttemptNotSent "dial-unsent",
 
-    // Health checks, the watch on discovery and the endpoint list.
-    /// A health check got no answer.
+    // Probes, the watch on discovery and the endpoint list.
+    /// A probe got no valid response.
     ProbeFailed "probe-failed",
-    /// A health check's kept connection was ended by its server.
+    /// A connection kept for probes could not be used again: its server closed it or sent an unexpected line.
     ProbeClosed "probe-closed",
-    /// The watch ended or could not be opened.
+    /// The watch on discovery ended or could not be opened.
     WatchEnded "watch-ended",
-    /// The watch said nothing for too long.
+    /// The watch on discovery received nothing for too long.
     WatchSilent "watch-silent",
-    /// Discovery sent a list that makes no sense.
+    /// Discovery sent an invalid endpoint list.
     EndpointListInvalid "roster-bad",
-    /// A server was left out: as many names as can be are known.
+    /// A listed server was ignored because the endpoint table is full.
     EndpointTableFull "roster-full",
-    /// Discovery's list is older than the one known.
+    /// Discovery's endpoint list is older than the known one.
     EndpointListOutdated "roster-older",
 
-    // A warm start, and what is saved for the next.
-    /// A warm start has come to another stage.
+    // Warm start and snapshots.
+    /// A warm start entered another stage.
     WarmStartStageChanged "stage",
-    /// A saved endpoint was dropped.
+    /// A warm start dropped a saved endpoint.
     EndpointDropped "host-dropped",
-    /// Another proxy said what it knows.
+    /// Another proxy answered with the endpoints that it knows.
     PeerAnswered "peer-heard",
-    /// Another proxy did not answer, or not so that it makes sense.
+    /// Another proxy did not answer, or its answer was invalid.
     PeerFailed "peer-bad",
     /// A snapshot was saved.
     SnapshotSaved "state-saved",
     /// A snapshot could not be saved or read.
     SnapshotFailed "state-bad",
-    /// The snapshot folder, which another process held, is this one's now.
+    /// This process took the lock of the snapshot folder after another process had released it.
     SnapshotLockAcquired "state-taken",
 
-    // Configuration read again.
-    /// The configuration was read again.
+    // Configuration reload.
+    /// The configuration was reloaded.
     ConfigReloaded "reloaded",
-    /// A key that cannot change while the process runs keeps its value.
+    /// A changed key keeps its old value, since it cannot change while the process runs.
     ConfigUnchanged "reload-kept",
-    /// The configuration could not be read; the old one stays.
+    /// The configuration could not be reloaded; the old one stays in effect.
     ConfigReloadFailed "reload-bad",
 
     // Draining and the admin socket.
@@ -154,21 +154,21 @@
     CommandFenced "order-refused",
 
     // Hot restart.
-    /// A successor serves, and is offered this process's connections.
+    /// The successor is serving, and is offered this process's connections.
     SuccessorServing "followed",
-    /// A session went to the successor.
+    /// A session was handed over to the successor.
     SessionHandedOver "handed-over",
-    /// A session came from the predecessor.
+    /// A session was adopted from the predecessor.
     SessionAdopted "adopted",
-    /// The connection between the two processes is over.
+    /// The connection between predecessor and successor ended.
     HotRestartEnded "handover-ended",
-    /// Something went wrong between the two processes.
+    /// A hot restart failed, or a step of it.
     HotRestartFailed "handover-bad",
 
-    // Operators' HTTP calls.
-    /// A call was answered.
+    // Admin HTTP.
+    /// An admin HTTP call was answered.
     AdminRequestServed "called",
-    /// A call was malformed or rejected.
+    /// An admin HTTP call was malformed or rejected.
     AdminRequestFailed "call-bad",
 
     // System calls that failed.
@@ -176,7 +176,7 @@
     AcceptFailed "accept-failed",
 }
 
-/// The name of an outcome in log lines about health checks; operators search for it, so it does not change.
+/// The name of an outcome in log lines about probes; operators search for it, so it does not change.
 pub fn outcome_log_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "Ok",
@@ -190,11 +190,11 @@
     }
 }
 
-/// Something that happened in the router, for the counters and perhaps the log.
+/// An event of the router, to be counted and, for some, logged.
 #[derive(Debug)]
 pub enum RouterEvent {
-    /// To be counted.
+    /// Counted only.
     Count(ReasonCode),
-    /// To be counted and logged, with what there is to say of it.
+    /// Counted and logged, with the text of the log line after the reason code.
     Log(ReasonCode, String),
 }
--- a/crates/proxy/src/routing/listener.rs
+++ b/crates/proxy/src/routing/listener.rs
@@ -1,4 +1,4 @@
-//! Where clients connect: when connections are accepted, and how many at a time.
+//! The clients' listener: when connections are accepted, and how many at a time.
 
 use super::Router;
 use super::client::GREETING_TIMEOUT;
@@ -9,26 +9,27 @@
 use rustix::fd::OwnedFd;
 use std::time::Duration;
 
-/// Connections accepted in a turn of the loop, so that a crowd at the listener does not delay the other connections.
-const ACCEPTED_PER_TURN: usize = 64;
-/// How long nothing is accepted when no more can be held.
-const FULL_PAUSE: Duration = Duration::from_millis(5);
-/// How long nothing is accepted when accepting failed: trying again at once would spin.
-const FAILURE_PAUSE: Duration = Duration::from_millis(50);
+/// Most connections accepted in one turn of the event loop, so that a burst of new clients does not delay the other
+/// connections.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// Pause of accepting when no more connections can be held.
+const AT_LIMIT_PAUSE: Duration = Duration::from_millis(5);
+/// Pause of accepting after accept failed: retrying at once would busy-loop.
+const ACCEPT_FAILURE_PAUSE: Duration = Duration::from_millis(50);
 
 impl Router {
-    /// Begins to serve, by what is known of the servers then; `by` says in the log what that is.
-    pub(super) fn start_serving(&mut self, by: &str) {
+    /// Begins to accept clients; `basis` names in the log what is known of the servers at this time.
+    pub(super) fn start_serving(&mut self, basis: &str) {
         self.serving = true;
-        self.log_event(ReasonCode::Serving, format!("by {by}"));
+        self.log_event(ReasonCode::Serving, format!("by {basis}"));
         self.open_listener();
         self.announce_serving();
     }
 
-    /// Accepts connections from now on, unless a successor does.
+    /// Starts or resumes accepting connections, unless a successor of this process accepts them.
     pub(super) fn open_listener(&mut self) {
         self.deadlines.clear(TimerKey::Listener);
-        // The listener has one queue, and a successor takes from it.
+        // Both processes share one accept queue, and the successor takes from it.
         if self.has_successor() {
             return;
         }
@@ -37,9 +38,9 @@
         }
     }
 
-    /// Accepts what waits, up to the most of a turn and of what may be held.
+    /// Accepts connections that wait, within the limits per turn and of connections held.
     pub(super) fn accept(&mut self) {
-        for _ in 0..ACCEPTED_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(listener) = self.listener.filter(|_| !self.has_successor()) else {
                 return;
             };
@@ -48,14 +49,14 @@
                 return;
             };
             if !may_accept {
-                return self.pause_accepting(FULL_PAUSE);
+                return self.pause_accepting(AT_LIMIT_PAUSE);
             }
             match socket::accept(&connection.stream) {
                 Ok(Some(fd)) => self.add_pending_client(fd),
                 Ok(None) => return,
                 Err(error) => {
-                    self.log_event(ReasonCode::AcceptFailed, format!("door error={error}"));
-                    return self.pause_accepting(FAILURE_PAUSE);
+                    self.log_event(ReasonCode::AcceptFailed, format!("listener error={error}"));
+                    return self.pause_accepting(ACCEPT_FAILURE_PAUSE);
                 }
             }
         }
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Accepts all that waits at a listener about to be closed, which would reset it. Whoever cannot be held is
-    /// rejected.
+    /// Accepts all connections that wait at a listener about to be closed, since closing it would reset them. Those that
+    /// cannot be held are rejected.
     pub(super) fn accept_all(&mut self) {
         for _ in 0..socket::LISTEN_BACKLOG {
             let Some(connection) = self
@@ -90,7 +91,7 @@
         if let Some(key) = self.register(fd, ConnectionRole::PendingClient, Interest::READ) {
             self.deadlines
                 .set(TimerKey::Connection(key), self.now + GREETING_TIMEOUT);
-            // What it wants is often there already.
+            // The request has often arrived already.
             self.connection_ready(ReadyEvent {
                 key,
                 writable: false,
--- a/crates/proxy/src/routing/metrics.rs
+++ b/crates/proxy/src/routing/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics that operators scrape: what each counts, and their text.
+//! Counters and gauges, and their text exposition for scrapers.
 //!
 //! Metric and label names are part of the operators' interface and do not change.
 
@@ -8,10 +8,10 @@
 use asterramp_zone_failover::Zone;
 use std::fmt::Write;
 
-/// The one end that a session comes to, as its client sees it.
+/// The end of a session as its client sees it; each session has exactly one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionEnd {
-    /// Opened; also one that was open before this proxy started, once it is open again.
+    /// Opened, or restored after it had been open before this proxy started.
     Success,
     /// Rejected, with a Retry-After.
     Rejected,
@@ -19,7 +19,7 @@
     Failure,
 }
 
-/// Ends with the label value of each.
+/// The ends with their values of the label `code`.
 const SESSION_ENDS: [(SessionEnd, &str); 3] = [
     (SessionEnd::Success, "success"),
     (SessionEnd::Rejected, "busy"),
@@ -29,25 +29,25 @@
 /// Counts since the start of the process.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Sessions by listener and end.
+    /// Sessions by index of the listener, then by [`SessionEnd`].
     session_ends: Vec<[u64; SESSION_ENDS.len()]>,
-    /// Requests written to servers to the last byte.
+    /// Requests that were completely written to servers.
     attempts: u64,
 }
 
-/// Gauges: what is so now, beside the counts.
+/// Present values of the gauges.
 #[derive(Clone, Copy, Debug)]
 pub struct GaugeValues {
-    /// Sessions whose client is there.
+    /// Sessions whose client is connected.
     pub sessions_in_flight: usize,
     /// Servers that discovery lists.
     pub listed_endpoints: usize,
-    /// Those among them that count as down.
+    /// Listed servers that count as down.
     pub down_endpoints: usize,
 }
 
 impl Metrics {
-    /// No counts yet, for so many listeners.
+    /// Zero counts for this number of listeners.
     pub fn new(listeners: usize) -> Metrics {
         Metrics {
             session_ends: vec![[0; SESSION_ENDS.len()]; listeners],
@@ -55,17 +55,17 @@
         }
     }
 
-    /// A session came to its end. `listener` is its index, below the number given to [`Metrics::new`].
+    /// Counts the end of a session. `listener` is an index below the number given to [`Metrics::new`].
     pub fn count_session_end(&mut self, listener: u8, end: SessionEnd) {
         self.session_ends[usize::from(listener)][end as usize] += 1;
     }
 
-    /// A request was written to a server to the last byte.
+    /// Counts a request that was completely written to a server.
     pub fn count_attempt(&mut self) {
         self.attempts += 1;
     }
 
-    /// The metrics in the text form that scrapers read.
+    /// The metrics in the Prometheus text format; `listeners` are the names, in the order of their indices.
     pub fn text(&self, listeners: &[String], gauges: GaugeValues) -> String {
         let mut text = String::from("# TYPE svc_calls_total counter\n");
         // Writing to a string does not fail.
@@ -92,7 +92,7 @@
     }
 }
 
-/// The state of each zone, and its false alarms by kind; empty where there is one zone.
+/// The state of each zone, and its false alarms by kind, in the text format; empty where there is only one zone.
 pub fn zones_text<'a>(zones: impl Iterator<Item = (&'a String, &'a Zone)>) -> String {
     let mut text = String::new();
     for (name, zone) in zones {
@@ -115,7 +115,7 @@
     text
 }
 
-/// Sessions rejected because capacity is short, by listener and reason; empty while there are none.
+/// Sessions rejected because capacity is short, by listener and reason, in the text format; empty while there are none.
 pub fn load_shed_text<'a>(
     counts: impl Iterator<Item = (&'a String, &'a [u64; RejectReason::ALL.len()])>,
 ) -> String {
@@ -135,7 +135,8 @@
     text
 }
 
-/// How far a warm start has come, and how many snapshots were saved and how many failed; empty where neither is wanted.
+/// Stage of the warm start, and numbers of snapshots saved and failed, in the text format; empty where neither is
+/// configured.
 pub fn warm_start_text(
     warm_start: Option<&WarmStart>,
     snapshots: Option<SnapshotCounts>,
@@ -161,7 +162,7 @@
     text
 }
 
-/// A name as a label's value.
+/// A name escaped for use as a label's value.
 fn escaped(name: &str) -> String {
     name.replace('\\', "\\\\")
         .replace('"', "\\\"")
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -1,7 +1,7 @@
-//! Carries out on sockets what the placement engine and the sessions' state machines decide. Decides nothing itself.
+//! Carries out the decisions of the placement engine and the sessions' state machines on sockets.
 //!
-//! A [`Router`] is one epoll loop: [`Router::wait`] waits for sockets and deadlines, [`Router::process`] takes them
-//! in. What happened goes to the [`session_table`], which has no I/O; what that wants done comes back as tasks.
+//! A [`Router`] is one epoll loop: [`Router::wait`] waits for sockets and deadlines, [`Router::process`] handles them.
+//! It passes inputs to the [`session_table`], which has no I/O, and carries out the tasks that result.
 
 mod admin_commands;
 mod admin_http;
@@ -62,32 +62,34 @@
     settings: ProxySettings,
     resource_budget: ResourceBudget,
     poller: Poller,
-    /// What [`Router::wait`] found ready.
+    /// The events of the last [`Router::wait`], until they are processed.
     ready: Vec<ReadyEvent>,
     connections: SlotMap<Connection>,
     endpoints: EndpointTable,
-    /// Ids of the sessions there are, by which a second of the same is known.
+    /// Client-given ids of the current sessions, to reject a second session with the same id.
     session_ids: HashSet<String>,
     connection_counts: ConnectionCounts,
     discovery_watch: DiscoveryWatch,
+    /// The listener of clients; `None` once a shutdown has closed it.
     listener: Option<SlotKey>,
-    /// Whether clients are let in.
+    /// Whether the proxy has begun to accept clients.
     serving: bool,
     deadlines: Deadlines<TimerKey>,
-    /// What there is to count and to log since it was last taken.
+    /// Events to count and log, since the caller last took them.
     pub pending_events: Vec<RouterEvent>,
-    /// The time of the present turn of the loop.
+    /// The time at which the current turn of the loop began, since the start of the process's clock.
     now: Duration,
     drain: Drain,
-    /// Who is let in while capacity is short.
+    /// Decides which clients are admitted while capacity is short.
     admission: AdmissionControl,
-    /// Whether it is asked at all.
+    /// Whether `admission` limits clients when zone failover leaves capacity short.
     admission_enabled: bool,
     /// The drain's state as last logged.
     logged_drain_state: DrainState,
+    /// Whether a shutdown is complete.
     done: bool,
     admin_socket: Option<admin_socket::AdminSocket>,
-    /// Against late commands of earlier leaders.
+    /// Rejects late commands of earlier leaders.
     fencing_guard: FencingGuard,
     admin_http: Option<AdminHttp>,
     hot_restart: Option<HotRestart>,
@@ -95,8 +97,11 @@
     peers: Peers,
     snapshots: Option<SnapshotSchedule>,
     metrics: Metrics,
+    /// When the router was built, since the start of the process's clock.
     started_at: Duration,
+    /// When a session was last accepted, restored ones included.
     last_arrival: Duration,
+    /// Sessions accepted since the start of the process, restored ones included.
     sessions_accepted: u64,
 }
 
@@ -112,15 +117,15 @@
 }
 
 impl Router {
-    /// Applies other settings of zone failover, keeping those that follow from the deployment; `None` turns it off for
-    /// good.
+    /// Applies new settings of zone failover, except those that follow from the deployment; `None` turns zone failover
+    /// off until the process ends.
     pub fn configure_zone_failover(&mut self, settings: Option<ZoneFailoverSettings>) {
         match (&mut self.session_table.zones, settings) {
             (Some(zones), Some(settings)) => {
-                let own = zone_failover_settings(&self.settings);
+                let deployment_settings = zone_failover_settings(&self.settings);
                 zones.failover.set_settings(ZoneFailoverSettings {
-                    probing_allowed: own.probing_allowed,
-                    in_flight_timeout: own.in_flight_timeout,
+                    probing_allowed: deployment_settings.probing_allowed,
+                    in_flight_timeout: deployment_settings.in_flight_timeout,
                     ..settings
                 });
             }
@@ -129,39 +134,39 @@
         }
     }
 
-    /// Sets the highest leader term that the process before this one kept.
-    pub fn restore_highest_term(&mut self, kept: Term) {
-        self.fencing_guard = FencingGuard::new(self.started_at.as_micros() as u64, kept);
+    /// Restores the highest leader term that the previous process had accepted.
+    pub fn restore_highest_term(&mut self, term: Term) {
+        self.fencing_guard = FencingGuard::new(self.started_at.as_micros() as u64, term);
     }
 
-    /// Turns admission control while capacity is short on or off, and with it whether the priority weight alone orders
-    /// clients where nothing more is known of them.
-    pub fn configure_admission(&mut self, enabled: bool, by_priority_weight: bool) {
+    /// Turns admission control while capacity is short on or off, and sets whether listeners rank by priority weight
+    /// alone while the cost of their sessions is not known.
+    pub fn configure_admission(&mut self, enabled: bool, by_weight_alone: bool) {
         self.admission_enabled = enabled;
-        self.admission.set_rank_by_weight_alone(by_priority_weight);
+        self.admission.set_rank_by_weight_alone(by_weight_alone);
     }
 
     fn count_event(&mut self, code: ReasonCode) {
         self.pending_events.push(RouterEvent::Count(code));
     }
 
-    fn log_event(&mut self, code: ReasonCode, about: impl Into<String>) {
+    fn log_event(&mut self, code: ReasonCode, details: impl Into<String>) {
         self.pending_events
-            .push(RouterEvent::Log(code, about.into()));
+            .push(RouterEvent::Log(code, details.into()));
     }
 }
 
-/// Zone failover's settings as the deployment's own figures have them.
+/// Zone failover's default settings, with those that follow from the deployment.
 fn zone_failover_settings(settings: &ProxySettings) -> ZoneFailoverSettings {
     ZoneFailoverSettings {
         probing_allowed: settings.deployment.may_probe,
-        // A probe has so long to connect, and twice as long to answer.
+        // A probe may take one connect timeout to connect and two to get its response.
         in_flight_timeout: settings.connect_timeout * 3,
         ..ZoneFailoverSettings::default()
     }
 }
 
-/// Admission control's settings: sessions are admitted by their listener's priority weight and their tenant's share.
+/// Admission control's settings: sessions rank by their listener's priority weight and their tenant's quota.
 fn admission_settings(settings: &ProxySettings) -> asterramp_admission::AdmissionSettings {
     let priority_weights = settings
         .deployment
--- a/crates/proxy/src/routing/probe.rs
+++ b/crates/proxy/src/routing/probe.rs
@@ -1,4 +1,4 @@
-//! Health checks: a probe asks a server for its load report, over a connection that is kept for the next probe.
+//! Health checks: a probe asks a server for its load report, over a connection that is kept open for the next probe.
 
 use super::events::outcome_log_name;
 use super::types::{ConnectionRole, TimerKey};
@@ -11,30 +11,31 @@
 use asterramp_placement::event::{Outcome, ServerId, ServerLoad};
 use asterramp_placement::settings::LoadReportFormat;
 
-/// A probe waits for its reply this many times as long as for its connection: a slow server is not yet a silent one.
-const REPLY_TIMEOUT_FACTOR: u32 = 2;
+/// Timeout of a probe's response, as a multiple of the connect timeout; greater than 1 so that a slow server does not
+/// count as one that does not respond.
+const RESPONSE_TIMEOUT_FACTOR: u32 = 2;
 
-/// How far a probe's connection is.
+/// The state of a probe's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProbeStage {
-    /// The connection is being made.
+    /// The connection is being established.
     Connecting,
     /// The request was sent on a new connection.
-    AwaitingReply,
+    AwaitingResponse,
     /// The request was sent on a connection that had been idle, which the server may have closed just before.
-    AwaitingReplyAfterIdle,
-    /// No request is out.
+    AwaitingResponseAfterIdle,
+    /// The connection is kept for the next probe; no request is outstanding.
     Idle,
 }
 
-/// What a server has sent in reply to a probe.
+/// What a server has sent in response to a probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum ProbeReply {
-    /// No whole line yet.
+enum ProbeResponse {
+    /// No complete line yet.
     Incomplete,
     /// Not a line of the protocol.
     Malformed,
-    /// One line of `line_len` bytes.
+    /// One line of `line_len` bytes, its end included.
     Complete {
         outcome: Outcome,
         load: ServerLoad,
@@ -42,19 +43,19 @@
     },
 }
 
-impl ProbeReply {
-    fn parse(bytes: &[u8], load_reports: &LoadReportFormat) -> ProbeReply {
+impl ProbeResponse {
+    fn parse(bytes: &[u8], report_format: &LoadReportFormat) -> ProbeResponse {
         let (text, line_len) = match line::first_line(bytes) {
             Ok(Some(line)) => line,
-            Ok(None) => return ProbeReply::Incomplete,
-            Err(_) => return ProbeReply::Malformed,
+            Ok(None) => return ProbeResponse::Incomplete,
+            Err(_) => return ProbeResponse::Malformed,
         };
         let (outcome, load) = match parse_server_line(text) {
-            ServerLine::Pong(report) => (Outcome::Ok, load_from_report(load_reports, report)),
-            ServerLine::Busy(report) => (Outcome::Full, load_from_report(load_reports, report)),
+            ServerLine::Pong(report) => (Outcome::Ok, load_from_report(report_format, report)),
+            ServerLine::Busy(report) => (Outcome::Full, load_from_report(report_format, report)),
             _ => (Outcome::ServerError, ServerLoad::default()),
         };
-        ProbeReply::Complete {
+        ProbeResponse::Complete {
             outcome,
             load,
             line_len,
@@ -63,16 +64,16 @@
 }
 
 impl Router {
-    /// Probes a server, over the connection kept from its last probe where that is still good.
+    /// Probes a server, over the connection kept from its last probe if that is still usable, or else over a new one.
     pub(super) fn start_probe(&mut self, server: ServerId) {
         if let Some(key) = self.endpoints.probe_connection(server) {
-            if self.is_up_and_silent(key) {
-                return self.send_probe(server, key, ProbeStage::AwaitingReplyAfterIdle);
+            if self.is_reusable(key) {
+                return self.send_probe(server, key, ProbeStage::AwaitingResponseAfterIdle);
             }
-            // Closed meanwhile, or with a late line in it that would be taken for the next reply.
-            self.discard_probe(server, key);
+            // It was closed meanwhile, or holds a late line that would be taken for the next response.
+            self.close_stale_probe(server, key);
         }
-        if !self.make_room_for_probe() {
+        if !self.ensure_connection_for_probe() {
             return self.report_probe(server, Outcome::NotSent, ServerLoad::default());
         }
         if let Some(key) = self.connect_probe(server) {
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Whether there may be one more probe connection; closes an idle one for it where needed.
-    fn make_room_for_probe(&mut self) -> bool {
+    /// Whether one more probe connection may be opened; at the limit, closes an idle one for it.
+    fn ensure_connection_for_probe(&mut self) -> bool {
         if self.connection_counts.probes < self.resource_budget.max_probes {
             return true;
         }
@@ -110,8 +111,8 @@
         self.register(fd, role, Interest::WRITE)
     }
 
-    /// Whether a kept connection is up and has brought nothing since its last reply.
-    fn is_up_and_silent(&mut self, key: SlotKey) -> bool {
+    /// Whether a kept connection is still established and has no input since its last response.
+    fn is_reusable(&mut self, key: SlotKey) -> bool {
         let Some(connection) = self.connections.get_mut(key) else {
             return false;
         };
@@ -126,19 +127,19 @@
         };
         connection.role = ConnectionRole::Probe(server, stage);
         connection.stream.send(&[STATS_LINE]);
-        let deadline = self.now + self.settings.connect_timeout * REPLY_TIMEOUT_FACTOR;
+        let deadline = self.now + self.settings.connect_timeout * RESPONSE_TIMEOUT_FACTOR;
         self.deadlines.set(TimerKey::Connection(key), deadline);
         self.count_event(ReasonCode::ProbeSent);
         self.update_interest(key);
     }
 
-    /// Something came on a probe's connection, or it came up.
+    /// Handles readiness of a probe's connection.
     pub(super) fn probe_ready(&mut self, server: ServerId, stage: ProbeStage, event: ReadyEvent) {
         match stage {
             ProbeStage::Connecting => self.probe_connected(server, event.key),
             ProbeStage::Idle => self.idle_probe_ready(server, event),
-            ProbeStage::AwaitingReply | ProbeStage::AwaitingReplyAfterIdle => {
-                self.read_probe_reply(server, stage, event);
+            ProbeStage::AwaitingResponse | ProbeStage::AwaitingResponseAfterIdle => {
+                self.read_probe_response(server, stage, event);
             }
         }
     }
@@ -148,13 +149,13 @@
             return;
         };
         if connection.stream.is_connected() {
-            self.send_probe(server, key, ProbeStage::AwaitingReply);
+            self.send_probe(server, key, ProbeStage::AwaitingResponse);
         } else {
             self.fail_probe(server, Outcome::Unreachable);
         }
     }
 
-    /// An idle connection is of no use once the server has closed it or sent a line on it.
+    /// Closes an idle connection that the server has closed or sent a line on, since it cannot be used again.
     fn idle_probe_ready(&mut self, server: ServerId, event: ReadyEvent) {
         let Some(connection) = self.connections.get_mut(event.key) else {
             return;
@@ -163,11 +164,11 @@
         let has_ended = connection.stream.ended.is_some();
         let line = line::first_line(connection.stream.inbound.bytes());
         if has_ended || !matches!(line, Ok(None)) {
-            self.discard_probe(server, event.key);
+            self.close_stale_probe(server, event.key);
         }
     }
 
-    fn read_probe_reply(&mut self, server: ServerId, stage: ProbeStage, event: ReadyEvent) {
+    fn read_probe_response(&mut self, server: ServerId, stage: ProbeStage, event: ReadyEvent) {
         let key = event.key;
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -175,16 +176,16 @@
         connection.stream.read_once(event.failed);
         let has_ended = connection.stream.ended.is_some();
         let bytes = connection.stream.inbound.bytes();
-        match ProbeReply::parse(bytes, &self.settings.load_report_format) {
-            ProbeReply::Incomplete if !has_ended => self.update_interest(key),
-            ProbeReply::Incomplete if stage == ProbeStage::AwaitingReplyAfterIdle => {
+        match ProbeResponse::parse(bytes, &self.settings.load_report_format) {
+            ProbeResponse::Incomplete if !has_ended => self.update_interest(key),
+            ProbeResponse::Incomplete if stage == ProbeStage::AwaitingResponseAfterIdle => {
                 // The server closed an idle connection, which says nothing about its health. A probe is idempotent.
-                self.discard_probe(server, key);
+                self.close_stale_probe(server, key);
                 self.start_probe(server);
             }
-            ProbeReply::Incomplete => self.fail_probe(server, Outcome::Reset),
-            ProbeReply::Malformed => self.fail_probe(server, Outcome::ServerError),
-            ProbeReply::Complete {
+            ProbeResponse::Incomplete => self.fail_probe(server, Outcome::Reset),
+            ProbeResponse::Malformed => self.fail_probe(server, Outcome::ServerError),
+            ProbeResponse::Complete {
                 outcome,
                 load,
                 line_len,
@@ -200,32 +201,33 @@
         }
     }
 
-    /// Ends a probe that got no reply.
+    /// Ends a probe that got no valid response, and closes its connection.
     pub(super) fn fail_probe(&mut self, server: ServerId, outcome: Outcome) {
-        let about = format!(
+        let details = format!(
             "probe server={} outcome={}",
             self.endpoints.uid(server),
             outcome_log_name(outcome)
         );
-        self.log_event(ReasonCode::ProbeFailed, about);
+        self.log_event(ReasonCode::ProbeFailed, details);
         if let Some(key) = self.endpoints.probe_connection(server) {
             self.close_probe(server, key);
         }
         self.report_probe(server, outcome, ServerLoad::default());
     }
 
-    /// Closes a server's probe connection.
+    /// Closes a server's probe connection and forgets it.
     pub(super) fn close_probe(&mut self, server: ServerId, key: SlotKey) {
         self.close(key);
         self.endpoints.set_probe_connection(server, None);
     }
 
-    /// Closes a kept connection that is of no use any more.
-    fn discard_probe(&mut self, server: ServerId, key: SlotKey) {
+    /// Closes a kept connection that cannot be used again, and counts it.
+    fn close_stale_probe(&mut self, server: ServerId, key: SlotKey) {
         self.close_probe(server, key);
         self.count_event(ReasonCode::ProbeClosed);
     }
 
+    /// Reports the end of a probe to the placement engine and the warm start; keeps the load of a successful one.
     fn report_probe(&mut self, server: ServerId, outcome: Outcome, load: ServerLoad) {
         if outcome == Outcome::Ok {
             self.endpoints.record_load(server, load, self.now);
--- a/crates/proxy/src/routing/resource_budget.rs
+++ b/crates/proxy/src/routing/resource_budget.rs
@@ -1,5 +1,5 @@
-//! How many connections may be held at once: limits by descriptors and memory, the present counts, and what gives way
-//! to a client that wants to be served.
+//! Limits on the connections held at once, by descriptors and memory; the present counts; and the eviction of pending
+//! clients in favour of those that request a session.
 
 use super::Router;
 use super::events::ReasonCode;
@@ -8,54 +8,56 @@
 use crate::transport::ReadBuffer;
 use std::time::Duration;
 
-/// Descriptors beside connections: standard streams, epoll, the listeners, the watch, signals, and some to spare.
+/// Descriptors set aside for standard streams, epoll, the listeners, the watch and signals, with some to spare.
 const BASE_DESCRIPTORS: usize = 16;
-/// Pending clients that may always be held, however many sessions there are, where descriptors allow.
+/// Most pending clients for which descriptors are reserved, so that they can be held however many sessions there are.
 const MAX_PENDING_RESERVE: usize = 32;
-/// The part of all descriptors that the pending reserve may take: one in so many.
+/// The reserve for pending clients is at most one in this many of all descriptors.
 const PENDING_RESERVE_DIVISOR: usize = 16;
-/// Health checks' connections at most.
+/// Most connections for probes.
 const MAX_PROBES: usize = 64;
-/// The part of all descriptors that health checks may take: one in so many.
+/// Connections for probes are at most one in this many of all descriptors, but at least one.
 const PROBES_DIVISOR: usize = 8;
-/// What a client that may still be placed holds or will: its own descriptor and its server's.
+/// Descriptors counted for a session whose client is connected: the client's and its server's, though the latter may not
+/// be open yet.
 const DESCRIPTORS_PER_SESSION: usize = 2;
-/// Memory of the program without sessions, in bytes.
+/// Memory of the process without sessions, in bytes.
 const PROGRAM_BYTES: usize = 24 << 20;
-/// Memory of a session at most, in bytes: both sides' buffers, and what tables and the kernel keep.
+/// Most memory of a session, in bytes: both sides' read buffers, and 24 KiB for tables and the kernel's buffers.
 const SESSION_BYTES: usize = 2 * ReadBuffer::CAPACITY + 24 * 1024;
-/// How long a pending client is safe from being closed in favour of others: time for a line that is on its way.
+/// How long a pending client is not evicted after it connected, so that a request in transit can arrive; a lingering
+/// connection, after its last message.
 const PENDING_GRACE: Duration = Duration::from_millis(20);
 
-/// What may be held at once, by the limits on descriptors and memory.
+/// Limits on what may be held at once, derived from the limits on descriptors and memory.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ResourceBudget {
-    /// Descriptors for sessions: clients and their servers.
+    /// Most descriptors for sessions: clients and their servers.
     session_descriptors: usize,
-    /// Pending clients that may come on top of those.
+    /// Pending clients that may be held in addition to those.
     pending_reserve: usize,
-    /// Health checks' connections.
+    /// Most connections for probes.
     pub(super) max_probes: usize,
 }
 
 impl ResourceBudget {
-    /// A budget for so many descriptors and so many bytes of memory, of which sessions get three quarters less what the
-    /// program takes.
+    /// A budget for a process with these limits. Sessions get three quarters of the memory, less what the process takes
+    /// without sessions.
     pub(super) fn new(max_descriptors: usize, max_memory_bytes: usize) -> ResourceBudget {
-        let probes = (max_descriptors / PROBES_DIVISOR).clamp(1, MAX_PROBES);
+        let max_probes = (max_descriptors / PROBES_DIVISOR).clamp(1, MAX_PROBES);
         let pending_reserve = MAX_PENDING_RESERVE.min(max_descriptors / PENDING_RESERVE_DIVISOR);
         let by_descriptors =
-            max_descriptors.saturating_sub(BASE_DESCRIPTORS + pending_reserve + probes);
+            max_descriptors.saturating_sub(BASE_DESCRIPTORS + pending_reserve + max_probes);
         let session_memory = (max_memory_bytes / 4 * 3).saturating_sub(PROGRAM_BYTES);
         let by_memory = DESCRIPTORS_PER_SESSION * (session_memory / SESSION_BYTES);
         ResourceBudget {
             session_descriptors: by_descriptors.min(by_memory),
             pending_reserve,
-            max_probes: probes,
+            max_probes,
         }
     }
 
-    /// The budget less so many descriptors, which connections to other proxies take.
+    /// The budget with fewer descriptors for sessions, for other connections such as those to peers and of operators.
     pub(super) fn reduced_by(self, descriptors: usize) -> ResourceBudget {
         ResourceBudget {
             session_descriptors: self.session_descriptors.saturating_sub(descriptors),
@@ -64,21 +66,22 @@
     }
 }
 
-/// Connections by what they are for; kept as they come and go, since counting them anew for each client made many
-/// clients costly.
+/// Numbers of connections by role, updated as roles change: recounting them for each new client was too costly with
+/// many clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ConnectionCounts {
+    /// Clients of sessions.
     clients: usize,
     /// Servers of sessions whose client is gone.
     pub(super) servers_without_client: usize,
-    /// Clients that have asked for nothing yet or were sent their last text.
+    /// Clients that have not requested a session yet, and lingering connections.
     pending: usize,
-    /// Health checks' connections.
+    /// Connections for probes.
     pub(super) probes: usize,
 }
 
 impl ConnectionCounts {
-    /// A connection changes from one role to another; `None` is before it comes and after it goes.
+    /// Records a connection's change of role; `from` is `None` for a new connection, `to` for one that is removed.
     pub(super) fn record_role_change(
         &mut self,
         from: Option<ConnectionRole>,
@@ -99,7 +102,7 @@
                 Some(&mut self.pending)
             }
             ConnectionRole::Probe(..) => Some(&mut self.probes),
-            // Counted with its client, before it is there.
+            // A server is counted with its client, before it is connected; the others are not counted.
             ConnectionRole::Server(_)
             | ConnectionRole::DiscoveryWatch
             | ConnectionRole::Peer
@@ -114,30 +117,30 @@
         }
     }
 
-    /// Clients that have asked for nothing yet or were sent their last text.
+    /// Clients that have not requested a session yet, and lingering connections.
     pub(super) fn pending(&self) -> usize {
         self.pending
     }
 
-    /// Sessions whose client is there.
+    /// Sessions whose client is connected.
     pub(super) fn clients(&self) -> usize {
         self.clients
     }
 
-    /// Descriptors for sessions, those included that clients will need.
+    /// Descriptors for sessions, including those that clients' servers will need.
     fn session_descriptors(&self) -> usize {
         DESCRIPTORS_PER_SESSION * self.clients + self.servers_without_client
     }
 }
 
 impl Router {
-    /// Whether there are descriptors for one more session; pending clients are closed for it.
+    /// Whether there are descriptors for one more session; evicts pending clients for it if need be.
     pub(super) fn ensure_descriptors_for_session(&mut self) -> bool {
         loop {
             self.check_counts();
             let sessions = self.connection_counts.session_descriptors() + DESCRIPTORS_PER_SESSION;
             let limit = self.session_descriptor_limit();
-            // The client is among the pending still.
+            // The client of the new session is still counted as pending.
             let others = self.connection_counts.pending.saturating_sub(1);
             if sessions + others <= limit + self.resource_budget.pending_reserve {
                 return sessions <= limit;
@@ -148,8 +151,8 @@
         }
     }
 
-    /// Whether one more pending client may be held; another is closed for it if it must be. Pending clients may
-    /// take half of what sessions leave, so that clients with a request are never kept out by those without.
+    /// Whether one more pending client may be held; evicts another one for it if need be. Pending clients may take half
+    /// of the descriptors that sessions leave, so that they never keep out clients with a request.
     pub(super) fn ensure_descriptors_for_pending_client(&mut self) -> bool {
         self.check_counts();
         let sessions = self.connection_counts.session_descriptors();
@@ -158,27 +161,27 @@
         self.connection_counts.pending < limit || self.evict_pending_client()
     }
 
-    /// Descriptors that sessions may take, less those that another process of this proxy holds.
+    /// Most descriptors that sessions may take now: the budget less what the predecessor of this process still holds.
     fn session_descriptor_limit(&self) -> usize {
         self.resource_budget
             .session_descriptors
             .saturating_sub(self.predecessor_descriptors())
     }
 
-    /// In debug builds, holds the kept counts against the connections counted anew.
+    /// In debug builds, checks the counts against a recount of the connections.
     fn check_counts(&self) {
         debug_assert_eq!(
             (
                 self.connection_counts.session_descriptors(),
                 self.connection_counts.pending
             ),
-            self.counted_anew(),
+            self.recount(),
             "the connection counts are wrong"
         );
     }
 
-    /// Descriptors for sessions, and pending clients, as the table of connections shows them.
-    fn counted_anew(&self) -> (usize, usize) {
+    /// Counts descriptors for sessions, and pending clients, from the table of connections.
+    fn recount(&self) -> (usize, usize) {
         let sessions = &self.session_table.sessions;
         let has_no_server = |session| {
             sessions
@@ -200,8 +203,9 @@
         (session_descriptors, pending)
     }
 
-    /// Closes the pending client that has been here longest, if any has had its time: crowds that say nothing, or
-    /// stay after their last text, would keep out those that want to be served.
+    /// Closes the pending client that has been idle longest, if any is past its grace period; returns whether it did.
+    /// Many connections that send no request, or stay after their last message, would otherwise keep out clients that
+    /// request a session.
     fn evict_pending_client(&mut self) -> bool {
         let oldest = self
             .connections
@@ -227,7 +231,8 @@
     }
 }
 
-/// Whether a connection may be closed in favour of another: it has asked for nothing, or its last text is out.
+/// Whether a connection may be closed in favour of another: it has not requested a session, or lingers with its last
+/// message sent.
 fn is_evictable(connection: &Connection) -> bool {
     match connection.role {
         ConnectionRole::PendingClient => true,
