--- a/crates/proxy/src/routing/client.rs
+++ b/crates/proxy/src/routing/client.rs
@@ -58,7 +58,7 @@
             }
             Ok(None) => self.reject_malformed(key, LineError::Malformed("end of line")),
             Err(fault) => self.reject_malformed(key, fault),
-            Ok(Some((ClientGreeting::Ping, line_len))) => self.answer_ping(key, line_len),
+            Ok(Some((ClientGreeting::Ping, line_len))) => self.respond_to_ping(key, line_len),
             Ok(Some((ClientGreeting::Open(open), line_len))) => {
                 match self.validate_request(key, bytes, &open, line_len) {
                     Ok(request) => self.admit(key, request),
@@ -70,7 +70,7 @@
 
     /// Responds to a ping, the health check of the front proxy, and reads on; the ping fails while this proxy is to get
     /// no sessions.
-    fn answer_ping(&mut self, key: SlotKey, line_len: usize) {
+    fn respond_to_ping(&mut self, key: SlotKey, line_len: usize) {
         let accepts_sessions = self.drain.answers_pings() && self.warm_start_admits_sessions();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -246,7 +246,7 @@
     }
 
     /// Sends the final response to the client of a session that is not open, and closes its connection.
-    pub(super) fn answer_client(&mut self, session: SlotKey, text: &[u8], code: ReasonCode) {
+    pub(super) fn send_final_response(&mut self, session: SlotKey, text: &[u8], code: ReasonCode) {
         let Some(client) = self.take_client(session) else {
             return;
         };
--- a/crates/proxy/src/routing/dial.rs
+++ b/crates/proxy/src/routing/dial.rs
@@ -16,7 +16,7 @@
 /// Most characters of a malformed response that are logged.
 const MAX_LOGGED_RESPONSE_CHARS: usize = 80;
 
-/// A response that is not a line of the protocol, as the log shows it.
+/// A response that the protocol does not allow here, as the log shows it.
 struct MalformedResponse(String);
 
 impl Router {
@@ -56,8 +56,8 @@
     }
 
     /// Checks a session's client once more, right before something is sent for it: its end may be queued behind other
-    /// events of this turn of the loop, or have come with data read before. Cancels the dial if the client has left or
-    /// sent data too early; returns whether it did.
+    /// events of this turn of the loop, or have been read with earlier data. If the client has left or sent data too
+    /// early, reports that to the session, which then ends the dial, and returns true.
     fn cancel_if_client_left(&mut self, session: SlotKey) -> bool {
         let client = self
             .session_table
@@ -207,7 +207,7 @@
     }
 }
 
-/// The input that a server's first line to a dial stands for.
+/// Converts a server's first line on a dial's connection to the session's input.
 fn parse_first_response(
     dial: u8,
     text: &str,
--- a/crates/proxy/src/routing/events.rs
+++ b/crates/proxy/src/routing/events.rs
@@ -32,7 +32,7 @@
     SessionAccepted "taken",
     /// A session that was open before this proxy started is open again.
     SessionRestored "restored",
-    /// A server was connected to and its request is being written.
+    /// The request of an attempt is being written to its server.
     AttemptSent "dialled",
     /// A probe was sent.
     ProbeSent "probed",
@@ -92,7 +92,7 @@
     AttemptServerFull "dial-full",
     /// No response within the attempt's timeout.
     AttemptTimedOut "dial-timed-out",
-    /// The connection was refused, not established in time, or ended before the request was completely written.
+    /// The connection was refused or not established in time, or the request could not be completely written.
     AttemptUnreachable "dial-unreachable",
     /// The connection ended without a response after the request was completely written.
     AttemptReset "dial-reset",
@@ -162,7 +162,7 @@
     SessionAdopted "adopted",
     /// The connection between predecessor and successor ended.
     HotRestartEnded "handover-ended",
-    /// A hot restart failed, or a step of it.
+    /// A step of a hot restart failed.
     HotRestartFailed "handover-bad",
 
     // Admin HTTP.
--- a/crates/proxy/src/routing/listener.rs
+++ b/crates/proxy/src/routing/listener.rs
@@ -18,7 +18,7 @@
 const ACCEPT_FAILURE_PAUSE: Duration = Duration::from_millis(50);
 
 impl Router {
-    /// Begins to accept clients; `basis` names in the log what is known of the servers at this time.
+    /// Begins to accept clients; `basis` names in the log where the endpoint list in use is from.
     pub(super) fn start_serving(&mut self, basis: &str) {
         self.serving = true;
         self.log_event(ReasonCode::Serving, format!("by {basis}"));
--- a/crates/proxy/src/routing/metrics.rs
+++ b/crates/proxy/src/routing/metrics.rs
@@ -15,7 +15,7 @@
     Success,
     /// Rejected, with a Retry-After.
     Rejected,
-    /// Failed, or its client left or broke the protocol before it was answered.
+    /// Failed, or its client left or broke the protocol before it had a response.
     Failure,
 }
 
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Carries out the decisions of the placement engine and the sessions' state machines on sockets.
+//! Carries out the decisions of the placement engine and the sessions' state machines on sockets; makes none itself.
 //!
 //! A [`Router`] is one epoll loop: [`Router::wait`] waits for sockets and deadlines, [`Router::process`] handles them.
 //! It passes inputs to the [`session_table`], which has no I/O, and carries out the tasks that result.
--- a/crates/proxy/src/routing/probe.rs
+++ b/crates/proxy/src/routing/probe.rs
@@ -215,7 +215,7 @@
         self.report_probe(server, outcome, ServerLoad::default());
     }
 
-    /// Closes a server's probe connection and forgets it.
+    /// Closes a server's probe connection and removes it from the endpoint table.
     pub(super) fn close_probe(&mut self, server: ServerId, key: SlotKey) {
         self.close(key);
         self.endpoints.set_probe_connection(server, None);
--- a/crates/proxy/src/routing/resource_budget.rs
+++ b/crates/proxy/src/routing/resource_budget.rs
@@ -25,9 +25,9 @@
 const PROGRAM_BYTES: usize = 24 << 20;
 /// Most memory of a session, in bytes: both sides' read buffers, and 24 KiB for tables and the kernel's buffers.
 const SESSION_BYTES: usize = 2 * ReadBuffer::CAPACITY + 24 * 1024;
-/// How long a pending client is not evicted after it connected, so that a request in transit can arrive; a lingering
-/// connection, after its last message.
-const PENDING_GRACE: Duration = Duration::from_millis(20);
+/// How long after it connected a pending client is protected from eviction, so that a request in transit can arrive; for
+/// a lingering connection, counted from its last message.
+const PENDING_GRACE_PERIOD: Duration = Duration::from_millis(20);
 
 /// Limits on what may be held at once, derived from the limits on descriptors and memory.
 #[derive(Clone, Copy, Debug)]
@@ -175,13 +175,13 @@
                 self.connection_counts.session_descriptors(),
                 self.connection_counts.pending
             ),
-            self.recount(),
+            self.recount_connections(),
             "the connection counts are wrong"
         );
     }
 
     /// Counts descriptors for sessions, and pending clients, from the table of connections.
-    fn recount(&self) -> (usize, usize) {
+    fn recount_connections(&self) -> (usize, usize) {
         let sessions = &self.session_table.sessions;
         let has_no_server = |session| {
             sessions
@@ -211,7 +211,8 @@
             .connections
             .iter()
             .filter(|(_, connection)| {
-                is_evictable(connection) && connection.last_activity + PENDING_GRACE <= self.now
+                is_evictable(connection)
+                    && connection.last_activity + PENDING_GRACE_PERIOD <= self.now
             })
             .filter(|(key, _)| !self.is_connection_offered(*key))
             .min_by_key(|(_, connection)| connection.last_activity);
--- a/crates/proxy/src/routing/session_state/machine.rs
+++ b/crates/proxy/src/routing/session_state/machine.rs
@@ -13,7 +13,7 @@
 /// How long after its request a restored session is dialled again; its client is then sent the failure.
 const RESTORE_TIMEOUT: Duration = Duration::from_secs(38);
 /// Shortest wait that is written into a request line; a wait of zero would leave the server no time.
-const MIN_STATED_WAIT: Duration = Duration::from_millis(1);
+const MIN_REQUEST_WAIT: Duration = Duration::from_millis(1);
 /// By how much [`InjectedFault::DialOutlastsClientWait`] extends a dial's deadline.
 const INJECTED_DEADLINE_EXTENSION: Duration = Duration::from_millis(400);
 
@@ -281,7 +281,7 @@
     }
 
     fn send_request(&self, now: Duration, effects: &mut Vec<SessionEffect>) {
-        let remaining = self.dial_deadline.saturating_sub(now).max(MIN_STATED_WAIT);
+        let remaining = self.dial_deadline.saturating_sub(now).max(MIN_REQUEST_WAIT);
         let deadline =
             (!is_injected(InjectedFault::NoResponseDeadline)).then_some(self.dial_deadline);
         effects.push(SessionEffect::SetDeadline(deadline));
--- a/crates/proxy/src/routing/session_state/table.rs
+++ b/crates/proxy/src/routing/session_state/table.rs
@@ -56,12 +56,16 @@
     RejectClient,
     FailClient,
     MigrateClient,
+    /// Dials the server of a restored session again; nothing for any other session.
     Restore,
     /// The client has left (it is dropped) or broken the protocol (it is sent a failure); either way it counts as gone.
     ReleaseClient,
+    /// Closes the dial and removes the session, without notifying the engine.
     Forget,
+    /// Notifies the engine of the end of an open session.
     NotifySessionOver,
     NotifyClientLeft,
+    /// Closes the dial, sends the client a failure and removes the session, without notifying the engine.
     ShutDown,
     /// Closes a dial whose request is not completely written, also where the engine may not cancel dials: the server
     /// has nothing to run yet, and completing the request would start an attempt for a client that is gone.
@@ -92,6 +96,7 @@
     }
 }
 
+// Effect lists that several rows share, or that a row needs a name for.
 const NOT_SENT: &[TransitionEffect] = &[EndDial(Outcome::NotSent)];
 const UNREACHABLE: &[TransitionEffect] = &[EndDial(Outcome::Unreachable)];
 const CANCELLED: &[TransitionEffect] = &[EndDial(Outcome::Cancelled)];
@@ -143,7 +148,7 @@
     row(Connecting, ClientLeft, Idle, CLIENT_GONE_UNSENT),
     row(SendingRequest, ClientLeft, Idle, CLIENT_GONE_UNSENT),
     row(AwaitingResponse, ClientLeft, AwaitingResponse, CLIENT_GONE),
-    // The client must wait for its response: data sent before would reach the server ahead of the session.
+    // The client must wait for its response: data sent before would be forwarded to a server that has not accepted.
     row(Idle, ClientSentEarlyData, Idle, CLIENT_GONE),
     row(Connecting, ClientSentEarlyData, Idle, CLIENT_GONE_UNSENT),
     row(
--- a/crates/proxy/src/routing/session_state/types.rs
+++ b/crates/proxy/src/routing/session_state/types.rs
@@ -76,7 +76,7 @@
     ServerDeclined {
         /// Number of the dial.
         dial: u8,
-        /// The outcome that the response stands for.
+        /// The outcome that the response implies.
         outcome: Outcome,
         /// Load that the server reported in the response.
         load: ServerLoad,
--- a/crates/proxy/src/routing/session_table.rs
+++ b/crates/proxy/src/routing/session_table.rs
@@ -18,7 +18,7 @@
     Session(SlotKey, SessionEffect),
     /// Probe a server.
     Probe(ServerId),
-    /// Ask discovery for the endpoint list, where it answers only when asked.
+    /// Request the endpoint list from discovery; only where discovery is polled.
     PollEndpoints,
     /// A zone's state has changed, for the log.
     ZoneChanged(ZoneTransition),
--- a/crates/proxy/src/routing/session_tasks.rs
+++ b/crates/proxy/src/routing/session_tasks.rs
@@ -80,10 +80,10 @@
             SessionEffect::SetDeadline(None) => self.deadlines.clear(TimerKey::Session(session)),
             SessionEffect::AnswerClient(FinalResponse::Rejected(retry_after)) => {
                 let line = busy_line(retry_after);
-                self.answer_client(session, line.as_bytes(), ReasonCode::Rejected);
+                self.send_final_response(session, line.as_bytes(), ReasonCode::Rejected);
             }
             SessionEffect::AnswerClient(FinalResponse::Failed(code)) => {
-                self.answer_client(session, ERROR_LINE, code);
+                self.send_final_response(session, ERROR_LINE, code);
             }
             SessionEffect::DropClient => {
                 if let Some(key) = self.take_client(session) {
