--- a/crates/proxy/src/routing/event_loop.rs
+++ b/crates/proxy/src/routing/event_loop.rs
@@ -131,7 +131,7 @@
                 self.save_snapshot_if_due();
             }
             TimerKey::DiscoveryWatch => self.watch_deadline(),
-            TimerKey::Listener if !self.serving => self.start_serving("endpoint list of last run"),
+            TimerKey::Listener if !self.serving => self.start_serving("list of old"),
             TimerKey::Listener => self.open_listener(),
             TimerKey::WarmStart => self.warm_start_deadline(),
             TimerKey::Shutdown => self.continue_shutdown(),
