--- a/crates/placement/src/engine.rs
+++ b/crates/placement/src/engine.rs
@@ -1,10 +1,10 @@
-//! The placement engine: every decision of one proxy, without I/O.
+//! The placement engine: all placement decisions of one proxy, without I/O.
 //!
-//! Make one [`PlacementEngine`] for a proxy from its [`Deployment`] and a nonce, hand it each [`PlacementEvent`] with the
-//! time since the clock began, and carry out the [`PlacementAction`]s that it appends, in order. `docs/design.md` gives
-//! the reason of each rule, and what departs from the Charon paper.
+//! Create one [`PlacementEngine`] per proxy from its [`Deployment`] and a nonce, pass it each [`PlacementEvent`] with
+//! the time since the clock began, and carry out the [`PlacementAction`]s that it appends, in order. `docs/design.md`
+//! gives the reason for each rule and the differences from the Charon paper.
 //!
-//! Each concern has a module: the ones below decide, those beside this file hold the state that they decide by.
+//! The submodules make the decisions; the modules beside this file hold the state on which the decisions are based.
 
 mod attempt_rules;
 mod attempts;
@@ -31,7 +31,7 @@
 use crate::zone_shares::ZoneShares;
 use std::time::Duration;
 
-/// How often the engine asks to be called. Whatever it waits for is noticed this much late at most.
+/// Interval between ticks. Timers and due probes are handled at most this much late.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Places the sessions of one proxy.
@@ -41,11 +41,11 @@
     random: RandomSource,
     /// Time of the event that is being handled.
     now: Duration,
-    /// Whether the first event has come.
+    /// Whether the first event has been handled.
     started: bool,
-    /// By session id.
+    /// Indexed by session id.
     sessions: Vec<Session>,
-    /// By server id.
+    /// Indexed by server id.
     servers: Vec<Server>,
     groups: GroupTable,
     timers: TimerQueue,
@@ -55,16 +55,17 @@
     dial_rate: DialRate,
     slow_start: SlowStart,
     zone_shares: ZoneShares,
-    /// Share of a server that one connection takes, on average over the servers that report it.
+    /// Load of one connection, as a fraction of a server's capacity, averaged over the ready servers that report it;
+    /// `None` before the first such report.
     mean_load_per_connection: Option<f64>,
-    /// Connections of this proxy that a warm server holds, on average.
+    /// Mean number of this proxy's connections at a ready server that has warmed up.
     connections_per_warm_server: f64,
-    /// How long it takes to open a session, smoothed over the latest.
+    /// Time to open a session: a moving average over the latest sessions, raised at once by a timeout.
     setup_time: Duration,
 }
 
 impl PlacementEngine {
-    /// An engine whose random draws are seeded by `nonce`.
+    /// Creates an engine whose random draws are seeded by `nonce`.
     pub fn new(deployment: Deployment, nonce: u64) -> Self {
         let deployment = Deployment {
             proxy_count: deployment.proxy_count.max(1),
@@ -79,12 +80,12 @@
         }
     }
 
-    /// Draws by another nonce from now on.
+    /// Seeds the random draws anew.
     pub fn reseed(&mut self, nonce: u64) {
         self.random = RandomSource::seeded(nonce);
     }
 
-    /// Handles one event and appends what has to be done to `out`. `now` is the time since the clock began and
+    /// Handles one event and appends the resulting actions to `out`. `now` is the time since the clock began and
     /// must not go back.
     pub fn handle(&mut self, now: Duration, event: PlacementEvent, out: &mut Vec<PlacementAction>) {
         self.now = now;
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Servers on the endpoint list that get no sessions for now, as they fail or answer no probe.
+    /// Number of servers on the endpoint list that are ejected or unresponsive and get no new sessions.
     pub fn excluded_server_count(&self, now: Duration) -> usize {
         let listed = self
             .servers
@@ -177,9 +178,9 @@
         self.send_regular_probes(out);
     }
 
-    /// A zone gets this part of its sessions from now on. Of a lost one all servers are unresponsive, and the
-    /// sessions that wait for their probes are placed elsewhere. Its open sessions migrate at the next probe that
-    /// fails: all at once would spread groups more.
+    /// Sets the share of its sessions that a zone gets. At a share of 0 the zone is lost: its servers are marked
+    /// unresponsive, and sessions that wait for their probes are placed elsewhere. Its open sessions migrate as each
+    /// server's next probe fails, since migrating them all at once would spread groups over more servers.
     fn set_zone_share(&mut self, zone: u8, share: f64, out: &mut Vec<PlacementAction>) {
         self.zone_shares.set(zone, share);
         let is_lost = share <= 0.0;
@@ -215,7 +216,7 @@
     }
 }
 
-/// Makes the list long enough to hold the index.
+/// Extends the list with default values until `index` is in bounds.
 fn grow_to_hold<T: Clone + Default>(list: &mut Vec<T>, index: usize) {
     if list.len() <= index {
         list.resize(index + 1, T::default());
--- a/crates/placement/src/engine/attempt_rules.rs
+++ b/crates/placement/src/engine/attempt_rules.rs
@@ -1,4 +1,5 @@
-//! The rules that every attempt keeps: which server a session may be sent, for how long, and its final answer.
+//! Rules for every attempt: which servers a session may be dialed at, the attempt's time limits, and the final
+//! answer to a session that cannot be placed.
 
 use super::PlacementEngine;
 use crate::action::PlacementAction;
@@ -9,22 +10,23 @@
 use crate::session::{Attempt, Session, SessionState};
 use std::time::Duration;
 
-/// How much sooner than the servers forget an idempotency key its session is sent no more: the slack that the
-/// platform gives.
+/// How long before the servers forget an idempotency key its session is no longer retried. 50 ms is the timing
+/// tolerance that the platform guarantees.
 const KEY_EXPIRY_MARGIN: Duration = Duration::from_millis(50);
-/// Most doublings of an attempt's timeout.
+/// Upper bound on the number of times that an attempt's timeout is doubled.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 8;
-/// Servers that may fail a session at once, before it is taken to be at fault itself.
+/// Servers that may fail a session with an error or a reset. Once more servers have done so and no session has
+/// opened since, the session itself is considered the cause and is not retried.
 const MAX_FAILED_SERVERS: usize = 1;
 
 impl PlacementEngine {
-    /// The one gate that every attempt passes. Each rule stands here.
+    /// Whether the session may be dialed at the server now. Every attempt is checked here.
     pub(super) fn may_dial(&self, session: &Session, id: ServerId) -> bool {
         let server = self.server(id);
         self.awaits_answer(session)
-            && self.has_attempts_left(session)
+            && self.is_within_attempt_limits(session)
             && server.is_ready()
-            && !self.is_cold_and_exhausted(server)
+            && !self.is_limited_by_slow_start(server)
             && !self.could_execute_twice(session, server)
     }
 
@@ -32,7 +34,8 @@
         session.state == SessionState::Selecting && self.now < session.request.answer_deadline
     }
 
-    fn has_attempts_left(&self, session: &Session) -> bool {
+    /// Whether the attempt limit, the failures so far, the retry budget and session pacing allow another attempt.
+    fn is_within_attempt_limits(&self, session: &Session) -> bool {
         let max_attempts = self.deployment.max_attempts.max(1);
         if session.attempts >= max_attempts {
             return false;
@@ -46,13 +49,14 @@
         is_first || self.retry_budget.allows_retry(self.now) && !self.pacing.forbids_retries()
     }
 
-    fn is_cold_and_exhausted(&self, server: &Server) -> bool {
+    fn is_limited_by_slow_start(&self, server: &Server) -> bool {
         let started_at = server.endpoint.started_at;
         self.slow_start
             .is_exhausted(&server.allowance, started_at, self.now)
     }
 
-    /// Whether a server may have executed the session already, and this one wouldn't know.
+    /// Whether an earlier attempt may have been executed and this server could not recognize the session as a
+    /// duplicate.
     fn could_execute_twice(&self, session: &Session, server: &Server) -> bool {
         let Some(first) = session.first_execution else {
             return false;
@@ -85,25 +89,27 @@
         self.listener(self.session(id)).handshake_target / 2
     }
 
-    /// Half the handshake target at first, so that a second attempt can meet it, then twice as long each time;
-    /// the last may take what is left. Where sessions open slowly everywhere it is longer, or retries would jam
-    /// the servers with work that nobody awaits.
+    /// How long the session's next attempt may take. The first gets half the handshake target, so that a second
+    /// attempt can still meet the target. The timeout doubles with each attempt; the last attempt, and any attempt
+    /// while no session opens anywhere, may use all the time that is left. The timeout is at least twice the average
+    /// setup time: with shorter ones, retries would fill slow servers with work for clients that no longer wait for
+    /// it.
     pub(super) fn attempt_timeout(&self, id: SessionId) -> Duration {
         let session = self.session(id);
-        let left = session.request.answer_deadline.saturating_sub(self.now);
+        let remaining = session.request.answer_deadline.saturating_sub(self.now);
         let is_last = session.attempts + 1 >= self.deployment.max_attempts
             || self.pacing.allows_long_attempts()
             || self.pacing.no_session_opened_since_failure(session);
         if is_last {
-            return left;
+            return remaining;
         }
         let doublings = session.attempts.min(MAX_TIMEOUT_DOUBLINGS);
         let timeout = self.half_handshake_target(id) * (1 << doublings);
-        timeout.max(self.setup_time * 2).min(left)
+        timeout.max(self.setup_time * 2).min(remaining)
     }
 
-    /// By when an attempt's last byte has to be written: a retry has to be on its way before the servers forget
-    /// the session's key.
+    /// How long an attempt may take to write its last byte. A retry must be written before the servers forget the
+    /// session's idempotency key.
     pub(super) fn write_deadline(&self, session: &Session, timeout: Duration) -> Duration {
         match (self.retry_safety(session), session.first_execution) {
             (RetrySafety::IdempotencyKey(_, key_lifetime), Some(Attempt { dialed_at, .. })) => {
@@ -113,8 +119,8 @@
         }
     }
 
-    /// The final answer to a session that is given up: a rejection where it is safe to say that nothing was
-    /// done, else a failure.
+    /// The final answer to a session that is not attempted any further: a rejection where the client may safely
+    /// send it again, else a failure.
     pub(super) fn final_answer(&self, id: SessionId) -> PlacementAction {
         let session = self.session(id);
         let is_repeatable = matches!(
--- a/crates/placement/src/engine/attempts.rs
+++ b/crates/placement/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts to open a session: their start, and what is learned from their results.
+//! Attempts to open a session: dialing, and updating scores, ejections and the setup time from their results.
 
 use super::PlacementEngine;
 use crate::action::PlacementAction;
@@ -6,6 +6,7 @@
 use crate::session::{Attempt, SessionInput, SessionState};
 
 impl PlacementEngine {
+    /// Dials the session at the server if the attempt rules and session pacing allow it.
     pub(super) fn dial(
         &mut self,
         id: SessionId,
@@ -38,9 +39,9 @@
 
     fn record_dial_at_server(&mut self, id: SessionId, server_id: ServerId) {
         let now = self.now;
-        let bump = self.score_increment(id);
+        let score_increment = self.score_increment(id);
         let server = &mut self.servers[server_id as usize];
-        server.load.record_dial(now, bump);
+        server.load.record_dial(now, score_increment);
         let started_at = server.endpoint.started_at;
         server.allowance = self
             .slow_start
@@ -55,19 +56,20 @@
         session.dialed_at = now;
     }
 
-    /// The latest attempt opened nothing, so its server's score loses what it gained.
+    /// Takes the latest attempt, which opened no connection, out of its server's score.
     pub(super) fn revert_dial(&mut self, id: SessionId) {
         let now = self.now;
-        let bump = self.score_increment(id);
+        let score_increment = self.score_increment(id);
         let session = self.session(id);
         let dialed_at = session.dialed_at;
         let server = session.server;
         self.server_mut(server)
             .load
-            .revert_dial(now, dialed_at, bump);
+            .revert_dial(now, dialed_at, score_increment);
     }
 
-    /// Takes in how an attempt or a connection ended, and the load that its server reported.
+    /// Records how an attempt or a connection ended, and the load that its server reported. Results of earlier
+    /// attempts are ignored.
     pub(super) fn record_attempt_end(
         &mut self,
         id: SessionId,
@@ -90,7 +92,7 @@
     fn record_failed_attempt(&mut self, id: SessionId, attempt: u8, outcome: Outcome) {
         let now = self.now;
         let session = self.session_mut(id);
-        let waited = now.saturating_sub(session.dialed_at);
+        let elapsed = now.saturating_sub(session.dialed_at);
         let may_have_executed = !matches!(
             outcome,
             Outcome::Full | Outcome::Unreachable | Outcome::NotSent
@@ -103,8 +105,9 @@
         }
         self.revert_dial(id);
         if outcome == Outcome::TimedOut {
-            // Slow for one is slow for the next; with little traffic a mean would show it too late.
-            self.setup_time = self.setup_time.max(waited * 2);
+            // Raised at once rather than averaged in: with little traffic an average would rise too late for the
+            // next attempts.
+            self.setup_time = self.setup_time.max(elapsed * 2);
         }
         let failed = matches!(
             outcome,
@@ -115,21 +118,21 @@
         }
     }
 
-    /// Ejects a server that failed an attempt. If another failed the same session before, the session is taken to
-    /// be at fault and that server's ejection ends.
+    /// Ejects a server that failed an attempt. If another server failed the same session before with an error or a
+    /// reset, the session is considered the cause: this server is not ejected and the other's ejection ends.
     fn eject_by_outcome(&mut self, id: SessionId, server: ServerId, outcome: Outcome) {
         let now = self.now;
         let failed_servers = &mut self.session_mut(id).failed_servers;
-        let first_failed = failed_servers.first().copied();
-        let failed_at_once = matches!(outcome, Outcome::ServerError | Outcome::Reset);
-        if failed_at_once {
+        let first_failed_server = failed_servers.first().copied();
+        let is_error_or_reset = matches!(outcome, Outcome::ServerError | Outcome::Reset);
+        if is_error_or_reset {
             failed_servers.push(server);
         }
         match outcome {
             Outcome::Ok | Outcome::Cancelled | Outcome::NotSent => {}
-            Outcome::ServerError | Outcome::Reset if first_failed.is_some() => {
-                if let Some(first_failed) = first_failed {
-                    self.server_mut(first_failed).ejection.end(now);
+            Outcome::ServerError | Outcome::Reset if first_failed_server.is_some() => {
+                if let Some(first_failed_server) = first_failed_server {
+                    self.server_mut(first_failed_server).ejection.end(now);
                 }
             }
             _ => self.server_mut(server).ejection.record_failure(now),
--- a/crates/placement/src/engine/averages.rs
+++ b/crates/placement/src/engine/averages.rs
@@ -1,4 +1,4 @@
-//! Averages over all servers, and what the other proxies are taken to send.
+//! Averages over all ready servers, and estimates of the sessions that other proxies send.
 
 use super::PlacementEngine;
 use crate::event::SessionId;
@@ -6,13 +6,14 @@
 use crate::timers::Timer;
 use std::time::Duration;
 
-/// How often the averages are computed anew.
+/// Interval at which the averages are recomputed.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(1000);
-/// Least share of a server that a connection is taken to need, where a fill rate is computed from it.
-const MIN_LOAD_PER_CONNECTION: f64 = 1e-3;
+/// Lower bound on the load of one connection, as a fraction of a server's capacity, when the slow-start fill rate
+/// is computed from it. It bounds that rate where servers report next to no load.
+const MIN_LOAD_FOR_FILL_RATE: f64 = 1e-3;
 
 impl PlacementEngine {
-    /// Mean of `value` over the ready servers for which it is known.
+    /// Mean of `value` over the ready servers for which it is known; `None` where there are none.
     pub(super) fn mean_over_ready(&self, value: impl Fn(&Server) -> Option<f64>) -> Option<f64> {
         let mut sum = 0.0;
         let mut count = 0.0;
@@ -25,12 +26,13 @@
         (count > 0.0).then_some(sum / count)
     }
 
-    /// Share of its capacity that a server has at least.
+    /// Fraction of its full capacity that a server is assumed to have at `now`; below 1 while it warms up.
     pub(super) fn capacity_share(&self, server: &Server, now: Duration) -> f64 {
         self.slow_start
             .capacity_share(server.endpoint.started_at, now)
     }
 
+    /// Recomputes the averages and the slow-start fill rate, and schedules the next refresh.
     pub(super) fn refresh_averages(&mut self) {
         self.mean_load_per_connection = self
             .mean_over_ready(|server| server.load.load_per_connection())
@@ -43,62 +45,66 @@
             .mean_over_ready(open_if_warm)
             .unwrap_or(self.connections_per_warm_server);
         let proxy_count = f64::from(self.deployment.proxy_count);
-        let load = self
+        let load_per_connection = self
             .mean_load_per_connection
             .unwrap_or_else(|| 1.0 / self.connections_per_server(proxy_count));
         self.slow_start
-            .set_fill_rate(load.max(MIN_LOAD_PER_CONNECTION), proxy_count);
+            .set_fill_rate(load_per_connection.max(MIN_LOAD_FOR_FILL_RATE), proxy_count);
         self.timers
             .schedule(self.now + REFRESH_INTERVAL, Timer::RefreshAverages);
     }
 
-    /// Estimate of the connections that a server can hold, for when no server reports its utilization: what a warm
-    /// one holds of all proxies, or, if more, what the settings plan for each server ever listed.
+    /// Estimate of the connections that a server can hold, used while no server reports its utilization. It is the
+    /// number that a warm server holds from all proxies or, if greater, the tenants' total connection quota divided by
+    /// the number of servers listed so far.
     fn connections_per_server(&self, proxy_count: f64) -> f64 {
-        let planned = self.deployment.total_connection_quota / self.servers.len().max(1) as f64;
+        let quota_per_server =
+            self.deployment.total_connection_quota / self.servers.len().max(1) as f64;
         (self.connections_per_warm_server * proxy_count)
-            .max(planned)
+            .max(quota_per_server)
             .max(1.0)
     }
 
-    /// How many other proxies are as busy as this one, by the connections that they hold. One that shuts down
-    /// sends no more.
+    /// Number of other proxies, in units of this proxy's traffic, estimated from the connections that servers
+    /// report. Counting proxies by the settings would include those that are shutting down and send no more sessions.
     fn active_other_proxies(&self) -> f64 {
-        let mut all = 0.0;
-        let mut own = 0.0;
+        let mut reported_total = 0.0;
+        let mut own_total = 0.0;
         for server in &self.servers {
             if let Some(reported) = server.load.reported_connections() {
-                all += reported;
-                own += f64::from(server.open_connections);
+                reported_total += reported;
+                own_total += f64::from(server.open_connections);
             }
         }
-        let others = if all > 0.0 {
-            (all - own) / own.max(1.0)
+        let active_others = if reported_total > 0.0 {
+            (reported_total - own_total) / own_total.max(1.0)
         } else {
-            // No counts are known, so all of them count.
+            // Without reports, all configured proxies count.
             f64::MAX
         };
-        others.clamp(0.0, f64::from(self.deployment.proxy_count) - 1.0)
+        active_others.clamp(0.0, f64::from(self.deployment.proxy_count) - 1.0)
     }
 
-    /// Sessions that the other proxies are taken to have sent each server, unseen by its last report.
+    /// Estimate of the sessions that the other proxies have sent each server and that its last report may
+    /// not include.
     pub(super) fn unreported_sessions_per_server(&self) -> f64 {
-        self.unreported_from(self.active_other_proxies())
+        self.unreported_sessions_from(self.active_other_proxies())
     }
 
-    fn unreported_from(&self, other_proxies: f64) -> f64 {
+    fn unreported_sessions_from(&self, other_proxies: f64) -> f64 {
         self.dial_rate
             .unreported_per_server(self.now, other_proxies, self.servers.len())
     }
 
-    /// By how much a dial raises the score: a connection, and what the others send to one of two candidates. A
-    /// client that reconnects is still in the counts of where it was, and often came from another proxy.
+    /// By how much a dial raises its server's score, in connections: one for the session, plus the sessions that the
+    /// other proxies are expected to send to one of two candidates. A reconnecting client adds only itself: it is
+    /// still in the count of the server that it left, and often came from another proxy.
     pub(super) fn score_increment(&self, session: SessionId) -> f64 {
         let other_proxies = if self.session(session).request.reconnecting {
             0.0
         } else {
             self.active_other_proxies()
         };
-        1.0 + (2.0 * self.unreported_from(other_proxies)).min(other_proxies)
+        1.0 + (2.0 * self.unreported_sessions_from(other_proxies)).min(other_proxies)
     }
 }
--- a/crates/placement/src/engine/endpoint_list.rs
+++ b/crates/placement/src/engine/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list.
+//! Applies updates of the endpoint list to the engine's servers, and schedules the next poll after a failed one.
 
 use super::{PlacementEngine, grow_to_hold};
 use crate::endpoint_polling::poll_wait;
@@ -11,9 +11,9 @@
 impl PlacementEngine {
     pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
         match update {
-            EndpointUpdate::Failed => self.retry_poll_later(),
+            EndpointUpdate::Failed => self.schedule_poll_retry(),
             EndpointUpdate::Changes(changes) => {
-                // Changes of nothing only say that the poll waits.
+                // An empty change only shows that discovery holds the poll open; it doesn't reset the backoff.
                 if !changes.is_empty() {
                     self.poll_backoff.record_success();
                 }
@@ -26,17 +26,17 @@
         }
     }
 
-    fn retry_poll_later(&mut self) {
+    fn schedule_poll_retry(&mut self) {
         let proxy_count = self.deployment.proxy_count;
-        let part = self
+        let wait_fraction = self
             .poll_backoff
             .record_failure(proxy_count, &mut self.random);
-        let wait = poll_wait(self.deployment.max_endpoint_list_age, part);
+        let wait = poll_wait(self.deployment.max_endpoint_list_age, wait_fraction);
         self.timers
             .reschedule(self.now + wait, Timer::PollEndpoints);
     }
 
-    /// What the list doesn't name is gone.
+    /// Applies a complete list. Servers that it doesn't name are gone.
     fn replace_endpoints(&mut self, list: Vec<Endpoint>, inherited: bool) {
         self.poll_backoff.record_success();
         for server in &mut self.servers {
@@ -45,9 +45,10 @@
         self.apply_endpoints(list, inherited);
     }
 
+    /// Updates the servers that are named. A server that is new or has restarted starts with a fresh estimate.
     fn apply_endpoints(&mut self, endpoints: Vec<Endpoint>, inherited: bool) {
         let now = self.now;
-        // A new server starts at the others' means.
+        // A new server starts at the mean of the ready servers.
         let completion_rate = self
             .mean_over_ready(|server| Some(server.load.completion_rate()))
             .unwrap_or(0.0);
@@ -56,7 +57,7 @@
             .unwrap_or(0.0);
         for endpoint in endpoints {
             grow_to_hold(&mut self.servers, endpoint.server as usize);
-            let allowance = self.first_allowance(&endpoint, inherited);
+            let allowance = self.initial_allowance(&endpoint, inherited);
             let server = self.server_mut(endpoint.server);
             let restarted = server.endpoint.started_at != endpoint.started_at;
             if restarted || !server.ejection.was_listed() {
@@ -69,9 +70,10 @@
         }
     }
 
-    /// A proxy that can't use all cold servers yet uses those that rank highest by its number and theirs. What
-    /// another process of this proxy had of an allowance may be spent this moment.
-    fn first_allowance(&self, endpoint: &Endpoint, inherited: bool) -> DialAllowance {
+    /// Slow-start allowance of a server that was just listed or restarted: a fraction of one dial, hashed from the
+    /// proxy's index and the server's key, so that the proxies use a cold server at different times. An inherited
+    /// server starts at zero, as the predecessor process may be spending its allowance now.
+    fn initial_allowance(&self, endpoint: &Endpoint, inherited: bool) -> DialAllowance {
         let dials = if inherited {
             0.0
         } else {
--- a/crates/placement/src/engine/probes.rs
+++ b/crates/placement/src/engine/probes.rs
@@ -1,14 +1,16 @@
-//! Sending of probes, and what is learned from their results.
+//! Sends probes and applies their results: ejection, load estimates, migration, and waiting sessions.
 
 use super::{PlacementEngine, TICK_INTERVAL};
 use crate::action::PlacementAction;
 use crate::event::{Outcome, ServerId, ServerLoad};
 use crate::session::SessionInput;
 
-/// A slowdown that counts; less is the swing of what connections ask for.
+/// Factor by which a server must have slowed down in both of its last reports to be treated as slowing down.
+/// Smaller changes are variation in what its connections ask for.
 const MIN_SLOWDOWN: f64 = 1.1;
 
 impl PlacementEngine {
+    /// Probes a server unless a probe of it is in flight. An unknown id is ignored.
     pub(super) fn send_probe(&mut self, id: ServerId, out: &mut Vec<PlacementAction>) {
         let Some(server) = self.servers.get_mut(id as usize) else {
             return;
@@ -19,7 +21,7 @@
         }
     }
 
-    /// Probes the servers that hold connections of this proxy.
+    /// Probes the ready servers that hold connections of this proxy and whose next probe is due.
     pub(super) fn send_regular_probes(&mut self, out: &mut Vec<PlacementAction>) {
         if !self.deployment.may_probe {
             return;
@@ -33,6 +35,7 @@
         }
     }
 
+    /// Applies a probe's result, then places the sessions that waited for it.
     pub(super) fn record_probe_end(
         &mut self,
         id: ServerId,
@@ -62,21 +65,22 @@
             }
         }
         self.record_load(id, load);
-        self.relieve_by_report(id, load, out);
+        self.migrate_excess_by_report(id, load, out);
         for session in waiting {
             self.handle_session_input(session, SessionInput::ProbesAnswered, out);
         }
     }
 
-    /// Takes in what a server reported of itself.
+    /// Updates a server's load estimate from its report.
     pub(super) fn record_load(&mut self, id: ServerId, load: ServerLoad) {
         let now = self.now;
         let mean = self.mean_load_per_connection;
         self.server_mut(id).load.record_report(now, load, mean);
     }
 
-    /// Reports are late: a server that slowed down twice running has by now slowed down as much again.
-    fn relieve_by_report(
+    /// Migrates sessions off a server whose report shows an overload. A server that slowed down in both of its last
+    /// reports is assumed to have slowed down by the same factor again since, as reports are late.
+    fn migrate_excess_by_report(
         &mut self,
         id: ServerId,
         load: ServerLoad,
@@ -85,12 +89,14 @@
         let connections = load.connections.unwrap_or(0.0).max(1.0);
         let load_per_connection = load.utilization.unwrap_or(0.0) / connections;
         let slowdown = self.server_mut(id).update_slowdown(load_per_connection);
-        let foreseen = if slowdown > MIN_SLOWDOWN {
+        let forecast_factor = if slowdown > MIN_SLOWDOWN {
             slowdown * slowdown
         } else {
             1.0
         };
-        let utilization = load.utilization.map(|utilization| utilization * foreseen);
+        let utilization = load
+            .utilization
+            .map(|utilization| utilization * forecast_factor);
         self.migrate_excess(id, utilization, out);
     }
 }
--- a/crates/placement/src/engine/rebalancing.rs
+++ b/crates/placement/src/engine/rebalancing.rs
@@ -1,7 +1,7 @@
 //! Migration of sessions away from servers that are overloaded or unresponsive.
 
 use super::PlacementEngine;
-use super::selection::{HALF_LOAD, MAX_PLACEMENT_LOAD};
+use super::selection::{LOW_LOAD, MAX_PLACEMENT_LOAD};
 use crate::action::PlacementAction;
 use crate::deployment::RetrySafety;
 use crate::event::{ServerId, SessionId};
@@ -9,16 +9,16 @@
 use crate::session::{Session, SessionInput, SessionState};
 use std::time::Duration;
 
-/// Utilization over which a server is relieved, down to [`MAX_PLACEMENT_LOAD`].
-const OVERLOAD: f64 = 0.95;
-/// How much more than its excess a server with late messages is relieved of: this many times its capacity, for
-/// each second of delay and in proportion to the mean room of the servers.
-const BACKLOG_RELIEF: f64 = 3.0;
+/// Utilization above which sessions migrate away from a server, until it is down to [`MAX_PLACEMENT_LOAD`].
+const OVERLOAD_UTILIZATION: f64 = 0.95;
+/// Utilization above 1 that is assumed of a server for each second of message delay, multiplied by the mean spare
+/// capacity of the ready servers. A greater value migrates more sessions.
+const BACKLOG_LOAD_PER_SECOND: f64 = 3.0;
 
 impl PlacementEngine {
-    /// Relieves a server whose messages take longer than a listener's target, which its reports may not show, or
-    /// show late. The backlog keeps messages late until it is worked off, so the longer the delay, the more
-    /// sessions migrate, as far as other servers have room.
+    /// Migrates sessions off a server whose messages take longer than a listener's target; its reports may show that
+    /// late or not at all. Messages stay late until the backlog is worked off, so a longer delay migrates more
+    /// sessions, as far as other servers have spare capacity.
     pub(super) fn record_message_delay(
         &mut self,
         server: ServerId,
@@ -38,14 +38,15 @@
                 let load = &server.load;
                 Some(load.load_per_connection()? * load.aged_score(self.now))
             })
-            .unwrap_or(HALF_LOAD);
-        let backlog =
-            BACKLOG_RELIEF * (MAX_PLACEMENT_LOAD - mean_load).max(0.0) * delay.as_secs_f64();
+            .unwrap_or(LOW_LOAD);
+        let backlog = BACKLOG_LOAD_PER_SECOND
+            * (MAX_PLACEMENT_LOAD - mean_load).max(0.0)
+            * delay.as_secs_f64();
         self.migrate_excess(server, Some(1.0 + backlog), out);
     }
 
-    /// A server that is asked for more than it can do, or is unresponsive, serves none of its connections in time
-    /// until some leave: each proxy migrates its part of the excess, rounded by chance.
+    /// Migrates sessions off a server that is overloaded or unresponsive, as it serves none of its connections in
+    /// time until some have left. Each proxy migrates its own share of the excess, rounded at random.
     pub(super) fn migrate_excess(
         &mut self,
         id: ServerId,
@@ -59,17 +60,19 @@
         if server.next_migration_at > now {
             return;
         }
-        let kept_part = if server.probes.is_unresponsive() {
+        let kept_fraction = if server.probes.is_unresponsive() {
             0.0
         } else {
             match utilization {
-                Some(utilization) if utilization > OVERLOAD => MAX_PLACEMENT_LOAD / utilization,
+                Some(utilization) if utilization > OVERLOAD_UTILIZATION => {
+                    MAX_PLACEMENT_LOAD / utilization
+                }
                 _ => return,
             }
         };
         server.next_migration_at = now + MAX_REPORT_AGE;
-        let excess = f64::from(server.open_connections) * (1.0 - kept_part);
-        // A part rounded up at each of many proxies would empty the server.
+        let excess = f64::from(server.open_connections) * (1.0 - kept_fraction);
+        // If each of many proxies rounded its share up, together they would empty the server.
         let excess = (excess + self.random.next_unit()) as usize;
         for session in self.sessions_to_migrate(id, excess) {
             out.push(PlacementAction::Migrate { session });
@@ -77,7 +80,8 @@
         }
     }
 
-    /// So many idempotent sessions of the server at most, those of the smallest groups first.
+    /// Up to `count` open idempotent sessions at the server, those whose group has the fewest connections there
+    /// first.
     fn sessions_to_migrate(&self, server: ServerId, count: usize) -> Vec<SessionId> {
         let may_migrate = |session: &&Session| {
             session.state == SessionState::Open
--- a/crates/placement/src/engine/sessions.rs
+++ b/crates/placement/src/engine/sessions.rs
@@ -1,4 +1,4 @@
-//! The way of a session through its states.
+//! The life cycle of sessions: runs their state machine and applies its effects.
 
 use super::{PlacementEngine, grow_to_hold};
 use crate::action::PlacementAction;
@@ -6,10 +6,11 @@
 use crate::session::{Session, SessionEffect, SessionInput, SessionState};
 use std::time::Duration;
 
-/// What is left at least of the dial timeout once a session no longer waits for probes.
-const DIAL_RESERVE: Duration = Duration::from_millis(200);
+/// Time before a session's answer deadline by which it stops waiting for probes, so that an attempt still fits.
+const ATTEMPT_RESERVE: Duration = Duration::from_millis(200);
 
 impl PlacementEngine {
+    /// Starts to place a requested session.
     pub(super) fn accept_session(
         &mut self,
         request: SessionRequest,
@@ -29,7 +30,7 @@
         }
     }
 
-    /// A session that was open at the server when this process started.
+    /// Adds a session that was already open at the server when this process started.
     pub(super) fn inherit_session(
         &mut self,
         request: SessionRequest,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// `None` where its listener is unknown or its id is in use.
+    /// The session of a request; `None` where its listener is unknown or its id is in use.
     fn new_session(&mut self, request: SessionRequest, server: ServerId) -> Option<Session> {
         let index = request.session as usize;
         grow_to_hold(&mut self.sessions, index);
@@ -58,17 +59,18 @@
             return None;
         }
         grow_to_hold(&mut self.servers, server as usize);
-        let longest_wait = self.now + listener.handshake_target / 2;
+        let half_target_at = self.now + listener.handshake_target / 2;
         Some(Session {
             request,
             server,
             dialed_at: self.now,
-            probe_deadline: longest_wait.min(request.answer_deadline.saturating_sub(DIAL_RESERVE)),
+            probe_deadline: half_target_at
+                .min(request.answer_deadline.saturating_sub(ATTEMPT_RESERVE)),
             ..Session::default()
         })
     }
 
-    /// As [`Self::handle_session_input`], for an input about one attempt: of an older attempt it is stray.
+    /// Like [`Self::handle_session_input`], but ignores the input unless it is about the session's latest attempt.
     pub(super) fn handle_attempt_input(
         &mut self,
         session: SessionId,
@@ -87,7 +89,8 @@
             .is_some_and(|session| u32::from(attempt) + 1 == session.attempts)
     }
 
-    /// Takes the session from state to state until an effect leads to no further input.
+    /// Runs the session's state machine until an effect yields no further input. An input that the current state does
+    /// not accept, or an unknown id, is ignored.
     pub(super) fn handle_session_input(
         &mut self,
         id: SessionId,
@@ -111,6 +114,7 @@
         }
     }
 
+    /// Applies an effect; returns the input that follows from it, if any.
     fn apply_effect(
         &mut self,
         id: SessionId,
@@ -173,7 +177,7 @@
         self.groups.remove(group, server_id);
     }
 
-    /// A session failed; new ones are paced if others did too.
+    /// Reports the session's failure to session pacing, which slows down new sessions if others fail too.
     pub(super) fn pace_after_failure(&mut self, id: SessionId) {
         let session = &self.sessions[id as usize];
         self.pacing
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,8 +1,8 @@
-//! Placement decisions of asterramp, a balancer for long-lived connections: to which server a session goes, when
-//! it is retried, rejected or migrated, and which servers are probed.
+//! Placement decisions of asterramp, a load balancer for long-lived connections: which server a session is placed on,
+//! when it is retried, rejected or migrated, and which servers are probed.
 //!
-//! [`PlacementEngine`] takes [`PlacementEvent`]s and answers with [`PlacementAction`]s; it does no I/O and reads no clock. It decides
-//! by the facts of a [`Deployment`], which [`settings`] reads. `docs/design.md` gives the reasons of each rule.
+//! [`PlacementEngine`] takes [`PlacementEvent`]s and returns [`PlacementAction`]s; it does no I/O and reads no clock.
+//! It decides by a [`Deployment`], which [`settings`] reads. `docs/design.md` gives the reason for each rule.
 
 pub mod action;
 pub mod deployment;
--- a/crates/placement/src/load_estimate.rs
+++ b/crates/placement/src/load_estimate.rs
@@ -1,4 +1,4 @@
-//! Charon's load estimate for one server: a score that ages between the server's reports.
+//! Charon's load estimate for one server: a connection score that decays between the server's load reports.
 //!
 //! After Rizzi, Yao, Desmouceaux, Townsley and Clausen, "Charon: Load-Aware Load-Balancing in P4" (NetPA 2021).
 //! `docs/design.md` lists what differs from the paper.
@@ -6,40 +6,42 @@
 use crate::event::ServerLoad;
 use std::time::Duration;
 
-/// Span over which rates are averaged, in seconds.
-pub(crate) const RATE_WINDOW: f64 = 10.0;
-/// How old a connection count may be when a probe brings it. Dials younger than that may be missing from it.
+/// Time constant of the moving averages of rates, in seconds. A greater value reacts more slowly.
+pub(crate) const RATE_WINDOW_SECONDS: f64 = 10.0;
+/// How old a connection count may be when a probe answer brings it. More recent dials may be missing from it.
 pub(crate) const MAX_REPORT_AGE: Duration = Duration::from_millis(1000);
-/// Connections from which the load of one is computed from a report. Fewer carry a larger part of what their
-/// groups share, and the server would look full.
-const MIN_CONNECTIONS_TO_RATE: f64 = 8.0;
-/// Utilization over which a report of fewer connections counts all the same.
-const MIN_UTILIZATION_TO_RATE: f64 = 0.5;
+/// Connections that a report must count for the load per connection to be computed from it. With fewer, each bears
+/// more of the cost that a group shares, and the server would look full.
+const MIN_CONNECTIONS_TO_MEASURE: f64 = 8.0;
+/// Utilization above which a report of fewer connections, but at least one, is used as well.
+const MIN_UTILIZATION_TO_MEASURE: f64 = 0.5;
 
-/// Part of a rate, averaged over [`RATE_WINDOW`], that is left of what it was at `then`.
+/// Factor by which a rate, averaged over [`RATE_WINDOW_SECONDS`], has decayed since `then`.
 pub(crate) fn decay(now: Duration, then: Duration) -> f64 {
-    (-now.saturating_sub(then).as_secs_f64() / RATE_WINDOW).exp()
+    (-now.saturating_sub(then).as_secs_f64() / RATE_WINDOW_SECONDS).exp()
 }
 
+/// A dial that the last report may not include, and by how much it raised the score.
 #[derive(Clone, Copy, Debug)]
 struct RecentDial {
     at: Duration,
-    bump: f64,
+    score_increment: f64,
 }
 
+/// Estimate of one server's connections and of the load of each.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadEstimate {
-    /// Charon's g: connections that the server is taken to hold, at `updated_at`.
+    /// Charon's g: estimated connections at the server, of all proxies, as of `updated_at`.
     score: f64,
-    /// Charon's v: connections that end there each second.
+    /// Charon's v: connections of this proxy that end at the server per second.
     completion_rate: f64,
-    /// Charon's t.
+    /// Charon's t: when the score was last updated.
     updated_at: Duration,
-    /// Share of the server that one connection takes, by its reports.
+    /// Fraction of the server's capacity that one connection takes, from its reports.
     load_per_connection: Option<f64>,
-    /// Connections that it last reported.
+    /// Connections in the server's last report.
     reported_connections: Option<f64>,
-    /// Dials too young to be in that count.
+    /// Dials that may be too recent to be included in that count.
     recent_dials: Vec<RecentDial>,
 }
 
@@ -62,64 +64,73 @@
 
     /// Charon's g' = max(0, g - v (now - t)), in connections.
     pub(crate) fn aged_score(&self, now: Duration) -> f64 {
-        let span = now.saturating_sub(self.updated_at).as_secs_f64();
-        (self.score - self.completion_rate * span).max(0.0)
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        (self.score - self.completion_rate * elapsed).max(0.0)
     }
 
-    /// Connections that end there each second, as of the last update.
+    /// Connections of this proxy that end at the server per second, as of the last update.
     pub(crate) fn completion_rate(&self) -> f64 {
         self.completion_rate
     }
 
-    /// Share of the server that one connection takes; `None` where no report gave it.
+    /// Fraction of the server's capacity that one connection takes; `None` where no report gave it.
     pub(crate) fn load_per_connection(&self) -> Option<f64> {
         self.load_per_connection
     }
 
-    /// Connections that the server last reported, of all proxies.
+    /// Connections of all proxies in the server's last report; `None` before the first.
     pub(crate) fn reported_connections(&self) -> Option<f64> {
         self.reported_connections
     }
 
+    /// Brings the score and the completion rate up to `now`.
     fn age(&mut self, now: Duration) {
         self.score = self.aged_score(now);
         self.completion_rate *= decay(now, self.updated_at);
         self.updated_at = now;
     }
 
-    /// A session is sent there, which raises the score by `bump`.
-    pub(crate) fn record_dial(&mut self, now: Duration, bump: f64) {
+    /// Records a dial to the server, which raises the score by `score_increment`.
+    pub(crate) fn record_dial(&mut self, now: Duration, score_increment: f64) {
         self.age(now);
-        self.score += bump;
-        self.recent_dials.push(RecentDial { at: now, bump });
+        self.score += score_increment;
+        self.recent_dials.push(RecentDial {
+            at: now,
+            score_increment,
+        });
     }
 
-    /// The attempt that was dialed at `dialed_at` opened nothing.
-    pub(crate) fn revert_dial(&mut self, now: Duration, dialed_at: Duration, bump: f64) {
+    /// Reverts the dial at `dialed_at`, which opened no connection.
+    pub(crate) fn revert_dial(&mut self, now: Duration, dialed_at: Duration, score_increment: f64) {
         self.recent_dials.retain(|dial| dial.at != dialed_at);
         self.age(now);
-        self.score = (self.score - bump).max(0.0);
+        self.score = (self.score - score_increment).max(0.0);
     }
 
-    /// A connection of this proxy ended there.
+    /// Records that a connection of this proxy ended at the server.
     pub(crate) fn record_completion(&mut self, now: Duration) {
         self.age(now);
-        self.completion_rate += 1.0 / RATE_WINDOW;
+        self.completion_rate += 1.0 / RATE_WINDOW_SECONDS;
     }
 
-    /// The score becomes the last reported count and what was dialed since.
+    /// Sets the score to the last reported connections plus the dials that the report may not include.
     pub(crate) fn reset_to_report(&mut self, now: Duration) {
         self.age(now);
         self.recent_dials
             .retain(|dial| now.saturating_sub(dial.at) < MAX_REPORT_AGE);
         if let Some(reported) = self.reported_connections {
-            let unreported: f64 = self.recent_dials.iter().map(|dial| dial.bump).sum();
+            let unreported: f64 = self
+                .recent_dials
+                .iter()
+                .map(|dial| dial.score_increment)
+                .sum();
             self.score = reported + unreported;
         }
     }
 
-    /// Takes in a report. A server whose report can't be rated drifts to `mean_load_per_connection`, so that
-    /// a report from while it was slow doesn't keep sessions away for ever.
+    /// Records a report. If its load per connection can't be measured, the estimate moves toward
+    /// `mean_load_per_connection`, so that an old report from while the server was slow doesn't keep sessions away for
+    /// ever. A report without a connection count is ignored.
     pub(crate) fn record_report(
         &mut self,
         now: Duration,
@@ -130,21 +141,22 @@
             return;
         };
         self.reported_connections = Some(connections);
-        let reported = rated_load_per_connection(connections, load.utilization);
-        let own = self.load_per_connection;
-        let latest = reported.or(own.map(|own| mean_load_per_connection.unwrap_or(own)));
+        let reported = measured_load_per_connection(connections, load.utilization);
+        let previous = self.load_per_connection;
+        let latest =
+            reported.or(previous.map(|previous| mean_load_per_connection.unwrap_or(previous)));
         if let Some(latest) = latest {
-            let smoothed = own.map_or(latest, |before| (before + latest) / 2.0);
+            let smoothed = previous.map_or(latest, |previous| (previous + latest) / 2.0);
             self.load_per_connection = Some(smoothed);
         }
         self.reset_to_report(now);
     }
 }
 
-/// Share of the server that one connection takes, where the report counts enough of them.
-fn rated_load_per_connection(connections: f64, utilization: Option<f64>) -> Option<f64> {
+/// Fraction of the server's capacity that one connection takes; `None` where the report counts too few to tell.
+fn measured_load_per_connection(connections: f64, utilization: Option<f64>) -> Option<f64> {
     let utilization = utilization?;
-    let is_rated = connections >= MIN_CONNECTIONS_TO_RATE
-        || connections >= 1.0 && utilization > MIN_UTILIZATION_TO_RATE;
-    is_rated.then_some(utilization / connections)
+    let is_measurable = connections >= MIN_CONNECTIONS_TO_MEASURE
+        || connections >= 1.0 && utilization > MIN_UTILIZATION_TO_MEASURE;
+    is_measurable.then_some(utilization / connections)
 }
--- a/crates/placement/src/outlier_ejection.rs
+++ b/crates/placement/src/outlier_ejection.rs
@@ -1,50 +1,54 @@
-//! Ejection of a server that fails dials or probes: it gets no sessions for a while, longer each time.
+//! Ejection of a server that fails dials or probes: it gets no sessions for a time that doubles with each ejection.
 
 use std::time::Duration;
 
-/// How long a server is ejected at first.
+/// Duration of a server's first ejection.
 pub(crate) const BASE_EJECTION: Duration = Duration::from_millis(1000);
-/// How often the first ejection the longest one takes.
+/// Longest ejection, as a multiple of [`BASE_EJECTION`].
 const MAX_EJECTION_MULTIPLE: u32 = 8;
 
+/// Ejection state of one server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Ejection {
-    /// How long the next one lasts; zero for a server that the endpoint list never named.
-    next_span: Duration,
+    /// Duration of the next ejection; zero for a server that was never on the endpoint list.
+    next_duration: Duration,
+    /// End of the current or last ejection, as a time since the clock began.
     until: Duration,
 }
 
 impl Ejection {
-    /// For a server that has just been listed or restarted.
+    /// State of a server that has just been listed or restarted.
     pub(crate) fn listed() -> Ejection {
         Ejection {
-            next_span: BASE_EJECTION,
+            next_duration: BASE_EJECTION,
             until: Duration::ZERO,
         }
     }
 
+    /// Whether the server has ever been on the endpoint list.
     pub(crate) fn was_listed(&self) -> bool {
-        !self.next_span.is_zero()
+        !self.next_duration.is_zero()
     }
 
     pub(crate) fn is_active(&self, now: Duration) -> bool {
         self.until > now
     }
 
-    /// A dial or probe failed, or met a full server. It doesn't prolong an ejection that is active.
+    /// Ejects the server after a failed dial or probe, or because it was full. An active ejection is not extended.
     pub(crate) fn record_failure(&mut self, now: Duration) {
         if !self.is_active(now) {
-            self.until = now + self.next_span;
-            self.next_span = (self.next_span * 2).min(BASE_EJECTION * MAX_EJECTION_MULTIPLE);
+            self.until = now + self.next_duration;
+            self.next_duration =
+                (self.next_duration * 2).min(BASE_EJECTION * MAX_EJECTION_MULTIPLE);
         }
     }
 
-    /// A session opened there, so the next ejection is a first one.
+    /// Records that a session opened at the server: its next ejection is as short as the first.
     pub(crate) fn record_success(&mut self) {
-        self.next_span = BASE_EJECTION;
+        self.next_duration = BASE_EJECTION;
     }
 
-    /// The failure turned out to be another's.
+    /// Ends the ejection, because the failure was not the server's.
     pub(crate) fn end(&mut self, now: Duration) {
         self.until = now;
     }
--- a/crates/placement/src/peer_traffic.rs
+++ b/crates/placement/src/peer_traffic.rs
@@ -1,9 +1,10 @@
-//! What the other proxies are taken to send while a server's connection count is as old as it may be.
+//! Estimates the sessions that the other proxies have dialed and that servers' load reports may not include yet.
 
-use crate::load_estimate::{MAX_REPORT_AGE, RATE_WINDOW, decay};
+use crate::load_estimate::{MAX_REPORT_AGE, RATE_WINDOW_SECONDS, decay};
 use std::time::Duration;
 
-/// Rate of this proxy's own dials, averaged over [`RATE_WINDOW`]; the others dial alike.
+/// Rate of this proxy's own dials, averaged over [`RATE_WINDOW_SECONDS`]. The other proxies are assumed to dial at the
+/// same rate.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DialRate {
     per_second: f64,
@@ -12,11 +13,11 @@
 
 impl DialRate {
     pub(crate) fn record(&mut self, now: Duration) {
-        self.per_second = self.per_second * decay(now, self.updated_at) + 1.0 / RATE_WINDOW;
+        self.per_second = self.per_second * decay(now, self.updated_at) + 1.0 / RATE_WINDOW_SECONDS;
         self.updated_at = now;
     }
 
-    /// Dials of so many other proxies at each server that no report shows yet.
+    /// Mean number of dials by `other_proxies` proxies at each server within [`MAX_REPORT_AGE`].
     pub(crate) fn unreported_per_server(
         &self,
         now: Duration,
@@ -24,7 +25,7 @@
         server_count: usize,
     ) -> f64 {
         let rate = self.per_second * decay(now, self.updated_at);
-        let own = rate * MAX_REPORT_AGE.as_secs_f64();
-        other_proxies * own / server_count.max(1) as f64
+        let own_unreported = rate * MAX_REPORT_AGE.as_secs_f64();
+        other_proxies * own_unreported / server_count.max(1) as f64
     }
 }
--- a/crates/placement/src/probing.rs
+++ b/crates/placement/src/probing.rs
@@ -1,33 +1,36 @@
-//! Health checks of one server, and the sessions that wait for their answers.
+//! State of the probes of one server, and the sessions that wait for their answers.
 
 use crate::event::SessionId;
 use std::time::Duration;
 
-/// Pace at which a server in use is probed.
+/// Interval at which a server that holds enough of this proxy's connections is probed.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1000);
-/// Open connections of this proxy from which a server is probed at that pace, and in proportion less often
-/// below.
-const FULL_PACE_CONNECTIONS: f64 = 6.0;
-/// Unanswered probes in a row that make a server unresponsive.
+/// Open connections of this proxy at a server from which it is probed every [`PROBE_INTERVAL`]. With fewer, the
+/// interval is longer in proportion.
+const FULL_RATE_CONNECTIONS: f64 = 6.0;
+/// Number of unanswered probes in a row that make a server unresponsive.
 const UNRESPONSIVE_AFTER: u32 = 2;
-/// How old an answer may be to choose a server by it.
+/// Age up to which a probe answer is fresh enough to select a server by.
 const MAX_ANSWER_AGE: Duration = Duration::from_millis(1500);
-/// A probe that is not answered by then is late.
+/// Time after which a probe without an answer is late.
 const LATE_AFTER: Duration = Duration::from_millis(100);
 
+/// The probes of one server. Times are since the clock began.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProbeState {
-    /// When the last one was sent, plus a delay by chance that keeps the proxies' probes apart.
+    /// When a probe was last requested, plus random jitter that keeps the probes of different proxies apart.
     sent_at: Duration,
     in_flight: bool,
-    /// Unanswered ones in a row.
+    /// Number of unanswered probes in a row.
     unanswered: u32,
+    /// When a probe was last answered; `None` for never since the server started.
     answered_at: Option<Duration>,
+    /// Sessions that wait for the next answer.
     waiting: Vec<SessionId>,
 }
 
 impl ProbeState {
-    /// After a restart of the server, whose earlier answers no longer count.
+    /// The state after a restart of the server, which invalidates earlier answers and failures.
     pub(crate) fn after_restart(self) -> ProbeState {
         ProbeState {
             unanswered: 0,
@@ -36,16 +39,17 @@
         }
     }
 
-    /// Notes that a probe is wanted; whether one has to be sent, as none is in flight.
+    /// Records that a probe is wanted; returns whether it must be sent because none is in flight. `sent_at` is the
+    /// present time plus jitter.
     pub(crate) fn request(&mut self, sent_at: Duration) -> bool {
         self.sent_at = sent_at;
         !std::mem::replace(&mut self.in_flight, true)
     }
 
-    /// Whether the next regular one is due at a server with so many connections of ours.
+    /// Whether the next regular probe is due at a server that holds `open_connections` of this proxy.
     pub(crate) fn is_due(&self, now: Duration, open_connections: u32) -> bool {
         let connections = f64::from(open_connections.max(1));
-        let interval = PROBE_INTERVAL.mul_f64((FULL_PACE_CONNECTIONS / connections).max(1.0));
+        let interval = PROBE_INTERVAL.mul_f64((FULL_RATE_CONNECTIONS / connections).max(1.0));
         now.saturating_sub(self.sent_at) >= interval
     }
 
@@ -64,12 +68,12 @@
         self.unanswered >= UNRESPONSIVE_AFTER
     }
 
-    /// Takes the server for unresponsive until a probe is answered.
+    /// Marks the server as unresponsive until a probe is answered.
     pub(crate) fn mark_unresponsive(&mut self) {
         self.unanswered = self.unanswered.max(UNRESPONSIVE_AFTER);
     }
 
-    /// Whether the last one was answered, or none was sent.
+    /// Whether the last probe that ended was answered, or none has ended.
     pub(crate) fn last_was_answered(&self) -> bool {
         self.unanswered == 0
     }
@@ -83,7 +87,7 @@
         self.in_flight && now >= self.sent_at + LATE_AFTER
     }
 
-    /// Lets the session wait for the next answer; whether it didn't wait already.
+    /// Adds a session that waits for the next answer; returns false if it is waiting already.
     pub(crate) fn add_waiting_session(&mut self, session: SessionId) -> bool {
         let is_new = !self.waiting.contains(&session);
         if is_new {
--- a/crates/placement/src/random.rs
+++ b/crates/placement/src/random.rs
@@ -1,13 +1,13 @@
-//! The engine's random numbers: a small generator seeded by the process, and a hash that all proxies share.
+//! The engine's random numbers: a small generator seeded by the process, and a hash that is the same at all proxies.
 
-/// Low 32 bits of the generator's state, which are its output; the high ones are the carry.
+/// Mask of the low 32 bits of the generator's state, which are its output; the high bits are the carry.
 const OUTPUT_MASK: u64 = 0xffff_ffff;
 /// Multiplier of the multiply-with-carry generator.
 const MULTIPLIER: u64 = 0xfffe_b81b;
-/// One more than the largest output, as a float.
+/// One more than the largest output.
 const OUTPUT_RANGE: f64 = 4_294_967_296.0;
 
-/// A multiply-with-carry generator. Not for secrets.
+/// A multiply-with-carry generator. Not cryptographically secure.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RandomSource {
     state: u64,
@@ -15,26 +15,26 @@
 
 impl RandomSource {
     pub(crate) fn seeded(nonce: u64) -> RandomSource {
-        // The carry starts at one, as a state of all zeros would stay there.
+        // The carry starts at 1, as a state of all zeros would yield only zeros.
         let folded = (nonce ^ (nonce >> 32)) & OUTPUT_MASK;
         RandomSource {
             state: folded | 1 << 32,
         }
     }
 
-    /// The next number in [0, 1).
+    /// Draws the next number in [0, 1).
     pub(crate) fn next_unit(&mut self) -> f64 {
         self.state = (self.state & OUTPUT_MASK) * MULTIPLIER + (self.state >> 32);
         (self.state & OUTPUT_MASK) as f64 / OUTPUT_RANGE
     }
 
-    /// The present state, as the seed of a hash. It doesn't draw.
+    /// The present state, for use as a hash key. It draws no number.
     pub(crate) fn state(&self) -> u64 {
         self.state
     }
 }
 
-/// A number in [0, 1) that every proxy finds for the same pair of keys.
+/// Hashes two keys to a number in [0, 1), the same at every proxy.
 pub(crate) fn hash_to_unit(first: u64, second: u64) -> f64 {
     let mut hash = first ^ second.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     for _ in 0..2 {
--- a/crates/placement/src/retry_budget.rs
+++ b/crates/placement/src/retry_budget.rs
@@ -1,91 +1,95 @@
-//! The budget of retries: over any span only so many, and so many more for each session.
+//! The retry budget: limits the retries within any time window to a minimum plus a share of the window's sessions.
 
 use crate::deployment::RetryBudgetRule;
 use std::time::Duration;
 
-/// Parts that the span is counted in.
-const PARTS_PER_SPAN: u64 = 16;
-/// Parts that are kept: those of the span, and the one that is not over yet.
-const KEPT_PARTS: usize = PARTS_PER_SPAN as usize + 1;
+/// Number of buckets into which the window is divided. More buckets count more precisely and take more memory.
+const BUCKETS_PER_WINDOW: u64 = 16;
+/// Number of buckets that are stored: those of the window, and the current one, which is not over yet.
+const BUCKET_COUNT: usize = BUCKETS_PER_WINDOW as usize + 1;
 /// Rounding error of the sums, in retries.
 const ROUNDING_MARGIN: f64 = 1e-9;
 
-/// What was counted in one part of the span.
+/// Counts of one bucket.
 #[derive(Clone, Copy, Debug, Default)]
-struct PartCount {
-    /// Number of the part since the clock began.
+struct Bucket {
+    /// Number of the bucket, counted from when the clock began.
     number: u64,
     retries: f64,
     sessions: f64,
 }
 
-/// Counts retries and sessions in a ring whose size doesn't grow with traffic. Its edges err on the strict side:
-/// a retry counts for up to a part of the span too long, a session for up to a part too short.
+/// Counts retries and sessions in a ring of buckets, whose size doesn't grow with traffic. Rounding to buckets errs on
+/// the strict side: a retry counts for up to one bucket too long, a session for up to one bucket too short.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     /// `None` where retries aren't limited.
     rule: Option<RetryBudgetRule>,
-    parts: [PartCount; KEPT_PARTS],
+    buckets: [Bucket; BUCKET_COUNT],
 }
 
 impl RetryBudget {
-    /// A budget with nothing counted yet; one that allows every retry without a rule.
+    /// Creates an empty budget. Without a rule it allows every retry.
     pub fn new(rule: Option<RetryBudgetRule>) -> RetryBudget {
         RetryBudget {
             rule,
-            parts: Default::default(),
+            buckets: Default::default(),
         }
     }
 
-    /// A session came, whatever becomes of it. `now` is the time since the clock began.
+    /// Records a requested session, whether or not it opens. `now` is the time since the clock began.
     pub fn record_session(&mut self, now: Duration) {
-        if let Some(part) = self.part_mut(now) {
-            part.sessions += 1.0;
+        if let Some(bucket) = self.bucket_mut(now) {
+            bucket.sessions += 1.0;
         }
     }
 
-    /// A retry was sent.
+    /// Records a retry that was sent.
     pub fn record_retry(&mut self, now: Duration) {
-        if let Some(part) = self.part_mut(now) {
-            part.retries += 1.0;
+        if let Some(bucket) = self.bucket_mut(now) {
+            bucket.retries += 1.0;
         }
     }
 
-    /// Whether one more retry may be sent.
+    /// Whether one more retry may be sent at `now`.
     pub fn allows_retry(&self, now: Duration) -> bool {
         let Some(rule) = self.rule else {
             return true;
         };
-        let current = part_number(rule, now);
+        let current = bucket_number(rule, now);
         let mut retries = 0.0;
         let mut sessions = 0.0;
-        for part in self.parts.iter().filter(|part| part.number <= current) {
-            if part.number + PARTS_PER_SPAN >= current {
-                retries += part.retries;
+        for bucket in self
+            .buckets
+            .iter()
+            .filter(|bucket| bucket.number <= current)
+        {
+            if bucket.number + BUCKETS_PER_WINDOW >= current {
+                retries += bucket.retries;
             }
-            if part.number + PARTS_PER_SPAN > current {
-                sessions += part.sessions;
+            if bucket.number + BUCKETS_PER_WINDOW > current {
+                sessions += bucket.sessions;
             }
         }
         let allowed = rule.min_retries + rule.retries_per_session * sessions;
         retries + 1.0 <= allowed + ROUNDING_MARGIN
     }
 
-    /// The part that `now` falls in, empty if it has just begun; `None` without a rule.
-    fn part_mut(&mut self, now: Duration) -> Option<&mut PartCount> {
-        let number = part_number(self.rule?, now);
-        let part = &mut self.parts[(number % KEPT_PARTS as u64) as usize];
-        if part.number != number {
-            *part = PartCount {
+    /// The bucket of `now`, emptied if it holds an earlier bucket's counts; `None` without a rule.
+    fn bucket_mut(&mut self, now: Duration) -> Option<&mut Bucket> {
+        let number = bucket_number(self.rule?, now);
+        let bucket = &mut self.buckets[(number % BUCKET_COUNT as u64) as usize];
+        if bucket.number != number {
+            *bucket = Bucket {
                 number,
-                ..PartCount::default()
+                ..Bucket::default()
             };
         }
-        Some(part)
+        Some(bucket)
     }
 }
 
-fn part_number(rule: RetryBudgetRule, now: Duration) -> u64 {
-    let span = rule.window.as_nanos().max(1);
-    (now.as_nanos() * u128::from(PARTS_PER_SPAN) / span) as u64
+fn bucket_number(rule: RetryBudgetRule, now: Duration) -> u64 {
+    let window_nanos = rule.window.as_nanos().max(1);
+    (now.as_nanos() * u128::from(BUCKETS_PER_WINDOW) / window_nanos) as u64
 }
--- a/crates/placement/src/session.rs
+++ b/crates/placement/src/session.rs
@@ -1,37 +1,45 @@
-//! A session and its state machine.
+//! A session while it is being placed and open, and its state machine.
 
 use crate::event::{ServerId, SessionId, SessionRequest};
 use std::time::Duration;
 
+/// State of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum SessionState {
-    /// A server is being selected; no session rests in this state between events.
+    /// A server is being selected. Transient: no session is in this state between events.
     Selecting,
-    /// It waits for probes of its candidates.
+    /// Waiting for probes of its candidates.
     AwaitingProbes,
+    /// An attempt is in progress.
     Dialing,
+    /// Its connection to a server is open.
     Open,
-    /// Its client has left; the end of its attempt or connection is still to come.
+    /// Its client has left or it was migrated, and its attempt or connection has not ended yet.
     Closing,
-    /// Answered or closed, or never used.
+    /// Answered or closed; also the state of an unused session id.
     #[default]
     Over,
 }
 
+/// Input of a session's state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SessionInput {
     Requested,
     ProbesSent,
+    /// A candidate's probe was answered or failed, or the wait for it expired.
     ProbesAnswered,
     Dialed,
     NoServerAvailable,
     Opened,
+    /// The attempt failed, or its connection ended, and the session may be attempted again.
     AttemptFailed,
+    /// The attempt or its connection ended, and the session with it.
     Closed,
+    /// The client left, or the session was migrated.
     ClientLeft,
 }
 
-/// What the engine does as a session enters its next state.
+/// Effect that the engine applies when a session enters its next state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SessionEffect {
     Nothing,
@@ -64,7 +72,7 @@
     }
 }
 
-/// What is not listed is late or stray, and ignored.
+/// Transitions of the state machine. An input that isn't listed for a state is late or stray, and is ignored.
 const TRANSITIONS: &[Transition] = {
     use SessionEffect::*;
     use SessionInput::*;
@@ -95,39 +103,40 @@
     pub(crate) server: ServerId,
 }
 
+/// A session. Times are since the clock began.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Session {
     pub(crate) state: SessionState,
     pub(crate) request: SessionRequest,
     /// Server of the latest attempt.
     pub(crate) server: ServerId,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub(crate) attempts: u32,
-    /// When the latest attempt began; the arrival before the first.
+    /// When the latest attempt was dialed; before the first attempt, when the session was requested.
     pub(crate) dialed_at: Duration,
-    /// All servers, in the order in which this session draws them.
+    /// All servers known when the session was requested, in the order in which it draws them.
     pub(crate) ranked_servers: Vec<ServerId>,
     /// The first attempt that a server may have executed.
     pub(crate) first_execution: Option<Attempt>,
-    /// Servers that failed it at once. With more than one the session itself is taken to be at fault, or it
-    /// would have every server ejected.
+    /// Servers that failed the session with an error or a reset. With more than one the session itself is considered
+    /// the cause; otherwise it could get every server ejected.
     pub(crate) failed_servers: Vec<ServerId>,
-    /// Probes that were sent for its sake.
+    /// Number of servers that the session waited for to answer a probe.
     pub(crate) probes_requested: u32,
-    /// How long it waits for their answers.
+    /// Until when the session may wait for probes.
     pub(crate) probe_deadline: Duration,
-    /// In [0, 1): it may use a zone whose share is above this.
+    /// Random number in [0, 1): the session may use a zone whose share is greater.
     pub(crate) zone_draw: f64,
 }
 
 impl Session {
-    /// Enters the next state; `None` where the input means nothing in this one.
+    /// Enters the next state and returns the effect to apply; `None` where the current state doesn't accept the input.
     pub(crate) fn transition(&mut self, input: SessionInput) -> Option<SessionEffect> {
-        let found = TRANSITIONS
+        let transition = TRANSITIONS
             .iter()
             .find(|row| row.from == self.state && row.input == input)?;
-        self.state = found.to;
-        Some(found.effect)
+        self.state = transition.to;
+        Some(transition.effect)
     }
 
     pub(crate) fn id(&self) -> SessionId {
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reads the settings, whose paths are those of the simulator's protocol, into typed facts.
+//! Reads a proxy's settings, whose paths are those of the simulator's protocol, into typed and checked values.
 
 mod error;
 mod listeners;
@@ -11,51 +11,51 @@
 use std::time::Duration;
 use values::{SettingValues, duration_from_microseconds, duration_or_error};
 
-/// How long a connection may take to come up where no setting says it. Within no time at all nothing could be
-/// dialed.
+/// Connect timeout where no setting gives one, or where it gives 0, with which no connection could ever be opened.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Span over which a cold server may not be sent too much, where no setting says it. With none it would never
-/// be used.
-const DEFAULT_SLOW_START_SPAN: Duration = Duration::from_secs(1);
-/// Most connections that a tenant's quota allows.
+/// [`SlowStartRule::overload_window`] where no setting gives one, or where it gives 0, with which a cold server would
+/// never be used.
+const DEFAULT_OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
+/// Highest number of connections that may be set as a tenant's quota.
 const MAX_QUOTA: f64 = 1e9;
 
-/// What is known at the start, decoded and checked.
+/// The settings of a proxy, decoded and checked.
 #[derive(Clone, Debug)]
 pub struct ProxySettings {
-    /// What the placement engine decides by.
+    /// Configuration of the placement engine.
     pub deployment: Deployment,
-    /// How a server's load report is read.
+    /// Format of the servers' load reports.
     pub load_report_format: LoadReportFormat,
-    /// Names as clients use them, by index.
+    /// Names of the listeners as clients use them, by index.
     pub listeners: Vec<String>,
-    /// Names as clients use them, by index.
+    /// Names of the tenants as clients use them, by index.
     pub tenants: Vec<String>,
-    /// Part of the service that each tenant is entitled to, 0 to 1; 0 where no setting says it.
+    /// Fraction of the service that each tenant is entitled to, 0 to 1, by index; 0 where no setting gives it.
     pub tenant_quotas: Vec<f64>,
-    /// Names as the endpoint list uses them, by index.
+    /// Names of the zones as the endpoint list uses them, by index.
     pub zones: Vec<String>,
-    /// A connection that isn't up by then never comes up.
+    /// Time after which an attempt to connect to a server has failed.
     pub connect_timeout: Duration,
-    /// How long after a drain was announced a server may still be sent something new.
+    /// How long after its drain was announced a server may still be sent new sessions; zero where no setting gives it.
     pub drain_grace: Duration,
-    /// The longest that any client waits for an answer; zero where no setting says it.
+    /// Longest time that any listener's clients wait for an answer; zero where no setting gives it.
     pub max_client_wait: Duration,
 }
 
-/// Which values of a load report mean what.
+/// Maps the fields of a load report to their meanings.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReportFormat {
+    /// Names of all fields, in the order of the report.
     fields: Vec<String>,
-    /// Index of the field with the count of connections.
+    /// Index of the field with the number of connections; `None` where it isn't reported.
     connections: Option<usize>,
-    /// Index of the field with the utilization.
+    /// Index of the field with the utilization; `None` where it isn't reported.
     utilization: Option<usize>,
 }
 
 impl LoadReportFormat {
-    /// The load in a report, whose values `value` finds by their index and name. Values that are negative or not
-    /// finite count as absent.
+    /// Reads the load from a report. `value` looks up a value by its field's index and name. Values that are negative
+    /// or not finite count as absent.
     pub fn load(&self, value: impl Fn(usize, &str) -> Option<f64>) -> ServerLoad {
         let read = |field: Option<usize>| {
             let found = field.and_then(|index| value(index, &self.fields[index]));
@@ -68,7 +68,7 @@
     }
 }
 
-/// Reads settings given as paths and texts. Lists of plain values are joined by commas.
+/// Reads settings given as pairs of path and text. The values of a list are separated by commas.
 ///
 /// # Errors
 ///
@@ -101,7 +101,7 @@
     })
 }
 
-/// All of it but the listeners.
+/// Reads the deployment, except for its listeners.
 fn read_deployment(values: &SettingValues<'_>) -> Result<Deployment, SettingsError> {
     let max_endpoint_list_age = max_endpoint_list_age(values)?;
     let max_retry_after = max_retry_after(values)?;
@@ -114,7 +114,7 @@
             initial_capacity: values.required("rules.cold_share")?,
             warm_after: values.duration("rules.cold")?,
             overload_factor: values.required("rules.tip_multiple")?,
-            overload_window: values.duration_or("rules.overload_for", DEFAULT_SLOW_START_SPAN)?,
+            overload_window: values.duration_or("rules.overload_for", DEFAULT_OVERLOAD_WINDOW)?,
         },
         total_connection_quota: total_connection_quota(values)?,
         max_endpoint_list_age,
@@ -147,33 +147,35 @@
     })
 }
 
-/// Retries are counted only where a span is set. Of the others, what isn't set is nothing.
+/// Reads the retry budget. Retries are limited only where a window and at least one of the other settings are given; of
+/// those, one that isn't set counts as 0.
 fn retry_budget(values: &SettingValues<'_>) -> Result<Option<RetryBudgetRule>, SettingsError> {
-    let span_path = "rules.counted_over";
-    let span = not_negative(values, span_path)?;
-    let min_retries = not_negative(values, "rules.min_extra")?;
-    let retries_per_session = not_negative(values, "rules.repeat_ratio")?;
-    let Some(span) = span.filter(|span| *span > 0.0) else {
-        // A rule without its span could only be kept by no retry at all, or broken.
-        let is_set = min_retries.or(retries_per_session);
-        if is_set.is_some_and(|retries| retries > 0.0) {
-            let path = span_path.to_string();
+    let window_path = "rules.counted_over";
+    let window = non_negative(values, window_path)?;
+    let min_retries = non_negative(values, "rules.min_extra")?;
+    let retries_per_session = non_negative(values, "rules.repeat_ratio")?;
+    let Some(window) = window.filter(|window| *window > 0.0) else {
+        // A limit without a window could only be met by sending no retries at all.
+        let retry_limit = min_retries.or(retries_per_session);
+        if retry_limit.is_some_and(|retries| retries > 0.0) {
+            let path = window_path.to_string();
             return Err(SettingsError::MissingWindow { path });
         }
         return Ok(None);
     };
-    let span = duration_or_error(span_path, span)?;
+    let window = duration_or_error(window_path, window)?;
     if min_retries.is_none() && retries_per_session.is_none() {
         return Ok(None);
     }
     Ok(Some(RetryBudgetRule {
-        window: span,
+        window,
         min_retries: min_retries.unwrap_or(0.0),
         retries_per_session: retries_per_session.unwrap_or(0.0),
     }))
 }
 
-fn not_negative(values: &SettingValues<'_>, path: &str) -> Result<Option<f64>, SettingsError> {
+/// Reads a finite number that is at least 0; `None` where it isn't set.
+fn non_negative(values: &SettingValues<'_>, path: &str) -> Result<Option<f64>, SettingsError> {
     let number = values.optional::<f64>(path)?;
     if number.is_some_and(|number| !number.is_finite() || number < 0.0) {
         return Err(out_of_range(path, AllowedRange::NonNegative));
@@ -181,7 +183,7 @@
     Ok(number)
 }
 
-/// The sum of the connections that each tenant's quota allows; 0 where no setting says it.
+/// Sum of the tenants' connection quotas; 0 where no setting gives them.
 fn total_connection_quota(values: &SettingValues<'_>) -> Result<f64, SettingsError> {
     let path = "specifics.tenant_quota_connections";
     let quotas = values.numbers(path)?;
@@ -192,6 +194,7 @@
     }
 }
 
+/// Fraction of the service that the tenant is entitled to; 0 where no setting gives it.
 fn tenant_share(values: &SettingValues<'_>, index: usize) -> Result<f64, SettingsError> {
     let path = format!("tenants.{index}.portion");
     let share = values.value_or(&path, 0.0)?;
@@ -205,7 +208,7 @@
 fn load_report_format(values: &SettingValues<'_>) -> LoadReportFormat {
     let fields = owned(values.list("load_info.fields"));
     let index_of = |name| fields.iter().position(|field| *field == name);
-    // `x0` is a free field; where its meaning is set, it must be the utilization.
+    // The meaning of `x0` is configurable. If a setting gives it, the field counts only if it is the utilization.
     let meaning = values.text("specifics.report_x0");
     let x0_is_utilization =
         meaning.is_none_or(|meaning| meaning == "load_asked_of_the_server_over_what_it_can_do");
--- a/crates/placement/src/settings/error.rs
+++ b/crates/placement/src/settings/error.rs
@@ -1,19 +1,19 @@
-//! Errors of the settings.
+//! Errors in a proxy's settings.
 
 use thiserror::Error;
 
-/// Why settings can't be used. `path` is the setting's path as it is written.
+/// Why settings are rejected. `path` is the setting's path as written.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// A value that isn't of the setting's type.
+    /// A value that doesn't parse as the setting's type.
     #[error("setting {path}: cannot read {value:?}")]
     Unreadable {
         /// The setting.
         path: String,
-        /// The value, or the one of a list that can't be read.
+        /// The value, or the element of a list that doesn't parse.
         value: String,
     },
-    /// A setting without which the engine can't work.
+    /// A required setting is missing.
     #[error("setting {path} is missing")]
     Missing {
         /// The setting.
@@ -33,10 +33,10 @@
         /// What is allowed.
         allowed: AllowedRange,
     },
-    /// A retry budget without the span that it is counted over.
+    /// A retry budget without its window.
     #[error("setting {path}: a span over 0 is needed beside it")]
     MissingWindow {
-        /// The span's setting.
+        /// The setting of the window.
         path: String,
     },
     /// A scope of idempotency keys that isn't `all`, `zone` or `cell`.
@@ -44,23 +44,23 @@
     UnknownScope {
         /// The setting.
         path: String,
-        /// The scope as it is written.
+        /// The scope as written.
         value: String,
     },
-    /// Semantics of a listener that aren't known.
+    /// Semantics of a listener that aren't `read_like`, `idempotency_key` or `non_idempotent`.
     #[error("setting {path}: unknown kind {value:?}")]
     UnknownSemantics {
         /// The setting.
         path: String,
-        /// The semantics as they are written.
+        /// The semantics as written.
         value: String,
     },
 }
 
-/// Which numbers a setting takes.
+/// Range of numbers that a setting accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AllowedRange {
-    /// A finite number from 0.
+    /// A finite number that is at least 0.
     #[error("allowed is a number from 0")]
     NonNegative,
     /// A number from 0 to 1.
--- a/crates/placement/src/settings/listeners.rs
+++ b/crates/placement/src/settings/listeners.rs
@@ -1,4 +1,4 @@
-//! The settings of the listeners.
+//! Reads the settings of the listeners.
 
 use super::error::{AllowedRange, SettingsError};
 use super::out_of_range;
@@ -6,7 +6,7 @@
 use crate::deployment::{IdempotencyScope, Listener, RetrySafety};
 use std::time::Duration;
 
-/// Highest utility of a listener.
+/// Highest utility that may be set for a listener.
 const MAX_UTILITY: f64 = 1e9;
 
 pub(super) fn read_listeners(values: &SettingValues<'_>) -> Result<Vec<Listener>, SettingsError> {
@@ -26,7 +26,8 @@
     Ok(listeners)
 }
 
-/// The longest that a client of any listener waits for an answer; zero where no setting says it.
+/// Longest time that a client of any of the first `count` listeners waits for an answer; zero where no setting gives
+/// it.
 pub(super) fn max_client_wait(
     values: &SettingValues<'_>,
     count: usize,
@@ -39,7 +40,8 @@
     Ok(longest)
 }
 
-/// Each listener's utility as a part of the highest; all have the same weight where no setting says it.
+/// Each listener's utility as a fraction of the highest. A listener without a set utility has a utility of 1; if all
+/// utilities are 0, all weights are 1.
 fn priority_weights(values: &SettingValues<'_>, count: u8) -> Result<Vec<f64>, SettingsError> {
     let utilities = (0..count)
         .map(|index| utility(values, index))
--- a/crates/placement/src/settings/values.rs
+++ b/crates/placement/src/settings/values.rs
@@ -1,17 +1,17 @@
-//! Typed reading of settings given as paths and texts.
+//! Typed access to settings that are given as pairs of path and text.
 
 use super::error::SettingsError;
 use std::collections::HashMap;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Most names of one kind, as their indices are 16 bits wide.
+/// Most names of listeners or tenants that are read, as their indices have at most 16 bits.
 const MAX_NAMES: u32 = 1 << 16;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
-/// Longest time, which a proxy's timers can hold with room to spare: 136 years.
+/// Longest duration that is accepted, in seconds: 136 years, well within the range of a proxy's timers.
 const MAX_SECONDS: u64 = u32::MAX as u64;
 
-/// The settings by path. An empty text and `null` count as absent.
+/// Settings by path. An empty text and `null` count as absent.
 pub(super) struct SettingValues<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> SettingValues<'a> {
@@ -19,43 +19,48 @@
         SettingValues(settings.collect())
     }
 
+    /// The setting's text; `None` where it is absent.
     pub(super) fn text(&self, path: &str) -> Option<&'a str> {
         let text = self.0.get(path).copied();
         text.filter(|text| !matches!(*text, "" | "null"))
     }
 
+    /// The setting's value; `None` where it is absent.
     pub(super) fn optional<T: FromStr>(&self, path: &str) -> Result<Option<T>, SettingsError> {
         self.text(path).map(|text| parse(path, text)).transpose()
     }
 
+    /// The setting's value, or an error where it is absent.
     pub(super) fn required<T: FromStr>(&self, path: &str) -> Result<T, SettingsError> {
         self.optional(path)?.ok_or_else(|| SettingsError::Missing {
             path: path.to_string(),
         })
     }
 
+    /// The setting's value, or `default` where it is absent.
     pub(super) fn value_or<T: FromStr>(&self, path: &str, default: T) -> Result<T, SettingsError> {
         Ok(self.optional(path)?.unwrap_or(default))
     }
 
-    /// A list of texts that are separated by commas.
+    /// The elements of a list, separated by commas; empty where the setting is absent.
     pub(super) fn list(&self, path: &str) -> Vec<&'a str> {
         let text = self.text(path);
         text.map(|text| text.split(',').collect())
             .unwrap_or_default()
     }
 
+    /// A list of numbers; empty where the setting is absent.
     pub(super) fn numbers(&self, path: &str) -> Result<Vec<f64>, SettingsError> {
         let texts = self.list(path).into_iter();
         texts.map(|text| parse(path, text)).collect()
     }
 
-    /// A time in microseconds.
+    /// A required duration, given in microseconds.
     pub(super) fn duration(&self, path: &str) -> Result<Duration, SettingsError> {
         duration_or_error(path, self.required(path)?)
     }
 
-    /// A time in microseconds. None at all says as little as no setting.
+    /// A duration, given in microseconds; `default` where it is absent or 0.
     pub(super) fn duration_or(
         &self,
         path: &str,
@@ -64,11 +69,15 @@
         if self.text(path).is_none() {
             return Ok(default);
         }
-        let time = self.duration(path)?;
-        Ok(if time.is_zero() { default } else { time })
+        let duration = self.duration(path)?;
+        Ok(if duration.is_zero() {
+            default
+        } else {
+            duration
+        })
     }
 
-    /// The names `<path>.0.name`, `<path>.1.name` and so on; empty where one is absent.
+    /// The names `<path>.0.name`, `<path>.1.name` and so on, up to `count`; an absent name is empty.
     pub(super) fn names(&self, path: &str, count: u32) -> Vec<String> {
         let name = |index| {
             let name = self.text(&format!("{path}.{index}.name"));
@@ -85,10 +94,10 @@
     })
 }
 
-/// Microseconds as a time, also where they have a fraction; `None` where they are no time.
+/// Converts microseconds, which may have a fraction; `None` where they are negative, not finite or too long.
 pub(super) fn duration_from_microseconds(microseconds: f64) -> Option<Duration> {
-    let time = Duration::try_from_secs_f64(microseconds / MICROSECONDS_PER_SECOND).ok();
-    time.filter(|time| time.as_secs() <= MAX_SECONDS)
+    let duration = Duration::try_from_secs_f64(microseconds / MICROSECONDS_PER_SECOND).ok();
+    duration.filter(|duration| duration.as_secs() <= MAX_SECONDS)
 }
 
 pub(super) fn duration_or_error(path: &str, microseconds: f64) -> Result<Duration, SettingsError> {
--- a/crates/placement/src/slow_start.rs
+++ b/crates/placement/src/slow_start.rs
@@ -1,18 +1,19 @@
-//! Slow start: how many sessions a freshly started server may be sent while it warms up.
+//! Slow start: limits how many sessions a recently started server may be sent while it warms up.
 
 use crate::deployment::SlowStartRule;
 use std::time::Duration;
 
-/// Part of the rule's multiple that all proxies together use. Their dials scatter by chance about the sum of
-/// their allowances; at the whole multiple they would be over it half of the time.
-const USED_PART_OF_MULTIPLE: f64 = 0.75;
-/// For which part of the rule's span an unused dial is kept. If it were kept for longer, all proxies could
-/// send at once what each has saved.
-const KEPT_PART_OF_SPAN: f64 = 2.0 / 3.0;
+/// Fraction of the rule's overload factor that all proxies together use. Their dials vary at random around the sum of
+/// their allowances; with the whole factor they would exceed the limit half of the time.
+const USED_FRACTION_OF_OVERLOAD_FACTOR: f64 = 0.75;
+/// Time for which an unused dial stays available, as a fraction of the rule's overload window. With a longer time, all
+/// proxies could use their saved dials at once.
+const UNUSED_DIAL_WINDOW_FRACTION: f64 = 2.0 / 3.0;
 
-/// Dials that one server may still be sent while it is cold.
+/// Dials that this proxy may still send one server while it warms up, as of a point in time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DialAllowance {
+    /// Negative if a dial was sent before a whole one was available.
     dials: f64,
     updated_at: Duration,
 }
@@ -26,12 +27,12 @@
     }
 }
 
-/// The rule of the deployment, and the rate at which sessions fill a server while it warms up.
+/// The slow-start rule of the deployment, and the rate at which this proxy may fill a server while it warms up.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SlowStart {
     rule: SlowStartRule,
-    /// Connections each second that one proxy may send a server as it warms up: what fills the server in that
-    /// time, divided by the proxies.
+    /// Connections per second from one proxy that would, with equal rates from all proxies, fill a warm server within
+    /// the warm-up time.
     fill_rate: f64,
 }
 
@@ -43,42 +44,49 @@
         }
     }
 
-    /// `load_per_connection` is the share of a warm server that one connection takes.
+    /// Sets the fill rate. `load_per_connection` is the fraction of a warm server's capacity that one connection takes,
+    /// and must be greater than 0.
     pub(crate) fn set_fill_rate(&mut self, load_per_connection: f64, proxy_count: f64) {
         let warm_after = self.rule.warm_after.as_secs_f64().max(1e-3);
         self.fill_rate = 1.0 / (warm_after * load_per_connection) / proxy_count;
     }
 
-    /// Share of its capacity that a server has at least, by the time since it started; `None` for long ago.
+    /// Fraction of its full capacity that a server has at `now`. It grows linearly over the warm-up time; a server
+    /// whose `started_at` is `None` started long ago and has all of it.
     pub(crate) fn capacity_share(&self, started_at: Option<Duration>, now: Duration) -> f64 {
         let rule = self.rule;
-        let up = started_at.map_or(rule.warm_after, |at| now.saturating_sub(at));
-        let part = (up.as_secs_f64() / rule.warm_after.as_secs_f64()).min(1.0);
-        rule.initial_capacity + (1.0 - rule.initial_capacity) * part
+        let uptime = started_at.map_or(rule.warm_after, |at| now.saturating_sub(at));
+        let warm_up_fraction = (uptime.as_secs_f64() / rule.warm_after.as_secs_f64()).min(1.0);
+        rule.initial_capacity + (1.0 - rule.initial_capacity) * warm_up_fraction
     }
 
-    /// Dials that a server may be sent now. The allowance grows at part of the rule's multiple of the server's
-    /// warmth; what is not used is soon lost.
+    /// Dials that a server may be sent now. The allowance grows at a rate proportional to the server's capacity, and
+    /// whole dials that are not used in time are lost.
     fn available(
         &self,
         allowance: &DialAllowance,
         started_at: Option<Duration>,
         now: Duration,
     ) -> f64 {
-        let span = now.saturating_sub(allowance.updated_at).as_secs_f64();
-        let warmth_then = self.capacity_share(started_at, allowance.updated_at);
-        let warmth = (warmth_then + self.capacity_share(started_at, now)) / 2.0;
-        let rate = USED_PART_OF_MULTIPLE * self.rule.overload_factor * warmth * self.fill_rate;
-        let saved = allowance.dials + rate * span;
-        let kept = rate * self.rule.overload_window.as_secs_f64() * KEPT_PART_OF_SPAN;
-        if saved < 1.0 || saved.fract() < kept {
-            saved.min(1.0 + saved.fract())
+        let elapsed = now.saturating_sub(allowance.updated_at).as_secs_f64();
+        let previous_share = self.capacity_share(started_at, allowance.updated_at);
+        let mean_share = (previous_share + self.capacity_share(started_at, now)) / 2.0;
+        let rate = USED_FRACTION_OF_OVERLOAD_FACTOR
+            * self.rule.overload_factor
+            * mean_share
+            * self.fill_rate;
+        let accrued = allowance.dials + rate * elapsed;
+        // An unused whole dial lapses once this much more has accrued.
+        let lifetime_accrual =
+            rate * self.rule.overload_window.as_secs_f64() * UNUSED_DIAL_WINDOW_FRACTION;
+        if accrued < 1.0 || accrued.fract() < lifetime_accrual {
+            accrued.min(1.0 + accrued.fract())
         } else {
-            saved.fract()
+            accrued.fract()
         }
     }
 
-    /// Whether a server is cold and may be sent nothing now.
+    /// Whether a server is still warming up and may not be sent a session now.
     pub(crate) fn is_exhausted(
         &self,
         allowance: &DialAllowance,
--- a/crates/placement/src/timers.rs
+++ b/crates/placement/src/timers.rs
@@ -1,37 +1,39 @@
-//! What the engine has to do at a later time, in order of time.
+//! The engine's timers, in the order of their due times.
 
 use crate::event::SessionId;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A reason to act at a given time. Of those due at the same time, the first in this list comes first.
+/// Work to do at a given time. Of timers due at the same time, the variant listed first is handled first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// A session has waited long enough for probes.
+    /// The session's wait for probes is over.
     ProbeWaitExpired(SessionId),
-    /// The endpoint list is polled again after a failure.
+    /// Poll the endpoint list again after a failure.
     PollEndpoints,
-    /// The averages over all servers are computed anew.
+    /// Recompute the averages over all servers.
     RefreshAverages,
 }
 
+/// Pending timers with their due times since the clock began.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TimerQueue {
     timers: BTreeSet<(Duration, Timer)>,
 }
 
 impl TimerQueue {
+    /// Adds a timer.
     pub(crate) fn schedule(&mut self, at: Duration, timer: Timer) {
         self.timers.insert((at, timer));
     }
 
-    /// Schedules the timer and drops all others of the same value.
+    /// Adds a timer in place of all equal ones.
     pub(crate) fn reschedule(&mut self, at: Duration, timer: Timer) {
         self.timers.retain(|(_, other)| *other != timer);
         self.schedule(at, timer);
     }
 
-    /// Takes out the earliest timer that is due.
+    /// Removes and returns the earliest timer that is due.
     pub(crate) fn pop_due(&mut self, now: Duration) -> Option<Timer> {
         let first = *self.timers.first()?;
         if first.0 > now {
--- a/crates/placement/src/zone_shares.rs
+++ b/crates/placement/src/zone_shares.rs
@@ -1,6 +1,6 @@
-//! Zones that get fewer sessions than they would, as another subsystem said.
+//! Shares of zones that get fewer sessions than selection would send them, as set by zone failover.
 
-/// Shares of the zones that don't get all their sessions.
+/// The zones with a share below 1.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneShares {
     reduced: Vec<ZoneShare>,
@@ -13,7 +13,7 @@
 }
 
 impl ZoneShares {
-    /// From 0, for a lost zone, to 1.
+    /// Sets a zone's share, from 0 for a lost zone to 1 for an unrestricted one.
     pub(crate) fn set(&mut self, zone: u8, share: f64) {
         self.reduced.retain(|reduced| reduced.zone != zone);
         if share < 1.0 {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Whether a session with this draw, in [0, 1), may use the zone.
+    /// Whether a session may use the zone. `draw` is the session's random number in [0, 1).
     pub(crate) fn admits(&self, zone: u8, draw: f64) -> bool {
         self.reduced
             .iter()
