--- a/crates/placement/tests/engine/attempts.rs
+++ b/crates/placement/tests/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and final answers: how many, where, for how long.
+//! Attempts and final answers: the number of attempts, their servers and their timeouts.
 
 use crate::support::{
     IDEMPOTENT, KEY_KNOWN_BY_ALL, KEY_KNOWN_BY_CELL, KEY_KNOWN_BY_ZONE, Proxy, SHORT_KEY,
@@ -9,19 +9,19 @@
 use asterramp_placement::{Deployment, PlacementAction, PlacementEvent};
 use test_case::test_case;
 
-// Each rule on every kind: what follows a failed dial.
-#[test_case(IDEMPOTENT, Outcome::TimedOut => 'D'; "idempotent that may have run")]
-#[test_case(KEY_KNOWN_BY_ALL, Outcome::ServerError => 'D'; "keyed, known everywhere")]
-#[test_case(SHORT_KEY, Outcome::ServerError => 'R'; "keyed, forgotten by now")]
-#[test_case(KEY_KNOWN_BY_ZONE, Outcome::Reset => 'D'; "keyed, known in the zone")]
-#[test_case(KEY_KNOWN_BY_CELL, Outcome::Reset => 'D'; "keyed, known in a cell of one")]
-#[test_case(KEY_KNOWN_BY_CELL, Outcome::Unreachable => 'D'; "keyed that cannot have run")]
-#[test_case(RetrySafety::NotIdempotent, Outcome::TimedOut => 'T'; "not idempotent that timed out")]
-#[test_case(RetrySafety::NotIdempotent, Outcome::ServerError => 'T'; "not idempotent that erred")]
-#[test_case(RetrySafety::NotIdempotent, Outcome::Reset => 'T'; "not idempotent that was reset")]
-#[test_case(RetrySafety::NotIdempotent, Outcome::Full => 'D'; "not idempotent turned away unseen")]
-#[test_case(RetrySafety::NotIdempotent, Outcome::Unreachable => 'D'; "not idempotent that reached nobody")]
-fn nothing_is_executed_twice(kind: RetrySafety, outcome: Outcome) -> char {
+// Result of a failed first attempt, for each retry safety and outcome.
+#[test_case(IDEMPOTENT, Outcome::TimedOut => 'D'; "idempotent, may have been executed")]
+#[test_case(KEY_KNOWN_BY_ALL, Outcome::ServerError => 'D'; "keyed, all servers share keys")]
+#[test_case(SHORT_KEY, Outcome::ServerError => 'R'; "keyed, key expired")]
+#[test_case(KEY_KNOWN_BY_ZONE, Outcome::Reset => 'D'; "keyed, the zone shares keys")]
+#[test_case(KEY_KNOWN_BY_CELL, Outcome::Reset => 'D'; "keyed, cell of one server")]
+#[test_case(KEY_KNOWN_BY_CELL, Outcome::Unreachable => 'D'; "keyed, not executed")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::TimedOut => 'T'; "not idempotent, timed out")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::ServerError => 'T'; "not idempotent, server error")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::Reset => 'T'; "not idempotent, reset")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::Full => 'D'; "not idempotent, server full")]
+#[test_case(RetrySafety::NotIdempotent, Outcome::Unreachable => 'D'; "not idempotent, unreachable")]
+fn nothing_is_executed_twice(retry_safety: RetrySafety, outcome: Outcome) -> char {
     let servers = vec![
         Endpoint {
             cell: 1,
@@ -32,15 +32,15 @@
             ..endpoint(1)
         },
     ];
-    let mut proxy = Proxy::new(deployment(kind), 5, servers);
+    let mut proxy = Proxy::new(deployment(retry_safety), 5, servers);
     let (session, first) = proxy.request_session(None);
     proxy.now += ms(100);
     let next = proxy.end_attempt(session, 0, outcome, false);
-    if kind == KEY_KNOWN_BY_CELL && outcome == Outcome::Reset {
+    if retry_safety == KEY_KNOWN_BY_CELL && outcome == Outcome::Reset {
         assert_eq!(
             dialed_server(&next),
             dialed_server(&first),
-            "the other cell would not know it"
+            "servers of the other cell do not know the key"
         );
     }
     outcome_letter(&next)
@@ -49,9 +49,9 @@
 #[test_case(IDEMPOTENT, 0 => 'R'; "idempotent, no server")]
 #[test_case(RetrySafety::NotIdempotent, 0 => 'R'; "not idempotent, no server")]
 #[test_case(RetrySafety::NotIdempotent, 1 => 'D'; "not idempotent, one server")]
-fn answered_at_once_without_a_usable_server(kind: RetrySafety, servers: u32) -> char {
+fn answered_at_once_without_a_usable_server(retry_safety: RetrySafety, servers: u32) -> char {
     outcome_letter(
-        &Proxy::with(deployment(kind), servers)
+        &Proxy::with_servers(deployment(retry_safety), servers)
             .request_session(None)
             .1,
     )
@@ -61,8 +61,8 @@
 #[test_case(KEY_KNOWN_BY_ALL, 'R'; "keyed")]
 #[test_case(KEY_KNOWN_BY_ZONE, 'T'; "keyed in a zone")]
 #[test_case(RetrySafety::NotIdempotent, 'T'; "not idempotent")]
-fn one_answer_and_no_dial_after_the_dial_timeout(kind: RetrySafety, answer: char) {
-    let mut proxy = Proxy::with(deployment(kind), 3);
+fn one_answer_and_no_dial_after_the_answer_deadline(retry_safety: RetrySafety, answer: char) {
+    let mut proxy = Proxy::with_servers(deployment(retry_safety), 3);
     let (session, _) = proxy.request_session(None);
     proxy.now += ms(4_800);
     assert_eq!(
@@ -78,34 +78,34 @@
 }
 
 #[test]
-fn attempts_are_few_and_one_at_a_time_and_leave_time_for_the_next() {
-    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 6);
+fn attempts_are_limited_and_sequential_and_leave_time_for_the_next() {
+    let mut proxy = Proxy::with_servers(deployment(IDEMPOTENT), 6);
     let (session, actions) = proxy.request_session(None);
     assert_eq!(dial_timeout_of(&actions), ms(400));
-    let mut seen = vec![dialed_server(&actions).unwrap()];
+    let mut dialed = vec![dialed_server(&actions).unwrap()];
     assert!(
         proxy
             .handle(PlacementEvent::Tick)
             .iter()
-            .all(|a| !matches!(a, PlacementAction::Dial { .. })),
-        "the first is still out"
+            .all(|action| !matches!(action, PlacementAction::Dial { .. })),
+        "the first attempt has not ended"
     );
-    for (dial, wanted) in [(0, 'D'), (1, 'D'), (2, 'R')] {
+    for (attempt, expected) in [(0, 'D'), (1, 'D'), (2, 'R')] {
         proxy.now += ms(400);
-        // Others come up meanwhile, or the fault would not be the servers'.
+        // Other sessions open in between, or the failures would start session pacing.
         proxy.open_session(None);
-        let actions = proxy.end_attempt(session, dial, Outcome::ServerError, false);
-        assert_eq!(outcome_letter(&actions), wanted);
-        seen.extend(dialed_server(&actions));
+        let actions = proxy.end_attempt(session, attempt, Outcome::ServerError, false);
+        assert_eq!(outcome_letter(&actions), expected);
+        dialed.extend(dialed_server(&actions));
     }
-    seen.dedup();
-    assert_eq!(seen.len(), 3, "each at another server: {seen:?}");
+    dialed.dedup();
+    assert_eq!(dialed.len(), 3, "each at another server: {dialed:?}");
 }
 
-// Where a dial times out, the next is given as long as it would have needed: all at once, as traffic is thin.
+// With little traffic an average setup time would rise too late, so one timeout raises it at once.
 #[test]
 fn after_a_timeout_the_next_attempt_waits_longer() {
-    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 10);
+    let mut proxy = Proxy::with_servers(deployment(IDEMPOTENT), 10);
     proxy.open_session(None);
     let (session, actions) = proxy.request_session(None);
     let first = dial_timeout_of(&actions);
@@ -120,10 +120,11 @@
     );
 }
 
-// Where set-ups are slow everywhere, short time-outs fill what they wait for with work nobody awaits.
+// If sessions open slowly at all servers, short timeouts would fill the servers with work for clients that no longer
+// wait for it.
 #[test]
-fn time_outs_follow_what_set_ups_take() {
-    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 4);
+fn attempt_timeouts_grow_with_the_setup_time() {
+    let mut proxy = Proxy::with_servers(deployment(IDEMPOTENT), 4);
     for _ in 0..30 {
         let (session, _) = proxy.request_session(None);
         proxy.now += ms(1_000);
@@ -136,13 +137,13 @@
 }
 
 #[test]
-fn without_retry_budget_a_session_is_answered_at_once() {
+fn a_session_is_rejected_at_once_when_the_retry_budget_is_used_up() {
     let rule = RetryBudgetRule {
         window: ms(2_000),
         min_retries: 1.0,
         retries_per_session: 0.0,
     };
-    let mut proxy = Proxy::with(
+    let mut proxy = Proxy::with_servers(
         Deployment {
             retry_budget: Some(rule),
             ..deployment(IDEMPOTENT)
@@ -165,11 +166,11 @@
     );
     assert!(
         dialed_server(&proxy.request_session(None).1).is_some(),
-        "first dials are not counted"
+        "first attempts are not counted"
     );
     proxy.now += ms(2_200);
     assert!(
         dialed_server(&proxy.end_attempt(first, 1, Outcome::Unreachable, false)).is_some(),
-        "it is there again"
+        "the budget recovers after its window"
     );
 }
--- a/crates/placement/tests/engine/main.rs
+++ b/crates/placement/tests/engine/main.rs
@@ -1,4 +1,4 @@
-//! The engine's decisions, as tables of cases.
+//! Tests of the placement engine's decisions through its events and actions.
 
 mod attempts;
 mod endpoint_list;
--- a/crates/placement/tests/engine/outlier_ejection.rs
+++ b/crates/placement/tests/engine/outlier_ejection.rs
@@ -5,19 +5,19 @@
 use asterramp_placement::event::{Outcome, SessionRequest};
 use test_case::test_case;
 
-// A server that fails its sessions is left alone, and tried again after a rest.
-#[test_case(Outcome::ServerError; "errs")]
-#[test_case(Outcome::TimedOut; "hangs")]
-#[test_case(Outcome::Unreachable; "cannot be reached")]
-#[test_case(Outcome::Full; "turns sessions away")]
+// A server that fails sessions is ejected, and dialed again when the ejection ends.
+#[test_case(Outcome::ServerError; "server error")]
+#[test_case(Outcome::TimedOut; "timeout")]
+#[test_case(Outcome::Unreachable; "unreachable")]
+#[test_case(Outcome::Full; "full")]
 fn a_failing_server_is_ejected(outcome: Outcome) {
-    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 2);
-    let mut visits = 0;
+    let mut proxy = Proxy::with_servers(deployment(IDEMPOTENT), 2);
+    let mut dials = 0;
     for _ in 0..200 {
         proxy.wait(ms(100));
         let (session, actions) = proxy.request_session(None);
         if dialed_server(&actions) == Some(0) {
-            visits += 1;
+            dials += 1;
             assert_ne!(
                 dialed_server(&proxy.end_attempt(session, 0, outcome, false)),
                 Some(0)
@@ -31,40 +31,43 @@
             proxy.end_attempt(session, 0, Outcome::Cancelled, true);
         }
     }
-    assert!((2..=12).contains(&visits), "{visits} visits in 20 s");
+    assert!((2..=12).contains(&dials), "{dials} dials in 20 s");
 }
 
-// A session that every server turns away, such as one whose id is open elsewhere, is no fault of theirs.
-#[test_case(Outcome::ServerError => 0; "errs everywhere")]
-#[test_case(Outcome::Reset => 0; "is cut off everywhere")]
-#[test_case(Outcome::TimedOut => 3; "hangs everywhere")]
+// A session that every server fails, such as one whose id is already open elsewhere, is itself the cause.
+#[test_case(Outcome::ServerError => 0; "server error everywhere")]
+#[test_case(Outcome::Reset => 0; "reset everywhere")]
+#[test_case(Outcome::TimedOut => 3; "timeout everywhere")]
 fn a_session_that_fails_everywhere_ejects_no_server(outcome: Outcome) -> usize {
-    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 4);
+    let mut proxy = Proxy::with_servers(deployment(IDEMPOTENT), 4);
     let (session, first) = proxy.request_session(None);
-    let mut tried = vec![dialed_server(&first).unwrap()];
-    for dial in 0..3 {
-        // Others come up meanwhile, or the fault would not be its own.
+    let mut dialed = vec![dialed_server(&first).unwrap()];
+    for attempt in 0..3 {
+        // Other sessions open in between, so that the failures start no session pacing.
         proxy.now += ms(1);
         proxy.open_session(None);
-        tried.extend(dialed_server(
-            &proxy.end_attempt(session, dial, outcome, false),
+        dialed.extend(dialed_server(
+            &proxy.end_attempt(session, attempt, outcome, false),
         ));
     }
-    assert_eq!(tried.len(), 3);
-    let sought: Vec<_> = (0..100)
+    assert_eq!(dialed.len(), 3);
+    let still_used: Vec<_> = (0..100)
         .filter_map(|_| dialed_server(&proxy.request_session(None).1))
         .collect();
-    tried.into_iter().filter(|id| !sought.contains(id)).count()
+    dialed
+        .into_iter()
+        .filter(|id| !still_used.contains(id))
+        .count()
 }
 
-// Rejected for want of room, while an ejected server is idle after an error or two.
-#[test_case(true => 'D'; "it answers probes")]
-#[test_case(false => 'R'; "it does not")]
+// Otherwise sessions would be rejected because the other servers are full, while an ejected server is idle.
+#[test_case(true => 'D'; "answers probes")]
+#[test_case(false => 'R'; "does not answer probes")]
 fn an_ejected_server_is_tried_before_a_session_is_rejected(answers: bool) -> char {
-    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 2);
+    let mut proxy = Proxy::with_servers(deployment(IDEMPOTENT), 2);
     proxy.report_load(0, 50.0, 0.2);
     proxy.report_load(1, 50.0, 0.95);
-    // Others have come up before; where none ever has, the first failure holds back.
+    // A session has opened before. If none had, the first failure would start session pacing.
     proxy.handle(PlacementEvent::SessionInherited(
         SessionRequest {
             session: 99,
--- a/crates/placement/tests/engine/probing.rs
+++ b/crates/placement/tests/engine/probing.rs
@@ -1,16 +1,16 @@
-//! When servers are probed, and who waits for the answers.
+//! Probes: when servers are probed, and the sessions that wait for the answers.
 
 use crate::support::{IDEMPOTENT, IS_PROBE, Proxy, count, deployment, ms, outcome_letter};
 use asterramp_placement::event::SessionRequest;
 use asterramp_placement::{PlacementAction, PlacementEvent};
 use test_case::test_case;
 
-// Probes grow with what they are worth to us, not with proxies times servers.
+// The number of probes grows with the connections that a proxy holds, not with the product of proxies and servers.
 #[test_case(1, 4; "one connection")]
 #[test_case(8, 22; "eight")]
-fn servers_in_use_are_probed_every_few_seconds(held: usize, at_least: usize) {
-    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 1);
-    proxy.open_sessions(held);
+fn servers_in_use_are_probed_every_few_seconds(open: usize, at_least: usize) {
+    let mut proxy = Proxy::with_servers(deployment(IDEMPOTENT), 1);
+    proxy.open_sessions(open);
     let mut probes = 0;
     for _ in 0..300 {
         proxy.report_load(0, 10.0, 0.2);
@@ -22,10 +22,11 @@
     );
 }
 
-// Six seconds by the old count are long where a failed proxy's clients come.
+// With one connection the probe interval is 6 s, which is too long when the clients of a failed proxy arrive. The
+// interval follows the current number of connections.
 #[test]
-fn a_server_that_fills_is_probed_within_a_second_or_so() {
-    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 1);
+fn a_server_that_fills_is_probed_soon() {
+    let mut proxy = Proxy::with_servers(deployment(IDEMPOTENT), 1);
     proxy.open_session(None);
     proxy.wait(ms(300));
     proxy.open_sessions(20);
@@ -34,12 +35,12 @@
 
 #[test_case(3; "three servers")]
 #[test_case(120; "a hundred and twenty")]
-fn a_session_has_its_two_candidates_asked_and_no_others(servers: u32) {
-    let mut proxy = Proxy::with(deployment(IDEMPOTENT), servers);
+fn only_the_two_candidates_of_a_session_are_probed(servers: u32) {
+    let mut proxy = Proxy::with_servers(deployment(IDEMPOTENT), servers);
     assert_eq!(
         count(&proxy.wait(ms(5_000)), IS_PROBE),
         0,
-        "nothing held, nothing asked"
+        "no probes without connections"
     );
     let actions = proxy.request_session(None).1;
     assert_eq!(
@@ -50,20 +51,20 @@
     assert!(count(&proxy.request_session(None).1, IS_PROBE) <= 2);
 }
 
-// A session waits for probes for part of its time only, and one that leaves meanwhile is owed nothing.
+// A session waits for probes only until its probe deadline. If its client leaves in the meantime, it gets no answer.
 #[test_case(true => '-'; "client left")]
-#[test_case(false => 'D'; "probes lost")]
-fn waiting_for_probes_ends(leaves: bool) -> char {
-    let mut proxy = Proxy::with(deployment(IDEMPOTENT), 3);
-    let arrival = SessionRequest {
+#[test_case(false => 'D'; "no probe answered")]
+fn waiting_for_probes_ends(client_leaves: bool) -> char {
+    let mut proxy = Proxy::with_servers(deployment(IDEMPOTENT), 3);
+    let request = SessionRequest {
         answer_deadline: proxy.now + ms(4_800),
         ..SessionRequest::default()
     };
     assert_eq!(
-        outcome_letter(&proxy.handle(PlacementEvent::SessionRequested(arrival))),
+        outcome_letter(&proxy.handle(PlacementEvent::SessionRequested(request))),
         '-'
     );
-    if leaves {
+    if client_leaves {
         assert_eq!(
             proxy.handle(PlacementEvent::ClientLeft { session: 0 }),
             [PlacementAction::ReleaseSession { session: 0 }]
@@ -74,13 +75,13 @@
 
 #[test]
 fn no_probe_and_no_cancel_where_they_are_not_allowed() {
-    let mut facts = deployment(IDEMPOTENT);
-    facts.may_probe = false;
-    facts.may_cancel = false;
-    facts.max_attempts = 0;
-    let mut proxy = Proxy::with(facts, 2);
+    let mut config = deployment(IDEMPOTENT);
+    config.may_probe = false;
+    config.may_cancel = false;
+    config.max_attempts = 0;
+    let mut proxy = Proxy::with_servers(config, 2);
     let (session, actions) = proxy.request_session(None);
-    assert_eq!(outcome_letter(&actions), 'D', "without a single report");
+    assert_eq!(outcome_letter(&actions), 'D', "without any report");
     let actions = [
         proxy.handle(PlacementEvent::ClientLeft { session }),
         proxy.wait(ms(5_000)),
@@ -89,7 +90,7 @@
     assert!(
         actions
             .iter()
-            .all(|a| matches!(a, PlacementAction::SetTimer { .. })),
+            .all(|action| matches!(action, PlacementAction::SetTimer { .. })),
         "{actions:?}"
     );
 }
--- a/crates/placement/tests/engine/robustness.rs
+++ b/crates/placement/tests/engine/robustness.rs
@@ -1,4 +1,4 @@
-//! Odd settings, stray events, and the same actions for the same events.
+//! Robustness: unusual settings, stray events, and determinism.
 
 use crate::support::{IDEMPOTENT, Proxy, deployment, endpoint, ms, outcome_letter};
 use asterramp_placement::deployment::RetrySafety;
@@ -6,16 +6,16 @@
 use asterramp_placement::{Deployment, PlacementAction, PlacementEvent};
 use test_case::test_case;
 
-// Odd but legal settings neither panic nor leave a session without an answer.
-#[test_case(|f| f.proxy_count = 0; "no proxy counted")]
-#[test_case(|f| f.packet_passthrough = true; "packets pass through")]
-#[test_case(|f| f.weights_reflect_load = true; "weights that sink")]
-#[test_case(|f| (f.slow_start.warm_after, f.slow_start.initial_capacity, f.slow_start.overload_factor) = (ms(0), 0.0, 0.0); "no cold rule")]
-#[test_case(|f| f.max_endpoint_list_age = Some(ms(0)); "an endpoint list polled without a limit")]
-#[test_case(|f| (f.max_retry_after, f.listeners[0].handshake_target) = (ms(0), ms(0)); "no come-back, no target")]
-fn odd_settings_serve(odd: fn(&mut Deployment)) {
-    let mut facts = deployment(IDEMPOTENT);
-    odd(&mut facts);
+// Unusual but valid settings neither cause a panic nor leave a session without an answer.
+#[test_case(|config| config.proxy_count = 0; "no proxies")]
+#[test_case(|config| config.packet_passthrough = true; "packet passthrough")]
+#[test_case(|config| config.weights_reflect_load = true; "weights that reflect load")]
+#[test_case(|config| (config.slow_start.warm_after, config.slow_start.initial_capacity, config.slow_start.overload_factor) = (ms(0), 0.0, 0.0); "no slow start")]
+#[test_case(|config| config.max_endpoint_list_age = Some(ms(0)); "maximum endpoint list age of zero")]
+#[test_case(|config| (config.max_retry_after, config.listeners[0].handshake_target) = (ms(0), ms(0)); "no retry_after, no handshake target")]
+fn sessions_are_placed_with_unusual_settings(change: fn(&mut Deployment)) {
+    let mut config = deployment(IDEMPOTENT);
+    change(&mut config);
     let servers = vec![
         Endpoint {
             weight: f64::NAN,
@@ -27,12 +27,12 @@
             ..endpoint(1)
         },
     ];
-    let mut proxy = Proxy::new(facts, 0, servers);
+    let mut proxy = Proxy::new(config, 0, servers);
     proxy.report_load(0, 0.0, 0.0);
     proxy.report_load(1, 3.0, 0.0);
     proxy.handle(PlacementEvent::EndpointsUpdated(EndpointUpdate::Failed));
     proxy.wait(ms(1_000));
-    // Others have come up before; where none ever has, the first failure holds back.
+    // A session has opened before. If none had, the first failure would start session pacing.
     proxy.handle(PlacementEvent::SessionInherited(
         SessionRequest {
             session: 99,
@@ -51,20 +51,20 @@
 }
 
 #[test]
-fn connections_open_at_the_start_count_and_stray_events_are_ignored() {
-    let mut proxy = Proxy::with(deployment(RetrySafety::NotIdempotent), 2);
-    let arrival = SessionRequest {
+fn inherited_sessions_are_tracked_and_stray_events_are_ignored() {
+    let mut proxy = Proxy::with_servers(deployment(RetrySafety::NotIdempotent), 2);
+    let request = SessionRequest {
         session: 0,
         ..SessionRequest::default()
     };
     assert!(
         proxy
-            .handle(PlacementEvent::SessionInherited(arrival, 5))
+            .handle(PlacementEvent::SessionInherited(request, 5))
             .is_empty(),
         "a server that no list has named"
     );
-    let lost = proxy.end_attempt(0, 0, Outcome::Reset, true);
-    assert_eq!(lost, [PlacementAction::ReleaseSession { session: 0 }]);
+    let actions = proxy.end_attempt(0, 0, Outcome::Reset, true);
+    assert_eq!(actions, [PlacementAction::ReleaseSession { session: 0 }]);
     let load = ServerLoad::default();
     for stray in [
         PlacementEvent::SessionOpened {
@@ -95,7 +95,7 @@
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let run = |nonce| {
+    let actions_with = |nonce| {
         let mut proxy = Proxy::new(
             deployment(IDEMPOTENT),
             nonce,
@@ -105,6 +105,6 @@
             .flat_map(|_| [proxy.request_session(None).1, proxy.wait(ms(300))].concat())
             .collect::<Vec<_>>()
     };
-    assert_eq!(run(1), run(1));
-    assert_ne!(run(1), run(2));
+    assert_eq!(actions_with(1), actions_with(1));
+    assert_ne!(actions_with(1), actions_with(2));
 }
--- a/crates/placement/tests/engine/support.rs
+++ b/crates/placement/tests/engine/support.rs
@@ -1,4 +1,4 @@
-//! A proxy under test, which hands events to its engine and returns the actions.
+//! Test support: a simulated proxy that passes events to its placement engine and returns the actions.
 
 use asterramp_placement::deployment::{IdempotencyScope, Listener, RetrySafety, SlowStartRule};
 use asterramp_placement::event::{
@@ -18,16 +18,18 @@
     RetrySafety::IdempotencyKey(IdempotencyScope::Cell, ms(5_000));
 pub(crate) const SHORT_KEY: RetrySafety =
     RetrySafety::IdempotencyKey(IdempotencyScope::All, ms(50));
+/// Whether an action is a probe, for [`count`].
 pub(crate) const IS_PROBE: fn(&PlacementAction) -> bool =
-    |a| matches!(a, PlacementAction::Probe { .. });
+    |action| matches!(action, PlacementAction::Probe { .. });
 
-pub(crate) const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+pub(crate) const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
-pub(crate) fn deployment(kind: RetrySafety) -> Deployment {
+/// A deployment of one proxy with one listener.
+pub(crate) fn deployment(retry_safety: RetrySafety) -> Deployment {
     let listener = Listener {
-        retry_safety: kind,
+        retry_safety,
         handshake_target: ms(800),
         message_target: Some(ms(100)),
         priority_weight: 1.0,
@@ -49,6 +51,7 @@
     }
 }
 
+/// A ready endpoint of a server that is warm.
 pub(crate) fn endpoint(server: ServerId) -> Endpoint {
     Endpoint {
         server,
@@ -59,39 +62,40 @@
     }
 }
 
+/// A proxy with a simulated clock, which starts at 1000 s.
 pub(crate) struct Proxy {
     pub(crate) engine: PlacementEngine,
     pub(crate) now: Duration,
     pub(crate) next_session: SessionId,
-    /// Whether clients were connected before.
+    /// Whether clients that request sessions were connected before.
     pub(crate) reconnecting: bool,
-    /// What servers answer to probes that sessions wait for.
-    pub(crate) loads: BTreeMap<ServerId, ServerLoad>,
+    /// Load reports with which [`Proxy::handle_and_answer_probes`] answers probes, by server.
+    pub(crate) probe_loads: BTreeMap<ServerId, ServerLoad>,
 }
 
 impl Proxy {
-    pub(crate) fn without_endpoints(facts: Deployment, nonce: u64) -> Self {
+    pub(crate) fn without_endpoints(config: Deployment, nonce: u64) -> Self {
         Proxy {
-            engine: PlacementEngine::new(facts, nonce),
+            engine: PlacementEngine::new(config, nonce),
             now: ms(1_000_000),
             next_session: 0,
             reconnecting: false,
-            loads: BTreeMap::new(),
+            probe_loads: BTreeMap::new(),
         }
     }
 
-    /// A proxy that has just started and knows the servers given.
-    pub(crate) fn new(facts: Deployment, nonce: u64, servers: Vec<Endpoint>) -> Self {
-        let mut proxy = Self::without_endpoints(facts, nonce);
+    /// A proxy that has just started with the given endpoint list.
+    pub(crate) fn new(config: Deployment, nonce: u64, servers: Vec<Endpoint>) -> Self {
+        let mut proxy = Self::without_endpoints(config, nonce);
         proxy.handle(PlacementEvent::EndpointsUpdated(EndpointUpdate::Stale(
             servers,
         )));
         proxy
     }
 
-    /// One with so many ready servers.
-    pub(crate) fn with(facts: Deployment, servers: u32) -> Self {
-        Self::new(facts, 7, (0..servers).map(endpoint).collect())
+    /// A proxy with `servers` ready servers, whose ids start at 0.
+    pub(crate) fn with_servers(config: Deployment, servers: u32) -> Self {
+        Self::new(config, 7, (0..servers).map(endpoint).collect())
     }
 
     pub(crate) fn handle(&mut self, event: PlacementEvent) -> Vec<PlacementAction> {
@@ -100,7 +104,7 @@
         out
     }
 
-    /// The same, with the probes answered that follow at once.
+    /// Handles an event and answers all probes that follow from it at once.
     pub(crate) fn handle_and_answer_probes(
         &mut self,
         event: PlacementEvent,
@@ -109,7 +113,7 @@
         let mut next = 0;
         while let Some(action) = out.get(next) {
             if let PlacementAction::Probe { server } = *action {
-                let load = self.loads.get(&server).copied().unwrap_or_default();
+                let load = self.probe_loads.get(&server).copied().unwrap_or_default();
                 out.extend(self.handle(PlacementEvent::ProbeEnded {
                     server,
                     outcome: Outcome::Ok,
@@ -121,7 +125,7 @@
         out
     }
 
-    /// Lets time pass, with the timer ringing every tenth of a second and probes answered.
+    /// Advances the clock in ticks of 100 ms, and answers probes at once.
     pub(crate) fn wait(&mut self, span: Duration) -> Vec<PlacementAction> {
         let end = self.now + span;
         let mut out = Vec::new();
@@ -160,7 +164,7 @@
         (session, actions)
     }
 
-    /// A session that opened at the server that was selected.
+    /// Requests a session and opens it at the selected server.
     pub(crate) fn open_session(&mut self, group: Option<u64>) -> (SessionId, ServerId) {
         let (session, actions) = self.request_session(group);
         let server = dialed_server(&actions).expect("a dial");
@@ -171,8 +175,8 @@
         (session, server)
     }
 
-    pub(crate) fn open_sessions(&mut self, n: usize) -> Vec<(SessionId, ServerId)> {
-        (0..n).map(|_| self.open_session(None)).collect()
+    pub(crate) fn open_sessions(&mut self, count: usize) -> Vec<(SessionId, ServerId)> {
+        (0..count).map(|_| self.open_session(None)).collect()
     }
 
     pub(crate) fn end_attempt(
@@ -180,13 +184,13 @@
         session: SessionId,
         attempt: u8,
         outcome: Outcome,
-        over: bool,
+        session_over: bool,
     ) -> Vec<PlacementAction> {
         self.handle_and_answer_probes(PlacementEvent::AttemptEnded {
             session,
             attempt,
             outcome,
-            session_over: over,
+            session_over,
             load: ServerLoad::default(),
         })
     }
@@ -198,7 +202,7 @@
         utilization: f64,
     ) -> Vec<PlacementAction> {
         let load = load(connections, utilization);
-        self.loads.insert(server, load);
+        self.probe_loads.insert(server, load);
         self.handle(PlacementEvent::ProbeEnded {
             server,
             outcome: Outcome::Ok,
@@ -229,8 +233,8 @@
 }
 
 pub(crate) fn dialed_server(actions: &[PlacementAction]) -> Option<ServerId> {
-    actions.iter().find_map(|a| {
-        if let PlacementAction::Dial { server, .. } = a {
+    actions.iter().find_map(|action| {
+        if let PlacementAction::Dial { server, .. } = action {
             Some(*server)
         } else {
             None
@@ -241,8 +245,8 @@
 pub(crate) fn dial_timeout_of(actions: &[PlacementAction]) -> Duration {
     actions
         .iter()
-        .find_map(|a| {
-            if let PlacementAction::Dial { timeout, .. } = a {
+        .find_map(|action| {
+            if let PlacementAction::Dial { timeout, .. } = action {
                 Some(*timeout)
             } else {
                 None
@@ -251,9 +255,9 @@
         .expect("a dial")
 }
 
-/// What a session came to: `D` dialed, `R` rejected, `T` failed, `-` nothing.
+/// The first result for a session among the actions: `D` dialed, `R` rejected, `T` failed, `-` none of these.
 pub(crate) fn outcome_letter(actions: &[PlacementAction]) -> char {
-    let letter = |a: &PlacementAction| match a {
+    let letter = |action: &PlacementAction| match action {
         PlacementAction::Dial { .. } => Some('D'),
         PlacementAction::Reject { .. } => Some('R'),
         PlacementAction::Fail { .. } => Some('T'),
@@ -262,6 +266,7 @@
     actions.iter().find_map(letter).unwrap_or('-')
 }
 
-pub(crate) fn count(actions: &[PlacementAction], of: fn(&PlacementAction) -> bool) -> usize {
-    actions.iter().filter(|a| of(a)).count()
+/// Number of actions that match the predicate.
+pub(crate) fn count(actions: &[PlacementAction], predicate: fn(&PlacementAction) -> bool) -> usize {
+    actions.iter().filter(|action| predicate(action)).count()
 }
