--- a/crates/placement/src/engine/attempt_rules.rs
+++ b/crates/placement/src/engine/attempt_rules.rs
@@ -10,8 +10,8 @@
 use crate::session::{Attempt, Session, SessionState};
 use std::time::Duration;
 
-/// How long before the servers forget an idempotency key its session is no longer retried. 50 ms is the timing
-/// tolerance that the platform guarantees.
+/// How long before the servers forget an idempotency key its session is no longer retried. A greater value allows
+/// fewer retries. 50 ms is the timing tolerance that the platform allows.
 const KEY_EXPIRY_MARGIN: Duration = Duration::from_millis(50);
 /// Upper bound on the number of times that an attempt's timeout is doubled.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 8;
--- a/crates/placement/src/engine/averages.rs
+++ b/crates/placement/src/engine/averages.rs
@@ -56,7 +56,7 @@
 
     /// Estimate of the connections that a server can hold, used while no server reports its utilization. It is the
     /// number that a warm server holds from all proxies or, if greater, the tenants' total connection quota divided by
-    /// the number of servers listed so far.
+    /// the number of server ids so far.
     fn connections_per_server(&self, proxy_count: f64) -> f64 {
         let quota_per_server =
             self.deployment.total_connection_quota / self.servers.len().max(1) as f64;
--- a/crates/placement/src/engine/endpoint_list.rs
+++ b/crates/placement/src/engine/endpoint_list.rs
@@ -71,8 +71,9 @@
     }
 
     /// Slow-start allowance of a server that was just listed or restarted: a fraction of one dial, hashed from the
-    /// proxy's index and the server's key, so that the proxies use a cold server at different times. An inherited
-    /// server starts at zero, as the predecessor process may be spending its allowance now.
+    /// proxy's index and the server's key. A proxy that can't use all cold servers yet uses those that hash highest,
+    /// which differ from proxy to proxy. An inherited server starts at zero, as the predecessor process may be
+    /// spending its allowance now.
     fn initial_allowance(&self, endpoint: &Endpoint, inherited: bool) -> DialAllowance {
         let dials = if inherited {
             0.0
--- a/crates/placement/src/engine/selection.rs
+++ b/crates/placement/src/engine/selection.rs
@@ -9,8 +9,9 @@
 use crate::session::{Session, SessionInput};
 use crate::timers::Timer;
 
-/// Load, as a fraction of a server's capacity, below which a server is lightly loaded: only then is it preferred for
-/// being in the proxy's zone, or used while it is ejected. Also the mean load assumed while no server reports one.
+/// Load, as a fraction of a server's capacity, below which a server is lightly loaded. Only then is it preferred for
+/// being in the proxy's zone, used for a group of which it is not among the first two servers, or used while it is
+/// ejected. Also the mean load that is assumed while no server reports any.
 pub(super) const LOW_LOAD: f64 = 0.5;
 /// Load, as a fraction of a server's capacity, below which a server may start to hold a group. Above it, a server
 /// takes a group's sessions only if it already holds some of the group.
@@ -172,7 +173,7 @@
     /// shared hash key the order is the same at every proxy.
     pub(super) fn rank_servers(&self, request: &SessionRequest) -> Vec<ServerId> {
         let shared_key = self.shared_hash_key(request);
-        // Weights that fall as servers fill would keep changing which servers a group is sent to.
+        // Weights that decrease as servers fill would keep changing which servers a group is sent to.
         let ignores_weights = shared_key.is_some() && self.deployment.weights_reflect_load;
         let key = shared_key.unwrap_or(self.random.state());
         let rank = |server: &Server| {
--- a/crates/placement/src/session_pacing.rs
+++ b/crates/placement/src/session_pacing.rs
@@ -9,8 +9,8 @@
 use crate::session::Session;
 use std::time::Duration;
 
-/// Initial pause, about as long as a first dial and its answer take. A session that opens while the pause
-/// is at most this long ends the pacing.
+/// Initial pause, about as long as a first dial and its answer take. A session that opens while the pause is at most
+/// this long ends the pacing.
 const MIN_PAUSE: Duration = Duration::from_millis(250);
 /// Longest pause. With its jitter each proxy dials a session at least once in 4 s, and n proxies dial about n / 3 a
 /// second.
