--- a/crates/placement/tests/engine/selection.rs
+++ b/crates/placement/tests/engine/selection.rs
@@ -74,7 +74,7 @@
 
 // Another session on full servers would degrade those that are open.
 #[test_case(0.5 => 'D'; "spare capacity")]
-#[test_case(0.95 => 'R'; "full_servers")]
+#[test_case(0.95 => 'R'; "full")]
 fn rejected_where_all_servers_are_full(utilization: f64) -> char {
     let mut proxy = Proxy::with_servers(deployment(IDEMPOTENT), 2);
     for server in 0..2 {
@@ -89,12 +89,12 @@
 
 // When servers are nearly full, sessions of lower priority are rejected first. With spare capacity, or if all
 // priorities are equal, priority makes no difference.
-#[test_case(1.0, 1.0, 0.80 => "DD"; "equal priority, nearly full_servers")]
+#[test_case(1.0, 1.0, 0.80 => "DD"; "equal priority, nearly full")]
 #[test_case(1.0, 0.2, 0.60 => "DD"; "lower priority, spare capacity")]
-#[test_case(1.0, 0.2, 0.80 => "DR"; "lower priority, nearly full_servers")]
-#[test_case(0.2, 1.0, 0.80 => "RD"; "higher priority, nearly full_servers")]
+#[test_case(1.0, 0.2, 0.80 => "DR"; "lower priority, nearly full")]
+#[test_case(0.2, 1.0, 0.80 => "RD"; "higher priority, nearly full")]
 #[test_case(1.0, 0.0, 0.60 => "DD"; "no priority, spare capacity")]
-#[test_case(1.0, 0.2, 0.95 => "RR"; "full_servers")]
+#[test_case(1.0, 0.2, 0.95 => "RR"; "full")]
 fn lower_priority_is_rejected_first(first: f64, second: f64, utilization: f64) -> String {
     let config = deployment(IDEMPOTENT);
     let listeners = [first, second]
@@ -194,7 +194,7 @@
 
 // Trying many servers for one session costs probes and time, and may spread its group over one more server.
 #[test_case(12 => 'D'; "one of the first has spare capacity")]
-#[test_case(60 => 'R'; "all of the first are full_servers")]
+#[test_case(60 => 'R'; "all of the first are full")]
 fn a_session_considers_only_a_few_servers(full_servers: u32) -> char {
     let mut proxy = Proxy::with_servers(deployment(IDEMPOTENT), 64);
     proxy.probe_loads = (0..64)
