--- a/crates/proxy/src/routing/admin_http.rs
+++ b/crates/proxy/src/routing/admin_http.rs
@@ -27,7 +27,6 @@
 /// Deadline of a drain that is started by HTTP. The platform checks 4 s after its call whether the proxy is empty.
 const DRAIN_DEADLINE: Duration = Duration::from_millis(3_300);
 
-/// Interest in input alone.
 const READABLE: Interest = Interest {
     read: true,
     write: false,
--- a/crates/proxy/src/routing/admin_socket.rs
+++ b/crates/proxy/src/routing/admin_socket.rs
@@ -16,12 +16,10 @@
 /// Most connections accepted in one turn of the event loop, so that many at once do not delay clients.
 const MAX_ACCEPTS_PER_TURN: usize = 8;
 
-/// Interest in input alone.
 const READABLE: Interest = Interest {
     read: true,
     write: false,
 };
-/// Interest in being able to write alone.
 const WRITABLE: Interest = Interest {
     read: false,
     write: true,
@@ -32,7 +30,6 @@
 pub struct AdminSocket {
     path: PathBuf,
     listener: SlotKey,
-    /// Number of open connections.
     open_connections: usize,
     /// Most connections open at once; further ones are rejected.
     max_connections: usize,
@@ -181,7 +178,6 @@
         }
     }
 
-    /// Closes a connection of the admin socket.
     pub(super) fn close_admin_connection(&mut self, key: SlotKey) {
         self.close(key);
         if let Some(admin_socket) = &mut self.admin_socket {
--- a/crates/proxy/src/routing/admin_status.rs
+++ b/crates/proxy/src/routing/admin_status.rs
@@ -33,7 +33,6 @@
 }
 
 impl Router {
-    /// The present status of the proxy.
     pub(super) fn status(&self) -> ProxyStatus {
         let view = self.drain_view();
         ProxyStatus {
--- a/crates/proxy/src/routing/hot_restart/adoption.rs
+++ b/crates/proxy/src/routing/hot_restart/adoption.rs
@@ -77,7 +77,6 @@
 }
 
 impl ReceivedOffer {
-    /// Descriptors that came with the offer.
     fn descriptor_count(&self) -> usize {
         match self {
             ReceivedOffer::PendingConnection(_) => 1,
--- a/crates/proxy/src/routing/hot_restart/mod.rs
+++ b/crates/proxy/src/routing/hot_restart/mod.rs
@@ -32,7 +32,6 @@
 use rustix::fd::OwnedFd;
 use std::path::PathBuf;
 
-/// Interest in input alone.
 const READABLE: Interest = Interest {
     read: true,
     write: false,
@@ -140,7 +139,6 @@
             .is_some_and(|hot_restart| hot_restart.state == HotRestartState::HandingOver)
     }
 
-    /// Whether `offer` has been sent to the successor and not been accepted yet.
     fn is_pending_offer(&self, offer: Offer) -> bool {
         self.hot_restart
             .as_ref()
@@ -155,7 +153,11 @@
     /// Whether a connection belongs to a pending offer. Such a connection must not be read or
     /// written.
     pub(super) fn is_connection_offered(&self, connection: SlotKey) -> bool {
-        match self.connections.get(connection).map(|found| found.role) {
+        match self
+            .connections
+            .get(connection)
+            .map(|connection| connection.role)
+        {
             Some(ConnectionRole::Client(session) | ConnectionRole::Server(session)) => {
                 self.is_pending_offer(Offer::Session(session))
             }
--- a/crates/proxy/src/routing/peers/mod.rs
+++ b/crates/proxy/src/routing/peers/mod.rs
@@ -130,8 +130,8 @@
     /// Notifies the warm start that all queries of a round have ended.
     fn finish_peer_round(&mut self) {
         let now = self.now;
-        if let Some(start) = &mut self.warm_start {
-            start.machine.peer_queries_finished(now);
+        if let Some(progress) = &mut self.warm_start {
+            progress.machine.peer_queries_finished(now);
         }
         self.apply_warm_start_effects();
     }
@@ -258,8 +258,8 @@
         };
         let server = change.endpoint.server;
         self.endpoints.set_address(server, address);
-        if let Some(start) = &mut self.warm_start {
-            start.restore_load_per_connection(server, load_per_connection);
+        if let Some(progress) = &mut self.warm_start {
+            progress.restore_load_per_connection(server, load_per_connection);
         }
         self.report_peer_endpoint(server, address, age, list_revision);
     }
@@ -279,8 +279,8 @@
             age: information_age,
             list_revision,
         };
-        if let Some(start) = &mut self.warm_start {
-            start.machine.report(now, report);
+        if let Some(progress) = &mut self.warm_start {
+            progress.machine.report(now, report);
         }
     }
 }
--- a/crates/proxy/src/routing/peers/response.rs
+++ b/crates/proxy/src/routing/peers/response.rs
@@ -25,7 +25,7 @@
             fleet: self.peers.settings.fleet.clone(),
             stage: self
                 .warm_start_state()
-                .map_or("normal", |start| start.stage().name())
+                .map_or("normal", |warm_start| warm_start.stage().name())
                 .into(),
             list_revision: self.discovery_watch.revision(),
             discovery_responded_ms: self.discovery_watch.last_line_at().map(milliseconds),
@@ -53,17 +53,16 @@
     /// Whether an endpoint responded to this proxy or is listed by discovery, and not only known from before a warm
     /// start.
     fn is_confirmed(&self, server: ServerId) -> bool {
-        let Some(start) = self.warm_start_state() else {
+        let Some(warm_start) = self.warm_start_state() else {
             return true;
         };
         let has_responded_or_is_listed = matches!(
-            start.candidates().state(server),
+            warm_start.candidates().state(server),
             CandidateState::Responsive | CandidateState::Listed
         );
-        start.stage() == WarmStartStage::Normal || has_responded_or_is_listed
+        warm_start.stage() == WarmStartStage::Normal || has_responded_or_is_listed
     }
 
-    /// An endpoint in the form of the response.
     fn endpoint_for_peers(&self, listed: ListedEndpoint, known: &KnownEndpoint) -> KnownHost {
         let discovery_responded_at = self
             .discovery_watch
--- a/crates/proxy/src/routing/warm_start/mod.rs
+++ b/crates/proxy/src/routing/warm_start/mod.rs
@@ -47,7 +47,6 @@
     last_discovery_update: Option<Duration>,
     /// Utilization of a server per connection as known from before the start, by server index; `None` if it is unknown.
     loads_per_connection: Vec<Option<f64>>,
-    /// How clients are admitted at present.
     admission: ClientAdmission,
 }
 
--- a/crates/proxy/src/routing/warm_start/snapshots.rs
+++ b/crates/proxy/src/routing/warm_start/snapshots.rs
@@ -71,7 +71,6 @@
         is_changed || since >= self.min_interval * MAX_INTERVAL_FACTOR
     }
 
-    /// Passes a snapshot to the writer.
     fn submit(&mut self, now: Duration, snapshot: Snapshot) {
         self.last_submitted_at = now;
         self.is_outdated = false;
