--- a/crates/zone-failover/src/capacity.rs
+++ b/crates/zone-failover/src/capacity.rs
@@ -1,39 +1,39 @@
 //! Estimates how many session setups per second the remaining zones can take from this proxy.
 //!
-//! Proxies do not talk to each other, so each one takes an equal part of the estimate.
+//! Proxies do not coordinate their session setups, so each one takes an equal part of the estimate.
 
 use std::time::Duration;
 
-/// Utilization up to which a server has spare capacity; above it, its sessions are served late.
+/// Utilization (1 is full) up to which a server counts as having spare capacity; above it, its sessions are served late.
 const USABLE_UTILIZATION: f64 = 0.85;
-/// Age from which a load report no longer counts.
+/// Load reports older than this do not count.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
-/// Load reports that an estimate needs at least.
+/// Fewest recent load reports from which an estimate is made.
 const MIN_REPORTS: usize = 2;
-/// Seconds until a session setup shows in load reports.
+/// Time from a session setup until load reports include it, in seconds.
 const REPORT_DELAY_SECONDS: f64 = 1.5;
-/// How often the spare capacity is given out within the report delay: clients arrive unevenly, so most proxies leave a
-/// part of theirs unused.
-const OVERCOMMIT: f64 = 3.0;
+/// How many times the spare capacity is given out within [`REPORT_DELAY_SECONDS`]: clients arrive unevenly, so most
+/// proxies leave a part of theirs unused.
+const OVERCOMMIT_FACTOR: f64 = 3.0;
 
-/// What a ready server last reported.
+/// The last load report of a ready server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerLoadReport {
-    /// Load over what the server can serve: 1 is full, more is overload.
+    /// Load divided by what the server can serve: 1 is full, more is overload. Ignored if not finite.
     pub utilization: f64,
-    /// Open connections of all proxies.
+    /// Open connections to the server, from all proxies.
     pub connections: f64,
-    /// Time since the report.
+    /// Time since the server sent the report.
     pub age: Duration,
 }
 
-/// Session setups per second that one of `proxies` proxies may make: its equal part of the spare capacity of
-/// `ready_servers` servers, for which the servers with a recent report stand. `None` where fewer than two reports are
-/// recent, or none of them shows the load of a connection.
+/// Session setups per second that one of `proxies` proxies (zero counts as one) may make: its equal part of the spare
+/// capacity of `ready_servers` servers, estimated from those of them with a recent report. `None` if fewer than two
+/// reports are recent, or none of them gives the load of a connection.
 ///
-/// Assumes that servers without a report have as much spare capacity on average as those with one, and that the other
-/// proxies get as many clients. The capacity is given out three times within the time in which a setup shows in reports:
-/// where clients arrive evenly, servers get three times their spare capacity in that time, and no more after it.
+/// Assumes that servers without a report have as much spare capacity on average as those with one, and that all proxies
+/// get equally many clients. The capacity is given out three times within the time that it takes until reports include a
+/// setup: if clients arrive evenly, servers get three times their spare capacity in that time, and no more after it.
 pub fn setup_rate(
     reports: impl Iterator<Item = ServerLoadReport>,
     ready_servers: usize,
@@ -58,7 +58,7 @@
     let mean_spare = spare_sum / f64::from(report_count as u32);
     let spare_connections =
         mean_spare * ready_servers as f64 * loaded_count / load_per_connection_sum;
-    Some(spare_connections / f64::from(proxies.max(1)) * OVERCOMMIT / REPORT_DELAY_SECONDS)
+    Some(spare_connections / f64::from(proxies.max(1)) * OVERCOMMIT_FACTOR / REPORT_DELAY_SECONDS)
 }
 
 fn is_usable(report: &ServerLoadReport) -> bool {
--- a/crates/zone-failover/src/evidence.rs
+++ b/crates/zone-failover/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What is known of each server, and the failure signs that speak against a zone.
+//! What is known of each server, and the failures that count as evidence against its zone.
 
 use crate::{ServerId, ZoneId};
 use std::time::Duration;
@@ -6,9 +6,9 @@
 /// State of a server as discovery lists it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes new sessions.
+    /// Accepts new sessions.
     Ready,
-    /// Finishes its sessions and takes no new ones.
+    /// Finishes its sessions and accepts no new ones.
     Draining,
     /// Not listed, or listed as gone.
     #[default]
@@ -21,10 +21,11 @@
     /// `None` until discovery lists the server.
     pub(crate) zone: Option<ZoneId>,
     pub(crate) state: ServerState,
+    /// When its process started, if discovery lists that; another value means a restart.
     pub(crate) started_at: Option<Duration>,
-    /// First failure sign since the server, and its zone, last responded.
+    /// When it first failed since it, and its zone, last responded.
     pub(crate) first_failure: Option<Duration>,
-    /// When it was last probed on behalf of its zone.
+    /// When zone failover last probed it; zero if never.
     pub(crate) last_probe: Duration,
 }
 
@@ -33,7 +34,7 @@
         self.state == ServerState::Ready
     }
 
-    /// The first failure sign, if it is later than the zone's last response.
+    /// The first failure, if it is later than the zone's last response.
     fn failure_since(&self, last_response: Option<Duration>) -> Option<Duration> {
         self.first_failure
             .filter(|failure| last_response.is_none_or(|response| *failure > response))
@@ -43,28 +44,29 @@
 /// What a discovery entry changed about a server that was known before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListingChange {
-    /// It is ready and was not, or it was restarted.
+    /// It is ready and was not before, or it was restarted.
     ReadyAgain,
-    /// It is gone and was not.
+    /// It is gone and was not before.
     Removed,
-    /// Neither.
+    /// Neither of the two.
     Other,
 }
 
-/// Failure signs of one zone since its last response.
+/// Failures of one zone's servers since the zone's last response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ZoneEvidence {
-    /// Ready servers with a failure sign.
+    /// Ready servers that failed.
     pub(crate) unresponsive_servers: usize,
     /// All ready servers.
     pub(crate) ready_servers: usize,
-    /// Time of the earliest failure sign.
+    /// Time of the earliest failure that counts; `None` if there is none.
     pub(crate) first_failure: Option<Duration>,
 }
 
-/// All servers, by index.
+/// The records of all servers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServerTable {
+    /// Indexed by [`ServerId`].
     records: Vec<ServerRecord>,
 }
 
@@ -77,7 +79,7 @@
         self.records.get_mut(server as usize)
     }
 
-    /// Takes in a discovery entry. The failure signs of a restarted server are dropped.
+    /// Applies a discovery entry. The failure of a server that was restarted, or is ready again, is forgotten.
     pub(crate) fn update(
         &mut self,
         server: ServerId,
@@ -126,7 +128,7 @@
             .all(|(_, record)| record.state == ServerState::Gone)
     }
 
-    /// Records a failure sign of a ready server and returns its zone; `None` if the server is not ready or not known.
+    /// Records a failure of a ready server and returns its zone; `None` if the server is not ready or not known.
     pub(crate) fn record_failure(
         &mut self,
         now: Duration,
@@ -156,7 +158,7 @@
         }
     }
 
-    /// Failure signs of a zone since `last_response`; a sign at that very moment does not count.
+    /// Failures of a zone's servers after `last_response`; a failure at that very moment does not count.
     pub(crate) fn evidence(&self, zone: ZoneId, last_response: Option<Duration>) -> ZoneEvidence {
         let failures = || {
             self.ready_in_zone(zone)
@@ -169,7 +171,8 @@
         }
     }
 
-    /// Up to `limit` ready servers to probe: first those without a failure sign, then those not probed for longest.
+    /// Up to `limit` ready servers to probe, those without a failure first. Within each group, those probed longest ago
+    /// come first.
     pub(crate) fn probe_candidates(&self, zone: ZoneId, limit: usize) -> Vec<ServerId> {
         let mut candidates: Vec<(bool, Duration, ServerId)> = self
             .ready_in_zone(zone)
--- a/crates/zone-failover/src/failover.rs
+++ b/crates/zone-failover/src/failover.rs
@@ -1,4 +1,4 @@
-//! All zones of a deployment: takes inputs, keeps timers, and carries out the actions of the state machine.
+//! All zones of a deployment: handles inputs and timers, and performs the actions of each zone's state machine.
 
 use crate::evidence::{ListingChange, ServerTable, ZoneEvidence};
 use crate::state::{ZoneAction, transition};
@@ -7,19 +7,21 @@
 use asterramp_injected_faults::is_injected;
 use std::time::Duration;
 
-/// Silent servers from which a zone is suspected, or all of its servers if it has fewer.
-const SUSPECT_AT: usize = 2;
-/// Silent servers from which a zone is given up, or all of its servers if it has fewer.
-const CONFIRM_AT: usize = 3;
-/// In a large zone, the part of its servers (one in so many) that must be silent for it to be given up.
-const CONFIRM_ONE_IN: usize = 4;
+/// Unresponsive servers from which a zone is suspected, or all of its servers if it has fewer.
+const SUSPICION_THRESHOLD: usize = 2;
+/// Fewest unresponsive servers from which a zone is declared lost, or all of its servers if it has fewer.
+const MIN_LOSS_THRESHOLD: usize = 3;
+/// A large zone is declared lost if one in this many of its ready servers is unresponsive.
+const LOSS_THRESHOLD_DIVISOR: usize = 4;
 /// Servers probed at once when a zone is suspected.
 const SUSPICION_PROBES: usize = 4;
+/// Most unresponsive servers that a loss requires: the probes of a suspicion show no more.
+const MAX_LOSS_THRESHOLD: usize = SUSPICION_THRESHOLD + SUSPICION_PROBES;
 
 /// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ZoneEffect {
-    /// Send the zone this part of the traffic that would go to it.
+    /// Send the zone this share of its normal traffic.
     SetShare {
         /// The zone.
         zone: ZoneId,
@@ -31,33 +33,33 @@
         /// The server.
         server: ServerId,
     },
-    /// A zone's state changed; to be logged.
+    /// Log that a zone's state changed.
     StateChanged {
         /// The zone.
         zone: ZoneId,
         /// Its new state.
         state: ZoneState,
-        /// What led to it.
+        /// The input that caused the change.
         cause: ZoneInput,
     },
 }
 
-/// All zones of a deployment as one proxy sees them. Memory is a few numbers for each zone and server.
+/// All zones of a deployment as one proxy sees them. Takes constant memory for each zone and server.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneFailover {
     settings: ZoneFailoverSettings,
     zones: Vec<Zone>,
     servers: ServerTable,
     effects: Vec<ZoneEffect>,
-    /// When this proxy first got a response again after it had been disconnected itself.
+    /// When this proxy last got the first response after it had been disconnected itself.
     reconnected_at: Option<Duration>,
-    /// The fault that the model checker injects.
+    /// The fault that the model checker injects; `None` for none.
     #[cfg(feature = "injected-faults")]
     pub injected_fault: Option<crate::InjectedFault>,
 }
 
 impl ZoneFailover {
-    /// All `zone_count` zones healthy, and no server known.
+    /// Starts with `zone_count` healthy zones and no known server.
     pub fn new(settings: ZoneFailoverSettings, zone_count: usize) -> ZoneFailover {
         ZoneFailover {
             settings,
@@ -71,18 +73,18 @@
         &self.zones
     }
 
-    /// Whether clients of a lost zone are coming to the others, so that capacity may be short.
+    /// Whether clients of a closed or recovering zone may be reconnecting to other zones, so that capacity may be short.
     pub fn is_capacity_short(&self, now: Duration) -> bool {
         self.zones.iter().any(|zone| zone.displaces_clients(now))
     }
 
-    /// Replaces the settings; timers that run already keep their time.
+    /// Replaces the settings. Timers that are already running are not changed.
     pub fn set_settings(&mut self, settings: ZoneFailoverSettings) {
         self.settings = settings;
     }
 
-    /// The whole state as text, with ages in place of times: two values with equal text behave alike from then on. For
-    /// the model checker, which compares many of them.
+    /// The whole state as text, with times relative to `now`: two values with equal keys make the same decisions from then
+    /// on. The model checker uses it to recognise states that it has already explored.
     pub fn state_key(&self, now: Duration) -> String {
         let age = |at: Duration| now.saturating_sub(at).min(LOSS_HISTORY_WINDOW).as_millis();
         let remaining = |at: Duration| at.saturating_sub(now).as_millis();
@@ -113,13 +115,13 @@
         key
     }
 
-    /// Takes out the effects of the inputs so far, in order.
+    /// Removes and returns the effects of the inputs so far, in order.
     pub fn drain_effects(&mut self) -> std::vec::Drain<'_, ZoneEffect> {
         self.effects.drain(..)
     }
 
-    /// Discovery lists a server. One that is ready again or was restarted speaks for its zone like a response. A zone that
-    /// is not in the deployment is ignored.
+    /// Discovery lists a server. A server that is ready again or was restarted may open its zone, as a response may. A
+    /// server whose zone is not in the deployment is ignored. `started_at` is when the server's process started, if known.
     pub fn server_listed(
         &mut self,
         now: Duration,
@@ -144,14 +146,15 @@
         self.ensure_zone_in_use(now);
     }
 
-    /// Discovery sent anything at all, so what it lists is current.
+    /// Discovery sent an update, so its list is current. A zone that has been lost for the discovery delay and still has
+    /// servers listed as ready becomes partitioned.
     pub fn discovery_responded(&mut self, now: Duration) {
         for id in self.zone_ids() {
             let zone = self.zone(id);
-            let listing_is_late = zone.state == ZoneState::Lost
+            let removal_is_overdue = zone.state == ZoneState::Lost
                 && !zone.was_unlisted
                 && now >= zone.first_failure + self.settings.discovery_delay;
-            if listing_is_late && self.servers.any_ready(id) {
+            if removal_is_overdue && self.servers.any_ready(id) {
                 self.apply(now, id, ZoneInput::ServersStillListed);
             }
         }
@@ -159,7 +162,7 @@
 
     /// A server did not respond in time, or refused the connection.
     pub fn server_failed(&mut self, now: Duration, server: ServerId) {
-        // A request that was in flight while this proxy was disconnected itself proves nothing about its server.
+        // A request that was in flight while this proxy was disconnected itself is no evidence against its server.
         let was_disconnected = self
             .reconnected_at
             .is_some_and(|at| now < at + self.settings.in_flight_timeout);
@@ -169,11 +172,11 @@
         let zones = &self.zones;
         let last_response_of = |zone: ZoneId| zones[usize::from(zone)].last_response;
         if let Some(zone) = self.servers.record_failure(now, server, last_response_of) {
-            self.weigh_evidence(now, zone);
+            self.evaluate_evidence(now, zone);
         }
     }
 
-    /// A server sent anything.
+    /// A server sent a response of any kind.
     pub fn server_responded(&mut self, now: Duration, server: ServerId) {
         let Some(record) = self.servers.get_mut(server) else {
             return;
@@ -182,33 +185,34 @@
         let Some(id) = record.zone else {
             return;
         };
-        let forgets_response = is_injected!(self, ResponseForgotten);
+        let response_is_forgotten = is_injected!(self, ResponseForgotten);
         let zone = self.zone_mut(id);
         let was_suspected = zone.state == ZoneState::Suspected;
-        if !forgets_response {
+        if !response_is_forgotten {
             zone.last_response = Some(now);
         }
-        let closed_and_free = zone.state.is_closed() && !zone.is_held_down(now);
-        if closed_and_free && zone.probes <= 1 && !zone.was_unlisted {
+        let may_reopen = zone.state.is_closed() && !zone.is_held_down(now);
+        if may_reopen && zone.probes <= 1 && !zone.was_unlisted {
             zone.false_alarms += 1;
         }
         self.apply_unless_held_down(now, id, ZoneInput::Response);
         if was_suspected {
-            // No zone responded until now: this proxy was disconnected, and the failures it saw prove nothing.
+            // No zone responded until now, so this proxy was disconnected and the failures that it saw are no evidence.
             self.reconnected_at = Some(now);
             self.servers.forget_failures_outside(id);
             return;
         }
-        self.weigh_other_suspects(now);
+        self.reevaluate_suspected_zones(now);
     }
 
-    /// Suspected zones may have waited for a response of another one, which shows that this proxy is connected.
-    fn weigh_other_suspects(&mut self, now: Duration) {
+    /// Evaluates the zones that may be lost again, after a response showed that this proxy is connected: without one, none
+    /// of them could be declared lost.
+    fn reevaluate_suspected_zones(&mut self, now: Duration) {
         for id in self.zone_ids() {
             let state = self.zone(id).state;
             let may_be_lost = matches!(state, ZoneState::Suspected | ZoneState::Recovering);
             if may_be_lost && !is_injected!(self, SuspectsNotWeighedAgain) {
-                self.weigh_evidence(now, id);
+                self.evaluate_evidence(now, id);
             }
         }
     }
@@ -232,33 +236,33 @@
 
     fn timer_expired(&mut self, now: Duration, id: ZoneId) {
         let zone = self.zone(id);
-        let ramp_goes_on = zone.state == ZoneState::Recovering && !zone.is_ramp_complete();
-        if ramp_goes_on && !is_injected!(self, RampSkipped) {
+        let has_more_steps = zone.state == ZoneState::Recovering && !zone.is_ramp_complete();
+        if has_more_steps && !is_injected!(self, RampSkipped) {
             return self.raise_share(now, id);
         }
         let zone = self.zone(id);
         if zone.state == ZoneState::Suspected
-            && self.evidence(id).unresponsive_servers >= SUSPECT_AT
+            && self.evidence(id).unresponsive_servers >= SUSPICION_THRESHOLD
         {
-            // Still no response: probe again.
-            let next_probes = now + self.settings.suspicion_timeout;
-            self.zone_mut(id).timer = Some(next_probes);
-            return self.probe(now, id, SUSPICION_PROBES);
+            // Still no response, so the servers are probed again.
+            let next_probes_at = now + self.settings.suspicion_timeout;
+            self.zone_mut(id).timer = Some(next_probes_at);
+            return self.probe_servers(now, id, SUSPICION_PROBES);
         }
         if zone.state.is_closed() && !self.settings.probing_allowed {
             return self.apply(now, id, ZoneInput::TrialDue);
         }
         self.apply(now, id, ZoneInput::TimerExpired);
-        // Failure signs that came during the recovery count against a healthy zone now.
-        self.weigh_evidence(now, id);
+        // Failures during the recovery count as evidence once the zone is healthy.
+        self.evaluate_evidence(now, id);
     }
 
-    /// Takes one step of the recovery ramp; the last one is taken by the state machine.
+    /// Takes one step of the recovery ramp. The last one is [`ZoneAction::FinishRamp`].
     fn raise_share(&mut self, now: Duration, id: ZoneId) {
-        let next_step = now + self.settings.recovery_ramp / RAMP_STEPS;
+        let next_step_at = now + self.settings.recovery_ramp / RAMP_STEPS;
         let zone = self.zone_mut(id);
         zone.ramp_step += 1;
-        zone.timer = Some(next_step);
+        zone.timer = Some(next_step_at);
         zone.share_changed_at = Some(now);
         let share = f64::from(zone.ramp_step + 1) / f64::from(RAMP_STEPS);
         self.set_share(id, share);
@@ -284,8 +288,8 @@
         self.servers.evidence(id, last_response)
     }
 
-    /// Suspects a zone, or gives it up, if its failure signs suffice.
-    fn weigh_evidence(&mut self, now: Duration, id: ZoneId) {
+    /// Suspects a zone, or declares it lost, if enough of its servers have failed.
+    fn evaluate_evidence(&mut self, now: Duration, id: ZoneId) {
         let evidence = self.evidence(id);
         let Some(first_failure) = evidence.first_failure else {
             return;
@@ -294,33 +298,33 @@
         if !zone.state.is_closed() {
             zone.first_failure = first_failure;
         }
-        let suspect_at = SUSPECT_AT.min(evidence.ready_servers);
-        if zone.state == ZoneState::Healthy && evidence.unresponsive_servers >= suspect_at {
+        let suspicion_threshold = SUSPICION_THRESHOLD.min(evidence.ready_servers);
+        if zone.state == ZoneState::Healthy && evidence.unresponsive_servers >= suspicion_threshold
+        {
             self.apply(now, id, ZoneInput::ServersUnresponsive);
         }
-        let confirm_at = self.silent_servers_to_confirm(evidence.ready_servers);
-        // Where no other zone responds either, it is this proxy that is disconnected.
-        let connected =
+        let loss_threshold = self.loss_threshold(evidence.ready_servers);
+        // If no other zone responds either, this proxy itself is disconnected.
+        let is_connected =
             self.another_zone_responded(id, first_failure) || is_injected!(self, GivenUpAlone);
-        if evidence.unresponsive_servers >= confirm_at && connected {
+        if evidence.unresponsive_servers >= loss_threshold && is_connected {
             self.apply(now, id, ZoneInput::LossConfirmed);
         }
     }
 
-    /// Silent servers from which a zone with so many ready servers is given up. Bounded by the number that the probes of a
-    /// suspicion can show to be silent.
-    fn silent_servers_to_confirm(&self, ready_servers: usize) -> usize {
-        let wanted = if is_injected!(self, TwoServersSuffice) {
-            SUSPECT_AT
+    /// Unresponsive servers from which a zone with `ready_servers` ready servers is declared lost.
+    fn loss_threshold(&self, ready_servers: usize) -> usize {
+        let threshold = if is_injected!(self, TwoServersSuffice) {
+            SUSPICION_THRESHOLD
         } else {
-            CONFIRM_AT
-                .max(ready_servers / CONFIRM_ONE_IN)
-                .min(SUSPECT_AT + SUSPICION_PROBES)
+            MIN_LOSS_THRESHOLD
+                .max(ready_servers / LOSS_THRESHOLD_DIVISOR)
+                .min(MAX_LOSS_THRESHOLD)
         };
-        wanted.min(ready_servers)
+        threshold.min(ready_servers)
     }
 
-    /// Whether an open zone other than `id` has responded at `since` or later.
+    /// Whether a zone other than `id` that is not closed has responded at `since` or later.
     fn another_zone_responded(&self, id: ZoneId, since: Duration) -> bool {
         let responded = |zone: &Zone| {
             !zone.state.is_closed() && zone.last_response.is_some_and(|response| response >= since)
@@ -330,7 +334,7 @@
             .any(|(other, zone): (ZoneId, &Zone)| other != id && responded(zone))
     }
 
-    /// Where every zone that has ready servers is closed, uses them all rather than none.
+    /// If every zone that has ready servers is closed, uses all of them rather than none.
     fn ensure_zone_in_use(&mut self, now: Duration) {
         let any_closed = self.zones.iter().any(|zone| zone.state.is_closed());
         if !any_closed || is_injected!(self, AllLeftClosed) {
@@ -350,7 +354,7 @@
         }
     }
 
-    /// Applies an input that speaks for a zone, except during its hold-down.
+    /// Applies an input that may open a zone, except during the zone's hold-down.
     fn apply_unless_held_down(&mut self, now: Duration, id: ZoneId, input: ZoneInput) {
         if !self.zone(id).is_held_down(now) || is_injected!(self, HoldDownSkipped) {
             self.apply(now, id, input);
@@ -371,16 +375,16 @@
                 cause: input,
             });
         }
-        self.perform(now, id, action);
+        self.perform_action(now, id, action);
     }
 
-    fn perform(&mut self, now: Duration, id: ZoneId, action: ZoneAction) {
+    fn perform_action(&mut self, now: Duration, id: ZoneId, action: ZoneAction) {
         let settings = self.settings;
         match action {
             ZoneAction::Nothing => {}
             ZoneAction::StartSuspicion => {
                 self.zone_mut(id).timer = Some(now + settings.suspicion_timeout);
-                self.probe(now, id, SUSPICION_PROBES);
+                self.probe_servers(now, id, SUSPICION_PROBES);
             }
             ZoneAction::DropSuspicion => self.zone_mut(id).drop_suspicion(now),
             ZoneAction::Close => {
@@ -388,17 +392,17 @@
                 self.set_share(id, 0.0);
             }
             ZoneAction::StartHoldDown => self.zone_mut(id).hold_down(now, &settings),
-            ZoneAction::Probe => self.probe_closed(now, id),
+            ZoneAction::Probe => self.probe_closed_zone(now, id),
             ZoneAction::StartRamp => {
-                let next_step = settings.recovery_ramp / RAMP_STEPS;
-                self.zone_mut(id).reopen(now, 0, next_step);
+                let step_interval = settings.recovery_ramp / RAMP_STEPS;
+                self.zone_mut(id).reopen(now, 0, step_interval);
                 self.set_share(id, 1.0 / f64::from(RAMP_STEPS));
             }
             ZoneAction::OpenFully => {
                 let all_steps = RAMP_STEPS;
                 self.zone_mut(id)
                     .reopen(now, all_steps, settings.recovery_ramp);
-                // The failure signs are those of the servers before their restart.
+                // The recorded failures are from before the servers' restart.
                 self.servers.forget_failures_in(id);
                 self.set_share(id, 1.0);
             }
@@ -419,18 +423,18 @@
         self.effects.push(ZoneEffect::SetShare { zone, share });
     }
 
-    fn probe_closed(&mut self, now: Duration, id: ZoneId) {
+    fn probe_closed_zone(&mut self, now: Duration, id: ZoneId) {
         if is_injected!(self, ClosedZoneNotProbed) {
             return;
         }
-        let next_probe = now + self.settings.probe_interval;
+        let next_probe_at = now + self.settings.probe_interval;
         let zone = self.zone_mut(id);
-        zone.timer = Some(next_probe);
+        zone.timer = Some(next_probe_at);
         zone.probes += 1;
-        self.probe(now, id, 1);
+        self.probe_servers(now, id, 1);
     }
 
-    fn probe(&mut self, now: Duration, id: ZoneId, limit: usize) {
+    fn probe_servers(&mut self, now: Duration, id: ZoneId, limit: usize) {
         for server in self.servers.probe_candidates(id, limit) {
             if let Some(record) = self.servers.get_mut(server) {
                 record.last_probe = now;
--- a/crates/zone-failover/src/injected_fault.rs
+++ b/crates/zone-failover/src/injected_fault.rs
@@ -1,30 +1,30 @@
 //! Faults that the model checker injects, to show that it finds them.
 
-/// A mistake of a kind that happens in practice.
+/// An implementation mistake of a kind that happens in practice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     /// Responses of a zone are not remembered.
     ResponseForgotten,
-    /// Failure signs from before the last response of a zone count.
+    /// Failures from before a zone's last response count as evidence.
     OldFailuresCount,
-    /// Two silent servers suffice to give a zone up.
+    /// Two unresponsive servers suffice to declare a zone lost.
     TwoServersSuffice,
-    /// A zone is given up although no other responds.
+    /// A zone is declared lost although no other zone responds.
     GivenUpAlone,
-    /// All zones are left closed.
+    /// Zones stay closed although no other zone is in use.
     AllLeftClosed,
-    /// A zone that was lost again is opened by the first response.
+    /// A response opens a zone during its hold-down.
     HoldDownSkipped,
-    /// A zone that responds gets its full share at once.
+    /// A recovering zone gets its full share after the first step of the ramp.
     RampSkipped,
     /// A closed zone is never probed.
     ClosedZoneNotProbed,
-    /// A response of another zone does not lead to a suspected one being weighed again.
+    /// Suspected zones are not evaluated again when another zone responds.
     SuspectsNotWeighedAgain,
 }
 
 impl InjectedFault {
-    /// All faults.
+    /// All faults, for the model checker to try in turn.
     pub const ALL: [InjectedFault; 9] = [
         InjectedFault::ResponseForgotten,
         InjectedFault::OldFailuresCount,
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -1,20 +1,20 @@
 //! Decides, for one proxy, which zones of a deployment it may use: a zone whose servers stop responding is closed, and
-//! opened again step by step once it responds.
+//! gets its traffic back step by step once it responds.
 //!
-//! No I/O and no clock. The caller reports what it observes (responses, failure signs, discovery updates) together with
-//! the time since its clock began, calls [`ZoneFailover::tick`] when [`ZoneFailover::next_timer`] has passed, and carries
-//! out the [`ZoneEffect`]s.
+//! No I/O and no clock. The caller reports what it observes (responses, failures, discovery updates) together with the
+//! time since its clock began, calls [`ZoneFailover::tick`] when [`ZoneFailover::next_timer`] has passed, and carries out
+//! the [`ZoneEffect`]s.
 //!
-//! A *failure sign* is a server that did not respond in time or refused the connection; a *response* is anything a
-//! server sent. Only failure signs since the last response of their zone count as evidence, so servers that fail beside
-//! others of their zone that respond never make the zone lost. A zone is given up only while another one responds, so a
-//! proxy that is itself disconnected gives up none.
+//! A *failure* is a server that did not respond in time or refused the connection; a *response* is anything a server
+//! sent. Only failures since the last response of their zone count as evidence, so failing servers never make a zone lost
+//! while other servers of the zone respond. A zone is declared lost only while another one responds, so a proxy that is
+//! itself disconnected closes none.
 //!
-//! | module | what it holds |
+//! | module | content |
 //! | --- | --- |
 //! | `state` | states, inputs and the transition table of one zone |
 //! | `zone` | timer, hold-down and recovery ramp of one zone |
-//! | `evidence` | what is known of each server, and the failure signs of a zone |
+//! | `evidence` | what is known of each server, and the failures in a zone |
 //! | `failover` | all zones of a deployment: inputs, timers and actions |
 //! | `settings` | timeouts and intervals |
 //! | [`capacity`] | session setups per second that the remaining zones can take |
--- a/crates/zone-failover/src/settings.rs
+++ b/crates/zone-failover/src/settings.rs
@@ -1,26 +1,29 @@
-//! Timeouts and intervals of zone failover.
+//! Settings of zone failover.
 
 use std::time::Duration;
 
-/// Timeouts and intervals of zone failover.
+/// Timeouts, intervals and permissions of zone failover, from the operator's file and the deployment's settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneFailoverSettings {
-    /// How long a zone stays suspected until its servers are probed again, or the suspicion is dropped.
+    /// How long a zone stays suspected until its servers are probed again, or the suspicion is dropped for lack of
+    /// evidence.
     pub suspicion_timeout: Duration,
     /// Interval between probes of a closed zone.
     pub probe_interval: Duration,
-    /// How long a zone that is lost again soon after its recovery stays closed at least; doubles with each further loss.
+    /// Shortest time for which a zone that is lost again soon after its recovery stays closed; doubles with each further
+    /// loss.
     pub hold_down: Duration,
-    /// Upper bound of the hold-down.
+    /// Upper bound of the hold-down after doubling.
     pub max_hold_down: Duration,
-    /// Time over which a recovering zone gets its share of traffic back.
+    /// Time over which a recovering zone gets its full share of traffic back.
     pub recovery_ramp: Duration,
-    /// How late discovery may be: a zone lost for longer whose servers are still listed as ready is partitioned.
+    /// How long discovery may take to remove failed servers: a zone that failed longer ago, and whose servers are still
+    /// listed as ready, is partitioned.
     pub discovery_delay: Duration,
-    /// How long a request that fails may have been in flight. Failures within this time after the proxy was disconnected
-    /// itself are not evidence.
+    /// Longest time that a request may be in flight before it fails. Failures within this time after the proxy itself was
+    /// disconnected are no evidence against a zone.
     pub in_flight_timeout: Duration,
-    /// Whether servers may be probed. If not, a closed zone gets a small share of traffic instead when a probe is due.
+    /// Whether servers may be probed. If not, a closed zone gets the first share of the recovery ramp when a probe is due.
     pub probing_allowed: bool,
 }
 
--- a/crates/zone-failover/src/state.rs
+++ b/crates/zone-failover/src/state.rs
@@ -3,14 +3,14 @@
 /// State of a zone, as this proxy sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum ZoneState {
-    /// In use.
+    /// In use; too few servers have failed to suspect it.
     #[default]
     Healthy,
-    /// Several servers do not respond; others of the zone are probed. Still in use.
+    /// Several servers do not respond; servers of the zone are probed. Still in use.
     Suspected,
-    /// No server responds, or discovery lists all of them as gone. Closed.
+    /// Enough servers do not respond, or discovery lists all of them as gone. Closed.
     Lost,
-    /// No server responds, but discovery goes on listing them as ready: they run, but this proxy cannot reach them. Closed.
+    /// Lost, but discovery still lists servers as ready: they run, but this proxy cannot reach them. Closed.
     Partitioned,
     /// Servers respond again; the zone's share of traffic grows step by step.
     Recovering,
@@ -46,28 +46,28 @@
 /// Input of a zone's state machine; also the reason given for a change of state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneInput {
-    /// Enough servers have not responded since the zone's last response to suspect the zone.
+    /// Enough servers have failed since the zone's last response to suspect the zone.
     ServersUnresponsive,
-    /// Enough servers have not responded to give the zone up.
+    /// Enough servers have failed to declare the zone lost, while another zone responds.
     LossConfirmed,
     /// A server of the zone responded.
     Response,
-    /// A probe is due but probing is not allowed, so the zone is tried with traffic.
+    /// A probe is due but probing is not allowed, so the zone gets a small share of traffic instead.
     TrialDue,
     /// Discovery lists all servers of the zone as gone.
     AllServersGone,
-    /// Discovery still lists servers as ready, long after the first failure sign.
+    /// Discovery still lists servers as ready after the discovery delay since the first failure.
     ServersStillListed,
     /// Discovery lists a server as ready that was not ready before, or that was restarted.
     ServerListedAgain,
     /// All zones that have servers are closed.
     NoZoneLeft,
-    /// The zone's timer has expired.
+    /// The zone's timer has expired: the end of a suspicion or of the recovery ramp, or a probe that is due.
     TimerExpired,
 }
 
 impl ZoneInput {
-    /// Reason for a change of state, as log lines give it.
+    /// Reason for a change of state, as in log lines. Operators' tools match these texts, so they stay as they are.
     pub fn reason(self) -> &'static str {
         match self {
             ZoneInput::ServersUnresponsive => "servers say nothing",
@@ -83,10 +83,10 @@
     }
 }
 
-/// What a transition does.
+/// What a transition does besides changing the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ZoneAction {
-    /// Nothing beyond the change of state.
+    /// Nothing.
     Nothing,
     /// Probe further servers of the zone and start the suspicion timer.
     StartSuspicion,
@@ -98,20 +98,20 @@
     StartHoldDown,
     /// Probe one server.
     Probe,
-    /// Use the zone again, at first with the lowest share.
+    /// Use the zone again with the first share of the recovery ramp.
     StartRamp,
-    /// Use the zone again in full at once: its servers were restarted, and slow start limits each of them.
+    /// Use the zone in full at once: its servers were restarted, and slow start limits the sessions of each of them.
     OpenFully,
     /// Give the zone its full share.
     FinishRamp,
-    /// Use the zone in full although it does not respond: no other is left.
+    /// Use the zone in full although it does not respond: no other zone is left.
     UseAsLastResort,
 }
 
-/// One row of the transition table.
+/// One row of the transition table: state, input, next state, action.
 type Transition = (ZoneState, ZoneInput, ZoneState, ZoneAction);
 
-/// State, input, next state, action.
+/// All transitions; an input that is missing for a state changes nothing in that state.
 const TRANSITIONS: &[Transition] = {
     use ZoneAction::*;
     use ZoneInput::*;
--- a/crates/zone-failover/tests/capacity.rs
+++ b/crates/zone-failover/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Session setups per second that the remaining zones can take, as tables of load reports and the resulting rate.
+//! Session setups per second that the remaining zones can take: tables of load reports and the resulting rate.
 
 use asterramp_zone_failover::capacity::{ServerLoadReport, setup_rate};
 use std::time::Duration;
@@ -12,8 +12,8 @@
     }
 }
 
-/// Two servers at 0.45 with 30 connections each have capacity for 26.7 more each; a hundred proxies share the 800 of 30
-/// servers, given out three times in 1.5 s.
+/// Two servers at a utilization of 0.45 with 30 connections each have capacity for 26.7 more connections each. A hundred
+/// proxies share the 800 connections of 30 such servers, which are given out three times in 1.5 s.
 #[test_case(&[report(0.45, 30.0, 0), report(0.45, 30.0, 1)], 30, 100 => Some(1600); "servers at half load")]
 #[test_case(&[report(0.45, 30.0, 0), report(0.45, 30.0, 1)], 30, 1 => Some(160_000); "a single proxy gets all of it")]
 #[test_case(&[report(1.2, 30.0, 0), report(0.9, 30.0, 1)], 30, 100 => Some(0); "full servers have no capacity")]
