--- a/crates/admission/src/decaying_count.rs
+++ b/crates/admission/src/decaying_count.rs
@@ -1,29 +1,29 @@
-//! A count of recent events.
+//! A count of events that decays exponentially.
 
 use std::time::Duration;
 
-/// A count of events in which each one weighs less the longer ago it was, falling to 1/e over the time constant.
+/// A count of events in which the weight of each event falls to 1/e over the time constant.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecayingCount {
-    /// Seconds.
-    time_constant: f64,
+    time_constant_seconds: f64,
+    /// The count as of `updated_at`.
     count: f64,
     updated_at: Duration,
 }
 
 impl DecayingCount {
-    /// Zero, with a time constant in seconds.
-    pub(crate) fn new(time_constant: f64) -> DecayingCount {
+    /// A count of zero.
+    pub(crate) fn new(time_constant_seconds: f64) -> DecayingCount {
         DecayingCount {
-            time_constant,
+            time_constant_seconds,
             count: 0.0,
             updated_at: Duration::ZERO,
         }
     }
 
     pub(crate) fn value(&self, now: Duration) -> f64 {
-        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
-        self.count * (-elapsed / self.time_constant).exp()
+        let elapsed_seconds = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.count * (-elapsed_seconds / self.time_constant_seconds).exp()
     }
 
     pub(crate) fn increment(&mut self, now: Duration) {
--- a/crates/admission/src/quota.rs
+++ b/crates/admission/src/quota.rs
@@ -1,27 +1,30 @@
-//! Recent admissions of each tenant, against its quota.
+//! Recent admissions of each tenant, to tell which tenants are over their quota.
 
 use crate::decaying_count::DecayingCount;
 use std::time::Duration;
 
-/// Time constant, in seconds, over which admissions count.
-const ADMISSION_MEMORY: f64 = 10.0;
-/// Recent admissions below which a tenant's part of them says nothing.
+/// Time constant of the counts of recent admissions; a greater value looks further back.
+const ADMISSION_TIME_CONSTANT_SECONDS: f64 = 10.0;
+/// Fewest recent admissions of all tenants together from which a tenant can be over its quota; a share of fewer is not
+/// significant.
 const MIN_ADMISSIONS: f64 = 8.0;
-/// Part of all admissions by which a tenant may exceed its quota before it ranks lower.
+/// How far a tenant may exceed its quota before it ranks lower, as a share of all recent admissions.
 const QUOTA_TOLERANCE: f64 = 0.1;
 
 /// Recent admissions of each tenant.
 #[derive(Clone, Debug)]
 pub(crate) struct QuotaUsage {
+    /// Indexed by tenant.
     tenants: Vec<DecayingCount>,
+    /// Admissions of all tenants, with or without a quota.
     all: DecayingCount,
 }
 
 impl QuotaUsage {
     pub(crate) fn new(tenant_count: usize) -> QuotaUsage {
         QuotaUsage {
-            tenants: vec![DecayingCount::new(ADMISSION_MEMORY); tenant_count],
-            all: DecayingCount::new(ADMISSION_MEMORY),
+            tenants: vec![DecayingCount::new(ADMISSION_TIME_CONSTANT_SECONDS); tenant_count],
+            all: DecayingCount::new(ADMISSION_TIME_CONSTANT_SECONDS),
         }
     }
 
@@ -32,7 +35,7 @@
         }
     }
 
-    /// Whether a tenant has more than its quota of the recent admissions; never for a quota of zero.
+    /// Whether a tenant has more than its quota of the recent admissions. A tenant without a quota (zero) never has.
     pub(crate) fn is_over(&self, now: Duration, tenant: u16, quota: f64) -> bool {
         let all = self.all.value(now);
         let own = self
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests to admit a session, and rejections.
+//! Requests to admit a session, and their rejections.
 
 use std::time::Duration;
 
@@ -7,22 +7,22 @@
 pub struct AdmissionRequest {
     /// Index of the listener that the client connected to.
     pub listener: u8,
-    /// Index of the session's tenant.
+    /// Index of the client's tenant.
     pub tenant: u16,
-    /// The client had a session before, and was disconnected or migrated.
+    /// Whether the client had a session before and was disconnected or migrated.
     pub reconnecting: bool,
-    /// The client says that an earlier attempt of its failed.
+    /// Whether the client reports that an earlier attempt failed.
     pub failed_before: bool,
 }
 
-/// Why a request is rejected: what would have to differ for it to be admitted at this moment.
+/// Why a request is rejected: the property without which it would have been admitted at this moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// There is no capacity for anyone.
+    /// There is no capacity, even for requests that rank first.
     NoCapacity,
     /// Other listeners have more priority weight for the cost of their sessions.
     LowPriority,
-    /// Its tenant is over its quota.
+    /// The request's tenant is over its quota.
     OverQuota,
     /// An earlier attempt failed.
     FailedBefore,
@@ -55,11 +55,11 @@
 /// Rejections by reason, in the order of [`RejectReason::ALL`].
 pub type RejectionCounts = [u64; RejectReason::ALL.len()];
 
-/// A request was not admitted.
+/// The rejection of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why.
+    /// Why the request was rejected.
     pub reason: RejectReason,
-    /// After how long the client is to retry; zero where no time may be given.
+    /// How long the client is to wait before it retries; zero if no time may be given.
     pub retry_after: Duration,
 }
--- a/crates/admission/src/retry_after.rs
+++ b/crates/admission/src/retry_after.rs
@@ -1,15 +1,15 @@
-//! When rejected clients retry: spread over the time in which capacity for them opens, as all of them after the same time
-//! would be the same burst again.
+//! Decides when rejected clients retry: spread over the time in which there will be capacity for them. If all of them
+//! retried after the same time, the burst would repeat.
 
 use crate::decaying_count::DecayingCount;
 use std::time::Duration;
 
-/// Time constant, in seconds, over which rejections count as clients that will retry.
-const REJECTION_MEMORY: f64 = 1.0;
-/// Shortest Retry-After, and least spread, in seconds.
-const MIN_RETRY_AFTER: f64 = 0.2;
-/// Setups per second that are assumed at least, so that a rate of zero gives a finite time.
-const MIN_RATE: f64 = 0.1;
+/// Time constant over which rejections count as clients that will retry.
+const REJECTION_TIME_CONSTANT_SECONDS: f64 = 1.0;
+/// Shortest Retry-After, and shortest time over which retries are spread, unless clients respect only a shorter one.
+const MIN_RETRY_AFTER_SECONDS: f64 = 0.2;
+/// Lowest rate that is assumed, in session setups per second, so that a rate of zero gives a finite time.
+const MIN_ASSUMED_RATE: f64 = 0.1;
 
 /// Spreads the retries of rejected clients.
 #[derive(Clone, Copy, Debug)]
@@ -20,7 +20,7 @@
 impl RetrySpreader {
     pub(crate) fn new() -> RetrySpreader {
         RetrySpreader {
-            rejections: DecayingCount::new(REJECTION_MEMORY),
+            rejections: DecayingCount::new(REJECTION_TIME_CONSTANT_SECONDS),
         }
     }
 
@@ -28,8 +28,8 @@
         self.rejections.increment(now);
     }
 
-    /// Time for one rejected client: `position` (0 to 1, random) within the time in which `rate` setups per second serve
-    /// all that were rejected lately. At most `max`.
+    /// The Retry-After of one rejected client, at most `max`. `position` (0 to 1, random) is its place in the time in which
+    /// `rate` setups per second serve all clients that were rejected recently.
     pub(crate) fn retry_after(
         &self,
         now: Duration,
@@ -37,10 +37,13 @@
         max: Duration,
         position: f64,
     ) -> Duration {
-        let max = max.as_secs_f64();
-        let time_to_serve = self.rejections.value(now) / rate.max(MIN_RATE);
-        let spread = time_to_serve.clamp(MIN_RETRY_AFTER, max.max(MIN_RETRY_AFTER));
-        let retry_after = MIN_RETRY_AFTER + spread * position;
-        Duration::from_secs_f64(retry_after.min(max))
+        let max_seconds = max.as_secs_f64();
+        let seconds_to_serve = self.rejections.value(now) / rate.max(MIN_ASSUMED_RATE);
+        let spread = seconds_to_serve.clamp(
+            MIN_RETRY_AFTER_SECONDS,
+            max_seconds.max(MIN_RETRY_AFTER_SECONDS),
+        );
+        let retry_after = MIN_RETRY_AFTER_SECONDS + spread * position;
+        Duration::from_secs_f64(retry_after.min(max_seconds))
     }
 }
--- a/crates/admission/src/session_cost.rs
+++ b/crates/admission/src/session_cost.rs
@@ -1,20 +1,21 @@
-//! Cost of a listener's sessions, estimated from what servers report.
+//! Cost of a listener's sessions, estimated from server reports.
 
 use std::time::Duration;
 
-/// Reports from which the cost counts as known.
+/// Fewest reports from which the cost counts as known.
 const MIN_REPORTS: f64 = 8.0;
-/// Reports that the mean goes back at most; each later one weighs one part in so many.
+/// Most reports that the running mean averages over. With more, each new report has a weight of one in this many; a
+/// greater value follows changes of the cost more slowly.
 const MAX_REPORTS: f64 = 50.0;
-/// Age of the last report from which the cost no longer counts as known.
+/// Oldest last report with which the cost still counts as known.
 const MAX_AGE: Duration = Duration::from_secs(60);
 
 /// Known cost of a listener's sessions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SessionCost {
-    /// Mean work per second, in the unit in which servers report it.
+    /// Mean work per second of one session, in the unit in which servers report it.
     pub mean: f64,
-    /// Mean absolute deviation from the mean.
+    /// Mean absolute deviation of the reports from the mean, in the same unit.
     pub mean_deviation: f64,
     /// Time since the last report.
     pub age: Duration,
@@ -25,12 +26,13 @@
 pub(crate) struct CostEstimate {
     mean: f64,
     mean_deviation: f64,
+    /// Reports recorded, at most [`MAX_REPORTS`].
     reports: f64,
     updated_at: Duration,
 }
 
 impl CostEstimate {
-    /// Takes in a report of `work` per second. One that is not a number, infinite or negative is ignored.
+    /// Records a report of `work` per second. A value that is not a number, infinite or negative is ignored.
     pub(crate) fn record(&mut self, now: Duration, work: f64) {
         if !work.is_finite() || work < 0.0 {
             return;
@@ -45,7 +47,7 @@
         self.mean
     }
 
-    /// The cost; `None` while there are too few reports, or they are too old.
+    /// The cost; `None` while there are too few reports, the last one is too old, or the mean is zero.
     pub(crate) fn known_cost(&self, now: Duration) -> Option<SessionCost> {
         let age = now.saturating_sub(self.updated_at);
         let is_known = self.reports >= MIN_REPORTS && self.mean > 0.0 && age <= MAX_AGE;
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -8,7 +8,8 @@
     Duration::from_millis(ms)
 }
 
-/// Two listeners, the second with more priority weight, and two tenants, the first with a quota of three quarters.
+/// Two listeners, the second with more priority weight, and two tenants, the first with a quota of three quarters. Listeners
+/// rank by weight while costs are not known.
 fn two_listeners_and_tenants() -> AdmissionControl {
     AdmissionControl::new(
         AdmissionSettings {
@@ -29,7 +30,7 @@
     failed_before: false,
 };
 
-/// Admissions within ten seconds of requests that rank first, and of another one, each made every 10 ms.
+/// Counts of admissions within ten seconds of [`FIRST`] and of `request`, each of which is made every 10 ms.
 fn admitted_beside_first(
     admission: &mut AdmissionControl,
     request: AdmissionRequest,
@@ -39,7 +40,7 @@
     let mut first = 0;
     let mut other = 0;
     for at in (0..10_000).step_by(10) {
-        // The other one asks first, so that it is not the turn that decides.
+        // `request` is made first, so that the order of requests does not favour the one that ranks first.
         other += u32::from(admission.admit(ms(at), request).is_ok());
         first += u32::from(admission.admit(ms(at), FIRST).is_ok());
     }
@@ -49,20 +50,19 @@
 #[test_case(AdmissionRequest { listener: 0, ..FIRST }; "less priority weight")]
 #[test_case(AdmissionRequest { failed_before: true, ..FIRST }; "failed before")]
 #[test_case(AdmissionRequest { reconnecting: false, ..FIRST }; "new session")]
-fn a_request_of_lower_rank_is_rejected_first(request: AdmissionRequest) {
+fn request_of_lower_rank_is_rejected_first(request: AdmissionRequest) {
     for rate in [5.0, 20.0, 60.0] {
-        let (first, behind) =
-            admitted_beside_first(&mut two_listeners_and_tenants(), request, rate);
+        let (first, lower) = admitted_beside_first(&mut two_listeners_and_tenants(), request, rate);
         assert!(
             f64::from(first) > 9.0 * rate,
-            "{first} of the first at {rate} per second"
+            "{first} of the first rank at {rate} per second"
         );
-        assert!(behind < first / 8, "{behind} of lower rank beside {first}");
+        assert!(lower < first / 8, "{lower} of lower rank beside {first}");
     }
 }
 
 #[test]
-fn weight_decides_while_costs_are_unknown_only_if_the_settings_say_so() {
+fn weight_ranks_listeners_of_unknown_cost_only_if_enabled() {
     let mut admission = AdmissionControl::new(
         AdmissionSettings {
             priority_weights: vec![0.6, 1.0],
@@ -70,7 +70,7 @@
         },
         7,
     );
-    // Whoever asks first takes the tokens then.
+    // All listeners rank equally, so the request that is made first takes the tokens.
     let (first, other) = admitted_beside_first(
         &mut admission,
         AdmissionRequest {
@@ -83,10 +83,10 @@
 }
 
 #[test]
-fn all_are_admitted_where_capacity_suffices() {
+fn all_are_admitted_if_capacity_suffices() {
     let mut admission = two_listeners_and_tenants();
-    // Except at first, while the bucket is filling.
-    let (first, behind) = admitted_beside_first(
+    // A few are rejected at first, while the bucket is filling.
+    let (first, lower) = admitted_beside_first(
         &mut admission,
         AdmissionRequest {
             listener: 0,
@@ -94,17 +94,14 @@
         },
         400.0,
     );
-    assert!(
-        first >= 980 && behind >= 960,
-        "{first} and {behind} of 1000"
-    );
+    assert!(first >= 980 && lower >= 960, "{first} and {lower} of 1000");
     admission.set_rate(ms(20_000), None);
     assert!((0..500).all(|_| admission.admit(ms(20_000), FIRST).is_ok()));
 }
 
 #[test_case(5.0)]
 #[test_case(40.0)]
-fn the_rate_is_kept_whoever_asks(rate: f64) {
+fn rate_is_kept_for_requests_of_mixed_rank(rate: f64) {
     let mut admission = two_listeners_and_tenants();
     admission.set_rate(ms(0), Some(rate));
     let requests = (0..20_000u64).step_by(5);
@@ -128,9 +125,9 @@
 }
 
 #[test]
-fn a_tenant_over_its_quota_ranks_lower() {
+fn tenant_over_its_quota_ranks_lower() {
     let mut admission = two_listeners_and_tenants();
-    // Tenant 1 has a quota of a quarter, and has made all requests for a while.
+    // Tenant 1 has a quota of a quarter, and has made all of the recent requests.
     (0..40).for_each(|at| {
         assert!(
             admission
@@ -158,7 +155,7 @@
 }
 
 #[test]
-fn weight_counts_against_cost_once_servers_have_reported_it() {
+fn listeners_rank_by_weight_and_cost_once_servers_report_it() {
     let heavy = AdmissionRequest {
         listener: 1,
         ..FIRST
@@ -193,8 +190,11 @@
     let after = admitted(&mut admission, 10_000);
     assert!(after[0] > 40 && after[1] < 6, "by cost: {after:?}");
     // Reports that are too old do not count.
-    let old = admitted(&mut admission, 80_000);
-    assert!(old[1] > 40 && old[0] < 6, "too old: {old:?}");
+    let expired = admitted(&mut admission, 80_000);
+    assert!(
+        expired[1] > 40 && expired[0] < 6,
+        "reports too old: {expired:?}"
+    );
     assert!(
         admission
             .session_costs(ms(80_000))
@@ -203,35 +203,40 @@
 }
 
 #[test]
-fn rejected_clients_retry_spread_over_the_time_in_which_capacity_opens() {
+fn retries_of_rejected_clients_are_spread() {
     let mut admission = two_listeners_and_tenants();
     admission.set_rate(ms(0), Some(20.0));
-    let mut times: Vec<u128> = Vec::new();
+    let mut retry_times: Vec<u128> = Vec::new();
     for at in 0..200 {
-        times.extend(
+        retry_times.extend(
             admission
                 .admit(ms(at), FIRST)
                 .err()
                 .map(|rejection| rejection.retry_after.as_millis()),
         );
     }
-    times.sort_unstable();
-    let (least, most) = (times[0], times[times.len() - 1]);
+    retry_times.sort_unstable();
+    let (shortest, longest) = (retry_times[0], retry_times[retry_times.len() - 1]);
     assert!(
-        least >= 200 && most <= 2_000 && most > 1_500,
-        "{least} to {most} ms"
+        shortest >= 200 && longest <= 2_000 && longest > 1_500,
+        "{shortest} to {longest} ms"
     );
-    // No quarter of a second gets half of all retries.
-    let fullest = (0..7)
-        .map(|n| times.iter().filter(|t| (**t / 250) == n).count())
+    // No quarter of a second has half of all retries.
+    let most_in_quarter = (0..7)
+        .map(|n| {
+            retry_times
+                .iter()
+                .filter(|time| (**time / 250) == n)
+                .count()
+        })
         .max()
         .unwrap();
     assert!(
-        fullest * 4 < times.len() * 2,
-        "{fullest} of {} in a quarter of a second",
-        times.len()
+        most_in_quarter * 4 < retry_times.len() * 2,
+        "{most_in_quarter} of {} in a quarter of a second",
+        retry_times.len()
     );
-    // Where no Retry-After may be given, none is.
+    // With a longest Retry-After of zero, none is given.
     let mut without_retry_after = AdmissionControl::new(
         AdmissionSettings {
             priority_weights: vec![1.0],
@@ -250,7 +255,7 @@
 }
 
 #[test]
-fn an_unknown_listener_or_tenant_does_no_harm() {
+fn unknown_listener_or_tenant_is_ignored() {
     let mut admission = two_listeners_and_tenants();
     admission.set_rate(ms(0), Some(1.0));
     let _ = admission.admit(
@@ -267,7 +272,7 @@
 }
 
 #[test]
-fn names_of_reasons_read_as_operators_know_them() {
+fn names_of_reasons_match_operators_tools() {
     let names = RejectReason::ALL.map(RejectReason::name);
     assert_eq!(
         names,
