--- a/crates/warm-start/src/candidates.rs
+++ b/crates/warm-start/src/candidates.rs
@@ -1,4 +1,4 @@
-//! All candidates of a warm start, which of them are probed next, and which sessions may be placed on.
+//! All candidates of a warm start: which are probed next, and on which sessions may be placed.
 
 use crate::candidate::{
     Candidate, CandidateInput, CandidateState, DropReason, EndpointId, EndpointReport, next_state,
@@ -10,57 +10,59 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Revision of an endpoint that discovery lists now: no report is newer.
-const CURRENT_LIST: u64 = u64::MAX;
+/// List revision of endpoints in discovery's current list: no report has a newer one.
+const CURRENT_LIST_REVISION: u64 = u64::MAX;
 
-/// What is to be done about a candidate.
+/// Effect of an input on a candidate, for the warm start to pass on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CandidateEffect {
-    /// Send it a probe.
+    /// Probe it.
     Probe(EndpointId),
     /// Place sessions on it.
     Use(EndpointId),
     /// Place no more sessions on it.
     Drop(EndpointId, DropReason),
-    /// The same, but by discovery's own list, which the caller has applied already.
+    /// Place no more sessions on it: discovery listed it as draining or gone, or left it out. The caller has already done
+    /// so.
     Delisted,
 }
 
-/// How many candidates a source reported.
+/// Numbers of candidates by their source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SourceCounts {
-    /// Candidates whose strongest report is the source's.
+    /// Candidates whose strongest report is from this source.
     pub reported: usize,
-    /// Those of them that answered a probe or that discovery listed since.
+    /// Candidates among them on which sessions may be placed.
     pub usable: usize,
 }
 
 /// All candidates of a warm start.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointCandidates {
-    /// By endpoint.
+    /// Indexed by [`EndpointId`]; `None` for an endpoint that was never reported.
     candidates: Vec<Option<Candidate>>,
     probes_in_flight: usize,
     effects: Vec<CandidateEffect>,
+    /// Reports that were ignored and candidates that were dropped.
     dropped: u64,
-    /// The fault that the model checker injected, if any.
+    /// The fault that the model checker injects; `None` for none.
     #[cfg(feature = "injected-faults")]
     pub(crate) injected_fault: Option<InjectedFault>,
 }
 
 impl EndpointCandidates {
-    /// How far an endpoint has come.
+    /// State of an endpoint.
     pub fn state(&self, id: EndpointId) -> CandidateState {
         self.get(id)
             .map_or(CandidateState::Unknown, |candidate| candidate.state)
     }
 
-    /// On how many endpoints sessions may be placed.
+    /// Number of endpoints on which sessions may be placed.
     pub fn usable_count(&self) -> usize {
         self.count(|candidate| candidate.state.is_usable())
     }
 
-    /// How many endpoints a source reported, and how many of these can be used.
+    /// Numbers of endpoints that a source reported.
     pub fn source_counts(&self, source: EndpointSource) -> SourceCounts {
         let is_reported = |candidate: &Candidate| {
             candidate.source == source && candidate.state != CandidateState::Unknown
@@ -71,7 +73,7 @@
         }
     }
 
-    /// How many reports were ignored, and how many candidates expired, were replaced or were delisted.
+    /// Number of ignored reports plus number of candidates that expired, were replaced or were delisted.
     pub fn dropped_count(&self) -> u64 {
         self.dropped
     }
@@ -92,8 +94,8 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Everything that decides about the future, with times relative to `now`: two sets of candidates with equal keys
-    /// behave alike. The model checker recognises by it the states that it has explored.
+    /// The whole state as text, with times relative to `now`: two sets of candidates with equal keys behave alike. The
+    /// model checker uses it to recognise states that it has already explored.
     pub fn state_key(&self, now: Duration) -> String {
         let remaining = |at: Duration| at.saturating_sub(now).as_millis();
         let key_of = |candidate: &Candidate| {
@@ -116,7 +118,7 @@
         format!("{}{}", keys.join(";"), self.probes_in_flight)
     }
 
-    /// Takes in a report of an endpoint, unless a stronger one came before.
+    /// Handles a report of an endpoint, unless a stronger one is known.
     pub(crate) fn report(&mut self, now: Duration, report: EndpointReport) {
         let age = if is_injected!(self, FutureCountsAsFresh) {
             InformationAge::Fresh
@@ -125,7 +127,7 @@
         };
         let forget_after = match candidate_policy(report.source, age) {
             CandidatePolicy::Probe { forget_after } => forget_after,
-            // Only discovery's current list is used at once, and that comes in by `listed`.
+            // Only discovery's current list is used at once, and it is handled by `endpoint_listed`.
             CandidatePolicy::Use => return,
             CandidatePolicy::Ignore => {
                 self.dropped += 1;
@@ -138,7 +140,7 @@
         {
             return;
         }
-        if !self.replace_other_at(now, &report) {
+        if !self.drop_other_endpoint_at_address(now, &report) {
             self.dropped += 1;
             return;
         }
@@ -147,31 +149,32 @@
             address: report.address,
             source: report.source,
             list_revision: report.list_revision,
-            expires_at: forget_after.map(|span| now + span),
+            expires_at: forget_after.map(|timeout| now + timeout),
             next_probe_at: now,
             unanswered_probes: 0,
         };
-        self.put(report.id, candidate);
-        self.handle(now, report.id, CandidateInput::Reported);
+        self.set_candidate(report.id, candidate);
+        self.apply(now, report.id, CandidateInput::Reported);
         if self.is_used_unprobed(report.source) {
-            self.handle(now, report.id, CandidateInput::ProbeSent);
-            self.handle(now, report.id, CandidateInput::Answered);
+            self.apply(now, report.id, CandidateInput::ProbeSent);
+            self.apply(now, report.id, CandidateInput::Answered);
         }
     }
 
-    /// Drops another endpoint at the report's address; `false` if a stronger report names that one.
-    fn replace_other_at(&mut self, now: Duration, report: &EndpointReport) -> bool {
-        let Some(other) = self.other_at(report.id, report.address) else {
+    /// Drops another endpoint at the address of the report. `false` if a stronger report names that other endpoint, which
+    /// then stays.
+    fn drop_other_endpoint_at_address(&mut self, now: Duration, report: &EndpointReport) -> bool {
+        let Some(other) = self.other_endpoint_at(report.id, report.address) else {
             return true;
         };
         if self.get(other).is_some_and(|known| known.outranks(report)) {
             return false;
         }
-        self.handle(now, other, CandidateInput::Replaced);
+        self.apply(now, other, CandidateInput::Replaced);
         true
     }
 
-    /// Whether an injected fault lets the endpoints of this source be used without a probe.
+    /// Whether an injected fault makes endpoints of this source usable without a probe.
     fn is_used_unprobed(&self, source: EndpointSource) -> bool {
         match source {
             EndpointSource::Snapshot => is_injected!(self, SnapshotUsedUnprobed),
@@ -180,8 +183,8 @@
         }
     }
 
-    /// Discovery's current list names an endpoint, ready or not.
-    pub(crate) fn listed(
+    /// Discovery's current list has an endpoint, as ready or (`ready` is false) as draining or gone.
+    pub(crate) fn endpoint_listed(
         &mut self,
         now: Duration,
         id: EndpointId,
@@ -189,53 +192,53 @@
         ready: bool,
     ) {
         if !ready {
-            self.handle(now, id, CandidateInput::Delisted);
+            self.apply(now, id, CandidateInput::Delisted);
             return;
         }
-        if let Some(other) = self.other_at(id, address) {
-            self.handle(now, other, CandidateInput::Replaced);
+        if let Some(other) = self.other_endpoint_at(id, address) {
+            self.apply(now, other, CandidateInput::Replaced);
         }
         let candidate = Candidate {
             state: self.state(id),
             address,
             source: EndpointSource::Discovery,
-            list_revision: CURRENT_LIST,
+            list_revision: CURRENT_LIST_REVISION,
             expires_at: None,
             next_probe_at: now,
             unanswered_probes: 0,
         };
-        self.put(id, candidate);
-        self.handle(now, id, CandidateInput::Listed);
+        self.set_candidate(id, candidate);
+        self.apply(now, id, CandidateInput::Listed);
     }
 
-    /// Drops every endpoint that discovery's complete list leaves out.
+    /// Drops every endpoint that is missing from discovery's complete list.
     pub(crate) fn retain_listed(&mut self, now: Duration, listed: &[EndpointId]) {
         if is_injected!(self, DelistedStays) {
             return;
         }
         for id in 0..self.candidates.len() as EndpointId {
             if !listed.contains(&id) {
-                self.handle(now, id, CandidateInput::Delisted);
+                self.apply(now, id, CandidateInput::Delisted);
             }
         }
     }
 
-    /// Another endpoint that was reported at the same address: only one of the two can be there.
-    fn other_at(&self, id: EndpointId, address: SocketAddr) -> Option<EndpointId> {
+    /// Another endpoint known at the same address; only one of the two can be running there.
+    fn other_endpoint_at(&self, id: EndpointId, address: SocketAddr) -> Option<EndpointId> {
         if is_injected!(self, TwoAtOneAddress) {
             return None;
         }
-        let is_there = |candidate: &Candidate| {
+        let is_at_address = |candidate: &Candidate| {
             candidate.address == address && candidate.state != CandidateState::Unknown
         };
         (0..)
             .zip(&self.candidates)
-            .find(|(other, slot)| *other != id && slot.as_ref().is_some_and(is_there))
+            .find(|(other, slot)| *other != id && slot.as_ref().is_some_and(is_at_address))
             .map(|(other, _)| other)
     }
 
     /// Replaces what is known of an endpoint.
-    fn put(&mut self, id: EndpointId, candidate: Candidate) {
+    fn set_candidate(&mut self, id: EndpointId, candidate: Candidate) {
         let index = id as usize;
         if self.candidates.len() <= index {
             self.candidates.resize(index + 1, None);
@@ -243,17 +246,17 @@
         self.candidates[index] = Some(candidate);
     }
 
-    /// The probe of an endpoint has ended.
+    /// The probe of an endpoint has ended; `answered` says whether it got an answer.
     pub(crate) fn probe_finished(&mut self, now: Duration, id: EndpointId, answered: bool) {
         if answered || is_injected!(self, SilenceCountsAsAnswer) {
-            self.handle(now, id, CandidateInput::Answered);
+            self.apply(now, id, CandidateInput::Answered);
         } else {
-            self.handle(now, id, CandidateInput::Unanswered);
+            self.apply(now, id, CandidateInput::Unanswered);
         }
     }
 
-    /// When the next probe is due; `None` while as many are in flight as may be. An answer is what is waited for then: a
-    /// deadline in the past would fire again and again.
+    /// When the next probe is due; `None` if no endpoint needs one. Also `None` while `max_probes` are in flight: no probe can
+    /// be sent until one of them ends, and a deadline in the past would make the caller's timer expire over and over.
     pub(crate) fn next_probe_at(&self, max_probes: usize) -> Option<Duration> {
         if self.probes_in_flight >= max_probes {
             return None;
@@ -261,7 +264,7 @@
         self.candidates
             .iter()
             .flatten()
-            .filter(|candidate| candidate.state.wants_probe())
+            .filter(|candidate| candidate.state.needs_probe())
             .map(|candidate| candidate.next_probe_at)
             .min()
     }
@@ -272,21 +275,22 @@
             let Some(candidate) = self.get(id) else {
                 continue;
             };
-            if !candidate.state.wants_probe() {
+            if !candidate.state.needs_probe() {
                 continue;
             }
             let is_expired = candidate
                 .expires_at
                 .is_some_and(|expires_at| expires_at <= now);
             if candidate.state == CandidateState::Unresponsive && is_expired {
-                self.handle(now, id, CandidateInput::Expired);
+                self.apply(now, id, CandidateInput::Expired);
             } else if candidate.next_probe_at <= now && self.probes_in_flight < max_probes {
-                self.handle(now, id, CandidateInput::ProbeSent);
+                self.apply(now, id, CandidateInput::ProbeSent);
             }
         }
     }
 
-    fn handle(&mut self, now: Duration, id: EndpointId, input: CandidateInput) {
+    /// Applies an input to a candidate and records its effects.
+    fn apply(&mut self, now: Duration, id: EndpointId, input: CandidateInput) {
         let slot = self.candidates.get_mut(id as usize);
         let Some(candidate) = slot.and_then(Option::as_mut) else {
             return;
--- a/crates/warm-start/src/injected_fault.rs
+++ b/crates/warm-start/src/injected_fault.rs
@@ -1,32 +1,32 @@
 //! Faults that the model checker injects, to show that it finds them.
 
-/// A fault of a kind that happens in practice.
+/// An implementation mistake of a kind that happens in practice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     /// An endpoint from the snapshot is used without a probe.
     SnapshotUsedUnprobed,
     /// An endpoint that only a peer reported is used without a probe.
     PeerReportUsedUnprobed,
-    /// A probe without an answer counts as answered.
+    /// A probe that was not answered counts as answered.
     SilenceCountsAsAnswer,
     /// An endpoint that did not answer is never probed again.
     ProbedOnlyOnce,
-    /// An endpoint that discovery's complete list leaves out stays.
+    /// An endpoint that is missing from discovery's complete list stays in use.
     DelistedStays,
-    /// Two endpoints with one address both stay.
+    /// Two endpoints with the same address both stay.
     TwoAtOneAddress,
-    /// Waiting for peers has no deadline.
+    /// Waiting for the answers of peers has no deadline.
     NoPeerTimeout,
-    /// The first endpoint that answers ends the warm start.
+    /// The warm start ends at the moment when it should begin to admit clients at a limited rate.
     AdmissionNeverLimited,
-    /// The last endpoint is lost, and clients are admitted as before.
+    /// Clients are still admitted after the last usable endpoint is lost.
     LossOfLastEndpointIgnored,
-    /// Information from a clock that cannot be right counts as fresh.
+    /// A report of any age counts as fresh, even one with a time in the future.
     FutureCountsAsFresh,
 }
 
 impl InjectedFault {
-    /// All faults.
+    /// All faults, for the model checker to try in turn.
     pub const ALL: [InjectedFault; 10] = [
         InjectedFault::SnapshotUsedUnprobed,
         InjectedFault::PeerReportUsedUnprobed,
--- a/crates/warm-start/src/lib.rs
+++ b/crates/warm-start/src/lib.rs
@@ -1,18 +1,21 @@
-//! Warm start: what a proxy does between a power loss and normal service.
+//! Warm start: decides what a proxy does between a power loss and normal service.
 //!
-//! A proxy that starts has an endpoint list from its last snapshot, from its configuration and from its peers, and hears
-//! from discovery at some point. [`WarmStart`] decides which of these endpoints are used, after which probes, and how
-//! clients are admitted meanwhile:
+//! A proxy that starts knows endpoints from its last snapshot, its configuration and its peers, and receives discovery's
+//! list later. [`WarmStart`] decides which of these endpoints are used, which must answer a probe first, and how clients
+//! are admitted meanwhile.
 //!
-//! - `source.rs`: what information about an endpoint is worth, by who gave it and how old it is;
-//! - `candidate.rs`: the states of one endpoint, from the first report of it to its use;
-//! - `candidates.rs`: all endpoints, and which are probed next;
-//! - `stage.rs`: the stages of a warm start and how clients are admitted in each;
-//! - `warm_start.rs`: both machines together, as a proxy drives them;
-//! - `admission_rate.rs`: how fast clients are admitted while endpoints warm up.
+//! | module | content |
+//! | --- | --- |
+//! | `source` | how a report of an endpoint is treated, by its source and age |
+//! | `candidate` | the states of one endpoint, from its first report to its use |
+//! | `candidates` | all endpoints, and which are probed next |
+//! | `stage` | the stages of a warm start, and how clients are admitted in each |
+//! | `warm_start` | candidates and stages together, as the proxy drives them |
+//! | `admission_rate` | the rate at which clients are admitted while endpoints warm up |
+//! | `settings` | timeouts and limits |
 //!
-//! The package does no I/O and reads no clock. Inputs come in with the time since the clock's origin, which is Unix time
-//! where ages are judged; what is to be done comes out as [`WarmStartEffect`].
+//! No I/O and no clock. Times are durations since the origin of the caller's clock, except in [`information_age`], which
+//! takes Unix times. The caller carries out the [`WarmStartEffect`]s.
 
 mod admission_rate;
 mod candidate;
--- a/crates/warm-start/src/settings.rs
+++ b/crates/warm-start/src/settings.rs
@@ -2,20 +2,21 @@
 
 use std::time::Duration;
 
-/// Timeouts and limits of a warm start.
+/// Timeouts and limits of a warm start, from the operator's file and the proxy's resource limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmStartSettings {
-    /// How long discovery is waited for at first.
+    /// How long a warm start waits for discovery's list before it asks peers.
     pub discovery_timeout: Duration,
-    /// How long the answers of peers are waited for.
+    /// How long it waits for the answers of peers before it probes endpoints.
     pub peer_timeout: Duration,
-    /// How long the first endpoint is waited for before peers are asked again; repeated until one answers.
+    /// How long it waits for the first endpoint to answer a probe before it asks peers again. This wait is repeated until
+    /// an endpoint answers.
     pub probe_timeout: Duration,
-    /// How long clients are admitted at a limited rate: as long as an endpoint that just started warms up.
+    /// How long clients are admitted at a limited rate; should be the time that an endpoint takes to warm up.
     pub limited_admission_duration: Duration,
-    /// Whether there are peers to ask.
+    /// Whether there are peers to ask; if not, the stage that asks them is skipped.
     pub has_peers: bool,
-    /// Most probes in flight at once; at least 1.
+    /// Most probes in flight at once; must be at least 1.
     pub max_probes: usize,
 }
 
--- a/crates/warm-start/src/source.rs
+++ b/crates/warm-start/src/source.rs
@@ -1,28 +1,29 @@
-//! What information about an endpoint is worth, by its source and age.
+//! How a report of an endpoint is treated, by its source and age.
 
 use std::time::Duration;
 
-/// Who reported an endpoint, weakest first. An answer of the endpoint itself counts above every report.
+/// Source of an endpoint's report, weakest first. An endpoint's own answer to a probe counts more than every report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndpointSource {
     /// Another proxy.
     Peer,
     /// The static configuration, which has no age.
     Configuration,
-    /// This proxy's own snapshot from before it ended.
+    /// The snapshot that this proxy saved before it was last stopped.
     Snapshot,
-    /// Discovery.
+    /// The discovery service.
     Discovery,
 }
 
-/// How old a report is. A clock that went back, or ahead by a day, makes information older, never fresher.
+/// How old the information in a report is. If the clock was set back, or ahead by a day, information counts as older, never
+/// as fresher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum InformationAge {
     /// At most five minutes.
     Fresh,
     /// At most a day.
     Old,
-    /// Over a day, in the future, or not known.
+    /// Over a day, in the future, or without a time.
     Unknown,
 }
 
@@ -33,11 +34,11 @@
     Use,
     /// It must answer a probe first.
     Probe {
-        /// One that has not answered for this long is forgotten. `None`: it is probed without end, as no other source
-        /// would name it again.
+        /// The endpoint is dropped if it has not answered for this long. `None` means that it is probed indefinitely,
+        /// because no other source would report it again.
         forget_after: Option<Duration>,
     },
-    /// The report is dropped.
+    /// The report is ignored.
     Ignore,
 }
 
@@ -47,9 +48,9 @@
     }
 }
 
-const PROBE_WITHOUT_END: CandidatePolicy = CandidatePolicy::Probe { forget_after: None };
+const PROBE_INDEFINITELY: CandidatePolicy = CandidatePolicy::Probe { forget_after: None };
 
-/// Source, age, policy. A report of discovery is `Old` where its list is older than one that the proxy had before.
+/// Source, age, policy. A report from discovery is `Old` if its list is older than one that the proxy had before.
 const POLICIES: &[(EndpointSource, InformationAge, CandidatePolicy)] = {
     use CandidatePolicy as Policy;
     use EndpointSource as Source;
@@ -61,16 +62,16 @@
         (Source::Snapshot, Age::Fresh, probe_for(600)),
         (Source::Snapshot, Age::Old, probe_for(300)),
         (Source::Snapshot, Age::Unknown, probe_for(30)),
-        (Source::Configuration, Age::Fresh, PROBE_WITHOUT_END),
-        (Source::Configuration, Age::Old, PROBE_WITHOUT_END),
-        (Source::Configuration, Age::Unknown, PROBE_WITHOUT_END),
+        (Source::Configuration, Age::Fresh, PROBE_INDEFINITELY),
+        (Source::Configuration, Age::Old, PROBE_INDEFINITELY),
+        (Source::Configuration, Age::Unknown, PROBE_INDEFINITELY),
         (Source::Peer, Age::Fresh, probe_for(60)),
         (Source::Peer, Age::Old, probe_for(10)),
         (Source::Peer, Age::Unknown, Policy::Ignore),
     ]
 };
 
-/// What is done with an endpoint that `source` reported, by the age of the report.
+/// What is done with an endpoint that `source` reported with information of this age.
 pub fn candidate_policy(source: EndpointSource, age: InformationAge) -> CandidatePolicy {
     POLICIES
         .iter()
@@ -78,19 +79,20 @@
         .map_or(CandidatePolicy::Ignore, |row| row.2)
 }
 
-/// Up to which age information is fresh: a proxy that was restarted by hand is back within it.
+/// Greatest age of fresh information; long enough for a proxy to be restarted by hand.
 const MAX_FRESH_AGE: Duration = Duration::from_secs(300);
-/// Up to which age information is old; beyond a day an endpoint's address may well belong to somebody else.
+/// Greatest age of old information; after more than a day, an endpoint's address may belong to something else.
 const MAX_OLD_AGE: Duration = Duration::from_secs(86_400);
-/// How far ahead the clock of another machine may be.
+/// How far in the future a recorded time may be, because the clock of the machine that recorded it is ahead.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(5);
 
-/// The age of information that was recorded at `recorded`, by Unix time both; `None` where no time was recorded.
-pub fn information_age(now: Duration, recorded: Option<Duration>) -> InformationAge {
-    match recorded {
-        Some(recorded) if recorded > now + MAX_CLOCK_SKEW => InformationAge::Unknown,
-        Some(recorded) if now.saturating_sub(recorded) <= MAX_FRESH_AGE => InformationAge::Fresh,
-        Some(recorded) if now.saturating_sub(recorded) <= MAX_OLD_AGE => InformationAge::Old,
+/// The age at `now` of information that was recorded at `recorded_at`, both in Unix time; `recorded_at` is `None` if no
+/// time was recorded.
+pub fn information_age(now: Duration, recorded_at: Option<Duration>) -> InformationAge {
+    match recorded_at {
+        Some(time) if time > now + MAX_CLOCK_SKEW => InformationAge::Unknown,
+        Some(time) if now.saturating_sub(time) <= MAX_FRESH_AGE => InformationAge::Fresh,
+        Some(time) if now.saturating_sub(time) <= MAX_OLD_AGE => InformationAge::Old,
         _ => InformationAge::Unknown,
     }
 }
--- a/crates/warm-start/src/stage.rs
+++ b/crates/warm-start/src/stage.rs
@@ -1,4 +1,4 @@
-//! The stages of a warm start.
+//! The stages of a warm start: their state machine, their deadlines, and how clients are admitted in each.
 
 use crate::WarmStartSettings;
 #[cfg(feature = "injected-faults")]
@@ -6,19 +6,19 @@
 use asterramp_injected_faults::is_injected;
 use std::time::Duration;
 
-/// How far a warm start has come.
+/// Stage of a warm start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum WarmStartStage {
-    /// Nothing has been done.
+    /// The proxy has not started yet.
     #[default]
     NotStarted,
-    /// Discovery is waited for.
+    /// Waits for discovery's list.
     WaitingForDiscovery,
-    /// The answers of peers are waited for.
+    /// Waits for the answers of peers.
     AskingPeers,
-    /// Endpoints are probed; none has answered.
+    /// Probes endpoints; none can be used yet.
     Probing,
-    /// Endpoints answer; clients are admitted at a limited rate.
+    /// Endpoints can be used; clients are admitted at a limited rate.
     LimitingAdmission,
     /// The warm start is over.
     Normal,
@@ -35,7 +35,8 @@
         WarmStartStage::Normal,
     ];
 
-    /// The stage's name in the log, in metrics and in the status of a proxy.
+    /// The stage's name in the log, in metrics and in the status of a proxy. Operators' tools read these names, so they stay
+    /// as they are.
     pub fn name(self) -> &'static str {
         match self {
             WarmStartStage::NotStarted => "dark",
@@ -51,17 +52,18 @@
 /// How clients are admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ClientAdmission {
-    /// They wait in the kernel's accept queue: only while discovery is waited for, since a client's patience may be
-    /// shorter than that.
+    /// Clients wait in the kernel's accept queue. Used only while waiting for discovery: in a longer wait, clients might
+    /// time out.
     Queued,
-    /// Each is rejected at once and told to retry.
+    /// Each client is rejected at once and asked to retry.
     Rejected,
-    /// At the rate that the endpoints can take, in order of arrival.
+    /// Clients are admitted in order of arrival, at the rate that the endpoints can take.
     Limited,
-    /// Without limit.
+    /// Clients are admitted without a limit.
     Open,
 }
 
+/// Input of the stages' state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StageInput {
     /// The proxy has started.
@@ -80,27 +82,27 @@
     TimedOut,
 }
 
-/// What a transition does.
+/// What a transition does besides changing the stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StageAction {
-    /// Lets clients wait.
+    /// Leave clients in the accept queue.
     QueueClients,
-    /// Asks peers and rejects clients.
+    /// Ask peers and reject clients.
     AskPeers,
-    /// Begins to probe endpoints and rejects clients.
+    /// Start to probe endpoints and reject clients.
     BeginProbing,
-    /// Goes on probing and rejects clients.
+    /// Continue to probe endpoints and reject clients; ask peers again if no endpoint can be used.
     RejectClients,
-    /// Admits clients at a limited rate.
+    /// Admit clients at a limited rate, and probe the remaining endpoints.
     LimitClients,
-    /// Admits all clients.
+    /// Admit all clients.
     AdmitClients,
 }
 
-/// The next stage and what the transition does; `None` where the input changes nothing.
+/// The next stage and what the transition does; `None` if the input changes nothing in this stage.
 ///
-/// Every stage but the last has a deadline, and none waits for another proxy beyond its own: two proxies that wait for
-/// each other both go on.
+/// Every stage between the first and the last has a deadline, and none waits for another proxy any longer than that, so
+/// two proxies that wait for each other's answers both continue.
 fn transition(stage: WarmStartStage, input: StageInput) -> Option<(WarmStartStage, StageAction)> {
     use StageAction as Action;
     use StageInput as Input;
@@ -117,7 +119,7 @@
         (Probing, Input::WarmList) => Some((Normal, Action::AdmitClients)),
         (Probing, Input::ColdList) => Some((LimitingAdmission, Action::LimitClients)),
         (Probing, Input::EndpointUsable) => Some((LimitingAdmission, Action::LimitClients)),
-        // No endpoint answers yet: clients are still rejected, and probing goes on.
+        // No endpoint has answered yet, so clients are still rejected and probing continues.
         (Probing, Input::TimedOut) => Some((Probing, Action::RejectClients)),
         (LimitingAdmission, Input::WarmList) => Some((Normal, Action::AdmitClients)),
         (LimitingAdmission, Input::NoEndpointUsable) => Some((Probing, Action::RejectClients)),
@@ -126,28 +128,30 @@
     }
 }
 
-/// What an input led to.
+/// Result of an input that had an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StageTransition {
-    /// Whether the stage is another one than before.
+    /// Whether the stage is different from before; if not, only its deadline was renewed.
     pub(crate) changed: bool,
     pub(crate) action: StageAction,
 }
 
-/// The stage and its deadline.
+/// State machine of the stages.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StageMachine {
     pub(crate) stage: WarmStartStage,
-    /// Since when it is in this stage.
+    /// When it entered this stage.
     pub(crate) stage_since: Duration,
+    /// When this stage times out; `None` for a stage without a deadline.
     pub(crate) deadline: Option<Duration>,
+    /// The fault that the model checker injects; `None` for none.
     #[cfg(feature = "injected-faults")]
     pub(crate) injected_fault: Option<InjectedFault>,
 }
 
 impl StageMachine {
-    /// Handles an input; `None` where it changes nothing.
-    pub(crate) fn handle(
+    /// Applies an input; `None` if it changes nothing in the present stage.
+    pub(crate) fn apply(
         &mut self,
         now: Duration,
         input: StageInput,
@@ -156,7 +160,7 @@
         if is_injected!(self, LossOfLastEndpointIgnored) && input == StageInput::NoEndpointUsable {
             return None;
         }
-        let (next, action) = self.next(input, settings)?;
+        let (next, action) = self.next_stage(input, settings)?;
         let changed = next != self.stage;
         if changed {
             self.stage = next;
@@ -166,14 +170,14 @@
         Some(StageTransition { changed, action })
     }
 
-    /// The transition that an input leads to under these settings.
-    fn next(
+    /// The next stage and action under these settings.
+    fn next_stage(
         &self,
         input: StageInput,
         settings: &WarmStartSettings,
     ) -> Option<(WarmStartStage, StageAction)> {
         let (next, action) = transition(self.stage, input)?;
-        // Without peers there is nobody to ask.
+        // Without peers, the stage that asks them is skipped.
         if next == WarmStartStage::AskingPeers && !settings.has_peers {
             return Some((WarmStartStage::Probing, StageAction::BeginProbing));
         }
@@ -183,7 +187,7 @@
         Some((next, action))
     }
 
-    /// How long the present stage lasts if nothing ends it earlier; `None` for one without end.
+    /// How long the present stage lasts at most; `None` for a stage without a deadline.
     fn timeout(&self, settings: &WarmStartSettings) -> Option<Duration> {
         match self.stage {
             WarmStartStage::NotStarted | WarmStartStage::Normal => None,
--- a/crates/warm-start/src/warm_start.rs
+++ b/crates/warm-start/src/warm_start.rs
@@ -1,4 +1,4 @@
-//! The warm start as a proxy drives it: candidates and stages together.
+//! The warm start as the proxy drives it: passes inputs to candidates and stages, and collects the effects of both.
 
 use crate::WarmStartSettings;
 use crate::candidate::{DropReason, EndpointId, EndpointReport};
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Why the stage changed.
+/// Reason for a change of stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StageReason {
     /// The proxy has started.
@@ -22,18 +22,18 @@
     WarmList,
     /// All peers have answered or cannot be reached.
     PeerQueriesFinished,
-    /// The deadline of the stage before has passed.
+    /// The deadline of the previous stage has passed.
     TimedOut,
     /// An endpoint answered its probe.
     EndpointAnswered,
-    /// An endpoint could be used before probes began.
+    /// An endpoint could be used already when probing started.
     EndpointKnown,
     /// No endpoint can be used any more.
     NoEndpointUsable,
 }
 
 impl StageReason {
-    /// The reason's text in the log.
+    /// The reason's text in the log. Operators' tools match these texts, so they stay as they are.
     pub fn text(self) -> &'static str {
         match self {
             StageReason::Started => "started",
@@ -63,20 +63,20 @@
     }
 }
 
-/// What the caller has to do, in order.
+/// What the caller has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WarmStartEffect {
     /// Ask peers which endpoints answer them.
     AskPeers,
     /// Probe an endpoint.
     Probe(EndpointId),
-    /// Place sessions on an endpoint. Nobody said when it started, so it counts as just started.
+    /// Place sessions on an endpoint. When it started is not known, so it counts as just started.
     Use(EndpointId),
     /// Place no more sessions on an endpoint.
     Drop(EndpointId, DropReason),
     /// Admit clients this way from now on.
     Admit(ClientAdmission),
-    /// The stage changed.
+    /// Log that the stage changed, and why.
     StageChanged(WarmStartStage, StageReason),
 }
 
@@ -87,21 +87,21 @@
     candidates: EndpointCandidates,
     stages: StageMachine,
     effects: Vec<WarmStartEffect>,
-    /// Whether endpoints are probed yet.
-    is_probing: bool,
-    /// The fault that the model checker injects, if any.
+    /// Whether endpoints are probed: from the first time that probing or limited admission starts.
+    probing_started: bool,
+    /// The fault that the model checker injects; `None` for none.
     #[cfg(feature = "injected-faults")]
     pub injected_fault: Option<InjectedFault>,
 }
 
 impl WarmStart {
-    /// Begins a warm start, which waits for discovery first.
+    /// Starts a warm start, which waits for discovery first.
     pub fn new(now: Duration, settings: WarmStartSettings) -> WarmStart {
         let mut warm_start = WarmStart {
             settings,
             ..WarmStart::default()
         };
-        warm_start.advance(now, StageReason::Started);
+        warm_start.apply_stage_input(now, StageReason::Started);
         warm_start
     }
 
@@ -110,28 +110,28 @@
         self.stages.stage
     }
 
-    /// Since when it is in this stage.
+    /// When the present stage was entered.
     pub fn stage_since(&self) -> Duration {
         self.stages.stage_since
     }
 
-    /// The endpoints that were reported, and what is known of them.
+    /// The endpoints that were reported or listed, and what is known of them.
     pub fn candidates(&self) -> &EndpointCandidates {
         &self.candidates
     }
 
-    /// Takes out what there is to do, in order.
+    /// Removes and returns the effects of the inputs so far, in order.
     pub fn drain_effects(&mut self) -> std::vec::Drain<'_, WarmStartEffect> {
         self.effects.drain(..)
     }
 
-    /// Somebody other than discovery's current list reports an endpoint.
+    /// A source other than discovery's current list reports an endpoint.
     pub fn report(&mut self, now: Duration, report: EndpointReport) {
         self.candidates.report(now, report);
-        self.update(now);
+        self.process_candidates(now);
     }
 
-    /// Discovery lists an endpoint as ready, or as draining or gone.
+    /// Discovery's current list has an endpoint, as ready or (`ready` is false) as draining or gone.
     pub fn endpoint_listed(
         &mut self,
         now: Duration,
@@ -139,40 +139,40 @@
         address: SocketAddr,
         ready: bool,
     ) {
-        self.candidates.listed(now, id, address, ready);
-        self.update(now);
+        self.candidates.endpoint_listed(now, id, address, ready);
+        self.process_candidates(now);
         if ready {
-            self.advance(now, StageReason::EndpointListed);
+            self.apply_stage_input(now, StageReason::EndpointListed);
         }
     }
 
-    /// Discovery's list is complete with these endpoints, each of which came in by
-    /// [`endpoint_listed`](Self::endpoint_listed) before; all others are gone. `is_cold` says whether most of those that
-    /// are ready have just started.
+    /// Discovery's complete list consists of the endpoints in `listed`, each of which was already passed to
+    /// [`endpoint_listed`](Self::endpoint_listed); all others are gone. `is_cold` says whether most of the ready ones have
+    /// just started.
     pub fn list_completed(&mut self, now: Duration, listed: &[EndpointId], is_cold: bool) {
         self.candidates.retain_listed(now, listed);
-        self.update(now);
+        self.process_candidates(now);
         if is_cold {
-            self.advance(now, StageReason::ColdList);
+            self.apply_stage_input(now, StageReason::ColdList);
         } else {
-            self.advance(now, StageReason::WarmList);
+            self.apply_stage_input(now, StageReason::WarmList);
         }
     }
 
     /// All peers have answered or cannot be reached.
     pub fn peer_queries_finished(&mut self, now: Duration) {
-        self.advance(now, StageReason::PeerQueriesFinished);
+        self.apply_stage_input(now, StageReason::PeerQueriesFinished);
     }
 
-    /// The probe of an endpoint has ended.
+    /// The probe of an endpoint has ended; `answered` says whether it got an answer.
     pub fn probe_finished(&mut self, now: Duration, id: EndpointId, answered: bool) {
         self.candidates.probe_finished(now, id, answered);
-        self.update(now);
+        self.process_candidates(now);
     }
 
-    /// When [`handle_deadline`](Self::handle_deadline) is to be called next; `None` if only an input can change anything.
+    /// When [`handle_deadline`](Self::handle_deadline) is to be called next; `None` if nothing is due before the next input.
     pub fn next_deadline(&self) -> Option<Duration> {
-        let next_probe_at = if self.is_probing {
+        let next_probe_at = if self.probing_started {
             self.candidates.next_probe_at(self.settings.max_probes)
         } else {
             None
@@ -180,23 +180,23 @@
         self.stages.deadline.into_iter().chain(next_probe_at).min()
     }
 
-    /// Does what is due at `now`.
+    /// Handles the deadlines that have passed, and sends the probes that are due.
     pub fn handle_deadline(&mut self, now: Duration) {
         if self.stages.deadline.is_some_and(|deadline| deadline <= now) {
             self.stages.deadline = None;
-            self.advance(now, StageReason::TimedOut);
+            self.apply_stage_input(now, StageReason::TimedOut);
         }
-        self.update(now);
+        self.process_candidates(now);
     }
 
-    /// Sends the probes that are due and passes on what became of the candidates.
-    fn update(&mut self, now: Duration) {
+    /// Sends the probes that are due, passes on the effects of the candidates, and applies those that change the stage.
+    fn process_candidates(&mut self, now: Duration) {
         #[cfg(feature = "injected-faults")]
         {
             self.candidates.injected_fault = self.injected_fault;
             self.stages.injected_fault = self.injected_fault;
         }
-        if self.is_probing {
+        if self.probing_started {
             self.candidates.probe_due(now, self.settings.max_probes);
         }
         let mut any_answered = false;
@@ -216,16 +216,16 @@
             }
         }
         if any_answered {
-            self.advance(now, StageReason::EndpointAnswered);
+            self.apply_stage_input(now, StageReason::EndpointAnswered);
         }
         if any_lost && self.candidates.usable_count() == 0 {
-            self.advance(now, StageReason::NoEndpointUsable);
+            self.apply_stage_input(now, StageReason::NoEndpointUsable);
         }
     }
 
-    /// Handles an input of the stages and does what its transition asks for.
-    fn advance(&mut self, now: Duration, reason: StageReason) {
-        let transition = self.stages.handle(now, reason.input(), &self.settings);
+    /// Applies an input to the stages and performs the action of its transition.
+    fn apply_stage_input(&mut self, now: Duration, reason: StageReason) {
+        let transition = self.stages.apply(now, reason.input(), &self.settings);
         let Some(transition) = transition else {
             return;
         };
@@ -234,44 +234,44 @@
             self.effects
                 .push(WarmStartEffect::StageChanged(stage, reason));
         }
-        self.act(now, transition.action);
+        self.perform_action(now, transition.action);
     }
 
-    fn act(&mut self, now: Duration, action: StageAction) {
+    fn perform_action(&mut self, now: Duration, action: StageAction) {
         match action {
-            StageAction::QueueClients => self.admit(ClientAdmission::Queued),
+            StageAction::QueueClients => self.set_admission(ClientAdmission::Queued),
             StageAction::AskPeers => {
-                self.admit(ClientAdmission::Rejected);
+                self.set_admission(ClientAdmission::Rejected);
                 self.effects.push(WarmStartEffect::AskPeers);
             }
             StageAction::BeginProbing => {
-                self.is_probing = true;
-                self.admit(ClientAdmission::Rejected);
-                self.update(now);
-                // Discovery may have listed one before.
+                self.probing_started = true;
+                self.set_admission(ClientAdmission::Rejected);
+                self.process_candidates(now);
+                // Discovery may have listed an endpoint already.
                 if self.candidates.usable_count() > 0 {
-                    self.advance(now, StageReason::EndpointKnown);
+                    self.apply_stage_input(now, StageReason::EndpointKnown);
                 }
             }
             StageAction::RejectClients => {
-                // Peers may know by now what they did not know before.
+                // By now, peers may know endpoints that they did not know before.
                 if self.settings.has_peers && self.candidates.usable_count() == 0 {
                     self.effects.push(WarmStartEffect::AskPeers);
                 }
-                self.admit(ClientAdmission::Rejected);
-                self.update(now);
+                self.set_admission(ClientAdmission::Rejected);
+                self.process_candidates(now);
             }
             StageAction::LimitClients => {
-                // The remaining candidates are probed as well.
-                self.is_probing = true;
-                self.admit(ClientAdmission::Limited);
-                self.update(now);
+                // The remaining candidates are probed too.
+                self.probing_started = true;
+                self.set_admission(ClientAdmission::Limited);
+                self.process_candidates(now);
             }
-            StageAction::AdmitClients => self.admit(ClientAdmission::Open),
+            StageAction::AdmitClients => self.set_admission(ClientAdmission::Open),
         }
     }
 
-    fn admit(&mut self, admission: ClientAdmission) {
+    fn set_admission(&mut self, admission: ClientAdmission) {
         self.effects.push(WarmStartEffect::Admit(admission));
     }
 }
--- a/crates/warm-start/tests/golden.rs
+++ b/crates/warm-start/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Warm starts played by the build of commit 17cc2a9, kept as test data: the present code answers the same inputs with
-//! the same effects, stages, deadlines and texts. The traces under `golden/` never change.
+//! Compares warm starts with traces that the build of commit 17cc2a9 recorded: the same inputs must have the same effects,
+//! stages, deadlines and texts. The files in `golden/` never change, so their wording is that of the former build.
 
 use asterramp_warm_start::{
     CandidatePolicy, CandidateState, ClientAdmission, EndpointId, EndpointReport, EndpointSource,
@@ -24,7 +24,8 @@
     InformationAge::Old,
     InformationAge::Unknown,
 ];
-const HOSTS: EndpointId = 6;
+/// Endpoints in each trace, with the indices below this number.
+const ENDPOINT_COUNT: EndpointId = 6;
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -86,45 +87,45 @@
 }
 
 #[test]
-fn the_trust_in_each_source_by_age_is_as_before() {
+fn policy_for_each_source_and_age_matches_golden_file() {
     let mut table = String::new();
     for source in SOURCES {
         for age in AGES {
-            let worth = match candidate_policy(source, age) {
+            let policy = match candidate_policy(source, age) {
                 CandidatePolicy::Use => "usable".into(),
                 CandidatePolicy::Probe {
-                    forget_after: Some(span),
-                } => format!("probed for {} s", span.as_secs()),
+                    forget_after: Some(timeout),
+                } => format!("probed for {} s", timeout.as_secs()),
                 CandidatePolicy::Probe { forget_after: None } => "probed without end".into(),
                 CandidatePolicy::Ignore => "ignored".into(),
             };
-            writeln!(table, "{} {}: {worth}", source_name(source), age_name(age)).unwrap();
+            writeln!(table, "{} {}: {policy}", source_name(source), age_name(age)).unwrap();
         }
     }
     assert_golden("trust.txt", &table);
 }
 
 #[test]
-fn ages_are_judged_as_before() {
+fn ages_match_golden_file() {
     let now = Duration::from_secs(1_700_000_000);
     let mut table = format!("no time: {}\n", age_name(information_age(now, None)));
-    let ahead = [86_400_000, 5_001, 5_000, 1];
-    let behind = [
+    let ahead_ms = [86_400_000, 5_001, 5_000, 1];
+    let behind_ms = [
         0, 299_999, 300_000, 300_001, 86_399_999, 86_400_000, 86_400_001,
     ];
-    for span in ahead {
+    for offset in ahead_ms {
         writeln!(
             table,
-            "{span} ms ahead: {}",
-            age_name(information_age(now, Some(now + ms(span))))
+            "{offset} ms ahead: {}",
+            age_name(information_age(now, Some(now + ms(offset))))
         )
         .unwrap();
     }
-    for span in behind {
+    for offset in behind_ms {
         writeln!(
             table,
-            "{span} ms ago: {}",
-            age_name(information_age(now, Some(now - ms(span))))
+            "{offset} ms ago: {}",
+            age_name(information_age(now, Some(now - ms(offset))))
         )
         .unwrap();
     }
@@ -132,8 +133,8 @@
 }
 
 #[test]
-fn the_defaults_and_stage_names_are_as_before() {
-    let terms = WarmStartSettings::default();
+fn defaults_and_stage_names_are_unchanged() {
+    let settings = WarmStartSettings::default();
     let stages: Vec<&str> = WarmStartStage::ALL
         .iter()
         .map(|stage| stage.name())
@@ -150,24 +151,24 @@
         ]
     );
     assert_eq!(
-        (terms.discovery_timeout, terms.peer_timeout),
+        (settings.discovery_timeout, settings.peer_timeout),
         (ms(500), ms(500))
     );
     assert_eq!(
-        (terms.probe_timeout, terms.limited_admission_duration),
+        (settings.probe_timeout, settings.limited_admission_duration),
         (ms(2_000), ms(9_000))
     );
-    assert_eq!((terms.has_peers, terms.max_probes), (false, 32));
+    assert_eq!((settings.has_peers, settings.max_probes), (false, 32));
 }
 
 #[test]
-fn the_rate_of_admission_is_bit_for_bit_as_before() {
-    let cold = SlowStartProfile {
+fn admission_rate_is_bitwise_equal_to_golden_file() {
+    let common_profile = SlowStartProfile {
         initial_capacity: 0.31,
         warm_after: ms(8_900),
         overload_factor: 4.0,
     };
-    let zero = SlowStartProfile {
+    let immediate_profile = SlowStartProfile {
         initial_capacity: 0.0,
         warm_after: Duration::ZERO,
         overload_factor: 1.5,
@@ -176,9 +177,9 @@
         "connections that tell a share: {:016x}\n",
         MIN_CONNECTIONS_FOR_LOAD.to_bits()
     );
-    for cold in [cold, zero] {
-        for hosts in [0, 1, 7] {
-            for unit in [
+    for profile in [common_profile, immediate_profile] {
+        for endpoints in [0, 1, 7] {
+            for load_per_connection in [
                 None,
                 Some(0.03),
                 Some(0.0),
@@ -186,12 +187,15 @@
                 Some(9.0),
                 Some(1e-9),
             ] {
-                for (proxies, up) in [(0, ms(0)), (1, ms(100)), (6, ms(4_450)), (100, ms(60_000))] {
-                    let pace = admission_rate(cold, hosts, unit, proxies, up);
+                for (proxies, uptime) in
+                    [(0, ms(0)), (1, ms(100)), (6, ms(4_450)), (100, ms(60_000))]
+                {
+                    let rate =
+                        admission_rate(profile, endpoints, load_per_connection, proxies, uptime);
                     writeln!(
                         table,
-                        "{hosts} {unit:?} {proxies} {up:?}: {:016x}",
-                        pace.to_bits()
+                        "{endpoints} {load_per_connection:?} {proxies} {uptime:?}: {:016x}",
+                        rate.to_bits()
                     )
                     .unwrap();
                 }
@@ -201,10 +205,10 @@
     assert_golden("admission_rate.txt", &table);
 }
 
-/// A fixed sequence of pseudo-random numbers (Knuth's MMIX constants), so that a trace can be played again.
-struct Sequence(u64);
+/// A generator of pseudo-random numbers (Knuth's MMIX constants) whose sequence is the same in every run.
+struct PseudoRandom(u64);
 
-impl Sequence {
+impl PseudoRandom {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
@@ -214,125 +218,133 @@
     }
 }
 
-/// Hosts 4 and 5 share the addresses of hosts 0 and 1.
+/// Endpoints 4 and 5 have the addresses of endpoints 0 and 1.
 fn address(id: EndpointId) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 4000 + (id % 4) as u16))
 }
 
+/// A warm start with pseudo-random inputs, and its trace so far.
 struct Trace {
     now: Duration,
-    start: WarmStart,
+    warm_start: WarmStart,
+    /// Endpoints with a probe in flight.
     probed: Vec<EndpointId>,
     text: String,
 }
 
 impl Trace {
-    fn new(others: bool) -> Trace {
-        let terms = WarmStartSettings {
-            has_peers: others,
+    fn new(has_peers: bool) -> Trace {
+        let settings = WarmStartSettings {
+            has_peers,
             max_probes: 2,
             ..WarmStartSettings::default()
         };
         let now = ms(1_000);
-        let start = WarmStart::new(now, terms);
+        let warm_start = WarmStart::new(now, settings);
         let mut trace = Trace {
             now,
-            start,
+            warm_start,
             probed: Vec::new(),
             text: String::new(),
         };
-        trace.note("begun");
+        trace.record("begun");
         trace
     }
 
-    /// Plays one pseudo-random input; deadlines are served as they come.
-    fn step(&mut self, sequence: &mut Sequence) {
-        let span = ms([0, 0, 1, 50, 250, 900][sequence.below(6) as usize]);
-        self.pass(span);
-        let id = sequence.below(u64::from(HOSTS)) as EndpointId;
-        match sequence.below(16) {
+    /// Lets a pseudo-random time pass and feeds in one pseudo-random input.
+    fn step(&mut self, random: &mut PseudoRandom) {
+        let elapsed = ms([0, 0, 1, 50, 250, 900][random.below(6) as usize]);
+        self.advance_time(elapsed);
+        let id = random.below(u64::from(ENDPOINT_COUNT)) as EndpointId;
+        match random.below(16) {
             0..=4 => {
-                let source = SOURCES[sequence.below(4) as usize];
-                let age = AGES[sequence.below(3) as usize];
-                let rev = sequence.below(3);
-                self.start.report(
+                let source = SOURCES[random.below(4) as usize];
+                let age = AGES[random.below(3) as usize];
+                let list_revision = random.below(3);
+                self.warm_start.report(
                     self.now,
                     EndpointReport {
                         id,
                         address: address(id),
                         source,
                         age,
-                        list_revision: rev,
+                        list_revision,
                     },
                 );
-                self.note(&format!(
-                    "word {id} {} {} rev {rev}",
+                self.record(&format!(
+                    "word {id} {} {} rev {list_revision}",
                     source_name(source),
                     age_name(age)
                 ));
             }
-            5..=9 => self.answer(sequence),
+            5..=9 => self.end_probe(random),
             10 => {
-                let ready = sequence.below(2) == 0;
-                self.start.endpoint_listed(self.now, id, address(id), ready);
-                self.note(&format!("discovery {id} ready={ready}"));
+                let ready = random.below(2) == 0;
+                self.warm_start
+                    .endpoint_listed(self.now, id, address(id), ready);
+                self.record(&format!("discovery {id} ready={ready}"));
             }
             11 => {
-                let listed: Vec<EndpointId> =
-                    (0..HOSTS).filter(|_| sequence.below(2) == 0).collect();
-                let cold = sequence.below(4) != 0;
-                self.start.list_completed(self.now, &listed, cold);
-                self.note(&format!("discovery's list {listed:?} cold={cold}"));
+                let listed: Vec<EndpointId> = (0..ENDPOINT_COUNT)
+                    .filter(|_| random.below(2) == 0)
+                    .collect();
+                let is_cold = random.below(4) != 0;
+                self.warm_start.list_completed(self.now, &listed, is_cold);
+                self.record(&format!("discovery's list {listed:?} cold={is_cold}"));
             }
             12 => {
-                self.start.peer_queries_finished(self.now);
-                self.note("peers asked");
+                self.warm_start.peer_queries_finished(self.now);
+                self.record("peers asked");
             }
-            _ => self.pass(ms(100 * sequence.below(40))),
+            _ => self.advance_time(ms(100 * random.below(40))),
         }
     }
 
-    fn answer(&mut self, sequence: &mut Sequence) {
+    /// Ends one of the probes in flight, with or without an answer.
+    fn end_probe(&mut self, random: &mut PseudoRandom) {
         if self.probed.is_empty() {
             return;
         }
-        let nth = sequence.below(self.probed.len() as u64) as usize;
-        let id = self.probed.remove(nth);
-        let well = sequence.below(3) == 0;
-        self.start.probe_finished(self.now, id, well);
-        self.note(&format!("answer {id} well={well}"));
+        let index = random.below(self.probed.len() as u64) as usize;
+        let id = self.probed.remove(index);
+        let answered = random.below(3) == 0;
+        self.warm_start.probe_finished(self.now, id, answered);
+        self.record(&format!("answer {id} well={answered}"));
     }
 
-    fn pass(&mut self, span: Duration) {
-        let end = self.now + span;
-        while let Some(due) = self.start.next_deadline().filter(|due| *due <= end) {
+    /// Advances the time, and handles each deadline that passes.
+    fn advance_time(&mut self, elapsed: Duration) {
+        let end = self.now + elapsed;
+        while let Some(due) = self.warm_start.next_deadline().filter(|due| *due <= end) {
             self.now = self.now.max(due);
-            self.start.handle_deadline(self.now);
-            self.note("due");
+            self.warm_start.handle_deadline(self.now);
+            self.record("due");
         }
         self.now = end;
     }
 
-    /// Writes down an input, its effects, and what can be seen of the start after it.
-    fn note(&mut self, input: &str) {
+    /// Adds an input to the trace, with its effects and the visible state after it.
+    fn record(&mut self, input: &str) {
         writeln!(self.text, "{} ms {input}", self.now.as_millis()).unwrap();
-        let effects: Vec<WarmStartEffect> = self.start.drain_effects().collect();
+        let effects: Vec<WarmStartEffect> = self.warm_start.drain_effects().collect();
         for effect in &effects {
             writeln!(self.text, "  {}", effect_line(effect)).unwrap();
             if let WarmStartEffect::Probe(id) = effect {
                 self.probed.push(*id);
             }
         }
-        let hosts = self.start.candidates();
-        let states: Vec<&str> = (0..HOSTS).map(|id| state_name(hosts.state(id))).collect();
+        let candidates = self.warm_start.candidates();
+        let states: Vec<&str> = (0..ENDPOINT_COUNT)
+            .map(|id| state_name(candidates.state(id)))
+            .collect();
         let sources: Vec<String> = SOURCES
             .iter()
-            .map(|source| counts_text(hosts.source_counts(*source)))
+            .map(|source| counts_text(candidates.source_counts(*source)))
             .collect();
-        let stage = self.start.stage().name();
-        let since = self.start.stage_since().as_millis();
-        let due = self.start.next_deadline().map(|due| due.as_millis());
-        let (usable, dropped) = (hosts.usable_count(), hosts.dropped_count());
+        let stage = self.warm_start.stage().name();
+        let since = self.warm_start.stage_since().as_millis();
+        let due = self.warm_start.next_deadline().map(|due| due.as_millis());
+        let (usable, dropped) = (candidates.usable_count(), candidates.dropped_count());
         let (states, sources) = (states.join(","), sources.join(""));
         writeln!(self.text, "  {stage} since {since} due {due:?}; {states}; {sources}; {usable} usable, {dropped} dropped").unwrap();
     }
@@ -340,29 +352,29 @@
 
 #[test_case("starts_alone.txt", false)]
 #[test_case("starts_with_peers.txt", true)]
-fn starts_go_as_before(name: &str, others: bool) {
+fn warm_starts_match_golden_traces(name: &str, has_peers: bool) {
     let mut text = String::new();
     for seed in 0..6 {
-        let mut sequence = Sequence(seed);
-        let mut trace = Trace::new(others);
+        let mut random = PseudoRandom(seed);
+        let mut trace = Trace::new(has_peers);
         for _ in 0..40 {
-            trace.step(&mut sequence);
+            trace.step(&mut random);
         }
         writeln!(text, "seed {seed}\n{}", trace.text).unwrap();
     }
     assert_golden(name, &text);
 }
 
-/// A longer play of many seeds is kept by its checksum alone.
+/// Only the checksum of these longer traces of many seeds is kept.
 #[test]
-fn many_starts_go_as_before() {
+fn many_warm_starts_match_golden_checksum() {
     let mut checksum: u64 = 0xcbf2_9ce4_8422_2325;
     let mut lines = 0;
     for seed in 0..400 {
-        let mut sequence = Sequence(1_000 + seed);
+        let mut random = PseudoRandom(1_000 + seed);
         let mut trace = Trace::new(seed % 2 == 0);
         for _ in 0..120 {
-            trace.step(&mut sequence);
+            trace.step(&mut random);
         }
         lines += trace.text.lines().count();
         // FNV-1a.
