--- a/crates/leader-lease/src/contender.rs
+++ b/crates/leader-lease/src/contender.rs
@@ -1,4 +1,4 @@
-//! The contender's side: when one process may lead, and until when.
+//! The contender's side: when a process may lead, and until when it may give orders.
 
 #[cfg(feature = "injected-faults")]
 use crate::injected_fault::InjectedFault;
@@ -6,22 +6,22 @@
 use asterramp_injected_faults::is_injected;
 use std::time::Duration;
 
-/// Where a contender stands.
+/// State of a contender.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum LeaseState {
-    /// It has no node in the queue, as far as it knows.
+    /// It has no node in the queue at the store, as far as it knows.
     #[default]
     NotQueued,
     /// Its node is in the queue behind another.
     Queued,
-    /// Its node is first, and it waits until no order of its predecessor can count.
+    /// Its node is first, and it waits until no order of its predecessor can be accepted any more.
     AwaitingPredecessor,
-    /// It leads while its lease lasts.
+    /// It is the leader, but may give orders only while its lease lasts.
     Leader,
 }
 
 impl LeaseState {
-    /// The state as the command line prints it.
+    /// The state's name, as the command line prints it. Operators' tools read these names, so they stay as they are.
     pub fn name(self) -> &'static str {
         match self {
             LeaseState::NotQueued => "away",
@@ -32,26 +32,27 @@
     }
 }
 
-/// The spans of a lease.
+/// The durations from which the end of a lease is computed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseSettings {
-    /// Time after which the store ends a session that sends nothing.
+    /// Time after which the store ends a session that has sent no request.
     pub session_timeout: Duration,
-    /// How much sooner than the session a lease ends. It bounds by how much the clocks of contender and store may drift
-    /// apart in one `session_timeout`, so it must be below that.
+    /// How much sooner than the session a lease ends; must be less than `session_timeout`. The clocks of contender and store
+    /// may drift apart by at most this much in one `session_timeout`.
     pub clock_margin: Duration,
 }
 
-/// What a leader's order is for.
+/// Purpose of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderPurpose {
-    /// Only to make the new term known, so that the receiver rejects the predecessor's orders. It needs no lead yet.
+    /// Only announces the new term, so that the receiver rejects the predecessor's orders. A contender may give it before
+    /// it is the leader.
     AnnounceTerm,
-    /// To have something done.
+    /// Commands the receiver to do something.
     Command,
 }
 
-/// One contender for the lead.
+/// One contender for leadership.
 ///
 /// | state | input | next state | effect |
 /// | --- | --- | --- | --- |
@@ -61,24 +62,24 @@
 /// | `AwaitingPredecessor`, `Leader` | `queue_head_read` is its own term | same | |
 /// | not `NotQueued` | `queue_head_read` is another's term | `Queued` | |
 /// | `AwaitingPredecessor` | [`all_receivers_accepted_term`](Self::all_receivers_accepted_term) | `Leader` | |
-/// | `AwaitingPredecessor` | [`tick`](Self::tick) at the end of the wait | `Leader` | |
+/// | `AwaitingPredecessor` | [`tick`](Self::tick) after the end of the wait | `Leader` | |
 /// | any | [`session_expired`](Self::session_expired) | `NotQueued` | |
 #[derive(Clone, Debug)]
 pub struct LeaseContender {
     settings: LeaseSettings,
     state: LeaseState,
     term: Term,
-    /// Until when it may act.
+    /// Until when it may give orders.
     lease_expires_at: Duration,
-    /// When the wait for the predecessor ends, though not all receivers know the new term.
+    /// When the wait for the predecessor ends even if not all receivers have accepted the new term.
     wait_ends_at: Duration,
-    /// The fault that the model checker has injected.
+    /// The fault that the model checker injects; `None` for none.
     #[cfg(feature = "injected-faults")]
     pub injected_fault: Option<InjectedFault>,
 }
 
-/// How long an order lasts that has no end in practice; only for an injected fault.
-const UNBOUNDED: Duration = Duration::from_secs(1 << 20);
+/// Validity of orders that in practice never expire (12 days), for the injected fault `OrdersNeverExpire`.
+const UNBOUNDED_VALIDITY: Duration = Duration::from_secs(1 << 20);
 
 impl LeaseContender {
     /// A contender that has not queued yet.
@@ -94,22 +95,23 @@
         }
     }
 
-    /// Where it stands, as of the last input.
+    /// The state as of the last input. A leader in this state may have an expired lease: see
+    /// [`holds_valid_lease`](Self::holds_valid_lease).
     pub fn state(&self) -> LeaseState {
         self.state
     }
 
-    /// The term of its node, [`NO_TERM`] before it has queued. It stays after the session has expired.
+    /// The term of its node; [`NO_TERM`] before it has first queued. Kept after the session has expired.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Whether it may act at `now`: it leads and its lease lasts.
+    /// Whether it may command receivers at `now`: it is the leader and its lease has not expired.
     pub fn holds_valid_lease(&self, now: Duration) -> bool {
         self.state == LeaseState::Leader && now < self.lease_expires_at
     }
 
-    /// Its node exists with this term, by the store's answer to a request sent at `sent_at`.
+    /// The store has answered a request sent at `sent_at` that its node exists with this term.
     pub fn joined_queue(&mut self, now: Duration, sent_at: Duration, term: Term) {
         self.state = LeaseState::Queued;
         self.term = term;
@@ -118,7 +120,7 @@
 
     /// The store has answered a request sent at `sent_at`, which renews the lease.
     ///
-    /// The store read the request at `sent_at` or later, so the session lasts at least one timeout from then.
+    /// The store received the request at `sent_at` or later, so the session lasts at least one timeout from `sent_at`.
     pub fn store_answered(&mut self, now: Duration, sent_at: Duration) {
         if self.state == LeaseState::NotQueued {
             return;
@@ -137,13 +139,13 @@
         self.lease_expires_at = self.lease_expires_at.max(expires_at);
     }
 
-    /// The lowest term in the queue, by the store's answer.
+    /// The store has answered that `head` is the lowest term in the queue.
     pub fn queue_head_read(&mut self, now: Duration, head: Term) {
         let is_first = head == self.term || is_injected!(self, AnyQueuedLeads);
         self.state = match (self.state, is_first) {
             (LeaseState::NotQueued, _) => LeaseState::NotQueued,
             (LeaseState::Queued, true) => {
-                // The predecessor's node may have been removed before its lease was over.
+                // The predecessor's node may have been removed before its lease expired.
                 self.wait_ends_at = now + self.settings.session_timeout;
                 if is_injected!(self, LeadsAtOnce) {
                     LeaseState::Leader
@@ -157,31 +159,31 @@
         };
     }
 
-    /// Every receiver has accepted this term, so that none accepts an order of a predecessor any more.
+    /// Every receiver has accepted this contender's term, so that none accepts an order of a predecessor any more.
     pub fn all_receivers_accepted_term(&mut self) {
         if self.state == LeaseState::AwaitingPredecessor {
             self.state = LeaseState::Leader;
         }
     }
 
-    /// The session has expired at the store, and its node with it.
+    /// The session has expired at the store, which has removed the contender's node.
     pub fn session_expired(&mut self) {
         if !is_injected!(self, IgnoresSessionExpiry) {
             self.state = LeaseState::NotQueued;
         }
     }
 
-    /// Ends the wait for the predecessor once it has lasted a whole session timeout. May be called at any time.
+    /// Ends the wait for the predecessor after a whole session timeout. May be called at any time.
     pub fn tick(&mut self, now: Duration) {
         if self.state == LeaseState::AwaitingPredecessor && now >= self.wait_ends_at {
             self.state = LeaseState::Leader;
         }
     }
 
-    /// The token of an order made at `now` for the receiver whose clock this contender read at `read_at`.
+    /// The token for an order given at `now` to the receiver whose clock this contender read at `read_at`.
     ///
-    /// The order ends with the lease. `None` if the contender may not give it: it neither leads nor, for
-    /// [`OrderPurpose::AnnounceTerm`], waits for its predecessor, or its lease is over.
+    /// The order expires with the lease. `None` if the contender may not give it, because its lease has expired or it is
+    /// not the leader. For [`OrderPurpose::AnnounceTerm`] it may also be waiting for its predecessor.
     pub fn order(
         &mut self,
         now: Duration,
@@ -210,7 +212,7 @@
         })
     }
 
-    /// The end of the lease by a receiver's clock. The receiver read its clock before this contender had the reading at
+    /// The end of the lease by a receiver's clock. The receiver read its clock before this contender got the reading at
     /// `read_at`, so the result is never too late.
     fn expiry_by_receiver(
         &self,
@@ -222,15 +224,15 @@
             return lease_expires_at;
         }
         let remaining = if is_injected!(self, OrdersNeverExpire) {
-            UNBOUNDED
+            UNBOUNDED_VALIDITY
         } else {
             lease_expires_at.saturating_sub(read_at)
         };
         receiver.now + remaining
     }
 
-    /// Everything it knows, with times relative to `now`: equal for contenders that will behave alike. The model checker
-    /// compares contenders by it.
+    /// The whole state as text, with times relative to `now`: two contenders with equal keys behave alike. The model checker
+    /// uses it to recognise states that it has already explored.
     pub fn state_key(&self, now: Duration) -> String {
         let lease_remaining = self.lease_expires_at.saturating_sub(now).as_millis();
         let wait_remaining = self.wait_ends_at.saturating_sub(now).as_millis();
--- a/crates/leader-lease/src/fence.rs
+++ b/crates/leader-lease/src/fence.rs
@@ -1,4 +1,4 @@
-//! The receiver's side: which orders of which leader still count.
+//! The receiver's side: which orders are accepted, and which are rejected as stale.
 
 #[cfg(feature = "injected-faults")]
 use crate::injected_fault::InjectedFault;
@@ -8,41 +8,42 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A receiver's clock as a leader has read it, so that an order can state its end in the receiver's time.
+/// A reading of a receiver's clock, by which a leader states when its order expires in the receiver's time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ReceiverClock {
-    /// The receiver's process: another after each start.
+    /// Number of the receiver's process; different after each start.
     pub incarnation: u64,
-    /// The time since that process's clock began.
+    /// Time since that process's clock began.
     pub now: Duration,
 }
 
-/// What an order carries beside what is ordered, for the receiver to tell whether it still counts.
+/// The part of an order by which the receiver decides whether to accept it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FencingToken {
     /// The term of the leader that gave the order.
     pub term: Term,
-    /// The process of the receiver for which it was made.
+    /// The process of the receiver for which the order was made.
     pub incarnation: u64,
-    /// When the order ends, by that process's clock. At that time it counts no more.
+    /// When the order expires, by that process's clock. An order that arrives at this time is already rejected.
     pub expires_at: Duration,
 }
 
-/// Why a receiver rejects an order.
+/// Why a receiver rejected an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderRejection {
     /// An order of a later leader has been accepted.
     StaleTerm,
-    /// The order came at its end or after it.
+    /// The order arrived when it had expired.
     Expired,
     /// The order was made for an earlier process of this receiver.
     OtherIncarnation,
-    /// The order has [`NO_TERM`].
+    /// The order's term is [`NO_TERM`].
     NoTerm,
 }
 
 impl OrderRejection {
-    /// The reason as the sender of the order and the log read it.
+    /// The reason, as it is sent back to the leader and logged. Operators' tools match these texts, so they stay as they
+    /// are.
     pub fn reason(self) -> &'static str {
         match self {
             OrderRejection::StaleTerm => "a later owner has been heard",
@@ -61,15 +62,15 @@
 
 impl Error for OrderRejection {}
 
-/// Decides for one process of a receiver which orders still count.
+/// Decides for one process of a receiver which orders it accepts.
 ///
-/// It needs no connection to the store: terms grow, so that an order of a former leader is known by its term as soon as the
-/// successor has been heard, and by its end before that.
+/// It needs no connection to the store. Terms only grow, so an order of a former leader is rejected by its term once an
+/// order of the successor has been accepted, and before that by its expiry.
 #[derive(Clone, Debug, Default)]
 pub struct FencingGuard {
     incarnation: u64,
     highest_term: Term,
-    /// The fault that the model checker has injected.
+    /// The fault that the model checker injects; `None` for none.
     #[cfg(feature = "injected-faults")]
     pub injected_fault: Option<InjectedFault>,
 }
@@ -77,8 +78,8 @@
 impl FencingGuard {
     /// The guard of a process that has just started.
     ///
-    /// `highest_term` is the highest term that earlier processes of this receiver accepted and kept, [`NO_TERM`] where
-    /// nothing is kept.
+    /// `highest_term` is the highest term that earlier processes of this receiver accepted and saved; [`NO_TERM`] if none is
+    /// saved.
     pub fn new(incarnation: u64, highest_term: Term) -> FencingGuard {
         FencingGuard {
             incarnation,
@@ -88,12 +89,12 @@
         }
     }
 
-    /// The highest term of an accepted order. It should outlive the process: see [`FencingGuard::new`].
+    /// The highest term of an accepted order. The caller should save it for the next process: see [`FencingGuard::new`].
     pub fn highest_term(&self) -> Term {
         self.highest_term
     }
 
-    /// What a leader has to know of this receiver before it gives an order.
+    /// The clock reading that a leader needs before it gives this receiver an order.
     pub fn clock(&self, now: Duration) -> ReceiverClock {
         ReceiverClock {
             incarnation: self.incarnation,
@@ -101,11 +102,11 @@
         }
     }
 
-    /// Accepts an order that still counts at `now`, and keeps its term as the highest.
+    /// Accepts an order that is valid at `now`, and records its term as the highest.
     ///
     /// # Errors
     ///
-    /// The first that holds of: no term, made for another process, expired, of a former leader.
+    /// The first of these that applies: no term, made for another process, expired, from a former leader.
     pub fn check(&mut self, now: Duration, token: &FencingToken) -> Result<(), OrderRejection> {
         if token.term == NO_TERM {
             return Err(OrderRejection::NoTerm);
--- a/crates/leader-lease/src/lib.rs
+++ b/crates/leader-lease/src/lib.rs
@@ -1,14 +1,14 @@
 //! Leader election by a lease at a coordination store, and fencing of a former leader's orders. No I/O and no clock.
 //!
-//! One process at a time may do work on behalf of the whole fleet. Each that wants to is a [`LeaseContender`]: it queues at
-//! the store with an ephemeral node, leads once that node is first, and stops by itself before its successor can begin.
-//! Each receiver of orders holds a [`FencingGuard`], which rejects orders that reach it after their time, from a leader
-//! that has been succeeded, or that were made for another process. `docs/leader-lease.md` says which of the two prevents
+//! One process at a time may do work on behalf of the whole fleet. Each candidate is a [`LeaseContender`]: it queues at the
+//! store with an ephemeral node, leads once that node is first, and stops by itself before its successor can begin. Each
+//! receiver of orders has a [`FencingGuard`], which rejects orders that arrive after their expiry, that are from a leader
+//! with a successor, or that were made for another process. `docs/leader-lease.md` explains which of the two prevents
 //! which case.
 //!
-//! Times are a [`Duration`](std::time::Duration) since the start of whichever process reads its clock. A contender and a
-//! receiver have different clocks; the only value that goes from one to the other is [`FencingToken::expires_at`], which is
-//! in the receiver's time.
+//! Times are a [`Duration`](std::time::Duration) since the start of the process whose clock is read. A contender and a
+//! receiver have different clocks; the only time that a contender passes to a receiver is [`FencingToken::expires_at`],
+//! which is in the receiver's time.
 
 mod contender;
 mod fence;
@@ -20,9 +20,9 @@
 #[cfg(feature = "injected-faults")]
 pub use injected_fault::InjectedFault;
 
-/// A leader's fencing number: the store's change number at which its node was created.
+/// A leader's fencing number: the store's transaction number at which its node was created.
 ///
-/// Terms only grow, so that a successor's is above its predecessor's. [`NO_TERM`] is nobody's.
+/// Terms only grow, so a successor's term is greater than its predecessor's. No leader has [`NO_TERM`].
 pub type Term = u64;
 
 /// The term of a contender that has not queued yet, and of a receiver that has accepted no order.
--- a/crates/leader-lease/tests/contender.rs
+++ b/crates/leader-lease/tests/contender.rs
@@ -1,4 +1,4 @@
-//! The contender's state table, its lease and the ends of its orders.
+//! State transitions of a contender, the end of its lease, and the expiry of its orders.
 
 use asterramp_leader_lease::{
     LeaseContender, LeaseSettings, LeaseState, NO_TERM, OrderPurpose, ReceiverClock,
@@ -10,7 +10,7 @@
     clock_margin: Duration::from_secs(1),
 };
 const TERM: u64 = 7;
-/// The clock of a receiver that has run for an hour.
+/// The clock of a receiver that has been running for an hour.
 const RECEIVER: ReceiverClock = ReceiverClock {
     incarnation: 3,
     now: Duration::from_secs(3_600),
@@ -27,21 +27,22 @@
     contender
 }
 
-/// One whose node is the first, by an answer at 10 s.
-fn awaiting() -> LeaseContender {
+/// A contender that learnt at 10 s that its node is the first.
+fn awaiting_predecessor() -> LeaseContender {
     let mut contender = queued();
     contender.queue_head_read(at(10), TERM);
     contender
 }
 
+/// A contender that leads since 10 s, with a lease until 12 s.
 fn leader() -> LeaseContender {
-    let mut contender = awaiting();
+    let mut contender = awaiting_predecessor();
     contender.all_receivers_accepted_term();
     contender
 }
 
 #[test]
-fn a_new_contender_has_no_term_and_no_lease() {
+fn new_contender_has_no_term_and_no_lease() {
     let mut contender = LeaseContender::new(SETTINGS);
     assert_eq!(contender.state(), LeaseState::NotQueued);
     assert_eq!(contender.term(), NO_TERM);
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn a_contender_behind_another_only_waits() {
+fn contender_behind_another_stays_queued() {
     let mut contender = queued();
     contender.queue_head_read(at(10), TERM - 1);
     contender.all_receivers_accepted_term();
@@ -61,16 +62,16 @@
 }
 
 #[test]
-fn the_first_leads_once_all_receivers_know_its_term() {
-    let mut contender = awaiting();
+fn first_contender_leads_once_all_receivers_accepted_its_term() {
+    let mut contender = awaiting_predecessor();
     assert_eq!(contender.state(), LeaseState::AwaitingPredecessor);
     contender.all_receivers_accepted_term();
     assert_eq!(contender.state(), LeaseState::Leader);
 }
 
 #[test]
-fn the_first_leads_once_its_predecessors_session_must_have_ended() {
-    let mut contender = awaiting();
+fn first_contender_leads_once_its_predecessors_session_must_have_expired() {
+    let mut contender = awaiting_predecessor();
     contender.tick(at(14) - Duration::from_millis(1));
     assert_eq!(contender.state(), LeaseState::AwaitingPredecessor);
     contender.tick(at(14));
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn a_leader_that_is_not_the_first_any_more_queues_again() {
+fn leader_that_is_no_longer_first_is_queued_again() {
     let mut contender = leader();
     contender.queue_head_read(at(11), TERM);
     assert_eq!(contender.state(), LeaseState::Leader);
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn an_expired_session_ends_the_lead_and_keeps_the_term() {
+fn expired_session_ends_leadership_and_keeps_the_term() {
     let mut contender = leader();
     contender.session_expired();
     assert_eq!(contender.state(), LeaseState::NotQueued);
@@ -95,14 +96,14 @@
 }
 
 #[test]
-fn a_lease_is_counted_from_the_request_and_ends_by_the_margin_earlier() {
+fn lease_starts_at_the_request_and_is_shortened_by_the_clock_margin() {
     let contender = leader();
     assert!(contender.holds_valid_lease(at(12) - Duration::from_millis(1)));
     assert!(!contender.holds_valid_lease(at(12)));
 }
 
 #[test]
-fn a_late_answer_to_an_early_request_does_not_shorten_the_lease() {
+fn late_answer_to_an_early_request_does_not_shorten_the_lease() {
     let mut contender = leader();
     contender.store_answered(at(11), at(5));
     assert!(contender.holds_valid_lease(at(11)));
@@ -111,19 +112,19 @@
 }
 
 #[test]
-fn an_order_ends_with_the_lease_by_the_receivers_clock() {
+fn order_expires_with_the_lease_by_the_receivers_clock() {
     let mut contender = leader();
     let token = contender
         .order(at(11), RECEIVER, at(10), OrderPurpose::Command)
-        .expect("it leads");
+        .expect("the contender leads");
     assert_eq!(token.term, TERM);
     assert_eq!(token.incarnation, RECEIVER.incarnation);
-    // The lease ends at 12 s, two seconds after the clock was read.
+    // The lease ends at 12 s, two seconds after the receiver's clock was read.
     assert_eq!(token.expires_at, RECEIVER.now + at(2));
 }
 
 #[test]
-fn no_order_is_made_after_the_lease() {
+fn no_order_is_given_after_the_lease() {
     let mut contender = leader();
     for purpose in [OrderPurpose::AnnounceTerm, OrderPurpose::Command] {
         assert_eq!(contender.order(at(12), RECEIVER, at(11), purpose), None);
@@ -131,8 +132,8 @@
 }
 
 #[test]
-fn before_it_leads_a_contender_may_only_announce_its_term() {
-    let mut contender = awaiting();
+fn contender_may_only_announce_its_term_before_it_leads() {
+    let mut contender = awaiting_predecessor();
     let command = contender.order(at(11), RECEIVER, at(11), OrderPurpose::Command);
     assert_eq!(command, None);
     let announcement = contender.order(at(11), RECEIVER, at(11), OrderPurpose::AnnounceTerm);
--- a/crates/leader-lease/tests/fence.rs
+++ b/crates/leader-lease/tests/fence.rs
@@ -1,11 +1,11 @@
-//! Which orders a receiver accepts.
+//! Which orders a receiver accepts, and why it rejects others.
 
 use asterramp_leader_lease::{FencingGuard, FencingToken, NO_TERM, OrderRejection};
 use std::time::Duration;
 
 const INCARNATION: u64 = 3;
 const NOW: Duration = Duration::from_secs(100);
-/// An order that counts.
+/// The token of an order that is accepted at [`NOW`].
 const VALID: FencingToken = FencingToken {
     term: 7,
     incarnation: INCARNATION,
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn a_valid_order_is_accepted_again_and_again_and_its_term_kept() {
+fn valid_order_is_accepted_repeatedly_and_its_term_recorded() {
     let mut guard = FencingGuard::new(INCARNATION, NO_TERM);
     assert_eq!(guard.check(NOW, &VALID), Ok(()));
     assert_eq!(guard.check(NOW, &VALID), Ok(()));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn each_reason_of_rejection_leaves_the_highest_term() {
+fn rejected_order_does_not_change_the_highest_term() {
     let cases = [
         (
             FencingToken {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_later_leader_fences_off_the_former_one() {
+fn order_of_a_later_leader_fences_off_the_former_one() {
     let mut guard = FencingGuard::new(INCARNATION, NO_TERM);
     let successor = FencingToken { term: 8, ..VALID };
     assert_eq!(guard.check(NOW, &VALID), Ok(()));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_restarted_receiver_keeps_the_highest_term_and_rejects_orders_for_its_predecessor() {
+fn restarted_receiver_keeps_the_highest_term_and_rejects_orders_for_its_former_process() {
     let mut guard = FencingGuard::new(INCARNATION, NO_TERM);
     assert_eq!(guard.check(NOW, &VALID), Ok(()));
     let mut guard = FencingGuard::new(INCARNATION + 1, guard.highest_term());
--- a/crates/leader-lease/tests/golden.rs
+++ b/crates/leader-lease/tests/golden.rs
@@ -1,6 +1,6 @@
-//! What operators read of a contender and a fence, and how both decide, as the build at 17cc2a9 did.
+//! Compares texts and decisions of a contender and a fencing guard with those that the build of commit 17cc2a9 recorded.
 //!
-//! The files in `golden` were made by that build and do not change, except that this test follows names.
+//! The files in `golden/` never change, so their wording is that of the former build.
 
 use asterramp_leader_lease::{
     FencingGuard, FencingToken, LeaseContender, LeaseSettings, LeaseState, NO_TERM, OrderPurpose,
@@ -8,7 +8,7 @@
 };
 use std::time::Duration;
 
-/// Steps of a transcript.
+/// Number of steps in each transcript.
 const STEPS: usize = 600;
 const SETTINGS: LeaseSettings = LeaseSettings {
     session_timeout: Duration::from_millis(4_000),
@@ -16,7 +16,7 @@
 };
 
 #[test]
-fn state_names() {
+fn state_names_are_unchanged() {
     let states = [
         LeaseState::NotQueued,
         LeaseState::Queued,
@@ -31,8 +31,8 @@
 }
 
 #[test]
-fn reasons_of_refusals() {
-    let refusals = [
+fn rejection_reasons_are_unchanged() {
+    let rejections = [
         OrderRejection::StaleTerm,
         OrderRejection::Expired,
         OrderRejection::OtherIncarnation,
@@ -44,13 +44,13 @@
         "the order was made for another process",
         "the order names no term",
     ];
-    assert_eq!(refusals.map(OrderRejection::reason), reasons);
+    assert_eq!(rejections.map(OrderRejection::reason), reasons);
 }
 
-/// Numbers that are the same in each run.
-struct Draws(u64);
+/// A generator of pseudo-random numbers whose sequence is the same in every run.
+struct PseudoRandom(u64);
 
-impl Draws {
+impl PseudoRandom {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
@@ -60,35 +60,36 @@
     }
 }
 
-/// A contender and a receiver, played through steps drawn from a seed.
-struct Play {
-    draws: Draws,
+/// A contender and a receiver, with pseudo-random steps.
+struct Simulation {
+    random: PseudoRandom,
     contender: LeaseContender,
     guard: FencingGuard,
     incarnation: u64,
     now: Duration,
-    /// When the contender last sent a request, and when it last had a receiver's clock.
+    /// When the contender last sent a request to the store.
     sent_at: Duration,
+    /// When the contender last read the receiver's clock.
     read_at: Duration,
-    receiver: ReceiverClock,
-    /// The last order that was made.
+    receiver_clock: ReceiverClock,
+    /// Token of the last order that the contender gave.
     order: FencingToken,
-    /// The highest term that was given.
+    /// The highest term that the store has assigned.
     term: Term,
 }
 
-impl Play {
-    fn new(seed: u64) -> Play {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let incarnation = 7;
         let guard = FencingGuard::new(incarnation, NO_TERM);
-        Play {
-            draws: Draws(seed),
+        Simulation {
+            random: PseudoRandom(seed),
             contender: LeaseContender::new(SETTINGS),
             incarnation,
             now: Duration::ZERO,
             sent_at: Duration::ZERO,
             read_at: Duration::ZERO,
-            receiver: guard.clock(Duration::ZERO),
+            receiver_clock: guard.clock(Duration::ZERO),
             guard,
             order: FencingToken {
                 term: NO_TERM,
@@ -99,16 +100,16 @@
         }
     }
 
-    /// One step, and what came of it.
+    /// Takes one step and returns its line of the transcript.
     fn step(&mut self) -> String {
-        self.now += Duration::from_millis(self.draws.below(500));
-        let step = match self.draws.below(14) {
+        self.now += Duration::from_millis(self.random.below(500));
+        let step = match self.random.below(14) {
             step @ 0..=7 => self.contender_step(step),
             8 | 9 => self.read_clock(),
-            10 | 11 => self.make_order(),
-            12 if self.draws.below(6) == 0 => self.restart_receiver(),
+            10 | 11 => self.give_order(),
+            12 if self.random.below(6) == 0 => self.restart_receiver(),
             12 => {
-                let term = self.draws.below(self.term + 1);
+                let term = self.random.below(self.term + 1);
                 let earlier = FencingToken { term, ..self.order };
                 format!("check earlier {term}: {}", self.check(&earlier))
             }
@@ -130,7 +131,7 @@
     fn contender_step(&mut self, step: u64) -> String {
         match step {
             0 if self.contender.state() == LeaseState::NotQueued => {
-                self.term += 1 + self.draws.below(3);
+                self.term += 1 + self.random.below(3);
                 self.contender
                     .joined_queue(self.now, self.sent_at, self.term);
                 "joined".into()
@@ -146,7 +147,7 @@
             3..=5 => {
                 let head = match self.term {
                     NO_TERM => NO_TERM,
-                    term => term - self.draws.below(3) / 2,
+                    term => term - self.random.below(3) / 2,
                 };
                 self.contender.store_answered(self.now, self.sent_at);
                 self.contender.queue_head_read(self.now, head);
@@ -156,7 +157,7 @@
                 self.contender.all_receivers_accepted_term();
                 "all heard".into()
             }
-            _ if self.draws.below(4) == 0 => {
+            _ if self.random.below(4) == 0 => {
                 self.contender.session_expired();
                 "expired".into()
             }
@@ -167,34 +168,34 @@
         }
     }
 
-    /// The receiver's clock is ahead of the contender's.
+    /// The time by the receiver's clock, which is an hour ahead of the contender's.
     fn receiver_now(&self) -> Duration {
         self.now + Duration::from_secs(3_600)
     }
 
     fn read_clock(&mut self) -> String {
-        self.receiver = self.guard.clock(self.receiver_now());
+        self.receiver_clock = self.guard.clock(self.receiver_now());
         self.read_at = self.now;
-        let ReceiverClock { incarnation, now } = self.receiver;
+        let ReceiverClock { incarnation, now } = self.receiver_clock;
         format!("ticket {incarnation} {}", now.as_millis())
     }
 
-    fn make_order(&mut self) -> String {
-        let announces = self.draws.below(2) == 0;
-        let purpose = if announces {
+    fn give_order(&mut self) -> String {
+        let announces_term = self.random.below(2) == 0;
+        let purpose = if announces_term {
             OrderPurpose::AnnounceTerm
         } else {
             OrderPurpose::Command
         };
         let order = self
             .contender
-            .order(self.now, self.receiver, self.read_at, purpose);
+            .order(self.now, self.receiver_clock, self.read_at, purpose);
         let Some(order) = order else {
-            return format!("order hear={announces}: none");
+            return format!("order hear={announces_term}: none");
         };
         self.order = order;
         format!(
-            "order hear={announces}: {} {} {}",
+            "order hear={announces_term}: {} {} {}",
             order.term,
             order.incarnation,
             order.expires_at.as_millis()
@@ -203,13 +204,13 @@
 
     fn restart_receiver(&mut self) -> String {
         self.incarnation += 1;
-        let kept = if self.draws.below(2) == 0 {
+        let saved_term = if self.random.below(2) == 0 {
             self.guard.highest_term()
         } else {
             NO_TERM
         };
-        self.guard = FencingGuard::new(self.incarnation, kept);
-        format!("restart kept={kept}")
+        self.guard = FencingGuard::new(self.incarnation, saved_term);
+        format!("restart kept={saved_term}")
     }
 
     fn check(&mut self, order: &FencingToken) -> &'static str {
@@ -222,12 +223,12 @@
 }
 
 fn transcript(seed: u64) -> String {
-    let mut play = Play::new(seed);
-    (0..STEPS).map(|_| play.step()).collect()
+    let mut simulation = Simulation::new(seed);
+    (0..STEPS).map(|_| simulation.step()).collect()
 }
 
 #[test]
-fn transcripts() {
+fn transcripts_match_golden_files() {
     let goldens = [
         include_str!("golden/transcript-1.txt"),
         include_str!("golden/transcript-2.txt"),
