--- a/crates/proxy/tests/admin_http.rs
+++ b/crates/proxy/tests/admin_http.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP calls, and the metrics that they read.
+//! Admin HTTP: requests and responses, limits on callers, and the metrics.
 
 mod support;
 
@@ -11,7 +11,7 @@
 };
 use test_case::test_case;
 
-const GOOD_CALL: &str = "GET /ops/stats?of=all HTTP/1.1\r\nHost: a\r\nAccept: */*\r\n\r\n";
+const VALID_REQUEST: &str = "GET /ops/stats?of=all HTTP/1.1\r\nHost: a\r\nAccept: */*\r\n\r\n";
 
 #[test_case("GET / HTTP/1.1\r\n\r\n", 400; "no host")]
 #[test_case("GET / HTTP/1.1\r\nHost: a\r\nhost: b\r\n\r\n", 400; "two hosts")]
@@ -20,27 +20,27 @@
 #[test_case("get / HTTP/1.1\r\nHost: a\r\n\r\n", 400; "no method")]
 #[test_case("GET ops HTTP/1.1\r\nHost: a\r\n\r\n", 400; "no path")]
 #[test_case("GET / HTTP/1.1\r\nHost a\r\n\r\n", 400; "no colon")]
-#[test_case("GET / HTTP/1.1\r\nHost : a\r\n\r\n", 400; "a blank in a name")]
-#[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", 400; "no length")]
+#[test_case("GET / HTTP/1.1\r\nHost : a\r\n\r\n", 400; "a space in a header name")]
+#[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", 400; "invalid length")]
 #[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 400; "two lengths")]
 #[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999999999999999999\r\n\r\n", 413; "long body")]
-#[test_case("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", 411; "chunks")]
+#[test_case("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", 411; "chunked body")]
 #[test_case("GET /ops/nothing HTTP/1.1\r\nHost: a\r\n\r\n", 404; "unknown path")]
 #[test_case("POST /ops/stats HTTP/1.1\r\nHost: a\r\n\r\n", 405; "wrong method")]
-#[test_case("GET /ops/drain/start HTTP/1.1\r\nHost: a\r\n\r\n", 405; "a drain is posted")]
-#[test_case(GOOD_CALL, 200; "good")]
-fn a_call_gets_one_response_and_a_close(text: &str, status: u16) {
+#[test_case("GET /ops/drain/start HTTP/1.1\r\nHost: a\r\n\r\n", 405; "wrong method for a drain")]
+#[test_case(VALID_REQUEST, 200; "valid")]
+fn a_connection_gets_one_response_and_a_close(text: &str, status: u16) {
     let proxy = ProxyHarness::with_admin_http(1);
     let mut stream = TcpStream::connect(proxy.admin_http).unwrap();
-    // A second call behind it is ignored.
+    // A pipelined second request is ignored.
     stream
-        .write_all([text, GOOD_CALL].concat().as_bytes())
+        .write_all([text, VALID_REQUEST].concat().as_bytes())
         .unwrap();
     assert_eq!(read_response(stream).0, status);
 }
 
 #[test]
-fn a_call_is_parsed_once_it_is_complete_and_not_before() {
+fn a_request_is_parsed_once_it_is_complete_and_not_before() {
     let text = "POST /ops/drain/stop HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}";
     (0..text.len()).for_each(|n| assert_eq!(parse(&text.as_bytes()[..n]), Ok(None), "cut at {n}"));
     assert_eq!(
@@ -58,54 +58,54 @@
 }
 
 #[test]
-fn callers_that_send_little_or_never_read_do_not_keep_others_out() {
+fn idle_callers_and_callers_that_never_read_do_not_block_others() {
     let proxy = ProxyHarness::with_admin_http(1);
-    let call = |text: &str| {
+    let send_request = |text: &str| {
         let mut stream = TcpStream::connect(proxy.admin_http).unwrap();
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.write_all(text.as_bytes()).unwrap();
         stream
     };
     let _clients: Vec<LineConnection> = (0..400).map(|_| proxy.connect("")).collect();
-    let incomplete = call("GET /ops/stats HT");
+    let incomplete = send_request("GET /ops/stats HT");
     let _idle: Vec<TcpStream> = (0..60)
-        .map(|n| call(["", "GET /ops/re", GOOD_CALL][n % 3]))
+        .map(|n| send_request(["", "GET /ops/re", VALID_REQUEST][n % 3]))
         .collect();
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     assert_eq!(http_call(proxy.admin_http, "GET /ops/readiness").0, 200);
     assert!(
-        began_at.elapsed() < Duration::from_millis(500),
+        started_at.elapsed() < Duration::from_millis(500),
         "{:?}",
-        began_at.elapsed()
+        started_at.elapsed()
     );
     assert_eq!(
         read_response(incomplete).0,
         0,
-        "the one idle longest is closed first"
+        "the connection that was idle longest was not closed first"
     );
     assert_eq!(
-        read_response(call("GET /ops/stats HT")).0,
+        read_response(send_request("GET /ops/stats HT")).0,
         408,
-        "an incomplete call meets its deadline"
+        "an incomplete request did not time out"
     );
-    let cut = call("GET /ops/stats HT");
-    cut.shutdown(Shutdown::Write).unwrap();
-    assert_eq!(read_response(cut).0, 400);
+    let truncated = send_request("GET /ops/stats HT");
+    truncated.shutdown(Shutdown::Write).unwrap();
+    assert_eq!(read_response(truncated).0, 400);
 }
 
-/// How a session ends in a test of the metrics.
+/// How a session ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Ending {
-    ServedToItsEnd,
+    ClosedByServer,
     ResetByClient,
     Migrated,
     Rejected,
-    ClientLeavesBeforeAnswer,
-    ClientSpeaksBeforeAnswer,
+    ClientLeavesBeforeResponse,
+    ClientSendsBeforeResponse,
 }
 
-/// How many sessions of a listener ended in success, rejected and in failure.
-fn session_ends(proxy: &ProxyHarness, listener: &str) -> [f64; 3] {
+/// How many sessions of a listener succeeded, were rejected and failed, by the metrics.
+fn ended_sessions(proxy: &ProxyHarness, listener: &str) -> [f64; 3] {
     ["success", "busy", "failure"].map(|code| {
         metric(
             proxy.admin_http,
@@ -114,7 +114,7 @@
     })
 }
 
-/// Brings a session to its end, whose request has just reached a server.
+/// Ends a session whose request has just reached a server, and waits until it is no longer in flight.
 fn end_session(
     ending: Ending,
     proxy: &ProxyHarness,
@@ -126,7 +126,7 @@
         assert_eq!(client.read_line(), "UP r");
     };
     match ending {
-        Ending::ServedToItsEnd => {
+        Ending::ClosedByServer => {
             open(&mut client, &mut server);
             server.send("BYE\r\n");
         }
@@ -144,22 +144,22 @@
             proxy.accept_at_any(&[0, 1]).0.send("BUSY\r\n");
             assert!(client.read_line().starts_with("BUSY"));
         }
-        Ending::ClientLeavesBeforeAnswer => client.close("FIN", &mut server),
-        Ending::ClientSpeaksBeforeAnswer => client.send("early\r\n"),
+        Ending::ClientLeavesBeforeResponse => client.close("FIN", &mut server),
+        Ending::ClientSendsBeforeResponse => client.send("early\r\n"),
     }
     wait_until("the session has ended", || {
         metric(proxy.admin_http, "svc_inflight") == 0.0
     });
 }
 
-/// What each ending counts as, and how many attempts were written to a server.
-#[test_case(Ending::ServedToItsEnd, [1.0, 0.0, 0.0], 1.0)]
+/// For each ending, the numbers of [`ended_sessions`] and of attempts that reached a server.
+#[test_case(Ending::ClosedByServer, [1.0, 0.0, 0.0], 1.0)]
 #[test_case(Ending::ResetByClient, [1.0, 0.0, 0.0], 1.0)]
 #[test_case(Ending::Migrated, [1.0, 0.0, 0.0], 1.0)]
 #[test_case(Ending::Rejected, [0.0, 1.0, 0.0], 2.0)]
-#[test_case(Ending::ClientLeavesBeforeAnswer, [0.0, 0.0, 1.0], 1.0)]
-#[test_case(Ending::ClientSpeaksBeforeAnswer, [0.0, 0.0, 1.0], 1.0)]
-fn every_session_counts_once_and_leaves_nothing_in_flight(
+#[test_case(Ending::ClientLeavesBeforeResponse, [0.0, 0.0, 1.0], 1.0)]
+#[test_case(Ending::ClientSendsBeforeResponse, [0.0, 0.0, 1.0], 1.0)]
+fn every_session_is_counted_once_and_none_stays_in_flight(
     ending: Ending,
     counts: [f64; 3],
     attempts: f64,
@@ -167,9 +167,12 @@
     let proxy = ProxyHarness::with_admin_http(2);
     let metric = |name: &str| metric(proxy.admin_http, name);
     assert_eq!(
-        (session_ends(&proxy, "feed"), session_ends(&proxy, "order")),
+        (
+            ended_sessions(&proxy, "feed"),
+            ended_sessions(&proxy, "order")
+        ),
         ([0.0; 3], [0.0; 3]),
-        "all are there from the start"
+        "the counters are not zero at the start"
     );
     assert_eq!(
         (metric("svc_hosts_listed"), metric("svc_hosts_down")),
@@ -184,7 +187,10 @@
     );
     end_session(ending, &proxy, client, server);
     assert_eq!(
-        (session_ends(&proxy, "feed"), session_ends(&proxy, "order")),
+        (
+            ended_sessions(&proxy, "feed"),
+            ended_sessions(&proxy, "order")
+        ),
         (counts, [0.0; 3])
     );
     assert_eq!(metric("svc_backend_calls_total"), attempts);
--- a/crates/proxy/tests/admin_socket.rs
+++ b/crates/proxy/tests/admin_socket.rs
@@ -1,4 +1,4 @@
-//! The admin socket: what it answers, whom it keeps out, its file, and the status on the command line.
+//! The admin socket: replies, limits on connections, the socket file, and the status on the command line.
 
 mod support;
 
@@ -16,9 +16,9 @@
 #[test_case(r#"{"v":2,"do":"status"}"#, "v is 2"; "another version")]
 #[test_case(r#"{"v":1,"do":"halt"}"#, "not a request"; "unknown command")]
 #[test_case(r#"{"v":1,"do":"status","odd":1}"#, "not a request"; "unknown key")]
-#[test_case(r#"{"v":1,"do":"status","pace":1}"#, "go with drain"; "a pace without a drain")]
-#[test_case(r#"{"v":1,"do":"drain","pace":0}"#, "out of range"; "a pace out of range")]
-#[test_case(r#"{"v":1,"do":"drain","deadline_ms":99999999999}"#, "more than a day"; "a deadline out of range")]
+#[test_case(r#"{"v":1,"do":"status","pace":1}"#, "go with drain"; "pace without a drain")]
+#[test_case(r#"{"v":1,"do":"drain","pace":0}"#, "out of range"; "pace out of range")]
+#[test_case(r#"{"v":1,"do":"drain","deadline_ms":99999999999}"#, "more than a day"; "deadline out of range")]
 #[test_case(&"x".repeat(2_000), "too long"; "too long")]
 fn an_invalid_request_gets_an_error_and_changes_nothing(line: &str, message: &str) {
     let operated = OperatedProxy::start("");
@@ -30,8 +30,8 @@
     assert_eq!(operated.ping(), "PONG");
 }
 
-/// A connection that sends requests until the proxy takes no more, and never reads a reply.
-fn connection_that_never_reads(operated: &OperatedProxy) -> BufReader<UnixStream> {
+/// Opens a connection that sends requests until the proxy stops reading them, and never reads a reply.
+fn open_connection_that_never_reads(operated: &OperatedProxy) -> BufReader<UnixStream> {
     let mut connection = operated.connect();
     let stream = connection.get_mut();
     stream
@@ -46,10 +46,10 @@
 fn connections_that_never_read_delay_only_themselves_and_too_many_are_rejected() {
     let operated = OperatedProxy::start("");
     let _never_reading: Vec<_> = (0..5)
-        .map(|_| connection_that_never_reads(&operated))
+        .map(|_| open_connection_that_never_reads(&operated))
         .collect();
-    let mut watching: Vec<_> = (0..18).map(|_| operated.connect()).collect();
-    for connection in &mut watching {
+    let mut reading: Vec<_> = (0..18).map(|_| operated.connect()).collect();
+    for connection in &mut reading {
         connection
             .get_mut()
             .write_all(b"{\"v\":1,\"do\":\"status\"}\n")
@@ -58,9 +58,9 @@
         connection.read_line(&mut reply).unwrap();
         assert!(reply.contains("serving"));
     }
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     operated.proxy.open_session();
-    assert!(began_at.elapsed() < Duration::from_millis(500));
+    assert!(started_at.elapsed() < Duration::from_millis(500));
     let _last = operated.connect();
     let mut one_too_many = operated.connect();
     let mut text = String::new();
@@ -71,8 +71,8 @@
     );
 }
 
-/// Starts a second proxy with the configuration of a running one and an admin socket at a path, and checks that it ends
-/// with one line that says why it can't have it.
+/// Starts a second proxy with the configuration of a running one and an admin socket at `admin_socket`, and checks that
+/// it fails with one line that contains `reason`.
 fn assert_start_fails(operated: &OperatedProxy, admin_socket: &Path, reason: &str) {
     let (operator_file, config) = (temporary_path("toml"), temporary_path("json"));
     std::fs::write(&operator_file, operator_file_text(admin_socket, "")).unwrap();
@@ -97,29 +97,30 @@
 }
 
 #[test]
-fn the_socket_is_the_users_own_and_only_the_file_of_a_dead_process_is_taken_over() {
+fn only_the_user_may_access_the_socket_and_only_a_stale_socket_file_is_replaced() {
     let stale = temporary_path("sock");
     drop(UnixListener::bind(&stale).unwrap());
     let operated = OperatedProxy::start_at(stale, "");
     let metadata = std::fs::metadata(&operated.admin_socket).unwrap();
     assert_eq!(metadata.permissions().mode() & 0o777, 0o600);
     operated.wait_for_state("serving");
-    let no_socket = temporary_path("sock");
-    std::fs::write(&no_socket, "keep me").unwrap();
+    let regular_file = temporary_path("sock");
+    std::fs::write(&regular_file, "keep me").unwrap();
     assert_start_fails(&operated, &operated.admin_socket, "somebody listens");
-    assert_start_fails(&operated, &no_socket, "no socket");
-    assert_eq!(std::fs::read_to_string(&no_socket).unwrap(), "keep me");
-    std::fs::remove_file(no_socket).unwrap();
+    assert_start_fails(&operated, &regular_file, "no socket");
+    assert_eq!(std::fs::read_to_string(&regular_file).unwrap(), "keep me");
+    std::fs::remove_file(regular_file).unwrap();
     operated.wait_for_state("serving");
 }
 
-const BAD_OPERATOR_FILE: &str = "[drain]\npase = 1\nquiet = \"x\"\n";
+/// An operator's file with an unknown key in line 2 and an invalid duration in line 3.
+const INVALID_OPERATOR_FILE: &str = "[drain]\npase = 1\nquiet = \"x\"\n";
 
 #[test]
-fn a_bad_operator_file_ends_the_start_and_changes_nothing_later() {
+fn an_invalid_operator_file_prevents_a_start_and_is_ignored_by_a_reload() {
     let mut operated = OperatedProxy::start("");
     let operator_file = temporary_path("toml");
-    std::fs::write(&operator_file, BAD_OPERATOR_FILE).unwrap();
+    std::fs::write(&operator_file, INVALID_OPERATOR_FILE).unwrap();
     for command in ["serve", "validate"] {
         let output = Command::new(env!("CARGO_BIN_EXE_asterramp"))
             .env("LB_CONFIG", &operated.proxy.config_path)
@@ -134,7 +135,7 @@
         );
     }
     std::fs::remove_file(operator_file).unwrap();
-    std::fs::write(&operated.operator_file, BAD_OPERATOR_FILE).unwrap();
+    std::fs::write(&operated.operator_file, INVALID_OPERATOR_FILE).unwrap();
     operated.proxy.send_signal("HUP");
     std::thread::sleep(Duration::from_millis(200));
     operated.wait_for_state("serving");
@@ -147,7 +148,7 @@
 }
 
 #[test]
-fn the_status_is_printed_for_people_and_programs_and_so_are_completions() {
+fn the_status_is_printed_as_text_and_as_json_and_completions_are_printed() {
     let operated = OperatedProxy::start("");
     let _session = operated.proxy.open_session();
     let line = output_text(&operated.run(&["status"]));
--- a/crates/proxy/tests/drain.rs
+++ b/crates/proxy/tests/drain.rs
@@ -1,4 +1,5 @@
-//! Drains on request, by the admin socket and by HTTP: what clients and fronts see, and how a drain is taken back.
+//! Drains requested by the admin socket or admin HTTP: what clients and the front proxy see, and how a drain is
+//! cancelled.
 
 mod support;
 
@@ -8,18 +9,18 @@
     operator_file_text,
 };
 
-/// The clients and servers of some open sessions.
+/// Opens `count` sessions; returns the client and the server of each.
 fn open_sessions(proxy: &ProxyHarness, count: usize) -> Vec<(LineConnection, LineConnection)> {
     (0..count).map(|_| proxy.open_session()).collect()
 }
 
 #[test]
-fn a_drain_migrates_all_serves_whoever_still_comes_and_is_taken_back() {
+fn a_drain_migrates_all_sessions_serves_late_clients_and_is_cancelled() {
     let mut operated = OperatedProxy::start("");
     let mut sessions = open_sessions(&operated.proxy, 12);
     operated.run_ok(&["drain", "--deadline", "3s"]);
-    assert_eq!(operated.ping(), "ERR", "the front is notified");
-    // Whom the front still sends is served.
+    assert_eq!(operated.ping(), "ERR", "pings still succeed");
+    // A client that the front proxy still sends is served.
     sessions.push(operated.proxy.open_session());
     for (client, server) in &mut sessions {
         assert_eq!([client.read_line(), client.read_line()], ["MOVE", "FIN"]);
@@ -34,12 +35,12 @@
     assert_eq!(
         late_client.read_line(),
         "MOVE",
-        "who comes while it is empty is migrated too"
+        "a client that arrives while the proxy is empty is not migrated"
     );
     assert_serves_at_once_after_undrain(&operated);
     assert!(
         !operated.run(&["undrain"]).status.success(),
-        "it does not drain any more"
+        "an undrain without a drain succeeds"
     );
     operated.proxy.send_signal("TERM");
     let (code, log) = operated.proxy.wait_for_exit();
@@ -47,7 +48,7 @@
     assert_drain_states_logged(&log, &["closing", "moving", "empty", "serving", "exiting"]);
     assert!(
         !operated.admin_socket.exists(),
-        "the socket's file is left behind"
+        "the admin socket's file was not removed"
     );
 }
 
@@ -58,7 +59,7 @@
     let (mut client, mut server) = operated.proxy.open_session();
     assert!(
         undrained_at.elapsed() < Duration::from_secs(1),
-        "back within a second"
+        "the proxy does not serve within 1 s of the undrain"
     );
     client.send("a\r\n");
     assert_eq!(server.read_line(), "a");
@@ -78,26 +79,26 @@
 }
 
 #[test]
-fn a_waiting_session_is_answered_in_its_own_time_and_an_undrain_halfway_leaves_the_rest() {
+fn a_pending_session_opens_during_a_drain_and_an_undrain_halfway_keeps_the_remaining_sessions() {
     let operated = OperatedProxy::start("pace = 10\n");
     let mut sessions = open_sessions(&operated.proxy, 20);
-    let mut waiting = operated.proxy.connect(&OPEN_LINE.replace("feed", "order"));
+    let mut pending = operated.proxy.connect(&OPEN_LINE.replace("feed", "order"));
     let (mut server, _) = operated.proxy.accept_at(0);
     operated.run_ok(&["drain", "--deadline", "60s"]);
-    // It is answered as ever, by what its server says within its own time.
+    // Until the drain's deadline, the response of its server opens a pending session as usual.
     server.send("UP r9\r\n");
-    assert_eq!(waiting.read_line(), "UP r9");
+    assert_eq!(pending.read_line(), "UP r9");
     std::thread::sleep(Duration::from_millis(1_000));
     operated.run_ok(&["undrain"]);
-    let left_alone = sessions
+    let not_migrated = sessions
         .iter_mut()
         .filter_map(|(client, _)| client.is_quiet().then_some(()))
         .count();
-    assert!((8..20).contains(&left_alone), "{left_alone}");
+    assert!((8..20).contains(&not_migrated), "{not_migrated}");
 }
 
 #[test]
-fn a_second_drain_changes_the_deadline_and_sigterm_ends_it_for_good() {
+fn a_second_drain_changes_the_deadline_and_after_sigterm_there_is_no_undrain() {
     let mut operated = OperatedProxy::start("pace = 1\n");
     let mut sessions = open_sessions(&operated.proxy, 10);
     operated.run_ok(&["drain", "--deadline", "60s"]);
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn a_drain_goes_on_while_discovery_is_down_and_while_the_configuration_is_read_again() {
+fn a_drain_continues_while_discovery_is_down_and_during_a_reload() {
     let operated = OperatedProxy::start("pace = 20\n");
     let mut sessions = open_sessions(&operated.proxy, 10);
     operated.proxy.watch.send(String::new()).unwrap();
@@ -138,12 +139,12 @@
         operated
             .wait_for_state("serving")
             .contains("\"carries\":true"),
-        "no time before the next drain is asked for any more"
+        "the reload did not remove the time before the next drain"
     );
 }
 
 #[test]
-fn inherited_sessions_are_migrated_like_others() {
+fn restored_sessions_are_migrated_like_others() {
     let operated = OperatedProxy::start("");
     let proxy = &operated.proxy;
     let mut client = proxy.connect("OPEN 1 2 c=feed,t=acme,d=9,at=s-0\r\n");
@@ -156,7 +157,7 @@
     assert_eq!([client.read_line(), client.read_line()], ["MOVE", "FIN"]);
 }
 
-/// Operators' HTTP calls about a drain; each returns its status.
+/// Admin HTTP requests about a drain; each returns the HTTP status.
 struct HttpDrain<'a>(&'a ProxyHarness);
 
 impl HttpDrain<'_> {
@@ -174,22 +175,22 @@
 }
 
 #[test]
-fn a_drain_by_http_empties_the_proxy_in_time_and_is_taken_back() {
+fn a_drain_by_http_empties_the_proxy_in_time_and_is_cancelled() {
     let proxy = ProxyHarness::with_admin_http(1);
     let drain = HttpDrain(&proxy);
     assert_eq!(
         (drain.stop(), drain.readiness()),
         (200, 200),
-        "nothing to stop is a success"
+        "a stop without a drain fails"
     );
     let mut sessions = open_sessions(&proxy, 8);
-    // Its server says nothing, and it would wait for longer than the drain may take.
-    let mut waiting = proxy.connect(&OPEN_LINE.replace("d=2000", "d=60000"));
+    // Its servers send no response, and its wait is longer than the drain may take.
+    let mut pending = proxy.connect(&OPEN_LINE.replace("d=2000", "d=60000"));
     let _silent = [proxy.accept_at(0), proxy.accept_at(0)];
-    let (client_of_half_line, mut server_of_half_line) = proxy.open_session();
-    server_of_half_line.send("hal");
-    sessions.push((client_of_half_line, server_of_half_line));
-    let began_at = Instant::now();
+    let (half_line_client, mut half_line_server) = proxy.open_session();
+    half_line_server.send("hal");
+    sessions.push((half_line_client, half_line_server));
+    let started_at = Instant::now();
     assert_eq!(
         (drain.start(), drain.start(), drain.readiness()),
         (200, 200, 503)
@@ -200,18 +201,18 @@
         assert_eq!(
             [client.read_line(), client.read_line()],
             ["MOVE", "FIN"],
-            "no line is cut, nobody cut off"
+            "a line was truncated or a session cut off"
         );
     }
     assert_eq!(
-        waiting.read_line(),
+        pending.read_line(),
         "ERR",
-        "whoever waits at the deadline is answered"
+        "a client pending at the deadline is not answered"
     );
     assert!(
-        began_at.elapsed() < Duration::from_secs(4),
+        started_at.elapsed() < Duration::from_secs(4),
         "{:?}",
-        began_at.elapsed()
+        started_at.elapsed()
     );
     assert_serves_after_drain_by_http(&proxy);
 }
@@ -223,15 +224,18 @@
         (200, 200, 200)
     );
     assert_eq!(proxy.connect("PING\r\n").read_line(), "PONG");
-    // The capacity of all that were migrated or answered is free again.
+    // The capacity of all sessions that were migrated or rejected has been released.
     (0..12).for_each(|_| drop(proxy.open_session()));
-    let (mut stays, _server) = proxy.open_session();
-    assert!(stays.is_quiet(), "no migration is left over");
+    let (mut new_client, _server) = proxy.open_session();
+    assert!(
+        new_client.is_quiet(),
+        "a migration of the cancelled drain was left over"
+    );
     proxy.send_signal("TERM");
     std::thread::sleep(Duration::from_millis(50));
     assert_eq!(
         (drain.start(), drain.stop(), drain.readiness()),
         (200, 503, 503),
-        "it goes for good"
+        "a shutdown can be cancelled"
     );
 }
--- a/crates/proxy/tests/endpoints.rs
+++ b/crates/proxy/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! What the proxy knows of its endpoints: lists, the discovery watch and health checks.
+//! Endpoint lists, the discovery watch and health checks.
 
 mod support;
 
@@ -9,7 +9,7 @@
 };
 use test_case::test_case;
 
-/// Opens and ends four sessions, each of which has to be dialled at one server.
+/// Opens and closes four sessions, each of which must be placed on `server`.
 fn open_four_sessions_at(proxy: &ProxyHarness, server: usize) {
     for _ in 0..4 {
         proxy.open_session_at(&[server]);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn endpoint_lists_are_applied_as_they_come_and_bad_ones_as_far_as_they_can_be_read() {
+fn endpoint_lists_are_applied_at_once_and_invalid_ones_as_far_as_they_are_readable() {
     let proxy = ProxyHarness::new(2);
     proxy
         .watch
@@ -29,13 +29,16 @@
         .unwrap();
     std::thread::sleep(Duration::from_millis(100));
     open_four_sessions_at(&proxy, 1);
-    // What can be read of a bad list is applied, and the list is asked for again.
-    let bad = [
+    // The valid entries of an invalid list are applied, and the list is requested again.
+    let partly_invalid = [
         endpoint_json(0, proxy.server_address(0), "ready"),
         "{\"uid\":1}".into(),
         endpoint_json(1, proxy.server_address(1), "draining"),
     ];
-    proxy.watch.send(list_line(10, true, &bad)).unwrap();
+    proxy
+        .watch
+        .send(list_line(10, true, &partly_invalid))
+        .unwrap();
     let OpenedWatch {
         request,
         lists: watch,
@@ -61,7 +64,7 @@
     } = proxy.accept_watch();
     assert!(request.contains("stream=1&index=10 "), "{request}");
     open_four_sessions_at(&proxy, 1);
-    // The same uid at another endpoint.
+    // The same uid at another address.
     watch
         .send(list_line(
             11,
@@ -74,36 +77,37 @@
 }
 
 #[test]
-fn endpoints_beyond_the_limit_are_left_out_and_hide_no_change_of_known_ones() {
+fn endpoints_beyond_the_limit_are_ignored_and_changes_of_known_ones_are_applied() {
     let mut proxy = ProxyHarness::new(2);
-    let at = proxy.servers[0].local_addr().unwrap();
+    let address = proxy.servers[0].local_addr().unwrap();
     let mut targets: Vec<String> = (10..6_000)
-        .map(|nth| endpoint_json(nth, at, "draining"))
+        .map(|nth| endpoint_json(nth, address, "draining"))
         .collect();
-    targets.push(endpoint_json(0, at, "draining"));
+    targets.push(endpoint_json(0, address, "draining"));
     proxy.watch.send(list_line(9, false, &targets)).unwrap();
     std::thread::sleep(Duration::from_millis(400));
-    // They are established: at a process at which no session ever was, a first failure would hold the next back.
+    // These sessions open: in a process that has never opened one, the first failure starts a pause between new
+    // sessions.
     let open: Vec<_> = (0..4).map(|_| proxy.open_session_at(&[1])).collect();
     drop(open);
     proxy.send_signal("TERM");
     let (_, log) = proxy.wait_for_exit();
+    // Of 2 configured and 5,990 further endpoints, the table holds 4,096.
     assert!(log.contains(" roster-full=1896 "), "{log}");
 }
 
-// Requests to a discovery that is polled wait in one queue with those of all other proxies, so the placement engine
-// paces them.
-#[test_case("pushed", true, 20; "ended")]
-#[test_case("pushed", false, 2_000; "without its blank lines")]
-#[test_case("on_request", true, 150; "ended, where it is polled")]
-fn a_dead_watch_is_opened_again(discovery: &str, ended: bool, min_delay_ms: u64) {
+// The requests of all proxies to a polled discovery wait in one queue, so the placement engine paces them.
+#[test_case("pushed", true, 20; "closed")]
+#[test_case("pushed", false, 2_000; "without heartbeats")]
+#[test_case("on_request", true, 150; "closed, with a polled discovery")]
+fn a_dead_watch_is_reopened(discovery: &str, closed: bool, min_delay_ms: u64) {
     let settings = SETTINGS.replace(
         "\"pushed\"",
         &format!("\"{discovery}\",\"rules.must_ask_in\":2000000"),
     );
     let proxy = ProxyOptions::new(1).settings(&settings).start();
-    let begin = Instant::now();
-    if ended {
+    let started_at = Instant::now();
+    if closed {
         proxy.watch.send(String::new()).unwrap();
     }
     let OpenedWatch {
@@ -111,19 +115,19 @@
         lists: _watch,
     } = proxy.accept_watch_within(TIMEOUT + TIMEOUT);
     assert!(
-        begin.elapsed() > Duration::from_millis(min_delay_ms),
-        "asked again after {:?}",
-        begin.elapsed()
+        started_at.elapsed() > Duration::from_millis(min_delay_ms),
+        "reopened after {:?}",
+        started_at.elapsed()
     );
     assert!(request.contains("stream=1&index=8 "), "{request}");
 }
 
-// Bytes without the end of a line keep no watch alive.
+// Bytes without a line end do not count as a heartbeat.
 #[test_case("{\"rev\":9,"; "half a line")]
 #[test_case(" "; "spaces")]
-fn a_watch_without_complete_lines_is_opened_again(text: &str) {
+fn a_watch_without_complete_lines_is_reopened(text: &str) {
     let proxy = ProxyHarness::new(1);
-    let begin = Instant::now();
+    let started_at = Instant::now();
     let OpenedWatch {
         request,
         lists: _watch,
@@ -132,27 +136,27 @@
         match proxy.watches.recv_timeout(Duration::from_millis(300)) {
             Ok(opened) => break opened,
             Err(_) => assert!(
-                begin.elapsed() < Duration::from_secs(5),
-                "it counts as alive"
+                started_at.elapsed() < Duration::from_secs(5),
+                "the watch is taken to be alive"
             ),
         }
     };
     assert!(request.contains("stream=1&index=8 "), "{request}");
     assert!(
-        begin.elapsed() >= Duration::from_secs(2),
-        "blank lines may take 2 s"
+        started_at.elapsed() >= Duration::from_secs(2),
+        "reopened before the heartbeat timeout of 2 s"
     );
 }
 
-// The proxy has to know of a change 6 s after its watch fell silent, whatever failed meanwhile.
-#[test_case(0; "the next answers")]
-#[test_case(1; "the next is silent too")]
-#[test_case(2; "the two next")]
-fn a_change_during_a_silent_watch_is_known_in_time(silent: usize) {
+// The proxy has to know of a change 6 s after its watch became silent, even if the reopened watches are silent as well.
+#[test_case(0; "next watch responds")]
+#[test_case(1; "next watch is silent")]
+#[test_case(2; "next two watches are silent")]
+fn a_change_during_a_silent_watch_is_known_in_time(silent_count: usize) {
     let proxy = ProxyHarness::new(2);
-    let begin = Instant::now();
+    let started_at = Instant::now();
     let mut silent_watches = Vec::new();
-    for _ in 0..silent {
+    for _ in 0..silent_count {
         silent_watches.push(proxy.accept_watch_within(TIMEOUT + TIMEOUT));
     }
     let watch = proxy.accept_watch_within(TIMEOUT + TIMEOUT).lists;
@@ -165,9 +169,9 @@
         .unwrap();
     std::thread::sleep(Duration::from_millis(50));
     assert!(
-        begin.elapsed() < Duration::from_millis(6_300),
+        started_at.elapsed() < Duration::from_millis(6_300),
         "{:?}",
-        begin.elapsed()
+        started_at.elapsed()
     );
     for _ in 0..6 {
         proxy.open_session_at(&[1]);
@@ -175,19 +179,19 @@
 }
 
 #[test]
-fn a_watch_that_keeps_ending_is_opened_again_without_long_delays() {
+fn a_watch_that_keeps_closing_is_reopened_without_long_delays() {
     let proxy = ProxyHarness::new(1);
-    let (begin, mut watch) = (Instant::now(), proxy.watch.clone());
-    let mut last = begin;
+    let (started_at, mut watch) = (Instant::now(), proxy.watch.clone());
+    let mut reopened_at = started_at;
     for _ in 0..12 {
         let _ = watch.send(String::new());
         watch = proxy.accept_watch().lists;
         assert!(
-            last.elapsed() < Duration::from_millis(800),
+            reopened_at.elapsed() < Duration::from_millis(800),
             "{:?}",
-            last.elapsed()
+            reopened_at.elapsed()
         );
-        last = Instant::now();
+        reopened_at = Instant::now();
     }
 }
 
@@ -200,8 +204,8 @@
         clients.push(proxy.connect(OPEN_LINE));
         proxy.accept_at(0)
     };
-    assert_eq!(line, "STATS", "a candidate is checked first");
-    // Longer than a connection may take to be established: slow, but not silent.
+    assert_eq!(line, "STATS", "no health check before the first dial");
+    // Longer than the dial timeout of 200 ms: the health check is slow, but does not fail.
     std::thread::sleep(Duration::from_millis(280));
     health_check.send("PONG x0=0.1,outstanding=3\r\n");
     for _ in 0..8 {
@@ -214,6 +218,6 @@
     assert_eq!(
         health_check.read_line(),
         "STATS",
-        "a server with sessions is checked again"
+        "the health check was not repeated on the same connection"
     );
 }
--- a/crates/proxy/tests/hot_restart.rs
+++ b/crates/proxy/tests/hot_restart.rs
@@ -1,4 +1,4 @@
-//! Hot restarts: a second process takes over from the first, or serves by itself where the first is no help.
+//! Hot restarts: a second process takes over from the first, or starts on its own where that is impossible.
 
 mod support;
 
@@ -14,10 +14,11 @@
 };
 use test_case::test_case;
 
-/// A client and its server.
+/// The connections of a client and of its server.
 type OpenSession = (LineConnection, LineConnection);
 
-/// Sends a line and a half from either side; the lines are read, the halves are what a hot restart has to carry over.
+/// Sends one and a half lines from each side and reads the complete ones. The half lines stay in the proxy's buffers,
+/// which a hot restart has to hand over.
 fn send_first_halves((client, server): &mut OpenSession) {
     client.send("one\r\ntw");
     server.send("UPDATE 1\r\nUPDA");
@@ -27,7 +28,7 @@
     );
 }
 
-/// Sends the rest, and checks that both lines are read.
+/// Sends the rest of the lines begun by [`send_first_halves`], and checks that both arrive complete.
 fn send_second_halves((client, server): &mut OpenSession) {
     client.send("o\r\n");
     server.send("TE 2\r\n");
@@ -46,7 +47,7 @@
         assert_eq!(
             client.read_line(),
             format!("from {nth}"),
-            "nobody is migrated"
+            "a session was migrated"
         );
     }
 }
@@ -57,13 +58,17 @@
     let mut sessions: Vec<_> = (0..40).map(|_| proxy.open_session_at(&[0, 1])).collect();
     let mut pending = proxy.connect("OPEN 00000000000000ff 1 c=feed,t=ac");
     send_first_halves(&mut sessions[0]);
-    let mut waiting = proxy.connect(OPEN_LINE);
+    let mut dialing = proxy.connect(OPEN_LINE);
     let (mut slow_server, _) = proxy.accept_at_any(&[0, 1]);
     let (second, _watch) = proxy.start_ready_process();
     send_second_halves(&mut sessions[0]);
     proxy.send_signal("TERM");
     slow_server.send("UP late\r\n");
-    assert_eq!(waiting.read_line(), "UP late", "opened by the predecessor");
+    assert_eq!(
+        dialing.read_line(),
+        "UP late",
+        "the predecessor did not open the session"
+    );
     pending.send("me,d=2000\r\n");
     let (mut server, _) = proxy.accept_at_any(&[0, 1]);
     server.send("UP s\r\n");
@@ -73,7 +78,7 @@
         code == Some(0) && log.contains("followed") && !log.contains("proxy-leaving sess"),
         "{log}"
     );
-    sessions.extend([(waiting, slow_server), (pending, server)]);
+    sessions.extend([(dialing, slow_server), (pending, server)]);
     assert_all_forward(&mut sessions);
     assert_eq!(proxy.connect("PING\r\n").read_line(), "PONG");
     assert_eq!(metric(second.admin_http, "svc_inflight"), 42.0);
@@ -83,11 +88,11 @@
             "svc_calls_total{tier=\"feed\",code=\"success\"}"
         ),
         1.0,
-        "counts are of this process: of the pending connection alone"
+        "the successor counts sessions other than the one it opened"
     );
-    // And a third from the second.
+    // A third process takes over from the second.
     let (third, _watch) = proxy.start_ready_process();
-    wait_until("all are the third's", || {
+    wait_until("the third process has all sessions", || {
         metric(third.admin_http, "svc_inflight") == 42.0
     });
     drop(second);
@@ -97,20 +102,20 @@
     }
 }
 
-/// What fails while a second process takes over.
+/// A failure while a second process takes over.
 #[derive(Clone, Copy, PartialEq)]
 enum Failure {
     SecondKilledBeforeItServes,
     SecondKilledAsItServes,
-    /// The first is told to shut down before the second serves.
+    /// The first gets a `SIGTERM` before the second serves.
     FirstShutDownEarly,
 }
 
-/// Open sessions go on or are migrated, and are never cut off.
+/// Open sessions continue or are migrated, and are never cut off, except those that the second process had taken over.
 #[test_case(Failure::SecondKilledBeforeItServes; "second killed before it serves")]
 #[test_case(Failure::SecondKilledAsItServes; "second killed as it serves")]
 #[test_case(Failure::FirstShutDownEarly; "first shut down before the second serves")]
-fn a_failed_replacement_cuts_nobody_off(failure: Failure) {
+fn a_failed_replacement_cuts_off_no_session_of_the_first_process(failure: Failure) {
     let proxy = ProxyHarness::with_admin_http(1);
     let mut sessions: Vec<_> = (0..20).map(|_| proxy.open_session()).collect();
     let mut second = proxy.start_second_process();
@@ -127,7 +132,7 @@
         second.process.kill().unwrap();
         second.process.wait().unwrap();
     }
-    // Those that the second had taken ended with it; it took none before it served.
+    // Sessions that the second had taken over ended with it; it takes over none before it serves.
     if failure == Failure::SecondKilledAsItServes {
         sessions = vec![proxy.open_session()];
     }
@@ -139,51 +144,52 @@
     drop(proxy.open_session());
 }
 
-/// What a second process finds where it looks for the first.
+/// What a second process finds at the path of the hot restart socket.
 #[derive(Clone, Copy)]
-enum Found {
+enum PathContent {
     Nothing,
     PlainFile,
-    /// A socket at which nobody listens.
+    /// The file of a socket without a listener.
     StaleSocket,
-    /// A socket of another type.
+    /// A listening socket of type `SOCK_STREAM` in place of `SOCK_SEQPACKET`.
     StreamSocket,
-    /// A process that does this once the second has connected.
+    /// A listening process with this behaviour.
     Process(Predecessor),
 }
 
+/// What a faulty predecessor does once the second process has connected.
 #[derive(Clone, Copy)]
 enum Predecessor {
-    SaysNothing,
+    Silent,
     Closes,
     Sends(&'static [u8]),
 }
 
-/// Puts what is to be found at a path. It returns the sockets that have to stay open.
-fn put(found: Found, path: &Path) -> Option<OwnedFd> {
-    match found {
-        Found::Nothing => None,
-        Found::PlainFile => {
+/// Creates the content at a path. Returns the listening socket, which has to stay open.
+fn create(content: PathContent, path: &Path) -> Option<OwnedFd> {
+    match content {
+        PathContent::Nothing => None,
+        PathContent::PlainFile => {
             std::fs::write(path, "x").unwrap();
             None
         }
-        Found::StaleSocket => {
+        PathContent::StaleSocket => {
             drop(UnixListener::bind(path).unwrap());
             None
         }
-        Found::StreamSocket => Some(UnixListener::bind(path).unwrap().into()),
-        Found::Process(_) => {
+        PathContent::StreamSocket => Some(UnixListener::bind(path).unwrap().into()),
+        PathContent::Process(_) => {
             Some(socket::listen_unix(path, socket::SocketType::SEQPACKET).unwrap())
         }
     }
 }
 
-/// Accepts the second process and plays the predecessor.
-fn play(predecessor: Predecessor, listener: &OwnedFd) {
+/// Accepts the second process's connection and behaves as `predecessor`.
+fn run_predecessor(predecessor: Predecessor, listener: &OwnedFd) {
     poll(&mut [PollFd::new(listener, PollFlags::IN)], None).unwrap();
     let link = socket::accept_unix(listener).unwrap().unwrap();
     match predecessor {
-        Predecessor::SaysNothing => std::thread::sleep(Duration::from_millis(900)),
+        Predecessor::Silent => std::thread::sleep(Duration::from_millis(900)),
         Predecessor::Closes => {}
         Predecessor::Sends(bytes) => {
             seqpacket::send(&link, bytes, &[]).unwrap();
@@ -191,23 +197,23 @@
     }
 }
 
-#[test_case(Found::Nothing; "nothing")]
-#[test_case(Found::PlainFile; "a file that is no socket")]
-#[test_case(Found::StaleSocket; "a socket that nobody listens at")]
-#[test_case(Found::StreamSocket; "a socket of another type")]
-#[test_case(Found::Process(Predecessor::SaysNothing); "a process that says nothing")]
-#[test_case(Found::Process(Predecessor::Closes); "a process that closes the link")]
-#[test_case(Found::Process(Predecessor::Sends(&[b'x'; 100])); "a process that sends rubbish")]
-#[test_case(Found::Process(Predecessor::Sends(b"ARH\x63\x03\0\0\0\0")); "a process of another version")]
-fn a_second_process_starts_by_itself_where_the_first_is_no_help(found: Found) {
+#[test_case(PathContent::Nothing; "nothing")]
+#[test_case(PathContent::PlainFile; "a file that is no socket")]
+#[test_case(PathContent::StaleSocket; "a socket without a listener")]
+#[test_case(PathContent::StreamSocket; "a socket of another type")]
+#[test_case(PathContent::Process(Predecessor::Silent); "a process that sends nothing")]
+#[test_case(PathContent::Process(Predecessor::Closes); "a process that closes the link")]
+#[test_case(PathContent::Process(Predecessor::Sends(&[b'x'; 100])); "a process that sends rubbish")]
+#[test_case(PathContent::Process(Predecessor::Sends(b"ARH\x63\x03\0\0\0\0")); "a process of another version")]
+fn a_second_process_starts_on_its_own_where_it_cannot_take_over(content: PathContent) {
     let proxy = ProxyHarness::with_admin_http(1);
     let (mut client, mut server) = proxy.open_session();
     let path = proxy.hot_restart_socket();
     std::fs::remove_file(&path).unwrap();
-    let listener = put(found, &path);
+    let listener = create(content, &path);
     let second = proxy.start_second_process();
-    if let (Found::Process(predecessor), Some(listener)) = (found, listener) {
-        play(predecessor, &listener);
+    if let (PathContent::Process(predecessor), Some(listener)) = (content, listener) {
+        run_predecessor(predecessor, &listener);
     }
     let watch = proxy.accept_watch().lists;
     watch.send(list_line(8, false, &[])).unwrap();
@@ -218,51 +224,59 @@
     assert_eq!(
         (server.read_line(), client.read_line()),
         ("on".into(), "MOVE".into()),
-        "the first shuts down as ever"
+        "the first process did not shut down as without a hot restart"
     );
     (0..4).for_each(|_| drop(proxy.open_session()));
 }
 
-/// What may go on at the first process while a second takes over.
+/// What is in progress at the first process while a second takes over.
 #[derive(Clone, Copy, PartialEq)]
-enum GoingOn {
+enum FirstProcessCondition {
     Drain,
-    /// Another process is taking over already, and never serves.
+    /// Another process has begun to take over, and never serves.
     AnotherReplacement,
     DiscoveryOutage,
 }
 
-#[test_case(GoingOn::Drain; "it drains")]
-#[test_case(GoingOn::AnotherReplacement; "one replaces it already")]
-#[test_case(GoingOn::DiscoveryOutage; "discovery is silent")]
-fn a_second_process_serves_whatever_goes_on_at_the_first(going_on: GoingOn) {
+#[test_case(FirstProcessCondition::Drain; "first process drains")]
+#[test_case(FirstProcessCondition::AnotherReplacement; "another replacement in progress")]
+#[test_case(FirstProcessCondition::DiscoveryOutage; "discovery is silent")]
+fn a_second_process_serves_during_a_drain_another_replacement_or_a_discovery_outage(
+    condition: FirstProcessCondition,
+) {
     let proxy = ProxyHarness::with_admin_http(1);
     let (mut client, mut server) = proxy.open_session();
     let mut other_successor = None;
-    match going_on {
-        GoingOn::Drain => assert_eq!(http_call(proxy.admin_http, "POST /ops/drain/start").0, 200),
-        GoingOn::AnotherReplacement => {
+    match condition {
+        FirstProcessCondition::Drain => {
+            assert_eq!(http_call(proxy.admin_http, "POST /ops/drain/start").0, 200)
+        }
+        FirstProcessCondition::AnotherReplacement => {
             other_successor = Some(HotRestartLink::as_successor_of(&proxy));
         }
-        GoingOn::DiscoveryOutage => {}
+        FirstProcessCondition::DiscoveryOutage => {}
     }
     let second = proxy.start_second_process();
     let watch = proxy.accept_watch().lists;
-    if going_on != GoingOn::DiscoveryOutage {
+    if condition != FirstProcessCondition::DiscoveryOutage {
         watch.send(list_line(8, false, &[])).unwrap();
     }
-    assert!(second.becomes_ready(), "it serves whatever goes on there");
+    assert!(second.becomes_ready(), "the second process never serves");
     assert_eq!(proxy.connect("PING\r\n").read_line(), "PONG");
     proxy.send_signal("TERM");
     client.send("on\r\n");
-    assert_eq!(server.read_line(), "on", "open sessions are not cut off");
-    if going_on == GoingOn::AnotherReplacement {
-        // The one that came first never serves, so open sessions are migrated as at any shutdown.
+    assert_eq!(server.read_line(), "on", "an open session was cut off");
+    if condition == FirstProcessCondition::AnotherReplacement {
+        // The other successor connected first and never serves, so open sessions are migrated as in any shutdown.
         drop(other_successor);
         assert_eq!(client.read_line(), "MOVE");
     } else {
         server.send("still\r\n");
-        assert_eq!(client.read_line(), "still", "it was handed over");
+        assert_eq!(
+            client.read_line(),
+            "still",
+            "the session was not handed over"
+        );
     }
     drop(proxy.open_session());
 }
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -1,4 +1,4 @@
-//! A warm start that asks peers, which answer truly, falsely, at too great length or not at all.
+//! A warm start that asks peers for endpoints; they respond correctly, wrongly, with too long a response or not at all.
 
 mod support;
 
@@ -14,47 +14,50 @@
 };
 use test_case::test_case;
 
-/// What a peer knows; `HOSTS` stands for its entries.
-const KNOWN: &str =
+/// The body of a peer's response, with `HOSTS` in place of its endpoint entries.
+const RESPONSE_BODY_TEMPLATE: &str =
     r#"{"v":1,"fleet":"lake","stage":"normal","rev":3,"told_ms":null,"pending":0,"hosts":[HOSTS]}"#;
 
-/// An entry of what a peer knows.
-fn known_endpoint(uid: &str, at: SocketAddr, zone: &str, age_ms: u64) -> String {
+/// An endpoint entry in a peer's response; the peer last had it confirmed `age_ms` ago.
+fn known_endpoint(uid: &str, address: SocketAddr, zone: &str, age_ms: u64) -> String {
     format!(
-        r#"{{"uid":"{uid}","endpoint":"{at}","zone":"{zone}","cell":0,"weight":1.0,"started_ms":null,"age_ms":{age_ms},"unit":0.02}}"#
+        r#"{{"uid":"{uid}","endpoint":"{address}","zone":"{zone}","cell":0,"weight":1.0,"started_ms":null,"age_ms":{age_ms},"unit":0.02}}"#
     )
 }
 
-/// A peer that answers each call with one text, or not at all.
-fn peer(answer: Option<String>) -> SocketAddr {
+/// Starts a peer that sends `response` to each request, or never responds; returns its address.
+fn start_peer(response: Option<String>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
-        let mut silent = Vec::new();
+        let mut unanswered = Vec::new();
         for stream in listener.incoming() {
             let mut stream = stream.unwrap();
-            let mut call = String::new();
-            let _ = BufReader::new(&stream).read_line(&mut call);
-            match &answer {
-                Some(answer) => drop(stream.write_all(answer.as_bytes())),
-                None => silent.push(stream),
+            let mut request = String::new();
+            let _ = BufReader::new(&stream).read_line(&mut request);
+            match &response {
+                Some(response) => drop(stream.write_all(response.as_bytes())),
+                None => unanswered.push(stream),
             }
         }
     });
-    at
+    address
 }
 
-fn good_answer(hosts: &str) -> Option<String> {
+fn valid_response(hosts: &str) -> Option<String> {
     Some(format!(
         "HTTP/1.1 200 OK\r\n\r\n{}",
-        KNOWN.replace("HOSTS", hosts)
+        RESPONSE_BODY_TEMPLATE.replace("HOSTS", hosts)
     ))
 }
 
-/// An operator's file by which a proxy may ask some peers.
-fn operator_file(peers: &[SocketAddr]) -> PathBuf {
+/// Writes an operator's file that names the peers of a proxy; returns its path.
+fn write_operator_file(peers: &[SocketAddr]) -> PathBuf {
     let path = temporary_path("toml");
-    let peers: Vec<String> = peers.iter().map(|at| format!("\"{at}\"")).collect();
+    let peers: Vec<String> = peers
+        .iter()
+        .map(|address| format!("\"{address}\""))
+        .collect();
     let text = format!(
         "[recovery]\nstages = true\nfleet = \"lake\"\nothers = [{}]\n",
         peers.join(", ")
@@ -63,8 +66,8 @@
     path
 }
 
-/// A server that answers health checks and counts them.
-fn checked_server() -> (SocketAddr, Arc<AtomicU32>) {
+/// Starts a server that opens sessions and answers health checks; returns its address and the number of health checks.
+fn start_server() -> (SocketAddr, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let health_checks = Arc::new(AtomicU32::new(0));
@@ -90,9 +93,10 @@
     (address, health_checks)
 }
 
-/// Runs a proxy that knows no endpoints and whose discovery sends no list; its log after a shutdown.
+/// Runs a proxy that has no configured endpoints and gets no list from discovery, calls `during`, and shuts the proxy
+/// down. Returns its log.
 fn run_with_peers(peers: &[SocketAddr], during: impl Fn(&mut ProxyHarness)) -> String {
-    let file = operator_file(peers);
+    let file = write_operator_file(peers);
     let settings = settings_with_health_checks();
     let mut proxy = ProxyOptions::new(0)
         .settings(&settings)
@@ -106,10 +110,10 @@
     log
 }
 
-/// Whether a client is served by an endpoint that the peers named, within a time.
+/// Whether a client is served within `within` by an endpoint that a peer named.
 fn serves_client(proxy: &ProxyHarness, within: Duration) -> bool {
-    let until = Instant::now() + within;
-    while Instant::now() < until {
+    let deadline = Instant::now() + within;
+    while Instant::now() < deadline {
         let mut client = proxy.connect(OPEN_LINE);
         match client.read_line_within(TIMEOUT).as_deref() {
             Some("UP r9") => return true,
@@ -123,14 +127,17 @@
 
 #[test]
 fn an_endpoint_named_by_a_peer_is_checked_and_then_used() {
-    let (address, health_checks) = checked_server();
+    let (address, health_checks) = start_server();
     let log = run_with_peers(
         &[
-            peer(None),
-            peer(good_answer(&known_endpoint("s-9", address, "a", 100))),
+            start_peer(None),
+            start_peer(valid_response(&known_endpoint("s-9", address, "a", 100))),
         ],
         |proxy| {
-            assert!(serves_client(proxy, TIMEOUT + TIMEOUT), "nobody is served");
+            assert!(
+                serves_client(proxy, TIMEOUT + TIMEOUT),
+                "no client is served"
+            );
         },
     );
     assert!(health_checks.load(Ordering::Relaxed) > 0);
@@ -141,17 +148,17 @@
 }
 
 #[test_case(Some("HTTP/1.1 200 OK\r\n\r\nrubbish".into()), "cannot be read"; "rubbish")]
-#[test_case(Some("HTTP/1.1 503 No\r\n\r\n".into()), "answers no"; "a no")]
+#[test_case(Some("HTTP/1.1 503 No\r\n\r\n".into()), "answers no"; "error status")]
 #[test_case(Some("nothing\r\n".into()), "no head"; "no head")]
-#[test_case(good_answer("").map(|text| text.replace("lake", "river")), "another fleet"; "of another fleet")]
-#[test_case(good_answer("").map(|text| text.replace("\"v\":1", "\"v\":2")), "version 2"; "of another version")]
+#[test_case(valid_response("").map(|text| text.replace("lake", "river")), "another fleet"; "of another fleet")]
+#[test_case(valid_response("").map(|text| text.replace("\"v\":1", "\"v\":2")), "version 2"; "of another version")]
 #[test_case(Some(format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(200_000))), "too long"; "too long")]
-#[test_case(None, "does not answer in time"; "no answer")]
-fn an_unusable_answer_is_logged_in_one_line_and_otherwise_ignored(
-    answer: Option<String>,
+#[test_case(None, "does not answer in time"; "no response")]
+fn an_unusable_response_is_logged_in_one_line_and_otherwise_ignored(
+    response: Option<String>,
     why: &str,
 ) {
-    let log = run_with_peers(&[peer(answer)], |proxy| {
+    let log = run_with_peers(&[start_peer(response)], |proxy| {
         assert!(!serves_client(proxy, Duration::from_millis(1200)))
     });
     assert!(
@@ -162,25 +169,25 @@
 }
 
 #[test]
-fn a_false_entry_of_a_peer_causes_no_more_than_a_health_check() {
-    // Nobody listens, an unknown zone, information a day old, and a server that is silent.
-    let gone = free_address(77);
-    let silent = TcpListener::bind("127.0.0.1:0").unwrap();
+fn a_wrong_entry_of_a_peer_causes_at_most_a_health_check() {
+    // An address without a listener, an unknown zone, an entry that is 25 hours old, and a server that never responds.
+    let closed = free_address(77);
+    let unresponsive = TcpListener::bind("127.0.0.1:0").unwrap();
     let hosts = [
-        known_endpoint("s-1", gone, "a", 10),
-        known_endpoint("s-2", checked_server().0, "nowhere", 10),
-        known_endpoint("s-3", checked_server().0, "a", 90_000_000),
-        known_endpoint("s-4", silent.local_addr().unwrap(), "a", 10),
+        known_endpoint("s-1", closed, "a", 10),
+        known_endpoint("s-2", start_server().0, "nowhere", 10),
+        known_endpoint("s-3", start_server().0, "a", 90_000_000),
+        known_endpoint("s-4", unresponsive.local_addr().unwrap(), "a", 10),
     ];
-    let log = run_with_peers(&[peer(good_answer(&hosts.join(",")))], |proxy| {
+    let log = run_with_peers(&[start_peer(valid_response(&hosts.join(",")))], |proxy| {
         assert!(!serves_client(proxy, Duration::from_millis(2_500)));
     });
     assert!(!log.contains("stage stage=admitting"), "{log}");
 }
 
 #[test]
-fn a_proxy_answers_its_fleet_and_no_one_without_a_fleet() {
-    let file = operator_file(&[free_address(78)]);
+fn a_proxy_responds_to_peers_only_if_it_has_a_fleet() {
+    let file = write_operator_file(&[free_address(78)]);
     let mut proxy = ProxyOptions::new(2)
         .operator_file(&file)
         .admin_http()
@@ -190,7 +197,7 @@
         .watch
         .send(list_line(9, true, &ready.collect::<Vec<_>>()))
         .unwrap();
-    let until = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         let (status, body) = http_call(proxy.admin_http, "GET /ops/known");
         let known: serde_json::Value = serde_json::from_str(&body).unwrap();
@@ -198,13 +205,13 @@
         if known["hosts"].as_array().unwrap().len() == 2 && known["stage"] == "normal" {
             break;
         }
-        assert!(Instant::now() < until, "{body}");
+        assert!(Instant::now() < deadline, "{body}");
         std::thread::sleep(Duration::from_millis(20));
     }
     assert_eq!(http_call(proxy.admin_http, "POST /ops/known").0, 405);
     proxy.send_signal("TERM");
     proxy.wait_for_exit();
     std::fs::remove_file(file).unwrap();
-    let alone = ProxyHarness::with_admin_http(1);
-    assert_eq!(http_call(alone.admin_http, "GET /ops/known").0, 404);
+    let without_fleet = ProxyHarness::with_admin_http(1);
+    assert_eq!(http_call(without_fleet.admin_http, "GET /ops/known").0, 404);
 }
--- a/crates/proxy/tests/resource_limits.rs
+++ b/crates/proxy/tests/resource_limits.rs
@@ -1,4 +1,4 @@
-//! Crowds of clients, and limits on descriptors and memory.
+//! Many connections at once, and limits on descriptors and memory.
 
 mod support;
 
@@ -9,17 +9,17 @@
 };
 
 #[test]
-fn idle_crowds_neither_keep_clients_out_nor_stay_long() {
+fn many_idle_connections_neither_block_clients_nor_stay_open() {
     let proxy = ProxyOptions::new(1).descriptors(128, 1024).start();
     let mut idle: Vec<LineConnection> = (0..300).map(|_| proxy.connect("")).collect();
     idle.extend((0..100).map(|_| proxy.connect("PING\r\n")));
     idle.extend((0..100).map(|_| proxy.connect("what\r\n")));
-    let begin = Instant::now();
+    let started_at = Instant::now();
     let sessions: Vec<_> = (0..8).map(|_| proxy.open_session()).collect();
     assert!(
-        begin.elapsed() < Duration::from_secs(1),
+        started_at.elapsed() < Duration::from_secs(1),
         "{:?}",
-        begin.elapsed()
+        started_at.elapsed()
     );
     for client in &mut idle {
         let lines = [client.read_line(), client.read_line()];
@@ -30,24 +30,24 @@
             "{lines:?}"
         );
     }
-    assert!(begin.elapsed() < TIMEOUT, "{:?}", begin.elapsed());
+    assert!(started_at.elapsed() < TIMEOUT, "{:?}", started_at.elapsed());
     drop(sessions);
 }
 
 #[test]
-fn a_client_that_reads_no_answers_is_not_read_any_more() {
+fn the_proxy_stops_reading_from_a_client_that_reads_no_responses() {
     let proxy = ProxyHarness::new(1);
     let mut client = proxy.connect("");
     let stream = client.0.get_mut();
     stream
         .set_write_timeout(Some(Duration::from_millis(300)))
         .unwrap();
-    let written = (0..1_000)
+    let written_blocks = (0..1_000)
         .map_while(|_| stream.write_all("PING\r\n".repeat(5_000).as_bytes()).ok())
         .count();
     assert!(
-        written < 1_000,
-        "thirty megabytes of answers wait somewhere"
+        written_blocks < 1_000,
+        "30 MB of pings were read, so their responses are buffered without limit"
     );
     proxy.open_session();
 }
@@ -59,6 +59,7 @@
     let mut rejected = 0;
     for _ in 0..40 {
         let mut client = proxy.connect(OPEN_LINE);
+        // Of 64 descriptors, 28 are reserved for other uses; the others suffice for 18 sessions of two each.
         if open.len() < 18 {
             let (mut server, _) = proxy.accept_at(0);
             server.send("UP r\r\n");
@@ -75,33 +76,33 @@
 }
 
 #[test]
-fn a_lower_limit_than_configured_is_met_without_spinning_and_recovers() {
+fn reaching_a_process_limit_below_the_configured_one_causes_no_spinning_and_the_proxy_recovers() {
     let mut proxy = ProxyOptions::new(1).descriptors(512, 24).start();
-    let waiting: Vec<LineConnection> = (0..40).map(|_| proxy.connect("")).collect();
+    let idle: Vec<LineConnection> = (0..40).map(|_| proxy.connect("")).collect();
     std::thread::sleep(Duration::from_millis(500));
-    drop(waiting);
+    drop(idle);
     std::thread::sleep(Duration::from_millis(300));
     proxy.open_session();
     proxy.send_signal("TERM");
     let (code, log) = proxy.wait_for_exit();
-    let pauses = log
+    let accept_failures = log
         .lines()
         .filter(|line| line.starts_with("accept-failed "))
         .count();
     assert!(
-        code == Some(0) && (2..30).contains(&pauses),
-        "{pauses} {log}"
+        code == Some(0) && (2..30).contains(&accept_failures),
+        "{accept_failures} {log}"
     );
 }
 
-// Idle clients hold every descriptor that they may, while the watch is down.
+// Idle clients hold all descriptors that clients may use, while the discovery watch is down.
 #[test]
 fn idle_clients_prevent_neither_a_watch_nor_a_dial() {
     let proxy = ProxyOptions::new(2).descriptors(128, 128).start();
     let sessions: Vec<_> = (0..30).map(|_| proxy.open_session_at(&[0, 1])).collect();
     let idle: Vec<LineConnection> = (0..300).map(|_| proxy.connect("")).collect();
     proxy.watch.send(String::new()).unwrap();
-    let begin = Instant::now();
+    let started_at = Instant::now();
     let watch = proxy.accept_watch().lists;
     watch
         .send(list_line(
@@ -115,9 +116,9 @@
         proxy.open_session_at(&[1]);
     }
     assert!(
-        begin.elapsed() < Duration::from_secs(2),
+        started_at.elapsed() < Duration::from_secs(2),
         "{:?}",
-        begin.elapsed()
+        started_at.elapsed()
     );
     drop((sessions, idle));
 }
--- a/crates/proxy/tests/session_machine.rs
+++ b/crates/proxy/tests/session_machine.rs
@@ -1,4 +1,5 @@
-//! The session state machine where a client leaves, or time runs out, while its dial is being established.
+//! The session state machine: a client leaves or is rejected, or a deadline passes, while its dial is being
+//! established.
 
 use asterramp_placement::PlacementEvent;
 use asterramp_placement::event::{Outcome, SessionRequest};
@@ -6,15 +7,15 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// How long a server may take to answer a request.
+/// How long a server may take to respond to a request.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// A session whose first dial has begun at time zero, and the effects of that.
-fn dialling_session(
+/// A session whose first dial begins at time zero, and the effects of that input.
+fn session_with_first_dial(
     request: SessionRequest,
     timeout: Duration,
     write_timeout: Duration,
@@ -36,15 +37,18 @@
         .any(|effect| matches!(effect, SessionEffect::SendRequest { .. }))
 }
 
-// A further dial of a session with an idempotency key has to be on its way before the key is forgotten.
-#[test_case(40, Some(Outcome::NotSent); "established when the key is forgotten")]
-#[test_case(39, None; "established just before")]
-fn a_request_is_not_written_after_its_time(established_ms: u64, outcome: Option<Outcome>) {
+// Servers remember an idempotency key for a limited time, so a retry has to be written before the key expires.
+#[test_case(40, Some(Outcome::NotSent); "established as the key expires")]
+#[test_case(39, None; "established just before the key expires")]
+fn a_request_is_not_written_after_its_write_deadline(
+    established_ms: u64,
+    outcome: Option<Outcome>,
+) {
     let request = SessionRequest {
         answer_deadline: ms(2_000),
         ..SessionRequest::default()
     };
-    let (mut machine, mut effects) = dialling_session(request, ms(400), ms(40));
+    let (mut machine, mut effects) = session_with_first_dial(request, ms(400), ms(40));
     let has_deadline = effects
         .iter()
         .any(|effect| matches!(effect, SessionEffect::SetDeadline(Some(at)) if *at == ms(40)));
@@ -55,40 +59,44 @@
         SessionInput::Connected { dial: 0 },
         &mut effects,
     );
-    let notified = effects.iter().find_map(|effect| match effect {
+    let reported_outcome = effects.iter().find_map(|effect| match effect {
         SessionEffect::Notify(PlacementEvent::AttemptEnded { outcome, .. }) => Some(*outcome),
         _ => None,
     });
     assert_eq!(
-        (notified, sends_request(&effects)),
+        (reported_outcome, sends_request(&effects)),
         (outcome, outcome.is_none()),
         "{effects:?}"
     );
 }
 
-/// Until its request is at its server nothing runs, so the dial is closed without asking the placement engine, which
-/// may not cancel.
-#[test_case(&[], SessionInput::ClientLeft; "it leaves while its dial connects")]
-#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::ClientLeft; "it leaves as its dial is established")]
-#[test_case(&[], SessionInput::ClientSentEarlyData; "it speaks while its dial connects")]
-#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::ClientSentEarlyData; "it speaks as its dial is established")]
-#[test_case(&[], SessionInput::DrainCutoff; "it is rejected while its dial connects")]
-#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::DrainCutoff; "it is rejected as its dial is established")]
-fn nothing_is_written_for_a_client_that_waits_no_more(before: &[SessionInput], end: SessionInput) {
-    let (mut machine, mut effects) = dialling_session(SessionRequest::default(), ms(400), ms(400));
-    for input in before {
+/// Before the request is written, the server has executed nothing, so the dial is closed without asking the placement
+/// engine, whose settings may forbid it to cancel.
+#[test_case(&[], SessionInput::ClientLeft; "client leaves while its dial connects")]
+#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::ClientLeft; "client leaves as its dial is established")]
+#[test_case(&[], SessionInput::ClientSentEarlyData; "client sends data while its dial connects")]
+#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::ClientSentEarlyData; "client sends data as its dial is established")]
+#[test_case(&[], SessionInput::DrainCutoff; "drain cutoff while its dial connects")]
+#[test_case(&[SessionInput::Connected { dial: 0 }], SessionInput::DrainCutoff; "drain cutoff as its dial is established")]
+fn no_request_is_written_for_a_client_that_no_longer_waits(
+    earlier_inputs: &[SessionInput],
+    last_input: SessionInput,
+) {
+    let (mut machine, mut effects) =
+        session_with_first_dial(SessionRequest::default(), ms(400), ms(400));
+    for input in earlier_inputs {
         machine.step(ms(1), *input, &mut effects);
     }
     effects.clear();
-    machine.step(ms(1), end, &mut effects);
-    // What was on its way at that moment finds nothing more to do.
+    machine.step(ms(1), last_input, &mut effects);
+    // Events that were queued at that moment have no further effect.
     machine.step(ms(1), SessionInput::Connected { dial: 0 }, &mut effects);
     machine.step(
         ms(1),
         SessionInput::RequestWritten { dial: 0 },
         &mut effects,
     );
-    let notified = |effect: &&SessionEffect| {
+    let reports_cancelled_session = |effect: &&SessionEffect| {
         matches!(
             effect,
             SessionEffect::Notify(PlacementEvent::AttemptEnded {
@@ -98,11 +106,11 @@
             })
         )
     };
-    let closed = |effect: &&SessionEffect| matches!(effect, SessionEffect::CloseServer);
+    let closes_server = |effect: &&SessionEffect| matches!(effect, SessionEffect::CloseServer);
     assert_eq!(
         (
-            effects.iter().filter(notified).count(),
-            effects.iter().filter(closed).count()
+            effects.iter().filter(reports_cancelled_session).count(),
+            effects.iter().filter(closes_server).count()
         ),
         (1, 1),
         "{effects:?}"
--- a/crates/proxy/tests/sessions.rs
+++ b/crates/proxy/tests/sessions.rs
@@ -11,7 +11,7 @@
 #[test_case(b"HELLO\r\n", true; "unknown word")]
 #[test_case(b"OPEN 1 2 c=feed,t=acme,d=x\r\n", true; "bad wait")]
 #[test_case(b"OPEN 1 2 c=feed,t=acme\r\n", true; "no wait")]
-#[test_case(b"OPEN 1 2 c=feed,t=acme,d=99999999999999999999999\r\n", true; "a wait longer than any client means")]
+#[test_case(b"OPEN 1 2 c=feed,t=acme,d=99999999999999999999999\r\n", true; "wait above one hour")]
 #[test_case(b"OPEN 1 2 c=feed,t=acme,d=100\r\nmore\r\n", true; "more than one line")]
 #[test_case(b"OPEN 1 zz c=feed,t=acme,d=100\r\n", true; "bad key")]
 #[test_case(b"OPEN 1 2 c=none,t=acme,d=100\r\n", true; "unknown listener")]
@@ -20,19 +20,19 @@
 #[test_case(b"OPEN \xff\xfe 2 c=feed,t=acme,d=100\r\n", true; "not text")]
 #[test_case(b"OPEN 1 2 c=feed", false; "incomplete")]
 #[test_case(&[b'x'; 5000], true; "too long")]
-fn a_bad_first_line_is_answered_with_one_error_and_a_close(text: &[u8], stays: bool) {
+fn an_invalid_first_line_gets_one_error_line_and_a_close(text: &[u8], keeps_write_side_open: bool) {
     let proxy = ProxyHarness::new(1);
     let mut client = proxy.connect("");
     client.0.get_mut().write_all(text).unwrap();
-    if !stays {
+    if !keeps_write_side_open {
         client.0.get_mut().shutdown(Shutdown::Write).unwrap();
     }
     assert_eq!([client.read_line(), client.read_line()], ["ERR", "FIN"]);
-    proxy.assert_no_pending_dial("it was forwarded");
+    proxy.assert_no_pending_dial("the request was forwarded");
 }
 
 #[test]
-fn a_second_request_with_an_open_id_and_lines_before_the_answer_are_never_forwarded() {
+fn a_request_with_an_id_in_use_and_data_before_the_response_are_never_forwarded() {
     let proxy = ProxyHarness::new(1);
     let line = "OPEN 1 2 c=feed,t=acme,d=2000\r\n";
     let mut first = proxy.connect(line);
@@ -44,78 +44,80 @@
         [first.read_line(), first.read_line(), server.read_line()],
         ["ERR", "FIN", "FIN"]
     );
-    proxy.assert_no_pending_dial("it was dialled again");
-    let mut again = proxy.connect(line);
+    proxy.assert_no_pending_dial("the session was retried");
+    let mut later = proxy.connect(line);
     proxy.accept_at(0).0.send("UP r\r\n");
-    assert_eq!(again.read_line(), "UP r");
+    assert_eq!(later.read_line(), "UP r");
 }
 
-/// The wait in a request, in milliseconds.
+/// The client wait (`d`) in a request line, in milliseconds.
 fn wait_ms(line: &str) -> u64 {
     let (_, value) = line.split_once("d=").unwrap();
     value.split(',').next().unwrap().parse().unwrap()
 }
 
-// What servers answer to each dial, what the client receives and how many dials there are.
-#[test_case("feed", &["UP r9\r\n"], "UP r9", 1; "up")]
-#[test_case("feed", &["BUSY\r\n", "UP r9\r\n"], "UP r9", 2; "full, then up")]
-#[test_case("feed", &["ERR\r\n", "UP r9\r\n"], "UP r9", 2; "erred, then up")]
-#[test_case("feed", &["", "UP r9\r\n"], "UP r9", 2; "ended, then up")]
-#[test_case("feed", &["what\r\n", "UP r9\r\n"], "UP r9", 2; "unknown answer, then up")]
-#[test_case("feed", &["BUSY\r\n", "BUSY\r\n"], "BUSY 1000", 2; "full twice")]
-#[test_case("order", &["BUSY\r\n", "UP r9\r\n"], "UP r9", 2; "not idempotent, and never ran")]
-#[test_case("order", &["ERR\r\n"], "ERR", 1; "not idempotent, and may have run")]
-#[test_case("order", &[""], "ERR", 1; "not idempotent, and its connection ended")]
-#[test_case("order", &["MOVE\r\n"], "ERR", 1; "not idempotent, and moved")]
+// The response of the server to each dial (empty: it closes the connection), the line that the client receives, and the
+// most dials allowed.
+#[test_case("feed", &["UP r9\r\n"], "UP r9", 1; "opened")]
+#[test_case("feed", &["BUSY\r\n", "UP r9\r\n"], "UP r9", 2; "busy, then opened")]
+#[test_case("feed", &["ERR\r\n", "UP r9\r\n"], "UP r9", 2; "error, then opened")]
+#[test_case("feed", &["", "UP r9\r\n"], "UP r9", 2; "closed, then opened")]
+#[test_case("feed", &["what\r\n", "UP r9\r\n"], "UP r9", 2; "unknown response, then opened")]
+#[test_case("feed", &["BUSY\r\n", "BUSY\r\n"], "BUSY 1000", 2; "busy twice")]
+#[test_case("order", &["BUSY\r\n", "UP r9\r\n"], "UP r9", 2; "not idempotent, not executed")]
+#[test_case("order", &["ERR\r\n"], "ERR", 1; "not idempotent, possibly executed")]
+#[test_case("order", &[""], "ERR", 1; "not idempotent, connection closed")]
+#[test_case("order", &["MOVE\r\n"], "ERR", 1; "not idempotent, moved")]
 fn a_client_gets_the_outcome_of_its_last_attempt(
     listener: &str,
-    answers: &[&str],
-    receives: &str,
-    dials: usize,
+    server_responses: &[&str],
+    client_receives: &str,
+    max_dials: usize,
 ) {
     let proxy = ProxyHarness::new(1);
     let mut client = proxy.connect(&OPEN_LINE.replace("feed", listener));
-    let mut open = Vec::new();
-    for answer in answers {
+    let mut open_dials = Vec::new();
+    for response in server_responses {
         let (mut server, line) = proxy.accept_at(0);
         let wait = wait_ms(&line);
-        let unchanged = OPEN_LINE
+        let expected_line = OPEN_LINE
             .trim_end()
             .replace("feed", listener)
             .replace("d=2000", &format!("d={wait}"));
+        // The first 21 bytes are `OPEN ` and the id, which differs for each client.
         assert!(
-            line[21..] == unchanged[21..] && wait > 300 && wait < 2000,
+            line[21..] == expected_line[21..] && wait > 300 && wait < 2000,
             "{line}"
         );
-        server.send(answer);
-        open.extend(Some(server).filter(|_| !answer.is_empty()));
+        server.send(response);
+        open_dials.extend(Some(server).filter(|_| !response.is_empty()));
     }
-    assert_eq!(client.read_line(), receives);
+    assert_eq!(client.read_line(), client_receives);
     std::thread::sleep(Duration::from_millis(100));
     assert!(
-        proxy.servers[0].accept().is_err() && open.len() <= dials,
-        "more dials"
+        proxy.servers[0].accept().is_err() && open_dials.len() <= max_dials,
+        "too many dials"
     );
 }
 
 #[test]
-fn a_silent_dial_times_out_and_is_closed_before_the_next_begins() {
+fn a_dial_without_response_times_out_and_is_closed_before_the_next_begins() {
     let proxy = ProxyHarness::new(1);
     let mut client = proxy.connect(OPEN_LINE);
     let (mut first, _) = proxy.accept_at(0);
     let (mut second, _) = proxy.accept_at(0);
-    assert_eq!(first.read_line(), "FIN", "never two at once");
+    assert_eq!(first.read_line(), "FIN", "two dials were open at once");
     drop(client.0.get_mut().shutdown(Shutdown::Both));
-    assert_eq!(second.read_line(), "FIN", "the client has left");
+    assert_eq!(second.read_line(), "FIN", "the dial outlasted its client");
 }
 
 #[test]
-fn a_session_open_before_the_start_goes_to_its_server_unchanged() {
+fn the_request_of_a_restored_session_reaches_its_server_unchanged() {
     let proxy = ProxyHarness::new(3);
     let line = "OPEN 1 2 c=feed,t=acme,d=99999999999,at=s-2\r\n";
     let mut client = proxy.connect(line);
-    let (mut server, first) = proxy.accept_at(2);
-    assert_eq!(first, line.trim_end());
+    let (mut server, received_line) = proxy.accept_at(2);
+    assert_eq!(received_line, line.trim_end());
     server.send("BUSY\r\n");
     let (mut server, _) = proxy.accept_at(2);
     server.send("UP r2\r\n");
@@ -138,38 +140,38 @@
     assert_eq!([server.read_line(), server.read_line()], ["a", "b"]);
 }
 
-// Which side ends and how, and what the other receives.
-#[test_case(true, "", "FIN", &["FIN"]; "client in good order")]
-#[test_case(true, "", "RST", &["RST"]; "client by reset")]
-#[test_case(false, "", "FIN", &["FIN"]; "server in good order")]
-#[test_case(false, "", "RST", &["RST"]; "server by reset")]
-#[test_case(false, "BYE x0=0.5\r\n", "FIN", &["BYE x0=0.5", "FIN"]; "server that has served")]
-#[test_case(false, "MOVE\r\n", "FIN", &["MOVE", "FIN"]; "server that drains")]
-#[test_case(false, "last\r\nincompl", "FIN", &["last", "FIN"]; "server within a line")]
-fn the_end_of_a_connection_is_forwarded_in_kind(
-    client_ends: bool,
+// Which side closes its connection and how, and what the other side receives.
+#[test_case(true, "", "FIN", &["FIN"]; "client closes")]
+#[test_case(true, "", "RST", &["RST"]; "client resets")]
+#[test_case(false, "", "FIN", &["FIN"]; "server closes")]
+#[test_case(false, "", "RST", &["RST"]; "server resets")]
+#[test_case(false, "BYE x0=0.5\r\n", "FIN", &["BYE x0=0.5", "FIN"]; "server closes after BYE")]
+#[test_case(false, "MOVE\r\n", "FIN", &["MOVE", "FIN"]; "server closes after MOVE")]
+#[test_case(false, "last\r\nincompl", "FIN", &["last", "FIN"]; "server closes within a line")]
+fn a_close_is_forwarded_as_a_close_and_a_reset_as_a_reset(
+    client_closes: bool,
     last_text: &str,
     how: &str,
-    receives: &[&str],
+    expected: &[&str],
 ) {
     let proxy = ProxyHarness::new(1);
     let (client, server) = proxy.open_session();
-    let (mut ending, mut other) = if client_ends {
+    let (mut closing, mut other) = if client_closes {
         (client, server)
     } else {
         (server, client)
     };
-    ending.send(last_text);
-    let begin = Instant::now();
-    ending.close(how, &mut other);
-    let received: Vec<String> = receives.iter().map(|_| other.read_line()).collect();
-    assert_eq!(received, receives);
-    assert!(begin.elapsed() < Duration::from_secs(1));
+    closing.send(last_text);
+    let started_at = Instant::now();
+    closing.close(how, &mut other);
+    let received: Vec<String> = expected.iter().map(|_| other.read_line()).collect();
+    assert_eq!(received, expected);
+    assert!(started_at.elapsed() < Duration::from_secs(1));
 }
 
 #[test_case(&"x".repeat(5000); "too long")]
 #[test_case("no carriage return\n"; "line feed alone")]
-fn a_bad_line_in_an_open_session_is_not_forwarded(text: &str) {
+fn an_invalid_line_in_an_open_session_is_not_forwarded(text: &str) {
     let proxy = ProxyHarness::new(1);
     let (mut client, mut server) = proxy.open_session();
     client.send(text);
@@ -180,21 +182,21 @@
 }
 
 #[test]
-fn a_client_of_a_silent_server_is_migrated() {
+fn a_client_of_an_unresponsive_server_is_migrated() {
     let proxy = ProxyHarness::new(1);
     let (mut client, _server) = proxy.open_session();
     client.send("ping\r\n");
-    let begin = Instant::now();
+    let started_at = Instant::now();
     assert_eq!([client.read_line(), client.read_line()], ["MOVE", "FIN"]);
     assert!(
-        (3..6).contains(&begin.elapsed().as_secs()),
+        (3..6).contains(&started_at.elapsed().as_secs()),
         "{:?}",
-        begin.elapsed()
+        started_at.elapsed()
     );
 }
 
 #[test]
-fn a_line_delayed_by_the_network_migrates_nobody() {
+fn a_network_delay_migrates_no_client() {
     let settings = "\"specifics\":{\"message_aim\":[60000.0,60000.0]},\"weights\"";
     let settings = SETTINGS.replace("\"weights\"", settings);
     let proxy = ProxyOptions::new(1).settings(&settings).start();
@@ -207,12 +209,12 @@
     assert_eq!(sessions[0].0.read_line(), "pong");
     assert!(
         sessions.iter_mut().all(|(client, _)| client.is_quiet()),
-        "the network was taken for the server"
+        "the network delay was attributed to the server"
     );
 }
 
 #[test]
-fn a_slow_client_slows_its_server_and_loses_nothing() {
+fn a_slow_client_exerts_backpressure_and_loses_nothing() {
     let proxy = ProxyHarness::new(1);
     let (mut client, server) = proxy.open_session();
     let sender = std::thread::spawn(move || {
@@ -222,8 +224,11 @@
         stream
     });
     std::thread::sleep(Duration::from_millis(600));
-    assert!(!sender.is_finished(), "something buffers sixteen megabytes");
-    // Its server cannot answer meanwhile, but is not silent.
+    assert!(
+        !sender.is_finished(),
+        "16 MB are buffered for a client that does not read"
+    );
+    // The blocked server cannot answer this ping, but must not count as unresponsive.
     client.send("ping\r\n");
     std::thread::sleep(Duration::from_millis(4_600));
     assert!((0..80_000).all(|n| client.read_line() == format!("{n:0>200}")));
--- a/crates/proxy/tests/snapshots.rs
+++ b/crates/proxy/tests/snapshots.rs
@@ -11,31 +11,31 @@
 };
 use test_case::test_case;
 
-/// A snapshot directory and an operator's file that names it; both are removed with the test.
-struct SnapshotDisk {
+/// A snapshot directory and an operator's file that names it; both are removed when it is dropped.
+struct SnapshotFixture {
     directory: PathBuf,
     operator_file: PathBuf,
 }
 
-impl Drop for SnapshotDisk {
+impl Drop for SnapshotFixture {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.directory);
         let _ = std::fs::remove_file(&self.operator_file);
     }
 }
 
-impl SnapshotDisk {
-    fn new() -> SnapshotDisk {
-        let disk = SnapshotDisk {
+impl SnapshotFixture {
+    fn new() -> SnapshotFixture {
+        let fixture = SnapshotFixture {
             directory: temporary_path("state"),
             operator_file: temporary_path("toml"),
         };
         let text = format!(
             "[state]\nfolder = {:?}\nevery = \"200ms\"\n[recovery]\nstages = true\n",
-            disk.directory
+            fixture.directory
         );
-        std::fs::write(&disk.operator_file, text).unwrap();
-        disk
+        std::fs::write(&fixture.operator_file, text).unwrap();
+        fixture
     }
 
     fn start_proxy(&self) -> ProxyHarness {
@@ -44,7 +44,7 @@
             .start()
     }
 
-    /// A proxy that serves, since discovery has listed warm endpoints.
+    /// Starts a proxy whose warm start is complete, as discovery has listed warm endpoints.
     fn start_serving_proxy(&self) -> ProxyHarness {
         let proxy = self.start_proxy();
         let ready =
@@ -53,17 +53,17 @@
             .watch
             .send(list_line(9, true, &ready.collect::<Vec<_>>()))
             .unwrap();
-        // The rate limit of the warm start is lifted with its last stage.
+        // The last stage of the warm start lifts its limit on the admission rate.
         std::thread::sleep(Duration::from_millis(100));
         drop(proxy.open_session_at(&[0, 1]));
         proxy
     }
 
-    /// Waits for the first snapshot, and checks that it names this proxy as its owner.
+    /// Waits for the first snapshot, and checks that it names `proxy` as its owner.
     fn wait_for_snapshot_of(&self, proxy: &ProxyHarness) {
-        let until = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         while !self.directory.join("state.0").exists() {
-            assert!(Instant::now() < until, "no snapshot is saved");
+            assert!(Instant::now() < deadline, "no snapshot is saved");
             std::thread::sleep(Duration::from_millis(10));
         }
         assert!(
@@ -72,13 +72,13 @@
         );
     }
 
-    fn put(&self, file: &str, bytes: &[u8]) {
+    fn write_file(&self, file: &str, bytes: &[u8]) {
         std::fs::create_dir_all(&self.directory).unwrap();
         std::fs::write(self.directory.join(file), bytes).unwrap();
     }
 }
 
-/// Runs `asterramp state` with these arguments on a directory.
+/// Runs `asterramp state` with these arguments, followed by the snapshot directory.
 fn state_command(arguments: &[&str], directory: &Path) -> Output {
     let program = env!("CARGO_BIN_EXE_asterramp");
     Command::new(program)
@@ -90,9 +90,9 @@
 }
 
 #[test]
-fn the_list_of_discovery_is_saved_and_the_last_snapshot_says_that_the_proxy_shut_down_gracefully() {
-    let disk = SnapshotDisk::new();
-    let mut proxy = disk.start_proxy();
+fn the_endpoint_list_is_saved_and_the_last_snapshot_records_a_graceful_shutdown() {
+    let fixture = SnapshotFixture::new();
+    let mut proxy = fixture.start_proxy();
     let at = |n: usize| proxy.servers[n].local_addr().unwrap();
     proxy
         .watch
@@ -105,13 +105,13 @@
             ],
         ))
         .unwrap();
-    disk.wait_for_snapshot_of(&proxy);
-    // A directory that a running proxy holds is not cleared.
-    let held = state_command(&["clear"], &disk.directory);
+    fixture.wait_for_snapshot_of(&proxy);
+    // A directory that a running proxy has locked is not cleared.
+    let refused = state_command(&["clear"], &fixture.directory);
     assert!(
-        !held.status.success() && output_text(&held).contains("a proxy holds it"),
+        !refused.status.success() && output_text(&refused).contains("a proxy holds it"),
         "{}",
-        output_text(&held)
+        output_text(&refused)
     );
     proxy.send_signal("TERM");
     let (code, log) = proxy.wait_for_exit();
@@ -120,7 +120,7 @@
         log.contains("stage stage=normal why=\"discovery tells hosts that are warm\""),
         "{log}"
     );
-    let shown = output_text(&state_command(&["show"], &disk.directory));
+    let shown = output_text(&state_command(&["show"], &fixture.directory));
     assert!(
         shown.contains("left in good order")
             && shown.contains("list 9")
@@ -128,37 +128,45 @@
         "{shown}"
     );
     let json: serde_json::Value =
-        serde_json::from_slice(&state_command(&["show", "--json"], &disk.directory).stdout)
+        serde_json::from_slice(&state_command(&["show", "--json"], &fixture.directory).stdout)
             .unwrap();
     assert_eq!(
         (json["rev"].as_u64(), json["clean"].as_bool()),
         (Some(9), Some(true))
     );
-    assert!(state_command(&["verify"], &disk.directory).status.success());
-    assert!(state_command(&["clear"], &disk.directory).status.success());
-    let none = state_command(&["verify"], &disk.directory);
-    assert!(!none.status.success() && output_text(&none).contains("no whole snapshot"));
+    assert!(
+        state_command(&["verify"], &fixture.directory)
+            .status
+            .success()
+    );
+    assert!(
+        state_command(&["clear"], &fixture.directory)
+            .status
+            .success()
+    );
+    let verified = state_command(&["verify"], &fixture.directory);
+    assert!(!verified.status.success() && output_text(&verified).contains("no whole snapshot"));
 }
 
 #[test_case("state.0", b"", "empty"; "empty")]
 #[test_case("state.1", b"rubbish\n", "first line"; "corrupt")]
 #[test_case("state.0", b"asterramp-state v=9 len=2 crc=0\n{}", "newer than"; "newer version")]
 #[test_case("state.1", b"asterramp-state v=0 len=2 crc=0\n{}", "older than"; "older version")]
-#[test_case("state.0", b"asterramp-state v=1 len=999 crc=0\n{}", "2 bytes of 999"; "cut short")]
-fn a_file_that_cannot_be_used_is_one_log_line_and_the_proxy_starts(
+#[test_case("state.0", b"asterramp-state v=1 len=999 crc=0\n{}", "2 bytes of 999"; "truncated")]
+fn an_unusable_snapshot_file_causes_one_log_line_and_the_proxy_starts(
     file: &str,
     bytes: &[u8],
     why: &str,
 ) {
-    let disk = SnapshotDisk::new();
-    disk.put(file, bytes);
-    let verified = state_command(&["verify"], &disk.directory);
+    let fixture = SnapshotFixture::new();
+    fixture.write_file(file, bytes);
+    let verified = state_command(&["verify"], &fixture.directory);
     assert!(
         !verified.status.success() && output_text(&verified).contains(why),
         "{}",
         output_text(&verified)
     );
-    let mut proxy = disk.start_serving_proxy();
+    let mut proxy = fixture.start_serving_proxy();
     proxy.send_signal("TERM");
     let (code, log) = proxy.wait_for_exit();
     let lines: Vec<&str> = log
@@ -170,10 +178,10 @@
 }
 
 #[test]
-fn a_directory_that_cannot_be_used_is_one_log_line_and_the_proxy_serves() {
-    let disk = SnapshotDisk::new();
-    std::fs::write(&disk.directory, "a file").unwrap();
-    let mut proxy = disk.start_serving_proxy();
+fn an_unusable_snapshot_directory_causes_one_log_line_and_the_proxy_serves() {
+    let fixture = SnapshotFixture::new();
+    std::fs::write(&fixture.directory, "a file").unwrap();
+    let mut proxy = fixture.start_serving_proxy();
     proxy.send_signal("TERM");
     let (code, log) = proxy.wait_for_exit();
     assert_eq!(
@@ -181,15 +189,15 @@
         (Some(0), 1),
         "{log}"
     );
-    std::fs::remove_file(&disk.directory).unwrap();
+    std::fs::remove_file(&fixture.directory).unwrap();
 }
 
 #[test]
 fn a_second_proxy_on_the_same_directory_reports_it_and_writes_nothing() {
-    let disk = SnapshotDisk::new();
-    let first = disk.start_proxy();
-    disk.wait_for_snapshot_of(&first);
-    let mut second = disk.start_serving_proxy();
+    let fixture = SnapshotFixture::new();
+    let first = fixture.start_proxy();
+    fixture.wait_for_snapshot_of(&first);
+    let mut second = fixture.start_serving_proxy();
     second.send_signal("TERM");
     let (code, log) = second.wait_for_exit();
     assert_eq!(code, Some(0));
@@ -198,31 +206,31 @@
         "{log}"
     );
     assert!(
-        output_text(&state_command(&["show"], &disk.directory))
+        output_text(&state_command(&["show"], &fixture.directory))
             .contains(&first.listen_address.to_string())
     );
 }
 
 #[test]
-fn without_discovery_the_configured_endpoints_are_used_once_they_answer() {
-    let disk = SnapshotDisk::new();
+fn without_discovery_the_configured_endpoints_are_used_once_they_respond() {
+    let fixture = SnapshotFixture::new();
     // Only the configured list is known; discovery never sends one.
-    let mut proxy = disk.start_proxy();
-    // The endpoints count as just started, so the first clients are rejected with a Retry-After.
-    let until = Instant::now() + TIMEOUT + TIMEOUT;
+    let mut proxy = fixture.start_proxy();
+    // The endpoints count as just started, so the first clients are rejected with a retry time.
+    let deadline = Instant::now() + TIMEOUT + TIMEOUT;
     loop {
         let mut client = proxy.connect(OPEN_LINE);
-        let answer = client.read_line_within(Duration::from_millis(300));
-        match answer.as_deref() {
+        let response = client.read_line_within(Duration::from_millis(300));
+        match response.as_deref() {
             Some(busy) => assert!(busy.starts_with("BUSY "), "{busy}"),
             None => break,
         }
-        assert!(Instant::now() < until, "no client is admitted");
+        assert!(Instant::now() < deadline, "no client is admitted");
         std::thread::sleep(Duration::from_millis(100));
     }
     proxy.send_signal("TERM");
     let (_, log) = proxy.wait_for_exit();
-    let stage = |line: &'_ str| {
+    let stage_name = |line: &'_ str| {
         Some(
             line.strip_prefix("stage stage=")?
                 .split(' ')
@@ -230,6 +238,6 @@
                 .to_string(),
         )
     };
-    let stages: Vec<String> = log.lines().filter_map(stage).collect();
+    let stages: Vec<String> = log.lines().filter_map(stage_name).collect();
     assert_eq!(stages, ["looking", "probing", "admitting"], "{log}");
 }
--- a/crates/proxy/tests/startup.rs
+++ b/crates/proxy/tests/startup.rs
@@ -1,4 +1,4 @@
-//! The start of the proxy, its configuration and the reload of that.
+//! Startup, invalid configurations and configuration reloads.
 
 mod support;
 
@@ -19,7 +19,7 @@
 #[test_case("\"instances\":1", "\"instances\":\"x\"", "setting instances"; "bad setting")]
 #[test_case("\"tip_multiple\":4.0,", "", "setting rules.tip_multiple is missing"; "missing setting")]
 #[test_case("\"settings\":{", "\"settings\":{,", "configuration"; "not JSON")]
-fn a_bad_configuration_is_reported_in_one_line_that_names_the_key(
+fn an_invalid_configuration_is_reported_in_one_line_that_names_the_key(
     from: &str,
     to: &str,
     expected: &str,
@@ -41,27 +41,32 @@
 }
 
 #[test]
-fn a_reload_changes_only_discovery_and_disturbs_nobody() {
+fn a_reload_changes_only_discovery_and_disturbs_no_session() {
     let mut proxy = ProxyHarness::new(2);
     let (mut client, mut server) = proxy.open_session_at(&[0, 1]);
     let text = std::fs::read_to_string(&proxy.config_path).unwrap();
     reload(&proxy, "{");
     reload(&proxy, &text.replace("\"sockets\":512", "\"sockets\":none"));
-    let agent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let moved = with_discovery(&text, agent.local_addr().unwrap());
-    let watches = serve_discovery(agent);
-    reload(&proxy, &moved.replace("\"sockets\":512", "\"sockets\":513"));
+    let new_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
+    let changed = with_discovery(&text, new_discovery.local_addr().unwrap());
+    let watches = serve_discovery(new_discovery);
+    reload(
+        &proxy,
+        &changed.replace("\"sockets\":512", "\"sockets\":513"),
+    );
     let OpenedWatch {
         request,
         lists: watch,
-    } = watches.try_recv().expect("a watch at the new address");
+    } = watches
+        .try_recv()
+        .expect("no watch at the new discovery address");
     assert!(request.contains("stream=1&index=0 "), "{request}");
     let endpoints = [
         endpoint_json(0, proxy.server_address(0), "draining"),
         endpoint_json(1, proxy.server_address(1), "ready"),
     ];
     watch.send(list_line(9, true, &endpoints)).unwrap();
-    // The former discovery counts no more.
+    // Lists from the previous discovery are ignored.
     let endpoints = [endpoint_json(0, proxy.server_address(0), "ready")];
     proxy.watch.send(list_line(10, true, &endpoints)).unwrap();
     std::thread::sleep(Duration::from_millis(200));
@@ -78,14 +83,14 @@
     assert_reloads_are_logged(&log);
 }
 
-/// Replaces the configuration and has it read again.
+/// Writes the configuration and sends `SIGHUP`; returns when the proxy has had time to reload it.
 fn reload(proxy: &ProxyHarness, configuration: &str) {
     std::fs::write(&proxy.config_path, configuration).unwrap();
     proxy.send_signal("HUP");
     std::thread::sleep(Duration::from_millis(200));
 }
 
-/// A configuration with another address of discovery.
+/// The configuration with another discovery address.
 fn with_discovery(configuration: &str, discovery: SocketAddr) -> String {
     let from = configuration.find("\"discovery\":\"127").unwrap();
     let to = from + configuration[from..].find(',').unwrap();
@@ -93,7 +98,8 @@
     format!("{before}\"discovery\":\"{discovery}\"{after}")
 }
 
-/// Two configurations that can't be read, then one that can, with a key that only a restart changes.
+/// Checks the log of three reloads: two invalid configurations, then a valid one, in which a key has changed that takes
+/// effect only at a restart.
 fn assert_reloads_are_logged(log: &str) {
     let lines: Vec<&str> = log
         .lines()
@@ -110,75 +116,75 @@
     );
 }
 
-/// How many processes are started at once.
-const RESTARTED: u32 = 30;
-/// How many of them have to be ready in time: nine in ten.
-const HAVE_TO_BE_READY: usize = 27;
-/// The time in which they have to be ready.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// How long they are watched.
-const WATCHED_FOR: Duration = Duration::from_secs(12);
+/// Number of processes started at once.
+const PROCESSES: u32 = 30;
+/// Least number of processes that have to be ready within [`READY_TIMEOUT`]: nine in ten.
+const MIN_READY_PROCESSES: usize = 27;
+/// The time after the start of the first process in which they have to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long the test polls for ready processes; longer than [`READY_TIMEOUT`], so that it prints late ones.
+const POLLING_TIME: Duration = Duration::from_secs(12);
 
-/// Processes started at once are ready in time, whatever discovery does meanwhile. Where it sends nothing they go by the
-/// list known from before, after half a second.
+/// Processes started at once are ready in time whether or not discovery sends a list. Without one, they use the
+/// endpoints known from their configuration after 0.5 s.
 #[test_case("answers"; "discovery answers")]
-#[test_case("is slow"; "discovery takes three seconds")]
+#[test_case("is slow"; "discovery sends its first list after 3 s")]
 #[test_case("is silent"; "discovery accepts connections and sends nothing")]
 #[test_case("is down"; "discovery refuses connections")]
-fn restarted_processes_are_ready_in_time(discovery: &str) {
+fn restarted_processes_are_ready_in_time(discovery_behaviour: &str) {
     let proxy = ProxyHarness::new(1);
-    let agent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let agent_address = agent.local_addr().unwrap();
-    let _silent_agent = run_discovery(agent, discovery);
-    let begin = Instant::now();
-    let mut started: Vec<(Child, SocketAddr)> = (0..RESTARTED)
-        .map(|nth| start_process(&proxy, nth, agent_address))
+    let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
+    let discovery_address = discovery.local_addr().unwrap();
+    let _silent_discovery = run_discovery(discovery, discovery_behaviour);
+    let started_at = Instant::now();
+    let mut processes: Vec<(Child, SocketAddr)> = (0..PROCESSES)
+        .map(|nth| start_process(&proxy, nth, discovery_address))
         .collect();
     let mut ready_after = Vec::new();
-    let mut waiting: Vec<SocketAddr> = started.iter().map(|(_, listen)| *listen).collect();
-    while !waiting.is_empty() && begin.elapsed() < WATCHED_FOR {
+    let mut waiting: Vec<SocketAddr> = processes.iter().map(|(_, listen)| *listen).collect();
+    while !waiting.is_empty() && started_at.elapsed() < POLLING_TIME {
         waiting.retain(|listen| {
             let ready = answers_ping(*listen);
             if ready {
-                ready_after.push(begin.elapsed());
+                ready_after.push(started_at.elapsed());
             }
             !ready
         });
         std::thread::sleep(Duration::from_millis(20));
     }
-    for (process, _) in &mut started {
+    for (process, _) in &mut processes {
         process.kill().unwrap();
         process.wait().unwrap();
     }
     println!(
-        "discovery {discovery}: {} ready, {:?}, of {RESTARTED} the 15th and 27th {:?}, {:?}, last {:?}",
+        "discovery {discovery_behaviour}: {} of {PROCESSES} ready; first {:?}, 15th {:?}, 27th {:?}, last {:?}",
         ready_after.len(),
         ready_after.first(),
         ready_after.get(14),
-        ready_after.get(HAVE_TO_BE_READY - 1),
+        ready_after.get(MIN_READY_PROCESSES - 1),
         ready_after.last()
     );
     assert!(
         ready_after
-            .get(HAVE_TO_BE_READY - 1)
-            .is_some_and(|after| *after < READY_WITHIN),
+            .get(MIN_READY_PROCESSES - 1)
+            .is_some_and(|after| *after < READY_TIMEOUT),
         "{ready_after:?}"
     );
 }
 
-/// Runs a discovery that behaves so; a silent one's listener has to be kept.
-fn run_discovery(agent: TcpListener, behaviour: &str) -> Option<TcpListener> {
+/// Runs a discovery with one of the behaviours above. Returns the listener of a silent one, which has to stay open.
+fn run_discovery(listener: TcpListener, behaviour: &str) -> Option<TcpListener> {
     match behaviour {
         "is down" => return None,
-        "is silent" => return Some(agent),
+        "is silent" => return Some(listener),
         _ => {}
     }
     let mut delay = Duration::from_secs(if behaviour == "is slow" { 3 } else { 0 });
-    let watches = serve_discovery(agent);
+    let watches = serve_discovery(listener);
     std::thread::spawn(move || {
         let mut open = Vec::new();
         for OpenedWatch { lists: watch, .. } in watches.iter() {
-            // Only the first waits.
+            // Only the first list is delayed.
             std::thread::sleep(std::mem::take(&mut delay));
             let _ = watch.send(list_line(8, false, &[]));
             open.push(watch);
@@ -187,7 +193,8 @@
     None
 }
 
-/// Starts a process with the configuration of the harness's, but an address of its own and another discovery.
+/// Starts a process with the configuration of `proxy`, except for its listen address and the discovery address. Returns
+/// the process and its listen address.
 fn start_process(proxy: &ProxyHarness, nth: u32, discovery: SocketAddr) -> (Child, SocketAddr) {
     let listen = free_address(20_000 + nth);
     let text = std::fs::read_to_string(&proxy.config_path).unwrap();
@@ -204,14 +211,14 @@
     (process, listen)
 }
 
-/// Whether a proxy answers the front's health check at once.
+/// Whether a proxy answers a ping, the health check of the front proxy, within 100 ms.
 fn answers_ping(listen: SocketAddr) -> bool {
     let Ok(stream) = TcpStream::connect(listen) else {
         return false;
     };
-    let mut front = LineConnection::from_stream(stream);
-    front.send("PING\r\n");
-    front
+    let mut front_connection = LineConnection::from_stream(stream);
+    front_connection.send("PING\r\n");
+    front_connection
         .read_line_within(Duration::from_millis(100))
         .is_some_and(|line| line == "PONG")
 }
