--- a/crates/proxy/tests/admin_http.rs
+++ b/crates/proxy/tests/admin_http.rs
@@ -7,7 +7,8 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 use support::{
-    LineConnection, OPEN_LINE, ProxyHarness, TIMEOUT, http_call, metric, read_response, wait_until,
+    LineConnection, OPEN_LINE, ProxyHarness, TIMEOUT, http_call, metric_value, read_response,
+    wait_until,
 };
 use test_case::test_case;
 
@@ -107,7 +108,7 @@
 /// How many sessions of a listener ended in success, rejected and in failure.
 fn session_ends(proxy: &ProxyHarness, listener: &str) -> [f64; 3] {
     ["success", "busy", "failure"].map(|code| {
-        metric(
+        metric_value(
             proxy.admin_http,
             &format!("svc_calls_total{{tier=\"{listener}\",code=\"{code}\"}}"),
         )
@@ -148,7 +149,7 @@
         Ending::ClientSpeaksBeforeAnswer => client.send("early\r\n"),
     }
     wait_until("the session has ended", || {
-        metric(proxy.admin_http, "svc_inflight") == 0.0
+        metric_value(proxy.admin_http, "svc_inflight") == 0.0
     });
 }
 
@@ -165,7 +166,7 @@
     attempts: f64,
 ) {
     let proxy = ProxyHarness::with_admin_http(2);
-    let metric = |name: &str| metric(proxy.admin_http, name);
+    let metric = |name: &str| metric_value(proxy.admin_http, name);
     assert_eq!(
         (session_ends(&proxy, "feed"), session_ends(&proxy, "order")),
         ([0.0; 3], [0.0; 3]),
--- a/crates/proxy/tests/admin_socket.rs
+++ b/crates/proxy/tests/admin_socket.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::process::Command;
 use std::time::{Duration, Instant};
-use support::{OperatedProxy, operator_file_text, output_text, temporary_path};
+use support::{ProxyWithAdminSocket, operator_file_text, output_text, temporary_path};
 use test_case::test_case;
 
 #[test_case("x", "not a request"; "not JSON")]
@@ -21,7 +21,7 @@
 #[test_case(r#"{"v":1,"do":"drain","deadline_ms":99999999999}"#, "more than a day"; "a deadline out of range")]
 #[test_case(&"x".repeat(2_000), "too long"; "too long")]
 fn an_invalid_request_gets_an_error_and_changes_nothing(line: &str, message: &str) {
-    let operated = OperatedProxy::start("");
+    let operated = ProxyWithAdminSocket::start("");
     let reply = operated.reply_to(line);
     assert!(
         reply.contains("\"error\"") && reply.contains(message),
@@ -31,7 +31,7 @@
 }
 
 /// A connection that sends requests until the proxy takes no more, and never reads a reply.
-fn connection_that_never_reads(operated: &OperatedProxy) -> BufReader<UnixStream> {
+fn connection_that_never_reads(operated: &ProxyWithAdminSocket) -> BufReader<UnixStream> {
     let mut connection = operated.connect();
     let stream = connection.get_mut();
     stream
@@ -44,7 +44,7 @@
 
 #[test]
 fn connections_that_never_read_delay_only_themselves_and_too_many_are_rejected() {
-    let operated = OperatedProxy::start("");
+    let operated = ProxyWithAdminSocket::start("");
     let _never_reading: Vec<_> = (0..5)
         .map(|_| connection_that_never_reads(&operated))
         .collect();
@@ -73,7 +73,7 @@
 
 /// Starts a second proxy with the configuration of a running one and an admin socket at a path, and checks that it ends
 /// with one line that says why it can't have it.
-fn assert_start_fails(operated: &OperatedProxy, admin_socket: &Path, reason: &str) {
+fn assert_start_fails(operated: &ProxyWithAdminSocket, admin_socket: &Path, reason: &str) {
     let (operator_file, config) = (temporary_path("toml"), temporary_path("json"));
     std::fs::write(&operator_file, operator_file_text(admin_socket, "")).unwrap();
     let listen_address = operated.proxy.listen_address.to_string();
@@ -100,24 +100,24 @@
 fn the_socket_is_the_users_own_and_only_the_file_of_a_dead_process_is_taken_over() {
     let stale = temporary_path("sock");
     drop(UnixListener::bind(&stale).unwrap());
-    let operated = OperatedProxy::start_at(stale, "");
+    let operated = ProxyWithAdminSocket::start_at(stale, "");
     let metadata = std::fs::metadata(&operated.admin_socket).unwrap();
     assert_eq!(metadata.permissions().mode() & 0o777, 0o600);
-    operated.wait_for_state("serving");
+    operated.wait_for_drain_state("serving");
     let no_socket = temporary_path("sock");
     std::fs::write(&no_socket, "keep me").unwrap();
     assert_start_fails(&operated, &operated.admin_socket, "somebody listens");
     assert_start_fails(&operated, &no_socket, "no socket");
     assert_eq!(std::fs::read_to_string(&no_socket).unwrap(), "keep me");
     std::fs::remove_file(no_socket).unwrap();
-    operated.wait_for_state("serving");
+    operated.wait_for_drain_state("serving");
 }
 
 const BAD_OPERATOR_FILE: &str = "[drain]\npase = 1\nquiet = \"x\"\n";
 
 #[test]
 fn a_bad_operator_file_ends_the_start_and_changes_nothing_later() {
-    let mut operated = OperatedProxy::start("");
+    let mut operated = ProxyWithAdminSocket::start("");
     let operator_file = temporary_path("toml");
     std::fs::write(&operator_file, BAD_OPERATOR_FILE).unwrap();
     for command in ["serve", "validate"] {
@@ -137,7 +137,7 @@
     std::fs::write(&operated.operator_file, BAD_OPERATOR_FILE).unwrap();
     operated.proxy.send_signal("HUP");
     std::thread::sleep(Duration::from_millis(200));
-    operated.wait_for_state("serving");
+    operated.wait_for_drain_state("serving");
     operated.proxy.send_signal("TERM");
     let log = operated.proxy.wait_for_exit().1;
     assert!(
@@ -148,7 +148,7 @@
 
 #[test]
 fn the_status_is_printed_for_people_and_programs_and_so_are_completions() {
-    let operated = OperatedProxy::start("");
+    let operated = ProxyWithAdminSocket::start("");
     let _session = operated.proxy.open_session();
     let line = output_text(&operated.run(&["status"]));
     assert!(
@@ -174,7 +174,7 @@
 #[test_case("", true; "by default")]
 #[test_case("[site]\nwatch = false\n", false; "switched off")]
 fn the_status_shows_zones_where_zone_failover_is_on(more_lines: &str, shown: bool) {
-    let operated = OperatedProxy::start(more_lines);
+    let operated = ProxyWithAdminSocket::start(more_lines);
     let reply = operated.reply_to(r#"{"v":1,"do":"status"}"#);
     assert_eq!(
         reply.contains(r#""places":[{"name":"a","state":"whole","since_ms":"#),
--- a/crates/proxy/tests/drain.rs
+++ b/crates/proxy/tests/drain.rs
@@ -4,8 +4,8 @@
 
 use std::time::{Duration, Instant};
 use support::{
-    LineConnection, OPEN_LINE, OperatedProxy, ProxyHarness, endpoint_json, http_call, list_line,
-    operator_file_text,
+    LineConnection, OPEN_LINE, ProxyHarness, ProxyWithAdminSocket, endpoint_json, http_call,
+    list_line, operator_file_text,
 };
 
 /// The clients and servers of some open sessions.
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_drain_migrates_all_serves_whoever_still_comes_and_is_taken_back() {
-    let mut operated = OperatedProxy::start("");
+    let mut operated = ProxyWithAdminSocket::start("");
     let mut sessions = open_sessions(&operated.proxy, 12);
     operated.run_ok(&["drain", "--deadline", "3s"]);
     assert_eq!(operated.ping(), "ERR", "the front is notified");
@@ -25,7 +25,7 @@
         assert_eq!([client.read_line(), client.read_line()], ["MOVE", "FIN"]);
         assert_eq!(server.read_line(), "FIN");
     }
-    let status = operated.wait_for_state("empty");
+    let status = operated.wait_for_drain_state("empty");
     assert!(
         status.contains("\"moved\":13") && status.contains("\"carries\":false"),
         "{status}"
@@ -51,7 +51,7 @@
     );
 }
 
-fn assert_serves_at_once_after_undrain(operated: &OperatedProxy) {
+fn assert_serves_at_once_after_undrain(operated: &ProxyWithAdminSocket) {
     let undrained_at = Instant::now();
     operated.run_ok(&["undrain"]);
     assert_eq!(operated.ping(), "PONG");
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_waiting_session_is_answered_in_its_own_time_and_an_undrain_halfway_leaves_the_rest() {
-    let operated = OperatedProxy::start("pace = 10\n");
+    let operated = ProxyWithAdminSocket::start("pace = 10\n");
     let mut sessions = open_sessions(&operated.proxy, 20);
     let mut waiting = operated.proxy.connect(&OPEN_LINE.replace("feed", "order"));
     let (mut server, _) = operated.proxy.accept_at(0);
@@ -98,14 +98,14 @@
 
 #[test]
 fn a_second_drain_changes_the_deadline_and_sigterm_ends_it_for_good() {
-    let mut operated = OperatedProxy::start("pace = 1\n");
+    let mut operated = ProxyWithAdminSocket::start("pace = 1\n");
     let mut sessions = open_sessions(&operated.proxy, 10);
     operated.run_ok(&["drain", "--deadline", "60s"]);
-    operated.wait_for_state("moving");
+    operated.wait_for_drain_state("moving");
     operated.run_ok(&["drain", "--deadline", "1s"]);
-    operated.wait_for_state("late");
+    operated.wait_for_drain_state("late");
     operated.proxy.send_signal("TERM");
-    operated.wait_for_state("exiting");
+    operated.wait_for_drain_state("exiting");
     assert!(
         !operated.run(&["undrain"]).status.success() && !operated.run(&["drain"]).status.success()
     );
@@ -118,11 +118,11 @@
 
 #[test]
 fn a_drain_goes_on_while_discovery_is_down_and_while_the_configuration_is_read_again() {
-    let operated = OperatedProxy::start("pace = 20\n");
+    let operated = ProxyWithAdminSocket::start("pace = 20\n");
     let mut sessions = open_sessions(&operated.proxy, 10);
     operated.proxy.watch.send(String::new()).unwrap();
     operated.run_ok(&["drain", "--deadline", "20s"]);
-    operated.wait_for_state("moving");
+    operated.wait_for_drain_state("moving");
     std::fs::write(
         &operated.operator_file,
         operator_file_text(&operated.admin_socket, "pace = 500\nback = \"0s\"\n"),
@@ -132,11 +132,11 @@
     for (client, _) in &mut sessions {
         assert_eq!(client.read_line(), "MOVE");
     }
-    operated.wait_for_state("empty");
+    operated.wait_for_drain_state("empty");
     operated.run(&["undrain"]);
     assert!(
         operated
-            .wait_for_state("serving")
+            .wait_for_drain_state("serving")
             .contains("\"carries\":true"),
         "no time before the next drain is asked for any more"
     );
@@ -144,7 +144,7 @@
 
 #[test]
 fn inherited_sessions_are_migrated_like_others() {
-    let operated = OperatedProxy::start("");
+    let operated = ProxyWithAdminSocket::start("");
     let proxy = &operated.proxy;
     let mut client = proxy.connect("OPEN 1 2 c=feed,t=acme,d=9,at=s-0\r\n");
     let (mut server, _) = proxy.accept_at(0);
--- a/crates/proxy/tests/hot_restart.rs
+++ b/crates/proxy/tests/hot_restart.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::time::Duration;
 use support::{
-    HotRestartLink, LineConnection, OPEN_LINE, ProxyHarness, http_call, list_line, metric,
+    HotRestartLink, LineConnection, OPEN_LINE, ProxyHarness, http_call, list_line, metric_value,
     wait_until,
 };
 use test_case::test_case;
@@ -76,9 +76,9 @@
     sessions.extend([(waiting, slow_server), (pending, server)]);
     assert_all_forward(&mut sessions);
     assert_eq!(proxy.connect("PING\r\n").read_line(), "PONG");
-    assert_eq!(metric(second.admin_http, "svc_inflight"), 42.0);
+    assert_eq!(metric_value(second.admin_http, "svc_inflight"), 42.0);
     assert_eq!(
-        metric(
+        metric_value(
             second.admin_http,
             "svc_calls_total{tier=\"feed\",code=\"success\"}"
         ),
@@ -88,7 +88,7 @@
     // And a third from the second.
     let (third, _watch) = proxy.start_ready_process();
     wait_until("all are the third's", || {
-        metric(third.admin_http, "svc_inflight") == 42.0
+        metric_value(third.admin_http, "svc_inflight") == 42.0
     });
     drop(second);
     for (client, server) in &mut sessions {
--- a/crates/proxy/tests/hot_restart_messages.rs
+++ b/crates/proxy/tests/hot_restart_messages.rs
@@ -11,7 +11,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 use support::{
-    HotRestartLink, LineConnection, OPEN_ID, OPEN_LINE, ProxyHarness, SecondProcess, list_line,
+    HotRestartLink, LineConnection, OPEN_LINE, OPEN_LINE_SESSION_ID, ProxyHarness, SecondProcess,
+    list_line,
 };
 use test_case::test_case;
 
@@ -222,7 +223,7 @@
         };
         let offer = SessionOffer {
             opening_line: OPEN_LINE
-                .replace(OPEN_ID, &format!("00000000000000a{session}"))
+                .replace(OPEN_LINE_SESSION_ID, &format!("00000000000000a{session}"))
                 .into_bytes(),
             server_uid: "s-0".into(),
             response_timeout: None,
--- a/crates/proxy/tests/support/harness.rs
+++ b/crates/proxy/tests/support/harness.rs
@@ -1,8 +1,8 @@
 //! A running proxy between the servers and the discovery of a test.
 
 use super::{
-    LineConnection, OPEN_ID, OPEN_LINE, OpenedWatch, ProxyOptions, QUIET_TIME, SecondProcess,
-    TIMEOUT, free_address, list_line, send_signal,
+    LineConnection, OPEN_LINE, OPEN_LINE_SESSION_ID, OpenedWatch, ProxyOptions, QUIET_TIME,
+    SecondProcess, TIMEOUT, free_address, list_line, send_signal,
 };
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -105,7 +105,7 @@
         let id = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
         let mut client =
             LineConnection::from_stream(TcpStream::connect(self.listen_address).unwrap());
-        client.send(&text.replace(OPEN_ID, &id));
+        client.send(&text.replace(OPEN_LINE_SESSION_ID, &id));
         client
     }
 
--- a/crates/proxy/tests/support/http.rs
+++ b/crates/proxy/tests/support/http.rs
@@ -33,7 +33,7 @@
 }
 
 /// The value that `GET /ops/stats` gives a metric.
-pub(crate) fn metric(admin_http: SocketAddr, name: &str) -> f64 {
+pub(crate) fn metric_value(admin_http: SocketAddr, name: &str) -> f64 {
     let (status, text) = http_call(admin_http, "GET /ops/stats");
     let value = text
         .lines()
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -9,8 +9,8 @@
 mod hot_restart_link;
 mod http;
 mod line_connection;
-mod operated_proxy;
 mod options;
+mod proxy_with_admin_socket;
 mod second_process;
 mod signal;
 mod temporary_path;
@@ -21,10 +21,10 @@
 pub(crate) use golden::assert_golden;
 pub(crate) use harness::ProxyHarness;
 pub(crate) use hot_restart_link::HotRestartLink;
-pub(crate) use http::{http_call, metric, read_response};
+pub(crate) use http::{http_call, metric_value, read_response};
 pub(crate) use line_connection::LineConnection;
-pub(crate) use operated_proxy::{OperatedProxy, operator_file_text};
 pub(crate) use options::ProxyOptions;
+pub(crate) use proxy_with_admin_socket::{ProxyWithAdminSocket, operator_file_text};
 pub(crate) use second_process::SecondProcess;
 pub(crate) use signal::send_signal;
 pub(crate) use temporary_path::temporary_path;
@@ -38,7 +38,7 @@
 /// How long nothing has to come for a connection to count as quiet.
 const QUIET_TIME: Duration = Duration::from_millis(150);
 /// The id in [`OPEN_LINE`], which each connection replaces by one of its own.
-pub(crate) const OPEN_ID: &str = "9b1f03aa5c7e2d41";
+pub(crate) const OPEN_LINE_SESSION_ID: &str = "9b1f03aa5c7e2d41";
 
 /// A client's request for a session.
 pub(crate) const OPEN_LINE: &str =
--- a/crates/proxy/tests/support/operated_proxy.rs
+++ b/crates/proxy/tests/support/proxy_with_admin_socket.rs
@@ -8,27 +8,27 @@
 use std::time::{Duration, Instant};
 
 /// A proxy with one server, an admin socket and an operator's file; the files are removed with the test.
-pub(crate) struct OperatedProxy {
+pub(crate) struct ProxyWithAdminSocket {
     pub(crate) proxy: ProxyHarness,
     pub(crate) admin_socket: PathBuf,
     pub(crate) operator_file: PathBuf,
 }
 
-impl Drop for OperatedProxy {
+impl Drop for ProxyWithAdminSocket {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.admin_socket);
         let _ = std::fs::remove_file(&self.operator_file);
     }
 }
 
-impl OperatedProxy {
+impl ProxyWithAdminSocket {
     /// Starts it with more lines at the end of the operator's file, which follow its `[drain]`.
-    pub(crate) fn start(more_lines: &str) -> OperatedProxy {
-        OperatedProxy::start_at(temporary_path("sock"), more_lines)
+    pub(crate) fn start(more_lines: &str) -> ProxyWithAdminSocket {
+        ProxyWithAdminSocket::start_at(temporary_path("sock"), more_lines)
     }
 
     /// The same with a given path of the admin socket.
-    pub(crate) fn start_at(admin_socket: PathBuf, more_lines: &str) -> OperatedProxy {
+    pub(crate) fn start_at(admin_socket: PathBuf, more_lines: &str) -> ProxyWithAdminSocket {
         let operator_file = temporary_path("toml");
         std::fs::write(
             &operator_file,
@@ -36,7 +36,7 @@
         )
         .unwrap();
         let proxy = ProxyOptions::new(1).operator_file(&operator_file).start();
-        OperatedProxy {
+        ProxyWithAdminSocket {
             proxy,
             admin_socket,
             operator_file,
@@ -78,7 +78,7 @@
     }
 
     /// Waits until the drain is in a state; the status that says so.
-    pub(crate) fn wait_for_state(&self, state: &str) -> String {
+    pub(crate) fn wait_for_drain_state(&self, state: &str) -> String {
         let give_up_at = Instant::now() + TIMEOUT;
         loop {
             let reply = self.reply_to(r#"{"v":1,"do":"status"}"#);
