--- a/crates/proxy/tests/golden_state_command.rs
+++ b/crates/proxy/tests/golden_state_command.rs
@@ -1,5 +1,6 @@
-//! What `asterramp state show`, `show --json`, `verify` and `clear` print, and their exit codes, as recorded from the
-//! build of commit 17cc2a9 on folders that it wrote. The transcripts under `golden/state_command/` never change.
+//! Compares what `asterramp state show`, `show --json`, `verify` and `clear` print and their exit codes with transcripts of
+//! the build of commit 17cc2a9, made on snapshot folders that it wrote. The transcripts under `golden/state_command/` never
+//! change.
 
 use std::fmt::Write;
 use std::fs::File;
@@ -7,7 +8,7 @@
 use std::process::Command;
 use test_case::test_case;
 
-/// The exit code, standard output and standard error of each command, and the files that are left.
+/// Arguments of `asterramp state` in the order of a transcript. `clear` is followed by commands on what it left.
 const COMMANDS: [&[&str]; 6] = [
     &["show"],
     &["show", "--json"],
@@ -17,9 +18,10 @@
     &["verify"],
 ];
 
-/// What stands for the folder's path in a transcript.
-const PLACEHOLDER: &str = "FOLDER";
+/// Replaces the folder's path in a transcript.
+const FOLDER_PLACEHOLDER: &str = "FOLDER";
 
+/// The content of one of the snapshot package's golden files.
 fn snapshot_file(name: &str) -> Vec<u8> {
     let golden = Path::new(env!("CARGO_MANIFEST_DIR")).join("../snapshot/tests/golden");
     std::fs::read(golden.join(name)).unwrap()
@@ -30,7 +32,7 @@
     golden.join(format!("{name}.txt"))
 }
 
-/// An empty folder that is removed at the end.
+/// A folder for snapshots, empty at first; dropping it removes it.
 struct TestFolder(PathBuf);
 
 impl TestFolder {
@@ -42,7 +44,7 @@
         TestFolder(path)
     }
 
-    fn put(&self, name: &str, bytes: &[u8]) {
+    fn write_file(&self, name: &str, bytes: &[u8]) {
         std::fs::write(self.0.join(name), bytes).unwrap();
     }
 
@@ -50,8 +52,8 @@
         std::fs::create_dir(self.0.join(name)).unwrap();
     }
 
-    /// The names in it, in order; none where it is no folder.
-    fn names(&self) -> Vec<String> {
+    /// The names of the folder's entries, sorted; none if the path is not a folder.
+    fn entry_names(&self) -> Vec<String> {
         let Ok(entries) = std::fs::read_dir(&self.0) else {
             return Vec::new();
         };
@@ -62,7 +64,7 @@
         names
     }
 
-    /// Runs each command in turn and writes down what it printed.
+    /// Runs each of [`COMMANDS`] in turn; returns its exit code and output, and the files that it left in the folder.
     fn transcript(&self) -> String {
         let program = env!("CARGO_BIN_EXE_asterramp");
         let mut transcript = String::new();
@@ -75,18 +77,18 @@
                 .unwrap();
             writeln!(
                 transcript,
-                "$ asterramp state {} {PLACEHOLDER}",
+                "$ asterramp state {} {FOLDER_PLACEHOLDER}",
                 arguments.join(" ")
             )
             .unwrap();
             writeln!(transcript, "exit code: {}", output.status.code().unwrap()).unwrap();
             for (name, bytes) in [("stdout", output.stdout), ("stderr", output.stderr)] {
                 let text = String::from_utf8(bytes).unwrap();
-                let text = text.replace(self.0.to_str().unwrap(), PLACEHOLDER);
+                let text = text.replace(self.0.to_str().unwrap(), FOLDER_PLACEHOLDER);
                 writeln!(transcript, "{name}, {} lines:", text.lines().count()).unwrap();
                 transcript += &text;
             }
-            writeln!(transcript, "files: {}\n", self.names().join(" ")).unwrap();
+            writeln!(transcript, "files: {}\n", self.entry_names().join(" ")).unwrap();
         }
         transcript
     }
@@ -98,11 +100,13 @@
     }
 }
 
+/// Removes a file or a folder, if it exists.
 fn remove(path: &Path) {
     let _ = std::fs::remove_file(path);
     let _ = std::fs::remove_dir_all(path);
 }
 
+/// Compares the folder's transcript with the golden one of this name.
 fn assert_transcript(name: &str, folder: &TestFolder) {
     let transcript = folder.transcript();
     assert_eq!(
@@ -128,23 +132,23 @@
 #[test_case("other_magic", &[("state.1", "refused/other_magic.bytes")])]
 #[test_case("unknown_field", &[("state.1", "refused/unknown_field.bytes")])]
 #[test_case("empty_folder", &[])]
-fn the_command_prints_as_before(name: &str, files: &[(&str, &str)]) {
+fn state_commands_print_as_before(name: &str, files: &[(&str, &str)]) {
     let folder = TestFolder::new(name);
-    for (file, golden) in files {
-        folder.put(file, &snapshot_file(golden));
+    for (file, golden_file) in files {
+        folder.write_file(file, &snapshot_file(golden_file));
     }
     assert_transcript(name, &folder);
 }
 
 #[test]
-fn a_folder_that_is_not_there_is_rejected_as_before() {
+fn a_missing_folder_is_rejected_as_before() {
     let folder = TestFolder::new("no_folder");
     remove(&folder.0);
     assert_transcript("no_folder", &folder);
 }
 
 #[test]
-fn a_file_in_place_of_the_folder_is_rejected_as_before() {
+fn a_path_to_a_file_is_rejected_as_before() {
     let folder = TestFolder::new("a_file");
     remove(&folder.0);
     std::fs::write(&folder.0, "a file").unwrap();
@@ -152,33 +156,33 @@
 }
 
 #[test]
-fn a_generation_that_is_no_file_is_reported_as_before() {
+fn a_generation_that_is_a_folder_is_reported_as_before() {
     let folder = TestFolder::new("generation_is_a_folder");
     folder.make_folder("state.0");
-    folder.put("state.1", &snapshot_file("saves_2.state.1"));
+    folder.write_file("state.1", &snapshot_file("saves_2.state.1"));
     assert_transcript("generation_is_a_folder", &folder);
 }
 
 #[test]
 fn a_generation_too_long_to_read_is_reported_as_before() {
     let folder = TestFolder::new("generation_too_long");
-    folder.put("state.0", &vec![b'x'; (4 << 20) + 1]);
-    folder.put("state.1", &snapshot_file("saves_2.state.1"));
+    folder.write_file("state.0", &vec![b'x'; (4 << 20) + 1]);
+    folder.write_file("state.1", &snapshot_file("saves_2.state.1"));
     assert_transcript("generation_too_long", &folder);
 }
 
 #[test]
-fn a_lock_that_cannot_be_opened_keeps_the_folder_as_before() {
+fn a_folder_whose_lock_cannot_be_opened_is_not_cleared() {
     let folder = TestFolder::new("lock_is_a_folder");
     folder.make_folder("lock");
-    folder.put("state.0", &snapshot_file("saves_1.state.0"));
+    folder.write_file("state.0", &snapshot_file("saves_1.state.0"));
     assert_transcript("lock_is_a_folder", &folder);
 }
 
 #[test]
-fn a_folder_that_another_process_holds_is_not_cleared() {
+fn a_folder_that_another_process_has_locked_is_not_cleared() {
     let folder = TestFolder::new("held");
-    folder.put("state.0", &snapshot_file("saves_1.state.0"));
+    folder.write_file("state.0", &snapshot_file("saves_1.state.0"));
     let lock = File::create(folder.0.join("lock")).unwrap();
     lock.lock().unwrap();
     assert_transcript("held", &folder);
--- a/crates/proxy/tests/support/harness.rs
+++ b/crates/proxy/tests/support/harness.rs
@@ -1,4 +1,4 @@
-//! A running proxy between the servers and the discovery of a test.
+//! A running proxy with the servers and the discovery service of a test.
 
 use super::{
     LineConnection, OPEN_LINE, OPEN_LINE_SESSION_ID, OpenedWatch, ProxyOptions, QUIET_TIME,
@@ -12,20 +12,20 @@
 use std::sync::mpsc::{Receiver, Sender};
 use std::time::{Duration, Instant};
 
-/// A proxy, its servers and its discovery; the proxy ends with the test.
+/// A proxy process, its servers and its discovery service. Dropping it kills the proxy and removes its files.
 pub(crate) struct ProxyHarness {
     pub(crate) process: Child,
     /// Where clients connect.
     pub(crate) listen_address: SocketAddr,
     pub(crate) servers: Vec<TcpListener>,
-    /// Further watches as they are opened.
+    /// The watches that are opened after the first one.
     pub(crate) watches: Receiver<OpenedWatch>,
-    /// Where lists for the first watch go.
+    /// Sends endpoint lists on the proxy's first watch.
     pub(crate) watch: Sender<String>,
     pub(crate) config_path: PathBuf,
-    /// Where operators call, if the proxy was started so.
+    /// Address of the admin HTTP listener, if the proxy was started with one.
     pub(crate) admin_http: SocketAddr,
-    /// The directory that all processes of this proxy share.
+    /// The `TMPDIR` of all processes of this proxy; it contains the hot restart socket.
     pub(crate) directory: PathBuf,
 }
 
@@ -39,32 +39,32 @@
 }
 
 impl ProxyHarness {
-    /// A proxy that serves, with some servers and the usual settings.
+    /// Starts a proxy with this many servers and the default options, and waits until it serves.
     pub(crate) fn new(servers: usize) -> ProxyHarness {
         ProxyOptions::new(servers).start()
     }
 
-    /// The same with an address for operators' HTTP calls, where processes may replace each other.
+    /// Like [`ProxyHarness::new`], with an admin HTTP listener and hot restarts.
     pub(crate) fn with_admin_http(servers: usize) -> ProxyHarness {
         ProxyOptions::new(servers).admin_http().start()
     }
 
-    /// The next watch that a process of this proxy opens.
+    /// The next watch that a process of this proxy opens within [`TIMEOUT`].
     pub(crate) fn accept_watch(&self) -> OpenedWatch {
         self.accept_watch_within(TIMEOUT)
     }
 
-    /// The same, for which the proxy may take this long.
+    /// The next watch that a process of this proxy opens within this time.
     pub(crate) fn accept_watch_within(&self, timeout: Duration) -> OpenedWatch {
         self.watches.recv_timeout(timeout).expect("another watch")
     }
 
-    /// The address of a server.
+    /// The address of the server with this index.
     pub(crate) fn server_address(&self, server: usize) -> SocketAddr {
         self.servers[server].local_addr().unwrap()
     }
 
-    /// The socket at which processes of this proxy replace each other.
+    /// Path of the socket at which a predecessor waits for its successor.
     pub(crate) fn hot_restart_socket(&self) -> PathBuf {
         self.directory.join(format!(
             "asterramp-{}-{}.sock",
@@ -73,7 +73,7 @@
         ))
     }
 
-    /// Starts another process of the same proxy, whose operators call elsewhere.
+    /// Starts another process of the same proxy, with an admin HTTP address of its own.
     pub(crate) fn start_second_process(&self) -> SecondProcess {
         static NEXT: AtomicU32 = AtomicU32::new(10_000);
         let admin_http = free_address(NEXT.fetch_add(1, Ordering::Relaxed));
@@ -90,16 +90,20 @@
         }
     }
 
-    /// Starts another process, answers its watch and waits until it is ready.
+    /// Starts another process, sends it an endpoint list without changes and waits until it is ready; returns it with the
+    /// sender of its watch.
     pub(crate) fn start_ready_process(&self) -> (SecondProcess, Sender<String>) {
         let second = self.start_second_process();
         let watch = self.accept_watch().lists;
         watch.send(list_line(8, false, &[])).unwrap();
-        assert!(second.becomes_ready(), "it never serves");
+        assert!(
+            second.becomes_ready(),
+            "the second process never became ready"
+        );
         (second, watch)
     }
 
-    /// Connects a client that sends a text; the id of [`OPEN_LINE`] becomes one of its own.
+    /// Connects a client that sends a text, in which a unique session id replaces that of [`OPEN_LINE`].
     pub(crate) fn connect(&self, text: &str) -> LineConnection {
         static NEXT: AtomicU32 = AtomicU32::new(1);
         let id = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
@@ -109,14 +113,14 @@
         client
     }
 
-    /// The next connection that reaches a server, and its first line.
+    /// Accepts the next connection at one server; returns it and its first line.
     pub(crate) fn accept_at(&self, server: usize) -> (LineConnection, String) {
         self.accept_at_any(&[server])
     }
 
-    /// The next connection that reaches any of some servers, and its first line.
+    /// Accepts the next connection at any of these servers; returns it and its first line.
     pub(crate) fn accept_at_any(&self, servers: &[usize]) -> (LineConnection, String) {
-        let until = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         for server in servers.iter().cycle() {
             let listener = &self.servers[*server];
             listener.set_nonblocking(true).unwrap();
@@ -127,32 +131,32 @@
                     let line = connection.read_line();
                     return (connection, line);
                 }
-                Err(_) => assert!(Instant::now() < until, "no dial"),
+                Err(_) => assert!(Instant::now() < deadline, "no server was dialled"),
             }
             std::thread::sleep(Duration::from_millis(2));
         }
         unreachable!("no servers")
     }
 
-    /// Waits a moment and checks that the first server was not dialled.
+    /// Checks that the first server is not dialled within [`QUIET_TIME`].
     pub(crate) fn assert_no_dial(&self) {
         std::thread::sleep(QUIET_TIME);
-        self.assert_no_pending_dial("it was dialled");
+        self.assert_no_pending_dial("the server was dialled");
     }
 
-    /// Checks that no connection waits at the first server.
+    /// Checks that no connection is waiting to be accepted at the first server.
     pub(crate) fn assert_no_pending_dial(&self, message: &str) {
         let listener = &self.servers[0];
         listener.set_nonblocking(true).unwrap();
         assert!(listener.accept().is_err(), "{message}");
     }
 
-    /// The client and the server of a session that is open.
+    /// Opens a session at the first server; returns the client's connection and the server's.
     pub(crate) fn open_session(&self) -> (LineConnection, LineConnection) {
         self.open_session_at(&[0])
     }
 
-    /// The same at whichever of some servers it is dialled.
+    /// Opens a session at whichever of these servers is dialled; returns the client's connection and the server's.
     pub(crate) fn open_session_at(&self, servers: &[usize]) -> (LineConnection, LineConnection) {
         let mut client = self.connect(OPEN_LINE);
         let (mut server, _) = self.accept_at_any(servers);
@@ -161,16 +165,16 @@
         (client, server)
     }
 
-    /// Sends the proxy a signal by its name without `SIG`.
+    /// Sends the proxy a signal, named without `SIG`.
     pub(crate) fn send_signal(&self, name: &str) {
         send_signal(&self.process, name);
     }
 
-    /// Waits for the proxy's exit; its code and log.
+    /// Waits until the proxy has exited; returns its exit code, `None` after a signal, and its log.
     pub(crate) fn wait_for_exit(&mut self) -> (Option<i32>, String) {
-        let until = Instant::now() + 2 * TIMEOUT;
+        let deadline = Instant::now() + 2 * TIMEOUT;
         while self.process.try_wait().unwrap().is_none() {
-            assert!(Instant::now() < until, "it does not end");
+            assert!(Instant::now() < deadline, "the proxy does not exit");
             std::thread::sleep(Duration::from_millis(5));
         }
         let mut log = String::new();
--- a/crates/proxy/tests/support/hot_restart_link.rs
+++ b/crates/proxy/tests/support/hot_restart_link.rs
@@ -1,4 +1,4 @@
-//! One end of the link between the two processes of a hot restart, played by a test.
+//! The test's end of the link between the two processes of a hot restart.
 
 use super::ProxyHarness;
 use asterramp_hot_restart::{HotRestartMessage, MAX_MESSAGE_BYTES};
@@ -6,7 +6,7 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 
-/// How long a message may take.
+/// Longest wait for a message on the link.
 const MESSAGE_TIMEOUT: Timespec = Timespec {
     tv_sec: 3,
     tv_nsec: 0,
@@ -18,11 +18,11 @@
     pub(crate) descriptors: Vec<OwnedFd>,
 }
 
-/// The test's end of the link.
+/// The end of the link that belongs to the process played by the test.
 pub(crate) struct HotRestartLink(OwnedFd);
 
 impl HotRestartLink {
-    /// Connects to a proxy as its successor, and waits until it has sent its endpoints and its listener.
+    /// Connects to a proxy as its successor, and receives its endpoints and its listener.
     pub(crate) fn as_successor_of(proxy: &ProxyHarness) -> HotRestartLink {
         let link = HotRestartLink(seqpacket::connect(&proxy.hot_restart_socket()).unwrap());
         link.send(&HotRestartMessage::Hello);
@@ -33,7 +33,7 @@
         link
     }
 
-    /// Waits for a successor at a listening socket.
+    /// Waits at a listening socket until a successor connects.
     pub(crate) fn accept(listener: &OwnedFd) -> HotRestartLink {
         poll(&mut [PollFd::new(listener, PollFlags::IN)], None).unwrap();
         HotRestartLink(socket::accept_unix(listener).unwrap().unwrap())
@@ -49,18 +49,18 @@
         assert!(seqpacket::send(&self.0, &message.encode(), descriptors).unwrap());
     }
 
-    /// Sends bytes that need not be a message.
+    /// Sends bytes that need not decode as a message.
     pub(crate) fn send_bytes(&self, bytes: &[u8]) {
         assert!(seqpacket::send(&self.0, bytes, &[]).unwrap());
     }
 
-    /// Ends the link for the peer as a close does, but at once: a process that another test starts at this moment has a copy
-    /// of every descriptor until its `exec`, which delays what a close does.
+    /// Ends the link for the peer at once. Closing the descriptor could do so late: a process that another test forks at this
+    /// moment holds a copy of every descriptor until its `exec`.
     pub(crate) fn shut_down(&self) {
         rustix::net::shutdown(&self.0, rustix::net::Shutdown::Both).unwrap();
     }
 
-    /// The next message; `None` at the link's end.
+    /// Waits for the next message; `None` if the peer has ended the link.
     pub(crate) fn receive(&self) -> Option<LinkMessage> {
         assert_eq!(
             poll(
@@ -68,7 +68,7 @@
                 Some(&MESSAGE_TIMEOUT)
             ),
             Ok(1),
-            "no message comes"
+            "no message within the time-out"
         );
         let received = seqpacket::receive(&self.0, MAX_MESSAGE_BYTES)
             .unwrap()
@@ -79,12 +79,12 @@
         })
     }
 
-    /// The next message, where the link must not have ended.
+    /// Waits for the next message; fails if the peer has ended the link.
     pub(crate) fn expect_message(&self) -> LinkMessage {
         self.receive().expect("the link has ended")
     }
 
-    /// Says that the successor serves, and receives how many descriptors the predecessor has open.
+    /// Sends that the successor serves, and receives how many descriptors the predecessor has open.
     pub(crate) fn announce_serving(&self) {
         self.send(&HotRestartMessage::Serving);
         self.expect_open_descriptors();
@@ -98,7 +98,7 @@
         ));
     }
 
-    /// Receives the offer of a session; its client's and its server's socket.
+    /// Receives the offer of a session; returns the sockets of its client and its server, in this order.
     pub(crate) fn expect_session_offer(&self) -> Vec<OwnedFd> {
         let received = self.expect_message();
         match received.message {
--- a/crates/proxy/tests/support/http.rs
+++ b/crates/proxy/tests/support/http.rs
@@ -1,10 +1,10 @@
-//! Operators' HTTP calls.
+//! Requests to the admin HTTP listener.
 
 use super::TIMEOUT;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Makes an operator's call: the response's status, 0 where there is none, and its body.
+/// Sends a request without a body; returns the response's status and body, or 0 and nothing if there is no response.
 pub(crate) fn http_call(address: SocketAddr, method_and_path: &str) -> (u16, String) {
     let Ok(mut stream) = TcpStream::connect(address) else {
         return (0, String::new());
@@ -16,7 +16,7 @@
     read_response(stream)
 }
 
-/// Reads a response to its end: the status, 0 where there is none, and the body.
+/// Reads a response to its end; returns its status, 0 if there is no valid one, and its body.
 pub(crate) fn read_response(mut stream: TcpStream) -> (u16, String) {
     let mut text = String::new();
     let _ = stream.read_to_string(&mut text);
@@ -32,7 +32,7 @@
     (status, body)
 }
 
-/// The value that `GET /ops/stats` gives a metric.
+/// The value of a metric in `GET /ops/stats`; the name includes the labels.
 pub(crate) fn metric_value(admin_http: SocketAddr, name: &str) -> f64 {
     let (status, text) = http_call(admin_http, "GET /ops/stats");
     let value = text
--- a/crates/proxy/tests/support/line_connection.rs
+++ b/crates/proxy/tests/support/line_connection.rs
@@ -1,18 +1,18 @@
-//! One end of a connection, read line by line.
+//! A client's or a server's end of a connection to the proxy.
 
 use super::QUIET_TIME;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-/// How long a line may take that the proxy holds back for some time.
+/// Longest wait for a line. It covers lines that the proxy delays on purpose.
 const LINE_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// One end of a connection, read line by line.
 pub(crate) struct LineConnection(pub(crate) BufReader<TcpStream>);
 
 impl LineConnection {
-    /// A connection whose reads end after a time.
+    /// Wraps a stream; its reads fail after [`LINE_TIMEOUT`].
     pub(crate) fn from_stream(stream: TcpStream) -> LineConnection {
         stream.set_read_timeout(Some(LINE_TIMEOUT)).unwrap();
         LineConnection(BufReader::new(stream))
@@ -23,7 +23,7 @@
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next line without its end; `FIN` or `RST` where the connection ends.
+    /// The next line without its CRLF; `FIN` or `RST` if the connection has ended, the error's text if reading fails otherwise.
     pub(crate) fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.0.read_line(&mut line) {
@@ -34,16 +34,17 @@
         }
     }
 
-    /// The next line, if something comes within a time.
+    /// The next line, if any input arrives within this time.
     pub(crate) fn read_line_within(&mut self, time: Duration) -> Option<String> {
         self.has_input_within(time).then(|| self.read_line())
     }
 
-    /// Whether nothing comes for a while.
+    /// Whether no input arrives within [`QUIET_TIME`].
     pub(crate) fn is_quiet(&mut self) -> bool {
         !self.has_input_within(QUIET_TIME)
     }
 
+    /// Whether input or a `FIN` arrives within this time.
     fn has_input_within(&mut self, time: Duration) -> bool {
         self.0.get_ref().set_read_timeout(Some(time)).unwrap();
         let has_input = self.0.fill_buf().is_ok();
@@ -52,7 +53,8 @@
         has_input
     }
 
-    /// Ends the connection: `FIN` in good order, `RST` by closing over bytes that were not read.
+    /// Ends the connection, with `FIN` or, if `how` is `RST`, with a reset: closing a socket with unread input resets it, so
+    /// the peer sends some first.
     pub(crate) fn close(mut self, how: &str, peer: &mut LineConnection) {
         if how == "RST" {
             peer.send("unread\r\n");
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! A proxy process between scripted clients, servers and discovery, on loopback sockets.
-#![allow(dead_code, unused_imports)] // No test program uses all of it.
+#![allow(dead_code, unused_imports)] // Each test program uses a part of this module.
 
 mod addresses;
 mod discovery;
@@ -33,17 +33,17 @@
 use std::process::Output;
 use std::time::{Duration, Instant};
 
-/// How long anything may take that the proxy does at once.
+/// Longest wait for anything that the proxy does without a delay of its own.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(3);
-/// How long nothing has to come for a connection to count as quiet.
+/// How long no input has to arrive for a connection to count as quiet.
 const QUIET_TIME: Duration = Duration::from_millis(150);
-/// The id in [`OPEN_LINE`], which each connection replaces by one of its own.
+/// The session id in [`OPEN_LINE`], for which [`ProxyHarness::connect`] substitutes a unique one.
 pub(crate) const OPEN_LINE_SESSION_ID: &str = "9b1f03aa5c7e2d41";
 
-/// A client's request for a session.
+/// A client's request for a session at listener `feed`, which waits at most 2,000 ms for its response.
 pub(crate) const OPEN_LINE: &str =
     "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=acme,d=2000,g=5c0f6e1a2b3d4c59,x=1\r\n";
-/// The settings of a proxy that is pushed its endpoints and may not send health checks.
+/// Settings of a proxy to which discovery pushes endpoint lists and which may not send health checks.
 pub(crate) const SETTINGS: &str = r#"{"discovery":"pushed","instances":1,"self_index":0,"zone":0,"localities":["a","b"],
     "listeners":[{"name":"feed","semantics":"read_like","handshake_target":800000,"give_up":2000000},
                  {"name":"order","semantics":"non_idempotent","handshake_target":800000,"give_up":2000000}],
@@ -52,7 +52,7 @@
                    "dial_timeout":200000,"may_probe":false},
     "rules":{"cold":8900000,"cold_share":0.31,"tip_multiple":4.0,"drain_grace":400000},"weights":"fixed"}"#;
 
-/// The usual settings, by which the proxy may send health checks too.
+/// [`SETTINGS`] of a proxy that may also send health checks.
 pub(crate) fn settings_with_health_checks() -> String {
     SETTINGS.replace("\"may_probe\":false", "\"may_probe\":true")
 }
@@ -63,11 +63,11 @@
     String::from_utf8(bytes).unwrap()
 }
 
-/// Waits until a condition holds.
-pub(crate) fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let give_up_at = Instant::now() + TIMEOUT;
+/// Waits until a condition holds; fails with its description if that takes longer than [`TIMEOUT`].
+pub(crate) fn wait_until(description: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < give_up_at, "never: {what}");
+        assert!(Instant::now() < deadline, "never: {description}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/proxy/tests/support/options.rs
+++ b/crates/proxy/tests/support/options.rs
@@ -1,4 +1,4 @@
-//! How the proxy of a test is configured and started.
+//! Configures and starts the proxy of a test.
 
 use super::{
     OpenedWatch, ProxyHarness, SETTINGS, TIMEOUT, endpoint_json, free_address, list_line,
@@ -10,21 +10,21 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// Limits on descriptors that are far from being met.
+/// Limits on descriptors that no test reaches.
 const AMPLE_DESCRIPTORS: DescriptorLimits = DescriptorLimits {
     configured: 512,
-    of_process: 1024,
+    process_limit: 1024,
 };
-/// The harnesses of a test program, from this number on, have their operators call at addresses of their own.
-const FIRST_ADMIN_ADDRESS: u32 = 5_000;
+/// Listener number, as [`free_address`] takes it, of the first harness's admin HTTP listener.
+const FIRST_ADMIN_LISTENER_NUMBER: u32 = 5_000;
 
 /// How many descriptors a proxy may open.
 #[derive(Clone, Copy)]
 struct DescriptorLimits {
-    /// By its configuration.
+    /// `limits.sockets` in its configuration.
     configured: usize,
-    /// By the limit of its process.
-    of_process: usize,
+    /// The process's limit, as `ulimit -n` sets it.
+    process_limit: usize,
 }
 
 /// How a proxy is started.
@@ -38,7 +38,7 @@
 }
 
 impl<'a> ProxyOptions<'a> {
-    /// With some servers, [`SETTINGS`], ample descriptors and nothing for operators.
+    /// This many servers, [`SETTINGS`], ample descriptors, no operator file and no admin HTTP listener.
     pub(crate) fn new(servers: usize) -> ProxyOptions<'a> {
         ProxyOptions {
             servers,
@@ -49,16 +49,16 @@
         }
     }
 
-    /// With these settings.
+    /// Replaces [`SETTINGS`].
     pub(crate) fn settings(self, settings: &'a str) -> ProxyOptions<'a> {
         ProxyOptions { settings, ..self }
     }
 
-    /// With a limit on descriptors in the configuration, and one of the process.
-    pub(crate) fn descriptors(self, configured: usize, of_process: usize) -> ProxyOptions<'a> {
+    /// Limits the descriptors, by the configuration and by the limit of the process.
+    pub(crate) fn descriptors(self, configured: usize, process_limit: usize) -> ProxyOptions<'a> {
         let descriptors = DescriptorLimits {
             configured,
-            of_process,
+            process_limit,
         };
         ProxyOptions {
             descriptors,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// With an operator's file.
+    /// Names an operator file.
     pub(crate) fn operator_file(self, path: &'a Path) -> ProxyOptions<'a> {
         ProxyOptions {
             operator_file: Some(path),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// With an address for operators' HTTP calls, and a directory in which processes may replace each other.
+    /// Adds an admin HTTP listener, and sets `TMPDIR` to a directory of the harness's own, which makes hot restarts possible.
     pub(crate) fn admin_http(self) -> ProxyOptions<'a> {
         ProxyOptions {
             admin_http: true,
@@ -86,21 +86,21 @@
     pub(crate) fn start(self) -> ProxyHarness {
         let harness = self.start_without_list();
         harness.watch.send(list_line(8, false, &[])).unwrap();
-        let until = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             let mut ping = harness.connect("PING\r\n");
             if ping.read_line() == "PONG" {
-                // Its end is waited for, so that no test finds a connection that it hasn't opened.
+                // Waits for the end of this connection, so that the test does not find it among its own.
                 ping.0.get_ref().shutdown(Shutdown::Write).unwrap();
                 assert_eq!(ping.read_line(), "FIN");
                 return harness;
             }
-            assert!(Instant::now() < until, "it does not serve");
+            assert!(Instant::now() < deadline, "the proxy does not serve");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Starts the proxy; its watch is open, and discovery has sent no list.
+    /// Starts the proxy and waits until it has opened its watch, on which nothing has been sent.
     pub(crate) fn start_without_list(self) -> ProxyHarness {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let nth = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -112,7 +112,7 @@
             .collect();
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let listen_address = free_address(nth);
-        let admin_http = free_address(nth + FIRST_ADMIN_ADDRESS);
+        let admin_http = free_address(nth + FIRST_ADMIN_LISTENER_NUMBER);
         let config_path = std::env::temp_dir().join(format!("{name}.json"));
         let config = self.configuration(listen_address, discovery.local_addr().unwrap(), &servers);
         std::fs::write(&config_path, config).unwrap();
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The text of a configuration, whose discovery and known endpoints are those of the test.
+    /// The text of the configuration file. Its known endpoints are the test's servers.
     fn configuration(
         &self,
         listen: SocketAddr,
@@ -159,11 +159,11 @@
         )
     }
 
-    /// The command that starts the proxy, with a limit on its descriptors, and its log kept.
+    /// The command that starts the proxy with the process's limit on descriptors and its log on a pipe.
     fn command(&self, config_path: &Path, admin_http: SocketAddr, directory: &Path) -> Command {
         let script = format!(
             "ulimit -n {} && exec '{}'",
-            self.descriptors.of_process,
+            self.descriptors.process_limit,
             env!("CARGO_BIN_EXE_asterramp")
         );
         let mut command = Command::new("/bin/sh");
--- a/crates/proxy/tests/support/proxy_with_admin_socket.rs
+++ b/crates/proxy/tests/support/proxy_with_admin_socket.rs
@@ -1,4 +1,4 @@
-//! A proxy that operators command through its admin socket.
+//! A proxy that is controlled through its admin socket.
 
 use super::{ProxyHarness, ProxyOptions, TIMEOUT, temporary_path};
 use std::io::{BufRead, BufReader, Write};
@@ -7,7 +7,7 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
-/// A proxy with one server, an admin socket and an operator's file; the files are removed with the test.
+/// A proxy with one server, an admin socket and an operator file; dropping it removes both files.
 pub(crate) struct ProxyWithAdminSocket {
     pub(crate) proxy: ProxyHarness,
     pub(crate) admin_socket: PathBuf,
@@ -22,17 +22,17 @@
 }
 
 impl ProxyWithAdminSocket {
-    /// Starts it with more lines at the end of the operator's file, which follow its `[drain]`.
-    pub(crate) fn start(more_lines: &str) -> ProxyWithAdminSocket {
-        ProxyWithAdminSocket::start_at(temporary_path("sock"), more_lines)
+    /// Starts the proxy. The extra lines end its operator file and begin in the `[drain]` section.
+    pub(crate) fn start(extra_lines: &str) -> ProxyWithAdminSocket {
+        ProxyWithAdminSocket::start_at(temporary_path("sock"), extra_lines)
     }
 
-    /// The same with a given path of the admin socket.
-    pub(crate) fn start_at(admin_socket: PathBuf, more_lines: &str) -> ProxyWithAdminSocket {
+    /// Starts the proxy with its admin socket at this path, and with extra lines as for [`ProxyWithAdminSocket::start`].
+    pub(crate) fn start_at(admin_socket: PathBuf, extra_lines: &str) -> ProxyWithAdminSocket {
         let operator_file = temporary_path("toml");
         std::fs::write(
             &operator_file,
-            operator_file_text(&admin_socket, more_lines),
+            operator_file_text(&admin_socket, extra_lines),
         )
         .unwrap();
         let proxy = ProxyOptions::new(1).operator_file(&operator_file).start();
@@ -43,14 +43,14 @@
         }
     }
 
-    /// A connection to the admin socket.
+    /// Connects to the admin socket.
     pub(crate) fn connect(&self) -> BufReader<UnixStream> {
         let stream = UnixStream::connect(&self.admin_socket).unwrap();
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         BufReader::new(stream)
     }
 
-    /// The admin socket's reply to a line.
+    /// Sends one request line to the admin socket and returns the reply line.
     pub(crate) fn reply_to(&self, line: &str) -> String {
         let mut connection = self.connect();
         connection
@@ -62,7 +62,7 @@
         reply
     }
 
-    /// Runs a command of the program at this proxy.
+    /// Runs an `asterramp` command with this proxy's admin socket as `--control`.
     pub(crate) fn run(&self, arguments: &[&str]) -> Output {
         Command::new(env!("CARGO_BIN_EXE_asterramp"))
             .args(arguments)
@@ -72,33 +72,33 @@
             .unwrap()
     }
 
-    /// Runs a command that has to succeed.
+    /// Runs an `asterramp` command like [`ProxyWithAdminSocket::run`], and fails if the command does.
     pub(crate) fn run_ok(&self, arguments: &[&str]) {
         assert!(self.run(arguments).status.success(), "{arguments:?}");
     }
 
-    /// Waits until the drain is in a state; the status that says so.
+    /// Waits until the drain is in this state; returns the status reply that reports it.
     pub(crate) fn wait_for_drain_state(&self, state: &str) -> String {
-        let give_up_at = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             let reply = self.reply_to(r#"{"v":1,"do":"status"}"#);
             if reply.contains(&format!("\"state\":\"{state}\"")) {
                 return reply;
             }
-            assert!(Instant::now() < give_up_at, "never {state}: {reply}");
+            assert!(Instant::now() < deadline, "never {state}: {reply}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// What a front's ping is answered.
+    /// The response to a front proxy's `PING`.
     pub(crate) fn ping(&self) -> String {
         self.proxy.connect("PING\r\n").read_line()
     }
 }
 
-/// The text of an operator's file whose drains are quick.
-pub(crate) fn operator_file_text(admin_socket: &Path, more_lines: &str) -> String {
+/// The text of an operator file with short drain times.
+pub(crate) fn operator_file_text(admin_socket: &Path, extra_lines: &str) -> String {
     format!(
-        "[control]\nsocket = {admin_socket:?}\npeers = 24\n[drain]\nclosing = \"400ms\"\nquiet = \"200ms\"\n{more_lines}"
+        "[control]\nsocket = {admin_socket:?}\npeers = 24\n[drain]\nclosing = \"400ms\"\nquiet = \"200ms\"\n{extra_lines}"
     )
 }
--- a/crates/proxy/tests/support/second_process.rs
+++ b/crates/proxy/tests/support/second_process.rs
@@ -1,13 +1,14 @@
-//! Another process of a proxy, which takes over from the first.
+//! Another process of a proxy, which takes over from the first one by a hot restart.
 
 use super::{TIMEOUT, http_call, send_signal};
 use std::net::SocketAddr;
 use std::process::Child;
 use std::time::{Duration, Instant};
 
-/// A second process of a proxy; it ends with the test.
+/// A further process of a proxy; dropping it kills the process.
 pub(crate) struct SecondProcess {
     pub(crate) process: Child,
+    /// Address of its admin HTTP listener.
     pub(crate) admin_http: SocketAddr,
 }
 
@@ -19,15 +20,15 @@
 }
 
 impl SecondProcess {
-    /// Sends it a signal by its name without `SIG`.
+    /// Sends the process a signal, named without `SIG`.
     pub(crate) fn send_signal(&self, name: &str) {
         send_signal(&self.process, name);
     }
 
-    /// Whether it is ready in time.
+    /// Waits until the process reports that it is ready; `false` if that takes longer than twice [`TIMEOUT`].
     pub(crate) fn becomes_ready(&self) -> bool {
-        let until = Instant::now() + 2 * TIMEOUT;
-        while Instant::now() < until {
+        let deadline = Instant::now() + 2 * TIMEOUT;
+        while Instant::now() < deadline {
             if http_call(self.admin_http, "GET /ops/readiness").0 == 200 {
                 return true;
             }
--- a/crates/proxy/tests/support/temporary_path.rs
+++ b/crates/proxy/tests/support/temporary_path.rs
@@ -1,9 +1,9 @@
-//! Paths of a test's own.
+//! Unique paths for temporary files.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A path below the system's directory for temporary files, which no other test is given.
+/// A path in the system's directory for temporary files, which no other call returns. No file is created.
 pub(crate) fn temporary_path(extension: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let nth = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/crates/proxy/tests/support/zookeeper_stub.rs
+++ b/crates/proxy/tests/support/zookeeper_stub.rs
@@ -1,14 +1,14 @@
-//! The ZooKeeper stub as a process of its own.
+//! The ZooKeeper stub, run as a separate process.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
-/// A store that ends with the test.
+/// A store in a process of its own; dropping it kills the process.
 pub(crate) struct ZooKeeperStub {
     process: Child,
-    /// Where it listens.
+    /// The address that the store listens on.
     pub(crate) address: SocketAddr,
 }
 
@@ -22,7 +22,7 @@
 impl ZooKeeperStub {
     /// Starts an empty store.
     pub(crate) fn start() -> ZooKeeperStub {
-        // It is built with the workspace, beside this program.
+        // The workspace's build puts the stub in the folder of the proxy's program.
         let program =
             Path::new(env!("CARGO_BIN_EXE_asterramp")).with_file_name("asterramp-zookeeper-stub");
         let mut process = Command::new(program)
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Has it fail in the way that this line of its standard input names.
+    /// Begins or ends a fault, which the stub reads by name from its standard input: `mute` and `speak`, `refuse` and
+    /// `accept`, `expire` all sessions, `drop` all connections.
     pub(crate) fn inject_fault(&mut self, name: &str) {
         writeln!(self.process.stdin.as_mut().unwrap(), "{name}").unwrap();
     }
