--- a/crates/proxy/tests/golden_command_line/admin_commands.rs
+++ b/crates/proxy/tests/golden_command_line/admin_commands.rs
@@ -1,12 +1,12 @@
-//! Commands at the admin socket of a scripted proxy.
+//! Commands that send requests to a proxy's admin socket, with scripted replies.
 
 use super::support::{assert_golden, temporary_path};
-use super::{asterramp, shown};
+use super::{asterramp, format_output};
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::UnixListener;
 
-/// Runs a command at an admin socket at which each request gets the next of the replies; the requests that came, and what
-/// the command did.
+/// Runs a command at an admin socket that answers each request with the next of the replies. Returns the requests, then the
+/// command's exit code and output.
 fn run_at_scripted_proxy(replies: &[String], args: &[&str]) -> String {
     let socket = temporary_path("sock");
     let listener = UnixListener::bind(&socket).unwrap();
@@ -29,10 +29,10 @@
     let output = asterramp(args).arg("--control").arg(&socket).output();
     let requests = proxy.join().unwrap();
     std::fs::remove_file(&socket).unwrap();
-    requests + &shown(&output.unwrap(), &[(&socket, "<socket>")])
+    requests + &format_output(&output.unwrap(), &[(&socket, "<socket>")])
 }
 
-/// A reply line with these fields of a status changed.
+/// The reply line with the status of a serving proxy, in which these fields are changed or added.
 fn status_reply(changes: &[(&str, &str)]) -> String {
     let mut fields = vec![
         ("pid", "4711"),
@@ -59,7 +59,7 @@
     for (name, value) in changes {
         match fields.iter_mut().find(|field| field.0 == *name) {
             Some(field) => field.1 = value,
-            None => fields.insert(17, (name, value)),
+            None => fields.insert(OPTIONAL_FIELDS_INDEX, (name, value)),
         }
     }
     let fields: Vec<String> = fields
@@ -69,10 +69,14 @@
     format!("{{\"v\":1,\"status\":{{{}}}}}\n", fields.join(","))
 }
 
-type Changes = &'static [(&'static str, &'static str)];
+/// Where a status has its optional fields (`places`, `start`, `refusals`): after `discovery_ms` and before `boot`.
+const OPTIONAL_FIELDS_INDEX: usize = 17;
 
-/// Statuses in which each part that is printed is unset and set, one after the other.
-const STATUSES: &[(&str, Changes)] = &[
+/// Names of status fields and the JSON of their values.
+type StatusChanges = &'static [(&'static str, &'static str)];
+
+/// Statuses by which each printed part is covered, present and absent, with the titles that the golden file gives them.
+const STATUSES: &[(&str, StatusChanges)] = &[
     ("serving", &[]),
     ("discovery heard", &[("discovery_ms", "1250")]),
     ("not carrying", &[("carries", "false")]),
@@ -173,19 +177,19 @@
 ];
 
 #[test]
-fn a_status_is_printed_in_the_same_words_for_people_and_programs() {
+fn a_status_is_printed_the_same_way_as_text_and_as_json() {
     let mut text = String::new();
-    for (name, changes) in STATUSES {
-        let reply = [status_reply(changes)];
-        text += &format!("{name}\n{}", run_at_scripted_proxy(&reply, &["status"]));
-        text += &run_at_scripted_proxy(&reply, &["status", "--json"]);
+    for (title, changes) in STATUSES {
+        let replies = [status_reply(changes)];
+        text += &format!("{title}\n{}", run_at_scripted_proxy(&replies, &["status"]));
+        text += &run_at_scripted_proxy(&replies, &["status", "--json"]);
     }
     assert_golden("command_line/status.txt", &text);
 }
 
 #[test]
 fn commands_send_the_same_requests_and_end_the_same_way() {
-    let error = |what: &str| format!("{{\"v\":1,\"error\":\"{what}\"}}\n");
+    let error = |message: &str| format!("{{\"v\":1,\"error\":\"{message}\"}}\n");
     let moving = status_reply(&[("state", "\"moving\""), ("deadline_ms", "900")]);
     let empty = status_reply(&[("state", "\"empty\""), ("open", "0")]);
     let serving = status_reply(&[]);
@@ -230,18 +234,18 @@
     assert_golden("command_line/orders.txt", &text);
 }
 
-/// A drain that is not done by its deadline and 5 s more.
+/// `--wait` gives up 5 s after the drain's deadline.
 #[test]
 fn a_wait_that_ends_before_the_proxy_is_empty_prints_how_many_are_left() {
     let moving = status_reply(&[("state", "\"late\""), ("open", "7")]);
-    let recorded = run_at_scripted_proxy(
+    let transcript = run_at_scripted_proxy(
         &vec![moving; 40],
         &["drain", "--deadline", "10ms", "--wait"],
     );
-    let errors: Vec<&str> = recorded
+    let errors: Vec<&str> = transcript
         .lines()
         .filter(|line| line.starts_with("err"))
         .collect();
-    assert!(recorded.contains("\nexit 1\n"), "{recorded}");
+    assert!(transcript.contains("\nexit 1\n"), "{transcript}");
     assert_eq!(errors, ["err: asterramp: 7 are still open"]);
 }
--- a/crates/proxy/tests/golden_command_line/configurations.rs
+++ b/crates/proxy/tests/golden_command_line/configurations.rs
@@ -1,10 +1,10 @@
-//! Mistakes in a configuration, as `asterramp validate` reports them.
+//! The errors that `asterramp validate` reports for invalid configurations.
 
 use super::support::{assert_golden, temporary_path};
-use super::{asterramp, shown};
+use super::{asterramp, format_output};
 
-/// A configuration without a mistake.
-pub(crate) const GOOD_CONFIGURATION: &str = r#"{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f30d27a5be964",
+/// A configuration without errors.
+pub(crate) const VALID_CONFIGURATION: &str = r#"{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":512},
 "known":{"rev":7,"all":true,"targets":[{"uid":"s-0","endpoint":"127.0.0.1:10","az":"a","state":"ready","capacity_hint":1.0,"boot_ms":0}]},
 "settings":{"discovery":"pushed","instances":1,"self_index":0,"zone":0,"localities":["a","b"],
@@ -15,8 +15,8 @@
 "dial_timeout":200000,"may_probe":false},
 "rules":{"cold":8900000,"cold_share":0.31,"tip_multiple":4.0,"drain_grace":400000},"weights":"fixed"}}"#;
 
-/// A part of the good configuration, and what replaces it.
-const CHANGES: &[(&str, &str)] = &[
+/// Parts of the valid configuration, each with its replacement. Some of the results are valid too.
+const REPLACEMENTS: &[(&str, &str)] = &[
     ("", ""),
     ("{\"name\"", "\"name\""),
     ("\"name\":\"n0\"", "\"name\":\"n0"),
@@ -109,31 +109,34 @@
 ];
 
 #[test]
-fn mistakes_in_a_configuration_are_reported_in_the_same_words() {
+fn errors_in_a_configuration_are_reported_in_the_same_words() {
     let config = temporary_path("json");
     let mut text = String::new();
-    for (part, other) in CHANGES {
-        assert!(GOOD_CONFIGURATION.contains(part), "{part}");
-        std::fs::write(&config, GOOD_CONFIGURATION.replacen(part, other, 1)).unwrap();
+    for (part, replacement) in REPLACEMENTS {
+        assert!(VALID_CONFIGURATION.contains(part), "{part}");
+        std::fs::write(&config, VALID_CONFIGURATION.replacen(part, replacement, 1)).unwrap();
         let output = asterramp(&["validate"]).env("LB_CONFIG", &config).output();
-        text += &format!("{part} -> {other}\n");
-        text += &shown(&output.unwrap(), &[(&config, "<config>")]);
+        text += &format!("{part} -> {replacement}\n");
+        text += &format_output(&output.unwrap(), &[(&config, "<config>")]);
     }
-    std::fs::write(&config, GOOD_CONFIGURATION).unwrap();
-    for operator in ["127.0.0.1:0", "nowhere", ""] {
+    std::fs::write(&config, VALID_CONFIGURATION).unwrap();
+    for admin_http_address in ["127.0.0.1:0", "nowhere", ""] {
         let mut command = asterramp(&["validate"]);
         let output = command
             .env("LB_CONFIG", &config)
-            .env("LB_OPERATOR", operator)
+            .env("LB_OPERATOR", admin_http_address)
             .output();
-        text += &format!("LB_OPERATOR {operator:?}\n{}", shown(&output.unwrap(), &[]));
+        text += &format!(
+            "LB_OPERATOR {admin_http_address:?}\n{}",
+            format_output(&output.unwrap(), &[])
+        );
     }
     std::fs::write(&config, b"{\"name\":\"\xff\"}").unwrap();
     let output = asterramp(&["validate"]).env("LB_CONFIG", &config).output();
-    text += &format!("not text\n{}", shown(&output.unwrap(), &[]));
+    text += &format!("not text\n{}", format_output(&output.unwrap(), &[]));
     std::fs::write(&config, "[".repeat(30)).unwrap();
     let output = asterramp(&["validate"]).env("LB_CONFIG", &config).output();
-    text += &format!("too deep\n{}", shown(&output.unwrap(), &[]));
+    text += &format!("too deep\n{}", format_output(&output.unwrap(), &[]));
     std::fs::remove_file(config).unwrap();
     assert_golden("command_line/configurations.txt", &text);
 }
--- a/crates/proxy/tests/golden_command_line/main.rs
+++ b/crates/proxy/tests/golden_command_line/main.rs
@@ -1,6 +1,6 @@
-//! The command line as builds before the renames answered it: exit codes, error lines, the status texts, and the requests
-//! that commands send. The files under `golden/command_line/` were written by such a build and never change; only the
-//! Rust names in this file may.
+//! Compares the command line with an earlier build's: exit codes, error lines, status texts, and the requests that commands
+//! send. The files under `golden/command_line/` were written by that build and never change; the Rust names in this
+//! program may.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -13,7 +13,7 @@
 use std::process::{Command, Output};
 use support::assert_golden;
 
-/// The program without the variables of this environment.
+/// The command that runs `asterramp` without the variables that the caller's environment may set for it.
 fn asterramp(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_asterramp"));
     command.args(args);
@@ -23,9 +23,10 @@
     command
 }
 
-/// The exit code and the output of a run, each path that is of this run alone replaced by its placeholder.
-fn shown(output: &Output, placeholders: &[(&Path, &str)]) -> String {
-    let part = |bytes: &[u8]| {
+/// The exit code and the output of a run in the format of the golden files. Each of the paths, which differ between runs, is
+/// replaced by its placeholder.
+fn format_output(output: &Output, placeholders: &[(&Path, &str)]) -> String {
+    let with_placeholders = |bytes: &[u8]| {
         let mut text = String::from_utf8(bytes.to_vec()).unwrap();
         for (path, placeholder) in placeholders {
             text = text.replace(&path.display().to_string(), placeholder);
@@ -34,14 +35,14 @@
     };
     let mut text = format!("exit {}\n", output.status.code().unwrap());
     for (name, bytes) in [("out", &output.stdout), ("err", &output.stderr)] {
-        for line in part(bytes).lines() {
+        for line in with_placeholders(bytes).lines() {
             text += &format!("{name}: {line}\n");
         }
     }
     text
 }
 
-/// Commands that reach nobody.
+/// Commands at admin sockets that don't exist, or at a store's address on which nothing listens.
 const UNREACHABLE_COMMANDS: &[&[&str]] = &[
     &["status", "--control", "/nowhere/a.sock"],
     &["status", "--json", "--control", "/nowhere/a.sock"],
@@ -82,13 +83,13 @@
     let mut text = String::new();
     for command in UNREACHABLE_COMMANDS {
         let output = asterramp(command).output().unwrap();
-        text += &format!("{}\n{}", command.join(" "), shown(&output, &[]));
+        text += &format!("{}\n{}", command.join(" "), format_output(&output, &[]));
     }
     assert_golden("command_line/nobody.txt", &text);
 }
 
-/// Command lines that the parser rejects, or answers by itself.
-const WRONG_COMMAND_LINES: &[&[&str]] = &[
+/// Command lines that the parser rejects or handles itself, such as `--version`.
+const PARSER_COMMAND_LINES: &[&[&str]] = &[
     &["halt"],
     &["status"],
     &["drain"],
@@ -124,24 +125,23 @@
     &["--version"],
 ];
 
-/// Of what the parser itself rejects, the exit code and the line of the error; the usage below names options by today's
-/// texts.
+/// Of the parser's output on standard error only the error itself is compared, since the usage text below it may change.
 #[test]
-fn a_wrong_command_line_has_the_same_code_and_error() {
+fn a_command_line_that_the_parser_handles_has_the_same_code_and_error() {
     let mut text = String::new();
-    for command in WRONG_COMMAND_LINES {
+    for command in PARSER_COMMAND_LINES {
         let output = asterramp(command).output().unwrap();
-        let error = String::from_utf8(output.stderr).unwrap();
-        let head = error.split("\n\n").next().unwrap_or_default();
-        // Where a command wants another below it, the whole answer is help, which may change.
-        let head = if head.starts_with("error: ") {
-            head
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        let first_paragraph = stderr.split("\n\n").next().unwrap_or_default();
+        // A command without its subcommand prints its help, which may change.
+        let error = if first_paragraph.starts_with("error: ") {
+            first_paragraph
         } else {
             "(help)"
         };
         let code = output.status.code().unwrap();
         let stdout = String::from_utf8(output.stdout).unwrap();
-        text += &format!("{}\nexit {code}\n{head}\n{stdout}", command.join(" "));
+        text += &format!("{}\nexit {code}\n{error}\n{stdout}", command.join(" "));
     }
     assert_golden("command_line/usage.txt", &text);
 }
--- a/crates/proxy/tests/golden_command_line/start_files.rs
+++ b/crates/proxy/tests/golden_command_line/start_files.rs
@@ -1,30 +1,32 @@
-//! Starts with good, bad and missing files.
+//! Exit codes and errors of `serve` and `validate` with valid, invalid and missing files.
 
-use super::configurations::GOOD_CONFIGURATION;
+use super::configurations::VALID_CONFIGURATION;
 use super::support::{assert_golden, temporary_path};
-use super::{asterramp, shown};
+use super::{asterramp, format_output};
 use std::path::{Path, PathBuf};
 
-const CONFIG: &str = "--config";
-const OPERATOR: &str = "--operator";
+const CONFIG_OPTION: &str = "--config";
+const OPERATOR_OPTION: &str = "--operator";
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
 const OPERATOR_VARIABLE: &str = "ASTERRAMP_OPERATOR";
 
-/// Options of the program, or variables of its environment, that name files.
+/// Options of the program or variables of its environment, each with the file that it names.
 type NamedFiles<'a> = &'a [(&'a str, &'a Path)];
 
-/// Good and bad files for a start; they are removed with the test.
+/// Valid and invalid files for a start; dropping this removes them.
 struct StartFiles {
     config: PathBuf,
     bad_config: PathBuf,
     operator: PathBuf,
     bad_operator: PathBuf,
-    /// Names the plain file below as the path of the admin socket.
+    /// Names `file_at_socket_path` as the admin socket.
     operator_with_taken_socket: PathBuf,
-    plain_file: PathBuf,
+    /// A regular file, which a start must not replace by a socket.
+    file_at_socket_path: PathBuf,
 }
 
 impl StartFiles {
+    /// Writes all files.
     fn write() -> StartFiles {
         let files = StartFiles {
             config: temporary_path("json"),
@@ -32,19 +34,25 @@
             operator: temporary_path("toml"),
             bad_operator: temporary_path("toml"),
             operator_with_taken_socket: temporary_path("toml"),
-            plain_file: temporary_path("sock"),
+            file_at_socket_path: temporary_path("sock"),
         };
-        let taken = format!("[control]\nsocket = {:?}\n", files.plain_file);
-        let bad_config = GOOD_CONFIGURATION.replace("\"seed\":", "\"sead\":");
-        std::fs::write(&files.config, GOOD_CONFIGURATION).unwrap();
+        let operator_with_taken_socket =
+            format!("[control]\nsocket = {:?}\n", files.file_at_socket_path);
+        let bad_config = VALID_CONFIGURATION.replace("\"seed\":", "\"sead\":");
+        std::fs::write(&files.config, VALID_CONFIGURATION).unwrap();
         std::fs::write(&files.bad_config, bad_config).unwrap();
         std::fs::write(&files.operator, "[drain]\npace = 1\n").unwrap();
         std::fs::write(&files.bad_operator, "[drain]\npase = 1\nquiet = \"x\"\n").unwrap();
-        std::fs::write(&files.operator_with_taken_socket, taken).unwrap();
-        std::fs::write(&files.plain_file, "keep me").unwrap();
+        std::fs::write(
+            &files.operator_with_taken_socket,
+            operator_with_taken_socket,
+        )
+        .unwrap();
+        std::fs::write(&files.file_at_socket_path, "keep me").unwrap();
         files
     }
 
+    /// Each file's path and the placeholder for it in the golden file.
     fn placeholders(&self) -> [(&Path, &str); 6] {
         [
             (&self.config, "<config>"),
@@ -55,11 +63,11 @@
                 &self.operator_with_taken_socket,
                 "<operator with a file for a socket>",
             ),
-            (&self.plain_file, "<socket>"),
+            (&self.file_at_socket_path, "<socket>"),
         ]
     }
 
-    /// Runs a command, or the program without one; the title and what came out of the run.
+    /// Runs a command of the program, or the program without a command; returns the title, then exit code and output.
     fn record_start(
         &self,
         title: &str,
@@ -76,7 +84,7 @@
             process.env(variable, path);
         }
         let output = process.output().unwrap();
-        format!("{title}\n{}", shown(&output, &self.placeholders()))
+        format!("{title}\n{}", format_output(&output, &self.placeholders()))
     }
 }
 
@@ -88,29 +96,29 @@
     }
 }
 
-/// Starts that end the same way with `serve` and `validate`: each file named by an option or by its variable, good, bad
-/// and missing.
+/// Runs `serve` or `validate` with files that are missing or invalid, named by options or by variables. Both commands fail
+/// in the same way.
 fn record_failing_starts(files: &StartFiles, command: &str) -> String {
     let missing = Path::new("/nowhere/file");
     let (config, bad_config) = (files.config.as_path(), files.bad_config.as_path());
     let bad_operator = files.bad_operator.as_path();
     let cases: [(&str, NamedFiles<'_>, NamedFiles<'_>); 9] = [
         ("nothing", &[], &[]),
-        ("no configuration", &[(CONFIG, missing)], &[]),
+        ("no configuration", &[(CONFIG_OPTION, missing)], &[]),
         (
             "no configuration by the variable",
             &[],
             &[(CONFIG_VARIABLE, missing)],
         ),
-        ("a bad configuration", &[(CONFIG, bad_config)], &[]),
+        ("a bad configuration", &[(CONFIG_OPTION, bad_config)], &[]),
         (
             "the option before the variable",
-            &[(CONFIG, bad_config)],
+            &[(CONFIG_OPTION, bad_config)],
             &[(CONFIG_VARIABLE, config)],
         ),
         (
             "a bad operator's file",
-            &[(CONFIG, config), (OPERATOR, bad_operator)],
+            &[(CONFIG_OPTION, config), (OPERATOR_OPTION, bad_operator)],
             &[],
         ),
         (
@@ -120,29 +128,29 @@
         ),
         (
             "no operator's file",
-            &[(CONFIG, config), (OPERATOR, missing)],
+            &[(CONFIG_OPTION, config), (OPERATOR_OPTION, missing)],
             &[],
         ),
         (
             "both bad",
-            &[(CONFIG, bad_config), (OPERATOR, bad_operator)],
+            &[(CONFIG_OPTION, bad_config), (OPERATOR_OPTION, bad_operator)],
             &[],
         ),
     ];
     cases
         .into_iter()
-        .map(|(name, options, variables)| {
-            let title = format!("{command}: {name}");
+        .map(|(case, options, variables)| {
+            let title = format!("{command}: {case}");
             files.record_start(&title, Some(command), options, variables)
         })
         .collect()
 }
 
 #[test]
-fn serve_and_validate_end_the_same_way_where_a_file_is_bad() {
+fn serve_and_validate_report_invalid_files_in_the_same_words() {
     let files = StartFiles::write();
     let config = files.config.as_path();
-    let taken = files.operator_with_taken_socket.as_path();
+    let operator_with_taken_socket = files.operator_with_taken_socket.as_path();
     let mut text = record_failing_starts(&files, "serve");
     text += &record_failing_starts(&files, "validate");
     text += &files.record_start("no command and nothing", None, &[], &[]);
@@ -158,22 +166,28 @@
     text += &files.record_start(
         "serve: a file where the control socket is to be",
         Some("serve"),
-        &[(CONFIG, config), (OPERATOR, taken)],
+        &[
+            (CONFIG_OPTION, config),
+            (OPERATOR_OPTION, operator_with_taken_socket),
+        ],
         &[],
     );
     text += &files.record_start(
         "validate: the same is good",
         Some("validate"),
-        &[(CONFIG, config), (OPERATOR, taken)],
+        &[
+            (CONFIG_OPTION, config),
+            (OPERATOR_OPTION, operator_with_taken_socket),
+        ],
         &[],
     );
     text += &files.record_start(
         "validate: both good",
         Some("validate"),
-        &[(CONFIG, config), (OPERATOR, &files.operator)],
+        &[(CONFIG_OPTION, config), (OPERATOR_OPTION, &files.operator)],
         &[],
     );
-    let kept = std::fs::read_to_string(&files.plain_file).unwrap();
-    assert_eq!(kept, "keep me");
+    let content = std::fs::read_to_string(&files.file_at_socket_path).unwrap();
+    assert_eq!(content, "keep me");
     assert_golden("command_line/files.txt", &text);
 }
--- a/crates/proxy/tests/golden_roll/main.rs
+++ b/crates/proxy/tests/golden_roll/main.rs
@@ -1,8 +1,9 @@
-//! What a guarded roll keeps at the store, what it sends to proxies and what it prints, byte for byte as the build at 17cc2a9 did.
+//! Compares the plan that a guarded roll writes at the store, the orders that it sends to proxies and its output with those
+//! of the build at 17cc2a9, byte for byte.
 //!
-//! The files in `golden/roll` were made by that build and do not change: a roll that an older build began is finished by a
-//! newer one, and the other way round. The proxies here are scripted, with fixed process ids, and the program runs in
-//! their directory, so that paths and ids in plans are the same in each run.
+//! The files in `golden/roll` were written by that build and do not change, because a newer build may finish a roll that an
+//! older one began, or the reverse. The proxies are scripted with fixed process ids, and the program runs in their
+//! directory, so that paths and process ids in plans are the same in each run.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -21,13 +22,15 @@
 use support::{ZooKeeperStub, assert_golden};
 use test_case::test_case;
 
+/// The store's node with the plan of the roll `patch`.
 const PLAN_PATH: &str = "/asterramp/roll-patch";
+/// The store's node whose children are the contenders' places in the queue.
 const QUEUE_PATH: &str = "/asterramp/owner";
-/// A plan as builds before 17cc2a9 wrote it, without what an operator requests.
+/// A plan as builds before 17cc2a9 wrote it, without the state (`wish`) that operators request.
 const PLAN_WITHOUT_REQUEST: &str = r#"{"pids":{"a.sock":101,"b.sock":102},"done":false}"#;
 
 #[test]
-fn a_guarded_roll_from_its_start_to_its_end() {
+fn a_guarded_roll_replaces_all_proxies_as_before() {
     let (fleet, store) = (Fleet::start(Restarts::OnShutdown), ZooKeeperStub::start());
     let recorder = StoreRecorder::start(store.address);
     let address = recorder.address.to_string();
@@ -45,7 +48,7 @@
 }
 
 #[test]
-fn a_plan_as_it_is_begun_and_with_each_requested_state() {
+fn a_new_plan_and_each_requested_state_are_written_as_before() {
     let (fleet, store) = (Fleet::start(Restarts::OnShutdown), ZooKeeperStub::start());
     assert_golden(
         "roll/fleet-status-no-roll.txt",
@@ -93,22 +96,22 @@
 #[test_case("cancelled", include_str!("../golden/roll/plan-cancelled.json"); "a cancelled plan")]
 #[test_case("done", include_str!("../golden/roll/plan-done.json"); "a plan that is done")]
 #[test_case("unreadable", "{\"pids\":7}"; "a plan that cannot be read")]
-fn fleet_commands_print_and_change_a_plan_in_the_same_way(name: &str, plan: &str) {
+fn fleet_commands_print_and_change_a_plan_in_the_same_way(golden_name: &str, plan: &str) {
     let fleet = Fleet::start(Restarts::Never);
-    // One was replaced, one cannot be reached.
+    // The first proxy was replaced, the second cannot be reached.
     fleet.proxies[0].set(|state| state.status.pid = 201);
     std::fs::remove_file(fleet.directory.join("b.sock")).unwrap();
     let store = store_with_plan(plan);
     assert_golden(
-        &format!("roll/fleet-status-of-{name}.txt"),
+        &format!("roll/fleet-status-of-{golden_name}.txt"),
         &fleet.fleet_command("status", store.address),
     );
     assert_golden(
-        &format!("roll/fleet-pause-of-{name}.txt"),
+        &format!("roll/fleet-pause-of-{golden_name}.txt"),
         &fleet.fleet_command("pause", store.address),
     );
     assert_golden(
-        &format!("roll/fleet-pause-of-{name}.json"),
+        &format!("roll/fleet-pause-of-{golden_name}.json"),
         &stored_plan(&store),
     );
 }
@@ -119,25 +122,28 @@
 #[test_case("done", include_str!("../golden/roll/plan-done.json"); "a plan that is done")]
 #[test_case("unreadable", "{\"pids\":7}"; "a plan that cannot be read")]
 #[test_case("of-others", r#"{"pids":{"a.sock":101,"c.sock":103},"done":false,"wish":"go-on"}"#; "a plan of other proxies")]
-fn a_roll_continues_a_plan_where_it_stands(name: &str, plan: &str) {
+fn a_roll_continues_a_plan_with_the_proxies_not_replaced_yet(golden_name: &str, plan: &str) {
     let fleet = Fleet::start(Restarts::OnShutdown);
     fleet.proxies[0].set(|state| state.status.pid = 201);
     let store = store_with_plan(plan);
     let address = store.address.to_string();
     assert_golden(
-        &format!("roll/takes-up-{name}.txt"),
+        &format!("roll/takes-up-{golden_name}.txt"),
         &fleet.roll(&["--store", &address, "--name", "patch"]).text,
     );
-    assert_golden(&format!("roll/takes-up-{name}.json"), &stored_plan(&store));
+    assert_golden(
+        &format!("roll/takes-up-{golden_name}.json"),
+        &stored_plan(&store),
+    );
     assert_eq!(
         fleet.proxies[0].orders().matches("drain").count(),
         0,
-        "it was replaced already"
+        "a proxy that was replaced already was drained"
     );
 }
 
 #[test]
-fn a_paused_roll_goes_on_when_it_is_resumed() {
+fn a_paused_roll_continues_when_it_is_resumed() {
     let fleet = Fleet::start(Restarts::OnShutdown);
     let store = store_with_plan(include_str!("../golden/roll/plan-paused.json"));
     let address = store.address.to_string();
@@ -151,7 +157,7 @@
 }
 
 #[test]
-fn contenders_queue_by_their_nodes() {
+fn contenders_queue_by_nodes_in_the_store() {
     let (fleet, store) = (
         Fleet::start(Restarts::Never),
         store_with_plan(include_str!("../golden/roll/plan-paused.json")),
@@ -167,29 +173,29 @@
     printed += &lines_up_to(&mut second_output, "queued, term 5");
     assert_golden("roll/contenders.txt", &printed);
 
-    let names = [contender_node(first.id()), contender_node(second.id())];
-    let anonymous = |text: String| {
-        text.replace(&names[0], "{first}")
-            .replace(&names[1], "{second}")
+    let nodes = [contender_node(first.id()), contender_node(second.id())];
+    let with_placeholders = |text: String| {
+        text.replace(&nodes[0], "{first}")
+            .replace(&nodes[1], "{second}")
     };
     let mut client = StoreClient::connect(store.address);
     let mut children = client.children(QUEUE_PATH);
-    children.sort_by_key(|name| names.iter().position(|known| known == name));
+    children.sort_by_key(|child| nodes.iter().position(|node| node == child));
     let mut paths = vec!["/asterramp".to_string(), QUEUE_PATH.to_string()];
-    paths.extend(children.iter().map(|name| format!("{QUEUE_PATH}/{name}")));
-    let mut nodes = String::new();
+    paths.extend(children.iter().map(|child| format!("{QUEUE_PATH}/{child}")));
+    let mut description = String::new();
     for path in paths {
         let (data, stat) = client.data(&path);
         let ephemeral = stat.ephemeral_owner != 0;
-        nodes += &format!(
+        description += &format!(
             "{path} created={} ephemeral={ephemeral} data={data}\n",
             stat.created_zxid
         );
     }
-    assert_golden("roll/contender-nodes.txt", &anonymous(nodes));
+    assert_golden("roll/contender-nodes.txt", &with_placeholders(description));
     assert_golden(
         "roll/fleet-status-two-contenders.txt",
-        &anonymous(fleet.fleet_command("status", store.address)),
+        &with_placeholders(fleet.fleet_command("status", store.address)),
     );
     for process in [&mut first, &mut second] {
         process.kill().unwrap();
@@ -197,17 +203,17 @@
     }
 }
 
-#[test_case("plain", &[]; "somebody else restarts")]
-#[test_case("restart", &["--restart", "echo restarting $ASTERRAMP_CONTROL"]; "by a command")]
-#[test_case("restart-fails", &["--restart", "exit 3"]; "by a command that fails")]
-fn a_roll_that_is_not_guarded(name: &str, more: &[&str]) {
+#[test_case("plain", &[]; "without a restart command")]
+#[test_case("restart", &["--restart", "echo restarting $ASTERRAMP_CONTROL"]; "with a restart command")]
+#[test_case("restart-fails", &["--restart", "exit 3"]; "with a restart command that fails")]
+fn an_unguarded_roll_orders_and_prints_as_before(golden_name: &str, extra_arguments: &[&str]) {
     let fleet = Fleet::start(Restarts::WhenEmpty);
     assert_golden(
-        &format!("roll/unguarded-{name}.txt"),
-        &fleet.roll(more).text,
+        &format!("roll/unguarded-{golden_name}.txt"),
+        &fleet.roll(extra_arguments).text,
     );
     assert_golden(
-        &format!("roll/unguarded-{name}-orders-a.txt"),
+        &format!("roll/unguarded-{golden_name}-orders-a.txt"),
         &fleet.proxies[0].orders(),
     );
 }
@@ -231,24 +237,27 @@
     );
 }
 
-#[test_case("never-back", |state| state.restarts = Restarts::Never; "it does not come back")]
-#[test_case("idle", |state| state.idle = true; "it carries nothing after its restart")]
-#[test_case("undrained", |state| state.undrained = true; "its drain is taken back")]
-#[test_case("refused", |state| state.drain_error = Some("the order's time is over"); "it rejects the order")]
-fn a_roll_stops_at_the_first_proxy_that_fails(name: &str, change: fn(&mut ScriptedState)) {
+#[test_case("never-back", |state| state.restarts = Restarts::Never; "the proxy does not start again")]
+#[test_case("idle", |state| state.blocks_next_drain = true; "the proxy does not carry its share after its restart")]
+#[test_case("undrained", |state| state.drain_is_cancelled = true; "the drain is cancelled")]
+#[test_case("refused", |state| state.drain_error = Some("the order's time is over"); "the proxy rejects the order")]
+fn a_roll_stops_at_the_first_proxy_that_fails(golden_name: &str, change: fn(&mut ScriptedState)) {
     let (fleet, store) = (Fleet::start(Restarts::OnShutdown), ZooKeeperStub::start());
     fleet.proxies[0].set(change);
     let address = store.address.to_string();
     let result = fleet.roll(&["--store", &address, "--name", "patch"]);
-    assert_golden(&format!("roll/stops-{name}.txt"), &result.text);
-    assert_golden(&format!("roll/stops-{name}.json"), &stored_plan(&store));
+    assert_golden(&format!("roll/stops-{golden_name}.txt"), &result.text);
+    assert_golden(
+        &format!("roll/stops-{golden_name}.json"),
+        &stored_plan(&store),
+    );
 }
 
 #[test]
 fn another_proxy_that_does_not_carry_its_share_stops_a_roll() {
     let (fleet, store) = (Fleet::start(Restarts::OnShutdown), ZooKeeperStub::start());
     fleet.proxies[1].set(|state| {
-        state.idle = true;
+        state.blocks_next_drain = true;
         state.status.allows_next_drain = false;
     });
     let address = store.address.to_string();
@@ -271,7 +280,7 @@
     );
     let store = store_with_plan(PLAN_WITHOUT_REQUEST);
     let address = store.address.to_string();
-    // A proxy that an earlier roll has shut down is waited for.
+    // The plan names the proxy, so an earlier roll may have shut it down; the roll waits for its restart.
     assert_golden(
         "roll/unreachable-begun.txt",
         &fleet.roll(&["--store", &address, "--name", "patch"]).text,
@@ -281,15 +290,15 @@
 #[test]
 fn without_a_store_nothing_is_replaced() {
     let fleet = Fleet::start(Restarts::OnShutdown);
-    // Nobody listens there.
+    // Nothing listens at this address.
     let address: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let roll = fleet.run(&roll_arguments(&[
+    let result = fleet.run(&roll_arguments(&[
         "--store",
         &address.to_string(),
         "--name",
         "patch",
     ]));
-    assert_golden("roll/no-store.txt", &roll.text);
+    assert_golden("roll/no-store.txt", &result.text);
     assert_golden(
         "roll/no-store-fleet.txt",
         &fleet.fleet_command("status", address),
@@ -298,7 +307,7 @@
 }
 
 #[test]
-fn a_store_without_a_name_is_an_error() {
+fn a_missing_or_invalid_roll_name_is_an_error() {
     let fleet = Fleet::start(Restarts::OnShutdown);
     assert_golden(
         "roll/no-name.txt",
--- a/crates/proxy/tests/golden_roll/scripted_proxy.rs
+++ b/crates/proxy/tests/golden_roll/scripted_proxy.rs
@@ -1,4 +1,4 @@
-//! Proxies that are no more than scripted replies at an admin socket.
+//! Admin sockets that reply like a proxy, by a script.
 
 use asterramp_admin_protocol::{
     AdminCommand, AdminReply, AdminRequest, ListenerSessions, ProxyStatus,
@@ -8,34 +8,35 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 
-/// When an empty proxy starts again, as another process.
+/// When a proxy restarts, with another process id.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Restarts {
-    /// Once it is told to shut down.
+    /// On the order to shut down.
     OnShutdown,
-    /// Once its status says that it is empty.
+    /// After a status reply by which it is empty.
     WhenEmpty,
     Never,
 }
 
+/// State of a scripted proxy, and its deviations from a replacement without faults.
 pub(crate) struct ScriptedState {
     pub(crate) status: ProxyStatus,
     pub(crate) restarts: Restarts,
     /// Status replies since the drain began or the process started.
-    replies: u32,
-    /// Error in reply to a drain.
+    status_replies: u32,
+    /// Error with which it rejects a drain; `None` if it accepts.
     pub(crate) drain_error: Option<&'static str>,
     /// Its drain never ends.
     pub(crate) stays_draining: bool,
-    /// Its drain is taken back before it is done.
-    pub(crate) undrained: bool,
-    /// After a restart it stays idle.
-    pub(crate) idle: bool,
-    /// Requests that change something, a line each.
+    /// Its drain is cancelled before it is empty.
+    pub(crate) drain_is_cancelled: bool,
+    /// Its status after a restart never allows the next drain, as if the process did not carry its share of sessions.
+    pub(crate) blocks_next_drain: bool,
+    /// All requests but those for a status, a line each.
     orders: String,
 }
 
-/// An entry of the sessions that remain.
+/// An entry of a status's remaining sessions.
 fn remaining(listener: &str, sessions: usize) -> ListenerSessions {
     ListenerSessions {
         listener: listener.into(),
@@ -43,12 +44,12 @@
     }
 }
 
-/// A proxy of which there is only the admin socket, with scripted replies.
+/// The admin socket of a proxy that doesn't exist, with scripted replies. Clones share one state.
 #[derive(Clone)]
 pub(crate) struct ScriptedProxy(Arc<Mutex<ScriptedState>>);
 
 impl ScriptedProxy {
-    /// Listens at a path as a process that serves.
+    /// Listens at a path, with the status of a serving process.
     pub(crate) fn start(path: &Path, pid: u32, restarts: Restarts) -> ScriptedProxy {
         let status = ProxyStatus {
             pid,
@@ -66,25 +67,26 @@
         let state = ScriptedState {
             status,
             restarts,
-            replies: 0,
+            status_replies: 0,
             drain_error: None,
             stays_draining: false,
-            undrained: false,
-            idle: false,
+            drain_is_cancelled: false,
+            blocks_next_drain: false,
             orders: String::new(),
         };
         let proxy = ScriptedProxy(Arc::new(Mutex::new(state)));
         let listener = UnixListener::bind(path).unwrap();
-        let accepting = proxy.clone();
+        let accepting_proxy = proxy.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let proxy = accepting.clone();
+                let proxy = accepting_proxy.clone();
                 std::thread::spawn(move || proxy.serve(stream));
             }
         });
         proxy
     }
 
+    /// Replies to the requests of one connection until it ends.
     fn serve(&self, stream: UnixStream) {
         let mut replies = stream.try_clone().unwrap();
         for line in BufReader::new(stream).lines().map_while(Result::ok) {
@@ -95,18 +97,19 @@
         }
     }
 
-    /// Changes what it does from now on.
+    /// Changes the proxy's state.
     pub(crate) fn set(&self, change: impl FnOnce(&mut ScriptedState)) {
         change(&mut self.0.lock().unwrap());
     }
 
-    /// Requests that changed something, a line each.
+    /// All requests but those for a status, a line each.
     pub(crate) fn orders(&self) -> String {
         self.0.lock().unwrap().orders.clone()
     }
 }
 
 impl ScriptedState {
+    /// Records a request and returns the reply.
     fn reply(&mut self, line: &str) -> AdminReply {
         let request = AdminRequest::parse(line.as_bytes()).unwrap();
         if request.command != AdminCommand::Status {
@@ -122,7 +125,7 @@
                 self.status.allows_next_drain = false;
                 self.status.deadline_in_ms = request.deadline_ms;
                 self.status.remaining_sessions = vec![remaining("feed", 2), remaining("order", 1)];
-                self.replies = 0;
+                self.status_replies = 0;
             }
             AdminCommand::Shutdown if self.restarts == Restarts::OnShutdown => self.restart(),
             _ => {}
@@ -130,26 +133,32 @@
         AdminReply::status(self.status.clone())
     }
 
-    /// Draining, then empty; after a restart it carries its share from the second status on.
+    /// Changes the state before a status reply: a drain ends at its second status, and a restarted process allows the next
+    /// drain from its second status on.
     fn next_status(&mut self) {
-        self.replies += 1;
+        self.status_replies += 1;
         match self.status.state.as_str() {
             "draining" if self.stays_draining => {}
-            "draining" if self.undrained && self.replies == 2 => {
+            "draining" if self.drain_is_cancelled && self.status_replies == 2 => {
                 self.status.state = "serving".into()
             }
-            "draining" if self.replies == 2 => {
+            "draining" if self.status_replies == 2 => {
                 self.status.state = "empty".into();
                 self.status.open_sessions = 0;
                 self.status.migrated_sessions = 3;
                 self.status.remaining_sessions.clear();
             }
-            "empty" if self.restarts == Restarts::WhenEmpty && self.replies > 2 => self.restart(),
-            "serving" if self.replies > 1 && !self.idle => self.status.allows_next_drain = true,
+            "empty" if self.restarts == Restarts::WhenEmpty && self.status_replies > 2 => {
+                self.restart()
+            }
+            "serving" if self.status_replies > 1 && !self.blocks_next_drain => {
+                self.status.allows_next_drain = true
+            }
             _ => {}
         }
     }
 
+    /// Becomes another process, which serves.
     fn restart(&mut self) {
         self.status.pid += 100;
         self.status.incarnation += 1;
@@ -158,11 +167,11 @@
         self.status.open_sessions = 1;
         self.status.migrated_sessions = 0;
         self.status.allows_next_drain = false;
-        self.replies = 0;
+        self.status_replies = 0;
     }
 }
 
-/// An order with a placeholder for its expiry, the one thing in it that differs between runs.
+/// The order with a placeholder for its expiry, the only part that differs between runs.
 fn without_expiry(line: &str) -> String {
     match line.split_once("\"until_us\":") {
         Some((before, after)) => {
--- a/crates/proxy/tests/golden_roll/store_client.rs
+++ b/crates/proxy/tests/golden_roll/store_client.rs
@@ -1,4 +1,4 @@
-//! A plain client of the store, by which a test prepares and reads it.
+//! A simple store client with which tests set up and read nodes.
 
 use super::PLAN_PATH;
 use super::support::ZooKeeperStub;
@@ -11,10 +11,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Longest wait for a reply of the store's.
+/// Longest wait for a reply from the store.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A store with a plan in place.
+/// Starts a store that already contains a plan.
 pub(crate) fn store_with_plan(plan: &str) -> ZooKeeperStub {
     let store = ZooKeeperStub::start();
     let mut client = StoreClient::connect(store.address);
@@ -23,12 +23,12 @@
     store
 }
 
-/// The exact bytes of the plan at a store.
+/// The text of the plan in a store.
 pub(crate) fn stored_plan(store: &ZooKeeperStub) -> String {
     StoreClient::connect(store.address).data(PLAN_PATH).0
 }
 
-/// A client of the store that sends one request after the other.
+/// A store client with at most one request in flight.
 pub(crate) struct StoreClient {
     stream: TcpStream,
     frames: FrameReader,
@@ -58,19 +58,20 @@
         client
     }
 
+    /// Waits for the next frame.
     fn next_frame(&mut self) -> Vec<u8> {
         let mut bytes = [0; 4096];
         loop {
             if let Some(frame) = self.frames.next_frame().unwrap() {
                 return frame.to_vec();
             }
-            let n = self.stream.read(&mut bytes).unwrap();
-            assert!(n > 0, "the store has closed the connection");
-            self.frames.append(&bytes[..n]);
+            let count = self.stream.read(&mut bytes).unwrap();
+            assert!(count > 0, "the store has closed the connection");
+            self.frames.append(&bytes[..count]);
         }
     }
 
-    /// Sends a request and reads its reply's body; fails where the store rejects it.
+    /// Sends a request and reads the body of its reply; fails if the store rejects the request.
     fn send<T>(
         &mut self,
         request: &StoreRequest,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Creates a node that outlasts the session.
+    /// Creates a persistent node.
     pub(crate) fn create(&mut self, path: &str, data: &str) {
         let request = StoreRequest::Create {
             path: path.into(),
@@ -102,7 +103,7 @@
             .unwrap();
     }
 
-    /// A node's data and its properties.
+    /// A node's data and its metadata.
     pub(crate) fn data(&mut self, path: &str) -> (String, NodeStat) {
         let request = StoreRequest::GetData {
             path: path.into(),
@@ -115,7 +116,7 @@
         self.send(&request, read).unwrap()
     }
 
-    /// The names of a node's children; none where there is no such node.
+    /// The names of a node's children; none if the node doesn't exist.
     pub(crate) fn children(&mut self, path: &str) -> Vec<String> {
         let request = StoreRequest::GetChildren {
             path: path.into(),
--- a/crates/proxy/tests/golden_roll/store_recorder.rs
+++ b/crates/proxy/tests/golden_roll/store_recorder.rs
@@ -1,4 +1,4 @@
-//! Records what the program writes at the store.
+//! Records the requests by which the program changes the store.
 
 use asterramp_zookeeper::frame::FrameReader;
 use asterramp_zookeeper::record::{ConnectRequest, StoreRequest};
@@ -7,16 +7,18 @@
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 
-/// Stands between the program and the store: forwards bytes and records what the program writes.
+/// A relay between the program and the store, which forwards bytes and records the program's requests.
 pub(crate) struct StoreRecorder {
-    /// Where the program reaches the store.
+    /// The address at which the program reaches the store.
     pub(crate) address: SocketAddr,
+    /// The frames that the program has sent, of all connections.
     frames: Arc<Mutex<Vec<Vec<u8>>>>,
+    /// The threads that forward to the store, one for each connection.
     connections: Arc<Mutex<Vec<JoinHandle<()>>>>,
 }
 
 impl StoreRecorder {
-    /// Starts it before a store.
+    /// Starts a relay to a store.
     pub(crate) fn start(store: SocketAddr) -> StoreRecorder {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -41,20 +43,22 @@
         recorder
     }
 
-    fn forward(mut client: TcpStream, mut server: TcpStream, written: &Mutex<Vec<Vec<u8>>>) {
+    /// Forwards the program's bytes to the store and records their frames, until the connection ends.
+    fn forward(mut client: TcpStream, mut server: TcpStream, recorded: &Mutex<Vec<Vec<u8>>>) {
         let (mut frames, mut bytes) = (FrameReader::default(), [0; 4096]);
-        while let Ok(n) = client.read(&mut bytes) {
-            if n == 0 || server.write_all(&bytes[..n]).is_err() {
+        while let Ok(count) = client.read(&mut bytes) {
+            if count == 0 || server.write_all(&bytes[..count]).is_err() {
                 return;
             }
-            frames.append(&bytes[..n]);
+            frames.append(&bytes[..count]);
             while let Some(frame) = frames.next_frame().unwrap() {
-                written.lock().unwrap().push(frame.to_vec());
+                recorded.lock().unwrap().push(frame.to_vec());
             }
         }
     }
 
-    /// What a program that has ended wrote at the store, a line each. Reads depend on time and are left out.
+    /// The requests of a program that has ended, a line each. Requests that only read are left out: their number depends on
+    /// timing.
     pub(crate) fn writes(&self) -> String {
         for connection in self.connections.lock().unwrap().drain(..) {
             connection.join().unwrap();
@@ -69,14 +73,14 @@
                 );
                 continue;
             }
-            lines += &write_line(StoreRequest::read(frame).unwrap().1);
+            lines += &format_write(StoreRequest::read(frame).unwrap().1);
         }
         lines
     }
 }
 
-/// A request that writes, as a line; empty for one that reads.
-fn write_line(request: StoreRequest) -> String {
+/// A request that changes the store or ends the session, as a line; empty for any other.
+fn format_write(request: StoreRequest) -> String {
     let text = |data: &[u8]| String::from_utf8(data.to_vec()).unwrap();
     match request {
         StoreRequest::Create {
@@ -91,7 +95,7 @@
         } => format!("set-data {path} version={version} data={}\n", text(&data)),
         StoreRequest::Delete { path, version } => format!("delete {path} version={version}\n"),
         StoreRequest::Close => "close\n".to_string(),
-        StoreRequest::Multi(all) => format!("multi of {}\n", all.len()),
+        StoreRequest::Multi(requests) => format!("multi of {}\n", requests.len()),
         _ => String::new(),
     }
 }
--- a/crates/proxy/tests/leader_lease/order_relay.rs
+++ b/crates/proxy/tests/leader_lease/order_relay.rs
@@ -1,4 +1,4 @@
-//! Orders that arrive late.
+//! A relay in front of an admin socket, which can delay a leader's order.
 
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -7,7 +7,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Stands between leaders and a proxy: forwards lines, and can delay one order to drain until it is released.
+/// Forwards request lines from leaders to a proxy and the replies back; on request it delays one order to drain until
+/// [`OrderRelay::release`]. Clones share one state.
 #[derive(Clone, Default)]
 pub(crate) struct OrderRelay {
     delays_next_drain: Arc<AtomicBool>,
@@ -16,15 +17,15 @@
 }
 
 impl OrderRelay {
-    /// Listens at a path before a proxy.
+    /// Starts a relay that listens at a path and forwards to the admin socket of a proxy.
     pub(crate) fn start(path: &Path, proxy: &Path) -> OrderRelay {
         let relay = OrderRelay::default();
         let listener = UnixListener::bind(path).unwrap();
         let proxy = proxy.to_path_buf();
-        let accepting = relay.clone();
+        let accepting_relay = relay.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let relay = accepting.clone();
+                let relay = accepting_relay.clone();
                 let proxy = proxy.clone();
                 std::thread::spawn(move || relay.forward(stream, &proxy));
             }
@@ -32,6 +33,7 @@
         relay
     }
 
+    /// Forwards the lines of one connection, until either end closes it.
     fn forward(&self, client: UnixStream, proxy: &Path) {
         let Ok(mut server) = UnixStream::connect(proxy) else {
             return;
@@ -42,29 +44,31 @@
             line.push('\n');
             if line.contains("\"drain\"") && self.delays_next_drain.swap(false, Ordering::Relaxed) {
                 self.wait_for_release();
-                // The process that it was for may have been replaced: it goes to whichever is there now.
-                let Ok(now_there) = UnixStream::connect(proxy) else {
+                // The process that the order was sent to may have been replaced; the order goes to the one that listens now.
+                let Ok(current_process) = UnixStream::connect(proxy) else {
                     return;
                 };
-                server = now_there;
+                server = current_process;
                 replies = BufReader::new(server.try_clone().unwrap());
             }
             let mut reply = String::new();
             let forwarded = server
                 .write_all(line.as_bytes())
                 .and_then(|()| replies.read_line(&mut reply));
-            if !forwarded.is_ok_and(|n| n > 0) || to_client.write_all(reply.as_bytes()).is_err() {
+            if !forwarded.is_ok_and(|length| length > 0)
+                || to_client.write_all(reply.as_bytes()).is_err()
+            {
                 return;
             }
         }
     }
 
-    /// Delays the next order to drain.
+    /// Makes the relay delay the next order to drain.
     pub(crate) fn delay_next_drain(&self) {
         self.delays_next_drain.store(true, Ordering::Relaxed);
     }
 
-    /// Whether an order is being delayed.
+    /// Whether an order has arrived that is delayed; stays `true` after its release.
     pub(crate) fn is_delaying(&self) -> bool {
         self.is_delaying.load(Ordering::Relaxed)
     }
@@ -74,6 +78,7 @@
         self.is_released.store(true, Ordering::Relaxed);
     }
 
+    /// Waits until the delayed order is released.
     fn wait_for_release(&self) {
         self.is_delaying.store(true, Ordering::Relaxed);
         while !self.is_released.load(Ordering::Relaxed) {
