--- a/crates/proxy/tests/report.rs
+++ b/crates/proxy/tests/events.rs
@@ -1,10 +1,10 @@
-//! The names that the log prints.
+//! Names of outcomes in log lines.
 
 use asterramp_placement::event::Outcome;
 use asterramp_proxy::routing::events::outcome_log_name;
 use test_case::test_case;
 
-/// Operators search their logs for these, whatever the outcomes are called in the code.
+/// Operators search logs for these names, so they stay when the variants of [`Outcome`] are renamed.
 #[test_case(Outcome::Ok => "Ok")]
 #[test_case(Outcome::ServerError => "Erred")]
 #[test_case(Outcome::Full => "Full")]
--- a/crates/proxy/tests/hot_restart_messages.rs
+++ b/crates/proxy/tests/hot_restart_messages.rs
@@ -1,4 +1,5 @@
-//! Hot restarts in which the test is one of the two processes: who reads an offered connection, whatever either does.
+//! Hot restarts in which the test plays the predecessor or the successor: exactly one of the two processes reads an offered
+//! connection, also if the other one fails at that moment.
 
 mod support;
 
@@ -16,31 +17,36 @@
 };
 use test_case::test_case;
 
-/// Bytes that are no message.
-const RUBBISH: &[u8] = b"what is this";
+/// Bytes that do not decode as a message.
+const INVALID_MESSAGE: &[u8] = b"what is this";
 
-/// How a successor fails that was offered two sessions, and accepted none or one.
+/// How a successor fails to which two sessions were offered, of which it accepted none or one.
 #[derive(Clone, Copy, PartialEq)]
 enum SuccessorFailure {
+    /// It closes the link.
     Close,
-    Rubbish,
-    /// The rubbish is sent before the acceptances, but the predecessor reads both at once.
-    RubbishBeforeAccepting,
+    /// It sends an invalid message after the acceptances.
+    InvalidMessage,
+    /// It sends an invalid message before the acceptances, and the predecessor reads all of them in one wake-up.
+    InvalidMessageBeforeAccepting,
 }
 
-/// A client's socket as it was handed over.
+/// The connection to a client, from the descriptors of an offer.
 fn adopted_client(mut descriptors: Vec<OwnedFd>) -> LineConnection {
     LineConnection::from_stream(TcpStream::from(descriptors.remove(0)))
 }
 
-/// What is offered is left alone by the predecessor, and goes on there if the successor ends, or sends rubbish, before
-/// it has accepted; what it accepted is its own.
-#[test_case(0, SuccessorFailure::Close; "nothing accepted, it ends")]
-#[test_case(0, SuccessorFailure::Rubbish; "nothing accepted, it sends rubbish")]
-#[test_case(1, SuccessorFailure::Close; "one accepted, it ends")]
-#[test_case(1, SuccessorFailure::Rubbish; "one accepted, it sends rubbish")]
-#[test_case(1, SuccessorFailure::RubbishBeforeAccepting; "it sends rubbish, and accepts one before that is read")]
-fn an_offered_session_is_nobodys_until_it_is_accepted(accepted: usize, failure: SuccessorFailure) {
+/// A predecessor does not read a session that it has offered. It resumes the session if the successor closes the link or
+/// sends an invalid message before accepting the offer; an accepted session belongs to the successor.
+#[test_case(0, SuccessorFailure::Close; "none accepted, the successor closes the link")]
+#[test_case(0, SuccessorFailure::InvalidMessage; "none accepted, the successor sends an invalid message")]
+#[test_case(1, SuccessorFailure::Close; "one accepted, the successor closes the link")]
+#[test_case(1, SuccessorFailure::InvalidMessage; "one accepted, the successor sends an invalid message")]
+#[test_case(1, SuccessorFailure::InvalidMessageBeforeAccepting; "one accepted after an invalid message that the predecessor has not read")]
+fn an_offered_session_is_read_by_neither_process_until_it_is_accepted(
+    accepted: usize,
+    failure: SuccessorFailure,
+) {
     let proxy = ProxyHarness::with_admin_http(1);
     let mut sessions: Vec<_> = (0..2).map(|_| proxy.open_session()).collect();
     let link = HotRestartLink::as_successor_of(&proxy);
@@ -50,25 +56,25 @@
         client.send("while nobody's\r\n");
         assert!(
             server.is_quiet(),
-            "the predecessor leaves alone what it has offered"
+            "the predecessor read a session that it had offered"
         );
     }
-    if failure == SuccessorFailure::RubbishBeforeAccepting {
+    if failure == SuccessorFailure::InvalidMessageBeforeAccepting {
         proxy.send_signal("STOP");
-        link.send_bytes(RUBBISH);
+        link.send_bytes(INVALID_MESSAGE);
     }
     for descriptors in offered.drain(..accepted) {
         link.send(&HotRestartMessage::OfferAccepted);
         assert_eq!(
             adopted_client(descriptors).read_line(),
             "while nobody's",
-            "it is the successor's to read"
+            "the successor did not get bytes sent during the offer"
         );
     }
     match failure {
         SuccessorFailure::Close => {}
-        SuccessorFailure::Rubbish => link.send_bytes(RUBBISH),
-        SuccessorFailure::RubbishBeforeAccepting => proxy.send_signal("CONT"),
+        SuccessorFailure::InvalidMessage => link.send_bytes(INVALID_MESSAGE),
+        SuccessorFailure::InvalidMessageBeforeAccepting => proxy.send_signal("CONT"),
     }
     if failure != SuccessorFailure::Close {
         assert!(
@@ -76,13 +82,17 @@
                 link.expect_message().message,
                 HotRestartMessage::HandoverStopped
             ),
-            "the predecessor says what becomes of the rest"
+            "the predecessor did not report that it keeps the unaccepted offers"
         );
         assert!(link.receive().is_none());
     }
     drop((link, offered));
     for (client, _) in &mut sessions[..accepted] {
-        assert_eq!(client.read_line(), "FIN", "it ended with the successor");
+        assert_eq!(
+            client.read_line(),
+            "FIN",
+            "an accepted session outlived the successor"
+        );
     }
     for (client, server) in &mut sessions[accepted..] {
         assert_eq!(server.read_line(), "while nobody's");
@@ -91,25 +101,26 @@
     }
 }
 
-/// When a client's bytes come that is being handed over.
+/// When a client sends bytes during the handover of its connection.
 #[derive(Clone, Copy, PartialEq)]
-enum BytesCome {
-    /// In the predecessor's wake-up that offers the connection.
+enum ClientSends {
+    /// Before the offer; the predecessor finds the bytes in the wake-up in which it offers the connection.
     WithOffer,
-    /// Before the predecessor hears that the offer is accepted.
+    /// After the offer, before the predecessor receives its acceptance.
     BeforeAcceptance,
-    /// Before the predecessor ends, which never hears that the offer is accepted.
-    BeforeEnd,
+    /// After the offer, before the predecessor exits without having received an acceptance.
+    BeforeExit,
 }
 
-/// What is handed over.
+/// Kind of connection that is handed over.
 #[derive(Clone, Copy, PartialEq)]
 enum HandedOver {
     Session,
+    /// A client's connection whose first line is incomplete.
     PendingConnection,
 }
 
-/// Receives the offer of what is handed over; its client's socket comes first.
+/// Receives the offer of a connection; the client's socket is the first of its descriptors.
 fn expect_offer(link: &HotRestartLink, handed_over: HandedOver) -> Vec<OwnedFd> {
     if handed_over == HandedOver::Session {
         return link.expect_session_offer();
@@ -117,22 +128,25 @@
     let received = link.expect_message();
     match received.message {
         HotRestartMessage::PendingConnectionOffer(buffered) => {
-            assert_eq!(buffered.bytes, b"OPEN 0000", "it had been read");
+            assert_eq!(
+                buffered.bytes, b"OPEN 0000",
+                "the offer lacks bytes that had been read"
+            );
             received.descriptors
         }
         other => panic!("{other:?}"),
     }
 }
 
-/// What a client sends while it is handed over is read by the successor alone, wherever the predecessor stands then.
-#[test_case(BytesCome::WithOffer, HandedOver::Session; "a session, in the predecessor's wake-up that offers it")]
-#[test_case(BytesCome::WithOffer, HandedOver::PendingConnection; "a pending connection, in the predecessor's wake-up that offers it")]
-#[test_case(BytesCome::BeforeAcceptance, HandedOver::Session; "a session, before the predecessor hears that it is accepted")]
-#[test_case(BytesCome::BeforeAcceptance, HandedOver::PendingConnection; "a pending connection, before the predecessor hears that it is accepted")]
-#[test_case(BytesCome::BeforeEnd, HandedOver::Session; "a session, before the predecessor ends without hearing")]
-#[test_case(BytesCome::BeforeEnd, HandedOver::PendingConnection; "a pending connection, before the predecessor ends without hearing")]
-fn bytes_that_come_in_a_handover_are_the_successors_to_read(
-    bytes_come: BytesCome,
+/// Bytes that a client sends during the handover are read by the successor only, whatever the predecessor has done by then.
+#[test_case(ClientSends::WithOffer, HandedOver::Session; "a session, in the predecessor's wake-up that offers it")]
+#[test_case(ClientSends::WithOffer, HandedOver::PendingConnection; "a pending connection, in the predecessor's wake-up that offers it")]
+#[test_case(ClientSends::BeforeAcceptance, HandedOver::Session; "a session, before the predecessor receives the acceptance")]
+#[test_case(ClientSends::BeforeAcceptance, HandedOver::PendingConnection; "a pending connection, before the predecessor receives the acceptance")]
+#[test_case(ClientSends::BeforeExit, HandedOver::Session; "a session, before the predecessor exits without an acceptance")]
+#[test_case(ClientSends::BeforeExit, HandedOver::PendingConnection; "a pending connection, before the predecessor exits without an acceptance")]
+fn bytes_sent_during_a_handover_are_read_by_the_successor(
+    client_sends: ClientSends,
     handed_over: HandedOver,
 ) {
     let mut proxy = ProxyHarness::with_admin_http(1);
@@ -144,43 +158,43 @@
         HandedOver::PendingConnection => (proxy.connect("OPEN 0000"), None),
     };
     let link = HotRestartLink::as_successor_of(&proxy);
-    if bytes_come == BytesCome::WithOffer {
+    if client_sends == ClientSends::WithOffer {
         proxy.send_signal("STOP");
         std::thread::sleep(Duration::from_millis(30));
     }
     link.send(&HotRestartMessage::Serving);
-    if bytes_come == BytesCome::WithOffer {
+    if client_sends == ClientSends::WithOffer {
         client.send("on\r\n");
         proxy.send_signal("CONT");
     }
     link.expect_open_descriptors();
     let descriptors = expect_offer(&link, handed_over);
-    if bytes_come != BytesCome::WithOffer {
+    if client_sends != ClientSends::WithOffer {
         client.send("on\r\n");
     }
-    if bytes_come != BytesCome::BeforeEnd {
+    if client_sends != ClientSends::BeforeExit {
         link.send(&HotRestartMessage::OfferAccepted);
     }
-    // With nothing left to hand over and told to shut down, it ends.
+    // The predecessor has nothing left to hand over, so it exits as soon as it is told to.
     proxy.send_signal("TERM");
     assert_eq!(proxy.wait_for_exit().0, Some(0));
     assert_eq!(adopted_client(descriptors).read_line(), "on");
 }
 
-/// A predecessor that is the test, in place of a proxy's first process.
+/// A predecessor played by the test, in place of a proxy's first process.
 struct TestPredecessor {
     link: HotRestartLink,
-    /// Closed with the predecessor.
+    /// The listeners for clients and for successors, kept open until the predecessor ends.
     _listeners: [OwnedFd; 2],
 }
 
 impl TestPredecessor {
-    /// Kills the first process, starts a successor and plays the hot restart until that serves.
+    /// Kills the proxy's first process, starts a successor and performs the hot restart until the successor is ready.
     fn in_place_of(proxy: &mut ProxyHarness) -> (TestPredecessor, SecondProcess) {
         proxy.process.kill().unwrap();
         proxy.process.wait().unwrap();
         std::fs::remove_file(proxy.hot_restart_socket()).unwrap();
-        let clients_listener = socket::listen(proxy.listen_address, true).unwrap();
+        let client_listener = socket::listen(proxy.listen_address, true).unwrap();
         let link_listener =
             socket::listen_unix(&proxy.hot_restart_socket(), socket::SocketType::SEQPACKET)
                 .unwrap();
@@ -193,7 +207,7 @@
         link.send(&HotRestartMessage::Endpoints(vec![endpoint_record(proxy)]));
         link.send_with(
             &HotRestartMessage::Listener { list_revision: 7 },
-            &[clients_listener.as_fd()],
+            &[client_listener.as_fd()],
         );
         let watch = proxy.accept_watch().lists;
         watch.send(list_line(8, false, &[])).unwrap();
@@ -204,31 +218,32 @@
         assert!(successor.becomes_ready());
         let predecessor = TestPredecessor {
             link,
-            _listeners: [clients_listener, link_listener],
+            _listeners: [client_listener, link_listener],
         };
         (predecessor, successor)
     }
 
-    /// Ends as a process does that is killed.
+    /// Ends the link as if the process were killed.
     fn end(self) {
         self.link.shut_down();
     }
 
-    /// Offers an open session; its client and its server.
-    fn offer_session(&self, session: usize) -> (LineConnection, LineConnection) {
+    /// Offers an established session; returns the outer ends of its connections, the client's and the server's. The index
+    /// becomes the last digit of the session's id.
+    fn offer_session(&self, index: usize) -> (LineConnection, LineConnection) {
         let ((client, client_side), (server, server_side)) = (connection(), connection());
-        let nothing_buffered = || BufferedBytes {
+        let no_buffered_bytes = || BufferedBytes {
             validated_len: 0,
             bytes: Vec::new(),
         };
         let offer = SessionOffer {
             opening_line: OPEN_LINE
-                .replace(OPEN_LINE_SESSION_ID, &format!("00000000000000a{session}"))
+                .replace(OPEN_LINE_SESSION_ID, &format!("00000000000000a{index}"))
                 .into_bytes(),
             server_uid: "s-0".into(),
             response_timeout: None,
-            from_client: nothing_buffered(),
-            from_server: nothing_buffered(),
+            from_client: no_buffered_bytes(),
+            from_server: no_buffered_bytes(),
         };
         self.link.send_with(
             &HotRestartMessage::SessionOffer(offer),
@@ -238,7 +253,7 @@
     }
 }
 
-/// One server as the predecessor knows it.
+/// The predecessor's record of the proxy's first server.
 fn endpoint_record(proxy: &ProxyHarness) -> EndpointRecord {
     EndpointRecord {
         uid: "s-0".into(),
@@ -251,43 +266,46 @@
     }
 }
 
-/// Both ends of a connection.
+/// Both ends of a new TCP connection.
 fn connection() -> (LineConnection, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let connected = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     (
-        LineConnection::from_stream(near),
+        LineConnection::from_stream(connected),
         listener.accept().unwrap().0,
     )
 }
 
-/// A predecessor ends with offers in the link. The successor adopts them, unless the predecessor has sent that it goes on
-/// with them.
-#[test_case(false, ["on", "on"]; "it ends")]
-#[test_case(true, ["FIN", "FIN"]; "it goes on with them")]
-fn offers_of_a_dead_predecessor_are_the_successors(goes_on: bool, clients_read: [&str; 2]) {
+/// A predecessor ends while the link still contains offers. The successor adopts their sessions, unless the predecessor has
+/// sent that it stopped the handover and keeps them.
+#[test_case(false, ["on", "on"]; "the predecessor ends")]
+#[test_case(true, ["FIN", "FIN"]; "the predecessor stops the handover, then ends")]
+fn offers_of_a_dead_predecessor_are_adopted_unless_it_stopped_the_handover(
+    handover_stopped: bool,
+    expected_lines: [&str; 2],
+) {
     let mut proxy = ProxyHarness::with_admin_http(1);
     let (predecessor, successor) = TestPredecessor::in_place_of(&mut proxy);
-    // The first is accepted, and the predecessor never reads that. From then on the successor does not run, so it can
-    // send nothing more before the predecessor is dead.
+    // The successor accepts the first offer, but the predecessor never reads the acceptance. Then the successor is stopped,
+    // so that it sends nothing more before the predecessor has ended.
     let (mut client, mut server) = predecessor.offer_session(0);
     server.send("first\r\n");
     assert_eq!(client.read_line(), "first");
     successor.send_signal("STOP");
     let mut sessions = vec![(client, server)];
-    sessions.extend((1..=clients_read.len()).map(|nth| predecessor.offer_session(nth)));
-    if goes_on {
+    sessions.extend((1..=expected_lines.len()).map(|index| predecessor.offer_session(index)));
+    if handover_stopped {
         predecessor.link.send(&HotRestartMessage::HandoverStopped);
     }
     predecessor.end();
     successor.send_signal("CONT");
-    for ((client, server), reads) in sessions
+    for ((client, server), expected) in sessions
         .iter_mut()
-        .zip(["on"].into_iter().chain(clients_read))
+        .zip(["on"].into_iter().chain(expected_lines))
     {
-        // The connection may be closed already.
+        // Writing may fail: the successor may have closed the connection already.
         let _ = server.0.get_mut().write_all(b"on\r\n");
-        assert_eq!(client.read_line(), reads);
+        assert_eq!(client.read_line(), expected);
     }
     assert_eq!(proxy.connect("PING\r\n").read_line(), "PONG");
 }
--- a/crates/proxy/tests/transport.rs
+++ b/crates/proxy/tests/transport.rs
@@ -1,10 +1,10 @@
-//! The proxy's transport: slots, deadlines and buffers.
+//! The proxy's slot map, deadlines and read buffer.
 
 use asterramp_proxy::transport::{Deadlines, ReadBuffer, SlotMap};
 use std::time::Duration;
 
 #[test]
-fn a_reused_slot_is_not_found_by_its_former_key() {
+fn a_reused_slot_is_not_found_by_its_previous_key() {
     let mut slots = SlotMap::default();
     let first = slots.insert("first");
     slots.remove(first);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn deadlines_fall_due_in_order_and_once_for_each_key() {
+fn deadlines_expire_in_order_and_once_for_each_key() {
     let mut deadlines = Deadlines::default();
     let at = Duration::from_secs;
     for (key, seconds) in [('a', 3), ('b', 1), ('a', 2), ('c', 9)] {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_buffer_keeps_its_order_and_knows_its_free_space() {
+fn a_read_buffer_keeps_the_order_of_bytes_and_reports_its_free_space() {
     let mut buffer = ReadBuffer::default();
     buffer.append(&[1; 8_000]);
     buffer.consume(7_999);
