--- a/crates/proxy/tests/support/harness.rs
+++ b/crates/proxy/tests/support/harness.rs
@@ -40,13 +40,13 @@
 
 impl ProxyHarness {
     /// Starts a proxy with this many servers and the default options, and waits until it serves.
-    pub(crate) fn new(servers: usize) -> ProxyHarness {
-        ProxyOptions::new(servers).start()
+    pub(crate) fn new(server_count: usize) -> ProxyHarness {
+        ProxyOptions::new(server_count).start()
     }
 
     /// Like [`ProxyHarness::new`], with an admin HTTP listener and hot restarts.
-    pub(crate) fn with_admin_http(servers: usize) -> ProxyHarness {
-        ProxyOptions::new(servers).admin_http().start()
+    pub(crate) fn with_admin_http(server_count: usize) -> ProxyHarness {
+        ProxyOptions::new(server_count).admin_http().start()
     }
 
     /// The next watch that a process of this proxy opens within [`TIMEOUT`].
--- a/crates/proxy/tests/support/options.rs
+++ b/crates/proxy/tests/support/options.rs
@@ -30,18 +30,19 @@
 /// How a proxy is started.
 #[derive(Clone, Copy)]
 pub(crate) struct ProxyOptions<'a> {
-    servers: usize,
+    server_count: usize,
     settings: &'a str,
     descriptors: DescriptorLimits,
     operator_file: Option<&'a Path>,
+    /// Whether the proxy has an admin HTTP listener and can be hot restarted.
     admin_http: bool,
 }
 
 impl<'a> ProxyOptions<'a> {
     /// This many servers, [`SETTINGS`], ample descriptors, no operator file and no admin HTTP listener.
-    pub(crate) fn new(servers: usize) -> ProxyOptions<'a> {
+    pub(crate) fn new(server_count: usize) -> ProxyOptions<'a> {
         ProxyOptions {
-            servers,
+            server_count,
             settings: SETTINGS,
             descriptors: AMPLE_DESCRIPTORS,
             operator_file: None,
@@ -107,7 +108,7 @@
         let name = format!("asterramp-{}-{nth}", std::process::id());
         let directory = std::env::temp_dir().join(format!("{name}.d"));
         std::fs::create_dir_all(&directory).unwrap();
-        let servers: Vec<TcpListener> = (0..self.servers)
+        let servers: Vec<TcpListener> = (0..self.server_count)
             .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
             .collect();
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
