--- a/crates/proxy/tests/admin_socket.rs
+++ b/crates/proxy/tests/admin_socket.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::process::Command;
 use std::time::{Duration, Instant};
-use support::{OperatedProxy, operator_file_text, output_text, temporary_path};
+use support::{ProxyWithAdminSocket, operator_file_text, output_text, temporary_path};
 use test_case::test_case;
 
 #[test_case("x", "not a request"; "not JSON")]
@@ -21,7 +21,7 @@
 #[test_case(r#"{"v":1,"do":"drain","deadline_ms":99999999999}"#, "more than a day"; "deadline out of range")]
 #[test_case(&"x".repeat(2_000), "too long"; "too long")]
 fn an_invalid_request_gets_an_error_and_changes_nothing(line: &str, message: &str) {
-    let operated = OperatedProxy::start("");
+    let operated = ProxyWithAdminSocket::start("");
     let reply = operated.reply_to(line);
     assert!(
         reply.contains("\"error\"") && reply.contains(message),
@@ -31,7 +31,7 @@
 }
 
 /// Opens a connection that sends requests until the proxy stops reading them, and never reads a reply.
-fn open_connection_that_never_reads(operated: &OperatedProxy) -> BufReader<UnixStream> {
+fn open_connection_that_never_reads(operated: &ProxyWithAdminSocket) -> BufReader<UnixStream> {
     let mut connection = operated.connect();
     let stream = connection.get_mut();
     stream
@@ -44,7 +44,7 @@
 
 #[test]
 fn connections_that_never_read_delay_only_themselves_and_too_many_are_rejected() {
-    let operated = OperatedProxy::start("");
+    let operated = ProxyWithAdminSocket::start("");
     let _never_reading: Vec<_> = (0..5)
         .map(|_| open_connection_that_never_reads(&operated))
         .collect();
@@ -73,7 +73,7 @@
 
 /// Starts a second proxy with the configuration of a running one and an admin socket at `admin_socket`, and checks that
 /// it fails with one line that contains `reason`.
-fn assert_start_fails(operated: &OperatedProxy, admin_socket: &Path, reason: &str) {
+fn assert_start_fails(operated: &ProxyWithAdminSocket, admin_socket: &Path, reason: &str) {
     let (operator_file, config) = (temporary_path("toml"), temporary_path("json"));
     std::fs::write(&operator_file, operator_file_text(admin_socket, "")).unwrap();
     let listen_address = operated.proxy.listen_address.to_string();
@@ -100,17 +100,17 @@
 fn only_the_user_may_access_the_socket_and_only_a_stale_socket_file_is_replaced() {
     let stale = temporary_path("sock");
     drop(UnixListener::bind(&stale).unwrap());
-    let operated = OperatedProxy::start_at(stale, "");
+    let operated = ProxyWithAdminSocket::start_at(stale, "");
     let metadata = std::fs::metadata(&operated.admin_socket).unwrap();
     assert_eq!(metadata.permissions().mode() & 0o777, 0o600);
-    operated.wait_for_state("serving");
+    operated.wait_for_drain_state("serving");
     let regular_file = temporary_path("sock");
     std::fs::write(&regular_file, "keep me").unwrap();
     assert_start_fails(&operated, &operated.admin_socket, "somebody listens");
     assert_start_fails(&operated, &regular_file, "no socket");
     assert_eq!(std::fs::read_to_string(&regular_file).unwrap(), "keep me");
     std::fs::remove_file(regular_file).unwrap();
-    operated.wait_for_state("serving");
+    operated.wait_for_drain_state("serving");
 }
 
 /// An operator's file with an unknown key in line 2 and an invalid duration in line 3.
@@ -118,7 +118,7 @@
 
 #[test]
 fn an_invalid_operator_file_prevents_a_start_and_is_ignored_by_a_reload() {
-    let mut operated = OperatedProxy::start("");
+    let mut operated = ProxyWithAdminSocket::start("");
     let operator_file = temporary_path("toml");
     std::fs::write(&operator_file, INVALID_OPERATOR_FILE).unwrap();
     for command in ["serve", "validate"] {
@@ -138,7 +138,7 @@
     std::fs::write(&operated.operator_file, INVALID_OPERATOR_FILE).unwrap();
     operated.proxy.send_signal("HUP");
     std::thread::sleep(Duration::from_millis(200));
-    operated.wait_for_state("serving");
+    operated.wait_for_drain_state("serving");
     operated.proxy.send_signal("TERM");
     let log = operated.proxy.wait_for_exit().1;
     assert!(
@@ -149,7 +149,7 @@
 
 #[test]
 fn the_status_is_printed_as_text_and_as_json_and_completions_are_printed() {
-    let operated = OperatedProxy::start("");
+    let operated = ProxyWithAdminSocket::start("");
     let _session = operated.proxy.open_session();
     let line = output_text(&operated.run(&["status"]));
     assert!(
@@ -175,7 +175,7 @@
 #[test_case("", true; "by default")]
 #[test_case("[site]\nwatch = false\n", false; "switched off")]
 fn the_status_shows_zones_where_zone_failover_is_on(more_lines: &str, shown: bool) {
-    let operated = OperatedProxy::start(more_lines);
+    let operated = ProxyWithAdminSocket::start(more_lines);
     let reply = operated.reply_to(r#"{"v":1,"do":"status"}"#);
     assert_eq!(
         reply.contains(r#""places":[{"name":"a","state":"whole","since_ms":"#),
--- a/crates/proxy/tests/drain.rs
+++ b/crates/proxy/tests/drain.rs
@@ -5,8 +5,8 @@
 
 use std::time::{Duration, Instant};
 use support::{
-    LineConnection, OPEN_LINE, OperatedProxy, ProxyHarness, endpoint_json, http_call, list_line,
-    operator_file_text,
+    LineConnection, OPEN_LINE, ProxyHarness, ProxyWithAdminSocket, endpoint_json, http_call,
+    list_line, operator_file_text,
 };
 
 /// Opens `count` sessions; returns the client and the server of each.
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_drain_migrates_all_sessions_serves_late_clients_and_is_cancelled() {
-    let mut operated = OperatedProxy::start("");
+    let mut operated = ProxyWithAdminSocket::start("");
     let mut sessions = open_sessions(&operated.proxy, 12);
     operated.run_ok(&["drain", "--deadline", "3s"]);
     assert_eq!(operated.ping(), "ERR", "pings still succeed");
@@ -26,7 +26,7 @@
         assert_eq!([client.read_line(), client.read_line()], ["MOVE", "FIN"]);
         assert_eq!(server.read_line(), "FIN");
     }
-    let status = operated.wait_for_state("empty");
+    let status = operated.wait_for_drain_state("empty");
     assert!(
         status.contains("\"moved\":13") && status.contains("\"carries\":false"),
         "{status}"
@@ -52,7 +52,7 @@
     );
 }
 
-fn assert_serves_at_once_after_undrain(operated: &OperatedProxy) {
+fn assert_serves_at_once_after_undrain(operated: &ProxyWithAdminSocket) {
     let undrained_at = Instant::now();
     operated.run_ok(&["undrain"]);
     assert_eq!(operated.ping(), "PONG");
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_pending_session_opens_during_a_drain_and_an_undrain_halfway_keeps_the_remaining_sessions() {
-    let operated = OperatedProxy::start("pace = 10\n");
+    let operated = ProxyWithAdminSocket::start("pace = 10\n");
     let mut sessions = open_sessions(&operated.proxy, 20);
     let mut pending = operated.proxy.connect(&OPEN_LINE.replace("feed", "order"));
     let (mut server, _) = operated.proxy.accept_at(0);
@@ -99,14 +99,14 @@
 
 #[test]
 fn a_second_drain_changes_the_deadline_and_after_sigterm_there_is_no_undrain() {
-    let mut operated = OperatedProxy::start("pace = 1\n");
+    let mut operated = ProxyWithAdminSocket::start("pace = 1\n");
     let mut sessions = open_sessions(&operated.proxy, 10);
     operated.run_ok(&["drain", "--deadline", "60s"]);
-    operated.wait_for_state("moving");
+    operated.wait_for_drain_state("moving");
     operated.run_ok(&["drain", "--deadline", "1s"]);
-    operated.wait_for_state("late");
+    operated.wait_for_drain_state("late");
     operated.proxy.send_signal("TERM");
-    operated.wait_for_state("exiting");
+    operated.wait_for_drain_state("exiting");
     assert!(
         !operated.run(&["undrain"]).status.success() && !operated.run(&["drain"]).status.success()
     );
@@ -119,11 +119,11 @@
 
 #[test]
 fn a_drain_continues_while_discovery_is_down_and_during_a_reload() {
-    let operated = OperatedProxy::start("pace = 20\n");
+    let operated = ProxyWithAdminSocket::start("pace = 20\n");
     let mut sessions = open_sessions(&operated.proxy, 10);
     operated.proxy.watch.send(String::new()).unwrap();
     operated.run_ok(&["drain", "--deadline", "20s"]);
-    operated.wait_for_state("moving");
+    operated.wait_for_drain_state("moving");
     std::fs::write(
         &operated.operator_file,
         operator_file_text(&operated.admin_socket, "pace = 500\nback = \"0s\"\n"),
@@ -133,11 +133,11 @@
     for (client, _) in &mut sessions {
         assert_eq!(client.read_line(), "MOVE");
     }
-    operated.wait_for_state("empty");
+    operated.wait_for_drain_state("empty");
     operated.run(&["undrain"]);
     assert!(
         operated
-            .wait_for_state("serving")
+            .wait_for_drain_state("serving")
             .contains("\"carries\":true"),
         "the reload did not remove the time before the next drain"
     );
@@ -145,7 +145,7 @@
 
 #[test]
 fn restored_sessions_are_migrated_like_others() {
-    let operated = OperatedProxy::start("");
+    let operated = ProxyWithAdminSocket::start("");
     let proxy = &operated.proxy;
     let mut client = proxy.connect("OPEN 1 2 c=feed,t=acme,d=9,at=s-0\r\n");
     let (mut server, _) = proxy.accept_at(0);
