--- a/crates/drain/src/drain.rs
+++ b/crates/drain/src/drain.rs
@@ -1,4 +1,4 @@
-//! The drain itself: requests, and advice by state.
+//! [`Drain`]: takes the operator's requests, keeps the state and decides at each interval how many sessions to migrate.
 
 use crate::pacing::{MigrationBudget, RequiredRate, migration_rate, predicted_duration};
 use crate::{
@@ -7,57 +7,62 @@
 };
 use std::time::Duration;
 
-/// The closing of a drain may take this part of the time to its deadline: a short drain has no time for a slow front.
-const MAX_CLOSING_PART: u32 = 8;
+/// [`DrainState::Closing`] lasts at most the time from the start of the drain to its deadline, divided by this: a drain
+/// with a short deadline cannot wait for a slow front. A greater value ends the state sooner.
+const MAX_CLOSING_TIME_DIVISOR: u32 = 8;
 
-/// What there is when advice is asked for.
+/// The proxy's sessions and connections at the time of a call of [`Drain::advise`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DrainView {
     /// Open sessions, which may be migrated.
     pub open_sessions: usize,
     /// Sessions that are being set up.
     pub pending_sessions: usize,
-    /// Connections of clients in any state, those being closed among them.
+    /// Client connections in any state, including those being closed.
     pub client_connections: usize,
-    /// When a session last arrived.
+    /// When the last session arrived, in the caller's time; zero if none has.
     pub last_session_arrival: Duration,
-    /// Sessions that endpoints can absorb now by their load reports; `None` where none has reported.
+    /// Number of further sessions that the endpoints can absorb by their load reports; `None` if none has reported.
     pub spare_capacity: Option<f64>,
 }
 
-/// What to do now.
+/// What the caller has to do now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DrainAdvice {
-    /// Sessions to migrate.
+    /// Number of open sessions to migrate now.
     pub sessions_to_migrate: usize,
-    /// Reject the sessions that are still being set up.
+    /// Whether to reject the sessions that are still being set up.
     pub reject_pending: bool,
-    /// Close the listener and end the process.
+    /// Whether to close the listener and end the process.
     pub exit: bool,
-    /// End it whoever is left.
+    /// Whether to end the process even if clients are still connected.
     pub drop_remaining: bool,
 }
 
-/// A proxy's drain.
+/// State machine and pacing of one proxy's drains and of its shutdown.
 #[derive(Clone, Debug)]
 pub struct Drain {
     state: DrainState,
     settings: DrainSettings,
+    /// When the drain began; meaningless while serving.
     began_at: Duration,
+    /// When the drain has to be finished; meaningless while serving.
     deadline: Duration,
-    /// Sessions per second, as the operator asked.
+    /// Sessions per second that the request asked for; `None` if it left the rate to the proxy.
     requested_rate: Option<f64>,
+    /// Set once a shutdown has begun.
     shutdown: Option<ShutdownSchedule>,
     budget: MigrationBudget,
-    migrated: u64,
-    /// Whether advice to reject pending sessions was given since the last request.
+    /// Sessions migrated since the last drain began.
+    migrated_sessions: u64,
+    /// Whether the caller was advised to reject pending sessions since the last request.
     rejected_pending: bool,
-    /// Since when the proxy serves again after a drain.
+    /// When the last drain was cancelled; `None` if none was, or a new one has begun.
     resumed_at: Option<Duration>,
 }
 
 impl Drain {
-    /// A proxy that serves.
+    /// The drain of a proxy that is serving.
     pub fn new(settings: DrainSettings) -> Drain {
         Drain {
             state: DrainState::Serving,
@@ -67,39 +72,39 @@
             requested_rate: None,
             shutdown: None,
             budget: MigrationBudget::default(),
-            migrated: 0,
+            migrated_sessions: 0,
             rejected_pending: false,
             resumed_at: None,
         }
     }
 
-    /// Where the drain stands.
+    /// The current state.
     pub fn state(&self) -> DrainState {
         self.state
     }
 
-    /// Replaces the settings; a drain in progress goes on by the new ones.
+    /// Replaces the settings; a drain in progress uses the new ones from now on.
     pub fn set_settings(&mut self, settings: DrainSettings) {
         self.settings = settings;
     }
 
-    /// Whether the front's pings are answered, so that it sends sessions.
+    /// Whether to answer the front's pings. The front sends new sessions only to a proxy that answers.
     pub fn answers_pings(&self) -> bool {
         self.state == DrainState::Serving
     }
 
-    /// Whether a shutdown has come so far that the listener is closed.
+    /// Whether a shutdown has reached the time at which the listener is closed.
     pub fn closes_listener(&self, now: Duration) -> bool {
-        let is_time = |schedule: ShutdownSchedule| now >= schedule.close_listener_at;
-        self.shutdown.is_some_and(is_time)
+        self.shutdown
+            .is_some_and(|schedule| now >= schedule.close_listener_at)
     }
 
     /// Sessions migrated since the last drain began.
     pub fn migrated_sessions(&self) -> u64 {
-        self.migrated
+        self.migrated_sessions
     }
 
-    /// Time to the deadline; `None` unless a drain is in progress.
+    /// Time to the deadline, zero after it; `None` unless a drain is in progress.
     pub fn time_left(&self, now: Duration) -> Option<Duration> {
         match self.state {
             DrainState::Serving | DrainState::Exiting => None,
@@ -107,7 +112,8 @@
         }
     }
 
-    /// Whether the proxy serves and has done so for long enough that another one may be drained.
+    /// Whether another proxy may be drained: this one is serving, and at least
+    /// [`DrainSettings::time_before_next_drain`] has passed since its last drain was cancelled.
     pub fn allows_next_drain(&self, now: Duration) -> bool {
         let long_enough = self.resumed_at.is_none_or(|resumed_at| {
             now.saturating_sub(resumed_at) >= self.settings.time_before_next_drain
@@ -115,8 +121,8 @@
         self.state == DrainState::Serving && long_enough
     }
 
-    /// Starts to empty the proxy within a time, or changes deadline and rate of the drain in progress. The rate is in
-    /// sessions per second; without one it follows from the endpoints' spare capacity.
+    /// Starts a drain that has to be finished after `within`, or changes the deadline and the rate of the drain in
+    /// progress. The rate is in sessions per second; `None` derives it from the endpoints' spare capacity.
     ///
     /// # Errors
     ///
@@ -143,7 +149,7 @@
         self.apply(now, DrainInput::UndrainRequested)
     }
 
-    /// Begins to shut down; a drain in progress ends. Once begun, a shutdown keeps its first schedule.
+    /// Begins a shutdown, which ends a drain in progress and cannot be cancelled. Further calls do not change its schedule.
     pub fn begin_shutdown(&mut self, schedule: ShutdownSchedule) {
         let input = DrainInput::ShutdownRequested;
         if Transition::find(self.state, input).is_some() {
@@ -152,13 +158,13 @@
         }
     }
 
-    /// Sessions that are migrated per second now.
+    /// Current rate of the drain in sessions per second, before any increase that the deadline requires.
     pub fn migrations_per_second(&self, view: &DrainView) -> f64 {
         migration_rate(self.requested_rate, view.spare_capacity, &self.settings)
     }
 
-    /// Time until the proxy is expected to be empty at this rate, its deadline at the latest; `None` unless there is
-    /// something to migrate in a drain.
+    /// Time until the proxy is expected to be empty at [`Self::migrations_per_second`], at most the time to the deadline;
+    /// `None` while serving, once empty, and in a shutdown.
     pub fn expected_time_left(&self, now: Duration, view: &DrainView) -> Option<Duration> {
         match self.state {
             DrainState::Closing | DrainState::Migrating | DrainState::Late => {
@@ -170,12 +176,12 @@
         }
     }
 
-    /// What to do now. Asked for at each [`ADVICE_INTERVAL`], and at once after a request.
+    /// Decides what the caller has to do now. To be called every [`ADVICE_INTERVAL`], and at once after a request.
     pub fn advise(&mut self, now: Duration, view: &DrainView) -> DrainAdvice {
         match (self.state, self.shutdown) {
             (DrainState::Exiting, Some(schedule)) => self.advise_shutdown(now, view, &schedule),
             (DrainState::Closing, _) => {
-                if !self.front_has_stopped(now, view) {
+                if !self.new_sessions_have_stopped(now, view) {
                     return DrainAdvice::default();
                 }
                 self.change_state(DrainInput::NewSessionsStopped);
@@ -189,14 +195,14 @@
         }
     }
 
-    /// Takes an operator's request through the table.
+    /// Carries out an operator's request by [`TRANSITIONS`](crate::TRANSITIONS).
     fn apply(&mut self, now: Duration, input: DrainInput) -> Result<(), DrainError> {
         match self.change_state(input) {
             DrainEffect::Reject(error) => return Err(error),
             DrainEffect::BeginDrain => {
                 self.began_at = now;
                 self.budget.reset(now);
-                self.migrated = 0;
+                self.migrated_sessions = 0;
                 self.resumed_at = None;
             }
             DrainEffect::Resume => self.resumed_at = Some(now),
@@ -205,6 +211,7 @@
         Ok(())
     }
 
+    /// Makes the transition for `input` and returns its effect, which is left to the caller.
     fn change_state(&mut self, input: DrainInput) -> DrainEffect {
         let Some(transition) = Transition::find(self.state, input) else {
             return DrainEffect::NoEffect;
@@ -213,23 +220,24 @@
         transition.effect
     }
 
-    fn front_has_stopped(&self, now: Duration, view: &DrainView) -> bool {
-        let quiet_since = view.last_session_arrival.max(self.began_at);
-        if now.saturating_sub(quiet_since) >= self.settings.quiet_period {
+    /// Whether no session has arrived for the quiet period, or the longest time in [`DrainState::Closing`] has passed.
+    fn new_sessions_have_stopped(&self, now: Duration, view: &DrainView) -> bool {
+        let last_arrival = view.last_session_arrival.max(self.began_at);
+        if now.saturating_sub(last_arrival) >= self.settings.quiet_period {
             return true;
         }
         let drain_time = self.deadline.saturating_sub(self.began_at);
         let closing_time = self
             .settings
             .max_closing_time
-            .min(drain_time / MAX_CLOSING_PART);
+            .min(drain_time / MAX_CLOSING_TIME_DIVISOR);
         now >= self.began_at + closing_time
     }
 
     fn advise_migration(&mut self, now: Duration, view: &DrainView) -> DrainAdvice {
         let elapsed = self.budget.take_elapsed(now);
         let reject_pending = self.should_reject_pending(now);
-        let migrate = if view.open_sessions == 0 {
+        let sessions_to_migrate = if view.open_sessions == 0 {
             self.budget.clear();
             if view.pending_sessions == 0 {
                 self.change_state(DrainInput::AllSessionsEnded);
@@ -239,30 +247,32 @@
             self.change_state(DrainInput::SessionsOpen);
             self.sessions_to_migrate(now, view, elapsed)
         };
-        self.migrated += migrate as u64;
+        self.migrated_sessions += sessions_to_migrate as u64;
         DrainAdvice {
-            sessions_to_migrate: migrate,
+            sessions_to_migrate,
             reject_pending,
             ..DrainAdvice::default()
         }
     }
 
-    /// Pending sessions are rejected once, at the deadline; a session that arrives after it is served and migrated once it is
-    /// open.
+    /// Whether to reject pending sessions now: once for each request, at the deadline. A session that arrives later is set
+    /// up, and migrated once it is open.
     fn should_reject_pending(&mut self, now: Duration) -> bool {
         if !self.is_last_step(now) {
             return false;
         }
-        let was_rejected = self.rejected_pending;
+        let already_rejected = self.rejected_pending;
         self.rejected_pending = true;
-        !was_rejected
+        !already_rejected
     }
 
-    /// Whether the next advice would be too late for the deadline.
+    /// Whether the next call of [`Self::advise`] would come at the deadline or after it.
     fn is_last_step(&self, now: Duration) -> bool {
         now + ADVICE_INTERVAL >= self.deadline
     }
 
+    /// How many of the open sessions to migrate after `elapsed` since the last call: what the rate allows, and all of
+    /// them at the deadline.
     fn sessions_to_migrate(&mut self, now: Duration, view: &DrainView, elapsed: Duration) -> usize {
         let rate = self.migrations_per_second(view);
         let time_left = self.deadline.saturating_sub(now);
@@ -274,13 +284,13 @@
         }
         self.budget
             .add(required.at_least(rate), elapsed, view.open_sessions);
-        let sessions = if self.is_last_step(now) {
+        let allowed = if self.is_last_step(now) {
             view.open_sessions
         } else {
             self.budget.available()
         };
-        self.budget.spend(sessions);
-        sessions
+        self.budget.spend(allowed);
+        allowed
     }
 
     fn advise_shutdown(
@@ -292,18 +302,18 @@
         if now < schedule.serve_until {
             return DrainAdvice::default();
         }
-        let migrate = if now < schedule.migrate_from {
+        let sessions_to_migrate = if now < schedule.migrate_from {
             0
         } else {
-            // In even steps; the last of them is a little after the last answer.
+            // In equal steps, one for each interval until `migrate_until`, and one more.
             let time_left = schedule.migrate_until.saturating_sub(now);
             let steps = time_left.as_millis() / ADVICE_INTERVAL.as_millis() + 1;
             view.open_sessions.div_ceil(steps as usize)
         };
-        self.migrated += migrate as u64;
+        self.migrated_sessions += sessions_to_migrate as u64;
         let drop_remaining = now >= schedule.exit_at;
         DrainAdvice {
-            sessions_to_migrate: migrate,
+            sessions_to_migrate,
             reject_pending: now >= schedule.reject_pending_at,
             exit: drop_remaining || view.client_connections == 0,
             drop_remaining,
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -1,8 +1,10 @@
-//! Decides how a proxy is emptied: on an operator's request, with a way back, or for good on SIGTERM.
+//! Drains a proxy on an operator's request, which can be cancelled, and shuts it down gracefully on SIGTERM, which cannot.
 //!
-//! [`Drain`] is a state machine ([`TRANSITIONS`]) and a pacer. It does no I/O: the caller passes the time and a
-//! [`DrainView`] of its sessions to [`Drain::advise`] every [`ADVICE_INTERVAL`] and carries out the [`DrainAdvice`]. All times
-//! are [`Duration`]s since the caller's start.
+//! [`Drain`] is a state machine ([`TRANSITIONS`]) that also paces the migration of sessions. It does no I/O: the caller
+//! passes the time and a [`DrainView`] of its sessions to [`Drain::advise`] every [`ADVICE_INTERVAL`] and carries out the
+//! [`DrainAdvice`]. All times are [`Duration`]s since the caller's start.
+//!
+//! The *front* is the load balancer before the proxies. It pings each of them and sends new sessions to those that answer.
 
 mod drain;
 mod pacing;
@@ -15,5 +17,5 @@
 
 use std::time::Duration;
 
-/// How often advice is asked for while a proxy is not simply serving.
+/// Time between two calls of [`Drain::advise`] while the proxy drains or shuts down.
 pub const ADVICE_INTERVAL: Duration = Duration::from_millis(25);
--- a/crates/drain/src/settings.rs
+++ b/crates/drain/src/settings.rs
@@ -1,17 +1,18 @@
-//! What an operator sets, and the times of a shutdown.
+//! The operator's settings of a drain, and the schedule of a shutdown.
 
 use std::time::Duration;
 
-/// How a drain goes; the table `drain` of the operator's file.
+/// Settings of a drain, from the table `drain` of the operator's configuration file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainSettings {
-    /// How long the front may go on sending new sessions after the proxy stopped answering its pings, at most.
+    /// Longest time that the drain waits for the front to stop sending new sessions after the proxy stopped answering its
+    /// pings. Open sessions are migrated only then.
     pub max_closing_time: Duration,
-    /// Without a new session for so long, the front has stopped sending.
+    /// Once no new session has arrived for this time, the front is taken to have stopped sending.
     pub quiet_period: Duration,
-    /// Sessions migrated per second, at most, unless the deadline needs more.
+    /// Highest rate of migration in sessions per second; exceeded only if the deadline requires it.
     pub max_migrations_per_second: f64,
-    /// How long a proxy serves after a drain was cancelled before another one should be drained.
+    /// Time that a proxy serves after a cancelled drain before another proxy should be drained.
     pub time_before_next_drain: Duration,
 }
 
@@ -26,19 +27,19 @@
     }
 }
 
-/// When a proxy that shuts down does what. The fields are in the order of time.
+/// Times of the steps of a shutdown, since the caller's start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShutdownSchedule {
-    /// Until then the front goes on sending, and everything is served as before.
+    /// Until then the front may still send sessions, and all sessions are served as before.
     pub serve_until: Duration,
     /// When the first open session is migrated.
     pub migrate_from: Duration,
-    /// When the last one is.
+    /// When the last open session is migrated.
     pub migrate_until: Duration,
     /// When sessions that are still being set up are rejected.
     pub reject_pending_at: Duration,
-    /// When the listener is closed, if the proxy is not empty before.
+    /// When the listener is closed, unless the proxy has become empty and exited before.
     pub close_listener_at: Duration,
-    /// When the process ends, whoever is left.
+    /// When the process ends, even if clients are still connected.
     pub exit_at: Duration,
 }
--- a/crates/drain/src/state.rs
+++ b/crates/drain/src/state.rs
@@ -7,25 +7,25 @@
 };
 use DrainState::{Closing, Empty, Exiting, Late, Migrating, Serving};
 
-/// Where a drain stands.
+/// State of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainState {
     /// The proxy is not draining.
     Serving,
-    /// Pings of the front are no longer answered; it still sends new sessions, and everything is served.
+    /// The front's pings are no longer answered. It may still send new sessions, and all sessions are served.
     Closing,
-    /// Open sessions are migrated at a pace that endpoints can absorb.
+    /// Open sessions are migrated at the requested rate, or one that endpoints can absorb.
     Migrating,
-    /// The deadline needs a higher pace than that.
+    /// Open sessions are migrated at the higher rate that the deadline requires.
     Late,
-    /// No session is left. Any that still comes is served and migrated.
+    /// No session is left. One that still arrives is set up, and migrated once it is open.
     Empty,
-    /// The proxy shuts down; there is no way back.
+    /// The proxy is shutting down, which cannot be cancelled.
     Exiting,
 }
 
 impl DrainState {
-    /// The state's name in statuses and log lines.
+    /// The state's name in the admin status and in log lines.
     pub fn name(self) -> &'static str {
         match self {
             DrainState::Serving => "serving",
@@ -38,45 +38,45 @@
     }
 }
 
-/// What a drain reacts to.
+/// Input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainInput {
-    /// An operator asks for a drain, or for another deadline of the one in progress.
+    /// An operator starts a drain, or changes the deadline and rate of the one in progress.
     DrainRequested,
     /// An operator cancels the drain.
     UndrainRequested,
-    /// The proxy is to shut down.
+    /// The proxy has to shut down.
     ShutdownRequested,
-    /// The front has stopped sending sessions, or has had enough time to.
+    /// The front has stopped sending sessions, or its time to do so has passed.
     NewSessionsStopped,
     /// No session is open or being set up.
     AllSessionsEnded,
-    /// Sessions are open.
+    /// There are open sessions.
     SessionsOpen,
-    /// The deadline needs a clearly higher pace than endpoints can absorb.
+    /// The deadline requires a rate over 5 % above the drain's own.
     DeadlineAtRisk,
-    /// The deadline needs a clearly lower one.
+    /// The deadline requires a rate over 5 % below the drain's own.
     DeadlineSafe,
 }
 
-/// What a transition does, beside the change of state.
+/// What the caller of a transition has to do, besides the change of state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainEffect {
     /// Nothing.
     NoEffect,
-    /// Start counting and pacing anew, by the request's deadline and pace.
+    /// Reset the count of migrated sessions and the pacing, and use the request's deadline and rate.
     BeginDrain,
-    /// Go on by the request's deadline and pace.
+    /// Use the request's deadline and rate in the drain in progress.
     ChangeDeadline,
-    /// Remember since when the proxy serves again.
+    /// Record when the proxy began to serve again.
     Resume,
-    /// Go by the shutdown's schedule from now on.
+    /// Follow the shutdown's schedule from now on.
     BeginShutdown,
-    /// The request cannot be carried out.
+    /// Reject the request.
     Reject(DrainError),
 }
 
-/// Why a request cannot be carried out.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.message())]
 pub enum DrainError {
@@ -96,20 +96,20 @@
     }
 }
 
-/// A row of the table.
+/// One row of [`TRANSITIONS`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transition {
-    /// The state before.
+    /// State in which the row applies.
     pub from: DrainState,
-    /// What happens.
+    /// Input to which the row applies.
     pub input: DrainInput,
-    /// The state after.
+    /// State after the transition.
     pub to: DrainState,
-    /// What is done.
+    /// What has to be done.
     pub effect: DrainEffect,
 }
 
-const fn row(
+const fn transition(
     from: DrainState,
     input: DrainInput,
     to: DrainState,
@@ -123,50 +123,50 @@
     }
 }
 
-/// All transitions. A state ignores an input that it has no row for.
+/// All transitions, with at most one row for each state and input. An input without a row is ignored.
 pub const TRANSITIONS: &[Transition] = &[
-    row(Serving, DrainRequested, Closing, BeginDrain),
-    row(Closing, DrainRequested, Closing, ChangeDeadline),
-    row(Migrating, DrainRequested, Migrating, ChangeDeadline),
-    row(Late, DrainRequested, Migrating, ChangeDeadline),
-    row(Empty, DrainRequested, Empty, ChangeDeadline),
-    row(
+    transition(Serving, DrainRequested, Closing, BeginDrain),
+    transition(Closing, DrainRequested, Closing, ChangeDeadline),
+    transition(Migrating, DrainRequested, Migrating, ChangeDeadline),
+    transition(Late, DrainRequested, Migrating, ChangeDeadline),
+    transition(Empty, DrainRequested, Empty, ChangeDeadline),
+    transition(
         Exiting,
         DrainRequested,
         Exiting,
         Reject(DrainError::Exiting),
     ),
-    row(
+    transition(
         Serving,
         UndrainRequested,
         Serving,
         Reject(DrainError::NotDraining),
     ),
-    row(Closing, UndrainRequested, Serving, Resume),
-    row(Migrating, UndrainRequested, Serving, Resume),
-    row(Late, UndrainRequested, Serving, Resume),
-    row(Empty, UndrainRequested, Serving, Resume),
-    row(
+    transition(Closing, UndrainRequested, Serving, Resume),
+    transition(Migrating, UndrainRequested, Serving, Resume),
+    transition(Late, UndrainRequested, Serving, Resume),
+    transition(Empty, UndrainRequested, Serving, Resume),
+    transition(
         Exiting,
         UndrainRequested,
         Exiting,
         Reject(DrainError::Exiting),
     ),
-    row(Serving, ShutdownRequested, Exiting, BeginShutdown),
-    row(Closing, ShutdownRequested, Exiting, BeginShutdown),
-    row(Migrating, ShutdownRequested, Exiting, BeginShutdown),
-    row(Late, ShutdownRequested, Exiting, BeginShutdown),
-    row(Empty, ShutdownRequested, Exiting, BeginShutdown),
-    row(Closing, NewSessionsStopped, Migrating, NoEffect),
-    row(Migrating, AllSessionsEnded, Empty, NoEffect),
-    row(Late, AllSessionsEnded, Empty, NoEffect),
-    row(Empty, SessionsOpen, Migrating, NoEffect),
-    row(Migrating, DeadlineAtRisk, Late, NoEffect),
-    row(Late, DeadlineSafe, Migrating, NoEffect),
+    transition(Serving, ShutdownRequested, Exiting, BeginShutdown),
+    transition(Closing, ShutdownRequested, Exiting, BeginShutdown),
+    transition(Migrating, ShutdownRequested, Exiting, BeginShutdown),
+    transition(Late, ShutdownRequested, Exiting, BeginShutdown),
+    transition(Empty, ShutdownRequested, Exiting, BeginShutdown),
+    transition(Closing, NewSessionsStopped, Migrating, NoEffect),
+    transition(Migrating, AllSessionsEnded, Empty, NoEffect),
+    transition(Late, AllSessionsEnded, Empty, NoEffect),
+    transition(Empty, SessionsOpen, Migrating, NoEffect),
+    transition(Migrating, DeadlineAtRisk, Late, NoEffect),
+    transition(Late, DeadlineSafe, Migrating, NoEffect),
 ];
 
 impl Transition {
-    /// The transition that an input leads to; `None` if the state ignores it.
+    /// The row for `input` in the state `from`; `None` if the state ignores it.
     pub fn find(from: DrainState, input: DrainInput) -> Option<&'static Transition> {
         TRANSITIONS
             .iter()
--- a/crates/drain/tests/drain.rs
+++ b/crates/drain/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Drains simulation step by step: each step migrates as many sessions as were advised.
+//! Simulates drains and shutdowns step by step: each step migrates as many sessions as [`Drain::advise`] returned.
 
 use asterramp_drain::{
     ADVICE_INTERVAL, Drain, DrainError, DrainInput, DrainSettings, DrainState, DrainView,
@@ -16,20 +16,21 @@
 struct Simulation {
     drain: Drain,
     now: Duration,
-    open: usize,
+    open_sessions: usize,
     spare_capacity: Option<f64>,
     /// Sessions migrated in each step.
     migrations: Vec<usize>,
+    /// States in the order in which they were entered, each once per visit.
     states: Vec<DrainState>,
 }
 
 impl Simulation {
-    fn new(open: usize, spare_capacity: Option<f64>) -> Simulation {
+    fn new(open_sessions: usize, spare_capacity: Option<f64>) -> Simulation {
         let drain = Drain::new(DrainSettings::default());
         Simulation {
             drain,
             now: START,
-            open,
+            open_sessions,
             spare_capacity,
             migrations: Vec::new(),
             states: Vec::new(),
@@ -38,20 +39,20 @@
 
     fn view(&self) -> DrainView {
         DrainView {
-            open_sessions: self.open,
-            client_connections: self.open,
+            open_sessions: self.open_sessions,
+            client_connections: self.open_sessions,
             spare_capacity: self.spare_capacity,
             ..DrainView::default()
         }
     }
 
-    fn run_for(&mut self, span: Duration) -> &mut Simulation {
-        let end = self.now + span;
+    fn run_for(&mut self, duration: Duration) -> &mut Simulation {
+        let end = self.now + duration;
         while self.now < end {
             self.now += ADVICE_INTERVAL;
             let view = self.view();
             let advice = self.drain.advise(self.now, &view);
-            self.open -= advice.sessions_to_migrate;
+            self.open_sessions -= advice.sessions_to_migrate;
             self.migrations.push(advice.sessions_to_migrate);
             if self.states.last() != Some(&self.drain.state()) {
                 self.states.push(self.drain.state());
@@ -61,44 +62,51 @@
     }
 }
 
-#[test_case(300, Some(1_000.0), None, 60_000, &[DrainState::Closing, DrainState::Migrating, DrainState::Empty], 200; "enough capacity: the maximum that is set")]
-#[test_case(300, Some(100.0), None, 60_000, &[DrainState::Closing, DrainState::Migrating, DrainState::Empty], 20; "by what endpoints can absorb")]
-#[test_case(300, Some(0.0), None, 10_000, &[DrainState::Closing, DrainState::Late, DrainState::Empty], 33; "no capacity and a deadline: late, and faster")]
-#[test_case(300, None, None, 60_000, &[DrainState::Closing, DrainState::Migrating, DrainState::Empty], 50; "endpoints that report nothing")]
-#[test_case(300, Some(1_000.0), Some(10.0), 60_000, &[DrainState::Closing, DrainState::Migrating, DrainState::Empty], 10; "the operator's rate")]
+#[test_case(300, Some(1_000.0), None, 60_000, &[DrainState::Closing, DrainState::Migrating, DrainState::Empty], 200; "enough capacity: the configured maximum")]
+#[test_case(300, Some(100.0), None, 60_000, &[DrainState::Closing, DrainState::Migrating, DrainState::Empty], 20; "the rate that endpoints can absorb")]
+#[test_case(300, Some(0.0), None, 10_000, &[DrainState::Closing, DrainState::Late, DrainState::Empty], 33; "no capacity and a short deadline: late, at a higher rate")]
+#[test_case(300, None, None, 60_000, &[DrainState::Closing, DrainState::Migrating, DrainState::Empty], 50; "no load reports")]
+#[test_case(300, Some(1_000.0), Some(10.0), 60_000, &[DrainState::Closing, DrainState::Migrating, DrainState::Empty], 10; "the requested rate")]
 #[test_case(0, None, None, 60_000, &[DrainState::Closing, DrainState::Empty], 0; "no sessions")]
 fn a_drain_goes_through_its_states_at_its_rate(
-    open: usize,
+    open_sessions: usize,
     spare_capacity: Option<f64>,
-    rate: Option<f64>,
-    deadline: u64,
+    requested_rate: Option<f64>,
+    deadline_ms: u64,
     states: &[DrainState],
-    most: usize,
+    max_per_second: usize,
 ) {
-    let mut simulation = Simulation::new(open, spare_capacity);
-    simulation.drain.start(START, ms(deadline), rate).unwrap();
-    simulation.run_for(ms(deadline + 1_000));
-    assert_eq!((simulation.open, simulation.states.as_slice()), (0, states));
-    assert_eq!(simulation.drain.migrated_sessions(), open as u64);
-    let second = 1_000 / ADVICE_INTERVAL.as_millis() as usize;
-    let worst = simulation
+    let mut simulation = Simulation::new(open_sessions, spare_capacity);
+    simulation
+        .drain
+        .start(START, ms(deadline_ms), requested_rate)
+        .unwrap();
+    simulation.run_for(ms(deadline_ms + 1_000));
+    assert_eq!(
+        (simulation.open_sessions, simulation.states.as_slice()),
+        (0, states)
+    );
+    assert_eq!(simulation.drain.migrated_sessions(), open_sessions as u64);
+    let steps_per_second = 1_000 / ADVICE_INTERVAL.as_millis() as usize;
+    let highest_rate = simulation
         .migrations
-        .windows(second)
-        .map(|w| w.iter().sum::<usize>())
+        .windows(steps_per_second)
+        .map(|window| window.iter().sum::<usize>())
         .max()
         .unwrap();
     assert!(
-        worst <= most + most / 8 + 1 && worst + 2 >= most.min(open),
-        "{worst} in a second"
+        highest_rate <= max_per_second + max_per_second / 8 + 1
+            && highest_rate + 2 >= max_per_second.min(open_sessions),
+        "{highest_rate} sessions migrated in one second"
     );
-    let last = simulation
+    let steps = simulation
         .migrations
         .iter()
-        .rposition(|n| *n > 0)
-        .map_or(0, |at| at + 1);
+        .rposition(|migrated| *migrated > 0)
+        .map_or(0, |last| last + 1);
     assert!(
-        ADVICE_INTERVAL * last as u32 <= ms(deadline),
-        "past its deadline"
+        ADVICE_INTERVAL * steps as u32 <= ms(deadline_ms),
+        "the drain missed its deadline"
     );
 }
 
@@ -107,41 +115,43 @@
     let mut simulation = Simulation::new(10, None);
     simulation.drain.start(START, ms(60_000), None).unwrap();
     assert!(!simulation.drain.answers_pings());
-    // Somebody still comes for two seconds: a second of quiet after that.
-    let mut at = Vec::new();
+    // Sessions arrive for 1.5 s; the quiet period of one second follows.
+    let mut times_after_closing = Vec::new();
     for step in 1..200 {
         let now = START + ADVICE_INTERVAL * step;
-        let last_came = now.min(START + ms(1_500));
+        let last_session_arrival = now.min(START + ms(1_500));
         let view = DrainView {
             open_sessions: 10,
             client_connections: 10,
-            last_session_arrival: last_came,
+            last_session_arrival,
             ..DrainView::default()
         };
         let _ = simulation.drain.advise(now, &view);
-        at.extend((simulation.drain.state() != DrainState::Closing).then_some(now));
+        if simulation.drain.state() != DrainState::Closing {
+            times_after_closing.push(now);
+        }
     }
+    let closing_time = times_after_closing[0] - START;
     assert!(
-        (at[0] - START).abs_diff(ms(2_500)) <= ADVICE_INTERVAL,
-        "{:?}",
-        at[0] - START
+        closing_time.abs_diff(ms(2_500)) <= ADVICE_INTERVAL,
+        "{closing_time:?}"
     );
 }
 
 #[test]
 fn a_drain_can_be_cancelled_at_any_time_and_started_again() {
-    for halfway in [0, 500, 2_000, 9_950] {
+    for cancelled_after_ms in [0, 500, 2_000, 9_950] {
         let mut simulation = Simulation::new(500, Some(200.0));
         simulation.drain.start(START, ms(10_000), None).unwrap();
-        simulation.run_for(ms(halfway));
+        simulation.run_for(ms(cancelled_after_ms));
         let now = simulation.now;
         simulation.drain.cancel(now).unwrap();
-        let left = simulation.open;
+        let remaining = simulation.open_sessions;
         simulation.run_for(ms(3_000));
         assert_eq!(
-            (simulation.open, simulation.drain.state()),
-            (left, DrainState::Serving),
-            "nothing is migrated any more"
+            (simulation.open_sessions, simulation.drain.state()),
+            (remaining, DrainState::Serving),
+            "no session is migrated after the drain was cancelled"
         );
         assert!(
             simulation.drain.answers_pings() && !simulation.drain.allows_next_drain(simulation.now)
@@ -149,13 +159,13 @@
         simulation.run_for(ms(7_100));
         assert!(
             simulation.drain.allows_next_drain(simulation.now),
-            "long enough for the next one"
+            "another proxy may be drained 10 s after the cancellation"
         );
         let now = simulation.now;
         simulation.drain.start(now, ms(8_000), None).unwrap();
         simulation.run_for(ms(8_000));
         assert_eq!(
-            (simulation.open, simulation.drain.state()),
+            (simulation.open_sessions, simulation.drain.state()),
             (0, DrainState::Empty)
         );
     }
@@ -166,35 +176,35 @@
     let mut simulation = Simulation::new(400, Some(50.0));
     simulation.drain.start(START, ms(600_000), None).unwrap();
     simulation.run_for(ms(5_000));
-    let left = simulation.open;
-    assert!(left > 300 && simulation.drain.state() == DrainState::Migrating);
+    let remaining = simulation.open_sessions;
+    assert!(remaining > 300 && simulation.drain.state() == DrainState::Migrating);
     let now = simulation.now;
     simulation.drain.start(now, ms(4_000), None).unwrap();
     simulation.run_for(ms(100));
     assert!(
-        simulation.open < left && simulation.drain.state() == DrainState::Late,
-        "at once, and late"
+        simulation.open_sessions < remaining && simulation.drain.state() == DrainState::Late,
+        "sessions are migrated at once, in state late"
     );
     simulation.run_for(ms(3_900));
-    assert_eq!(simulation.open, 0);
+    assert_eq!(simulation.open_sessions, 0);
 }
 
 #[test]
-fn sessions_that_arrive_while_it_is_empty_are_migrated_too() {
+fn sessions_that_arrive_at_an_empty_proxy_are_migrated_too() {
     let mut simulation = Simulation::new(0, None);
     simulation.drain.start(START, ms(60_000), None).unwrap();
     simulation.run_for(ms(2_000));
     assert_eq!(simulation.drain.state(), DrainState::Empty);
-    simulation.open = 3;
+    simulation.open_sessions = 3;
     simulation.run_for(ms(500));
     assert_eq!(
-        (simulation.open, simulation.drain.state()),
+        (simulation.open_sessions, simulation.drain.state()),
         (0, DrainState::Empty)
     );
 }
 
-fn exit(from: Duration) -> ShutdownSchedule {
-    let after = |n| from + ms(n);
+fn shutdown_schedule(from: Duration) -> ShutdownSchedule {
+    let after = |delay_ms| from + ms(delay_ms);
     ShutdownSchedule {
         serve_until: after(500),
         close_listener_at: after(3_000),
@@ -206,45 +216,58 @@
 }
 
 #[test]
-fn a_shutdown_has_no_way_back() {
+fn a_shutdown_cannot_be_cancelled() {
     let mut simulation = Simulation::new(100, Some(0.0));
     simulation.drain.start(START, ms(60_000), None).unwrap();
     simulation.run_for(ms(1_500));
     let from = simulation.now;
-    simulation.drain.begin_shutdown(exit(from));
+    simulation.drain.begin_shutdown(shutdown_schedule(from));
     assert_eq!(simulation.drain.cancel(from), Err(DrainError::Exiting));
     assert_eq!(
         simulation.drain.start(from, ms(1), None),
         Err(DrainError::Exiting)
     );
-    let open = simulation.open;
+    let open_sessions = simulation.open_sessions;
     simulation.run_for(ms(2_000));
-    assert_eq!(simulation.open, open, "the others may not be back yet");
-    let moves = simulation.migrations.len();
+    assert_eq!(
+        simulation.open_sessions, open_sessions,
+        "no session is migrated before the schedule says so"
+    );
+    let steps_before = simulation.migrations.len();
     simulation.run_for(ms(1_200));
-    assert_eq!(simulation.open, 0);
-    let steps = &simulation.migrations[moves..];
-    assert!(steps.iter().max() < Some(&9), "in even steps: {steps:?}");
+    assert_eq!(simulation.open_sessions, 0);
+    let steps = &simulation.migrations[steps_before..];
+    assert!(
+        steps.iter().max() < Some(&9),
+        "steps of equal size: {steps:?}"
+    );
 }
 
 #[test_case(499, 0, (false, false, false); "the front still sends")]
-#[test_case(500, 5, (false, false, false); "late arrivals are served")]
-#[test_case(2_999, 5, (false, false, false); "still")]
+#[test_case(500, 5, (false, false, false); "sessions that arrive late are served")]
+#[test_case(2_999, 5, (false, false, false); "the last moment before the listener closes")]
 #[test_case(3_000, 5, (true, true, false); "the listener closes, pending sessions are rejected")]
-#[test_case(3_500, 5, (true, true, true); "the rest is dropped")]
+#[test_case(3_500, 5, (true, true, true); "the remaining clients are dropped")]
 #[test_case(600, 0, (false, false, true); "no client is left")]
-fn a_shutdown_keeps_its_schedule(after: u64, clients: usize, does: (bool, bool, bool)) {
+fn a_shutdown_follows_its_schedule(
+    after_ms: u64,
+    client_connections: usize,
+    expected: (bool, bool, bool),
+) {
     let mut drain = Drain::new(DrainSettings::default());
-    drain.begin_shutdown(exit(START));
-    let shuts = drain.closes_listener(START + ms(after));
+    drain.begin_shutdown(shutdown_schedule(START));
+    let closes_listener = drain.closes_listener(START + ms(after_ms));
     let advice = drain.advise(
-        START + ms(after),
+        START + ms(after_ms),
         &DrainView {
-            client_connections: clients,
+            client_connections,
             ..DrainView::default()
         },
     );
-    assert_eq!((shuts, advice.reject_pending, advice.exit), does);
+    assert_eq!(
+        (closes_listener, advice.reject_pending, advice.exit),
+        expected
+    );
 }
 
 #[test]
@@ -256,16 +279,16 @@
 }
 
 #[test]
-fn the_table_has_one_row_at_most_for_each_state_and_input() {
-    for (nth, transition) in TRANSITIONS.iter().enumerate() {
-        let same =
+fn the_table_has_at_most_one_row_for_each_state_and_input() {
+    for (index, transition) in TRANSITIONS.iter().enumerate() {
+        let is_duplicate =
             |other: &&Transition| other.from == transition.from && other.input == transition.input;
-        assert_eq!(TRANSITIONS[nth + 1..].iter().find(same), None);
+        assert_eq!(TRANSITIONS[index + 1..].iter().find(is_duplicate), None);
     }
 }
 
 #[test]
-fn every_state_answers_every_request_of_an_operator() {
+fn every_state_has_a_row_for_every_request_of_an_operator() {
     for state in [
         DrainState::Serving,
         DrainState::Closing,
--- a/crates/hot-restart/src/codec.rs
+++ b/crates/hot-restart/src/codec.rs
@@ -2,9 +2,9 @@
 //!
 //! A message is a header of nine bytes and a body. The header is the magic bytes `ARH`, the version
 //! (one byte), the kind (one byte) and the length of the body in bytes (four bytes). All numbers
-//! are little-endian; a byte string or a name is its length (four bytes) and its bytes. Processes
-//! of two builds talk to each other during an upgrade, so none of this changes within one
-//! [`PROTOCOL_VERSION`]; `tests/golden.rs` holds the bytes of an earlier build.
+//! are little-endian; a byte string or a name is its length (four bytes) and its bytes. During an
+//! upgrade, processes of two builds exchange these messages, so none of this changes within one
+//! [`PROTOCOL_VERSION`]; `tests/golden.rs` compares with the bytes of an earlier build.
 
 use crate::error::MessageError;
 use crate::message::{
@@ -13,18 +13,23 @@
 };
 use std::time::Duration;
 
+/// First bytes of every message.
 const MAGIC: [u8; 3] = *b"ARH";
-/// Magic bytes, version, kind and length of the body.
+/// Length of the header in bytes: magic bytes, version, kind and length of the body.
 const HEADER_BYTES: usize = 9;
+/// Position of the version in the header, in bytes.
 const VERSION_OFFSET: usize = 3;
+/// Position of the kind in the header, in bytes.
 const KIND_OFFSET: usize = 4;
+/// Position of the body's length in the header, in bytes.
 const LENGTH_OFFSET: usize = 5;
-/// Encodes that no client's line waits for an answer.
-const NO_ANSWER_AWAITED: u32 = u32::MAX;
-/// Encodes that the time at which an endpoint started is unknown.
+/// Encoded in place of the response timeout in milliseconds if no line of the client awaits a
+/// response.
+const NO_RESPONSE_AWAITED: u32 = u32::MAX;
+/// Encoded in place of an endpoint's start time if it is unknown.
 const START_UNKNOWN: u64 = 0;
 
-/// The numbers by which the header names a message.
+/// Kind of a message. The discriminants are the numbers in the header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 enum MessageKind {
@@ -71,10 +76,10 @@
 }
 
 impl HotRestartMessage {
-    /// The message as it goes over the link.
+    /// The message's bytes on the link.
     ///
-    /// Times are cut to whole milliseconds. Bounds are not checked: a message beyond them is
-    /// encoded, and refused by the process that decodes it.
+    /// Times are truncated to whole milliseconds. Bounds are not checked: a message that exceeds
+    /// them is encoded, and the process that decodes it refuses it.
     pub fn encode(&self) -> Vec<u8> {
         let mut body = Vec::new();
         match self {
@@ -105,11 +110,11 @@
         message
     }
 
-    /// Reads one whole message.
+    /// Decodes one complete message.
     ///
     /// # Errors
     ///
-    /// A [`MessageError`] where the bytes are not exactly one message of [`PROTOCOL_VERSION`]
+    /// A [`MessageError`] if the bytes are not exactly one message of [`PROTOCOL_VERSION`]
     /// within the bounds of this package.
     pub fn decode(message: &[u8]) -> Result<HotRestartMessage, MessageError> {
         if message.len() < HEADER_BYTES || !message.starts_with(&MAGIC) {
@@ -122,10 +127,13 @@
         let mut reader = Reader {
             remaining: &message[LENGTH_OFFSET..],
         };
-        let declared = reader.read_u32()?;
-        let received = reader.remaining.len();
-        if declared as usize != received || message.len() > MAX_MESSAGE_BYTES {
-            return Err(MessageError::WrongLength { declared, received });
+        let declared_len = reader.read_u32()?;
+        let received_len = reader.remaining.len();
+        if declared_len as usize != received_len || message.len() > MAX_MESSAGE_BYTES {
+            return Err(MessageError::WrongLength {
+                declared_len,
+                received_len,
+            });
         }
         let kind = MessageKind::from_number(message[KIND_OFFSET])?;
         let decoded = decode_body(kind, &mut reader)?;
@@ -177,7 +185,7 @@
     body.extend(endpoint.weight.to_bits().to_le_bytes());
     let started_ms = endpoint
         .started_at
-        .map_or(START_UNKNOWN, |at| at.as_millis() as u64);
+        .map_or(START_UNKNOWN, |started_at| started_at.as_millis() as u64);
     body.extend(started_ms.to_le_bytes());
 }
 
@@ -189,12 +197,13 @@
     let state = reader.read_u8()?;
     let weight = f64::from_bits(reader.read_u64()?);
     let started_ms = reader.read_u64()?;
-    // Checked after the last field: where a record is also truncated, that is what the log says.
+    // Checked after the last field, so that a truncated record is logged as truncated even if its
+    // state is unknown too.
     let state = decode_endpoint_state(state)?;
     if !weight.is_finite() || weight < 0.0 {
         return Err(MessageError::InvalidWeight { weight });
     }
-    let started = (started_ms != START_UNKNOWN).then(|| Duration::from_millis(started_ms));
+    let started_at = (started_ms != START_UNKNOWN).then(|| Duration::from_millis(started_ms));
     Ok(EndpointRecord {
         uid,
         address,
@@ -202,7 +211,7 @@
         cell,
         state,
         weight,
-        started_at: started,
+        started_at,
     })
 }
 
@@ -221,16 +230,16 @@
 }
 
 fn decode_buffered_bytes(reader: &mut Reader<'_>) -> Result<BufferedBytes, MessageError> {
-    let validated = reader.read_u32()? as usize;
+    let validated_len = reader.read_u32()? as usize;
     let bytes = reader.read_byte_string()?.to_vec();
-    if validated > bytes.len() {
+    if validated_len > bytes.len() {
         return Err(MessageError::ValidatedBeyondEnd {
-            validated,
-            length: bytes.len(),
+            validated_len,
+            buffered_len: bytes.len(),
         });
     }
     Ok(BufferedBytes {
-        validated_len: validated,
+        validated_len,
         bytes,
     })
 }
@@ -238,10 +247,10 @@
 fn encode_session_offer(body: &mut Vec<u8>, offer: &SessionOffer) {
     encode_byte_string(body, &offer.opening_line);
     encode_byte_string(body, offer.server_uid.as_bytes());
-    let answer_within_ms = offer
+    let response_timeout_ms = offer
         .response_timeout
-        .map_or(NO_ANSWER_AWAITED, |within| within.as_millis() as u32);
-    body.extend(answer_within_ms.to_le_bytes());
+        .map_or(NO_RESPONSE_AWAITED, |timeout| timeout.as_millis() as u32);
+    body.extend(response_timeout_ms.to_le_bytes());
     encode_buffered_bytes(body, &offer.from_client);
     encode_buffered_bytes(body, &offer.from_server);
 }
@@ -249,24 +258,25 @@
 fn decode_session_offer(reader: &mut Reader<'_>) -> Result<SessionOffer, MessageError> {
     let opening_line = reader.read_byte_string()?.to_vec();
     let server_uid = reader.read_name()?;
-    let answer_within = match reader.read_u32()? {
-        NO_ANSWER_AWAITED => None,
-        within_ms => Some(Duration::from_millis(within_ms.into())),
+    let response_timeout = match reader.read_u32()? {
+        NO_RESPONSE_AWAITED => None,
+        timeout_ms => Some(Duration::from_millis(timeout_ms.into())),
     };
     let from_client = decode_buffered_bytes(reader)?;
     let from_server = decode_buffered_bytes(reader)?;
     Ok(SessionOffer {
         opening_line,
         server_uid,
-        response_timeout: answer_within,
+        response_timeout,
         from_client,
         from_server,
     })
 }
 
-/// Reads fields from the front of a body.
+/// Reads the fields of a message one after the other.
 #[derive(Debug)]
 struct Reader<'a> {
+    /// The bytes that have not been read yet.
     remaining: &'a [u8],
 }
 
@@ -314,7 +324,9 @@
         let bytes = self.read_byte_string()?;
         let name = std::str::from_utf8(bytes).map_err(MessageError::NameNotUtf8)?;
         if name.len() > MAX_NAME_BYTES {
-            return Err(MessageError::NameTooLong { length: name.len() });
+            return Err(MessageError::NameTooLong {
+                name_len: name.len(),
+            });
         }
         Ok(name.into())
     }
--- a/crates/hot-restart/src/error.rs
+++ b/crates/hot-restart/src/error.rs
@@ -1,14 +1,14 @@
-//! What can be wrong with a message or an offer. The texts appear in the log and stay as they are.
+//! Errors of decoding messages and of receiving offers. Their texts appear in the log and are stable.
 
 use std::str::Utf8Error;
 
 /// Why bytes are not a [`crate::HotRestartMessage`].
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum MessageError {
-    /// Shorter than a header, or without the magic bytes.
+    /// The message is shorter than a header, or does not begin with the magic bytes.
     #[error("no message of this kind")]
     InvalidHeader,
-    /// Encoded by a build that uses another version of the protocol.
+    /// The message was encoded by a build that uses another version of the protocol.
     #[error("another version")]
     UnsupportedVersion {
         /// Version in the header.
@@ -18,12 +18,12 @@
     /// [`crate::MAX_MESSAGE_BYTES`].
     #[error("a wrong length")]
     WrongLength {
-        /// Length of the body in bytes, as the header gives it.
-        declared: u32,
-        /// Length of the body in bytes, as received.
-        received: usize,
+        /// Length of the body according to the header, in bytes.
+        declared_len: u32,
+        /// Length of the received body, in bytes.
+        received_len: usize,
     },
-    /// The header names no message of this version.
+    /// The kind in the header is none of this version.
     #[error("an unknown word")]
     UnknownKind {
         /// Kind in the header.
@@ -32,10 +32,10 @@
     /// The body ends within a field.
     #[error("it ends too soon")]
     Truncated,
-    /// The body goes on after the last field.
+    /// The body has bytes after the last field.
     #[error("more than the word")]
     TrailingBytes {
-        /// How many bytes are left over.
+        /// Number of bytes after the last field.
         count: usize,
     },
     /// A name is not UTF-8.
@@ -45,38 +45,38 @@
     #[error("a name is too long")]
     NameTooLong {
         /// Length of the name in bytes.
-        length: usize,
+        name_len: usize,
     },
     /// An endpoint's state is none of [`crate::EndpointRecordState`].
     #[error("a host's standing or weight is none")]
     UnknownEndpointState {
-        /// State as encoded.
+        /// The number in the message.
         state: u8,
     },
     /// An endpoint's weight is negative, infinite or not a number.
     #[error("a host's standing or weight is none")]
     InvalidWeight {
-        /// Weight as encoded.
+        /// The weight in the message.
         weight: f64,
     },
-    /// More bytes of a buffer are said to be validated than there are.
+    /// The number of validated bytes of a buffer exceeds its length.
     #[error("more lines than bytes")]
     ValidatedBeyondEnd {
-        /// How many bytes are said to be validated.
-        validated: usize,
-        /// How many bytes the buffer has.
-        length: usize,
+        /// Number of validated bytes according to the message.
+        validated_len: usize,
+        /// Length of the buffer in bytes.
+        buffered_len: usize,
     },
 }
 
-/// Why the successor may not keep an offer that it has read.
+/// Why the successor rejects an offer that it has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OfferError {
     /// The predecessor has ended and left more offers in the link than
     /// [`crate::MAX_PENDING_OFFERS`].
     #[error("more offers than may be")]
     TooManyOffers,
-    /// The predecessor lives, and its end of the link is full: it cannot learn that the offer is
+    /// The link is full while the predecessor is alive, so it cannot be notified that the offer is
     /// accepted.
     #[error("the elder cannot be told")]
     LinkFull,
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -3,26 +3,27 @@
 //!
 //! This package has no I/O. It holds the messages and their encoding ([`HotRestartMessage`]), the
 //! state machine of either process ([`HotRestartState`]), and the rule by which exactly one of the
-//! two may touch a connection ([`ConnectionOwnership`]). The proxy drives it over a Unix
-//! `SOCK_SEQPACKET` link, on which one packet is one message and file descriptors travel beside it.
+//! two may read or write a connection ([`ConnectionOwnership`]). The proxy sends the messages over a
+//! Unix `SOCK_SEQPACKET` socket, the link: one packet is one message, with its file descriptors as
+//! ancillary data.
 //!
 //! A hot restart runs as follows:
 //!
 //! 1. The successor connects and sends `Hello`.
-//! 2. The predecessor sends the endpoint list in any number of `Endpoints`, then `Listener` with
-//!    the clients' listening socket.
+//! 2. The predecessor sends the endpoint list in any number of `Endpoints` messages, then
+//!    `Listener` with the socket on which it accepts clients.
 //! 3. The successor sends `Serving` once it accepts clients.
-//! 4. The predecessor stops accepting, sends `OpenDescriptors`, and then offers what it holds with
-//!    `SessionOffer` and `PendingConnectionOffer`, at most [`MAX_PENDING_OFFERS`] at a time.
-//! 5. The successor answers each offer, in order, with `OfferAccepted`; the predecessor then closes
+//! 4. The predecessor stops accepting, sends `OpenDescriptors`, and then offers its connections
+//!    with `SessionOffer` and `PendingConnectionOffer`, at most [`MAX_PENDING_OFFERS`] at a time.
+//! 5. The successor confirms each offer, in order, with `OfferAccepted`; the predecessor then closes
 //!    its own descriptors of the oldest offer.
 //!
-//! From the offer on, neither process touches the connection; the successor owns it once it has
-//! sent `OfferAccepted`. Where the successor ends without having sent it, the predecessor goes on
-//! with the connection. Where the predecessor ends first, the successor reads the link to its end
-//! and adopts what it found there. A predecessor that ends the handover with a live successor sends
-//! `HandoverStopped` and goes on with whatever was not accepted before; where even that cannot be
-//! sent, it leaves everything that it offered to the successor.
+//! From the offer on, neither process reads or writes the connection; the successor owns it once it
+//! has sent `OfferAccepted`. If the successor ends without having sent it, the predecessor resumes
+//! the connection. If the predecessor ends first, the successor reads the link to its end and adopts
+//! the connections of all offers in it. A predecessor that stops the handover while the successor is
+//! alive sends `HandoverStopped` and resumes the connections of all offers that were not accepted;
+//! if the message cannot be sent, it releases them to the successor.
 
 mod codec;
 mod error;
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages that the two processes exchange. Their encoding is in [`crate::codec`].
+//! Messages that predecessor and successor exchange. Their encoding is in [`crate::codec`].
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 /// message is refused.
 pub const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
-/// Most endpoints that the predecessor puts into one `Endpoints` message. With names of
-/// [`MAX_NAME_BYTES`] such a message stays well under [`MAX_MESSAGE_BYTES`].
+/// Most endpoints that the predecessor puts into one `Endpoints` message. Even with the longest
+/// names, such a message takes less than half of [`MAX_MESSAGE_BYTES`].
 pub const MAX_ENDPOINTS_PER_MESSAGE: usize = 32;
 
-/// Longest uid, address or zone in bytes. The decoder refuses longer ones.
+/// Longest uid, address or zone name in bytes. The decoder refuses longer ones.
 pub const MAX_NAME_BYTES: usize = 256;
 
 /// One message on the link between predecessor and successor.
@@ -22,33 +22,34 @@
 pub enum HotRestartMessage {
     /// Successor: first message after connecting.
     Hello,
-    /// Predecessor: some of the endpoints that it knows.
+    /// Predecessor: a part of its endpoint list, at most [`MAX_ENDPOINTS_PER_MESSAGE`] entries.
     Endpoints(Vec<EndpointRecord>),
-    /// Predecessor: the clients' listening socket, which goes along as a descriptor. It ends the
-    /// endpoint list.
+    /// Predecessor: the socket on which it accepts clients, sent as a descriptor. The endpoint list
+    /// is complete.
     Listener {
-        /// Revision of the discovery list that the endpoints were taken from.
+        /// Revision of the discovery list from which the endpoints were taken.
         list_revision: u64,
     },
     /// Successor: it accepts clients from now on.
     Serving,
-    /// Predecessor: how many descriptors it still has open. The successor leaves room for them in
-    /// the limit that both processes share.
+    /// Predecessor: the number of descriptors that it still has open. The successor keeps as many
+    /// of the limit that both processes share free for them.
     OpenDescriptors(u32),
-    /// Predecessor: offers an open session; the client's and the server's sockets go along, in this
-    /// order.
+    /// Predecessor: offers an open session. The client's and the server's sockets are sent as
+    /// descriptors, in this order.
     SessionOffer(SessionOffer),
-    /// Predecessor: offers a client connection whose first line is not complete; its socket goes
-    /// along.
+    /// Predecessor: offers a client connection whose first line is not complete. Its socket is sent
+    /// as a descriptor.
     PendingConnectionOffer(BufferedBytes),
-    /// Successor: the oldest offer that it has not accepted yet is its own from now on.
+    /// Successor: it owns the connection of the oldest offer that it had not accepted yet.
     OfferAccepted,
-    /// Predecessor: it closes the link and goes on with all offers that were not accepted.
+    /// Predecessor: it closes the link and resumes the connections of all offers that were not
+    /// accepted.
     HandoverStopped,
 }
 
 impl HotRestartMessage {
-    /// How many file descriptors travel with the message.
+    /// Number of file descriptors that are sent with the message.
     pub fn descriptor_count(&self) -> usize {
         match self {
             HotRestartMessage::Listener { .. } | HotRestartMessage::PendingConnectionOffer(_) => 1,
@@ -63,23 +64,24 @@
     }
 }
 
-/// A server endpoint as the predecessor learned it from discovery.
+/// A server endpoint that the predecessor knows from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
     /// Unique name of the server instance; at most [`MAX_NAME_BYTES`].
     pub uid: String,
     /// Socket address in text form, as in `10.0.0.1:80`; at most [`MAX_NAME_BYTES`].
     pub address: String,
-    /// Name of its zone; at most [`MAX_NAME_BYTES`].
+    /// Name of its availability zone; at most [`MAX_NAME_BYTES`].
     pub zone: String,
-    /// Number of its cell.
+    /// Number of its failure domain within the zone.
     pub cell: u16,
     /// State in discovery's list.
     pub state: EndpointRecordState,
-    /// Share of the load relative to other endpoints: finite, zero or more.
+    /// Weight relative to the other endpoints: finite, zero or more. A greater weight attracts more
+    /// sessions.
     pub weight: f64,
-    /// When the server started, as time since the Unix epoch in whole milliseconds. `None` where
-    /// unknown.
+    /// When the server started, as time since the Unix epoch, encoded in whole milliseconds. `None`
+    /// if unknown; zero is decoded as `None`.
     pub started_at: Option<Duration>,
 }
 
@@ -87,9 +89,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum EndpointRecordState {
-    /// It takes new sessions.
+    /// It accepts new sessions.
     Ready = 0,
-    /// It keeps its sessions and takes no new ones.
+    /// It keeps its sessions and accepts no new ones.
     Draining = 1,
     /// It is no longer in the list.
     Gone = 2,
@@ -98,14 +100,14 @@
 /// Bytes that the predecessor has read from one socket and not forwarded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BufferedBytes {
-    /// How many of them, from the front, are complete lines that the predecessor has validated; at
-    /// most as many as there are bytes.
+    /// Number of leading bytes that are complete lines and that the predecessor has validated; at
+    /// most the length of `bytes`.
     pub validated_len: usize,
-    /// The bytes in the order in which they came.
+    /// The bytes in the order in which they were received.
     pub bytes: Vec<u8>,
 }
 
-/// An open session as it is offered to the successor.
+/// An open session that is offered to the successor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionOffer {
     /// The client's first line, line ending included; the successor reads the session's id and
@@ -113,11 +115,11 @@
     pub opening_line: Vec<u8>,
     /// Unique name of the server that the session is on; at most [`MAX_NAME_BYTES`].
     pub server_uid: String,
-    /// How long the server may still leave the client's last line unanswered, in whole
-    /// milliseconds, under `u32::MAX` of them. `None` where no line waits for an answer.
+    /// Time that the server has left to respond to the client's last line, encoded in whole
+    /// milliseconds; less than `u32::MAX` of them. `None` if no line awaits a response.
     pub response_timeout: Option<Duration>,
-    /// What the client sent.
+    /// Bytes from the client that were not forwarded to the server.
     pub from_client: BufferedBytes,
-    /// What the server sent.
+    /// Bytes from the server that were not forwarded to the client.
     pub from_server: BufferedBytes,
 }
--- a/crates/hot-restart/src/ownership.rs
+++ b/crates/hot-restart/src/ownership.rs
@@ -1,47 +1,51 @@
-//! Which of the two processes may touch a connection while it is handed over.
+//! Decides which of the two processes may read and write a connection while it is handed over.
 //!
-//! Both processes hold descriptors of an offered connection, and a byte that both read would be
-//! lost. So the predecessor leaves a connection alone from the moment it offers it, and the
-//! successor touches it only once it has notified the predecessor, or once the predecessor has
-//! ended and can no longer go on with it.
+//! Both processes hold descriptors of an offered connection. If both read from it, each would miss
+//! the bytes that the other has read. So the predecessor does not use a connection from the moment
+//! it offers it, and the successor uses it only once it has notified the predecessor of its
+//! acceptance, or once the predecessor has ended and can no longer resume the connection.
 
 use crate::error::OfferError;
 use std::collections::VecDeque;
 
-/// Most offers that may be out and not accepted, and so most connections of which both processes
-/// hold descriptors. It bounds the descriptors that a hot restart costs on top of those in use.
+/// Most offers that may be pending, that is, sent and not accepted yet. Both processes hold
+/// descriptors of the connections of pending offers, so this bounds the number of descriptors that a
+/// hot restart needs in addition.
 pub const MAX_PENDING_OFFERS: usize = 16;
 
-/// What became of a message that was to be sent.
+/// Result of sending a message to the other process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SendOutcome {
-    /// It is in the link.
+    /// The message is in the link.
     Sent,
-    /// The link is full: the other process lives and does not read.
+    /// The link is full: the other process is alive and does not read.
     LinkFull,
     /// The other process has closed the link or ended.
     PeerGone,
 }
 
-/// Ownership of the connections that are being handed over, as one process sees it.
+/// One process's record of the connections that are being handed over.
 ///
-/// `O` identifies what this process offers as the predecessor; `R` is what it has received in an
-/// offer as the successor.
+/// `O` identifies a connection that this process offers as the predecessor; `R` holds a connection
+/// that it has received as the successor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionOwnership<O, R> {
-    /// Offered and not accepted yet, oldest first. This process does not touch them.
+    /// Predecessor: offers that were not accepted yet, oldest first. This process does not use their
+    /// connections.
     pending_offers: VecDeque<O>,
-    /// Received when the predecessor could no longer be notified. This process does not touch them
-    /// before it knows whether the predecessor goes on with them.
-    unconfirmed: Vec<R>,
+    /// Successor: offers whose acceptance could not be sent because the predecessor is gone. This
+    /// process does not use their connections before it knows whether the predecessor resumes them.
+    unconfirmed_offers: Vec<R>,
 }
 
-/// What a predecessor does with the offers that were not accepted when the handover ended.
+/// The offers that were not accepted when the handover ended, by what the predecessor does with
+/// them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnacceptedOffers<O> {
-    /// It goes on with these.
+    /// The predecessor uses these connections again.
     pub resumed: Vec<O>,
-    /// It closes its descriptors of these: the successor may own them.
+    /// The predecessor closes its descriptors of these connections, because the successor may own
+    /// them.
     pub released: Vec<O>,
 }
 
@@ -49,37 +53,36 @@
     fn default() -> Self {
         ConnectionOwnership {
             pending_offers: VecDeque::new(),
-            unconfirmed: Vec::new(),
+            unconfirmed_offers: Vec::new(),
         }
     }
 }
 
 impl<O: PartialEq, R> ConnectionOwnership<O, R> {
-    /// How many more offers may be made now; at most [`MAX_PENDING_OFFERS`].
+    /// Number of further offers that may be made now; at most [`MAX_PENDING_OFFERS`].
     pub fn free_offer_slots(&self) -> usize {
         MAX_PENDING_OFFERS.saturating_sub(self.pending_offers.len())
     }
 
-    /// Whether `offer` is out and not accepted yet.
+    /// Whether `offer` is pending.
     pub fn is_offered(&self, offer: &O) -> bool {
         self.pending_offers.contains(offer)
     }
 
-    /// Predecessor: `offer` has been sent. It is left alone from now on.
+    /// Predecessor: records that `offer` has been sent. Its connection must not be used from now on.
     pub fn add_offer(&mut self, offer: O) {
         self.pending_offers.push_back(offer);
     }
 
-    /// Predecessor: the successor has accepted the oldest offer, which is returned to be released.
-    /// `None` where no offer is out.
+    /// Predecessor: removes and returns the oldest offer, which the successor has accepted, so that
+    /// its descriptors can be closed. `None` if no offer is pending.
     pub fn take_oldest_offer(&mut self) -> Option<O> {
         self.pending_offers.pop_front()
     }
 
-    /// Predecessor: the handover is over. `stop_notice` says what became of the `HandoverStopped`
-    /// message.
+    /// Predecessor: ends the handover. `stop_notice` is the result of sending `HandoverStopped`.
     ///
-    /// A successor that lives and could not be sent the notice may accept any offer at any time, so
+    /// A successor that is alive and could not be notified may accept any pending offer later, so
     /// all of them are released; otherwise all are resumed.
     pub fn end_handover(&mut self, stop_notice: SendOutcome) -> UnacceptedOffers<O> {
         let offers = Vec::from(std::mem::take(&mut self.pending_offers));
@@ -95,15 +98,15 @@
         }
     }
 
-    /// Successor: an offer was received, and `acceptance` says what became of the `OfferAccepted`
-    /// message. Returns what may be touched from now on: the offer itself where the predecessor was
-    /// notified. Where the predecessor is gone, the offer waits for [`Self::take_unconfirmed`] and
-    /// nothing is returned.
+    /// Successor: records an offer. `acceptance` is the result of sending `OfferAccepted`.
+    ///
+    /// If the predecessor was notified, the offer is returned and its connection may be used. If the
+    /// predecessor is gone, the offer is kept for [`Self::take_unconfirmed`] and `None` is returned.
     ///
     /// # Errors
     ///
-    /// [`OfferError`] where the predecessor lives and could not be notified, or where a predecessor
-    /// that is gone left more offers than [`MAX_PENDING_OFFERS`].
+    /// [`OfferError`] if the predecessor is alive and could not be notified, or if one that is gone
+    /// has left more offers than [`MAX_PENDING_OFFERS`].
     pub fn receive_offer(
         &mut self,
         received: R,
@@ -111,8 +114,8 @@
     ) -> Result<Option<R>, OfferError> {
         match acceptance {
             SendOutcome::Sent => Ok(Some(received)),
-            SendOutcome::PeerGone if self.unconfirmed.len() < MAX_PENDING_OFFERS => {
-                self.unconfirmed.push(received);
+            SendOutcome::PeerGone if self.unconfirmed_offers.len() < MAX_PENDING_OFFERS => {
+                self.unconfirmed_offers.push(received);
                 Ok(None)
             }
             SendOutcome::PeerGone => Err(OfferError::TooManyOffers),
@@ -120,9 +123,10 @@
         }
     }
 
-    /// Successor: what it accepted without notifying the predecessor. It adopts these where the
-    /// link has ended, and closes them where the predecessor said that it goes on with them.
+    /// Successor: removes and returns the offers whose acceptance could not be sent. The successor
+    /// adopts their connections if the link has ended, and closes them if the predecessor has sent
+    /// `HandoverStopped`.
     pub fn take_unconfirmed(&mut self) -> Vec<R> {
-        std::mem::take(&mut self.unconfirmed)
+        std::mem::take(&mut self.unconfirmed_offers)
     }
 }
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -1,103 +1,101 @@
-//! State machine of one process in a hot restart: how far it has come with the other, and what it
-//! does next.
+//! State machine of one process in a hot restart.
 
-/// How far this process has come with the other one.
+/// State of a process with respect to the other process of a hot restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum HotRestartState {
-    /// There is no other process.
+    /// No other process is connected.
     Idle,
     /// Predecessor: a process has connected and not sent `Hello` yet.
     SuccessorConnected,
-    /// Predecessor: the successor has the endpoint list and the listener, and does not accept
-    /// clients yet. This process still does.
+    /// Predecessor: the endpoint list and the listener are sent. The successor does not accept
+    /// clients yet; this process still does.
     StateSent,
-    /// Predecessor: the successor accepts clients. This process accepts none and offers what it
-    /// holds.
+    /// Predecessor: the successor accepts clients. This process accepts none and offers its
+    /// connections.
     HandingOver,
-    /// Successor: the predecessor offers what it holds.
+    /// Successor: the predecessor offers its connections.
     TakingOver,
 }
 
-/// What has happened on the link, or at the socket where successors connect.
+/// Input of the state machine: an event on the link, or on the socket to which successors connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum HotRestartInput {
     /// Another process has connected.
     PeerConnected,
-    /// `Hello` has come.
+    /// `Hello` was received.
     HelloReceived,
-    /// `Serving` has come.
+    /// `Serving` was received.
     ServingReceived,
-    /// `OfferAccepted` has come.
+    /// `OfferAccepted` was received.
     OfferAcceptedReceived,
-    /// `OpenDescriptors` has come.
+    /// `OpenDescriptors` was received.
     OpenDescriptorsReceived,
-    /// An offer has come, and the predecessor was notified of its acceptance or has ended.
+    /// An offer was received, and the predecessor was notified of its acceptance or has ended.
     OfferReceived,
-    /// `HandoverStopped` has come.
+    /// `HandoverStopped` was received.
     HandoverStoppedReceived,
-    /// The other process was silent for too long, could not be notified, or sent something out of
-    /// place.
+    /// The other process timed out, could not be notified, or sent an invalid or unexpected message.
     PeerFailed,
-    /// The other process has closed the link, and everything that it sent before has been read.
+    /// The other process has closed the link, and all messages that it sent before have been read.
     LinkClosed,
 }
 
-/// What the process has to do.
+/// What the process has to do after an input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum HotRestartEffect {
     /// Watch the new link, and wait a bounded time for `Hello`.
     AwaitHello,
-    /// Close the new connection: one successor at a time. The rejected process starts without a
-    /// handover.
+    /// Close the new connection, because there is one successor at a time. The rejected process
+    /// starts without a handover.
     RejectPeer,
     /// Send the endpoint list and the listener.
     SendState,
-    /// Accept no more clients, and begin to offer what is held.
+    /// Accept no more clients, and begin to offer connections.
     StopAccepting,
     /// Close this process's descriptors of the oldest offer.
     ReleaseOldestOffer,
-    /// Leave room for the descriptors that the predecessor still has open.
+    /// Reserve as many descriptors of the shared limit as the predecessor still has open.
     ReserveDescriptors,
-    /// Go on with what the offer holds.
+    /// Take over the connection of the offer, unless its acceptance could not be sent.
     AdoptOffer,
-    /// Close everything whose acceptance the predecessor could not be notified of: the predecessor
-    /// keeps it.
+    /// Close the connections whose acceptance could not be sent: the predecessor resumes them.
     DiscardUnconfirmed,
-    /// Close the link, and go on as if no process had connected.
+    /// Close the link, and continue as if no process had connected.
     CloseLink,
-    /// Send `HandoverStopped`, close the link, and go on with every offer that was not accepted.
+    /// Send `HandoverStopped`, close the link, and resume or release the pending offers by the result
+    /// of sending it; see [`ConnectionOwnership::end_handover`](crate::ConnectionOwnership::end_handover).
     StopHandover,
-    /// Close the link, and go on with every offer that was not accepted: the successor has ended.
+    /// Close the link, and resume the connections of the pending offers: the successor has ended.
     ResumeOffers,
-    /// Close the link, and adopt everything whose acceptance the predecessor could not be notified
-    /// of: it has ended.
+    /// Close the link, and adopt the connections whose acceptance could not be sent: the predecessor
+    /// has ended.
     AdoptUnconfirmed,
 }
 
 /// One row of [`TRANSITIONS`].
 #[derive(Clone, Copy, Debug)]
 struct Transition {
-    state: HotRestartState,
+    from: HotRestartState,
     input: HotRestartInput,
-    next: HotRestartState,
+    to: HotRestartState,
     effect: HotRestartEffect,
 }
 
 const fn transition(
-    state: HotRestartState,
+    from: HotRestartState,
     input: HotRestartInput,
-    next: HotRestartState,
+    to: HotRestartState,
     effect: HotRestartEffect,
 ) -> Transition {
     Transition {
-        state,
+        from,
         input,
-        next,
+        to,
         effect,
     }
 }
 
-/// Every input that has its place in a state. Any other is a fault of the peer: see
+/// All inputs that are valid in a state. Any other input is a fault of the other process; see
 /// [`HotRestartState::apply`].
 const TRANSITIONS: &[Transition] = {
     use HotRestartEffect::*;
@@ -141,19 +139,19 @@
 };
 
 impl HotRestartState {
-    /// Takes in `input`, moves on to the next state and returns what to do.
+    /// Changes to the next state and returns what the process has to do.
     ///
-    /// An input that has no place in the state ends the hot restart: the state becomes
-    /// [`HotRestartState::Idle`], and the effect is [`HotRestartEffect::StopHandover`] for a
-    /// predecessor that hands over, since its successor may live, and
+    /// An input that is not valid in the state ends the hot restart: the state becomes
+    /// [`HotRestartState::Idle`]. The effect is [`HotRestartEffect::StopHandover`] in
+    /// [`HotRestartState::HandingOver`], since the successor may still be alive, and
     /// [`HotRestartEffect::CloseLink`] otherwise.
     pub fn apply(&mut self, input: HotRestartInput) -> HotRestartEffect {
         let current = *self;
-        let listed = TRANSITIONS
+        let transition = TRANSITIONS
             .iter()
-            .find(|row| row.state == current && row.input == input);
-        if let Some(row) = listed {
-            *self = row.next;
+            .find(|row| row.from == current && row.input == input);
+        if let Some(row) = transition {
+            *self = row.to;
             return row.effect;
         }
         *self = HotRestartState::Idle;
@@ -163,8 +161,8 @@
         }
     }
 
-    /// The state's name in log lines. It stays as it was when the states had other names in the
-    /// code, for whoever searches logs by it.
+    /// The state's name in log lines. Operators search logs by it, so it stays as it was when the
+    /// states had other names in the code.
     pub fn log_name(self) -> &'static str {
         match self {
             HotRestartState::Idle => "Alone",
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -1,11 +1,12 @@
-//! The bytes of every hot-restart message, as the build at 17cc2a9 wrote them. A process of that
-//! build and one of this understand each other for as long as these tests pass: the data files are
-//! never written anew. The same holds for the transitions of the state machine.
+//! Compares the bytes of every hot-restart message with those that the build at commit 17cc2a9
+//! wrote. While these tests pass, a process of that build and one of the present build can replace
+//! each other, so the data files are never regenerated. The transitions of the state machine are
+//! compared in the same way.
 //!
 //! A line of a data file is `name bytes outcome`. The outcome is `descriptors N` for a message that
-//! is decoded as it was encoded and goes with N descriptors, `becomes BYTES` for one that is read
-//! as another value, and `refused TEXT` for one that is not read. `#` begins a comment.
-//! Bytes are hex digits; `AA*N` stands for N times the byte AA, and `+` joins parts.
+//! is decoded as it was encoded and sent with N descriptors, `becomes BYTES` for one that is decoded
+//! as another value, and `refused TEXT` for one that is refused. `#` begins a comment. Bytes are hex
+//! digits; `AA*N` is N times the byte AA, and `+` joins parts.
 
 use asterramp_hot_restart::{
     BufferedBytes, EndpointRecord, EndpointRecordState, HotRestartInput, HotRestartMessage,
@@ -19,11 +20,13 @@
 const REFUSED: &str = include_str!("golden/refused.txt");
 const TRANSITIONS: &str = include_str!("golden/transitions.txt");
 
-/// Records in the fullest list of the running system.
-const FULL_LIST: u16 = 32;
-/// Messages in the file of those refused.
+/// Number of endpoints in a full `Endpoints` message.
+const FULL_LIST_LEN: u16 = 32;
+/// Number of messages in `refused.txt`.
 const REFUSED_COUNT: usize = 170;
+/// Length of the longest allowed name in bytes.
 const LONGEST_NAME: usize = 256;
+/// Length of the longest allowed message in bytes.
 const LONGEST_MESSAGE: usize = 64 * 1024;
 
 const STATES: [EndpointRecordState; 3] = [
@@ -32,7 +35,8 @@
     EndpointRecordState::Gone,
 ];
 
-fn endpoint(uid: &str, state: usize, weight: f64, started: Option<Duration>) -> EndpointRecord {
+/// An endpoint in the state at an index of [`STATES`].
+fn endpoint(uid: &str, state: usize, weight: f64, started_at: Option<Duration>) -> EndpointRecord {
     EndpointRecord {
         uid: uid.into(),
         address: "10.0.0.1:80".into(),
@@ -40,24 +44,24 @@
         cell: 7,
         state: STATES[state],
         weight,
-        started_at: started,
+        started_at,
     }
 }
 
-fn bytes(validated: usize, bytes: &[u8]) -> BufferedBytes {
+fn buffered(validated_len: usize, bytes: &[u8]) -> BufferedBytes {
     BufferedBytes {
-        validated_len: validated,
+        validated_len,
         bytes: bytes.to_vec(),
     }
 }
 
-fn session(answer_within: Option<Duration>) -> SessionOffer {
+fn session(response_timeout: Option<Duration>) -> SessionOffer {
     SessionOffer {
         opening_line: b"OPEN s-17 lobby c=lakes\r\n".to_vec(),
         server_uid: "server-1".into(),
-        response_timeout: answer_within,
-        from_client: bytes(0, b""),
-        from_server: bytes(0, b""),
+        response_timeout,
+        from_client: buffered(0, b""),
+        from_server: buffered(0, b""),
     }
 }
 
@@ -69,7 +73,7 @@
     Duration::from_millis(count)
 }
 
-fn a_start() -> Option<Duration> {
+fn start_time() -> Option<Duration> {
     Some(millis(1_785_000_000_123))
 }
 
@@ -128,10 +132,10 @@
 fn list_messages() -> Vec<(&'static str, HotRestartMessage)> {
     let two = vec![
         endpoint("server-1", 0, 1.0, None),
-        endpoint("server-2", 1, 2.5, a_start()),
+        endpoint("server-2", 1, 2.5, start_time()),
     ];
     let twice = vec![endpoint("server-1", 0, 1.0, None); 2];
-    let full_list = (0..FULL_LIST).map(|n| EndpointRecord {
+    let full_list = (0..FULL_LIST_LEN).map(|n| EndpointRecord {
         uid: format!("server-{n}"),
         address: format!("[2001:db8::{n:x}]:{}", 8000 + n),
         zone: format!("zone-{}", n % 3),
@@ -156,15 +160,15 @@
         ),
         (
             "endpoints-ready-started",
-            list_of(endpoint("server-1", 0, 1.0, a_start())),
+            list_of(endpoint("server-1", 0, 1.0, start_time())),
         ),
         (
             "endpoints-draining-started",
-            list_of(endpoint("server-1", 1, 0.25, a_start())),
+            list_of(endpoint("server-1", 1, 0.25, start_time())),
         ),
         (
             "endpoints-gone-started",
-            list_of(endpoint("server-1", 2, 0.0, a_start())),
+            list_of(endpoint("server-1", 2, 0.0, start_time())),
         ),
         (
             "endpoints-started-earliest",
@@ -226,21 +230,21 @@
 }
 
 fn session_messages() -> Vec<(&'static str, HotRestartMessage)> {
-    let buffered = SessionOffer {
-        from_client: bytes(6, b"MSG 1\nMSG"),
-        from_server: bytes(4, b"ACK\n"),
+    let with_buffers = SessionOffer {
+        from_client: buffered(6, b"MSG 1\nMSG"),
+        from_server: buffered(4, b"ACK\n"),
         ..session(None)
     };
-    let buffered_wait = SessionOffer {
+    let with_buffers_and_wait = SessionOffer {
         response_timeout: Some(millis(1500)),
-        ..buffered.clone()
+        ..with_buffers.clone()
     };
     let client_only = SessionOffer {
-        from_client: bytes(1, b"\n"),
+        from_client: buffered(1, b"\n"),
         ..session(None)
     };
     let server_only = SessionOffer {
-        from_server: bytes(0, b"half a li"),
+        from_server: buffered(0, b"half a li"),
         ..session(None)
     };
     let longest_wait = session(Some(millis(u64::from(u32::MAX) - 1)));
@@ -260,11 +264,11 @@
         ),
         (
             "session-buffered",
-            HotRestartMessage::SessionOffer(buffered),
+            HotRestartMessage::SessionOffer(with_buffers),
         ),
         (
             "session-buffered-wait",
-            HotRestartMessage::SessionOffer(buffered_wait),
+            HotRestartMessage::SessionOffer(with_buffers_and_wait),
         ),
         (
             "session-client-only",
@@ -280,8 +284,8 @@
 fn session_bounds() -> Vec<(&'static str, HotRestartMessage)> {
     let every_byte = SessionOffer {
         opening_line: every_byte(),
-        from_client: bytes(256, &every_byte()),
-        from_server: bytes(0, &every_byte()),
+        from_client: buffered(256, &every_byte()),
+        from_server: buffered(0, &every_byte()),
         ..session(Some(millis(1)))
     };
     let empty = SessionOffer {
@@ -316,41 +320,41 @@
 }
 
 fn pending_messages() -> Vec<(&'static str, HotRestartMessage)> {
-    // A header of 9 bytes and two lengths of 4: this message is exactly as long as one may be.
+    // With a header of 9 bytes and two lengths of 4 bytes, this message has the greatest allowed length.
     let longest = [b'x'; LONGEST_MESSAGE - 17];
     vec![
         (
             "pending-empty",
-            HotRestartMessage::PendingConnectionOffer(bytes(0, b"")),
+            HotRestartMessage::PendingConnectionOffer(buffered(0, b"")),
         ),
         (
             "pending-partial",
-            HotRestartMessage::PendingConnectionOffer(bytes(0, b"OPE")),
+            HotRestartMessage::PendingConnectionOffer(buffered(0, b"OPE")),
         ),
         (
             "pending-whole",
-            HotRestartMessage::PendingConnectionOffer(bytes(6, b"OPEN\r\n")),
+            HotRestartMessage::PendingConnectionOffer(buffered(6, b"OPEN\r\n")),
         ),
         (
             "pending-whole-and-partial",
-            HotRestartMessage::PendingConnectionOffer(bytes(6, b"OPEN\r\nMS")),
+            HotRestartMessage::PendingConnectionOffer(buffered(6, b"OPEN\r\nMS")),
         ),
         (
             "pending-every-byte",
-            HotRestartMessage::PendingConnectionOffer(bytes(128, &every_byte())),
+            HotRestartMessage::PendingConnectionOffer(buffered(128, &every_byte())),
         ),
         (
             "pending-longest",
-            HotRestartMessage::PendingConnectionOffer(bytes(0, &longest)),
+            HotRestartMessage::PendingConnectionOffer(buffered(0, &longest)),
         ),
     ]
 }
 
-/// Values that the form cannot carry, or that the other side refuses: how they are encoded stays as
-/// well.
+/// Messages that are not decoded as the same value: the encoding cannot represent them, or the
+/// decoder refuses them. How they are encoded must not change either.
 fn encoded_only() -> Vec<(&'static str, HotRestartMessage)> {
-    let started = |started| list_of(endpoint("server-1", 0, 1.0, Some(started)));
-    let waits = |waits| HotRestartMessage::SessionOffer(session(Some(waits)));
+    let started = |started_at| list_of(endpoint("server-1", 0, 1.0, Some(started_at)));
+    let waits = |response_timeout| HotRestartMessage::SessionOffer(session(Some(response_timeout)));
     let long_name = "n".repeat(LONGEST_NAME + 1);
     let too_long = [b'x'; LONGEST_MESSAGE - 16];
     vec![
@@ -382,18 +386,20 @@
         ("session-wait-wrapped", waits(millis((1 << 32) + 5))),
         (
             "pending-whole-beyond-end",
-            HotRestartMessage::PendingConnectionOffer(bytes(4, b"OPE")),
+            HotRestartMessage::PendingConnectionOffer(buffered(4, b"OPE")),
         ),
         (
             "pending-too-long",
-            HotRestartMessage::PendingConnectionOffer(bytes(0, &too_long)),
+            HotRestartMessage::PendingConnectionOffer(buffered(0, &too_long)),
         ),
     ]
 }
 
+/// A line of a data file without its name.
 struct GoldenLine {
     bytes: Vec<u8>,
-    text: String,
+    /// The outcome, as the data file states it.
+    outcome: String,
 }
 
 fn golden_lines(file: &'static str) -> BTreeMap<&'static str, GoldenLine> {
@@ -405,9 +411,9 @@
         let mut fields = line.splitn(3, ' ');
         let name = fields.next().expect("a line has a name");
         let bytes = decode_hex(fields.next().expect("a line has bytes"));
-        let text = fields.next().unwrap_or_default().to_string();
-        let before = lines.insert(name, GoldenLine { bytes, text });
-        assert!(before.is_none(), "{name} stands twice");
+        let outcome = fields.next().unwrap_or_default().to_string();
+        let duplicate = lines.insert(name, GoldenLine { bytes, outcome });
+        assert!(duplicate.is_none(), "{name} is listed twice");
     }
     lines
 }
@@ -419,11 +425,11 @@
         let digits = digits
             .as_bytes()
             .chunks(2)
-            .map(|pair| std::str::from_utf8(pair).expect("ASCII"));
+            .map(|pair| std::str::from_utf8(pair).expect("the digits are ASCII"));
         let part: Vec<u8> = digits
-            .map(|pair| u8::from_str_radix(pair, 16).expect("hex digits"))
+            .map(|pair| u8::from_str_radix(pair, 16).expect("the digits are hexadecimal"))
             .collect();
-        bytes.extend(part.repeat(times.parse().expect("a count")));
+        bytes.extend(part.repeat(times.parse().expect("the part has a count")));
     }
     bytes
 }
@@ -441,29 +447,32 @@
     assert_same_names(&lines, &cases);
     for (name, message) in cases {
         let golden = &lines[name].bytes;
-        assert!(message.encode() == *golden, "{name} is encoded otherwise");
+        assert!(message.encode() == *golden, "{name} is encoded differently");
         let descriptors = format!("descriptors {}", message.descriptor_count());
-        assert_eq!(descriptors, lines[name].text, "{name}");
+        assert_eq!(descriptors, lines[name].outcome, "{name}");
         assert_eq!(HotRestartMessage::decode(golden), Ok(message), "{name}");
     }
 }
 
 #[test]
-fn what_the_form_cannot_carry_is_encoded_as_the_golden_bytes() {
+fn messages_that_are_not_decoded_alike_are_encoded_as_the_golden_bytes() {
     let lines = golden_lines(ENCODED_ONLY);
     let cases = encoded_only();
     assert_same_names(&lines, &cases);
     for (name, message) in cases {
         let golden = &lines[name].bytes;
-        assert!(message.encode() == *golden, "{name} is encoded otherwise");
+        assert!(message.encode() == *golden, "{name} is encoded differently");
         let decoded = HotRestartMessage::decode(golden);
-        assert!(decoded != Ok(message), "{name} is carried whole");
-        match lines[name].text.split_once(' ') {
+        assert!(
+            decoded != Ok(message),
+            "{name} is decoded as the same value"
+        );
+        match lines[name].outcome.split_once(' ') {
             Some(("becomes", bytes)) => {
-                let other = decoded.expect("it is read as another value");
+                let other = decoded.expect("it is decoded as another value");
                 assert!(
                     other.encode() == decode_hex(bytes),
-                    "{name} is decoded otherwise"
+                    "{name} is decoded differently"
                 );
             }
             Some(("refused", text)) => {
@@ -476,19 +485,19 @@
 }
 
 #[test]
-fn bad_messages_are_refused_with_the_golden_texts() {
+fn invalid_messages_are_refused_with_the_golden_texts() {
     let lines = golden_lines(REFUSED);
     assert_eq!(lines.len(), REFUSED_COUNT);
     for (name, golden) in lines {
-        let text = golden.text.strip_prefix("refused ").expect(name);
+        let text = golden.outcome.strip_prefix("refused ").expect(name);
         let refused = HotRestartMessage::decode(&golden.bytes).expect_err(name);
         assert_eq!(refused.to_string(), text, "{name}");
     }
 }
 
-/// The whole table of states and inputs, in the names of today.
+/// The data file uses the present names of the states, inputs and effects.
 #[test]
-fn every_state_and_input_does_what_the_golden_table_says() {
+fn every_state_and_input_has_the_transition_of_the_golden_table() {
     let states = [
         HotRestartState::Idle,
         HotRestartState::SuccessorConnected,
--- a/crates/hot-restart/tests/messages.rs
+++ b/crates/hot-restart/tests/messages.rs
@@ -1,4 +1,4 @@
-//! A message is decoded as it was encoded, and nothing but a whole message is.
+//! Every message is decoded as it was encoded, and truncated, extended or altered messages are refused.
 
 use asterramp_hot_restart::{
     BufferedBytes, EndpointRecord, EndpointRecordState, HotRestartMessage, SessionOffer,
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use test_case::test_case;
 
-fn endpoint(state: EndpointRecordState, started: Option<Duration>) -> EndpointRecord {
+fn endpoint(state: EndpointRecordState, started_at: Option<Duration>) -> EndpointRecord {
     EndpointRecord {
         uid: "s-1".into(),
         address: "10.0.0.1:80".into(),
@@ -14,22 +14,22 @@
         cell: 7,
         state,
         weight: 0.5,
-        started_at: started,
+        started_at,
     }
 }
 
-fn buffered(validated: usize, bytes: &[u8]) -> BufferedBytes {
+fn buffered(validated_len: usize, bytes: &[u8]) -> BufferedBytes {
     BufferedBytes {
-        validated_len: validated,
+        validated_len,
         bytes: bytes.to_vec(),
     }
 }
 
-fn session(answer_within: Option<Duration>) -> SessionOffer {
+fn session(response_timeout: Option<Duration>) -> SessionOffer {
     SessionOffer {
         opening_line: b"OPEN 1 2 c=a\r\n".to_vec(),
         server_uid: "s-1".into(),
-        response_timeout: answer_within,
+        response_timeout,
         from_client: buffered(3, b"a\r\nb"),
         from_server: buffered(0, b""),
     }
@@ -56,18 +56,18 @@
 }
 
 #[test]
-fn messages_are_decoded_as_encoded_and_never_where_cut_or_lengthened() {
+fn messages_are_decoded_as_encoded_and_refused_if_truncated_or_extended() {
     for message in messages() {
         let encoded = message.encode();
         assert_eq!(HotRestartMessage::decode(&encoded), Ok(message.clone()));
         for length in 0..encoded.len() {
-            let cut = HotRestartMessage::decode(&encoded[..length]);
-            assert!(cut.is_err(), "{message:?} cut at {length}");
+            let truncated = HotRestartMessage::decode(&encoded[..length]);
+            assert!(truncated.is_err(), "{message:?} truncated at {length}");
         }
-        let lengthened = [&encoded[..], b"x"].concat();
+        let extended = [&encoded[..], b"x"].concat();
         assert!(
-            HotRestartMessage::decode(&lengthened).is_err(),
-            "{message:?} and more"
+            HotRestartMessage::decode(&extended).is_err(),
+            "{message:?} extended by a byte"
         );
     }
 }
@@ -76,26 +76,27 @@
 #[test_case(3, 2; "another version")]
 #[test_case(4, 99; "an unknown kind")]
 #[test_case(5, 200; "a wrong length")]
-fn a_changed_byte_is_found(at: usize, byte: u8) {
+fn an_altered_header_is_refused(offset: usize, byte: u8) {
     for message in messages() {
         let mut encoded = message.encode();
-        encoded[at] = byte;
+        encoded[offset] = byte;
         assert!(HotRestartMessage::decode(&encoded).is_err(), "{message:?}");
     }
 }
 
 #[test]
 fn any_bytes_are_decoded_without_a_panic() {
-    const ROUNDS: usize = 2_000;
-    const CHANGES: usize = 3;
+    const ROUNDS_PER_MESSAGE: usize = 2_000;
+    const ALTERED_BYTES: usize = 3;
+    // State of a linear congruential generator.
     let mut random = 1u32;
     for message in messages() {
-        for _ in 0..ROUNDS {
+        for _ in 0..ROUNDS_PER_MESSAGE {
             let mut encoded = message.encode();
-            for _ in 0..CHANGES {
+            for _ in 0..ALTERED_BYTES {
                 random = random.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
-                let at = 5 + (random >> 8) as usize % (encoded.len() - 4);
-                if let Some(byte) = encoded.get_mut(at) {
+                let offset = 5 + (random >> 8) as usize % (encoded.len() - 4);
+                if let Some(byte) = encoded.get_mut(offset) {
                     *byte = (random >> 24) as u8;
                 }
             }
