--- a/crates/drain/src/drain.rs
+++ b/crates/drain/src/drain.rs
@@ -149,7 +149,8 @@
         self.apply(now, DrainInput::UndrainRequested)
     }
 
-    /// Begins a shutdown, which ends a drain in progress and cannot be cancelled. Further calls do not change its schedule.
+    /// Begins a shutdown, which ends a drain in progress and cannot be cancelled. Further calls do not change its
+    /// schedule.
     pub fn begin_shutdown(&mut self, schedule: ShutdownSchedule) {
         let input = DrainInput::ShutdownRequested;
         if Transition::find(self.state, input).is_some() {
@@ -163,8 +164,8 @@
         migration_rate(self.requested_rate, view.spare_capacity, &self.settings)
     }
 
-    /// Time until the proxy is expected to be empty at [`Self::migrations_per_second`], at most the time to the deadline;
-    /// `None` while serving, once empty, and in a shutdown.
+    /// Time until the proxy is expected to be empty at [`Self::migrations_per_second`], at most the time to the
+    /// deadline; `None` while serving, once empty, and in a shutdown.
     pub fn expected_time_left(&self, now: Duration, view: &DrainView) -> Option<Duration> {
         match self.state {
             DrainState::Closing | DrainState::Migrating | DrainState::Late => {
@@ -255,8 +256,8 @@
         }
     }
 
-    /// Whether to reject pending sessions now: once for each request, at the deadline. A session that arrives later is set
-    /// up, and migrated once it is open.
+    /// Whether to reject pending sessions now: once for each request, at the deadline. A session that arrives later is
+    /// set up, and migrated once it is open.
     fn should_reject_pending(&mut self, now: Duration) -> bool {
         if !self.is_last_step(now) {
             return false;
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -1,10 +1,12 @@
-//! Drains a proxy on an operator's request, which can be cancelled, and shuts it down gracefully on SIGTERM, which cannot.
+//! Drains a proxy on an operator's request, which can be cancelled, and shuts it down gracefully on SIGTERM, which
+//! cannot.
 //!
 //! [`Drain`] is a state machine ([`TRANSITIONS`]) that also paces the migration of sessions. It does no I/O: the caller
-//! passes the time and a [`DrainView`] of its sessions to [`Drain::advise`] every [`ADVICE_INTERVAL`] and carries out the
-//! [`DrainAdvice`]. All times are [`Duration`]s since the caller's start.
+//! passes the time and a [`DrainView`] of its sessions to [`Drain::advise`] every [`ADVICE_INTERVAL`] and carries out
+//! the [`DrainAdvice`]. All times are [`Duration`]s since the caller's start.
 //!
-//! The *front* is the load balancer before the proxies. It pings each of them and sends new sessions to those that answer.
+//! The *front* is the load balancer before the proxies. It pings each of them and sends new sessions to those that
+//! answer.
 
 mod drain;
 mod pacing;
--- a/crates/drain/src/pacing.rs
+++ b/crates/drain/src/pacing.rs
@@ -29,8 +29,8 @@
 /// The deadline is at risk if it requires more than this multiple of the rate.
 const AT_RISK_FACTOR: f64 = 1.05;
 
-/// The deadline is safe if it requires less than this multiple of the rate. Between this and [`AT_RISK_FACTOR`] the state
-/// does not change, so that a drain does not flap.
+/// The deadline is safe if it requires less than this multiple of the rate. Between this and [`AT_RISK_FACTOR`] the
+/// state does not change, so that a drain does not flap.
 const SAFE_FACTOR: f64 = 0.95;
 
 /// Rate of a drain in sessions per second: the requested one, or without one what endpoints can absorb; at most
@@ -114,8 +114,8 @@
         elapsed
     }
 
-    /// Adds the migrations that `rate` allows in `elapsed`. The budget never exceeds the number of open sessions, so that
-    /// unused migrations do not add up to a later burst.
+    /// Adds the migrations that `rate` allows in `elapsed`. The budget never exceeds the number of open sessions, so
+    /// that unused migrations do not add up to a later burst.
     pub(crate) fn add(&mut self, rate: f64, elapsed: Duration, open_sessions: usize) {
         let allowed = self.allowed + rate * elapsed.as_secs_f64();
         self.allowed = allowed.min(open_sessions as f64);
--- a/crates/drain/src/settings.rs
+++ b/crates/drain/src/settings.rs
@@ -5,8 +5,8 @@
 /// Settings of a drain, from the table `drain` of the operator's configuration file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainSettings {
-    /// Longest time that the drain waits for the front to stop sending new sessions after the proxy stopped answering its
-    /// pings. Open sessions are migrated only then.
+    /// Longest time that the drain waits for the front to stop sending new sessions after the proxy stopped answering
+    /// its pings. Open sessions are migrated only then.
     pub max_closing_time: Duration,
     /// Once no new session has arrived for this time, the front is taken to have stopped sending.
     pub quiet_period: Duration,
--- a/crates/hot-restart/src/error.rs
+++ b/crates/hot-restart/src/error.rs
@@ -1,4 +1,5 @@
-//! Errors of decoding messages and of receiving offers. Their texts appear in the log and are stable.
+//! Errors of decoding messages and of receiving offers. Their texts appear in the log and are
+//! stable.
 
 use std::str::Utf8Error;
 
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -3,9 +3,9 @@
 //!
 //! This package has no I/O. It holds the messages and their encoding ([`HotRestartMessage`]), the
 //! state machine of either process ([`HotRestartState`]), and the rule by which exactly one of the
-//! two may read or write a connection ([`ConnectionOwnership`]). The proxy sends the messages over a
-//! Unix `SOCK_SEQPACKET` socket, the link: one packet is one message, with its file descriptors as
-//! ancillary data.
+//! two may read or write a connection ([`ConnectionOwnership`]). The proxy sends the messages over
+//! a Unix `SOCK_SEQPACKET` socket, the link: one packet is one message, with its file descriptors
+//! as ancillary data.
 //!
 //! A hot restart runs as follows:
 //!
@@ -20,10 +20,10 @@
 //!
 //! From the offer on, neither process reads or writes the connection; the successor owns it once it
 //! has sent `OfferAccepted`. If the successor ends without having sent it, the predecessor resumes
-//! the connection. If the predecessor ends first, the successor reads the link to its end and adopts
-//! the connections of all offers in it. A predecessor that stops the handover while the successor is
-//! alive sends `HandoverStopped` and resumes the connections of all offers that were not accepted;
-//! if the message cannot be sent, it releases them to the successor.
+//! the connection. If the predecessor ends first, the successor reads the link to its end and
+//! adopts the connections of all offers in it. A predecessor that stops the handover while the
+//! successor is alive sends `HandoverStopped` and resumes the connections of all offers that were
+//! not accepted; if the message cannot be sent, it releases them to the successor.
 
 mod codec;
 mod error;
--- a/crates/hot-restart/src/ownership.rs
+++ b/crates/hot-restart/src/ownership.rs
@@ -9,8 +9,8 @@
 use std::collections::VecDeque;
 
 /// Most offers that may be pending, that is, sent and not accepted yet. Both processes hold
-/// descriptors of the connections of pending offers, so this bounds the number of descriptors that a
-/// hot restart needs in addition.
+/// descriptors of the connections of pending offers, so this bounds the number of descriptors that
+/// a hot restart needs in addition.
 pub const MAX_PENDING_OFFERS: usize = 16;
 
 /// Result of sending a message to the other process.
@@ -30,8 +30,8 @@
 /// that it has received as the successor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionOwnership<O, R> {
-    /// Predecessor: offers that were not accepted yet, oldest first. This process does not use their
-    /// connections.
+    /// Predecessor: offers that were not accepted yet, oldest first. This process does not use
+    /// their connections.
     pending_offers: VecDeque<O>,
     /// Successor: offers whose acceptance could not be sent because the predecessor is gone. This
     /// process does not use their connections before it knows whether the predecessor resumes them.
@@ -69,7 +69,8 @@
         self.pending_offers.contains(offer)
     }
 
-    /// Predecessor: records that `offer` has been sent. Its connection must not be used from now on.
+    /// Predecessor: records that `offer` has been sent. Its connection must not be used from now
+    /// on.
     pub fn add_offer(&mut self, offer: O) {
         self.pending_offers.push_back(offer);
     }
@@ -100,8 +101,9 @@
 
     /// Successor: records an offer. `acceptance` is the result of sending `OfferAccepted`.
     ///
-    /// If the predecessor was notified, the offer is returned and its connection may be used. If the
-    /// predecessor is gone, the offer is kept for [`Self::take_unconfirmed`] and `None` is returned.
+    /// If the predecessor was notified, the offer is returned and its connection may be used. If
+    /// the predecessor is gone, the offer is kept for [`Self::take_unconfirmed`] and `None` is
+    /// returned.
     ///
     /// # Errors
     ///
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -34,7 +34,8 @@
     OfferReceived,
     /// `HandoverStopped` was received.
     HandoverStoppedReceived,
-    /// The other process timed out, could not be notified, or sent an invalid or unexpected message.
+    /// The other process timed out, could not be notified, or sent an invalid or unexpected
+    /// message.
     PeerFailed,
     /// The other process has closed the link, and all messages that it sent before have been read.
     LinkClosed,
@@ -62,13 +63,14 @@
     DiscardUnconfirmed,
     /// Close the link, and continue as if no process had connected.
     CloseLink,
-    /// Send `HandoverStopped`, close the link, and resume or release the pending offers by the result
-    /// of sending it; see [`ConnectionOwnership::end_handover`](crate::ConnectionOwnership::end_handover).
+    /// Send `HandoverStopped`, close the link, and resume or release the pending offers by the
+    /// result of sending it; see
+    /// [`ConnectionOwnership::end_handover`](crate::ConnectionOwnership::end_handover).
     StopHandover,
     /// Close the link, and resume the connections of the pending offers: the successor has ended.
     ResumeOffers,
-    /// Close the link, and adopt the connections whose acceptance could not be sent: the predecessor
-    /// has ended.
+    /// Close the link, and adopt the connections whose acceptance could not be sent: the
+    /// predecessor has ended.
     AdoptUnconfirmed,
 }
 
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -4,9 +4,9 @@
 //! compared in the same way.
 //!
 //! A line of a data file is `name bytes outcome`. The outcome is `descriptors N` for a message that
-//! is decoded as it was encoded and sent with N descriptors, `becomes BYTES` for one that is decoded
-//! as another value, and `refused TEXT` for one that is refused. `#` begins a comment. Bytes are hex
-//! digits; `AA*N` is N times the byte AA, and `+` joins parts.
+//! is decoded as it was encoded and sent with N descriptors, `becomes BYTES` for one that is
+//! decoded as another value, and `refused TEXT` for one that is refused. `#` begins a comment.
+//! Bytes are hex digits; `AA*N` is N times the byte AA, and `+` joins parts.
 
 use asterramp_hot_restart::{
     BufferedBytes, EndpointRecord, EndpointRecordState, HotRestartInput, HotRestartMessage,
@@ -320,7 +320,8 @@
 }
 
 fn pending_messages() -> Vec<(&'static str, HotRestartMessage)> {
-    // With a header of 9 bytes and two lengths of 4 bytes, this message has the greatest allowed length.
+    // With a header of 9 bytes and two lengths of 4 bytes, this message has the greatest allowed
+    // length.
     let longest = [b'x'; LONGEST_MESSAGE - 17];
     vec![
         (
--- a/crates/hot-restart/tests/messages.rs
+++ b/crates/hot-restart/tests/messages.rs
@@ -1,4 +1,5 @@
-//! Every message is decoded as it was encoded, and truncated, extended or altered messages are refused.
+//! Every message is decoded as it was encoded, and truncated, extended or altered messages are
+//! refused.
 
 use asterramp_hot_restart::{
     BufferedBytes, EndpointRecord, EndpointRecordState, HotRestartMessage, SessionOffer,
--- a/crates/snapshot/src/error.rs
+++ b/crates/snapshot/src/error.rs
@@ -5,25 +5,25 @@
 use std::io;
 use thiserror::Error;
 
-/// Why bytes are not a snapshot that this build reads.
+/// Why bytes are not a snapshot that this build accepts.
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    /// There are no bytes at all.
+    /// The file is empty.
     #[error("empty")]
     Empty,
-    /// The first line is missing, too long, not text, or of another program.
+    /// The first line is missing, too long or not UTF-8, or does not begin with this program's magic word.
     #[error("no snapshot: its first line is none")]
     InvalidFirstLine,
     /// The first line has no version, or one that is not a number.
     #[error("its version cannot be read")]
     UnreadableVersion,
-    /// A later release wrote it.
+    /// A later release wrote the snapshot.
     #[error("of version {found}, newer than {FORMAT_VERSION}")]
     NewerVersion {
         /// The version in the first line.
         found: u32,
     },
-    /// An earlier release wrote it.
+    /// An earlier release wrote the snapshot.
     #[error("of version {found}, older than {FORMAT_VERSION}")]
     OlderVersion {
         /// The version in the first line.
@@ -35,24 +35,24 @@
     /// The first line has no checksum, or one that is not a hexadecimal number.
     #[error("its checksum cannot be read")]
     UnreadableChecksum,
-    /// The body is shorter or longer than the first line says.
+    /// The length of the body differs from the one in the first line.
     #[error("{actual} bytes of {expected}")]
     WrongLength {
-        /// Length of the body that is there, in bytes.
+        /// Length of the body in the file, in bytes.
         actual: usize,
-        /// Length by the first line, in bytes.
+        /// Length according to the first line, in bytes.
         expected: usize,
     },
     /// The body's CRC-32 differs from the one in the first line.
     #[error("its checksum is wrong")]
     WrongChecksum,
-    /// The body is not JSON of the expected shape.
+    /// The body is not JSON, or its fields are not those of a snapshot.
     #[error("not as this version writes it: {source}")]
     InvalidBody {
         /// What the JSON parser found, with line and column.
         source: serde_json::Error,
     },
-    /// The endpoint list is longer than any that a proxy accepts.
+    /// The endpoint list is longer than a proxy accepts from discovery.
     #[error("{count} hosts; {MAX_ENDPOINTS} are the most")]
     TooManyEndpoints {
         /// Length of the list.
@@ -63,16 +63,16 @@
 /// Why a file of the snapshot directory is not used.
 #[derive(Debug, Error)]
 pub enum FileError {
-    /// It cannot be read from disk, is not a regular file, or is longer than any snapshot.
+    /// The file cannot be read, is not a regular file, or is longer than [`MAX_FILE_BYTES`](crate::MAX_FILE_BYTES).
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// Its bytes are not a snapshot that this build reads.
+    /// Its bytes are not a snapshot that this build accepts.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    /// It describes the endpoints of another proxy.
+    /// Another proxy wrote the snapshot, and it lists that proxy's endpoints.
     #[error("foreign: it is of {owner:?}")]
     OwnerMismatch {
-        /// The proxy that wrote it, by the address it listens at.
+        /// The proxy that wrote it, identified by its listen address.
         owner: String,
     },
 }
@@ -80,10 +80,11 @@
 /// Why a snapshot was not saved.
 #[derive(Debug, Error)]
 pub enum SaveError {
-    /// The disk refused a step. Both generations are as before, or the new one is complete and may not be durable.
+    /// A disk operation failed. Both generations are as before, or the new one is complete and may not be durable.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is longer than [`MAX_FILE_BYTES`](crate::MAX_FILE_BYTES), so that no start would read it again.
+    /// The encoded snapshot is longer than [`MAX_FILE_BYTES`](crate::MAX_FILE_BYTES), so the next start could not load
+    /// it.
     #[error("longer than what is read again")]
     TooLong {
         /// Length of the encoded snapshot in bytes.
@@ -91,13 +92,13 @@
     },
 }
 
-/// Why the writer thread could not write a snapshot.
+/// Why the writer thread could not save snapshots.
 #[derive(Debug, Error)]
 pub enum WriterError {
-    /// The directory's lock file cannot be opened or locked; the thread has given up.
+    /// The directory's lock file cannot be opened or locked. The thread has ended and saves no snapshots.
     #[error("lock: {0}")]
     Lock(#[source] io::Error),
-    /// One snapshot could not be saved; the next one is tried as usual.
+    /// One snapshot could not be saved. The thread still saves the next one.
     #[error(transparent)]
     Save(#[from] SaveError),
 }
--- a/crates/snapshot/src/files.rs
+++ b/crates/snapshot/src/files.rs
@@ -1,7 +1,7 @@
-//! Disk access, by file name within one directory.
+//! Disk access of the snapshot store, by file name within one directory.
 //!
-//! [`SnapshotFiles`] is all that a store does to the disk. A test puts a simulated disk behind it that loses power
-//! between any two calls.
+//! [`SnapshotFiles`] has all the disk operations that the store uses. Tests implement it by a simulated disk that loses
+//! power between any two calls.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -10,23 +10,23 @@
 
 /// File whose lock keeps a second process from writing to the directory.
 const LOCK_FILE: &str = "lock";
-/// Permissions of the files: they name internal addresses, so only their owner may read them.
+/// Permissions of the files. They contain internal addresses, so only their owner may read them.
 const FILE_MODE: u32 = 0o600;
 
-/// The disk operations of a store, each with the durability that POSIX gives it.
+/// The disk operations of a snapshot store, each with the durability that POSIX guarantees for it.
 pub trait SnapshotFiles {
     /// Reads a complete file of at most `max_len` bytes.
     ///
     /// # Errors
     ///
-    /// `NotFound` if there is none; any other error if it is longer, not a regular file, or cannot be read.
+    /// `NotFound` if the file does not exist; any other error if it is longer, not a regular file, or cannot be read.
     fn read(&mut self, name: &str, max_len: usize) -> io::Result<Vec<u8>>;
 
-    /// Creates a file or replaces its bytes. They are durable only after [`sync`](Self::sync).
+    /// Creates a file or replaces its bytes. The bytes are durable only after [`sync`](Self::sync).
     ///
     /// # Errors
     ///
-    /// Any error of the disk; the file may then hold a part of the bytes.
+    /// Any error of the disk; the file may then contain only some of the bytes.
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
     /// Makes the bytes of a file durable.
@@ -40,14 +40,14 @@
     ///
     /// # Errors
     ///
-    /// Any error of the disk; both files are then as before.
+    /// Any error of the disk; both files are then unchanged.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file. The change is durable only after [`sync_directory`](Self::sync_directory).
     ///
     /// # Errors
     ///
-    /// `NotFound` if there is none, or any error of the disk.
+    /// `NotFound` if the file does not exist, or any error of the disk.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
     /// Makes renames and removals durable.
@@ -58,7 +58,7 @@
     fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// A directory of the file system that holds one proxy's snapshots.
+/// The directory on the file system that holds one proxy's snapshots.
 #[derive(Clone, Debug)]
 pub struct SnapshotDirectory(PathBuf);
 
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     ///
-    /// If it cannot be created, or something that is not a directory is in its place.
+    /// If it cannot be created, or `path` is not a directory.
     pub fn open(path: &Path) -> io::Result<SnapshotDirectory> {
         match std::fs::create_dir(path) {
             Err(error) if error.kind() != io::ErrorKind::AlreadyExists => return Err(error),
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Locks the directory against other processes for as long as the returned file is open; `None` while another process
-    /// holds the lock.
+    /// Locks the directory against other processes for as long as the returned file is open. Returns `None` at once if
+    /// another process holds the lock.
     ///
     /// # Errors
     ///
-    /// If the lock file cannot be opened or locked at all.
+    /// If the lock file cannot be opened, or locking fails for another reason than a lock of another process.
     pub fn lock(&self) -> io::Result<Option<File>> {
         let file = OpenOptions::new()
             .create(true)
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,12 +1,12 @@
-//! Snapshots of a proxy's endpoint list on disk, from which it warm-starts after a power loss.
+//! Snapshots of a proxy's endpoint list on disk, from which it makes a warm start after a loss of power.
 //!
-//! A snapshot is stored in two generations, two files written in turn ([`SnapshotStore`]): each save writes a temporary
-//! file, syncs it and renames it over the older generation, so that a loss of power at any step leaves one complete
-//! snapshot. All disk access goes through the narrow interface [`SnapshotFiles`], which a test replaces by a disk that
-//! loses power. A thread does the writing ([`SnapshotWriter`]): a disk that hangs delays snapshots, never a session.
+//! [`SnapshotStore`] keeps the last two snapshots, the generations, in two files: each save writes a temporary file,
+//! syncs it and renames it over the older generation, so that a loss of power at any step leaves one complete snapshot.
+//! It uses the disk only through the trait [`SnapshotFiles`], which tests implement by a simulated disk that loses
+//! power. [`SnapshotWriter`] saves on a thread of its own: a disk that hangs delays snapshots, but no session.
 //!
-//! This package only stores and reads snapshots. How far one is trusted at the next start is decided by the package
-//! `asterramp-warm-start`.
+//! This package only stores and reads snapshots. The package `asterramp-warm-start` decides how far the next start
+//! trusts one.
 
 mod error;
 mod files;
--- a/crates/snapshot/src/model.rs
+++ b/crates/snapshot/src/model.rs
@@ -1,7 +1,7 @@
-//! What a snapshot contains.
+//! Contents of a snapshot.
 //!
-//! The serialized names are part of the format on disk and stay as the first release wrote them; the field names here
-//! may change. Serde's error texts name the serialized forms.
+//! The serialized names are part of the format on disk and stay as the first release wrote them; the names in Rust may
+//! differ. Serde's error texts contain the serialized names.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -13,65 +13,68 @@
     /// It accepted new sessions.
     #[default]
     Ready,
-    /// It finished its sessions and accepted no new ones.
+    /// It kept its sessions and accepted no new ones.
     Draining,
 }
 
-/// What the proxy knew of one endpoint. The package exports it as `SavedEndpoint`; serde puts the name it has here into
-/// error texts, which stay as they were.
+/// What the proxy knew of one endpoint; exported as `SavedEndpoint`.
+///
+/// Serde puts the name of this struct into error texts, which must stay as they are. The attribute `expecting` cannot
+/// keep them, because it drops the number of elements from the text for a list in place of an object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Host {
-    /// Identity given by discovery; it outlives a change of address.
+    /// Unique name of the server instance in discovery, which stays the same when its address changes.
     pub uid: String,
-    /// Where it listens.
+    /// The address that it listens on.
     #[serde(rename = "endpoint")]
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Name of its availability zone.
     pub zone: String,
     /// Number of its failure domain within the zone.
     pub cell: u16,
-    /// Ready or draining.
+    /// Its state in discovery's list when the snapshot was made.
     #[serde(rename = "standing")]
     pub state: SavedEndpointState,
-    /// Relative capacity; finite.
+    /// Weight relative to the other endpoints; finite. A greater weight attracts more sessions.
     pub weight: f64,
-    /// When its process started, Unix time in milliseconds; `None` if that was long before the proxy began.
+    /// When its process started, Unix time in milliseconds; `None` if that was long before the proxy started.
     #[serde(rename = "started_ms")]
     pub started_at_ms: Option<u64>,
-    /// When it last reported its load, Unix time in milliseconds; `None` if it never did.
+    /// When its last load report arrived, Unix time in milliseconds; `None` if none has.
     #[serde(rename = "heard_ms")]
     pub last_report_ms: Option<u64>,
-    /// Share of its capacity that one connection took, from its load reports; finite. `None` if not known.
+    /// Share of its capacity that one connection uses, from its load reports; finite. `None` if unknown.
     #[serde(rename = "unit")]
     pub load_per_connection: Option<f64>,
 }
 
-/// Everything that a proxy keeps for its next start.
+/// All that a proxy stores for its next start.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
-    /// The address that the proxy listens at, which distinguishes its snapshots from those of other proxies.
+    /// Listen address of the proxy, which distinguishes its snapshots from those of other proxies.
     pub owner: String,
-    /// Counts snapshots. The higher of two is the newer one, whatever the clock said.
+    /// Sequence number, set by [`SnapshotStore::save`](crate::SnapshotStore::save). Of two snapshots, the one with the
+    /// higher number is newer; the clock is not used, as it may have been set back.
     #[serde(rename = "seq")]
     pub sequence: u64,
     /// When the snapshot was made, Unix time in milliseconds.
     #[serde(rename = "saved_ms")]
     pub saved_at_ms: u64,
-    /// Revision of discovery's endpoint list; 0 before the first.
+    /// Revision of discovery's endpoint list; 0 if none was received.
     #[serde(rename = "rev")]
     pub list_revision: u64,
-    /// When discovery last answered, Unix time in milliseconds; `None` if it never did.
+    /// When discovery's last update arrived, Unix time in milliseconds; `None` if none has.
     #[serde(rename = "told_ms")]
     pub last_discovery_update_ms: Option<u64>,
-    /// The highest term of a leader lease that was seen, the fencing token for commands; 0 before any.
+    /// Highest term of a leader that the proxy has seen, the fencing token of its commands; 0 if none.
     #[serde(rename = "term")]
     pub highest_term: u64,
-    /// Whether this is the last snapshot of a proxy that shut down gracefully.
+    /// Whether the proxy made this snapshot at the end of a graceful shutdown.
     #[serde(rename = "clean")]
     pub clean_shutdown: bool,
-    /// The endpoint list; at most 4,096 entries are read again.
+    /// The endpoint list. A snapshot with more than 4,096 entries is refused when it is read.
     #[serde(rename = "hosts")]
     pub endpoints: Vec<Host>,
 }
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -1,11 +1,11 @@
-//! The two generations of a snapshot, written in turn.
+//! Loads and saves snapshots in two generations, which are replaced in turn.
 //!
 //! | step of a save | on disk if power fails after it |
 //! | --- | --- |
-//! | write the temporary file | both generations as before, and a temporary file that nobody reads |
+//! | write the temporary file | both generations as before, and a temporary file that is never read |
 //! | sync the temporary file | the same |
-//! | rename it over the older generation | both as before, or the new one in place of the older |
-//! | sync the directory | the new one and the one before it |
+//! | rename it over the older generation | both generations as before, or the new one in place of the older |
+//! | sync the directory | the new generation and the one before it |
 
 use crate::error::{FileError, SaveError};
 use crate::files::SnapshotFiles;
@@ -13,9 +13,9 @@
 use crate::model::Snapshot;
 use std::io;
 
-/// The files of the two generations; a slot is an index into them.
+/// The files of the two generations. A slot is an index into this list.
 const GENERATION_FILES: [&str; 2] = ["state.0", "state.1"];
-/// The file that a save writes before it takes the place of the older generation.
+/// The file that a save writes and then renames over the older generation.
 const TEMPORARY_FILE: &str = "state.part";
 /// Sequence number of the first snapshot in a directory.
 const FIRST_SEQUENCE: u64 = 1;
@@ -23,22 +23,22 @@
 /// A file that a load did not use.
 #[derive(Debug)]
 pub struct UnusableFile {
-    /// Its name within the directory.
+    /// Name of the file within the directory.
     pub file: &'static str,
     /// Why it was not used.
     pub error: FileError,
 }
 
-/// What a load found on disk.
+/// Result of loading the generations from disk.
 #[derive(Debug, Default)]
 pub struct LoadedSnapshot {
-    /// The newest complete snapshot; `None` if there is none.
+    /// The newest snapshot that can be used; `None` if there is none.
     pub snapshot: Option<Snapshot>,
-    /// The files that could not be used, in the order of their names. A file that is missing is not among them.
+    /// The files that could not be used, in the order of their names. A missing file is not included.
     pub unusable_files: Vec<UnusableFile>,
 }
 
-/// The newest generation on disk.
+/// Sequence number of a snapshot and the slot that holds it.
 #[derive(Clone, Copy, Debug)]
 struct Generation {
     sequence: u64,
@@ -49,12 +49,13 @@
 #[derive(Debug)]
 pub struct SnapshotStore<S> {
     files: S,
+    /// The newest usable generation on disk; `None` if there is none or nothing has been loaded or saved.
     newest: Option<Generation>,
 }
 
 impl<S: SnapshotFiles> SnapshotStore<S> {
-    /// A store that has not looked at the disk. Without a [`load`](Self::load) first, saves count from 1 and replace
-    /// what is there.
+    /// A store that has not read the disk. Without a call of [`load`](Self::load) first, the sequence numbers of saves
+    /// start at 1, and saves replace existing files.
     pub fn new(files: S) -> SnapshotStore<S> {
         SnapshotStore {
             files,
@@ -62,9 +63,11 @@
         }
     }
 
-    /// Reads both generations; the one with the higher sequence number is the result, and saves count on from it.
+    /// Reads both generations and returns the usable one with the higher sequence number, from which later saves
+    /// continue.
     ///
-    /// With an `owner`, the snapshot of any other owner is refused as foreign: it lists another proxy's endpoints.
+    /// With an `owner`, a snapshot of any other owner is refused, because it lists another proxy's endpoints. Without
+    /// one, snapshots of all owners are accepted.
     pub fn load(&mut self, owner: Option<&str>) -> LoadedSnapshot {
         let mut loaded = LoadedSnapshot::default();
         self.newest = None;
@@ -82,7 +85,7 @@
         loaded
     }
 
-    /// The snapshot in one file; `None` if there is no such file.
+    /// The snapshot in one file; `None` if the file does not exist.
     fn read_generation(
         &mut self,
         file: &str,
@@ -107,13 +110,13 @@
             .is_none_or(|newest| snapshot.sequence > newest.sequence)
     }
 
-    /// Saves a snapshot in place of the older generation and numbers it. Once this returns `Ok`, the snapshot survives a
-    /// loss of power. Returns the number of bytes written.
+    /// Sets the snapshot's sequence number and saves it in place of the older generation. Once this returns `Ok`, the
+    /// snapshot survives a loss of power. Returns the number of bytes written.
     ///
     /// # Errors
     ///
-    /// [`SaveError::TooLong`] before anything is written; [`SaveError::Io`] if a step fails, which leaves at least one
-    /// complete generation if there was one.
+    /// [`SaveError::TooLong`] before anything is written; [`SaveError::Io`] if a step fails; at least one complete
+    /// generation is left if there was one.
     pub fn save(&mut self, snapshot: &mut Snapshot) -> Result<usize, SaveError> {
         let next = self.next_generation();
         snapshot.sequence = next.sequence;
@@ -125,13 +128,14 @@
         self.files.sync(TEMPORARY_FILE)?;
         self.files
             .rename(TEMPORARY_FILE, GENERATION_FILES[next.slot])?;
-        // The older generation may be gone from here on, so the next save replaces the other one.
+        // The older generation may be replaced from here on even if the sync fails, so the next save uses the other
+        // slot.
         self.newest = Some(next);
         self.files.sync_directory()?;
         Ok(bytes.len())
     }
 
-    /// Where the next snapshot goes: the first slot, or the one that does not hold the newest.
+    /// Sequence number and slot of the next snapshot: the slot that does not hold the newest one, at first slot 0.
     fn next_generation(&self) -> Generation {
         match self.newest {
             None => Generation {
@@ -161,7 +165,7 @@
         self.files.sync_directory()
     }
 
-    /// The disk behind the store.
+    /// The disk that the store uses.
     pub fn files_mut(&mut self) -> &mut S {
         &mut self.files
     }
--- a/crates/snapshot/src/writer.rs
+++ b/crates/snapshot/src/writer.rs
@@ -1,7 +1,7 @@
-//! The thread that writes snapshots.
+//! The thread that saves snapshots.
 //!
-//! It writes the newest snapshot that was submitted and drops older ones that it had not begun, so that the caller never
-//! waits for the disk.
+//! It saves the newest snapshot that was submitted and drops older ones that it has not begun to save, so that the
+//! caller never waits for the disk.
 
 use crate::error::WriterError;
 use crate::files::SnapshotDirectory;
@@ -13,67 +13,70 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Name of the thread, as process listings show it.
+/// Name of the thread, which process listings show.
 const THREAD_NAME: &str = "state";
-/// How often the lock of a directory that another process holds is tried.
+/// Time between two attempts to lock a directory that another process has locked.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// How long the last snapshot may take when the writer is closed; a disk that hangs must not keep the process.
+/// Longest time that [`SnapshotWriter::close`] waits for the last snapshot, so that a disk that hangs does not keep the
+/// process from exiting.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What became of a submitted snapshot, or of the directory's lock.
+/// Result of saving a snapshot, or a change of the directory's lock.
 #[derive(Debug)]
 pub enum WriterEvent {
-    /// A snapshot is durable.
+    /// A snapshot was saved and is durable.
     Saved {
         /// Its sequence number.
         sequence: u64,
-        /// Its length in bytes.
+        /// Length of its file in bytes.
         bytes: usize,
         /// How long the save took.
         duration: Duration,
     },
-    /// A snapshot could not be saved, or none can be because the directory cannot be locked.
+    /// A snapshot could not be saved, or the directory cannot be locked, so that none will be saved.
     Failed(WriterError),
-    /// Another process holds the directory; nothing is written until it releases it.
+    /// Another process holds the directory's lock. No snapshot is saved until it releases the lock.
     DirectoryLocked,
-    /// The other process has released the directory, and this one writes from now on.
+    /// The other process has released the lock, and this one saves snapshots from now on.
     DirectoryAcquired,
 }
 
-/// What the writer thread and its owner share.
+/// State that the writer thread shares with its handle.
 #[derive(Debug, Default)]
 struct WriterState {
-    /// The newest snapshot that is not being written yet.
+    /// The newest submitted snapshot, until the thread begins to save it.
     pending: Option<Snapshot>,
-    /// Outcomes that were not collected yet, in order.
-    outcomes: Vec<WriterEvent>,
-    /// No more snapshots will come.
+    /// Events that were not taken yet, in order.
+    events: Vec<WriterEvent>,
+    /// Whether the writer is being closed, so that no more snapshots will be submitted.
     closing: bool,
-    /// The thread does nothing more.
+    /// Whether the thread has saved its last snapshot and released the lock.
     finished: bool,
 }
 
 #[derive(Debug, Default)]
 struct Shared {
     state: Mutex<WriterState>,
+    /// Notified when a snapshot is submitted, the writer is closed, or the thread has finished.
     changed: Condvar,
 }
 
 impl Shared {
-    /// The state. A thread that panicked leaves it usable: every change to it is a single assignment.
-    fn state(&self) -> MutexGuard<'_, WriterState> {
+    /// Locks the state. It is consistent even if a thread has panicked with the lock held, because every change to it
+    /// is a single operation.
+    fn lock_state(&self) -> MutexGuard<'_, WriterState> {
         self.state
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn report(&self, outcome: WriterEvent) {
-        self.state().outcomes.push(outcome);
+    fn report(&self, event: WriterEvent) {
+        self.lock_state().events.push(event);
     }
 
     /// Waits for the next snapshot; `None` once the writer is closed and nothing is pending.
     fn next_pending(&self) -> Option<Snapshot> {
-        let mut state = self.state();
+        let mut state = self.lock_state();
         loop {
             if let Some(snapshot) = state.pending.take() {
                 return Some(snapshot);
@@ -88,9 +91,10 @@
         }
     }
 
-    /// Lets the thread end after the pending snapshot. Returns the outcomes, and whether it ended before `deadline`.
+    /// Makes the thread end after the pending snapshot, and waits until `deadline` for its end. Returns the events that
+    /// were not taken, and whether the thread has finished.
     fn close(&self, deadline: Instant) -> (Vec<WriterEvent>, bool) {
-        let mut state = self.state();
+        let mut state = self.lock_state();
         state.closing = true;
         self.changed.notify_all();
         while !state.finished && Instant::now() < deadline {
@@ -100,12 +104,12 @@
                 Err(poisoned) => poisoned.into_inner().0,
             };
         }
-        (std::mem::take(&mut state.outcomes), state.finished)
+        (std::mem::take(&mut state.events), state.finished)
     }
 }
 
-/// Handle of the thread that writes snapshots. A handle that is dropped without [`close`](Self::close) leaves the thread
-/// waiting until the process ends.
+/// Handle of the thread that saves snapshots. If it is dropped without a call of [`close`](Self::close), the thread
+/// waits until the process ends.
 #[derive(Debug)]
 pub struct SnapshotWriter {
     shared: Arc<Shared>,
@@ -113,7 +117,8 @@
 }
 
 impl SnapshotWriter {
-    /// Starts a thread that writes the snapshots of `owner` to `directory`, once no other process holds the directory's lock.
+    /// Starts a thread that saves the snapshots of the proxy `owner` in `directory`, once no other process holds the
+    /// directory's lock.
     ///
     /// # Errors
     ///
@@ -127,58 +132,61 @@
         Ok(SnapshotWriter { shared, thread })
     }
 
-    /// Submits a snapshot in place of one whose writing has not begun. Never waits for the disk.
+    /// Submits a snapshot, which replaces a submitted one that the thread has not begun to save. Never waits for the
+    /// disk.
     pub fn submit(&self, snapshot: Snapshot) {
-        self.shared.state().pending = Some(snapshot);
+        self.shared.lock_state().pending = Some(snapshot);
         self.shared.changed.notify_all();
     }
 
-    /// Takes the outcomes since the last call, in order.
+    /// Takes the events since the last call, in order.
     pub fn take_events(&self) -> Vec<WriterEvent> {
-        std::mem::take(&mut self.shared.state().outcomes)
+        std::mem::take(&mut self.shared.lock_state().events)
     }
 
-    /// Waits at most one second for the last snapshot and ends the thread. Returns the remaining outcomes, in order.
+    /// Ends the thread after the pending snapshot, and waits for it at most one second. Returns the remaining events,
+    /// in order.
     pub fn close(self) -> Vec<WriterEvent> {
-        let (outcomes, finished) = self.shared.close(Instant::now() + CLOSE_TIMEOUT);
+        let (events, finished) = self.shared.close(Instant::now() + CLOSE_TIMEOUT);
         if finished {
-            // A panic of the thread has been printed already and must not stop the shutdown.
+            // The panic hook has printed a panic of the thread already, and it must not stop the shutdown.
             let _ = self.thread.join();
         }
-        outcomes
+        events
     }
 }
 
-/// The writer thread.
+/// Body of the writer thread.
 fn run(shared: &Shared, directory: &SnapshotDirectory, owner: &str) {
     if let Some(lock) = acquire_lock(shared, directory) {
-        write_pending(shared, directory, owner);
+        save_submitted(shared, directory, owner);
         drop(lock);
     }
-    shared.state().finished = true;
+    shared.lock_state().finished = true;
     shared.changed.notify_all();
 }
 
-/// Writes snapshots as they are submitted, until the writer is closed.
-fn write_pending(shared: &Shared, directory: &SnapshotDirectory, owner: &str) {
+/// Saves snapshots as they are submitted, until the writer is closed.
+fn save_submitted(shared: &Shared, directory: &SnapshotDirectory, owner: &str) {
     let mut store = SnapshotStore::new(directory.clone());
-    // Another process may have written while it held the lock; saves count on from its newest snapshot.
+    // Another process may have saved snapshots while it held the lock, so sequence numbers continue from what is on
+    // disk.
     store.load(Some(owner));
     while let Some(mut snapshot) = shared.next_pending() {
-        let began = Instant::now();
-        let outcome = match store.save(&mut snapshot) {
+        let started_at = Instant::now();
+        let event = match store.save(&mut snapshot) {
             Ok(bytes) => WriterEvent::Saved {
                 sequence: snapshot.sequence,
                 bytes,
-                duration: began.elapsed(),
+                duration: started_at.elapsed(),
             },
             Err(error) => WriterEvent::Failed(error.into()),
         };
-        shared.report(outcome);
+        shared.report(event);
     }
 }
 
-/// Waits for the directory's lock; `None` if the writer is closed first, or the lock cannot be had at all.
+/// Waits for the directory's lock; `None` if the writer is closed first, or locking fails.
 fn acquire_lock(shared: &Shared, directory: &SnapshotDirectory) -> Option<File> {
     let mut was_locked = false;
     loop {
@@ -199,7 +207,7 @@
                 return None;
             }
         }
-        if shared.state().closing {
+        if shared.lock_state().closing {
             return None;
         }
         std::thread::sleep(LOCK_RETRY_INTERVAL);
--- a/crates/snapshot/tests/snapshot/decoding.rs
+++ b/crates/snapshot/tests/snapshot/decoding.rs
@@ -1,4 +1,4 @@
-//! What is read from files that are damaged, of another version or of another proxy.
+//! Loading of files that are damaged, of another version or of another proxy.
 
 use crate::OWNER;
 use crate::simulated_disk::{Disk, snapshot};
@@ -11,25 +11,25 @@
     bytes
 }
 
-fn with_first_line(from: &str, to: &str) -> Vec<u8> {
+fn with_replaced(original: &str, replacement: &str) -> Vec<u8> {
     let bytes = encode(&snapshot(2));
     let text = String::from_utf8(bytes).unwrap();
-    text.replacen(from, to, 1).into_bytes()
+    text.replacen(original, replacement, 1).into_bytes()
 }
 
 #[test_case(Vec::new(), "empty"; "nothing")]
 #[test_case(b"{}".to_vec(), "first line"; "no first line")]
-#[test_case(b"another v=1 len=0 crc=0\n".to_vec(), "first line"; "another program's")]
-#[test_case(vec![0xff; 200], "first line"; "no text")]
-#[test_case(altered(|b| b.truncate(b.len() - 1)), "bytes of"; "a byte short")]
-#[test_case(altered(|b| b.push(b'x')), "bytes of"; "a byte more")]
-#[test_case(altered(|b| { let n = b.len(); b[n / 2] ^= 1 }), "checksum is wrong"; "a bit flipped")]
-#[test_case(altered(|b| { let n = b.len(); b[n / 2..].fill(0) }), "checksum is wrong"; "half of it zeros")]
-#[test_case(with_first_line("v=1", "v=2"), "version 2, newer"; "a newer version")]
-#[test_case(with_first_line("v=1", "v=0"), "version 0, older"; "an older version")]
-#[test_case(with_first_line("v=1", "v=x"), "version cannot"; "no version")]
-#[test_case(with_first_line("len=", "len=-"), "length cannot"; "no length")]
-#[test_case(with_first_line("crc=", "crc=z"), "checksum cannot"; "no checksum")]
+#[test_case(b"another v=1 len=0 crc=0\n".to_vec(), "first line"; "a file of another program")]
+#[test_case(vec![0xff; 200], "first line"; "not UTF-8")]
+#[test_case(altered(|bytes| bytes.truncate(bytes.len() - 1)), "bytes of"; "a byte short")]
+#[test_case(altered(|bytes| bytes.push(b'x')), "bytes of"; "a byte more")]
+#[test_case(altered(|bytes| { let middle = bytes.len() / 2; bytes[middle] ^= 1 }), "checksum is wrong"; "a bit flipped")]
+#[test_case(altered(|bytes| { let middle = bytes.len() / 2; bytes[middle..].fill(0) }), "checksum is wrong"; "the second half zeros")]
+#[test_case(with_replaced("v=1", "v=2"), "version 2, newer"; "a newer version")]
+#[test_case(with_replaced("v=1", "v=0"), "version 0, older"; "an older version")]
+#[test_case(with_replaced("v=1", "v=x"), "version cannot"; "version not a number")]
+#[test_case(with_replaced("len=", "len=-"), "length cannot"; "length not a number")]
+#[test_case(with_replaced("crc=", "crc=z"), "checksum cannot"; "checksum not hexadecimal")]
 fn a_damaged_file_is_refused_with_its_reason_and_the_other_generation_is_used(
     bytes: Vec<u8>,
     reason: &str,
@@ -52,18 +52,21 @@
     );
     let loaded = SnapshotStore::new(disk).load(Some(OWNER));
     assert_eq!(loaded.unusable_files.len(), 1);
-    assert_eq!(loaded.snapshot.map(|s| s.list_revision), Some(1));
+    assert_eq!(
+        loaded.snapshot.map(|snapshot| snapshot.list_revision),
+        Some(1)
+    );
 }
 
 #[test]
 fn every_prefix_of_a_snapshot_is_refused() {
     let bytes = encode(&snapshot(2));
-    assert!((0..bytes.len()).all(|n| decode(&bytes[..n]).is_err()));
+    assert!((0..bytes.len()).all(|len| decode(&bytes[..len]).is_err()));
     assert_eq!(decode(&bytes).unwrap(), snapshot(2));
 }
 
 #[test]
-fn the_higher_sequence_number_is_the_newer_whatever_the_clock_says() {
+fn the_higher_sequence_number_is_newer_even_if_the_clock_was_set_back() {
     let mut disk = Disk::default();
     disk.put(
         "state.0",
@@ -82,11 +85,14 @@
         }),
     );
     let loaded = SnapshotStore::new(disk).load(None);
-    assert_eq!(loaded.snapshot.map(|s| s.list_revision), Some(9));
+    assert_eq!(
+        loaded.snapshot.map(|snapshot| snapshot.list_revision),
+        Some(9)
+    );
 }
 
 #[test]
-fn another_proxys_snapshot_is_foreign_and_a_file_that_is_too_long_is_not_read() {
+fn a_snapshot_of_another_proxy_and_a_file_that_is_too_long_are_refused() {
     let mut disk = Disk::default();
     disk.put("state.0", &encode(&snapshot(1)));
     disk.put("state.1", &vec![b'x'; MAX_FILE_BYTES + 1]);
@@ -95,7 +101,7 @@
     let reasons: Vec<String> = loaded
         .unusable_files
         .iter()
-        .map(|problem| problem.error.to_string())
+        .map(|unusable| unusable.error.to_string())
         .collect();
     assert!(
         reasons[0].contains("foreign") && reasons[1].contains("long"),
--- a/crates/snapshot/tests/snapshot/main.rs
+++ b/crates/snapshot/tests/snapshot/main.rs
@@ -1,9 +1,9 @@
-//! Reading of damaged files, the two generations on a disk that loses power, and the system's directory, lock and thread.
+//! Tests of decoding, of saving on a simulated disk that loses power, and of the writer thread on the file system.
 
 mod decoding;
 mod power_loss;
 mod simulated_disk;
 mod writer;
 
-/// The owner of the snapshots in these tests.
+/// Owner of the snapshots in these tests.
 const OWNER: &str = "127.0.0.1:7000";
--- a/crates/snapshot/tests/snapshot/power_loss.rs
+++ b/crates/snapshot/tests/snapshot/power_loss.rs
@@ -1,21 +1,22 @@
-//! Power fails at every step of a save, with every outcome that POSIX allows for what was not synced. What is read
-//! afterwards is the snapshot before or the new one, complete, and the new one once the save has returned.
+//! Simulates a loss of power at every step of a save, with every outcome that POSIX allows for unsynced data. A load
+//! must then return the previous snapshot or the new one, complete, and the new one if the save had returned.
 
 use crate::simulated_disk::{Disk, UNSYNCED_OUTCOMES, snapshot};
 use asterramp_snapshot::SnapshotStore;
 use test_case::test_case;
 
 /// Disk operations of one save.
-const STEPS_OF_A_SAVE: usize = 4;
+const STEPS_PER_SAVE: usize = 4;
 
-/// All disks that may be left after power failed at `steps` of a save, and whether the save had returned.
+/// Whether the save returned although power fails after `steps` disk operations, and all disks that may be left.
 fn disks_after_power_loss(disk: &Disk, list_revision: u64, steps: usize) -> (bool, Vec<Disk>) {
-    let mut store = SnapshotStore::new(disk.that_stops(steps));
+    let mut store = SnapshotStore::new(disk.with_power_for(steps));
     store.load(None);
     let saved = store.save(&mut snapshot(list_revision)).is_ok();
-    let stopped = store.files_mut().clone();
-    let disks = (0..1 << stopped.pending_changes())
-        .flat_map(|kept| UNSYNCED_OUTCOMES.map(|outcome| stopped.after_power_loss(kept, outcome)));
+    let failed_disk = store.files_mut().clone();
+    let disks = (0..1 << failed_disk.pending_changes()).flat_map(|kept| {
+        UNSYNCED_OUTCOMES.map(|outcome| failed_disk.after_power_loss(kept, outcome))
+    });
     (saved, disks.collect())
 }
 
@@ -24,66 +25,70 @@
     loaded.snapshot.map(|snapshot| snapshot.list_revision)
 }
 
-/// What was read after power was lost, and may not be.
+/// A revision that must not be loaded after a loss of power.
 #[derive(Debug)]
-#[allow(dead_code)] // Shown by a failing test.
+#[allow(dead_code)] // The fields are printed when a test fails.
 struct WrongRevision {
     /// Disk operations until power was lost.
     steps: usize,
-    saved: u64,
+    /// Revision whose save was interrupted.
+    saving: u64,
+    /// Revision on disk before.
     before: Option<u64>,
-    found: Option<u64>,
+    /// Revision that was loaded.
+    loaded: Option<u64>,
 }
 
-/// Saves revisions 1, 2, 3 ... one after the other, each stopped at every step; the next save starts from what is left.
-/// Returns how many disks were read, or what is wrong.
+/// Saves the revision after `before`, with a loss of power at every step, and checks every disk that may be left. Then
+/// does the same for the next revision on each of these disks, for `saves` revisions in total. Returns the number of
+/// disks checked.
 fn explore(disk: &Disk, before: Option<u64>, saves: u64) -> Result<usize, WrongRevision> {
-    let mut disks_read = 0;
+    let mut disks_checked = 0;
     let next = before.unwrap_or(0) + 1;
-    for steps in 0..=STEPS_OF_A_SAVE {
+    for steps in 0..=STEPS_PER_SAVE {
         let (saved, disks) = disks_after_power_loss(disk, next, steps);
-        for left in disks {
-            disks_read += 1;
-            let found = list_revision(&left);
-            if found != Some(next) && (saved || found != before) {
+        for disk_left in disks {
+            disks_checked += 1;
+            let loaded = list_revision(&disk_left);
+            if loaded != Some(next) && (saved || loaded != before) {
                 return Err(WrongRevision {
                     steps,
-                    saved: next,
+                    saving: next,
                     before,
-                    found,
+                    loaded,
                 });
             }
             if saves > 1 {
-                disks_read += explore(&left, found, saves - 1)?;
+                disks_checked += explore(&disk_left, loaded, saves - 1)?;
             }
         }
     }
-    Ok(disks_read)
+    Ok(disks_checked)
 }
 
 #[test]
-fn a_save_is_complete_or_absent_also_when_power_fails_again() {
-    let disks_read = explore(&Disk::default(), None, 3).unwrap();
-    assert!(disks_read > 10_000, "{disks_read} disks were read");
+fn a_save_is_complete_or_absent_even_after_repeated_power_losses() {
+    let disks_checked = explore(&Disk::default(), None, 3).unwrap();
+    assert!(disks_checked > 10_000, "{disks_checked} disks were checked");
 }
 
 #[test_case(&["sync"]; "the temporary file is not synced")]
 #[test_case(&["sync_directory"]; "the directory is not synced")]
-#[test_case(&["rename"]; "nothing replaces the older generation")]
-fn a_step_left_out_is_found(skipped_steps: &'static [&'static str]) {
+#[test_case(&["rename"]; "the temporary file is not renamed")]
+fn a_skipped_step_is_detected(skipped_steps: &'static [&'static str]) {
     let mut disk = Disk::default();
     disk.skipped_steps = skipped_steps;
     assert!(explore(&disk, None, 2).is_err());
 }
 
 #[test]
-fn without_the_second_generation_a_bad_block_loses_everything() {
+fn the_other_generation_is_loaded_if_the_newest_is_damaged() {
     let mut store = SnapshotStore::new(Disk::default());
     store.save(&mut snapshot(1)).unwrap();
     store.save(&mut snapshot(2)).unwrap();
     let mut disk = store.files_mut().clone();
-    disk.put("state.1", b"rubbish");
+    disk.put("state.1", b"damaged");
     assert_eq!(list_revision(&disk), Some(1));
-    disk.put("state.0", b"rubbish");
+    disk.put("state.0", b"damaged");
     assert_eq!(list_revision(&disk), None);
 }
--- a/crates/snapshot/tests/snapshot/simulated_disk.rs
+++ b/crates/snapshot/tests/snapshot/simulated_disk.rs
@@ -1,15 +1,19 @@
-//! A disk in memory that loses power, and snapshots to write to it.
+//! A simulated disk that loses power, and snapshots to save on it.
 
 use asterramp_snapshot::{SavedEndpoint, SavedEndpointState, Snapshot, SnapshotFiles};
 use std::collections::BTreeMap;
 use std::io;
 
-/// What a file's bytes may be after a loss of power, if they were not synced.
+/// Contents of a file after a loss of power if its bytes were not synced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UnsyncedOutcome {
+    /// All bytes as written.
     Complete,
+    /// The first half of the bytes.
     Half,
+    /// No bytes.
     Empty,
+    /// Zeros in the length of the bytes.
     Zeros,
 }
 
@@ -51,32 +55,34 @@
     Remove(String),
 }
 
+/// A disk with one directory.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Disk {
     inodes: Vec<Inode>,
-    /// As processes see it, and as it is on disk.
+    /// Inode of each file name, as running processes see the directory.
     names: BTreeMap<String, usize>,
+    /// The same as after a loss of power without any of the pending changes.
     durable_names: BTreeMap<String, usize>,
     pending: Vec<DirectoryChange>,
-    /// Steps until power fails; `None` for never.
+    /// Number of steps after which power fails; `None` for never.
     steps_until_power_loss: Option<usize>,
     steps_taken: usize,
-    /// Steps that are left out, to see that the test would find it.
+    /// Names of steps that are skipped, to check that the test detects it.
     pub(crate) skipped_steps: &'static [&'static str],
 }
 
 impl Disk {
-    /// Counts a step; whether it is to be done.
-    fn step(&mut self, name: &'static str) -> io::Result<bool> {
+    /// Counts a step and returns whether to carry it out.
+    fn count_step(&mut self, name: &'static str) -> io::Result<bool> {
         if self.steps_until_power_loss == Some(self.steps_taken) {
-            return Err(io::Error::other("the power is gone"));
+            return Err(io::Error::other("power was lost"));
         }
         self.steps_taken += 1;
         Ok(!self.skipped_steps.contains(&name))
     }
 
-    /// The same disk, losing its power after so many further steps.
-    pub(crate) fn that_stops(&self, steps: usize) -> Disk {
+    /// The same disk, which loses power after `steps` further steps.
+    pub(crate) fn with_power_for(&self, steps: usize) -> Disk {
         Disk {
             steps_until_power_loss: Some(steps),
             steps_taken: 0,
@@ -84,17 +90,17 @@
         }
     }
 
-    /// How many changes of the directory are not durable.
+    /// Number of changes of the directory that are not durable.
     pub(crate) fn pending_changes(&self) -> usize {
         self.pending.len()
     }
 
-    /// The disk as it may be after a loss of power: of the changes that were not synced, those in `kept` (a bit each);
-    /// of bytes that were not, what `outcome` says.
+    /// The disk as it may be after a loss of power. Of the pending changes of the directory, those whose bit is set in
+    /// `kept` are applied; unsynced bytes become what `outcome` says.
     pub(crate) fn after_power_loss(&self, kept: usize, outcome: UnsyncedOutcome) -> Disk {
         let mut names = self.durable_names.clone();
-        for (nth, change) in self.pending.iter().enumerate() {
-            if kept & (1 << nth) == 0 {
+        for (index, change) in self.pending.iter().enumerate() {
+            if kept & (1 << index) == 0 {
                 continue;
             }
             match change {
@@ -123,7 +129,7 @@
         }
     }
 
-    /// A file that is durable from the start.
+    /// Adds a file that is durable.
     pub(crate) fn put(&mut self, name: &str, bytes: &[u8]) {
         let inode = self.add_inode(Inode {
             bytes: bytes.to_vec(),
@@ -156,7 +162,7 @@
     }
 
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        if self.step("write")? {
+        if self.count_step("write")? {
             // Truncating a file that exists changes its bytes, not the directory.
             let inode = match self.inode_of(name) {
                 Ok(inode) => inode,
@@ -177,7 +183,7 @@
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        if self.step("sync")? {
+        if self.count_step("sync")? {
             let inode = self.inode_of(name)?;
             self.inodes[inode].synced = true;
         }
@@ -185,7 +191,7 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        if self.step("rename")? {
+        if self.count_step("rename")? {
             let inode = self.inode_of(from)?;
             self.names.remove(from);
             self.names.insert(to.into(), inode);
@@ -196,7 +202,7 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        if self.step("remove")? {
+        if self.count_step("remove")? {
             self.inode_of(name)?;
             self.names.remove(name);
             self.pending.push(DirectoryChange::Remove(name.into()));
@@ -205,7 +211,7 @@
     }
 
     fn sync_directory(&mut self) -> io::Result<()> {
-        if self.step("sync_directory")? {
+        if self.count_step("sync_directory")? {
             self.durable_names = self.names.clone();
             self.pending.clear();
         }
@@ -213,16 +219,16 @@
     }
 }
 
-/// A snapshot with something in each field, identified by its list revision.
+/// A snapshot with three endpoints, identified by its list revision.
 pub(crate) fn snapshot(list_revision: u64) -> Snapshot {
-    let endpoint = |n: u64| SavedEndpoint {
-        uid: format!("s-{n}"),
-        address: std::net::SocketAddr::from(([127, 0, 0, 1], 4000 + n as u16)),
+    let endpoint = |number: u64| SavedEndpoint {
+        uid: format!("s-{number}"),
+        address: std::net::SocketAddr::from(([127, 0, 0, 1], 4000 + number as u16)),
         zone: "a".into(),
         cell: 1,
         state: SavedEndpointState::Ready,
         weight: 1.0,
-        started_at_ms: Some(1_000 + n),
+        started_at_ms: Some(1_000 + number),
         last_report_ms: None,
         load_per_connection: Some(0.03),
     };
--- a/crates/snapshot/tests/snapshot/writer.rs
+++ b/crates/snapshot/tests/snapshot/writer.rs
@@ -1,4 +1,4 @@
-//! The writer thread, the lock and the directory, on the system's file system.
+//! The writer thread, the lock and the directory, on a file system of the machine.
 
 use crate::OWNER;
 use crate::simulated_disk::snapshot;
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// How long anything here may take.
+/// Longest time that a test waits for a condition.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The path of a directory that does not exist yet.
@@ -17,16 +17,19 @@
     path
 }
 
-fn wait_until(mut done: impl FnMut() -> bool) {
+fn wait_until(mut is_done: impl FnMut() -> bool) {
     let deadline = Instant::now() + TIMEOUT;
-    while !done() {
-        assert!(Instant::now() < deadline, "it took over 10 s");
+    while !is_done() {
+        assert!(
+            Instant::now() < deadline,
+            "the condition was not met within 10 s"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[test]
-fn a_second_process_writes_once_the_first_has_released_the_directory() {
+fn a_second_writer_saves_once_the_first_has_released_the_directory() {
     let path = directory("two");
     let open = || SnapshotDirectory::open(&path).unwrap();
     let first = SnapshotWriter::start(open(), OWNER.into()).unwrap();
@@ -38,12 +41,12 @@
             .is_some()
     });
     let second = SnapshotWriter::start(open(), OWNER.into()).unwrap();
-    let mut outcomes = Vec::new();
+    let mut events = Vec::new();
     wait_until(|| {
-        outcomes.extend(second.take_events());
-        outcomes
+        events.extend(second.take_events());
+        events
             .iter()
-            .any(|outcome| matches!(outcome, WriterEvent::DirectoryLocked))
+            .any(|event| matches!(event, WriterEvent::DirectoryLocked))
     });
     second.submit(snapshot(2));
     first.submit(snapshot(3));
@@ -52,41 +55,44 @@
         Some(WriterEvent::Saved { sequence: 2, .. })
     ));
     wait_until(|| {
-        outcomes.extend(second.take_events());
-        outcomes
+        events.extend(second.take_events());
+        events
             .iter()
-            .any(|outcome| matches!(outcome, WriterEvent::Saved { sequence: 3, .. }))
+            .any(|event| matches!(event, WriterEvent::Saved { sequence: 3, .. }))
     });
     assert!(
-        outcomes
+        events
             .iter()
-            .any(|outcome| matches!(outcome, WriterEvent::DirectoryAcquired))
+            .any(|event| matches!(event, WriterEvent::DirectoryAcquired))
     );
     second.close();
     let loaded = SnapshotStore::new(open()).load(Some(OWNER));
-    assert_eq!(loaded.snapshot.map(|s| s.list_revision), Some(2));
+    assert_eq!(
+        loaded.snapshot.map(|snapshot| snapshot.list_revision),
+        Some(2)
+    );
     std::fs::remove_dir_all(path).unwrap();
 }
 
 #[test]
-fn a_disk_that_cannot_be_written_is_reported_and_delays_nobody() {
+fn a_failed_save_is_reported_and_does_not_delay_the_caller() {
     let path = directory("bad");
-    let opened = SnapshotDirectory::open(&path).unwrap();
-    let writer = SnapshotWriter::start(opened, OWNER.into()).unwrap();
-    // A directory in place of the temporary file, which no user may write to as a file.
+    let snapshot_directory = SnapshotDirectory::open(&path).unwrap();
+    let writer = SnapshotWriter::start(snapshot_directory, OWNER.into()).unwrap();
+    // A directory in place of the temporary file: no user, not even root, can open it for writing.
     std::fs::create_dir(path.join("state.part")).unwrap();
     writer.submit(snapshot(1));
-    let outcomes = writer.close();
+    let events = writer.close();
     assert!(
-        matches!(outcomes.last(), Some(WriterEvent::Failed(_))),
-        "{outcomes:?}"
+        matches!(events.last(), Some(WriterEvent::Failed(_))),
+        "{events:?}"
     );
     std::fs::remove_dir_all(path).unwrap();
     assert!(SnapshotDirectory::open(&directory("none").join("deeper")).is_err());
 }
 
 #[test]
-fn what_is_not_a_file_is_reported_and_clear_removes_everything() {
+fn a_directory_in_place_of_a_generation_is_reported_and_clear_removes_all_files() {
     let path = directory("odd");
     let mut store = SnapshotStore::new(SnapshotDirectory::open(&path).unwrap());
     store.save(&mut snapshot(1)).unwrap();
@@ -97,7 +103,7 @@
     assert_eq!(
         (
             loaded.unusable_files.len(),
-            loaded.snapshot.map(|s| s.list_revision)
+            loaded.snapshot.map(|snapshot| snapshot.list_revision)
         ),
         (1, Some(2))
     );
