--- a/crates/admin-protocol/src/client.rs
+++ b/crates/admin-protocol/src/client.rs
@@ -1,4 +1,4 @@
-//! The client's side of the admin socket.
+//! Client of the admin socket.
 
 use crate::{AdminReply, AdminRequest, MAX_REPLY_BYTES, ProxyStatus};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -6,48 +6,49 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Longest time that sending a request or waiting for its reply may take. A proxy answers within one turn of its event loop,
+/// Longest time that a single read or write on the socket may block. A proxy replies within one turn of its event loop,
 /// so one that takes longer hangs.
-const TIMEOUT: Duration = Duration::from_secs(3);
+const IO_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A connection to a proxy's admin socket.
 #[derive(Debug)]
 pub struct AdminClient {
     stream: BufReader<UnixStream>,
+    /// Path of the socket, for errors.
     path: PathBuf,
 }
 
-/// Why a request got no status. Each names the socket's path.
+/// Why a request returned no status. All texts begin with the socket's path.
 #[derive(Debug, thiserror::Error)]
 pub enum AdminClientError {
-    /// The socket could not be connected to, written or read, or a time limit passed.
+    /// Connecting, writing or reading failed or timed out.
     #[error("{}: {source}", path.display())]
     Io {
-        /// The socket.
+        /// Path of the socket.
         path: PathBuf,
-        /// What failed.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The reply is not JSON of a reply's fields, or there was none.
+    /// The reply is not a JSON object with a reply's fields, or the proxy closed the connection without one.
     #[error("{}: {source}", path.display())]
     MalformedReply {
-        /// The socket.
+        /// Path of the socket.
         path: PathBuf,
-        /// What is wrong with the reply.
+        /// What the JSON parser found.
         source: serde_json::Error,
     },
     /// The proxy rejected the request.
     #[error("{}: {message}", path.display())]
     Rejected {
-        /// The socket.
+        /// Path of the socket.
         path: PathBuf,
-        /// Why.
+        /// The proxy's reason.
         message: String,
     },
     /// The reply has neither a status nor an error.
     #[error("{}: an empty answer", path.display())]
     EmptyReply {
-        /// The socket.
+        /// Path of the socket.
         path: PathBuf,
     },
 }
@@ -57,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// [`AdminClientError::Io`] if nobody listens there.
+    /// [`AdminClientError::Io`] if no process accepts connections there.
     pub fn connect(path: &Path) -> Result<AdminClient, AdminClientError> {
         let stream = open(path).map_err(|source| AdminClientError::Io {
             path: path.to_path_buf(),
@@ -69,13 +70,13 @@
         })
     }
 
-    /// Sends a request and waits for the status in its reply, 3 s at most.
+    /// Sends a request and waits for its reply, at most 3 s. Returns the status in the reply.
     ///
     /// # Errors
     ///
     /// See [`AdminClientError`].
     pub fn send(&mut self, request: &AdminRequest) -> Result<ProxyStatus, AdminClientError> {
-        let line = self.exchange(request)?;
+        let line = self.exchange_lines(request)?;
         let reply: AdminReply =
             serde_json::from_str(&line).map_err(|source| AdminClientError::MalformedReply {
                 path: self.path.clone(),
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Writes a request's line and reads its reply's, which is cut at [`MAX_REPLY_BYTES`].
-    fn exchange(&mut self, request: &AdminRequest) -> Result<String, AdminClientError> {
+    /// Writes a request as a line and reads the line of its reply, truncated to [`MAX_REPLY_BYTES`].
+    fn exchange_lines(&mut self, request: &AdminRequest) -> Result<String, AdminClientError> {
         let stream = &mut self.stream;
         let result = write_line(stream.get_mut(), request).and_then(|()| read_line(stream));
         result.map_err(|source| AdminClientError::Io {
@@ -106,8 +107,8 @@
 
 fn open(path: &Path) -> io::Result<UnixStream> {
     let stream = UnixStream::connect(path)?;
-    stream.set_read_timeout(Some(TIMEOUT))?;
-    stream.set_write_timeout(Some(TIMEOUT))?;
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
+    stream.set_write_timeout(Some(IO_TIMEOUT))?;
     Ok(stream)
 }
 
--- a/crates/admin-protocol/src/command.rs
+++ b/crates/admin-protocol/src/command.rs
@@ -1,33 +1,33 @@
-//! The commands, and which of them are also HTTP calls.
+//! The commands of the admin socket, and the HTTP routes for some of them.
 
 use serde::{Deserialize, Serialize};
 
-/// What a request asks a proxy to do.
+/// Command to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AdminCommand {
     /// Report the proxy's [`ProxyStatus`](crate::ProxyStatus).
     Status,
-    /// Start a drain, or change the deadline and pace of the drain in progress.
+    /// Start a drain, or change the deadline and rate of the drain in progress.
     Drain,
-    /// Stop the drain and take new sessions again.
+    /// Cancel the drain, and accept new sessions again.
     Undrain,
-    /// Record the term of a new leader, so that orders of earlier leaders are rejected. Needs a
+    /// Record the term of a new leader, so that commands of earlier leaders are rejected. Needs a
     /// [`LeaderToken`](crate::LeaderToken).
     #[serde(rename = "hear")]
     AnnounceTerm,
     /// Shut down gracefully, as on SIGTERM. Needs a [`LeaderToken`](crate::LeaderToken).
     #[serde(rename = "leave")]
     Shutdown,
-    /// Succeed only if the proxy takes new sessions.
+    /// Report whether the proxy accepts new sessions.
     #[serde(rename = "ready")]
     Readiness,
-    /// Report the metrics as text for scrapers.
+    /// Report the metrics in the text format for scrapers.
     Stats,
 }
 
 impl AdminCommand {
-    /// The command's name in the log line of a rejected leader's order.
+    /// The command's name in the log line about a rejected command of a leader.
     pub fn log_name(self) -> &'static str {
         match self {
             AdminCommand::Status => "Status",
@@ -41,18 +41,18 @@
     }
 }
 
-/// An HTTP call and the command that it stands for.
+/// An HTTP method and path, and the command that a call of them runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpRoute {
-    /// The only method that the path allows.
+    /// The only method that is allowed for the path.
     pub method: &'static str,
-    /// The path, without a query.
+    /// Path of the request, without a query.
     pub path: &'static str,
-    /// What the call does.
+    /// The command that the call runs.
     pub command: AdminCommand,
 }
 
-/// All HTTP calls of operators.
+/// All HTTP routes for operators.
 pub const HTTP_ROUTES: &[HttpRoute] = &[
     HttpRoute {
         method: "GET",
--- a/crates/admin-protocol/src/lib.rs
+++ b/crates/admin-protocol/src/lib.rs
@@ -1,10 +1,10 @@
-//! The admin protocol: how operators and their tools talk to a running proxy.
+//! The admin protocol, by which operators and their tools control a running proxy.
 //!
 //! A client connects to the proxy's Unix socket and sends [`AdminRequest`]s, JSON objects of one line each; the proxy
-//! answers each with one [`AdminReply`], also one line. Both carry [`PROTOCOL_VERSION`]. Four of the commands are also
-//! available as HTTP calls, listed in [`HTTP_ROUTES`].
+//! sends one [`AdminReply`] for each, also one line. Both contain [`PROTOCOL_VERSION`]. Four of the commands are also
+//! available over HTTP; see [`HTTP_ROUTES`].
 //!
-//! [`AdminClient`] is the client's side; the server's side is `asterramp_proxy::routing::admin_socket` and `admin_http`.
+//! [`AdminClient`] is the client; the server is in `asterramp_proxy::routing`, modules `admin_socket` and `admin_http`.
 
 mod client;
 mod command;
@@ -22,11 +22,12 @@
     SessionCostEstimate, SnapshotCounts, WarmStartStatus, ZoneStatus,
 };
 
-/// Version of the messages. A proxy answers a request of another version with an error.
+/// Version of the protocol. A proxy rejects requests of any other version.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// Longest request in bytes, its line feed included. A proxy closes the connection of a client that sends a longer one.
+/// Longest request in bytes, including its line feed. A proxy closes the connection of a client that sends a longer
+/// one.
 pub const MAX_REQUEST_BYTES: usize = 1024;
 
-/// Longest reply in bytes, its line feed included. A client reads no further.
+/// Longest reply in bytes, including its line feed. A client reads no more than this of one reply.
 pub const MAX_REPLY_BYTES: usize = 8192;
--- a/crates/admin-protocol/src/reply.rs
+++ b/crates/admin-protocol/src/reply.rs
@@ -3,9 +3,9 @@
 use crate::{PROTOCOL_VERSION, ProxyStatus};
 use serde::{Deserialize, Serialize};
 
-/// A proxy's answer to one request. Exactly one of the optional fields is set.
+/// A proxy's reply to one request. Exactly one of the optional fields is set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(expecting = "struct Reply")] // As errors have named it before.
+#[serde(expecting = "struct Reply")] // Keeps serde's error texts as they were.
 pub struct AdminReply {
     /// [`PROTOCOL_VERSION`] of the proxy.
     #[serde(rename = "v")]
@@ -16,12 +16,13 @@
     /// The proxy's status after the command.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub status: Option<ProxyStatus>,
-    /// What `ready` and `stats` answer.
+    /// The result of the commands `ready` and `stats`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub text: Option<String>,
 }
 
 impl AdminReply {
+    /// A reply with none of the optional fields.
     const EMPTY: AdminReply = AdminReply {
         version: PROTOCOL_VERSION,
         error: None,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// A reply that says why a request was rejected.
+    /// A reply with the reason why a request was rejected.
     pub fn error(message: impl Into<String>) -> AdminReply {
         AdminReply {
             error: Some(message.into()),
@@ -45,7 +46,7 @@
         }
     }
 
-    /// A reply with a text for scrapers.
+    /// A reply with the result of `ready` or `stats`.
     pub fn text(text: String) -> AdminReply {
         AdminReply {
             text: Some(text),
@@ -53,9 +54,9 @@
         }
     }
 
-    /// The reply as a line, its line feed included.
+    /// The reply as one line of JSON, including its line feed.
     pub fn to_line(&self) -> String {
-        // Nothing in a reply can fail to become JSON; an empty line would be an error at the client.
+        // Serialization of a reply cannot fail. If it did, the client would report the empty line as malformed.
         serde_json::to_string(self).unwrap_or_default() + "\n"
     }
 }
--- a/crates/admin-protocol/src/request.rs
+++ b/crates/admin-protocol/src/request.rs
@@ -1,13 +1,15 @@
-//! Requests: one JSON object per line, and the checks that a proxy makes before it obeys one.
+//! Requests: one JSON object per line, and the checks that a proxy makes before it runs the command.
 
 use crate::{AdminCommand, PROTOCOL_VERSION, wire};
 use serde::{Deserialize, Serialize};
 
-/// Longest drain that may be asked for: one day.
+/// Longest time to a drain's deadline that a request may set, in milliseconds: one day.
 const MAX_DEADLINE_MS: u64 = 24 * 60 * 60 * 1000;
 
-/// Slowest and fastest pace that may be asked for, in sessions per second.
+/// Lowest rate of migration that a request may set.
 const MIN_MIGRATIONS_PER_SECOND: f64 = 0.1;
+
+/// Highest rate of migration that a request may set.
 const MAX_MIGRATIONS_PER_SECOND: f64 = 100_000.0;
 
 /// One request to a proxy.
@@ -16,30 +18,30 @@
 pub struct AdminRequest {
     /// [`PROTOCOL_VERSION`] of the client.
     pub version: u32,
-    /// What is asked for.
+    /// The command to run.
     pub command: AdminCommand,
-    /// For a drain: milliseconds from now by which the proxy is to be empty, at most one day. Absent, the operator's file
-    /// decides.
+    /// Only for a drain: time in which it has to be finished, in milliseconds, at most one day. `None` uses the default
+    /// of the operator's file.
     pub deadline_ms: Option<u64>,
-    /// For a drain: sessions to migrate per second, 0.1 to 100000. Absent, the proxy goes by the capacity that endpoints
-    /// report.
+    /// Only for a drain: sessions to migrate per second, 0.1 to 100000. `None` derives the rate from the spare capacity
+    /// that endpoints report.
     pub migrations_per_second: Option<f64>,
-    /// Sent by the leader of a rolling restart; absent, the request is an operator's own.
+    /// Fencing token, if the leader of a rolling restart sends the request; `None` if an operator sends it.
     pub leader: Option<LeaderToken>,
 }
 
-/// The fencing token of a leader: a proxy uses it to reject orders that arrive after the leader lost its lease.
+/// Fencing token of a leader, by which a proxy rejects commands that arrive after the leader has lost its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderToken {
-    /// The leader's term; terms grow with each new leader.
+    /// The leader's term; each new leader has a higher one.
     pub term: u64,
-    /// The incarnation of the proxy process that the order is for, from [`ProxyStatus`](crate::ProxyStatus).
+    /// Incarnation of the proxy process for which the command is meant, from [`ProxyStatus`](crate::ProxyStatus).
     pub incarnation: u64,
-    /// When the order expires, in microseconds of that process's clock.
+    /// When the command expires, in microseconds of that process's clock.
     pub expires_at_us: u64,
 }
 
-/// Why a proxy rejects a request. The text is the `error` of the reply.
+/// Why a proxy rejects a request. The text becomes the `error` of the reply.
 #[derive(Debug, thiserror::Error)]
 pub enum AdminRequestError {
     /// The line is not a JSON object with a request's fields.
@@ -51,16 +53,16 @@
         /// The client's version.
         version: u32,
     },
-    /// `deadline_ms` or `pace` beside a command other than `drain`.
+    /// `deadline_ms` or `pace` is set with another command than `drain`.
     #[error("deadline_ms and pace go with drain")]
     DrainOptionsWithoutDrain,
-    /// A command that only a leader may send, without its token.
+    /// A command that only a leader may send has no fencing token.
     #[error("hear and leave are an owner's: owner is missing")]
     MissingLeaderToken,
-    /// `deadline_ms` is over one day.
+    /// `deadline_ms` is longer than one day.
     #[error("deadline_ms is more than a day")]
     DeadlineTooLong,
-    /// `pace` is not within its bounds.
+    /// `pace` is out of bounds.
     #[error(
         "pace is out of range; allowed are {MIN_MIGRATIONS_PER_SECOND} to {MAX_MIGRATIONS_PER_SECOND} a second"
     )]
@@ -68,7 +70,7 @@
 }
 
 impl AdminRequest {
-    /// A request for a command, with nothing optional set.
+    /// A request without any optional field.
     pub fn new(command: AdminCommand) -> AdminRequest {
         AdminRequest {
             version: PROTOCOL_VERSION,
@@ -79,11 +81,11 @@
         }
     }
 
-    /// Reads a request from a line, with or without its line feed, and checks it.
+    /// Parses a line, with or without its line feed, and checks the request.
     ///
     /// # Errors
     ///
-    /// The first check that fails; see [`AdminRequestError`].
+    /// The [`AdminRequestError`] of the first check that fails.
     pub fn parse(line: &[u8]) -> Result<AdminRequest, AdminRequestError> {
         let request: AdminRequest =
             serde_json::from_slice(line).map_err(AdminRequestError::Malformed)?;
@@ -112,8 +114,8 @@
             return Err(AdminRequestError::DeadlineTooLong);
         }
         let allowed = MIN_MIGRATIONS_PER_SECOND..=MAX_MIGRATIONS_PER_SECOND;
-        if let Some(pace) = self.migrations_per_second
-            && !allowed.contains(&pace)
+        if let Some(rate) = self.migrations_per_second
+            && !allowed.contains(&rate)
         {
             return Err(AdminRequestError::MigrationRateOutOfRange);
         }
--- a/crates/admin-protocol/src/status.rs
+++ b/crates/admin-protocol/src/status.rs
@@ -1,133 +1,135 @@
-//! A proxy's status, as `asterramp status` shows it.
+//! A proxy's status, which `asterramp status` prints.
 //!
-//! The JSON names are part of the protocol and older than the names of the fields. Pairs and triples are arrays in JSON;
-//! here they are types with named fields.
+//! The JSON names are part of the protocol and stay as they are, while the names of the fields may change. Types that
+//! are converted from and into tuples are arrays in JSON.
 
 use serde::{Deserialize, Serialize};
 
-/// How a proxy is doing.
+/// Status of a proxy.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(expecting = "struct Status")] // As errors have named it before.
+#[serde(expecting = "struct Status")] // Keeps serde's error texts as they were.
 pub struct ProxyStatus {
     /// Process id; it changes with each restart.
     pub pid: u32,
     /// Name of the drain state: `serving`, `closing`, `moving`, `late`, `empty` or `exiting`.
     pub state: String,
-    /// Milliseconds since the proxy began to serve.
+    /// Milliseconds since the proxy started.
     #[serde(rename = "up_ms")]
     pub uptime_ms: u64,
-    /// Established sessions.
+    /// Number of open sessions.
     #[serde(rename = "open")]
     pub open_sessions: usize,
-    /// Sessions that are being set up.
+    /// Number of sessions that are being set up.
     #[serde(rename = "pending")]
     pub pending_sessions: usize,
-    /// Connections that belong to no session: those that have not sent a request yet, and those being closed.
+    /// Number of client connections without a session: those that have not sent a request yet, and those being closed.
     #[serde(rename = "strangers")]
     pub sessionless_connections: usize,
-    /// Sessions migrated by this drain.
+    /// Sessions migrated since the last drain began.
     #[serde(rename = "moved")]
     pub migrated_sessions: u64,
-    /// Sessions that a drain migrates per second now.
+    /// Current rate of a drain in sessions per second, before any increase that the deadline requires.
     #[serde(rename = "pace")]
     pub migrations_per_second: f64,
-    /// Sessions that endpoints can absorb by their load reports; `None` while none has reported.
+    /// Number of further sessions that the endpoints can absorb by their load reports; `None` if none has reported.
     #[serde(rename = "room")]
     pub spare_capacity: Option<f64>,
-    /// Milliseconds until the drain is expected to be finished.
+    /// Milliseconds until the proxy is expected to be empty; `None` unless a drain has sessions to migrate.
     #[serde(rename = "expected_ms")]
     pub expected_empty_in_ms: Option<u64>,
-    /// Milliseconds until the drain's deadline.
+    /// Milliseconds until the drain's deadline; `None` unless a drain is in progress.
     #[serde(rename = "deadline_ms")]
     pub deadline_in_ms: Option<u64>,
-    /// Whether the proxy serves and has done so for long enough that another one may be drained.
+    /// Whether another proxy may be drained: this one is serving, and enough time has passed since its last drain was
+    /// cancelled.
     #[serde(rename = "carries")]
     pub allows_next_drain: bool,
-    /// Sessions accepted since the start.
+    /// Sessions accepted since the proxy started.
     #[serde(rename = "taken")]
     pub accepted_sessions: u64,
-    /// During a drain: the sessions that are left, by listener.
+    /// Remaining sessions by listener during a drain or a shutdown; otherwise empty.
     #[serde(rename = "left")]
     pub remaining_sessions: Vec<ListenerSessions>,
-    /// Endpoints in state `ready`.
+    /// Number of endpoints in state `ready`.
     #[serde(rename = "hosts_ready")]
     pub ready_endpoints: usize,
-    /// Endpoints that are not gone.
+    /// Number of known endpoints that are not in state `gone`.
     #[serde(rename = "hosts")]
     pub listed_endpoints: usize,
-    /// Milliseconds since discovery last sent anything; `None` if it never did.
+    /// Milliseconds since the last data from discovery; `None` if none was received.
     #[serde(rename = "discovery_ms")]
     pub discovery_age_ms: Option<u64>,
-    /// Zones, where there are several; those with a fault first.
+    /// State of each zone, those that are not healthy first; empty without zone failover.
     #[serde(rename = "places", default, skip_serializing_if = "Vec::is_empty")]
     pub zones: Vec<ZoneStatus>,
-    /// Progress of a warm start; `None` where it is switched off.
+    /// Progress of the warm start; `None` if it is disabled.
     #[serde(rename = "start", default, skip_serializing_if = "Option::is_none")]
     pub warm_start: Option<WarmStartStatus>,
-    /// Listeners with rejected sessions or a known cost per session.
+    /// Admission figures of the listeners that have rejected sessions or whose cost per session is known.
     #[serde(rename = "refusals", default, skip_serializing_if = "Vec::is_empty")]
     pub admission: Vec<AdmissionStatus>,
-    /// A random number of this process, by which a leader's order for an earlier process is recognised.
+    /// Random number of this process, by which it recognises a leader's command that was meant for an earlier process.
     #[serde(rename = "boot", default)]
     pub incarnation: u64,
-    /// The process's clock in microseconds, by which the expiry of a leader's order is stated.
+    /// Current time of the process's clock in microseconds; leaders state the expiry of their commands in this clock.
     #[serde(default)]
     pub clock_us: u64,
-    /// The highest leader's term that the proxy has seen.
+    /// Highest term of a leader that the proxy has seen; 0 if none.
     #[serde(rename = "term", default)]
     pub highest_term: u64,
 }
 
 /// Progress of a warm start.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(expecting = "struct StartStatus")] // As errors have named it before.
+#[serde(expecting = "struct StartStatus")] // Keeps serde's error texts as they were.
 pub struct WarmStartStatus {
-    /// Name of the stage.
+    /// Name of the stage: `dark`, `looking`, `asking`, `probing`, `admitting` or `normal`.
     pub stage: String,
     /// Milliseconds since the stage began.
     pub since_ms: u64,
-    /// Endpoints by the source that told of them.
+    /// Numbers of endpoints by the source that reported them; sources without any are omitted.
     pub sources: Vec<EndpointSourceCount>,
-    /// Endpoints that were not confirmed in time, were replaced, or did not fit.
+    /// Number of endpoints that were dropped: not confirmed in time, replaced, delisted, or reported when the list was
+    /// full.
     pub dropped: u64,
-    /// Snapshots written, where they are switched on.
+    /// Snapshots saved and failed; `None` if snapshots are disabled.
     #[serde(rename = "saved")]
     pub snapshots: Option<SnapshotCounts>,
 }
 
-/// Rejected sessions of a listener, and what its sessions cost.
+/// Rejected sessions of a listener, and the cost of its sessions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(expecting = "struct RoomStatus")] // As errors have named it before.
+#[serde(expecting = "struct RoomStatus")] // Keeps serde's error texts as they were.
 pub struct AdmissionStatus {
     /// The listener's name.
     pub listener: String,
-    /// Rejected sessions by reason.
+    /// Rejected sessions by reason; reasons that have not occurred are omitted.
     #[serde(rename = "refused")]
     pub rejected: Vec<RejectionCount>,
-    /// Cost of a session, where endpoints have reported it.
+    /// Cost of a session; `None` if endpoints have not reported it.
     #[serde(rename = "takes")]
     pub session_cost: Option<SessionCostEstimate>,
 }
 
 /// State of a zone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(expecting = "struct PlaceStatus")] // As errors have named it before.
+#[serde(expecting = "struct PlaceStatus")] // Keeps serde's error texts as they were.
 pub struct ZoneStatus {
     /// The zone's name.
     pub name: String,
-    /// Name of the state.
+    /// Name of the zone's state.
     pub state: String,
     /// Milliseconds since the state was entered.
     pub since_ms: u64,
-    /// How often the zone was suspected without reason.
+    /// How often the zone was suspected and the suspicion was dropped.
     #[serde(rename = "doubts")]
     pub false_suspicions: u64,
-    /// How often the zone was ejected and answered the first health check.
+    /// How often the zone was closed and responded to the first probe, while discovery listed its servers throughout.
     #[serde(rename = "false_alarms")]
     pub false_ejections: u64,
 }
 
-/// Sessions of a listener.
+/// Number of sessions of a listener.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, usize)", into = "(String, usize)")]
 pub struct ListenerSessions {
@@ -137,19 +139,19 @@
     pub sessions: usize,
 }
 
-/// Endpoints that one source told of.
+/// Number of endpoints that one source reported.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, usize, usize)", into = "(String, usize, usize)")]
 pub struct EndpointSourceCount {
     /// Name of the source: `saved`, `configured`, `heard` or `told`.
     pub source: String,
-    /// Endpoints that the source told of.
+    /// Number of endpoints that the source reported.
     pub reported: usize,
-    /// Those of them that have answered or that discovery has listed since.
+    /// Number of those that have responded to a probe or that discovery has listed since.
     pub confirmed: usize,
 }
 
-/// Rejected sessions of one reason.
+/// Number of sessions that were rejected for one reason.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, u64)", into = "(String, u64)")]
 pub struct RejectionCount {
@@ -159,11 +161,11 @@
     pub sessions: u64,
 }
 
-/// What a session of a listener costs an endpoint.
+/// Cost of one session of a listener at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64, u64)", into = "(f64, f64, u64)")]
 pub struct SessionCostEstimate {
-    /// Mean work per second.
+    /// Mean work of a session per second.
     pub mean: f64,
     /// Mean distance of the samples from the mean.
     pub deviation: f64,
@@ -171,13 +173,13 @@
     pub age_ms: u64,
 }
 
-/// Snapshots since the start of the process.
+/// Number of snapshots since the process started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct SnapshotCounts {
-    /// Snapshots written.
+    /// Snapshots saved.
     pub saved: u64,
-    /// Attempts that failed.
+    /// Snapshots that could not be saved.
     pub failed: u64,
 }
 
--- a/crates/admin-protocol/src/wire.rs
+++ b/crates/admin-protocol/src/wire.rs
@@ -1,7 +1,7 @@
 //! The JSON form of a request.
 //!
-//! The names here are older than those of the public types. Fields have the names of the JSON keys; the names of the types
-//! stand in the error texts that serde makes and clients see, so they do not change either.
+//! The names here are older than those of the public types. Most fields have the names of their JSON keys. The names of
+//! the types appear in serde's error texts, which clients receive in replies, so they must not change either.
 
 use crate::{AdminCommand, AdminRequest, LeaderToken};
 use serde::{Deserialize, Serialize};
--- a/crates/admin-protocol/tests/golden.rs
+++ b/crates/admin-protocol/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of the control socket as builds before the renames wrote and read them. The files under `golden/` were
-//! written by such a build and never change; only the Rust names in this file may.
+//! Compares the bytes on the admin socket with those of an earlier build. That build wrote the files under `golden/`,
+//! and they never change; only the Rust names in this file may.
 
 #[path = "support/golden.rs"]
 mod golden_files;
@@ -32,7 +32,7 @@
     expires_at_us: 1_723_000_111_222_333,
 };
 
-/// Each verb with each set of optional fields that a proxy accepts beside it.
+/// Each command, with and without a leader's token, and drains with each combination of optional fields.
 fn requests() -> Vec<AdminRequest> {
     let mut requests = Vec::new();
     for command in COMMANDS {
@@ -74,14 +74,14 @@
     assert_eq!(lines.lines().count(), requests().len());
     let mut rejected = 0;
     for (line, request) in lines.lines().zip(requests()) {
-        let leader_needed = matches!(
+        let needs_leader = matches!(
             request.command,
             AdminCommand::AnnounceTerm | AdminCommand::Shutdown
         );
         match AdminRequest::parse(line.as_bytes()) {
-            Ok(read) => assert_eq!(read, request, "{line}"),
+            Ok(parsed) => assert_eq!(parsed, request, "{line}"),
             Err(_) => {
-                assert!(leader_needed && request.leader.is_none(), "{line}");
+                assert!(needs_leader && request.leader.is_none(), "{line}");
                 rejected += 1;
             }
         }
@@ -89,7 +89,7 @@
     assert_eq!(rejected, 2);
 }
 
-/// Lines that must be rejected, and some that differ from good ones only by spaces or the order of keys.
+/// Lines that must be rejected, and some valid ones with spaces, null values or another order of keys.
 const REQUEST_LINES: &[&str] = &[
     "",
     "x",
@@ -144,21 +144,21 @@
 ];
 
 #[test]
-fn an_invalid_request_is_rejected_in_the_same_words() {
+fn an_invalid_request_is_rejected_with_the_same_text() {
     let mut text = String::new();
     for line in REQUEST_LINES {
-        let read = match AdminRequest::parse(line.as_bytes()) {
+        let outcome = match AdminRequest::parse(line.as_bytes()) {
             Ok(request) => format!("read as {}", serde_json::to_string(&request).unwrap()),
             Err(error) => format!("refused: {error}"),
         };
-        text += &format!("{line}\n    {read}\n");
+        text += &format!("{line}\n    {outcome}\n");
     }
-    let not_text = AdminRequest::parse(b"{\"v\":1,\"do\":\"\xff\"}").unwrap_err();
-    text += &format!("(a byte that is not text)\n    refused: {not_text}\n");
+    let not_utf8_error = AdminRequest::parse(b"{\"v\":1,\"do\":\"\xff\"}").unwrap_err();
+    text += &format!("(a byte that is not text)\n    refused: {not_utf8_error}\n");
     assert_golden("refused.txt", &text);
 }
 
-/// Every field with a value of its own, so that two that change places are noticed.
+/// A status in which every field has another value, so that exchanged fields are detected.
 fn full_status() -> ProxyStatus {
     ProxyStatus {
         pid: 101,
@@ -259,7 +259,7 @@
 }
 
 fn replies() -> Vec<AdminReply> {
-    let start = WarmStartStatus {
+    let warm_start = WarmStartStatus {
         stage: "normal".into(),
         ..WarmStartStatus::default()
     };
@@ -267,7 +267,7 @@
         AdminReply::status(ProxyStatus::default()),
         AdminReply::status(full_status()),
         AdminReply::status(ProxyStatus {
-            warm_start: Some(start),
+            warm_start: Some(warm_start),
             zones: vec![ZoneStatus::default()],
             admission: vec![AdmissionStatus::default()],
             ..ProxyStatus::default()
@@ -285,36 +285,36 @@
     let text: String = replies.iter().map(AdminReply::to_line).collect();
     assert_golden("replies.jsonl", &text);
     for (line, reply) in golden("replies.jsonl").lines().zip(replies) {
-        let read: AdminReply = serde_json::from_str(line).unwrap();
-        assert_eq!(read, reply, "{line}");
+        let decoded: AdminReply = serde_json::from_str(line).unwrap();
+        assert_eq!(decoded, reply, "{line}");
     }
 }
 
 #[test]
-fn http_calls_and_limits_stay_as_they_are() {
+fn http_routes_and_limits_are_the_same() {
     let mut text = format!(
         "version {PROTOCOL_VERSION}, request {MAX_REQUEST_BYTES}, reply {MAX_REPLY_BYTES}\n"
     );
-    for call in HTTP_ROUTES {
-        let command = serde_json::to_string(&call.command).unwrap();
-        text += &format!("{} {} {command}\n", call.method, call.path);
+    for route in HTTP_ROUTES {
+        let command = serde_json::to_string(&route.command).unwrap();
+        text += &format!("{} {} {command}\n", route.method, route.path);
     }
     assert_golden("calls.txt", &text);
 }
 
-/// One request at a socket, and its reply.
+/// Request that a proxy received, and the client's result.
 struct Exchange {
-    /// The request as it came.
+    /// The request as the proxy received it.
     request: String,
-    /// The status that the client made of the reply, or its error, with `<socket>` in place of the path.
+    /// The status that the client returned, or the text of its error with `<socket>` in place of the path.
     outcome: String,
 }
 
-/// Sends a request to a socket at which these bytes are the reply.
-fn send_for_reply(reply: &[u8]) -> Exchange {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    let nth = NEXT.fetch_add(1, Ordering::Relaxed);
-    let name = format!("asterramp-golden-{}-{nth}.sock", std::process::id());
+/// Sends a request to a socket on which a proxy replies with these bytes.
+fn exchange_with_reply(reply: &[u8]) -> Exchange {
+    static NEXT_SOCKET: AtomicU32 = AtomicU32::new(0);
+    let number = NEXT_SOCKET.fetch_add(1, Ordering::Relaxed);
+    let name = format!("asterramp-golden-{}-{number}.sock", std::process::id());
     let path: PathBuf = std::env::temp_dir().join(name);
     let listener = UnixListener::bind(&path).unwrap();
     let reply = reply.to_vec();
@@ -344,22 +344,23 @@
 }
 
 #[test]
-fn the_client_reports_each_reply_in_the_same_words() {
+fn the_client_returns_the_same_result_for_each_reply() {
     let empty = AdminReply {
         version: 1,
         error: None,
         status: None,
         text: None,
     };
-    let minimal = "{\"v\":1,\"status\":{\"pid\":1,\"state\":\"serving\",\"up_ms\":2,\"open\":3,\"pending\":4,\
+    let without_optional_fields = "{\"v\":1,\"status\":{\"pid\":1,\"state\":\"serving\",\"up_ms\":2,\"open\":3,\"pending\":4,\
                    \"strangers\":5,\"moved\":6,\"pace\":7.0,\"room\":null,\"expected_ms\":null,\
                    \"deadline_ms\":null,\"carries\":true,\"taken\":8,\"left\":[],\"hosts_ready\":9,\"hosts\":10,\
                    \"discovery_ms\":null}}\n";
-    let both = minimal.replace("{\"v\":1,", "{\"v\":1,\"error\":\"no\",\"odd\":[1],");
+    let error_and_status =
+        without_optional_fields.replace("{\"v\":1,", "{\"v\":1,\"error\":\"no\",\"odd\":[1],");
     let replies: Vec<(&str, Vec<u8>)> = vec![
         ("full", AdminReply::status(full_status()).to_line().into()),
-        ("of a build without terms", minimal.into()),
-        ("an error beside a status", both.into()),
+        ("of a build without terms", without_optional_fields.into()),
+        ("an error beside a status", error_and_status.into()),
         (
             "error",
             AdminReply::error("the proxy is not draining")
@@ -380,11 +381,11 @@
     ];
     let mut text = String::new();
     for (name, reply) in replies {
-        let Exchange { request, outcome } = send_for_reply(&reply);
+        let Exchange { request, outcome } = exchange_with_reply(&reply);
         text += &format!("{name}: {outcome}\n");
         assert_eq!(request, "{\"v\":1,\"do\":\"drain\",\"deadline_ms\":1500}\n");
     }
-    let without_proxy = AdminClient::connect(Path::new("/nowhere/at.sock")).err();
-    text += &format!("nobody: error {}\n", without_proxy.unwrap());
+    let connect_error = AdminClient::connect(Path::new("/nowhere/at.sock")).err();
+    text += &format!("nobody: error {}\n", connect_error.unwrap());
     assert_golden("answers.txt", &text);
 }
--- a/crates/admin-protocol/tests/support/golden.rs
+++ b/crates/admin-protocol/tests/support/golden.rs
@@ -1,10 +1,10 @@
-//! Comparison with golden files: what an earlier build wrote, which never changes.
+//! Comparison with golden files, which an earlier build wrote and which never change.
 //!
-//! Tests of several packages include this file; each has golden files of its own.
+//! Tests of several packages include this file; each package has its own golden files.
 
 use std::path::Path;
 
-/// The text of a golden file below the package's `tests/golden`.
+/// The text of a golden file in the package's directory `tests/golden`.
 pub(crate) fn golden(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
@@ -12,11 +12,14 @@
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Compares a text with a golden file, line by line first, so that a failure shows the line.
+/// Asserts that a text equals a golden file. Lines are compared first, so that a failure shows the line.
 pub(crate) fn assert_golden(name: &str, actual: &str) {
     let expected = golden(name);
-    for (nth, (expected, actual)) in expected.lines().zip(actual.lines()).enumerate() {
-        assert_eq!(actual, expected, "{name}, line {}", nth + 1);
+    for (index, (expected, actual)) in expected.lines().zip(actual.lines()).enumerate() {
+        assert_eq!(actual, expected, "{name}, line {}", index + 1);
     }
-    assert_eq!(actual, expected, "{name}: lengths");
+    assert_eq!(
+        actual, expected,
+        "{name}: the number of lines or the last line feed differs"
+    );
 }
--- a/crates/operator-config/src/changes.rs
+++ b/crates/operator-config/src/changes.rs
@@ -1,4 +1,4 @@
-//! Differences between two configurations, for a proxy that reads its file again.
+//! Differences between two configurations, for a proxy that reloads its file.
 
 use crate::OperatorConfig;
 use crate::keys::{KEYS, TakesEffect};
@@ -6,14 +6,14 @@
 /// A key whose value differs between two configurations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigChange {
-    /// Table and key, as in `drain.pace`.
+    /// Name of the table and of the key, as in `drain.pace`.
     pub key: String,
     /// When the new value takes effect.
     pub takes_effect: TakesEffect,
 }
 
 impl OperatorConfig {
-    /// The keys in which `other` differs from this configuration.
+    /// The keys whose values in `other` differ from those in this configuration, in the order of the table of keys.
     pub fn changes(&self, other: &OperatorConfig) -> Vec<ConfigChange> {
         let differing = KEYS
             .iter()
--- a/crates/operator-config/src/duration.rs
+++ b/crates/operator-config/src/duration.rs
@@ -1,12 +1,12 @@
-//! Times as operators write them, here and on the command line.
+//! Parses durations in the operator's file and on the command line.
 
 use std::time::Duration;
 
-/// Reads a number and its unit, `ms`, `s`, `m` or `h`, as in `250ms` or `1.5s`.
+/// Parses a decimal number directly followed by its unit, `ms`, `s`, `m` or `h`, as in `250ms` or `1.5s`.
 ///
-/// `None` if there is no number, no such unit, anything else in the text, or the time does not fit a [`Duration`].
+/// `None` for any other text, and if the duration does not fit a [`Duration`].
 pub fn parse_duration(text: &str) -> Option<Duration> {
-    let is_number = |c: char| c.is_ascii_digit() || c == '.';
+    let is_number = |character: char| character.is_ascii_digit() || character == '.';
     let unit = text.trim_start_matches(is_number);
     let number = &text[..text.len() - unit.len()];
     let seconds_per_unit = match unit {
--- a/crates/operator-config/src/keys.rs
+++ b/crates/operator-config/src/keys.rs
@@ -1,32 +1,32 @@
-//! All keys of the file, in one table.
+//! The table of all keys of the file, with their kinds, bounds and when a change takes effect.
 
 use crate::OperatorConfig;
 use crate::value::{Value, ValueKind};
 
-/// When a change of a key takes effect once the file is read again.
+/// When a changed value takes effect after the file is reloaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakesEffect {
-    /// On SIGHUP.
+    /// At once, on the SIGHUP that reloads the file.
     Immediately,
-    /// After the proxy's next start; until then the old value stays.
+    /// At the proxy's next start; until then the old value applies.
     AfterRestart,
 }
 
-/// A key of the file.
+/// Definition of a key of the file.
 pub(crate) struct Key {
     /// Name of the table that the key is in.
     pub(crate) table: &'static str,
-    /// The key's own name.
+    /// Name of the key within its table.
     pub(crate) name: &'static str,
-    /// What its value must be.
+    /// Kind and bounds of its value.
     pub(crate) kind: ValueKind,
-    /// When a change takes effect.
+    /// When a changed value takes effect.
     pub(crate) takes_effect: TakesEffect,
-    /// Its value in a configuration; `None` where its table is switched off.
+    /// Returns the key's value in a configuration; `None` if that has no such table.
     pub(crate) value_in: fn(&OperatorConfig) -> Option<Value>,
 }
 
-/// Every key, by table. Problems list allowed keys in this order, and changes are reported in it.
+/// All keys, grouped by table. Error messages and [`OperatorConfig::changes`] list keys in this order.
 pub(crate) const KEYS: &[Key] = &[
     Key {
         table: "control",
@@ -92,21 +92,21 @@
         name: "look",
         kind: duration(0.2, 60.0),
         takes_effect: TakesEffect::Immediately,
-        value_in: |config| Some(Value::Duration(config.zone_failover.health_check_interval)),
+        value_in: |config| Some(Value::Duration(config.zone_failover.probe_interval)),
     },
     Key {
         table: "site",
         name: "hold",
         kind: duration(0.0, 600.0),
         takes_effect: TakesEffect::Immediately,
-        value_in: |config| Some(Value::Duration(config.zone_failover.initial_hold)),
+        value_in: |config| Some(Value::Duration(config.zone_failover.hold_down)),
     },
     Key {
         table: "site",
         name: "hold_most",
         kind: duration(0.0, 3_600.0),
         takes_effect: TakesEffect::Immediately,
-        value_in: |config| Some(Value::Duration(config.zone_failover.max_hold)),
+        value_in: |config| Some(Value::Duration(config.zone_failover.max_hold_down)),
     },
     Key {
         table: "site",
@@ -155,14 +155,14 @@
         name: "look",
         kind: duration(0.0, 1.0),
         takes_effect: TakesEffect::AfterRestart,
-        value_in: |config| Some(Value::Duration(config.warm_start.discovery_wait)),
+        value_in: |config| Some(Value::Duration(config.warm_start.discovery_timeout)),
     },
     Key {
         table: "recovery",
         name: "probe",
         kind: duration(0.1, 60.0),
         takes_effect: TakesEffect::AfterRestart,
-        value_in: |config| Some(Value::Duration(config.warm_start.health_check_wait)),
+        value_in: |config| Some(Value::Duration(config.warm_start.probe_timeout)),
     },
     Key {
         table: "recovery",
@@ -186,25 +186,26 @@
         .find(|key| key.table == table && key.name == name)
 }
 
-/// Whether there is such a table.
+/// Whether a table of this name exists.
 pub(crate) fn is_table(name: &str) -> bool {
     KEYS.iter().any(|key| key.table == name)
 }
 
-/// All tables, as in `[control], [drain]`.
+/// Names of all tables, as in `[control], [drain]`.
 pub(crate) fn table_names() -> String {
     let mut names: Vec<String> = KEYS.iter().map(|key| format!("[{}]", key.table)).collect();
     names.dedup();
     names.join(", ")
 }
 
-/// All keys of a table, separated by commas.
+/// Names of all keys of a table, as in `socket, peers`.
 pub(crate) fn key_names(table: &str) -> String {
     let keys = KEYS.iter().filter(|key| key.table == table);
     let names: Vec<&str> = keys.map(|key| key.name).collect();
     names.join(", ")
 }
 
+/// A duration with bounds in seconds.
 const fn duration(min: f64, max: f64) -> ValueKind {
     ValueKind::Duration { min, max }
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,9 +1,10 @@
-//! The operator's file: optional features of an installation, beside the configuration that the platform gives.
+//! The operator's configuration file: optional features of an installation, in addition to the configuration that the
+//! platform provides.
 //!
-//! [`OperatorConfig::parse`] reads the TOML text. All keys, their bounds and when a change of each takes effect are in one
-//! table (`keys.rs`); defaults are the `Default` of the settings types (`config.rs`). A file without a table has its
-//! defaults, and without any file nothing optional is on. A bad file is rejected as a whole, with every
-//! [`ConfigProblem`] that it has.
+//! [`OperatorConfig::parse`] reads the TOML text. All keys, their bounds and when a change of each takes effect are in
+//! one table (`keys.rs`); the defaults are in the settings types (`config.rs`), and apply to each key and table that
+//! the file does not contain. Without a file, all optional features are off. An invalid file is rejected as a whole,
+//! with all its [`ConfigProblem`]s.
 
 mod changes;
 mod config;
--- a/crates/operator-config/src/parse.rs
+++ b/crates/operator-config/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a file's text into an [`OperatorConfig`].
+//! Parses the text of a file into an [`OperatorConfig`].
 
 use crate::config::{
     AdminSocketConfig, DrainConfig, OperatorConfig, SnapshotConfig, WarmStartConfig,
@@ -14,22 +14,22 @@
 use toml::Spanned;
 use toml::de::{DeString, DeTable, DeValue};
 
-/// Keys without which the other keys of their table mean nothing.
+/// Table and name of the keys that a table must contain if it contains any key.
 const REQUIRED_KEYS: [(&str, &str); 2] = [("control", "socket"), ("state", "folder")];
 
-/// The line of what is missing, and so is on none.
-const FIRST_LINE: usize = 1;
+/// Line that is reported for a missing key.
+const LINE_OF_MISSING_KEYS: usize = 1;
 
 impl OperatorConfig {
-    /// Reads a file's text.
+    /// Parses the text of a file.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with the file, by line and then by text.
+    /// All problems of the file, sorted by line and then by text.
     pub fn parse(text: &str) -> Result<OperatorConfig, Vec<ConfigProblem>> {
         let mut file = FileReader::new(text);
         file.read();
-        file.check_missing();
+        file.check_missing_keys();
         if file.problems.is_empty() {
             return Ok(file.values.into_config());
         }
@@ -39,7 +39,7 @@
     }
 }
 
-/// A file while it is read: the values and the problems found so far.
+/// Reads a file, and collects its values and problems.
 struct FileReader<'a> {
     text: &'a str,
     values: Values,
@@ -55,19 +55,19 @@
         }
     }
 
-    /// Notes a problem at a byte of the text.
-    fn note(&mut self, at: usize, error: ConfigError) {
-        let before = &self.text[..at.min(self.text.len())];
-        let line = before.matches('\n').count() + 1;
+    /// Adds a problem at a byte offset in the text.
+    fn add_problem(&mut self, offset: usize, error: ConfigError) {
+        let text_before = &self.text[..offset.min(self.text.len())];
+        let line = text_before.matches('\n').count() + 1;
         self.problems.push(ConfigProblem { line, error });
     }
 
-    /// Reads all tables. What is not TOML does not keep the rest from being read.
+    /// Reads all tables. The parts that are valid TOML are read even if others are not.
     fn read(&mut self) {
         let (root, errors) = DeTable::parse_recoverable(self.text);
         for error in errors {
-            let at = error.span().map_or(0, |span| span.start);
-            self.note(at, ConfigError::Syntax(error.message().to_string()));
+            let offset = error.span().map_or(0, |span| span.start);
+            self.add_problem(offset, ConfigError::Syntax(error.message().to_string()));
         }
         for (name, table) in root.get_ref() {
             self.read_table(name, table);
@@ -75,15 +75,15 @@
     }
 
     fn read_table(&mut self, name: &Spanned<DeString<'_>>, table: &Spanned<DeValue<'_>>) {
-        let at = name.span().start;
+        let offset = name.span().start;
         let name = name.get_ref().as_ref();
         if !keys::is_table(name) {
             let name = name.to_string();
-            return self.note(at, ConfigError::UnknownTable { name });
+            return self.add_problem(offset, ConfigError::UnknownTable { name });
         }
         let DeValue::Table(entries) = table.get_ref() else {
             let name = name.to_string();
-            return self.note(at, ConfigError::NotATable { name });
+            return self.add_problem(offset, ConfigError::NotATable { name });
         };
         for (key, value) in entries {
             self.read_key(name, key, value);
@@ -91,48 +91,47 @@
     }
 
     fn read_key(&mut self, table: &str, key: &Spanned<DeString<'_>>, value: &Spanned<DeValue<'_>>) {
-        let at = key.span().start;
-        let Some(known) = keys::find(table, key.get_ref()) else {
+        let offset = key.span().start;
+        let Some(definition) = keys::find(table, key.get_ref()) else {
             let error = ConfigError::UnknownKey {
                 table: table.to_string(),
                 key: key.get_ref().to_string(),
             };
-            return self.note(at, error);
+            return self.add_problem(offset, error);
         };
-        match known.kind.parse(value) {
-            Ok(value) => self.values.insert(known.table, known.name, value),
+        match definition.kind.parse(value) {
+            Ok(value) => self.values.insert(definition.table, definition.name, value),
             Err(error) => {
                 let error = ConfigError::InvalidValue {
-                    table: known.table,
-                    key: known.name,
+                    table: definition.table,
+                    key: definition.name,
                     error,
                 };
-                self.note(at, error);
+                self.add_problem(offset, error);
             }
         }
     }
 
-    /// Notes what is missing beside the keys that are there. A key with a bad value is missing too, and its table counts only
-    /// if another key of it is good.
-    fn check_missing(&mut self) {
+    /// Adds a problem for each missing key that another key needs. Only keys with a valid value count as present.
+    fn check_missing_keys(&mut self) {
         for (table, key) in REQUIRED_KEYS {
             if self.values.has_table(table) && !self.values.has(table, key) {
                 self.problems.push(ConfigProblem {
-                    line: FIRST_LINE,
+                    line: LINE_OF_MISSING_KEYS,
                     error: ConfigError::MissingKey { table, key },
                 });
             }
         }
         if self.values.has("recovery", "others") && !self.values.has("recovery", "fleet") {
             self.problems.push(ConfigProblem {
-                line: FIRST_LINE,
+                line: LINE_OF_MISSING_KEYS,
                 error: ConfigError::MissingFleet,
             });
         }
     }
 }
 
-/// The values of a file by table and key.
+/// The valid values of a file, by table and key.
 #[derive(Default)]
 struct Values(BTreeMap<(&'static str, &'static str), Value>);
 
@@ -156,9 +155,9 @@
         }
     }
 
-    fn flag(&self, table: &'static str, key: &'static str) -> Option<bool> {
+    fn boolean(&self, table: &'static str, key: &'static str) -> Option<bool> {
         match self.0.get(&(table, key)) {
-            Some(Value::Boolean(flag)) => Some(*flag),
+            Some(Value::Boolean(value)) => Some(*value),
             _ => None,
         }
     }
@@ -235,16 +234,16 @@
 
     fn zone_failover(&self) -> ZoneFailoverConfig {
         let duration = |key, default| self.duration("site", key).unwrap_or(default);
-        let flag = |key, default| self.flag("site", key).unwrap_or(default);
+        let boolean = |key, default| self.boolean("site", key).unwrap_or(default);
         let default = ZoneFailoverConfig::default();
         ZoneFailoverConfig {
-            enabled: flag("watch", default.enabled),
-            health_check_interval: duration("look", default.health_check_interval),
-            initial_hold: duration("hold", default.initial_hold),
-            max_hold: duration("hold_most", default.max_hold),
+            enabled: boolean("watch", default.enabled),
+            probe_interval: duration("look", default.probe_interval),
+            hold_down: duration("hold", default.hold_down),
+            max_hold_down: duration("hold_most", default.max_hold_down),
             recovery_ramp: duration("settle", default.recovery_ramp),
-            paces_admission: flag("pace", default.paces_admission),
-            rejects_by_priority: flag("by_worth", default.rejects_by_priority),
+            paces_admission: boolean("pace", default.paces_admission),
+            rejects_by_priority: boolean("by_worth", default.rejects_by_priority),
         }
     }
 
@@ -263,9 +262,11 @@
         let duration = |key, default| self.duration("recovery", key).unwrap_or(default);
         let default = WarmStartConfig::default();
         WarmStartConfig {
-            enabled: self.flag("recovery", "stages").unwrap_or(default.enabled),
-            discovery_wait: duration("look", default.discovery_wait),
-            health_check_wait: duration("probe", default.health_check_wait),
+            enabled: self
+                .boolean("recovery", "stages")
+                .unwrap_or(default.enabled),
+            discovery_timeout: duration("look", default.discovery_timeout),
+            probe_timeout: duration("probe", default.probe_timeout),
             fleet: self.name("recovery", "fleet").unwrap_or(default.fleet),
             peers: self
                 .addresses("recovery", "others")
--- a/crates/operator-config/src/problem.rs
+++ b/crates/operator-config/src/problem.rs
@@ -1,116 +1,119 @@
-//! What may be wrong with a file, with the texts that operators see.
+//! Problems of a file, with the texts that operators see.
 
 use crate::keys;
 use crate::value::{MAX_ADDRESSES, MAX_NAME_BYTES};
 use std::fmt;
 
-/// A mistake in a file, and the line that it is on, from 1.
+/// A problem of a file and its place.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("line {line}: {error}")]
 pub struct ConfigProblem {
-    /// The line; 1 for what is missing.
+    /// Number of the line, from 1; 1 for a missing key.
     pub line: usize,
-    /// The mistake.
+    /// The problem.
     #[source]
     pub error: ConfigError,
 }
 
-/// A mistake in a file.
+/// A problem of a file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ConfigError {
     /// The text is not TOML.
     #[error("{0}")]
     Syntax(String),
-    /// A table, or a key outside of all tables, that does not exist.
+    /// The name of a table, or of a key outside of all tables, is unknown.
     #[error("[{name}] is no table; allowed are {}", keys::table_names())]
     UnknownTable {
-        /// Its name.
+        /// The unknown name.
         name: String,
     },
-    /// A table's name with another kind of value.
+    /// The value under a table's name is not a table.
     #[error("{name} is a table, [{name}]")]
     NotATable {
-        /// The table.
+        /// Name of the table.
         name: String,
     },
-    /// A key that the table does not have.
+    /// The table has no key of this name.
     #[error("{table}.{key} is no key; allowed are {}", keys::key_names(table))]
     UnknownKey {
-        /// The table.
+        /// Name of the table.
         table: String,
-        /// The key.
+        /// Name of the key.
         key: String,
     },
-    /// A key whose value cannot be read or is out of bounds.
+    /// The value of a key is of the wrong kind or out of bounds.
     #[error("{table}.{key} {error}")]
     InvalidValue {
-        /// The table.
+        /// Name of the table.
         table: &'static str,
-        /// The key.
+        /// Name of the key.
         key: &'static str,
         /// What is wrong with the value.
         #[source]
         error: ValueError,
     },
-    /// A key without which the other keys of its table mean nothing.
+    /// A table contains keys, but not the one that it must contain.
     #[error("{table}.{key} is missing")]
     MissingKey {
-        /// The table.
+        /// Name of the table.
         table: &'static str,
-        /// The key.
+        /// Name of the key.
         key: &'static str,
     },
-    /// Addresses of other proxies without the name of the fleet.
+    /// There are addresses of other proxies, but no name of the fleet.
     #[error("recovery.fleet is missing beside recovery.others")]
     MissingFleet,
 }
 
-/// What is wrong with a value, and what is allowed. Bounds of times are in seconds.
+/// Why a value is invalid, and which values are allowed. Bounds of durations are in seconds, lengths in bytes.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[expect(missing_docs, reason = "fields are the text given and the bounds")]
+#[expect(
+    missing_docs,
+    reason = "the fields are the text in the file and the bounds"
+)]
 pub enum ValueError {
-    /// No text where a time is wanted.
+    /// The value of a duration is not a string.
     #[error("is no time; {}", AllowedDurations { min, max })]
     NotADuration { min: f64, max: f64 },
-    /// A text that is no number with a unit.
+    /// The string is not a number with a unit.
     #[error("is {text:?}, no time; {}", AllowedDurations { min, max })]
     InvalidDuration { text: String, min: f64, max: f64 },
-    /// A time out of bounds.
+    /// The duration is out of bounds.
     #[error("is {text:?}; {}", AllowedDurations { min, max })]
     DurationOutOfRange { text: String, min: f64, max: f64 },
-    /// No number, or one out of bounds.
+    /// The value is not a number, or out of bounds.
     #[error("is out of range or no number; allowed are {min} to {max}")]
     InvalidNumber { min: f64, max: f64 },
-    /// No whole number.
+    /// The value is not an integer.
     #[error("is no whole number; allowed are {min} to {max}")]
     NotACount { min: i64, max: i64 },
-    /// A whole number out of bounds.
+    /// The integer is out of bounds.
     #[error("is out of range; allowed are {min} to {max}")]
     CountOutOfRange { min: i64, max: i64 },
-    /// Neither `true` nor `false`.
+    /// The value is neither `true` nor `false`.
     #[error("is neither true nor false; allowed are these two")]
     NotABoolean,
-    /// No text where a path is wanted.
+    /// The value of a path is not a string.
     #[error("is no path; allowed is an absolute path of at most {max_bytes} bytes")]
     NotAPath { max_bytes: usize },
-    /// A path that is relative, too long or has a zero byte in it.
+    /// The path is relative, too long, or contains a zero byte.
     #[error("is {text:?}; allowed is an absolute path of at most {max_bytes} bytes")]
     InvalidPath { text: String, max_bytes: usize },
-    /// No text where a name is wanted.
+    /// The value of a name is not a string.
     #[error("is no name; allowed are up to {MAX_NAME_BYTES} letters, digits and -")]
     NotAName,
-    /// A name that is empty, too long or has other characters in it.
+    /// The name is empty, too long, or contains other characters.
     #[error("is {text:?}; allowed are up to {MAX_NAME_BYTES} letters, digits and -")]
     InvalidName { text: String },
-    /// No list where addresses are wanted.
+    /// The value of an address list is not an array.
     #[error("is no list; {AllowedAddresses}")]
     NotAList,
-    /// A list with something other than an address in it, or with too many.
+    /// An entry of the list is not an address, or there are more than [`MAX_ADDRESSES`].
     #[error("has an entry that is no address, or too many; {AllowedAddresses}")]
     InvalidAddresses,
 }
 
-/// The end of the texts on times.
+/// The part of the texts on durations that states the allowed ones; bounds in seconds.
 struct AllowedDurations<'a> {
     min: &'a f64,
     max: &'a f64,
@@ -126,7 +129,7 @@
     }
 }
 
-/// The end of the texts on lists of addresses.
+/// The part of the texts on address lists that states the allowed ones.
 struct AllowedAddresses;
 
 impl fmt::Display for AllowedAddresses {
--- a/crates/operator-config/src/value.rs
+++ b/crates/operator-config/src/value.rs
@@ -1,4 +1,4 @@
-//! Values of single keys: how each kind is read from TOML, and its bounds.
+//! Kinds of values, and their conversion from TOML with a check of the bounds.
 
 use crate::duration::parse_duration;
 use crate::problem::ValueError;
@@ -8,26 +8,27 @@
 use toml::Spanned;
 use toml::de::DeValue;
 
-/// Longest path of a Unix socket in bytes: `sockaddr_un` has 108, with the zero byte at the end.
+/// Longest path of a Unix socket in bytes: `sockaddr_un` has room for 108, including the zero byte at the end.
 const MAX_SOCKET_PATH_BYTES: usize = 107;
 
-/// Longest path of a directory in bytes: Linux takes paths of 4095, which leaves enough for the names of files in it.
+/// Longest path of a directory in bytes: Linux accepts paths of 4095, which leaves enough for the names of files in the
+/// directory.
 const MAX_DIRECTORY_PATH_BYTES: usize = 4000;
 
-/// Most addresses in a list.
+/// Most addresses in a list of other proxies.
 pub(crate) const MAX_ADDRESSES: usize = 256;
 
-/// Longest name in bytes.
+/// Longest name of a fleet in bytes.
 pub(crate) const MAX_NAME_BYTES: usize = 64;
 
-/// What a key's value must be. Bounds are inclusive.
+/// Kind of a key's value, with inclusive bounds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ValueKind {
-    /// A text like `"250ms"`; bounds in seconds.
+    /// A string like `"250ms"`; bounds in seconds.
     Duration { min: f64, max: f64 },
-    /// A number, with or without a fraction.
+    /// An integer or a floating-point number.
     Number { min: f64, max: f64 },
-    /// A whole number.
+    /// An integer.
     Count { min: i64, max: i64 },
     /// `true` or `false`.
     Boolean,
@@ -35,13 +36,13 @@
     SocketPath,
     /// An absolute path.
     DirectoryPath,
-    /// Letters, digits and `-`.
+    /// A string of ASCII letters, digits and `-`.
     Name,
-    /// A list of IP addresses with ports.
+    /// An array of IP addresses with ports.
     Addresses,
 }
 
-/// A value that was read and lies within its bounds.
+/// A value of a key, within its bounds.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Value {
     Duration(Duration),
@@ -54,14 +55,14 @@
 }
 
 impl ValueKind {
-    /// Reads a value of this kind.
+    /// Converts a TOML value and checks its bounds.
     pub(crate) fn parse(self, value: &Spanned<DeValue<'_>>) -> Result<Value, ValueError> {
         let value = value.get_ref();
         match self {
             ValueKind::Duration { min, max } => parse_bounded_duration(value, min, max),
             ValueKind::Number { min, max } => parse_number(value, min, max),
             ValueKind::Count { min, max } => parse_count(value, min, max),
-            ValueKind::Boolean => parse_flag(value),
+            ValueKind::Boolean => parse_boolean(value),
             ValueKind::SocketPath => parse_path(value, MAX_SOCKET_PATH_BYTES),
             ValueKind::DirectoryPath => parse_path(value, MAX_DIRECTORY_PATH_BYTES),
             ValueKind::Name => parse_name(value),
@@ -115,9 +116,9 @@
     }
 }
 
-fn parse_flag(value: &DeValue<'_>) -> Result<Value, ValueError> {
+fn parse_boolean(value: &DeValue<'_>) -> Result<Value, ValueError> {
     match value {
-        DeValue::Boolean(flag) => Ok(Value::Boolean(*flag)),
+        DeValue::Boolean(boolean) => Ok(Value::Boolean(*boolean)),
         _ => Err(ValueError::NotABoolean),
     }
 }
@@ -156,11 +157,11 @@
     let DeValue::Array(entries) = value else {
         return Err(ValueError::NotAList);
     };
-    let parse = |entry: &Spanned<DeValue<'_>>| match entry.get_ref() {
+    let parse_entry = |entry: &Spanned<DeValue<'_>>| match entry.get_ref() {
         DeValue::String(text) => text.parse().ok(),
         _ => None,
     };
-    let addresses: Option<Vec<SocketAddr>> = entries.iter().map(parse).collect();
+    let addresses: Option<Vec<SocketAddr>> = entries.iter().map(parse_entry).collect();
     match addresses {
         Some(addresses) if addresses.len() <= MAX_ADDRESSES => Ok(Value::Addresses(addresses)),
         _ => Err(ValueError::InvalidAddresses),
--- a/crates/operator-config/tests/golden.rs
+++ b/crates/operator-config/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The operator's file as builds before the renames read it: every key, every kind of mistake, every difference. The
-//! files under `golden/` were written by such a build and never change; only the Rust names in this file may.
+//! Compares how the operator's file is parsed with an earlier build: every key, every kind of problem, every
+//! difference. That build wrote the files under `golden/`, and they never change; only the Rust names in this file may.
 
 #[path = "../../admin-protocol/tests/support/golden.rs"]
 mod golden_files;
@@ -10,13 +10,13 @@
 use golden_files::{assert_golden, golden};
 use std::time::Duration;
 
-/// Every value under its key, times in microseconds.
-fn values(file: &OperatorConfig) -> String {
-    let mut lines = admin_socket_values(file);
-    lines.extend(drain_values(file));
-    lines.extend(zone_failover_values(file));
-    lines.extend(snapshot_values(file));
-    lines.extend(warm_start_values(file));
+/// The value of each key, one in a line, durations in microseconds.
+fn format_values(config: &OperatorConfig) -> String {
+    let mut lines = admin_socket_values(config);
+    lines.extend(drain_values(config));
+    lines.extend(zone_failover_values(config));
+    lines.extend(snapshot_values(config));
+    lines.extend(warm_start_values(config));
     let mut text = String::new();
     for (key, value) in lines {
         text += &format!("{key} = {value}\n");
@@ -24,14 +24,15 @@
     text
 }
 
+/// Keys and their values as text.
 type Lines = Vec<(&'static str, String)>;
 
 fn micros(duration: Duration) -> String {
     duration.as_micros().to_string()
 }
 
-fn admin_socket_values(file: &OperatorConfig) -> Lines {
-    let Some(admin_socket) = &file.admin_socket else {
+fn admin_socket_values(config: &OperatorConfig) -> Lines {
+    let Some(admin_socket) = &config.admin_socket else {
         return vec![("control", "none".into())];
     };
     let path = admin_socket.path.to_str().unwrap();
@@ -41,8 +42,8 @@
     ]
 }
 
-fn drain_values(file: &OperatorConfig) -> Lines {
-    let drain = &file.drain;
+fn drain_values(config: &OperatorConfig) -> Lines {
+    let drain = &config.drain;
     vec![
         ("drain.deadline", micros(drain.default_deadline)),
         ("drain.closing", micros(drain.max_closing_time)),
@@ -55,21 +56,21 @@
     ]
 }
 
-fn zone_failover_values(file: &OperatorConfig) -> Lines {
-    let zones = &file.zone_failover;
+fn zone_failover_values(config: &OperatorConfig) -> Lines {
+    let zones = &config.zone_failover;
     vec![
         ("site.watch", zones.enabled.to_string()),
-        ("site.look", micros(zones.health_check_interval)),
-        ("site.hold", micros(zones.initial_hold)),
-        ("site.hold_most", micros(zones.max_hold)),
+        ("site.look", micros(zones.probe_interval)),
+        ("site.hold", micros(zones.hold_down)),
+        ("site.hold_most", micros(zones.max_hold_down)),
         ("site.settle", micros(zones.recovery_ramp)),
         ("site.pace", zones.paces_admission.to_string()),
         ("site.by_worth", zones.rejects_by_priority.to_string()),
     ]
 }
 
-fn snapshot_values(file: &OperatorConfig) -> Lines {
-    let Some(snapshots) = &file.snapshots else {
+fn snapshot_values(config: &OperatorConfig) -> Lines {
+    let Some(snapshots) = &config.snapshots else {
         return vec![("state", "none".into())];
     };
     let directory = snapshots.directory.to_str().unwrap();
@@ -79,19 +80,19 @@
     ]
 }
 
-fn warm_start_values(file: &OperatorConfig) -> Lines {
-    let warm_start = &file.warm_start;
+fn warm_start_values(config: &OperatorConfig) -> Lines {
+    let warm_start = &config.warm_start;
     let peers: Vec<String> = warm_start.peers.iter().map(ToString::to_string).collect();
     vec![
         ("recovery.stages", warm_start.enabled.to_string()),
-        ("recovery.look", micros(warm_start.discovery_wait)),
-        ("recovery.probe", micros(warm_start.health_check_wait)),
+        ("recovery.look", micros(warm_start.discovery_timeout)),
+        ("recovery.probe", micros(warm_start.probe_timeout)),
         ("recovery.fleet", format!("{:?}", warm_start.fleet)),
         ("recovery.others", peers.join(" ")),
     ]
 }
 
-/// A file with every key, none at its default.
+/// A file that sets every key to another value than its default.
 const FULL: &str = "\
 [control]
 socket = \"/run/asterramp/control.sock\"
@@ -125,7 +126,7 @@
 others = [\"10.0.0.5:9000\", \"[2001:db8::1]:9001\"]
 ";
 
-/// Lines of `FULL` that change alone, and what they become.
+/// Lines of `FULL`, each with a replacement for it; each file in the test differs from `FULL` in one line.
 const CHANGES: &[(&str, &str)] = &[
     (
         "socket = \"/run/asterramp/control.sock\"",
@@ -157,48 +158,60 @@
     ("deadline = \"2m\"", "deadline = \"120s\""),
 ];
 
-fn changes(before: &OperatorConfig, after: &OperatorConfig) -> String {
+fn format_changes(before: &OperatorConfig, after: &OperatorConfig) -> String {
     let mut text = String::new();
     for ConfigChange { key, takes_effect } in before.changes(after) {
-        let when = match takes_effect {
+        let time = match takes_effect {
             TakesEffect::Immediately => "at once",
             TakesEffect::AfterRestart => "by a restart",
         };
-        text += &format!("    {key} {when}\n");
+        text += &format!("    {key} {time}\n");
     }
     text
 }
 
 #[test]
-fn every_key_is_read_and_an_empty_file_has_the_same_defaults() {
+fn every_key_is_parsed_and_defaults_are_the_same() {
     let full = OperatorConfig::parse(FULL).unwrap();
     assert_golden("full.toml", FULL);
-    assert_golden("full.txt", &values(&full));
-    assert_golden("empty.txt", &values(&OperatorConfig::parse("").unwrap()));
+    assert_golden("full.txt", &format_values(&full));
+    assert_golden(
+        "empty.txt",
+        &format_values(&OperatorConfig::parse("").unwrap()),
+    );
     assert_eq!(OperatorConfig::parse(&golden("full.toml")), Ok(full));
     assert_eq!(OperatorConfig::parse(""), Ok(OperatorConfig::default()));
-    // The least that switches the admin socket and the snapshots on.
-    let least = "[control]\nsocket = \"/a\"\n[state]\nfolder = \"/b\"\n";
-    assert_golden("least.txt", &values(&OperatorConfig::parse(least).unwrap()));
+    // The smallest file that enables the admin socket and snapshots.
+    let smallest = "[control]\nsocket = \"/a\"\n[state]\nfolder = \"/b\"\n";
+    assert_golden(
+        "least.txt",
+        &format_values(&OperatorConfig::parse(smallest).unwrap()),
+    );
 }
 
 #[test]
-fn a_difference_names_the_same_keys_in_the_same_order() {
+fn changes_list_the_same_keys_in_the_same_order() {
     let full = OperatorConfig::parse(FULL).unwrap();
     let empty = OperatorConfig::default();
-    let mut text = format!("nothing differs\n{}", changes(&full, &full));
-    text += &format!("all differs\n{}", changes(&full, &empty));
-    text += &format!("all differs, the other way\n{}", changes(&empty, &full));
-    for (line, other) in CHANGES {
+    let mut text = format!("nothing differs\n{}", format_changes(&full, &full));
+    text += &format!("all differs\n{}", format_changes(&full, &empty));
+    text += &format!(
+        "all differs, the other way\n{}",
+        format_changes(&empty, &full)
+    );
+    for (line, replacement) in CHANGES {
         assert_eq!(FULL.matches(line).count(), 1, "{line}");
-        let changed = OperatorConfig::parse(&FULL.replace(line, other)).unwrap();
-        text += &format!("{line} -> {other}\n{}", changes(&full, &changed));
+        let changed = OperatorConfig::parse(&FULL.replace(line, replacement)).unwrap();
+        text += &format!(
+            "{line} -> {replacement}\n{}",
+            format_changes(&full, &changed)
+        );
     }
     assert_golden("changes.txt", &text);
 }
 
-/// Files with a mistake each, or several.
-const MISTAKES: &[&str] = &[
+/// Files with one problem or several.
+const INVALID_FILES: &[&str] = &[
     "[drian]\n",
     "drian = 1\n",
     "drain = 1\n",
@@ -208,13 +221,13 @@
     "[site]\nwait = \"1s\"\n",
     "[state]\nfolder = \"/a\"\nfile = 1\n",
     "[recovery]\nstage = 1\n",
-    // Missing beside others.
+    // Keys that another key needs are missing.
     "[control]\npeers = 3\n",
     "[control]\npeers = 300\n",
     "[state]\nevery = \"1s\"\n",
     "[recovery]\nothers = [\"10.0.0.5:9000\"]\n",
     "[recovery]\nothers = []\n",
-    // Times.
+    // Durations.
     "[drain]\ndeadline = 5\n",
     "[drain]\ndeadline = \"5 s\"\n",
     "[drain]\ndeadline = \"5\"\n",
@@ -244,7 +257,7 @@
     "[control]\nsocket = \"/a\"\npeers = 1.5\n",
     "[control]\nsocket = \"/a\"\npeers = \"4\"\n",
     "[control]\nsocket = \"/a\"\npeers = 99999999999999999999\n",
-    // Flags.
+    // Booleans.
     "[site]\nwatch = 1\n",
     "[site]\npace = \"no\"\n",
     "[site]\nby_worth = {}\n",
@@ -264,20 +277,20 @@
     "[recovery]\nfleet = \"a\"\nothers = [\"10.0.0.5\"]\n",
     "[recovery]\nfleet = \"a\"\nothers = [\"localhost:9000\"]\n",
     "[recovery]\nfleet = \"a\"\nothers = [9000]\n",
-    // What is no TOML.
+    // Invalid TOML.
     "[drain]\npace = \n",
     "[drain\npace = 1\n",
     "[drain]\npace = 1\npace = 2\n",
     "[drain]\npace = 1\n[drain]\nback = \"1s\"\n",
     "drain]\n",
-    // Several at once, in the order of lines.
+    // Several problems, which are reported in the order of lines.
     "[drain]\npace = 0\nquiet = \"x\"\nodd = 1\n[nothing]\n[control]\nsocket = 5\n",
     "[control]\npeers = 0\npaers = 2\n[state]\nevery = \"9\"\n[recovery]\nothers = [1]\nstages = 0\n[x]\n",
 ];
 
-/// The same, and files with values that are too long.
-fn mistakes() -> Vec<String> {
-    let mut files: Vec<String> = MISTAKES.iter().copied().map(String::from).collect();
+/// [`INVALID_FILES`], and files with values that are too long.
+fn invalid_files() -> Vec<String> {
+    let mut files: Vec<String> = INVALID_FILES.iter().copied().map(String::from).collect();
     files.push(format!("[control]\nsocket = \"/{}\"\n", "a".repeat(107)));
     files.push(format!("[state]\nfolder = \"/{}\"\n", "a".repeat(4_000)));
     files.push(format!("[recovery]\nfleet = \"{}\"\n", "a".repeat(65)));
@@ -286,32 +299,32 @@
     files
 }
 
-/// A file as it stands in the golden text, long runs of the same shortened.
-fn shown(text: &str) -> String {
-    let long = ["a".repeat(4_000), "a".repeat(107), "a".repeat(65)];
-    let mut shown = text.to_string();
-    for run in long {
-        shown = shown.replace(&run, &format!("<{} times a>", run.len()));
+/// A text as in the golden file, with long repetitions shortened.
+fn shorten(text: &str) -> String {
+    let long_runs = ["a".repeat(4_000), "a".repeat(107), "a".repeat(65)];
+    let mut shortened = text.to_string();
+    for run in long_runs {
+        shortened = shortened.replace(&run, &format!("<{} times a>", run.len()));
     }
     let others = vec!["\"10.0.0.5:9000\""; 257].join(",");
-    shown.replace(&others, "<257 times \"10.0.0.5:9000\">")
+    shortened.replace(&others, "<257 times \"10.0.0.5:9000\">")
 }
 
 #[test]
-fn each_mistake_is_reported_in_the_same_words() {
+fn each_problem_is_reported_in_the_same_words() {
     let mut text = String::new();
-    for file in mistakes() {
+    for file in invalid_files() {
         text += &format!(
             "file\n    {}\n",
-            shown(&file).trim_end().replace('\n', "\n    ")
+            shorten(&file).trim_end().replace('\n', "\n    ")
         );
         text += "problems\n";
         match OperatorConfig::parse(&file) {
-            Ok(read) => text += &format!("    none\n{}", values(&read)),
+            Ok(config) => text += &format!("    none\n{}", format_values(&config)),
             Err(problems) => {
-                let lines = problems.iter().map(ConfigProblem::to_string);
-                for line in lines {
-                    text += &format!("    {}\n", shown(&line));
+                let messages = problems.iter().map(ConfigProblem::to_string);
+                for line in messages {
+                    text += &format!("    {}\n", shorten(&line));
                 }
             }
         }
@@ -320,13 +333,13 @@
 }
 
 #[test]
-fn the_bounds_themselves_are_allowed() {
-    let long = "a".repeat(106);
+fn values_at_the_bounds_are_allowed() {
+    let socket = "a".repeat(106);
     let folder = "a".repeat(3_999);
     let name = "a".repeat(64);
     let others = vec!["\"10.0.0.5:9000\""; 256].join(",");
     let least = format!(
-        "[control]\nsocket = \"/{long}\"\npeers = 1\n[drain]\ndeadline = \"1s\"\nclosing = \"0s\"\n\
+        "[control]\nsocket = \"/{socket}\"\npeers = 1\n[drain]\ndeadline = \"1s\"\nclosing = \"0s\"\n\
          quiet = \"100ms\"\npace = 0.1\nback = \"0s\"\n[site]\nlook = \"200ms\"\nhold = \"0s\"\n\
          hold_most = \"0s\"\nsettle = \"0ms\"\n[state]\nfolder = \"/{folder}\"\nevery = \"0.2s\"\n\
          [recovery]\nlook = \"0s\"\nprobe = \"100ms\"\nfleet = \"{name}\"\nothers = [{others}]\n"
@@ -335,11 +348,11 @@
                 quiet = \"60s\"\npace = 100000\nback = \"60m\"\n[site]\nlook = \"60s\"\nhold = \"10m\"\n\
                 hold_most = \"1h\"\nsettle = \"600s\"\n[state]\nfolder = \"/a\"\nevery = \"10m\"\n\
                 [recovery]\nlook = \"1s\"\nprobe = \"60s\"\nfleet = \"A-9\"\nothers = [\"1.2.3.4:0\"]\n";
-    let read = OperatorConfig::parse(&least).unwrap();
-    assert_eq!(read.warm_start.peers.len(), 256);
-    let text = values(&read)
+    let config = OperatorConfig::parse(&least).unwrap();
+    assert_eq!(config.warm_start.peers.len(), 256);
+    let text = format_values(&config)
         .replace(&folder, "<3999 times a>")
-        .replace(&long, "<106 times a>")
+        .replace(&socket, "<106 times a>")
         .replace(&name, "<64 times a>")
         .replace(
             &vec!["10.0.0.5:9000"; 256].join(" "),
@@ -348,12 +361,12 @@
     assert_golden("least_allowed.txt", &text);
     assert_golden(
         "most_allowed.txt",
-        &values(&OperatorConfig::parse(most).unwrap()),
+        &format_values(&OperatorConfig::parse(most).unwrap()),
     );
 }
 
 #[test]
-fn times_are_read_with_the_same_units() {
+fn durations_are_parsed_with_the_same_units() {
     let texts = [
         "0ms",
         "250ms",
@@ -380,9 +393,9 @@
         "٣s",
     ];
     let mut text = String::new();
-    for given in texts {
-        let span = parse_duration(given).map(|span| span.as_nanos());
-        text += &format!("{given:?} {span:?}\n");
+    for duration_text in texts {
+        let nanos = parse_duration(duration_text).map(|duration| duration.as_nanos());
+        text += &format!("{duration_text:?} {nanos:?}\n");
     }
     assert_golden("times.txt", &text);
 }
--- a/crates/operator-config/tests/operator_config.rs
+++ b/crates/operator-config/tests/operator_config.rs
@@ -1,4 +1,4 @@
-//! Reading files, good and bad, and the differences between two.
+//! Parsing of valid and invalid files, and the differences between two configurations.
 
 use asterramp_operator_config::{ConfigChange, OperatorConfig, TakesEffect, parse_duration};
 use std::time::Duration;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn values_are_read() {
+fn values_are_parsed() {
     let config = parse(FULL);
     let admin_socket = config.admin_socket.unwrap();
     assert_eq!(
@@ -73,7 +73,10 @@
 #[test]
 fn snapshots_and_warm_start_are_off_by_default_and_can_be_switched_on() {
     let config = parse("[state]\nfolder = \"/var/a\"\n[recovery]\nstages = true\n");
-    let interval = config.snapshots.as_ref().map(|s| s.interval.as_secs());
+    let interval = config
+        .snapshots
+        .as_ref()
+        .map(|snapshots| snapshots.interval.as_secs());
     assert_eq!(interval, Some(1));
     assert!(config.warm_start.enabled && !OperatorConfig::default().warm_start.enabled);
     let changes: Vec<String> = config
@@ -86,25 +89,29 @@
 
 #[test_case("[drain]\npase = 1\n", 2, &["drain.pase", "allowed are deadline, closing"]; "unknown key")]
 #[test_case("\n[drian]\n", 2, &["[drian]", "[control], [drain], [site], [state], [recovery]"]; "unknown table")]
-#[test_case("drain = 1\n", 1, &["drain is a table"]; "no table")]
+#[test_case("drain = 1\n", 1, &["drain is a table"]; "a number for a table")]
 #[test_case("[drain]\npace = 0\n", 2, &["drain.pace", "0.1 to"]; "out of range")]
-#[test_case("[drain]\npace = \"5\"\n", 2, &["drain.pace", "no number"]; "text for a number")]
-#[test_case("[drain]\n\ndeadline = \"5 s\"\n", 3, &["drain.deadline", "\"5 s\"", "as in"]; "a time with a blank")]
-#[test_case("[drain]\ndeadline = 5\n", 2, &["drain.deadline", "no time"]; "a time without unit")]
-#[test_case("[drain]\nback = \"3h\"\n", 2, &["drain.back", "3600s"]; "too long")]
+#[test_case("[drain]\npace = \"5\"\n", 2, &["drain.pace", "no number"]; "a string for a number")]
+#[test_case("[drain]\n\ndeadline = \"5 s\"\n", 3, &["drain.deadline", "\"5 s\"", "as in"]; "a duration with a blank")]
+#[test_case("[drain]\ndeadline = 5\n", 2, &["drain.deadline", "no time"]; "a duration without unit")]
+#[test_case("[drain]\nback = \"3h\"\n", 2, &["drain.back", "3600s"]; "a duration above its maximum")]
 #[test_case("[control]\nsocket = \"a.sock\"\n", 2, &["control.socket", "absolute"]; "a relative path")]
 #[test_case("[control]\nsocket = \"/a\"\npeers = 100\n", 3, &["control.peers", "1 to 64"]; "too many peers")]
 #[test_case("[control]\npeers = 3\n", 1, &["control.socket is missing"]; "peers without a socket")]
-#[test_case("[site]\nwatch = 1\n", 2, &["site.watch", "true nor false"]; "a number for a flag")]
-#[test_case("[site]\nlook = \"10ms\"\n", 2, &["site.look", "0.2s to 60s"]; "checks too often")]
+#[test_case("[site]\nwatch = 1\n", 2, &["site.watch", "true nor false"]; "a number for a boolean")]
+#[test_case("[site]\nlook = \"10ms\"\n", 2, &["site.look", "0.2s to 60s"]; "a probe interval below its minimum")]
 #[test_case("[site]\nwait = \"1s\"\n", 2, &["site.wait", "watch, look, hold, hold_most, settle, pace, by_worth"]; "unknown zone failover key")]
-#[test_case("[state]\nfolder = \"state\"\n", 2, &["state.folder", "absolute path"]; "a relative folder")]
-#[test_case("[state]\nevery = \"1s\"\n", 1, &["state.folder is missing"]; "an interval without a folder")]
-#[test_case("[state]\nfolder = \"/s\"\nevery = \"1ms\"\n", 3, &["state.every", "0.2s to"]; "saves too often")]
-#[test_case("[recovery]\nlook = \"5s\"\n", 2, &["recovery.look", "0s to 1s"]; "a wait that is too long")]
-#[test_case("[recovery]\nstages = \"yes\"\n", 2, &["recovery.stages", "true nor false"]; "text for a flag")]
+#[test_case("[state]\nfolder = \"state\"\n", 2, &["state.folder", "absolute path"]; "a relative directory")]
+#[test_case("[state]\nevery = \"1s\"\n", 1, &["state.folder is missing"]; "an interval without a directory")]
+#[test_case("[state]\nfolder = \"/s\"\nevery = \"1ms\"\n", 3, &["state.every", "0.2s to"]; "a snapshot interval below its minimum")]
+#[test_case("[recovery]\nlook = \"5s\"\n", 2, &["recovery.look", "0s to 1s"]; "a discovery timeout above its maximum")]
+#[test_case("[recovery]\nstages = \"yes\"\n", 2, &["recovery.stages", "true nor false"]; "a string for a boolean")]
 #[test_case("[drain]\npace = \n", 2, &[]; "not TOML")]
-fn a_problem_names_its_line_its_key_and_what_is_allowed(text: &str, line: usize, parts: &[&str]) {
+fn a_problem_states_its_line_its_key_and_the_allowed_values(
+    text: &str,
+    line: usize,
+    parts: &[&str],
+) {
     let problems = OperatorConfig::parse(text).unwrap_err();
     assert_eq!(problems[0].line, line, "{problems:?}");
     let message = problems[0].error.to_string();
@@ -120,7 +127,7 @@
     let lines: Vec<usize> = OperatorConfig::parse(text)
         .unwrap_err()
         .iter()
-        .map(|p| p.line)
+        .map(|problem| problem.line)
         .collect();
     assert!(
         [2, 3, 4, 5, 7].iter().all(|line| lines.contains(line)),
@@ -135,7 +142,10 @@
 #[test_case("s", None; "no number")]
 #[test_case("5", None; "no unit")]
 #[test_case("-5s", None; "negative")]
-#[test_case("1e400s", None; "beyond all numbers")]
-fn durations_have_a_unit(text: &str, ms: Option<u64>) {
-    assert_eq!(parse_duration(text), ms.map(Duration::from_millis));
+#[test_case("1e400s", None; "a number that is too large")]
+fn durations_have_a_unit(text: &str, milliseconds: Option<u64>) {
+    assert_eq!(
+        parse_duration(text),
+        milliseconds.map(Duration::from_millis)
+    );
 }
--- a/crates/proxy/src/program/operator_file.rs
+++ b/crates/proxy/src/program/operator_file.rs
@@ -64,9 +64,9 @@
         return None;
     }
     Some(ZoneFailoverSettings {
-        probe_interval: config.health_check_interval,
-        hold_down: config.initial_hold,
-        max_hold_down: config.max_hold,
+        probe_interval: config.probe_interval,
+        hold_down: config.hold_down,
+        max_hold_down: config.max_hold_down,
         recovery_ramp: config.recovery_ramp,
         ..ZoneFailoverSettings::default()
     })
@@ -78,8 +78,8 @@
     settings: &ProxySettings,
 ) -> WarmStartSettings {
     WarmStartSettings {
-        discovery_timeout: config.discovery_wait,
-        probe_timeout: config.health_check_wait,
+        discovery_timeout: config.discovery_timeout,
+        probe_timeout: config.probe_timeout,
         limited_admission_duration: settings.deployment.slow_start.warm_after,
         ..WarmStartSettings::default()
     }
