--- a/crates/admin-protocol/src/status.rs
+++ b/crates/admin-protocol/src/status.rs
@@ -89,8 +89,8 @@
     pub since_ms: u64,
     /// Numbers of endpoints by the source that reported them; sources without any are omitted.
     pub sources: Vec<EndpointSourceCount>,
-    /// Number of endpoints that were dropped: not confirmed in time, replaced, delisted, or reported when the list was
-    /// full.
+    /// Number of reports that were ignored, and of endpoints that were not confirmed in time, were replaced or were
+    /// delisted.
     pub dropped: u64,
     /// Snapshots saved and failed; `None` if snapshots are disabled.
     #[serde(rename = "saved")]
--- a/crates/drain/src/drain.rs
+++ b/crates/drain/src/drain.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// [`DrainState::Closing`] lasts at most the time from the start of the drain to its deadline, divided by this: a drain
-/// with a short deadline cannot wait for a slow front. A greater value ends the state sooner.
+/// with a short deadline cannot wait for a slow front load balancer. A greater value ends the state sooner.
 const MAX_CLOSING_TIME_DIVISOR: u32 = 8;
 
 /// The proxy's sessions and connections at the time of a call of [`Drain::advise`].
@@ -88,7 +88,7 @@
         self.settings = settings;
     }
 
-    /// Whether to answer the front's pings. The front sends new sessions only to a proxy that answers.
+    /// Whether to answer the front load balancer's pings. It sends new sessions only to a proxy that answers.
     pub fn answers_pings(&self) -> bool {
         self.state == DrainState::Serving
     }
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -5,8 +5,8 @@
 //! passes the time and a [`DrainView`] of its sessions to [`Drain::advise`] every [`ADVICE_INTERVAL`] and carries out
 //! the [`DrainAdvice`]. All times are [`Duration`]s since the caller's start.
 //!
-//! The *front* is the load balancer before the proxies. It pings each of them and sends new sessions to those that
-//! answer.
+//! The front load balancer distributes new sessions over the proxies: it pings each of them and sends sessions only to
+//! those that answer.
 
 mod drain;
 mod pacing;
--- a/crates/drain/src/settings.rs
+++ b/crates/drain/src/settings.rs
@@ -5,10 +5,10 @@
 /// Settings of a drain, from the table `drain` of the operator's configuration file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainSettings {
-    /// Longest time that the drain waits for the front to stop sending new sessions after the proxy stopped answering
-    /// its pings. Open sessions are migrated only then.
+    /// Longest time that the drain waits for the front load balancer to stop sending new sessions after the proxy
+    /// stopped answering its pings. Open sessions are migrated only then.
     pub max_closing_time: Duration,
-    /// Once no new session has arrived for this time, the front is taken to have stopped sending.
+    /// Once no new session has arrived for this time, the front load balancer is taken to have stopped sending.
     pub quiet_period: Duration,
     /// Highest rate of migration in sessions per second; exceeded only if the deadline requires it.
     pub max_migrations_per_second: f64,
@@ -30,7 +30,7 @@
 /// Times of the steps of a shutdown, since the caller's start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShutdownSchedule {
-    /// Until then the front may still send sessions, and all sessions are served as before.
+    /// Until then the front load balancer may still send sessions, and all sessions are served as before.
     pub serve_until: Duration,
     /// When the first open session is migrated.
     pub migrate_from: Duration,
--- a/crates/drain/src/state.rs
+++ b/crates/drain/src/state.rs
@@ -12,7 +12,8 @@
 pub enum DrainState {
     /// The proxy is not draining.
     Serving,
-    /// The front's pings are no longer answered. It may still send new sessions, and all sessions are served.
+    /// The front load balancer's pings are no longer answered. It may still send new sessions, and all sessions are
+    /// served.
     Closing,
     /// Open sessions are migrated at the requested rate, or one that endpoints can absorb.
     Migrating,
@@ -47,7 +48,7 @@
     UndrainRequested,
     /// The proxy has to shut down.
     ShutdownRequested,
-    /// The front has stopped sending sessions, or its time to do so has passed.
+    /// The front load balancer has stopped sending sessions, or its time to do so has passed.
     NewSessionsStopped,
     /// No session is open or being set up.
     AllSessionsEnded,
--- a/crates/operator-config/src/problem.rs
+++ b/crates/operator-config/src/problem.rs
@@ -108,7 +108,7 @@
     /// The value of an address list is not an array.
     #[error("is no list; {AllowedAddresses}")]
     NotAList,
-    /// An entry of the list is not an address, or there are more than [`MAX_ADDRESSES`].
+    /// An entry of the list is not an IP address with a port, or there are too many.
     #[error("has an entry that is no address, or too many; {AllowedAddresses}")]
     InvalidAddresses,
 }
