--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! [`OperatorConfig::parse`] reads the TOML text. All keys, their bounds and when a change of each takes effect are in
 //! one table (`keys.rs`); the defaults are in the settings types (`config.rs`), and apply to each key and table that
-//! the file does not contain. Without a file, all optional features are off. An invalid file is rejected as a whole,
-//! with all its [`ConfigProblem`]s.
+//! the file does not contain. Without a file, too, all defaults apply: zone failover is on; the admin socket, snapshots
+//! and warm start are off. An invalid file is rejected as a whole, with all its [`ConfigProblem`]s.
 
 mod changes;
 mod config;
