--- a/crates/testbed/src/context.rs
+++ b/crates/testbed/src/context.rs
@@ -1,5 +1,5 @@
-//! What every actor of a run works with, and which knows none of them: the scenario and its plan, the event log, the plan's
-//! clock, the numbers that are given out, and the signals to clients.
+//! The state that all actors of a run share: the scenario and its plan, the event log, the plan's clock, counters for
+//! session and dial numbers, and signals to clients. It does not depend on any actor.
 
 use crate::event_log::{EventLog, SessionId};
 use crate::pending_dials::PendingDials;
@@ -11,21 +11,21 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Tells a share of all clients to do something.
+/// A request to a random share of all connected clients.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientSignal {
-    /// Which part of the clients follows it, from 0 to 1.
+    /// The probability that a client follows it, from 0 to 1.
     pub share: f64,
-    /// For how long, where it is something that lasts.
+    /// How long its effect lasts; unused by signals without a duration.
     pub span: Duration,
 }
 
-/// Signals that all clients with an open connection listen to.
+/// Signals to which every client with an open connection subscribes.
 #[derive(Debug)]
 pub struct ClientSignals {
-    /// Drop the connection and come again.
+    /// Close the connection and connect again.
     pub reconnect: watch::Sender<ClientSignal>,
-    /// Read and write nothing for a while.
+    /// Neither read nor write for the signal's `span`.
     pub stop_reading: watch::Sender<ClientSignal>,
 }
 
@@ -41,40 +41,41 @@
 /// The state of one run that all its actors share.
 #[derive(Debug)]
 pub struct RunContext {
-    /// What the run was asked for.
+    /// The scenario of the run.
     pub scenario: Scenario,
-    /// What was drawn from it before the start.
+    /// The clients, faults and hosts drawn from the scenario before the start.
     pub plan: Plan,
-    /// What the actors have seen so far.
+    /// The events that the actors have recorded so far.
     pub event_log: EventLog,
-    /// How well clients have been served so far.
+    /// Measurements of the service that clients have received so far.
     pub service_score: ServiceScore,
-    /// Signals to the clients.
+    /// Signals to all connected clients.
     pub client_signals: ClientSignals,
-    /// Dials that no host has answered yet.
+    /// Dials whose host has read the request and has not answered it yet.
     pub(crate) pending_dials: PendingDials,
-    /// Which run of this process it is: tests play several at once.
+    /// The index of this run among those of this process; keeps the socket paths of parallel test runs apart.
     pub run_number: u32,
-    /// When the plan's clock began, on the event log's clock.
+    /// When the plan's clock started, on the event log's clock.
     plan_start: OnceLock<Duration>,
     next_session: AtomicU64,
     next_dial: AtomicU32,
-    /// The latest that the testbed did anything, in microseconds.
+    /// The greatest lateness recorded by [`RunContext::record_lateness`], in microseconds.
     lateness_us: AtomicU64,
 }
 
-/// Runs that this process has begun.
-static RUNS: AtomicU32 = AtomicU32::new(0);
+/// How many runs this process has begun.
+static RUNS_BEGUN: AtomicU32 = AtomicU32::new(0);
 
 impl RunContext {
-    /// The context of a run whose plan has not begun. The event log's clock begins here.
+    /// Creates the context of a run and starts the event log's clock; [`RunContext::start_plan`] starts the plan's
+    /// clock.
     pub fn new(scenario: Scenario, plan: Plan) -> RunContext {
         RunContext {
             event_log: EventLog::default(),
             service_score: ServiceScore::new(scenario.listeners.len(), scenario.tenants.len()),
             client_signals: ClientSignals::default(),
             pending_dials: PendingDials::default(),
-            run_number: RUNS.fetch_add(1, Ordering::Relaxed),
+            run_number: RUNS_BEGUN.fetch_add(1, Ordering::Relaxed),
             plan_start: OnceLock::new(),
             next_session: AtomicU64::new(1),
             next_dial: AtomicU32::new(1),
@@ -84,50 +85,50 @@
         }
     }
 
-    /// A number that no session of the run has yet.
+    /// Returns a session id that is unique in this run.
     pub fn new_session_id(&self) -> SessionId {
         self.next_session.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A number that no dial of the run has yet.
+    /// Returns a dial number that is unique in this run.
     pub(crate) fn new_dial_number(&self) -> u32 {
         self.next_dial.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Begins the plan's clock, once.
+    /// Starts the plan's clock; later calls have no effect.
     pub fn start_plan(&self) {
         self.plan_start.get_or_init(|| self.event_log.now());
     }
 
-    /// When the plan's clock began, on the event log's clock; `None` before.
+    /// When the plan's clock started, on the event log's clock; `None` before the start.
     pub fn plan_start(&self) -> Option<Duration> {
         self.plan_start.get().copied()
     }
 
-    /// The plan's time now; zero before it begins.
+    /// The time on the plan's clock; zero before its start.
     pub fn now(&self) -> Duration {
         self.plan_start().map_or(Duration::ZERO, |start| {
             self.event_log.now().saturating_sub(start)
         })
     }
 
-    /// Sleeps until a time of the plan; not at all where that has come, since even the shortest sleep takes a
-    /// millisecond, and a testbed behind its plan would fall ever further behind.
+    /// Sleeps until a time on the plan's clock. Returns at once if that time has passed: even the shortest sleep takes
+    /// a millisecond, so a testbed that is behind its plan would fall further behind with each call.
     pub async fn sleep_until(&self, at: Duration) {
-        let left = at.saturating_sub(self.now());
-        if !left.is_zero() {
-            tokio::time::sleep(left).await;
+        let remaining = at.saturating_sub(self.now());
+        if !remaining.is_zero() {
+            tokio::time::sleep(remaining).await;
         }
     }
 
-    /// Something due by the plan is done now: keeps how late that is, if it is the latest yet.
+    /// Records that an action due at `due` on the plan's clock happens now, for [`RunContext::lateness`].
     pub fn record_lateness(&self, due: Duration) {
         let late = self.now().saturating_sub(due);
         self.lateness_us
             .fetch_max(late.as_micros() as u64, Ordering::Relaxed);
     }
 
-    /// The latest that the testbed did anything that was due.
+    /// The greatest delay so far between an action of the testbed and its due time; shows an overloaded machine.
     pub fn lateness(&self) -> Duration {
         Duration::from_micros(self.lateness_us.load(Ordering::Relaxed))
     }
--- a/crates/testbed/src/event_log.rs
+++ b/crates/testbed/src/event_log.rs
@@ -1,121 +1,121 @@
-//! What the actors of a run saw, each event with the time at which it was seen. The judge reads nothing else.
+//! The events that the actors of a run recorded, each with its time. The judge has no other source.
 //!
-//! Reports print events by their debug text, so the names of variants and fields are part of the reports' form.
+//! Reports print events by their `Debug` output, so the names of variants and fields are part of the report format.
 
 use crate::link_ends::LinkEnds;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// A session as a client names it, new with every connection.
+/// The id of a session, chosen by its client; each connection of a client is a session of its own.
 pub type SessionId = u64;
 
-/// How a connection ended, as one side saw it.
+/// How a connection ended, as observed at one side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// In good order.
+    /// The peer closed it (FIN).
     Fin,
-    /// By a reset.
+    /// It was reset (RST).
     Reset,
 }
 
-/// What a client was answered to a session's line.
+/// The answer that a client received to its session request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientAnswer {
     /// The session is up.
     Up,
-    /// Rejected, with the time after which to come again, in milliseconds, if that was said.
+    /// Rejected, with the Retry-After in milliseconds if the answer had one.
     Busy(Option<u64>),
-    /// Anything else.
+    /// Any other answer.
     Failed,
 }
 
-/// What a host replied to a dial.
+/// A reply of a host on a dial's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostReply {
     /// The session is up.
     Up,
-    /// Rejected; it has taken no effect.
+    /// The session is rejected, and has had no effect.
     Busy,
-    /// Failed.
+    /// The session failed.
     Err,
-    /// An open session ends as its client wished.
+    /// An open session ends at its client's request.
     Bye,
-    /// An open session has to go elsewhere.
+    /// An open session has to move to another host.
     Move,
 }
 
 /// A host's state as discovery lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
-    /// It takes sessions.
+    /// It accepts new sessions.
     Ready,
-    /// It takes no new sessions, and moves those that it has.
+    /// It accepts no new sessions, and moves its open ones to other hosts.
     Draining,
-    /// It does not come back.
+    /// It has been removed.
     Gone,
 }
 
-/// What an actor saw.
+/// One event, as the actor that observed it records it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A client wrote its session's complete line, and waits so long.
+    /// A client has written its complete session request.
     Asked {
         /// The session.
         id: SessionId,
         /// The proxy's number.
         proxy: u16,
-        /// Where its client is.
+        /// The index of the client's zone in the scenario.
         place: u8,
         /// The listener's index in the scenario.
         listener: u8,
-        /// How long its client waits.
+        /// How long the client waits for an answer.
         wait: Duration,
-        /// Connected before the run.
+        /// The client counts as connected before the run.
         inherited: bool,
     },
-    /// A client got its answer.
+    /// A client received its answer.
     Answered {
         /// The session.
         id: SessionId,
-        /// What it was.
+        /// The answer.
         answer: ClientAnswer,
     },
-    /// The client's connection ended before an answer.
+    /// A client's connection ended before the answer.
     Cut {
         /// The session.
         id: SessionId,
         /// How it ended.
         end: ConnectionEnd,
     },
-    /// The client left before an answer.
+    /// A client gave up before it received an answer.
     Left {
         /// The session.
         id: SessionId,
     },
-    /// An open connection ended at its client; announced (`told`) by `MOVE` or `BYE`.
+    /// A client saw the connection of its open session end.
     Ended {
         /// The session.
         id: SessionId,
         /// How it ended.
         end: ConnectionEnd,
-        /// `MOVE` or `BYE` came before.
+        /// The host had announced it by `MOVE` or `BYE`.
         told: bool,
     },
-    /// A client read what no host said: behind a final answer, out of order, or no line at all.
+    /// A client read something that no host sent: after a final answer, out of order, or not a valid line.
     Garbled {
         /// The session.
         id: SessionId,
         /// What was read.
         line: String,
     },
-    /// A line took over a second from one side to the other.
+    /// A client's message took more than one second to reach its host.
     Held {
         /// The session.
         id: SessionId,
-        /// How long it took.
+        /// How long the message took.
         span: Duration,
     },
-    /// A host has read a session's complete line.
+    /// A host has read a complete session request.
     Dialled {
         /// The session.
         id: SessionId,
@@ -123,11 +123,12 @@
         host: u16,
         /// The dial's number.
         dial: u32,
-        /// Connected before the run.
+        /// The client counts as connected before the run.
         inherited: bool,
     },
-    /// When that line came, an earlier dial of the session was under way beyond doubt: its connection had no end in
-    /// the kernel, so it does not only look so because actors record the same moment a little apart.
+    /// When the host read the request of a dial, an earlier dial of the session was still open: the kernel had seen no
+    /// end of its connection. The order of events alone does not prove this, since actors record the same moment at
+    /// slightly different times.
     StillOut {
         /// The session.
         id: SessionId,
@@ -138,40 +139,40 @@
         /// The number of the earlier dial.
         earlier: u32,
     },
-    /// A host replied to a dial.
+    /// A host has sent a reply on a dial.
     Replied {
         /// The session.
         id: SessionId,
         /// The dial's number.
         dial: u32,
-        /// What it was.
+        /// The reply.
         reply: HostReply,
     },
-    /// A dial's connection is over at its host.
+    /// A host has seen a dial's connection end, or has ended it.
     DialOver {
         /// The session.
         id: SessionId,
         /// The dial's number.
         dial: u32,
-        /// The host ended it.
+        /// The host, or a fault of the link, ended it, not the proxy.
         by_host: bool,
     },
-    /// A host read what is not a line of the protocol.
+    /// A host read a line that does not belong to the protocol.
     Unread {
         /// The host's number.
         host: u16,
         /// What was read.
         line: String,
     },
-    /// Discovery has written a host's state to a proxy.
+    /// Discovery has sent a host's state to a proxy.
     HostListed {
         /// The proxy's number.
         proxy: u16,
         /// The host's number.
         host: u16,
-        /// The state that was written.
+        /// The state that was sent.
         standing: HostState,
-        /// When the host last started.
+        /// When the host last started, on the event log's clock; `None`: before the run.
         started: Option<Duration>,
     },
     /// A host's process has ended.
@@ -184,13 +185,13 @@
         /// The host's number.
         host: u16,
     },
-    /// A host that was warming up collapsed under these sessions.
+    /// A host collapsed because it was overloaded while it warmed up.
     Collapsed {
         /// The host's number.
         host: u16,
-        /// When the host last started, on the event log's clock.
+        /// When the host last started, on the event log's clock; `None`: before the run.
         started: Option<Duration>,
-        /// The sessions that reached it of late.
+        /// The sessions that reached the host within the overload window.
         by: Vec<SessionId>,
     },
     /// A proxy's process has started.
@@ -198,90 +199,91 @@
         /// The proxy's number.
         proxy: u16,
     },
-    /// SIGKILL is about to be sent; the kernel lets clients in until it has taken the process down.
+    /// SIGKILL is about to be sent to a proxy; the kernel still accepts connections for it until the process has ended.
     ProxyKilled {
         /// The proxy's number.
         proxy: u16,
     },
-    /// A killed proxy has been reaped; nothing that comes from now on is its own.
+    /// A killed proxy has been reaped; it causes no later event.
     ProxyDead {
         /// The proxy's number.
         proxy: u16,
     },
-    /// A proxy was stopped (`stops`), or let run again.
+    /// A proxy was suspended (SIGSTOP) or resumed (SIGCONT).
     ProxyStalls {
         /// The proxy's number.
         proxy: u16,
-        /// Stopped, or else let run again.
+        /// Whether it was suspended; `false`: resumed.
         stops: bool,
     },
-    /// A link has a fault, or none any more.
+    /// A link has a fault, or has none any more.
     WayFails {
-        /// Which link.
+        /// The link.
         ends: LinkEnds,
-        /// It has a fault.
+        /// Whether it has a fault.
         fails: bool,
     },
-    /// A proxy was told to shut down by SIGTERM.
+    /// A proxy was sent SIGTERM to shut down.
     ProxyLeaves {
         /// The proxy's number.
         proxy: u16,
     },
-    /// A proxy's process has ended by itself, or as it was told (`asked`).
+    /// A proxy's process has exited.
     ProxyExited {
         /// The proxy's number.
         proxy: u16,
-        /// Its exit code, if it was not killed.
+        /// The exit code; `None` if a signal ended the process.
         code: Option<i32>,
-        /// It had been told to shut down.
+        /// Whether it had been asked to shut down.
         asked: bool,
     },
-    /// A second process was started beside one that serves; it may serve from now on.
+    /// A successor was started for a hot restart; either process may serve from now on.
     ProxyBeside {
         /// The proxy's number.
         proxy: u16,
     },
-    /// One that replaced another serves alone from now on, and its figures are asked for.
+    /// The successor of a hot restart serves alone from now on, and metrics are requested from it.
     ProxyServes {
         /// The proxy's number.
         proxy: u16,
     },
-    /// How long a second process took until it was ready, if it ever was.
+    /// The outcome of a hot restart.
     Replaced {
         /// The proxy's number.
         proxy: u16,
-        /// The time, if it became ready.
+        /// How long the successor took to become ready; `None` if it never did.
         yes: Option<Duration>,
     },
-    /// An operator asked for figures: sessions brought up, and those in flight; `None` is no answer, or no figures.
+    /// An operator requested a proxy's metrics.
     Called {
         /// The proxy's number.
         proxy: u16,
         /// How long the answer took.
         took: Duration,
-        /// Sessions brought up so far, and those in flight, as the proxy told them.
+        /// Sessions established so far and sessions in flight, as the proxy reports them; `None` without a valid
+        /// answer.
         figures: Option<(u64, u64)>,
     },
     /// A fault of the plan begins or ends.
     Fault {
-        /// Which fault, and whom it strikes.
+        /// The fault's kind and its targets.
         what: String,
-        /// It begins, or else ends.
+        /// Whether it begins; `false`: it ends.
         begins: bool,
     },
-    /// A misbehaving client got the error or close that it is owed in time, or not, or was even served.
+    /// How a proxy treated a misbehaving client.
     MisbehavingClient {
-        /// What it does.
+        /// The kind of misbehaviour.
         sort: &'static str,
-        /// It got what it is owed in time.
+        /// Whether the client got the error or the close that it must get, in time.
         owed: bool,
-        /// It was served as if it behaved.
+        /// Whether the client was served as if it had kept to the protocol.
         served: bool,
     },
 }
 
 impl Event {
-    /// The session that it is about.
+    /// The session that the event concerns; `None` if it concerns no single session.
     pub fn id(&self) -> Option<SessionId> {
         use Event::*;
         match self {
@@ -297,17 +299,17 @@
 /// An event with its time.
 #[derive(Clone, Debug)]
 pub struct LoggedEvent {
-    /// When it was seen, on the event log's clock.
+    /// When it was recorded, on the event log's clock.
     pub at: Duration,
-    /// What was seen.
+    /// The event.
     pub seen: Event,
 }
 
-/// All events of a run, in the order in which they were recorded, on one clock.
+/// All events of a run in the order in which they were recorded, with times on one monotonic clock.
 #[derive(Debug)]
 pub struct EventLog {
     start: Instant,
-    /// Unix time of the start, for discovery.
+    /// The Unix time at which the log's clock started; discovery reports start times of hosts as Unix times.
     pub unix_start: Duration,
     events: Mutex<Vec<LoggedEvent>>,
 }
@@ -326,12 +328,12 @@
 }
 
 impl EventLog {
-    /// The time since the log began.
+    /// The time on the log's clock: since the log was created.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Records what was seen now.
+    /// Records an event with the present time.
     pub fn record(&self, seen: Event) {
         self.events().push(LoggedEvent {
             at: self.now(),
@@ -339,7 +341,7 @@
         });
     }
 
-    /// Takes all events out.
+    /// Removes and returns all events.
     pub fn take(&self) -> Vec<LoggedEvent> {
         std::mem::take(&mut *self.events())
     }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,11 +1,13 @@
-//! Stand-in hosts, clients, a front and discovery on loopback around asterramp, with faults, and a judge that holds the
-//! rules against what the peers themselves recorded. `docs/testbed.md` tells how its parts meet.
+//! Runs asterramp processes on loopback among emulated hosts, clients, a front load balancer and discovery, injects
+//! faults, and checks rules over the events that these actors recorded. `docs/testbed.md` describes the parts and how
+//! they work together. A host is the testbed's word for a server on which sessions are placed.
 //!
-//! - [`scenario`] is what a run is made of, [`plan`] what is drawn from it, [`context`] what its actors share.
-//! - [`host`], [`client`], [`front`], [`discovery`] and [`link`] are the actors, [`testbed`] owns them.
-//! - [`proxy_process`] runs the program under test, [`plain_proxy`] is one to compare it with.
-//! - [`run`] plays a scenario from beginning to end.
-//! - [`judge`] checks the rules over the [`event_log`]; [`report`], [`plots`], [`compare`] and [`scale`] show results.
+//! - [`scenario`] reads the description of a run, [`plan`] draws clients and faults from it, [`context`] holds the state
+//!   that the actors of a run share.
+//! - [`host`], [`client`], [`front`], [`discovery`] and [`link`] are the actors; [`testbed`] owns them.
+//! - [`proxy_process`] runs the program under test; [`plain_proxy`] is a simple proxy to compare it with.
+//! - [`run`] executes a scenario from start to end.
+//! - [`judge`] checks the rules over the [`event_log`]; [`report`], [`plots`], [`compare`] and [`scale`] present results.
 
 pub mod client;
 pub mod compare;
--- a/crates/testbed/src/load_model.rs
+++ b/crates/testbed/src/load_model.rs
@@ -1,104 +1,109 @@
-//! What a host can do: speed shared among its connections, groups whose cost counts once, slow start, and a collapse when
-//! it is overloaded while it warms up. No I/O and no clock: callers tell the time.
+//! The load model of an emulated host: its speed is shared among its sessions, the cost of a group counts once, it
+//! warms up after a start, and it collapses if it is overloaded meanwhile. It does no I/O and has no clock: callers
+//! pass the time.
 
 use crate::event_log::SessionId;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// What a host is able to do.
+/// The properties of a host. Speeds and loads are relative to a standard host, whose speed is 1.
 #[derive(Clone, Debug)]
 pub struct LoadModelSettings {
-    /// Its speed as a multiple of a standard host's.
+    /// Its speed, as a multiple of a standard host's.
     pub speed: f64,
-    /// The most sessions that it has at once.
+    /// The most sessions that it has at once, including those being set up.
     pub max_sessions: u32,
-    /// Load of each group that has a session here, as a share of what a standard host can do.
+    /// The load that each group with an open session here adds once, as a share of a standard host's capacity.
     pub group_cost: f64,
-    /// The share of its speed that it has when its process has just started.
+    /// The share of its speed that it has right after a start.
     pub cold_share: f64,
-    /// How long after its start it has all of its speed.
+    /// How long after a start it reaches its full speed; the speed grows linearly until then.
     pub warm_up_time: Duration,
-    /// It collapses at so many times the work that it can do while it warms up.
+    /// While it warms up, it collapses when the set-up work of the last `overload_window` exceeds so many times what
+    /// its present capacity can do in that time.
     pub overload_factor: f64,
-    /// Over how long that work is summed.
+    /// The time over which set-up work is summed for `overload_factor`.
     pub overload_window: Duration,
-    /// What setting a session up takes of a standard host.
+    /// How long a standard host without other load works to set a session up.
     pub set_up_work: Duration,
-    /// What a message takes of an idle host.
+    /// How long an idle host takes to answer a message.
     pub message_time: Duration,
-    /// How old the figures of a load report are.
+    /// How old the values in a load report are.
     pub report_age: Duration,
-    /// By how much its load is off at most, as a share of it.
+    /// The greatest random error of the utilization in a load report, as a share of it.
     pub report_noise: f64,
 }
 
-/// What becomes of a session that reaches a host.
+/// The result of a request to set a session up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SetUpOutcome {
-    /// Up after so long.
+    /// The session will be up after this time.
     UpAfter(Duration),
-    /// It has no room for another one.
+    /// The host has its most sessions already.
     Full,
-    /// Too much work came while it warmed up: it is down, and this was the last of it.
+    /// The host was overloaded while it warmed up, and collapses with this request.
     Collapsed,
 }
 
-/// What a load report tells.
+/// The values of a load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Load over what it can do.
+    /// Load over capacity; above 1 the host is overloaded.
     pub utilization: f64,
-    /// Open sessions.
+    /// The number of open sessions.
     pub outstanding: u32,
 }
 
-/// The highest utilization that lengthens a message's time; above it work queues up.
-const HIGHEST_UTILIZATION: f64 = 0.98;
-/// The longest queue, and the longest that a message waits, in seconds.
-const LONGEST_DELAY: f64 = 20.0;
-/// The least that a host can do, so that nothing is divided by zero.
-const LEAST_CAPACITY: f64 = 1e-6;
-const LEAST_SPEED_FACTOR: f64 = 1e-3;
-/// The shortest warm-up, in seconds.
-const SHORTEST_WARM_UP: f64 = 1e-9;
-/// One sample of the load in this time tells as much as all.
+/// The greatest utilization in the formula for the time of a message, which has a pole at 1; overload is modelled by
+/// the queue instead.
+const MAX_FORMULA_UTILIZATION: f64 = 0.98;
+/// The longest queue and the longest delay of a message, in seconds.
+const MAX_DELAY_SECONDS: f64 = 20.0;
+/// The smallest capacity, as a multiple of a standard host's; prevents division by zero.
+const MIN_CAPACITY: f64 = 1e-6;
+/// The smallest speed factor in the formula for the time of a message; prevents division by zero.
+const MIN_SPEED_FACTOR: f64 = 1e-3;
+/// The shortest warm-up, in seconds; prevents division by zero.
+const MIN_WARM_UP_SECONDS: f64 = 1e-9;
+/// The shortest time between two samples of the load; bounds their number.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
-/// Random bits that a float of the range from 0 to 1 holds.
+/// The precision of an `f64`, in bits: how many random bits a number from 0 to 1 has.
 const FLOAT_BITS: u32 = 53;
 
-/// A session that was to be set up of late.
+/// A request to set a session up, kept for the overload window.
 #[derive(Clone, Copy, Debug)]
 struct RecentSetUp {
     at: Duration,
-    /// In seconds of a standard host.
+    /// In seconds of a standard host's work.
     work: f64,
     session: SessionId,
 }
 
-/// The load at a time.
+/// The load at one time.
 #[derive(Clone, Copy, Debug)]
 struct LoadSample {
     at: Duration,
     report: LoadReport,
 }
 
-/// The load of one host.
+/// The load model of one host. Times are on one monotonic clock of the caller.
 #[derive(Debug)]
 pub struct LoadModel {
     settings: LoadModelSettings,
-    /// When its process started; `None`: long ago.
+    /// When its process started; `None`: long ago, so that it is warm.
     started: Option<Duration>,
-    /// The share of its speed that faults leave it.
+    /// The share of its speed that injected faults leave it; 1: all.
     pub speed_factor: f64,
-    open: u32,
-    setting_up: u32,
-    /// Work of its open sessions, as a share of what a standard host can do.
-    work: f64,
-    /// How many open sessions each group has.
-    groups: HashMap<u64, u32>,
-    /// Seconds of its own work that are queued, as of `updated`.
-    queued: f64,
-    updated: Duration,
+    open_sessions: u32,
+    /// Sessions that are being set up.
+    pending_set_ups: u32,
+    /// The summed load of its open sessions, as a share of a standard host's capacity.
+    session_load: f64,
+    /// The number of open sessions of each group that has any.
+    sessions_by_group: HashMap<u64, u32>,
+    /// How long the host needs for the work in its queue, in seconds, as of `updated_at`.
+    queue_seconds: f64,
+    updated_at: Duration,
     recent_set_ups: VecDeque<RecentSetUp>,
     /// The newest sample that is old enough to be reported, and those after it.
     samples: VecDeque<LoadSample>,
@@ -106,83 +111,83 @@
 }
 
 impl LoadModel {
-    /// A host that has been running for long; `seed` is for the noise of its reports.
+    /// Creates the model of a warm host without sessions; `seed` determines the errors of its load reports.
     pub fn new(settings: LoadModelSettings, seed: u64) -> LoadModel {
         LoadModel {
             settings,
             started: None,
             speed_factor: 1.0,
-            open: 0,
-            setting_up: 0,
-            work: 0.0,
-            groups: HashMap::new(),
-            queued: 0.0,
-            updated: Duration::ZERO,
+            open_sessions: 0,
+            pending_set_ups: 0,
+            session_load: 0.0,
+            sessions_by_group: HashMap::new(),
+            queue_seconds: 0.0,
+            updated_at: Duration::ZERO,
             recent_set_ups: VecDeque::new(),
             samples: VecDeque::new(),
-            // A state of zero would stay zero.
+            // A xorshift generator never leaves the state 0.
             random_state: seed | 1,
         }
     }
 
-    /// Its process starts anew: nothing is open, and it warms up.
+    /// Restarts the host: it has no sessions and begins to warm up. Faults keep their effect.
     pub fn restart(&mut self, now: Duration) {
         let speed_factor = self.speed_factor;
         *self = LoadModel::new(self.settings.clone(), self.random_state);
         self.started = Some(now);
-        self.updated = now;
+        self.updated_at = now;
         self.speed_factor = speed_factor;
     }
 
-    /// Open sessions.
+    /// The number of open sessions.
     pub fn open_sessions(&self) -> u32 {
-        self.open
+        self.open_sessions
     }
 
-    /// Whether it is warming up.
+    /// Whether the host is warming up.
     pub fn is_warming_up(&self, now: Duration) -> bool {
-        self.warmth(now) < 1.0
+        self.warm_up_factor(now) < 1.0
     }
 
-    /// The share of its speed that it has after its start.
-    fn warmth(&self, now: Duration) -> f64 {
-        let up = self
+    /// The share of its speed that the host has so far after its start; 1 when it is warm.
+    fn warm_up_factor(&self, now: Duration) -> f64 {
+        let uptime = self
             .started
             .map_or(self.settings.warm_up_time, |at| now.saturating_sub(at));
-        let part = (up.as_secs_f64()
+        let progress = (uptime.as_secs_f64()
             / self
                 .settings
                 .warm_up_time
                 .as_secs_f64()
-                .max(SHORTEST_WARM_UP))
+                .max(MIN_WARM_UP_SECONDS))
         .min(1.0);
-        self.settings.cold_share + (1.0 - self.settings.cold_share) * part
+        self.settings.cold_share + (1.0 - self.settings.cold_share) * progress
     }
 
-    /// What it can do now, as a multiple of a standard host.
+    /// The present capacity, as a multiple of a standard host's.
     pub fn capacity(&self, now: Duration) -> f64 {
-        (self.settings.speed * self.speed_factor * self.warmth(now)).max(LEAST_CAPACITY)
+        (self.settings.speed * self.speed_factor * self.warm_up_factor(now)).max(MIN_CAPACITY)
     }
 
-    /// Load over what it can do.
+    /// The present load over the present capacity.
     pub fn utilization(&self, now: Duration) -> f64 {
-        let groups = self.groups.len() as f64 * self.settings.group_cost;
-        (self.work + groups) / self.capacity(now)
+        let group_load = self.sessions_by_group.len() as f64 * self.settings.group_cost;
+        (self.session_load + group_load) / self.capacity(now)
     }
 
-    /// Brings the queue and the samples up to date.
+    /// Updates the queue and the samples to the present time.
     fn update(&mut self, now: Duration) {
-        let span = now.saturating_sub(self.updated).as_secs_f64();
-        let queued = self.queued + (self.utilization(now) - 1.0) * span;
-        self.queued = queued.clamp(0.0, LONGEST_DELAY);
-        self.updated = self.updated.max(now);
-        self.sample(now);
+        let span = now.saturating_sub(self.updated_at).as_secs_f64();
+        let queue_seconds = self.queue_seconds + (self.utilization(now) - 1.0) * span;
+        self.queue_seconds = queue_seconds.clamp(0.0, MAX_DELAY_SECONDS);
+        self.updated_at = self.updated_at.max(now);
+        self.sample_load(now);
     }
 
-    fn sample(&mut self, now: Duration) {
+    fn sample_load(&mut self, now: Duration) {
         let report = LoadReport {
             utilization: self.utilization(now),
-            outstanding: self.open,
+            outstanding: self.open_sessions,
         };
         let last = self.samples.back();
         if last.is_none_or(|last| now.saturating_sub(last.at) >= SAMPLE_INTERVAL) {
@@ -195,7 +200,8 @@
         }
     }
 
-    /// A session's complete line has come.
+    /// Handles a request to set a session up. After [`SetUpOutcome::UpAfter`], the caller must call
+    /// [`LoadModel::finish_set_up`] when the set-up has ended.
     pub fn begin_set_up(&mut self, now: Duration, session: SessionId) -> SetUpOutcome {
         self.update(now);
         let work = self.settings.set_up_work.as_secs_f64();
@@ -207,16 +213,16 @@
         if self.is_overloaded(now) {
             return SetUpOutcome::Collapsed;
         }
-        if self.open + self.setting_up >= self.settings.max_sessions {
+        if self.open_sessions + self.pending_set_ups >= self.settings.max_sessions {
             return SetUpOutcome::Full;
         }
-        self.setting_up += 1;
-        // Set-ups queue with the messages, and take their own work.
-        let own = Duration::from_secs_f64(work / self.capacity(now));
-        SetUpOutcome::UpAfter(self.delay(now) + own)
+        self.pending_set_ups += 1;
+        // A set-up waits in the same queue as messages before its own work is done.
+        let own_work = Duration::from_secs_f64(work / self.capacity(now));
+        SetUpOutcome::UpAfter(self.response_time(now) + own_work)
     }
 
-    /// Whether too much work has come of late for a host that warms up.
+    /// Whether the host is warming up and the set-up work of the last overload window is too much for it.
     fn is_overloaded(&mut self, now: Duration) -> bool {
         let window = self.settings.overload_window;
         let is_old = |set_up: &RecentSetUp| now.saturating_sub(set_up.at) > window;
@@ -230,7 +236,7 @@
         work > self.settings.overload_factor * self.capacity(now) * window.as_secs_f64()
     }
 
-    /// The sessions that reached it of late.
+    /// The sessions whose set-up was requested within the last overload window.
     pub fn recent_sessions(&self) -> Vec<SessionId> {
         self.recent_set_ups
             .iter()
@@ -238,64 +244,64 @@
             .collect()
     }
 
-    /// A set-up that `begin_set_up` took has ended, well or not.
+    /// Ends a set-up that [`LoadModel::begin_set_up`] accepted, whether it succeeded or not.
     pub fn finish_set_up(&mut self) {
-        self.setting_up = self.setting_up.saturating_sub(1);
+        self.pending_set_ups = self.pending_set_ups.saturating_sub(1);
     }
 
-    /// A session is up from now on.
-    pub fn connect(&mut self, now: Duration, group: Option<u64>, work: f64) {
+    /// Adds an open session with its load, as a share of a standard host's capacity.
+    pub fn connect(&mut self, now: Duration, group: Option<u64>, load: f64) {
         self.update(now);
-        self.open += 1;
-        self.work += work;
+        self.open_sessions += 1;
+        self.session_load += load;
         if let Some(group) = group {
-            *self.groups.entry(group).or_default() += 1;
+            *self.sessions_by_group.entry(group).or_default() += 1;
         }
     }
 
-    /// A session that was up is over.
-    pub fn disconnect(&mut self, now: Duration, group: Option<u64>, work: f64) {
+    /// Removes an open session, with the same arguments as in [`LoadModel::connect`].
+    pub fn disconnect(&mut self, now: Duration, group: Option<u64>, load: f64) {
         self.update(now);
-        self.open = self.open.saturating_sub(1);
-        self.work = (self.work - work).max(0.0);
+        self.open_sessions = self.open_sessions.saturating_sub(1);
+        self.session_load = (self.session_load - load).max(0.0);
         if let Some(group) = group
-            && let Some(held) = self.groups.get_mut(&group)
+            && let Some(sessions) = self.sessions_by_group.get_mut(&group)
         {
-            *held -= 1;
-            if *held == 0 {
-                self.groups.remove(&group);
+            *sessions -= 1;
+            if *sessions == 0 {
+                self.sessions_by_group.remove(&group);
             }
         }
     }
 
-    /// How long a message takes now.
+    /// How long the host takes to answer a message that comes now.
     pub fn message_time(&mut self, now: Duration) -> Duration {
         self.update(now);
-        self.delay(now)
+        self.response_time(now)
     }
 
-    fn delay(&self, now: Duration) -> Duration {
-        let busy = self.utilization(now).min(HIGHEST_UTILIZATION);
-        let own = self.settings.message_time.as_secs_f64()
-            / (1.0 - busy)
-            / self.speed_factor.max(LEAST_SPEED_FACTOR);
-        Duration::from_secs_f64((own + self.queued).min(LONGEST_DELAY))
+    fn response_time(&self, now: Duration) -> Duration {
+        let utilization = self.utilization(now).min(MAX_FORMULA_UTILIZATION);
+        let own_time = self.settings.message_time.as_secs_f64()
+            / (1.0 - utilization)
+            / self.speed_factor.max(MIN_SPEED_FACTOR);
+        Duration::from_secs_f64((own_time + self.queue_seconds).min(MAX_DELAY_SECONDS))
     }
 
-    /// A report as a proxy gets it: of a while ago, and somewhat off.
+    /// A load report as a proxy receives it: `report_age` old, with a random error of the utilization.
     pub fn report(&mut self, now: Duration) -> LoadReport {
         self.update(now);
-        let old = self.samples.front();
-        let old = old.map(|sample| sample.report).unwrap_or_default();
-        let error = 1.0 + self.settings.report_noise * (self.draw() * 2.0 - 1.0);
+        let sample = self.samples.front();
+        let sampled = sample.map(|sample| sample.report).unwrap_or_default();
+        let error = 1.0 + self.settings.report_noise * (self.draw_unit() * 2.0 - 1.0);
         LoadReport {
-            utilization: old.utilization * error,
-            outstanding: old.outstanding,
+            utilization: sampled.utilization * error,
+            outstanding: sampled.outstanding,
         }
     }
 
-    /// A number from 0 to 1, by a xorshift generator.
-    fn draw(&mut self) -> f64 {
+    /// Draws a number from 0 to 1 (exclusive) with a xorshift generator.
+    fn draw_unit(&mut self) -> f64 {
         self.random_state ^= self.random_state << 13;
         self.random_state ^= self.random_state >> 7;
         self.random_state ^= self.random_state << 17;
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -1,4 +1,5 @@
-//! What a run will do, drawn from its seed before it starts: the same seed gives the same plan.
+//! The plan of a run: its clients, faults and hosts, drawn before the start. The same scenario and seed give the same
+//! plan.
 
 mod chaos;
 mod clients;
@@ -8,39 +9,41 @@
 pub use planned::{PlannedClient, PlannedFault, PlannedHost};
 
 use crate::scenario::{FaultKind, LinkKind, Scenario};
-use faults::DrawnFaults;
+use faults::FaultPlanner;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::time::Duration;
 
-/// The generator of all random numbers that belong to a seed.
+/// The random number generator of everything that must be reproducible from a seed.
 pub type SeededRng = Xoshiro256PlusPlus;
 
-/// Sets the random numbers of faults apart from those of clients.
+/// XORed into the seed for the draws of faults, so that they are independent of those of clients.
 const FAULT_SEED: u64 = 0x5eed_fa17;
-/// Bytes of a session's line and some more, by which a slow link's delay is bounded.
-const SESSION_BYTES: f64 = 400.0;
+/// An upper estimate of the bytes that setting a session up sends over a link; a slow link delays it by their transfer
+/// time.
+const SET_UP_BYTES: f64 = 400.0;
 
-/// All that a run will do.
+/// The clients, faults and hosts of a run. Times are on the plan's clock, from the start of the run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// The clients, those that are connected before the run first, then by when they come.
+    /// The clients: first those that count as connected before the run, then the others in the order of arrival.
     pub clients: Vec<PlannedClient>,
-    /// The faults, by when they begin.
+    /// The faults in the order in which they begin.
     pub faults: Vec<PlannedFault>,
-    /// The hosts, by their numbers.
+    /// The hosts; a host's number is its index.
     pub hosts: Vec<PlannedHost>,
 }
 
 impl Plan {
-    /// With `chaos`, faults drawn from it come on top of the scenario's.
+    /// Draws a plan from `seed`. With a `chaos` seed, random faults drawn from that are added to those of the scenario.
     pub fn new(scenario: &Scenario, seed: u64, chaos: Option<u64>) -> Plan {
-        let hosts = planned::hosts(scenario);
+        let hosts = planned::plan_hosts(scenario);
         let mut faults = scenario.faults.clone();
         if let Some(chaos) = chaos {
             faults.extend(chaos::draw_faults(scenario, chaos));
         }
-        let mut drawn = DrawnFaults::new(scenario, seed ^ FAULT_SEED);
-        let mut faults: Vec<PlannedFault> = faults.iter().map(|fault| drawn.plan(fault)).collect();
+        let mut planner = FaultPlanner::new(scenario, seed ^ FAULT_SEED);
+        let mut faults: Vec<PlannedFault> =
+            faults.iter().map(|fault| planner.plan(fault)).collect();
         faults.sort_by_key(|fault| fault.at);
         Plan {
             clients: clients::draw_clients(scenario, seed, hosts.len()),
@@ -49,45 +52,45 @@
         }
     }
 
-    /// Whether links of a kind need a relay for these faults to strike them.
+    /// Whether some fault of the plan affects links of a kind, so that they need relays.
     pub fn needs_relays(&self, kind: LinkKind) -> bool {
-        let cuts = |fault: &PlannedFault| {
+        let partitions_zone = |fault: &PlannedFault| {
             matches!(fault.kind, FaultKind::PlaceCut | FaultKind::PlaceFlaps)
         };
-        self.faults
-            .iter()
-            .any(|fault| cuts(fault) || fault.kind.targets_links() && fault.link_kind == kind)
+        self.faults.iter().any(|fault| {
+            partitions_zone(fault) || fault.kind.targets_links() && fault.link_kind == kind
+        })
     }
 
-    /// The longest that links hold anything back.
+    /// An upper bound of the delay that the plan's link faults together add to setting a session up.
     pub fn longest_delay(&self) -> Duration {
         let delay = |fault: &PlannedFault| match fault.kind {
             FaultKind::LinkDelayed => fault.span,
-            FaultKind::LinkSlowed => Duration::from_secs_f64(SESSION_BYTES / fault.magnitude),
+            FaultKind::LinkSlowed => Duration::from_secs_f64(SET_UP_BYTES / fault.magnitude),
             _ => Duration::ZERO,
         };
         self.faults.iter().map(delay).sum()
     }
 
-    /// Whether a proxy is drained on request, and so needs a control socket.
-    pub fn drains(&self) -> bool {
+    /// Whether some fault drains a proxy by an admin request, so that proxies need an admin socket.
+    pub fn drains_proxies(&self) -> bool {
         self.faults
             .iter()
             .any(|fault| fault.kind == FaultKind::ProxyDrains)
     }
 
-    /// Most clients that want to be connected at once.
+    /// The most clients that want to be connected at the same time.
     pub fn peak_connections(&self) -> usize {
-        let mut steps: Vec<(Duration, i64)> = self
+        let mut changes: Vec<(Duration, i64)> = self
             .clients
             .iter()
             .flat_map(|client| [(client.at, 1), (client.at + client.session_length, -1)])
             .collect();
-        steps.sort_unstable();
-        let at_once = steps.iter().scan(0, |open, (_, step)| {
-            *open += step;
-            Some(*open)
+        changes.sort_unstable();
+        let connected = changes.iter().scan(0, |connected, (_, change)| {
+            *connected += change;
+            Some(*connected)
         });
-        at_once.max().unwrap_or(0) as usize
+        connected.max().unwrap_or(0) as usize
     }
 }
--- a/crates/testbed/src/plan/chaos.rs
+++ b/crates/testbed/src/plan/chaos.rs
@@ -1,26 +1,27 @@
-//! Draws faults from a seed, on top of a scenario's own.
+//! Draws the random faults of a chaos run, which are added to those of the scenario.
 
 use super::SeededRng;
 use crate::scenario::{FaultKind, LinkKind, RecoveredPart, Scenario, ScenarioFault};
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// Sets the random numbers of chaos apart from all other ones.
+/// XORed into the chaos seed, so that its draws are independent of all other ones.
 const CHAOS_SEED: u64 = 0xc4a0;
-/// So many faults, and one more for each of so many seconds.
-const LEAST_FAULTS: usize = 4;
+/// The number of faults in any run; longer runs have one more for every [`SECONDS_PER_FAULT`].
+const MIN_FAULTS: usize = 4;
+/// Run time for which one more fault than [`MIN_FAULTS`] is drawn, in seconds.
 const SECONDS_PER_FAULT: f64 = 5.0;
-/// How many of each sort of misbehaving clients come.
+/// How many misbehaving clients of each kind a `clients-bad` fault starts.
 const MISBEHAVING_CLIENTS: f64 = 3.0;
-/// Which share of all clients reconnects.
+/// The share of connected clients that a `clients-reconnect` fault makes reconnect.
 const RECONNECTING_SHARE: f64 = 0.5;
-/// How often connections are half open after a fault of a link.
+/// The probability that a fault of a link leaves connections half open.
 const HALF_OPEN_SHARE: f64 = 0.5;
-/// A link's delay is this part of what other kinds have for a span.
-const DELAY_PART: u32 = 10;
+/// The span of `link-delayed` is drawn like that of other kinds, and divided by this: the span is its added delay.
+const LINK_DELAY_DIVISOR: u32 = 10;
 
-/// Kinds that chaos draws from. With all of them a proxy can keep the rules.
-const KINDS: [FaultKind; 27] = [
+/// The kinds that chaos draws from. A proxy can keep all rules under each of them.
+const CHAOS_KINDS: [FaultKind; 27] = [
     FaultKind::PlaceLost,
     FaultKind::PlaceSilent,
     FaultKind::PlaceCut,
@@ -50,22 +51,23 @@
     FaultKind::ClientsBad,
 ];
 
-/// Draws the faults of a seed.
+/// Draws the faults of a chaos seed.
 pub(super) fn draw_faults(scenario: &Scenario, seed: u64) -> Vec<ScenarioFault> {
     let mut random = SeededRng::seed_from_u64(seed ^ CHAOS_SEED);
     let length = scenario.length.as_secs_f64();
-    let count = LEAST_FAULTS + (length / SECONDS_PER_FAULT) as usize;
+    let count = MIN_FAULTS + (length / SECONDS_PER_FAULT) as usize;
     (0..count)
         .map(|_| draw_fault(scenario, length, &mut random))
         .collect()
 }
 
-/// Draws one fault. The order of the draws is part of what a seed means.
+/// Draws one fault that begins after 10 % to 70 % of the run and lasts 10 % to 30 % of it. The order of the draws must
+/// not change: a seed has to keep its plan.
 fn draw_fault(scenario: &Scenario, length: f64, random: &mut SeededRng) -> ScenarioFault {
-    let kind = KINDS[random.random_range(0..KINDS.len())];
+    let kind = CHAOS_KINDS[random.random_range(0..CHAOS_KINDS.len())];
     let at = length * (0.1 + 0.6 * random.random::<f64>());
-    let lasts = length * (0.1 + 0.2 * random.random::<f64>());
-    let much = match kind {
+    let duration = length * (0.1 + 0.2 * random.random::<f64>());
+    let magnitude = match kind {
         FaultKind::ClientsBad => MISBEHAVING_CLIENTS,
         FaultKind::ClientsReconnect => RECONNECTING_SHARE,
         _ => 0.05 + 0.3 * random.random::<f64>(),
@@ -75,13 +77,13 @@
     let half_open = kind.targets_links() && random.random::<f64>() < HALF_OPEN_SHARE;
     ScenarioFault {
         at: Duration::from_secs_f64(at),
-        duration: Some(Duration::from_secs_f64(lasts)),
+        duration: Some(Duration::from_secs_f64(duration)),
         kind,
         targets: None,
         count: if kind.targets_hosts() { count } else { 1 },
-        magnitude: much,
+        magnitude,
         span: if kind == FaultKind::LinkDelayed {
-            span / DELAY_PART
+            span / LINK_DELAY_DIVISOR
         } else {
             span
         },
--- a/crates/testbed/src/plan/clients.rs
+++ b/crates/testbed/src/plan/clients.rs
@@ -1,4 +1,4 @@
-//! Draws the clients of a run: when they come, for how long, and what they want.
+//! Draws the clients of a run: when they arrive, how long they stay, and which sessions they request.
 
 use super::SeededRng;
 use super::planned::PlannedClient;
@@ -7,38 +7,45 @@
 use rand_distr::{Distribution, LogNormal};
 use std::time::Duration;
 
-/// Sets the random numbers of arrivals apart from those of what clients want.
+/// XORed into the seed for the draws of arrival times, so that they are independent of those of client properties.
 const ARRIVAL_SEED: u64 = 0xa441;
-/// The smallest median of a session's length, in seconds: its logarithm must be finite.
-const SHORTEST_MEDIAN: f64 = 1e-3;
-/// The shortest that a client wants to be connected, in seconds.
-const SHORTEST_LIFE: f64 = 0.05;
-/// No client comes later than this before the end, in seconds.
-const LAST_ARRIVAL_BEFORE_END: f64 = 0.1;
-/// The least part of its listener's work that a session asks for; the most is 1 more.
-const LEAST_WORK: f64 = 0.5;
-/// The longest patience, as a share of its listener's time to answer.
-const LONGEST_PATIENCE: f64 = 0.2;
+/// The smallest median session length, in seconds; its logarithm must be finite.
+const MIN_MEDIAN_SECONDS: f64 = 1e-3;
+/// The shortest time for which a client wants to be connected, in seconds.
+const MIN_SESSION_LENGTH_SECONDS: f64 = 0.05;
+/// No client arrives in the last part of the run, of this length in seconds; longer than
+/// [`MIN_SESSION_LENGTH_SECONDS`].
+const NO_ARRIVALS_BEFORE_END_SECONDS: f64 = 0.1;
+/// The smallest work of a session, as a multiple of its listener's; the greatest multiple is 1 more, so the mean is 1.
+const MIN_WORK_FACTOR: f64 = 0.5;
+/// The longest wait of an impatient client, as a share of its listener's answer timeout.
+const MAX_PATIENCE_SHARE: f64 = 0.2;
 
-/// Draws all clients; `hosts` is how many hosts those that are connected before the run are spread over.
+/// Draws all clients. Those that count as connected before the run are spread over the first `hosts` host numbers in
+/// turn.
 pub(super) fn draw_clients(scenario: &Scenario, seed: u64, hosts: usize) -> Vec<PlannedClient> {
-    let mut draw = ClientDraw::new(scenario, seed);
+    let mut generator = ClientGenerator::new(scenario, seed);
     let inherited = scenario.traffic.inherited;
     let mut clients: Vec<PlannedClient> = (0..inherited)
-        .map(|n| draw.client(0.0, Some((n as usize % hosts) as u16)))
+        .map(|n| generator.draw_client(0.0, Some((n as usize % hosts) as u16)))
         .collect();
     let arrivals = draw_arrivals(scenario, seed ^ ARRIVAL_SEED);
-    clients.extend(arrivals.into_iter().map(|at| draw.client(at, None)));
+    clients.extend(
+        arrivals
+            .into_iter()
+            .map(|at| generator.draw_client(at, None)),
+    );
     clients
 }
 
-/// Draws when clients come, in seconds: arrivals at the highest rate, of which as many are kept as the present rate is
-/// of it.
+/// Draws the arrival times of clients, in seconds, as a Poisson process with the varying rate of [`rate`]. Arrivals are
+/// drawn at the highest rate, and each is kept with the probability of the present rate over the highest one
+/// (thinning).
 fn draw_arrivals(scenario: &Scenario, seed: u64) -> Vec<f64> {
     let traffic = &scenario.traffic;
     let factors = traffic.curve.iter().map(|point| point.rate_multiple);
     let highest_rate = factors.fold(1.0, f64::max) * traffic.rate;
-    let last = scenario.length.as_secs_f64() - LAST_ARRIVAL_BEFORE_END;
+    let last = scenario.length.as_secs_f64() - NO_ARRIVALS_BEFORE_END_SECONDS;
     let mut random = SeededRng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
     let mut at = 0.0;
@@ -53,7 +60,7 @@
     arrivals
 }
 
-/// Clients a second at a time, by the points of the traffic's curve and straight lines between them.
+/// The arrival rate at a time, in clients per second: the traffic's rate, scaled by linear interpolation of its curve.
 fn rate(scenario: &Scenario, at: Duration) -> f64 {
     let curve = &scenario.traffic.curve;
     let next = curve.iter().position(|point| point.at > at);
@@ -62,77 +69,79 @@
         Some(0) => curve[0].rate_multiple,
         Some(next) => {
             let (a, b) = (&curve[next - 1], &curve[next]);
-            let part = (at - a.at).as_secs_f64() / (b.at - a.at).as_secs_f64();
-            a.rate_multiple + (b.rate_multiple - a.rate_multiple) * part
+            let share = (at - a.at).as_secs_f64() / (b.at - a.at).as_secs_f64();
+            a.rate_multiple + (b.rate_multiple - a.rate_multiple) * share
         }
     };
     scenario.traffic.rate * factor
 }
 
-/// Draws what clients want, one after the other.
-struct ClientDraw<'a> {
+/// Draws clients one after the other.
+struct ClientGenerator<'a> {
     scenario: &'a Scenario,
     random: SeededRng,
-    /// `None` where the scenario's figures give no distribution.
-    life: Option<LogNormal<f64>>,
+    /// `None` if the scenario's values are not valid for a log-normal distribution.
+    session_length: Option<LogNormal<f64>>,
 }
 
-impl ClientDraw<'_> {
-    fn new(scenario: &Scenario, seed: u64) -> ClientDraw<'_> {
-        let life = &scenario.traffic.session_length;
-        let median = life.median.as_secs_f64().max(SHORTEST_MEDIAN);
-        ClientDraw {
+impl ClientGenerator<'_> {
+    fn new(scenario: &Scenario, seed: u64) -> ClientGenerator<'_> {
+        let session_length = &scenario.traffic.session_length;
+        let median = session_length.median.as_secs_f64().max(MIN_MEDIAN_SECONDS);
+        ClientGenerator {
             scenario,
             random: SeededRng::seed_from_u64(seed),
-            life: LogNormal::new(median.ln(), life.sigma).ok(),
+            session_length: LogNormal::new(median.ln(), session_length.sigma).ok(),
         }
     }
 
-    /// The next client. The order of the draws is part of what a seed means.
-    fn client(&mut self, at: f64, inherited: Option<u16>) -> PlannedClient {
+    /// Draws the next client, which arrives at `at` seconds. The order of the draws must not change: a seed has to keep
+    /// its plan.
+    fn draw_client(&mut self, at: f64, inherited_host: Option<u16>) -> PlannedClient {
         let (scenario, traffic) = (self.scenario, &self.scenario.traffic);
-        let listener = self.pick(scenario.listeners.iter().map(|l| l.traffic_weight)) as u8;
-        let member = self.pick(scenario.tenants.iter().map(|m| m.weight)) as u16;
-        let life = self.draw_life(scenario.length.as_secs_f64() - at);
+        let listener =
+            self.pick_weighted(scenario.listeners.iter().map(|l| l.traffic_weight)) as u8;
+        let tenant = self.pick_weighted(scenario.tenants.iter().map(|t| t.weight)) as u16;
+        let session_length = self.draw_session_length(scenario.length.as_secs_f64() - at);
         let grouped = traffic.groups > 0 && self.random.random::<f64>() < traffic.grouped_share;
         let group = grouped.then(|| 1 + u64::from(self.random.random_range(0..traffic.groups)));
-        let kind = &scenario.listeners[usize::from(listener)];
+        let settings = &scenario.listeners[usize::from(listener)];
         let impatient = self.random.random::<f64>() < traffic.impatient_share
-            && kind.retry_safety != RetrySafety::NotIdempotent;
+            && settings.retry_safety != RetrySafety::NotIdempotent;
         PlannedClient {
             at: Duration::from_secs_f64(at),
-            session_length: life,
+            session_length,
             listener,
-            tenant: member,
+            tenant,
             zone: self.random.random_range(0..scenario.zones.len()) as u8,
             group,
             item: self.random.random(),
-            work: kind.work * (LEAST_WORK + self.random.random::<f64>()),
+            work: settings.work * (MIN_WORK_FACTOR + self.random.random::<f64>()),
             leaves_after: impatient.then(|| {
-                let part = self.random.random::<f64>() * LONGEST_PATIENCE;
-                kind.answer_timeout.mul_f64(part)
+                let share = self.random.random::<f64>() * MAX_PATIENCE_SHARE;
+                settings.answer_timeout.mul_f64(share)
             }),
-            inherited_host: inherited,
+            inherited_host,
             seed: self.random.random(),
         }
     }
 
-    /// How long a client wants to be connected, at most `longest` seconds.
-    fn draw_life(&mut self, longest: f64) -> Duration {
-        let life = match &self.life {
-            Some(life) => life.sample(&mut self.random),
+    /// Draws how long a client wants to be connected, at most `longest` seconds.
+    fn draw_session_length(&mut self, longest: f64) -> Duration {
+        let length = match &self.session_length {
+            Some(distribution) => distribution.sample(&mut self.random),
             None => 1.0,
         };
-        Duration::from_secs_f64(life.clamp(SHORTEST_LIFE, longest))
+        Duration::from_secs_f64(length.clamp(MIN_SESSION_LENGTH_SECONDS, longest))
     }
 
-    /// Draws one of several by their portions.
-    fn pick(&mut self, portions: impl Iterator<Item = f64> + Clone) -> usize {
-        let mut left = self.random.random::<f64>() * portions.clone().sum::<f64>();
-        let picked = portions.clone().position(|portion| {
-            left -= portion;
-            left < 0.0
+    /// Draws an index with a probability proportional to its weight.
+    fn pick_weighted(&mut self, weights: impl Iterator<Item = f64> + Clone) -> usize {
+        let mut remaining = self.random.random::<f64>() * weights.clone().sum::<f64>();
+        let picked = weights.clone().position(|weight| {
+            remaining -= weight;
+            remaining < 0.0
         });
-        picked.unwrap_or_else(|| portions.count() - 1)
+        picked.unwrap_or_else(|| weights.count() - 1)
     }
 }
--- a/crates/testbed/src/plan/faults.rs
+++ b/crates/testbed/src/plan/faults.rs
@@ -1,4 +1,4 @@
-//! Draws whom a scenario's faults strike, where it names nobody.
+//! Turns the faults of a scenario into planned faults, and draws targets for those that name none.
 
 use super::SeededRng;
 use super::planned::PlannedFault;
@@ -6,49 +6,49 @@
 use rand::{RngExt, SeedableRng};
 
 /// Plans faults one after the other.
-pub(super) struct DrawnFaults<'a> {
+pub(super) struct FaultPlanner<'a> {
     scenario: &'a Scenario,
     random: SeededRng,
 }
 
-impl DrawnFaults<'_> {
-    pub(super) fn new(scenario: &Scenario, seed: u64) -> DrawnFaults<'_> {
-        DrawnFaults {
+impl FaultPlanner<'_> {
+    pub(super) fn new(scenario: &Scenario, seed: u64) -> FaultPlanner<'_> {
+        FaultPlanner {
             scenario,
             random: SeededRng::seed_from_u64(seed),
         }
     }
 
-    /// Plans a fault, striking those that it names or as many as it counts.
+    /// Plans a fault with the targets that it names, or with `count` targets drawn at random.
     pub(super) fn plan(&mut self, fault: &ScenarioFault) -> PlannedFault {
-        let on = match &fault.targets {
-            Some(on) => numbers(on),
+        let targets = match &fault.targets {
+            Some(targets) => to_numbers(targets),
             None => self.draw_targets(fault),
         };
         PlannedFault {
             at: fault.at,
-            until: fault.duration.map(|lasts| fault.at + lasts),
+            until: fault.duration.map(|duration| fault.at + duration),
             kind: fault.kind,
-            targets: on,
+            targets,
             magnitude: fault.magnitude,
             span: fault.span,
             link_kind: fault.link_kind,
-            to_hosts: fault.to_hosts.as_deref().map(numbers),
+            to_hosts: fault.to_hosts.as_deref().map(to_numbers),
             half_open: fault.half_open,
             recovered_part: fault.recovered_part,
         }
     }
 
     fn draw_targets(&mut self, fault: &ScenarioFault) -> Vec<u16> {
-        let targets = self.possible_targets(fault);
-        let mut left: Vec<u16> = (0..targets as u16).collect();
-        (0..fault.count.min(targets))
-            .map(|_| left.swap_remove(self.random.random_range(0..left.len())))
+        let available = self.available_targets(fault);
+        let mut remaining: Vec<u16> = (0..available as u16).collect();
+        (0..fault.count.min(available))
+            .map(|_| remaining.swap_remove(self.random.random_range(0..remaining.len())))
             .collect()
     }
 
-    /// How many hosts, proxies or zones a fault could strike.
-    fn possible_targets(&self, fault: &ScenarioFault) -> u32 {
+    /// How many hosts, proxies or zones there are that a fault could affect.
+    fn available_targets(&self, fault: &ScenarioFault) -> u32 {
         let kind = fault.kind;
         if kind.targets_hosts() {
             self.scenario.hosts()
@@ -62,7 +62,7 @@
     }
 }
 
-/// Numbers as a plan holds them; a scenario's are bounded where it is read.
-fn numbers(of: &[u32]) -> Vec<u16> {
-    of.iter().map(|number| *number as u16).collect()
+/// Converts a scenario's numbers to those of a plan; the checks of the scenario bound them.
+fn to_numbers(numbers: &[u32]) -> Vec<u16> {
+    numbers.iter().map(|number| *number as u16).collect()
 }
--- a/crates/testbed/src/plan/planned.rs
+++ b/crates/testbed/src/plan/planned.rs
@@ -1,65 +1,67 @@
-//! The clients, faults and hosts of a plan.
+//! The clients, faults and hosts of a plan. Times are on the plan's clock, from the start of the run.
 
 use crate::link_ends::LinkEnds;
 use crate::scenario::{FaultKind, LinkKind, RecoveredPart, Scenario};
 use std::time::Duration;
 
-/// A client, from when it wants to be connected.
+/// A client of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedClient {
-    /// When it wants to be connected.
+    /// When it arrives and first tries to connect.
     pub at: Duration,
-    /// How long it wants to be connected, from then on.
+    /// How long after `at` it wants to be connected, however often its sessions break.
     pub session_length: Duration,
-    /// The listener that it wants, by its index in the scenario.
+    /// The index in the scenario of the listener to which it connects.
     pub listener: u8,
-    /// The tenant that it belongs to, by its index in the scenario.
+    /// The index in the scenario of its tenant.
     pub tenant: u16,
-    /// Where it is, by the index of its zone in the scenario.
+    /// The index of its zone in the scenario.
     pub zone: u8,
-    /// The group whose cost it shares with others, if any.
+    /// Its group, if any; a host with sessions of a group bears the group's cost only once.
     pub group: Option<u64>,
-    /// The item that its session names.
+    /// The item that its session requests name.
     pub item: u64,
-    /// What it asks of its host, as a share of a standard one.
+    /// The load of its session, as a share of a standard host's capacity.
     pub work: f64,
-    /// When it leaves without an answer, if it is one who does.
+    /// How long an impatient client waits for an answer until it has had its first session; `None`: the answer timeout
+    /// of its listener.
     pub leaves_after: Option<Duration>,
-    /// Connected before the run, at this host.
+    /// The host to which it counts as connected before the run; `None`: it arrives during the run.
     pub inherited_host: Option<u16>,
-    /// The seed of what it draws itself.
+    /// The seed of its own random draws during the run.
     pub seed: u64,
 }
 
-/// A fault, with whom it strikes.
+/// A fault of a plan, with its targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
     /// When it begins.
     pub at: Duration,
-    /// When it ends; `None`: with the run.
+    /// When it ends; `None`: at the end of the run.
     pub until: Option<Duration>,
-    /// What fails.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// Numbers of the hosts, proxies or zones that it strikes.
+    /// Numbers of the hosts, proxies or zones that it affects; empty for kinds without targets.
     pub targets: Vec<u16>,
-    /// By how much, where the kind has a measure.
+    /// How strong it is, as [`FaultKind`] states for the key `much`.
     pub magnitude: f64,
-    /// A period or a delay, where the kind has one.
+    /// A period or a delay, as [`FaultKind`] states for the key `span`.
     pub span: Duration,
-    /// For faults of links: which links.
+    /// For faults of links: which links of the proxies `targets`.
     pub link_kind: LinkKind,
-    /// For faults of links: the hosts that they lead to; `None`: all.
+    /// For faults of links between proxies and hosts: the hosts' numbers; `None`: all hosts.
     pub to_hosts: Option<Vec<u16>>,
-    /// Connections from before a cut are reset when it is over: the other side has forgotten them.
+    /// Whether connections of affected links that were open when it began are reset at its end, as if the other side
+    /// had forgotten them.
     pub half_open: bool,
-    /// For a lost zone: what comes back.
+    /// For a lost zone: which processes start again at the fault's end.
     pub recovered_part: RecoveredPart,
 }
 
 impl PlannedFault {
-    /// Whether it strikes the link between these, of which `places_of` tells the zones.
-    pub fn affects_link(&self, ends: LinkEnds, places_of: impl Fn(LinkEnds) -> (u8, u8)) -> bool {
-        let (from, to) = places_of(ends);
+    /// Whether it affects the link between two ends; `zones_of` gives the zones of both.
+    pub fn affects_link(&self, ends: LinkEnds, zones_of: impl Fn(LinkEnds) -> (u8, u8)) -> bool {
+        let (from, to) = zones_of(ends);
         match (self.kind, ends) {
             (FaultKind::PlaceCut | FaultKind::PlaceFlaps, _) => {
                 from != to
@@ -85,30 +87,31 @@
 /// A host of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedHost {
-    /// Where it is, by the index of its zone in the scenario.
+    /// The index of its zone in the scenario.
     pub zone: u8,
-    /// The cell of its zone.
+    /// Its cell, a part of its zone within which hosts may share idempotency keys.
     pub cell: u16,
-    /// Its speed as a multiple of a standard host's.
+    /// Its speed, as a multiple of a standard host's.
     pub speed: f64,
-    /// Its weight as discovery tells it.
+    /// The capacity that discovery announces for it, as a multiple of a standard host's.
     pub weight: f64,
-    /// The most sessions that it has at once.
+    /// The most sessions that it serves at once.
     pub max_sessions: u32,
-    /// The most connections that it takes at once.
+    /// The most connections that it accepts at once, including those of health checks.
     pub max_connections: u32,
 }
 
-/// The hosts of a scenario. Those for which no zone is named are spread over all.
-pub(super) fn hosts(scenario: &Scenario) -> Vec<PlannedHost> {
+/// The hosts of a scenario, numbered in the order of their groups. Hosts without a named zone are spread over all zones
+/// in turn.
+pub(super) fn plan_hosts(scenario: &Scenario) -> Vec<PlannedHost> {
     let mut hosts = Vec::new();
     for group in &scenario.fleet.hosts {
-        let is_named = |place: &String| group.zone.as_ref() == Some(place);
-        let named = scenario.zones.iter().position(is_named);
+        let is_named = |zone: &String| group.zone.as_ref() == Some(zone);
+        let named_zone = scenario.zones.iter().position(is_named);
         for _ in 0..group.count {
-            let place = named.unwrap_or(hosts.len() % scenario.zones.len()) as u8;
+            let zone = named_zone.unwrap_or(hosts.len() % scenario.zones.len()) as u8;
             hosts.push(PlannedHost {
-                zone: place,
+                zone,
                 cell: group.cell,
                 speed: group.speed,
                 weight: group.weight,
--- a/crates/testbed/src/proxy_process/operator_file.rs
+++ b/crates/testbed/src/proxy_process/operator_file.rs
@@ -44,7 +44,7 @@
 
     fn needs_admin_socket(&self) -> bool {
         let proxies = self.proxies;
-        self.plan.drains() || proxies.roll_at.is_some() || proxies.status_pollers > 0
+        self.plan.drains_proxies() || proxies.roll_at.is_some() || proxies.status_pollers > 0
     }
 
     fn peers_text(&self) -> String {
--- a/crates/testbed/src/scenario/checks.rs
+++ b/crates/testbed/src/scenario/checks.rs
@@ -1,6 +1,7 @@
-//! What serde cannot say of a scenario: ranges of figures, names, and values that must go together.
+//! The checks of a scenario that serde cannot express: ranges of numbers, valid names, and values that depend on
+//! others.
 //!
-//! The order of the checks decides which mistake is reported of a file with several.
+//! Only the first error found is reported, so the order of the checks decides which error of several the user sees.
 
 use super::clients::{Listener, Tenant, Traffic};
 use super::definition::Scenario;
@@ -8,33 +9,35 @@
 use super::fault_checks::check_fault;
 use super::fleet::{Fleet, HostGroup};
 use super::proxies::Proxies;
-use super::time_span::LONGEST_SPAN;
+use super::time_span::MAX_TIME_SPAN;
 use super::value_checks::{check_name, check_range};
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
-const SHORTEST_LENGTH_SECONDS: f64 = 0.5;
-const ALLOWED_PLACES: RangeInclusive<f64> = 1.0..=250.0;
+/// The shortest run that is allowed.
+const MIN_LENGTH_SECONDS: f64 = 0.5;
+const ALLOWED_ZONES: RangeInclusive<f64> = 1.0..=250.0;
 const ALLOWED_LISTENERS: RangeInclusive<f64> = 1.0..=16.0;
-const ALLOWED_MEMBERS: RangeInclusive<f64> = 1.0..=256.0;
+const ALLOWED_TENANTS: RangeInclusive<f64> = 1.0..=256.0;
 const ALLOWED_HOSTS: RangeInclusive<f64> = 1.0..=2_000.0;
 const ALLOWED_PROXIES: RangeInclusive<f64> = 1.0..=200.0;
-const ALLOWED_PORTION: RangeInclusive<f64> = 0.0..=1e6;
+/// Traffic weights of listeners and tenants; they count relative to each other.
+const ALLOWED_WEIGHT: RangeInclusive<f64> = 0.0..=1e6;
 const ALLOWED_DIAL_TIMEOUT_SECONDS: RangeInclusive<f64> = 0.05..=60.0;
-/// From nothing to all.
-const SHARE: RangeInclusive<f64> = 0.0..=1.0;
+/// Values that are a share or a probability.
+const ALLOWED_SHARE: RangeInclusive<f64> = 0.0..=1.0;
 /// The fields that a host can put into its load report.
 const REPORT_FIELDS: [&str; 2] = ["x0", "outstanding"];
 
-/// The first mistake of a scenario.
+/// Checks a whole scenario and returns the first error.
 pub(super) fn check(scenario: &Scenario) -> Result<(), ScenarioError> {
     check_size(scenario)?;
-    for (index, place) in scenario.zones.iter().enumerate() {
-        check_name(format!("places.{index}"), place)?;
+    for (index, zone) in scenario.zones.iter().enumerate() {
+        check_name(format!("places.{index}"), zone)?;
     }
     check_listeners(&scenario.listeners)?;
-    check_members(&scenario.tenants)?;
-    check_portions(scenario)?;
+    check_tenants(&scenario.tenants)?;
+    check_total_weights(scenario)?;
     for (index, group) in scenario.fleet.hosts.iter().enumerate() {
         check_host_group(index, group, &scenario.zones)?;
     }
@@ -54,14 +57,14 @@
     check_range(
         "length in seconds",
         scenario.length.as_secs_f64(),
-        SHORTEST_LENGTH_SECONDS..=LONGEST_SPAN.as_secs_f64(),
+        MIN_LENGTH_SECONDS..=MAX_TIME_SPAN.as_secs_f64(),
     )?;
-    let places = scenario.zones.len() as f64;
-    check_range("places, their number", places, ALLOWED_PLACES)?;
+    let zones = scenario.zones.len() as f64;
+    check_range("places, their number", zones, ALLOWED_ZONES)?;
     let listeners = scenario.listeners.len() as f64;
     check_range("listeners, their number", listeners, ALLOWED_LISTENERS)?;
-    let members = scenario.tenants.len() as f64;
-    check_range("members, their number", members, ALLOWED_MEMBERS)
+    let tenants = scenario.tenants.len() as f64;
+    check_range("members, their number", tenants, ALLOWED_TENANTS)
 }
 
 fn check_listeners(listeners: &[Listener]) -> Result<(), ScenarioError> {
@@ -73,8 +76,8 @@
             let name = listener.name.clone();
             return Err(ScenarioError::DuplicateListener { index, name });
         }
-        check_range(key("work"), listener.work, SHARE)?;
-        check_range(key("portion"), listener.traffic_weight, ALLOWED_PORTION)?;
+        check_range(key("work"), listener.work, ALLOWED_SHARE)?;
+        check_range(key("portion"), listener.traffic_weight, ALLOWED_WEIGHT)?;
         check_range(
             key("dial_timeout in seconds"),
             listener.answer_timeout.as_secs_f64(),
@@ -84,22 +87,22 @@
     Ok(())
 }
 
-fn check_members(members: &[Tenant]) -> Result<(), ScenarioError> {
-    for (index, member) in members.iter().enumerate() {
-        check_name(format!("members.{index}.name"), &member.name)?;
+fn check_tenants(tenants: &[Tenant]) -> Result<(), ScenarioError> {
+    for (index, tenant) in tenants.iter().enumerate() {
+        check_name(format!("members.{index}.name"), &tenant.name)?;
         let key = format!("members.{index}.portion");
-        check_range(key, member.weight, ALLOWED_PORTION)?;
+        check_range(key, tenant.weight, ALLOWED_WEIGHT)?;
     }
     Ok(())
 }
 
-/// Each session belongs to a listener and a member.
-fn check_portions(scenario: &Scenario) -> Result<(), ScenarioError> {
+/// Each session is drawn a listener and a tenant by their weights, so some weight of each must be positive.
+fn check_total_weights(scenario: &Scenario) -> Result<(), ScenarioError> {
     let listeners: f64 = scenario.listeners.iter().map(|l| l.traffic_weight).sum();
-    let members: f64 = scenario.tenants.iter().map(|m| m.weight).sum();
-    for (table, sum) in [("listeners", listeners), ("members", members)] {
+    let tenants: f64 = scenario.tenants.iter().map(|t| t.weight).sum();
+    for (table, sum) in [("listeners", listeners), ("members", tenants)] {
         if sum <= 0.0 {
-            return Err(ScenarioError::NoPortions { table });
+            return Err(ScenarioError::ZeroTotalWeight { table });
         }
     }
     Ok(())
@@ -108,16 +111,16 @@
 fn check_host_group(
     index: usize,
     group: &HostGroup,
-    places: &[String],
+    zones: &[String],
 ) -> Result<(), ScenarioError> {
     let key = |name: &str| format!("fleet.hosts.{index}.{name}");
     check_range(key("speed"), group.speed, 0.01..=100.0)?;
     check_range(key("weight"), group.weight, 0.001..=1000.0)?;
     match &group.zone {
-        Some(place) if !places.contains(place) => Err(ScenarioError::UnknownPlace {
+        Some(zone) if !zones.contains(zone) => Err(ScenarioError::UnknownZone {
             index,
-            place: place.clone(),
-            places: places.to_vec(),
+            zone: zone.clone(),
+            zones: zones.to_vec(),
         }),
         _ => Ok(()),
     }
@@ -138,8 +141,8 @@
 
 fn check_traffic(traffic: &Traffic) -> Result<(), ScenarioError> {
     check_range("traffic.rate", traffic.rate, 0.0..=20_000.0)?;
-    check_range("traffic.grouped", traffic.grouped_share, SHARE)?;
-    check_range("traffic.impatient", traffic.impatient_share, SHARE)?;
+    check_range("traffic.grouped", traffic.grouped_share, ALLOWED_SHARE)?;
+    check_range("traffic.impatient", traffic.impatient_share, ALLOWED_SHARE)?;
     check_range(
         "traffic.life.sigma",
         traffic.session_length.sigma,
--- a/crates/testbed/src/scenario/error.rs
+++ b/crates/testbed/src/scenario/error.rs
@@ -1,10 +1,10 @@
-//! Why a scenario cannot be taken. The texts go to standard error after the program's name.
+//! Errors of reading and checking scenario files. The program prints their texts to standard error after its name.
 
 use super::faults::FaultKind;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a scenario file cannot be taken.
+/// Why a scenario file was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioFileError {
     /// The file could not be read.
@@ -12,95 +12,96 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The I/O error.
         source: io::Error,
     },
-    /// What the file says is no scenario.
+    /// The file does not describe a valid scenario.
     #[error("{}: {source}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// What is wrong with the scenario.
         source: ScenarioError,
     },
 }
 
-/// What is wrong with a scenario: the key, its value and what is allowed.
+/// What is wrong with a scenario. Texts name the key, its value and the allowed values; an `index` is a position in a
+/// table, from 0.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// It is no TOML, or a key is unknown, missing or of another type.
+    /// Not valid TOML, or a key is unknown, missing or of the wrong type.
     #[error("{}", .0.to_string().trim_end())]
     Syntax(#[source] Box<toml::de::Error>),
-    /// A figure is too small, too large or no number.
-    #[error("{key} is {value}; allowed are {least} to {most}")]
+    /// A number outside its range, or NaN.
+    #[error("{key} is {value}; allowed are {minimum} to {maximum}")]
     OutOfRange {
-        /// The figure's key.
+        /// The number's key.
         key: String,
-        /// What the file says.
+        /// The value in the file.
         value: f64,
-        /// The least that is allowed.
-        least: f64,
-        /// The most that is allowed.
-        most: f64,
+        /// The smallest allowed value.
+        minimum: f64,
+        /// The greatest allowed value.
+        maximum: f64,
     },
-    /// A name has other characters than those that stand in lines of the protocol.
+    /// A name that is empty or has characters that the line protocol does not allow in names.
     #[error("{key} is {name:?}; allowed are letters, digits and -")]
     InvalidName {
         /// The name's key.
         key: String,
-        /// What the file says.
+        /// The value in the file.
         name: String,
     },
-    /// Two listeners have one name.
+    /// Two listeners have the same name.
     #[error("listeners.{index}.name is {name:?}, as another's; each has its own")]
     DuplicateListener {
-        /// The second of them.
+        /// The index of the second of them.
         index: usize,
-        /// Its name.
+        /// The name that both have.
         name: String,
     },
-    /// Nothing has a part of the sessions.
+    /// All traffic weights of a table are 0, so no session can be drawn.
     #[error("{table}: all portions are 0; one must be more")]
-    NoPortions {
-        /// The table of listeners or members.
+    ZeroTotalWeight {
+        /// The table: `listeners` or `members`.
         table: &'static str,
     },
-    /// Hosts stand in a zone that is not of the scenario's.
-    #[error("fleet.hosts.{index}.place is {place:?}; allowed are {places:?}")]
-    UnknownPlace {
-        /// The group of hosts.
+    /// A group of hosts is in a zone that the scenario does not list.
+    #[error("fleet.hosts.{index}.place is {zone:?}; allowed are {zones:?}")]
+    UnknownZone {
+        /// The index of the group of hosts.
         index: usize,
         /// Its zone.
-        place: String,
+        zone: String,
         /// The scenario's zones.
-        places: Vec<String>,
+        zones: Vec<String>,
     },
-    /// A field that no load report has.
+    /// A field that load reports do not have.
     #[error("fleet.report_fields.{index} is {field:?}; allowed are \"x0\", \"outstanding\"")]
     UnknownReportField {
-        /// Its place in the list.
+        /// The field's position in the list.
         index: usize,
-        /// What the file says.
+        /// The value in the file.
         field: String,
     },
-    /// A key that a fault of this kind does not have.
+    /// A key that has no meaning for a fault of this kind.
     #[error("faults.{index}.{key} does not go with {kind:?}")]
     MisplacedFaultKey {
-        /// The fault.
+        /// The index of the fault.
         index: usize,
-        /// Its key.
+        /// The key.
         key: &'static str,
-        /// Its kind.
+        /// The fault's kind.
         kind: FaultKind,
     },
-    /// A fault of links to a host that there is not.
+    /// A fault of links names a host that does not exist.
     #[error("faults.{index}.to is {host}; allowed are 0 to {last}")]
     UnknownLinkTarget {
-        /// The fault.
+        /// The index of the fault.
         index: usize,
         /// The host's number.
         host: u32,
-        /// The last host's.
+        /// The greatest host number.
         last: u32,
     },
 }
--- a/crates/testbed/src/scenario/fault_checks.rs
+++ b/crates/testbed/src/scenario/fault_checks.rs
@@ -1,4 +1,4 @@
-//! The checks of a scenario's faults: whom they strike, by how much, and with which keys.
+//! The checks of a scenario's faults: their targets, their magnitudes, and which keys each kind may have.
 
 use super::definition::Scenario;
 use super::error::ScenarioError;
@@ -6,7 +6,7 @@
 use super::value_checks::check_range;
 use std::ops::RangeInclusive;
 
-/// The first mistake of a fault.
+/// Checks one fault and returns the first error.
 pub(super) fn check_fault(
     scenario: &Scenario,
     index: usize,
@@ -14,11 +14,11 @@
 ) -> Result<(), ScenarioError> {
     check_range(
         format!("faults.{index}.on or .count"),
-        f64::from(struck_at_least(fault)),
-        1.0..=f64::from(struck_at_most(scenario, fault.kind)),
+        f64::from(required_targets(fault)),
+        1.0..=f64::from(available_targets(scenario, fault.kind)),
     )?;
     let key = format!("faults.{index}.much");
-    check_range(key, fault.magnitude, allowed_measure(fault.kind))?;
+    check_range(key, fault.magnitude, allowed_magnitude(fault.kind))?;
     if let Some(key) = misplaced_key(scenario, fault) {
         return Err(ScenarioError::MisplacedFaultKey {
             index,
@@ -37,14 +37,14 @@
     }
 }
 
-/// How many there must be for the fault to strike those that it names.
-fn struck_at_least(fault: &ScenarioFault) -> u32 {
-    let greatest = fault.targets.iter().flatten().copied().max();
-    greatest.map_or(fault.count, |number| number + 1)
+/// How many possible targets must exist for the fault: enough for its greatest target number, or for its `count`.
+fn required_targets(fault: &ScenarioFault) -> u32 {
+    let greatest_number = fault.targets.iter().flatten().copied().max();
+    greatest_number.map_or(fault.count, |number| number + 1)
 }
 
-/// How many there are that a fault of this kind can strike.
-fn struck_at_most(scenario: &Scenario, kind: FaultKind) -> u32 {
+/// How many targets a fault of this kind can have; unlimited for kinds that have none.
+fn available_targets(scenario: &Scenario, kind: FaultKind) -> u32 {
     if kind.targets_hosts() {
         scenario.hosts()
     } else if kind.targets_proxies() || kind.targets_links() {
@@ -56,7 +56,7 @@
     }
 }
 
-fn allowed_measure(kind: FaultKind) -> RangeInclusive<f64> {
+fn allowed_magnitude(kind: FaultKind) -> RangeInclusive<f64> {
     match kind {
         FaultKind::ClientsBad => 1.0..=500.0,
         FaultKind::LinkSlowed => 1.0..=1e6,
@@ -65,15 +65,15 @@
     }
 }
 
-/// The first key of a fault that means nothing for its kind.
+/// The first key of a fault that has no meaning for its kind.
 fn misplaced_key(scenario: &Scenario, fault: &ScenarioFault) -> Option<&'static str> {
     let kind = fault.kind;
-    let of_links = kind.targets_links();
-    if fault.to_hosts.is_some() && !(of_links && fault.link_kind == LinkKind::ProxyHost) {
+    let targets_links = kind.targets_links();
+    if fault.to_hosts.is_some() && !(targets_links && fault.link_kind == LinkKind::ProxyHost) {
         Some("to")
-    } else if fault.link_kind != LinkKind::default() && !of_links {
+    } else if fault.link_kind != LinkKind::default() && !targets_links {
         Some("way")
-    } else if fault.half_open && !(of_links || kind.targets_zones()) {
+    } else if fault.half_open && !(targets_links || kind.targets_zones()) {
         Some("half_open")
     } else if kind == FaultKind::DiskSpoilt && !scenario.proxies.saves_snapshots {
         Some("on")
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -1,166 +1,168 @@
-//! The table `faults`: what fails, when, and for how long.
+//! The table `faults`: the faults to inject, with their targets, times and magnitudes.
 
 use super::time_span::{optional_time_span, time_span};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A fault of a scenario.
+/// A fault of a scenario. The kind decides which of the other keys have a meaning.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(expecting = "struct Fault", deny_unknown_fields)]
 pub struct ScenarioFault {
-    /// When it begins.
+    /// When it begins, since the start of the run.
     #[serde(deserialize_with = "time_span")]
     pub at: Duration,
-    /// How long it lasts; absent: to the end.
+    /// How long it lasts; absent: until the end of the run.
     #[serde(default, rename = "for", deserialize_with = "optional_time_span")]
     pub duration: Option<Duration>,
-    /// What fails.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// Numbers of the hosts, proxies or zones it strikes; absent: `count` of them drawn.
+    /// The numbers of the hosts, proxies or zones that it affects, from 0; absent: `count` of them, drawn at random.
     #[serde(rename = "on")]
     pub targets: Option<Vec<u32>>,
-    /// How many it strikes where `on` is absent.
-    #[serde(default = "one")]
+    /// How many targets are drawn if `targets` is absent.
+    #[serde(default = "default_count")]
     pub count: u32,
-    /// By how much, where the kind has a measure: a factor, a share, a number.
-    #[serde(default = "full_measure", rename = "much")]
+    /// How strong it is: a share, a count or a rate, as [`FaultKind`] states for its key `much`.
+    #[serde(default = "default_magnitude", rename = "much")]
     pub magnitude: f64,
-    /// A span that the kind uses: a period, a delay.
+    /// A period or a delay, as [`FaultKind`] states for its key `span`.
     #[serde(default = "default_span", deserialize_with = "time_span")]
     pub span: Duration,
-    /// For faults of links: which links.
+    /// For faults of links: which links of the proxies `targets`.
     #[serde(default, rename = "way")]
     pub link_kind: LinkKind,
-    /// For faults of links: to which hosts; absent: all.
+    /// For faults of links between proxies and hosts: the numbers of the hosts; absent: all.
     #[serde(rename = "to")]
     pub to_hosts: Option<Vec<u32>>,
-    /// Connections from before a cut are reset when it is over: the other side has forgotten them.
+    /// For faults of links and zones: whether connections that were open when it began are reset at its end, as if the
+    /// other side had forgotten them.
     #[serde(default)]
     pub half_open: bool,
-    /// For `place-lost`: what comes back.
+    /// For `place-lost`: which processes start again at its end.
     #[serde(default, rename = "back")]
     pub recovered_part: RecoveredPart,
 }
 
-/// What fails.
+/// The kind of a fault. `on`, `much` and `span` are keys of [`ScenarioFault`]: its targets, magnitude and span.
 ///
-/// The order counts: [`FaultKind::targets_hosts`] and its like are ranges of it. Logs and reports show the names.
+/// The order matters: [`FaultKind::targets_hosts`] and the other `targets_` functions are ranges of it. Logs and
+/// reports print the names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Hosts: accepts and reads, says nothing any more.
+    /// A host accepts connections and sends nothing.
     HostSilent,
-    /// New connections never come up, open ones fall silent.
+    /// A host is cut off: connection attempts to it get no answer, and nothing comes on open connections.
     HostVanished,
-    /// Only `much` of its speed.
+    /// A host has only the share `much` of its speed.
     HostSlow,
-    /// The same, on and off by `span`.
+    /// A host has only the share `much` of its speed in the first half of each period of `span`.
     HostStarved,
-    /// Every session is answered `ERR` at once.
+    /// A host answers each session request with `ERR` at once.
     HostErring,
-    /// New sessions are accepted and never answered.
+    /// A host reads session requests and never answers them; open sessions continue.
     HostMute,
-    /// `UP` comes `span` late.
+    /// A host answers session requests with `UP` later by `span`.
     HostLate,
-    /// Resets once the last byte of a session's line has come.
+    /// A host resets the connection once it has read a complete session request.
     HostResets,
-    /// Discovery has it as draining; it migrates what it has.
+    /// A host is listed as draining, rejects session requests, and moves its open sessions away.
     HostDraining,
-    /// Dies, and starts cold when the fault is over.
+    /// A host's process ends, and starts cold at the end of the fault.
     HostRestarts,
-    /// Dies, and discovery has it as gone.
+    /// A host's process ends, and discovery reports the host as gone.
     HostGone,
-    /// Zones: all hosts and proxies there die, and come back when the fault is over, hosts cold; discovery has the
-    /// hosts as gone `span` later.
+    /// All hosts and proxies of a zone end, and start again at the end of the fault, hosts cold. Discovery reports the
+    /// hosts as gone after `span`.
     PlaceLost,
-    /// The same, but they fall silent and live.
+    /// All hosts of a zone are cut off and all its proxies are suspended; the processes survive.
     PlaceSilent,
-    /// All live, and nothing crosses the border of the zone.
+    /// A network partition: links between a zone and the other zones drop all bytes.
     PlaceCut,
-    /// The same, on and off by `span`.
+    /// An intermittent network partition of a zone: `span` with it, `span` without it, and so on.
     PlaceFlaps,
-    /// Everything dies: hosts, proxies, discovery.
+    /// All hosts and proxies end, and discovery is silent; all return at the end of the fault.
     PowerCut,
-    /// Links from the proxies `on`: bytes are dropped silently, both ways.
+    /// Links of the proxies `on` drop bytes in both directions.
     LinkDropped,
-    /// Bytes are dropped silently on the way there.
+    /// Links of the proxies `on` drop bytes from the side that opens connections.
     LinkDroppedThere,
-    /// Bytes are dropped silently on the way back.
+    /// Links of the proxies `on` drop bytes to the side that opens connections.
     LinkDroppedBack,
-    /// New connections are refused.
+    /// Links of the proxies `on` refuse new connections; open ones continue.
     LinkRefused,
-    /// Open ones are reset.
+    /// Links of the proxies `on` reset all connections, open and new ones.
     LinkReset,
-    /// What is sent comes `span` later.
+    /// Links of the proxies `on` deliver bytes later by `span`.
     LinkDelayed,
-    /// No more than `much` bytes a second pass.
+    /// Links of the proxies `on` carry at most `much` bytes per second.
     LinkSlowed,
-    /// Proxies: stopped (SIGSTOP), and let run again when the fault is over.
+    /// A proxy is suspended (SIGSTOP), and resumed at the end of the fault.
     ProxyStalls,
-    /// Killed outright, started again when the fault is over.
+    /// A proxy is killed (SIGKILL), and started again at the end of the fault.
     ProxyKilled,
-    /// SIGTERM, and started again once it has shut down and the fault is over.
+    /// A proxy shuts down on SIGTERM, and is started again once it has exited and the fault is over.
     ProxyLeaves,
-    /// Discovery moves to another address; the proxy is told by SIGHUP.
+    /// A proxy's discovery agent changes its address, and the proxy reloads its configuration on SIGHUP.
     ProxyReloads,
-    /// Hot restart: replaced by a second process, which takes over.
+    /// A proxy is replaced by a hot restart.
     ProxyReplaced,
-    /// The same, but the second process is killed `span` after its start.
+    /// A proxy's hot restart fails: the successor is killed `span` after its start.
     ProxyReplacedBadly,
-    /// Drained on request within `span`, and taken back when the fault is over.
+    /// A proxy is drained by an admin request with the deadline `span`, and undrained at the end of the fault.
     ProxyDrains,
-    /// Its snapshots on disk are spoilt: one file cut short, one overwritten.
+    /// A proxy's snapshots on disk are corrupted: one file is truncated, one overwritten.
     DiskSpoilt,
-    /// Discovery: says nothing any more.
+    /// Discovery accepts connections and answers nothing.
     DiscoverySilent,
-    /// Refuses connections.
+    /// Discovery refuses connections.
     DiscoveryRefuses,
-    /// Writes what is no endpoint list.
+    /// Discovery sends text that is not a valid endpoint list.
     DiscoveryBabbles,
-    /// Answers with the endpoint list as it was before the run, under its old number.
+    /// Discovery sends the endpoint list from before the run, with its old version.
     DiscoveryOlder,
-    /// `much` of all open connections are cut by their clients, who come again at once.
+    /// The share `much` of all clients with an open connection close it and connect again shortly after.
     ClientsReconnect,
-    /// `much` of the clients read nothing for `span`.
+    /// The share `much` of all clients with an open connection neither read nor write for `span`.
     ClientsDeaf,
-    /// `much` misbehaving clients of every sort.
+    /// `much` misbehaving clients of each kind connect.
     ClientsBad,
 }
 
 impl FaultKind {
-    /// Whether it strikes hosts one by one.
+    /// Whether its targets are single hosts.
     pub fn targets_hosts(self) -> bool {
         self <= FaultKind::HostGone
     }
 
-    /// Whether it strikes whole zones.
+    /// Whether its targets are whole zones.
     pub fn targets_zones(self) -> bool {
         self >= FaultKind::PlaceLost && self <= FaultKind::PlaceFlaps
     }
 
-    /// Whether it strikes links between processes.
+    /// Whether it affects links; its targets are then the proxies at their ends.
     pub fn targets_links(self) -> bool {
         self >= FaultKind::LinkDropped && self <= FaultKind::LinkSlowed
     }
 
-    /// Whether it strikes proxies one by one.
+    /// Whether its targets are single proxies.
     pub fn targets_proxies(self) -> bool {
         self >= FaultKind::ProxyStalls && self <= FaultKind::DiskSpoilt
     }
 }
 
-/// Which links a fault of links strikes.
+/// Which links of its target proxies a fault of links affects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(expecting = "enum Way", rename_all = "kebab-case")]
 pub enum LinkKind {
     /// Between proxies and hosts.
     #[default]
     ProxyHost,
-    /// Between clients, the front among them, and proxies.
+    /// Between clients or the front and proxies.
     ClientProxy,
 }
 
-/// What of a lost zone comes back when the fault is over; the rest stays away.
+/// Which processes of a lost zone start again at the end of the fault; the others stay down.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(expecting = "enum Back", rename_all = "kebab-case")]
 pub enum RecoveredPart {
@@ -173,11 +175,11 @@
     Proxies,
 }
 
-fn one() -> u32 {
+fn default_count() -> u32 {
     1
 }
 
-fn full_measure() -> f64 {
+fn default_magnitude() -> f64 {
     1.0
 }
 
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -1,7 +1,7 @@
-//! Scenario files: what a run is made of, read and checked in one place.
+//! Scenario files, which describe runs: their structure, parsing and checks.
 //!
-//! [`Scenario`] is the whole file, with a module for the tables of each subject. The keys of the file are older than the
-//! names of some fields, which have a serde `rename`; errors show the keys.
+//! [`Scenario`] is the whole file; the tables of each subject have a module of their own. Some fields have another name
+//! than their key in the file, which is then a serde `rename`; errors name the keys.
 
 mod checks;
 mod clients;
--- a/crates/testbed/src/scenario/proxies.rs
+++ b/crates/testbed/src/scenario/proxies.rs
@@ -1,82 +1,84 @@
-//! The tables `proxies`, `platform` and `front`: the processes under test, what they may do, and the load balancer before
-//! them.
+//! The tables `proxies`, `platform` and `front`: the processes under test, their limits, and the load balancer in front
+//! of them.
 
 use super::time_span::{optional_time_span, time_span};
 use serde::Deserialize;
 use std::time::Duration;
 
-/// The proxies, which are processes of their own.
+/// The proxy processes under test.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Proxies {
-    /// How many there are.
+    /// The number of proxies.
     pub count: u32,
-    /// Descriptors that each may use.
-    #[serde(default = "default_sockets", rename = "sockets")]
+    /// The most file descriptors that each may use.
+    #[serde(default = "default_max_descriptors", rename = "sockets")]
     pub max_descriptors: u32,
-    /// Memory that each may use.
+    /// The most memory that each may use, in MB.
     #[serde(default = "default_memory_mb")]
     pub memory_mb: u32,
-    /// Operators that ask each proxy for its status ten times a second, and a quarter more that ask and never read.
+    /// The number of operators per proxy that request its status ten times a second; a quarter as many more send
+    /// requests and never read the responses.
     #[serde(default, rename = "watchers")]
     pub status_pollers: u32,
-    /// Operators that ask each proxy for its metrics over HTTP, again and again; where there are any, one more stalls.
+    /// The number of operators per proxy that request its metrics over HTTP, one request after the other; if not 0, one
+    /// more opens requests and stalls.
     #[serde(default, rename = "callers")]
     pub metrics_callers: u32,
-    /// When all are restarted in turn by the command `roll`.
+    /// When the command `roll` restarts all proxies in turn, since the start of the run; absent: never.
     #[serde(default, deserialize_with = "optional_time_span")]
     pub roll_at: Option<Duration>,
-    /// Whether each keeps snapshots of what it knows for its next start.
+    /// Whether each writes snapshots of its state, which it reads at its next start.
     #[serde(default, rename = "saves")]
     pub saves_snapshots: bool,
-    /// Whether each starts by stages.
+    /// Whether each goes through the stages of a warm start before it admits sessions without limit.
     #[serde(default, rename = "stages")]
     pub starts_by_stages: bool,
     /// The endpoint list that each is started with.
     #[serde(default, rename = "known")]
     pub initial_endpoints: InitialEndpointList,
-    /// Whether each may ask the others what they know.
+    /// Whether each may request endpoint records from the other proxies during a warm start; needs `starts_by_stages`.
     #[serde(default, rename = "asks")]
     pub asks_peers: bool,
-    /// Whether the priority weight decides who is rejected first while capacity is short.
+    /// Whether sessions of listeners with a smaller priority weight are rejected first while capacity is short.
     #[serde(default, rename = "by_worth")]
     pub rejects_by_priority: bool,
 }
 
-/// The endpoint list that a proxy's configuration has when it is started.
+/// The endpoint list in a proxy's configuration file at its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(expecting = "enum Known", rename_all = "kebab-case")]
 pub enum InitialEndpointList {
-    /// As it is then.
+    /// The present list.
     #[default]
     Fresh,
-    /// As it was before the run.
+    /// The list as it was before the run.
     Old,
-    /// Nobody.
+    /// A list without endpoints.
     Empty,
 }
 
-/// What the platform permits, and the figures of the rules.
+/// Limits of the platform that the proxies must keep, and tolerances of the judge's rules.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Platform {
-    /// Attempts that a proxy may make for a session.
+    /// The most attempts that a proxy may make for a session.
     pub max_dials: u32,
-    /// Whether a proxy may send health checks.
+    /// Whether a proxy may probe hosts.
     pub may_probe: bool,
-    /// How long a proxy waits for a host's connection.
+    /// How long a proxy waits for a connection to a host.
     #[serde(rename = "connect_within", deserialize_with = "time_span")]
     pub connect_timeout: Duration,
-    /// Longest Retry-After that a proxy may give.
+    /// The longest Retry-After that a proxy may send.
     #[serde(deserialize_with = "time_span")]
     pub max_retry_after: Duration,
-    /// How long a proxy may go on with a host that drains.
+    /// How long after a host's draining was announced a proxy may still dial it.
     #[serde(deserialize_with = "time_span")]
     pub drain_grace: Duration,
-    /// How late a final answer may be, beside what the testbed itself was late.
+    /// How late a final answer may be, in addition to the measured lateness of the testbed itself.
     #[serde(deserialize_with = "time_span")]
     pub answer_slack: Duration,
-    /// Lateness of the testbed above which a run tells nothing.
+    /// The lateness of the testbed above which a run's results are void.
     #[serde(rename = "void_above", deserialize_with = "time_span")]
     pub max_lateness: Duration,
 }
@@ -95,14 +97,14 @@
     }
 }
 
-/// The load balancer before the proxies.
+/// The load balancer in front of the proxies.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(expecting = "struct Front", deny_unknown_fields, default)]
 pub struct FrontSettings {
-    /// Time between its health checks of a proxy.
+    /// Time between two health checks of a proxy.
     #[serde(rename = "check", deserialize_with = "time_span")]
     pub health_check_interval: Duration,
-    /// How long a dead proxy goes on being used.
+    /// How long after its last good health check a proxy still receives clients.
     #[serde(rename = "forget", deserialize_with = "time_span")]
     pub removal_delay: Duration,
 }
@@ -116,7 +118,7 @@
     }
 }
 
-fn default_sockets() -> u32 {
+fn default_max_descriptors() -> u32 {
     1_024
 }
 
--- a/crates/testbed/src/scenario/reading.rs
+++ b/crates/testbed/src/scenario/reading.rs
@@ -1,4 +1,4 @@
-//! From a file to a checked [`Scenario`].
+//! Reads a scenario file into a checked [`Scenario`].
 
 use super::checks::check;
 use super::definition::Scenario;
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 impl Scenario {
-    /// Reads a scenario file.
+    /// Reads and checks a scenario file.
     pub fn open(path: &Path) -> Result<Scenario, ScenarioFileError> {
         let text =
             std::fs::read_to_string(path).map_err(|source| ScenarioFileError::Unreadable {
@@ -19,7 +19,7 @@
         })
     }
 
-    /// Reads a scenario from its text and checks it.
+    /// Parses a scenario from TOML text and checks it.
     pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario =
             toml::from_str(text).map_err(|error| ScenarioError::Syntax(Box::new(error)))?;
--- a/crates/testbed/src/scenario/value_checks.rs
+++ b/crates/testbed/src/scenario/value_checks.rs
@@ -3,7 +3,7 @@
 use super::error::ScenarioError;
 use std::ops::RangeInclusive;
 
-/// A value within its range; one that is no number is in none.
+/// Checks that a value lies within its range; NaN lies in no range.
 pub(super) fn check_range(
     key: impl Into<String>,
     value: f64,
@@ -12,16 +12,16 @@
     if allowed.contains(&value) {
         return Ok(());
     }
-    let (least, most) = allowed.into_inner();
+    let (minimum, maximum) = allowed.into_inner();
     Err(ScenarioError::OutOfRange {
         key: key.into(),
         value,
-        least,
-        most,
+        minimum,
+        maximum,
     })
 }
 
-/// A name as lines of the protocol can have it.
+/// Checks that a name is allowed in the line protocol: not empty, and only ASCII letters, digits and `-`.
 pub(super) fn check_name(key: String, name: &str) -> Result<(), ScenarioError> {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-';
     if !name.is_empty() && name.bytes().all(is_allowed) {
--- a/crates/testbed/src/testbed.rs
+++ b/crates/testbed/src/testbed.rs
@@ -1,4 +1,4 @@
-//! All actors of a run together, with the context that they share.
+//! The emulated actors of a run other than clients, with the context that they share.
 
 use crate::context::RunContext;
 use crate::discovery::EndpointRegistry;
@@ -8,23 +8,24 @@
 use crate::sockets::BoundListener;
 use std::sync::Arc;
 
-/// The actors that stand around the proxies of a run.
+/// The emulated processes and network paths around the proxies of a run.
 #[derive(Debug)]
 pub struct Testbed {
-    /// What all of them share.
+    /// The state that all actors of the run share.
     pub context: Arc<RunContext>,
-    /// The network paths that faults can strike.
+    /// The network paths with a relay, where faults can be injected.
     pub links: Arc<Links>,
-    /// What discovery knows of the hosts.
+    /// The hosts as discovery lists them.
     pub discovery: Arc<EndpointRegistry>,
-    /// The hosts, by their numbers.
+    /// The hosts, indexed by host number.
     pub hosts: Vec<Arc<Host>>,
-    /// Where clients find a proxy.
+    /// The load balancer by which clients choose a proxy.
     pub front: Arc<Front>,
 }
 
 impl Testbed {
-    /// Starts the hosts of the plan, each at a listener that was bound for it; see [`host::bind_all`].
+    /// Starts the hosts of the plan, each on its own listener; [`host::bind_all`] returns these in the order of the
+    /// plan.
     pub fn start(
         context: Arc<RunContext>,
         host_listeners: Vec<BoundListener>,
