--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: what is known of the hosts, and an agent for each proxy that serves it over HTTP, late or wrongly where a
-//! fault wants it so.
+//! Emulated discovery: a registry of the hosts, and an agent per proxy that serves the endpoint list over HTTP, with
+//! random delays and injected faults.
 
 mod agent;
 mod answer;
--- a/crates/testbed/src/discovery/agent.rs
+++ b/crates/testbed/src/discovery/agent.rs
@@ -1,4 +1,4 @@
-//! The listener of a proxy's discovery agent.
+//! A proxy's discovery agent: its listener, its address, and when it accepts connections.
 
 use super::answer::answer_request;
 use super::registry::EndpointRegistry;
@@ -10,12 +10,12 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Agents that get an address in one network of 256 addresses.
+/// Agents that have their addresses in the same /24 network.
 const AGENTS_PER_NETWORK: u16 = 250;
-/// Pause before a listener is opened again.
+/// The pause between attempts to open a listener again.
 const LISTEN_RETRY: Duration = Duration::from_millis(50);
 
-/// The discovery agent of one proxy; it may change its address.
+/// The discovery agent of one proxy. Its address changes with [`DiscoveryAgent::change_address`].
 #[derive(Debug)]
 pub struct DiscoveryAgent {
     registry: Arc<EndpointRegistry>,
@@ -24,7 +24,7 @@
 }
 
 impl DiscoveryAgent {
-    /// Starts the agent of a proxy.
+    /// Starts the agent of a proxy, given by its number.
     pub async fn start(
         registry: &Arc<EndpointRegistry>,
         proxy: u16,
@@ -39,12 +39,12 @@
         Ok(agent)
     }
 
-    /// Where it is reached now.
+    /// The address at which the agent listens now.
     pub fn address(&self) -> SocketAddr {
         *self.address.borrow()
     }
 
-    /// Listens at another address from now on; the old one is refused and its watches break.
+    /// Moves the agent to another address; the old one refuses connections, and watches there are closed.
     pub async fn change_address(self: &Arc<Self>) -> std::io::Result<()> {
         let listener = TcpListener::bind(any_port(self.proxy)).await?;
         self.address.send_replace(listener.local_addr()?);
@@ -52,20 +52,20 @@
         Ok(())
     }
 
-    /// Takes connections for as long as this is its address.
+    /// Accepts connections on the listener until the agent's address changes.
     async fn serve(self: Arc<Self>, listener: TcpListener) {
-        let Ok(own) = listener.local_addr() else {
+        let Ok(own_address) = listener.local_addr() else {
             return;
         };
         let mut listener = Some(listener);
         let mut faults = self.registry.faults.subscribe();
         let mut address = self.address.subscribe();
-        while *address.borrow_and_update() == own {
+        while *address.borrow_and_update() == own_address {
             let refuses = faults.borrow_and_update().refuses > 0;
             if refuses {
                 listener = None;
             } else if listener.is_none() {
-                listener = listen_again(own);
+                listener = listen_again(own_address);
                 if listener.is_none() {
                     sleep(LISTEN_RETRY).await;
                     continue;
@@ -75,27 +75,27 @@
                 _ = faults.changed() => {}
                 _ = address.changed() => {}
                 accepted = accept(listener.as_ref()) => if let Ok(stream) = accepted {
-                    tokio::spawn(self.clone().serve_connection(stream, own));
+                    tokio::spawn(self.clone().serve_connection(stream, own_address));
                 }
             }
         }
     }
 
-    /// Answers one connection until that is over, or it refuses connections, or has another address.
-    async fn serve_connection(self: Arc<Self>, mut stream: TcpStream, own: SocketAddr) {
+    /// Serves one connection until it ends, or until the agent refuses connections or changes its address.
+    async fn serve_connection(self: Arc<Self>, mut stream: TcpStream, own_address: SocketAddr) {
         tokio::select! {
-            _ = self.leaves(own) => {}
+            _ = self.wait_until_unreachable(own_address) => {}
             _ = answer_request(&self.registry, self.proxy, &mut stream) => {}
         }
     }
 
-    /// Waits until it is not reached at an address any more.
-    async fn leaves(&self, own: SocketAddr) {
+    /// Waits until the agent refuses connections or has another address than this one.
+    async fn wait_until_unreachable(&self, own_address: SocketAddr) {
         let mut faults = self.registry.faults.subscribe();
         let mut address = self.address.subscribe();
         loop {
             let refuses = faults.borrow_and_update().refuses > 0;
-            if refuses || *address.borrow_and_update() != own {
+            if refuses || *address.borrow_and_update() != own_address {
                 return;
             }
             tokio::select! {
@@ -106,7 +106,7 @@
     }
 }
 
-/// The next connection, or none for ever where there is no listener.
+/// Accepts the next connection; never returns without a listener.
 async fn accept(listener: Option<&TcpListener>) -> std::io::Result<TcpStream> {
     match listener {
         Some(listener) => Ok(listener.accept().await?.0),
@@ -114,7 +114,7 @@
     }
 }
 
-/// An address for a proxy's agent, at any free port.
+/// The address to bind for a proxy's agent, with any free port.
 fn any_port(proxy: u16) -> SocketAddr {
     let network = (proxy / AGENTS_PER_NETWORK) as u8;
     let host = 1 + (proxy % AGENTS_PER_NETWORK) as u8;
--- a/crates/testbed/src/discovery/answer.rs
+++ b/crates/testbed/src/discovery/answer.rs
@@ -1,4 +1,4 @@
-//! How an agent answers one request: the complete list at once, or a watch on which every change follows.
+//! How an agent answers one HTTP request: with the complete endpoint list, or with a watch that streams every change.
 
 use super::endpoint_list::EndpointList;
 use super::registry::{DiscoveryFaults, EndpointRegistry};
@@ -11,41 +11,44 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How often something is written on a watch without changes.
+/// How often an empty line is sent on a watch without changes.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// The longest request head that is read, in bytes.
-const LONGEST_HEAD: usize = 8192;
-/// Longest pause between two bytes of a request head.
+/// The longest request head that is accepted, in bytes.
+const MAX_HEAD_BYTES: usize = 8192;
+/// The longest wait for the next byte of a request head.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often an agent writes what is no list, while a fault has it do so.
+/// How often an agent with the fault `discovery-babbles` sends text that is not an endpoint list.
 const GARBAGE_INTERVAL: Duration = Duration::from_millis(200);
-/// What it writes then.
+/// Texts that are not valid endpoint lists, for the fault `discovery-babbles`: broken JSON, wrong types, and no JSON at
+/// all.
 const GARBAGE: [&str; 3] = ["{\"rev\":[}", "{\"rev\":-1,\"targets\":7}", "\u{fffd}\u{1}"];
-/// Sets the random numbers of watches apart from all other ones.
+/// XORed with the proxy's number into the seed of a watch's random draws.
 const WATCH_SEED: u64 = 0xd15c;
+/// The path of the endpoint list; a query follows for a watch.
 const PATH: &str = "/discovery/hosts";
 const NOT_FOUND: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
 const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// What keeps an agent from answering.
-struct Obstacles {
+/// The faults that keep an agent from answering.
+struct AgentFaults {
     proxy: usize,
-    faults: watch::Receiver<DiscoveryFaults>,
+    discovery: watch::Receiver<DiscoveryFaults>,
+    /// By proxy, how many faults cut its agent off from the registry.
     cut_off_agents: watch::Receiver<Vec<u32>>,
 }
 
-impl Obstacles {
-    fn new(registry: &EndpointRegistry, proxy: u16) -> Obstacles {
-        Obstacles {
+impl AgentFaults {
+    fn new(registry: &EndpointRegistry, proxy: u16) -> AgentFaults {
+        AgentFaults {
             proxy: usize::from(proxy),
-            faults: registry.faults.subscribe(),
+            discovery: registry.faults.subscribe(),
             cut_off_agents: registry.cut_off_agents.subscribe(),
         }
     }
 
-    /// Waits until discovery speaks, and then until this agent hears of it.
-    async fn wait_until_none(&mut self) {
-        let _ = self.faults.wait_for(|faults| faults.silent == 0).await;
+    /// Waits until discovery is not silent, and then until this agent is not cut off.
+    async fn wait_until_answering(&mut self) {
+        let _ = self.discovery.wait_for(|faults| faults.silent == 0).await;
         let proxy = self.proxy;
         let _ = self
             .cut_off_agents
@@ -54,25 +57,26 @@
     }
 }
 
-/// Reads a request and answers it for as long as the connection lasts; `None` where that has failed.
+/// Reads a request and answers it, with a watch until the connection ends; `None` if the request is invalid or the
+/// connection fails.
 pub(super) async fn answer_request(
     registry: &EndpointRegistry,
     proxy: u16,
     stream: &mut TcpStream,
 ) -> Option<()> {
-    let mut obstacles = Obstacles::new(registry, proxy);
+    let mut faults = AgentFaults::new(registry, proxy);
     let head = read_head(stream).await?;
     let path = head.split(' ').nth(1)?;
-    obstacles.wait_until_none().await;
+    faults.wait_until_answering().await;
     let Some(query) = path.strip_prefix(PATH) else {
         return stream.write_all(NOT_FOUND.as_bytes()).await.ok();
     };
     if query.contains("stream=1") {
-        let asked_after = query
+        let known_version = query
             .split("index=")
             .nth(1)
             .and_then(|index| index.split('&').next()?.parse::<u64>().ok());
-        return Watch::new(registry, proxy, asked_after, obstacles)
+        return Watch::new(registry, proxy, known_version, faults)
             .serve(stream)
             .await;
     }
@@ -84,11 +88,11 @@
     Some(())
 }
 
-/// Reads a request up to its blank line.
+/// Reads a request head up to and including its blank line.
 async fn read_head(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
-        if head.len() > LONGEST_HEAD {
+        if head.len() > MAX_HEAD_BYTES {
             return None;
         }
         let byte = timeout(READ_TIMEOUT, stream.read_u8()).await;
@@ -97,15 +101,15 @@
     String::from_utf8(head).ok()
 }
 
-/// A watch: the list, and then each change of it.
+/// A watch: sends the endpoint list, and then each change of it.
 struct Watch<'a> {
     registry: &'a EndpointRegistry,
     proxy: u16,
-    /// The version that the proxy has.
-    after: Option<u64>,
-    /// It was told the list from before the run.
-    outdated: bool,
-    obstacles: Obstacles,
+    /// The version that the proxy has; `None`: none, so that it must be sent the complete list.
+    sent_version: Option<u64>,
+    /// Whether the last list came from before the run, because of the fault `discovery-older`.
+    sent_outdated: bool,
+    faults: AgentFaults,
     version: watch::Receiver<u64>,
     random: SeededRng,
 }
@@ -114,18 +118,18 @@
     fn new(
         registry: &EndpointRegistry,
         proxy: u16,
-        asked_after: Option<u64>,
-        obstacles: Obstacles,
+        known_version: Option<u64>,
+        faults: AgentFaults,
     ) -> Watch<'_> {
         let version = registry.subscribe_version();
-        // A version that this discovery never had tells nothing.
-        let after = asked_after.filter(|asked| (1..=*version.borrow()).contains(asked));
+        // A version that this registry never had says nothing about what the proxy knows.
+        let sent_version = known_version.filter(|known| (1..=*version.borrow()).contains(known));
         Watch {
             registry,
             proxy,
-            after,
-            outdated: false,
-            obstacles,
+            sent_version,
+            sent_outdated: false,
+            faults,
             version,
             random: SeededRng::seed_from_u64(u64::from(proxy) ^ WATCH_SEED),
         }
@@ -134,8 +138,8 @@
     async fn serve(mut self, stream: &mut TcpStream) -> Option<()> {
         stream.write_all(WATCH_HEAD.as_bytes()).await.ok()?;
         loop {
-            self.obstacles.wait_until_none().await;
-            if self.obstacles.faults.borrow_and_update().sends_garbage > 0 {
+            self.faults.wait_until_answering().await;
+            if self.faults.discovery.borrow_and_update().sends_garbage > 0 {
                 let garbage = GARBAGE[self.random.random_range(0..GARBAGE.len())];
                 write_chunk(stream, garbage).await.ok()?;
                 sleep(GARBAGE_INTERVAL).await;
@@ -145,47 +149,50 @@
             let keep_alive_at = Instant::now() + KEEP_ALIVE_INTERVAL;
             tokio::select! {
                 _ = sleep_until(keep_alive_at) => write_chunk(stream, "").await.ok()?,
-                _ = self.obstacles.faults.changed() => {}
-                _ = self.obstacles.cut_off_agents.changed() => {}
+                _ = self.faults.discovery.changed() => {}
+                _ = self.faults.cut_off_agents.changed() => {}
                 _ = self.version.changed() => sleep(self.notification_delay()).await,
             }
         }
     }
 
-    /// Writes what the proxy has not been told yet, if there is anything.
+    /// Sends the changes after the version that the proxy has, if there are any.
     async fn write_changes(&mut self, stream: &mut TcpStream) -> Option<()> {
         self.version.borrow_and_update();
         let outdated = self
-            .obstacles
             .faults
+            .discovery
             .borrow_and_update()
             .sends_outdated_list
             > 0;
-        // Whoever was told the old list is told the complete one when that is over.
-        if outdated != self.outdated {
-            (self.outdated, self.after) = (outdated, None);
+        // A complete list follows when the fault begins or ends: changes would not undo the outdated list.
+        if outdated != self.sent_outdated {
+            (self.sent_outdated, self.sent_version) = (outdated, None);
         }
         let list = if outdated {
             self.registry.outdated_list(self.proxy)
         } else {
-            self.registry.list(self.proxy, self.after)
+            self.registry.list(self.proxy, self.sent_version)
         };
-        if self.after.is_none_or(|after| after < list.version) {
+        if self
+            .sent_version
+            .is_none_or(|version| version < list.version)
+        {
             write_chunk(stream, &list.json).await.ok()?;
             record_listed(self.registry, self.proxy, &list);
-            self.after = Some(list.version);
+            self.sent_version = Some(list.version);
         }
         Some(())
     }
 
-    /// How long after a change it is told.
+    /// Draws the delay between a change and its announcement.
     fn notification_delay(&mut self) -> Duration {
         let longest = self.registry.context.scenario.fleet.max_propagation_delay;
         longest.mul_f64(self.random.random::<f64>())
     }
 }
 
-/// Records what a proxy was told of each host.
+/// Records the state of each host that a list announced to a proxy.
 fn record_listed(registry: &EndpointRegistry, proxy: u16, list: &EndpointList) {
     for host in &list.hosts {
         registry.context.event_log.record(Event::HostListed {
@@ -197,7 +204,7 @@
     }
 }
 
-/// Writes one line as a chunk of a chunked answer.
+/// Sends one line as a chunk of a response with chunked transfer encoding.
 async fn write_chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
     let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
     stream.write_all(chunk.as_bytes()).await
--- a/crates/testbed/src/discovery/endpoint_list.rs
+++ b/crates/testbed/src/discovery/endpoint_list.rs
@@ -1,13 +1,13 @@
-//! The endpoint list as discovery writes it.
+//! Endpoint lists, and their JSON form on the wire.
 
 use crate::event_log::HostState;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The model that all hosts are said to run.
+/// The value of `model` that discovery announces for all hosts.
 const MODEL: &str = "m1";
 
-/// What discovery knows of one host.
+/// One host in the registry.
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
     pub(super) number: u16,
@@ -16,37 +16,37 @@
     pub(super) cell: u16,
     pub(super) weight: f64,
     pub(super) state: HostState,
-    /// When its process started, on the event log's clock; `None`: long ago.
+    /// When its process started, on the event log's clock; `None`: before the run.
     pub(super) started: Option<Duration>,
-    /// The version of the list in which it changed last.
+    /// The version of the list with its last change.
     pub(super) version: u64,
 }
 
-/// What one message of discovery tells a proxy.
+/// One message of discovery to a proxy: the complete list, or the changes after a version.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    /// The version of the list.
+    /// The list's version (`rev` on the wire); it grows with each change.
     pub version: u64,
-    /// The list as it is sent, in one line.
+    /// The message as it is sent, one line of JSON.
     pub json: String,
-    /// Whom it tells of.
+    /// The hosts that the message covers, including those that a complete list leaves out because they are gone.
     pub hosts: Vec<ListedHost>,
 }
 
-/// What a list tells of a host.
+/// The state of one host in an [`EndpointList`].
 #[derive(Clone, Copy, Debug)]
 pub struct ListedHost {
-    /// Its index in the plan.
+    /// The host's index in the plan.
     pub number: u16,
-    /// Whether it takes sessions.
+    /// The host's state.
     pub state: HostState,
-    /// When its process started, on the event log's clock.
+    /// When its process started, on the event log's clock; `None`: before the run.
     pub started: Option<Duration>,
 }
 
 impl EndpointList {
-    /// The list of those that changed after a version, or of all, where each is reached at `address_of`; `clock_start` is
-    /// the Unix time at which the event log's clock began.
+    /// Builds the list of the endpoints that changed after the version `after`, or of all for `None`. `address_of`
+    /// gives the address to announce for each; `clock_start` is the Unix time at which the event log's clock started.
     pub(super) fn new(
         endpoints: &[Endpoint],
         version: u64,
@@ -62,7 +62,7 @@
             state: endpoint.state,
             started: endpoint.started,
         });
-        // A complete list tells that a host is gone by leaving it out.
+        // A complete list leaves out hosts that are gone; only a list of changes names them.
         let listed = changed
             .iter()
             .filter(|endpoint| !(complete && endpoint.state == HostState::Gone));
@@ -78,7 +78,7 @@
     }
 }
 
-/// One host as the list writes it.
+/// The JSON object of one host.
 fn target(endpoint: &Endpoint, address: SocketAddr, clock_start: Duration) -> serde_json::Value {
     let state = match endpoint.state {
         HostState::Ready => "ready",
@@ -94,7 +94,7 @@
     })
 }
 
-/// A host's name in discovery.
+/// The `uid` by which discovery names a host.
 pub fn host_uid(host: u16) -> String {
     format!("s-{host:04}")
 }
--- a/crates/testbed/src/discovery/registry.rs
+++ b/crates/testbed/src/discovery/registry.rs
@@ -1,4 +1,4 @@
-//! What discovery knows of the hosts, and the faults that it has.
+//! The registry of the hosts that all discovery agents serve, and the faults of discovery.
 
 use super::endpoint_list::{Endpoint, EndpointList};
 use crate::context::RunContext;
@@ -13,36 +13,36 @@
 /// The version of the list before the run.
 const FIRST_VERSION: u64 = 1;
 
-/// How many faults of each kind discovery has now.
+/// How many faults of each kind discovery has now; 0: none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiscoveryFaults {
-    /// It accepts requests and answers nothing.
+    /// Agents accept requests and answer nothing.
     pub silent: u32,
-    /// It refuses connections.
+    /// Agents refuse connections.
     pub refuses: u32,
-    /// It writes what is no endpoint list.
+    /// Agents send text that is not an endpoint list on watches.
     pub sends_garbage: u32,
-    /// It writes the list as it was before the run, under its old version.
+    /// Agents send the list from before the run, with its old version, on watches.
     pub sends_outdated_list: u32,
 }
 
-/// The hosts as discovery knows them.
+/// The hosts as discovery lists them.
 #[derive(Debug)]
 pub struct EndpointRegistry {
     pub(crate) context: Arc<RunContext>,
     links: Arc<Links>,
     endpoints: Mutex<Vec<Endpoint>>,
-    /// As they were before the run.
+    /// The endpoints as they were before the run.
     first_endpoints: Vec<Endpoint>,
     version: watch::Sender<u64>,
-    /// The faults of all agents.
+    /// The faults that all agents share.
     pub faults: watch::Sender<DiscoveryFaults>,
-    /// By proxy, how many faults keep its agent from hearing anything.
+    /// By proxy number, how many faults cut its agent off from the registry.
     pub cut_off_agents: watch::Sender<Vec<u32>>,
 }
 
 impl EndpointRegistry {
-    /// All hosts of the plan, ready at these addresses.
+    /// Registers all hosts of the plan as ready, at addresses in the order of the plan.
     pub fn new(
         context: Arc<RunContext>,
         links: Arc<Links>,
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Changes a host's state, and when it started if it has started anew.
+    /// Sets a host's state in a new version of the list; `started` is the time of a new start, `None` keeps the former
+    /// one.
     pub fn set_state(&self, host: u16, state: HostState, started: Option<Duration>) {
         let version = *self.version.borrow() + 1;
         {
@@ -72,23 +73,23 @@
         self.version.send_replace(version);
     }
 
-    /// When a host's process started, if it did during the run.
-    pub fn start_of(&self, host: u16) -> Option<Duration> {
+    /// When a host's process last started, on the event log's clock; `None`: before the run.
+    pub fn start_time(&self, host: u16) -> Option<Duration> {
         self.endpoints()[usize::from(host)].started
     }
 
-    /// The list for a proxy: of what changed after a version, or complete.
+    /// The list for a proxy: the changes after the version `after`, or complete for `None`.
     pub fn list(&self, proxy: u16, after: Option<u64>) -> EndpointList {
         let version = *self.version.borrow();
         self.list_of(&self.endpoints(), version, proxy, after)
     }
 
-    /// The complete list for a proxy as it was before the run, under its old version.
+    /// The complete list for a proxy as it was before the run, with the version of that time.
     pub fn outdated_list(&self, proxy: u16) -> EndpointList {
         self.list_of(&self.first_endpoints, FIRST_VERSION, proxy, None)
     }
 
-    /// The version of the list, now and from now on.
+    /// The list's version, with its changes.
     pub(super) fn subscribe_version(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
@@ -100,7 +101,7 @@
         proxy: u16,
         after: Option<u64>,
     ) -> EndpointList {
-        // A proxy has its own address of a host where the link between them has a relay.
+        // If the link between a proxy and a host has a relay, the proxy is given the relay's address.
         let address_of = |endpoint: &Endpoint| {
             let ends = LinkEnds::Proxy(proxy, endpoint.number);
             self.links.address(ends).unwrap_or(endpoint.address)
--- a/crates/testbed/src/host.rs
+++ b/crates/testbed/src/host.rs
@@ -1,4 +1,4 @@
-//! Emulated hosts: the server's side of the protocol over a load model, with the faults that a plan gives them.
+//! Emulated hosts: the server side of the session protocol, with response times from a load model, and injected faults.
 
 mod connection;
 mod dial;
--- a/crates/testbed/src/host/connection.rs
+++ b/crates/testbed/src/host/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a host, by its lines.
+//! One connection to a host: reading and writing lines, and closing or resetting it.
 
 use super::faults::HostFaults;
 use crate::line_reader::LineReader;
@@ -12,17 +12,17 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Longest that the peer's closing is waited for.
+/// How long a host waits for the peer to close after its own last line.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest that a write may take.
+/// How long a write may take before it is abandoned.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The two halves of a connection.
+/// A connection that a host has accepted.
 pub(super) struct HostConnection {
     pub(super) lines: LineReader,
-    /// `None` once it was reset.
-    write: Option<OwnedWriteHalf>,
-    /// The relay of the link that it came through, if it did.
+    /// `None` once the connection was reset.
+    write_half: Option<OwnedWriteHalf>,
+    /// The relay's address if the connection came through a link with a relay.
     pub(super) relay: Option<SocketAddr>,
 }
 
@@ -33,37 +33,37 @@
             .peer_addr()
             .ok()
             .filter(|peer| is_relay_address(*peer));
-        let (read, write) = stream.into_split();
+        let (read_half, write_half) = stream.into_split();
         HostConnection {
-            lines: LineReader::new(read),
-            write: Some(write),
+            lines: LineReader::new(read_half),
+            write_half: Some(write_half),
             relay,
         }
     }
 
-    /// Writes an answer. A peer that takes nothing is noticed by its end.
+    /// Sends text. Errors are ignored: reading reports the end of the connection.
     pub(super) async fn send(&mut self, text: &str) {
-        if let Some(write) = &mut self.write {
-            let _ = timeout(WRITE_TIMEOUT, write.write_all(text.as_bytes())).await;
+        if let Some(write_half) = &mut self.write_half {
+            let _ = timeout(WRITE_TIMEOUT, write_half.write_all(text.as_bytes())).await;
         }
     }
 
-    /// Writes the last answer and waits a little for the other side to close.
+    /// Sends the last text, closes the sending side, and waits briefly for the peer to close.
     pub(super) async fn send_last(&mut self, text: &str) {
         self.send(text).await;
-        if let Some(write) = &mut self.write {
-            let _ = write.shutdown().await;
+        if let Some(write_half) = &mut self.write_half {
+            let _ = write_half.shutdown().await;
         }
         let _ = timeout(CLOSE_TIMEOUT, self.lines.wait_for_end()).await;
     }
 
     pub(super) fn reset(&mut self) {
-        if let Some(write) = self.write.take() {
-            sockets::reset(write);
+        if let Some(write_half) = self.write_half.take() {
+            sockets::reset(write_half);
         }
     }
 
-    /// Waits until the host speaks again; false if the peer ended the connection meanwhile.
+    /// Waits until no fault keeps the host from sending; false if the peer ended the connection meanwhile.
     pub(super) async fn wait_while_frozen(
         &mut self,
         faults: &mut watch::Receiver<HostFaults>,
--- a/crates/testbed/src/host/dial.rs
+++ b/crates/testbed/src/host/dial.rs
@@ -1,27 +1,30 @@
-//! A dial of a session as its host sees it: what it holds of the load model, and its end, which is recorded once.
+//! A dial of a session as its host sees it: its load in the load model, its replies, and its end, which is recorded
+//! once.
 
 use super::connection::HostConnection;
 use super::protocol::OpenRequest;
 use super::state::Host;
 use crate::event_log::{Event, HostReply, SessionId};
 
-/// What an open connection holds of the load model.
+/// The load that an open session has added to the load model and must remove at its end.
 #[derive(Clone, Copy, Debug)]
-struct HeldLoad {
+struct SessionLoad {
     group: Option<u64>,
+    /// As a share of a standard host's capacity.
     work: f64,
 }
 
-/// A dial whose line its host has read.
+/// A dial whose session request its host has read.
 #[derive(Debug)]
 pub(super) struct Dial {
     pub(super) session: SessionId,
     pub(super) number: u32,
-    /// The load model counts it among those that are being set up.
+    /// Whether the load model counts it as a pending set-up.
     pub(super) setting_up: bool,
-    /// What it holds once it is up.
-    held: Option<HeldLoad>,
-    over: bool,
+    /// Its load while the session is up.
+    load: Option<SessionLoad>,
+    /// Whether its end has been recorded.
+    ended: bool,
 }
 
 impl Dial {
@@ -30,12 +33,12 @@
             session,
             number,
             setting_up: false,
-            held: None,
-            over: false,
+            load: None,
+            ended: false,
         }
     }
 
-    /// It is up from now on.
+    /// Marks the session as up, and adds its load to the load model.
     pub(super) fn connect(&mut self, host: &Host, request: &OpenRequest) {
         let (group, work) = (request.group, request.work);
         let mut model = host.model();
@@ -43,10 +46,9 @@
             model.finish_set_up();
         }
         model.connect(host.context.event_log.now(), group, work);
-        self.held = Some(HeldLoad { group, work });
+        self.load = Some(SessionLoad { group, work });
     }
 
-    /// Records a reply.
     pub(super) fn record_reply(&self, host: &Host, reply: HostReply) {
         host.context.event_log.record(Event::Replied {
             id: self.session,
@@ -55,7 +57,7 @@
         });
     }
 
-    /// Ends it by the host's reply, and closes its connection.
+    /// Ends the dial with a last reply, whose line is `text`, and closes the connection.
     pub(super) async fn finish(
         &mut self,
         host: &Host,
@@ -68,9 +70,9 @@
         connection.send_last(text).await;
     }
 
-    /// It is over; does nothing if it was already.
+    /// Removes the dial from the load model and records its end; has no effect if that was done before.
     pub(super) fn end(&mut self, host: &Host, by_host: bool) {
-        if std::mem::replace(&mut self.over, true) {
+        if std::mem::replace(&mut self.ended, true) {
             return;
         }
         let context = &host.context;
@@ -79,8 +81,8 @@
         if std::mem::take(&mut self.setting_up) {
             model.finish_set_up();
         }
-        if let Some(held) = self.held.take() {
-            model.disconnect(context.event_log.now(), held.group, held.work);
+        if let Some(load) = self.load.take() {
+            model.disconnect(context.event_log.now(), load.group, load.work);
         }
         drop(model);
         context.event_log.record(Event::DialOver {
--- a/crates/testbed/src/host/faults.rs
+++ b/crates/testbed/src/host/faults.rs
@@ -1,42 +1,42 @@
-//! The faults that a host has at once, and what they make of it together.
+//! The injected faults that a host has now, and their combined effect on its behaviour.
 
 use crate::plan::PlannedFault;
 use crate::scenario::FaultKind;
 use std::time::Duration;
 
-/// Faults that end a host's process for as long as they last.
-const PROCESS_ENDS: [FaultKind; 4] = [
+/// Faults during which a host's process does not run.
+const PROCESS_STOPPING_FAULTS: [FaultKind; 4] = [
     FaultKind::HostRestarts,
     FaultKind::HostGone,
     FaultKind::PlaceLost,
     FaultKind::PowerCut,
 ];
 
-/// What the faults of a host make of it now.
+/// The combined effect of a host's faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct HostFaults {
-    /// Its process is not running.
+    /// The process is not running.
     pub(super) down: bool,
-    /// It accepts connections and answers nothing.
+    /// The host accepts connections and sends nothing.
     pub(super) silent: bool,
-    /// Its machine is cut off: packets to it are dropped.
+    /// The machine is cut off: packets to it are dropped.
     pub(super) vanished: bool,
-    /// It answers every session by `ERR`.
+    /// The host answers each session request with `ERR`.
     pub(super) rejects_by_error: bool,
-    /// It reads sessions and never answers them.
+    /// The host reads session requests and never answers them.
     pub(super) ignores_sessions: bool,
-    /// It answers every session by a reset.
+    /// The host resets the connection of each session request.
     pub(super) resets_sessions: bool,
-    /// By how much later than it could it answers a session.
+    /// The delay added to the time of setting a session up.
     pub(super) answer_delay: Duration,
-    /// It takes no session and moves the ones it has.
+    /// The host rejects session requests and moves its open sessions away.
     pub(super) draining: bool,
-    /// Which of its processes runs: connections of an earlier one are gone.
+    /// Grows each time the process ends; connections of an earlier incarnation are reset.
     pub(super) incarnation: u32,
 }
 
 impl HostFaults {
-    /// Whether it says nothing at all.
+    /// Whether the host sends nothing at all.
     pub(super) fn is_frozen(&self) -> bool {
         self.silent || self.vanished
     }
@@ -45,8 +45,8 @@
 /// One fault that a host has now.
 #[derive(Clone, Copy, Debug)]
 struct ActiveFault {
-    /// Its index in the plan.
-    number: usize,
+    /// The fault's index in the plan.
+    index: usize,
     kind: FaultKind,
     span: Duration,
     magnitude: f64,
@@ -57,22 +57,24 @@
 pub(super) struct ActiveFaults(Vec<ActiveFault>);
 
 impl ActiveFaults {
-    pub(super) fn begin(&mut self, number: usize, planned: &PlannedFault) {
+    pub(super) fn begin(&mut self, index: usize, planned: &PlannedFault) {
         self.0.push(ActiveFault {
-            number,
+            index,
             kind: planned.kind,
             span: planned.span,
             magnitude: planned.magnitude,
         });
     }
 
-    pub(super) fn end(&mut self, number: usize) {
-        self.0.retain(|fault| fault.number != number);
+    pub(super) fn end(&mut self, index: usize) {
+        self.0.retain(|fault| fault.index != index);
     }
 
-    /// What they make of a host together, given what it was before.
+    /// The combined effect of the faults; `before` is the effect before the last change, which carries the incarnation.
     pub(super) fn combined(&self, before: HostFaults) -> HostFaults {
-        let down = PROCESS_ENDS.into_iter().any(|kind| self.has(kind));
+        let down = PROCESS_STOPPING_FAULTS
+            .into_iter()
+            .any(|kind| self.has(kind));
         let delays = self.of_kind(FaultKind::HostLate).map(|fault| fault.span);
         HostFaults {
             down,
@@ -87,7 +89,7 @@
         }
     }
 
-    /// The share of its speed that they leave a host.
+    /// The share of its speed that the faults leave the host: that of the severest one.
     pub(super) fn speed_factor(&self) -> f64 {
         self.of_kind(FaultKind::HostSlow)
             .map(|fault| fault.magnitude)
--- a/crates/testbed/src/host/protocol.rs
+++ b/crates/testbed/src/host/protocol.rs
@@ -1,26 +1,27 @@
-//! The lines that a host reads.
+//! Parsers of the lines that a host reads: session requests and messages of open sessions.
 
 use crate::event_log::SessionId;
 use crate::scenario::Scenario;
 use std::time::Duration;
 
-/// What a session's first line asks of a host.
+/// A session request, the first line of a session.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OpenRequest {
     pub(super) session: SessionId,
     pub(super) group: Option<u64>,
-    /// Its work, as a share of what a standard host can do.
+    /// The session's load, as a share of a standard host's capacity.
     pub(super) work: f64,
-    /// Connected before the run.
+    /// Whether the client counts as connected before the run.
     pub(super) inherited: bool,
 }
 
-/// How many of a standard host's units of work a line's `h` counts.
+/// A standard host's capacity in the unit of `h` in requests and of `LOAD`.
 const WORK_UNITS: f64 = 1e6;
 
 impl OpenRequest {
-    /// Reads `OPEN <session> <item> <name>=<value>,...`; `None` where it is not such a line, or one for no listener of the
-    /// scenario, or without the time that its client waits.
+    /// Parses `OPEN <session> <item> <name>=<value>,...`; `None` for any other line, for a listener that the scenario
+    /// does not have, and without the client's deadline (`d`) unless the client counts as connected before the run
+    /// (`at`).
     pub(super) fn parse(line: &str, scenario: &Scenario) -> Option<OpenRequest> {
         let mut words = line.strip_prefix("OPEN ")?.split(' ');
         let (session, item, list) = (words.next()?, words.next()?, words.next()?);
@@ -48,22 +49,22 @@
         (complete && words.next().is_none()).then_some(request)
     }
 
-    /// Its work, as `LOAD` tells it.
+    /// The session's load in the unit of a `LOAD` line.
     pub(super) fn work_units(&self) -> f64 {
         self.work * WORK_UNITS
     }
 }
 
-/// A client's line over an open connection.
+/// A client's message on an open session.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClientMessage {
     pub(super) number: u64,
-    /// When it was sent, on the event log's clock.
+    /// When the client sent it, on the event log's clock.
     pub(super) sent_at: Duration,
 }
 
 impl ClientMessage {
-    /// Reads `MSG <number> <microseconds>`.
+    /// Parses `MSG <number> <microseconds>`.
     pub(super) fn parse(line: &str) -> Option<ClientMessage> {
         let (number, sent_at) = line.strip_prefix("MSG ")?.split_once(' ')?;
         Some(ClientMessage {
--- a/crates/testbed/src/host/server.rs
+++ b/crates/testbed/src/host/server.rs
@@ -1,4 +1,4 @@
-//! A host's listener and the connections that it takes.
+//! A host's listener and the connections that it accepts, up to the session request.
 
 use super::connection::HostConnection;
 use super::dial::Dial;
@@ -16,24 +16,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// Hosts that get an address in one network of 256 addresses.
+/// Hosts that have their addresses in the same /24 network.
 const HOSTS_PER_NETWORK: usize = 250;
-/// Networks that the hosts of one run may fill.
+/// /24 networks that are reserved for the hosts of one run.
 const NETWORKS_PER_RUN: u8 = 9;
-/// Runs of one process whose networks are apart.
-const RUNS_APART: u8 = 28;
-/// Pause before a listener is opened again, and longest attempt to fill its queue.
+/// How many runs of one process have distinct networks; later runs reuse those of the first.
+const RUNS_WITH_OWN_NETWORKS: u8 = 28;
+/// The pause between attempts to open a listener again, and how long an attempt to fill its queue may take.
 const LISTEN_RETRY: Duration = Duration::from_millis(20);
-/// Longest that an answer to a health check takes.
-const LONGEST_HEALTH_CHECK: Duration = Duration::from_secs(5);
-/// How much of an unreadable line is recorded, in characters.
+/// The longest delay of an answer to a health check, however loaded the host is.
+const MAX_HEALTH_CHECK_DELAY: Duration = Duration::from_secs(5);
+/// How much of an invalid line is recorded, in characters.
 const RECORDED_LINE_CHARS: usize = 160;
 
-/// Binds a listener for each host of a plan.
+/// Binds a listener for each host of a plan, in the order of the plan.
 pub async fn bind_all(plan: &Plan) -> std::io::Result<Vec<BoundListener>> {
-    // Runs side by side have addresses apart: a port that one gives up must not become another's host.
+    // Parallel runs have distinct addresses: otherwise a port that one run has released could become a host of another
+    // run, and proxies of the first would connect to it.
     static RUNS: AtomicU8 = AtomicU8::new(0);
-    let run = RUNS.fetch_add(1, Ordering::Relaxed) % RUNS_APART;
+    let run = RUNS.fetch_add(1, Ordering::Relaxed) % RUNS_WITH_OWN_NETWORKS;
     let mut bound = Vec::new();
     for number in 0..plan.hosts.len() {
         let network = run * NETWORKS_PER_RUN + (number / HOSTS_PER_NETWORK) as u8;
@@ -43,7 +44,7 @@
     Ok(bound)
 }
 
-/// Takes connections to a host for as long as the run lasts.
+/// Accepts connections to a host until the run ends, as its faults allow.
 pub async fn serve(host: Arc<Host>, listener: TcpListener) {
     let mut listener = Some(listener);
     let mut faults = host.subscribe_faults();
@@ -54,7 +55,7 @@
             let _ = faults.changed().await;
             continue;
         }
-        let Some(open) = &listener else {
+        let Some(bound) = &listener else {
             listener = listen_again(host.address);
             if listener.is_none() {
                 sleep(LISTEN_RETRY).await;
@@ -62,17 +63,17 @@
             continue;
         };
         if now.vanished {
-            let _filled = drop_new_connections(open, host.address, LISTEN_RETRY).await;
+            let _filled = drop_new_connections(bound, host.address, LISTEN_RETRY).await;
             let _ = faults
                 .wait_for(|faults| !faults.vanished || faults.down)
                 .await;
-            accept_new_connections(open);
+            accept_new_connections(bound);
             continue;
         }
         tokio::select! {
             _ = faults.changed() => {}
-            accepted = open.accept() => if let Ok((stream, _)) = accepted
-                && host.open_sockets.load(Ordering::Relaxed) < host.max_sockets
+            accepted = bound.accept() => if let Ok((stream, _)) = accepted
+                && host.open_connections.load(Ordering::Relaxed) < host.max_connections
             {
                 tokio::spawn(serve_connection(host.clone(), stream, now.incarnation));
             }
@@ -80,16 +81,16 @@
     }
 }
 
-/// Serves one connection until it ends or the process that accepted it does.
+/// Serves one connection until it ends, or until the process (`incarnation`) that accepted it does.
 async fn serve_connection(host: Arc<Host>, stream: TcpStream, incarnation: u32) {
-    host.open_sockets.fetch_add(1, Ordering::Relaxed);
+    host.open_connections.fetch_add(1, Ordering::Relaxed);
     let mut connection = HostConnection::new(stream);
     let mut dial = None;
     let mut faults = host.subscribe_faults();
     let process_ends = faults.wait_for(|faults| faults.incarnation != incarnation);
     let served = tokio::select! {
         _ = process_ends => false,
-        _ = answer_lines(&host, &mut connection, &mut dial) => true,
+        _ = serve_lines(&host, &mut connection, &mut dial) => true,
     };
     if let Some(mut dial) = dial.take() {
         dial.end(&host, !served);
@@ -97,11 +98,11 @@
     if !served {
         connection.reset();
     }
-    host.open_sockets.fetch_sub(1, Ordering::Relaxed);
+    host.open_connections.fetch_sub(1, Ordering::Relaxed);
 }
 
-/// Answers health checks until a session's line comes, and serves that.
-async fn answer_lines(host: &Host, connection: &mut HostConnection, slot: &mut Option<Dial>) {
+/// Answers health checks until a session request comes, and serves that session; `dial_slot` receives its dial.
+async fn serve_lines(host: &Host, connection: &mut HostConnection, dial_slot: &mut Option<Dial>) {
     loop {
         let line = match connection.lines.next().await {
             Line::Text(line) => line,
@@ -115,7 +116,7 @@
             continue;
         }
         return match OpenRequest::parse(&line, &host.context.scenario) {
-            Some(request) => serve_session(host, connection, slot, request).await,
+            Some(request) => serve_session(host, connection, dial_slot, request).await,
             None => {
                 let line = line.chars().take(RECORDED_LINE_CHARS).collect();
                 reject_line(host, connection, line).await
@@ -124,15 +125,15 @@
     }
 }
 
-/// Answers a health check, with a load report where that was asked for; false if the peer ended the connection before.
+/// Answers a health check, with a load report if requested; false if the peer ended the connection before the answer.
 async fn answer_health_check(
     host: &Host,
     connection: &mut HostConnection,
     with_report: bool,
 ) -> bool {
     let mut faults = host.subscribe_faults();
-    let took = host.model().message_time(host.context.event_log.now());
-    sleep(took.min(LONGEST_HEALTH_CHECK)).await;
+    let delay = host.model().message_time(host.context.event_log.now());
+    sleep(delay.min(MAX_HEALTH_CHECK_DELAY)).await;
     if !connection.wait_while_frozen(&mut faults).await {
         return false;
     }
@@ -145,7 +146,7 @@
     true
 }
 
-/// Records a line that is none of the protocol, and closes the connection.
+/// Records an invalid line, answers it with `SYNTAX`, and closes the connection.
 async fn reject_line(host: &Host, connection: &mut HostConnection, line: String) {
     host.context.event_log.record(Event::Unread {
         host: host.number,
--- a/crates/testbed/src/host/session.rs
+++ b/crates/testbed/src/host/session.rs
@@ -1,4 +1,4 @@
-//! A session at a host, from its first line to the connection's end.
+//! A session at a host, from its request to the end of its connection.
 
 use super::connection::HostConnection;
 use super::dial::Dial;
@@ -14,31 +14,32 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// Over how long a draining host moves its connections away, in milliseconds.
+/// The time over which a draining host spreads the moves of its open sessions, in milliseconds.
 const DRAIN_SPREAD_MS: u64 = 1_500;
-/// Spreads the dials of a host over that time; a prime, so that neighbours are apart.
+/// The difference between the move times of dials with consecutive numbers, in milliseconds, modulo
+/// [`DRAIN_SPREAD_MS`]; a prime, so that the times of many dials are spread evenly.
 const DRAIN_STEP_MS: u64 = 131;
-/// A line that takes longer than this from one side to the other is recorded as held back.
-const LINE_HELD_BACK: Duration = Duration::from_secs(1);
+/// A message that takes longer than this from its client to its host is recorded as [`Event::Held`].
+const MAX_MESSAGE_TRANSIT: Duration = Duration::from_secs(1);
 
-/// Serves a session whose first line has been read. The dial is left in `slot`, so that it can be ended if the host's
-/// process ends meanwhile.
+/// Serves a session whose request has been read. The dial is stored in `dial_slot`, so that the caller can end it if
+/// the host's process ends meanwhile.
 pub(super) async fn serve_session(
     host: &Host,
     connection: &mut HostConnection,
-    slot: &mut Option<Dial>,
+    dial_slot: &mut Option<Dial>,
     request: OpenRequest,
 ) {
     let number = host.context.new_dial_number();
-    let dial = slot.insert(Dial::new(request.session, number));
+    let dial = dial_slot.insert(Dial::new(request.session, number));
     record_dial(host, connection, dial, request.inherited);
     let mut faults = host.subscribe_faults();
     if !connection.wait_while_frozen(&mut faults).await {
         return;
     }
     if !request.inherited {
-        let set_up = set_up(host, connection, dial, &mut faults).await;
-        if set_up.is_break() {
+        let outcome = set_up_session(host, connection, dial, &mut faults).await;
+        if outcome.is_break() {
             return;
         }
     }
@@ -53,13 +54,13 @@
         host,
         connection,
         dial,
-        answers: VecDeque::new(),
+        pending_answers: VecDeque::new(),
         move_at: None,
     };
     session.serve(faults).await;
 }
 
-/// Records a dial, and which earlier ones of its session are still open beyond doubt.
+/// Records a dial, and each earlier dial of the same session whose connection the kernel has not seen end.
 fn record_dial(host: &Host, connection: &HostConnection, dial: &Dial, inherited: bool) {
     let (context, id, number) = (&host.context, dial.session, dial.number);
     context.event_log.record(Event::Dialled {
@@ -68,13 +69,14 @@
         dial: number,
         inherited,
     });
-    // Behind a relay an end may come later than what was sent after it.
+    // Behind a relay, the end of an earlier connection may arrive after the request of a later one, so the kernel's
+    // state proves nothing.
     let handle = match connection.relay {
         Some(_) => None,
         None => connection.lines.duplicate_handle(),
     };
     if let Some(relay) = connection.relay {
-        host.connections.insert(relay, id, number);
+        host.relayed_dials.insert(relay, id, number);
     }
     for earlier in context.pending_dials.begin(id, number, handle) {
         context.event_log.record(Event::StillOut {
@@ -86,8 +88,8 @@
     }
 }
 
-/// Sets a session up; breaks where it is over by that.
-async fn set_up(
+/// Sets a session up as the faults and the load model allow; breaks if the session does not come up.
+async fn set_up_session(
     host: &Host,
     connection: &mut HostConnection,
     dial: &mut Dial,
@@ -132,7 +134,7 @@
     }
 }
 
-/// Waits until a session is set up; breaks if the peer ended the connection meanwhile.
+/// Waits until the set-up is done and the host may send; breaks if the peer ended the connection meanwhile.
 async fn wait_for_set_up(
     connection: &mut HostConnection,
     faults: &mut watch::Receiver<HostFaults>,
@@ -149,7 +151,7 @@
     }
 }
 
-/// An answer that is due later.
+/// An answer that is sent once its response time has passed.
 struct PendingAnswer {
     due: Instant,
     text: String,
@@ -160,27 +162,28 @@
     host: &'a Host,
     connection: &'a mut HostConnection,
     dial: &'a mut Dial,
-    answers: VecDeque<PendingAnswer>,
-    /// When a draining host moves it away.
+    /// Answers to send, in the order of their messages.
+    pending_answers: VecDeque<PendingAnswer>,
+    /// When the draining host moves the session away; `None` if the host has not drained yet.
     move_at: Option<Instant>,
 }
 
 impl OpenSession<'_> {
-    /// Answers its lines until it ends.
+    /// Answers messages until the session ends.
     async fn serve(mut self, mut faults: watch::Receiver<HostFaults>) {
         loop {
             let now = *faults.borrow_and_update();
             if now.draining && self.move_at.is_none() {
-                let wait = u64::from(self.dial.number) * DRAIN_STEP_MS % DRAIN_SPREAD_MS;
-                self.move_at = Some(Instant::now() + Duration::from_millis(wait));
+                let delay = u64::from(self.dial.number) * DRAIN_STEP_MS % DRAIN_SPREAD_MS;
+                self.move_at = Some(Instant::now() + Duration::from_millis(delay));
             }
-            let next_answer = self.answers.front().map(|answer| answer.due);
+            let next_answer = self.pending_answers.front().map(|answer| answer.due);
             let next_answer = next_answer.filter(|_| !now.is_frozen());
             let move_at = self.move_at.filter(|_| now.draining && !now.is_frozen());
             tokio::select! {
                 _ = faults.changed() => {}
-                _ = sleep_until_any(next_answer) => self.send_next_answer().await,
-                _ = sleep_until_any(move_at) => return self.finish(HostReply::Move, "MOVE\r\n").await,
+                _ = sleep_until_some(next_answer) => self.send_next_answer().await,
+                _ = sleep_until_some(move_at) => return self.finish(HostReply::Move, "MOVE\r\n").await,
                 line = self.connection.lines.next() => {
                     if self.handle_line(line).await.is_break() {
                         return;
@@ -191,12 +194,12 @@
     }
 
     async fn send_next_answer(&mut self) {
-        if let Some(answer) = self.answers.pop_front() {
+        if let Some(answer) = self.pending_answers.pop_front() {
             self.connection.send(&answer.text).await;
         }
     }
 
-    /// Handles what came from the client; breaks where the session is over by that.
+    /// Handles a line, or the end of the connection, from the client; breaks if that ends the session.
     async fn handle_line(&mut self, line: Line) -> ControlFlow<()> {
         let Line::Text(line) = line else {
             return ControlFlow::Break(());
@@ -215,13 +218,13 @@
             return ControlFlow::Break(());
         };
         let span = now.saturating_sub(message.sent_at);
-        if span > LINE_HELD_BACK {
+        if span > MAX_MESSAGE_TRANSIT {
             let id = self.dial.session;
             event_log.record(Event::Held { id, span });
         }
-        let took = self.host.model().message_time(now);
-        self.answers.push_back(PendingAnswer {
-            due: Instant::now() + took,
+        let response_time = self.host.model().message_time(now);
+        self.pending_answers.push_back(PendingAnswer {
+            due: Instant::now() + response_time,
             text: format!("ACK {}\r\n", message.number),
         });
         ControlFlow::Continue(())
@@ -234,8 +237,8 @@
     }
 }
 
-/// Sleeps until a time, or for ever where there is none.
-async fn sleep_until_any(at: Option<Instant>) {
+/// Sleeps until a time; never returns for `None`.
+async fn sleep_until_some(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
         None => std::future::pending().await,
--- a/crates/testbed/src/host/state.rs
+++ b/crates/testbed/src/host/state.rs
@@ -1,4 +1,4 @@
-//! One host: its load model, the faults that it has, and what discovery is told of it.
+//! The state of one host: its load model, its faults, and its state at discovery.
 
 use super::faults::{ActiveFaults, HostFaults};
 use crate::context::RunContext;
@@ -14,37 +14,37 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Keeps the seeds of the hosts' load models apart.
+/// Multiplies a host's number to give its load model a seed far from those of other hosts.
 const SEED_FACTOR: u64 = 7919;
 
 /// An emulated host.
 #[derive(Debug)]
 pub struct Host {
-    /// Its index in the plan.
+    /// The host's index in the plan.
     pub number: u16,
-    /// Where it is reached.
+    /// Where the host listens.
     pub address: SocketAddr,
     pub(super) context: Arc<RunContext>,
     pub(super) discovery: Arc<EndpointRegistry>,
-    /// Whose connections come to it through a link.
-    pub(super) connections: Arc<RelayedDials>,
-    /// Which figures a load report of its holds.
+    /// Where the host registers dials that came through a relay.
+    pub(super) relayed_dials: Arc<RelayedDials>,
+    /// The fields of a load report; see [`Fleet::report_fields`].
     report_fields: Vec<String>,
-    /// The most connections that it takes at once.
-    pub(super) max_sockets: u32,
-    pub(super) open_sockets: AtomicU32,
+    /// The most connections that the host accepts at once.
+    pub(super) max_connections: u32,
+    pub(super) open_connections: AtomicU32,
     model: Mutex<LoadModel>,
     active_faults: Mutex<ActiveFaults>,
     faults: watch::Sender<HostFaults>,
 }
 
 impl Host {
-    /// A host of the plan, which has an address but does not serve yet.
+    /// Creates a host of the plan; [`serve`](super::serve) starts it.
     pub fn new(
         number: u16,
         address: SocketAddr,
         discovery: Arc<EndpointRegistry>,
-        connections: Arc<RelayedDials>,
+        relayed_dials: Arc<RelayedDials>,
     ) -> Host {
         let context = discovery.context.clone();
         let fleet = &context.scenario.fleet;
@@ -55,25 +55,25 @@
             number,
             address,
             report_fields: fleet.report_fields.clone(),
-            max_sockets: plan.max_connections,
-            open_sockets: AtomicU32::new(0),
+            max_connections: plan.max_connections,
+            open_connections: AtomicU32::new(0),
             model: Mutex::new(model),
             active_faults: Mutex::default(),
             faults: watch::channel(HostFaults::default()).0,
             context,
             discovery,
-            connections,
+            relayed_dials,
         }
     }
 
-    /// What it can do, and has to.
+    /// Locks the host's load model.
     pub fn model(&self) -> MutexGuard<'_, LoadModel> {
         self.model
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// A fault of the plan, known by its index in it, begins or ends here.
+    /// Begins or ends a fault at this host; `fault` is its index in the plan.
     pub fn apply_fault(&self, fault: usize, begins: bool) {
         let now = self.context.event_log.now();
         let planned = &self.context.plan.faults[fault];
@@ -87,14 +87,14 @@
         let after = active.combined(before);
         self.model().speed_factor = active.speed_factor();
         drop(active);
-        self.record_process(before, after, now);
+        self.record_process_change(before, after, now);
         let gone = after.down && planned.kind == FaultKind::HostGone && begins;
-        self.tell_discovery(before, after, gone, now);
+        self.update_discovery(before, after, gone, now);
         self.faults.send_replace(after);
     }
 
-    /// Starts the load model anew where the process does, and records that.
-    fn record_process(&self, before: HostFaults, after: HostFaults, now: Duration) {
+    /// Records that the host's process ended or started, and restarts the load model with it.
+    fn record_process_change(&self, before: HostFaults, after: HostFaults, now: Duration) {
         let host = self.number;
         if before.down && !after.down {
             self.model().restart(now);
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Sets its state at discovery where that has changed. A host that is down keeps its state unless it never comes back.
-    fn tell_discovery(&self, before: HostFaults, after: HostFaults, gone: bool, now: Duration) {
+    /// Updates the host's state at discovery if it has changed. A host that is down keeps its state unless it is gone.
+    fn update_discovery(&self, before: HostFaults, after: HostFaults, gone: bool, now: Duration) {
         let state = if gone {
             HostState::Gone
         } else if after.draining {
@@ -120,22 +120,23 @@
         }
     }
 
-    /// Whether its process is not running.
+    /// Whether the host's process is not running.
     pub fn is_down(&self) -> bool {
         self.faults.borrow().down
     }
 
-    /// Leaves it a share of its speed, or all of it.
+    /// Limits the host to a share of its speed; `None` restores the full speed.
     pub fn limit_speed(&self, speed_factor: Option<f64>) {
         self.model().speed_factor = speed_factor.unwrap_or(1.0);
     }
 
-    /// Overloaded while it was warming up: it is down and stays so.
+    /// Records that the host collapsed under overload while it warmed up, and takes it down; it does not restart by
+    /// itself.
     pub(super) fn collapse(&self) {
         let host = self.number;
         let (by, started) = (
             self.model().recent_sessions(),
-            self.discovery.start_of(host),
+            self.discovery.start_time(host),
         );
         let event_log = &self.context.event_log;
         event_log.record(Event::Collapsed { host, started, by });
@@ -145,12 +146,12 @@
         });
     }
 
-    /// What its faults make of it, now and from now on.
+    /// The combined effect of the host's faults, with its changes.
     pub(super) fn subscribe_faults(&self) -> watch::Receiver<HostFaults> {
         self.faults.subscribe()
     }
 
-    /// A load report as it is appended to an answer, with a blank before it; empty where hosts report nothing.
+    /// A load report to append to an answer, with a leading space; empty if hosts report no fields.
     pub(super) fn load_report(&self) -> String {
         let report = self.model().report(self.context.event_log.now());
         let field = |name: &String| match name.as_str() {
--- a/crates/testbed/src/link.rs
+++ b/crates/testbed/src/link.rs
@@ -1,8 +1,8 @@
-//! Relays in the network paths between processes: each takes connections at an address of its own and passes their bytes
-//! on, until a fault drops, resets, refuses, delays or slows them.
+//! Relays in the network paths between processes: each accepts connections at its own address and forwards their bytes
+//! to its target. Faults make it drop, delay or throttle bytes, and refuse or reset connections.
 //!
-//! A link lies between one proxy and one host, or between the clients of one zone and one proxy. Whoever dials its relay
-//! takes that for the other side.
+//! A link joins one proxy and one host, or the clients of one zone and one proxy. The dialling side is given the
+//! relay's address as that of the target.
 
 mod address;
 mod faults;
--- a/crates/testbed/src/link/faults.rs
+++ b/crates/testbed/src/link/faults.rs
@@ -1,36 +1,37 @@
-//! What faults make of a link.
+//! The combined effect of injected faults on a link.
 
 use crate::scenario::FaultKind;
 use std::time::Duration;
 
-/// A direction of a link, as seen by whoever dials its relay.
+/// A direction of a link, relative to the side that dials its relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Direction {
-    /// From the dialling side.
+    /// From the dialling side to the target.
     Forward,
-    /// To the dialling side.
+    /// From the target to the dialling side.
     Backward,
 }
 
-/// What the faults of a link make of it now.
+/// The combined effect of a link's faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
-    /// Bytes from the dialling side are dropped.
+    /// Bytes from the dialling side do not arrive.
     pub drops_forward: bool,
-    /// Bytes to the dialling side are dropped.
+    /// Bytes to the dialling side do not arrive.
     pub drops_backward: bool,
     /// New connections are refused.
     pub refuses: bool,
-    /// Everything that is sent on it is answered by a reset.
+    /// All connections are reset, open and new ones.
     pub resets: bool,
-    /// By how much later bytes arrive.
+    /// The delay added to every transfer of bytes.
     pub delay: Duration,
-    /// The most bytes a second.
+    /// The most bytes per second in each direction; `None`: no limit.
     pub bytes_per_second: Option<f64>,
 }
 
 impl LinkFaults {
-    /// What one fault makes of a link; `magnitude` is a rate in bytes a second, `span` a delay.
+    /// The effect of one fault; `magnitude` is the rate of `link-slowed` in bytes per second, `span` the delay of
+    /// `link-delayed`. Kinds that do not concern links have no effect.
     pub fn of_kind(kind: FaultKind, magnitude: f64, span: Duration) -> LinkFaults {
         let mut faults = LinkFaults::default();
         match kind {
@@ -48,7 +49,7 @@
         faults
     }
 
-    /// What two faults make of a link together.
+    /// The effect of two sets of faults together: delays add up, and the lowest rate counts.
     pub(super) fn combined_with(self, other: LinkFaults) -> LinkFaults {
         let rates = [self.bytes_per_second, other.bytes_per_second];
         LinkFaults {
@@ -68,12 +69,12 @@
         }
     }
 
-    /// Whether bytes are dropped in any direction, so that no connection comes up.
+    /// Whether bytes are dropped in either direction, so that no connection can be established.
     pub(super) fn is_cut(&self) -> bool {
         self.drops_forward || self.drops_backward
     }
 
-    /// How long so many bytes take.
+    /// How long the link takes to transfer so many bytes.
     pub(super) fn transfer_time(&self, bytes: usize) -> Duration {
         let seconds = self
             .bytes_per_second
--- a/crates/testbed/src/link/path.rs
+++ b/crates/testbed/src/link/path.rs
@@ -1,4 +1,4 @@
-//! One link: its ends, its relay's address, and the faults that it has.
+//! One link: its ends, its relay's address, and its injected faults.
 
 use super::faults::LinkFaults;
 use super::relayed_dials::RelayedDials;
@@ -10,26 +10,27 @@
 /// One fault that a link has now.
 #[derive(Clone, Copy, Debug)]
 struct ActiveFault {
-    /// Its index in the plan.
-    number: usize,
+    /// The fault's index in the plan.
+    index: usize,
     faults: LinkFaults,
-    /// Connections that were open when it began are reset once it is over: the other side has forgotten them.
+    /// Whether connections that are open at its end are reset then, as if the other side had forgotten them.
     half_open: bool,
 }
 
 /// A link between two processes, with a relay in it.
 #[derive(Debug)]
 pub struct Link {
-    /// Whom it joins.
+    /// The two parties that the link joins.
     pub ends: LinkEnds,
-    /// Where its relay is dialled.
+    /// The address at which its relay listens.
     pub address: SocketAddr,
-    /// Where the relay connects to.
+    /// The address to which its relay connects.
     pub(super) target: SocketAddr,
-    pub(super) connections: Arc<RelayedDials>,
+    /// Which dial each relayed connection carries; shared by all links of a run.
+    pub(super) relayed_dials: Arc<RelayedDials>,
     active_faults: Mutex<Vec<ActiveFault>>,
     faults: watch::Sender<LinkFaults>,
-    /// Counts the ends of faults that leave connections half open: all from before one are dead.
+    /// Counts the ends of faults that leave connections half open; at each, all connections from before it are reset.
     half_open_ends: watch::Sender<u32>,
 }
 
@@ -38,34 +39,34 @@
         ends: LinkEnds,
         address: SocketAddr,
         target: SocketAddr,
-        connections: Arc<RelayedDials>,
+        relayed_dials: Arc<RelayedDials>,
     ) -> Link {
         Link {
             ends,
             address,
             target,
-            connections,
+            relayed_dials,
             active_faults: Mutex::default(),
             faults: watch::channel(LinkFaults::default()).0,
             half_open_ends: watch::channel(0).0,
         }
     }
 
-    /// A fault, known by its index in the plan, begins on this link.
-    pub fn begin_fault(&self, number: usize, faults: LinkFaults, half_open: bool) {
+    /// Begins a fault on this link; `index` is its index in the plan.
+    pub fn begin_fault(&self, index: usize, faults: LinkFaults, half_open: bool) {
         self.active_faults().push(ActiveFault {
-            number,
+            index,
             faults,
             half_open,
         });
         self.combine_faults();
     }
 
-    /// It is over.
-    pub fn end_fault(&self, number: usize) {
+    /// Ends a fault on this link; `index` is its index in the plan.
+    pub fn end_fault(&self, index: usize) {
         let mut leaves_half_open = false;
         self.active_faults().retain(|fault| {
-            let ends = fault.number == number;
+            let ends = fault.index == index;
             leaves_half_open |= ends && fault.half_open;
             !ends
         });
@@ -75,17 +76,17 @@
         }
     }
 
-    /// Whether it has any fault now.
+    /// Whether the link has any fault now.
     pub fn fails(&self) -> bool {
         !self.active_faults().is_empty()
     }
 
-    /// What its faults make of it, now and from now on.
+    /// The combined effect of the link's faults, with its changes.
     pub(super) fn subscribe_faults(&self) -> watch::Receiver<LinkFaults> {
         self.faults.subscribe()
     }
 
-    /// Changes with each end of a fault that leaves connections half open, from now on.
+    /// A receiver that changes at the end of each fault that leaves connections half open, from now on.
     pub(super) fn subscribe_half_open_ends(&self) -> watch::Receiver<u32> {
         let mut ends = self.half_open_ends.subscribe();
         ends.mark_unchanged();
@@ -94,9 +95,11 @@
 
     fn combine_faults(&self) {
         let active = self.active_faults();
-        let combined = active.iter().fold(LinkFaults::default(), |all, one| {
-            all.combined_with(one.faults)
-        });
+        let combined = active
+            .iter()
+            .fold(LinkFaults::default(), |combined, fault| {
+                combined.combined_with(fault.faults)
+            });
         self.faults.send_replace(combined);
     }
 
--- a/crates/testbed/src/link/registry.rs
+++ b/crates/testbed/src/link/registry.rs
@@ -1,4 +1,4 @@
-//! All links of a run, by what they join.
+//! The links of a run, found by their ends.
 
 use super::path::Link;
 use super::relayed_dials::RelayedDials;
@@ -10,27 +10,28 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The links of a run that have a relay.
+/// The links of a run that have a relay. Only links that some fault of the plan affects need one.
 #[derive(Debug, Default)]
 pub struct Links {
     all: Vec<Arc<Link>>,
+    /// Indexes into `all`.
     by_ends: HashMap<LinkEnds, usize>,
-    /// Whose connections pass through them.
-    pub(crate) connections: Arc<RelayedDials>,
+    /// Which dial each relayed connection carries.
+    pub(crate) relayed_dials: Arc<RelayedDials>,
 }
 
 impl Links {
-    /// Starts a relay for each pair of ends and what it leads to.
+    /// Starts a relay for each pair of ends, which forwards connections to the given target.
     pub async fn start(
         context: &Arc<RunContext>,
-        pairs: Vec<(LinkEnds, SocketAddr)>,
+        ends_and_targets: Vec<(LinkEnds, SocketAddr)>,
     ) -> std::io::Result<Links> {
         let run_address = address::next_listen_address();
         let mut links = Links::default();
-        for (ends, target) in pairs {
+        for (ends, target) in ends_and_targets {
             let bound = BoundListener::bind(run_address).await?;
-            let connections = links.connections.clone();
-            let link = Arc::new(Link::new(ends, bound.address, target, connections));
+            let relayed_dials = links.relayed_dials.clone();
+            let link = Arc::new(Link::new(ends, bound.address, target, relayed_dials));
             tokio::spawn(relay::serve(link.clone(), context.clone(), bound.listener));
             links.by_ends.insert(ends, links.all.len());
             links.all.push(link);
@@ -38,12 +39,14 @@
         Ok(links)
     }
 
-    /// Where a link is dialled, if it has a relay.
+    /// The address of the relay of a link; `None` if the link has no relay and its target is dialled directly.
     pub fn address(&self, ends: LinkEnds) -> Option<SocketAddr> {
-        self.by_ends.get(&ends).map(|nth| self.all[*nth].address)
+        self.by_ends
+            .get(&ends)
+            .map(|index| self.all[*index].address)
     }
 
-    /// All links, in the order that they were asked for.
+    /// All links, in the order in which they were passed to [`Links::start`].
     pub fn all(&self) -> &[Arc<Link>] {
         &self.all
     }
--- a/crates/testbed/src/link/relayed_dials.rs
+++ b/crates/testbed/src/link/relayed_dials.rs
@@ -1,4 +1,4 @@
-//! Which dial of which session a relayed connection is.
+//! Maps relayed connections to the dials of sessions that they carry.
 
 use crate::event_log::SessionId;
 use std::collections::HashMap;
@@ -12,17 +12,18 @@
     pub(super) dial: u32,
 }
 
-/// Relayed connections by the address that their host sees, once the host has read the session's line.
+/// Dials on relayed connections, by the relay's address of the connection to the host. A dial is registered once its
+/// host has read the session request.
 #[derive(Debug, Default)]
 pub struct RelayedDials(Mutex<HashMap<SocketAddr, DialId>>);
 
 impl RelayedDials {
-    /// A host has read the line of a dial on the connection from a relay.
+    /// Registers a dial whose request a host has read on the connection from a relay's address.
     pub(crate) fn insert(&self, relay: SocketAddr, session: SessionId, dial: u32) {
         self.by_address().insert(relay, DialId { session, dial });
     }
 
-    /// The dial of a connection that is over, if a host has read its line.
+    /// Removes and returns the dial of a connection that has ended; `None` if no host has read a request on it.
     pub(super) fn take(&self, relay: SocketAddr) -> Option<DialId> {
         self.by_address().remove(&relay)
     }
--- a/crates/testbed/src/pending_dials.rs
+++ b/crates/testbed/src/pending_dials.rs
@@ -1,4 +1,4 @@
-//! Dials of sessions that no host has answered yet, by which a session that is dialled twice at once is seen.
+//! Dials that no host has answered yet, to detect that a session is dialled twice at once.
 
 use crate::event_log::SessionId;
 use crate::sockets::peer_has_ended;
@@ -6,23 +6,24 @@
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
 
-/// A dial whose host has read its line and has not answered it.
+/// A dial whose host has read the session request and has not answered it.
 #[derive(Debug)]
 struct PendingDial {
     number: u32,
-    /// A second handle of its connection.
+    /// A duplicate descriptor of its connection, to detect the connection's end.
     connection: OwnedFd,
 }
 
-/// Dials that no host has answered yet, by session.
+/// The dials that no host has answered yet, by session.
 #[derive(Debug, Default)]
 pub(crate) struct PendingDials(Mutex<HashMap<SessionId, Vec<PendingDial>>>);
 
 impl PendingDials {
-    /// A host has read the line of a dial. Returns the earlier ones of its session whose connections have no end yet
-    /// in this machine's kernel. Such an overlap may last no longer than the next host's answer, far less than the
-    /// times at which two actors record the same moment are apart; on loopback an end is there before whatever was
-    /// sent after it.
+    /// Adds a dial whose request a host has read; without a `connection` it is not kept. Returns the earlier dials of
+    /// the session whose connections have not ended in this machine's kernel. The event log cannot show such an
+    /// overlap: it may last no longer than the next host takes to answer, far less than the differences between the
+    /// times at which two actors record the same moment. The kernel's state is reliable: on loopback, the end of a
+    /// connection arrives before anything that was sent after it.
     pub(crate) fn begin(
         &self,
         session: SessionId,
@@ -40,7 +41,8 @@
         still_open
     }
 
-    /// It was answered, or is over. Its handle must not outlive its connection, or that would not end.
+    /// Removes a dial that was answered or has ended. Its duplicate descriptor must be dropped with the connection,
+    /// which would otherwise stay open.
     pub(crate) fn end(&self, session: SessionId, number: u32) {
         let mut all = self.by_session();
         if let Some(dials) = all.get_mut(&session) {
--- a/crates/testbed/src/plan/planned.rs
+++ b/crates/testbed/src/plan/planned.rs
@@ -41,7 +41,7 @@
     pub until: Option<Duration>,
     /// The kind of the fault.
     pub kind: FaultKind,
-    /// Numbers of the hosts, proxies or zones that it affects; empty for kinds without targets.
+    /// Numbers of the hosts, proxies or zones that it affects; unused by kinds without targets.
     pub targets: Vec<u16>,
     /// How strong it is, as [`FaultKind`] states for the key `much`.
     pub magnitude: f64,
@@ -51,8 +51,8 @@
     pub link_kind: LinkKind,
     /// For faults of links between proxies and hosts: the hosts' numbers; `None`: all hosts.
     pub to_hosts: Option<Vec<u16>>,
-    /// Whether connections of affected links that were open when it began are reset at its end, as if the other side
-    /// had forgotten them.
+    /// Whether connections of affected links that exist at its end are reset then, as if the other side had forgotten
+    /// them.
     pub half_open: bool,
     /// For a lost zone: which processes start again at the fault's end.
     pub recovered_part: RecoveredPart,
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -34,8 +34,8 @@
     /// For faults of links between proxies and hosts: the numbers of the hosts; absent: all.
     #[serde(rename = "to")]
     pub to_hosts: Option<Vec<u32>>,
-    /// For faults of links and zones: whether connections that were open when it began are reset at its end, as if the
-    /// other side had forgotten them.
+    /// For faults of links and zones: whether connections of affected links that exist at its end are reset then, as if
+    /// the other side had forgotten them.
     #[serde(default)]
     pub half_open: bool,
     /// For `place-lost`: which processes start again at its end.
--- a/crates/testbed/src/sockets.rs
+++ b/crates/testbed/src/sockets.rs
@@ -1,4 +1,5 @@
-//! What several actors do to their sockets: listen again at a former address, look for the peer's end, reset.
+//! Socket operations that several actors need: listen again at a former address, drop connection attempts, detect the
+//! peer's end without reading, and reset.
 
 use rustix::event::{PollFd, PollFlags, Timespec};
 use rustix::fd::AsFd;
@@ -9,20 +10,20 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-/// Connections that may wait to be accepted, as the kernel's usual limit for a listening socket.
+/// How many connections may wait to be accepted: the kernel's usual limit for a listening socket.
 const LISTEN_BACKLOG: u16 = 1024;
 
-/// A listener with the address that it was given.
+/// A listener with its actual address.
 #[derive(Debug)]
 pub struct BoundListener {
-    /// Where it is reached.
+    /// The address, with the port that was assigned.
     pub address: SocketAddr,
     /// The listening socket.
     pub listener: TcpListener,
 }
 
 impl BoundListener {
-    /// Listens at an address; at any free port, if its port is 0.
+    /// Listens at an address; port 0 stands for any free port.
     pub async fn bind(address: SocketAddr) -> std::io::Result<BoundListener> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -30,7 +31,7 @@
     }
 }
 
-/// Listens again at an address whose listener was closed.
+/// Listens again at an address whose listener was closed; `None` while the address cannot be bound.
 pub(crate) fn listen_again(address: SocketAddr) -> Option<TcpListener> {
     let socket = TcpSocket::new_v4().ok()?;
     socket.set_reuseaddr(true).ok()?;
@@ -38,42 +39,43 @@
     socket.listen(u32::from(LISTEN_BACKLOG)).ok()
 }
 
-/// Lets the kernel drop all further connection attempts, as a machine that is cut off does: the queue is shortened to its
-/// single slot, and that slot is taken. Each attempt to take it waits for at most `attempt_timeout`.
+/// Makes the kernel drop all further connection attempts, as if the machine were cut off: the listener's queue is
+/// shortened to a single slot, which is then filled by two connection attempts of at most `attempt_timeout` each. The
+/// caller must keep the result until [`accept_new_connections`].
 pub(crate) async fn drop_new_connections(
     listener: &TcpListener,
     address: SocketAddr,
     attempt_timeout: Duration,
 ) -> FilledQueue {
     let _ = rustix::net::listen(listener, 0);
-    let fill = || timeout(attempt_timeout, TcpStream::connect(address));
-    let (first, second) = (fill().await, fill().await);
+    let connect = || timeout(attempt_timeout, TcpStream::connect(address));
+    let (first, second) = (connect().await, connect().await);
     FilledQueue {
-        _held: [first, second].map(|attempt| attempt.ok().and_then(Result::ok)),
+        _connections: [first, second].map(|attempt| attempt.ok().and_then(Result::ok)),
     }
 }
 
-/// The connections that keep a listener's queue full, for as long as it lives.
+/// The connections that keep a listener's queue full until this value is dropped.
 #[derive(Debug)]
 pub(crate) struct FilledQueue {
-    _held: [Option<TcpStream>; 2],
+    _connections: [Option<TcpStream>; 2],
 }
 
-/// Ends what [`drop_new_connections`] began. Connections that fill the queue must be held until then.
+/// Ends the effect of [`drop_new_connections`] by restoring the length of the queue.
 pub(crate) fn accept_new_connections(listener: &TcpListener) {
     let _ = rustix::net::listen(listener, i32::from(LISTEN_BACKLOG));
 }
 
-/// Whether the other side has ended a connection, though nobody may have read that yet.
+/// Whether the peer has closed or reset a connection, as the kernel knows without a read.
 pub(crate) fn peer_has_ended(connection: impl AsFd) -> bool {
     let mut polled = [PollFd::new(&connection, PollFlags::RDHUP)];
-    let answered = rustix::event::poll(&mut polled, Some(&Timespec::default()));
-    answered.is_ok() && !polled[0].revents().is_empty()
+    let result = rustix::event::poll(&mut polled, Some(&Timespec::default()));
+    result.is_ok() && !polled[0].revents().is_empty()
 }
 
-/// Ends a connection by a reset.
-pub(crate) fn reset(write: OwnedWriteHalf) {
-    let _ = sockopt::set_socket_linger(write.as_ref(), Some(Duration::ZERO));
-    // Dropped, it would end its side in good order first.
-    write.forget();
+/// Ends a connection with a reset (RST).
+pub(crate) fn reset(write_half: OwnedWriteHalf) {
+    let _ = sockopt::set_socket_linger(write_half.as_ref(), Some(Duration::ZERO));
+    // Dropping the half would first shut the sending side down with a FIN.
+    write_half.forget();
 }
--- a/crates/testbed/src/testbed.rs
+++ b/crates/testbed/src/testbed.rs
@@ -44,7 +44,7 @@
                 number,
                 bound.address,
                 discovery.clone(),
-                links.connections.clone(),
+                links.relayed_dials.clone(),
             ));
             tokio::spawn(host::serve(host.clone(), bound.listener));
             hosts.push(host);
