--- a/crates/testbed/src/discovery/answer.rs
+++ b/crates/testbed/src/discovery/answer.rs
@@ -105,7 +105,7 @@
 struct Watch<'a> {
     registry: &'a EndpointRegistry,
     proxy: u16,
-    /// The version that the proxy has; `None`: none, so that it must be sent the complete list.
+    /// The version that the proxy has; `None`: it has none and needs the complete list.
     sent_version: Option<u64>,
     /// Whether the last list came from before the run, because of the fault `discovery-older`.
     sent_outdated: bool,
--- a/crates/testbed/src/host/server.rs
+++ b/crates/testbed/src/host/server.rs
@@ -101,7 +101,7 @@
     host.open_connections.fetch_sub(1, Ordering::Relaxed);
 }
 
-/// Answers health checks until a session request comes, and serves that session; `dial_slot` receives its dial.
+/// Answers health checks until a session request arrives, and serves that session; `dial_slot` receives its dial.
 async fn serve_lines(host: &Host, connection: &mut HostConnection, dial_slot: &mut Option<Dial>) {
     loop {
         let line = match connection.lines.next().await {
--- a/crates/testbed/src/host/session.rs
+++ b/crates/testbed/src/host/session.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Sets a session up as the faults and the load model allow; breaks if the session does not come up.
+/// Sets a session up as the faults and the load model allow; breaks if the session is not established.
 async fn set_up_session(
     host: &Host,
     connection: &mut HostConnection,
--- a/crates/testbed/src/load_model.rs
+++ b/crates/testbed/src/load_model.rs
@@ -19,7 +19,7 @@
     pub cold_share: f64,
     /// How long after a start it reaches its full speed; the speed grows linearly until then.
     pub warm_up_time: Duration,
-    /// While it warms up, it collapses when the set-up work of the last `overload_window` exceeds so many times what
+    /// While it warms up, it collapses when the set-up work of the last `overload_window` exceeds this multiple of what
     /// its present capacity can do in that time.
     pub overload_factor: f64,
     /// The time over which set-up work is summed for `overload_factor`.
--- a/crates/testbed/src/scenario/checks.rs
+++ b/crates/testbed/src/scenario/checks.rs
@@ -16,14 +16,20 @@
 
 /// The shortest run that is allowed.
 const MIN_LENGTH_SECONDS: f64 = 0.5;
+/// How many zones a scenario may have.
 const ALLOWED_ZONES: RangeInclusive<f64> = 1.0..=250.0;
+/// How many listeners a scenario may have.
 const ALLOWED_LISTENERS: RangeInclusive<f64> = 1.0..=16.0;
+/// How many tenants a scenario may have.
 const ALLOWED_TENANTS: RangeInclusive<f64> = 1.0..=256.0;
+/// How many hosts a scenario may have in all groups.
 const ALLOWED_HOSTS: RangeInclusive<f64> = 1.0..=2_000.0;
+/// How many proxies a scenario may have.
 const ALLOWED_PROXIES: RangeInclusive<f64> = 1.0..=200.0;
 /// Traffic weights of listeners and tenants; they count relative to each other.
 const ALLOWED_WEIGHT: RangeInclusive<f64> = 0.0..=1e6;
-const ALLOWED_DIAL_TIMEOUT_SECONDS: RangeInclusive<f64> = 0.05..=60.0;
+/// How long clients of a listener may wait for an answer.
+const ALLOWED_ANSWER_TIMEOUT_SECONDS: RangeInclusive<f64> = 0.05..=60.0;
 /// Values that are a share or a probability.
 const ALLOWED_SHARE: RangeInclusive<f64> = 0.0..=1.0;
 /// The fields that a host can put into its load report.
@@ -81,7 +87,7 @@
         check_range(
             key("dial_timeout in seconds"),
             listener.answer_timeout.as_secs_f64(),
-            ALLOWED_DIAL_TIMEOUT_SECONDS,
+            ALLOWED_ANSWER_TIMEOUT_SECONDS,
         )?;
     }
     Ok(())
--- a/crates/testbed/src/scenario/clients.rs
+++ b/crates/testbed/src/scenario/clients.rs
@@ -78,7 +78,7 @@
     pub weight: f64,
 }
 
-/// How many clients come, how long they stay, and how they behave.
+/// How many clients arrive, how long they stay, and how they behave.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
@@ -87,10 +87,10 @@
     /// Changes of the rate over time, interpolated linearly between the points; empty: the rate is constant.
     #[serde(default)]
     pub curve: Vec<RatePoint>,
-    /// How long sessions last.
+    /// How long clients want to be connected.
     #[serde(rename = "life")]
     pub session_length: SessionLength,
-    /// The number of groups that clients may belong to; the sessions of a group share part of their cost at a host.
+    /// The number of groups that clients may belong to; a host bears the cost of a group once for all its sessions.
     #[serde(default)]
     pub groups: u32,
     /// Share of clients that belong to a group.
@@ -127,14 +127,14 @@
     pub rate_multiple: f64,
 }
 
-/// The log-normal distribution of session lengths.
+/// The log-normal distribution of the time for which clients want to be connected.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(expecting = "struct Life", deny_unknown_fields)]
 pub struct SessionLength {
-    /// The median session length.
+    /// The median of that time.
     #[serde(deserialize_with = "time_span")]
     pub median: Duration,
-    /// Standard deviation of the length's natural logarithm; 0: all sessions last as long as the median.
+    /// Standard deviation of the length's natural logarithm; 0: always the median.
     #[serde(default)]
     pub sigma: f64,
 }
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -30,8 +30,8 @@
         deserialize_with = "time_span"
     )]
     pub warm_up_time: Duration,
-    /// A host that is warming up collapses when the set-up work of the last `overload_window` exceeds so many times
-    /// what its present capacity can do in that time. A greater value tolerates more.
+    /// A host that is warming up collapses when the set-up work of the last `overload_window` exceeds this multiple
+    /// of what its present capacity can do in that time. A greater value tolerates more.
     #[serde(default = "default_overload_factor", rename = "tip_multiple")]
     pub overload_factor: f64,
     /// The time over which the set-up work of a warming host is summed for `overload_factor`.
