--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,4 +1,5 @@
-//! Clients: they want to be connected for a while, measure how well they are, retry, come back, leave early.
+//! Emulated clients. Each wants to be connected for a time given by the plan, measures how well it is served, retries
+//! failed attempts, reconnects after a lost connection, and may leave early.
 
 mod attempt;
 mod lifetime;
--- a/crates/testbed/src/client/attempt.rs
+++ b/crates/testbed/src/client/attempt.rs
@@ -1,10 +1,11 @@
-//! One attempt of a client to get a session, and the connection that comes of it.
+//! One attempt of a client to open a session: connecting to a proxy, sending `OPEN`, waiting for the answer, and
+//! running the open connection if the session is accepted.
 
 use super::open_connection::OpenConnection;
 use crate::context::RunContext;
 use crate::discovery::host_uid;
 use crate::event_log::{ClientAnswer, Event, SessionId};
-use crate::front::Front;
+use crate::front_balancer::FrontBalancer;
 use crate::line_reader::{Line, LineReader};
 use crate::plan::{PlannedClient, SeededRng};
 use crate::scenario::Listener;
@@ -15,44 +16,46 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::time::timeout;
 
-/// How long a client waits for a connection to its proxy.
+/// How long a client waits for the TCP connection to its proxy.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long past its time a client stays to see whether an answer comes, or anything behind one.
+/// How long a client keeps reading after its wait is over, or after a final answer, so that late and extra answers are
+/// recorded. It also bounds the reading and the shutdown when a client leaves.
 pub(super) const LATE_ANSWER_WINDOW: Duration = Duration::from_secs(1);
-/// How many of a standard host's units of work a line's `h` counts.
-const WORK_UNITS: f64 = 1e6;
+/// Value of the field `h` of an `OPEN` line for the whole capacity of a standard host.
+const STANDARD_HOST_WORK: f64 = 1e6;
 
-/// How one connection, or the attempt to have one, ended.
+/// The outcome of an attempt, including that of the connection if one was opened.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptOutcome {
-    /// The client wanted no more.
+    /// The client wants no further connection.
     Done,
-    /// Moved, or cut off, once it was up.
+    /// The open connection was migrated or cut off.
     Broken,
-    /// Answered by `BUSY`.
+    /// The proxy answered `BUSY`.
     Rejected {
-        /// After which time it may come again, if that was said.
+        /// Pause before the next attempt that the answer asked for, if any.
         retry_after: Option<Duration>,
     },
-    /// Answered by anything else, or not at all.
+    /// The proxy answered anything else, or not at all: the session may have taken effect.
     Failed,
-    /// There was no proxy that took a connection.
+    /// No proxy accepted a connection, or it broke before the request was written.
     Unreachable,
 }
 
-/// A client of the plan.
+/// A client of the plan, with its state across attempts.
 pub(super) struct Client<'a> {
     pub(super) context: &'a RunContext,
-    front: &'a Front,
+    front: &'a FrontBalancer,
     planned: &'a PlannedClient,
+    /// Seeded from the plan.
     pub(super) random: SeededRng,
-    /// Since when it has wanted what it has not got.
+    /// Since when it has wanted to be connected without being so, on the plan's clock.
     pub(super) unserved_since: Duration,
-    /// It had a connection before.
+    /// It has lost an open connection; further attempts are reconnects.
     pub(super) reconnects: bool,
 }
 
-/// A connection to a proxy.
+/// A connection to a proxy, before `OPEN` is sent.
 struct ProxyConnection {
     proxy: u16,
     lines: LineReader,
@@ -62,7 +65,7 @@
 impl<'a> Client<'a> {
     pub(super) fn new(
         context: &'a RunContext,
-        front: &'a Front,
+        front: &'a FrontBalancer,
         planned: &'a PlannedClient,
     ) -> Client<'a> {
         Client {
@@ -75,13 +78,13 @@
         }
     }
 
-    /// The listener that it connects to.
+    /// The listener that the client connects to.
     pub(super) fn listener(&self) -> &'a Listener {
         &self.context.scenario.listeners[usize::from(self.planned.listener)]
     }
 
-    /// One attempt, and the connection that comes of it.
-    pub(super) async fn connect(&mut self, ends: Duration) -> AttemptOutcome {
+    /// Makes one attempt, and runs the connection if it is accepted, at the latest until `until` on the plan's clock.
+    pub(super) async fn attempt(&mut self, until: Duration) -> AttemptOutcome {
         let Some(mut connection) = self.connect_to_proxy().await else {
             self.context.service_score.measurements().unreachable += 1;
             return AttemptOutcome::Unreachable;
@@ -91,11 +94,11 @@
         let line = self.open_line(session, inherited_host);
         let written = connection.write.write_all(line.as_bytes()).await;
         if written.is_err() {
-            // Nothing shows that it was taken.
+            // No proxy is known to have read the request.
             return AttemptOutcome::Unreachable;
         }
         let asked_at = self.context.event_log.now();
-        self.record_asked(session, connection.proxy, inherited_host.is_some());
+        self.record_request(session, connection.proxy, inherited_host.is_some());
         let answer = match self.wait_for_answer(session, &mut connection.lines).await {
             Ok(answer) => answer,
             Err(outcome) => return outcome,
@@ -103,7 +106,7 @@
         match answer {
             ClientAnswer::Up => {
                 if inherited_host.is_none() {
-                    self.score_set_up(asked_at);
+                    self.record_set_up(asked_at);
                 }
                 self.unserved_since = self.context.now();
                 OpenConnection::new(
@@ -114,22 +117,24 @@
                     connection.lines,
                     connection.write,
                 )
-                .serve(ends)
+                .run(until)
                 .await
             }
             ClientAnswer::Busy(retry_after_ms) => {
-                self.expect_end(session, &mut connection.lines).await;
+                self.record_extra_answer(session, &mut connection.lines)
+                    .await;
                 let retry_after = retry_after_ms.map(Duration::from_millis);
                 AttemptOutcome::Rejected { retry_after }
             }
             ClientAnswer::Failed => {
-                self.expect_end(session, &mut connection.lines).await;
+                self.record_extra_answer(session, &mut connection.lines)
+                    .await;
                 AttemptOutcome::Failed
             }
         }
     }
 
-    /// Connects to the proxy that the front gives it.
+    /// Connects to the proxy that the front balancer picks; `None` if there is none or it does not accept.
     async fn connect_to_proxy(&mut self) -> Option<ProxyConnection> {
         let draw = self.random.random();
         let proxy = self.front.pick(self.planned.zone, draw)?;
@@ -144,16 +149,17 @@
         })
     }
 
-    /// A session's first line; `inherited_host` is where it has been connected since before the run.
+    /// The session's `OPEN` line; `inherited_host` is the host of a session that counts as connected since before the
+    /// run.
     fn open_line(&self, session: SessionId, inherited_host: Option<u16>) -> String {
         let planned = self.planned;
         let listener = self.listener();
-        let member = &self.context.scenario.tenants[usize::from(planned.tenant)].name;
-        let (item, name) = (planned.item, &listener.name);
+        let tenant = &self.context.scenario.tenants[usize::from(planned.tenant)].name;
+        let (hash_key, name) = (planned.hash_key, &listener.name);
         let wait = listener.answer_timeout.as_millis();
-        let work = planned.work * WORK_UNITS;
+        let work = planned.work * STANDARD_HOST_WORK;
         let mut line =
-            format!("OPEN {session:016x} {item:016x} c={name},t={member},d={wait},h={work:.1}");
+            format!("OPEN {session:016x} {hash_key:016x} c={name},t={tenant},d={wait},h={work:.1}");
         if let Some(group) = planned.group {
             line += &format!(",g={group:016x}");
         }
@@ -166,7 +172,7 @@
         line + "\r\n"
     }
 
-    fn record_asked(&self, session: SessionId, proxy: u16, inherited: bool) {
+    fn record_request(&self, session: SessionId, proxy: u16, inherited: bool) {
         self.context.event_log.record(Event::Asked {
             id: session,
             proxy,
@@ -177,7 +183,8 @@
         });
     }
 
-    /// Waits for the answer and records it, or how the attempt ended without one.
+    /// Waits for the answer and records it. Without an answer it records how the attempt ended, and returns its
+    /// outcome.
     async fn wait_for_answer(
         &self,
         session: SessionId,
@@ -185,9 +192,9 @@
     ) -> Result<ClientAnswer, AttemptOutcome> {
         let (event_log, id) = (&self.context.event_log, session);
         let wait = self.listener().answer_timeout;
-        let longest = wait + self.context.scenario.platform.answer_slack + LATE_ANSWER_WINDOW;
+        let max_wait = wait + self.context.scenario.platform.answer_slack + LATE_ANSWER_WINDOW;
         let patience = self.planned.leaves_after.filter(|_| !self.reconnects);
-        let leaves_after = patience.map_or(longest, |patience| patience.min(longest));
+        let leaves_after = patience.map_or(max_wait, |patience| patience.min(max_wait));
         let Ok(line) = timeout(leaves_after, lines.next()).await else {
             event_log.record(Event::Left { id });
             return Err(if leaves_after < wait {
@@ -200,7 +207,7 @@
             event_log.record(Event::Cut { id, end });
             return Err(AttemptOutcome::Failed);
         }
-        let answer = answer_of(&line);
+        let answer = parse_answer(&line);
         event_log.record(Event::Answered {
             id,
             answer: answer.clone(),
@@ -208,18 +215,21 @@
         Ok(answer)
     }
 
-    /// Scores how long a session took to come up.
-    fn score_set_up(&self, asked_at: Duration) {
+    /// Records the set-up time and the answer time of an accepted session.
+    fn record_set_up(&self, asked_at: Duration) {
         let waited = self.context.now().saturating_sub(self.unserved_since);
-        let took = self.context.event_log.now() - asked_at;
-        let mut marks = self.context.service_score.measurements();
-        let set_ups = &mut marks.set_ups[usize::from(self.planned.listener)];
+        let answer_time = self.context.event_log.now() - asked_at;
+        let mut measurements = self.context.service_score.measurements();
+        let set_ups = &mut measurements.set_ups[usize::from(self.planned.listener)];
         set_ups.saturating_record(waited.as_micros() as u64);
-        marks.answers.saturating_record(took.as_micros() as u64);
+        measurements
+            .answers
+            .saturating_record(answer_time.as_micros() as u64);
     }
 
-    /// Nothing may follow a final answer but the end.
-    async fn expect_end(&self, id: SessionId, lines: &mut LineReader) {
+    /// Waits for the end of the connection after a final answer. Only the end may follow, so a further line is recorded
+    /// as another answer, which breaks a rule.
+    async fn record_extra_answer(&self, id: SessionId, lines: &mut LineReader) {
         if let Ok(Line::Text(line)) = timeout(LATE_ANSWER_WINDOW, lines.next()).await {
             let answer = if line.starts_with("UP ") {
                 ClientAnswer::Up
@@ -233,8 +243,8 @@
     }
 }
 
-/// What a first line tells a client.
-fn answer_of(line: &Line) -> ClientAnswer {
+/// The client's answer by the first line that it reads.
+fn parse_answer(line: &Line) -> ClientAnswer {
     match line {
         Line::Text(line) if line.starts_with("UP ") => ClientAnswer::Up,
         Line::Text(line) if line == "BUSY" || line.starts_with("BUSY ") => {
--- a/crates/testbed/src/client/lifetime.rs
+++ b/crates/testbed/src/client/lifetime.rs
@@ -1,8 +1,8 @@
-//! A client from its first attempt until it wants no more, with its pauses between attempts.
+//! Runs a client from its first attempt until its planned end, with the pauses between attempts.
 
 use super::attempt::{AttemptOutcome, Client};
 use crate::context::RunContext;
-use crate::front::Front;
+use crate::front_balancer::FrontBalancer;
 use crate::plan::PlannedClient;
 use crate::scenario::{IdempotencyScope, Listener, RetrySafety};
 use rand::RngExt;
@@ -10,24 +10,24 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long after it was moved or cut off a client comes again, in milliseconds.
+/// Pause of a client after its open connection was migrated or cut off, in milliseconds; drawn uniformly.
 const RECONNECT_PAUSE_MS: std::ops::Range<u64> = 61..710;
-/// Pause of a client that found no proxy.
+/// Pause of a client that found no proxy, before jitter.
 const NO_PROXY_PAUSE: Duration = Duration::from_millis(100);
-/// The smallest factor by which a pause is spread; the largest is 1 more.
-const LEAST_JITTER: f64 = 0.5;
+/// Smallest jitter factor of a pause; factors are uniform from here up to 1 more.
+const MIN_JITTER: f64 = 0.5;
 
-/// Plays a client of the plan to its end.
-pub async fn run(context: Arc<RunContext>, front: Arc<Front>, planned: PlannedClient) {
+/// Runs a client of the plan until its planned end, or until it leaves or gives up.
+pub async fn run(context: Arc<RunContext>, front: Arc<FrontBalancer>, planned: PlannedClient) {
     context.record_lateness(planned.at);
-    let ends = planned.at + planned.session_length;
-    let most_attempts = context.scenario.traffic.retries.max_retries;
+    let until = planned.at + planned.session_length;
+    let max_retries = context.scenario.traffic.retries.max_retries;
     let mut client = Client::new(&context, &front, &planned);
     let mut failed_attempts = 0;
-    while context.now() < ends {
-        let before = client.unserved_since;
-        let outcome = client.connect(ends).await;
-        if client.unserved_since > before {
+    while context.now() < until {
+        let unserved_since = client.unserved_since;
+        let outcome = client.attempt(until).await;
+        if client.unserved_since > unserved_since {
             failed_attempts = 0;
         }
         let Some(pause) = pause_after(&mut client, outcome) else {
@@ -38,21 +38,21 @@
             AttemptOutcome::Unreachable => {}
             _ => failed_attempts += 1,
         }
-        if failed_attempts > most_attempts {
+        if failed_attempts > max_retries {
             context.service_score.measurements().given_up += 1;
             break;
         }
         sleep(pause).await;
     }
-    let (listener, member) = (planned.listener, planned.tenant);
+    let (listener, tenant) = (planned.listener, planned.tenant);
     let score = &context.service_score;
-    score.add_wanted(listener, member, planned.at, ends);
+    score.add_wanted(listener, tenant, planned.at, until);
 }
 
-/// How long a client waits before its next attempt; `None` where it makes none.
+/// The pause before the client's next attempt; `None` if it makes no further one.
 fn pause_after(client: &mut Client<'_>, outcome: AttemptOutcome) -> Option<Duration> {
     let retry_pause = client.context.scenario.traffic.retries.pause;
-    let jitter = LEAST_JITTER + client.random.random::<f64>();
+    let jitter = MIN_JITTER + client.random.random::<f64>();
     match outcome {
         AttemptOutcome::Done => None,
         AttemptOutcome::Broken => {
@@ -68,7 +68,8 @@
     }
 }
 
-/// Whether a client may send a session again that may have taken effect.
+/// Whether the client may repeat a session that may have taken effect: it must be idempotent, or all hosts must still
+/// know its idempotency key.
 fn may_retry(client: &Client<'_>) -> bool {
     let listener: &Listener = client.listener();
     match (listener.retry_safety, listener.idempotency_scope) {
--- a/crates/testbed/src/client/open_connection.rs
+++ b/crates/testbed/src/client/open_connection.rs
@@ -1,4 +1,5 @@
-//! A client's open connection: a message now and then, its answer, and the signals that it follows.
+//! A client's open connection: sends messages at intervals, reads their acknowledgements, and obeys signals of the run
+//! to reconnect or to stop reading.
 
 use super::attempt::{AttemptOutcome, LATE_ANSWER_WINDOW};
 use super::service_credit::ServiceCredit;
@@ -13,23 +14,24 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// The oldest message that has no answer yet.
+/// The oldest message that is not acknowledged yet.
 #[derive(Clone, Copy, Debug)]
 struct UnansweredMessage {
     number: u64,
+    /// On the plan's clock.
     sent_at: Duration,
 }
 
-/// What came of a wait on an open connection.
+/// What ended a wait on an open connection.
 enum Wakeup {
     Line(Line),
-    /// It is time for the next message, or to leave.
-    TimeIsUp,
+    /// The next message is due, or the client's time is over.
+    TimerExpired,
     ReconnectSignal,
     StopReadingSignal,
 }
 
-/// A connection over which a session is up.
+/// A connection with an open session.
 pub(super) struct OpenConnection<'a> {
     context: &'a RunContext,
     planned: &'a PlannedClient,
@@ -40,11 +42,12 @@
     credit: ServiceCredit<'a>,
     reconnect: watch::Receiver<ClientSignal>,
     stop_reading: watch::Receiver<ClientSignal>,
+    /// On the plan's clock.
     next_message_at: Duration,
-    /// The number of the last message.
+    /// Number of the last message sent; 0 before the first.
     last_message: u64,
     unanswered: Option<UnansweredMessage>,
-    /// Its host has said by `MOVE` or `BYE` that it will end.
+    /// The host has announced the end by `MOVE` or `BYE`.
     end_announced: bool,
 }
 
@@ -81,21 +84,22 @@
         }
     }
 
-    /// Sends a line now and then and reads the answers, until the client wants no more or the connection ends.
-    pub(super) async fn serve(mut self, ends: Duration) -> AttemptOutcome {
+    /// Sends messages and reads lines until `until` on the plan's clock, the end of the connection, or a signal to
+    /// reconnect.
+    pub(super) async fn run(mut self, until: Duration) -> AttemptOutcome {
         loop {
             let now = self.context.now();
-            if now >= ends {
-                self.leave(ends).await;
+            if now >= until {
+                self.leave(until).await;
                 return AttemptOutcome::Done;
             }
             if now >= self.next_message_at {
                 self.send_message(now).await;
                 continue;
             }
-            let wait = self.next_message_at.min(ends).saturating_sub(now);
+            let wait = self.next_message_at.min(until).saturating_sub(now);
             match self.wait(wait).await {
-                Wakeup::TimeIsUp => {}
+                Wakeup::TimerExpired => {}
                 Wakeup::Line(line) => {
                     if let Some(outcome) = self.handle_line(line) {
                         return outcome;
@@ -103,14 +107,14 @@
                 }
                 Wakeup::ReconnectSignal => {
                     let signal = *self.reconnect.borrow_and_update();
-                    if self.follows(signal) {
-                        self.credit.close(self.context.now());
+                    if self.is_selected_by(signal) {
+                        self.credit.end_interval(self.context.now());
                         return AttemptOutcome::Broken;
                     }
                 }
                 Wakeup::StopReadingSignal => {
                     let signal = *self.stop_reading.borrow_and_update();
-                    if self.follows(signal) {
+                    if self.is_selected_by(signal) {
                         self.stop_reading_for(signal.span).await;
                     }
                 }
@@ -118,33 +122,34 @@
         }
     }
 
+    /// Waits for a line or a signal, at most for `span`.
     async fn wait(&mut self, span: Duration) -> Wakeup {
         tokio::select! {
             line = self.lines.next() => Wakeup::Line(line),
-            _ = sleep(span) => Wakeup::TimeIsUp,
+            _ = sleep(span) => Wakeup::TimerExpired,
             _ = self.reconnect.changed() => Wakeup::ReconnectSignal,
             _ = self.stop_reading.changed() => Wakeup::StopReadingSignal,
         }
     }
 
-    /// Whether a signal to a share of all clients reaches this one.
-    fn follows(&mut self, signal: ClientSignal) -> bool {
+    /// Whether this client is in the share of clients that a signal is for, by a random draw.
+    fn is_selected_by(&mut self, signal: ClientSignal) -> bool {
         self.random.random::<f64>() < signal.share
     }
 
-    /// Leaves the connection alone for a while.
+    /// Neither reads nor writes for `span`, which does not count as well served.
     async fn stop_reading_for(&mut self, span: Duration) {
-        self.credit.close(self.context.now());
+        self.credit.end_interval(self.context.now());
         sleep(span).await;
-        self.credit.begin(self.context.now());
+        self.credit.start_interval(self.context.now());
         self.unanswered = None;
     }
 
+    /// Sends the next message. If an earlier one is still unanswered, the interval that ends now was not well served.
     async fn send_message(&mut self, now: Duration) {
-        // What is not answered by now was not served in time.
         self.credit.well_served &= self.unanswered.is_none();
-        self.credit.close(now);
-        self.credit.begin(now);
+        self.credit.end_interval(now);
+        self.credit.start_interval(now);
         let interval = self.context.scenario.traffic.message_interval;
         self.last_message += 1;
         self.next_message_at = now + interval;
@@ -155,17 +160,17 @@
         });
         let clock = self.context.event_log.now().as_micros();
         let text = format!("MSG {number} {clock}\r\n");
-        // One whose proxy takes nothing any more is cut off by it sooner or later.
+        // A write that fails or times out needs no action: the proxy ends such a connection itself.
         let _ = timeout(interval, self.write.write_all(text.as_bytes())).await;
     }
 
-    /// Handles what came; an outcome where the connection is over.
+    /// Handles a line or the end of the connection; returns an outcome if the connection is over.
     fn handle_line(&mut self, line: Line) -> Option<AttemptOutcome> {
         let (event_log, id) = (&self.context.event_log, self.session);
         if let Some(end) = line.connection_end() {
             let told = self.end_announced;
             event_log.record(Event::Ended { id, end, told });
-            self.credit.close(self.context.now());
+            self.credit.end_interval(self.context.now());
             return Some(AttemptOutcome::Broken);
         }
         let Line::Text(text) = line else {
@@ -174,7 +179,7 @@
             return None;
         };
         match text.split_once(' ').unwrap_or((&text, "")) {
-            ("ACK", number) if self.is_sent(number) => {
+            ("ACK", number) if self.was_sent(number) => {
                 self.handle_acknowledgement(number.parse().unwrap_or(0));
             }
             ("LOAD", _) => {}
@@ -184,31 +189,35 @@
         None
     }
 
-    /// Whether a message of this number has been sent.
-    fn is_sent(&self, number: &str) -> bool {
+    /// Whether `number` is that of a message that was sent.
+    fn was_sent(&self, number: &str) -> bool {
         let sent = 1..=self.last_message;
         number
             .parse()
             .is_ok_and(|number: u64| sent.contains(&number))
     }
 
+    /// Records the time of the oldest unanswered message if `number` acknowledges it, and whether the current interval
+    /// is well served: the answer is in time, and it is that of the last message.
     fn handle_acknowledgement(&mut self, number: u64) {
         let answered = self.unanswered.take_if(|message| number >= message.number);
         if let Some(message) = answered {
             let listener = &self.context.scenario.listeners[usize::from(self.planned.listener)];
-            let took = self.context.now().saturating_sub(message.sent_at);
+            let message_time = self.context.now().saturating_sub(message.sent_at);
             self.credit.well_served =
-                took <= listener.message_target && number == self.last_message;
-            let mut marks = self.context.service_score.measurements();
-            marks.messages.saturating_record(took.as_micros() as u64);
+                message_time <= listener.message_target && number == self.last_message;
+            let mut measurements = self.context.service_score.measurements();
+            measurements
+                .messages
+                .saturating_record(message_time.as_micros() as u64);
         }
     }
 
-    /// Ends the connection. Half of the clients say so, and read what the host says to that.
-    async fn leave(&mut self, ends: Duration) {
-        self.credit.close(ends);
-        let says_so = self.planned.seed.is_multiple_of(2);
-        if says_so && self.write.write_all(b"END\r\n").await.is_ok() {
+    /// Ends the connection. Half of the clients announce it by `END` and read the rest; the others just close.
+    async fn leave(&mut self, until: Duration) {
+        self.credit.end_interval(until);
+        let announces_end = self.planned.seed.is_multiple_of(2);
+        if announces_end && self.write.write_all(b"END\r\n").await.is_ok() {
             let _ = timeout(LATE_ANSWER_WINDOW, read_to_end(&mut self.lines)).await;
         }
         let _ = timeout(LATE_ANSWER_WINDOW, self.write.shutdown()).await;
--- a/crates/testbed/src/client/service_credit.rs
+++ b/crates/testbed/src/client/service_credit.rs
@@ -1,19 +1,23 @@
-//! Which time of a client counts as well served.
+//! Decides which time of a client's open connection counts as well served.
 
 use crate::context::RunContext;
 use crate::plan::PlannedClient;
 use std::time::Duration;
 
-/// A span that counts as well served if its message was answered in time.
+/// The current interval of an open connection. It counts as well served if the message at its begin was answered in
+/// time.
 pub(super) struct ServiceCredit<'a> {
     context: &'a RunContext,
     planned: &'a PlannedClient,
+    /// Begin of the interval, on the plan's clock.
     from: Duration,
+    /// Whether the interval counts as well served as it stands.
     pub(super) well_served: bool,
 }
 
 impl<'a> ServiceCredit<'a> {
-    /// A span that begins now; the first one, until the first message, counts unless it is said otherwise.
+    /// Starts the first interval, from now until the first message. No message is answered in it, so it counts as well
+    /// served by default.
     pub(super) fn new(context: &'a RunContext, planned: &'a PlannedClient) -> ServiceCredit<'a> {
         ServiceCredit {
             context,
@@ -23,17 +27,17 @@
         }
     }
 
-    /// Ends the span, and counts it if it was well served.
-    pub(super) fn close(&mut self, to: Duration) {
+    /// Ends the interval at `to`, and adds it to the score if it was well served. Ending it again adds nothing.
+    pub(super) fn end_interval(&mut self, to: Duration) {
         if std::mem::replace(&mut self.well_served, false) {
-            let (listener, member) = (self.planned.listener, self.planned.tenant);
+            let (listener, tenant) = (self.planned.listener, self.planned.tenant);
             let score = &self.context.service_score;
-            score.add_served(listener, member, self.from, to);
+            score.add_served(listener, tenant, self.from, to);
         }
     }
 
-    /// Begins another span, which does not count until its message is answered in time.
-    pub(super) fn begin(&mut self, from: Duration) {
+    /// Starts another interval at `from`, which does not count until its message is answered in time.
+    pub(super) fn start_interval(&mut self, from: Duration) {
         (self.from, self.well_served) = (from, false);
     }
 }
--- a/crates/testbed/src/journal.rs
+++ b/crates/testbed/src/journal.rs
@@ -1,11 +1,13 @@
-//! Sums the records of simulated days: what each kind of day scored over its seeds, and which draw goes with the loss.
+//! Summarizes the journal of the simulator's benchmark: the scores of each kind of generated scenario over its seeds,
+//! and which of the drawn parameters correlate with the score.
 //!
-//! It reads what the simulator's bench has written and nothing else.
+//! It reads the JSON records that the benchmark wrote and nothing else. In records and in the printed tables a
+//! generated scenario is called a day, a run of it a play, and a fault a trouble.
 //!
-//! - `record.rs`: a record as far as it is read, and the days in it;
-//! - `effects.rs`: how each draw goes with the score;
+//! - `record.rs`: the parts of a record that are read, and the scenarios and runs in it;
+//! - `effects.rs`: the effect of each parameter on the score;
 //! - `statistics.rs`: the mean;
-//! - `table.rs`: the tables.
+//! - `table.rs`: the printed tables.
 
 mod effects;
 mod record;
@@ -18,13 +20,13 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Longest record that is read, in bytes.
+/// Longest record that is read, in bytes; a longer file counts as unreadable.
 const MAX_RECORD_BYTES: u64 = 4 << 20;
 
-/// Most records that are read.
-const MAX_RECORDS: usize = 100_000;
+/// Largest number of entries of a folder that are looked at; further ones are ignored.
+const MAX_FOLDER_ENTRIES: usize = 100_000;
 
-/// Why a folder of records could not be summed.
+/// An error while reading a folder of records.
 #[derive(Debug, Error)]
 pub enum JournalError {
     /// The folder cannot be listed.
@@ -35,7 +37,7 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// None of its files is a record.
+    /// None of the folder's files is a record.
     #[error("{}: no record can be read", folder.display())]
     NoRecord {
         /// The folder.
@@ -43,25 +45,29 @@
     },
 }
 
-/// Records of simulated days.
+/// The runs of generated scenarios that were read from records.
 #[derive(Debug, Default)]
 pub struct Journal {
-    /// By kind and seed, every play of the day.
-    days: BTreeMap<(String, u64), Vec<RunRecord>>,
+    /// All runs of each generated scenario, by its kind and seed.
+    runs: BTreeMap<(String, u64), Vec<RunRecord>>,
+    /// Number of records read.
     records: usize,
-    /// Files that cannot be read as records.
+    /// Number of files that cannot be read as records.
     unreadable: usize,
 }
 
 impl Journal {
-    /// All records of a folder; of their days those count whose name contains `kind`.
+    /// Reads all `.json` files of a folder. Only runs of scenarios whose name contains `kind` count.
     pub fn from_folder(folder: &Path, kind: &str) -> Result<Journal, JournalError> {
         let failed = |source: io::Error| JournalError::Folder {
             folder: folder.to_path_buf(),
             source,
         };
         let mut journal = Journal::default();
-        for entry in std::fs::read_dir(folder).map_err(failed)?.take(MAX_RECORDS) {
+        for entry in std::fs::read_dir(folder)
+            .map_err(failed)?
+            .take(MAX_FOLDER_ENTRIES)
+        {
             let path = entry.map_err(failed)?.path();
             if path.extension().is_none_or(|extension| extension != "json") {
                 continue;
@@ -78,30 +84,31 @@
         Ok(journal)
     }
 
-    /// Takes in a record's bytes; what is no record is counted as unreadable.
+    /// Adds a record from its JSON text, or counts it as unreadable if it is not a record. Only runs with a seed and a
+    /// score, of scenarios whose name contains `kind`, are added.
     pub fn add_record(&mut self, text: &[u8], kind: &str) {
         let Ok(record) = serde_json::from_slice::<JournalRecord>(text) else {
             self.unreadable += 1;
             return;
         };
         self.records += 1;
-        for day in record.into_runs() {
-            let counts = day.name.contains(kind) && day.score.is_some();
-            if let Some(seed) = day.seed.filter(|_| counts) {
-                self.days.entry((day.kind(), seed)).or_default().push(day);
+        for run in record.into_runs() {
+            let counts = run.name.contains(kind) && run.score.is_some();
+            if let Some(seed) = run.seed.filter(|_| counts) {
+                self.runs.entry((run.kind(), seed)).or_default().push(run);
             }
         }
     }
 
-    fn drawn_days(&self) -> Vec<GeneratedScenario> {
-        self.days
+    fn scenarios(&self) -> Vec<GeneratedScenario> {
+        self.runs
             .iter()
-            .map(|((kind, seed), plays)| GeneratedScenario::new(kind, *seed, plays))
+            .map(|((kind, seed), runs)| GeneratedScenario::new(kind, *seed, runs))
             .collect()
     }
 }
 
-/// None for a file that is too long or cannot be read.
+/// The bytes of a file; `None` if it is longer than [`MAX_RECORD_BYTES`] or cannot be read.
 fn read_record(path: &Path) -> Option<Vec<u8>> {
     let length = std::fs::metadata(path).ok()?.len();
     if length > MAX_RECORD_BYTES {
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -1,20 +1,23 @@
-//! Checks the rules against what the peers recorded.
+//! Checks the rules that a proxy must keep, against the events that its peers recorded: the emulated clients, hosts,
+//! discovery and operators of the testbed.
 //!
 //! [`judge`] is a pure function over the events of a run: it does no I/O and reads no clock.
 //!
-//! - `settings.rs`: the figures that the rules rest on;
+//! - `settings.rs`: the policies, bounds and tolerances that the rules are checked with;
 //! - `rule.rs`: the rules and their violations;
-//! - `session_history.rs`, `proxy_history.rs`, `run_history.rs`: the events, sorted by whom they are about;
-//! - `session_context.rs`: one session beside the run it belongs to, and what excuses it;
+//! - `session_history.rs`, `proxy_history.rs`, `run_history.rs`: the events, grouped by session, by proxy and by
+//!   link;
+//! - `session_context.rs`: one session with its run, and the conditions that excuse a proxy;
 //! - `timeline.rs`: the events that led to a violation;
-//! - `tally.rs`: what became of the sessions.
+//! - `tally.rs`: sessions and misbehaving clients, counted by outcome.
 //!
-//! The rules, a module for each group:
+//! The rules, one module per group:
 //!
-//! - `single_events.rs`: what a single event shows;
-//! - `reported_metrics.rs`: the metrics that operators were given, against what the peers saw;
+//! - `single_events.rs`: violations that a single event proves;
+//! - `reported_metrics.rs`: whether metrics requests are answered in time, and with values that match what the
+//!   peers saw;
 //! - `rejection_order.rs`: which sessions are rejected first;
-//! - `lost_sessions.rs`, `concurrent_dials.rs`, `double_effects.rs`, `drains.rs`: what one session shows;
+//! - `lost_sessions.rs`, `concurrent_dials.rs`, `double_effects.rs`, `drains.rs`: rules for one session;
 //! - `cold_starts.rs`: hosts that collapsed while they were warming up.
 
 mod cold_starts;
@@ -43,12 +46,12 @@
 pub use settings::{HostLocation, JudgeSettings, ListenerPolicy};
 pub use tally::Tally;
 
-/// What the events of a run show.
+/// The result of checking the events of a run.
 #[derive(Debug, Default)]
 pub struct Verdict {
-    /// Every violation: of the run as a whole, then by session, then by collapsed host.
+    /// All violations: first those of no single session, then by session, then by collapsed host.
     pub violations: Vec<Violation>,
-    /// What became of the sessions.
+    /// Sessions and misbehaving clients, counted by outcome.
     pub tally: Tally,
 }
 
@@ -64,7 +67,7 @@
     }
 }
 
-/// Violations that are about no single session.
+/// Violations that do not concern one particular session.
 fn run_violations(
     events: &[LoggedEvent],
     run: &RunHistory,
@@ -85,7 +88,7 @@
         .collect()
 }
 
-/// Violations by session, in the order of the sessions' numbers.
+/// Violations by session, in the order of the session ids.
 fn session_violations(
     events: &[LoggedEvent],
     run: &RunHistory,
--- a/crates/testbed/src/judge/cold_starts.rs
+++ b/crates/testbed/src/judge/cold_starts.rs
@@ -1,4 +1,4 @@
-//! The rule that no host that is warming up is pushed over by proxies that were notified of its start.
+//! The rule that a host that is warming up does not collapse under sessions of proxies that were notified of its start.
 
 use super::rule::{Rule, Violation};
 use super::run_history::RunHistory;
@@ -6,23 +6,24 @@
 use crate::event_log::{Event, LoggedEvent, SessionId};
 use std::time::Duration;
 
-/// Collapses, of whose sessions two thirds or more came from proxies that were notified of the host's start.
+/// The collapses for which the proxies are responsible: at least two thirds of the sessions that caused one came from
+/// proxies that had been notified of the host's start.
 pub(super) fn violations(events: &[LoggedEvent], run: &RunHistory) -> Vec<Violation> {
-    let collapse = |event: &LoggedEvent| match &event.seen {
+    let violation = |event: &LoggedEvent| match &event.seen {
         Event::Collapsed { host, started, by } => {
-            let what = pushed_over(run, *host, *started, by)?;
+            let description = overload_by_notified_proxies(run, *host, *started, by)?;
             Some(Violation {
                 rule: Rule::NoColdHostOverloaded,
-                description: what,
+                description,
                 timeline: vec![timeline::at(events, event.at)],
             })
         }
         _ => None,
     };
-    events.iter().filter_map(collapse).collect()
+    events.iter().filter_map(violation).collect()
 }
 
-fn pushed_over(
+fn overload_by_notified_proxies(
     run: &RunHistory,
     host: u16,
     started: Option<Duration>,
@@ -36,7 +37,8 @@
         })
     };
     let notified = sessions.iter().filter(was_notified).count();
-    let all = sessions.len();
-    (notified * 3 >= all * 2)
-        .then(|| format!("host {host} collapsed: {notified} of {all} set-ups knew it to be cold"))
+    let total = sessions.len();
+    (notified * 3 >= total * 2).then(|| {
+        format!("host {host} collapsed: {notified} of {total} set-ups came from notified proxies")
+    })
 }
--- a/crates/testbed/src/judge/concurrent_dials.rs
+++ b/crates/testbed/src/judge/concurrent_dials.rs
@@ -1,10 +1,13 @@
-//! The rule that a session has one dial under way at a time.
+//! The rule that a session has at most one dial under way at a time.
 
 use super::rule::{Rule, SessionFinding};
 use super::session_context::{SessionContext, findings as findings_of};
 use super::session_history::{ConcurrentDials, DialHistory};
 
-/// Dials that were made while the one before was under way: by the clock, or beyond doubt by the kernel.
+/// Dials that were made while the session's previous dial was under way.
+///
+/// Two cases count: the recorded times overlap by more than the tolerance, or the host that was dialled second found
+/// the earlier connection still open in the kernel, which needs no tolerance.
 pub(super) fn findings(context: &SessionContext<'_>) -> Vec<SessionFinding> {
     let dials: Vec<(&u32, &DialHistory)> = context.session.dials.iter().collect();
     let concurrent = dials.windows(2).filter_map(|pair| {
@@ -15,11 +18,11 @@
             earlier: **earlier,
             later: **later,
         });
-        let second_dialled = second.line_read_at + context.settings.tolerance;
-        let concurrent = first.under_way_until() > second_dialled || seen_by_kernel;
+        let second_dialled_at = second.line_read_at + context.settings.tolerance;
+        let concurrent = first.under_way_until() > second_dialled_at || seen_by_kernel;
         concurrent.then(|| {
             format!(
-                "dials at hosts {} and {} were out at once",
+                "dials of hosts {} and {} were under way at the same time",
                 first.host, second.host
             )
         })
--- a/crates/testbed/src/judge/intervals.rs
+++ b/crates/testbed/src/judge/intervals.rs
@@ -1,25 +1,25 @@
-//! Intervals of time in which something was so.
+//! Closed time intervals on the event log's clock, and sets of them by key.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 use std::time::Duration;
 
-/// From when to when something was so, both included.
+/// A time interval that includes both ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Interval {
     pub(super) from: Duration,
-    /// `Duration::MAX` while it has no end.
+    /// `Duration::MAX` for an interval without an end.
     pub(super) to: Duration,
 }
 
 impl Interval {
-    /// Whether the two have a moment in common.
+    /// Whether the two intervals share at least one moment.
     pub(super) fn overlaps(&self, other: Interval) -> bool {
         self.from <= other.to && self.to >= other.from
     }
 }
 
-/// Intervals by whom they concern; those of one key follow each other.
+/// Intervals by key, for example the outages of each link. Those of one key are in ascending order and do not overlap.
 #[derive(Debug)]
 pub(super) struct Intervals<K>(HashMap<K, Vec<Interval>>);
 
@@ -30,7 +30,8 @@
 }
 
 impl<K: Hash + Eq> Intervals<K> {
-    /// Begins an interval of `key`, or ends the open one. What begins or ends twice is left as it is.
+    /// Begins an interval of `key`, or ends its open one. A second begin, and an end without an open interval, are
+    /// ignored.
     pub(super) fn record(&mut self, key: K, at: Duration, begins: bool) {
         let intervals = self.0.entry(key).or_default();
         let open = intervals.last_mut().filter(|last| last.to == Duration::MAX);
--- a/crates/testbed/src/judge/lost_sessions.rs
+++ b/crates/testbed/src/judge/lost_sessions.rs
@@ -1,24 +1,25 @@
-//! The rule that no session is lost: one final answer in time, and nothing cut off, held back or made up.
+//! The rule that no session is lost: it gets one final answer in time, its lines are neither delayed nor invented, and
+//! its open connection is not cut off.
 
 use super::intervals::Interval;
 use super::rule::{Rule, SessionFinding};
 use super::session_context::{SessionContext, findings as findings_of};
 use std::time::Duration;
 
-/// A line may be this long on its way from one side to the other.
+/// How long a line may take between client and host through the proxy.
 const MAX_LINE_DELAY: Duration = Duration::from_secs(1);
 
-/// How a session was lost, in every way that its events show.
+/// Every way in which the session's events show it lost.
 pub(super) fn findings(context: &SessionContext<'_>) -> Vec<SessionFinding> {
-    let mut lost = Vec::new();
-    lost.extend(several_answers(context));
-    lost.extend(late_or_missing_answer(context));
-    lost.extend(unexpected_lines(context));
-    lost.extend(delayed_lines(context));
-    lost.extend(cut_off(context));
-    lost.extend(dials_after_answer(context));
-    lost.extend(too_many_dials(context));
-    findings_of(Rule::NoSessionLost, lost)
+    let mut descriptions = Vec::new();
+    descriptions.extend(several_answers(context));
+    descriptions.extend(late_or_missing_answer(context));
+    descriptions.extend(unexpected_lines(context));
+    descriptions.extend(delayed_lines(context));
+    descriptions.extend(cut_off(context));
+    descriptions.extend(dials_after_answer(context));
+    descriptions.extend(too_many_dials(context));
+    findings_of(Rule::NoSessionLost, descriptions)
 }
 
 fn several_answers(context: &SessionContext<'_>) -> Option<String> {
@@ -42,8 +43,8 @@
     }
     if let Some(cut) = session.cut {
         let excused = context.died_with_proxy(cut.at);
-        let what = format!("its connection ended by {:?} without an answer", cut.end);
-        return (!excused).then_some(what);
+        let description = format!("its connection ended by {:?} without an answer", cut.end);
+        return (!excused).then_some(description);
     }
     let excused = context.run.end < due || context.died_with_proxy(due) || request.inherited;
     (!excused).then(|| "no answer in time".into())
@@ -51,10 +52,10 @@
 
 fn unexpected_lines(context: &SessionContext<'_>) -> impl Iterator<Item = String> {
     let lines = context.session.unexpected_lines.iter();
-    lines.map(|line| format!("it was told {line:?}, which no host said"))
+    lines.map(|line| format!("its client read {line:?}, which no host sent"))
 }
 
-/// Lines that were held back though neither the proxy was stopped nor a link failed.
+/// Lines that were delayed for longer than [`MAX_LINE_DELAY`]. A stopped proxy and a failed link excuse any delay.
 fn delayed_lines(context: &SessionContext<'_>) -> Vec<String> {
     let delays = &context.session.line_delays;
     let excused = || {
@@ -68,11 +69,12 @@
     delays
         .iter()
         .filter(|delay| **delay > MAX_LINE_DELAY + context.settings.tolerance)
-        .map(|delay| format!("a line was held back for {} ms", delay.as_millis()))
+        .map(|delay| format!("a line was delayed by {} ms", delay.as_millis()))
         .collect()
 }
 
-/// An open connection that ended without notice, neither by its host nor with its proxy.
+/// An open connection that ended without `MOVE` or `BYE`, unless its host ended it, its proxy was killed or the
+/// client's link failed.
 fn cut_off(context: &SessionContext<'_>) -> Option<String> {
     let end = context.session.end.filter(|end| !end.notified)?;
     let accepted_by = context.dials().find(|dial| dial.accepted());
--- a/crates/testbed/src/judge/rejection_order.rs
+++ b/crates/testbed/src/judge/rejection_order.rs
@@ -1,4 +1,4 @@
-//! The rule that sessions of less priority weight are rejected first while capacity is short.
+//! The rule that sessions of listeners with less priority weight are rejected first while capacity is short.
 
 use super::rule::{Rule, RunFinding};
 use super::run_history::RunHistory;
@@ -8,18 +8,18 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Fewest sessions of a listener by which it can be compared with another.
+/// Least number of sessions that a listener needs to be compared with another.
 const MIN_SESSIONS: u64 = 40;
 
-/// By how much a larger share of the listener with more weight may be rejected: which session comes at which moment is
-/// chance.
-const CHANCE: f64 = 0.15;
+/// By how much the rejected share of the listener with more weight may exceed that of the other listener, because which
+/// session arrives at which moment is random.
+const MAX_SHARE_EXCESS: f64 = 0.15;
 
-/// Sessions of one listener that came to a proxy within a second in which it rejected any without a dial.
+/// Sessions of one listener that arrived in seconds in which their proxy rejected at least one session without a dial.
 #[derive(Clone, Copy, Debug, Default)]
 struct RejectionCounts {
     sessions: u64,
-    /// Of these, the ones that were rejected without a dial.
+    /// Sessions among them that were rejected without a dial.
     rejected: u64,
 }
 
@@ -34,10 +34,11 @@
     }
 }
 
-/// By listener.
+/// The counts of each listener, by its index.
 type ListenerCounts = BTreeMap<u8, RejectionCounts>;
 
-/// Listeners of which more is rejected than of one of less weight, where the weight decides.
+/// Pairs of listeners of which the one with more weight had a clearly larger share rejected. Nothing is checked where
+/// the scenario does not reject by priority.
 pub(super) fn findings(run: &RunHistory, settings: &JudgeSettings) -> Vec<RunFinding> {
     let Some(weights) = &settings.priority_weights else {
         return Vec::new();
@@ -48,18 +49,20 @@
     };
     let counts = counts_while_rejecting(run);
     let mut findings = Vec::new();
-    for (more, of_more) in &counts {
-        for (less, of_less) in &counts {
-            if weight(*less) < weight(*more) && rejected_too_often(of_more, of_less) {
-                let what = format!(
-                    "of listener {more} {:.2} were refused, of {less}, worth less, {:.2}",
-                    of_more.rejected_share(),
-                    of_less.rejected_share(),
+    for (heavier, heavier_counts) in &counts {
+        for (lighter, lighter_counts) in &counts {
+            if weight(*lighter) < weight(*heavier)
+                && rejected_too_often(heavier_counts, lighter_counts)
+            {
+                let description = format!(
+                    "of listener {heavier} {:.2} were rejected, of {lighter}, with less weight, {:.2}",
+                    heavier_counts.rejected_share(),
+                    lighter_counts.rejected_share(),
                 );
                 findings.push(RunFinding {
                     rule: Rule::RejectedByPriority,
                     at: Duration::ZERO,
-                    description: what,
+                    description,
                 });
             }
         }
@@ -67,14 +70,16 @@
     findings
 }
 
-fn rejected_too_often(of_more: &RejectionCounts, of_less: &RejectionCounts) -> bool {
-    of_more.sessions >= MIN_SESSIONS
-        && of_less.sessions >= MIN_SESSIONS
-        && of_more.rejected_share() > of_less.rejected_share() + CHANCE
+fn rejected_too_often(heavier: &RejectionCounts, lighter: &RejectionCounts) -> bool {
+    heavier.sessions >= MIN_SESSIONS
+        && lighter.sessions >= MIN_SESSIONS
+        && heavier.rejected_share() > lighter.rejected_share() + MAX_SHARE_EXCESS
 }
 
+/// Sums the sessions of each listener over the seconds of each proxy in which it rejected any session without a dial.
+/// Inherited and unanswered sessions are left out.
 fn counts_while_rejecting(run: &RunHistory) -> ListenerCounts {
-    let mut seconds: HashMap<(u16, u64), ListenerCounts> = HashMap::new();
+    let mut counts_by_second: HashMap<(u16, u64), ListenerCounts> = HashMap::new();
     for session in run.sessions.values() {
         let Some(request) = session.request.filter(|request| !request.inherited) else {
             continue;
@@ -82,7 +87,7 @@
         let Some(rejected) = rejected_without_dial(session) else {
             continue;
         };
-        let second = seconds
+        let second = counts_by_second
             .entry((request.proxy, request.at.as_secs()))
             .or_default();
         second
@@ -95,7 +100,7 @@
     }
     let mut total = ListenerCounts::new();
     let rejecting = |second: &ListenerCounts| second.values().any(|listener| listener.rejected > 0);
-    for second in seconds.into_values().filter(rejecting) {
+    for second in counts_by_second.into_values().filter(rejecting) {
         for (listener, counts) in second {
             total.entry(listener).or_default().add(counts);
         }
@@ -103,7 +108,7 @@
     total
 }
 
-/// None for a session without an answer.
+/// Whether the session was rejected without a dial; `None` for a session without an answer.
 fn rejected_without_dial(session: &SessionHistory) -> Option<bool> {
     let answer = &session.answers.first()?.answer;
     Some(matches!(answer, ClientAnswer::Busy(_)) && session.dials.is_empty())
--- a/crates/testbed/src/judge/reported_metrics.rs
+++ b/crates/testbed/src/judge/reported_metrics.rs
@@ -1,7 +1,8 @@
-//! The rules about what operators are given: metrics in time, and true against what clients and hosts saw.
+//! The rules about the metrics that a proxy reports to operators: the answer is in time, and its values match what
+//! clients and hosts saw.
 //!
-//! A metric may be late and a little off. Bounds are taken so that a proxy within its published accuracy is never
-//! blamed.
+//! A metric may be up to [`MAX_METRICS_AGE`] old and slightly inexact. The bounds are chosen so that a proxy within its
+//! published accuracy never violates the rule.
 
 mod serving_process;
 mod session_lifetime;
@@ -15,16 +16,16 @@
 use session_lifetime::SessionLifetime;
 use std::time::Duration;
 
-/// How long an answer to an operator may take.
+/// How long a proxy may take to answer a metrics request, beside the scenario's answer slack.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(1);
 
-/// By what share the number of sessions brought up may be off.
-const BROUGHT_UP_ERROR: f64 = 0.01;
+/// Relative error allowed for the number of sessions brought up.
+const MAX_BROUGHT_UP_ERROR: f64 = 0.01;
 
-/// By what share the number of sessions in flight may be off.
-const IN_FLIGHT_ERROR: f64 = 0.1;
+/// Relative error allowed for the number of sessions in flight.
+const MAX_IN_FLIGHT_ERROR: f64 = 0.1;
 
-/// Violations by what operators were answered, in the order of their calls.
+/// Violations shown by the answers to operators, in the order of their calls.
 pub(super) fn findings(
     events: &[LoggedEvent],
     run: &RunHistory,
@@ -48,7 +49,7 @@
             figures,
         } = seen
         {
-            findings.extend(check.call(&OperatorCall {
+            findings.extend(check.check_call(&OperatorCall {
                 proxy: *proxy,
                 at: *at,
                 took: *took,
@@ -61,78 +62,82 @@
     findings
 }
 
-/// An operator's request for metrics, as it was answered.
+/// One request for metrics by an operator, with its answer.
 #[derive(Debug)]
 struct OperatorCall {
     proxy: u16,
     /// When the answer was read.
     at: Duration,
+    /// From sending the request to reading the answer.
     took: Duration,
-    /// Sessions brought up, and those in flight.
+    /// Sessions brought up and sessions in flight, as the proxy reported them; `None` if no answer came or it had no
+    /// metrics.
     metrics: Option<(u64, u64)>,
 }
 
 impl OperatorCall {
-    /// When it was sent, or earlier by `before`.
-    fn sent(&self, before: Duration) -> Duration {
-        self.at.saturating_sub(self.took + before)
+    /// The time `margin` before the request was sent, or zero if that is before the run.
+    fn sent_minus(&self, margin: Duration) -> Duration {
+        self.at.saturating_sub(self.took + margin)
     }
 }
 
-/// Checks one call after the other, in the order of the events.
+/// State of the check, which goes through the events in order.
 #[derive(Debug)]
 struct MetricsCheck<'a> {
     lifetimes: Vec<SessionLifetime>,
     run: &'a RunHistory,
     settings: &'a JudgeSettings,
-    /// The process that serves for each proxy.
+    /// The serving process of each proxy at the current event.
     processes: ServingProcesses,
 }
 
 impl MetricsCheck<'_> {
-    fn call(&self, call: &OperatorCall) -> Vec<RunFinding> {
-        let measured_or_later = Interval {
-            from: call.sent(MAX_METRICS_AGE),
+    fn check_call(&self, call: &OperatorCall) -> Vec<RunFinding> {
+        let measurement_and_call = Interval {
+            from: call.sent_minus(MAX_METRICS_AGE),
             to: call.at,
         };
         let stalls = &self.run.proxies.stalls;
-        if stalls.any_overlaps(&call.proxy, measured_or_later) {
+        // A stopped proxy can neither measure nor answer.
+        if stalls.any_overlaps(&call.proxy, measurement_and_call) {
             return Vec::new();
         }
         let in_time = call.took <= MAX_ANSWER_TIME + self.settings.answer_slack;
         match call.metrics.filter(|_| in_time) {
             None => self.unanswered(call).into_iter().collect(),
-            Some((brought_up, in_flight)) => self.untrue(call, brought_up, in_flight),
+            Some((brought_up, in_flight)) => self.inaccurate(call, brought_up, in_flight),
         }
     }
 
-    /// A call that was answered late or without metrics, and not because the proxy was killed.
+    /// The violation by a call that was answered late or without metrics; `None` if the proxy was killed during the
+    /// call.
     fn unanswered(&self, call: &OperatorCall) -> Option<RunFinding> {
         let tolerance = self.settings.tolerance;
         let during_call = Interval {
-            from: call.sent(tolerance),
+            from: call.sent_minus(tolerance),
             to: call.at + tolerance,
         };
         let excused = self.run.proxies.died(call.proxy, during_call);
-        let what = format!(
-            "proxy {} was asked for figures: {:?} after {:?}",
+        let description = format!(
+            "proxy {} was asked for metrics: {:?} after {:?}",
             call.proxy, call.metrics, call.took
         );
         (!excused).then_some(RunFinding {
             rule: Rule::OperatorsAnsweredInTime,
             at: call.at,
-            description: what,
+            description,
         })
     }
 
-    /// The metrics of an answer that are further off than they may be.
-    fn untrue(&self, call: &OperatorCall, brought_up: u64, in_flight: u64) -> Vec<RunFinding> {
+    /// The violations by metrics that are outside what the peers saw, by more than the allowed error.
+    fn inaccurate(&self, call: &OperatorCall, brought_up: u64, in_flight: u64) -> Vec<RunFinding> {
         let Some(process) = self.processes.get(call.proxy) else {
             return Vec::new();
         };
         let tolerance = self.settings.tolerance;
         let measured = Interval {
-            from: call.sent(MAX_METRICS_AGE + tolerance),
+            from: call.sent_minus(MAX_METRICS_AGE + tolerance),
             to: call.at + tolerance,
         };
         let of_proxy = |lifetime: &&SessionLifetime| lifetime.proxy == call.proxy;
@@ -143,15 +148,20 @@
                 rule: Rule::MetricsAccurate,
                 at: call.at,
                 description: format!(
-                    "proxy {} told {metric} {name}; peers saw {} to {}",
+                    "proxy {} reported {metric} {name}; peers saw {} to {}",
                     call.proxy, seen.min, seen.max
                 ),
             })
         };
         let up_seen = process.brought_up(&lifetimes, measured);
         let in_flight_seen = process.in_flight(&lifetimes, measured);
-        let up = finding("sessions brought up", brought_up, up_seen, BROUGHT_UP_ERROR);
-        let flying = finding("in flight", in_flight, in_flight_seen, IN_FLIGHT_ERROR);
-        up.into_iter().chain(flying).collect()
+        let up = finding(
+            "sessions brought up",
+            brought_up,
+            up_seen,
+            MAX_BROUGHT_UP_ERROR,
+        );
+        let in_flight = finding("in flight", in_flight, in_flight_seen, MAX_IN_FLIGHT_ERROR);
+        up.into_iter().chain(in_flight).collect()
     }
 }
--- a/crates/testbed/src/judge/reported_metrics/serving_process.rs
+++ b/crates/testbed/src/judge/reported_metrics/serving_process.rs
@@ -1,4 +1,5 @@
-//! Which process a proxy's metrics come from, and what it may have counted.
+//! Which process of a proxy reports its metrics, and the range of counts that this process may report. During a hot
+//! restart a proxy has two processes, each with counters of its own.
 
 use super::session_lifetime::SessionLifetime;
 use crate::event_log::Event;
@@ -6,36 +7,36 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How old the metrics of an answer may be.
+/// Largest age of reported metrics when they are answered.
 pub(super) const MAX_METRICS_AGE: Duration = Duration::from_millis(500);
 
-/// A metric may always be off by this many sessions.
-const ABSOLUTE_ERROR: f64 = 3.0;
+/// Absolute error allowed for any metric, in sessions; it matters where the relative error of a small count is less.
+const MAX_ABSOLUTE_ERROR: f64 = 3.0;
 
-/// Which process a proxy's metrics come from.
+/// The process that reports a proxy's metrics.
 #[derive(Debug, Default)]
 pub(super) struct ServingProcess {
-    /// Since when it serves alone.
+    /// When it became the only process of its proxy.
     alone_since: Duration,
-    /// Since when it may have served beside its predecessor.
+    /// When it may first have served, beside its predecessor.
     serving_since: Duration,
-    /// When a successor was started beside it.
+    /// When a successor was started beside it; `None` while there is no successor.
     successor_since: Option<Duration>,
-    /// Intervals in which there were two processes.
+    /// Intervals in which the proxy had two processes.
     shared: Vec<Interval>,
 }
 
-/// The process that serves for each proxy, followed from event to event.
+/// The serving process of each proxy, updated event by event; the key is the proxy's number.
 #[derive(Debug, Default)]
 pub(super) struct ServingProcesses(BTreeMap<u16, ServingProcess>);
 
 impl ServingProcesses {
-    /// None before the first process of a proxy.
+    /// The serving process of a proxy; `None` before its first process has started.
     pub(super) fn get(&self, proxy: u16) -> Option<&ServingProcess> {
         self.0.get(&proxy)
     }
 
-    /// Takes in an event, if it is about a process.
+    /// Adds an event; events about anything but a proxy's process are ignored.
     pub(super) fn record(&mut self, at: Duration, event: &Event) {
         match event {
             Event::ProxyBeside { proxy } => {
@@ -71,7 +72,7 @@
     }
 }
 
-/// The fewest and the most sessions that peers saw.
+/// The least and the greatest number of sessions that agree with what the peers saw.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CountRange {
     pub(super) min: usize,
@@ -79,57 +80,60 @@
 }
 
 impl CountRange {
-    /// Whether a metric is outside the range by more than it may be off: a few sessions, or a share of the count.
+    /// Whether a metric lies outside the range by more than the allowed error, the greater of [`MAX_ABSOLUTE_ERROR`]
+    /// and `relative_error` of the bound.
     pub(super) fn excludes(&self, metric: f64, relative_error: f64) -> bool {
         let (min, max) = (self.min as f64, self.max as f64);
-        let lowest = min - ABSOLUTE_ERROR.max(min * relative_error);
-        metric < lowest || metric > max + ABSOLUTE_ERROR.max(max * relative_error)
+        let lowest = min - MAX_ABSOLUTE_ERROR.max(min * relative_error);
+        metric < lowest || metric > max + MAX_ABSOLUTE_ERROR.max(max * relative_error)
     }
 }
 
 impl ServingProcess {
-    /// Whether another process may have had a part in what happened then.
+    /// Whether another process of the proxy may have handled sessions within the interval.
     fn is_shared(&self, within: Interval) -> bool {
         self.successor_since.is_some_and(|since| within.to >= since)
             || self.shared.iter().any(|shared| shared.overlaps(within))
     }
 
-    /// Sessions that this process may have brought up; the fewest are those that it surely did.
+    /// How many sessions this process had brought up when it measured: at least those that no other process can have
+    /// brought up, at most all since it may first have served.
     pub(super) fn brought_up(
         &self,
         lifetimes: &[&SessionLifetime],
         measured: Interval,
     ) -> CountRange {
         let brought_up = || lifetimes.iter().filter_map(|lifetime| lifetime.up);
-        let surely = |up: &Duration| {
-            let moment = Interval { from: *up, to: *up };
+        let certainly = |up: &Duration| {
+            let instant = Interval { from: *up, to: *up };
             *up > self.alone_since + MAX_METRICS_AGE
                 && *up <= measured.from
-                && !self.is_shared(moment)
+                && !self.is_shared(instant)
         };
         let possibly = |up: &Duration| *up >= self.serving_since && *up <= measured.to;
         CountRange {
-            min: brought_up().filter(surely).count(),
+            min: brought_up().filter(certainly).count(),
             max: brought_up().filter(possibly).count(),
         }
     }
 
-    /// Sessions that may have been in flight; the fewest are those that are known to have ended later.
+    /// How many sessions may have been in flight: at least those that are known to have ended after the measurement
+    /// (none while there are two processes), at most those that are not known to have ended before it.
     pub(super) fn in_flight(
         &self,
         lifetimes: &[&SessionLifetime],
         measured: Interval,
     ) -> CountRange {
-        let surely = |lifetime: &&&SessionLifetime| {
-            lifetime.asked <= measured.from && lifetime.end.is_some_and(|end| end > measured.to)
+        let certainly = |lifetime: &&&SessionLifetime| {
+            lifetime.requested <= measured.from && lifetime.end.is_some_and(|end| end > measured.to)
         };
         let possibly = |lifetime: &&&SessionLifetime| {
-            lifetime.asked <= measured.to && lifetime.end.is_none_or(|end| end >= measured.from)
+            lifetime.requested <= measured.to && lifetime.end.is_none_or(|end| end >= measured.from)
         };
         let min = if self.is_shared(measured) {
             0
         } else {
-            lifetimes.iter().filter(surely).count()
+            lifetimes.iter().filter(certainly).count()
         };
         let max = lifetimes.iter().filter(possibly).count();
         CountRange { min, max }
--- a/crates/testbed/src/judge/reported_metrics/session_lifetime.rs
+++ b/crates/testbed/src/judge/reported_metrics/session_lifetime.rs
@@ -1,20 +1,23 @@
-//! When a session began and ended, as far as peers know.
+//! When a session began and ended, as far as its client and hosts recorded it.
 
 use crate::event_log::ClientAnswer;
 use crate::judge::session_history::SessionHistory;
 use std::time::Duration;
 
-/// When a session was asked for, brought up, and known to have ended.
+/// The times of a session's request, set-up and end, on the event log's clock.
 #[derive(Debug)]
 pub(super) struct SessionLifetime {
+    /// Number of the proxy.
     pub(super) proxy: u16,
-    pub(super) asked: Duration,
+    pub(super) requested: Duration,
+    /// When its client read `UP`; `None` if it did not.
     pub(super) up: Option<Duration>,
+    /// The first event that shows the end; `None` if none does.
     pub(super) end: Option<Duration>,
 }
 
 impl SessionLifetime {
-    /// None for a session whose request is not recorded.
+    /// `None` for a session whose request is not recorded.
     pub(super) fn of(session: &SessionHistory) -> Option<SessionLifetime> {
         let request = session.request?;
         let answer = session.answers.first();
@@ -33,7 +36,7 @@
         ];
         Some(SessionLifetime {
             proxy: request.proxy,
-            asked: request.at,
+            requested: request.at,
             up: answered.filter(|_| is_up),
             end: ends.into_iter().flatten().min(),
         })
--- a/crates/testbed/src/judge/session_context.rs
+++ b/crates/testbed/src/judge/session_context.rs
@@ -1,4 +1,5 @@
-//! One session beside the run it belongs to, and what excuses it.
+//! One session together with its run and its listener's policy, and the conditions that excuse a proxy: kills, stops
+//! and link failures.
 
 use super::intervals::Interval;
 use super::rule::{Rule, SessionFinding};
@@ -8,7 +9,7 @@
 use crate::link_ends::LinkEnds;
 use std::time::Duration;
 
-/// One session that a client asked for, with all that its rules look at.
+/// A session that a client requested, with everything that the rules for one session read.
 #[derive(Debug)]
 pub(super) struct SessionContext<'a> {
     pub(super) request: SessionRequest,
@@ -19,7 +20,7 @@
 }
 
 impl<'a> SessionContext<'a> {
-    /// None for a session whose request is not recorded.
+    /// `None` for a session whose request is not recorded.
     pub(super) fn new(
         session: &'a SessionHistory,
         run: &'a RunHistory,
@@ -40,12 +41,13 @@
         self.session.dials.values()
     }
 
-    /// When the client's wait is over.
+    /// When the client stops waiting for an answer.
     pub(super) fn wait_over(&self) -> Duration {
         self.request.at + self.request.wait
     }
 
-    /// When its answer is due. A proxy that is stopped cannot answer; it does so as soon as it runs again.
+    /// The latest time for the answer: the end of the client's wait plus the slack. A proxy that is stopped meanwhile
+    /// has until the slack after it resumes.
     pub(super) fn answer_due(&self) -> Duration {
         let slack = self.settings.answer_slack;
         let due = self.wait_over() + slack;
@@ -60,8 +62,8 @@
             .fold(due, |due, stall| due.max(stall.to.saturating_add(slack)))
     }
 
-    /// Whether the session's proxy was killed by `to`. A client may record its request a moment after the kernel has
-    /// taken down the proxy.
+    /// Whether the session's proxy was killed between the request and `to`, with the tolerance on both sides: a client
+    /// may record its request shortly after the kernel has ended the proxy.
     pub(super) fn died_with_proxy(&self, to: Duration) -> bool {
         let tolerance = self.settings.tolerance;
         let within = Interval {
@@ -105,16 +107,13 @@
     }
 }
 
-/// Findings that all break one rule.
+/// A finding of one rule for each description.
 pub(super) fn findings(
     rule: Rule,
-    sentences: impl IntoIterator<Item = String>,
+    descriptions: impl IntoIterator<Item = String>,
 ) -> Vec<SessionFinding> {
-    sentences
+    descriptions
         .into_iter()
-        .map(|what| SessionFinding {
-            rule,
-            description: what,
-        })
+        .map(|description| SessionFinding { rule, description })
         .collect()
 }
--- a/crates/testbed/src/judge/session_history.rs
+++ b/crates/testbed/src/judge/session_history.rs
@@ -1,4 +1,4 @@
-//! What the peers recorded of one session.
+//! The events about one session, indexed for the rules. All times are on the event log's clock.
 
 use crate::event_log::{ClientAnswer, ConnectionEnd, Event, HostReply};
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
     pub(super) listener: u8,
     /// How long the client waits for its answer.
     pub(super) wait: Duration,
-    /// The client was connected before the run began.
+    /// The client counts as connected since before the run: the session is part of the run's initial state.
     pub(super) inherited: bool,
 }
 
@@ -25,23 +25,23 @@
     pub(super) answer: ClientAnswer,
 }
 
-/// A client's connection that ended before an answer.
+/// The end of a client's connection before an answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConnectionCut {
     pub(super) at: Duration,
     pub(super) end: ConnectionEnd,
 }
 
-/// A client's open connection that ended.
+/// The end of a client's open connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SessionEnd {
     pub(super) at: Duration,
     pub(super) end: ConnectionEnd,
-    /// The client was notified of it by `MOVE` or `BYE`.
+    /// The client read `MOVE` or `BYE` before it.
     pub(super) notified: bool,
 }
 
-/// A host's line to a dial.
+/// A host's reply to a dial.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TimedReply {
     pub(super) at: Duration,
@@ -52,10 +52,12 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DialEnd {
     pub(super) at: Duration,
+    /// The host ended it, and not the proxy.
     pub(super) by_host: bool,
 }
 
-/// A later dial that came while the connection of an earlier one had no end in the kernel.
+/// Two dials of a session by their numbers: when the later one reached its host, the kernel still had the connection of
+/// the earlier one open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConcurrentDials {
     pub(super) earlier: u32,
@@ -66,15 +68,17 @@
 #[derive(Debug)]
 pub(super) struct DialHistory {
     pub(super) host: u16,
-    /// When the host had read the whole of the session's line.
+    /// When the host had read the complete `OPEN` line.
     pub(super) line_read_at: Duration,
     pub(super) replies: Vec<TimedReply>,
+    /// `None` if the host recorded no end.
     pub(super) end: Option<DialEnd>,
+    /// The dial restores a session that counts as connected since before the run.
     pub(super) inherited: bool,
 }
 
 impl DialHistory {
-    /// Whether the session may have run at this host: unless its first reply was `BUSY`.
+    /// Whether the session may have run at this host, which only `BUSY` as the first reply rules out.
     pub(super) fn may_have_run(&self) -> bool {
         self.replies
             .first()
@@ -88,7 +92,8 @@
             .any(|reply| reply.reply == HostReply::Up)
     }
 
-    /// Until when the dial may still take effect: its end, or the reply that ends it.
+    /// Until when the dial may take effect: its end, or the first reply other than `UP`; `Duration::MAX` if neither was
+    /// recorded.
     pub(super) fn under_way_until(&self) -> Duration {
         let final_reply = self
             .replies
@@ -104,26 +109,28 @@
     }
 }
 
-/// What the peers recorded of one session.
+/// All that was recorded of one session.
 #[derive(Debug, Default)]
 pub(super) struct SessionHistory {
+    /// `None` if only hosts recorded the session.
     pub(super) request: Option<SessionRequest>,
+    /// Final answers; more than one is a violation.
     pub(super) answers: Vec<TimedAnswer>,
     pub(super) cut: Option<ConnectionCut>,
-    /// When the client left before an answer.
+    /// When the client left, if it left before an answer.
     pub(super) client_left: Option<Duration>,
     pub(super) end: Option<SessionEnd>,
-    /// What came to the client that no host had sent.
+    /// Lines that the client read although no host had sent them.
     pub(super) unexpected_lines: Vec<String>,
-    /// How long each line that took over a second was on its way.
+    /// How long lines took between client and host; only delays above a second are recorded.
     pub(super) line_delays: Vec<Duration>,
-    /// By the dial's number, which is the order in which they were made.
+    /// The dials by number; the numbers ascend in the order of dialling.
     pub(super) dials: BTreeMap<u32, DialHistory>,
     pub(super) concurrent_dials: Vec<ConcurrentDials>,
 }
 
 impl SessionHistory {
-    /// Takes in an event about this session.
+    /// Adds an event about this session.
     pub(super) fn record(&mut self, at: Duration, event: &Event) {
         match event {
             Event::Asked { .. } => self.request = request(at, event),
@@ -148,7 +155,7 @@
         }
     }
 
-    /// Takes in an event about one of its dials.
+    /// Adds an event about one of the session's dials.
     fn record_dial(&mut self, at: Duration, event: &Event) {
         match event {
             Event::Dialled {
@@ -182,7 +189,7 @@
     }
 }
 
-/// The request that an event records, if it records one.
+/// The request of an `Asked` event; `None` for any other event.
 fn request(at: Duration, event: &Event) -> Option<SessionRequest> {
     let Event::Asked {
         proxy,
--- a/crates/testbed/src/judge/settings.rs
+++ b/crates/testbed/src/judge/settings.rs
@@ -1,24 +1,24 @@
-//! The figures that the rules rest on.
+//! The policies, bounds and tolerances that the rules are checked with, from the scenario and the plan.
 
 use crate::plan::Plan;
 use crate::scenario::{IdempotencyScope, LinkKind, RetrySafety, Scenario};
 use std::time::Duration;
 
-/// How far apart two peers of the testbed may record what happened at once, when the testbed itself is on time.
+/// How far apart two peers may record the same moment when the testbed runs on schedule.
 const RECORDING_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// When a session of a listener may be retried.
+/// Under which conditions sessions of a listener may be retried.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerPolicy {
     /// Whether a session may run more than once.
     pub retry_safety: RetrySafety,
-    /// Among which hosts an idempotency key is known.
+    /// Which hosts share idempotency keys.
     pub idempotency_scope: IdempotencyScope,
     /// For how long hosts remember an idempotency key.
     pub key_ttl: Duration,
 }
 
-/// Where a host stands.
+/// The location of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostLocation {
     /// Index of its zone.
@@ -27,30 +27,31 @@
     pub cell: u16,
 }
 
-/// The figures that the rules rest on.
+/// The policies, bounds and tolerances that the rules are checked with.
 #[derive(Clone, Debug)]
 pub struct JudgeSettings {
-    /// By listener, when its sessions may be retried.
+    /// The retry policy of each listener, by its index.
     pub listeners: Vec<ListenerPolicy>,
-    /// By host, where it stands.
+    /// The location of each host, by its number.
     pub hosts: Vec<HostLocation>,
-    /// How long after a drain was written to it a proxy may still dial the host.
+    /// How long a proxy may still dial a host after it was notified of the host's drain.
     pub drain_grace: Duration,
-    /// How late an answer may be.
+    /// How long after the client's wait the answer may come.
     pub answer_slack: Duration,
-    /// How far apart two peers of the testbed may record what happened at once.
+    /// How far apart two peers may record the same moment. A greater value makes the rules more lenient.
     pub tolerance: Duration,
-    /// Most dials of one session.
+    /// Largest number of dials of one session.
     pub max_dials: usize,
     /// Whether the metrics of proxies are checked. They are not where links between clients and proxies may fail, since
-    /// clients then do not see what proxies count.
+    /// clients then cannot see every session that a proxy counts.
     pub check_metrics: bool,
-    /// Priority weight of each listener, where it decides which sessions are rejected first.
+    /// Priority weight of each listener, by its index; `None` where the scenario does not reject by priority.
     pub priority_weights: Option<Vec<f64>>,
 }
 
 impl JudgeSettings {
-    /// The settings for a run of `scenario` by `plan` in which the testbed was late by `testbed_late` at worst.
+    /// The settings for a run of `scenario` by `plan`. `testbed_late` is by how much the testbed was behind its
+    /// schedule at worst; it is added to the answer slack and to the tolerance.
     pub(crate) fn new(scenario: &Scenario, plan: &Plan, testbed_late: Duration) -> JudgeSettings {
         let policy = |listener: &crate::scenario::Listener| ListenerPolicy {
             retry_safety: listener.retry_safety,
--- a/crates/testbed/src/judge/single_events.rs
+++ b/crates/testbed/src/judge/single_events.rs
@@ -1,4 +1,4 @@
-//! Violations that a single event shows.
+//! Violations that a single event proves.
 
 use super::rule::{Rule, RunFinding};
 use crate::event_log::{Event, LoggedEvent};
@@ -6,37 +6,38 @@
 /// The violations, in the order of the events.
 pub(super) fn findings(events: &[LoggedEvent]) -> Vec<RunFinding> {
     let finding = |event: &LoggedEvent| {
-        let (rule, what) = broken_rule(&event.seen)?;
-        let at = event.at;
+        let (rule, description) = broken_rule(&event.seen)?;
         Some(RunFinding {
             rule,
-            at,
-            description: what,
+            at: event.at,
+            description,
         })
     };
     events.iter().filter_map(finding).collect()
 }
 
+/// The rule that an event shows to be broken, and a description of the violation.
 fn broken_rule(event: &Event) -> Option<(Rule, String)> {
     match event {
         Event::Replaced { proxy, yes: None } => {
-            let what = format!("the process beside proxy {proxy} never said yes");
-            Some((Rule::OperatorsAnsweredInTime, what))
+            let description =
+                format!("the successor of proxy {proxy} never reported that it was ready");
+            Some((Rule::OperatorsAnsweredInTime, description))
         }
         Event::MisbehavingClient {
             served: true, sort, ..
         } => {
-            let what = format!("a bad client ({sort}) was served");
-            Some((Rule::NoSessionLost, what))
+            let description = format!("a misbehaving client ({sort}) was served");
+            Some((Rule::NoSessionLost, description))
         }
         Event::Unread { host, line } => {
-            let what = format!("host {host} read {line:?}");
-            Some((Rule::NoInvalidLineForwarded, what))
+            let description = format!("host {host} read {line:?}");
+            Some((Rule::NoInvalidLineForwarded, description))
         }
         Event::ProxyExited { proxy, code, asked } if !asked || *code != Some(0) => {
-            let why = if *asked { "after SIGTERM" } else { "by itself" };
-            let what = format!("proxy {proxy} ended {why}, code {code:?}");
-            Some((Rule::NoUnexpectedExit, what))
+            let cause = if *asked { "after SIGTERM" } else { "by itself" };
+            let description = format!("proxy {proxy} ended {cause}, code {code:?}");
+            Some((Rule::NoUnexpectedExit, description))
         }
         _ => None,
     }
--- a/crates/testbed/src/judge/tally.rs
+++ b/crates/testbed/src/judge/tally.rs
@@ -1,38 +1,37 @@
-//! What became of the sessions of a run, counted.
+//! Counts the sessions and the misbehaving clients of a run by outcome.
 
 use super::intervals::Interval;
 use super::run_history::RunHistory;
 use super::session_history::SessionHistory;
 use crate::event_log::{ClientAnswer, Event, LoggedEvent};
 
-/// What became of the sessions of a run, counted. `report.json` has the counts under the names that serde gives
-/// them.
+/// Sessions and misbehaving clients of a run, counted by outcome. `report.json` has the counts under their serde names.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
 pub struct Tally {
-    /// Sessions that clients asked for.
+    /// Sessions that clients requested.
     pub sessions: u64,
     /// Sessions whose first answer was `UP`.
     pub accepted: u64,
     /// Sessions that were rejected with `BUSY`.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Sessions whose first answer was another line: they failed.
+    /// Sessions whose first answer was neither `UP` nor `BUSY`.
     #[serde(rename = "torn_down")]
     pub failed: u64,
     /// Sessions whose client left before an answer.
     #[serde(rename = "left")]
     pub client_left: u64,
-    /// Sessions whose client was notified of the end by `MOVE` or `BYE`.
+    /// Sessions that ended after the client had read `MOVE` or `BYE`.
     #[serde(rename = "moved")]
     pub migrated: u64,
-    /// Sessions without an answer whose proxy was killed after their request.
+    /// Sessions without an answer whose proxy was killed after the request.
     pub died_with_proxy: u64,
-    /// Dials that hosts read.
+    /// Dials whose `OPEN` line a host read.
     pub dials: u64,
-    /// Misbehaving clients.
+    /// Connections of misbehaving clients.
     #[serde(rename = "bad_clients")]
     pub misbehaving_clients: u64,
-    /// Misbehaving clients that got their error or close in time.
+    /// Connections of misbehaving clients on which the proxy reacted in time, by an answer or a close.
     #[serde(rename = "bad_clients_owed")]
     pub misbehaving_clients_answered: u64,
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -2,7 +2,7 @@
 //! rules against what the peers themselves recorded. `docs/testbed.md` tells how its parts meet.
 //!
 //! - [`scenario`] is what a run is made of, [`plan`] what is drawn from it, [`context`] what its actors share.
-//! - [`host`], [`client`], [`front`], [`discovery`] and [`link`] are the actors, [`testbed`] owns them.
+//! - [`host`], [`client`], [`front_balancer`], [`discovery`] and [`link`] are the actors, [`testbed`] owns them.
 //! - [`proxy_process`] runs the program under test, [`plain_proxy`] is one to compare it with.
 //! - [`run`] plays a scenario from beginning to end.
 //! - [`judge`] checks the rules over the [`event_log`]; [`report`], [`plots`], [`compare`] and [`scale`] show results.
@@ -13,7 +13,7 @@
 pub mod discovery;
 pub mod drain_measurement;
 pub mod event_log;
-pub mod front;
+pub mod front_balancer;
 pub mod host;
 pub mod journal;
 pub mod judge;
--- a/crates/testbed/src/log_summary.rs
+++ b/crates/testbed/src/log_summary.rs
@@ -1,4 +1,5 @@
-//! Sums the logs of a whole fleet, one file a proxy: what one proxy's log does not show, since each says little.
+//! Counts the reason codes in the logs of a fleet, one file per proxy, over time and by server. It shows what a single
+//! proxy's log does not, since each proxy logs little.
 
 mod table;
 
@@ -8,22 +9,23 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Longest line that is read as one, in bytes; a proxy's own are shorter.
+/// Longest line, in bytes; the rest of a longer one counts as another line. Proxies write shorter lines.
 const MAX_LINE_BYTES: u64 = 16 * 1024;
 
-/// Longest reason code, in bytes.
+/// Longest reason code, in bytes; a line with a longer one counts as bad.
 const MAX_CODE_BYTES: usize = 32;
 
-/// Most reason codes that are counted separately.
+/// Largest number of different reason codes; a line with a further one counts as bad. It bounds memory for files that
+/// are not logs.
 const MAX_CODES: usize = 256;
 
-/// Most bad lines that are named; the others are counted.
-const MAX_NAMED_LINES: usize = 5;
+/// Largest number of bad lines whose positions are printed; further ones are only counted.
+const MAX_NAMED_BAD_LINES: usize = 5;
 
-/// Times from this on are no seconds since a proxy's start.
-const END_OF_TIME: f64 = 1e9;
+/// Upper bound of a line's time, in seconds since the proxy's start; a line with a greater one counts as bad.
+const MAX_TIME_S: f64 = 1e9;
 
-/// Why a folder of logs could not be summed.
+/// An error while reading a folder of logs.
 #[derive(Debug, Error)]
 pub enum LogSummaryError {
     /// The folder or a log in it cannot be read.
@@ -34,7 +36,7 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The folder has no log.
+    /// The folder has no file that ends in `.log`.
     #[error("{}: no file ends in .log", folder.display())]
     NoLog {
         /// The folder.
@@ -43,6 +45,7 @@
 }
 
 impl LogSummaryError {
+    /// Turns an I/O error at `path` into [`LogSummaryError::Read`].
     fn read(path: &Path) -> impl Fn(io::Error) -> LogSummaryError {
         move |source| LogSummaryError::Read {
             path: path.to_path_buf(),
@@ -51,26 +54,28 @@
     }
 }
 
-/// How often each reason code came.
+/// Number of lines by reason code.
 type CodeCounts = BTreeMap<String, u64>;
 
-/// Reason codes of a fleet's logs, counted by time, by server and in all.
+/// The reason codes in a fleet's logs, counted in total, by time and by server.
 #[derive(Debug, Default)]
 pub struct LogSummary {
-    /// Seconds that a row of the table spans.
-    span: u64,
+    /// Length of the time that a row of the table covers, in seconds.
+    row_seconds: u64,
+    /// Number of logs added so far.
     proxies: usize,
+    /// Lines that are not empty, bad ones included.
     lines: u64,
-    /// Lines that cannot be read.
+    /// Lines that are neither a reason code nor counters.
     bad_lines: u64,
-    /// Where the first of them stand.
+    /// Positions of the first bad lines, as `FILE:LINE`.
     named_bad_lines: Vec<String>,
-    codes: CodeCounts,
-    /// Proxies that logged each code.
-    loggers: BTreeMap<String, BTreeSet<usize>>,
-    /// By the second at which a row begins; `None` where lines have no time.
+    total: CodeCounts,
+    /// Indexes of the proxies that logged each code, in the order in which their logs were added.
+    proxies_by_code: BTreeMap<String, BTreeSet<usize>>,
+    /// Counts by the second at which a row begins; `None` for lines without a time.
     rows: BTreeMap<Option<u64>, CodeCounts>,
-    /// By the uid of the server that a line is about.
+    /// Counts by the uid of the server that a line names.
     servers: BTreeMap<String, CodeCounts>,
 }
 
@@ -80,36 +85,37 @@
     /// Seconds since the proxy's start, if the line has a time.
     at: Option<f64>,
     code: &'a str,
-    /// Uid of the server that it is about.
+    /// Uid in the field `server=`; `None` without the field, or where it is `-`.
     server: Option<&'a str>,
 }
 
-/// What a line is.
+/// A line of a log, parsed.
 #[derive(Debug, PartialEq)]
 enum ParsedLine<'a> {
     Code(LogLine<'a>),
-    /// Counters alone, which say something of their proxy only.
+    /// Counters without a reason code, which concern one proxy only and are not summed.
     Counters,
     Unreadable,
 }
 
 impl LogSummary {
-    /// Of no log yet; a row of the table spans so many seconds, at least one.
-    pub fn new(span: u64) -> LogSummary {
+    /// An empty summary. A row of the table covers `row_seconds` seconds; zero counts as one.
+    pub fn new(row_seconds: u64) -> LogSummary {
         LogSummary {
-            span: span.max(1),
+            row_seconds: row_seconds.max(1),
             ..LogSummary::default()
         }
     }
 
-    /// Of all files of a folder whose names end in `.log`.
-    pub fn from_folder(folder: &Path, span: u64) -> Result<LogSummary, LogSummaryError> {
+    /// Reads all files of a folder whose names end in `.log`, in the order of their names; see [`LogSummary::new`] for
+    /// `row_seconds`.
+    pub fn from_folder(folder: &Path, row_seconds: u64) -> Result<LogSummary, LogSummaryError> {
         let paths = log_paths(folder).map_err(LogSummaryError::read(folder))?;
         if paths.is_empty() {
             let folder = folder.to_path_buf();
             return Err(LogSummaryError::NoLog { folder });
         }
-        let mut summary = LogSummary::new(span);
+        let mut summary = LogSummary::new(row_seconds);
         for path in paths {
             let name = path.file_name().unwrap_or_default().to_string_lossy();
             let file = File::open(&path).map_err(LogSummaryError::read(&path))?;
@@ -120,7 +126,7 @@
         Ok(summary)
     }
 
-    /// Takes in one proxy's log, whose file is called `name`.
+    /// Adds one proxy's log; `name` is its file's name, by which bad lines are reported.
     pub fn add_log(&mut self, name: &str, mut log: impl BufRead) -> io::Result<()> {
         let proxy = self.proxies;
         self.proxies += 1;
@@ -135,9 +141,9 @@
                 continue;
             }
             self.lines += 1;
-            if !self.take_line(proxy, &line) {
+            if !self.add_line(proxy, &line) {
                 self.bad_lines += 1;
-                if self.named_bad_lines.len() < MAX_NAMED_LINES {
+                if self.named_bad_lines.len() < MAX_NAMED_BAD_LINES {
                     self.named_bad_lines.push(format!("{name}:{number}"));
                 }
             }
@@ -145,28 +151,33 @@
         Ok(())
     }
 
-    /// Whether the line can be read.
-    fn take_line(&mut self, proxy: usize, line: &[u8]) -> bool {
+    /// Adds a line; false if it is bad.
+    fn add_line(&mut self, proxy: usize, line: &[u8]) -> bool {
         let Ok(text) = std::str::from_utf8(line) else {
             return false;
         };
         match parse(text) {
             ParsedLine::Unreadable => false,
             ParsedLine::Counters => true,
-            ParsedLine::Code(line) => self.count(proxy, &line),
+            ParsedLine::Code(line) => self.count_code(proxy, &line),
         }
     }
 
-    /// False for a new code when there are `MAX_CODES` already.
-    fn count(&mut self, proxy: usize, line: &LogLine<'_>) -> bool {
-        if self.codes.len() >= MAX_CODES && !self.codes.contains_key(line.code) {
+    /// Counts a line; false if its code is new and there are [`MAX_CODES`] codes already.
+    fn count_code(&mut self, proxy: usize, line: &LogLine<'_>) -> bool {
+        if self.total.len() >= MAX_CODES && !self.total.contains_key(line.code) {
             return false;
         }
         let code = || line.code.to_string();
         let add = |counts: &mut CodeCounts| *counts.entry(code()).or_default() += 1;
-        add(&mut self.codes);
-        self.loggers.entry(code()).or_default().insert(proxy);
-        let row = line.at.map(|at| at as u64 / self.span * self.span);
+        add(&mut self.total);
+        self.proxies_by_code
+            .entry(code())
+            .or_default()
+            .insert(proxy);
+        let row = line
+            .at
+            .map(|at| at as u64 / self.row_seconds * self.row_seconds);
         add(self.rows.entry(row).or_default());
         if let Some(uid) = line.server {
             add(self.servers.entry(uid.to_string()).or_default());
@@ -175,6 +186,7 @@
     }
 }
 
+/// The files of a folder whose names end in `.log`, sorted.
 fn log_paths(folder: &Path) -> io::Result<Vec<PathBuf>> {
     let mut paths = Vec::new();
     for entry in std::fs::read_dir(folder)? {
@@ -187,11 +199,11 @@
     Ok(paths)
 }
 
-/// Reads `[SECONDS] CODE KEY=VALUE..`, or counters alone.
+/// Parses `[SECONDS] CODE KEY=VALUE..`, or a line of counters, whose first word is `KEY=VALUE`.
 fn parse(text: &str) -> ParsedLine<'_> {
     let mut words = text.split_whitespace().peekable();
     let at = words.peek().and_then(|word| word.parse::<f64>().ok());
-    if at.is_some_and(|at| !(0.0..END_OF_TIME).contains(&at)) {
+    if at.is_some_and(|at| !(0.0..MAX_TIME_S).contains(&at)) {
         return ParsedLine::Unreadable;
     }
     if at.is_some() {
@@ -212,7 +224,8 @@
     ParsedLine::Code(LogLine { at, code, server })
 }
 
+/// Whether a word has the form of a reason code: lower-case letters and hyphens.
 fn is_code(word: &str) -> bool {
-    let is_plain = |byte: u8| byte.is_ascii_lowercase() || byte == b'-';
-    word.len() <= MAX_CODE_BYTES && word.bytes().all(is_plain)
+    let is_code_byte = |byte: u8| byte.is_ascii_lowercase() || byte == b'-';
+    word.len() <= MAX_CODE_BYTES && word.bytes().all(is_code_byte)
 }
--- a/crates/testbed/src/log_summary/table.rs
+++ b/crates/testbed/src/log_summary/table.rs
@@ -1,23 +1,24 @@
-//! The table of a fleet's logs.
+//! Prints a [`LogSummary`] as text.
 
 use super::{CodeCounts, LogSummary};
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
 impl LogSummary {
-    /// How often each reason code came: in all and at how many proxies, by time, and by server.
+    /// The number of lines of each reason code: in total, with the number of proxies that logged it, then by time and
+    /// by server.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{} proxies, {} lines, {} bad",
             self.proxies, self.lines, self.bad_lines
         );
         if !self.named_bad_lines.is_empty() {
-            let first = self.named_bad_lines.join(", ");
-            text.push_str(&format!(", first at {first}"));
+            let positions = self.named_bad_lines.join(", ");
+            text.push_str(&format!(", first at {positions}"));
         }
         text.push_str("\n\nreason code              lines  proxies\n");
-        for (code, count) in &self.codes {
-            let proxies = self.loggers.get(code).map_or(0, BTreeSet::len);
+        for (code, count) in &self.total {
+            let proxies = self.proxies_by_code.get(code).map_or(0, BTreeSet::len);
             text.push_str(&format!("{code:<22} {count:>7} {proxies:>8}\n"));
         }
         text.push_str("\nfrom second\n");
@@ -33,7 +34,7 @@
     }
 }
 
-/// The most frequent codes first.
+/// One row of counts, the most frequent codes first.
 fn counts_row(name: &str, counts: &CodeCounts) -> String {
     let mut sorted: Vec<(&String, &u64)> = counts.iter().collect();
     sorted.sort_by_key(|(code, count)| (Reverse(**count), *code));
--- a/crates/testbed/src/misbehaving_clients.rs
+++ b/crates/testbed/src/misbehaving_clients.rs
@@ -1,8 +1,9 @@
-//! Misbehaving clients: what they send, and whether they get the error or the close that they are owed in time.
+//! Misbehaving clients: they send invalid, oversized or excessive requests, and record whether the proxy reacted in
+//! time and whether it served them.
 
 use crate::context::RunContext;
 use crate::event_log::Event;
-use crate::front::Front;
+use crate::front_balancer::FrontBalancer;
 use crate::line_reader::{Line, LineReader};
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,39 +12,39 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::time::timeout;
 
-/// Within this a misbehaving client has its error or close.
-const REPLY_LIMIT: Duration = Duration::from_secs(3);
-/// The same for one that sends [`HUGE_VALUE`].
-const HUGE_VALUE_REPLY_LIMIT: Duration = Duration::from_secs(6);
-/// Bytes of a value that is far too large.
-const HUGE_VALUE: usize = 60 << 20;
-/// Bytes of a line that never ends.
-const ENDLESS_LINE: usize = 1 << 20;
-/// Bytes that are sent at once to fill a line up.
+/// How long the proxy may take to answer a misbehaving client or to close its connection.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long the proxy may take for a client that sends [`HUGE_VALUE_BYTES`], which take time to read.
+const HUGE_VALUE_REPLY_TIMEOUT: Duration = Duration::from_secs(6);
+/// Size of a field value that is far too large.
+const HUGE_VALUE_BYTES: usize = 60 << 20;
+/// Bytes that are sent for a line without an end, far above the longest line of the protocol.
+const ENDLESS_LINE_BYTES: usize = 1 << 20;
+/// Bytes of padding that are written at once.
 const BLOCK_BYTES: usize = 1 << 14;
-/// How often one that comes again at once does so.
-const RECONNECTS: u32 = 30;
-/// How many sessions are asked for at once.
-const SESSIONS_AT_ONCE: usize = 300;
-/// How long a session's client says that it waits, in milliseconds.
-const USUAL_WAIT: &str = "2000";
+/// How often a client that reconnects without a pause does so.
+const IMMEDIATE_RECONNECTS: u32 = 30;
+/// How many sessions a client requests over one connection at once.
+const SESSIONS_PER_CONNECTION: usize = 300;
+/// A valid value of the field `d` of an `OPEN` line, the client's wait in milliseconds.
+const VALID_WAIT_MS: &str = "2000";
 
-/// A sort of misbehaving client.
+/// A kind of misbehaving client.
 struct Misbehaviour {
-    /// What records and reports call it.
+    /// Name in the event log and in reports.
     name: &'static str,
-    /// What it sends first.
+    /// The text that it sends first.
     text: fn(&RunContext) -> String,
-    /// How many bytes it sends behind that.
+    /// Number of padding bytes that it sends after the text.
     padding: usize,
-    /// It closes its side after that.
+    /// Whether it then closes its side of the connection.
     closes: bool,
-    /// How often it comes again at once when its connection has ended.
+    /// How often it reconnects without a pause after its connection has ended.
     reconnects: u32,
 }
 
 impl Misbehaviour {
-    /// One that sends a text, once.
+    /// A client that sends a text over one connection.
     const fn sending(name: &'static str, text: fn(&RunContext) -> String) -> Misbehaviour {
         Misbehaviour {
             name,
@@ -54,23 +55,24 @@
         }
     }
 
-    fn is_huge(&self) -> bool {
-        self.padding == HUGE_VALUE
+    fn sends_huge_value(&self) -> bool {
+        self.padding == HUGE_VALUE_BYTES
     }
 }
 
-const SORTS: &[Misbehaviour] = &[
+/// All kinds of misbehaving clients.
+const MISBEHAVIOURS: &[Misbehaviour] = &[
     Misbehaviour {
-        reconnects: RECONNECTS,
+        reconnects: IMMEDIATE_RECONNECTS,
         ..Misbehaviour::sending("again at once", |_| "GET / HTTP/1.1\r\n".into())
     },
     Misbehaviour::sending("unreadable", |_| "\u{1}\u{2}HELO me\r\n".into()),
     Misbehaviour {
-        padding: ENDLESS_LINE,
+        padding: ENDLESS_LINE_BYTES,
         ..Misbehaviour::sending("endless line", |_| String::new())
     },
     Misbehaviour::sending("no such listener", |context| {
-        open_line(context, USUAL_WAIT, Some("none"))
+        open_line(context, VALID_WAIT_MS, Some("none"))
     }),
     Misbehaviour::sending("time no number", |context| open_line(context, "soon", None)),
     Misbehaviour::sending("negative time", |context| open_line(context, "-5", None)),
@@ -83,81 +85,89 @@
         ..Misbehaviour::sending("half a line and a close", |_| "OPEN 12 3 c=".into())
     },
     Misbehaviour::sending("hundreds at once", |context| {
-        open_line(context, USUAL_WAIT, None).repeat(SESSIONS_AT_ONCE)
+        open_line(context, VALID_WAIT_MS, None).repeat(SESSIONS_PER_CONNECTION)
     }),
     Misbehaviour::sending("says nothing", |_| String::new()),
     Misbehaviour {
-        padding: HUGE_VALUE,
+        padding: HUGE_VALUE_BYTES,
         ..Misbehaviour::sending("sixty megabytes", |_| "OPEN 1 1 x=".into())
     },
 ];
 
-/// A session's first line, with any text for the time that its client waits.
+/// An `OPEN` line with any text as the client's wait; `listener` is that of the first listener if `None`.
 fn open_line(context: &RunContext, wait: &str, listener: Option<&str>) -> String {
     let scenario = &context.scenario;
     let listener = listener.unwrap_or(&scenario.listeners[0].name);
-    let member = &scenario.tenants[0].name;
+    let tenant = &scenario.tenants[0].name;
     let session = context.new_session_id();
-    format!("OPEN {session:016x} 1 c={listener},t={member},d={wait}\r\n")
+    format!("OPEN {session:016x} 1 c={listener},t={tenant},d={wait}\r\n")
 }
 
-/// Starts so many clients of every sort, against proxies of all zones in turn.
-pub fn start(context: &Arc<RunContext>, front: &Arc<Front>, count: u32) {
+/// Starts `count` clients of each kind, against proxies of all zones in turn.
+pub fn start(context: &Arc<RunContext>, front: &Arc<FrontBalancer>, count: u32) {
     for nth in 0..count {
-        for sort in SORTS {
-            // One value of that size is enough for a run.
-            if sort.is_huge() && nth > 0 {
+        for misbehaviour in MISBEHAVIOURS {
+            // One value of that size per run is enough.
+            if misbehaviour.sends_huge_value() && nth > 0 {
                 continue;
             }
-            tokio::spawn(run_client(context.clone(), front.clone(), sort, nth));
+            tokio::spawn(run_client(
+                context.clone(),
+                front.clone(),
+                misbehaviour,
+                nth,
+            ));
         }
     }
 }
 
-/// Plays one client, and records for each of its connections whether it got what it is owed.
+/// Runs one client, and records for each of its connections whether the proxy reacted in time, and whether it served
+/// the request.
 async fn run_client(
     context: Arc<RunContext>,
-    front: Arc<Front>,
-    sort: &'static Misbehaviour,
+    front: Arc<FrontBalancer>,
+    misbehaviour: &'static Misbehaviour,
     nth: u32,
 ) {
-    let place = nth as usize % context.scenario.zones.len();
-    let Some(proxy) = front.pick(place as u8, u64::from(nth)) else {
+    let zone = nth as usize % context.scenario.zones.len();
+    let Some(proxy) = front.pick(zone as u8, u64::from(nth)) else {
         return;
     };
-    let limit = if sort.is_huge() {
-        HUGE_VALUE_REPLY_LIMIT
+    let reply_timeout = if misbehaviour.sends_huge_value() {
+        HUGE_VALUE_REPLY_TIMEOUT
     } else {
-        REPLY_LIMIT
+        REPLY_TIMEOUT
     };
-    for _ in 0..=sort.reconnects {
+    for _ in 0..=misbehaviour.reconnects {
         let Ok(stream) = TcpStream::connect(proxy.address).await else {
             return;
         };
-        let reply = timeout(limit, misbehave(&context, sort, stream)).await;
+        let reply = timeout(reply_timeout, misbehave(&context, misbehaviour, stream)).await;
         context.event_log.record(Event::MisbehavingClient {
-            sort: sort.name,
+            sort: misbehaviour.name,
             owed: reply.is_ok(),
             served: reply == Ok(Reply::Served),
         });
     }
 }
 
-/// What a misbehaving client got.
+/// The proxy's reaction to a misbehaving client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reply {
+    /// `UP`: the request was served.
     Served,
+    /// `ERR`, `BUSY` or the end of the connection.
     RejectedOrClosed,
-    /// Something else.
+    /// Any other line.
     Other,
 }
 
-/// Sends what a sort sends, and returns the first answer to it.
-async fn misbehave(context: &RunContext, sort: &Misbehaviour, stream: TcpStream) -> Reply {
-    let text = (sort.text)(context);
+/// Sends a client's text and padding, and returns the first reaction to it.
+async fn misbehave(context: &RunContext, misbehaviour: &Misbehaviour, stream: TcpStream) -> Reply {
+    let text = (misbehaviour.text)(context);
     let (read, write) = stream.into_split();
-    // It reads what it is sent while it sends.
-    let sending = tokio::spawn(send(write, text, sort.padding, sort.closes));
+    // The proxy may answer before everything is sent.
+    let sending = tokio::spawn(send(write, text, misbehaviour.padding, misbehaviour.closes));
     let line = LineReader::new(read).next().await;
     sending.abort();
     match line {
@@ -170,7 +180,8 @@
     }
 }
 
-/// Sends a text and so many bytes more, and closes its side or keeps it open.
+/// Sends a text and `padding` further bytes, and shuts the write side down if `closes`. The caller keeps the returned
+/// side open for as long as it needs.
 async fn send(
     mut write: OwnedWriteHalf,
     text: String,
@@ -179,11 +190,11 @@
 ) -> OwnedWriteHalf {
     let mut sent = write.write_all(text.as_bytes()).await;
     let block = [b'x'; BLOCK_BYTES];
-    let mut left = padding;
-    while left > 0 && sent.is_ok() {
-        let count = left.min(block.len());
+    let mut remaining = padding;
+    while remaining > 0 && sent.is_ok() {
+        let count = remaining.min(block.len());
         sent = write.write_all(&block[..count]).await;
-        left -= count;
+        remaining -= count;
     }
     if closes {
         let _ = write.shutdown().await;
--- a/crates/testbed/src/plan/clients.rs
+++ b/crates/testbed/src/plan/clients.rs
@@ -106,7 +106,7 @@
             tenant: member,
             zone: self.random.random_range(0..scenario.zones.len()) as u8,
             group,
-            item: self.random.random(),
+            hash_key: self.random.random(),
             work: kind.work * (LEAST_WORK + self.random.random::<f64>()),
             leaves_after: impatient.then(|| {
                 let part = self.random.random::<f64>() * LONGEST_PATIENCE;
--- a/crates/testbed/src/plan/planned.rs
+++ b/crates/testbed/src/plan/planned.rs
@@ -19,8 +19,8 @@
     pub zone: u8,
     /// The group whose cost it shares with others, if any.
     pub group: Option<u64>,
-    /// The item that its session names.
-    pub item: u64,
+    /// Hash key of its session for the choice of a host.
+    pub hash_key: u64,
     /// What it asks of its host, as a share of a standard one.
     pub work: f64,
     /// When it leaves without an answer, if it is one who does.
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,10 +1,10 @@
-//! The results of a run: a table for people, JSON for programs, charts.
+//! The results of a run, as a printed table, as JSON and as charts.
 //!
-//! - `types.rs`: what a report holds;
-//! - `build.rs`: a report from what a run recorded;
-//! - `table.rs`: the table that ends a run;
-//! - `charts.rs`: the charts of a run;
-//! - `files.rs`: the files that a report is written to.
+//! - `types.rs`: the contents of a report;
+//! - `build.rs`: computes a report from a run's outcome;
+//! - `table.rs`: the printed table;
+//! - `charts.rs`: the charts;
+//! - `files.rs`: writes the report's files.
 
 mod build;
 mod charts;
--- a/crates/testbed/src/report/build.rs
+++ b/crates/testbed/src/report/build.rs
@@ -1,4 +1,4 @@
-//! Makes a report from what a run recorded.
+//! Computes a report from a run's outcome.
 
 use super::types::{
     HostUtilization, LatencySummary, NamedShare, ProxyUsage, Report, ReportedViolation,
@@ -11,41 +11,42 @@
 use crate::service_score::{ServiceMeasurements, ServiceTime};
 use hdrhistogram::Histogram;
 
-/// Most violations that a report holds.
+/// Largest number of violations in a report; later ones are left out.
 const MAX_VIOLATIONS: usize = 50;
 
-/// Length of the worst span of seconds that a report shows.
-const WORST_SPAN: usize = 10;
+/// Length of the span over which [`ServiceShares::worst_ten_seconds`] is taken, in seconds.
+const WORST_SPAN_SECONDS: usize = 10;
 
 impl Report {
-    /// The report of one run.
-    pub fn from_run(ran: &RunOutcome, program: &str, seed: u64, chaos: Option<u64>) -> Report {
-        let scenario = &ran.context.scenario;
-        let marks = ran.context.service_score.measurements();
-        let seconds = service_seconds(&marks);
-        let violations = ran.verdict.violations.iter().take(MAX_VIOLATIONS);
+    /// The report of one run. `program` names the proxy under test, `seed` the run's plan; `chaos` is the seed of
+    /// random faults that were added, if any.
+    pub fn from_run(outcome: &RunOutcome, program: &str, seed: u64, chaos: Option<u64>) -> Report {
+        let scenario = &outcome.context.scenario;
+        let measurements = outcome.context.service_score.measurements();
+        let seconds = service_seconds(&measurements);
+        let violations = outcome.verdict.violations.iter().take(MAX_VIOLATIONS);
         Report {
             scenario: scenario.name.clone(),
             program: program.to_string(),
             seed,
             chaos,
             simulated: true,
-            void: ran.is_void,
-            testbed_late_ms: ran.testbed_lateness.as_secs_f64() * 1e3,
-            rules_held: ran.verdict.violations.is_empty(),
+            void: outcome.is_void,
+            testbed_late_ms: outcome.testbed_lateness.as_secs_f64() * 1e3,
+            rules_held: outcome.verdict.violations.is_empty(),
             violations: violations.map(reported).collect(),
-            tally: ran.verdict.tally,
-            service: service_shares(scenario, &marks, &seconds),
-            set_ups: set_up_latencies(scenario, &marks),
-            answer_ms: latency_summary(&marks.answers),
-            message_ms: latency_summary(&marks.messages),
-            clients_gave_up: marks.given_up,
-            no_proxy: marks.unreachable,
-            host_utilization: host_utilization(&ran.host_loads),
-            proxies: ran
+            tally: outcome.verdict.tally,
+            service: service_shares(scenario, &measurements, &seconds),
+            set_ups: set_up_latencies(scenario, &measurements),
+            answer_ms: latency_summary(&measurements.answers),
+            message_ms: latency_summary(&measurements.messages),
+            clients_gave_up: measurements.given_up,
+            no_proxy: measurements.unreachable,
+            host_utilization: host_utilization(&outcome.host_loads),
+            proxies: outcome
                 .proxy_usage
                 .iter()
-                .map(|used| proxy_usage(used))
+                .map(|usage| proxy_usage(usage))
                 .collect(),
             seconds,
         }
@@ -60,10 +61,10 @@
     }
 }
 
-/// Each second's sums over listeners and tenants.
-fn service_seconds(marks: &ServiceMeasurements) -> Vec<ServiceSecond> {
+/// The service of each second, summed over listeners and tenants.
+fn service_seconds(measurements: &ServiceMeasurements) -> Vec<ServiceSecond> {
     let sum = |cells: &Vec<ServiceTime>| sum(cells.iter().copied().map(second));
-    marks.seconds.iter().map(sum).collect()
+    measurements.seconds.iter().map(sum).collect()
 }
 
 fn second(time: ServiceTime) -> ServiceSecond {
@@ -80,8 +81,8 @@
     })
 }
 
-/// The share that was well served; all of it where nothing was wanted.
-fn share(seconds: impl Iterator<Item = ServiceSecond>) -> f64 {
+/// The share of the wanted time that was well served; 1 if no time was wanted.
+fn served_share(seconds: impl Iterator<Item = ServiceSecond>) -> f64 {
     let total = sum(seconds);
     if total.wanted > 0.0 {
         total.served / total.wanted
@@ -92,7 +93,7 @@
 
 fn service_shares(
     scenario: &Scenario,
-    marks: &ServiceMeasurements,
+    measurements: &ServiceMeasurements,
     seconds: &[ServiceSecond],
 ) -> ServiceShares {
     // Cells of a second are ordered by listener and then by tenant.
@@ -100,36 +101,40 @@
     let listener_names = scenario.listeners.iter().map(|listener| &listener.name);
     let tenant_names = scenario.tenants.iter().map(|tenant| &tenant.name);
     ServiceShares {
-        overall: share_of_cells(marks, |_| true),
+        overall: share_of_cells(measurements, |_| true),
         worst_ten_seconds: worst_span(seconds),
         worst_listener: worst_named(listener_names, |listener| {
-            share_of_cells(marks, |cell| cell / tenants == listener)
+            share_of_cells(measurements, |cell| cell / tenants == listener)
         }),
         worst_tenant: worst_named(tenant_names, |tenant| {
-            share_of_cells(marks, |cell| cell % tenants == tenant)
+            share_of_cells(measurements, |cell| cell % tenants == tenant)
         }),
     }
 }
 
-/// The share over all seconds, of the cells that are picked.
-fn share_of_cells(marks: &ServiceMeasurements, picked: impl Fn(usize) -> bool) -> f64 {
-    let cells = marks.seconds.iter().flat_map(|row| row.iter().enumerate());
-    share(
+/// The share over all seconds, in the cells whose index is selected.
+fn share_of_cells(measurements: &ServiceMeasurements, is_selected: impl Fn(usize) -> bool) -> f64 {
+    let cells = measurements
+        .seconds
+        .iter()
+        .flat_map(|row| row.iter().enumerate());
+    served_share(
         cells
-            .filter(|(cell, _)| picked(*cell))
-            .map(|(_, marks)| second(*marks)),
+            .filter(|(cell, _)| is_selected(*cell))
+            .map(|(_, time)| second(*time)),
     )
 }
 
+/// The lowest share over any [`WORST_SPAN_SECONDS`] seconds in a row, or over the whole run if it is shorter.
 fn worst_span(seconds: &[ServiceSecond]) -> f64 {
-    let length = WORST_SPAN.min(seconds.len().max(1));
+    let length = WORST_SPAN_SECONDS.min(seconds.len().max(1));
     let shares = seconds
         .windows(length)
-        .map(|span| share(span.iter().copied()));
+        .map(|span| served_share(span.iter().copied()));
     shares.fold(1.0, f64::min)
 }
 
-/// The first of the lowest shares.
+/// The name with the lowest share, the first of equal ones. `share_of` gets the index of a name.
 fn worst_named<'a>(
     names: impl Iterator<Item = &'a String>,
     share_of: impl Fn(usize) -> f64,
@@ -143,8 +148,8 @@
         .unwrap_or_default()
 }
 
-fn set_up_latencies(scenario: &Scenario, marks: &ServiceMeasurements) -> Vec<SetUpLatency> {
-    let listeners = scenario.listeners.iter().zip(&marks.set_ups);
+fn set_up_latencies(scenario: &Scenario, measurements: &ServiceMeasurements) -> Vec<SetUpLatency> {
+    let listeners = scenario.listeners.iter().zip(&measurements.set_ups);
     listeners
         .map(|(listener, times)| {
             let target = listener.set_up_target.as_micros() as u64;
@@ -169,7 +174,7 @@
     }
 }
 
-/// From a row for each second, with the utilization of each host.
+/// Summarizes the utilization of each host, given as a row of all hosts for each second.
 fn host_utilization(rows: &[Vec<f32>]) -> HostUtilization {
     let hosts = rows.first().map_or(0, Vec::len);
     let mean =
@@ -187,16 +192,17 @@
     }
 }
 
-/// Processor time counts since a process's start, so steps back are restarts.
-fn proxy_usage(used: &[ResourceUsage]) -> ProxyUsage {
-    let steps: Vec<f64> = used
+/// Summarizes the usage of one proxy, given second by second. CPU time counts from the start of a process, so a
+/// decrease is a restart and is left out.
+fn proxy_usage(seconds: &[ResourceUsage]) -> ProxyUsage {
+    let steps: Vec<f64> = seconds
         .windows(2)
         .map(|pair| pair[1].cpu - pair[0].cpu)
         .filter(|step| *step >= 0.0)
         .collect();
     let mean = |steps: &[f64]| steps.iter().sum::<f64>() / steps.len().max(1) as f64;
-    let resident_kb = used.iter().map(|second| second.resident_kb).max();
-    let descriptors = used.iter().map(|second| second.descriptors).max();
+    let resident_kb = seconds.iter().map(|usage| usage.resident_kb).max();
+    let descriptors = seconds.iter().map(|usage| usage.descriptors).max();
     ProxyUsage {
         cpu_share: mean(&steps),
         cpu_share_max: steps.iter().copied().fold(0.0, f64::max),
--- a/crates/testbed/src/report/charts.rs
+++ b/crates/testbed/src/report/charts.rs
@@ -7,65 +7,70 @@
 use crate::run::RunOutcome;
 use std::path::Path;
 
+/// Label of the x axis of all charts.
 const SECONDS_AXIS: &str = "seconds; grey: a fault begins";
 
 /// Draws `service.svg`, `hosts.svg` and `proxies.svg` into a folder.
-pub(super) fn draw(report: &Report, ran: &RunOutcome, folder: &Path) -> Result<(), ChartError> {
-    let marks = fault_beginnings(ran);
+pub(super) fn draw(report: &Report, outcome: &RunOutcome, folder: &Path) -> Result<(), ChartError> {
+    let fault_starts = fault_start_seconds(outcome);
     let charts = [
         RunChart {
             file: "service.svg",
             title: "clients: wanted and well served",
-            y: "clients",
+            y_label: "clients",
             lines: service_lines(report),
         },
         RunChart {
             file: "hosts.svg",
             title: "load of each host",
-            y: "asked / can do",
-            lines: host_lines(&ran.host_loads),
+            y_label: "asked / can do",
+            lines: host_lines(&outcome.host_loads),
         },
         RunChart {
             file: "proxies.svg",
             title: "processor of each proxy",
-            y: "share of a core",
-            lines: proxy_lines(&ran.proxy_usage),
+            y_label: "share of a core",
+            lines: proxy_lines(&outcome.proxy_usage),
         },
     ];
     for RunChart {
         file,
         title,
-        y,
+        y_label,
         lines,
     } in charts
     {
         let chart = Chart {
             title,
             x_label: SECONDS_AXIS,
-            y_label: y,
+            y_label,
             lines,
-            vertical_marks: marks.clone(),
+            vertical_marks: fault_starts.clone(),
         };
         chart.draw(&folder.join(file))?;
     }
     Ok(())
 }
 
-/// What the charts of a run differ by.
+/// A chart of a run over time.
 struct RunChart {
     file: &'static str,
     title: &'static str,
-    y: &'static str,
+    y_label: &'static str,
     lines: Vec<ChartLine>,
 }
 
-/// In seconds since the run's begin.
-fn fault_beginnings(ran: &RunOutcome) -> Vec<f64> {
-    let begin = ran.context.plan_start().unwrap_or_default().as_secs_f64();
-    let events = ran.events.iter();
+/// When faults began, in seconds since the plan's clock began.
+fn fault_start_seconds(outcome: &RunOutcome) -> Vec<f64> {
+    let plan_start = outcome
+        .context
+        .plan_start()
+        .unwrap_or_default()
+        .as_secs_f64();
+    let events = outcome.events.iter();
     events
         .filter(|event| matches!(event.seen, Event::Fault { begins: true, .. }))
-        .map(|event| event.at.as_secs_f64() - begin)
+        .map(|event| event.at.as_secs_f64() - plan_start)
         .collect()
 }
 
@@ -77,15 +82,20 @@
     vec![
         ChartLine {
             name: "wanted".into(),
-            points: seconds().map(|(second, of)| (second, of.wanted)).collect(),
+            points: seconds()
+                .map(|(second, service)| (second, service.wanted))
+                .collect(),
         },
         ChartLine {
             name: "well served".into(),
-            points: seconds().map(|(second, of)| (second, of.served)).collect(),
+            points: seconds()
+                .map(|(second, service)| (second, service.served))
+                .collect(),
         },
     ]
 }
 
+/// One line for each host, from rows of all hosts' utilization for each second.
 fn host_lines(rows: &[Vec<f32>]) -> Vec<ChartLine> {
     let hosts = rows.first().map_or(0, Vec::len);
     let points = |host: usize| {
@@ -100,19 +110,21 @@
         .collect()
 }
 
-/// Steps back of the processor time are restarts, and left out.
-fn proxy_lines(used: &[Vec<ResourceUsage>]) -> Vec<ChartLine> {
-    let points = |used: &[ResourceUsage]| {
-        used.windows(2)
+/// One line for each proxy: its CPU time per second. A decrease of the CPU time is a restart and is left out.
+fn proxy_lines(proxies: &[Vec<ResourceUsage>]) -> Vec<ChartLine> {
+    let points = |usage: &[ResourceUsage]| {
+        usage
+            .windows(2)
             .filter(|pair| pair[1].cpu >= pair[0].cpu)
             .map(|pair| (pair[1].second as f64, pair[1].cpu - pair[0].cpu))
             .collect()
     };
-    used.iter()
+    proxies
+        .iter()
         .enumerate()
-        .map(|(number, used)| ChartLine {
+        .map(|(number, usage)| ChartLine {
             name: format!("proxy {number}"),
-            points: points(used),
+            points: points(usage),
         })
         .collect()
 }
--- a/crates/testbed/src/report/table.rs
+++ b/crates/testbed/src/report/table.rs
@@ -1,15 +1,15 @@
-//! The table that ends a run.
+//! The table that is printed at the end of a run.
 
 use super::types::{LatencySummary, ProxyUsage, Report};
 use std::collections::BTreeMap;
 
-/// Most proxies that have a row.
+/// Largest number of proxies that get a row.
 const MAX_PROXIES: usize = 8;
 
-/// Most violations that are printed below the table.
+/// Largest number of violations that are printed below the table.
 const MAX_VIOLATIONS: usize = 3;
 
-/// Rows of a name and a value.
+/// A text table whose rows have a name and a value.
 #[derive(Debug, Default)]
 struct TextTable(String);
 
@@ -24,7 +24,7 @@
 }
 
 impl Report {
-    /// The table that ends a run, and the first violations below it.
+    /// The table that is printed at the end of a run, followed by the first violations with their timelines.
     pub fn table(&self) -> String {
         let mut table = TextTable::default();
         self.session_rows(&mut table);
@@ -107,14 +107,14 @@
         if self.void {
             return "void: the rig was too late to tell".to_string();
         }
-        let mut rules: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut violations_by_rule: BTreeMap<&str, usize> = BTreeMap::new();
         for violation in &self.violations {
-            *rules.entry(violation.rule).or_default() += 1;
+            *violations_by_rule.entry(violation.rule).or_default() += 1;
         }
-        if rules.is_empty() {
+        if violations_by_rule.is_empty() {
             "held".to_string()
         } else {
-            format!("BROKEN {rules:?}")
+            format!("BROKEN {violations_by_rule:?}")
         }
     }
 
--- a/crates/testbed/src/report/types.rs
+++ b/crates/testbed/src/report/types.rs
@@ -1,4 +1,4 @@
-//! What a report holds. The JSON keys are those that `report.json` has had since its first version.
+//! The contents of a report. Serde attributes keep the keys of `report.json` as they were in its first version.
 
 use crate::judge::Tally;
 use serde::Serialize;
@@ -8,81 +8,81 @@
 pub struct Report {
     /// Name of the scenario.
     pub scenario: String,
-    /// Name of the proxy's program.
+    /// Name of the proxy program under test.
     pub program: String,
-    /// Seed that the run's plan was drawn from.
+    /// Seed of the run's plan.
     pub seed: u64,
-    /// Seed of the faults that were added, if any.
+    /// Seed of the random faults that were added; `None` if only the scenario's faults were played.
     pub chaos: Option<u64>,
-    /// Always true: the hosts' load is a model's.
+    /// Always true, because the load of hosts is computed by a model.
     pub simulated: bool,
-    /// The testbed ran too late to tell anything of the proxy.
+    /// The testbed was so far behind its schedule that the results say nothing about the proxy.
     pub void: bool,
-    /// How late the testbed was at worst, in milliseconds.
+    /// By how much the testbed was behind its schedule at worst, in milliseconds.
     #[serde(rename = "rig_late_ms")]
     pub testbed_late_ms: f64,
     /// No rule was broken.
     pub rules_held: bool,
-    /// The first violations.
+    /// The violations, up to a fixed number.
     #[serde(rename = "breaches")]
     pub violations: Vec<ReportedViolation>,
-    /// What became of the sessions.
+    /// Sessions and misbehaving clients, counted by outcome.
     pub tally: Tally,
     /// How well clients were served.
     pub service: ServiceShares,
-    /// How long set-ups took, by listener.
+    /// Set-up times of each listener.
     pub set_ups: Vec<SetUpLatency>,
-    /// From a session's request to its `UP`, in milliseconds.
+    /// Time from writing the `OPEN` line to reading `UP`, in milliseconds.
     pub answer_ms: LatencySummary,
-    /// From a client's line to its answer over an open connection, in milliseconds.
+    /// Time from a message over an open connection to its `ACK`, in milliseconds.
     pub message_ms: LatencySummary,
-    /// How often a client gave up.
+    /// Clients that gave up after the scenario's maximum of retries.
     pub clients_gave_up: u64,
-    /// How often a client found no proxy.
+    /// Attempts that found no proxy or could not connect to it.
     pub no_proxy: u64,
     /// Utilization of the hosts.
     #[serde(rename = "hosts")]
     pub host_utilization: HostUtilization,
-    /// What each proxy used.
+    /// CPU time, memory and descriptors of each proxy, by its number.
     pub proxies: Vec<ProxyUsage>,
-    /// Service of each second.
+    /// The service of each second of the run.
     pub seconds: Vec<ServiceSecond>,
 }
 
 /// A violation as a report shows it.
 #[derive(Debug, Serialize)]
 pub struct ReportedViolation {
-    /// Text of the rule.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// What broke it, in a sentence.
+    /// What happened, as one sentence.
     #[serde(rename = "what")]
     pub description: String,
-    /// The events that led there, a line each.
+    /// The events that led to the violation, one line each.
     pub timeline: Vec<String>,
 }
 
-/// Shares of the wanted seconds that were well served.
+/// Shares of the clients' wanted time that were well served, from 0 to 1; 1 if no time was wanted.
 #[derive(Debug, Serialize)]
 pub struct ServiceShares {
-    /// Of all seconds.
+    /// Over the whole run.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// Of the worst ten seconds in a row.
+    /// Over the worst ten seconds in a row.
     pub worst_ten_seconds: f64,
-    /// Of the listener that was served worst.
+    /// The listener with the lowest share.
     pub worst_listener: NamedShare,
-    /// Of the tenant that was served worst.
+    /// The tenant with the lowest share.
     #[serde(rename = "worst_member")]
     pub worst_tenant: NamedShare,
 }
 
-/// The share of one listener or tenant. It serializes to a pair.
+/// The share of one listener or tenant. It serializes to a pair of name and share.
 #[derive(Clone, Debug, Default, Serialize)]
 #[serde(into = "(String, f64)")]
 pub struct NamedShare {
     /// Name of the listener or tenant.
     pub name: String,
-    /// Its share.
+    /// Share of its clients' wanted time that was well served, from 0 to 1.
     pub share: f64,
 }
 
@@ -92,21 +92,21 @@
     }
 }
 
-/// How long the set-ups of one listener took.
+/// The set-up times of one listener.
 #[derive(Debug, Serialize)]
 pub struct SetUpLatency {
     /// Name of the listener.
     pub listener: String,
     /// Share of set-ups within the listener's target.
     pub within_target: f64,
-    /// From when a client wanted to be connected, in milliseconds.
+    /// Time from when a client wanted to be connected to `UP`, in milliseconds.
     pub ms: LatencySummary,
 }
 
-/// Quantiles of a latency.
+/// Quantiles of a latency, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LatencySummary {
-    /// Number of values.
+    /// Number of measurements.
     pub count: u64,
     /// Median.
     pub p50: f64,
@@ -119,44 +119,46 @@
     pub max: f64,
 }
 
-/// Utilization of the hosts: load that is asked of a host over what it can do, each host's mean over the run.
+/// Utilization of the hosts: the load asked of a host over its capacity. `min`, `mean` and `max` compare the hosts'
+/// means over the run.
 #[derive(Debug, Serialize)]
 pub struct HostUtilization {
-    /// Of the host with the least.
+    /// Lowest mean of a host.
     #[serde(rename = "least")]
     pub min: f64,
-    /// Over all hosts.
+    /// Mean over all hosts.
     pub mean: f64,
-    /// Of the host with the most.
+    /// Highest mean of a host.
     #[serde(rename = "most")]
     pub max: f64,
-    /// The highest that any host had in any second.
+    /// Highest utilization of any host in any second.
     pub peak: f64,
 }
 
-/// What the processes of one proxy used.
+/// Resources that the processes of one proxy used.
 #[derive(Debug, Serialize)]
 pub struct ProxyUsage {
-    /// Share of a core, on average.
+    /// CPU time per second, in cores, on average.
     pub cpu_share: f64,
-    /// Share of a core, in the worst second.
+    /// CPU time in the worst second, in cores.
     #[serde(rename = "cpu_share_most")]
     pub cpu_share_max: f64,
-    /// Share of a core over the last third of the run, when the clients that were there before the run have connected.
+    /// CPU time per second over the last third of the run, in cores: by then the clients that count as connected since
+    /// before the run have connected.
     pub cpu_share_late: f64,
-    /// Most resident memory, in KiB.
+    /// Highest resident memory, in KiB.
     pub resident_kb: u64,
-    /// Most open descriptors.
+    /// Highest number of open descriptors.
     pub descriptors: u64,
 }
 
-/// Clients' seconds within one second of the run. It serializes to a pair.
+/// Time of all clients within one second of the run, in seconds. It serializes to a pair of wanted and served time.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct ServiceSecond {
-    /// Seconds that clients wanted to be served.
+    /// Time in which clients wanted to be connected.
     pub wanted: f64,
-    /// Of these, seconds that they were well served.
+    /// Time within `wanted` in which they were well served.
     pub served: f64,
 }
 
--- a/crates/testbed/src/run/proxy_fleet.rs
+++ b/crates/testbed/src/run/proxy_fleet.rs
@@ -2,7 +2,7 @@
 
 use super::error::RunError;
 use super::options::RunOptions;
-use crate::front::Front;
+use crate::front_balancer::FrontBalancer;
 use crate::metrics_calls::SharedAddress;
 use crate::proxy_process::{
     Proxy, ProxyAddress, ProxyCommand, ProxyError, ResourceUsage, UsageLog,
@@ -68,7 +68,7 @@
     /// Waits until all answer health checks.
     pub(super) async fn await_ready(
         &mut self,
-        front: &Front,
+        front: &FrontBalancer,
         folder: &Path,
     ) -> Result<(), RunError> {
         let since = Instant::now();
--- a/crates/testbed/src/run/set_up.rs
+++ b/crates/testbed/src/run/set_up.rs
@@ -5,7 +5,7 @@
 use super::options::RunOptions;
 use super::proxy_fleet::ProxyFleet;
 use crate::context::RunContext;
-use crate::front::Front;
+use crate::front_balancer::FrontBalancer;
 use crate::host;
 use crate::link::Links;
 use crate::plan::Plan;
@@ -28,7 +28,7 @@
     let testbed = start_testbed(scenario, plan, hosts, &addresses).await;
     let testbed = Arc::new(testbed.map_err(RunError::Start)?);
     let mut proxies = ProxyFleet::start(&testbed, &addresses, options).await?;
-    testbed.front.watch(&testbed.context);
+    testbed.front.start_health_checks(&testbed.context);
     proxies.await_ready(&testbed.front, &options.folder).await?;
     Ok((testbed, proxies))
 }
@@ -44,6 +44,6 @@
     let links = Links::start(&context, pairs).await?;
     let zones = context.scenario.zones.len() as u8;
     let front_addresses = proxies.iter().map(|proxy| (proxy.zone, proxy.listen));
-    let front = Front::with_links(front_addresses, &links, zones);
+    let front = FrontBalancer::with_links(front_addresses, &links, zones);
     Ok(Testbed::start(context, hosts, front, Arc::new(links)))
 }
--- a/crates/testbed/src/service_score.rs
+++ b/crates/testbed/src/service_score.rs
@@ -1,60 +1,64 @@
-//! How well clients were served: the time that they wanted to be connected, the part of it that was served well, and how
-//! long connections and messages took.
+//! Measures how well the clients of a run were served: the time that they wanted to be connected, the part of it in
+//! which their messages were answered in time, and the latencies of set-ups and messages.
 
 use hdrhistogram::Histogram;
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// The longest time that the histograms tell apart, in microseconds.
-const LONGEST_RECORDED_US: u64 = 600_000_000;
-/// Significant decimal digits of the histograms.
-const HISTOGRAM_DIGITS: u8 = 3;
+/// Upper bound of the latency histograms, in microseconds; longer times are recorded as this one.
+const MAX_LATENCY_US: u64 = 600_000_000;
+/// Decimal digits to which the histograms keep a value apart from its neighbours.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// The service of a run's clients, which all of them add to.
+/// The measurements of a run's clients, shared by all of them.
 #[derive(Debug)]
 pub struct ServiceScore {
-    marks: Mutex<ServiceMeasurements>,
-    members: usize,
+    measurements: Mutex<ServiceMeasurements>,
+    /// Number of tenants.
+    tenants: usize,
 }
 
-/// Time of clients within one second of the plan, in seconds.
+/// Time of the clients of one listener and tenant within one second of the plan, summed over the clients, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceTime {
-    /// For how long they wanted to be connected.
+    /// Time in which they wanted to be connected.
     pub wanted: f64,
-    /// For how long they were served well.
+    /// Time within `wanted` in which they were well served.
     pub served: f64,
 }
 
-/// The sums behind a [`ServiceScore`].
+/// The sums and histograms of a [`ServiceScore`].
 #[derive(Debug)]
 pub struct ServiceMeasurements {
-    /// By second; then by listener, and within that by tenant.
+    /// A row for each second of the plan, with one cell for each pair of listener and tenant, ordered by listener and
+    /// then by tenant.
     pub seconds: Vec<Vec<ServiceTime>>,
+    /// Number of cells in a row.
     cells: usize,
-    /// By listener, in microseconds from when a client wanted to be connected.
+    /// Set-up times of each listener, by its index: from when a client wanted to be connected to `UP`, in microseconds.
+    /// Earlier failed attempts count in.
     pub set_ups: Vec<Histogram<u64>>,
-    /// From the line's last byte to the answer `UP`, as a client sees it, in microseconds.
+    /// Answer times: from writing the `OPEN` line to reading `UP` in the same attempt, in microseconds.
     pub answers: Histogram<u64>,
-    /// From a client's line to its answer, over an open connection, in microseconds.
+    /// Message times: from a message over an open connection to its `ACK`, in microseconds.
     pub messages: Histogram<u64>,
-    /// How often a client found no proxy to connect to.
+    /// Attempts that found no proxy or could not connect to it.
     pub unreachable: u64,
-    /// Clients that gave up after too many retries.
+    /// Clients that gave up after the scenario's maximum of retries.
     pub given_up: u64,
 }
 
 fn histogram() -> Histogram<u64> {
-    let made = Histogram::new_with_bounds(1, LONGEST_RECORDED_US, HISTOGRAM_DIGITS);
-    made.unwrap_or_else(|_| unreachable!("the bounds are in order"))
+    let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS);
+    histogram.unwrap_or_else(|_| unreachable!("the bounds are in order"))
 }
 
 impl ServiceScore {
-    /// A score of so many listeners and tenants, without any service yet.
-    pub(crate) fn new(listeners: usize, members: usize) -> ServiceScore {
-        let marks = ServiceMeasurements {
+    /// An empty score for these numbers of listeners and tenants.
+    pub(crate) fn new(listeners: usize, tenants: usize) -> ServiceScore {
+        let measurements = ServiceMeasurements {
             seconds: Vec::new(),
-            cells: listeners * members,
+            cells: listeners * tenants,
             set_ups: (0..listeners).map(|_| histogram()).collect(),
             answers: histogram(),
             messages: histogram(),
@@ -62,51 +66,56 @@
             given_up: 0,
         };
         ServiceScore {
-            marks: Mutex::new(marks),
-            members,
+            measurements: Mutex::new(measurements),
+            tenants,
         }
     }
 
-    /// The sums so far.
+    /// Locks the measurements so far.
     pub fn measurements(&self) -> MutexGuard<'_, ServiceMeasurements> {
-        self.marks
+        self.measurements
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// A client of a tenant wanted to be connected to a listener from one time of the plan to another.
-    pub(crate) fn add_wanted(&self, listener: u8, member: u16, from: Duration, to: Duration) {
-        self.spread(listener, member, from, to, |time, part| time.wanted += part);
+    /// Adds the time from `from` to `to`, on the plan's clock, as time in which a client wanted to be connected.
+    pub(crate) fn add_wanted(&self, listener: u8, tenant: u16, from: Duration, to: Duration) {
+        self.add_by_second(listener, tenant, from, to, |time, seconds| {
+            time.wanted += seconds
+        });
     }
 
-    /// A client of a tenant was served well from one time of the plan to another.
-    pub(crate) fn add_served(&self, listener: u8, member: u16, from: Duration, to: Duration) {
-        self.spread(listener, member, from, to, |time, part| time.served += part);
+    /// Adds the time from `from` to `to`, on the plan's clock, as time in which a client was well served.
+    pub(crate) fn add_served(&self, listener: u8, tenant: u16, from: Duration, to: Duration) {
+        self.add_by_second(listener, tenant, from, to, |time, seconds| {
+            time.served += seconds
+        });
     }
 
-    /// Adds to each second the part of a time span that lies in it.
-    fn spread(
+    /// Splits a time span at whole seconds, and calls `add` with the cell of each second and the part of the span in
+    /// it.
+    fn add_by_second(
         &self,
         listener: u8,
-        member: u16,
+        tenant: u16,
         from: Duration,
         to: Duration,
         add: impl Fn(&mut ServiceTime, f64),
     ) {
         let (from, to) = (from.as_secs_f64(), to.as_secs_f64());
-        let cell = usize::from(listener) * self.members + usize::from(member);
-        let mut marks = self.measurements();
-        let cells = marks.cells;
+        let cell = usize::from(listener) * self.tenants + usize::from(tenant);
+        let mut measurements = self.measurements();
+        let cells = measurements.cells;
         let mut at = from;
         while at < to {
             let second = at as usize;
             let until = to.min((second + 1) as f64);
-            if marks.seconds.len() <= second {
-                marks
+            if measurements.seconds.len() <= second {
+                measurements
                     .seconds
                     .resize(second + 1, vec![ServiceTime::default(); cells]);
             }
-            add(&mut marks.seconds[second][cell], until - at);
+            add(&mut measurements.seconds[second][cell], until - at);
             at = until;
         }
     }
--- a/crates/testbed/src/shrink.rs
+++ b/crates/testbed/src/shrink.rs
@@ -1,4 +1,5 @@
-//! Cuts the faults of a run down to the fewest with which a rule still breaks, and writes those as a scenario.
+//! Reduces the faults of a failing run to a small set with which a rule is still broken, and writes this set as a
+//! scenario.
 
 use crate::plan::PlannedFault;
 use crate::scenario::{FaultKind, Scenario, ScenarioError, ScenarioFault};
@@ -6,27 +7,28 @@
 use thiserror::Error;
 use toml::{Table, Value};
 
-/// Why a scenario could not be written with other faults.
+/// An error while replacing the faults of a scenario's text.
 #[derive(Debug, Error)]
 pub enum ShrinkError {
-    /// The text that the faults go into is not TOML.
+    /// The scenario's text is not TOML.
     #[error(transparent)]
     Parse(#[from] toml::de::Error),
-    /// The scenario has no TOML form.
+    /// The new scenario cannot be serialized to TOML.
     #[error(transparent)]
     Write(#[from] toml::ser::Error),
-    /// What was written is not a scenario that can be read again.
+    /// The new text is not a valid scenario.
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
 }
 
-/// The faults of a plan, each with whom it strikes, so that it strikes the same without the others.
+/// Converts a plan's faults to faults of a scenario. Each names its drawn targets, so that it has the same targets when
+/// other faults are removed.
 pub fn scenario_faults(faults: &[PlannedFault]) -> Vec<ScenarioFault> {
     faults.iter().map(scenario_fault).collect()
 }
 
 fn scenario_fault(fault: &PlannedFault) -> ScenarioFault {
-    let numbers = |of: &[u16]| of.iter().map(|number| u32::from(*number)).collect();
+    let numbers = |targets: &[u16]| targets.iter().map(|number| u32::from(*number)).collect();
     ScenarioFault {
         at: fault.at,
         duration: fault.until.map(|until| until - fault.at),
@@ -42,45 +44,45 @@
     }
 }
 
-/// Takes out halves, then quarters, then single items, for as long as what is left still fails.
+/// Removes halves, then quarters, and finally single items of a list, as long as `fails` returns true for the rest.
 ///
-/// `fails` is called `attempts` times at most. Two runs are never the same, so what fails only now and then may keep
-/// more than it needs.
+/// `fails` is called at most `remaining_runs` times. Runs are not deterministic, so the result for an intermittent
+/// failure may hold more items than necessary.
 pub fn minimize<T: Clone>(
     all: &[T],
-    mut attempts: u32,
+    mut remaining_runs: u32,
     mut fails: impl FnMut(&[T]) -> bool,
 ) -> Vec<T> {
-    let mut left = all.to_vec();
-    let mut step = left.len().div_ceil(2).max(1);
+    let mut remaining = all.to_vec();
+    let mut step = remaining.len().div_ceil(2).max(1);
     loop {
-        let length_before = left.len();
+        let length_before = remaining.len();
         let mut start = 0;
-        while start < left.len() && attempts > 0 {
-            let end = (start + step).min(left.len());
-            let without = [&left[..start], &left[end..]].concat();
-            attempts -= 1;
+        while start < remaining.len() && remaining_runs > 0 {
+            let end = (start + step).min(remaining.len());
+            let without = [&remaining[..start], &remaining[end..]].concat();
+            remaining_runs -= 1;
             if fails(&without) {
-                left = without;
+                remaining = without;
             } else {
                 start = end;
             }
         }
-        let nothing_more = step == 1 && left.len() == length_before;
-        if attempts == 0 || nothing_more {
-            return left;
+        let is_minimal = step == 1 && remaining.len() == length_before;
+        if remaining_runs == 0 || is_minimal {
+            return remaining;
         }
         step = (step / 2).max(1);
     }
 }
 
-/// A scenario's text with these faults in place of its own.
+/// Replaces the faults in a scenario's TOML text.
 pub fn with_faults(text: &str, faults: &[ScenarioFault]) -> Result<String, ShrinkError> {
     let mut table: Table = text.parse()?;
     let tables: Result<Vec<Value>, ShrinkError> = faults.iter().map(fault_table).collect();
     table.insert("faults".into(), Value::Array(tables?));
     let text = toml::to_string(&table)?;
-    // What is written must be read as it was meant.
+    // The new text must parse as a scenario before it is given out.
     Scenario::read(&text)?;
     Ok(text)
 }
@@ -88,21 +90,25 @@
 fn fault_table(fault: &ScenarioFault) -> Result<Value, ShrinkError> {
     let mut table = Table::new();
     table.insert("at".into(), milliseconds(fault.at));
-    if let Some(lasts) = fault.duration {
-        table.insert("for".into(), milliseconds(lasts));
+    if let Some(duration) = fault.duration {
+        table.insert("for".into(), milliseconds(duration));
     }
     table.insert("kind".into(), Value::try_from(fault.kind)?);
-    // Faults that strike nobody by number take no list of them.
-    if let Some(on) = fault.targets.as_deref().filter(|on| !on.is_empty()) {
-        table.insert("on".into(), integers(on));
+    // A fault kind without numbered targets does not accept a target list.
+    if let Some(targets) = fault
+        .targets
+        .as_deref()
+        .filter(|targets| !targets.is_empty())
+    {
+        table.insert("on".into(), integers(targets));
     }
     table.insert("much".into(), Value::from(fault.magnitude));
     table.insert("span".into(), milliseconds(fault.span));
     if fault.kind.targets_links() {
         table.insert("way".into(), Value::try_from(fault.link_kind)?);
     }
-    if let Some(to) = fault.to_hosts.as_deref() {
-        table.insert("to".into(), integers(to));
+    if let Some(hosts) = fault.to_hosts.as_deref() {
+        table.insert("to".into(), integers(hosts));
     }
     if fault.half_open {
         table.insert("half_open".into(), Value::from(true));
--- a/crates/testbed/src/testbed.rs
+++ b/crates/testbed/src/testbed.rs
@@ -2,7 +2,7 @@
 
 use crate::context::RunContext;
 use crate::discovery::EndpointRegistry;
-use crate::front::Front;
+use crate::front_balancer::FrontBalancer;
 use crate::host::{self, Host};
 use crate::link::Links;
 use crate::sockets::BoundListener;
@@ -20,7 +20,7 @@
     /// The hosts, by their numbers.
     pub hosts: Vec<Arc<Host>>,
     /// Where clients find a proxy.
-    pub front: Arc<Front>,
+    pub front: Arc<FrontBalancer>,
 }
 
 impl Testbed {
@@ -28,7 +28,7 @@
     pub fn start(
         context: Arc<RunContext>,
         host_listeners: Vec<BoundListener>,
-        front: Front,
+        front: FrontBalancer,
         links: Arc<Links>,
     ) -> Testbed {
         let addresses = host_listeners.iter().map(|bound| bound.address);
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -4,7 +4,7 @@
 
 use asterramp_testbed::context::RunContext;
 use asterramp_testbed::discovery::DiscoveryAgent;
-use asterramp_testbed::front::Front;
+use asterramp_testbed::front_balancer::FrontBalancer;
 use asterramp_testbed::host;
 use asterramp_testbed::line_reader::{Line, LineReader};
 use asterramp_testbed::plan::Plan;
@@ -28,7 +28,7 @@
     let plan = Plan::new(&scenario, 1, None);
     let hosts = host::bind_all(&plan).await.unwrap();
     let proxies = addresses(&scenario);
-    let front = Front::new(proxies.iter().map(|proxy| (proxy.zone, proxy.listen)));
+    let front = FrontBalancer::new(proxies.iter().map(|proxy| (proxy.zone, proxy.listen)));
     let context = Arc::new(RunContext::new(scenario, plan));
     Arc::new(Testbed::start(context, hosts, front, Arc::default()))
 }
