--- a/crates/testbed/src/front_balancer.rs
+++ b/crates/testbed/src/front_balancer.rs
@@ -119,8 +119,8 @@
         })
     }
 
-    /// Starts a task for each address that checks the proxy's health at the scenario's interval, for as long as the
-    /// process runs.
+    /// Starts a task for each address that checks the proxy's health at the scenario's interval, until the
+    /// runtime ends.
     pub fn start_health_checks(self: &Arc<Self>, context: &RunContext) {
         let (interval, removal_delay) = (
             context.scenario.front.health_check_interval,
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -17,13 +17,13 @@
 //! - `reported_metrics.rs`: whether metrics requests are answered in time, and with values that match what the
 //!   peers saw;
 //! - `rejection_order.rs`: which sessions are rejected first;
-//! - `lost_sessions.rs`, `concurrent_dials.rs`, `double_effects.rs`, `drains.rs`: rules for one session;
+//! - `lost_sessions.rs`, `concurrent_dials.rs`, `duplicate_effects.rs`, `drains.rs`: rules for one session;
 //! - `cold_starts.rs`: hosts that collapsed while they were warming up.
 
 mod cold_starts;
 mod concurrent_dials;
-mod double_effects;
 mod drains;
+mod duplicate_effects;
 mod intervals;
 mod lost_sessions;
 mod proxy_history;
@@ -83,7 +83,7 @@
         .map(|finding| Violation {
             rule: finding.rule,
             description: finding.description,
-            timeline: vec![timeline::at(events, finding.at)],
+            timeline: vec![timeline::event_at(events, finding.at)],
         })
         .collect()
 }
@@ -101,7 +101,7 @@
         };
         let mut findings = lost_sessions::findings(&context);
         findings.extend(concurrent_dials::findings(&context));
-        findings.extend(double_effects::findings(&context));
+        findings.extend(duplicate_effects::findings(&context));
         findings.extend(drains::findings(&context));
         violations.extend(findings.into_iter().map(|finding| Violation {
             rule: finding.rule,
--- a/crates/testbed/src/judge/cold_starts.rs
+++ b/crates/testbed/src/judge/cold_starts.rs
@@ -15,7 +15,7 @@
             Some(Violation {
                 rule: Rule::NoColdHostOverloaded,
                 description,
-                timeline: vec![timeline::at(events, event.at)],
+                timeline: vec![timeline::event_at(events, event.at)],
             })
         }
         _ => None,
--- a/crates/testbed/src/judge/reported_metrics.rs
+++ b/crates/testbed/src/judge/reported_metrics.rs
@@ -16,7 +16,7 @@
 use session_lifetime::SessionLifetime;
 use std::time::Duration;
 
-/// How long a proxy may take to answer a metrics request, beside the scenario's answer slack.
+/// How long a proxy may take to answer a metrics request, in addition to the scenario's answer slack.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(1);
 
 /// Relative error allowed for the number of sessions brought up.
--- a/crates/testbed/src/judge/timeline.rs
+++ b/crates/testbed/src/judge/timeline.rs
@@ -62,7 +62,7 @@
 }
 
 /// The first event recorded at exactly `at`; empty if there is none.
-pub(super) fn at(events: &[LoggedEvent], at: Duration) -> String {
+pub(super) fn event_at(events: &[LoggedEvent], at: Duration) -> String {
     events
         .iter()
         .find(|event| event.at == at)
--- a/crates/testbed/src/log_summary.rs
+++ b/crates/testbed/src/log_summary.rs
@@ -22,7 +22,7 @@
 /// Largest number of bad lines whose positions are printed; further ones are only counted.
 const MAX_NAMED_BAD_LINES: usize = 5;
 
-/// Upper bound of a line's time, in seconds since the proxy's start; a line with a greater one counts as bad.
+/// Upper bound of a line's time, in seconds since the proxy's start; a line with this or a greater time counts as bad.
 const MAX_TIME_S: f64 = 1e9;
 
 /// An error while reading a folder of logs.
--- a/crates/testbed/src/report/build.rs
+++ b/crates/testbed/src/report/build.rs
@@ -34,7 +34,7 @@
             void: outcome.is_void,
             testbed_late_ms: outcome.testbed_lateness.as_secs_f64() * 1e3,
             rules_held: outcome.verdict.violations.is_empty(),
-            violations: violations.map(reported).collect(),
+            violations: violations.map(reported_violation).collect(),
             tally: outcome.verdict.tally,
             service: service_shares(scenario, &measurements, &seconds),
             set_ups: set_up_latencies(scenario, &measurements),
@@ -53,7 +53,7 @@
     }
 }
 
-fn reported(violation: &Violation) -> ReportedViolation {
+fn reported_violation(violation: &Violation) -> ReportedViolation {
     ReportedViolation {
         rule: violation.rule.text(),
         description: violation.description.clone(),
@@ -63,11 +63,11 @@
 
 /// The service of each second, summed over listeners and tenants.
 fn service_seconds(measurements: &ServiceMeasurements) -> Vec<ServiceSecond> {
-    let sum = |cells: &Vec<ServiceTime>| sum(cells.iter().copied().map(second));
+    let sum = |cells: &Vec<ServiceTime>| sum(cells.iter().copied().map(service_second));
     measurements.seconds.iter().map(sum).collect()
 }
 
-fn second(time: ServiceTime) -> ServiceSecond {
+fn service_second(time: ServiceTime) -> ServiceSecond {
     ServiceSecond {
         wanted: time.wanted,
         served: time.served,
@@ -121,7 +121,7 @@
     served_share(
         cells
             .filter(|(cell, _)| is_selected(*cell))
-            .map(|(_, time)| second(*time)),
+            .map(|(_, time)| service_second(*time)),
     )
 }
 
