--- a/crates/testbed/src/metrics_calls.rs
+++ b/crates/testbed/src/metrics_calls.rs
@@ -96,7 +96,7 @@
 }
 
 /// Sends one HTTP request and reads the response. `request_line` is the method and the path. `None` if no complete
-/// response came within 3 s.
+/// response came in time.
 pub async fn send_request(address: SocketAddr, request_line: &str) -> Option<HttpResponse> {
     let response = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
--- a/crates/testbed/src/service_score.rs
+++ b/crates/testbed/src/service_score.rs
@@ -30,8 +30,8 @@
 /// The sums and histograms of a [`ServiceScore`].
 #[derive(Debug)]
 pub struct ServiceMeasurements {
-    /// A row for each second of the plan, up to the last one with any time. A row has one cell for each pair of listener
-    /// and tenant, ordered by listener and then by tenant.
+    /// A row for each second of the plan, up to the last one with any time. A row has one cell for each pair of
+    /// listener and tenant, ordered by listener and then by tenant.
     pub seconds: Vec<Vec<ServiceTime>>,
     /// Number of cells in a row.
     cells: usize,
