--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -3,8 +3,8 @@
 //! they work together. A host is the testbed's word for a server on which sessions are placed.
 //!
 //! - [`scenario`] reads the description of a run, [`plan`] draws clients and faults from it, [`context`] holds the state
-//!   that the actors of a run share.
-//! - [`host`], [`client`], [`front`], [`discovery`] and [`link`] are the actors; [`testbed`] owns them.
+//! that the actors of a run share.
+//! - [`host`], [`client`], [`front_balancer`], [`discovery`] and [`link`] are the actors; [`testbed`] owns them.
 //! - [`proxy_process`] runs the program under test; [`plain_proxy`] is a simple proxy to compare it with.
 //! - [`run`] executes a scenario from start to end.
 //! - [`judge`] checks the rules over the [`event_log`]; [`report`], [`plots`], [`compare`] and [`scale`] present results.
@@ -15,7 +15,7 @@
 pub mod discovery;
 pub mod drain_measurement;
 pub mod event_log;
-pub mod front;
+pub mod front_balancer;
 pub mod host;
 pub mod journal;
 pub mod judge;
--- a/crates/testbed/src/plan/clients.rs
+++ b/crates/testbed/src/plan/clients.rs
@@ -115,7 +115,7 @@
             tenant,
             zone: self.random.random_range(0..scenario.zones.len()) as u8,
             group,
-            item: self.random.random(),
+            hash_key: self.random.random(),
             work: settings.work * (MIN_WORK_FACTOR + self.random.random::<f64>()),
             leaves_after: impatient.then(|| {
                 let share = self.random.random::<f64>() * MAX_PATIENCE_SHARE;
--- a/crates/testbed/src/plan/planned.rs
+++ b/crates/testbed/src/plan/planned.rs
@@ -19,8 +19,8 @@
     pub zone: u8,
     /// Its group, if any; a host with sessions of a group bears the group's cost only once.
     pub group: Option<u64>,
-    /// The item that its session requests name.
-    pub item: u64,
+    /// Hash key of its session for the choice of a host.
+    pub hash_key: u64,
     /// The load of its session, as a share of a standard host's capacity.
     pub work: f64,
     /// How long an impatient client waits for an answer until it has had its first session; `None`: the answer timeout
