--- a/crates/testbed/src/run/clients.rs
+++ b/crates/testbed/src/run/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of a run, each at its time.
+//! Starts the clients of a run, each at its planned time, and waits for them.
 
 use crate::client;
 use crate::testbed::Testbed;
@@ -6,11 +6,11 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// How long clients may still take after their last answer was due.
-const SETTLING_TIME: Duration = Duration::from_secs(3);
+/// Time that clients have to end after the latest time at which an answer can be due; those still running are dropped.
+const CLIENT_END_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Sends each client off at its time and waits for all.
-pub(super) async fn play(testbed: &Testbed) {
+/// Starts each client at its planned time and waits until all have ended, or their time is over.
+pub(super) async fn run_clients(testbed: &Testbed) {
     let context = &testbed.context;
     let scenario = &context.scenario;
     let mut clients = JoinSet::new();
@@ -21,11 +21,11 @@
         while clients.try_join_next().is_some() {}
     }
     context.sleep_until(scenario.length).await;
-    // Whoever still waits has its answer, or none in time, by then.
-    let waits = scenario.listeners.iter().map(|l| l.answer_timeout);
-    let longest_wait = waits.max().unwrap_or_default();
-    let settles = longest_wait + scenario.platform.answer_slack + SETTLING_TIME;
-    let _ = timeout(settles, async {
+    // By then each client that waits for an answer has it, or the answer is overdue.
+    let answer_timeouts = scenario.listeners.iter().map(|l| l.answer_timeout);
+    let longest_answer_timeout = answer_timeouts.max().unwrap_or_default();
+    let end_timeout = longest_answer_timeout + scenario.platform.answer_slack + CLIENT_END_TIMEOUT;
+    let _ = timeout(end_timeout, async {
         while clients.join_next().await.is_some() {}
     })
     .await;
--- a/crates/testbed/src/run/error.rs
+++ b/crates/testbed/src/run/error.rs
@@ -1,61 +1,61 @@
-//! Why a run tells nothing. The texts go to standard error after the program's name.
+//! Errors that prevent a run. Their texts are written to standard error after the program's name.
 
 use crate::proxy_process::ProxyError;
 use crate::scenario::ScenarioError;
 use std::io;
 
-/// Why a run tells nothing.
+/// Why a run could not be set up or finished, and has no outcome.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The scenario is wrong.
+    /// The scenario is invalid.
     #[error(transparent)]
     Input(#[from] ScenarioError),
-    /// The testbed would need more descriptors than it may have.
+    /// The testbed process would need more descriptors than its limit allows.
     #[error(
         "{connections} standing connections want {needed} descriptors of the rig, and this machine allows {allowed}"
     )]
     TooManyConnections {
-        /// Connections that stand at once.
+        /// Most connections that are open at the same time.
         connections: usize,
-        /// Descriptors that the testbed needs for them.
+        /// Descriptors that the testbed process needs in all.
         needed: u64,
         /// Descriptors that a process may have.
         allowed: u64,
     },
-    /// The clients of a proxy would need more ports than an address has.
+    /// The clients of a proxy would need more local ports than one IP address has.
     #[error("{connections} connections a proxy, and ports allow {allowed}")]
     TooFewPorts {
-        /// Connections of each proxy.
+        /// Most connections to each proxy at the same time.
         connections: usize,
-        /// Connections that the ports of an address allow.
+        /// Connections to one proxy that the local ports allow.
         allowed: usize,
     },
-    /// A proxy is to have more descriptors than it may.
+    /// The scenario gives the proxies a higher limit on descriptors than this machine allows.
     #[error("proxies.sockets is {sockets}, and this machine allows {allowed}")]
     TooManySockets {
-        /// Descriptors that each proxy is to have.
+        /// Limit on the descriptors of each proxy (`proxies.sockets` in the scenario).
         sockets: u64,
         /// Descriptors that a process may have.
         allowed: u64,
     },
-    /// The folder, a host, a link or a proxy's discovery agent could not be started.
+    /// The output folder could not be created, or a host, a link or a discovery agent could not be started.
     #[error("starting: {0}")]
     Start(#[source] io::Error),
-    /// A proxy does not answer health checks.
+    /// A proxy did not answer health checks within the time limit.
     #[error("proxy {proxy} never became ready; its log ends {log_end:?}")]
     NeverReady {
-        /// Its number.
+        /// The proxy's number.
         proxy: usize,
         /// The last lines of its log, the last one first.
         log_end: Vec<String>,
     },
-    /// A proxy's process could not be started.
+    /// A proxy's files could not be written, or its process could not be started.
     #[error(transparent)]
     Proxy(#[from] ProxyError),
 }
 
 impl RunError {
-    /// Whether the scenario, or the machine that it was to run on, is the cause: nothing was started.
+    /// Whether the cause is the scenario, or a limit of this machine; nothing was started then.
     pub fn is_bad_input(&self) -> bool {
         match self {
             RunError::Input(_)
--- a/crates/testbed/src/run/faults/discovery_and_clients.rs
+++ b/crates/testbed/src/run/faults/discovery_and_clients.rs
@@ -1,4 +1,4 @@
-//! Faults that strike neither single hosts nor single proxies: of discovery, and of all clients.
+//! Faults of discovery, and faults that affect a share of all clients.
 
 use crate::context::ClientSignal;
 use crate::misbehaving_clients;
@@ -6,7 +6,7 @@
 use crate::scenario::FaultKind;
 use crate::testbed::Testbed;
 
-/// Begins or ends a fault of discovery, or of all clients.
+/// Begins or ends a fault of discovery or of clients; does nothing for other kinds, and at the end of a fault of clients.
 pub(super) fn apply(testbed: &Testbed, fault: &PlannedFault, begins: bool) {
     let context = &testbed.context;
     let signals = &context.client_signals;
@@ -28,9 +28,9 @@
     }
 }
 
-/// Counts one fault of discovery more or less.
+/// Adds or removes one active fault of discovery: faults of a kind may overlap, and last until the last of them ends.
 fn apply_to_discovery(testbed: &Testbed, kind: FaultKind, begins: bool) {
-    let step = |count: &mut u32| {
+    let adjust = |count: &mut u32| {
         *count = if begins {
             *count + 1
         } else {
@@ -40,13 +40,15 @@
     let faults = &testbed.discovery.faults;
     match kind {
         FaultKind::DiscoverySilent | FaultKind::PowerCut => {
-            faults.send_modify(|faults| step(&mut faults.silent));
+            faults.send_modify(|faults| adjust(&mut faults.silent));
         }
-        FaultKind::DiscoveryRefuses => faults.send_modify(|faults| step(&mut faults.refuses)),
+        FaultKind::DiscoveryRefuses => faults.send_modify(|faults| adjust(&mut faults.refuses)),
         FaultKind::DiscoveryOlder => {
-            faults.send_modify(|faults| step(&mut faults.sends_outdated_list))
+            faults.send_modify(|faults| adjust(&mut faults.sends_outdated_list))
+        }
+        FaultKind::DiscoveryBabbles => {
+            faults.send_modify(|faults| adjust(&mut faults.sends_garbage))
         }
-        FaultKind::DiscoveryBabbles => faults.send_modify(|faults| step(&mut faults.sends_garbage)),
         _ => {}
     }
 }
--- a/crates/testbed/src/run/faults/hosts.rs
+++ b/crates/testbed/src/run/faults/hosts.rs
@@ -1,4 +1,4 @@
-//! Faults of single hosts.
+//! Faults of individual hosts.
 
 use crate::event_log::HostState;
 use crate::host::Host;
@@ -12,7 +12,7 @@
     host.apply_fault(fault, begins);
     let kind = testbed.context.plan.faults[fault].kind;
     if kind == FaultKind::HostStarved && begins {
-        tokio::spawn(starve(testbed.clone(), host.clone(), fault));
+        tokio::spawn(toggle_speed_limit(testbed.clone(), host.clone(), fault));
     }
     if kind == FaultKind::HostGone && begins {
         let registry = &testbed.discovery;
@@ -20,8 +20,8 @@
     }
 }
 
-/// Slows a host down on and off until the fault is over.
-async fn starve(testbed: Arc<Testbed>, host: Arc<Host>, fault: usize) {
+/// Slows a host down to the fault's magnitude for half of each of its spans, until the fault ends.
+async fn toggle_speed_limit(testbed: Arc<Testbed>, host: Arc<Host>, fault: usize) {
     let fault = &testbed.context.plan.faults[fault];
     let until = fault.until.unwrap_or(testbed.context.scenario.length);
     while testbed.context.now() < until {
--- a/crates/testbed/src/run/faults/links.rs
+++ b/crates/testbed/src/run/faults/links.rs
@@ -1,4 +1,4 @@
-//! Faults of links between processes, and of the border of a zone.
+//! Faults of links between processes, and of all traffic across the border of a zone.
 
 use crate::event_log::Event;
 use crate::link::LinkFaults;
@@ -6,7 +6,7 @@
 use crate::scenario::FaultKind;
 use crate::testbed::Testbed;
 
-/// Begins or ends a fault at the links that it strikes, and at the discovery agents that hear nothing beyond a border.
+/// Begins or ends a fault at the links that it affects; a cut zone also cuts its proxies' discovery agents off.
 pub(super) fn apply(testbed: &Testbed, number: usize, begins: bool) {
     let context = &testbed.context;
     let fault = &context.plan.faults[number];
@@ -26,22 +26,25 @@
         });
     }
     if matches!(fault.kind, FaultKind::PlaceCut | FaultKind::PlaceFlaps) {
-        cut_agents_off(testbed, &fault.targets, begins);
+        adjust_agent_cut_offs(testbed, &fault.targets, begins);
     }
 }
 
-/// Counts one fault more or less that cuts the agents of these zones off.
-fn cut_agents_off(testbed: &Testbed, zones: &[u16], begins: bool) {
-    testbed.discovery.cut_off_agents.send_modify(|faults| {
-        for (proxy, faults) in (0..).zip(faults) {
-            let zone = zone_of_proxy(&testbed.context, proxy);
-            if zones.contains(&u16::from(zone)) {
-                *faults = if begins {
-                    *faults + 1
-                } else {
-                    faults.saturating_sub(1)
-                };
+/// Adds or removes one active fault that cuts off the discovery agents of the proxies in these zones; faults may overlap.
+fn adjust_agent_cut_offs(testbed: &Testbed, zones: &[u16], begins: bool) {
+    testbed
+        .discovery
+        .cut_off_agents
+        .send_modify(|fault_counts| {
+            for (proxy, count) in (0..).zip(fault_counts) {
+                let zone = zone_of_proxy(&testbed.context, proxy);
+                if zones.contains(&u16::from(zone)) {
+                    *count = if begins {
+                        *count + 1
+                    } else {
+                        count.saturating_sub(1)
+                    };
+                }
             }
-        }
-    });
+        });
 }
--- a/crates/testbed/src/run/faults/mod.rs
+++ b/crates/testbed/src/run/faults/mod.rs
@@ -1,4 +1,4 @@
-//! The faults of a run: when each begins and ends, and what it does to whom.
+//! Injects the plan's faults: begins and ends each at its time, at the processes and links that it affects.
 
 mod discovery_and_clients;
 mod hosts;
--- a/crates/testbed/src/run/faults/proxies.rs
+++ b/crates/testbed/src/run/faults/proxies.rs
@@ -1,11 +1,11 @@
-//! Faults of single proxies, as commands to their processes.
+//! Faults of individual proxies, as commands to their tasks.
 
 use crate::plan::PlannedFault;
 use crate::proxy_process::ProxyCommand;
 use crate::scenario::FaultKind;
 use tokio::sync::mpsc;
 
-/// Begins or ends a fault at the proxies that it strikes.
+/// Begins or ends a fault at its target proxies.
 pub(super) async fn apply(
     commands: &[mpsc::Sender<ProxyCommand>],
     fault: &PlannedFault,
@@ -19,7 +19,7 @@
     }
 }
 
-/// What a proxy is to do as a fault begins or ends; nothing, where a fault has no end.
+/// The command to a proxy when a fault begins or ends; `None` where the end of a fault changes nothing.
 fn command(fault: &PlannedFault, begins: bool) -> Option<ProxyCommand> {
     let command = match (fault.kind, begins) {
         (FaultKind::ProxyKilled, true) => ProxyCommand::Kill,
--- a/crates/testbed/src/run/faults/schedule.rs
+++ b/crates/testbed/src/run/faults/schedule.rs
@@ -1,4 +1,4 @@
-//! When faults begin and end.
+//! Begins and ends the plan's faults at their times.
 
 use super::{discovery_and_clients, hosts, proxies, zones};
 use crate::event_log::Event;
@@ -10,48 +10,48 @@
 use tokio::sync::mpsc;
 use tracing::info;
 
-/// A fault begins or ends. Steps at the same time go in the order of the faults.
+/// The begin or the end of a fault. Transitions at the same time are ordered by the faults' numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct FaultStep {
+struct FaultTransition {
     at: Duration,
     /// The fault's number in the plan.
     fault: usize,
     begins: bool,
 }
 
-/// Begins and ends each fault at its time.
+/// Begins and ends each fault at its time; never returns, and keeps the proxies' command senders until it is aborted.
 pub(in crate::run) async fn play_faults(
     testbed: Arc<Testbed>,
     commands: Vec<mpsc::Sender<ProxyCommand>>,
 ) {
-    for step in steps(&testbed.context.plan.faults) {
-        testbed.context.sleep_until(step.at).await;
-        play_step(&testbed, &commands, step).await;
+    for transition in transitions(&testbed.context.plan.faults) {
+        testbed.context.sleep_until(transition.at).await;
+        apply_transition(&testbed, &commands, transition).await;
     }
     std::future::pending::<()>().await;
 }
 
-fn steps(faults: &[PlannedFault]) -> Vec<FaultStep> {
-    let mut steps = Vec::new();
+fn transitions(faults: &[PlannedFault]) -> Vec<FaultTransition> {
+    let mut transitions = Vec::new();
     for (number, fault) in faults.iter().enumerate() {
-        let step = |at, begins| FaultStep {
+        let transition = |at, begins| FaultTransition {
             at,
             fault: number,
             begins,
         };
-        steps.push(step(fault.at, true));
-        steps.extend(fault.until.map(|until| step(until, false)));
+        transitions.push(transition(fault.at, true));
+        transitions.extend(fault.until.map(|until| transition(until, false)));
     }
-    steps.sort_unstable();
-    steps
+    transitions.sort_unstable();
+    transitions
 }
 
-async fn play_step(
+async fn apply_transition(
     testbed: &Arc<Testbed>,
     commands: &[mpsc::Sender<ProxyCommand>],
-    step: FaultStep,
+    transition: FaultTransition,
 ) {
-    let FaultStep { fault, begins, .. } = step;
+    let FaultTransition { fault, begins, .. } = transition;
     let planned = &testbed.context.plan.faults[fault];
     let what = format!("{:?} on {:?}", planned.kind, planned.targets);
     info!(fault = %what, begins);
--- a/crates/testbed/src/run/faults/zones.rs
+++ b/crates/testbed/src/run/faults/zones.rs
@@ -1,4 +1,4 @@
-//! Faults of whole zones, and of everything.
+//! Faults of whole zones, of all processes at once (a power cut), and of links.
 
 use super::{hosts, links};
 use crate::event_log::HostState;
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// Begins or ends a fault at whole zones, or at links.
+/// Begins or ends a fault of zones, of all processes or of links; does nothing for other kinds.
 pub(super) async fn apply(
     testbed: &Arc<Testbed>,
     commands: &[mpsc::Sender<ProxyCommand>],
@@ -19,43 +19,43 @@
     begins: bool,
 ) {
     let fault = &testbed.context.plan.faults[number];
-    let strikes_processes = matches!(
+    let affects_processes = matches!(
         fault.kind,
         FaultKind::PowerCut | FaultKind::PlaceLost | FaultKind::PlaceSilent
     );
-    if strikes_processes {
+    if affects_processes {
         apply_to_hosts(testbed, number, begins);
         apply_to_proxies(testbed, commands, fault, begins).await;
     }
     if fault.kind == FaultKind::PlaceLost && begins {
-        tokio::spawn(report_gone(testbed.clone(), number));
+        tokio::spawn(delist_hosts(testbed.clone(), number));
     }
     if fault.kind == FaultKind::PlaceFlaps && begins {
-        tokio::spawn(flap(testbed.clone(), number));
+        tokio::spawn(flap_links(testbed.clone(), number));
     } else {
         links::apply(testbed, number, begins);
     }
 }
 
-/// Whether a fault strikes a zone.
-fn strikes(fault: &PlannedFault, zone: u8) -> bool {
-    let strikes_zone = fault.kind.targets_zones() && fault.targets.contains(&u16::from(zone));
-    fault.kind == FaultKind::PowerCut || strikes_zone
+/// Whether a fault affects the processes of a zone.
+fn affects_zone(fault: &PlannedFault, zone: u8) -> bool {
+    let is_target = fault.kind.targets_zones() && fault.targets.contains(&u16::from(zone));
+    fault.kind == FaultKind::PowerCut || is_target
 }
 
-/// Whether these processes follow the fault: all do when it begins, and those that come back when it ends.
-fn follows(fault: &PlannedFault, begins: bool, part: RecoveredPart) -> bool {
+/// Whether the begin or end of a fault applies to these processes: the begin to all, the end to those that recover.
+fn applies_to(fault: &PlannedFault, begins: bool, part: RecoveredPart) -> bool {
     begins || fault.recovered_part == RecoveredPart::All || fault.recovered_part == part
 }
 
 fn apply_to_hosts(testbed: &Arc<Testbed>, number: usize, begins: bool) {
     let plan = &testbed.context.plan;
     let fault = &plan.faults[number];
-    if !follows(fault, begins, RecoveredPart::Hosts) {
+    if !applies_to(fault, begins, RecoveredPart::Hosts) {
         return;
     }
     for (host, planned) in testbed.hosts.iter().zip(&plan.hosts) {
-        if strikes(fault, planned.zone) {
+        if affects_zone(fault, planned.zone) {
             hosts::apply(testbed, host, number, begins);
         }
     }
@@ -67,25 +67,25 @@
     fault: &PlannedFault,
     begins: bool,
 ) {
-    if !follows(fault, begins, RecoveredPart::Proxies) {
+    if !applies_to(fault, begins, RecoveredPart::Proxies) {
         return;
     }
-    let falls_silent = fault.kind == FaultKind::PlaceSilent;
-    let command = match (falls_silent, begins) {
+    let is_silent = fault.kind == FaultKind::PlaceSilent;
+    let command = match (is_silent, begins) {
         (false, true) => ProxyCommand::Kill,
         (false, false) => ProxyCommand::Start,
         (true, true) => ProxyCommand::Suspend,
         (true, false) => ProxyCommand::Resume,
     };
     for (proxy, sender) in (0..).zip(commands) {
-        if strikes(fault, zone_of_proxy(&testbed.context, proxy)) {
+        if affects_zone(fault, zone_of_proxy(&testbed.context, proxy)) {
             let _ = sender.send(command).await;
         }
     }
 }
 
-/// Discovery notices after a while that the hosts of a lost zone are gone.
-async fn report_gone(testbed: Arc<Testbed>, number: usize) {
+/// Has discovery list the hosts of a lost zone as gone, a span of the fault after its begin, if they are still down.
+async fn delist_hosts(testbed: Arc<Testbed>, number: usize) {
     let plan = &testbed.context.plan;
     let fault = &plan.faults[number];
     testbed.context.sleep_until(fault.at + fault.span).await;
@@ -97,8 +97,8 @@
     }
 }
 
-/// A zone that comes and goes until the fault is over.
-async fn flap(testbed: Arc<Testbed>, number: usize) {
+/// Cuts a zone off and reconnects it in turn, each for a span of the fault, until the fault ends.
+async fn flap_links(testbed: Arc<Testbed>, number: usize) {
     let fault = &testbed.context.plan.faults[number];
     let until = fault.until.unwrap_or(testbed.context.scenario.length);
     while testbed.context.now() < until {
--- a/crates/testbed/src/run/files.rs
+++ b/crates/testbed/src/run/files.rs
@@ -1,18 +1,19 @@
-//! Where a run finds the proxy's program, and where it writes.
+//! Paths that a run uses: its output folder, and the proxy's program.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A folder of this run's own for what it must write.
+/// The path of an output folder in the system's temporary folder, another one at each call; the folder is not created.
 pub fn unique_output_folder() -> PathBuf {
     static NEXT: AtomicU64 = AtomicU64::new(0);
-    let nth = NEXT.fetch_add(1, Ordering::Relaxed);
-    std::env::temp_dir().join(format!("asterramp-rig-{}-{nth}", std::process::id()))
+    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    std::env::temp_dir().join(format!("asterramp-rig-{}-{number}", std::process::id()))
 }
 
-/// The proxy of this repository, as built beside this program.
-pub fn find_proxy_program(beside: &Path) -> Option<PathBuf> {
-    let folder = beside.parent()?;
+/// The program `asterramp` in the folder of `this_program` or in the parent folder, as test programs are built one folder
+/// deeper; `None` if neither has it.
+pub fn find_proxy_program(this_program: &Path) -> Option<PathBuf> {
+    let folder = this_program.parent()?;
     [folder.join("asterramp"), folder.parent()?.join("asterramp")]
         .into_iter()
         .find(|path| path.is_file())
--- a/crates/testbed/src/run/mod.rs
+++ b/crates/testbed/src/run/mod.rs
@@ -1,6 +1,7 @@
-//! One run: starts a scenario's hosts, links and proxies, plays its plan, ends all of it again and judges what happened.
+//! One run: starts a scenario's hosts, links and proxies, carries out its plan, stops everything and checks the rules over
+//! the event log.
 //!
-//! [`run`] goes through it from beginning to end; each step has a module.
+//! [`run`] performs all steps; each has a module.
 
 mod capacity;
 mod clients;
--- a/crates/testbed/src/run/observers.rs
+++ b/crates/testbed/src/run/observers.rs
@@ -1,23 +1,23 @@
-//! What is measured beside a run: the testbed's own lateness, and the load of hosts.
+//! Background tasks of a run that measure the testbed's own lateness and the load of hosts, and show the progress.
 
 use crate::testbed::Testbed;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often the testbed's lateness is measured.
+/// Duration of the sleep whose delay counts as the testbed's lateness.
 const LATENESS_INTERVAL: Duration = Duration::from_millis(5);
-/// How often the load of hosts is measured.
+/// Time between two samples of the hosts' load.
 const LOAD_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a line of progress is shown.
+/// Time between two lines of progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What each host was asked for, a row each second.
+/// Samples of the hosts' load: a row for each second, in it a value for each host, as a multiple of its capacity.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LoadSamples(Arc<Mutex<Vec<Vec<f32>>>>);
 
 impl LoadSamples {
-    /// The rows so far.
+    /// Removes and returns the rows so far.
     pub(super) fn take(&self) -> Vec<Vec<f32>> {
         let mut rows = self
             .0
@@ -35,7 +35,7 @@
     }
 }
 
-/// Measures how late this process comes to what it set itself for, at worst.
+/// Records by how much sleeps of this process overrun, as the testbed's lateness. Never returns.
 pub(super) async fn measure_lateness(testbed: Arc<Testbed>) {
     loop {
         let due = testbed.context.now() + LATENESS_INTERVAL;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Measures what each host is asked for, as a multiple of what it can do.
+/// Samples the load of each host, as a multiple of its capacity. Never returns.
 pub(super) async fn sample_loads(testbed: Arc<Testbed>, samples: LoadSamples) {
     loop {
         let now = testbed.context.event_log.now();
@@ -57,7 +57,7 @@
     }
 }
 
-/// Shows how the run gets on, on standard error.
+/// Writes lines of progress to standard error until the scenario's length has passed.
 pub(super) async fn show_progress(testbed: Arc<Testbed>) {
     loop {
         sleep(PROGRESS_INTERVAL).await;
@@ -71,8 +71,8 @@
             .map(|host| host.model().open_sessions())
             .sum();
         let (given_up, unreachable) = {
-            let marks = testbed.context.service_score.measurements();
-            (marks.given_up, marks.unreachable)
+            let measurements = testbed.context.service_score.measurements();
+            (measurements.given_up, measurements.unreachable)
         };
         let now = now.as_secs();
         eprintln!(
--- a/crates/testbed/src/run/options.rs
+++ b/crates/testbed/src/run/options.rs
@@ -1,19 +1,19 @@
-//! What a run is made of beside its scenario.
+//! The options of a run.
 
 use crate::proxy_process::Program;
 use std::path::PathBuf;
 
-/// What a run is made of beside its scenario.
+/// The inputs of a run apart from its scenario.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// What chance is drawn from.
+    /// Seed of the plan's random draws.
     pub seed: u64,
-    /// What further faults are drawn from.
+    /// Seed of random faults beyond those of the scenario; none are added if absent.
     pub chaos: Option<u64>,
-    /// The program of the proxies.
+    /// The program that each proxy runs.
     pub program: Program,
-    /// Where logs and configurations go.
+    /// Folder of the proxies' logs and configurations; created if missing.
     pub folder: PathBuf,
-    /// Shows a line every two seconds.
+    /// Whether to write a line of progress to standard error every two seconds.
     pub progress: bool,
 }
--- a/crates/testbed/src/run/outcome.rs
+++ b/crates/testbed/src/run/outcome.rs
@@ -1,4 +1,4 @@
-//! What a run gives.
+//! The outcome of a run.
 
 use super::roll::RollError;
 use crate::context::RunContext;
@@ -8,23 +8,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a run gives.
+/// The outcome of a run that was carried out, whether or not the rules held.
 #[derive(Debug)]
 pub struct RunOutcome {
-    /// The scenario, the plan, and how well clients were served.
+    /// The scenario, the plan, and the service score of the clients.
     pub context: Arc<RunContext>,
-    /// What the actors have seen.
+    /// The event log.
     pub events: Vec<LoggedEvent>,
-    /// What the judge makes of it.
+    /// The judge's verdict over the event log.
     pub verdict: Verdict,
-    /// The longest that the testbed itself was late.
+    /// The greatest lateness of the testbed itself.
     pub testbed_lateness: Duration,
-    /// Whether that was so late that the run tells nothing.
+    /// Whether the lateness exceeds what the scenario allows; the results then say nothing about the proxies.
     pub is_void: bool,
-    /// What each proxy used, second by second.
+    /// The resource usage of each proxy, about once a second.
     pub proxy_usage: Vec<Vec<ResourceUsage>>,
-    /// What each host was asked for, second by second, as a multiple of what it could do.
+    /// Rows of the hosts' loads, one a second, in each a value for each host, as a multiple of its capacity.
     pub host_loads: Vec<Vec<f32>>,
-    /// What became of a roll, where one was asked for: how long it took.
+    /// The duration of the roll or its error; `None` if the scenario has no roll.
     pub roll_result: Option<Result<Duration, RollError>>,
 }
--- a/crates/testbed/src/run/proxy_fleet.rs
+++ b/crates/testbed/src/run/proxy_fleet.rs
@@ -1,4 +1,4 @@
-//! All proxies of a run.
+//! The proxies of a run: their start, readiness and shutdown.
 
 use super::error::RunError;
 use super::options::RunOptions;
@@ -14,27 +14,27 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// Commands that may wait for a proxy.
-const COMMAND_QUEUE: usize = 64;
-/// How long the proxies may take to answer health checks.
+/// Capacity of a proxy's command queue; senders wait while it is full.
+const COMMAND_QUEUE_CAPACITY: usize = 64;
+/// Time that the proxies have until all answer health checks; the run fails after it.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often it is looked whether they do.
+/// Time between two checks of whether all proxies are ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Lines of a proxy's log that are shown if it never becomes ready.
-const SHOWN_LOG_LINES: usize = 3;
+/// Last lines of a proxy's log that are part of the error if it does not become ready.
+const MAX_LOG_LINES: usize = 3;
 
 /// The proxies of a run, each with a task that carries out its commands.
 pub(super) struct ProxyFleet {
-    /// Takes commands for each proxy; a proxy whose sender is dropped shuts down.
+    /// The command sender of each proxy; a proxy shuts down once all its senders are dropped.
     pub(super) commands: Vec<mpsc::Sender<ProxyCommand>>,
-    /// Where operators call each proxy.
+    /// The current operator address of each proxy.
     pub(super) operator_addresses: Vec<SharedAddress>,
     tasks: JoinSet<Result<(), ProxyError>>,
     usage: Vec<UsageLog>,
 }
 
 impl ProxyFleet {
-    /// Starts a process at each address.
+    /// Creates a proxy for each address and has its process started.
     pub(super) async fn start(
         testbed: &Testbed,
         addresses: &[ProxyAddress],
@@ -59,13 +59,13 @@
     async fn add(&mut self, proxy: Proxy) {
         self.usage.push(proxy.usage());
         self.operator_addresses.push(proxy.operator_address());
-        let (sender, receiver) = mpsc::channel(COMMAND_QUEUE);
+        let (sender, receiver) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
         let _ = sender.send(ProxyCommand::Start).await;
         self.commands.push(sender);
         self.tasks.spawn(proxy.run(receiver));
     }
 
-    /// Waits until all answer health checks.
+    /// Waits until all proxies answer the front's health checks.
     pub(super) async fn await_ready(
         &mut self,
         front: &Front,
@@ -85,7 +85,9 @@
         Ok(())
     }
 
-    /// Shuts all down, once nobody else can give them commands; returns what each used, second by second.
+    /// Drops the commands' senders, waits until all proxies have shut down, and returns the resource usage of each.
+    ///
+    /// Does not return while clones of the senders exist elsewhere.
     pub(super) async fn shut_down(mut self) -> Result<Vec<Vec<ResourceUsage>>, RunError> {
         self.commands.clear();
         while let Some(ended) = self.tasks.join_next().await {
@@ -100,7 +102,7 @@
 fn never_ready(proxy: usize, folder: &Path) -> RunError {
     let log = std::fs::read_to_string(folder.join(format!("proxy-{proxy}.log")));
     let log = log.unwrap_or_default();
-    let last_lines = log.lines().rev().take(SHOWN_LOG_LINES);
+    let last_lines = log.lines().rev().take(MAX_LOG_LINES);
     RunError::NeverReady {
         proxy,
         log_end: last_lines.map(str::to_owned).collect(),
--- a/crates/testbed/src/run/roll.rs
+++ b/crates/testbed/src/run/roll.rs
@@ -1,4 +1,5 @@
-//! The restart of all proxies in turn by their own command `roll`, which asks for each restart by a file.
+//! Rolling restart of all proxies by the proxy program's command `roll`, whose restart command creates a file that the proxy's
+//! task polls for.
 
 use crate::context::RunContext;
 use crate::proxy_process::{self, Program};
@@ -8,7 +9,7 @@
 use tokio::process::Command;
 use tracing::info;
 
-/// Arguments of the command, without the proxies.
+/// Arguments of the command, without the proxies' admin sockets.
 const ROLL_ARGUMENTS: [&str; 9] = [
     "roll",
     "--deadline",
@@ -18,25 +19,25 @@
     "--share",
     "0.2",
     "--restart",
-    // The file that `proxy_process::restart_request` names.
+    // Creates the file at `proxy_process::addresses::restart_request_path`.
     "touch \"${ASTERRAMP_CONTROL%.sock}.restart\"",
 ];
 
-/// Why a roll did not get through.
+/// Why a roll failed.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum RollError {
     /// The command could not be started.
     #[error(transparent)]
     Start(Arc<io::Error>),
-    /// The command failed; what it wrote to standard error.
+    /// The command exited with a failure; holds what it wrote to standard error.
     #[error("{0}")]
     Failed(String),
-    /// The task that waited for it failed.
+    /// The task that waited for the command panicked or was cancelled.
     #[error("{0}")]
     Task(String),
 }
 
-/// Restarts all proxies from a time of the plan on; returns how long it took.
+/// Rolls all proxies, beginning at this time of the plan, and returns how long that took.
 pub(super) async fn roll(
     context: Arc<RunContext>,
     program: Program,
@@ -51,8 +52,8 @@
     }
     let output = command.output().await;
     let output = output.map_err(|error| RollError::Start(Arc::new(error)))?;
-    let printed = String::from_utf8_lossy(&output.stdout);
-    info!(roll = %printed.lines().last().unwrap_or_default());
+    let standard_output = String::from_utf8_lossy(&output.stdout);
+    info!(roll = %standard_output.lines().last().unwrap_or_default());
     if output.status.success() {
         return Ok(context.now().saturating_sub(at));
     }
--- a/crates/testbed/src/run/set_up.rs
+++ b/crates/testbed/src/run/set_up.rs
@@ -1,7 +1,7 @@
-//! The start of a run: hosts, links, the front, and the proxies as processes.
+//! Starts the hosts, the links, the front and the proxies' processes of a run.
 
 use super::error::RunError;
-use super::links::linked_pairs;
+use super::links::relayed_paths;
 use super::options::RunOptions;
 use super::proxy_fleet::ProxyFleet;
 use crate::context::RunContext;
@@ -39,9 +39,9 @@
     hosts: Vec<BoundListener>,
     proxies: &[ProxyAddress],
 ) -> io::Result<Testbed> {
-    let pairs = linked_pairs(&scenario, &plan, &hosts, proxies);
+    let paths = relayed_paths(&scenario, &plan, &hosts, proxies);
     let context = Arc::new(RunContext::new(scenario, plan));
-    let links = Links::start(&context, pairs).await?;
+    let links = Links::start(&context, paths).await?;
     let zones = context.scenario.zones.len() as u8;
     let front_addresses = proxies.iter().map(|proxy| (proxy.zone, proxy.listen));
     let front = Front::with_links(front_addresses, &links, zones);
--- a/crates/testbed/src/run/stages.rs
+++ b/crates/testbed/src/run/stages.rs
@@ -1,6 +1,7 @@
-//! A run from beginning to end.
+//! The steps of a run from start to verdict.
 
 use super::capacity::check_capacity;
+use super::clients::run_clients;
 use super::error::RunError;
 use super::faults::play_faults;
 use super::observers::{LoadSamples, measure_lateness, sample_loads, show_progress};
@@ -8,14 +9,18 @@
 use super::options::RunOptions;
 use super::outcome::RunOutcome;
 use super::roll::{RollError, roll};
-use super::{clients, set_up};
+use super::set_up;
 use crate::judge::{JudgeSettings, judge};
 use crate::plan::Plan;
 use crate::scenario::Scenario;
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// Plays a scenario once.
+/// Runs a scenario once and judges it.
+///
+/// # Errors
+///
+/// Those of [`RunError`]; broken rules are no error but part of the outcome's verdict.
 pub async fn run(scenario: Scenario, options: &RunOptions) -> Result<RunOutcome, RunError> {
     let plan = Plan::new(&scenario, options.seed, options.chaos);
     check_capacity(&scenario, &plan)?;
@@ -33,42 +38,42 @@
     if options.progress {
         tokio::spawn(show_progress(testbed.clone()));
     }
-    let rolling = context.scenario.proxies.roll_at.map(|at| {
+    let roll_task = context.scenario.proxies.roll_at.map(|at| {
         let program = options.program.clone();
         tokio::spawn(roll(context.clone(), program, at))
     });
-    clients::play(&testbed).await;
-    let rolled = match rolling {
-        Some(rolling) => Some(roll_result(rolling).await),
+    run_clients(&testbed).await;
+    let roll_result = match roll_task {
+        Some(roll_task) => Some(await_roll(roll_task).await),
         None => None,
     };
     metrics_callers.shutdown().await;
-    stop(background).await;
-    let used = proxies.shut_down().await?;
-    let late = context.lateness();
-    let records = context.event_log.take();
-    let settings = JudgeSettings::new(&context.scenario, &context.plan, late);
+    abort(background).await;
+    let proxy_usage = proxies.shut_down().await?;
+    let lateness = context.lateness();
+    let events = context.event_log.take();
+    let settings = JudgeSettings::new(&context.scenario, &context.plan, lateness);
     Ok(RunOutcome {
-        verdict: judge(&records, &settings),
-        is_void: late > context.scenario.platform.max_lateness,
+        verdict: judge(&events, &settings),
+        is_void: lateness > context.scenario.platform.max_lateness,
         host_loads: loads.take(),
         context,
-        events: records,
-        testbed_lateness: late,
-        proxy_usage: used,
-        roll_result: rolled,
+        events,
+        testbed_lateness: lateness,
+        proxy_usage,
+        roll_result,
     })
 }
 
-async fn roll_result(
-    rolling: JoinHandle<Result<Duration, RollError>>,
+async fn await_roll(
+    roll_task: JoinHandle<Result<Duration, RollError>>,
 ) -> Result<Duration, RollError> {
-    let result = rolling.await;
+    let result = roll_task.await;
     result.unwrap_or_else(|error| Err(RollError::Task(error.to_string())))
 }
 
-/// Ends tasks that would go on for ever, with the proxies' command senders that they have.
-async fn stop(tasks: [JoinHandle<()>; 3]) {
+/// Aborts tasks that never return, and waits until they have dropped their clones of the proxies' command senders.
+async fn abort(tasks: [JoinHandle<()>; 3]) {
     tasks.iter().for_each(JoinHandle::abort);
     for task in tasks {
         let _ = task.await;
--- a/crates/testbed/src/run/without_files.rs
+++ b/crates/testbed/src/run/without_files.rs
@@ -1,10 +1,10 @@
-//! A run of which only the outcome is wanted.
+//! A run whose files are deleted, for callers that need only the outcome.
 
 use super::{RunError, RunOptions, RunOutcome, run, unique_output_folder};
 use crate::proxy_process::Program;
 use crate::scenario::Scenario;
 
-/// Plays a scenario as [`run`] does, quietly and in a folder of its own, which is removed afterwards.
+/// Runs a scenario as [`run`] does, without lines of progress and in a new folder that is deleted afterwards.
 ///
 /// # Errors
 ///
