--- a/crates/testbed/src/proxy_process/addresses.rs
+++ b/crates/testbed/src/proxy_process/addresses.rs
@@ -1,43 +1,44 @@
-//! The addresses of a run's proxies: where each listens, where operators call it, and its admin socket.
+//! The addresses of a run's proxies: each one's listener for clients, its admin HTTP address for operators and other
+//! proxies, and its admin socket.
 
 use crate::scenario::Scenario;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU8, AtomicU32, Ordering};
 
-/// Port at which the other proxies ask one; no other process listens there.
+/// Port of the admin HTTP address that the other proxies query; outside the range of [`unused_port`].
 const PEER_PORT: u16 = 9_000;
-/// The first of the ports that are given out, below those that Linux gives out itself.
+/// First port of the range of [`unused_port`], which is below Linux's default range of ephemeral ports.
 const FIRST_PORT: u32 = 20_000;
-/// How many ports are given out before the first again.
-const PORTS: u32 = 10_000;
-/// Second byte of the first run's addresses.
-const FIRST_RUN: u8 = 60;
-/// How many runs side by side have addresses apart.
-const RUNS_APART: u8 = 120;
-/// Addresses that are used of a block of 256.
-const ADDRESSES_OF_A_BLOCK: u32 = 250;
-/// Sets the operators' addresses apart from those of clients, in the third byte.
+/// Number of ports in the range of [`unused_port`]; they repeat after that.
+const PORT_COUNT: u32 = 10_000;
+/// Second byte of the IP addresses of this process's first run.
+const FIRST_RUN_BYTE: u8 = 60;
+/// Runs of this process after which the second byte of the IP addresses repeats; the most runs that can go on at once.
+const RUN_BYTES: u8 = 120;
+/// Addresses used of each block of 256, that is, with the same third byte.
+const ADDRESSES_PER_BLOCK: u32 = 250;
+/// Bit of the third byte that tells the IP address of a proxy's admin HTTP server from that of its listener.
 const OPERATOR_BIT: u8 = 0x80;
 
-/// Where a proxy stands and listens.
+/// A proxy's zone, and its address for clients.
 #[derive(Clone, Copy, Debug)]
 pub struct ProxyAddress {
-    /// Its zone.
+    /// The number of its zone in the scenario.
     pub zone: u8,
-    /// Where it listens for clients.
+    /// The address at which it listens for clients.
     pub listen: SocketAddr,
 }
 
-/// An address for each proxy, with an IP of its own.
+/// An address for each proxy of a scenario, each with an IP address of its own, at which no other run of this process listens.
 pub fn addresses(scenario: &Scenario) -> Vec<ProxyAddress> {
     static RUNS: AtomicU8 = AtomicU8::new(0);
-    // Runs side by side have addresses apart.
-    let run = FIRST_RUN + RUNS.fetch_add(1, Ordering::Relaxed) % RUNS_APART;
+    // Tests play several runs at once, so each gets addresses of its own.
+    let run_byte = FIRST_RUN_BYTE + RUNS.fetch_add(1, Ordering::Relaxed) % RUN_BYTES;
     let zones = scenario.zones.len();
     let address = |number: u32| {
-        let (block, host) = (number / ADDRESSES_OF_A_BLOCK, number % ADDRESSES_OF_A_BLOCK);
-        let ip = [127, run, block as u8, 1 + host as u8];
+        let (block, host) = (number / ADDRESSES_PER_BLOCK, number % ADDRESSES_PER_BLOCK);
+        let ip = [127, run_byte, block as u8, 1 + host as u8];
         ProxyAddress {
             zone: (number as usize % zones) as u8,
             listen: SocketAddr::from((ip, unused_port())),
@@ -46,8 +47,8 @@
     (0..scenario.proxies.count).map(address).collect()
 }
 
-/// Where a proxy's admin socket is: a socket's path may be no longer than some hundred bytes, so it stands in no folder of
-/// the user's choice.
+/// The path of a proxy's admin socket. It is in the system's temporary folder rather than the run's output folder, as the
+/// path of a socket is limited to about a hundred bytes.
 pub(crate) fn admin_socket(run: u32, proxy: u16) -> PathBuf {
     std::env::temp_dir().join(format!(
         "asterramp-rig-{}-{run}-{proxy}.sock",
@@ -55,22 +56,22 @@
     ))
 }
 
-/// The file by which a roll asks for a restart.
-pub(super) fn restart_request(admin_socket: &Path) -> PathBuf {
+/// The path of the file whose presence asks for a restart of a proxy; the restart command of a roll creates it.
+pub(super) fn restart_request_path(admin_socket: &Path) -> PathBuf {
     admin_socket.with_extension("restart")
 }
 
-/// Where operators call a process of a proxy; another address for each process.
+/// An admin HTTP address for a process of a proxy, with another port for each process.
 pub(super) fn new_operator_address(listen: SocketAddr) -> SocketAddr {
     SocketAddr::new(operator_ip(listen), unused_port())
 }
 
-/// Where the other proxies ask one; the address that operators call too.
+/// The admin HTTP address of a proxy that the other proxies know in advance; operators use it too.
 pub(super) fn peer_address(listen: SocketAddr) -> SocketAddr {
     SocketAddr::new(operator_ip(listen), PEER_PORT)
 }
 
-/// An address that nothing else has, so that no port is taken between its choice and its use.
+/// The IP address of a proxy's admin HTTP server. Nothing else uses it, so no port of it is taken between choice and use.
 fn operator_ip(listen: SocketAddr) -> IpAddr {
     match listen.ip() {
         IpAddr::V4(ip) => {
@@ -81,14 +82,14 @@
     }
 }
 
-/// A port below those that Linux hands out, another one each time.
+/// A port below Linux's ephemeral range, another one at each call.
 ///
-/// It isn't found by binding and closing a socket: a process that is forked meanwhile holds that socket until its `exec`,
-/// and the proxy would find its address in use.
+/// It is not found by binding and closing a socket: a process that is forked in between would hold that socket until its
+/// `exec`, and the proxy would find the address in use.
 fn unused_port() -> u16 {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let nth = NEXT
+    let sequence = NEXT
         .fetch_add(1, Ordering::Relaxed)
         .wrapping_add(std::process::id());
-    (FIRST_PORT + nth % PORTS) as u16
+    (FIRST_PORT + sequence % PORT_COUNT) as u16
 }
--- a/crates/testbed/src/proxy_process/command.rs
+++ b/crates/testbed/src/proxy_process/command.rs
@@ -1,34 +1,34 @@
-//! What a run asks of a proxy's process.
+//! The commands of a run to the task of a proxy.
 
 use std::time::Duration;
 
-/// What a run asks of a proxy's process.
+/// A command to the task of a proxy, concerning its process. Most do nothing while the proxy has no process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProxyCommand {
-    /// Start a process, if there is none.
+    /// Starts a process, if the proxy has none.
     Start,
-    /// SIGKILL.
+    /// Kills the process (SIGKILL).
     Kill,
-    /// SIGSTOP.
+    /// Stops the process (SIGSTOP).
     Suspend,
-    /// SIGCONT.
+    /// Continues the stopped process (SIGCONT).
     Resume,
-    /// SIGTERM; SIGKILL if it has not shut down in time.
+    /// Shuts the process down (SIGTERM), and kills it if that takes too long.
     ShutDown,
-    /// Discovery moves to another address: a new configuration and SIGHUP.
+    /// Moves the discovery agent to another address, and has the process reload its configuration (SIGHUP).
     Reload,
-    /// A second process takes over.
+    /// Starts a successor that takes over from the process.
     HotRestart {
-        /// Instead of that, the second process is killed this long after its start.
+        /// How long after its start the successor is killed, in which case the predecessor serves on; absent: never.
         killed_after: Option<Duration>,
     },
-    /// Drain, by the admin socket.
+    /// Drains the proxy by a request at its admin socket.
     Drain {
-        /// By when clients are to be migrated.
+        /// Time, from the request, within which clients are to be migrated.
         deadline: Duration,
     },
-    /// Take the drain back, by the admin socket.
+    /// Cancels the drain by a request at the admin socket.
     Undrain,
-    /// Spoil the snapshots that it keeps on disk.
+    /// Damages the snapshots that the proxy keeps on disk.
     CorruptSnapshots,
 }
--- a/crates/testbed/src/proxy_process/command_loop.rs
+++ b/crates/testbed/src/proxy_process/command_loop.rs
@@ -1,6 +1,6 @@
-//! The task of a proxy: carries out the run's commands, and watches the process meanwhile.
+//! The task of a proxy: carries out the run's commands, and polls the process in between.
 
-use super::addresses::restart_request;
+use super::addresses::restart_request_path;
 use super::command::ProxyCommand;
 use super::error::ProxyError;
 use super::proxy::Proxy;
@@ -14,35 +14,35 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// How often a proxy is looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
-/// Every so many looks what it uses is measured: each second.
-const LOOKS_PER_SAMPLE: u32 = 5;
+/// Time without a command after which the process is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Polls between two samples of the process's resource usage: one sample a second.
+const POLLS_PER_SAMPLE: u32 = 5;
 
-/// What the task has to do next.
-enum Step {
-    /// Carry out a command.
+/// What a proxy's task has to handle next.
+enum TaskEvent {
+    /// A command has come.
     Command(ProxyCommand),
-    /// The run is over.
-    End,
+    /// All senders of commands are dropped: the run is over.
+    CommandsClosed,
     /// The process has ended by itself.
     Exited(io::Result<ExitStatus>),
-    /// It is time to look at the process.
-    Look,
+    /// The process is to be polled.
+    PollDue,
 }
 
 impl Proxy {
-    /// Carries out commands until their sender is gone, then shuts the proxy down.
+    /// Carries out commands until all their senders are dropped, then shuts the proxy down.
     pub(crate) async fn run(
         mut self,
         mut commands: mpsc::Receiver<ProxyCommand>,
     ) -> Result<(), ProxyError> {
-        let mut looks = 0_u32;
+        let mut polls = 0_u32;
         loop {
-            match self.next_step(&mut commands).await {
-                Step::Command(command) => self.execute(command).await?,
-                Step::End => break,
-                Step::Exited(status) => {
+            match self.next_event(&mut commands).await {
+                TaskEvent::Command(command) => self.execute(command).await?,
+                TaskEvent::CommandsClosed => break,
+                TaskEvent::Exited(status) => {
                     let code = status.ok().and_then(|status| status.code());
                     self.record(Event::ProxyExited {
                         proxy: self.number,
@@ -51,19 +51,19 @@
                     });
                     self.child = None;
                 }
-                Step::Look => {
-                    looks += 1;
-                    self.look(looks).await?;
+                TaskEvent::PollDue => {
+                    polls += 1;
+                    self.poll_process(polls).await?;
                 }
             }
         }
         self.shut_down().await;
-        // A proxy that was killed has left it.
+        // A proxy that was killed leaves its socket behind.
         let _ = std::fs::remove_file(&self.admin_socket);
         Ok(())
     }
 
-    async fn next_step(&mut self, commands: &mut mpsc::Receiver<ProxyCommand>) -> Step {
+    async fn next_event(&mut self, commands: &mut mpsc::Receiver<ProxyCommand>) -> TaskEvent {
         let exited = async {
             match &mut self.child {
                 Some(child) => child.wait().await,
@@ -71,19 +71,19 @@
             }
         };
         tokio::select! {
-            command = commands.recv() => command.map_or(Step::End, Step::Command),
-            status = exited => Step::Exited(status),
-            () = sleep(LOOK_INTERVAL) => Step::Look,
+            command = commands.recv() => command.map_or(TaskEvent::CommandsClosed, TaskEvent::Command),
+            status = exited => TaskEvent::Exited(status),
+            () = sleep(POLL_INTERVAL) => TaskEvent::PollDue,
         }
     }
 
-    async fn look(&mut self, looks: u32) -> Result<(), ProxyError> {
+    async fn poll_process(&mut self, polls: u32) -> Result<(), ProxyError> {
         self.check_starting_process().await;
-        if looks.is_multiple_of(LOOKS_PER_SAMPLE) {
+        if polls.is_multiple_of(POLLS_PER_SAMPLE) {
             self.sample_usage();
         }
-        // A roll asks for a restart by a file.
-        if std::fs::remove_file(restart_request(&self.admin_socket)).is_ok() {
+        // The restart command of a roll creates this file.
+        if std::fs::remove_file(restart_request_path(&self.admin_socket)).is_ok() {
             self.shut_down().await;
             self.start().map_err(|source| self.error(source))?;
         }
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    /// Discovery moves to another address, which the process finds in its new configuration.
+    /// Moves the discovery agent, writes its new address into the configuration, and has the process reload that.
     async fn reload(&self) -> Result<(), ProxyError> {
         let moved = self.agent.change_address().await;
         let configured = moved.and_then(|()| self.configure());
--- a/crates/testbed/src/proxy_process/configuration.rs
+++ b/crates/testbed/src/proxy_process/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of a proxy, as the platform that a scenario stands for nests it. Times are in microseconds.
+//! The configuration file of a proxy, as the platform that a scenario emulates would write it. Times are in microseconds.
 
 use crate::scenario::{IdempotencyScope, Listener, RetrySafety, Scenario};
 use serde::Serialize;
@@ -8,14 +8,14 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What the platform tells a proxy to be the slack of its answers; less than the judge allows.
+/// How late a final answer may be according to the configuration, in microseconds; less than the judge allows.
 const ANSWER_SLACK_US: u64 = 16_000;
-/// Multiplier that spreads the seeds of successive proxies (the golden ratio in 64 bits).
-const SEED_SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Cores that the platform allows a proxy.
+/// Multiplier that makes the seeds of successive proxies differ in all bits (2^64 divided by the golden ratio).
+const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Number of cores that the configuration allows a proxy.
 const CORES: f64 = 1.0;
 
-/// The whole configuration.
+/// The configuration file's content.
 #[derive(Debug, Serialize)]
 pub(super) struct ProxyConfiguration<'a> {
     name: String,
@@ -104,45 +104,49 @@
     groups: bool,
 }
 
-/// What of a configuration is one proxy's own.
+/// The values of a configuration that differ between the proxies of a run.
 pub(super) struct ProxyParameters {
+    /// The proxy's number.
     pub(super) number: u16,
-    /// Its zone, by the number of its name in the scenario.
+    /// The index of its zone in the scenario's list of zones.
     pub(super) zone: u8,
-    /// Where it listens for clients.
+    /// The address at which it listens for clients.
     pub(super) listen: SocketAddr,
-    /// Where its discovery agent is.
+    /// The address of its discovery agent.
     pub(super) discovery: SocketAddr,
-    /// The endpoint list that it starts with.
+    /// The endpoint list that it starts with, before discovery has answered.
     pub(super) initial_endpoints: Value,
 }
 
 impl<'a> ProxyConfiguration<'a> {
     /// The configuration of one proxy of a scenario.
-    pub(super) fn new(scenario: &'a Scenario, own: ProxyParameters) -> ProxyConfiguration<'a> {
-        let seed = (u64::from(own.number) + 1).wrapping_mul(SEED_SPREAD);
+    pub(super) fn new(
+        scenario: &'a Scenario,
+        parameters: ProxyParameters,
+    ) -> ProxyConfiguration<'a> {
+        let seed = (u64::from(parameters.number) + 1).wrapping_mul(SEED_MULTIPLIER);
         ProxyConfiguration {
-            name: format!("n{}", own.number),
-            listen: own.listen.to_string(),
-            discovery: own.discovery.to_string(),
+            name: format!("n{}", parameters.number),
+            listen: parameters.listen.to_string(),
+            discovery: parameters.discovery.to_string(),
             seed: format!("{seed:016x}"),
             limits: Limits {
                 cores: CORES,
                 memory_mb: scenario.proxies.memory_mb,
                 sockets: scenario.proxies.max_descriptors,
             },
-            known: own.initial_endpoints,
-            settings: settings(scenario, own.number, own.zone),
+            known: parameters.initial_endpoints,
+            settings: settings(scenario, parameters.number, parameters.zone),
         }
     }
 
-    /// Writes the file whole or not at all: a proxy may read it at any time.
+    /// Replaces the file atomically, as a proxy may read it at any time.
     pub(super) fn write(&self, path: &Path) -> io::Result<()> {
-        // By way of a value, which has its keys in the order of the alphabet.
+        // Converting to a `Value` first sorts the keys alphabetically.
         let text = serde_json::to_value(self)?.to_string();
-        let part = path.with_extension("part");
-        std::fs::write(&part, text)?;
-        std::fs::rename(part, path)
+        let partial_file = path.with_extension("part");
+        std::fs::write(&partial_file, text)?;
+        std::fs::rename(partial_file, path)
     }
 }
 
@@ -193,14 +197,14 @@
     }
 }
 
-/// The tenants, each with its share of all portions.
+/// The tenants, each with its weight as a share of all tenants' weights.
 fn tenants(scenario: &Scenario) -> Vec<TenantSettings<'_>> {
-    let sum: f64 = scenario.tenants.iter().map(|member| member.weight).sum();
-    let members = scenario.tenants.iter();
-    members
-        .map(|member| TenantSettings {
-            name: &member.name,
-            portion: member.weight / sum,
+    let sum: f64 = scenario.tenants.iter().map(|tenant| tenant.weight).sum();
+    let tenants = scenario.tenants.iter();
+    tenants
+        .map(|tenant| TenantSettings {
+            name: &tenant.name,
+            portion: tenant.weight / sum,
         })
         .collect()
 }
--- a/crates/testbed/src/proxy_process/error.rs
+++ b/crates/testbed/src/proxy_process/error.rs
@@ -1,4 +1,4 @@
-//! Why a proxy's process cannot go on.
+//! The error of a proxy's task.
 
 use std::io;
 
@@ -6,8 +6,8 @@
 #[derive(Debug, thiserror::Error)]
 #[error("proxy {proxy}: {source}")]
 pub struct ProxyError {
-    /// Its number.
+    /// The proxy's number.
     pub(super) proxy: u16,
-    /// Why not.
+    /// The system's error.
     pub(super) source: io::Error,
 }
--- a/crates/testbed/src/proxy_process/hot_restart.rs
+++ b/crates/testbed/src/proxy_process/hot_restart.rs
@@ -1,4 +1,4 @@
-//! A hot restart: a second process starts beside the first and takes over.
+//! Hot restart: a successor process starts beside the predecessor and takes over.
 
 use super::addresses::admin_socket;
 use super::error::ProxyError;
@@ -11,15 +11,17 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Longest that a second process may take to be ready.
+/// Time that a successor has to become ready; it is killed after that, and the predecessor serves on.
 const READY_TIMEOUT: Duration = Duration::from_secs(6);
-/// How often it is asked.
+/// Pause between two readiness requests to a successor.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The status of a process that is ready.
+/// HTTP status with which a process that is ready answers a readiness request.
 const HTTP_OK: u16 = 200;
 
 impl Proxy {
-    /// Starts a second process beside the first and, once it is ready, tells the first to go.
+    /// Starts a successor beside the process and, once it is ready, shuts the predecessor down.
+    ///
+    /// With `killed_after`, the successor is killed this long after its start instead. Does nothing if there is no process.
     pub(super) async fn hot_restart(
         &mut self,
         killed_after: Option<Duration>,
@@ -28,48 +30,52 @@
             return Ok(());
         }
         let proxy = self.number;
-        let next_socket = self.next_admin_socket();
-        let first_socket = std::mem::replace(&mut self.admin_socket, next_socket);
+        let successor_socket = self.successor_admin_socket();
+        let predecessor_socket = std::mem::replace(&mut self.admin_socket, successor_socket);
         self.record(Event::ProxyBeside { proxy });
-        let mut second = self.launch().map_err(|source| self.error(source))?;
-        let ready_after = match killed_after {
+        let mut successor = self.launch().map_err(|source| self.error(source))?;
+        let startup_time = match killed_after {
             Some(span) => {
                 sleep(span).await;
                 None
             }
             None => {
-                let yes = ready_after(second.operator_address).await;
-                self.record(Event::Replaced { proxy, yes });
-                yes
+                let startup_time = await_ready(successor.operator_address).await;
+                self.record(Event::Replaced {
+                    proxy,
+                    yes: startup_time,
+                });
+                startup_time
             }
         };
-        if ready_after.is_none() {
-            // The first goes on, as nobody told it to go.
-            self.kill_process(&mut second.child).await;
-            let second_socket = std::mem::replace(&mut self.admin_socket, first_socket);
-            let _ = std::fs::remove_file(second_socket);
+        if startup_time.is_none() {
+            // The predecessor serves on, as it has not been told to shut down.
+            self.kill_process(&mut successor.child).await;
+            let successor_socket = std::mem::replace(&mut self.admin_socket, predecessor_socket);
+            let _ = std::fs::remove_file(successor_socket);
             return Ok(());
         }
         self.set_operator_address(None);
         self.signal(Signal::TERM);
-        if let Some(first) = self.child.replace(second.child) {
-            self.await_end(first).await;
+        if let Some(predecessor) = self.child.replace(successor.child) {
+            self.await_end(predecessor).await;
         }
-        let _ = std::fs::remove_file(first_socket);
+        let _ = std::fs::remove_file(predecessor_socket);
         self.record(Event::ProxyServes { proxy });
-        self.set_operator_address(Some(second.operator_address));
+        self.set_operator_address(Some(successor.operator_address));
         Ok(())
     }
 
-    /// The admin socket of a second process: it does not start where somebody listens.
-    fn next_admin_socket(&self) -> PathBuf {
-        let first = admin_socket(self.context.run_number, self.number);
-        first.with_extension(format!("{}.sock", self.started_processes))
+    /// An admin socket for a successor other than its predecessor's: a process does not start if another listens at its
+    /// socket.
+    fn successor_admin_socket(&self) -> PathBuf {
+        let socket = admin_socket(self.context.run_number, self.number);
+        socket.with_extension(format!("{}.sock", self.started_processes))
     }
 }
 
-/// How long a process takes until it says that it is ready; `None` if it does not in time.
-async fn ready_after(operator_address: SocketAddr) -> Option<Duration> {
+/// Waits until a process reports that it is ready; returns how long that took, or `None` after [`READY_TIMEOUT`].
+async fn await_ready(operator_address: SocketAddr) -> Option<Duration> {
     let since = Instant::now();
     while since.elapsed() < READY_TIMEOUT {
         let response = metrics_calls::send_request(operator_address, READINESS_REQUEST).await;
--- a/crates/testbed/src/proxy_process/launch.rs
+++ b/crates/testbed/src/proxy_process/launch.rs
@@ -1,4 +1,4 @@
-//! The start of a proxy's process, with its files and its environment.
+//! Starts the process of a proxy: writes its files and sets its environment.
 
 use super::addresses::{new_operator_address, peer_address};
 use super::configuration::{ProxyConfiguration, ProxyParameters};
@@ -15,68 +15,68 @@
 use tokio::process::{Child, Command};
 use tokio::time::Instant;
 
-/// How long a process that starts may take to listen.
+/// Time after its start at which a process is treated as listening for operators, even if it has not answered one yet.
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(1);
-/// An endpoint list with nobody in it.
+/// An endpoint list without endpoints, as discovery would send it.
 const EMPTY_LIST: &str = r#"{"rev":0,"all":true,"targets":[]}"#;
 
-/// A process that was started.
+/// A started process that does not yet count as the proxy's.
 pub(super) struct LaunchedProcess {
     pub(super) child: Child,
-    /// Where operators call it.
+    /// Its admin HTTP address.
     pub(super) operator_address: SocketAddr,
 }
 
 impl Proxy {
-    /// Starts the proxy's process.
+    /// Starts a process as the proxy's own; there must be none before.
     pub(super) fn start(&mut self) -> io::Result<()> {
         let launched = self.launch()?;
         self.record(Event::ProxyStarted { proxy: self.number });
         self.child = Some(launched.child);
-        self.starting = Some(StartingProcess {
+        self.starting_process = Some(StartingProcess {
             operator_address: launched.operator_address,
             deadline: Instant::now() + LISTEN_TIMEOUT,
         });
         Ok(())
     }
 
-    /// Writes the platform's configuration.
+    /// Writes the proxy's configuration file, with the present address of discovery.
     pub(super) fn configure(&self) -> io::Result<()> {
         let scenario = &self.context.scenario;
-        let known = match scenario.proxies.initial_endpoints {
+        let initial_endpoints = match scenario.proxies.initial_endpoints {
             InitialEndpointList::Fresh => self.discovery.list(self.number, None).json,
             InitialEndpointList::Old => self.discovery.outdated_list(self.number).json,
             InitialEndpointList::Empty => EMPTY_LIST.into(),
         };
-        let own = ProxyParameters {
+        let parameters = ProxyParameters {
             number: self.number,
             zone: self.address.zone,
             listen: self.address.listen,
             discovery: self.agent.address(),
-            initial_endpoints: serde_json::from_str(&known)?,
+            initial_endpoints: serde_json::from_str(&initial_endpoints)?,
         };
-        ProxyConfiguration::new(scenario, own).write(&self.configuration)
+        ProxyConfiguration::new(scenario, parameters).write(&self.configuration_path)
     }
 
-    /// Starts a process, which may be a second one, with an operators' address of its own.
+    /// Starts a process with an admin HTTP address of its own; it may be a successor beside the proxy's process.
     pub(super) fn launch(&mut self) -> io::Result<LaunchedProcess> {
         self.configure()?;
         self.started_processes += 1;
-        let answers_peers = self.context.scenario.proxies.asks_peers && self.child.is_none();
-        let operator_address = if answers_peers {
+        let is_queried_by_peers = self.context.scenario.proxies.asks_peers && self.child.is_none();
+        let operator_address = if is_queried_by_peers {
             peer_address(self.address.listen)
         } else {
             new_operator_address(self.address.listen)
         };
-        let temporary = self.configuration.with_extension("tmp");
-        std::fs::create_dir_all(&temporary)?;
+        let temporary_folder = self.configuration_path.with_extension("tmp");
+        std::fs::create_dir_all(&temporary_folder)?;
         let log = self.open_log()?;
         let mut command = Command::new(&self.program.path);
         command
             .args(&self.program.args)
-            .env("LB_CONFIG", &self.configuration)
+            .env("LB_CONFIG", &self.configuration_path)
             .env("LB_OPERATOR", operator_address.to_string())
-            .env("TMPDIR", temporary)
+            .env("TMPDIR", temporary_folder)
             .kill_on_drop(true);
         if let Some(file) = self.write_operator_file()? {
             command.env("ASTERRAMP_OPERATOR", file);
@@ -91,33 +91,36 @@
         })
     }
 
-    /// The folder where it keeps its snapshots.
-    pub(super) fn snapshots(&self) -> PathBuf {
+    /// The folder of the proxy's snapshots, as an absolute path.
+    pub(super) fn snapshot_folder(&self) -> PathBuf {
         std::env::current_dir()
             .unwrap_or_default()
-            .join(self.configuration.with_extension("state"))
+            .join(self.configuration_path.with_extension("state"))
     }
 
     fn open_log(&self) -> io::Result<File> {
-        OpenOptions::new().create(true).append(true).open(&self.log)
+        OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&self.log_path)
     }
 
-    /// Writes the operator's file, if the proxy needs one.
+    /// Writes the operator file and returns its path; `None` if the scenario needs none.
     fn write_operator_file(&self) -> io::Result<Option<PathBuf>> {
-        let others = self.all_listen_addresses.iter().copied();
-        let others = others.filter(|listen| *listen != self.address.listen);
+        let listen_addresses = self.all_listen_addresses.iter().copied();
+        let others = listen_addresses.filter(|listen| *listen != self.address.listen);
         let file = OperatorFile {
             plan: &self.context.plan,
             proxies: &self.context.scenario.proxies,
             admin_socket: &self.admin_socket,
-            snapshots: &self.snapshots(),
+            snapshot_folder: &self.snapshot_folder(),
             peers: others.map(peer_address).collect(),
         };
         let text = file.text();
         if text.is_empty() {
             return Ok(None);
         }
-        let path = self.configuration.with_extension("toml");
+        let path = self.configuration_path.with_extension("toml");
         std::fs::write(&path, text)?;
         Ok(Some(path))
     }
--- a/crates/testbed/src/proxy_process/mod.rs
+++ b/crates/testbed/src/proxy_process/mod.rs
@@ -1,4 +1,4 @@
-//! Proxies as processes: their configuration, start, signals, use of CPU, memory and descriptors, and end.
+//! Runs the proxies as processes: their configuration, start, signals, resource usage and shutdown.
 
 mod addresses;
 mod admin;
--- a/crates/testbed/src/proxy_process/operator_file.rs
+++ b/crates/testbed/src/proxy_process/operator_file.rs
@@ -1,24 +1,26 @@
-//! The operator's file of a proxy.
+//! The operator file of a proxy, as TOML.
 
 use crate::plan::Plan;
 use crate::scenario::Proxies;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What the operator's file of a proxy depends on.
+/// The inputs of a proxy's operator file.
 pub(super) struct OperatorFile<'a> {
+    /// The plan of the run, whose drains need the admin socket.
     pub(super) plan: &'a Plan,
+    /// What the scenario asks of all proxies.
     pub(super) proxies: &'a Proxies,
-    /// Its admin socket.
+    /// The path of the proxy's admin socket.
     pub(super) admin_socket: &'a Path,
-    /// Where it keeps its snapshots.
-    pub(super) snapshots: &'a Path,
-    /// Where the other proxies are asked.
+    /// The folder of the proxy's snapshots.
+    pub(super) snapshot_folder: &'a Path,
+    /// The admin HTTP addresses of the other proxies.
     pub(super) peers: Vec<SocketAddr>,
 }
 
 impl OperatorFile<'_> {
-    /// The text of the file; empty where none is needed.
+    /// The text of the file; empty if the proxy needs none.
     pub(super) fn text(&self) -> String {
         let mut text = String::new();
         if self.needs_admin_socket() {
@@ -27,7 +29,7 @@
             text += "[drain]\nclosing = \"2s\"\nquiet = \"600ms\"\nback = \"2s\"\n";
         }
         if self.proxies.saves_snapshots {
-            let folder = self.snapshots.display().to_string();
+            let folder = self.snapshot_folder.display().to_string();
             text += &format!("[state]\nfolder = {folder:?}\nevery = \"200ms\"\n");
         }
         if self.proxies.starts_by_stages {
--- a/crates/testbed/src/proxy_process/program.rs
+++ b/crates/testbed/src/proxy_process/program.rs
@@ -1,14 +1,14 @@
-//! The program of a proxy.
+//! The program that a proxy runs.
 
 use std::path::PathBuf;
 
-/// How a proxy is started: a program and its arguments. It finds its configuration as the platform says.
+/// A program and its arguments. A proxy's process finds its configuration by the environment variable `LB_CONFIG`.
 #[derive(Clone, Debug)]
 pub struct Program {
     /// The executable file.
     pub path: PathBuf,
     /// Its arguments.
     pub args: Vec<String>,
-    /// Shown in reports.
+    /// The name that reports show.
     pub name: String,
 }
--- a/crates/testbed/src/proxy_process/proxy.rs
+++ b/crates/testbed/src/proxy_process/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy of a run, and what is known of its process.
+//! The state of a proxy of a run.
 
 use super::addresses::{ProxyAddress, admin_socket};
 use super::error::ProxyError;
@@ -17,46 +17,49 @@
 use tokio::process::Child;
 use tokio::time::{Instant, timeout};
 
-/// How long a look at a process that has just started may take.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(200);
-/// The request that shows whether a process serves operators.
+/// Time that a process that has just started has to answer one readiness request.
+const READINESS_TIMEOUT: Duration = Duration::from_millis(200);
+/// The HTTP request for a process's readiness; any response shows that the process listens for operators.
 pub(super) const READINESS_REQUEST: &str = "GET /ops/readiness";
 
-/// A process that has just started, and that operators are not to call before it listens.
+/// A process that has just started; operators send it no requests before it listens.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StartingProcess {
-    /// Where operators will call it.
+    /// Its admin HTTP address.
     pub(super) operator_address: SocketAddr,
-    /// When it has had time to listen.
+    /// When operators begin to send it requests, even if it has not answered yet.
     pub(super) deadline: Instant,
 }
 
-/// A proxy of a run. It may have a process, or none; during a hot restart a second one.
+/// A proxy of a run. It has one process, or none after a fault or its shutdown; during a hot restart also a successor.
 pub(crate) struct Proxy {
     pub(super) number: u16,
     pub(super) address: ProxyAddress,
-    /// Where all proxies listen.
+    /// The addresses for clients of all proxies, this one among them.
     pub(super) all_listen_addresses: Vec<SocketAddr>,
     pub(super) program: Program,
     pub(super) context: Arc<RunContext>,
     pub(super) discovery: Arc<EndpointRegistry>,
     pub(super) agent: Arc<DiscoveryAgent>,
-    /// Where its processes write their logs.
-    pub(super) log: PathBuf,
-    /// The file of the platform's configuration.
-    pub(super) configuration: PathBuf,
+    /// The file to which its processes append their logs.
+    pub(super) log_path: PathBuf,
+    /// The configuration file.
+    pub(super) configuration_path: PathBuf,
+    /// The admin socket of its present process.
     pub(super) admin_socket: PathBuf,
-    /// Where the process that serves is called by operators.
+    /// The admin HTTP address of the process that serves; none while no process does.
     pub(super) operator_address: SharedAddress,
-    pub(super) starting: Option<StartingProcess>,
-    /// Processes started so far, by which what is a process's own is named.
+    /// The process whose start operators still wait for.
+    pub(super) starting_process: Option<StartingProcess>,
+    /// Number of processes started so far; makes the admin sockets of successors unique.
     pub(super) started_processes: u32,
+    /// Its process; none after a fault or its shutdown.
     pub(super) child: Option<Child>,
     pub(super) usage: UsageLog,
 }
 
 impl Proxy {
-    /// A proxy without a process, and its discovery agent.
+    /// Creates a proxy without a process, and starts its discovery agent.
     pub(crate) async fn new(
         testbed: &Testbed,
         number: u16,
@@ -73,23 +76,23 @@
             context: testbed.context.clone(),
             discovery: testbed.discovery.clone(),
             agent,
-            log: folder.join(format!("proxy-{number}.log")),
-            configuration: folder.join(format!("proxy-{number}.json")),
+            log_path: folder.join(format!("proxy-{number}.log")),
+            configuration_path: folder.join(format!("proxy-{number}.json")),
             admin_socket: admin_socket(testbed.context.run_number, number),
             operator_address: SharedAddress::default(),
-            starting: None,
+            starting_process: None,
             started_processes: 0,
             child: None,
             usage: UsageLog::default(),
         })
     }
 
-    /// What its processes have used.
+    /// The resource usage of its processes; later samples are added to it.
     pub(crate) fn usage(&self) -> UsageLog {
         self.usage.clone()
     }
 
-    /// Where operators call it, by and by.
+    /// Its admin HTTP address, which changes with its processes.
     pub(crate) fn operator_address(&self) -> SharedAddress {
         self.operator_address.clone()
     }
@@ -105,14 +108,14 @@
         }
     }
 
-    /// Lets operators call a process that has just started, once it listens or should.
+    /// Publishes the admin HTTP address of a process that has just started, once it listens or its deadline has passed.
     pub(super) async fn check_starting_process(&mut self) {
-        let Some(starting) = self.starting else {
+        let Some(starting) = self.starting_process else {
             return;
         };
         let address = starting.operator_address;
         let response = timeout(
-            LOOK_TIMEOUT,
+            READINESS_TIMEOUT,
             metrics_calls::send_request(address, READINESS_REQUEST),
         );
         let listens = matches!(response.await, Ok(Some(_)));
@@ -121,9 +124,9 @@
         }
     }
 
-    /// Where operators call it from now on; nowhere, while no process serves.
+    /// Sets the admin HTTP address that operators use from now on; `None` while no process serves.
     pub(super) fn set_operator_address(&mut self, address: Option<SocketAddr>) {
-        self.starting = None;
+        self.starting_process = None;
         self.operator_address.set(address);
     }
 }
--- a/crates/testbed/src/proxy_process/signals.rs
+++ b/crates/testbed/src/proxy_process/signals.rs
@@ -1,4 +1,4 @@
-//! Signals to a proxy's process, and its end.
+//! Stops, continues, kills and shuts down a proxy's process.
 
 use super::proxy::Proxy;
 use crate::event_log::Event;
@@ -7,9 +7,9 @@
 use tokio::process::Child;
 use tokio::time::{sleep, timeout};
 
-/// Longest that a proxy told to shut down may take: the longest wait of a client and some.
+/// Time that a process has to exit after SIGTERM before it is killed: a little more than a client waits for its answer.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(4_500);
-/// Pause after a proxy has shut down, before it may be started again.
+/// Pause after a shutdown, before the next command can start the proxy again.
 const RESTART_PAUSE: Duration = Duration::from_millis(50);
 
 impl Proxy {
@@ -17,12 +17,12 @@
     pub(super) fn signal(&self, signal: Signal) {
         let id = self.child.as_ref().and_then(Child::id);
         if let Some(id) = id.and_then(|id| Pid::from_raw(id as i32)) {
-            // It fails only for a process that has ended.
+            // This fails only if the process has ended.
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Stops the process. What it does after this event is not held against it.
+    /// Stops the process. The event is recorded first, so that the judge excuses all that follows the stop.
     pub(super) fn suspend(&self) {
         if self.child.is_some() {
             self.record(Event::ProxyStalls {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Lets the process run again. What it did before this event is not held against it.
+    /// Continues the process. The event is recorded last, so that the judge excuses all that precedes it.
     pub(super) fn resume(&self) {
         if self.child.is_some() {
             self.signal(Signal::CONT);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Kills a process of this proxy.
+    /// Kills a process of this proxy, be it the one that serves or a successor.
     pub(super) async fn kill_process(&self, child: &mut Child) {
         self.record(Event::ProxyKilled { proxy: self.number });
         let _ = child.kill().await;
@@ -65,7 +65,7 @@
             return;
         }
         self.set_operator_address(None);
-        // One that is stopped could not even hear that it is to shut down.
+        // A stopped process would not handle SIGTERM.
         self.signal(Signal::CONT);
         self.record(Event::ProxyLeaves { proxy: self.number });
         self.signal(Signal::TERM);
@@ -75,7 +75,7 @@
         sleep(RESTART_PAUSE).await;
     }
 
-    /// Waits for a process that was told to shut down; kills it if that takes too long.
+    /// Waits for the exit of a process that has been sent SIGTERM; kills it after [`SHUTDOWN_TIMEOUT`].
     pub(super) async fn await_end(&self, mut child: Child) {
         let code = match timeout(SHUTDOWN_TIMEOUT, child.wait()).await {
             Ok(status) => status.ok().and_then(|status| status.code()),
--- a/crates/testbed/src/proxy_process/usage.rs
+++ b/crates/testbed/src/proxy_process/usage.rs
@@ -1,45 +1,45 @@
-//! What a process uses of CPU, memory and descriptors, as the system counts it.
+//! A process's use of CPU, memory and descriptors, read from `/proc`.
 
 use serde::Serialize;
 use std::sync::{Arc, Mutex};
 
-/// What a proxy has used up to a second.
+/// A sample of a process's resource usage.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct ResourceUsage {
-    /// Since the run began.
+    /// When it was taken, in seconds since the plan's start.
     pub second: u64,
-    /// Seconds of a core, since the process started.
+    /// CPU time since the process started, in seconds of one core.
     pub cpu: f64,
-    /// Memory that it holds.
+    /// Resident memory in KiB.
     pub resident_kb: u64,
-    /// Descriptors that it has open.
+    /// Number of open descriptors.
     pub descriptors: u64,
 }
 
-/// What a proxy has used, second by second.
+/// The samples of a proxy's resource usage, about one a second, shared between its task and the run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UsageLog(Arc<Mutex<Vec<ResourceUsage>>>);
 
 impl UsageLog {
     pub(super) fn push(&self, usage: ResourceUsage) {
-        let mut entries = self
+        let mut samples = self
             .0
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        entries.push(usage);
+        samples.push(usage);
     }
 
-    /// The entries so far.
+    /// Removes and returns the samples so far.
     pub(crate) fn take(&self) -> Vec<ResourceUsage> {
-        let mut entries = self
+        let mut samples = self
             .0
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        std::mem::take(&mut *entries)
+        std::mem::take(&mut *samples)
     }
 }
 
-/// What a process has used since it started; nothing where it has ended.
+/// Takes a sample of a process's resource usage; `None` if it has ended. `second` is the time since the plan's start.
 pub(super) fn usage_of(process: u32, second: u64) -> Option<ResourceUsage> {
     Some(ResourceUsage {
         second,
@@ -51,7 +51,7 @@
 
 fn cpu_seconds(process: u32) -> Option<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
-    // The fields behind the program's name, which may have spaces in it.
+    // Skips the program's name, which may contain spaces; the fields after it are user time (11) and system time (12) in ticks.
     let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
     let user_ticks: u64 = fields.get(11)?.parse().ok()?;
     let system_ticks: u64 = fields.get(12)?.parse().ok()?;
