--- a/crates/testbed/src/plain_proxy/configuration.rs
+++ b/crates/testbed/src/plain_proxy/configuration.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration, as far as the plain proxy needs it. What is absent has a default; nothing is checked.
+//! The values of the configuration file that the plain proxy needs. Absent or invalid values get defaults without an error.
 
 use super::error::PlainProxyError;
 use serde_json::Value;
@@ -6,34 +6,34 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What the plain proxy knows from its configuration.
+/// The values that the plain proxy reads from its configuration.
 #[derive(Clone, Debug)]
 pub(super) struct Configuration {
-    /// The address to listen at, as it is written.
+    /// The address to listen at, not yet parsed; empty if absent.
     pub(super) listen: String,
-    /// How long a host is cold after its start.
+    /// Time after its start during which a host is cold and gets no sessions.
     pub(super) warm_up_time: Duration,
-    /// How long a connection to a host may take.
+    /// Time limit for establishing a connection to a host; zero if absent.
     pub(super) connect_timeout: Duration,
-    /// Attempts that a session may have.
+    /// Most attempts of a session; 1 if absent.
     pub(super) max_dials: u64,
-    /// The kinds of sessions.
+    /// The listeners.
     pub(super) listeners: Vec<ListenerConfiguration>,
 }
 
-/// A kind of sessions.
+/// A listener: a class of sessions with rules of their own.
 #[derive(Clone, Debug)]
 pub(super) struct ListenerConfiguration {
-    /// Its name on the wire.
+    /// Its name, as in the `c=` field of `OPEN` lines.
     pub(super) name: Option<String>,
-    /// Priority weight of its sessions.
+    /// Priority weight of its sessions; the highest are to be rejected last. 1 if absent.
     pub(super) priority_weight: f64,
-    /// Whether its sessions may run more than once.
+    /// Whether a session of it may be sent again after it may have run.
     pub(super) is_idempotent: bool,
 }
 
 impl Configuration {
-    /// Reads the configuration of a file.
+    /// Reads a configuration file.
     pub(super) fn read(path: &Path) -> Result<Configuration, PlainProxyError> {
         let file = read_json(path)?;
         let settings = &file["settings"];
@@ -47,23 +47,23 @@
             listeners: listeners
                 .into_iter()
                 .flatten()
-                .map(ListenerConfiguration::of)
+                .map(ListenerConfiguration::from_json)
                 .collect(),
         })
     }
 
     /// The highest priority weight of all listeners.
     pub(super) fn highest_priority_weight(&self) -> f64 {
-        let utilities = self
+        let priority_weights = self
             .listeners
             .iter()
             .map(|listener| listener.priority_weight);
-        utilities.fold(0.0, f64::max)
+        priority_weights.fold(0.0, f64::max)
     }
 }
 
 impl ListenerConfiguration {
-    fn of(entry: &Value) -> ListenerConfiguration {
+    fn from_json(entry: &Value) -> ListenerConfiguration {
         ListenerConfiguration {
             name: entry["name"].as_str().map(str::to_owned),
             priority_weight: entry["utility"].as_f64().unwrap_or(1.0),
@@ -72,7 +72,8 @@
     }
 }
 
-/// Where discovery is by now; the file changes when discovery moves.
+/// The present address of discovery, from the configuration file, which is rewritten when discovery moves; `None` if the
+/// file cannot be read or has no valid address.
 pub(super) fn discovery_address(path: &Path) -> Option<SocketAddr> {
     let file = read_json(path).ok()?;
     file["discovery"].as_str()?.parse().ok()
--- a/crates/testbed/src/plain_proxy/connection.rs
+++ b/crates/testbed/src/plain_proxy/connection.rs
@@ -1,4 +1,4 @@
-//! A connection of lines, to a client or to a host.
+//! A connection to a client or to a host, over which lines are sent both ways.
 
 use crate::line_reader::{Line, LineReader};
 use std::io;
@@ -8,19 +8,19 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::time::timeout;
 
-/// How long the other side has to close a connection that was answered.
+/// Time that the other side has to close a connection after its last line; then it is closed from this side.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Both halves of a connection.
+/// Both directions of a connection.
 pub(super) struct LineConnection {
-    /// What the other side says.
+    /// Reads the lines of the other side.
     pub(super) lines: LineReader,
-    /// What is said to it.
+    /// Writes lines to the other side.
     pub(super) write: OwnedWriteHalf,
 }
 
 impl LineConnection {
-    /// A connection whose lines go out at once.
+    /// Takes a stream, and has its lines sent without delay (`TCP_NODELAY`).
     pub(super) fn new(stream: TcpStream) -> LineConnection {
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
@@ -35,7 +35,7 @@
         self.write.write_all(format!("{line}\r\n").as_bytes()).await
     }
 
-    /// Writes a last line and closes, once the other side has or after a while.
+    /// Writes a last line, closes the write half, and waits up to [`CLOSE_TIMEOUT`] for the other side to close.
     pub(super) async fn close_with(&mut self, line: &str) {
         let _ = self.send(line).await;
         let _ = self.write.shutdown().await;
--- a/crates/testbed/src/plain_proxy/endpoints.rs
+++ b/crates/testbed/src/plain_proxy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The hosts that discovery tells, and how many sessions this proxy has at each.
+//! The hosts that discovery lists, and the number of this proxy's sessions at each.
 
 use super::configuration;
 use serde_json::Value;
@@ -11,84 +11,84 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// How often the endpoint list is fetched; well within the drain grace.
+/// Pause between two fetches of the endpoint list: short enough that a drain is seen well within the drain grace.
 const FETCH_INTERVAL: Duration = Duration::from_millis(150);
-/// How long a fetch may take.
+/// Time limit of one fetch; a fetch that exceeds it is dropped, and the list stays as it was.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Most bytes of an endpoint list.
-const MAX_LIST_BYTES: u64 = 8 << 20;
+/// Most bytes that are read of discovery's response; a longer one is cut there, and then fails to parse.
+const MAX_RESPONSE_BYTES: u64 = 8 << 20;
 
-/// A host to send a session to.
+/// A host that was chosen for an attempt.
 #[derive(Clone, Debug)]
 pub(super) struct Target {
-    /// Its name for ever.
+    /// Its unique identifier in discovery, which stays the same across its restarts.
     pub(super) uid: String,
     /// Where it listens.
     pub(super) address: SocketAddr,
 }
 
-/// What is known of a host.
+/// The state of a host that discovery lists.
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
     /// Where it listens.
     pub(super) address: SocketAddr,
-    /// Whether it takes sessions.
+    /// Whether discovery has it as ready, that is, not draining.
     pub(super) is_ready: bool,
-    /// When it started, in milliseconds of Unix time; 0 if discovery does not say.
+    /// When it started, in milliseconds of Unix time; 0 if discovery does not report it.
     pub(super) boot_ms: u64,
-    /// Sessions of this proxy there.
+    /// Number of this proxy's open sessions at it.
     pub(super) open: u64,
 }
 
 impl Endpoint {
-    /// Whether it has started so lately that it is not warm yet.
-    pub(super) fn is_cold(&self, warm_after: Duration) -> bool {
+    /// Whether it started less than `warm_up_time` ago; never if its start is unknown.
+    pub(super) fn is_cold(&self, warm_up_time: Duration) -> bool {
         let unix_time = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
-        let up_ms = (unix_time.as_millis() as u64).saturating_sub(self.boot_ms);
-        self.boot_ms > 0 && u128::from(up_ms) < warm_after.as_millis()
+        let uptime_ms = (unix_time.as_millis() as u64).saturating_sub(self.boot_ms);
+        self.boot_ms > 0 && u128::from(uptime_ms) < warm_up_time.as_millis()
     }
 }
 
-/// The hosts by their uids.
+/// The listed hosts by their uids.
 #[derive(Debug, Default)]
 pub(super) struct Endpoints {
-    known: Mutex<BTreeMap<String, Endpoint>>,
+    by_uid: Mutex<BTreeMap<String, Endpoint>>,
 }
 
 impl Endpoints {
     pub(super) fn lock(&self) -> MutexGuard<'_, BTreeMap<String, Endpoint>> {
-        self.known
+        self.by_uid
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// A host by its uid.
+    /// The host with this uid, if it is listed.
     pub(super) fn target(&self, uid: &str) -> Option<Target> {
-        let known = self.lock();
-        known.get(uid).map(|endpoint| Target {
+        let by_uid = self.lock();
+        by_uid.get(uid).map(|endpoint| Target {
             uid: uid.to_owned(),
             address: endpoint.address,
         })
     }
 
-    /// Counts a session that was opened.
+    /// Counts a session that has opened at this host.
     pub(super) fn session_opened(&self, uid: &str) {
         if let Some(endpoint) = self.lock().get_mut(uid) {
             endpoint.open += 1;
         }
     }
 
-    /// Counts a session that has ended.
+    /// Stops counting a session that has ended at this host.
     pub(super) fn session_closed(&self, uid: &str) {
         if let Some(endpoint) = self.lock().get_mut(uid) {
             endpoint.open = endpoint.open.saturating_sub(1);
         }
     }
 
-    /// Fetches the list again and again, from where the configuration says at that time.
-    pub(super) async fn keep_up_to_date(&self, configuration: PathBuf) {
+    /// Fetches the list periodically, each time from the address that the configuration file has then. Never returns.
+    pub(super) async fn poll_discovery(&self, configuration: PathBuf) {
         loop {
             if let Some(address) = configuration::discovery_address(&configuration)
                 && let Ok(Some(list)) = timeout(FETCH_TIMEOUT, fetch(address)).await
@@ -99,13 +99,13 @@
         }
     }
 
-    /// Takes a whole list; a host that stays keeps its count of sessions.
+    /// Replaces all hosts by those of a list; a host that stays keeps its count of sessions.
     fn replace(&self, list: &Value) {
         let Some(targets) = list["targets"].as_array() else {
             return;
         };
-        let mut known = self.lock();
-        let mut gone: Vec<String> = known.keys().cloned().collect();
+        let mut by_uid = self.lock();
+        let mut removed: Vec<String> = by_uid.keys().cloned().collect();
         for target in targets {
             let text = |key: &str| target[key].as_str().unwrap_or_default();
             let Ok(address) = text("endpoint").parse() else {
@@ -116,23 +116,23 @@
                 address,
                 is_ready: text("state") == "ready",
                 boot_ms: target["boot_ms"].as_u64().unwrap_or(0),
-                open: known.get(uid).map_or(0, |endpoint| endpoint.open),
+                open: by_uid.get(uid).map_or(0, |endpoint| endpoint.open),
             };
-            known.insert(uid.to_owned(), endpoint);
-            gone.retain(|gone| gone != uid);
+            by_uid.insert(uid.to_owned(), endpoint);
+            removed.retain(|removed_uid| removed_uid != uid);
         }
-        known.retain(|uid, _| !gone.contains(uid));
+        by_uid.retain(|uid, _| !removed.contains(uid));
     }
 }
 
-/// The endpoint list that discovery has, as JSON.
+/// Fetches the endpoint list from discovery; `None` if discovery cannot be reached or its response is not valid.
 async fn fetch(discovery: SocketAddr) -> Option<Value> {
     let mut stream = TcpStream::connect(discovery).await.ok()?;
     let request = "GET /discovery/hosts HTTP/1.1\r\nHost: roster\r\n\r\n";
     stream.write_all(request.as_bytes()).await.ok()?;
     let mut response = Vec::new();
-    let mut bounded = stream.take(MAX_LIST_BYTES);
-    bounded.read_to_end(&mut response).await.ok()?;
+    let mut limited = stream.take(MAX_RESPONSE_BYTES);
+    limited.read_to_end(&mut response).await.ok()?;
     let head_end = response.windows(4).position(|w| w == b"\r\n\r\n")?;
     serde_json::from_slice(&response[head_end + 4..]).ok()
 }
--- a/crates/testbed/src/plain_proxy/forwarding.rs
+++ b/crates/testbed/src/plain_proxy/forwarding.rs
@@ -1,4 +1,4 @@
-//! Lines between a client and the host of its session.
+//! Forwards lines between a client and the host of its session.
 
 use super::connection::LineConnection;
 use super::options::InjectedFault;
@@ -8,29 +8,29 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How often a quiet session looks whether the proxy shuts down.
+/// Time without a line after which a session checks whether the proxy shuts down and whether it is to be cut off.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a line may take to be written.
+/// Time limit for writing a line; the session is closed after it.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// When [`InjectedFault::CutOff`] cuts a session off.
-const CUT_OFF_AFTER: Duration = Duration::from_millis(1_200);
-/// How long [`InjectedFault::HoldLines`] holds a line back.
-const HOLDS_LINES: Duration = Duration::from_millis(1_600);
+/// Time after its first line at which [`InjectedFault::CutOff`] closes a session.
+const CUT_OFF_DELAY: Duration = Duration::from_millis(1_200);
+/// Delay of each line to a host under [`InjectedFault::HoldLines`].
+const LINE_DELAY: Duration = Duration::from_millis(1_600);
 
-/// Which way a line goes.
+/// The direction of a line.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
     ToHost,
     ToClient,
 }
 
-/// Forwards lines, both ways, until one side ends or this proxy shuts down.
+/// Forwards lines both ways until one side closes, or until this proxy shuts down and migrates the client by `MOVE`.
 pub(super) async fn forward(
     state: &ProxyState,
     client: &mut LineConnection,
     mut host: LineConnection,
 ) {
-    let cut_off_at = Instant::now() + CUT_OFF_AFTER;
+    let cut_off_at = Instant::now() + CUT_OFF_DELAY;
     loop {
         if state.is_migrating.load(Ordering::Relaxed) {
             drop(host);
@@ -51,21 +51,21 @@
             Direction::ToHost => &mut host,
             Direction::ToClient => &mut *client,
         };
-        if !send_on(state, receiver, direction, &line).await {
+        if !forward_line(state, receiver, direction, &line).await {
             return;
         }
     }
 }
 
-/// Writes a line to the other side; says whether that took it.
-async fn send_on(
+/// Writes a line to `receiver`, after the delay or the extra line of an injected fault; returns whether it was written.
+async fn forward_line(
     state: &ProxyState,
     receiver: &mut LineConnection,
     direction: Direction,
     line: &str,
 ) -> bool {
     match direction {
-        Direction::ToHost if state.injects(InjectedFault::HoldLines) => sleep(HOLDS_LINES).await,
+        Direction::ToHost if state.injects(InjectedFault::HoldLines) => sleep(LINE_DELAY).await,
         Direction::ToClient if state.injects(InjectedFault::MakeUp) => {
             let _ = receiver.send("NEWS of mine").await;
         }
--- a/crates/testbed/src/plain_proxy/mod.rs
+++ b/crates/testbed/src/plain_proxy/mod.rs
@@ -1,7 +1,7 @@
-//! A plain proxy for comparison only, with balancing policies that know nothing of load.
+//! A plain proxy for comparison only, whose balancing policies ignore the load of hosts.
 //!
-//! It keeps the rules in the simplest way, or breaks one on request, so that it can be seen whether the judge notices. It is
-//! a program like the proxy under test: the command `plain-proxy`, configured as the platform configures proxies.
+//! It keeps the rules in the simplest way, or breaks one of them on request, to test that the judge detects it. It runs as
+//! a process like the proxy under test, by the command `plain-proxy`, with the same configuration file.
 
 mod attempts;
 mod configuration;
--- a/crates/testbed/src/plain_proxy/options.rs
+++ b/crates/testbed/src/plain_proxy/options.rs
@@ -1,4 +1,4 @@
-//! What the command line says to the plain proxy.
+//! The options of the plain proxy on the command line.
 
 use crate::proxy_process::Program;
 use clap::ValueEnum;
@@ -8,15 +8,15 @@
 /// How a host is chosen for a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// Any of them.
+    /// A pseudo-random host.
     Random,
-    /// One after the other.
+    /// The hosts in turn.
     RoundRobin,
-    /// The one with the fewest sessions of this proxy.
+    /// The host with the fewest open sessions of this proxy.
     LeastOpen,
 }
 
-// By hand, as clap would print the comments of the variants in the help.
+// Not derived, as the derived implementation would print the variants' doc comments in the help.
 impl ValueEnum for Policy {
     fn value_variants<'a>() -> &'a [Self] {
         &[Policy::Random, Policy::RoundRobin, Policy::LeastOpen]
@@ -31,7 +31,7 @@
     }
 }
 
-/// The rule that the plain proxy breaks on purpose. The comments are printed in the help.
+/// The rule that the plain proxy breaks on purpose. The doc comments of the variants are printed in the help.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum InjectedFault {
     /// Dials a second host while the first dial is out.
@@ -68,7 +68,7 @@
     Crash,
 }
 
-/// The plain proxy as a program that a run may start; `testbed` is the path of this program.
+/// The plain proxy as the program of a run's proxies; `testbed` is the path of the program `asterramp-testbed`.
 pub fn program(testbed: &Path, policy: Policy, fault: Option<InjectedFault>) -> Program {
     let mut args = vec!["plain-proxy".to_owned(), value_name(&policy)];
     let mut name = args.join(" ");
@@ -84,7 +84,7 @@
     }
 }
 
-/// The word of a value on the command line.
+/// The name of a value on the command line.
 fn value_name(value: &impl ValueEnum) -> String {
     value
         .to_possible_value()
--- a/crates/testbed/src/plain_proxy/request.rs
+++ b/crates/testbed/src/plain_proxy/request.rs
@@ -1,29 +1,36 @@
-//! What a client asks for by an `OPEN` line.
+//! Parses a client's `OPEN` line.
 
 use super::configuration::ListenerConfiguration;
 use super::state::ProxyState;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest wait that a client may state, in milliseconds.
+/// Longest wait that an `OPEN` line may state, in milliseconds (one hour); lines with a longer one are refused.
 const MAX_WAIT_MS: u64 = 3_600_000;
 
-/// A session that a client asks for.
+/// A client's request for a session.
 pub(super) struct SessionRequest<'a> {
-    /// Its line.
+    /// The `OPEN` line, as the client sent it.
     pub(super) line: &'a str,
-    /// How long the client waits, as its line says.
+    /// How long the client waits for its answer, in milliseconds (the `d=` field).
     pub(super) wait_ms: u64,
-    /// By when the client wants its answer.
+    /// When the client's wait is over.
     pub(super) deadline: Instant,
-    /// The host that has the client's earlier session.
+    /// The uid of the host that has the client's earlier session (the `at=` field), if there is one.
     pub(super) assigned: Option<&'a str>,
+    /// The listener that the `c=` field names.
     pub(super) listener: &'a ListenerConfiguration,
 }
 
-/// What an `OPEN` line asks for; `None` for one that cannot be served.
-pub(super) fn read_request<'a>(state: &'a ProxyState, line: &'a str) -> Option<SessionRequest<'a>> {
-    let field = |name: &str| line.split([',', ' ']).find_map(|p| p.strip_prefix(name));
+/// Parses an `OPEN` line; `None` if its wait is missing or invalid, or its listener unknown.
+pub(super) fn parse_request<'a>(
+    state: &'a ProxyState,
+    line: &'a str,
+) -> Option<SessionRequest<'a>> {
+    let field = |name: &str| {
+        line.split([',', ' '])
+            .find_map(|part| part.strip_prefix(name))
+    };
     let wait_ms = field("d=")?
         .parse()
         .ok()
--- a/crates/testbed/src/plain_proxy/serve.rs
+++ b/crates/testbed/src/plain_proxy/serve.rs
@@ -1,4 +1,4 @@
-//! The life of a plain proxy, from its configuration to SIGTERM.
+//! Runs a plain proxy from reading its configuration to its shutdown by SIGTERM.
 
 use super::configuration::Configuration;
 use super::error::PlainProxyError;
@@ -14,17 +14,19 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// How often a starting proxy looks whether it has an endpoint list.
+/// Time between two checks of a starting proxy for its first endpoint list.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long new connections are served after SIGTERM, until the front has noticed.
-const SERVES_AFTER_SIGTERM: Duration = Duration::from_millis(500);
-/// How long open sessions have to migrate.
+/// Time after SIGTERM during which new connections are still served, as the front has to notice first that health checks
+/// are no longer answered.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(500);
+/// Time that open sessions have to migrate before the process exits.
 const MIGRATION_TIME: Duration = Duration::from_millis(2_500);
-/// When [`InjectedFault::Crash`] ends the process, and by which exit code.
-const CRASHES_AFTER: Duration = Duration::from_secs(2);
+/// Time from the first endpoint list until [`InjectedFault::Crash`] ends the process.
+const CRASH_DELAY: Duration = Duration::from_secs(2);
+/// Exit code of a process that [`InjectedFault::Crash`] ends.
 const CRASH_EXIT_CODE: i32 = 3;
 
-/// Serves until SIGTERM, by the platform's configuration.
+/// Serves until SIGTERM, with the configuration file that the environment variable `LB_CONFIG` names.
 pub async fn serve(policy: Policy, fault: Option<InjectedFault>) -> Result<(), PlainProxyError> {
     let path = std::env::var("LB_CONFIG").map_err(|_| PlainProxyError::NoConfiguration)?;
     let path = PathBuf::from(path);
@@ -39,7 +41,7 @@
     }
     loop {
         tokio::select! {
-            // The configuration is read again for each fetch.
+            // Nothing to do: each fetch of the endpoint list reads the configuration file again.
             _ = hang_up.recv() => {}
             _ = terminate.recv() => break,
             accepted = listener.accept() => start_connection(&state, accepted),
@@ -58,17 +60,17 @@
         .map_err(|source| PlainProxyError::Bind { address, source })
 }
 
-/// Nobody is served before the first endpoint list.
+/// Starts polling discovery, and waits for the first endpoint list: no client is served before.
 async fn await_endpoints(state: &Arc<ProxyState>, configuration: PathBuf) {
-    let fetching = state.clone();
-    tokio::spawn(async move { fetching.endpoints.keep_up_to_date(configuration).await });
+    let polling_state = state.clone();
+    tokio::spawn(async move { polling_state.endpoints.poll_discovery(configuration).await });
     while state.endpoints.lock().is_empty() {
         sleep(START_POLL_INTERVAL).await;
     }
 }
 
 async fn crash() {
-    sleep(CRASHES_AFTER).await;
+    sleep(CRASH_DELAY).await;
     std::process::exit(CRASH_EXIT_CODE);
 }
 
@@ -78,10 +80,10 @@
     }
 }
 
-/// Serves on until the front has noticed, then migrates what is open.
+/// Serves new connections for [`SHUTDOWN_GRACE`], then closes the listener and migrates all open sessions.
 async fn shut_down(state: &Arc<ProxyState>, listener: TcpListener) {
     state.is_shutting_down.store(true, Ordering::Relaxed);
-    let until = Instant::now() + SERVES_AFTER_SIGTERM;
+    let until = Instant::now() + SHUTDOWN_GRACE;
     while let Ok(accepted) = timeout_at(until, listener.accept()).await {
         start_connection(state, accepted);
     }
--- a/crates/testbed/src/proxy_process/addresses.rs
+++ b/crates/testbed/src/proxy_process/addresses.rs
@@ -30,7 +30,7 @@
     pub listen: SocketAddr,
 }
 
-/// An address for each proxy of a scenario, each with an IP address of its own, at which no other run of this process listens.
+/// An address for each proxy of a scenario; each has its own IP address, which no other run of this process uses.
 pub fn addresses(scenario: &Scenario) -> Vec<ProxyAddress> {
     static RUNS: AtomicU8 = AtomicU8::new(0);
     // Tests play several runs at once, so each gets addresses of its own.
--- a/crates/testbed/src/proxy_process/usage.rs
+++ b/crates/testbed/src/proxy_process/usage.rs
@@ -51,7 +51,7 @@
 
 fn cpu_seconds(process: u32) -> Option<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
-    // Skips the program's name, which may contain spaces; the fields after it are user time (11) and system time (12) in ticks.
+    // Skips the program's name, which may contain spaces; after it, fields 11 and 12 are user and system time in ticks.
     let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
     let user_ticks: u64 = fields.get(11)?.parse().ok()?;
     let system_ticks: u64 = fields.get(12)?.parse().ok()?;
--- a/crates/testbed/src/run/roll.rs
+++ b/crates/testbed/src/run/roll.rs
@@ -1,5 +1,5 @@
-//! Rolling restart of all proxies by the proxy program's command `roll`, whose restart command creates a file that the proxy's
-//! task polls for.
+//! Rolling restart of all proxies by the proxy program's command `roll`. Its restart command creates a file for which the
+//! proxy's task polls.
 
 use crate::context::RunContext;
 use crate::proxy_process::{self, Program};
