--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -1,4 +1,4 @@
-//! The command `compare`: runs of two programs on the same seeds in alternation, so that a slow spell of the machine meets
+//! The command `compare`: runs two programs on the same seeds in alternation, so that a slow period of the machine affects
 //! both.
 
 use super::error::CommandError;
@@ -12,9 +12,9 @@
 use clap::Args;
 use std::path::PathBuf;
 
-/// Violations of a run that are printed.
-const PRINTED_VIOLATIONS: usize = 2;
-/// Pairs by which a difference can be told.
+/// Most violations of a run that are printed.
+const MAX_PRINTED_VIOLATIONS: usize = 2;
+/// Fewest pairs of runs, not counting void ones, from which a difference can be estimated.
 const MIN_PAIRS: usize = 2;
 
 #[derive(Args)]
@@ -34,36 +34,38 @@
     chaos: bool,
 }
 
-/// A figure that two programs are compared by.
+/// A figure of a report by which two programs are compared.
 struct ComparedFigure {
+    /// The name that the table shows.
     name: &'static str,
-    of_report: fn(&Report) -> f64,
+    from_report: fn(&Report) -> f64,
 }
 
+/// The compared figures, in the order of the table.
 const FIGURES: [ComparedFigure; 6] = [
     ComparedFigure {
         name: "well served",
-        of_report: |report| report.service.overall,
+        from_report: |report| report.service.overall,
     },
     ComparedFigure {
         name: "worst ten seconds",
-        of_report: |report| report.service.worst_ten_seconds,
+        from_report: |report| report.service.worst_ten_seconds,
     },
     ComparedFigure {
         name: "worst listener",
-        of_report: |report| report.service.worst_listener.share,
+        from_report: |report| report.service.worst_listener.share,
     },
     ComparedFigure {
         name: "answer p99 ms",
-        of_report: |report| report.answer_ms.p99,
+        from_report: |report| report.answer_ms.p99,
     },
     ComparedFigure {
         name: "dials a session",
-        of_report: dials_per_session,
+        from_report: dials_per_session,
     },
     ComparedFigure {
         name: "cpu a proxy",
-        of_report: mean_cpu_share,
+        from_report: mean_cpu_share,
     },
 ];
 
@@ -76,17 +78,18 @@
     sum / report.proxies.len() as f64
 }
 
-/// The reports of two programs on one seed; `None` for a run that was void.
+/// The reports of both programs on one seed, in the order of the command line; `None` for a void run.
 struct Pair {
     reports: [Option<Report>; 2],
     rules_held: bool,
 }
 
-/// What the pairs that were not void gave.
+/// The figures of all pairs of which neither run was void.
 #[derive(Default)]
 struct Comparison {
-    /// For each program, the values of each figure, pair by pair.
+    /// For each program and each figure, the values of all pairs.
     values: [[Vec<f64>; FIGURES.len()]; 2],
+    /// Number of pairs.
     pairs: usize,
 }
 
@@ -94,7 +97,7 @@
     fn add(&mut self, reports: [&Report; 2]) {
         for (values, report) in self.values.iter_mut().zip(reports) {
             for (values, figure) in values.iter_mut().zip(&FIGURES) {
-                values.push((figure.of_report)(report));
+                values.push((figure.from_report)(report));
             }
         }
         self.pairs += 1;
@@ -113,7 +116,7 @@
     }
 }
 
-/// Plays the pairs and prints the differences.
+/// Runs the pairs and prints the differences of the figures.
 pub(super) async fn compare(args: &CompareArgs) -> Result<CommandOutcome, CommandError> {
     let scenario = Scenario::open(&args.scenario)?;
     let [first, second] = &args.proxy[..] else {
@@ -124,11 +127,11 @@
         program::program_at_path(Some(second))?,
     ];
     let mut comparison = Comparison::default();
-    let (mut held, mut void) = (true, 0);
+    let (mut rules_held, mut void) = (true, 0);
     for seed in args.seed..args.seed + args.runs {
         let chaos = args.chaos.then_some(seed);
-        let pair = play_pair(&scenario, &programs, seed, chaos).await?;
-        held &= pair.rules_held;
+        let pair = run_pair(&scenario, &programs, seed, chaos).await?;
+        rules_held &= pair.rules_held;
         let [Some(first), Some(second)] = &pair.reports else {
             void += 1;
             continue;
@@ -145,13 +148,13 @@
     println!(
         "  pairs {}, void {void}, rules {}",
         comparison.pairs,
-        if held { "held" } else { "BROKEN" }
+        if rules_held { "held" } else { "BROKEN" }
     );
-    Ok(CommandOutcome::of_rules(held))
+    Ok(CommandOutcome::of_rules(rules_held))
 }
 
-/// Plays a seed by both programs; who goes first changes from pair to pair.
-async fn play_pair(
+/// Runs both programs on one seed. The first program runs first on even seeds, the second on odd ones.
+async fn run_pair(
     scenario: &Scenario,
     programs: &[Program; 2],
     seed: u64,
@@ -166,23 +169,23 @@
         reports: [None, None],
         rules_held: true,
     };
-    for which in order {
-        let report = play(scenario, &programs[which], seed, chaos).await?;
+    for index in order {
+        let report = run_program(scenario, &programs[index], seed, chaos).await?;
         pair.rules_held &= report.rules_held;
-        for violation in report.violations.iter().take(PRINTED_VIOLATIONS) {
+        for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
             eprintln!("{}: {}", violation.rule, violation.description);
         }
-        pair.reports[which] = Some(report).filter(|report| !report.void);
+        pair.reports[index] = Some(report).filter(|report| !report.void);
     }
     Ok(pair)
 }
 
-async fn play(
+async fn run_program(
     scenario: &Scenario,
     program: &Program,
     seed: u64,
     chaos: Option<u64>,
 ) -> Result<Report, CommandError> {
-    let run = run_without_files(scenario.clone(), program, seed, chaos).await?;
-    Ok(Report::from_run(&run, &program.name, seed, chaos))
+    let outcome = run_without_files(scenario.clone(), program, seed, chaos).await?;
+    Ok(Report::from_run(&outcome, &program.name, seed, chaos))
 }
--- a/crates/testbed/src/commands/drain_measurement.rs
+++ b/crates/testbed/src/commands/drain_measurement.rs
@@ -1,4 +1,4 @@
-//! The command `empty`: how a proxy is emptied, by a drain on request, by SIGTERM, or in a roll.
+//! The command `empty`: measures how a proxy migrates its sessions in a drain on request, after SIGTERM, or in a roll.
 
 use super::error::CommandError;
 use super::outcome::CommandOutcome;
@@ -33,7 +33,7 @@
         for method in methods {
             let result = drain_measurement::measure(*method, sessions, &program).await?;
             println!("{}", drain_measurement::table_row(&result));
-            all_held &= result.rules_held && !matches!(result.rolled, Some(Err(_)));
+            all_held &= result.rules_held && !matches!(result.roll_result, Some(Err(_)));
         }
     }
     Ok(CommandOutcome::of_rules(all_held))
--- a/crates/testbed/src/commands/error.rs
+++ b/crates/testbed/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails. The texts go to standard error after the program's name.
+//! Errors of the commands. Their texts are written to standard error after the program's name.
 
 use super::outcome::EXIT_VOID;
 use asterramp_testbed::journal::JournalError;
@@ -12,16 +12,16 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The exit code of a command that was given what it cannot work with.
+/// Exit code of a command with invalid input.
 const EXIT_BAD_INPUT: u8 = 2;
 
 /// Why a command fails.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CommandError {
-    /// A scenario file cannot be taken.
+    /// A scenario file cannot be read or is invalid.
     #[error(transparent)]
     ScenarioFile(#[from] ScenarioFileError),
-    /// The built-in scenario cannot be taken.
+    /// The built-in scenario is invalid.
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
     /// A file cannot be read.
@@ -29,31 +29,31 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The system's error.
         source: io::Error,
     },
-    /// No program is named, and none is beside this one.
+    /// No proxy program is given, and none is found beside this program.
     #[error("no asterramp beside this program; build it, or name it by --proxy")]
     NoProxyProgram,
-    /// What is named as a program is no file.
+    /// The path given as a proxy program is not a file.
     #[error("--proxy: {} is no file", .0.display())]
     NotAProgram(PathBuf),
-    /// One program, or more than two, cannot be compared.
+    /// The number of programs to compare is not two.
     #[error("--proxy: two are compared, A and B")]
     NotTwoPrograms,
-    /// Logs cannot be summed.
+    /// Logs cannot be summarized.
     #[error(transparent)]
     Logs(#[from] LogSummaryError),
-    /// Records of simulated days cannot be summed.
+    /// Records of simulated days cannot be summarized.
     #[error(transparent)]
     Journal(#[from] JournalError),
     /// The plain proxy cannot serve.
     #[error(transparent)]
     PlainProxy(#[from] PlainProxyError),
-    /// A run tells nothing.
+    /// A run failed without a result.
     #[error(transparent)]
     Run(#[from] RunError),
-    /// Too many pairs of runs were void.
+    /// Too few pairs of runs were not void.
     #[error("{void} of {runs} pairs were void; too few are left")]
     TooFewPairs {
         /// Pairs that were void.
@@ -61,13 +61,13 @@
         /// Pairs that were asked for.
         runs: u64,
     },
-    /// There is nothing to cut down.
+    /// No rule is broken with all faults, so there is nothing to shrink.
     #[error("no rule breaks with all of its faults")]
     NoRuleBreaks,
     /// A report or a plot cannot be written.
     #[error(transparent)]
     Report(#[from] WriteError),
-    /// A scenario with fewer faults cannot be made.
+    /// The scenario with fewer faults cannot be written as TOML, or not be read again.
     #[error(transparent)]
     Shrink(#[from] ShrinkError),
     /// A file cannot be written.
@@ -75,19 +75,19 @@
     Unwritable {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The system's error.
         source: io::Error,
     },
-    /// SIGTERM or SIGINT came.
+    /// The command was ended by SIGTERM or SIGINT.
     #[error("interrupted")]
     Interrupted,
-    /// The system does not give what every command needs.
+    /// The runtime could not be started, or the path of this program is not known.
     #[error("{0}")]
     System(#[source] io::Error),
 }
 
 impl CommandError {
-    /// The exit code that says whose fault it is.
+    /// The exit code: 2 for invalid input, otherwise 3.
     pub(super) fn exit_code(&self) -> ExitCode {
         let is_bad_input = match self {
             CommandError::ScenarioFile(_)
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -1,6 +1,6 @@
-//! The command line. Errors go to standard error, what was measured to standard output.
+//! The command line. Errors are written to standard error, results to standard output.
 //!
-//! Exit codes: 0 the rules held, 1 a rule was broken, 2 bad input, 3 the run tells nothing.
+//! Exit codes: 0 the rules held, 1 a rule was broken, 2 bad input, 3 a run was void or failed.
 
 mod compare;
 mod drain_measurement;
@@ -20,7 +20,7 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// How long what still runs in the background may take to end.
+/// Time that background tasks have to end before the process exits.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A stand-in world on loopback around asterramp: hosts, clients, discovery, faults, and a judge of the rules.
@@ -61,7 +61,7 @@
     },
 }
 
-/// Does what the command line says.
+/// Parses the command line and executes its command.
 pub(crate) fn run() -> ExitCode {
     let command = CommandLine::parse().command;
     start_log();
@@ -88,16 +88,16 @@
         .enable_all()
         .build()
         .map_err(CommandError::System)?;
-    // The plain proxy answers to its signals itself, and shuts down gracefully.
+    // The plain proxy handles SIGTERM itself, and shuts down gracefully.
     let handles_signals = matches!(command, Command::PlainProxy { .. });
     let result = runtime.block_on(async {
         tokio::select! {
             result = execute(command) => result,
-            // Dropping the run ends its proxies.
+            // Dropping the run kills its proxies.
             () = interrupted(), if !handles_signals => Err(CommandError::Interrupted),
         }
     });
-    // Children are ended by their handles; nothing else is waited for.
+    // Dropped handles kill the child processes; other tasks get a limited time to end.
     runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
     result
 }
--- a/crates/testbed/src/commands/outcome.rs
+++ b/crates/testbed/src/commands/outcome.rs
@@ -1,32 +1,32 @@
-//! What came of a command that could be carried out, as an exit code.
+//! The outcome of a command that did not fail, and its exit code.
 
 use std::process::ExitCode;
 
-/// The exit code of a command that tells nothing.
+/// Exit code of a command whose run was void, or that failed for another reason than its input.
 pub(super) const EXIT_VOID: u8 = 3;
 
-/// What came of a command that could be carried out.
+/// The outcome of a command that did not fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CommandOutcome {
-    /// It was done, and no rule was broken.
+    /// The command succeeded, and no rule was broken.
     RulesHeld,
     /// A rule was broken.
     RuleBroken,
-    /// The testbed ran late: the run tells nothing.
+    /// The testbed ran too late, so the results say nothing about the proxies.
     Void,
 }
 
 impl CommandOutcome {
-    /// The outcome of a command after which the rules held, or did not.
-    pub(super) fn of_rules(held: bool) -> CommandOutcome {
-        if held {
+    /// The outcome of a command by whether the rules held.
+    pub(super) fn of_rules(rules_held: bool) -> CommandOutcome {
+        if rules_held {
             CommandOutcome::RulesHeld
         } else {
             CommandOutcome::RuleBroken
         }
     }
 
-    /// The exit code that tells it.
+    /// The exit code of this outcome.
     pub(super) fn exit_code(self) -> ExitCode {
         match self {
             CommandOutcome::RulesHeld => ExitCode::SUCCESS,
--- a/crates/testbed/src/commands/play.rs
+++ b/crates/testbed/src/commands/play.rs
@@ -1,4 +1,4 @@
-//! The commands `demo` and `run`: one scenario, played once, with a report.
+//! The commands `demo` and `run`: run one scenario once and report on it.
 
 use super::error::CommandError;
 use super::outcome::CommandOutcome;
@@ -46,12 +46,12 @@
     play: PlayArgs,
 }
 
-/// Plays the built-in scenario.
+/// Runs the built-in scenario.
 pub(super) async fn demo(args: &PlayArgs) -> Result<CommandOutcome, CommandError> {
     play(Scenario::read(DEMO)?, args).await
 }
 
-/// Plays the scenario of a file.
+/// Runs the scenario of a file.
 pub(super) async fn run_file(args: &RunArgs) -> Result<CommandOutcome, CommandError> {
     play(Scenario::open(&args.scenario)?, &args.play).await
 }
@@ -59,7 +59,7 @@
 async fn play(scenario: Scenario, args: &PlayArgs) -> Result<CommandOutcome, CommandError> {
     let seed = args.seed.unwrap_or(scenario.seed);
     let program = program::selected_program(args)?;
-    let name = program.name.clone();
+    let program_name = program.name.clone();
     let folder = args.report.clone().unwrap_or_else(unique_output_folder);
     let options = RunOptions {
         seed,
@@ -72,10 +72,10 @@
     if args.report.is_none() {
         let _ = std::fs::remove_dir_all(&folder);
     }
-    let run = result?;
-    let report = Report::from_run(&run, &name, seed, args.chaos);
+    let outcome = result?;
+    let report = Report::from_run(&outcome, &program_name, seed, args.chaos);
     if args.report.is_some() {
-        report.write(&folder, &run)?;
+        report.write(&folder, &outcome)?;
     }
     if args.json {
         let json = serde_json::to_string_pretty(&report).unwrap_or_default();
--- a/crates/testbed/src/commands/program.rs
+++ b/crates/testbed/src/commands/program.rs
@@ -1,4 +1,4 @@
-//! Which program serves as the proxy of a run.
+//! Selects the program of a run's proxies.
 
 use super::error::CommandError;
 use super::play::PlayArgs;
@@ -7,7 +7,7 @@
 use asterramp_testbed::run::find_proxy_program;
 use std::path::{Path, PathBuf};
 
-/// The program that the command line asks for: the plain proxy, a path's, or the one beside this.
+/// The program that the options select: the plain proxy, the one at a path, or the proxy built beside this program.
 pub(super) fn selected_program(args: &PlayArgs) -> Result<Program, CommandError> {
     match args.baseline {
         Some(policy) => Ok(plain_proxy::program(&this_program()?, policy, args.fault)),
@@ -15,7 +15,7 @@
     }
 }
 
-/// The program of a path, or the proxy built beside this one.
+/// The program at a path, or the proxy built beside this program if `path` is absent.
 pub(super) fn program_at_path(path: Option<&Path>) -> Result<Program, CommandError> {
     let this_program = this_program()?;
     let path = path
@@ -25,9 +25,9 @@
     if !path.is_file() {
         return Err(CommandError::NotAProgram(path));
     }
-    let name = path.file_name().unwrap_or_default();
+    let file_name = path.file_name().unwrap_or_default();
     Ok(Program {
-        name: name.to_string_lossy().into_owned(),
+        name: file_name.to_string_lossy().into_owned(),
         path,
         args: Vec::new(),
     })
--- a/crates/testbed/src/commands/scale.rs
+++ b/crates/testbed/src/commands/scale.rs
@@ -1,4 +1,4 @@
-//! The command `scale`: how one proxy and many bear size.
+//! The command `scale`: measures the cost and latency of proxies at several sizes.
 
 use super::error::CommandError;
 use super::outcome::CommandOutcome;
@@ -25,16 +25,17 @@
     report: Option<PathBuf>,
 }
 
-/// Plays the sizes one after the other and prints the table.
+/// Measures the sizes one after the other: writes each row to standard error at once, and prints the table at the end.
 pub(super) async fn scale(args: &ScaleArgs) -> Result<CommandOutcome, CommandError> {
     let program = program::program_at_path(args.proxy.as_deref())?;
     let mut points = Vec::new();
     for size in scale::sizes(args.quick) {
-        let is_wanted = args
+        // By the end of the name, so that `watched` selects the series `unwatched` too.
+        let is_selected = args
             .only
             .as_ref()
-            .is_none_or(|sort| size.series.ends_with(sort.as_str()));
-        if !is_wanted {
+            .is_none_or(|series| size.series.ends_with(series.as_str()));
+        if !is_selected {
             continue;
         }
         let point = scale::measure(&size, &program, args.seconds).await?;
--- a/crates/testbed/src/commands/shrink.rs
+++ b/crates/testbed/src/commands/shrink.rs
@@ -1,4 +1,4 @@
-//! The command `shrink`: plays a draw with fewer and fewer faults, and writes the fewest with which a rule still breaks.
+//! The command `shrink`: runs a scenario with fewer and fewer faults, and writes the fewest with which a rule still breaks.
 
 use super::error::CommandError;
 use super::outcome::CommandOutcome;
@@ -26,7 +26,7 @@
     save: PathBuf,
 }
 
-/// Cuts the faults of a scenario down and saves it with those that are left.
+/// Removes faults from a scenario for as long as a rule breaks, and saves it with those that are left.
 pub(super) async fn shrink(args: &ShrinkArgs) -> Result<CommandOutcome, CommandError> {
     let path = &args.scenario;
     let text = std::fs::read_to_string(path).map_err(|source| CommandError::Unreadable {
@@ -36,32 +36,32 @@
     let scenario = Scenario::open(path)?;
     let seed = args.play.seed.unwrap_or(scenario.seed);
     let program = program::selected_program(&args.play)?;
-    let all = shrink::scenario_faults(&Plan::new(&scenario, seed, args.play.chaos).faults);
+    let all_faults = shrink::scenario_faults(&Plan::new(&scenario, seed, args.play.chaos).faults);
     let runtime = Handle::current();
     let breaks = |faults: &[ScenarioFault]| {
         tokio::task::block_in_place(|| {
             runtime.block_on(breaks_a_rule(&scenario, faults, seed, &program))
         })
     };
-    if !breaks(&all) {
+    if !breaks(&all_faults) {
         return Err(CommandError::NoRuleBreaks);
     }
-    let left = shrink::minimize(&all, args.tries, breaks);
-    let text = shrink::with_faults(&text, &left)?;
+    let remaining_faults = shrink::minimize(&all_faults, args.tries, breaks);
+    let text = shrink::with_faults(&text, &remaining_faults)?;
     std::fs::write(&args.save, text).map_err(|source| CommandError::Unwritable {
         path: args.save.clone(),
         source,
     })?;
     println!(
         "{} of {} faults are left, in {}",
-        left.len(),
-        all.len(),
+        remaining_faults.len(),
+        all_faults.len(),
         args.save.display()
     );
     Ok(CommandOutcome::RulesHeld)
 }
 
-/// Whether a run with these faults breaks a rule; one that is void or fails breaks none.
+/// Whether a run with these faults breaks a rule; a run that is void or fails counts as breaking none.
 async fn breaks_a_rule(
     scenario: &Scenario,
     faults: &[ScenarioFault],
@@ -73,12 +73,12 @@
         ..scenario.clone()
     };
     let result = run_without_files(scenario, program, seed, None).await;
-    let broken = result.is_ok_and(|run| !run.is_void && !run.verdict.violations.is_empty());
-    let found = if broken {
+    let breaks_rule = result.is_ok_and(|run| !run.is_void && !run.verdict.violations.is_empty());
+    let finding = if breaks_rule {
         "a rule breaks"
     } else {
         "rules held, or void"
     };
-    eprintln!("{} faults: {found}", faults.len());
-    broken
+    eprintln!("{} faults: {finding}", faults.len());
+    breaks_rule
 }
--- a/crates/testbed/src/commands/summaries.rs
+++ b/crates/testbed/src/commands/summaries.rs
@@ -1,4 +1,4 @@
-//! The commands `logs` and `journal`: sums of what runs have left behind.
+//! The commands `logs` and `journal`: summaries of files that earlier runs have written.
 
 use super::error::CommandError;
 use super::outcome::CommandOutcome;
@@ -25,14 +25,14 @@
     kind: String,
 }
 
-/// Prints how often each reason code came in the logs of a fleet.
+/// Prints how often each reason code occurs in the logs of a fleet.
 pub(super) fn logs(args: &LogsArgs) -> Result<CommandOutcome, CommandError> {
     let summary = LogSummary::from_folder(&args.folder, args.span)?;
     print!("{}", summary.table());
     Ok(CommandOutcome::RulesHeld)
 }
 
-/// Prints what each kind of simulated day scored.
+/// Prints the scores of each kind of simulated day.
 pub(super) fn journal(args: &JournalArgs) -> Result<CommandOutcome, CommandError> {
     let journal = Journal::from_folder(&args.folder, &args.kind)?;
     print!("{}", journal.table());
--- a/crates/testbed/src/drain_measurement.rs
+++ b/crates/testbed/src/drain_measurement.rs
@@ -1,4 +1,4 @@
-//! How a proxy is drained: on request beside SIGTERM, at several sizes, and a roll of a whole zone.
+//! Measures how a proxy migrates its sessions: in a drain on request, after SIGTERM, and in a roll of all proxies.
 
 mod result;
 mod scenario_text;
@@ -8,82 +8,88 @@
 use crate::report::Report;
 use crate::run::{RunError, RunOutcome, run_without_files};
 use crate::scenario::Scenario;
-use scenario_text::{DRAIN_AT, DRAIN_ENDS_AT, scenario_text};
+use scenario_text::{DRAIN_AT_SECONDS, DRAIN_END_SECONDS, scenario_text};
 use std::collections::HashMap;
 use std::time::Duration;
 
 pub use result::{DrainMethod, DrainResult, TABLE_HEADER, table_row};
 
-/// Seed of all measurements.
+/// Seed of the runs of all measurements.
 const SEED: u64 = 3;
 
-/// The proxy that is drained.
+/// Number of the proxy that is drained, or shut down by SIGTERM.
 const DRAINED_PROXY: u16 = 0;
 
-/// Most violations that are printed.
-const MAX_VIOLATIONS: usize = 2;
+/// Most violations of a run that are printed.
+const MAX_PRINTED_VIOLATIONS: usize = 2;
 
-/// Measures one drain of a proxy that has so many sessions, and prints the first violations.
+/// Measures one drain by a run in which each proxy has `sessions` standing sessions; writes the first violations to
+/// standard error.
 pub async fn measure(
     method: DrainMethod,
     sessions: u32,
     program: &Program,
 ) -> Result<DrainResult, RunError> {
     let scenario = Scenario::read(&scenario_text(method, sessions))?;
-    let ran = run_without_files(scenario, program, SEED, None).await?;
-    let report = Report::from_run(&ran, &program.name, SEED, None);
+    let outcome = run_without_files(scenario, program, SEED, None).await?;
+    let report = Report::from_run(&outcome, &program.name, SEED, None);
     print_violations(&report);
-    Ok(measured(method, sessions, &ran, &report))
+    Ok(drain_result(method, sessions, &outcome, &report))
 }
 
 fn print_violations(report: &Report) {
-    for violation in report.violations.iter().take(MAX_VIOLATIONS) {
+    for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         let timeline = violation.timeline.join("\n");
         eprintln!("{}: {}\n{timeline}", violation.rule, violation.description);
     }
 }
 
-fn measured(method: DrainMethod, sessions: u32, ran: &RunOutcome, report: &Report) -> DrainResult {
-    let begin = ran.context.plan_start().unwrap_or_default();
+fn drain_result(
+    method: DrainMethod,
+    sessions: u32,
+    outcome: &RunOutcome,
+    report: &Report,
+) -> DrainResult {
+    let plan_start = outcome.context.plan_start().unwrap_or_default();
     let drain = DrainInterval {
-        begin: begin + Duration::from_secs(DRAIN_AT),
-        end: begin + Duration::from_secs(DRAIN_ENDS_AT),
+        begin: plan_start + Duration::from_secs(DRAIN_AT_SECONDS),
+        end: plan_start + Duration::from_secs(DRAIN_END_SECONDS),
     };
-    let of_proxy = (method != DrainMethod::Roll).then_some(DRAINED_PROXY);
-    let migrations = migrations(&ran.events, of_proxy, drain);
-    let took = migrations
+    let drained_proxy = (method != DrainMethod::Roll).then_some(DRAINED_PROXY);
+    let migrations = migrations(&outcome.events, drained_proxy, drain);
+    let last_migration_after = migrations
         .last()
         .map_or(Duration::ZERO, |last| last.saturating_sub(drain.begin));
-    let back_after = (method == DrainMethod::Drain)
-        .then(|| back_after(&ran.events, drain.end))
+    let first_session_after = (method == DrainMethod::Drain)
+        .then(|| first_session_after(&outcome.events, drain.end))
         .flatten();
     DrainResult {
         method,
         sessions,
         migrated: migrations.len(),
-        took,
+        last_migration_after,
         max_migrated_per_second: max_per_second(&migrations),
         peak_utilization: report.host_utilization.peak,
         well_served: report.service.overall,
         worst_ten_seconds: report.service.worst_ten_seconds,
-        back_after,
-        rolled: ran.roll_result.clone(),
+        first_session_after,
+        roll_result: outcome.roll_result.clone(),
         rules_held: report.rules_held,
         testbed_late_ms: report.testbed_late_ms,
     }
 }
 
-/// When a drain began, and when it was over.
+/// The begin and the end of a drain, on the event log's clock.
 #[derive(Clone, Copy, Debug)]
 struct DrainInterval {
     begin: Duration,
     end: Duration,
 }
 
-/// When clients were migrated, of one proxy or of all, during the drain.
+/// The times at which clients were migrated during the drain, in order: those of one proxy, or of all if absent.
 fn migrations(
     events: &[LoggedEvent],
-    of_proxy: Option<u16>,
+    drained_proxy: Option<u16>,
     drain: DrainInterval,
 ) -> Vec<Duration> {
     let mut proxies: HashMap<SessionId, u16> = HashMap::new();
@@ -95,8 +101,9 @@
             }
             Event::Ended { id, told: true, .. } => {
                 let during_drain = (drain.begin..drain.end).contains(&event.at);
-                let right_proxy = of_proxy.is_none_or(|proxy| proxies.get(&id) == Some(&proxy));
-                if during_drain && right_proxy {
+                let is_of_drained_proxy =
+                    drained_proxy.is_none_or(|proxy| proxies.get(&id) == Some(&proxy));
+                if during_drain && is_of_drained_proxy {
                     migrations.push(event.at);
                 }
             }
@@ -106,7 +113,7 @@
     migrations
 }
 
-/// Most of the times that lie within one second; they are in order.
+/// The most of these times that lie within any one second; `times` are in order.
 fn max_per_second(times: &[Duration]) -> usize {
     let within_second_from = |first: usize| {
         let end = times[first] + Duration::from_secs(1);
@@ -118,8 +125,8 @@
     (0..times.len()).map(within_second_from).max().unwrap_or(0)
 }
 
-/// How long after the drain the proxy got its first session.
-fn back_after(events: &[LoggedEvent], drain_end: Duration) -> Option<Duration> {
+/// Time from the end of the drain until the proxy was sent its first session; `None` if it was sent none.
+fn first_session_after(events: &[LoggedEvent], drain_end: Duration) -> Option<Duration> {
     events
         .iter()
         .find(|event| {
--- a/crates/testbed/src/drain_measurement/result.rs
+++ b/crates/testbed/src/drain_measurement/result.rs
@@ -1,58 +1,59 @@
-//! What one drain did, as a row of a table.
+//! The result of one measurement, and its row of the table.
 
 use crate::run::RollError;
 use std::time::Duration;
 
-/// How the first of several proxies is drained.
+/// The way in which proxies are made to migrate their sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainMethod {
-    /// By a request at its admin socket.
+    /// The first proxy is drained by a request at its admin socket.
     Drain,
-    /// By SIGTERM.
+    /// The first proxy is shut down by SIGTERM.
     Sigterm,
-    /// A roll over five proxies, while a host falls silent.
+    /// All of five proxies are rolled, while a host stops responding.
     Roll,
 }
 
-/// What one drain did.
+/// The result of one measurement.
 #[derive(Clone, Debug)]
 pub struct DrainResult {
-    /// How the proxy was drained.
+    /// The method of the drain.
     pub method: DrainMethod,
-    /// Sessions that the proxy had.
+    /// Standing sessions of each proxy before the drain.
     pub sessions: u32,
-    /// Sessions that were migrated.
+    /// Number of sessions that were migrated.
     pub migrated: usize,
-    /// From the order to the last migration.
-    pub took: Duration,
-    /// Most migrations in any second.
+    /// Time from the begin of the drain to the last migration; zero if there was none.
+    pub last_migration_after: Duration,
+    /// The most migrations in any second.
     pub max_migrated_per_second: usize,
-    /// The highest utilization that any host had in any second.
+    /// The highest utilization of any host in any second, as a multiple of its capacity.
     pub peak_utilization: f64,
-    /// Share of the wanted seconds that were well served.
+    /// Share of the clients' seconds of wanted service that were well served.
     pub well_served: f64,
-    /// The same of the worst ten seconds in a row.
+    /// The share of well-served seconds in the worst ten consecutive seconds.
     pub worst_ten_seconds: f64,
-    /// From the end of the drain until the proxy was sent a session again.
-    pub back_after: Option<Duration>,
-    /// How long the roll took, or why it failed; none where there was no roll.
-    pub rolled: Option<Result<Duration, RollError>>,
-    /// No rule was broken.
+    /// Time from the end of the drain until the proxy was sent a session again; `None` if it was not, and for other
+    /// methods than [`DrainMethod::Drain`].
+    pub first_session_after: Option<Duration>,
+    /// The duration of the roll or its error; `None` for the other methods.
+    pub roll_result: Option<Result<Duration, RollError>>,
+    /// Whether no rule was broken.
     pub rules_held: bool,
-    /// How late the testbed was at worst, in milliseconds.
+    /// The greatest lateness of the testbed, in milliseconds.
     pub testbed_late_ms: f64,
 }
 
-/// The header of the table whose rows [`table_row`] gives.
+/// The header of the table, whose rows are made by [`table_row`].
 pub const TABLE_HEADER: &str = "| by | sessions | moved | last after s | most in a second | peak load | well served | \
                         worst 10 s | back after s | rolled in s | rules | rig late ms |";
 
-/// One result as a row of a table in Markdown.
+/// A result as a row of the Markdown table.
 pub fn table_row(result: &DrainResult) -> String {
     let seconds = |span: Duration| format!("{:.2}", span.as_secs_f64());
-    let rolled = match &result.rolled {
+    let roll_seconds = match &result.roll_result {
         None => "-".into(),
-        Some(Ok(took)) => seconds(*took),
+        Some(Ok(duration)) => seconds(*duration),
         Some(Err(error)) => error.to_string(),
     };
     let rules = if result.rules_held { "held" } else { "BROKEN" };
@@ -60,13 +61,13 @@
         format!("{:?}", result.method),
         result.sessions.to_string(),
         result.migrated.to_string(),
-        seconds(result.took),
+        seconds(result.last_migration_after),
         result.max_migrated_per_second.to_string(),
         format!("{:.2}", result.peak_utilization),
         format!("{:.4}", result.well_served),
         format!("{:.4}", result.worst_ten_seconds),
-        result.back_after.map_or("-".into(), seconds),
-        rolled,
+        result.first_session_after.map_or("-".into(), seconds),
+        roll_seconds,
         rules.to_string(),
         format!("{:.0}", result.testbed_late_ms),
     ];
--- a/crates/testbed/src/drain_measurement/scenario_text.rs
+++ b/crates/testbed/src/drain_measurement/scenario_text.rs
@@ -1,35 +1,35 @@
-//! The scenario of one drain.
+//! The scenario of one measurement, as TOML.
 
 use super::result::DrainMethod;
 
-/// Seconds after the run's begin at which the drain begins.
-pub(super) const DRAIN_AT: u64 = 5;
+/// When the drain begins, in seconds since the plan's start.
+pub(super) const DRAIN_AT_SECONDS: u64 = 5;
 
-/// Seconds after the run's begin at which the drain is over and the proxy serves again.
-pub(super) const DRAIN_ENDS_AT: u64 = 18;
+/// When the drain is cancelled, or the proxy that was shut down is started again, in seconds since the plan's start.
+pub(super) const DRAIN_END_SECONDS: u64 = 18;
 
-/// Deadline of the drain, in seconds.
-const DEADLINE: u64 = 10;
+/// Time that the drain may take, in seconds.
+const DEADLINE_SECONDS: u64 = 10;
 
 /// Number of hosts.
 const HOSTS: u32 = 12;
 
-/// Share of what the hosts can do that the standing sessions ask for.
+/// Load of all standing sessions as a share of the hosts' total capacity.
 const UTILIZATION: f64 = 0.4;
 
-/// Standing sessions above which each sends its lines less often, so that the testbed keeps up.
+/// Number of standing sessions above which each sends its lines less often, so that the testbed is not late.
 const MANY_SESSIONS: u32 = 4_000;
 
-/// The scenario in which a proxy with so many sessions is drained.
+/// The scenario of one measurement, in which each proxy begins with `sessions` standing sessions.
 pub(super) fn scenario_text(method: DrainMethod, sessions: u32) -> String {
-    let rolls = method == DrainMethod::Roll;
-    let proxies = if rolls { 5 } else { 4 };
-    let length = if rolls { 60 } else { 25 };
-    let roll = if rolls { "roll_at = \"5s\"" } else { "" };
+    let is_roll = method == DrainMethod::Roll;
+    let proxies = if is_roll { 5 } else { 4 };
+    let length = if is_roll { 60 } else { 25 };
+    let roll = if is_roll { "roll_at = \"5s\"" } else { "" };
     let fault = fault_text(method);
     let standing = sessions * proxies;
     let work = UTILIZATION * f64::from(HOSTS) / f64::from(standing);
-    let every = if standing > MANY_SESSIONS {
+    let message_every_ms = if standing > MANY_SESSIONS {
         4_000
     } else {
         1_000
@@ -59,7 +59,7 @@
 [traffic]
 rate = {rate:.2}
 life = {{ median = "40s", sigma = 0.5 }}
-message_every = "{every}ms"
+message_every = "{message_every_ms}ms"
 inherited = {standing}
 [proxies]
 count = {proxies}
@@ -75,14 +75,14 @@
 }
 
 fn fault_text(method: DrainMethod) -> String {
-    let lasts = DRAIN_ENDS_AT - DRAIN_AT;
+    let drain_seconds = DRAIN_END_SECONDS - DRAIN_AT_SECONDS;
     match method {
         DrainMethod::Drain => format!(
-            "[[faults]]\nat = \"{DRAIN_AT}s\"\nfor = \"{lasts}s\"\nkind = \"proxy-drains\"\non = [0]\n\
-             span = \"{DEADLINE}s\""
+            "[[faults]]\nat = \"{DRAIN_AT_SECONDS}s\"\nfor = \"{drain_seconds}s\"\nkind = \"proxy-drains\"\non = [0]\n\
+             span = \"{DEADLINE_SECONDS}s\""
         ),
         DrainMethod::Sigterm => format!(
-            "[[faults]]\nat = \"{DRAIN_AT}s\"\nfor = \"{lasts}s\"\nkind = \"proxy-leaves\"\non = [0]"
+            "[[faults]]\nat = \"{DRAIN_AT_SECONDS}s\"\nfor = \"{drain_seconds}s\"\nkind = \"proxy-leaves\"\non = [0]"
         ),
         DrainMethod::Roll => {
             "[[faults]]\nat = \"20s\"\nfor = \"8s\"\nkind = \"host-silent\"\non = [3]".into()
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `asterramp-testbed`.
+//! The program `asterramp-testbed`; see [`commands`].
 
 mod commands;
 
--- a/crates/testbed/src/plain_proxy/forwarding.rs
+++ b/crates/testbed/src/plain_proxy/forwarding.rs
@@ -12,7 +12,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time limit for writing a line; the session is closed after it.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time after its first line at which [`InjectedFault::CutOff`] closes a session.
+/// Time after its acceptance at which [`InjectedFault::CutOff`] closes a session.
 const CUT_OFF_DELAY: Duration = Duration::from_millis(1_200);
 /// Delay of each line to a host under [`InjectedFault::HoldLines`].
 const LINE_DELAY: Duration = Duration::from_millis(1_600);
--- a/crates/testbed/src/scale/sizes.rs
+++ b/crates/testbed/src/scale/sizes.rs
@@ -1,28 +1,28 @@
-//! The sizes that are measured, and the scenario of one.
+//! The sizes that are measured, by series, and the scenario of one size.
 
-/// What a series of set-ups is called.
+/// Name of the series with new sessions at rising rates, and no standing connections.
 pub(super) const SET_UPS: &str = "set-ups";
-/// Standing connections that say next to nothing.
+/// Name of the series with rising numbers of standing connections that hardly ever send lines.
 pub(super) const IDLE: &str = "idle";
-/// Standing connections that send lines.
+/// Name of the series with rising numbers of standing connections that send lines often.
 pub(super) const LINES: &str = "lines";
-/// Set-ups beside operators who read a proxy's status again and again.
+/// Name of the series with new sessions while operators request the proxy's status all the time.
 const WATCHED: &str = "watched";
-/// The same without operators.
+/// Name of the series with new sessions at the same rate as [`WATCHED`], without operators.
 const UNWATCHED: &str = "unwatched";
-/// Several proxies.
+/// Name of the series with rising numbers of proxies.
 const FLEET: &str = "fleet";
 
-/// Numbers of hosts that are compared.
+/// Numbers of hosts at which the series [`SET_UPS`] and [`FLEET`] are measured.
 pub(super) const HOST_COUNTS: [u32; 3] = [10, 50, 200];
 
-/// How often an idle connection sends a line.
+/// Time between two lines of an idle connection, in milliseconds.
 const IDLE_MESSAGE_MS: u64 = 60_000;
 
-/// How long a session lasts where none stands throughout the run.
+/// Duration of a session, in milliseconds, at sizes without standing connections.
 const SHORT_SESSION_MS: u64 = 250;
 
-/// One size: what is varied from point to point.
+/// One size: the inputs that vary from point to point.
 #[derive(Clone, Copy, Debug)]
 pub struct ScaleSize {
     /// Name of the series that the size belongs to.
@@ -31,30 +31,31 @@
     pub hosts: u32,
     /// Number of proxies.
     pub proxies: u32,
-    /// Connections that stand before the run begins.
-    pub idle_connections: u32,
-    /// New sessions a second.
+    /// Connections that are open from before the run begins until its end, over all proxies.
+    pub standing_connections: u32,
+    /// New sessions a second, over all proxies.
     pub set_ups_per_second: f64,
-    /// How often each connection sends a line, in milliseconds.
+    /// Time between two lines of each connection, in milliseconds.
     pub message_every_ms: u64,
     /// Whether proxies may send health checks.
     pub probes: bool,
-    /// Operators at each proxy's admin socket.
+    /// Number of operators that request the status at each proxy's admin socket.
     pub status_pollers: u32,
 }
 
+/// The values of a size that its series does not vary.
 const BASE: ScaleSize = ScaleSize {
     series: "",
     hosts: 10,
     proxies: 1,
-    idle_connections: 0,
+    standing_connections: 0,
     set_ups_per_second: 0.0,
     message_every_ms: IDLE_MESSAGE_MS,
     probes: true,
     status_pollers: 0,
 };
 
-/// The sizes of the standing table; `quick` takes a few.
+/// All sizes in the order of the table; with `quick`, fewer of the series that vary rates and standing connections.
 pub fn sizes(quick: bool) -> Vec<ScaleSize> {
     let mut all = set_up_sizes(quick);
     all.extend(standing_sizes(quick));
@@ -63,7 +64,7 @@
     all
 }
 
-/// What one proxy carries: ever more sessions a second, on few hosts and on many.
+/// Sizes for the cost of new sessions at one proxy: several rates, each at all numbers of hosts.
 fn set_up_sizes(quick: bool) -> Vec<ScaleSize> {
     let rates: &[f64] = if quick {
         &[200.0, 800.0]
@@ -81,7 +82,7 @@
     HOST_COUNTS.into_iter().flat_map(of_hosts).collect()
 }
 
-/// What standing connections cost, idle ones and ones that send lines.
+/// Sizes for the cost of standing connections at one proxy: several numbers, idle and with lines.
 fn standing_sizes(quick: bool) -> Vec<ScaleSize> {
     let counts: &[u32] = if quick {
         &[500, 2_000]
@@ -89,9 +90,9 @@
         &[500, 1_000, 2_000, 4_000, 8_000]
     };
     let of_series = |(series, message_every_ms): (&'static str, u64)| {
-        counts.iter().map(move |standing| ScaleSize {
+        counts.iter().map(move |count| ScaleSize {
             series,
-            idle_connections: *standing,
+            standing_connections: *count,
             message_every_ms,
             ..BASE
         })
@@ -102,27 +103,32 @@
         .collect()
 }
 
-/// What operators at the admin socket cost, in alternation with none.
+/// Sizes for the cost of status requests: runs with and without operators in alternation, so that a slow period of the
+/// machine affects both.
 fn watched_sizes() -> Vec<ScaleSize> {
     [0, 16, 0, 16, 0, 16]
         .into_iter()
-        .map(|watchers| ScaleSize {
-            series: if watchers > 0 { WATCHED } else { UNWATCHED },
+        .map(|status_pollers| ScaleSize {
+            series: if status_pollers > 0 {
+                WATCHED
+            } else {
+                UNWATCHED
+            },
             set_ups_per_second: 400.0,
-            status_pollers: watchers,
+            status_pollers,
             ..BASE
         })
         .collect()
 }
 
-/// What a proxy costs in a fleet.
+/// Sizes for the cost of a proxy in fleets of several sizes, at the same total load.
 fn fleet_sizes() -> Vec<ScaleSize> {
     let of_proxies = |proxies: u32| {
         HOST_COUNTS.into_iter().map(move |hosts| ScaleSize {
             series: FLEET,
             hosts,
             proxies,
-            idle_connections: 2_000,
+            standing_connections: 2_000,
             set_ups_per_second: 50.0,
             message_every_ms: 2_000,
             ..BASE
@@ -131,12 +137,14 @@
     [1, 5, 20].into_iter().flat_map(of_proxies).collect()
 }
 
-/// A scenario with hosts so fast that they add next to nothing of their own.
+/// The scenario of a size, as TOML. Its hosts have almost no delay and a capacity far above the load, so that only the
+/// proxies limit the results.
 pub(super) fn scenario_text(size: &ScaleSize, seconds: u32) -> String {
-    let sockets = (f64::from(size.idle_connections) * 2.2 / f64::from(size.proxies)) as u32 + 2_048;
+    let sockets =
+        (f64::from(size.standing_connections) * 2.2 / f64::from(size.proxies)) as u32 + 2_048;
     let memory = 256 + sockets / 16;
-    // Those that were connected before stay to the end; new ones pass by.
-    let lasts_ms = if size.idle_connections > 0 {
+    // Standing connections stay until the end of the run, as do new sessions beside them.
+    let session_ms = if size.standing_connections > 0 {
         u64::from(seconds) * 1000
     } else {
         SHORT_SESSION_MS
@@ -145,9 +153,9 @@
         hosts,
         set_ups_per_second: rate,
         message_every_ms,
-        idle_connections: standing,
+        standing_connections,
         proxies,
-        status_pollers: watchers,
+        status_pollers,
         probes,
         ..
     } = size;
@@ -175,14 +183,14 @@
 name = "acme"
 [traffic]
 rate = {rate:.1}
-life = {{ median = "{lasts_ms}ms", sigma = 0.0 }}
+life = {{ median = "{session_ms}ms", sigma = 0.0 }}
 message_every = "{message_every_ms}ms"
-inherited = {standing}
+inherited = {standing_connections}
 [proxies]
 count = {proxies}
 sockets = {sockets}
 memory_mb = {memory}
-watchers = {watchers}
+watchers = {status_pollers}
 [platform]
 may_probe = {probes}
 answer_slack = "1s"
