--- a/crates/model-checker/src/action.rs
+++ b/crates/model-checker/src/action.rs
@@ -1,11 +1,11 @@
-//! What may happen next in the placement world. `action_text` has the form in which it is written and read.
+//! The events of the placement model. `action_text` formats and parses them.
 
-/// The first line of a server that was sent a request.
+/// The first line with which a server answers a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ServerMessage {
     /// It accepts the session.
     Up,
-    /// It is full, and has not run the request.
+    /// It is full and has not run the request.
     Busy,
     /// It failed.
     Err,
@@ -13,7 +13,7 @@
     Move,
 }
 
-/// How a probe of a server ends.
+/// The result of a probe of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ProbeResult {
     /// The server reports a light load.
@@ -31,17 +31,18 @@
 pub enum EndpointChange {
     /// It may be used.
     Ready,
-    /// It takes nothing new.
+    /// It accepts no new sessions.
     Draining,
-    /// It is no longer there.
+    /// It has been removed.
     Gone,
-    /// It was started anew, and is warming up.
+    /// It was restarted and is warming up.
     Restarted,
     /// It is gone, and a server with another id has its address.
     Replaced,
 }
 
-/// Something that happens. Sessions and servers are numbered from 0; a session's server is that of its present dial.
+/// An event. The number is that of a session or a server, from 0. A session's dial and server are those of its current
+/// connection to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// The first line of a session's client arrives.
@@ -50,7 +51,7 @@
     DialConnected(u8),
     /// The dial's connection was refused or never established.
     DialRefused(u8),
-    /// There was no socket for the dial.
+    /// The dial failed because the proxy had no socket left.
     DialWithoutSocket(u8),
     /// The request's last byte is written.
     RequestWritten(u8),
@@ -60,17 +61,18 @@
     ServerCloses(u8),
     /// The client closes its side.
     ClientLeaves(u8),
-    /// The client speaks before it is answered.
+    /// The client sends data before it has an answer.
     ClientSendsEarly(u8),
-    /// The client closes its side, and the event of that is yet to come: only a check of the connection finds it.
+    /// The client closes its side, but the event for it has not been delivered yet: only a check of the connection detects
+    /// it.
     ClientLeavesUnnoticed(u8),
     /// The endpoint list reports a change of a server.
     EndpointChanges(u8, EndpointChange),
     /// A probe of a server ends.
     ProbeEnds(u8, ProbeResult),
-    /// The clock goes on to the next deadline, which falls due.
+    /// The clock advances to the next deadline, which falls due.
     NextDeadline,
-    /// An event of a connection that was closed in the same turn of the event loop.
+    /// An event is delivered for a connection that was closed earlier in the same iteration of the event loop.
     StaleEvent(u8),
     /// The proxy receives SIGTERM.
     Sigterm,
@@ -80,11 +82,11 @@
     OperatorCancelsDrain,
 }
 
-/// An action, and the range from which the placement engine draws its random numbers meanwhile.
+/// An action, and the range in which the placement engine's first random number falls while it is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Choice {
-    /// What happens.
+    /// The event.
     pub action: Action,
-    /// Number of the range; only the lowest two bits count.
+    /// Number of the range, modulo 4.
     pub random_range: u8,
 }
--- a/crates/model-checker/src/action_text.rs
+++ b/crates/model-checker/src/action_text.rs
@@ -1,11 +1,11 @@
-//! The lines of a trace: a [`Choice`] as text, and back.
+//! The lines of a trace: formats a [`Choice`] as text and parses it.
 
 use crate::action::{Action, Choice, EndpointChange, ProbeResult, ServerMessage};
 use std::fmt;
 use std::str::FromStr;
 
-/// What stands before the number of a random range other than the first.
-const RANDOM_RANGE_MARK: &str = " ~";
+/// Precedes the number of the random range; both are left out for range 0.
+const RANDOM_RANGE_SEPARATOR: &str = " ~";
 
 const SERVER_MESSAGES: [(ServerMessage, &str); 4] = [
     (ServerMessage::Up, "up"),
@@ -29,20 +29,21 @@
     (EndpointChange::Replaced, "replaced"),
 ];
 
-/// A line that is no action of a trace.
+/// A line of a trace that is not a valid action.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{text:?} is no step")]
 pub struct ParseChoiceError {
-    /// The line, without its number.
+    /// The line without its number.
     pub text: String,
 }
 
-/// The word for a value, which each of these tables has for all its values.
+/// The word for a value. Each table covers all values of its type.
 fn word_for<T: PartialEq>(table: &[(T, &'static str)], value: T) -> &'static str {
     let entry = table.iter().find(|(candidate, _)| *candidate == value);
     entry.map_or("?", |(_, word)| word)
 }
 
+/// The value for a word, or `None` if the table does not contain it.
 fn value_of<T: Copy>(table: &[(T, &'static str)], word: &str) -> Option<T> {
     let entry = table.iter().find(|(_, candidate)| *candidate == word);
     entry.map(|(value, _)| *value)
@@ -87,7 +88,7 @@
         if self.random_range == 0 {
             return Ok(());
         }
-        write!(f, "{RANDOM_RANGE_MARK}{}", self.random_range)
+        write!(f, "{RANDOM_RANGE_SEPARATOR}{}", self.random_range)
     }
 }
 
@@ -102,7 +103,7 @@
 }
 
 fn parse_choice(text: &str) -> Option<Choice> {
-    let (action, random_range) = match text.split_once(RANDOM_RANGE_MARK) {
+    let (action, random_range) = match text.split_once(RANDOM_RANGE_SEPARATOR) {
         Some((action, range)) => (action, range.parse().ok()?),
         None => (text, 0),
     };
@@ -153,13 +154,13 @@
     }
 }
 
-/// A probe's result in place of a message is taken as an error, as earlier builds did.
+/// Parses a server's message. The word of a probe result is accepted as an error, as in earlier builds.
 fn server_message(word: &str) -> Option<ServerMessage> {
     value_of(&SERVER_MESSAGES, word)
         .or_else(|| value_of(&PROBE_RESULTS, word).map(|_| ServerMessage::Err))
 }
 
-/// A message in place of a probe's result is taken as a refused connection, as earlier builds did.
+/// Parses a probe result. The word of a server's message is accepted as a refused connection, as in earlier builds.
 fn probe_result(word: &str) -> Option<ProbeResult> {
     value_of(&PROBE_RESULTS, word)
         .or_else(|| value_of(&SERVER_MESSAGES, word).map(|_| ProbeResult::Refused))
--- a/crates/model-checker/src/bin/asterramp-check.rs
+++ b/crates/model-checker/src/bin/asterramp-check.rs
@@ -1,4 +1,4 @@
-//! The former name of `asterramp-model-checker`, for scripts that still use it.
+//! Runs `asterramp-model-checker` under its former name, for scripts that still use it.
 
 use std::process::ExitCode;
 
--- a/crates/model-checker/src/commands/error.rs
+++ b/crates/model-checker/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command could not do its work.
+//! Errors of the commands; all of them end the program with the exit code for bad input.
 
 use asterramp_model_checker::trace::TraceError;
 use std::io;
@@ -6,24 +6,24 @@
 
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// `--shape` names none.
+    /// No shape has the name that `--shape` gives.
     #[error("--shape: {name:?} is not known")]
     UnknownShape { name: String },
     /// A file could not be read or written.
     #[error("{}: {source}", path.display())]
     File { path: PathBuf, source: io::Error },
-    /// A file is no trace.
+    /// A file is not a valid trace.
     #[error("{}: {source}", path.display())]
     Trace { path: PathBuf, source: TraceError },
-    /// A trace names an injected fault that there is not.
+    /// No injected fault has the name that a trace gives.
     #[cfg(feature = "injected-faults")]
     #[error("plant {name:?} is not known")]
     UnknownFault { name: String },
-    /// A trace needs an injected fault, which this build has not.
+    /// A trace needs an injected fault, but this build has none compiled in.
     #[cfg(not(feature = "injected-faults"))]
     #[error("plant {name}: build with --features injected-faults")]
     FaultNotCompiledIn { name: String },
-    /// The command needs injected faults, which this build has not.
+    /// The command needs injected faults, but this build has none compiled in.
     #[cfg(not(feature = "injected-faults"))]
     #[error("this build has no injected faults; build it with --features injected-faults")]
     FaultsNotCompiledIn,
--- a/crates/model-checker/src/commands/injected_faults.rs
+++ b/crates/model-checker/src/commands/injected_faults.rs
@@ -1,4 +1,4 @@
-//! `injected-faults`: injects each known fault and looks for it.
+//! `injected-faults`: injects each known fault and checks that the exploration finds it.
 
 #[cfg(feature = "injected-faults")]
 pub(super) use with_feature::{find_faults, inject_by_name};
@@ -32,20 +32,24 @@
     use asterramp_proxy::injected_fault::{InjectedFault, inject};
     use std::time::Duration;
 
-    /// States of a shape after which a fault counts as not found in it.
+    /// Number of states of one shape after which a fault counts as not found in that shape.
     const MAX_STATES: u64 = 2_000_000;
-    /// Time for a shape after which a fault counts as not found in it.
+    /// Time for one shape after which a fault counts as not found in that shape.
     const MAX_TIME: Duration = Duration::from_secs(60);
 
-    /// A search for one fault through the quick shapes.
+    /// The result of the search for one fault in the quick shapes.
     #[derive(Default)]
     struct FaultSearch {
+        /// Distinct states of all shapes explored.
         states: u64,
+        /// Duration of all explorations.
         elapsed: Duration,
+        /// The shape that showed the fault, and how; `None` if none did.
         found: Option<(&'static Shape, PlacementCounterexample)>,
     }
 
-    /// Searches for all faults, or for the one of that name, and prints how each was found.
+    /// Searches for all faults, or only for the one called `name`, and prints how each was found. If no fault has that name,
+    /// none is searched for.
     pub(in crate::commands) fn find_faults(name: Option<&str>) -> Result<Verdict, CommandError> {
         let named = name.and_then(InjectedFault::from_name);
         let mut verdict = Verdict::Holds;
@@ -54,7 +58,7 @@
                 continue;
             }
             inject(Some(fault));
-            let search = FaultSearch::through_quick_shapes();
+            let search = FaultSearch::in_quick_shapes();
             search.print(fault, name.is_some());
             if search.found.is_none() {
                 verdict = Verdict::Broken;
@@ -64,7 +68,7 @@
         Ok(verdict)
     }
 
-    /// Injects the fault that a trace names.
+    /// Injects the fault called `name` into this process.
     pub(in crate::commands) fn inject_by_name(name: &str) -> Result<(), CommandError> {
         let fault = InjectedFault::from_name(name).ok_or_else(|| CommandError::UnknownFault {
             name: name.to_owned(),
@@ -74,8 +78,8 @@
     }
 
     impl FaultSearch {
-        /// Explores the quick shapes, up to the first in which a property does not hold.
-        fn through_quick_shapes() -> FaultSearch {
+        /// Explores the quick shapes in order until a property does not hold in one of them.
+        fn in_quick_shapes() -> FaultSearch {
             let limits = Limits {
                 max_states: MAX_STATES,
                 max_time: MAX_TIME,
--- a/crates/model-checker/src/commands/mod.rs
+++ b/crates/model-checker/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, a function each.
+//! The commands of the command line, one module for each command or group of similar ones.
 
 mod counterexample;
 mod error;
@@ -12,7 +12,7 @@
 use crate::report::Verdict;
 use error::CommandError;
 
-/// Runs a command and prints what it has to say.
+/// Runs a command and prints its output.
 pub(crate) fn run(command: Command) -> Result<Verdict, CommandError> {
     match command {
         Command::Run(args) => run::run(&args),
--- a/crates/model-checker/src/commands/models.rs
+++ b/crates/model-checker/src/commands/models.rs
@@ -1,4 +1,4 @@
-//! `hot-restart`, `zone-failover`, `warm-start` and `leader-lease`: the smaller models.
+//! `hot-restart`, `zone-failover`, `warm-start` and `leader-lease`: explore the smaller models.
 
 use crate::report::{Extent, Verdict, print_exploration};
 use asterramp_model_checker::leader_lease::LeaseSituation;
@@ -20,7 +20,7 @@
     print_exploration(&exploration, Extent::ToDepth)
 }
 
-/// Explores from each of several situations.
+/// Explores every initial situation and returns the worst of the verdicts.
 pub(super) fn leader_lease(depth: usize) -> Verdict {
     let verdicts = LeaseSituation::ALL.map(|situation| {
         let exploration = leader_lease::explore(situation, depth);
--- a/crates/model-checker/src/commands/replay.rs
+++ b/crates/model-checker/src/commands/replay.rs
@@ -1,4 +1,4 @@
-//! `replay`: plays a trace, or prints it as a test.
+//! `replay`: replays a trace, or prints it as a test.
 
 use super::error::CommandError;
 use super::injected_faults;
--- a/crates/model-checker/src/commands/run.rs
+++ b/crates/model-checker/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`: explores shapes.
+//! `run`: explores the shapes exhaustively.
 
 use super::counterexample::save_counterexample;
 use super::error::CommandError;
@@ -10,7 +10,7 @@
 use asterramp_model_checker::trace::Trace;
 use std::time::Duration;
 
-/// Explores the shapes that are asked for, up to the first violation.
+/// Explores the shapes that `args` selects, until one of them has a violation.
 pub(super) fn run(args: &RunArgs) -> Result<Verdict, CommandError> {
     let limits = Limits {
         max_states: args.states,
@@ -32,7 +32,7 @@
     Ok(verdict)
 }
 
-/// The named shape, the quick ones or all. The shape of random walks may be named, but is not among them.
+/// The shape that `--shape` names, the quick shapes, or all. The shape of random walks is a known name, but selects nothing.
 fn selected_shapes(args: &RunArgs) -> Result<Vec<&'static Shape>, CommandError> {
     let Some(name) = &args.shape else {
         let shapes = SHAPES.iter();
--- a/crates/model-checker/src/commands/walk.rs
+++ b/crates/model-checker/src/commands/walk.rs
@@ -1,4 +1,4 @@
-//! `walk`: random walks.
+//! `walk`: runs random walks and reports the first violation.
 
 use super::counterexample::save_counterexample;
 use super::error::CommandError;
--- a/crates/model-checker/src/explorer.rs
+++ b/crates/model-checker/src/explorer.rs
@@ -1,30 +1,32 @@
-//! Explores a [`Model`] breadth first, so that the way to a violation is a shortest one.
+//! Explores a [`Model`] breadth first, so that a counterexample is a shortest one.
 //!
-//! The states of a level are expanded in parallel, a batch at a time. Of equal states the earliest in order is kept, so that
-//! two explorations of a model keep the same states and give the same counterexample, whichever thread was faster.
+//! The states of a level are expanded in parallel, a batch at a time. Of equal states the one with the lowest
+//! [`VisitNumber`] is kept, so that every exploration of a model keeps the same states and gives the same counterexample,
+//! whichever thread is faster.
 
 use crate::known_states::{KnownStates, VisitNumber};
 use crate::model::Model;
 use rayon::prelude::*;
 use std::time::{Duration, Instant};
 
-/// States that are expanded before their successors are merged: many enough to keep all cores busy, few enough that the
-/// successors that turn out to be equal do not matter beside the level.
+/// Number of states that are expanded before their successors are merged: enough to keep all cores busy, and few enough
+/// that the duplicates among the successors take little memory compared with the level.
 const BATCH_SIZE: usize = 1 << 11;
-/// Bits of a meeting's number for the action, and for the state in its batch; the batch has the rest.
+/// Lowest bits of a [`VisitNumber`], which hold the index of the action among those of its state.
 const ACTION_BITS: u32 = 16;
+/// Next bits of a [`VisitNumber`], which hold the index of the state in its batch. The batch number has the remaining bits.
 const STATE_BITS: u32 = 16;
 
-/// Where to stop, whatever is left.
+/// Limits of an exploration; at the first that is reached it stops and is marked as truncated.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Different states.
+    /// Number of distinct states.
     pub max_states: u64,
-    /// States of one level, which are in memory at once; a state of the placement model takes some 3 KiB.
+    /// Number of states in one level, all of which are in memory at once; a state of the placement model takes some 3 KiB.
     pub max_level_size: usize,
-    /// Actions between the start and a state.
+    /// Number of actions between the initial state and any other.
     pub max_depth: usize,
-    /// Time after which no further level is begun.
+    /// Time after which no further level is begun; it does not interrupt a level that was begun.
     pub max_time: Duration,
 }
 
@@ -37,7 +39,7 @@
         max_time: Duration::MAX,
     };
 
-    /// No limit but the number of actions.
+    /// Limits only the number of actions between the initial state and any other.
     pub fn to_depth(depth: usize) -> Limits {
         Limits {
             max_depth: depth,
@@ -47,7 +49,7 @@
 }
 
 impl Default for Limits {
-    /// Bounds for a model with many states.
+    /// Limits for a model with many states.
     fn default() -> Self {
         Limits {
             max_states: 40_000_000,
@@ -58,64 +60,64 @@
     }
 }
 
-/// A violation and a shortest way to it.
+/// A violation and a shortest sequence of actions that leads to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Counterexample<A, V> {
     /// The property that does not hold.
     pub violation: V,
-    /// What happened until then, from the initial state.
+    /// All actions from the initial state to the violation.
     pub actions: Vec<A>,
 }
 
-/// What an exploration has seen.
+/// The result of an exploration.
 #[derive(Clone, Debug)]
 pub struct Exploration<A, V> {
-    /// Different states.
+    /// Number of distinct states, the initial one included.
     pub states: u64,
-    /// Actions applied, those that led to a known state among them.
+    /// Number of actions applied, including those that led to a known state.
     pub steps: u64,
-    /// The largest number of actions that a state is away from where the exploration began.
+    /// The largest number of actions between the initial state and a state that was found.
     pub depth: usize,
-    /// How long it took.
+    /// Duration of the exploration.
     pub elapsed: Duration,
-    /// Whether it stopped at a limit before all was seen.
+    /// Whether a limit was reached before all states were seen.
     pub is_truncated: bool,
-    /// States of the last level, if it was not expanded for a limit.
+    /// Number of states in the last level if a limit kept it from being expanded, or 0.
     pub unexpanded: u64,
-    /// The first violation, if there is one. What one batch of states leads to is seen to its end all the same.
+    /// The first violation, if there is one. The batch in which it is found is still expanded completely.
     pub counterexample: Option<Counterexample<A, V>>,
 }
 
-/// The exploration of a model.
+/// The result of exploring the model `M`.
 pub type ExplorationOf<M> = Exploration<<M as Model>::Action, <M as Model>::Violation>;
 
-/// The counterexample of a model.
+/// A counterexample of the model `M`.
 type CounterexampleOf<M> = Counterexample<<M as Model>::Action, <M as Model>::Violation>;
 
 /// How a state was reached.
 #[derive(Clone, Copy, Debug)]
 struct Origin<A> {
-    /// The number, in the level before, of the state that led to it.
-    state: u32,
+    /// Index of the predecessor state in its level, which is the level before.
+    predecessor: u32,
     action: A,
 }
 
-/// A state that an action led to.
-struct Met<M: Model> {
+/// A state that an action led to, with the number of that visit.
+struct VisitedState<M: Model> {
     state: M,
     fingerprint: M::Fingerprint,
-    number: VisitNumber,
+    visit: VisitNumber,
 }
 
-/// What an action led to, if that was not known at the time.
+/// The outcome of an action that led to a violation or to a state that was not known at the time.
 struct Successor<M: Model> {
     origin: Origin<M::Action>,
-    outcome: Result<Met<M>, M::Violation>,
+    outcome: Result<VisitedState<M>, M::Violation>,
 }
 
-/// What the actions of one state led to.
+/// The successors of one state.
 struct Expansion<M: Model> {
-    /// Number of actions.
+    /// Number of actions applied, including those that led to a known state.
     steps: u64,
     successors: Vec<Successor<M>>,
 }
@@ -126,8 +128,8 @@
     explore_after(initial, &[], limits)
 }
 
-/// Explores every order of actions behind `prefix`, which counts neither as states nor as depth, but begins the
-/// counterexample.
+/// Explores every order of actions after `prefix`. The prefix counts neither towards the states nor towards the depth, but a
+/// counterexample begins with it.
 pub fn explore_after<M: Model>(
     mut initial: M,
     prefix: &[M::Action],
@@ -149,7 +151,7 @@
     explorer.result
 }
 
-/// Applies `prefix` and checks the state that it leads to.
+/// Applies `prefix` and checks the state that it leads to. Returns a counterexample if a property does not hold.
 fn run_prefix<M: Model>(model: &mut M, prefix: &[M::Action]) -> Option<CounterexampleOf<M>> {
     let counterexample = |violation, length| Counterexample {
         violation,
@@ -168,12 +170,14 @@
     limits: Limits,
     prefix: &'a [M::Action],
     known: KnownStates<M::Fingerprint>,
-    /// Batches that were begun. The initial state counts as the first.
-    batches: u64,
-    /// The states that are expanded next, or that the present level has led to so far.
+    /// Number of batches that were begun. The initial state counts as the first, since its visit number is 0.
+    batches_begun: u64,
+    /// The states to be expanded next; while a level is being expanded, the new states found so far.
     level: Vec<M>,
+    /// How each state of `level` was reached; empty for the initial state.
     level_origins: Vec<Origin<M::Action>>,
-    /// How the states of each level before were reached; those of the first, which were not, have none.
+    /// How the states of each level up to the one being expanded were reached; empty for the first level, which has only
+    /// the initial state.
     earlier_origins: Vec<Vec<Origin<M::Action>>>,
     result: ExplorationOf<M>,
 }
@@ -186,7 +190,7 @@
             limits,
             prefix,
             known,
-            batches: 1,
+            batches_begun: 1,
             level: vec![initial],
             level_origins: Vec::new(),
             earlier_origins: Vec::new(),
@@ -208,7 +212,7 @@
             || self.result.depth >= self.limits.max_depth
     }
 
-    /// Replaces the level by the states that it leads to and that are not known yet.
+    /// Replaces the level by those of its successors that were not known yet.
     fn expand_level(&mut self) {
         let expanded = std::mem::take(&mut self.level);
         let expanded_origins = std::mem::take(&mut self.level_origins);
@@ -229,22 +233,23 @@
         self.result.depth += usize::from(!self.level.is_empty());
     }
 
-    /// What the states of a batch lead to, in their order; `first` is the number of the first of them in its level.
-    fn expand_batch(&mut self, batch: &[M], first: usize) -> Vec<Successor<M>> {
+    /// Expands a batch and returns its new successors in order; `first_index` is the index of the batch's first state in
+    /// its level.
+    fn expand_batch(&mut self, batch: &[M], first_index: usize) -> Vec<Successor<M>> {
         let known = &self.known;
-        let first_number = self.batches << (STATE_BITS + ACTION_BITS);
-        self.batches += 1;
+        let first_visit = self.batches_begun << (STATE_BITS + ACTION_BITS);
+        self.batches_begun += 1;
         let mut expansions: Vec<Expansion<M>> = batch
             .par_iter()
             .enumerate()
             .map(|(offset, state)| {
-                let number = first_number + ((offset as u64) << ACTION_BITS);
-                expand(state, (first + offset) as u32, number, known)
+                let visit = first_visit + ((offset as u64) << ACTION_BITS);
+                expand(state, (first_index + offset) as u32, visit, known)
             })
             .collect();
         expansions.par_iter_mut().for_each(|expansion| {
             let is_first = |successor: &Successor<M>| match &successor.outcome {
-                Ok(met) => known.is_earliest_visit(&met.fingerprint, met.number),
+                Ok(visited) => known.is_earliest_visit(&visited.fingerprint, visited.visit),
                 Err(_) => true,
             };
             expansion.successors.retain(is_first);
@@ -256,12 +261,12 @@
             .collect()
     }
 
-    /// Takes a successor into the next level; keeps the first violation.
+    /// Adds a new state to the next level, or makes a counterexample of the first violation.
     fn merge(&mut self, successor: Successor<M>) {
         let Successor { origin, outcome } = successor;
         match outcome {
-            Ok(met) => {
-                self.level.push(met.state);
+            Ok(visited) => {
+                self.level.push(visited.state);
                 self.level_origins.push(origin);
             }
             Err(violation) if self.result.counterexample.is_none() => {
@@ -272,25 +277,26 @@
         }
     }
 
-    /// All actions from the initial state to what the last of them led to from the level that is being expanded.
+    /// All actions from the initial state up to the one of `last`, which was applied to a state of the level being expanded.
     fn actions_to(&self, last: Origin<M::Action>) -> Vec<M::Action> {
         let mut reversed = vec![last.action];
-        let mut state = last.state;
+        let mut index = last.predecessor;
         for origins in self.earlier_origins[1..].iter().rev() {
-            let origin = &origins[state as usize];
+            let origin = &origins[index as usize];
             reversed.push(origin.action);
-            state = origin.state;
+            index = origin.predecessor;
         }
         reversed.reverse();
         [self.prefix, &reversed].concat()
     }
 }
 
-/// Applies every action to a state. `number` is its own, and `first_meeting` that of its first action.
+/// Applies every possible action to a state. `state_index` is its index in its level, and `first_visit` the visit number of
+/// its first action; those of the further actions follow.
 fn expand<M: Model>(
     state: &M,
-    number: u32,
-    first_meeting: VisitNumber,
+    state_index: u32,
+    first_visit: VisitNumber,
     known: &KnownStates<M::Fingerprint>,
 ) -> Expansion<M> {
     let actions = if state.is_finished() {
@@ -299,11 +305,11 @@
         state.actions()
     };
     let steps = actions.len() as u64;
-    let numbered = (first_meeting..).zip(actions);
-    let successors = numbered.filter_map(|(meeting, action)| {
-        let outcome = outcome_of(state, action, meeting, known)?;
+    let visits = (first_visit..).zip(actions);
+    let successors = visits.filter_map(|(visit, action)| {
+        let outcome = apply_to_clone(state, action, visit, known)?;
         let origin = Origin {
-            state: number,
+            predecessor: state_index,
             action,
         };
         Some(Successor { origin, outcome })
@@ -314,24 +320,24 @@
     }
 }
 
-/// What an action leads to; `None` if it is a state that was met before.
-fn outcome_of<M: Model>(
+/// Applies an action to a clone of `state`. Returns `None` if it leads to a state that is known from an earlier visit.
+fn apply_to_clone<M: Model>(
     state: &M,
     action: M::Action,
-    number: VisitNumber,
+    visit: VisitNumber,
     known: &KnownStates<M::Fingerprint>,
-) -> Option<Result<Met<M>, M::Violation>> {
+) -> Option<Result<VisitedState<M>, M::Violation>> {
     let mut next = state.clone();
     if let Err(violation) = next.apply(action) {
         return Some(Err(violation));
     }
     let fingerprint = next.fingerprint();
-    if !known.record_visit(fingerprint.clone(), number) {
+    if !known.record_visit(fingerprint.clone(), visit) {
         return None;
     }
-    Some(next.check().map(|()| Met {
+    Some(next.check().map(|()| VisitedState {
         state: next,
         fingerprint,
-        number,
+        visit,
     }))
 }
--- a/crates/model-checker/src/known_states.rs
+++ b/crates/model-checker/src/known_states.rs
@@ -1,17 +1,17 @@
-//! The states that an exploration has met, shared by the threads that expand a batch.
+//! The states that an exploration has reached, shared by the threads that expand a batch.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
 use std::hash::{BuildHasher, Hash, RandomState};
 use std::sync::{Mutex, MutexGuard};
 
-/// Parts that are locked on their own: far more than threads, so that two seldom want the same.
-const SHARDS: usize = 256;
+/// Number of separately locked shards: far more than threads, so that two threads seldom wait for the same lock.
+const SHARD_COUNT: usize = 256;
 
-/// Where a state was met in the order of the exploration: a lower number is earlier.
+/// The position of a visit in the order of the exploration: a lower number is earlier, whichever thread is faster.
 pub(crate) type VisitNumber = u64;
 
-/// Fingerprints with the earliest place at which each was met, whichever thread came first.
+/// The fingerprints of all states reached so far, each with its earliest visit.
 #[derive(Debug)]
 pub(crate) struct KnownStates<F> {
     shards: Vec<Mutex<HashMap<F, VisitNumber>>>,
@@ -21,16 +21,16 @@
 impl<F: Eq + Hash> KnownStates<F> {
     pub(crate) fn new() -> Self {
         KnownStates {
-            shards: (0..SHARDS).map(|_| Mutex::default()).collect(),
+            shards: (0..SHARD_COUNT).map(|_| Mutex::default()).collect(),
             hasher: RandomState::new(),
         }
     }
 
-    /// Notes a meeting. Returns whether none before it is known by now; a thread may still bring one.
+    /// Records a visit. Returns whether it is the earliest known so far; another thread may still record an earlier one.
     pub(crate) fn record_visit(&self, fingerprint: F, number: VisitNumber) -> bool {
         match self.shard(&fingerprint).entry(fingerprint) {
-            Entry::Vacant(unknown) => {
-                unknown.insert(number);
+            Entry::Vacant(entry) => {
+                entry.insert(number);
                 true
             }
             Entry::Occupied(mut earliest) if number < *earliest.get() => {
@@ -41,13 +41,13 @@
         }
     }
 
-    /// Whether a state was met there for the first time. Settled once all threads are done with its batch.
+    /// Whether this visit of a state is its earliest. Final only once all threads have finished the visit's batch.
     pub(crate) fn is_earliest_visit(&self, fingerprint: &F, number: VisitNumber) -> bool {
         self.shard(fingerprint).get(fingerprint) == Some(&number)
     }
 
     fn shard(&self, fingerprint: &F) -> MutexGuard<'_, HashMap<F, VisitNumber>> {
-        let shard = self.hasher.hash_one(fingerprint) as usize % SHARDS;
+        let shard = self.hasher.hash_one(fingerprint) as usize % SHARD_COUNT;
         self.shards[shard]
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,10 +1,10 @@
-//! Explores the life of sessions exhaustively at small size: the placement engine, the session table, slots and deadlines
-//! are the code that serves; sockets, clients, servers and the clock are a model.
+//! Explores every order of events in the life of a few sessions. The placement engine, the session table, the slots and
+//! the deadlines are the production code; sockets, clients, servers and the clock are modelled.
 //!
-//! A [`system_state::SystemState`] within the bounds of a [`shape::Shape`] goes on by [`action::Action`]s, and every
-//! [`properties::Property`] is checked behind each. [`walk`] draws actions at random; a [`trace::Trace`] keeps what led to a
-//! violation. Four smaller models play hot restart, zone failover, warm start and leader lease. `docs/model-checker.md` says what
-//! all that shows and what it leaves out.
+//! An [`action::Action`] leads from one [`system_state::SystemState`] to the next, within the bounds of a
+//! [`shape::Shape`], and every [`properties::Property`] is checked after each action. [`walk`] draws actions at random; a
+//! [`trace::Trace`] records the actions that led to a violation. Four smaller models cover hot restart, zone failover, warm
+//! start and leader lease. `docs/model-checker.md` describes what the checks prove and what they leave out.
 
 pub mod action;
 mod action_text;
--- a/crates/model-checker/src/main.rs
+++ b/crates/model-checker/src/main.rs
@@ -8,7 +8,7 @@
 use cli::CommandLine;
 use std::process::ExitCode;
 
-/// The exit code for bad input.
+/// Exit code for bad arguments, an unreadable or malformed file, or a fault that this build does not contain.
 const EXIT_BAD_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/model-checker/src/model.rs
+++ b/crates/model-checker/src/model.rs
@@ -1,4 +1,4 @@
-//! What the explorer needs to know of a modelled system.
+//! The interface between the explorer and a modelled system.
 
 use std::fmt::{Debug, Display};
 use std::hash::Hash;
@@ -7,33 +7,33 @@
 ///
 /// The same state and action always give the same next state: a model draws no random numbers and reads no clock.
 pub trait Model: Clone + Send + Sync {
-    /// Something that may happen. Its text is its line in a counterexample.
+    /// An event of the system. Its `Display` text is its line in a counterexample.
     type Action: Copy + Debug + Display + Send + Sync;
     /// A property that does not hold.
     type Violation: Debug + Display + Send;
-    /// What tells states apart.
+    /// Identifies a state: states with equal fingerprints are treated as one.
     type Fingerprint: Clone + Eq + Hash + Send + Sync;
 
-    /// Equal for states that behave alike from here on; the explorer goes on from the first of them only.
+    /// Equal for states from which the same behaviour follows; the explorer expands only the first of them.
     fn fingerprint(&self) -> Self::Fingerprint;
 
-    /// Whether nothing that happens from here on is of interest.
+    /// Whether the state need not be expanded, since nothing of interest can follow.
     fn is_finished(&self) -> bool {
         false
     }
 
-    /// All that may happen next.
+    /// All actions that are possible in this state, in an order that is always the same.
     fn actions(&self) -> Vec<Self::Action>;
 
-    /// Lets one of [`Model::actions`] happen.
+    /// Applies one of [`Model::actions`].
     ///
     /// # Errors
     ///
-    /// A property of this action, or of the state that it leads to, that does not hold.
+    /// A property that the action, or the state that it leads to, violates.
     fn apply(&mut self, action: Self::Action) -> Result<(), Self::Violation>;
 
-    /// Checks the properties that are too expensive to be checked by each action: the explorer calls it once for each
-    /// different state.
+    /// Checks properties that are too expensive to check after each action: the explorer calls it once for each distinct
+    /// state.
     ///
     /// # Errors
     ///
--- a/crates/model-checker/src/monitor/observed_session.rs
+++ b/crates/model-checker/src/monitor/observed_session.rs
@@ -1,94 +1,104 @@
-//! What clients and servers have seen of one session.
+//! What clients and servers have observed of one session.
 
 use std::time::Duration;
 
-/// How late an answer may be.
+/// Longest time after the client's deadline at which an answer still counts as in time.
 const ANSWER_TOLERANCE: Duration = Duration::from_millis(16);
 
-/// A dial whose connection is not closed.
+/// A dial whose connection has not been closed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ObservedDial {
-    pub(super) begun_at: Duration,
+    pub(super) started_at: Duration,
     /// The zone of its server.
     pub(super) zone: u8,
-    /// Whether all of the request is written. Part of what makes two monitors equal, though no property asks for it.
+    /// Whether the whole request has been written. No property uses it, but it is part of the fingerprint.
     pub(super) is_request_written: bool,
 }
 
-/// A dial that may have run at its server.
+/// A dial whose server may have run the session.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PossibleRun {
-    pub(super) begun_at: Duration,
+    pub(super) started_at: Duration,
+    /// The zone of its server.
     pub(super) zone: u8,
 }
 
+/// The observed history of a session.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ObservedSession {
-    /// Until when its client waits for an answer; `None` once it has one or has left.
+    /// When its client stops waiting for an answer; `None` before it arrives, and once it has an answer or has left.
     pub(super) answer_deadline: Option<Duration>,
+    /// No property uses it, but it is part of the fingerprint.
     pub(super) has_arrived: bool,
+    /// Number of final answers; opening the session counts as one.
     pub(super) answers: u8,
+    /// Whether the proxy has noticed that the client closed its side.
     pub(super) client_left: bool,
-    /// Its client has closed its side, noticed or not.
-    pub(super) client_gone: bool,
+    /// Whether the client closed its side without an event. Stays set once the proxy has noticed.
+    pub(super) client_left_unnoticed: bool,
+    /// Number of dials begun so far.
     pub(super) dials: u32,
+    /// The latest dial; `None` before the first, and once all connections are closed.
     pub(super) current_dial: Option<ObservedDial>,
-    /// How many connections servers have open for it.
+    /// Number of its connections to servers that are not closed.
     pub(super) connections: u8,
+    /// The first dial whose server may have run the session, unless that was disproved.
     pub(super) possible_run: Option<PossibleRun>,
+    /// Whether lines are being forwarded between its client and its server.
     pub(super) is_open: bool,
 }
 
 impl ObservedSession {
-    pub(super) fn begin_dial(&mut self, now: Duration, zone: u8) {
+    /// Records that a dial begins to a server in `zone`.
+    pub(super) fn record_dial(&mut self, now: Duration, zone: u8) {
         self.dials += 1;
         self.connections += 1;
         self.current_dial = Some(ObservedDial {
-            begun_at: now,
+            started_at: now,
             zone,
             is_request_written: false,
         });
     }
 
-    /// The server has the whole request of the current dial: from now on it may run.
-    pub(super) fn request_written(&mut self) {
+    /// Records that the server has the whole request of the current dial: from now on it may run the session.
+    pub(super) fn record_request_written(&mut self) {
         if let Some(dial) = &mut self.current_dial {
             dial.is_request_written = true;
             let run = PossibleRun {
-                begun_at: dial.begun_at,
+                started_at: dial.started_at,
                 zone: dial.zone,
             };
             self.possible_run.get_or_insert(run);
         }
     }
 
-    /// The current dial is proved not to have run. What an earlier dial may have done stays.
-    pub(super) fn current_dial_never_ran(&mut self) {
-        let begun_at = self.current_dial.map(|dial| dial.begun_at);
-        if self.possible_run.map(|run| run.begun_at) == begun_at {
+    /// Records that the current dial is proved not to have run. A possible run of an earlier dial remains.
+    pub(super) fn rule_out_run_of_current_dial(&mut self) {
+        let started_at = self.current_dial.map(|dial| dial.started_at);
+        if self.possible_run.map(|run| run.started_at) == started_at {
             self.possible_run = None;
         }
     }
 
-    pub(super) fn connection_closed(&mut self) {
+    pub(super) fn record_connection_closed(&mut self) {
         self.connections = self.connections.saturating_sub(1);
         if self.connections == 0 {
             self.current_dial = None;
         }
     }
 
-    pub(super) fn session_ended(&mut self) {
+    pub(super) fn record_session_ended(&mut self) {
         self.connections = 0;
         self.current_dial = None;
         self.is_open = false;
     }
 
-    /// Whether a dial of it is under way.
+    /// Whether it has a connection to a server, established or in progress.
     pub(super) fn is_dialling(&self) -> bool {
         self.connections > 0
     }
 
-    /// Whether its client waits for an answer, and one at that time would be late.
+    /// Whether its client waits for an answer, and one at `time` would be late.
     pub(super) fn is_late(&self, time: Duration) -> bool {
         self.answer_deadline
             .is_some_and(|deadline| time > deadline + ANSWER_TOLERANCE)
--- a/crates/model-checker/src/monitor/slow_start.rs
+++ b/crates/model-checker/src/monitor/slow_start.rs
@@ -1,15 +1,15 @@
-//! The budget of dials to a server that is warming up.
+//! The limit on dials to a server that is warming up.
 
 use asterramp_placement::deployment::SlowStartRule;
 use std::time::Duration;
 
-/// The smallest part of a server that any load report of the model shows one connection to take.
+/// Fraction of a server's capacity that one connection takes, at the least, according to the load reports of the model. A
+/// greater value lowers the budget.
 const LOAD_PER_CONNECTION: f64 = 0.06;
 
-/// How many dials a server may have had when it has been up for `uptime`.
-///
-/// The budget fills by what fills the server as it warms up, at the rule's multiple of its mean capacity so far, in
-/// connections of the size that load reports show.
+/// The number of dials that a server may have had once it has been up for `uptime`: one, and those that the rule's multiple
+/// of the rate that would fill the server's mean capacity so far within `warm_after` allows, with connections of
+/// [`LOAD_PER_CONNECTION`] each.
 pub(super) fn dial_budget(rule: &SlowStartRule, uptime: Duration) -> f64 {
     let uptime = uptime.as_secs_f64();
     let warm_after = rule.warm_after.as_secs_f64();
--- a/crates/model-checker/src/placement_model.rs
+++ b/crates/model-checker/src/placement_model.rs
@@ -7,20 +7,20 @@
 use crate::shape::Shape;
 use crate::system_state::SystemState;
 
-/// Ranges of random numbers that are explored of an arrival, whose placement is drawn among all servers.
-const RANGES_OF_ARRIVAL: u8 = 4;
-/// Ranges that are explored of other actions by which a session may be placed.
-const RANGES_OF_PLACEMENT: u8 = 2;
-/// Ranges that are explored of actions that place no session.
-const RANGES_WITHOUT_PLACEMENT: u8 = 1;
+/// Number of random ranges that an arrival is explored with: its placement is drawn among all servers.
+const ARRIVAL_RANGES: u8 = 4;
+/// Number of random ranges for other actions by which a session may be placed.
+const PLACEMENT_RANGES: u8 = 2;
+/// Number of random ranges for actions that place no session.
+const NO_PLACEMENT_RANGES: u8 = 1;
 
-/// A violation of the placement model, with a shortest way to it.
+/// A violation in the placement model, with a shortest sequence of choices that leads to it.
 pub type PlacementCounterexample = Counterexample<Choice, Violation>;
 
-/// What an exploration of the placement model has seen.
+/// The result of an exploration of the placement model.
 pub type PlacementExploration = Exploration<Choice, Violation>;
 
-/// A world and its bounds.
+/// A state of the system and the bounds within which it is explored.
 #[derive(Clone, Debug)]
 pub struct PlacementModel {
     shape: &'static Shape,
@@ -28,7 +28,7 @@
 }
 
 impl PlacementModel {
-    /// The world with which a shape begins.
+    /// The initial state of a shape.
     pub fn new(shape: &'static Shape) -> PlacementModel {
         PlacementModel {
             shape,
@@ -37,16 +37,16 @@
     }
 }
 
-/// How many ranges of random numbers an action is explored with.
-fn random_ranges(action: Action) -> u8 {
+/// The number of random ranges that an action is explored with.
+fn random_range_count(action: Action) -> u8 {
     match action {
-        Action::SessionArrives(_) => RANGES_OF_ARRIVAL,
+        Action::SessionArrives(_) => ARRIVAL_RANGES,
         Action::DialConnected(_)
         | Action::RequestWritten(_)
         | Action::Sigterm
         | Action::ClientLeaves(_)
-        | Action::ClientSendsEarly(_) => RANGES_WITHOUT_PLACEMENT,
-        _ => RANGES_OF_PLACEMENT,
+        | Action::ClientSendsEarly(_) => NO_PLACEMENT_RANGES,
+        _ => PLACEMENT_RANGES,
     }
 }
 
@@ -67,7 +67,7 @@
         let mut actions = Vec::new();
         self.state.actions(self.shape, &mut actions);
         let with_ranges = |action| {
-            (0..random_ranges(action)).map(move |random_range| Choice {
+            (0..random_range_count(action)).map(move |random_range| Choice {
                 action,
                 random_range,
             })
--- a/crates/model-checker/src/properties.rs
+++ b/crates/model-checker/src/properties.rs
@@ -1,25 +1,25 @@
-//! What has to hold in every order of events, over what clients and servers see. `monitor` checks it.
+//! The properties that must hold in every order of events. `monitor` checks them on what clients and servers observe.
 
 use std::fmt;
 
-/// A property. Its name stands in traces.
+/// A property. The names of the variants are written into traces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Property {
     /// Each session gets exactly one final answer, within its client's wait.
     OneAnswerInTime,
-    /// A session never has two dials under way.
+    /// A session never has two dials in progress.
     NeverTwoDials,
-    /// No dial begins, or is still under way, after the final answer or once the client has left.
+    /// No dial begins, or is still in progress, after the final answer or once the client has left.
     NoDialAfterTheAnswer,
     /// A session is dialled no more often than allowed.
     DialsBounded,
-    /// Nothing new goes to a server that is reported as draining or gone.
+    /// No dial begins to a server that the endpoint list reports as draining or gone.
     DrainsKept,
     /// Once a dial may have run, a session that is not idempotent is neither dialled nor rejected; one with an
     /// idempotency key is dialled only within the key's scope and lifetime, and rejected only where the scope is all
     /// servers.
     NoEffectTwice,
-    /// A server that is known to be warming up gets no more dials than its budget.
+    /// A server that is known to be warming up gets no more dials than its slow-start budget.
     ColdSpared,
     /// No session, slot, deadline or connection is left behind, and every session ends.
     NothingLeftBehind,
@@ -27,12 +27,12 @@
     NothingMadeUp,
 }
 
-/// A property that does not hold.
+/// A violation of a property.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which one.
+    /// The property that does not hold.
     pub property: Property,
-    /// What was seen.
+    /// The observation that violates it, which is written into traces.
     pub description: String,
 }
 
--- a/crates/model-checker/src/report.rs
+++ b/crates/model-checker/src/report.rs
@@ -1,4 +1,4 @@
-//! What the commands print, and how they end.
+//! The commands' printed results and exit codes.
 
 use asterramp_model_checker::explorer::{Counterexample, Exploration};
 use asterramp_model_checker::placement_model::PlacementExploration;
@@ -6,12 +6,12 @@
 use std::fmt::Display;
 use std::process::ExitCode;
 
-/// How a command ended that could do its work, from good to bad.
+/// The result of a command that ran without an error, from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Verdict {
-    /// All properties hold, or nothing was to be checked.
+    /// All properties hold, or the command had nothing to check.
     Holds,
-    /// A limit was reached before all was seen; what was seen holds.
+    /// A limit was reached before all states were seen; all properties hold in those that were.
     Truncated,
     /// A property does not hold, or an injected fault was not found.
     Broken,
@@ -27,16 +27,16 @@
     }
 }
 
-/// How much of a model was to be explored.
+/// The part of a model that was to be explored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Extent {
     /// All of it.
     Complete,
-    /// As many steps as the command line says.
+    /// All states within the number of steps given on the command line.
     ToDepth,
 }
 
-/// Prints what an exploration of one of the smaller models has seen.
+/// Prints the result of exploring one of the smaller models.
 pub(crate) fn print_exploration<A: Display, V: Display>(
     exploration: &Exploration<A, V>,
     extent: Extent,
@@ -55,13 +55,14 @@
             Verdict::Broken
         }
         None => {
-            println!("{}", all_hold(extent));
+            println!("{}", all_hold_text(extent));
             Verdict::Holds
         }
     }
 }
 
-fn all_hold(extent: Extent) -> &'static str {
+/// The text for an exploration in which all properties hold.
+fn all_hold_text(extent: Extent) -> &'static str {
     match extent {
         Extent::Complete => "all seen, all hold",
         Extent::ToDepth => "all seen to that depth, all hold",
@@ -75,7 +76,7 @@
     }
 }
 
-/// The line about a shape.
+/// The line that reports the exploration of a shape.
 pub(crate) fn shape_line(shape: &Shape, exploration: &PlacementExploration) -> String {
     let PlacementExploration {
         states,
@@ -89,7 +90,7 @@
     let end = match (&exploration.counterexample, exploration.is_truncated) {
         (Some(found), _) => format!("BROKEN after {} steps", found.actions.len()),
         (None, true) => format!("stopped; {unexpanded} states not gone on from"),
-        (None, false) => all_hold(Extent::Complete).to_owned(),
+        (None, false) => all_hold_text(Extent::Complete).to_owned(),
     };
     format!(
         "{name:<18} {states:>9} states, depth {depth:>3}, {seconds:>6.1} s, {rate:>6.0}k steps/s  {end}"
--- a/crates/model-checker/src/server_model.rs
+++ b/crates/model-checker/src/server_model.rs
@@ -1,15 +1,15 @@
-//! A server behind the proxy, as the model and the properties see it.
+//! The model of a server behind the proxy, which the monitor uses too.
 
 use asterramp_placement::event::{Endpoint, EndpointState, ServerId};
 use std::time::Duration;
 
-/// What is true of a server, whether the proxy has heard of it or not.
+/// The actual state of a server, whether or not the endpoint list has reported it to the proxy yet.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerModel {
     pub(crate) id: ServerId,
     pub(crate) zone: u8,
     pub(crate) state: EndpointState,
-    /// When its process started, if that is known.
+    /// When its process started; `None` if that is not known, which counts as warmed up.
     pub(crate) started_at: Option<Duration>,
 }
 
--- a/crates/model-checker/src/shape.rs
+++ b/crates/model-checker/src/shape.rs
@@ -1,41 +1,41 @@
-//! The small worlds that are explored.
+//! Shapes: the deployments, sessions and events that are explored, with their bounds.
 
 use asterramp_placement::Deployment;
 use asterramp_placement::deployment::{IdempotencyScope, Listener, RetrySafety, SlowStartRule};
 use std::time::Duration;
 
-/// What is explored, and how far: nothing beyond a shape's bounds is looked at.
+/// What is explored, and how far: no event outside a shape's bounds happens.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// Its name on the command line and in traces.
+    /// Name on the command line and in traces.
     pub name: &'static str,
-    /// One session each: whether it may run more than once.
+    /// One entry for each session: whether it may run more than once. Each session has a listener of its own.
     pub sessions: &'static [RetrySafety],
-    /// How many servers there are.
+    /// Number of servers.
     pub server_count: u8,
-    /// Dials that a session may have.
+    /// Largest number of dials of one session, retries included.
     pub max_dials: u32,
     /// Whether the proxy may probe servers.
     pub may_probe: bool,
-    /// Whether the proxy may cancel a dial that is under way.
+    /// Whether the proxy may cancel a dial that is in progress.
     pub may_cancel_dials: bool,
-    /// Changes of servers that the endpoint list may report.
+    /// Largest number of changes of servers that the endpoint list reports.
     pub max_endpoint_changes: u8,
-    /// Whether clients may leave, or speak, before they are answered.
+    /// Whether clients may leave, or send data, before they have an answer.
     pub clients_leave_early: bool,
-    /// Whether clients may leave without an event at first.
+    /// Whether clients may leave without an event, so that only a check of the connection detects it.
     pub clients_leave_unnoticed: bool,
-    /// How long clients wait for an answer: several of the placement engine's ticks.
+    /// Time for which clients wait for an answer; long enough for several ticks of the placement engine.
     pub client_wait: Duration,
-    /// Whether SIGTERM may come.
+    /// Whether the proxy may receive SIGTERM.
     pub may_receive_sigterm: bool,
-    /// How often an operator may drain the proxy or cancel that.
-    pub max_operator_orders: u8,
-    /// Whether a dial may find no socket.
+    /// Largest number of an operator's commands, each of which starts or cancels a drain.
+    pub max_operator_commands: u8,
+    /// Whether a dial may fail because the proxy has no socket left.
     pub dials_without_socket: bool,
-    /// Events of connections that are closed already.
+    /// Largest number of events that are delivered for connections that are already closed.
     pub max_stale_events: u8,
-    /// Whether the last server is warming up at the start.
+    /// Whether the server with the highest number has just started and is warming up.
     pub last_server_warming_up: bool,
     /// Whether `run --quick` explores it.
     pub is_quick: bool,
@@ -43,28 +43,30 @@
 
 const IDEMPOTENT: RetrySafety = RetrySafety::Idempotent;
 const NOT_IDEMPOTENT: RetrySafety = RetrySafety::NotIdempotent;
-/// How long servers discard repeats with a key: less than most clients of the shapes wait.
+/// Time for which servers discard repeats with a key. Shorter than most clients of the shapes wait, so that a key can expire
+/// while its session is retried.
 const KEY_LIFETIME: Duration = Duration::from_millis(180);
 const KEYED_IN_ZONE: RetrySafety =
     RetrySafety::IdempotencyKey(IdempotencyScope::Zone, KEY_LIFETIME);
 const KEYED_EVERYWHERE: RetrySafety =
     RetrySafety::IdempotencyKey(IdempotencyScope::All, KEY_LIFETIME);
 
-/// The longest that a connection to a server may take to be established.
+/// Longest time that a connection to a server may take to be established.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(60);
-/// Until a session without trouble is expected to be open.
+/// Time from its request within which a session should be open.
 const HANDSHAKE_TARGET: Duration = Duration::from_millis(160);
-/// The longest that rejected clients are asked to wait.
+/// Longest time that rejected clients are asked to wait before they retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(2_000);
-/// For so long after the last client has stopped waiting, open sessions are explored on.
+/// Time for which open sessions are still explored after the last client has stopped waiting.
 const OPEN_SESSION_TIME: Duration = Duration::from_millis(120);
-/// Within this time all of a few sessions arrive.
+/// Time from the start within which the sessions of an explored shape arrive.
 const ARRIVAL_WINDOW: Duration = Duration::from_millis(120);
-/// Within this time all sessions of a random walk arrive.
+/// Time from the start within which the sessions of a random walk arrive.
 const WALK_ARRIVAL_WINDOW: Duration = Duration::from_millis(3_000);
-/// More sessions than this are out of reach of exploring, so that their shape is a random walk's.
+/// Largest number of sessions of an explored shape; a shape with more is for random walks only.
 const MAX_EXPLORED_SESSIONS: usize = 4;
 
+/// How servers warm up in all shapes.
 const SLOW_START: SlowStartRule = SlowStartRule {
     initial_capacity: 0.3,
     warm_after: Duration::from_millis(9_000),
@@ -72,6 +74,7 @@
     overload_window: Duration::from_millis(1_500),
 };
 
+/// The fields that a shape does not set itself; not a shape of its own.
 const BASE: Shape = Shape {
     name: "",
     sessions: &[],
@@ -84,14 +87,15 @@
     clients_leave_unnoticed: false,
     client_wait: Duration::from_millis(250),
     may_receive_sigterm: false,
-    max_operator_orders: 0,
+    max_operator_commands: 0,
     dials_without_socket: false,
     max_stale_events: 0,
     last_server_warming_up: false,
     is_quick: true,
 };
 
-/// The shapes that are explored. Each adds one subject to a small base, since their product is out of reach.
+/// The shapes that are explored. Each adds one kind of event to a small base, since a shape with all of them would have too
+/// many states.
 pub const SHAPES: &[Shape] = &[
     Shape {
         name: "repeatable",
@@ -132,7 +136,7 @@
     Shape {
         name: "drained",
         sessions: &[IDEMPOTENT],
-        max_operator_orders: 2,
+        max_operator_commands: 2,
         max_endpoint_changes: 0,
         may_receive_sigterm: true,
         client_wait: Duration::from_millis(150),
@@ -227,7 +231,7 @@
     },
 ];
 
-/// The shape of random walks, far out of reach of exploring.
+/// The shape of random walks, which is far too large to be explored.
 pub const WALK: Shape = Shape {
     name: "walk",
     sessions: &[
@@ -257,7 +261,7 @@
     may_probe: true,
     max_endpoint_changes: 60,
     may_receive_sigterm: true,
-    max_operator_orders: 6,
+    max_operator_commands: 6,
     dials_without_socket: true,
     max_stale_events: 20,
     clients_leave_unnoticed: true,
@@ -266,13 +270,13 @@
 };
 
 impl Shape {
-    /// The shape of that name.
+    /// The shape called `name`, that of random walks included.
     pub fn find(name: &str) -> Option<&'static Shape> {
         let mut shapes = SHAPES.iter().chain([&WALK]);
         shapes.find(|shape| shape.name == name)
     }
 
-    /// What the proxy is told of the deployment.
+    /// The configuration of the deployment, as the proxy reads it from its settings.
     pub(crate) fn deployment(&self) -> Deployment {
         let listener = |retry_safety: &RetrySafety| Listener {
             retry_safety: *retry_safety,
@@ -295,14 +299,14 @@
     /// The time from the start within which sessions may arrive.
     pub(crate) fn arrival_window(&self) -> Duration {
         match self.sessions.len() {
-            // Nothing is older than a lone session, so that it may as well arrive at once.
+            // A later arrival of a single session would differ little: no other session comes before it.
             1 => Duration::ZERO,
             2..=MAX_EXPLORED_SESSIONS => ARRIVAL_WINDOW,
             _ => WALK_ARRIVAL_WINDOW,
         }
     }
 
-    /// The time from the start after which a world is finished if all that is left of its sessions is open.
+    /// The time from the start after which a state counts as finished if all sessions that have not ended are open.
     pub(crate) fn open_session_cutoff(&self) -> Duration {
         self.arrival_window() + self.client_wait + OPEN_SESSION_TIME
     }
--- a/crates/model-checker/src/system_state/connection.rs
+++ b/crates/model-checker/src/system_state/connection.rs
@@ -1,8 +1,8 @@
-//! Connections to servers, and what the model keeps with each session.
+//! Connections to servers, and the model's data of each session.
 
 use asterramp_proxy::transport::SlotKey;
 
-/// How far a connection to a server has come.
+/// The state of a connection to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
     /// It is being established.
@@ -18,24 +18,24 @@
 /// A connection to a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Connection {
-    /// Its session's key in the session table.
+    /// Key of its session in the session table.
     pub(super) session_key: SlotKey,
-    /// Its session's number.
+    /// Number of its session.
     pub(super) session: u8,
-    /// Number of its dial among those of the session.
+    /// Number of the dial among those of the session.
     pub(super) dial: u8,
     pub(super) state: ConnectionState,
 }
 
-/// What the model keeps with a session in the session table, as the router does.
+/// The model's data of a session, which the session table stores with the session as it does the router's.
 #[derive(Clone, Debug)]
 pub(super) struct SessionConnections {
     /// The session's number.
     pub(super) session: u8,
     /// Whether the connection to the client is open.
     pub(super) has_client: bool,
-    /// The client has closed its side, and nobody has noticed yet.
+    /// Whether the client has closed its side without an event: only a check of its connection detects that.
     pub(super) client_left_unnoticed: bool,
-    /// The connection to the server.
+    /// Key of the connection to the server; `None` while there is none.
     pub(super) server: Option<SlotKey>,
 }
--- a/crates/model-checker/src/system_state/drain.rs
+++ b/crates/model-checker/src/system_state/drain.rs
@@ -1,4 +1,4 @@
-//! An operator's drain and SIGTERM, by the state machine that serves.
+//! An operator's drain and SIGTERM, decided by the production drain state machine.
 
 use super::connection::SessionConnections;
 use super::state::{Deadline, SystemState};
@@ -10,20 +10,21 @@
 use asterramp_proxy::transport::SlotKey;
 use std::time::Duration;
 
-/// Within how long the operator wants the proxy to be empty.
+/// Time within which the operator wants all sessions to be migrated.
 const DRAIN_TIME: Duration = Duration::from_millis(200);
-/// How long after SIGTERM the clients that still wait are answered, at most.
+/// Longest time after SIGTERM until clients that still wait are rejected, and the time from then until the proxy exits.
 pub(super) const MAX_SHUTDOWN_WAIT: Duration = Duration::from_secs(3);
-/// Parts of the time until waiting clients are answered: when open sessions begin to be migrated, and when the last is.
-const MIGRATE_FROM: f64 = 0.7;
-const MIGRATE_UNTIL: f64 = 1.05;
+/// When the first open session is migrated, as a fraction of the time from SIGTERM until waiting clients are rejected.
+const MIGRATE_FROM_FRACTION: f64 = 0.7;
+/// When the last open session is migrated, as a fraction of the same time; above 1, it is after the rejections.
+const MIGRATE_UNTIL_FRACTION: f64 = 1.05;
 
 impl SystemState {
-    /// The proxy receives SIGTERM, and makes the schedule of its end as the router does.
-    pub(super) fn shut_down(&mut self, shape: &Shape) {
+    /// Handles SIGTERM: makes the schedule of the shutdown as the router does.
+    pub(super) fn begin_shutdown(&mut self, shape: &Shape) {
         let wait = shape.client_wait.min(MAX_SHUTDOWN_WAIT);
-        let migrate_from = self.now + wait.mul_f64(MIGRATE_FROM);
-        let migrate_until = self.now + wait.mul_f64(MIGRATE_UNTIL);
+        let migrate_from = self.now + wait.mul_f64(MIGRATE_FROM_FRACTION);
+        let migrate_until = self.now + wait.mul_f64(MIGRATE_UNTIL_FRACTION);
         let reject_pending_at = self.now + wait;
         self.drain.begin_shutdown(ShutdownSchedule {
             serve_until: migrate_from,
@@ -36,15 +37,17 @@
         self.deadlines.set(Deadline::DrainAdvice, migrate_from);
     }
 
+    /// Handles an operator's request to drain the proxy.
     pub(super) fn start_drain(&mut self) {
-        self.operator_orders_left -= 1;
+        self.operator_commands_left -= 1;
         if self.drain.start(self.now, DRAIN_TIME, None).is_ok() {
             self.deadlines.set(Deadline::DrainAdvice, self.now);
         }
     }
 
+    /// Handles an operator's request to cancel the drain.
     pub(super) fn cancel_drain(&mut self) {
-        self.operator_orders_left -= 1;
+        self.operator_commands_left -= 1;
         if self.drain.cancel(self.now).is_ok() {
             self.deadlines.clear(Deadline::DrainAdvice);
         }
@@ -67,9 +70,9 @@
             self.close_session(session, Outcome::Cancelled);
         }
         if advice.reject_pending {
-            self.cut_off(pending);
+            self.reject_sessions(pending);
         }
-        // Whoever is left at the exit is left by it: no further advice is asked for.
+        // Clients that are left at the exit are disconnected by it: no further advice is needed.
         let is_over = self.drain.state() == DrainState::Serving || advice.exit;
         if !is_over && !self.session_table.sessions.is_empty() {
             let next_advice = self.now + ADVICE_INTERVAL;
@@ -77,20 +80,20 @@
         }
     }
 
-    /// The sessions whose client has not left and which are `wanted`, with their numbers.
+    /// The sessions that match `predicate` and whose client has not left, with their numbers.
     fn sessions_with_client(
         &self,
-        wanted: impl Fn(&SessionSlot<SessionConnections>) -> bool,
+        predicate: impl Fn(&SessionSlot<SessionConnections>) -> bool,
     ) -> Vec<(SlotKey, u8)> {
         let sessions = self.session_table.sessions.iter();
-        let those = sessions.filter(|(_, slot)| wanted(slot) && !slot.machine.client_left);
-        those
+        let matching = sessions.filter(|(_, slot)| predicate(slot) && !slot.machine.client_left);
+        matching
             .map(|(key, slot)| (key, slot.driver_data.session))
             .collect()
     }
 
-    /// Has sessions answered that are not open yet.
-    fn cut_off(&mut self, pending: Vec<(SlotKey, u8)>) {
+    /// Ends the wait of sessions that are not open yet.
+    fn reject_sessions(&mut self, pending: Vec<(SlotKey, u8)>) {
         let input = if self.is_shutting_down() {
             SessionInput::ShutdownCutoff
         } else {
--- a/crates/model-checker/src/system_state/effects.rs
+++ b/crates/model-checker/src/system_state/effects.rs
@@ -1,4 +1,4 @@
-//! What the code that serves wants done, carried out as the router does it on sockets.
+//! Carries out the tasks of the session table as the router does, on modelled connections in place of sockets.
 
 use super::connection::{Connection, ConnectionState};
 use super::state::{Deadline, SystemState};
@@ -8,32 +8,32 @@
 use asterramp_proxy::transport::SlotKey;
 
 impl SystemState {
-    /// Carries out all that is to be done, and what comes of that.
+    /// Carries out all tasks of the session table, including those that result from them.
     pub(super) fn carry_out_tasks(&mut self) {
         while let Some(task) = self.session_table.next_task() {
             match task {
                 SessionTask::Probe(server) => {
                     self.probes_in_flight.insert(server);
                 }
-                // Endpoint lists are actions of their own.
+                // Updates of the endpoint list are separate actions.
                 SessionTask::PollEndpoints | SessionTask::ZoneChanged(_) => {}
                 SessionTask::SetTimer(after) => {
                     self.deadlines.set(Deadline::Tick, self.now + after);
                 }
-                SessionTask::Session(key, effect) => self.carry_out(key, effect),
+                SessionTask::Session(key, effect) => self.apply_effect(key, effect),
             }
         }
     }
 
-    fn carry_out(&mut self, key: SlotKey, effect: SessionEffect) {
+    fn apply_effect(&mut self, key: SlotKey, effect: SessionEffect) {
         let Some(slot) = self.session_table.sessions.get(key) else {
             return;
         };
         let session = slot.driver_data.session;
         let client_is_gone = slot.driver_data.has_client && slot.driver_data.client_left_unnoticed;
-        self.record(session, &effect);
-        // As the router does: the client is checked once more before something is sent to a server.
-        if client_is_gone && sends_to_server(&effect) && self.notice_client_left(key, session) {
+        self.record_effect(session, &effect);
+        // The router, too, checks the client's connection once more right before it sends something to a server.
+        if client_is_gone && sends_to_server(&effect) && self.cancel_for_gone_client(key, session) {
             return;
         }
         match effect {
@@ -52,7 +52,7 @@
             }
             SessionEffect::StartForwarding => self.start_forwarding(key, session),
             SessionEffect::Migrate => self.close_session(session, Outcome::Cancelled),
-            SessionEffect::Forget => self.forget(key, session),
+            SessionEffect::Forget => self.remove_session(key, session),
             SessionEffect::Restore
             | SessionEffect::Log(_)
             | SessionEffect::Count(_)
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Keeps the effect for whoever replays a trace.
-    fn record(&mut self, session: u8, effect: &SessionEffect) {
+    /// Records the effect for the output of a replayed trace.
+    fn record_effect(&mut self, session: u8, effect: &SessionEffect) {
         match effect {
             SessionEffect::SetDeadline(_) | SessionEffect::Count(_) | SessionEffect::Log(_) => {}
             effect => self
@@ -70,8 +70,9 @@
         }
     }
 
-    /// The client is found to have left before something was sent for it. Whether that is not to be sent.
-    fn notice_client_left(&mut self, key: SlotKey, session: u8) -> bool {
+    /// Handles a client that was found to have left right before something is sent to a server for it. Returns whether the
+    /// sending is cancelled.
+    fn cancel_for_gone_client(&mut self, key: SlotKey, session: u8) -> bool {
         self.monitor.on_client_left(session);
         self.session_table
             .cancel_before_send(self.now, key, SessionInput::ClientLeft)
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Closes the connection to the client. Whether there was one.
+    /// Closes the connection to the client. Returns whether there was one.
     fn disconnect_client(&mut self, key: SlotKey) -> bool {
         let slot = self.session_table.sessions.get_mut(key);
         slot.is_some_and(|slot| std::mem::replace(&mut slot.driver_data.has_client, false))
@@ -130,14 +131,14 @@
         }
     }
 
-    fn forget(&mut self, key: SlotKey, session: u8) {
+    fn remove_session(&mut self, key: SlotKey, session: u8) {
         self.deadlines.clear(Deadline::Session(key));
         let slot = self.session_table.sessions.remove(key);
         if let Some(server) = slot.and_then(|slot| slot.driver_data.server) {
             self.connections.remove(server);
             self.monitor.on_connection_closed(session);
         }
-        self.monitor.on_session_forgotten(session);
+        self.monitor.on_session_removed(session);
     }
 }
 
--- a/crates/model-checker/src/system_state/events.rs
+++ b/crates/model-checker/src/system_state/events.rs
@@ -1,4 +1,4 @@
-//! What an action does to the model, and what the code that serves is told of it.
+//! Applies actions to the model and passes the resulting inputs to the session table.
 
 use super::connection::{Connection, ConnectionState, SessionConnections};
 use super::sessions::NO_LOAD_REPORT;
@@ -12,48 +12,49 @@
 };
 use asterramp_proxy::routing::session_state::{SessionInput, SessionState};
 
-/// The load report of a server that has hardly anything to do.
+/// The load report of a nearly idle server.
 const LIGHT_LOAD: ServerLoad = ServerLoad {
     connections: Some(1.0),
     utilization: Some(0.1),
 };
-/// The load report of a server that has more to do than it can.
+/// The load report of a server whose utilization is above its capacity.
 const OVERLOAD: ServerLoad = ServerLoad {
     connections: Some(20.0),
     utilization: Some(1.2),
 };
 
 impl SystemState {
-    pub(super) fn perform(&mut self, shape: &Shape, action: Action) {
+    /// Applies an action, but does not carry out the tasks that result from it.
+    pub(super) fn apply_action(&mut self, shape: &Shape, action: Action) {
         match action {
             Action::SessionArrives(session) => self.session_arrives(shape, session),
             Action::DialConnected(session) => {
                 self.set_connection_state(session, ConnectionState::SendingRequest);
-                self.dial_input(session, |dial| SessionInput::Connected { dial });
+                self.handle_dial_input(session, |dial| SessionInput::Connected { dial });
             }
             Action::DialRefused(session) => {
-                self.dial_input(session, |dial| SessionInput::Unreachable { dial });
+                self.handle_dial_input(session, |dial| SessionInput::Unreachable { dial });
             }
             Action::DialWithoutSocket(session) => {
-                self.dial_input(session, |dial| SessionInput::NoSocket { dial });
+                self.handle_dial_input(session, |dial| SessionInput::NoSocket { dial });
             }
             Action::RequestWritten(session) => {
                 self.monitor.on_request_written(session);
                 self.set_connection_state(session, ConnectionState::AwaitingAnswer);
-                self.dial_input(session, |dial| SessionInput::RequestWritten { dial });
+                self.handle_dial_input(session, |dial| SessionInput::RequestWritten { dial });
             }
             Action::ServerAnswers(session, message) => self.server_answers(session, message),
             Action::ServerCloses(session) => self.server_closes(session),
             Action::ClientLeaves(session) => self.client_leaves(session),
             Action::ClientSendsEarly(session) => {
-                self.session_input(session, SessionInput::ClientSentEarlyData)
+                self.handle_session_input(session, SessionInput::ClientSentEarlyData)
             }
             Action::ClientLeavesUnnoticed(session) => self.client_leaves_unnoticed(session),
             Action::EndpointChanges(server, change) => self.endpoint_changes(server, change),
             Action::ProbeEnds(server, result) => self.probe_ends(server, result),
-            Action::NextDeadline => self.next_deadline(),
+            Action::NextDeadline => self.process_next_deadline(),
             Action::StaleEvent(session) => self.stale_event(session),
-            Action::Sigterm => self.shut_down(shape),
+            Action::Sigterm => self.begin_shutdown(shape),
             Action::OperatorDrains => self.start_drain(),
             Action::OperatorCancelsDrain => self.cancel_drain(),
         }
@@ -88,7 +89,7 @@
         let outcome = match message {
             ServerMessage::Up => {
                 self.set_connection_state(session, ConnectionState::Open);
-                self.dial_input(session, |dial| SessionInput::ServerAccepted { dial });
+                self.handle_dial_input(session, |dial| SessionInput::ServerAccepted { dial });
                 return;
             }
             ServerMessage::Busy => {
@@ -98,7 +99,7 @@
             ServerMessage::Err => Outcome::ServerError,
             ServerMessage::Move => Outcome::Cancelled,
         };
-        self.dial_input(session, |dial| SessionInput::ServerDeclined {
+        self.handle_dial_input(session, |dial| SessionInput::ServerDeclined {
             dial,
             outcome,
             load: NO_LOAD_REPORT,
@@ -112,7 +113,7 @@
         if state == Some(ConnectionState::Open) {
             self.close_session(session, Outcome::Reset);
         } else {
-            self.dial_input(session, |dial| SessionInput::ServerDisconnected { dial });
+            self.handle_dial_input(session, |dial| SessionInput::ServerDisconnected { dial });
         }
     }
 
@@ -183,7 +184,8 @@
         self.session_table.handle_event(self.now, probe_ended);
     }
 
-    fn next_deadline(&mut self) {
+    /// Advances the clock to the next deadline and handles that deadline.
+    fn process_next_deadline(&mut self) {
         let Some(due_at) = self.deadlines.next_due() else {
             return;
         };
@@ -201,8 +203,8 @@
         }
     }
 
-    /// A connection that was closed a moment ago has one more event, which epoll returned before. As in the router, its
-    /// key finds whoever has its slot now, if the slot's generation lets it.
+    /// Delivers an event of a connection that has been closed since epoll returned the event. As in the router, the key
+    /// must not find a newer connection in the same slot, because the slot's generation differs.
     fn stale_event(&mut self, session: u8) {
         self.stale_events_left -= 1;
         let mut closed = self.closed_connections.iter();
@@ -217,12 +219,13 @@
                 self.session_table
                     .handle_input(self.now, found.session_key, server_ended);
             }
-            None => self.late_answer(closed),
+            None => self.deliver_late_answer(closed),
         }
     }
 
-    /// The socket is gone; were its server's answer heard all the same, it would name its dial.
-    fn late_answer(&mut self, closed: Connection) {
+    /// Passes the session an answer of a closed connection's server, under the number of that dial. The router has no socket
+    /// to read such an answer from; the session must ignore it all the same.
+    fn deliver_late_answer(&mut self, closed: Connection) {
         if closed.state == ConnectionState::AwaitingAnswer {
             let server_accepted = SessionInput::ServerAccepted { dial: closed.dial };
             self.session_table
--- a/crates/model-checker/src/system_state/fingerprint.rs
+++ b/crates/model-checker/src/system_state/fingerprint.rs
@@ -1,17 +1,19 @@
-//! What makes two worlds equal, as a hash.
+//! The fingerprint by which states are compared: a hash of 128 bits.
 
 use super::state::SystemState;
 use std::fmt::{self, Write};
 
-/// The offset basis and the prime of FNV-1a with 64 bits.
+/// The offset basis of 64-bit FNV-1a.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// The prime of 64-bit FNV-1a.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
-/// An odd multiplier with well mixed bits, and a rotation that is no divisor of 64.
+/// Multiplier of the second hash: odd, with well-mixed bits (2^64 divided by the golden ratio).
 const SECOND_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Bits by which the second hash is rotated before each byte; not a divisor of 64.
 const SECOND_ROTATION: u32 = 7;
 
-/// Two hashes of 64 bits over the text that is written to it. That two different worlds of the sizes explored here meet in
-/// all 128 bits is out of the question.
+/// Two 64-bit hashes of the text that is written to it. With the numbers of states explored here, a collision in all 128
+/// bits is negligibly unlikely.
 struct Hasher {
     first: u64,
     second: u64,
@@ -29,9 +31,10 @@
 }
 
 impl SystemState {
-    /// Equal for worlds that go on alike: a hash of all that this world is, except for what its last action did.
+    /// Equal for states from which the same behaviour follows: a hash of the whole state, except for the effects of the
+    /// last action and the next server id, which follows from the servers.
     ///
-    /// It is taken over `Debug` texts, which leave out no field of the code that serves.
+    /// It is computed from `Debug` texts, which include every field of the production code's types.
     pub fn fingerprint(&self) -> u128 {
         let mut hasher = Hasher {
             first: FNV_OFFSET_BASIS,
@@ -53,7 +56,7 @@
         write!(out, "{:?},", self.closed_connections)?;
         write!(out, "{:?},", self.endpoint_changes_left)?;
         write!(out, "{:?},", self.stale_events_left)?;
-        write!(out, "{:?},", self.operator_orders_left)?;
+        write!(out, "{:?},", self.operator_commands_left)?;
         write!(out, "{:?},", self.drain)?;
         write!(out, "{:?},", self.last_arrival)?;
         write!(out, "{:?}", self.monitor)
--- a/crates/model-checker/src/system_state/mod.rs
+++ b/crates/model-checker/src/system_state/mod.rs
@@ -1,9 +1,9 @@
-//! The placement world: the session table and the drain that serve, and a model of the clients, servers, sockets and the
-//! clock around them.
+//! The state of the placement model: the production session table and drain, and a model of the clients, servers, sockets
+//! and the clock around them.
 //!
-//! An [`Action`] happens (`events`, `drain`), the code reacts, and what it wants done is carried out (`effects`) as the
-//! router does it on sockets. Then the properties are checked (`invariants`, [`crate::properties`]). Each of the modules
-//! below uses only those above it.
+//! An [`Action`] is applied (`events`, `drain`), the production code handles it, and the resulting tasks are carried out
+//! (`effects`) as the router does on sockets. Then the properties are checked (`invariants`, [`crate::properties`]). Each
+//! group of modules below uses only the groups above it.
 
 mod connection;
 mod state;
@@ -27,12 +27,12 @@
 use state::IDLE_SEED;
 pub use state::SystemState;
 
-/// Seeds of the placement engine's random numbers, by random range. The first number in [0, 1) that is drawn is 0, 0.5, just
-/// below 0.75 or just below 0.25.
+/// Seeds of the placement engine's random numbers, by the number of the random range. The first number in [0, 1) that is
+/// drawn with them is 0, 0.5, just below 0.75 and just below 0.25.
 const RANGE_SEEDS: [u64; 4] = [0, 0x8000_0000, 0x4000_0001, 0xc000_0003];
 
 impl SystemState {
-    /// The world with which a shape begins: the proxy knows its servers, and no client has come.
+    /// The initial state of a shape: the proxy has its endpoint list, and no session has arrived.
     pub fn new(shape: &Shape) -> SystemState {
         let mut state = SystemState::initial(shape);
         let endpoints = state.servers.iter().map(ServerModel::endpoint).collect();
@@ -42,22 +42,22 @@
         state
     }
 
-    /// Lets something happen that [`SystemState::actions`] gives.
+    /// Applies one of [`SystemState::actions`], carries out the resulting tasks and checks the properties.
     ///
     /// # Errors
     ///
-    /// A property that does not hold during this action or behind it.
+    /// A property that does not hold during the action or after it.
     pub fn apply(&mut self, shape: &Shape, choice: Choice) -> Result<(), Violation> {
         self.last_effects.clear();
-        // What chance does is a choice of whoever explores.
+        // The explorer chooses the random numbers, as it does the action.
         let range = usize::from(choice.random_range) % RANGE_SEEDS.len();
         self.session_table.engine.reseed(RANGE_SEEDS[range]);
         if choice.action == Action::NextDeadline {
             self.closed_connections.clear();
         }
-        self.perform(shape, choice.action);
+        self.apply_action(shape, choice.action);
         self.carry_out_tasks();
         self.session_table.engine.reseed(IDLE_SEED);
-        self.check(shape)
+        self.check_properties(shape)
     }
 }
--- a/crates/model-checker/src/system_state/possible_actions.rs
+++ b/crates/model-checker/src/system_state/possible_actions.rs
@@ -1,4 +1,4 @@
-//! What may happen next in a world.
+//! The actions that are possible in a state, in a fixed order, and whether a state is finished.
 
 use super::connection::{ConnectionState, SessionConnections};
 use super::state::{MAX_DURATION, START_TIME, SystemState};
@@ -10,6 +10,7 @@
 use asterramp_proxy::routing::session_table::SessionSlot;
 use asterramp_proxy::transport::SlotKey;
 
+/// All first lines of a server, in the order in which they are explored.
 const SERVER_MESSAGES: [ServerMessage; 4] = [
     ServerMessage::Up,
     ServerMessage::Busy,
@@ -17,6 +18,7 @@
     ServerMessage::Move,
 ];
 
+/// All results of a probe, in the order in which they are explored.
 const PROBE_RESULTS: [ProbeResult; 4] = [
     ProbeResult::LightLoad,
     ProbeResult::Overload,
@@ -24,18 +26,18 @@
     ProbeResult::Refused,
 ];
 
-/// What may be reported of a server that is ready.
+/// Changes that the endpoint list may report of a server that is ready.
 const CHANGES_OF_READY: &[EndpointChange] = &[
     EndpointChange::Draining,
     EndpointChange::Gone,
     EndpointChange::Restarted,
     EndpointChange::Replaced,
 ];
-/// What may be reported of a server that is not.
+/// Changes that the endpoint list may report of a server that is draining or gone.
 const CHANGES_OF_UNREADY: &[EndpointChange] = &[EndpointChange::Ready];
 
 impl SystemState {
-    /// Whether every session has arrived and ended, or is merely open for long.
+    /// Whether no further session can arrive and all have ended, or those that have not have been open for long.
     pub fn is_finished(&self, shape: &Shape) -> bool {
         let arrivals_are_over =
             self.now > START_TIME + shape.arrival_window() || self.is_shutting_down();
@@ -49,10 +51,10 @@
         is_only_open || self.session_table.sessions.is_empty()
     }
 
-    /// Puts all that may happen next into `out`, in place of what was there.
+    /// Replaces the contents of `out` by all possible actions; [`Action::NextDeadline`] is last if it is possible.
     pub fn actions(&self, shape: &Shape, out: &mut Vec<Action>) {
         out.clear();
-        self.sessions_actions(shape, out);
+        self.all_session_actions(shape, out);
         self.stale_event_actions(out);
         self.server_actions(out);
         self.operator_actions(shape, out);
@@ -61,7 +63,7 @@
         }
     }
 
-    fn sessions_actions(&self, shape: &Shape, out: &mut Vec<Action>) {
+    fn all_session_actions(&self, shape: &Shape, out: &mut Vec<Action>) {
         let may_arrive =
             self.now <= START_TIME + shape.arrival_window() && !self.is_shutting_down();
         // Sessions arrive in the order of their numbers.
@@ -147,7 +149,7 @@
         if self.is_shutting_down() {
             return;
         }
-        if self.operator_orders_left > 0 {
+        if self.operator_commands_left > 0 {
             let is_serving = self.drain.state() == DrainState::Serving;
             out.push(if is_serving {
                 Action::OperatorDrains
@@ -161,7 +163,7 @@
     }
 }
 
-/// What the client of a session may do.
+/// Adds the possible actions of a session's client.
 fn client_actions(shape: &Shape, slot: &SessionSlot<SessionConnections>, out: &mut Vec<Action>) {
     let SessionConnections {
         session,
--- a/crates/model-checker/src/trace.rs
+++ b/crates/model-checker/src/trace.rs
@@ -1,4 +1,5 @@
-//! Traces as files: a shape, the injected fault if there was one, the violation, and what led to it, a numbered line each.
+//! Trace files: the name of the shape, the injected fault if there was one, the violation, and the choices that led to it,
+//! one numbered line each.
 
 use crate::action::Choice;
 use crate::action_text::ParseChoiceError;
@@ -7,37 +8,38 @@
 use crate::system_state::SystemState;
 use std::fmt;
 
-/// What the lines before the numbered ones begin with. An injected fault keeps the word that it had when the first traces
-/// were recorded.
+/// Prefix of the line with the shape's name.
 const SHAPE_PREFIX: &str = "shape ";
+/// Prefix of the line with the injected fault's name; the word is the one that the first recorded traces have.
 const INJECTED_FAULT_PREFIX: &str = "plant ";
+/// Prefix of the line with the violation.
 const VIOLATION_PREFIX: &str = "breaks ";
-/// What stands between the number of a line and its action.
+/// Separates the number of a line from its action.
 const NUMBER_SEPARATOR: &str = ". ";
 
-/// A text that is no trace.
+/// Why a text is not a valid trace.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TraceError {
-    /// There is no shape of that name.
+    /// No shape has that name.
     #[error("line {line}: shape {name:?} is not known")]
     UnknownShape {
         /// Number of the line, from 1.
         line: usize,
-        /// The name.
+        /// The name as read.
         name: String,
     },
-    /// A line is neither numbered nor of any other kind.
+    /// A line is neither numbered nor has a known prefix.
     #[error("line {line}: no numbered step")]
     NotNumbered {
         /// Number of the line, from 1.
         line: usize,
     },
-    /// A numbered line has no action.
+    /// A numbered line has no valid action.
     #[error("line {line}: {source}")]
     NoAction {
         /// Number of the line, from 1.
         line: usize,
-        /// Why.
+        /// The parse error.
         source: ParseChoiceError,
     },
     /// No line names a shape.
@@ -45,21 +47,21 @@
     NoShape,
 }
 
-/// A counterexample as it is kept in a file. `Display` writes the file's text.
+/// A counterexample as it is saved in a file. `Display` writes the file's text.
 #[derive(Clone, Debug)]
 pub struct Trace {
-    /// The world that it begins with.
+    /// The shape whose initial state the trace starts from.
     pub shape: &'static Shape,
-    /// Name of the fault that was injected, as it stands in the file.
+    /// Name of the injected fault as the file has it; `None` if there was none.
     pub injected_fault: Option<String>,
-    /// The violation that it led to, as text.
+    /// Text of the violation; empty if the file has none.
     pub violation: String,
-    /// What happened.
+    /// The choices, in order.
     pub choices: Vec<Choice>,
 }
 
 impl Trace {
-    /// The trace of a counterexample.
+    /// Makes the trace of a counterexample.
     pub fn new(
         shape: &'static Shape,
         injected_fault: Option<String>,
@@ -74,11 +76,11 @@
         }
     }
 
-    /// Reads a file's text.
+    /// Parses a file's text.
     ///
     /// # Errors
     ///
-    /// The first line that is not one of a trace, or that no shape is named.
+    /// The first invalid line, or [`TraceError::NoShape`].
     pub fn read(text: &str) -> Result<Trace, TraceError> {
         let mut shape = None;
         let mut injected_fault = None;
@@ -106,7 +108,8 @@
         })
     }
 
-    /// Replays it on the code as it is, and passes `report` a line for each action and for each of its effects.
+    /// Replays the choices on the present code and passes `report` a line for each action and for each of its effects. Does
+    /// not inject [`Trace::injected_fault`].
     ///
     /// # Errors
     ///
@@ -125,7 +128,7 @@
         Ok(())
     }
 
-    /// The source of a test that replays it.
+    /// The source code of a test that replays the trace.
     pub fn as_test(&self) -> String {
         let mut test = String::from("#[test]\nfn a_trace_that_once_broke_a_property() {\n");
         test += &format!("    // {}\n", self.violation);
--- a/crates/model-checker/tests/counterexample_lines.rs
+++ b/crates/model-checker/tests/counterexample_lines.rs
@@ -1,4 +1,4 @@
-//! The lines of counterexamples keep their words: whoever searches earlier reports finds them.
+//! The lines of counterexamples keep their wording, so that searches find them in earlier reports too.
 
 use asterramp_leader_lease::OrderPurpose;
 use asterramp_model_checker::hot_restart::{HotRestartAction, HotRestartViolation};
@@ -98,7 +98,7 @@
         hot_restart_actions(),
     ]
     .concat();
-    // Printed by the model checker of d50355b.
+    // Printed by the model checker at commit d50355b.
     let recorded = include_str!("golden/counterexample-actions.txt");
     assert_eq!(printed, recorded.lines().collect::<Vec<_>>());
 }
--- a/crates/model-checker/tests/explore.rs
+++ b/crates/model-checker/tests/explore.rs
@@ -1,4 +1,4 @@
-//! What small worlds and models do in every order of events holds.
+//! All properties hold in small shapes and in the smaller models, in every order of events.
 
 use asterramp_model_checker::explorer::{Exploration, Limits};
 use asterramp_model_checker::placement_model::explore;
@@ -36,22 +36,26 @@
         max_depth: 6,
         ..Limits::default()
     };
-    let seen = |_| {
-        let explored = explore(&SHAPES[0], limits);
-        (explored.states, explored.steps, explored.unexpanded)
+    let explored_counts = || {
+        let exploration = explore(&SHAPES[0], limits);
+        (
+            exploration.states,
+            exploration.steps,
+            exploration.unexpanded,
+        )
     };
-    assert_eq!(seen(0), seen(1));
+    assert_eq!(explored_counts(), explored_counts());
 }
 
 #[test]
-fn a_hot_restart_holds_in_every_order() {
+fn all_properties_of_a_hot_restart_hold_in_every_order() {
     let exploration = asterramp_model_checker::hot_restart::explore();
     assert_all_hold(&exploration);
     assert_eq!(exploration.states, 434, "{exploration:?}");
 }
 
 #[test]
-fn zone_failover_holds_in_every_order() {
+fn all_properties_of_zone_failover_hold_in_every_order() {
     use asterramp_model_checker::zone_failover::{ZoneSituation, explore};
     for situation in ZoneSituation::ALL {
         let exploration = explore(situation, 6);
@@ -64,14 +68,18 @@
 #[test_case(WarmStartSituation::AskingPeers, 4, 3_000)]
 #[test_case(WarmStartSituation::EndpointResponsive, 4, 1_000)]
 #[test_case(WarmStartSituation::FutureReportExpired, 2, 50)]
-fn warm_starts_hold_in_every_order(situation: WarmStartSituation, depth: usize, min_states: u64) {
+fn all_properties_of_a_warm_start_hold_in_every_order(
+    situation: WarmStartSituation,
+    depth: usize,
+    min_states: u64,
+) {
     let exploration = asterramp_model_checker::warm_start::explore(situation, depth);
     assert_all_hold(&exploration);
     assert!(exploration.states > min_states, "{exploration:?}");
 }
 
 #[test]
-fn leader_leases_hold_in_every_order() {
+fn all_properties_of_the_leader_lease_hold_in_every_order() {
     use asterramp_model_checker::leader_lease::{LeaseSituation, explore};
     for situation in LeaseSituation::ALL {
         let exploration = explore(situation, 5);
--- a/crates/model-checker/tests/explorer.rs
+++ b/crates/model-checker/tests/explorer.rs
@@ -1,11 +1,12 @@
-//! The explorer sees every state within its limits, and its counterexamples are the shortest.
+//! The explorer sees every state within its limits, and its counterexamples are shortest ones.
 
 use asterramp_model_checker::explorer::{Exploration, Limits, explore, explore_after};
 use asterramp_model_checker::model::Model;
 use std::fmt;
 use std::time::Duration;
 
-/// A robot on a square board, whose way from (0, 0) is as long as the sum of its coordinates.
+/// A robot on a square board that starts at (0, 0), so that its distance from the start in steps is the sum of its
+/// coordinates.
 #[derive(Clone, Debug)]
 struct Robot {
     x: u32,
@@ -15,19 +16,20 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Board {
+    /// Number of fields along each side.
     size: u32,
-    /// Where it may not stand.
+    /// A field whose state violates a property.
     trap: Option<(u32, u32)>,
-    /// Where it may not go back to the origin from.
-    no_return: Option<(u32, u32)>,
-    /// Where it stays.
+    /// A field from which the action back to the origin violates a property.
+    forbidden_return: Option<(u32, u32)>,
+    /// A field at which the state is finished.
     goal: Option<(u32, u32)>,
 }
 
 const BOARD: Board = Board {
     size: 10,
     trap: None,
-    no_return: None,
+    forbidden_return: None,
     goal: None,
 };
 
@@ -39,7 +41,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Mistake {
+enum RuleViolation {
     Trapped,
     ReturnForbidden,
 }
@@ -50,7 +52,7 @@
     }
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for RuleViolation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{self:?}")
     }
@@ -68,7 +70,7 @@
 
 impl Model for Robot {
     type Action = Step;
-    type Violation = Mistake;
+    type Violation = RuleViolation;
     type Fingerprint = (u32, u32);
 
     fn fingerprint(&self) -> (u32, u32) {
@@ -86,27 +88,27 @@
         actions
     }
 
-    fn apply(&mut self, action: Step) -> Result<(), Mistake> {
+    fn apply(&mut self, action: Step) -> Result<(), RuleViolation> {
         match action {
             Step::Right => self.x += 1,
             Step::Up => self.y += 1,
-            Step::BackToOrigin if self.position() == self.board.no_return => {
-                return Err(Mistake::ReturnForbidden);
+            Step::BackToOrigin if self.position() == self.board.forbidden_return => {
+                return Err(RuleViolation::ReturnForbidden);
             }
             Step::BackToOrigin => (self.x, self.y) = (0, 0),
         }
         Ok(())
     }
 
-    fn check(&self) -> Result<(), Mistake> {
+    fn check(&self) -> Result<(), RuleViolation> {
         if self.position() == self.board.trap {
-            return Err(Mistake::Trapped);
+            return Err(RuleViolation::Trapped);
         }
         Ok(())
     }
 }
 
-fn assert_complete(exploration: &Exploration<Step, Mistake>) {
+fn assert_complete(exploration: &Exploration<Step, RuleViolation>) {
     assert_eq!(exploration.counterexample, None);
     assert!(!exploration.is_truncated, "{exploration:?}");
     assert_eq!(exploration.unexpanded, 0);
@@ -117,13 +119,13 @@
     let exploration = explore(Robot::on(BOARD), Limits::NONE);
     assert_complete(&exploration);
     assert_eq!(exploration.states, 100);
-    // Back from each of 100 fields, and two ways on from each but those at an edge.
+    // Back to the origin from each of 100 fields; right and up from each but the 10 at the respective edge.
     assert_eq!(exploration.steps, 100 + 90 + 90);
     assert_eq!(exploration.depth, 18);
 }
 
 #[test]
-fn a_level_of_many_batches_is_seen_as_a_whole() {
+fn a_level_of_several_batches_is_expanded_completely() {
     let board = Board {
         size: 2_500,
         ..BOARD
@@ -140,22 +142,25 @@
     let trap = Some((3, 2));
     let exploration = explore(Robot::on(Board { trap, ..BOARD }), Limits::NONE);
     let found = exploration.counterexample.expect("the trap is reached");
-    assert_eq!(found.violation, Mistake::Trapped);
+    assert_eq!(found.violation, RuleViolation::Trapped);
     assert_eq!(found.actions.len(), 5);
     let mut robot = Robot::on(BOARD);
     for action in found.actions {
-        robot.apply(action).expect("nothing else is forbidden");
+        robot.apply(action).expect("no other action is forbidden");
     }
     assert_eq!(robot.position(), trap);
 }
 
 #[test]
 fn a_forbidden_action_to_a_known_state_is_found() {
-    let no_return = Some((1, 1));
-    let board = Board { no_return, ..BOARD };
+    let forbidden_return = Some((1, 1));
+    let board = Board {
+        forbidden_return,
+        ..BOARD
+    };
     let found = explore(Robot::on(board), Limits::NONE).counterexample;
     let found = found.expect("the way back is tried");
-    assert_eq!(found.violation, Mistake::ReturnForbidden);
+    assert_eq!(found.violation, RuleViolation::ReturnForbidden);
     assert_eq!(found.actions.len(), 3);
     assert_eq!(found.actions.last(), Some(&Step::BackToOrigin));
 }
@@ -243,11 +248,14 @@
 
 #[test]
 fn a_violation_within_a_prefix_ends_the_counterexample() {
-    let no_return = Some((1, 0));
+    let forbidden_return = Some((1, 0));
     let prefix = [Step::Right, Step::BackToOrigin, Step::Up];
-    let robot = Robot::on(Board { no_return, ..BOARD });
+    let robot = Robot::on(Board {
+        forbidden_return,
+        ..BOARD
+    });
     let found = explore_after(robot, &prefix, Limits::NONE).counterexample;
     let found = found.expect("the way back is forbidden");
-    assert_eq!(found.violation, Mistake::ReturnForbidden);
+    assert_eq!(found.violation, RuleViolation::ReturnForbidden);
     assert_eq!(found.actions, prefix[..2]);
 }
--- a/crates/model-checker/tests/former_name.rs
+++ b/crates/model-checker/tests/former_name.rs
@@ -1,4 +1,4 @@
-//! The program still starts under its former name.
+//! The program can still be started under its former name.
 
 use std::process::{Command, Output};
 
--- a/crates/model-checker/tests/fuzz.rs
+++ b/crates/model-checker/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Parsers of what comes from outside never panic, keep their bounds, and read what was written in their form.
+//! Parsers of external input never panic, keep their bounds, and read valid input correctly.
 
 use asterramp_admin_protocol::AdminRequest;
 use asterramp_operator_config::OperatorConfig;
@@ -11,12 +11,12 @@
 use asterramp_proxy::protocol::{discovery, http_client};
 use proptest::prelude::*;
 
-/// Cases of each property, unless `PROPTEST_CASES` says otherwise.
+/// Number of cases of each property, unless `PROPTEST_CASES` gives another.
 const DEFAULT_CASES: u32 = 512;
-/// No parsed JSON is nested deeper than this.
+/// Nesting depth of arrays and objects that no parsed JSON may exceed. The parser's own limit is lower.
 const MAX_JSON_DEPTH: usize = 64;
 
-/// JSON as text, nested a little, with odd numbers and strings.
+/// JSON texts with some nesting and unusual numbers and strings; not all of them are valid.
 fn json_text() -> impl Strategy<Value = String> {
     let leaf = prop_oneof![
         Just("null".to_string()),
@@ -40,7 +40,7 @@
     })
 }
 
-/// The first line of a client, nearly right.
+/// First lines of a client that are valid or nearly so.
 fn open_request() -> impl Strategy<Value = String> {
     let value = prop_oneof![
         "[0-9a-f]{1,20}",
@@ -59,7 +59,7 @@
         .prop_map(|(word, id, key, list)| format!("{word} {id} {key} {list}"))
 }
 
-/// A server in an endpoint list, nearly right.
+/// Entries of an endpoint list that are valid or nearly so.
 fn endpoint_text() -> impl Strategy<Value = String> {
     ("[a-z0-9-]{0,12}", "(127\\.0\\.0\\.1:[0-9]{1,6}|x|)", "(ready|draining|gone|odd)", any::<i64>())
         .prop_map(|(uid, endpoint, state, boot)| {
@@ -69,18 +69,26 @@
         })
 }
 
-/// Whether arrays and objects are nested no deeper than that.
-fn is_nested_within(value: &JsonValue, depth: usize) -> bool {
+/// Whether arrays and objects are nested at most `max_depth` deep.
+fn is_nested_within(value: &JsonValue, max_depth: usize) -> bool {
     match value {
-        JsonValue::Array(all) => depth > 0 && all.iter().all(|v| is_nested_within(v, depth - 1)),
-        JsonValue::Object(all) => {
-            depth > 0 && all.iter().all(|(_, v)| is_nested_within(v, depth - 1))
+        JsonValue::Array(items) => {
+            max_depth > 0
+                && items
+                    .iter()
+                    .all(|item| is_nested_within(item, max_depth - 1))
+        }
+        JsonValue::Object(members) => {
+            max_depth > 0
+                && members
+                    .iter()
+                    .all(|(_, value)| is_nested_within(value, max_depth - 1))
         }
         _ => true,
     }
 }
 
-/// As many cases as `PROPTEST_CASES` says.
+/// The configuration of all properties: as many cases as `PROPTEST_CASES` gives, or else [`DEFAULT_CASES`].
 fn proptest_config() -> ProptestConfig {
     let cases = std::env::var("PROPTEST_CASES")
         .ok()
@@ -93,7 +101,7 @@
     }
 }
 
-/// Settings that are complete, of which a few are then replaced or removed.
+/// Complete and valid settings, of which a test replaces or removes a few.
 const SETTINGS: &[(&str, &str)] = &[
     ("discovery", "pushed"),
     ("instances", "3"),
@@ -132,9 +140,9 @@
     fn a_first_line_ends_in_crlf_and_is_no_longer_than_allowed(
         bytes in prop::collection::vec(prop_oneof![any::<u8>(), Just(b'\r'), Just(b'\n')], 0..5000)
     ) {
-        if let Ok(Some((text, n))) = line::first_line(&bytes) {
-            prop_assert!(n <= MAX_LINE_LENGTH && n <= bytes.len() && text.len() + 2 == n);
-            prop_assert!(bytes[..n].ends_with(b"\r\n") && !text.contains('\n'));
+        if let Ok(Some((text, length))) = line::first_line(&bytes) {
+            prop_assert!(length <= MAX_LINE_LENGTH && length <= bytes.len() && text.len() + 2 == length);
+            prop_assert!(bytes[..length].ends_with(b"\r\n") && !text.contains('\n'));
         }
     }
 
@@ -150,24 +158,24 @@
 
     #[test]
     fn a_load_report_is_a_finite_number(text in any::<String>(), name in "[a-z0-9]{1,6}") {
-        if let ServerLine::Load(work) = parse_server_line(&text) {
-            prop_assert!(work.is_finite());
+        if let ServerLine::Load(load) = parse_server_line(&text) {
+            prop_assert!(load.is_finite());
         }
-        prop_assert!(report_value(&text, &name).is_none_or(|x| x.is_finite() && x >= 0.0));
+        prop_assert!(report_value(&text, &name).is_none_or(|value| value.is_finite() && value >= 0.0));
     }
 
     #[test]
     fn json_is_parsed_completely_or_rejected(text in json_text(), cut in 0usize..400) {
-        let whole = json::parse(text.as_bytes());
-        if let Ok(value) = &whole {
+        let parsed = json::parse(text.as_bytes());
+        if let Ok(value) = &parsed {
             prop_assert!(is_nested_within(value, MAX_JSON_DEPTH));
             let mut pairs = Vec::new();
             value.flatten("", &mut pairs);
         }
         let cut = cut.min(text.len());
         let _ = json::parse(&text.as_bytes()[..cut]);
-        if let Some(part) = text.as_bytes().get(..cut).filter(|_| cut < text.len() && text.starts_with('{')) {
-            prop_assert!(json::parse(part).is_err(), "half an object was read");
+        if let Some(prefix) = text.as_bytes().get(..cut).filter(|_| cut < text.len() && text.starts_with('{')) {
+            prop_assert!(json::parse(prefix).is_err(), "an incomplete object was accepted");
         }
     }
 
@@ -189,7 +197,7 @@
     }
 
     #[test]
-    fn chunks_give_the_same_lines_however_they_are_cut(
+    fn chunks_give_the_same_lines_however_the_bytes_are_split(
         lines in prop::collection::vec("[a-z0-9]{0,40}", 0..8),
         sizes in prop::collection::vec(1usize..64, 1..40),
         cuts in prop::collection::vec(1usize..50, 1..40),
@@ -198,20 +206,20 @@
         let mut text = String::from("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         let (mut rest, mut sizes) = (body.as_str(), sizes.iter().cycle());
         while !rest.is_empty() {
-            let n = (*sizes.next().unwrap()).min(rest.len());
-            text += &format!("{n:x}\r\n{}\r\n", &rest[..n]);
-            rest = &rest[n..];
+            let size = (*sizes.next().unwrap()).min(rest.len());
+            text += &format!("{size:x}\r\n{}\r\n", &rest[..size]);
+            rest = &rest[size..];
         }
-        let (mut answer, mut found, mut bytes) = (ChunkedResponse::default(), Vec::new(), text.as_bytes());
+        let (mut response, mut found, mut bytes) = (ChunkedResponse::default(), Vec::new(), text.as_bytes());
         for cut in cuts.iter().cycle() {
-            let n = (*cut).min(bytes.len());
-            answer.feed(&bytes[..n], &mut found).unwrap();
-            bytes = &bytes[n..];
+            let length = (*cut).min(bytes.len());
+            response.feed(&bytes[..length], &mut found).unwrap();
+            bytes = &bytes[length..];
             if bytes.is_empty() {
                 break;
             }
         }
-        let found: Vec<String> = found.into_iter().map(|l| String::from_utf8(l).unwrap()).collect();
+        let found: Vec<String> = found.into_iter().map(|line| String::from_utf8(line).unwrap()).collect();
         prop_assert_eq!(found, lines);
     }
 
@@ -223,8 +231,8 @@
     ) {
         let mut pairs: Vec<(&str, Option<String>)> =
             SETTINGS.iter().map(|(path, value)| (*path, Some(value.to_string()))).collect();
-        for (at, value) in changes.clone() {
-            pairs[at].1 = value;
+        for (index, value) in changes.clone() {
+            pairs[index].1 = value;
         }
         let kept = pairs.iter().filter_map(|(path, value)| Some((*path, value.as_deref()?)));
         match settings::read(kept) {
@@ -232,12 +240,12 @@
                 prop_assert!(read.listeners.len() <= 255 && read.max_client_wait.as_secs() <= u64::from(u32::MAX));
             }
             Err(error) => {
-                let what = error.to_string();
-                let named = changes.iter().any(|(at, _)| {
-                    let path = SETTINGS[*at].0;
-                    what.contains(path) || path.ends_with(".count") && what.contains("listeners")
+                let message = error.to_string();
+                let names_a_change = changes.iter().any(|(index, _)| {
+                    let path = SETTINGS[*index].0;
+                    message.contains(path) || path.ends_with(".count") && message.contains("listeners")
                 });
-                prop_assert!(named, "{} names none of {:?}", what, changes);
+                prop_assert!(names_a_change, "{} names none of {:?}", message, changes);
             }
         }
     }
@@ -251,7 +259,7 @@
         let text = lines.join("\n");
         if let Err(problems) = OperatorConfig::parse(&text) {
             prop_assert!(!problems.is_empty());
-            prop_assert!(problems.iter().all(|p| p.line >= 1 && p.line <= lines.len().max(1)), "{:?}", problems);
+            prop_assert!(problems.iter().all(|problem| problem.line >= 1 && problem.line <= lines.len().max(1)), "{:?}", problems);
         }
     }
 
@@ -261,7 +269,7 @@
         "\\{\"v\":[0-9]{1,3},\"do\":\"(status|drain|undrain|x)\"(,\"(pace|deadline_ms)\":[0-9.e-]{1,9})?\\}",
     ]) {
         if let Ok(request) = AdminRequest::parse(text.as_bytes()) {
-            prop_assert!(request.migrations_per_second.is_none_or(|pace| pace.is_finite() && pace > 0.0));
+            prop_assert!(request.migrations_per_second.is_none_or(|rate| rate.is_finite() && rate > 0.0));
         }
     }
 }
--- a/crates/model-checker/tests/injected_faults.rs
+++ b/crates/model-checker/tests/injected_faults.rs
@@ -1,4 +1,4 @@
-//! An injected fault is found. In a file of its own, since it is injected into the whole process.
+//! Each injected fault is found. These tests have a file of their own, since a fault is injected into the whole process.
 #![cfg(feature = "injected-faults")]
 
 use asterramp_model_checker::explorer::{Counterexample, Limits};
@@ -20,7 +20,7 @@
     inject(None);
     assert_eq!(read.play(|_| ()), Ok(()));
 
-    // Recorded by the checker of 17cc2a9, under the fault's former name.
+    // Recorded by the model checker at commit 17cc2a9, with the fault under its former name.
     let recorded = Trace::read(include_str!("golden/trace-timeout.txt")).unwrap();
     let fault = recorded
         .injected_fault
@@ -34,7 +34,7 @@
     assert_eq!(recorded.play(|_| ()), Ok(()));
 }
 
-/// Looks for each fault, and prints what is found and in how many actions.
+/// Searches for each fault and prints the violation that it causes, with the length of the counterexample.
 fn assert_each_is_found<F, A, V>(faults: &[F], find: impl Fn(F) -> Option<Counterexample<A, V>>)
 where
     F: Copy + Debug,
--- a/crates/model-checker/tests/trace.rs
+++ b/crates/model-checker/tests/trace.rs
@@ -1,4 +1,4 @@
-//! Traces are read as they are written, and as earlier builds wrote them.
+//! Traces are parsed as they are written, and as earlier builds wrote them.
 
 use asterramp_model_checker::action::{Action, Choice, EndpointChange, ProbeResult, ServerMessage};
 use asterramp_model_checker::shape::WALK;
@@ -7,12 +7,12 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-/// Recorded by the checker of 17cc2a9, under an injected fault's former name.
+/// Recorded by the model checker at commit 17cc2a9, with the injected fault under its former name.
 const TIMEOUT_TRACE: &str = include_str!("golden/trace-timeout.txt");
-/// A random walk with every kind of action, as written before the actions were renamed in the code.
+/// A random walk with every kind of action, as written before the actions were renamed in the source code.
 const WALK_TRACE: &str = include_str!("golden/trace-walk.txt");
-/// How many effects the code has on the way of [`WALK_TRACE`], as the checker of 17cc2a9 printed them.
-const WALK_EFFECTS: usize = 68;
+/// Number of effects that the model checker at commit 17cc2a9 printed while it replayed [`WALK_TRACE`].
+const WALK_EFFECT_COUNT: usize = 68;
 
 fn server_message() -> impl Strategy<Value = ServerMessage> {
     prop_oneof![
@@ -50,13 +50,15 @@
         number().prop_map(Action::DialRefused),
         number().prop_map(Action::DialWithoutSocket),
         number().prop_map(Action::RequestWritten),
-        (number(), server_message()).prop_map(|(session, m)| Action::ServerAnswers(session, m)),
+        (number(), server_message())
+            .prop_map(|(session, message)| Action::ServerAnswers(session, message)),
         number().prop_map(Action::ServerCloses),
         number().prop_map(Action::ClientLeaves),
         number().prop_map(Action::ClientSendsEarly),
         number().prop_map(Action::ClientLeavesUnnoticed),
-        (number(), endpoint_change()).prop_map(|(server, c)| Action::EndpointChanges(server, c)),
-        (number(), probe_result()).prop_map(|(server, r)| Action::ProbeEnds(server, r)),
+        (number(), endpoint_change())
+            .prop_map(|(server, change)| Action::EndpointChanges(server, change)),
+        (number(), probe_result()).prop_map(|(server, result)| Action::ProbeEnds(server, result)),
         Just(Action::NextDeadline),
         number().prop_map(Action::StaleEvent),
         Just(Action::Sigterm),
@@ -76,19 +78,19 @@
 }
 
 #[test]
-fn every_action_that_is_possible_on_a_long_way_is_read_as_it_is_written() {
+fn every_possible_action_of_a_long_run_is_read_as_it_is_written() {
     let mut state = SystemState::new(&WALK);
     let mut possible = Vec::new();
-    for nth in 0..400_usize {
+    for step in 0..400_usize {
         state.actions(&WALK, &mut possible);
         for action in &possible {
             let choice = Choice {
                 action: *action,
-                random_range: (nth % 4) as u8,
+                random_range: (step % 4) as u8,
             };
             assert_eq!(choice.to_string().parse(), Ok(choice));
         }
-        let Some(action) = possible.get(nth * 7 % possible.len()) else {
+        let Some(action) = possible.get(step * 7 % possible.len()) else {
             break;
         };
         let action = match *action {
@@ -123,7 +125,7 @@
     assert_eq!(trace.choices.len(), 4);
 }
 
-/// Where the clock stands at the end, and how often the code acted, is as earlier builds printed it.
+/// The time at the end and the number of effects are those that earlier builds printed.
 #[test]
 fn a_walk_of_an_earlier_build_replays_to_the_same_end() {
     let mut lines = Vec::new();
@@ -136,10 +138,10 @@
         actions.last().map(|line| line.as_str()),
         Some("136. at   900 ms  session 9 client leaves")
     );
-    assert_eq!(lines.len() - actions.len(), WALK_EFFECTS);
+    assert_eq!(lines.len() - actions.len(), WALK_EFFECT_COUNT);
 }
 
-/// No checker writes such lines, but earlier builds read them.
+/// No build writes such lines, but earlier builds accepted them.
 #[test_case(
     "session 0 host says full",
     Action::ServerAnswers(0, ServerMessage::Err)
--- a/crates/model-checker/tests/walk.rs
+++ b/crates/model-checker/tests/walk.rs
@@ -1,4 +1,4 @@
-//! Random walks hold, and are the same for the same seed.
+//! All properties hold in random walks, and the same seed gives the same walk.
 
 use asterramp_model_checker::shape::WALK;
 use asterramp_model_checker::trace::Trace;
@@ -14,16 +14,20 @@
         panic!("seed {seed}: {trace}");
     }
     let (complete, walks) = (summary.complete_walk_count, summary.walk_count);
-    assert!(complete * 2 > walks, "few walks end: {complete} of {walks}");
+    assert!(
+        complete * 2 > walks,
+        "only {complete} of {walks} walks are complete"
+    );
 }
 
-/// Actions of the walks from seeds 1 to 8. The checker of 17cc2a9 took as many actions in its first 24,320 walks.
-const EARLIER_WALKS: [usize; 8] = [104, 92, 139, 133, 112, 111, 142, 124];
+/// Numbers of actions of the walks with seeds 1 to 8. The first 24,320 walks had the same numbers as those of the model
+/// checker at commit 17cc2a9.
+const EARLIER_ACTION_COUNTS: [usize; 8] = [104, 92, 139, 133, 112, 111, 142, 124];
 
 #[test]
 fn the_first_walks_are_those_of_earlier_builds() {
-    let actions: Vec<usize> = (1..=8).map(|seed| walk(&WALK, seed).action_count).collect();
-    assert_eq!(actions, EARLIER_WALKS);
+    let action_counts: Vec<usize> = (1..=8).map(|seed| walk(&WALK, seed).action_count).collect();
+    assert_eq!(action_counts, EARLIER_ACTION_COUNTS);
 }
 
 proptest! {
