--- a/crates/model-checker/src/hot_restart/model.rs
+++ b/crates/model-checker/src/hot_restart/model.rs
@@ -1,4 +1,4 @@
-//! The two processes, and what may happen to them.
+//! State, actions and safety properties of the hot-restart model.
 
 use super::process::{ConnectionSet, Message, Process, connection_set};
 use crate::model::Model;
@@ -8,17 +8,17 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Connections that are open when the successor connects: one more than the link holds offers of.
-const CONNECTIONS: u8 = 3;
-const ALL_CONNECTIONS: ConnectionSet = (1 << CONNECTIONS) - 1;
-const _: () = assert!(CONNECTIONS as usize <= MAX_PENDING_OFFERS);
-/// Invalid messages that processes of other builds may send.
-const INVALID_MESSAGES: u8 = 1;
+/// Connections that are open when the successor connects: one more than `LINK_CAPACITY`, so that the link can be full.
+const CONNECTION_COUNT: u8 = 3;
+const ALL_CONNECTIONS: ConnectionSet = (1 << CONNECTION_COUNT) - 1;
+const _: () = assert!(CONNECTION_COUNT as usize <= MAX_PENDING_OFFERS);
+/// Most invalid messages that the two processes together send in one run; bounds the number of states.
+const MAX_INVALID_MESSAGES: u8 = 1;
 
-/// What one of the two processes does next.
+/// An action of one of the two processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum HotRestartAction {
-    /// The predecessor offers a connection.
+    /// The predecessor offers its served connection with the lowest number to the successor.
     Offer,
     /// The predecessor reads the next message, or the end of the link.
     PredecessorReads,
@@ -28,9 +28,9 @@
     SuccessorSendsInvalid,
     /// A predecessor of another build sends an invalid message.
     PredecessorSendsInvalid,
-    /// The predecessor ends.
+    /// The predecessor process terminates.
     PredecessorDies,
-    /// The successor ends.
+    /// The successor process terminates.
     SuccessorDies,
 }
 
@@ -46,8 +46,8 @@
         HotRestartAction::SuccessorDies,
     ];
 
-    /// Those that happen by themselves if neither process dies or misbehaves.
-    const REGULAR: [HotRestartAction; 3] = [
+    /// Actions that occur without a crash or an invalid message.
+    const FAULT_FREE: [HotRestartAction; 3] = [
         HotRestartAction::Offer,
         HotRestartAction::PredecessorReads,
         HotRestartAction::SuccessorReads,
@@ -55,27 +55,27 @@
 }
 
 impl fmt::Display for HotRestartAction {
-    /// The action as counterexamples name it.
+    /// Formats the action as counterexamples print it: the variant's name.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{self:?}")
     }
 }
 
-/// A property of hot restarts that does not hold. Connections are a bit each.
+/// A violated property of hot restarts. The value is a bit set of connections, bit `n` for connection `n`.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HotRestartViolation {
-    /// Both processes read from and write to these connections.
+    /// Both processes serve these connections, that is, read from and write to them.
     #[error("both touch connections {0:#b}")]
     ServedTwice(u8),
-    /// A process uses these connections without having their descriptors.
+    /// A process serves these connections without holding their descriptors.
     #[error("connections {0:#b} are touched and not held")]
     ServedWithoutDescriptor(u8),
-    /// These connections did not end with their owner, and belong to no process that lives.
+    /// These connections are served by no running process, though they did not end with the process that owned them.
     #[error("connections {0:#b} are nobody's")]
     ConnectionsLost(u8),
 }
 
-/// A predecessor, its successor and the connections.
+/// State of the model: a predecessor, its successor and the connections.
 #[derive(Clone, Debug)]
 pub struct HotRestartModel {
     predecessor: Process,
@@ -92,13 +92,13 @@
 }
 
 impl HotRestartModel {
-    /// The successor has just connected, and all connections are the predecessor's.
+    /// The initial state: the successor has just connected, and the predecessor serves all connections.
     pub fn new() -> HotRestartModel {
         HotRestartModel {
             predecessor: Process::new(HotRestartState::HandingOver, ALL_CONNECTIONS),
             successor: Process::new(HotRestartState::TakingOver, 0),
             ended: 0,
-            invalid_messages_left: INVALID_MESSAGES,
+            invalid_messages_left: MAX_INVALID_MESSAGES,
         }
     }
 
@@ -107,9 +107,9 @@
         let successor = &self.successor;
         let both_linked = predecessor.is_linked && successor.is_linked;
         match action {
-            HotRestartAction::Offer => predecessor.may_offer(),
-            HotRestartAction::PredecessorReads => predecessor.may_read(successor),
-            HotRestartAction::SuccessorReads => successor.may_read(predecessor),
+            HotRestartAction::Offer => predecessor.can_offer(),
+            HotRestartAction::PredecessorReads => predecessor.can_read(successor),
+            HotRestartAction::SuccessorReads => successor.can_read(predecessor),
             HotRestartAction::SuccessorSendsInvalid => {
                 self.invalid_messages_left > 0 && successor.is_alive && both_linked
             }
@@ -139,12 +139,14 @@
                 self.predecessor.die();
             }
             HotRestartAction::SuccessorDies => {
-                // What the predecessor has released was the successor's, read or not.
+                // The successor owns the connections that the predecessor has released, even if it has not read the
+                // messages about them yet.
                 self.ended |= self.successor.served | !self.predecessor.descriptors;
                 self.successor.die();
             }
         }
-        // What is in the link ends with the predecessor too, if nobody is left who may read it.
+        // With the successor's end of the link closed, no process can read what is still in the link: connections that
+        // the successor does not serve end when the predecessor terminates.
         if !self.predecessor.is_alive && !self.successor.is_linked {
             self.ended |= !self.successor.served;
         }
@@ -153,8 +155,8 @@
     fn offer(&mut self) {
         let predecessor = &mut self.predecessor;
         let connection = predecessor.served.trailing_zeros() as u8;
-        let delivery = predecessor.send(&mut self.successor, Message::Offer(connection));
-        if delivery == SendOutcome::Sent {
+        let offer_sent = predecessor.send(&mut self.successor, Message::Offer(connection));
+        if offer_sent == SendOutcome::Sent {
             predecessor.served &= !connection_set([connection]);
             predecessor.ownership.add_offer(connection);
         }
@@ -172,21 +174,21 @@
             predecessor.release_oldest_offer();
             return;
         }
-        // What was accepted before counts still, and nothing after.
+        // The handover ends. Acceptances that have already arrived are still processed; later ones are not.
         predecessor.is_linked = false;
         for message in std::mem::take(&mut predecessor.inbox) {
             if message == Message::OfferAccepted {
                 predecessor.release_oldest_offer();
             }
         }
-        let notice = if effect == HotRestartEffect::StopHandover {
+        let stop_notice = if effect == HotRestartEffect::StopHandover {
             predecessor.send(&mut self.successor, Message::HandoverStopped)
         } else {
             SendOutcome::PeerGone
         };
-        let end = predecessor.ownership.end_handover(notice);
-        predecessor.served |= connection_set(end.resumed);
-        predecessor.descriptors &= !connection_set(end.released);
+        let unaccepted = predecessor.ownership.end_handover(stop_notice);
+        predecessor.served |= connection_set(unaccepted.resumed);
+        predecessor.descriptors &= !connection_set(unaccepted.released);
     }
 
     fn successor_reads(&mut self) {
@@ -214,8 +216,11 @@
 
     fn successor_receives_offer(&mut self, connection: u8) -> HotRestartInput {
         let successor = &mut self.successor;
-        let acceptance = successor.send(&mut self.predecessor, Message::OfferAccepted);
-        match successor.ownership.receive_offer(connection, acceptance) {
+        let acceptance_sent = successor.send(&mut self.predecessor, Message::OfferAccepted);
+        match successor
+            .ownership
+            .receive_offer(connection, acceptance_sent)
+        {
             Ok(adoptable) => {
                 successor.descriptors |= connection_set([connection]);
                 successor.served |= connection_set(adoptable);
@@ -225,7 +230,7 @@
         }
     }
 
-    /// What must hold after each action.
+    /// Checked after each action: no connection is served by both processes, or by one without its descriptor.
     fn check_ownership(&self) -> Result<(), HotRestartViolation> {
         let predecessor = &self.predecessor;
         let successor = &self.successor;
@@ -243,16 +248,16 @@
         Ok(())
     }
 
-    /// What must hold where nothing is left to do: every connection that did not end with its owner belongs to a process that
-    /// lives.
+    /// Checked in states without a possible fault-free action, while a process is running: every connection that did
+    /// not end with its owner is served.
     fn check_no_connection_lost(&self) -> Result<(), HotRestartViolation> {
-        let is_quiet = !HotRestartAction::REGULAR
+        let is_quiescent = !HotRestartAction::FAULT_FREE
             .iter()
             .any(|action| self.is_possible(*action));
-        let is_anyone_alive = self.predecessor.is_alive || self.successor.is_alive;
+        let is_any_process_alive = self.predecessor.is_alive || self.successor.is_alive;
         let owned = self.predecessor.served | self.successor.served;
         let lost = ALL_CONNECTIONS & !(owned | self.ended);
-        if is_quiet && is_anyone_alive && lost != 0 {
+        if is_quiescent && is_any_process_alive && lost != 0 {
             return Err(HotRestartViolation::ConnectionsLost(lost));
         }
         Ok(())
@@ -264,7 +269,7 @@
     type Violation = HotRestartViolation;
     type Fingerprint = String;
 
-    /// All of the model, as it has few states.
+    /// The Debug text of the whole state; the model is small enough to need no abstraction.
     fn fingerprint(&self) -> String {
         format!("{self:?}")
     }
--- a/crates/model-checker/src/hot_restart/process.rs
+++ b/crates/model-checker/src/hot_restart/process.rs
@@ -1,46 +1,51 @@
-//! One of the two processes, and its end of the link.
+//! One process of the hot-restart model and its end of the link.
 
 use asterramp_hot_restart::{ConnectionOwnership, HotRestartState, SendOutcome};
 use std::collections::VecDeque;
 
-/// Messages that the link holds one way before it is full for its sender.
+/// Most messages queued in one direction of the link; sending another fails with `SendOutcome::LinkFull`.
 const LINK_CAPACITY: usize = 2;
 
-/// Connections, a bit each.
+/// Set of connections: bit `n` stands for connection `n`.
 pub(super) type ConnectionSet = u8;
 
-/// The set of these connections.
 pub(super) fn connection_set(connections: impl IntoIterator<Item = u8>) -> ConnectionSet {
     connections
         .into_iter()
-        .fold(0, |set, number| set | 1 << number)
+        .fold(0, |set, connection| set | 1 << connection)
 }
 
-/// What the model distinguishes of the messages on the link.
+/// A message on the link, reduced to what the model distinguishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Message {
-    /// Offers the connection of this number.
+    /// The predecessor offers the connection of this number.
     Offer(u8),
+    /// The predecessor ends the handover and resumes connections whose offers were not accepted.
     HandoverStopped,
+    /// The successor accepts the oldest pending offer.
     OfferAccepted,
-    /// Out of place for whoever receives it.
+    /// A message that is a protocol error in either direction.
     Invalid,
 }
 
+/// State of the predecessor or the successor.
 #[derive(Clone, Debug)]
 pub(super) struct Process {
     pub(super) state: HotRestartState,
     pub(super) ownership: ConnectionOwnership<u8, u8>,
     pub(super) is_alive: bool,
+    /// Whether its end of the link is open.
     pub(super) is_linked: bool,
-    /// Connections that it reads from and writes to.
+    /// Connections that the process reads from and writes to.
     pub(super) served: ConnectionSet,
-    /// Connections of which it has descriptors.
+    /// Connections whose descriptors the process holds.
     pub(super) descriptors: ConnectionSet,
+    /// Messages that have arrived and are unread, oldest first.
     pub(super) inbox: VecDeque<Message>,
 }
 
 impl Process {
+    /// A running process that serves `connections`, with an open link.
     pub(super) fn new(state: HotRestartState, connections: ConnectionSet) -> Process {
         Process {
             state,
@@ -76,14 +81,13 @@
         self.inbox.clear();
     }
 
-    /// Whether there is something to read from `peer`; the end of the link is read too, once what was sent before it has
-    /// been.
-    pub(super) fn may_read(&self, peer: &Process) -> bool {
+    /// Whether the process can read a message from `peer`, or the end of the link, which follows the last message.
+    pub(super) fn can_read(&self, peer: &Process) -> bool {
         self.is_alive && self.is_linked && (!self.inbox.is_empty() || !peer.is_linked)
     }
 
-    /// Whether it may offer a connection to its successor.
-    pub(super) fn may_offer(&self) -> bool {
+    /// Whether the process, as predecessor, can offer a connection to its successor.
+    pub(super) fn can_offer(&self) -> bool {
         self.is_alive
             && self.is_linked
             && self.state == HotRestartState::HandingOver
@@ -91,7 +95,7 @@
             && self.ownership.free_offer_slots() > 0
     }
 
-    /// The successor has accepted the oldest offer, so the connection is not this process's any more.
+    /// Closes the descriptor of the oldest pending offer, which the successor has accepted.
     pub(super) fn release_oldest_offer(&mut self) {
         self.descriptors &= !connection_set(self.ownership.take_oldest_offer());
     }
--- a/crates/model-checker/src/leader_lease/action.rs
+++ b/crates/model-checker/src/leader_lease/action.rs
@@ -1,4 +1,4 @@
-//! What may happen to the contenders, their store and the receivers.
+//! Actions of the leader-lease model.
 
 use asterramp_leader_lease::OrderPurpose;
 use std::fmt;
@@ -12,49 +12,50 @@
     pub receiver: usize,
 }
 
-/// Something that may happen. Contenders and receivers are numbered from 0.
+/// An action of the model. Contenders and receivers are numbered from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// A contender puts its node into the queue at the store.
+    /// A contender creates its node in the queue at the store.
     JoinQueue(usize),
-    /// A contender asks the store who is first in the queue.
+    /// A contender asks the store for the head of the queue.
     SendStoreRequest(usize),
-    /// The store reads that request and renews the session.
+    /// The store handles a contender's request, which renews the contender's session.
     HandleStoreRequest(usize),
-    /// The store's answer reaches the contender.
+    /// The store's answer to a contender's request arrives.
     ReceiveStoreAnswer(usize),
     /// A contender's connection to the store breaks, and its request or the answer is lost.
     BreakStoreConnection(usize),
     /// The store ends a session that was not renewed in time.
     ExpireSession(usize),
-    /// The store restarts without its sessions.
+    /// The store loses all sessions, as by a restart without its data.
     LoseAllSessions,
     /// A contender learns that its session has expired.
     LearnOfExpiry(usize),
-    /// A leader gives the lead up.
+    /// A leader resigns: its session ends and its process starts anew.
     Resign(usize),
-    /// A contender dies, and another process of the same name starts.
+    /// A contender's process terminates without ending its session, and a new process starts in its place.
     RestartContender(usize),
-    /// A contender asks a receiver for its clock.
+    /// A contender requests a reading of a receiver's clock.
     RequestClock(Link),
     /// The receiver reads its clock for the contender.
     ReadClock(Link),
-    /// That reading reaches the contender.
+    /// The reading of a receiver's clock arrives at the contender.
     ReceiveClock(Link),
-    /// A contender makes an order by the reading.
+    /// A contender creates an order, whose expiry is based on its reading of the receiver's clock.
     CreateOrder(Link, OrderPurpose),
-    /// It sends the order, which may be some time later.
+    /// A contender sends an order that it has created, possibly some time before.
     SendOrder(Link),
-    /// The order of this number among those in flight reaches its receiver. It may do so again.
+    /// The order with this index among those in flight arrives at its receiver. It stays in flight, so it may arrive
+    /// again.
     DeliverOrder(usize),
     /// A receiver restarts.
     RestartReceiver {
         /// The receiver's number.
         receiver: usize,
-        /// Whether it still has the term that it kept on disk.
+        /// Whether the receiver still has its disk, which holds the highest term that it has accepted.
         has_disk: bool,
     },
-    /// The clock goes on by one tick of the model.
+    /// The true time advances by `TICK`.
     TimePasses,
 }
 
@@ -65,7 +66,7 @@
 }
 
 impl fmt::Display for LeaseAction {
-    /// The action as counterexamples name it.
+    /// Formats the action as counterexamples print it. These texts are stable, so they differ from the variants' names.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         use LeaseAction::*;
         match self {
@@ -83,8 +84,8 @@
             ReadClock(link) => write!(formatter, "Written({link})"),
             ReceiveClock(link) => write!(formatter, "Comes({link})"),
             CreateOrder(link, purpose) => {
-                let only_announces = *purpose == OrderPurpose::AnnounceTerm;
-                write!(formatter, "Orders({link}, {only_announces})")
+                let is_announcement = *purpose == OrderPurpose::AnnounceTerm;
+                write!(formatter, "Orders({link}, {is_announcement})")
             }
             SendOrder(link) => write!(formatter, "Sends({link})"),
             DeliverOrder(number) => write!(formatter, "Reads({number})"),
--- a/crates/model-checker/src/leader_lease/contender.rs
+++ b/crates/model-checker/src/leader_lease/contender.rs
@@ -1,4 +1,4 @@
-//! A contender, with its requests and orders that are not done yet. All times that are passed in are true ones.
+//! A contender of the leader-lease model, with its pending requests and orders. Parameters named `now` are true time.
 
 use super::clocks::contender_time;
 use super::reference::FingerprintReference;
@@ -9,47 +9,50 @@
 };
 use std::time::Duration;
 
-/// A contender's request to the store.
+/// A contender's pending request to the store. `sent_at` is by the contender's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StoreRequest {
-    /// The store has not read it.
+    /// The store has not handled the request.
     Sent { sent_at: Duration },
-    /// The store has read it, and the answer is in flight: the lowest term in the queue, `None` if the session is not known.
+    /// The store has handled the request, and its answer is in flight. `queue_head` is the lowest term in the queue;
+    /// `None` if the contender has no session.
     Handled {
         sent_at: Duration,
         queue_head: Option<Term>,
     },
 }
 
-/// A contender's request for a receiver's clock.
+/// State of a contender's request for a reading of a receiver's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum ClockRequest {
+    /// No request is pending, and there is no reading.
     #[default]
     None,
-    /// The receiver has not read it.
+    /// The receiver has not handled the request.
     Sent,
     /// The receiver has read its clock, and the answer is in flight.
     Answered(ReceiverClock),
-    /// The contender has the reading, since a time by its own clock.
+    /// The contender has the reading. `received_at` is by the contender's clock.
     Received {
         clock: ReceiverClock,
         received_at: Duration,
     },
 }
 
+/// State of a contender.
 #[derive(Clone, Debug)]
 pub(super) struct ContenderModel {
     number: usize,
     contender: LeaseContender,
-    /// Its times are by the contender's clock.
+    /// The pending request to the store; at most one.
     pub(super) store_request: Option<StoreRequest>,
-    /// Its request to each receiver.
+    /// The clock request to each receiver.
     pub(super) clock_requests: [ClockRequest; RECEIVER_COUNT],
-    /// The order for each receiver that it has made and not sent.
+    /// The token of an order for each receiver that has been created and not sent.
     pub(super) unsent_orders: [Option<FencingToken>; RECEIVER_COUNT],
-    /// Receivers that have accepted its term.
-    informed_receivers: [bool; RECEIVER_COUNT],
-    /// Whether it has led since it queued.
+    /// Whether each receiver has accepted an order with the contender's term.
+    accepted_by_receiver: [bool; RECEIVER_COUNT],
+    /// Whether the contender has been leader since it last joined the queue.
     has_led: bool,
 }
 
@@ -61,7 +64,7 @@
             store_request: None,
             clock_requests: [ClockRequest::None; RECEIVER_COUNT],
             unsent_orders: [None; RECEIVER_COUNT],
-            informed_receivers: [false; RECEIVER_COUNT],
+            accepted_by_receiver: [false; RECEIVER_COUNT],
             has_led: false,
         }
     }
@@ -78,20 +81,22 @@
         self.state() != LeaseState::NotQueued
     }
 
+    /// The time that the contender's clock shows at the true time `now`.
     fn clock(&self, now: Duration) -> Duration {
         contender_time(self.number, now)
     }
 
+    /// Updates the lease state to the time by the contender's clock.
     pub(super) fn tick(&mut self, now: Duration) {
         self.contender.tick(self.clock(now));
         self.has_led |= self.state() == LeaseState::Leader;
     }
 
-    /// Its node was created with this term.
+    /// The store has created the contender's node, with this term.
     pub(super) fn join_queue(&mut self, now: Duration, term: Term) {
         let clock = self.clock(now);
         self.has_led = false;
-        self.informed_receivers = [false; RECEIVER_COUNT];
+        self.accepted_by_receiver = [false; RECEIVER_COUNT];
         self.contender.joined_queue(clock, clock, term);
     }
 
@@ -100,7 +105,7 @@
         self.store_request = Some(StoreRequest::Sent { sent_at });
     }
 
-    /// The store's answer arrives.
+    /// Handles the store's answer, if the store has handled the request.
     pub(super) fn receive_store_answer(&mut self, now: Duration) -> Result<(), LeaseViolation> {
         let clock = self.clock(now);
         match self.store_request.take() {
@@ -119,7 +124,8 @@
         }
     }
 
-    /// It learns that its session has expired, and must claim nothing from then on.
+    /// The contender learns that its session has expired. From then on it must count itself neither as
+    /// queued nor as leader.
     pub(super) fn learn_of_expiry(&mut self) -> Result<(), LeaseViolation> {
         self.store_request = None;
         self.contender.session_expired();
@@ -130,7 +136,7 @@
         Ok(())
     }
 
-    /// A reading of a receiver's clock arrives.
+    /// Handles the arrival of a reading of a receiver's clock.
     pub(super) fn receive_clock(&mut self, now: Duration, receiver: usize) {
         let received_at = self.clock(now);
         let request = &mut self.clock_requests[receiver];
@@ -139,39 +145,40 @@
         }
     }
 
-    /// It makes an order by the reading that it has, if it may; the reading is used up.
+    /// Creates an order from the received clock reading, which is then discarded. `None` if there is no reading or the
+    /// contender may not give such an order.
     pub(super) fn create_order(
         &mut self,
         now: Duration,
         receiver: usize,
         purpose: OrderPurpose,
     ) -> Option<FencingToken> {
-        let own_clock = self.clock(now);
+        let own_time = self.clock(now);
         let request = std::mem::take(&mut self.clock_requests[receiver]);
         let ClockRequest::Received { clock, received_at } = request else {
             return None;
         };
         let order = self
             .contender
-            .order(own_clock, clock, received_at, purpose)?;
+            .order(own_time, clock, received_at, purpose)?;
         self.unsent_orders[receiver] = Some(order);
         Some(order)
     }
 
-    /// A receiver has accepted its term.
+    /// A receiver has accepted an order with the contender's term.
     pub(super) fn receiver_accepted_term(&mut self, receiver: usize) {
-        self.informed_receivers[receiver] = true;
-        if self.informed_receivers == [true; RECEIVER_COUNT] {
+        self.accepted_by_receiver[receiver] = true;
+        if self.accepted_by_receiver == [true; RECEIVER_COUNT] {
             self.contender.all_receivers_accepted_term();
         }
     }
 
-    /// Whether it leads, or has led, with a later term than this.
+    /// Whether the contender is or was leader with a later term than `term`.
     pub(super) fn has_led_with_later_term(&self, term: Term) -> bool {
         self.has_led && self.term() > term
     }
 
-    /// Equal for contenders that behave alike.
+    /// Text that is equal for contenders with the same future behaviour.
     pub(super) fn fingerprint(&self, reference: FingerprintReference) -> String {
         let state = self.contender.state_key(self.clock(reference.now));
         let store_request = self.fingerprint_of_store_request(reference);
@@ -181,7 +188,7 @@
             let token = self.unsent_orders[receiver]?;
             Some(reference.relative_token(receiver, token))
         });
-        let progress = (self.informed_receivers, self.has_led);
+        let progress = (self.accepted_by_receiver, self.has_led);
         format!("{state}{store_request}{clock_requests:?}{unsent_orders:?}{progress:?}")
     }
 
--- a/crates/model-checker/src/leader_lease/factory.rs
+++ b/crates/model-checker/src/leader_lease/factory.rs
@@ -1,12 +1,13 @@
-//! Creates the code that decides, with an injected fault if one is wanted.
+//! Creates instances of the production code, optionally with an injected fault.
 
 #[cfg(feature = "injected-faults")]
 use asterramp_leader_lease::InjectedFault;
 use asterramp_leader_lease::{FencingGuard, LeaseContender, LeaseSettings, Term};
 
-/// What the code that decides is created with.
+/// Creates contenders and fencing guards of the production code.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LeaseFactory {
+    /// The fault that the created instances have; `None` for no fault.
     #[cfg(feature = "injected-faults")]
     pub(super) injected_fault: Option<InjectedFault>,
 }
--- a/crates/model-checker/src/leader_lease/mod.rs
+++ b/crates/model-checker/src/leader_lease/mod.rs
@@ -1,22 +1,22 @@
-//! Two contenders for a lease, their store and two receivers of orders, in every order of delays, losses, repeated and late
-//! messages, pauses at any point, expiries and restarts at small size.
+//! Model of the leader lease: two contenders, their coordination store and two receivers of orders, in every order of
+//! delayed, lost, duplicated and late messages, process pauses, session expiries and restarts.
 //!
-//! [`LeaseContender`](asterramp_leader_lease::LeaseContender) and [`FencingGuard`](asterramp_leader_lease::FencingGuard), the
-//! code that serves, decide; the store, the network and the clocks are modelled here. A pause of a process is any number of
-//! other actions between two of its own.
+//! [`LeaseContender`](asterramp_leader_lease::LeaseContender) and
+//! [`FencingGuard`](asterramp_leader_lease::FencingGuard), the production code, decide; the store, the network and the
+//! clocks are modelled here. A pause of a process is modelled as any number of other actions between two of its own.
 //!
-//! | module | what it holds |
+//! | module | content |
 //! | --- | --- |
-//! | `action` | what may happen |
-//! | `situation` | the situations from which it is explored |
-//! | `contender`, `receiver`, `store` | the processes, and what is in flight from and to them |
-//! | `model` | all of them together |
-//! | `possible_actions` | what may happen next |
-//! | `clocks` | the true time and everybody's clock |
-//! | `settings` | bounds of the model, and settings of the code that decides |
-//! | `factory` | creates the code that decides, with an injected fault if one is wanted |
-//! | `reference` | what fingerprints are relative to |
-//! | `violation` | the properties that may not hold |
+//! | `action` | actions |
+//! | `situation` | the situations from which exploration starts |
+//! | `contender`, `receiver`, `store` | the processes and their messages in flight |
+//! | `model` | state of all processes, and the safety properties |
+//! | `possible_actions` | the actions that are possible in a state |
+//! | `clocks` | the true time, and the clocks of contenders and receivers |
+//! | `settings` | bounds of the model, and settings of the production code |
+//! | `factory` | creates instances of the production code, optionally with an injected fault |
+//! | `reference` | the reference point of times and incarnations in fingerprints |
+//! | `violation` | violated properties |
 
 mod action;
 mod clocks;
@@ -57,13 +57,13 @@
     }
 }
 
-/// Explores every order of up to `depth` actions behind a situation.
+/// Explores every order of up to `depth` actions after those that lead to `situation`.
 pub fn explore(situation: LeaseSituation, depth: usize) -> ExplorationOf<LeaderLeaseModel> {
     let initial = LeaderLeaseModel::new();
     explore_after(initial, &situation.actions(), Limits::to_depth(depth))
 }
 
-/// The same with a fault in the code that decides.
+/// As [`explore`], with a fault injected into the production code.
 #[cfg(feature = "injected-faults")]
 pub fn explore_with_fault(
     situation: LeaseSituation,
--- a/crates/model-checker/src/leader_lease/model.rs
+++ b/crates/model-checker/src/leader_lease/model.rs
@@ -1,4 +1,4 @@
-//! Contenders, store, receivers and their clocks.
+//! State and safety properties of the leader-lease model.
 
 use super::action::{LeaseAction, Link};
 use super::clocks::{START_TIME, TICK, receiver_to_true_time, slow_clock_phase};
@@ -15,7 +15,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Two contenders, their store and two receivers.
+/// State of the model: two contenders, their store and two receivers.
 #[derive(Clone, Debug)]
 pub struct LeaderLeaseModel {
     /// The true time.
@@ -23,11 +23,13 @@
     pub(super) contenders: [ContenderModel; CONTENDER_COUNT],
     pub(super) store: LeaseStore,
     receivers: [ReceiverModel; RECEIVER_COUNT],
-    /// Processes of receivers so far.
-    incarnations: u64,
+    /// Receiver processes started so far, by both receivers together. The next process gets the next greater
+    /// incarnation.
+    incarnation_count: u64,
+    /// Orders that have been sent. Each stays in flight after its delivery, so that it may be delivered again.
     pub(super) orders_in_flight: BTreeSet<OrderInFlight>,
     factory: LeaseFactory,
-    /// The first violation of the present action.
+    /// The first violation by the current action.
     violation: Option<LeaseViolation>,
 }
 
@@ -38,12 +40,12 @@
 }
 
 impl LeaderLeaseModel {
-    /// Nobody is queued, and no order was ever given.
+    /// The initial state: no contender is queued, and no order has been created.
     pub fn new() -> LeaderLeaseModel {
         LeaderLeaseModel::with_factory(LeaseFactory::default())
     }
 
-    /// The same with a fault in the code that decides.
+    /// As [`LeaderLeaseModel::new`], with a fault injected into the production code.
     #[cfg(feature = "injected-faults")]
     pub fn with_fault(injected_fault: InjectedFault) -> LeaderLeaseModel {
         LeaderLeaseModel::with_factory(LeaseFactory {
@@ -62,15 +64,15 @@
             contenders: [contender(0), contender(1)],
             store: LeaseStore::new(),
             receivers: [receiver(0), receiver(1)],
-            incarnations: RECEIVER_COUNT as u64,
+            incarnation_count: RECEIVER_COUNT as u64,
             orders_in_flight: BTreeSet::new(),
             factory,
             violation: None,
         }
     }
 
-    /// Keeps the first violation of an action.
-    fn record(&mut self, checked: Result<(), LeaseViolation>) {
+    /// Records a violation by the current action, unless there already is one.
+    fn record_violation(&mut self, checked: Result<(), LeaseViolation>) {
         if let Err(violation) = checked {
             self.violation.get_or_insert(violation);
         }
@@ -88,7 +90,7 @@
             LeaseAction::HandleStoreRequest(contender) => self.handle_store_request(contender),
             LeaseAction::ReceiveStoreAnswer(contender) => {
                 let checked = self.contenders[contender].receive_store_answer(self.now);
-                self.record(checked);
+                self.record_violation(checked);
             }
             LeaseAction::BreakStoreConnection(contender) => {
                 self.contenders[contender].store_request = None;
@@ -97,7 +99,7 @@
             LeaseAction::LoseAllSessions => self.store.lose_all_sessions(),
             LeaseAction::LearnOfExpiry(contender) => {
                 let checked = self.contenders[contender].learn_of_expiry();
-                self.record(checked);
+                self.record_violation(checked);
             }
             LeaseAction::Resign(contender) => {
                 self.store.end_session(contender);
@@ -114,7 +116,7 @@
             }
             LeaseAction::CreateOrder(link, purpose) => self.create_order(link, purpose),
             LeaseAction::SendOrder(link) => self.send_order(link),
-            LeaseAction::DeliverOrder(number) => self.deliver_order(number),
+            LeaseAction::DeliverOrder(index) => self.deliver_order(index),
             LeaseAction::RestartReceiver { receiver, has_disk } => {
                 self.restart_receiver(receiver, has_disk);
             }
@@ -146,11 +148,13 @@
         let contender = &mut self.contenders[link.contender];
         if let Some(order) = contender.create_order(self.now, link.receiver, purpose) {
             let checked = self.check_order(link, order, purpose);
-            self.record(checked);
+            self.record_violation(checked);
         }
     }
 
-    /// What must hold of an order as it is made.
+    /// Checks an order when it is created: the contender has a session, the order expires no later than that session,
+    /// and only the head of the queue gives commands. Not checked for a contender whose session was lost by the store,
+    /// until it queues again.
     fn check_order(
         &self,
         link: Link,
@@ -180,13 +184,13 @@
         self.orders_in_flight.extend(in_flight);
     }
 
-    fn deliver_order(&mut self, number: usize) {
-        let Some(order) = self.orders_in_flight.iter().nth(number).copied() else {
+    fn deliver_order(&mut self, index: usize) {
+        let Some(order) = self.orders_in_flight.iter().nth(index).copied() else {
             return;
         };
-        if self.receivers[order.receiver].accepts(self.now, &order) {
+        if self.receivers[order.receiver].handle_order(self.now, &order) {
             let checked = self.check_accepted(&order);
-            self.record(checked);
+            self.record_violation(checked);
             for contender in &mut self.contenders {
                 if contender.term() == order.term {
                     contender.receiver_accepted_term(order.receiver);
@@ -195,17 +199,17 @@
         }
     }
 
-    /// What must hold of an order that a receiver has just accepted, whose term it keeps.
+    /// Checks an order that a receiver has just accepted, and records its term at the receiver.
     fn check_accepted(&mut self, order: &OrderInFlight) -> Result<(), LeaseViolation> {
         let receiver = &mut self.receivers[order.receiver];
         let checked = receiver.check_accepted(self.now, order);
-        let kept = receiver.record_accepted_term(order.term);
+        let term_recorded = receiver.record_accepted_term(order.term);
         checked?;
         self.check_not_superseded(order)?;
-        kept
+        term_recorded
     }
 
-    /// No later leader may lead.
+    /// Checks that no contender is or was leader with a later term than the order's.
     fn check_not_superseded(&self, order: &OrderInFlight) -> Result<(), LeaseViolation> {
         let mut contenders = self.contenders.iter();
         let later_leader =
@@ -223,12 +227,12 @@
     fn restart_receiver(&mut self, receiver: usize, has_disk: bool) {
         let persisted_term = self.receivers[receiver].persisted_term;
         let known_term = if has_disk { persisted_term } else { NO_TERM };
-        self.incarnations += 1;
-        let guard = self.factory.new_guard(self.incarnations, known_term);
+        self.incarnation_count += 1;
+        let guard = self.factory.new_guard(self.incarnation_count, known_term);
         self.receivers[receiver].restart(guard, known_term);
     }
 
-    /// Lets an action happen, and checks what must hold then.
+    /// Applies an action and checks the safety properties.
     pub(super) fn apply_and_check(&mut self, action: LeaseAction) -> Result<(), LeaseViolation> {
         self.perform(action);
         for contender in &mut self.contenders {
@@ -237,11 +241,11 @@
         self.violation.take().map_or(Ok(()), Err)
     }
 
-    /// Equal for models that behave alike.
+    /// Text that is equal for states with the same future behaviour.
     pub(super) fn fingerprint_text(&self) -> String {
         let reference = FingerprintReference {
             now: self.now,
-            incarnations: self.incarnations,
+            incarnation_count: self.incarnation_count,
         };
         let mut parts = vec![slow_clock_phase(self.now).to_string()];
         parts.push(self.store.fingerprint(reference));
--- a/crates/model-checker/src/leader_lease/possible_actions.rs
+++ b/crates/model-checker/src/leader_lease/possible_actions.rs
@@ -1,4 +1,4 @@
-//! What may happen next.
+//! The actions that are possible in a state of the leader-lease model.
 
 use super::action::{LeaseAction, Link};
 use super::contender::{ClockRequest, StoreRequest};
@@ -7,7 +7,7 @@
 use asterramp_leader_lease::{LeaseState, OrderPurpose};
 
 impl LeaderLeaseModel {
-    /// All that may happen next.
+    /// The actions that are possible in this state.
     pub(super) fn possible_actions(&self) -> Vec<LeaseAction> {
         let mut actions = vec![LeaseAction::TimePasses, LeaseAction::LoseAllSessions];
         for contender in 0..CONTENDER_COUNT {
@@ -36,7 +36,7 @@
         actions
     }
 
-    /// What a contender may begin at the store.
+    /// The request that a contender may start at the store.
     fn queue_actions(&self, contender: usize) -> Option<LeaseAction> {
         let model = &self.contenders[contender];
         let has_session = self.store.sessions[contender].is_some();
@@ -47,21 +47,21 @@
         }
     }
 
-    /// What may become of a contender's request to the store.
+    /// The possible next steps of a contender's pending request to the store.
     fn request_actions(&self, contender: usize) -> Vec<LeaseAction> {
-        let breaks = LeaseAction::BreakStoreConnection(contender);
+        let break_connection = LeaseAction::BreakStoreConnection(contender);
         match self.contenders[contender].store_request {
             Some(StoreRequest::Sent { .. }) => {
-                vec![LeaseAction::HandleStoreRequest(contender), breaks]
+                vec![LeaseAction::HandleStoreRequest(contender), break_connection]
             }
             Some(StoreRequest::Handled { .. }) => {
-                vec![LeaseAction::ReceiveStoreAnswer(contender), breaks]
+                vec![LeaseAction::ReceiveStoreAnswer(contender), break_connection]
             }
             None => Vec::new(),
         }
     }
 
-    /// How a contender's session or process may end.
+    /// The ways in which a contender's session or process may end now.
     fn session_actions(&self, contender: usize) -> Vec<LeaseAction> {
         let model = &self.contenders[contender];
         let is_queued = model.is_queued();
@@ -84,29 +84,31 @@
         actions
     }
 
-    /// What a contender and a receiver may do next to bring an order from one to the other.
+    /// The possible next steps of an order from a contender to a receiver: reading the receiver's clock, creating the
+    /// order and sending it.
     fn link_actions(&self, link: Link) -> impl Iterator<Item = LeaseAction> {
         let model = &self.contenders[link.contender];
         let state = model.state();
         let has_unsent_order = model.unsent_orders[link.receiver].is_some();
-        let may_order = matches!(state, LeaseState::Leader | LeaseState::AwaitingPredecessor);
+        let can_order = matches!(state, LeaseState::Leader | LeaseState::AwaitingPredecessor);
         let next = match model.clock_requests[link.receiver] {
-            ClockRequest::None => may_order.then_some(LeaseAction::RequestClock(link)),
+            ClockRequest::None => can_order.then_some(LeaseAction::RequestClock(link)),
             ClockRequest::Sent => Some(LeaseAction::ReadClock(link)),
             ClockRequest::Answered(_) => Some(LeaseAction::ReceiveClock(link)),
             ClockRequest::Received { .. } if has_unsent_order => None,
             ClockRequest::Received { .. } => {
-                Some(LeaseAction::CreateOrder(link, purpose_in(state)))
+                Some(LeaseAction::CreateOrder(link, order_purpose(state)))
             }
         };
-        let may_send = has_unsent_order && self.orders_in_flight.len() < MAX_ORDERS_IN_FLIGHT;
-        let send = may_send.then_some(LeaseAction::SendOrder(link));
+        let can_send = has_unsent_order && self.orders_in_flight.len() < MAX_ORDERS_IN_FLIGHT;
+        let send = can_send.then_some(LeaseAction::SendOrder(link));
         next.into_iter().chain(send)
     }
 }
 
-/// What a contender's order is for. One that neither leads nor waits tries to give commands all the same.
-fn purpose_in(state: LeaseState) -> OrderPurpose {
+/// The purpose of an order by a contender in this state. A contender that is neither leader nor waiting for its
+/// predecessor tries to give commands too: the production code must refuse.
+fn order_purpose(state: LeaseState) -> OrderPurpose {
     if state == LeaseState::AwaitingPredecessor {
         OrderPurpose::AnnounceTerm
     } else {
--- a/crates/model-checker/src/leader_lease/receiver.rs
+++ b/crates/model-checker/src/leader_lease/receiver.rs
@@ -1,4 +1,4 @@
-//! A receiver of orders, and the orders in flight to receivers. All times that are passed in are true ones.
+//! A receiver of orders in the leader-lease model, and the orders in flight. Parameters named `now` are true time.
 
 use super::clocks::receiver_time;
 use super::reference::FingerprintReference;
@@ -6,12 +6,14 @@
 use asterramp_leader_lease::{FencingGuard, FencingToken, NO_TERM, ReceiverClock, Term};
 use std::time::Duration;
 
-/// An order in flight, which may arrive any number of times.
+/// An order in flight, which may be delivered any number of times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct OrderInFlight {
     pub(super) receiver: usize,
     pub(super) term: Term,
+    /// The receiver's process that the order is for.
     incarnation: u64,
+    /// When the order expires, by the receiver's clock.
     expires_at: Duration,
 }
 
@@ -33,20 +35,21 @@
         }
     }
 
-    /// Equal for orders that count alike.
+    /// Text that is equal for orders with the same effect.
     pub(super) fn fingerprint(&self, reference: FingerprintReference) -> String {
         let token = reference.relative_token(self.receiver, self.token());
         format!("{}{token:?}", self.receiver)
     }
 }
 
+/// State of a receiver.
 #[derive(Clone, Debug)]
 pub(super) struct ReceiverModel {
     number: usize,
     guard: FencingGuard,
-    /// The highest term that it has kept on disk.
+    /// The highest term that the receiver has stored on disk.
     pub(super) persisted_term: Term,
-    /// The highest term that its present process has accepted or read from its disk.
+    /// The highest term that the receiver's current process has accepted or has read from disk.
     accepted_term: Term,
 }
 
@@ -60,7 +63,8 @@
         }
     }
 
-    /// Another process starts that has read `known_term`.
+    /// A new process of the receiver starts. `known_term` is the term that it has read from disk, [`NO_TERM`] without a
+    /// disk.
     pub(super) fn restart(&mut self, guard: FencingGuard, known_term: Term) {
         self.guard = guard;
         self.accepted_term = known_term;
@@ -70,13 +74,14 @@
         self.guard.clock(receiver_time(self.number, now))
     }
 
-    /// An order arrives; whether it is accepted.
-    pub(super) fn accepts(&mut self, now: Duration, order: &OrderInFlight) -> bool {
+    /// Handles the arrival of an order. Returns whether the order is accepted.
+    pub(super) fn handle_order(&mut self, now: Duration, order: &OrderInFlight) -> bool {
         let clock = receiver_time(self.number, now);
         self.guard.check(clock, &order.token()).is_ok()
     }
 
-    /// What must hold of an order that has just been accepted, beside what other processes know.
+    /// Checks an order that has just been accepted against the receiver's own state: it is for the current process, has
+    /// not expired, and its term is not lower than one that was accepted before.
     pub(super) fn check_accepted(
         &self,
         now: Duration,
@@ -100,7 +105,7 @@
         Ok(())
     }
 
-    /// Keeps the term of an order that has just been accepted.
+    /// Records the term of an order that has just been accepted, and checks that the guard has kept it.
     pub(super) fn record_accepted_term(&mut self, term: Term) -> Result<(), LeaseViolation> {
         self.accepted_term = self.accepted_term.max(term);
         self.persisted_term = self.guard.highest_term();
@@ -111,7 +116,7 @@
         Ok(())
     }
 
-    /// Equal for receivers that behave alike.
+    /// Text that is equal for receivers with the same future behaviour.
     pub(super) fn fingerprint(&self, reference: FingerprintReference) -> String {
         let incarnation = self.guard.clock(Duration::ZERO).incarnation;
         let terms = (self.persisted_term, self.accepted_term);
--- a/crates/model-checker/src/leader_lease/reference.rs
+++ b/crates/model-checker/src/leader_lease/reference.rs
@@ -1,32 +1,33 @@
-//! What fingerprints are relative to.
+//! The reference point of times and incarnations in fingerprints.
 
 use super::clocks::receiver_time;
 use asterramp_leader_lease::{FencingToken, ReceiverClock, Term};
 use std::time::Duration;
 
-/// What the times and incarnations in fingerprints are relative to, so that states which differ only by when they were
-/// reached are equal.
+/// The reference point of times and incarnations in fingerprints. They are relative so that states which differ only in
+/// when they were reached have equal fingerprints.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FingerprintReference {
     /// The true time.
     pub(super) now: Duration,
-    /// Processes of receivers so far.
-    pub(super) incarnations: u64,
+    /// Receiver processes started so far, by all receivers together.
+    pub(super) incarnation_count: u64,
 }
 
 impl FingerprintReference {
-    /// How many processes of receivers have started since this one.
+    /// Number of receiver processes that were started after the one with this incarnation.
     pub(super) fn later_incarnations(self, incarnation: u64) -> u64 {
-        self.incarnations - incarnation
+        self.incarnation_count - incarnation
     }
 
-    /// A reading of a receiver's clock: of which process, and how old it is.
+    /// A reading of a receiver's clock as the relative incarnation of the process that read it, and its age.
     pub(super) fn relative_clock(self, receiver: usize, clock: ReceiverClock) -> (u64, Duration) {
         let age = receiver_time(receiver, self.now) - clock.now;
         (self.later_incarnations(clock.incarnation), age)
     }
 
-    /// A token for a receiver: its term, for which process it is, and for how many milliseconds it still counts.
+    /// A token for a receiver as its term, the relative incarnation of the process that it is for, and the milliseconds
+    /// until it expires; 0 once it has expired.
     pub(super) fn relative_token(self, receiver: usize, token: FencingToken) -> (Term, u64, u128) {
         let clock = receiver_time(receiver, self.now);
         let remaining = token.expires_at.saturating_sub(clock).as_millis();
--- a/crates/model-checker/src/leader_lease/situation.rs
+++ b/crates/model-checker/src/leader_lease/situation.rs
@@ -1,42 +1,47 @@
-//! Situations that are too far from the start for an exploration to reach them within its depth.
+//! Starting points of explorations that are too many actions from the initial state to be reached within an
+//! exploration's depth.
 
 use super::action::{LeaseAction, Link};
 use super::settings::CONTENDER_COUNT;
 use asterramp_leader_lease::OrderPurpose;
 
-/// The contender that leads first, and the one that follows it.
+/// The contender that becomes leader first.
 const LEADER: usize = 0;
-const SUCCESSOR: usize = 1;
-/// Their links to the first receiver.
+/// The contender that queues behind [`LEADER`].
+const STANDBY: usize = 1;
+/// The link from the leader to receiver 0.
 const LEADER_LINK: Link = Link {
     contender: LEADER,
     receiver: 0,
 };
-const SUCCESSOR_LINK: Link = Link {
-    contender: SUCCESSOR,
+/// The link from the standby to receiver 0.
+const STANDBY_LINK: Link = Link {
+    contender: STANDBY,
     receiver: 0,
 };
-/// Ticks in which a contender that is first has waited long enough to lead, by either clock.
+/// Ticks after which a contender at the head of the queue has become leader, also with the slow clock.
 const TICKS_UNTIL_LEADING: usize = 5;
 
-/// What has happened before an exploration begins.
+/// A starting point of an exploration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseSituation {
-    /// Nothing.
+    /// The initial state: no contender is queued.
     Start,
-    /// One contender leads; it has renewed its session throughout.
+    /// One contender is leader, and has renewed its session at each tick.
     Leading,
-    /// The same, and the other is queued behind it.
-    SuccessorQueued,
-    /// The same, and an order of the leader is in flight.
+    /// As `Leading`, with the other contender queued behind the leader.
+    StandbyQueued,
+    /// As `StandbyQueued`, with an order of the leader in flight.
     OrderInFlight,
-    /// One contender leads and has a receiver's clock; the store has handled its next request.
+    /// One contender is leader and has a reading of a receiver's clock. The store has handled its next request, and the
+    /// answer is in flight.
     RequestHandled,
-    /// Both have been queued for long, and have renewed their sessions throughout.
+    /// Both contenders have been queued for several ticks, and have renewed their sessions at each of them.
     BothQueuedForLong,
-    /// An order of the leader is in flight. The store has lost all sessions, and the other has queued again, alone.
+    /// An order of the leader is in flight. The store has lost all sessions, and only the standby has queued again; the
+    /// store's answer to its request is in flight.
     SessionsLost,
-    /// The same, and the other's announcement of its term to one receiver is in flight too.
+    /// As `SessionsLost`, and the standby has announced its new term to one receiver; that order is in flight too.
     TermAnnounced,
 }
 
@@ -45,7 +50,7 @@
     pub const ALL: [LeaseSituation; 8] = [
         LeaseSituation::Start,
         LeaseSituation::Leading,
-        LeaseSituation::SuccessorQueued,
+        LeaseSituation::StandbyQueued,
         LeaseSituation::OrderInFlight,
         LeaseSituation::RequestHandled,
         LeaseSituation::BothQueuedForLong,
@@ -58,21 +63,21 @@
         match self {
             LeaseSituation::Start => Vec::new(),
             LeaseSituation::Leading => become_leader(),
-            LeaseSituation::SuccessorQueued => {
-                let joins = [LeaseAction::JoinQueue(SUCCESSOR)];
-                concat(&[&become_leader(), &joins, &renew(SUCCESSOR)])
+            LeaseSituation::StandbyQueued => {
+                let joins = [LeaseAction::JoinQueue(STANDBY)];
+                concat(&[&become_leader(), &joins, &renew(STANDBY)])
             }
             LeaseSituation::OrderInFlight => {
-                let earlier = LeaseSituation::SuccessorQueued.actions();
+                let earlier = LeaseSituation::StandbyQueued.actions();
                 let order = send_order(LEADER_LINK, OrderPurpose::Command);
-                concat(&[&earlier, &get_clock(LEADER_LINK), &order])
+                concat(&[&earlier, &fetch_clock(LEADER_LINK), &order])
             }
             LeaseSituation::RequestHandled => {
                 let request = send_and_handle_request(LEADER);
-                concat(&[&become_leader(), &get_clock(LEADER_LINK), &request])
+                concat(&[&become_leader(), &fetch_clock(LEADER_LINK), &request])
             }
             LeaseSituation::BothQueuedForLong => {
-                let mut actions = LeaseSituation::SuccessorQueued.actions();
+                let mut actions = LeaseSituation::StandbyQueued.actions();
                 for _ in 0..TICKS_UNTIL_LEADING {
                     actions.push(LeaseAction::TimePasses);
                     actions.extend((0..CONTENDER_COUNT).flat_map(renew));
@@ -83,17 +88,17 @@
                 let earlier = LeaseSituation::OrderInFlight.actions();
                 let queues_again = [
                     LeaseAction::LoseAllSessions,
-                    LeaseAction::LearnOfExpiry(SUCCESSOR),
-                    LeaseAction::JoinQueue(SUCCESSOR),
+                    LeaseAction::LearnOfExpiry(STANDBY),
+                    LeaseAction::JoinQueue(STANDBY),
                 ];
-                let request = send_and_handle_request(SUCCESSOR);
+                let request = send_and_handle_request(STANDBY);
                 concat(&[&earlier, &queues_again, &request])
             }
             LeaseSituation::TermAnnounced => {
                 let earlier = LeaseSituation::SessionsLost.actions();
-                let answer = [LeaseAction::ReceiveStoreAnswer(SUCCESSOR)];
-                let announcement = send_order(SUCCESSOR_LINK, OrderPurpose::AnnounceTerm);
-                concat(&[&earlier, &answer, &get_clock(SUCCESSOR_LINK), &announcement])
+                let answer = [LeaseAction::ReceiveStoreAnswer(STANDBY)];
+                let announcement = send_order(STANDBY_LINK, OrderPurpose::AnnounceTerm);
+                concat(&[&earlier, &answer, &fetch_clock(STANDBY_LINK), &announcement])
             }
         }
     }
@@ -125,7 +130,7 @@
     [send, handle, LeaseAction::ReceiveStoreAnswer(contender)]
 }
 
-fn get_clock(link: Link) -> [LeaseAction; 3] {
+fn fetch_clock(link: Link) -> [LeaseAction; 3] {
     [
         LeaseAction::RequestClock(link),
         LeaseAction::ReadClock(link),
--- a/crates/model-checker/src/leader_lease/store.rs
+++ b/crates/model-checker/src/leader_lease/store.rs
@@ -1,33 +1,37 @@
-//! The coordination store: its sessions, which are its queue too. All times are true ones.
+//! The coordination store of the leader-lease model. Each session has one node in the queue; all times are true time.
 
 use super::reference::FingerprintReference;
 use super::settings::{CONTENDER_COUNT, SETTINGS};
 use asterramp_leader_lease::Term;
 use std::time::Duration;
 
-/// Changes that the store has made before.
+/// Changes that the store has made before the initial state.
 const FIRST_REVISION: Term = 10;
 
 /// A session with a node in the queue.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StoreSession {
+    /// The revision at which the session's node was created.
     pub(super) term: Term,
     pub(super) renewed_at: Duration,
 }
 
 impl StoreSession {
+    /// When the store may end the session, unless it is renewed before.
     pub(super) fn expires_at(&self) -> Duration {
         self.renewed_at + SETTINGS.session_timeout
     }
 }
 
+/// State of the store.
 #[derive(Clone, Debug)]
 pub(super) struct LeaseStore {
     /// The sessions, by contender.
     pub(super) sessions: [Option<StoreSession>; CONTENDER_COUNT],
-    /// Changes so far. The next node's term is one more.
+    /// Number of changes so far. The term of the next node is one more.
     pub(super) revision: Term,
-    /// Contenders whose session was lost, until they queue again: nothing that the store knows bounds their orders.
+    /// Whether each contender's session was lost by the store and the contender has not queued again. The store then
+    /// holds nothing against which the contender's orders could be checked.
     pub(super) has_lost_session: [bool; CONTENDER_COUNT],
 }
 
@@ -40,7 +44,7 @@
         }
     }
 
-    /// A contender's node is created; with its term.
+    /// Creates a contender's session and its node in the queue. Returns the node's term.
     pub(super) fn create_node(&mut self, contender: usize, now: Duration) -> Term {
         self.revision += 1;
         self.sessions[contender] = Some(StoreSession {
@@ -51,7 +55,7 @@
         self.revision
     }
 
-    /// Renews a contender's session; with the lowest term in the queue, or `None` if there is no such session.
+    /// Renews a contender's session. Returns the lowest term in the queue; `None` if the contender has no session.
     pub(super) fn renew_session(&mut self, contender: usize, now: Duration) -> Option<Term> {
         self.sessions[contender].as_mut()?.renewed_at = now;
         self.queue_head()
@@ -73,7 +77,7 @@
         }
     }
 
-    /// Equal for stores that behave alike.
+    /// Text that is equal for stores with the same future behaviour.
     pub(super) fn fingerprint(&self, reference: FingerprintReference) -> String {
         let sessions = self.sessions.map(|session| {
             let session = session?;
--- a/crates/model-checker/src/warm_start/action.rs
+++ b/crates/model-checker/src/warm_start/action.rs
@@ -1,70 +1,70 @@
-//! What may happen to the proxies and endpoints of a warm start.
+//! Actions of the warm-start model, and the situations from which exploration starts.
 
 use asterramp_warm_start::EndpointId;
 use std::fmt;
 
-/// Something that may happen.
+/// An action of the model. Proxies are numbered from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WarmStartAction {
-    /// A proxy starts with this disk; one that runs dies.
+    /// A stopped proxy starts; a running proxy terminates.
     TogglePower {
         /// The proxy.
         proxy: usize,
-        /// What its disk holds.
+        /// The content of its disk; ignored for a running proxy.
         disk: DiskState,
     },
-    /// A probe in flight is answered if the endpoint is up, and fails otherwise.
+    /// A probe in flight succeeds if the endpoint is up, and fails otherwise.
     FinishProbe {
         /// The proxy that probes.
         proxy: usize,
         /// The endpoint that it probes.
         endpoint: EndpointId,
     },
-    /// A peer that a proxy has asked answers, or is found not to run.
+    /// A query from one proxy to a peer is answered; a peer that is not running counts as one that knows no endpoint.
     AnswerPeer {
-        /// The proxy that asked.
+        /// The proxy that sent the query.
         asking: usize,
-        /// The peer.
+        /// The peer that was queried.
         answering: usize,
     },
-    /// An endpoint dies, or comes up.
+    /// An endpoint that is up goes down, or one that is down comes up.
     ToggleEndpoint(EndpointId),
-    /// Discovery sends a proxy a complete list.
+    /// Discovery sends a proxy a complete endpoint list.
     SendList {
         /// The proxy.
         proxy: usize,
-        /// The list.
+        /// The kind of list.
         list: DiscoveryList,
     },
-    /// Discovery tells a proxy that an endpoint is gone, before any complete list.
+    /// Discovery reports to a proxy that an endpoint is gone, before any complete list.
     Delist {
         /// The proxy.
         proxy: usize,
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Discovery tells a proxy of the endpoint that has the address of another now.
+    /// Discovery reports to a proxy that the replacement endpoint is ready, before any complete list.
     ListReplacement {
         /// The proxy.
         proxy: usize,
     },
-    /// The clock goes on by one tick of the model.
+    /// The clock advances by `TICK`.
     TimePasses,
 }
 
-/// What the disk of a proxy that starts holds.
+/// Content of the disk of a starting proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskState {
-    /// A snapshot that was saved a moment ago.
+    /// A snapshot that was just saved.
     FreshSnapshot,
-    /// A snapshot from the future: the clock has gone back since.
+    /// A snapshot with a time in the future, because the wall clock was set back after it was saved.
     FutureSnapshot,
-    /// Nothing.
+    /// No snapshot.
     Empty,
 }
 
 impl DiskState {
-    /// The name in counterexamples.
+    /// The name that counterexamples print.
     fn name(self) -> &'static str {
         match self {
             DiskState::FreshSnapshot => "Saved",
@@ -74,7 +74,7 @@
     }
 }
 
-/// A complete list of discovery.
+/// A kind of complete endpoint list from discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryList {
     /// All endpoints that are up, most of them warm.
@@ -86,7 +86,7 @@
 }
 
 impl DiscoveryList {
-    /// The name in counterexamples.
+    /// The name that counterexamples print.
     fn name(self) -> &'static str {
         match self {
             DiscoveryList::Warm => "Warm",
@@ -97,7 +97,7 @@
 }
 
 impl fmt::Display for WarmStartAction {
-    /// The action as counterexamples name it.
+    /// Formats the action as counterexamples print it. These texts are stable, so they differ from the variants' names.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         use WarmStartAction::*;
         match self {
@@ -115,19 +115,21 @@
     }
 }
 
-/// Ticks after which the report of an endpoint in a snapshot from the future has expired: half a minute and some more.
+/// Ticks after which the endpoint reports of a snapshot with a time in the future have expired: 33 s, 2 s more than
+/// `FUTURE_REPORT_EXPIRY`.
 const TICKS_UNTIL_FUTURE_REPORT_EXPIRES: usize = 66;
 
-/// What has happened before an exploration begins.
+/// A starting point of an exploration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WarmStartSituation {
-    /// Nothing: no proxy runs.
+    /// The initial state: no proxy is running.
     PowerLoss,
-    /// Two proxies have started; their wait for discovery is over, and the first asks its peers.
+    /// Two proxies have started, one of them with a snapshot. Their discovery timeout is over, and the first queries
+    /// its peers.
     AskingPeers,
-    /// One proxy has probed the first of its endpoints, which has answered.
+    /// One proxy has started with a snapshot and has successfully probed endpoint 0.
     EndpointResponsive,
-    /// Half a minute has passed over a snapshot from the future.
+    /// One proxy has started with a snapshot whose time is in the future, and the snapshot's reports have expired.
     FutureReportExpired,
 }
 
--- a/crates/model-checker/src/warm_start/mod.rs
+++ b/crates/model-checker/src/warm_start/mod.rs
@@ -1,15 +1,16 @@
-//! Starts of three proxies after a power loss, in every order of starts, answers, losses and restarts at small size.
+//! Model of warm start: three proxies start after a power loss, in every order of starts, responses, failures and
+//! restarts.
 //!
-//! [`WarmStart`](asterramp_warm_start::WarmStart), the code that serves, decides; endpoints, discovery and the network
-//! between them are modelled here. Endpoints 0 and 1 are those from before the power loss; endpoint 2 now has the address of
-//! endpoint 1, so one of these two is not there.
+//! [`WarmStart`](asterramp_warm_start::WarmStart), the production code, decides; endpoints, discovery and the network
+//! between them are modelled here. Endpoints 0 and 1 existed before the power loss. Endpoint 2 has replaced endpoint 1
+//! at the same address, so at most one of these two is up.
 //!
-//! | module | what it holds |
+//! | module | content |
 //! | --- | --- |
-//! | `action` | what may happen, and the situations from which it is explored |
-//! | `proxy` | one proxy: what was decided in it, and what it has heard |
-//! | `model` | the proxies and the endpoints |
-//! | `violation` | the properties that may not hold |
+//! | `action` | actions, and the situations from which exploration starts |
+//! | `proxy` | one proxy: its decisions, and the information that it has received |
+//! | `model` | state of all proxies and endpoints |
+//! | `violation` | violated properties |
 
 mod action;
 mod model;
@@ -22,13 +23,13 @@
 
 use crate::explorer::{ExplorationOf, Limits, explore_after};
 
-/// Explores every order of up to `depth` actions behind a situation.
+/// Explores every order of up to `depth` actions after those that lead to `situation`.
 pub fn explore(situation: WarmStartSituation, depth: usize) -> ExplorationOf<WarmStartModel> {
     let initial = WarmStartModel::new();
     explore_after(initial, &situation.actions(), Limits::to_depth(depth))
 }
 
-/// The same with a fault in the code that decides.
+/// As [`explore`], with a fault injected into the production code.
 #[cfg(feature = "injected-faults")]
 pub fn explore_with_fault(
     situation: WarmStartSituation,
--- a/crates/model-checker/src/warm_start/model.rs
+++ b/crates/model-checker/src/warm_start/model.rs
@@ -1,4 +1,4 @@
-//! The proxies, the endpoints, and what happens between them.
+//! State of the warm-start model, and the messages between proxies, endpoints and discovery.
 
 use super::action::{DiscoveryList, DiskState, WarmStartAction};
 use super::proxy::{
@@ -13,21 +13,22 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The clock at the beginning.
+/// The time in the initial state.
 const START_TIME: Duration = Duration::from_secs(1_000);
-/// By how much the clock goes on at once.
+/// Step by which the clock advances.
 const TICK: Duration = Duration::from_millis(500);
-/// Ticks within which every start that knows an endpoint that is up must end.
+/// Ticks within which a warm start must reach normal service if no further faults occur and the proxy knows an
+/// endpoint.
 const TICKS_TO_RECOVER: usize = 40;
 
-/// Three proxies and their endpoints.
+/// State of the model: three proxies and their endpoints.
 #[derive(Clone, Debug)]
 pub struct WarmStartModel {
     now: Duration,
-    /// The proxies that run.
+    /// The running proxies; `None` for one that is stopped.
     proxies: [Option<ProxyModel>; PROXY_COUNT],
-    /// Which endpoints are up.
-    up: [bool; ENDPOINT_COUNT],
+    /// Whether each endpoint is up, by its id.
+    endpoint_up: [bool; ENDPOINT_COUNT],
     #[cfg(feature = "injected-faults")]
     injected_fault: Option<InjectedFault>,
 }
@@ -39,18 +40,18 @@
 }
 
 impl WarmStartModel {
-    /// No proxy runs, and the second of the former endpoints has been replaced.
+    /// The initial state: no proxy is running, and endpoint 1 has been replaced by endpoint 2.
     pub fn new() -> WarmStartModel {
         WarmStartModel {
             now: START_TIME,
             proxies: [None, None, None],
-            up: [true, false, true],
+            endpoint_up: [true, false, true],
             #[cfg(feature = "injected-faults")]
             injected_fault: None,
         }
     }
 
-    /// The same with a fault in the code that decides.
+    /// As [`WarmStartModel::new`], with a fault injected into the production code.
     #[cfg(feature = "injected-faults")]
     pub fn with_fault(injected_fault: InjectedFault) -> WarmStartModel {
         WarmStartModel {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Lets an action happen, without the checks of the state that it leads to.
+    /// Applies an action without checking the resulting state.
     fn perform(&mut self, action: WarmStartAction) {
         match action {
             WarmStartAction::TogglePower { proxy, disk } => self.toggle_power(proxy, disk),
@@ -81,10 +82,10 @@
         }
     }
 
-    /// Lets a proxy hear something, if it runs, and do what is decided then.
-    fn update(&mut self, proxy: usize, hear: impl FnOnce(&mut ProxyModel, Duration)) {
+    /// Passes an event to a proxy, if it is running, and carries out the resulting effects.
+    fn update(&mut self, proxy: usize, handle_event: impl FnOnce(&mut ProxyModel, Duration)) {
         if let Some(proxy) = &mut self.proxies[proxy] {
-            hear(proxy, self.now);
+            handle_event(proxy, self.now);
             proxy.carry_out_effects(self.now);
         }
     }
@@ -113,11 +114,11 @@
     }
 
     fn finish_probe(&mut self, proxy: usize, endpoint: EndpointId) {
-        let is_up = self.up[endpoint as usize];
+        let is_up = self.endpoint_up[endpoint as usize];
         self.update(proxy, |proxy, now| proxy.finish_probe(now, endpoint, is_up));
     }
 
-    /// A peer that does not run has nothing to tell.
+    /// A peer that is not running counts as one without responsive endpoints.
     fn answer_peer(&mut self, asking: usize, answering: usize) {
         let responsive = self.proxies[answering]
             .as_ref()
@@ -128,19 +129,19 @@
         });
     }
 
-    /// Of the two endpoints that have one address, at most one is up.
+    /// Of the two endpoints that share an address, at most one is up.
     fn toggle_endpoint(&mut self, endpoint: EndpointId) {
-        let is_up = !self.up[endpoint as usize];
-        self.up[endpoint as usize] = is_up;
+        let is_up = !self.endpoint_up[endpoint as usize];
+        self.endpoint_up[endpoint as usize] = is_up;
         if is_up && let Some(other) = other_at_address(endpoint) {
-            self.up[other as usize] = false;
+            self.endpoint_up[other as usize] = false;
         }
     }
 
     fn send_list(&mut self, proxy: usize, list: DiscoveryList) {
-        let up = self.up;
+        let endpoint_up = self.endpoint_up;
         let ready: Vec<EndpointId> = (0..ENDPOINT_COUNT as EndpointId)
-            .filter(|endpoint| list != DiscoveryList::Empty && up[*endpoint as usize])
+            .filter(|endpoint| list != DiscoveryList::Empty && endpoint_up[*endpoint as usize])
             .collect();
         let is_cold = list == DiscoveryList::Cold;
         self.update(proxy, |proxy, now| proxy.receive_list(now, &ready, is_cold));
@@ -163,11 +164,12 @@
         }
     }
 
-    /// Whether everything ends well if nothing happens any more but that the former endpoints are up, probes are answered and,
-    /// if there is discovery, it lists them: every start that knows an endpoint ends in normal service.
+    /// Checks that warm starts end if no further faults occur: the former endpoints are up, all probes are answered
+    /// and, with `has_discovery`, discovery lists those endpoints. Every proxy that knows an endpoint must then reach
+    /// normal service; with discovery, every proxy must, and it must use exactly the listed endpoints.
     fn check_recovery(&self, has_discovery: bool) -> Result<(), WarmStartViolation> {
         let mut model = self.clone();
-        model.up = [true, true, false];
+        model.endpoint_up = [true, true, false];
         if has_discovery {
             (0..PROXY_COUNT).for_each(|proxy| model.send_list(proxy, DiscoveryList::Cold));
         }
@@ -177,8 +179,8 @@
         }
         for (number, proxy) in model.running_proxies() {
             let stage = proxy.warm_start.stage();
-            let must_serve = has_discovery || proxy.knows_any_endpoint();
-            if must_serve && stage != WarmStartStage::Normal {
+            let must_be_normal = has_discovery || proxy.knows_any_endpoint();
+            if must_be_normal && stage != WarmStartStage::Normal {
                 return Err(WarmStartViolation::NeverNormal {
                     proxy: number,
                     stage: stage.name(),
@@ -200,7 +202,7 @@
     }
 }
 
-/// The other endpoint that is said to listen where this one does.
+/// The endpoint that shares its address with `endpoint`, if there is one.
 fn other_at_address(endpoint: EndpointId) -> Option<EndpointId> {
     match endpoint {
         REPLACED_ENDPOINT => Some(REPLACEMENT_ENDPOINT),
@@ -209,9 +211,9 @@
     }
 }
 
-/// The disks with which a proxy may start. Proxies are alike but for these: the first two have every kind of disk, the third
-/// the usual one.
-fn disks_of(proxy: usize) -> &'static [DiskState] {
+/// The disk contents with which a proxy may start. Proxies differ only in these: between them, proxies 0 and 1 cover
+/// every kind, and proxy 2 has the usual one.
+fn possible_disks(proxy: usize) -> &'static [DiskState] {
     match proxy {
         0 => &[DiskState::FreshSnapshot, DiskState::FutureSnapshot],
         1 => &[DiskState::Empty],
@@ -219,8 +221,12 @@
     }
 }
 
-/// What may happen to a proxy that runs.
-fn actions_of(number: usize, proxy: &ProxyModel, is_replaced: bool) -> Vec<WarmStartAction> {
+/// Actions that are possible for a running proxy. `is_replacement_up` tells whether the replacement endpoint is up.
+fn running_proxy_actions(
+    number: usize,
+    proxy: &ProxyModel,
+    is_replacement_up: bool,
+) -> Vec<WarmStartAction> {
     use WarmStartAction::*;
     let mut actions = vec![TogglePower {
         proxy: number,
@@ -241,7 +247,7 @@
             proxy: number,
             endpoint: *endpoint,
         }));
-        actions.extend(is_replaced.then_some(ListReplacement { proxy: number }));
+        actions.extend(is_replacement_up.then_some(ListReplacement { proxy: number }));
     }
     let lists = [
         DiscoveryList::Warm,
@@ -266,7 +272,7 @@
             running.map_or_else(|| "-".to_string(), |proxy| proxy.fingerprint(self.now))
         });
         let proxies: Vec<String> = proxies.collect();
-        format!("{:?}|{}", self.up, proxies.join("|"))
+        format!("{:?}|{}", self.endpoint_up, proxies.join("|"))
     }
 
     fn actions(&self) -> Vec<WarmStartAction> {
@@ -276,10 +282,10 @@
         for (number, proxy) in self.proxies.iter().enumerate() {
             match proxy {
                 Some(proxy) => {
-                    let is_replaced = self.up[REPLACEMENT_ENDPOINT as usize];
-                    actions.extend(actions_of(number, proxy, is_replaced));
+                    let is_replacement_up = self.endpoint_up[REPLACEMENT_ENDPOINT as usize];
+                    actions.extend(running_proxy_actions(number, proxy, is_replacement_up));
                 }
-                None => actions.extend(disks_of(number).iter().map(|disk| {
+                None => actions.extend(possible_disks(number).iter().map(|disk| {
                     WarmStartAction::TogglePower {
                         proxy: number,
                         disk: *disk,
@@ -292,12 +298,14 @@
 
     fn apply(&mut self, action: WarmStartAction) -> Result<(), WarmStartViolation> {
         self.perform(action);
-        let of_effects = self.proxies.iter_mut().flatten();
-        let violation = of_effects.filter_map(|proxy| proxy.violation.take()).next();
+        let running_proxies = self.proxies.iter_mut().flatten();
+        let violation = running_proxies
+            .filter_map(|proxy| proxy.violation.take())
+            .next();
         violation.map_or(Ok(()), Err)?;
-        let (now, up) = (self.now, &self.up);
+        let (now, endpoint_up) = (self.now, &self.endpoint_up);
         let mut running = self.proxies.iter().flatten();
-        running.try_for_each(|proxy| proxy.check(now, up))
+        running.try_for_each(|proxy| proxy.check(now, endpoint_up))
     }
 
     fn check(&self) -> Result<(), WarmStartViolation> {
--- a/crates/model-checker/src/warm_start/proxy.rs
+++ b/crates/model-checker/src/warm_start/proxy.rs
@@ -1,4 +1,4 @@
-//! One proxy of the model: what its [`WarmStart`] decided, and what it has heard of endpoints.
+//! One proxy of the warm-start model: the decisions of its [`WarmStart`] and its information about endpoints.
 
 use super::violation::WarmStartViolation;
 use asterramp_warm_start::{
@@ -9,17 +9,18 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Endpoints that exist: two from before the power loss, and one that has the address of the second of them.
+/// Endpoints of the model: two from before the power loss, and the replacement of the second of them.
 pub(super) const ENDPOINT_COUNT: usize = 3;
-/// Proxies, each a peer of the others.
+/// Proxies of the model, each a peer of the others.
 pub(super) const PROXY_COUNT: usize = 3;
-/// The endpoints from before the power loss, which snapshots name.
+/// The endpoints from before the power loss, which snapshots contain.
 pub(super) const FORMER_ENDPOINTS: [EndpointId; 2] = [0, 1];
-/// The endpoint that was replaced, and the one that has its address now.
+/// The endpoint that was replaced during the power loss.
 pub(super) const REPLACED_ENDPOINT: EndpointId = 1;
+/// The endpoint that now has the address of [`REPLACED_ENDPOINT`].
 pub(super) const REPLACEMENT_ENDPOINT: EndpointId = 2;
 
-/// Round figures, so that different orders of actions lead to equal states.
+/// All durations are multiples of the model's tick, so that different orders of actions lead to equal states.
 pub(super) const SETTINGS: WarmStartSettings = WarmStartSettings {
     discovery_timeout: Duration::from_millis(500),
     peer_timeout: Duration::from_millis(500),
@@ -28,48 +29,53 @@
     has_peers: true,
     max_probes: 1,
 };
-/// Revision of the list in a snapshot, and of the newer one that peers know.
+/// Revision of the endpoint list in a snapshot.
 const SNAPSHOT_REVISION: u64 = 5;
+/// Revision of the endpoint list that peers know; newer than that in a snapshot.
 const PEER_REVISION: u64 = 6;
-/// Within how long a report with a wrong time must have expired: half a minute, and a second until this is noticed.
+/// Time after the start within which reports with a time in the future must have expired: 30 s, and 1 s until the
+/// expiry takes effect.
 const FUTURE_REPORT_EXPIRY: Duration = Duration::from_secs(31);
-/// Fingerprints tell only whether a stage has just begun: all else that depends on its age is a deadline.
+/// Greatest age of a stage that fingerprints distinguish. They tell only whether the stage has just begun: anything
+/// else that depends on its age is covered by the deadline.
 const MAX_STAGE_AGE: Duration = Duration::from_millis(1);
-/// Where endpoints listen, by their number.
+/// Port of endpoint 0; other endpoints listen on the ports after it, by id.
 const FIRST_PORT: u16 = 4000;
 
-/// One proxy that runs.
+/// State of a running proxy.
 #[derive(Clone, Debug)]
 pub(super) struct ProxyModel {
+    /// Number of the proxy, from 0.
     number: usize,
     pub(super) warm_start: WarmStart,
     admission: ClientAdmission,
     /// Endpoints that sessions may be placed on.
     pub(super) used_endpoints: BTreeSet<EndpointId>,
-    /// Endpoints that have answered this process, or that discovery listed to it.
-    verified: BTreeSet<EndpointId>,
+    /// Endpoints that have answered a probe of this process or that discovery has listed to it.
+    verified_endpoints: BTreeSet<EndpointId>,
     pub(super) probes_in_flight: BTreeSet<EndpointId>,
-    /// Peers whose answers it waits for.
+    /// Peers that have been queried and have not answered yet.
     pub(super) awaited_peers: BTreeSet<usize>,
-    /// The endpoints of discovery's last complete list.
+    /// Endpoints in discovery's last complete list; `None` before the first one.
     pub(super) listed_endpoints: Option<BTreeSet<EndpointId>>,
+    /// When deadlines were last handled.
     deadlines_handled_at: Duration,
-    /// Since when clients are admitted at a limited rate.
+    /// Since when clients have been admitted at a limited rate; `None` while they are not.
     limited_since: Option<Duration>,
-    /// When reports of its snapshot must have expired, if that is from the future.
-    future_report_expires: Option<Duration>,
-    /// A violation of the present action.
+    /// When the reports of its snapshot must have expired; `None` unless the snapshot's time is in the future.
+    future_reports_expire_at: Option<Duration>,
+    /// A violation by the current action.
     pub(super) violation: Option<WarmStartViolation>,
 }
 
-/// Where an endpoint is said to listen.
+/// The address under which an endpoint is listed. The replacement has the address of the endpoint that it replaced.
 fn address(endpoint: EndpointId) -> SocketAddr {
-    let number = if endpoint == REPLACEMENT_ENDPOINT {
+    let port_offset = if endpoint == REPLACEMENT_ENDPOINT {
         REPLACED_ENDPOINT
     } else {
         endpoint
     };
-    SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_PORT + number as u16))
+    SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_PORT + port_offset as u16))
 }
 
 impl ProxyModel {
@@ -80,13 +86,13 @@
             warm_start,
             admission: ClientAdmission::Queued,
             used_endpoints: BTreeSet::new(),
-            verified: BTreeSet::new(),
+            verified_endpoints: BTreeSet::new(),
             probes_in_flight: BTreeSet::new(),
             awaited_peers: BTreeSet::new(),
             listed_endpoints: None,
             deadlines_handled_at: now,
             limited_since: None,
-            future_report_expires: None,
+            future_reports_expire_at: None,
             violation: None,
         }
     }
@@ -94,7 +100,7 @@
     /// Reads a snapshot of the former endpoints.
     pub(super) fn read_snapshot(&mut self, now: Duration, age: InformationAge) {
         if age == InformationAge::Unknown {
-            self.future_report_expires = Some(now + FUTURE_REPORT_EXPIRY);
+            self.future_reports_expire_at = Some(now + FUTURE_REPORT_EXPIRY);
         }
         for endpoint in FORMER_ENDPOINTS {
             let report = EndpointReport {
@@ -108,7 +114,7 @@
         }
     }
 
-    /// A peer answers with the endpoints that have answered it.
+    /// Handles a peer's answer: the endpoints that have answered that peer.
     pub(super) fn receive_peer_answer(
         &mut self,
         now: Duration,
@@ -131,7 +137,7 @@
         }
     }
 
-    /// The endpoints that have answered this proxy, as it tells its peers.
+    /// The endpoints that have answered this proxy; sent to peers that query it.
     pub(super) fn responsive_endpoints(&self) -> Vec<EndpointId> {
         let candidates = self.warm_start.candidates();
         let all = 0..ENDPOINT_COUNT as EndpointId;
@@ -146,17 +152,17 @@
             .as_ref()
             .is_none_or(|listed| listed.contains(&endpoint));
         if is_answered && is_listed {
-            self.verified.insert(endpoint);
+            self.verified_endpoints.insert(endpoint);
         }
         self.warm_start.probe_finished(now, endpoint, is_answered);
     }
 
-    /// Discovery sends a complete list.
+    /// Handles a complete list from discovery. `is_cold` tells whether most of its endpoints have just started.
     pub(super) fn receive_list(&mut self, now: Duration, ready: &[EndpointId], is_cold: bool) {
         let listed: BTreeSet<EndpointId> = ready.iter().copied().collect();
         self.probes_in_flight
             .retain(|endpoint| listed.contains(endpoint));
-        self.verified = listed.clone();
+        self.verified_endpoints = listed.clone();
         self.used_endpoints = listed.clone();
         self.listed_endpoints = Some(listed);
         for endpoint in ready {
@@ -166,18 +172,18 @@
         self.warm_start.list_completed(now, ready, is_cold);
     }
 
-    /// Discovery tells that one endpoint is gone.
+    /// Handles a report from discovery that one endpoint is gone.
     pub(super) fn receive_delisting(&mut self, now: Duration, endpoint: EndpointId) {
         self.used_endpoints.remove(&endpoint);
-        self.verified.remove(&endpoint);
+        self.verified_endpoints.remove(&endpoint);
         self.warm_start
             .endpoint_listed(now, endpoint, address(endpoint), false);
     }
 
-    /// Discovery tells that one endpoint is ready.
+    /// Handles a report from discovery that one endpoint is ready.
     pub(super) fn receive_listing(&mut self, now: Duration, endpoint: EndpointId) {
         self.used_endpoints.insert(endpoint);
-        self.verified.insert(endpoint);
+        self.verified_endpoints.insert(endpoint);
         self.warm_start
             .endpoint_listed(now, endpoint, address(endpoint), true);
     }
@@ -187,7 +193,7 @@
         self.deadlines_handled_at = now;
     }
 
-    /// Does what was decided.
+    /// Carries out the effects that the production code has requested.
     pub(super) fn carry_out_effects(&mut self, now: Duration) {
         let effects: Vec<WarmStartEffect> = self.warm_start.drain_effects().collect();
         for effect in effects {
@@ -199,7 +205,7 @@
                 WarmStartEffect::Use(endpoint) => self.use_endpoint(endpoint),
                 WarmStartEffect::Drop(endpoint, _) => {
                     self.used_endpoints.remove(&endpoint);
-                    self.verified.remove(&endpoint);
+                    self.verified_endpoints.remove(&endpoint);
                 }
                 WarmStartEffect::Admit(admission) => self.set_admission(now, admission),
                 WarmStartEffect::StageChanged(..) => {}
@@ -214,7 +220,7 @@
     }
 
     fn use_endpoint(&mut self, endpoint: EndpointId) {
-        if !self.verified.contains(&endpoint) {
+        if !self.verified_endpoints.contains(&endpoint) {
             self.violation = Some(WarmStartViolation::UnverifiedEndpointUsed {
                 proxy: self.number,
                 endpoint,
@@ -225,12 +231,12 @@
 
     fn set_admission(&mut self, now: Duration, admission: ClientAdmission) {
         self.admission = admission;
-        let are_endpoints_warm = self
+        let is_limited_period_over = self
             .limited_since
             .is_some_and(|since| now >= since + SETTINGS.limited_admission_duration);
         if admission == ClientAdmission::Open
             && self.listed_endpoints.is_none()
-            && !are_endpoints_warm
+            && !is_limited_period_over
         {
             let proxy = self.number;
             self.violation = Some(WarmStartViolation::AdmissionUnlimited { proxy });
@@ -238,31 +244,34 @@
         self.limited_since = (admission == ClientAdmission::Limited).then_some(now);
     }
 
-    /// What must hold after each action. `up` tells which endpoints are up.
+    /// Checks the safety properties after an action. `endpoint_up` tells for each endpoint whether it is up.
     pub(super) fn check(
         &self,
         now: Duration,
-        up: &[bool; ENDPOINT_COUNT],
+        endpoint_up: &[bool; ENDPOINT_COUNT],
     ) -> Result<(), WarmStartViolation> {
         let proxy = self.number;
         self.check_deadline()?;
         self.check_admission()?;
         let uses_both = self.used_endpoints.contains(&REPLACED_ENDPOINT)
             && self.used_endpoints.contains(&REPLACEMENT_ENDPOINT);
-        if uses_both && !(up[REPLACED_ENDPOINT as usize] && up[REPLACEMENT_ENDPOINT as usize]) {
+        if uses_both
+            && !(endpoint_up[REPLACED_ENDPOINT as usize]
+                && endpoint_up[REPLACEMENT_ENDPOINT as usize])
+        {
             return Err(WarmStartViolation::TwoEndpointsAtOneAddress { proxy });
         }
-        let is_expired = self.future_report_expires.is_some_and(|at| now > at);
+        let is_expired = self.future_reports_expire_at.is_some_and(|at| now > at);
         if is_expired
             && self.relies_on_snapshot_of(REPLACED_ENDPOINT)
-            && !up[REPLACED_ENDPOINT as usize]
+            && !endpoint_up[REPLACED_ENDPOINT as usize]
         {
             return Err(WarmStartViolation::FutureReportNeverExpires { proxy });
         }
         Ok(())
     }
 
-    /// A deadline that stays due would be handled again and again, and nothing else.
+    /// Checks that no deadline stays due once it has been handled: it would be handled in an endless loop.
     fn check_deadline(&self) -> Result<(), WarmStartViolation> {
         let deadline = self.warm_start.next_deadline();
         if deadline.is_some_and(|due| due <= self.deadlines_handled_at) {
@@ -286,32 +295,36 @@
         Ok(())
     }
 
-    /// Whether it still tries to reach an endpoint that only its snapshot may have named.
+    /// Whether the proxy still probes an endpoint that it may know only from its snapshot.
     fn relies_on_snapshot_of(&self, endpoint: EndpointId) -> bool {
         let candidates = self.warm_start.candidates();
-        let is_tried = matches!(
+        let is_candidate = matches!(
             candidates.state(endpoint),
             CandidateState::AwaitingProbe | CandidateState::Unresponsive | CandidateState::Probing
         );
         let reported = candidates.source_counts(EndpointSource::Snapshot).reported;
-        is_tried && reported > 0 && self.listed_endpoints.is_none()
+        is_candidate && reported > 0 && self.listed_endpoints.is_none()
     }
 
-    /// Whether any endpoint is known to it. Where discovery said that there is none, there is none.
+    /// Whether the proxy knows any endpoint. After an empty complete list from discovery it knows none.
     pub(super) fn knows_any_endpoint(&self) -> bool {
         let candidates = self.warm_start.candidates();
         (0..ENDPOINT_COUNT as EndpointId)
             .any(|endpoint| candidates.state(endpoint) != CandidateState::Unknown)
     }
 
-    /// Equal for proxies that behave alike from `now` on.
+    /// Text that is equal for proxies with the same behaviour from `now` on.
     pub(super) fn fingerprint(&self, now: Duration) -> String {
         let remaining = |at: Duration| at.saturating_sub(now).as_millis();
         let stage = self.warm_start.stage();
         let stage_age = (now - self.warm_start.stage_since()).min(MAX_STAGE_AGE);
-        let endpoints = (&self.used_endpoints, &self.verified, &self.probes_in_flight);
+        let endpoints = (
+            &self.used_endpoints,
+            &self.verified_endpoints,
+            &self.probes_in_flight,
+        );
         let peers_and_list = (&self.awaited_peers, &self.listed_endpoints);
-        let future_report = self.future_report_expires.map(remaining);
+        let future_report = self.future_reports_expire_at.map(remaining);
         let limited_for = self.limited_since.map(|since| now - since);
         let candidates = self.warm_start.candidates().state_key(now);
         let deadline = self.warm_start.next_deadline().map(remaining);
--- a/crates/model-checker/src/warm_start/violation.rs
+++ b/crates/model-checker/src/warm_start/violation.rs
@@ -1,10 +1,10 @@
-//! The properties of warm starts that may not hold.
+//! Violations of the properties of warm start.
 
 use asterramp_warm_start::EndpointId;
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// A property of warm starts that does not hold.
+/// A violated property of warm start.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WarmStartViolation {
     /// Sessions may be placed on an endpoint that neither answered this process nor was listed.
@@ -21,13 +21,13 @@
         /// The proxy.
         proxy: usize,
     },
-    /// A deadline that was handled is due still.
+    /// A deadline is still due after it was handled.
     #[error("proxy {proxy} is due at once, for ever")]
     DeadlineStaysDue {
         /// The proxy.
         proxy: usize,
     },
-    /// Clients are admitted, but there is nowhere to place them.
+    /// Clients are admitted, but there is no endpoint to place their sessions on.
     #[error("proxy {proxy} lets clients in, and has no host")]
     AdmissionWithoutEndpoint {
         /// The proxy.
@@ -41,13 +41,13 @@
         /// Its stage.
         stage: &'static str,
     },
-    /// Both endpoints that are said to have one address are used.
+    /// Sessions may be placed on both endpoints that are listed with the same address, of which at most one is up.
     #[error("proxy {proxy} uses two hosts at one address")]
     TwoEndpointsAtOneAddress {
         /// The proxy.
         proxy: usize,
     },
-    /// A report with a wrong time does not expire.
+    /// An endpoint report with a time in the future does not expire.
     #[error("proxy {proxy} still asks for a host that a wrong clock told of")]
     FutureReportNeverExpires {
         /// The proxy.
@@ -61,12 +61,12 @@
         /// The stage in which it stays.
         stage: &'static str,
     },
-    /// Other endpoints are used than those that discovery lists.
+    /// The endpoints that sessions may be placed on differ from those that discovery lists.
     #[error("proxy {proxy} uses {used:?} where discovery tells 0 and 1")]
     ListNotFollowed {
         /// The proxy.
         proxy: usize,
-        /// The endpoints that are used.
+        /// The endpoints that sessions may be placed on.
         used: BTreeSet<EndpointId>,
     },
 }
--- a/crates/model-checker/src/zone_failover/action.rs
+++ b/crates/model-checker/src/zone_failover/action.rs
@@ -1,12 +1,12 @@
-//! What may happen to a proxy and to the servers of its zones.
+//! Actions of the zone-failover model, and the situations from which exploration starts.
 
 use asterramp_zone_failover::{ServerId, ZoneId};
 use std::fmt;
 
-/// Something that may happen.
+/// An action of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneAction {
-    /// The proxy sends something to a server, which responds or not.
+    /// The proxy sends a request to a server, which responds if it is up.
     Contact(ServerId),
     /// All servers of a zone stop responding, or respond again.
     ToggleZone(ZoneId),
@@ -14,12 +14,12 @@
     ToggleServer(ServerId),
     /// Discovery lists a zone's servers as gone, or as ready and just started.
     ToggleListing(ZoneId),
-    /// The clock goes on by one tick of the model.
+    /// The clock advances by `TICK`.
     TimePasses,
 }
 
 impl fmt::Display for ZoneAction {
-    /// The action as counterexamples name it.
+    /// Formats the action as counterexamples print it. These texts are stable, so they differ from the variants' names.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ZoneAction::Contact(server) => write!(formatter, "Meets({server})"),
@@ -31,12 +31,12 @@
     }
 }
 
-/// What has happened before an exploration begins.
+/// A starting point of an exploration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneSituation {
-    /// Nothing: all servers are listed and have responded.
+    /// The initial state: all servers are listed and have responded.
     AllHealthy,
-    /// Zone 0 was given up, has just been used again, and is lost once more.
+    /// Zone 0 was closed, has just been reopened, and its servers have stopped responding again.
     LostAfterRecovery,
 }
 
--- a/crates/model-checker/src/zone_failover/liveness.rs
+++ b/crates/model-checker/src/zone_failover/liveness.rs
@@ -1,4 +1,4 @@
-//! What must come of every state if it is left alone.
+//! Liveness properties: what must follow from every state if no further faults occur.
 
 use super::action::ZoneAction;
 use super::model::ZoneFailoverModel;
@@ -6,14 +6,16 @@
 use super::violation::ZoneViolation;
 use asterramp_zone_failover::{ServerId, ZoneId, ZoneState};
 
-/// Ticks until all is as before, once every server responds: the longest hold-down, probes, and a recovery ramp.
+/// Ticks within which all zones must be healthy once every server responds. Covers the longest hold-down, the probes
+/// and a recovery ramp.
 const TICKS_TO_RECOVER: u32 = 24;
-/// The zone that is cut off to see whether this is noticed.
-const ZONE_CUT_OFF: ZoneId = 0;
-/// The servers that the proxy contacts then: those of that zone, and one that responds.
+/// The zone whose servers stop responding in [`check_loss_detected`].
+const DISCONNECTED_ZONE: ZoneId = 0;
+/// Servers that the proxy contacts in [`check_loss_detected`]: all of `DISCONNECTED_ZONE`, and one of another zone,
+/// whose response shows that the proxy itself is connected.
 const CONTACTED_SERVERS: [ServerId; 4] = [0, 1, 2, 3];
 
-/// If all servers are up and nothing else happens, every zone becomes healthy.
+/// Checks that every zone becomes healthy if all servers are listed and respond.
 pub(super) fn check_recovery(state: &ZoneFailoverModel) -> Result<(), ZoneViolation> {
     let mut model = state.clone();
     for server in &mut model.servers {
@@ -33,24 +35,25 @@
     Ok(())
 }
 
-/// If a zone is cut off for good while the others respond, it is closed, by one contact of each server and by probes.
+/// Checks that a zone whose servers never respond again, while those of other zones do, is closed after the proxy has
+/// contacted each of its servers once; probes may contribute.
 pub(super) fn check_loss_detected(state: &ZoneFailoverModel) -> Result<(), ZoneViolation> {
     let mut model = state.clone();
     list_all_zones(&mut model);
     for (server, zone) in ZONE_OF_SERVER.into_iter().enumerate() {
-        model.servers[server].responds = zone != ZONE_CUT_OFF;
+        model.servers[server].responds = zone != DISCONNECTED_ZONE;
     }
-    // The zone may be held down, or just be opened again.
+    // In `state`, the zone may be in hold-down or have just been reopened: wait until both are over.
     let_time_pass(&mut model);
     for server in CONTACTED_SERVERS {
         model.contact(server);
     }
-    let state = model.zone_state(usize::from(ZONE_CUT_OFF));
+    let state = model.zone_state(usize::from(DISCONNECTED_ZONE));
     if state.is_closed() {
         return Ok(());
     }
     Err(ZoneViolation::LossUndetected {
-        zone: ZONE_CUT_OFF,
+        zone: DISCONNECTED_ZONE,
         state: state.name(),
     })
 }
--- a/crates/model-checker/src/zone_failover/mod.rs
+++ b/crates/model-checker/src/zone_failover/mod.rs
@@ -1,15 +1,15 @@
-//! Zone failover in every order of what a proxy may observe, at small size: two zones with three servers and one with two.
+//! Model of zone failover: every order of what one proxy may observe of two zones with three servers and one with two.
 //!
-//! [`ZoneFailover`](asterramp_zone_failover::ZoneFailover), the code that serves, decides; which servers really respond is
-//! modelled here.
+//! [`ZoneFailover`](asterramp_zone_failover::ZoneFailover), the production code, decides; whether each server responds
+//! is modelled here.
 //!
-//! | module | what it holds |
+//! | module | content |
 //! | --- | --- |
-//! | `action` | what may happen, and the situations from which it is explored |
-//! | `model` | the servers, and what a proxy has observed of them |
-//! | `liveness` | what must come of every state if it is left alone |
-//! | `settings` | bounds of the model, and settings of the code that decides |
-//! | `violation` | the properties that may not hold |
+//! | `action` | actions, and the situations from which exploration starts |
+//! | `model` | the servers, the proxy's observations of them, and the safety properties |
+//! | `liveness` | properties of what follows from a state without further faults |
+//! | `settings` | bounds of the model, and settings of the production code |
+//! | `violation` | violated properties |
 
 mod action;
 mod liveness;
@@ -47,13 +47,13 @@
     }
 }
 
-/// Explores every order of up to `depth` actions behind a situation.
+/// Explores every order of up to `depth` actions after those that lead to `situation`.
 pub fn explore(situation: ZoneSituation, depth: usize) -> ExplorationOf<ZoneFailoverModel> {
     let initial = ZoneFailoverModel::new();
     explore_after(initial, &situation.actions(), Limits::to_depth(depth))
 }
 
-/// The same with a fault in the code that decides.
+/// As [`explore`], with a fault injected into the production code.
 #[cfg(feature = "injected-faults")]
 pub fn explore_with_fault(
     situation: ZoneSituation,
--- a/crates/model-checker/src/zone_failover/model.rs
+++ b/crates/model-checker/src/zone_failover/model.rs
@@ -1,4 +1,5 @@
-//! The servers of three zones, and what a proxy has observed of them.
+//! State and safety properties of the zone-failover model: the servers of three zones, and one proxy's observations of
+//! them.
 
 use super::action::ZoneAction;
 use super::settings::{
@@ -10,50 +11,55 @@
 use asterramp_zone_failover::{ServerId, ServerState, ZoneEffect, ZoneFailover, ZoneId, ZoneState};
 use std::time::Duration;
 
-/// Servers that must have failed before their zone is closed, or all of them if it has fewer.
+/// Servers that must have failed since their zone's last response before the zone may be closed; all of its servers if
+/// it has fewer.
 const MIN_FAILURE_SIGNS: u8 = 3;
-/// A zone that is lost within this time of an earlier loss must be held down.
+/// A zone that is closed again within this time after its previous closing must be held down before it is reopened.
 const LOST_AGAIN_WITHIN: Duration = Duration::from_secs(20);
-/// More probes than this in one action suggest that they never end.
+/// Most probes that may follow from one action. More of them are reported as an endless loop of probes.
 const MAX_PROBES_PER_ACTION: usize = 4 * ZONE_COUNT;
-/// A recovering zone whose share is below `LOW_SHARE` may not come above `HIGH_SHARE` at once.
-const LOW_SHARE: f64 = 0.2;
-const HIGH_SHARE: f64 = 0.4;
+/// A recovering zone's share, as a fraction of its regular traffic, must not rise from below `RAMP_LOW_SHARE` to above
+/// `RAMP_HIGH_SHARE` in one change.
+const RAMP_LOW_SHARE: f64 = 0.2;
+const RAMP_HIGH_SHARE: f64 = 0.4;
 
-/// One server.
+/// A server of the model.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ZoneServer {
+    /// Whether the server is up and answers requests and probes.
     pub(super) responds: bool,
-    /// Whether it is one of its zone's failure signs.
+    /// Whether the server is counted in its zone's `failure_signs`.
     has_failed: bool,
 }
 
-/// What the proxy has observed of one zone, and what was decided of it.
+/// The proxy's observations of one zone, and the decisions made about it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ObservedZone {
     pub(super) is_listed: bool,
-    /// Servers that failed since its last response.
+    /// Servers of the zone that failed since its last response.
     failure_signs: u8,
+    /// When a server of the zone last responded.
     last_response: Duration,
-    /// When the first of `failure_signs` came.
+    /// When the first failure in `failure_signs` was observed.
     first_failure: Duration,
-    /// The share of its traffic that it gets.
+    /// The fraction of its regular traffic that the zone gets, from 0 (closed) to 1.
     share: f64,
+    /// When the zone was last closed; `None` if it never was.
     closed_at: Option<Duration>,
-    /// Losses in a row, each soon after the one before.
-    losses: u32,
+    /// Closings in a row, each within `LOST_AGAIN_WITHIN` of the one before.
+    consecutive_losses: u32,
 }
 
-/// Zone failover of one proxy with eight servers.
+/// State of the model: one proxy with eight servers in three zones.
 #[derive(Clone, Debug)]
 pub struct ZoneFailoverModel {
     failover: ZoneFailover,
     now: Duration,
     pub(super) servers: [ZoneServer; SERVER_COUNT],
     pub(super) zones: [ObservedZone; ZONE_COUNT],
-    /// Probes that the present action has led to.
+    /// Probes that the current action has caused.
     probes: usize,
-    /// The first violation of the present action.
+    /// The first violation by the current action.
     violation: Option<ZoneViolation>,
 }
 
@@ -64,12 +70,12 @@
 }
 
 impl ZoneFailoverModel {
-    /// All servers are listed and have responded.
+    /// The initial state: all servers are listed and have responded.
     pub fn new() -> ZoneFailoverModel {
         ZoneFailoverModel::with_failover(ZoneFailover::new(SETTINGS, ZONE_COUNT))
     }
 
-    /// The same with a fault in the code that decides.
+    /// As [`ZoneFailoverModel::new`], with a fault injected into the production code.
     #[cfg(feature = "injected-faults")]
     pub fn with_fault(injected_fault: InjectedFault) -> ZoneFailoverModel {
         let mut failover = ZoneFailover::new(SETTINGS, ZONE_COUNT);
@@ -94,7 +100,7 @@
             first_failure: START_TIME,
             share: 1.0,
             closed_at: None,
-            losses: 0,
+            consecutive_losses: 0,
         };
         ZoneFailoverModel {
             failover,
@@ -106,7 +112,7 @@
         }
     }
 
-    /// Lets an action happen, without any check but those of the effects.
+    /// Applies an action. Of the properties, only those of its effects are checked.
     pub(super) fn perform(&mut self, action: ZoneAction) {
         self.probes = 0;
         match action {
@@ -144,7 +150,7 @@
         self.carry_out_effects();
     }
 
-    /// The proxy sends something to a server, and observes whether it responds.
+    /// The proxy sends a request to a server and observes whether it responds.
     pub(super) fn contact(&mut self, server: ServerId) {
         if self.servers[server as usize].responds {
             self.observe_response(server as usize);
@@ -167,7 +173,7 @@
         let zone_id = ZONE_OF_SERVER[server];
         let zone = &mut self.zones[usize::from(zone_id)];
         if zone.failure_signs == 0 {
-            // Failures before the zone's last response do not count any more.
+            // Failures before the zone's last response are no longer counted.
             zone.first_failure = self.now;
             servers_in_zone(zone_id).for_each(|other| self.servers[other].has_failed = false);
         }
@@ -175,7 +181,7 @@
         self.servers[server].has_failed = true;
     }
 
-    /// Does what was decided. Probes end within the action.
+    /// Carries out the effects that the production code has requested. Probes complete within the same action.
     fn carry_out_effects(&mut self) {
         let effects: Vec<ZoneEffect> = self.failover.drain_effects().collect();
         let mut probed = Vec::new();
@@ -189,7 +195,7 @@
         self.probes += probed.len();
         if self.probes > MAX_PROBES_PER_ACTION {
             let probes = self.probes;
-            return self.violate(ZoneViolation::TooManyProbes { probes });
+            return self.record_violation(ZoneViolation::TooManyProbes { probes });
         }
         probed.into_iter().for_each(|server| self.contact(server));
     }
@@ -199,11 +205,12 @@
         let before = std::mem::replace(&mut zone.share, share);
         let state = self.zone_state(usize::from(zone_id));
         if share <= 0.0 {
-            self.close(zone_id);
+            self.record_closing(zone_id);
         } else if before <= 0.0 {
             self.check_hold_down(zone_id);
-        } else if before < LOW_SHARE && share > HIGH_SHARE && state == ZoneState::Healthy {
-            self.violate(ZoneViolation::ShareRampTooSteep {
+        } else if before < RAMP_LOW_SHARE && share > RAMP_HIGH_SHARE && state == ZoneState::Healthy
+        {
+            self.record_violation(ZoneViolation::ShareRampTooSteep {
                 zone: zone_id,
                 before,
                 after: share,
@@ -211,11 +218,12 @@
         }
     }
 
-    fn close(&mut self, zone_id: ZoneId) {
+    /// Checks the evidence on which a zone is closed, and records the closing.
+    fn record_closing(&mut self, zone_id: ZoneId) {
         let zone = self.zones[usize::from(zone_id)];
         let servers = servers_in_zone(zone_id).count() as u8;
         if zone.failure_signs < servers.min(MIN_FAILURE_SIGNS) {
-            self.violate(ZoneViolation::ClosedTooEarly {
+            self.record_violation(ZoneViolation::ClosedTooEarly {
                 zone: zone_id,
                 failure_signs: zone.failure_signs,
             });
@@ -224,20 +232,24 @@
             .other_zones(zone_id)
             .all(|other| other.last_response < zone.first_failure);
         if no_other_responded {
-            self.violate(ZoneViolation::ClosedWhileDisconnected { zone: zone_id });
+            self.record_violation(ZoneViolation::ClosedWhileDisconnected { zone: zone_id });
         }
         let is_lost_again = zone
             .closed_at
             .is_some_and(|closed_at| self.now < closed_at + LOST_AGAIN_WITHIN);
         let zone = &mut self.zones[usize::from(zone_id)];
-        zone.losses = if is_lost_again { zone.losses + 1 } else { 1 };
+        zone.consecutive_losses = if is_lost_again {
+            zone.consecutive_losses + 1
+        } else {
+            1
+        };
         zone.closed_at = Some(self.now);
     }
 
-    /// What must hold of a zone that has just been opened again.
+    /// Checks that a zone that has just been reopened was not in its hold-down.
     fn check_hold_down(&mut self, zone_id: ZoneId) {
         let zone = self.zones[usize::from(zone_id)];
-        let hold_down = if zone.losses > 1 {
+        let hold_down = if zone.consecutive_losses > 1 {
             SETTINGS.hold_down
         } else {
             Duration::ZERO
@@ -245,12 +257,12 @@
         let is_held_down = zone
             .closed_at
             .is_some_and(|closed_at| self.now < closed_at + hold_down);
-        // The last zone is opened in any case.
+        // If no other zone is open, the zone is reopened despite its hold-down.
         let is_last = self
             .other_zones(zone_id)
             .all(|other| !other.is_listed || other.share <= 0.0);
         if is_held_down && !is_last && zone.share < 1.0 {
-            self.violate(ZoneViolation::OpenedDuringHoldDown { zone: zone_id });
+            self.record_violation(ZoneViolation::OpenedDuringHoldDown { zone: zone_id });
         }
     }
 
@@ -260,7 +272,7 @@
         others.map(|(_, zone)| zone)
     }
 
-    fn violate(&mut self, violation: ZoneViolation) {
+    fn record_violation(&mut self, violation: ZoneViolation) {
         self.violation.get_or_insert(violation);
     }
 
@@ -268,53 +280,53 @@
         self.failover.zones()[zone].state
     }
 
-    /// What must hold after each action.
+    /// Checked after each action: not all listed zones are closed, and healthy zones get all of their traffic.
     fn check_zones(&self) -> Result<(), ZoneViolation> {
         let mut listed = (0..ZONE_COUNT).filter(|zone| self.zones[*zone].is_listed);
         let any_listed = self.zones.iter().any(|zone| zone.is_listed);
         if any_listed && listed.all(|zone| self.zone_state(zone).is_closed()) {
             return Err(ZoneViolation::AllZonesClosed);
         }
-        for (zone, model) in self.zones.iter().enumerate() {
-            if self.zone_state(zone) == ZoneState::Healthy && model.share < 1.0 {
+        for (zone, observed) in self.zones.iter().enumerate() {
+            if self.zone_state(zone) == ZoneState::Healthy && observed.share < 1.0 {
                 return Err(ZoneViolation::HealthyWithoutShare {
                     zone: zone as ZoneId,
-                    share: model.share,
+                    share: observed.share,
                 });
             }
         }
         Ok(())
     }
 
-    /// Lets an action happen, and checks what must hold then.
+    /// Applies an action and checks the safety properties.
     pub(super) fn apply_and_check(&mut self, action: ZoneAction) -> Result<(), ZoneViolation> {
         self.perform(action);
         self.check_zones()?;
         self.violation.take().map_or(Ok(()), Err)
     }
 
-    /// All that may happen next.
+    /// The actions that are possible in this state.
     pub(super) fn possible_actions(&self) -> Vec<ZoneAction> {
         let is_listed = |server: &usize| self.zones[usize::from(ZONE_OF_SERVER[*server])].is_listed;
         let listed_servers = (0..SERVER_COUNT).filter(is_listed);
         let contacts = listed_servers.map(|server| ZoneAction::Contact(server as ServerId));
-        let of_zones = (0..ZONE_COUNT as ZoneId).flat_map(|zone| {
+        let zone_actions = (0..ZONE_COUNT as ZoneId).flat_map(|zone| {
             [
                 ZoneAction::ToggleZone(zone),
                 ZoneAction::ToggleListing(zone),
             ]
         });
-        // Only one server fails alone, which stands for the others of its zone.
-        let others = [ZoneAction::ToggleServer(0), ZoneAction::TimePasses];
-        contacts.chain(of_zones).chain(others).collect()
+        // Only server 0 fails alone: servers of a zone are alike, so it represents the others.
+        let other_actions = [ZoneAction::ToggleServer(0), ZoneAction::TimePasses];
+        contacts.chain(zone_actions).chain(other_actions).collect()
     }
 
-    /// Equal for models that behave alike.
+    /// Text that is equal for states with the same future behaviour. Times are relative to now.
     pub(super) fn fingerprint_text(&self) -> String {
         let age = |at: Duration| (self.now - at).as_millis();
         let zones = self.zones.map(|zone| {
             let observed = (zone.is_listed, zone.failure_signs);
-            let decided = (zone.share, zone.losses, zone.closed_at.map(age));
+            let decided = (zone.share, zone.consecutive_losses, zone.closed_at.map(age));
             let ages = (age(zone.last_response), age(zone.first_failure));
             (observed, decided, ages)
         });
