--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,11 +1,11 @@
-//! Errors of the adapter, from the whole program down to one record.
+//! Errors of the adapter: of the whole program, of one batch and of one event record.
 
 use asterramp_placement::settings::SettingsError;
 use std::io;
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// Why the program ends before its input does.
+/// An error that ends the program.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
     /// Standard input can't be read.
@@ -17,12 +17,12 @@
     /// The input ends inside a batch's header.
     #[error("input ends {received} bytes into a batch's header of {size}")]
     TruncatedHeader {
-        /// Bytes of the header that were there.
+        /// Bytes of the header that were received.
         received: usize,
-        /// Bytes that a header has.
+        /// Bytes of a complete header.
         size: usize,
     },
-    /// A batch that can't be answered.
+    /// A batch that is malformed or can't be handled.
     #[error("batch {number}: {source}")]
     Batch {
         /// The batch's number.
@@ -35,20 +35,20 @@
 /// What is wrong with one batch.
 #[derive(Debug, Error)]
 pub(crate) enum BatchError {
-    /// The header counts more records than its size has room for.
+    /// The header's count of records doesn't fit into its body size.
     #[error("header at byte 8 counts {records} records, more than its {size} bytes hold")]
     TooManyRecords {
-        /// Records, as the header says.
+        /// Number of event records, according to the header.
         records: usize,
-        /// Bytes after the header, as the header says.
+        /// Size of the body in bytes, according to the header.
         size: usize,
     },
     /// The input ends inside the batch's body.
     #[error("input ends after {received} of {size} bytes")]
     TruncatedBody {
-        /// Bytes of the body that were there.
+        /// Bytes of the body that were received.
         received: usize,
-        /// Bytes after the header, as the header says.
+        /// Size of the body in bytes, according to the header.
         size: usize,
     },
     /// An event record that can't be handled.
@@ -69,10 +69,10 @@
     /// The settings of an instance aren't UTF-8.
     #[error("settings: {0}")]
     SettingsNotText(#[source] Utf8Error),
-    /// The settings of an instance can't be used.
+    /// The settings of an instance are incomplete or invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An event for an instance that isn't running.
+    /// An event for an instance that isn't running: it was never started, or has been stopped.
     #[error("instance {instance} was never started")]
     UnknownInstance {
         /// The instance's number.
@@ -84,44 +84,44 @@
         /// The code.
         code: u8,
     },
-    /// A session for a listener that the settings don't have.
+    /// A session for a listener that isn't in the settings.
     #[error("byte 11: no listener {listener} in the settings")]
     UnknownListener {
         /// Index of the listener.
         listener: u8,
     },
-    /// A session that the instance already has.
+    /// A new session with the handle of a session that hasn't ended.
     #[error("byte 3: session {handle} arrives twice")]
     DuplicateSession {
         /// The session's handle.
         handle: u64,
     },
-    /// An endpoint whose state the protocol doesn't have.
+    /// An endpoint with a state code that the protocol doesn't have.
     #[error("entry {index}: unknown state {state}")]
     UnknownEndpointState {
         /// Index of the endpoint in its list, from 0.
         index: usize,
-        /// The state.
+        /// The state code.
         state: u8,
     },
-    /// An endpoint list of a kind that the protocol doesn't have.
+    /// An endpoint list with a mode that the protocol doesn't have.
     #[error("unknown list mode {mode}")]
     UnknownListMode {
-        /// The kind of list.
+        /// The mode.
         mode: u8,
     },
-    /// A field whose content isn't inside the batch's tail.
+    /// A field that refers to bytes outside the batch's tail.
     #[error(
         "field at byte {at}: {count} items at offset {offset} pass the tail's {tail_size} bytes"
     )]
     OutsideTail {
         /// Offset of the field in its record, in bytes.
         at: usize,
-        /// Items, as the field says.
+        /// Number of items, according to the field.
         count: usize,
-        /// Offset of the first item in the tail, in bytes, as the field says.
+        /// Offset of the first item in the tail, in bytes, according to the field.
         offset: usize,
-        /// Bytes in the tail.
+        /// Size of the tail, in bytes.
         tail_size: usize,
     },
 }
--- a/crates/simulator-adapter/src/id_table.rs
+++ b/crates/simulator-adapter/src/id_table.rs
@@ -1,17 +1,17 @@
-//! Ids of an instance's sessions and servers: the protocol's own on one side, the small indices that the placement
-//! engine wants on the other.
+//! Maps the protocol's identifiers of sessions and servers to the small ids that the placement engine uses as indices,
+//! and back.
 
 use crate::wire::ServerAddress;
 use asterramp_placement::event::{ServerId, SessionId};
 use rustc_hash::FxHashMap;
 
-/// The engine's ids of one instance's sessions and servers, and back.
+/// The ids of one instance's sessions and servers.
 #[derive(Default)]
 pub(crate) struct IdTable {
     session_ids: FxHashMap<u64, SessionId>,
-    /// Handle of each session id, also of the free ones.
+    /// Handle of each session id; for a free id, that of its last session.
     handles: Vec<u64>,
-    /// Ids of ended sessions. The last one freed is used again first.
+    /// Ids of ended sessions. The id that was freed last is reused first.
     free_session_ids: Vec<SessionId>,
     server_ids: FxHashMap<ServerAddress, ServerId>,
     /// Address of each server id. Server ids are never freed.
@@ -19,12 +19,12 @@
 }
 
 impl IdTable {
-    /// The id of a session that is there; `None` where it has ended or never came.
+    /// The id of a session; `None` if it has ended or is unknown.
     pub(crate) fn session_id(&self, handle: u64) -> Option<SessionId> {
         self.session_ids.get(&handle).copied()
     }
 
-    /// Gives a session that comes in its id.
+    /// Assigns an id to a new session.
     pub(crate) fn add_session(&mut self, handle: u64) -> SessionId {
         let session = self.free_session_ids.pop().unwrap_or_else(|| {
             self.handles.push(0);
@@ -35,23 +35,23 @@
         session
     }
 
-    /// Frees the id of a session that is over.
+    /// Frees the id of a session that has ended.
     pub(crate) fn remove_session(&mut self, session: SessionId) {
         self.session_ids.remove(&self.handles[session as usize]);
         self.free_session_ids.push(session);
     }
 
-    /// The handle of a session that the engine names.
+    /// The handle of a session that has not ended.
     pub(crate) fn session_handle(&self, session: SessionId) -> u64 {
         self.handles[session as usize]
     }
 
-    /// The id of a server that was seen before; `None` where it wasn't.
+    /// The id of a server; `None` if the server is unknown.
     pub(crate) fn server_id(&self, address: ServerAddress) -> Option<ServerId> {
         self.server_ids.get(&address).copied()
     }
 
-    /// The id of a server, which is new where the server wasn't seen before.
+    /// The id of a server. Assigns one if the server is unknown.
     pub(crate) fn get_or_add_server(&mut self, address: ServerAddress) -> ServerId {
         *self.server_ids.entry(address).or_insert_with(|| {
             self.addresses.push(address);
@@ -59,7 +59,7 @@
         })
     }
 
-    /// The address of a server that the engine names.
+    /// The address of a server that has an id.
     pub(crate) fn server_address(&self, server: ServerId) -> ServerAddress {
         self.addresses[server as usize]
     }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One proxy instance of the simulator: its placement engine and what is needed to translate for it.
+//! One proxy instance of the simulator: its placement engine, and the translation of its events and actions.
 
 use crate::error::RecordError;
 use crate::id_table::IdTable;
@@ -11,49 +11,52 @@
 use asterramp_placement::{PlacementAction, PlacementEngine, PlacementEvent};
 use std::time::Duration;
 
-/// One running instance. Dropped whole when the simulator stops it.
+/// One running instance.
 pub(crate) struct Instance {
     engine: PlacementEngine,
+    /// Listeners in the settings; valid indices are below it.
     listener_count: usize,
-    load_reports: LoadReportFormat,
+    /// Which values a load report contains, and in which order.
+    load_report_format: LoadReportFormat,
     ids: IdTable,
 }
 
 impl Instance {
-    /// Starts an instance by the record that says so.
+    /// Starts an instance with the random seed and settings of a start record.
     ///
     /// # Errors
     ///
-    /// Settings that lie outside the tail, aren't UTF-8 or can't be used.
+    /// Settings that lie outside the tail, aren't UTF-8, or are incomplete or invalid.
     pub(crate) fn start(fields: Fields<'_>, tail: &[u8]) -> Result<Self, RecordError> {
         let text = settings::text(fields, tail)?;
         let settings = engine_settings::read(settings::key_value_pairs(text))?;
         Ok(Instance {
             engine: PlacementEngine::new(settings.deployment, settings::random_seed(fields)),
             listener_count: settings.listeners.len(),
-            load_reports: settings.load_report_format,
+            load_report_format: settings.load_report_format,
             ids: IdTable::default(),
         })
     }
 
-    /// Has the engine handle one event at the time `now`, and appends its actions to `actions`.
+    /// Passes one event to the engine at the time `now`, and appends the engine's actions to `actions`.
     ///
     /// # Errors
     ///
-    /// A session that the instance already has or whose listener the settings don't name.
+    /// A new session whose handle is in use or whose listener isn't in the settings.
     pub(crate) fn handle_event(
         &mut self,
         record: EventRecord,
         now: Duration,
         actions: &mut Vec<PlacementAction>,
     ) -> Result<(), RecordError> {
-        if let Some(event) = self.event(record)? {
+        if let Some(event) = self.translate_event(record)? {
             self.engine.handle(now, event, actions);
         }
         Ok(())
     }
 
-    /// Appends the record of one action to a reply. Ids that the engine forgets are freed.
+    /// Appends the record of one action to a reply. [`PlacementAction::ReleaseSession`] has no record: it frees the
+    /// session's id.
     pub(crate) fn append_action(
         &mut self,
         instance: u16,
@@ -67,8 +70,12 @@
         }
     }
 
-    /// The engine's event; `None` where the record concerns nothing that the instance still has.
-    fn event(&mut self, record: EventRecord) -> Result<Option<PlacementEvent>, RecordError> {
+    /// Translates a record to an event of the engine; `None` if the record is about an ended session or an unknown
+    /// server, or is one that the engine doesn't use.
+    fn translate_event(
+        &mut self,
+        record: EventRecord,
+    ) -> Result<Option<PlacementEvent>, RecordError> {
         Ok(match record {
             EventRecord::EndpointList(list) => {
                 Some(PlacementEvent::EndpointsUpdated(self.endpoint_update(list)))
@@ -126,7 +133,7 @@
         Ok(PlacementEvent::SessionInherited(request, server))
     }
 
-    /// Gives a session that comes in its id.
+    /// Checks a new session and assigns an id to it.
     fn add_session(&mut self, request: &SessionRecord) -> Result<SessionId, RecordError> {
         let listener = request.listener;
         if usize::from(listener) >= self.listener_count {
@@ -149,6 +156,6 @@
     }
 
     fn load(&self, report: &LoadReport) -> ServerLoad {
-        self.load_reports.load(|index, _| report.value(index))
+        self.load_report_format.load(|index, _| report.value(index))
     }
 }
--- a/crates/simulator-adapter/src/instance_table.rs
+++ b/crates/simulator-adapter/src/instance_table.rs
@@ -1,4 +1,4 @@
-//! The running proxy instances, and how a batch of events is answered by them.
+//! The running proxy instances, and the handling of a batch of events by them.
 
 use crate::error::{BatchError, RecordError};
 use crate::instance::Instance;
@@ -7,20 +7,22 @@
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
-/// The running instances by their number.
+/// The running instances, by number.
 #[derive(Default)]
 pub(crate) struct InstanceTable {
     instances: FxHashMap<u16, Instance>,
-    /// Actions of the event that is being handled. Empty between events; kept for its memory.
+    /// Actions of the event that is being handled. Empty between events; kept to reuse its allocation.
     actions: Vec<PlacementAction>,
 }
 
 impl InstanceTable {
-    /// Answers one batch. `body` is what follows the header, `reply` an empty buffer that takes the whole reply.
+    /// Handles one batch. `body` is everything after the header; `reply` is an empty buffer, to which the whole reply
+    /// is written.
     ///
     /// # Errors
     ///
-    /// The first record that is malformed or names an instance that isn't running. The reply is then useless.
+    /// The first record that is malformed or names an instance that isn't running. `reply` is then
+    /// incomplete.
     pub(crate) fn handle_batch(
         &mut self,
         header: &BatchHeader,
@@ -42,7 +44,7 @@
         Ok(())
     }
 
-    /// Handles one event at the time `now` and appends the actions that follow from it.
+    /// Handles one event at the time `now` and appends the resulting actions to `reply`.
     fn handle_record(
         &mut self,
         fields: Fields<'_>,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,9 @@
-//! Lets the simulator drive asterramp's placement engine: decodes the event batches on standard input, gives each
-//! event to the engine of its proxy instance, and writes the actions of the engines to standard output.
+//! Lets the simulator drive asterramp's placement engine: decodes the event batches on standard input, passes each
+//! event to the engine of its proxy instance, and writes the engines' actions to standard output.
 //!
-//! The program holds one [`PlacementEngine`](asterramp_placement::PlacementEngine) for each proxy instance and decides
-//! nothing itself. It ends at the end of its input; at malformed input it ends with one line on standard error.
+//! The program holds one [`PlacementEngine`](asterramp_placement::PlacementEngine) for each proxy instance and makes
+//! no decisions itself. It exits with success at the end of its input, and with failure and one line on standard error
+//! at malformed input.
 
 mod error;
 mod id_table;
--- a/crates/simulator-adapter/src/serve.rs
+++ b/crates/simulator-adapter/src/serve.rs
@@ -1,13 +1,13 @@
-//! The program's loop: reads a batch, has it answered, writes the reply.
+//! The main loop: reads a batch, handles it and writes the reply.
 
 use crate::error::{AdapterError, BatchError};
 use crate::instance_table::InstanceTable;
 use crate::wire::{BATCH_HEADER_SIZE, BatchHeader};
 use std::io::{self, Read, Write};
 
-/// Most bytes that are reserved for a batch's body before any of it has arrived, so that a header with a wrong size
-/// doesn't make the program reserve gigabytes.
-const MAX_BYTES_RESERVED_AHEAD: usize = 1 << 20;
+/// Most bytes that are allocated for a batch's body before any of it has been received. A larger body still fits: the
+/// buffer then grows as bytes arrive. Limits the memory that a header with a wrong size can claim.
+const MAX_BODY_PREALLOCATION: usize = 1 << 20;
 
 /// Answers batches until the input ends. The output is flushed after each reply.
 ///
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-/// The next batch's header; `None` where the input ends before it.
+/// Reads the next batch's header; `None` if the input has ended.
 fn read_header(input: &mut impl Read) -> Result<Option<BatchHeader>, AdapterError> {
     let mut bytes = [0; BATCH_HEADER_SIZE];
     let received = read_up_to(input, &mut bytes)?;
@@ -55,21 +55,23 @@
     Ok(Some(BatchHeader::decode(&bytes)))
 }
 
-/// Replaces `body` by up to `size` bytes of the input. Returns how many there were before the input ended.
+/// Replaces `body` by the next `size` bytes of the input. Returns the number of bytes read, which is less than `size`
+/// if the input ends before.
 fn read_body(
     input: &mut impl Read,
     size: usize,
     body: &mut Vec<u8>,
 ) -> Result<usize, AdapterError> {
     body.clear();
-    body.reserve(size.min(MAX_BYTES_RESERVED_AHEAD));
+    body.reserve(size.min(MAX_BODY_PREALLOCATION));
     input
         .take(size as u64)
         .read_to_end(body)
         .map_err(AdapterError::Read)
 }
 
-/// Fills `buffer` as far as the input goes. Returns how many bytes there were.
+/// Fills `buffer` from the input. Returns the number of bytes read, which is less than its size if the input ends
+/// before.
 fn read_up_to(input: &mut impl Read, buffer: &mut [u8]) -> Result<usize, AdapterError> {
     let mut received = 0;
     while received < buffer.len() {
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -1,4 +1,4 @@
-//! Translates between the protocol's records and the placement engine's events and actions.
+//! Translation of the protocol's records to events of the placement engine, and of its actions to records.
 
 use crate::id_table::IdTable;
 use crate::wire::{
@@ -11,12 +11,11 @@
 use asterramp_placement::{PlacementAction, PlacementEvent};
 use std::time::Duration;
 
-/// Milliseconds in a second.
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
-/// In a poll of the endpoint list: send its changes too from now on.
+/// Value of [`action_field::SUBSCRIPTION`] that subscribes to changes of the endpoint list.
 const SUBSCRIBE: u8 = 1;
 
-/// The engine's request of a session whose id is `session`.
+/// Translates a session record for the session with the id `session`.
 pub(crate) fn session_request(session: SessionId, record: &SessionRecord) -> SessionRequest {
     SessionRequest {
         session,
@@ -25,11 +24,11 @@
         group: record.group,
         hash_key: record.hash_key,
         reconnecting: record.reconnecting,
-        answer_deadline: record.dial_timeout,
+        answer_deadline: record.answer_deadline,
     }
 }
 
-/// The engine's outcome. Reasons that the protocol may gain count as errors of the server.
+/// Translates an outcome code. Unknown codes count as server errors.
 pub(crate) fn outcome(code: OutcomeCode) -> Outcome {
     match code.0 {
         0 => Outcome::Ok,
@@ -43,16 +42,16 @@
     }
 }
 
-/// What was seen of an open connection; `None` where its session has ended, its server is unknown, or the observation
-/// is of an unknown kind or no time.
+/// Translates an observation of an open connection; `None` if its session has ended, its server is unknown, its kind is
+/// unknown, or its message delay is not a valid duration.
 pub(crate) fn observation_event(
     record: &ObservationRecord,
     ids: &IdTable,
 ) -> Option<PlacementEvent> {
     let observation = match record.kind {
-        ObservationKind::WorkRate => Observation::WorkRate(record.amount),
+        ObservationKind::WorkRate => Observation::WorkRate(record.value),
         ObservationKind::MessageDelay => {
-            let delay = Duration::try_from_secs_f64(record.amount / MILLISECONDS_PER_SECOND);
+            let delay = Duration::try_from_secs_f64(record.value / MILLISECONDS_PER_SECOND);
             Observation::MessageDelay(delay.ok()?)
         }
         ObservationKind::Unknown => return None,
@@ -64,7 +63,7 @@
     })
 }
 
-/// The engine's endpoint of a server whose id is `server`.
+/// Translates an entry of the endpoint list for the server with the id `server`.
 pub(crate) fn endpoint(server: ServerId, entry: &EndpointEntry) -> Endpoint {
     Endpoint {
         load_per_connection: None,
@@ -78,7 +77,7 @@
     }
 }
 
-/// The engine's news of the endpoint list. A failure carries no endpoints.
+/// Translates an endpoint list. `endpoints` is ignored if the poll or watch failed.
 pub(crate) fn endpoint_update(mode: ListMode, endpoints: Vec<Endpoint>) -> EndpointUpdate {
     match mode {
         ListMode::Changes => EndpointUpdate::Changes(endpoints),
@@ -88,13 +87,13 @@
     }
 }
 
-/// The record of one action; `None` for [`PlacementAction::ReleaseSession`], which the simulator isn't told of.
+/// Translates an action to its record; `None` for [`PlacementAction::ReleaseSession`], which the protocol doesn't have.
 pub(crate) fn action_record(
     instance: u16,
     action: PlacementAction,
     ids: &IdTable,
 ) -> Option<ActionRecord> {
-    let of_session = |code, session| {
+    let session_record = |code, session| {
         ActionRecord::new(code, instance).with_session_handle(ids.session_handle(session))
     };
     let record = match action {
@@ -103,20 +102,20 @@
             server,
             timeout,
             ..
-        } => of_session(action_code::START_ATTEMPT, session)
+        } => session_record(action_code::START_ATTEMPT, session)
             .with_field(action_field::ATTEMPT_SERVER, ids.server_address(server))
             .with_field(action_field::ATTEMPT_TIMEOUT, microseconds(timeout)),
         PlacementAction::Cancel { session, attempt } => {
-            of_session(action_code::CANCEL_ATTEMPT, session)
+            session_record(action_code::CANCEL_ATTEMPT, session)
                 .with_field(action_field::CANCELLED_ATTEMPT, [attempt])
         }
         PlacementAction::Reject {
             session,
             retry_after,
-        } => of_session(action_code::REJECT, session)
+        } => session_record(action_code::REJECT, session)
             .with_field(action_field::RETRY_AFTER, microseconds(retry_after)),
-        PlacementAction::Fail { session } => of_session(action_code::FAIL, session),
-        PlacementAction::Migrate { session } => of_session(action_code::MIGRATE, session),
+        PlacementAction::Fail { session } => session_record(action_code::FAIL, session),
+        PlacementAction::Migrate { session } => session_record(action_code::MIGRATE, session),
         PlacementAction::Probe { server } => ActionRecord::new(action_code::PROBE, instance)
             .with_field(action_field::PROBE_SERVER, ids.server_address(server)),
         PlacementAction::PollEndpoints => ActionRecord::new(action_code::POLL_ENDPOINTS, instance)
@@ -128,9 +127,10 @@
     Some(record)
 }
 
-/// A span in whole microseconds, as actions carry it. Longer ones than that holds, 71 minutes, become the longest.
-fn microseconds(span: Duration) -> [u8; 4] {
-    u32::try_from(span.as_micros())
+/// Encodes a duration in whole microseconds, as action records contain it. Durations above `u32::MAX` microseconds,
+/// about 71 minutes, are encoded as that maximum.
+fn microseconds(duration: Duration) -> [u8; 4] {
+    u32::try_from(duration.as_micros())
         .unwrap_or(u32::MAX)
         .to_le_bytes()
 }
--- a/crates/simulator-adapter/src/wire/batch.rs
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -10,8 +10,8 @@
 
 // Offsets of the fields.
 const NUMBER: usize = 0;
-const SIZE: usize = 4;
-const RECORDS: usize = 8;
+const BODY_SIZE: usize = 4;
+const RECORD_COUNT: usize = 8;
 const NOW: usize = 12;
 
 /// The header of a batch.
@@ -19,31 +19,31 @@
 pub(crate) struct BatchHeader {
     /// The batch's number, which the reply repeats.
     pub(crate) batch_number: u32,
-    /// Bytes that follow the header.
+    /// Bytes after the header: event records and tail.
     pub(crate) body_size: usize,
-    /// Event records among them; what is left of the bytes is the tail.
+    /// Event records at the start of the body; the rest of the body is the tail.
     pub(crate) record_count: usize,
-    /// When all events of the batch happen, since the clock began.
+    /// Time of all events of the batch, since the simulator's clock began.
     pub(crate) now: Duration,
 }
 
 impl BatchHeader {
-    /// Reads a header as it stands.
+    /// Decodes a header without validating it.
     pub(crate) fn decode(bytes: &[u8; BATCH_HEADER_SIZE]) -> Self {
         let fields = Fields::new(bytes);
         BatchHeader {
             batch_number: fields.u32(NUMBER),
-            body_size: fields.u32(SIZE) as usize,
-            record_count: fields.u32(RECORDS) as usize,
+            body_size: fields.u32(BODY_SIZE) as usize,
+            record_count: fields.u32(RECORD_COUNT) as usize,
             now: Duration::from_micros(fields.u64(NOW)),
         }
     }
 
-    /// Checks that the body has room for its records.
+    /// Checks that the event records fit into the body.
     ///
     /// # Errors
     ///
-    /// More records than that.
+    /// [`BatchError::TooManyRecords`] if they don't.
     pub(crate) fn validate(&self) -> Result<(), BatchError> {
         match self.record_count.checked_mul(EVENT_SIZE) {
             Some(size) if size <= self.body_size => Ok(()),
--- a/crates/simulator-adapter/src/wire/endpoint_list.rs
+++ b/crates/simulator-adapter/src/wire/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The record that brings news of the endpoint list.
+//! The event record of an update of the endpoint list.
 
 use super::fields::{Fields, ServerAddress};
 use crate::error::RecordError;
@@ -20,25 +20,25 @@
 const WEIGHT: usize = 12;
 const STARTED_AT: usize = 16;
 
-/// News of the endpoint list.
+/// An update of the endpoint list.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointListRecord {
-    /// What the entries are.
+    /// Whether the entries are the complete list.
     pub(crate) mode: ListMode,
     /// The entries, in the order of the list.
     pub(crate) entries: Vec<EndpointEntry>,
 }
 
-/// What the entries of a list are.
+/// The meaning of the entries of an update.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ListMode {
     /// The entries that changed.
     Changes,
-    /// The whole list.
+    /// The complete list.
     Complete,
-    /// The whole list as it was cached before a restart.
+    /// The complete list as it was saved before a restart.
     Stale,
-    /// Nothing: the poll or watch failed.
+    /// The poll or watch failed; the entries are ignored.
     Failed,
 }
 
@@ -49,22 +49,23 @@
     pub(crate) address: ServerAddress,
     /// Index of its zone.
     pub(crate) zone: u8,
-    /// Number of its cell.
+    /// Number of its cell, within which servers may share idempotency keys.
     pub(crate) cell: u16,
     /// Whether it takes sessions.
     pub(crate) state: EndpointState,
-    /// How large it is, against the others; without unit.
+    /// Relative probability that it is drawn as a candidate; without unit.
     pub(crate) weight: f64,
-    /// When its process last started, since the clock began; `None` for long ago.
+    /// When its process last started, since the simulator's clock began; `None` (0 on the wire) for so long ago that it
+    /// is warm.
     pub(crate) started_at: Option<Duration>,
 }
 
 impl EndpointListRecord {
-    /// Reads the list of an event record.
+    /// Decodes the endpoint list of an event record.
     ///
     /// # Errors
     ///
-    /// Entries outside the tail, an unknown state of an endpoint, an unknown mode.
+    /// Entries outside the tail, an unknown state of an endpoint, or an unknown mode.
     pub(super) fn decode(fields: Fields<'_>, tail: &[u8]) -> Result<Self, RecordError> {
         let bytes = fields.tail_items(ENTRIES, ENTRY_SIZE, tail)?;
         let mut entries = Vec::with_capacity(bytes.len() / ENTRY_SIZE);
@@ -107,7 +108,7 @@
         })
     }
 
-    /// A key to hash the server by: its address as a number, the same at every instance.
+    /// Hash key of the server: its address as a number, so that it is the same at every instance.
     pub(crate) fn hash_key(&self) -> u64 {
         let mut bytes = [0; size_of::<u64>()];
         bytes[..self.address.len()].copy_from_slice(&self.address);
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -1,4 +1,4 @@
-//! Event records: what the simulator tells an instance.
+//! Event records: the events that the simulator sends to an instance.
 
 use super::endpoint_list::EndpointListRecord;
 use super::fields::{Fields, ServerAddress};
@@ -6,14 +6,14 @@
 use super::session::SessionRecord;
 use crate::error::RecordError;
 
-/// Bytes of an event record, zeros after its fields included.
+/// Bytes of an event record, including the zeros after its fields.
 pub(crate) const EVENT_SIZE: usize = 56;
 
-/// Codes of the events, the first byte of a record. Each says the protocol's name of it.
+/// Codes of the events, the first byte of a record. Their comments begin with the protocol's name of the event.
 pub(crate) mod event_code {
     /// `ATTACH`: start an instance without any state.
     pub(crate) const START_INSTANCE: u8 = 10;
-    /// `VIEW`: news of the endpoint list.
+    /// `VIEW`: an update of the endpoint list.
     pub(crate) const ENDPOINT_LIST: u8 = 20;
     /// `INGRESS`: a client asks for a session.
     pub(crate) const SESSION_REQUESTED: u8 = 30;
@@ -23,7 +23,7 @@
     pub(crate) const ATTEMPT_ENDED: u8 = 50;
     /// `VANISHED`: a client left before its session ended.
     pub(crate) const CLIENT_LEFT: u8 = 60;
-    /// `RING`: a timer of the instance ran out.
+    /// `RING`: a timer of the instance expired.
     pub(crate) const TIMER: u8 = 70;
     /// `CHECK_RESULT`: a probe was answered or failed.
     pub(crate) const PROBE_ENDED: u8 = 80;
@@ -33,7 +33,7 @@
     pub(crate) const STOP_INSTANCE: u8 = 100;
     /// `TAKEN_OVER`: a session that was open when the instance started.
     pub(crate) const SESSION_INHERITED: u8 = 110;
-    /// `HEARTBEAT`: something was seen of an open connection.
+    /// `HEARTBEAT`: an observation of an open connection.
     pub(crate) const OBSERVED: u8 = 120;
 }
 
@@ -41,7 +41,7 @@
 const CODE: usize = 0;
 const INSTANCE: usize = 1;
 const SESSION_HANDLE: usize = 3;
-const DIAL: usize = 11;
+const ATTEMPT: usize = 11;
 const ATTEMPT_OUTCOME: usize = 18;
 const ATTEMPT_SESSION_OVER: usize = 24;
 const ATTEMPT_LOAD: usize = 25;
@@ -49,15 +49,15 @@
 const PROBE_OUTCOME: usize = 9;
 const PROBE_LOAD: usize = 15;
 const OBSERVATION_KIND: usize = 11;
-const OBSERVATION_AMOUNT: usize = 12;
+const OBSERVATION_VALUE: usize = 12;
 const OBSERVATION_SERVER: usize = 16;
-const PEER_MESSAGE_BYTES: usize = 5;
+const PEER_MESSAGE_CONTENT: usize = 5;
 const INHERITED_SERVER: usize = 43;
 
 /// An event of a running instance.
 #[derive(Clone, Debug)]
 pub(crate) enum EventRecord {
-    /// News of the endpoint list.
+    /// An update of the endpoint list.
     EndpointList(EndpointListRecord),
     /// A client asks for a session.
     SessionRequested(SessionRecord),
@@ -77,17 +77,17 @@
         /// The session.
         handle: u64,
     },
-    /// Something was seen of an open connection.
+    /// An observation of an open connection.
     Observed(ObservationRecord),
     /// A probe was answered or failed.
     ProbeEnded(ProbeEndedRecord),
-    /// A timer of the instance ran out.
+    /// A timer of the instance expired.
     Timer,
-    /// A message of another instance. The engine takes none, so its bytes aren't kept.
+    /// A message of another instance. The engine doesn't use it, so its content is discarded.
     PeerMessage,
 }
 
-/// How an attempt or a probe ended: 0 for success, else the reason.
+/// How an attempt or a probe ended: 0 for success, otherwise the reason. `translate::outcome` lists the codes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutcomeCode(pub(crate) u16);
 
@@ -100,63 +100,63 @@
     pub(crate) attempt: u8,
     /// How it ended.
     pub(crate) outcome: OutcomeCode,
-    /// Whether the session is over, by this outcome or before.
+    /// Whether the session is over, by this outcome or by an earlier one.
     pub(crate) session_over: bool,
-    /// What the server reported.
+    /// The server's load report.
     pub(crate) load: LoadReport,
 }
 
 /// The end of a probe.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProbeEndedRecord {
-    /// The server that was asked.
+    /// The server that was probed.
     pub(crate) address: ServerAddress,
     /// How the probe ended.
     pub(crate) outcome: OutcomeCode,
-    /// What the server reported.
+    /// The server's load report.
     pub(crate) load: LoadReport,
 }
 
-/// Something that was seen of an open connection.
+/// An observation of an open connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ObservationRecord {
     /// The connection's session.
     pub(crate) handle: u64,
-    /// The server that holds it.
+    /// The server of the connection.
     pub(crate) address: ServerAddress,
-    /// What was seen.
+    /// What was observed.
     pub(crate) kind: ObservationKind,
-    /// How much of it, in the unit of its kind.
-    pub(crate) amount: f64,
+    /// The observed value, in the unit of its kind.
+    pub(crate) value: f64,
 }
 
-/// What an observation is of.
+/// The quantity that was observed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ObservationKind {
-    /// The connection's load, in microseconds of work a second.
+    /// The connection's load, in microseconds of work per second.
     WorkRate,
-    /// How long a message takes at the server now, in milliseconds.
+    /// How long the server currently takes for a message, in milliseconds.
     MessageDelay,
-    /// Something that the protocol may gain.
+    /// A kind that this version of the adapter doesn't know; it is ignored.
     Unknown,
 }
 
 impl EventRecord {
-    /// The event's code.
+    /// The event code of a record.
     pub(crate) fn code(fields: Fields<'_>) -> u8 {
         fields.u8(CODE)
     }
 
-    /// The number of the instance that it is for.
+    /// The number of the instance that a record is for.
     pub(crate) fn instance(fields: Fields<'_>) -> u16 {
         fields.u16(INSTANCE)
     }
 
-    /// Reads an event other than the start and stop of an instance.
+    /// Decodes an event other than the start or stop of an instance.
     ///
     /// # Errors
     ///
-    /// An unknown code, or fields that can't be read.
+    /// An unknown event code, or fields that are invalid.
     pub(crate) fn decode(fields: Fields<'_>, tail: &[u8]) -> Result<Self, RecordError> {
         let handle = fields.u64(SESSION_HANDLE);
         Ok(match Self::code(fields) {
@@ -172,7 +172,7 @@
             ),
             event_code::SESSION_OPENED => EventRecord::SessionOpened {
                 handle,
-                attempt: fields.u8(DIAL),
+                attempt: fields.u8(ATTEMPT),
             },
             event_code::ATTEMPT_ENDED => {
                 EventRecord::AttemptEnded(AttemptEndedRecord::decode(fields))
@@ -182,7 +182,7 @@
             event_code::PROBE_ENDED => EventRecord::ProbeEnded(ProbeEndedRecord::decode(fields)),
             event_code::TIMER => EventRecord::Timer,
             event_code::PEER_MESSAGE => {
-                fields.tail_items(PEER_MESSAGE_BYTES, 1, tail)?;
+                fields.tail_items(PEER_MESSAGE_CONTENT, 1, tail)?;
                 EventRecord::PeerMessage
             }
             code => return Err(RecordError::UnknownEvent { code }),
@@ -194,7 +194,7 @@
     fn decode(fields: Fields<'_>) -> Self {
         AttemptEndedRecord {
             handle: fields.u64(SESSION_HANDLE),
-            attempt: fields.u8(DIAL),
+            attempt: fields.u8(ATTEMPT),
             outcome: OutcomeCode(fields.u16(ATTEMPT_OUTCOME)),
             session_over: fields.u8(ATTEMPT_SESSION_OVER) != 0,
             load: LoadReport::decode(fields, ATTEMPT_LOAD),
@@ -222,7 +222,7 @@
                 2 => ObservationKind::MessageDelay,
                 _ => ObservationKind::Unknown,
             },
-            amount: f64::from(fields.f32(OBSERVATION_AMOUNT)),
+            value: f64::from(fields.f32(OBSERVATION_VALUE)),
         }
     }
 }
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -1,21 +1,21 @@
-//! Little-endian fields of one record.
+//! Access to the little-endian fields of one record.
 
 use crate::error::RecordError;
 
-/// A server as the protocol names it: four bytes of address and two of port. It goes back unaltered.
+/// A server's identifier in the protocol: four bytes of IP address and two of port. Replies repeat it unchanged.
 pub(crate) type ServerAddress = [u8; 6];
 
-/// The bytes of one record, read at offsets that lie inside it.
+/// The bytes of one record. A field that doesn't lie wholly inside it reads as zero.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fields<'a>(&'a [u8]);
 
 impl<'a> Fields<'a> {
-    /// The fields of the record that `bytes` are.
+    /// The fields of the record `bytes`.
     pub(crate) fn new(bytes: &'a [u8]) -> Self {
         Fields(bytes)
     }
 
-    /// `N` bytes as they are; zeros where the record ends before them.
+    /// The `N` bytes at the offset `at`; all zeros if the record ends before the last of them.
     fn array<const N: usize>(self, at: usize) -> [u8; N] {
         let mut bytes = [0; N];
         if let Some(from) = self.0.get(at..at + N) {
@@ -24,38 +24,32 @@
         bytes
     }
 
-    /// An unsigned byte.
     pub(crate) fn u8(self, at: usize) -> u8 {
         self.array::<1>(at)[0]
     }
 
-    /// An unsigned number of two bytes.
     pub(crate) fn u16(self, at: usize) -> u16 {
         u16::from_le_bytes(self.array(at))
     }
 
-    /// An unsigned number of four bytes.
     pub(crate) fn u32(self, at: usize) -> u32 {
         u32::from_le_bytes(self.array(at))
     }
 
-    /// An unsigned number of eight bytes.
     pub(crate) fn u64(self, at: usize) -> u64 {
         u64::from_le_bytes(self.array(at))
     }
 
-    /// A floating-point number of four bytes.
     pub(crate) fn f32(self, at: usize) -> f32 {
         f32::from_le_bytes(self.array(at))
     }
 
-    /// A server's address.
     pub(crate) fn address(self, at: usize) -> ServerAddress {
         self.array(at)
     }
 
-    /// The bytes in the batch's tail that the field at `at` refers to by the offset of the first item and the count
-    /// of items, each of `item_size` bytes.
+    /// The bytes in the batch's tail that the field at the offset `at` refers to. The field contains the offset of the
+    /// first item in the tail and the count of items, each of `item_size` bytes.
     ///
     /// # Errors
     ///
--- a/crates/simulator-adapter/src/wire/load_report.rs
+++ b/crates/simulator-adapter/src/wire/load_report.rs
@@ -2,7 +2,7 @@
 
 use super::fields::Fields;
 
-/// Most values of a report.
+/// Most values in a report; the record has space for no more.
 const MAX_VALUES: usize = 4;
 /// Bytes of a value.
 const VALUE_SIZE: usize = 4;
@@ -11,12 +11,12 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadReport {
     values: [f32; MAX_VALUES],
-    /// Values that are there; 0 where no report came.
+    /// Number of values in the report; 0 if the server sent none.
     count: usize,
 }
 
 impl LoadReport {
-    /// Reads the report at `at`: the count of values and the values.
+    /// Decodes the report at the offset `at`: a byte with the count of values, then the values.
     pub(super) fn decode(fields: Fields<'_>, at: usize) -> Self {
         let first = at + 1;
         LoadReport {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The value at `index`; `None` where the report doesn't have it.
+    /// The value at `index`; `None` if the report doesn't contain it.
     pub(crate) fn value(&self, index: usize) -> Option<f64> {
         let value = self.values[..self.count].get(index)?;
         Some(f64::from(*value))
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,8 +1,8 @@
-//! The simulator's protocol: frames of fixed-size records, little-endian and without padding.
+//! The simulator's protocol: frames of fixed-size records, whose fields are little-endian and not aligned.
 //!
-//! A batch of events is a header, its event records and a tail, which holds whatever has no fixed size. A reply is a
-//! header and its action records. Offsets are in bytes from the start of the record, its code included; times are in
-//! microseconds. Nothing here knows the placement engine's ids.
+//! A batch of events is a header, its event records and a tail, which holds the data of variable size. A reply is a
+//! header and its action records. Offsets are in bytes from the start of the record, its code included; times and
+//! durations are in microseconds. The placement engine's ids don't occur here.
 
 pub(crate) mod action;
 pub(crate) mod batch;
--- a/crates/simulator-adapter/src/wire/settings.rs
+++ b/crates/simulator-adapter/src/wire/settings.rs
@@ -7,12 +7,12 @@
 const RANDOM_SEED: usize = 3;
 const SETTINGS: usize = 11;
 
-/// Seed of the instance's random numbers, a new one at each start.
+/// Seed of the instance's random numbers; the simulator sends a new one at each start.
 pub(crate) fn random_seed(fields: Fields<'_>) -> u64 {
     fields.u64(RANDOM_SEED)
 }
 
-/// The settings' text: a path, `=` and a value on each line.
+/// The text of the settings. Each line is a path, `=` and a value.
 ///
 /// # Errors
 ///
@@ -22,7 +22,7 @@
     std::str::from_utf8(bytes).map_err(RecordError::SettingsNotText)
 }
 
-/// Paths and values of the settings. Lines without `=` are left out.
+/// Paths and values of the settings. Lines without `=` are skipped.
 pub(crate) fn key_value_pairs(text: &str) -> impl Iterator<Item = (&str, &str)> {
     text.lines().filter_map(|line| line.split_once('='))
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,24 +1,25 @@
-//! The adapter as a process: batches go in byte by byte, replies or one line of error come out.
+//! Tests of the adapter as a process: batches on standard input, and replies on standard output or one line on standard
+//! error.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 use test_case::test_case;
 
-/// Time of all batches.
+/// Time of all batches, as the hexadecimal digits of a `u64` in microseconds.
 const NOW: &str = "5a5c800000000000";
 /// Settings of an instance with one listener.
 const SETTINGS: &str = "discovery=pushed\ninstances=1\nself_index=0\nlisteners.count=1\nlisteners.0.semantics=read_like\n\
     listeners.0.handshake_target=800000\nrules.cold=8900000\nrules.cold_share=0.31\nrules.tip_multiple=4.0\n\
     permissions.max_dials=4\nspecifics.message_aim=null\nnot.known=1\n";
-/// A session for a listener that the settings don't have.
+/// A session for listener 7, which [`SETTINGS`] doesn't have.
 const UNKNOWN_LISTENER: &str = "1e0300 0000000000000000 07";
-/// An entry of the endpoint list.
+/// An entry of the endpoint list: a ready server.
 const READY_ENDPOINT: &str = "0a124a07c32b00000000000 10000803f0000000000000000";
 /// A session for listener 0 of instance 3.
 const SESSION_REQUEST: &str =
     "1e0300c4913a5d35b00e00000000640ad2557c3bf091da05c40000000000e02e0000107cf3d901648e2b01";
 
-/// The bytes of hexadecimal digits, which may be spaced.
+/// Decodes hexadecimal digits, which may contain whitespace.
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text
         .bytes()
@@ -30,14 +31,14 @@
         .collect()
 }
 
-/// An event record, filled up with zeros.
+/// An event record, padded with zeros to 56 bytes.
 fn record(text: &str) -> Vec<u8> {
     let mut bytes = hex(text);
     bytes.resize(56, 0);
     bytes
 }
 
-/// A batch with its header.
+/// A batch at the time [`NOW`], with its header.
 fn batch(number: u32, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let body = [records.concat(), tail.to_vec()].concat();
     let header = [number, body.len() as u32, records.len() as u32]
@@ -57,7 +58,7 @@
     )
 }
 
-/// A number as four bytes, in hexadecimal digits.
+/// The hexadecimal digits of a number as a little-endian `u32`.
 fn u32_hex(number: usize) -> String {
     (number as u32)
         .to_le_bytes()
@@ -66,7 +67,7 @@
         .collect()
 }
 
-/// Runs the adapter on the whole input.
+/// Runs the adapter with `input` on standard input, until it exits.
 fn run(input: &[u8]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_asterramp-simulator-adapter"));
     let piped = command
@@ -121,14 +122,16 @@
 #[test_case([start_instance(SETTINGS), batch(2, &[record(UNKNOWN_LISTENER)], &[])].concat(), "no listener 7"; "a listener that the settings lack")]
 #[test_case(start_instance(&SETTINGS.replace("instances=1", "instances=x")), "setting instances"; "a setting that cannot be read")]
 #[test_case(start_instance(&SETTINGS.replace("rules.cold=", "old=")), "setting rules.cold is missing"; "a setting that is missing")]
-fn malformed_input_ends_the_program_with_one_line_that_names_the_fault(
+fn malformed_input_ends_the_program_with_one_line_that_names_the_error(
     input: Vec<u8>,
-    fault: &str,
+    expected_error: &str,
 ) {
     let output = run(&input);
     let message = String::from_utf8(output.stderr).unwrap();
     assert!(
-        !output.status.success() && message.contains(fault) && message.lines().count() == 1,
+        !output.status.success()
+            && message.contains(expected_error)
+            && message.lines().count() == 1,
         "{message}"
     );
 }
