--- a/crates/model-checker/src/action_text.rs
+++ b/crates/model-checker/src/action_text.rs
@@ -52,20 +52,24 @@
 impl fmt::Display for Action {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match *self {
-            Action::SessionArrives(s) => write!(f, "session {s} arrives"),
-            Action::DialConnected(s) => write!(f, "session {s} dial connected"),
-            Action::DialRefused(s) => write!(f, "session {s} dial refused"),
-            Action::DialWithoutSocket(s) => write!(f, "session {s} dial without socket"),
-            Action::RequestWritten(s) => write!(f, "session {s} line written"),
-            Action::ServerAnswers(s, message) => {
+            Action::SessionArrives(session) => write!(f, "session {session} arrives"),
+            Action::DialConnected(session) => write!(f, "session {session} dial connected"),
+            Action::DialRefused(session) => write!(f, "session {session} dial refused"),
+            Action::DialWithoutSocket(session) => {
+                write!(f, "session {session} dial without socket")
+            }
+            Action::RequestWritten(session) => write!(f, "session {session} line written"),
+            Action::ServerAnswers(session, message) => {
                 let word = word_for(&SERVER_MESSAGES, message);
-                write!(f, "session {s} host says {word}")
+                write!(f, "session {session} host says {word}")
+            }
+            Action::ServerCloses(session) => write!(f, "session {session} host ends"),
+            Action::ClientLeaves(session) => write!(f, "session {session} client leaves"),
+            Action::ClientSendsEarly(session) => write!(f, "session {session} client speaks"),
+            Action::ClientLeavesUnnoticed(session) => {
+                write!(f, "session {session} client leaves unseen")
             }
-            Action::ServerCloses(s) => write!(f, "session {s} host ends"),
-            Action::ClientLeaves(s) => write!(f, "session {s} client leaves"),
-            Action::ClientSendsEarly(s) => write!(f, "session {s} client speaks"),
-            Action::ClientLeavesUnnoticed(s) => write!(f, "session {s} client leaves unseen"),
-            Action::StaleEvent(s) => write!(f, "session {s} closed connection wakes"),
+            Action::StaleEvent(session) => write!(f, "session {session} closed connection wakes"),
             Action::EndpointChanges(server, change) => {
                 let word = word_for(&ENDPOINT_CHANGES, change);
                 write!(f, "host {server} told {word}")
