--- a/crates/model-checker/src/leader_lease/situation.rs
+++ b/crates/model-checker/src/leader_lease/situation.rs
@@ -41,7 +41,8 @@
     /// An order of the leader is in flight. The store has lost all sessions, and only the standby has queued again; the
     /// store's answer to its request is in flight.
     SessionsLost,
-    /// As `SessionsLost`, and the standby has announced its new term to one receiver; that order is in flight too.
+    /// As `SessionsLost`, but the standby has received the answer and has announced its new term to one receiver. That
+    /// order is in flight too.
     TermAnnounced,
 }
 
--- a/crates/model-checker/src/zone_failover/model.rs
+++ b/crates/model-checker/src/zone_failover/model.rs
@@ -13,9 +13,9 @@
 
 /// Servers that must have failed since their zone's last response before the zone may be closed; all of its servers if
 /// it has fewer.
-const MIN_FAILURE_SIGNS: u8 = 3;
+const MIN_FAILED_SERVERS: u8 = 3;
 /// A zone that is closed again within this time after its previous closing must be held down before it is reopened.
-const LOST_AGAIN_WITHIN: Duration = Duration::from_secs(20);
+const REPEATED_LOSS_WINDOW: Duration = Duration::from_secs(20);
 /// Most probes that may follow from one action. More of them are reported as an endless loop of probes.
 const MAX_PROBES_PER_ACTION: usize = 4 * ZONE_COUNT;
 /// A recovering zone's share, as a fraction of its regular traffic, must not rise from below `RAMP_LOW_SHARE` to above
@@ -28,7 +28,7 @@
 pub(super) struct ZoneServer {
     /// Whether the server is up and answers requests and probes.
     pub(super) responds: bool,
-    /// Whether the server is counted in its zone's `failure_signs`.
+    /// Whether the server is counted in its zone's `failed_servers`.
     has_failed: bool,
 }
 
@@ -37,16 +37,16 @@
 pub(super) struct ObservedZone {
     pub(super) is_listed: bool,
     /// Servers of the zone that failed since its last response.
-    failure_signs: u8,
+    failed_servers: u8,
     /// When a server of the zone last responded.
     last_response: Duration,
-    /// When the first failure in `failure_signs` was observed.
+    /// When the first failure in `failed_servers` was observed.
     first_failure: Duration,
     /// The fraction of its regular traffic that the zone gets, from 0 (closed) to 1.
     share: f64,
     /// When the zone was last closed; `None` if it never was.
     closed_at: Option<Duration>,
-    /// Closings in a row, each within `LOST_AGAIN_WITHIN` of the one before.
+    /// Closings in a row, each within `REPEATED_LOSS_WINDOW` of the one before.
     consecutive_losses: u32,
 }
 
@@ -95,7 +95,7 @@
         };
         let zone = ObservedZone {
             is_listed: true,
-            failure_signs: 0,
+            failed_servers: 0,
             last_response: START_TIME,
             first_failure: START_TIME,
             share: 1.0,
@@ -165,19 +165,19 @@
     fn observe_response(&mut self, server: usize) {
         self.servers[server].has_failed = false;
         let zone = &mut self.zones[usize::from(ZONE_OF_SERVER[server])];
-        zone.failure_signs = 0;
+        zone.failed_servers = 0;
         zone.last_response = self.now;
     }
 
     fn observe_failure(&mut self, server: usize) {
         let zone_id = ZONE_OF_SERVER[server];
         let zone = &mut self.zones[usize::from(zone_id)];
-        if zone.failure_signs == 0 {
+        if zone.failed_servers == 0 {
             // Failures before the zone's last response are no longer counted.
             zone.first_failure = self.now;
             servers_in_zone(zone_id).for_each(|other| self.servers[other].has_failed = false);
         }
-        zone.failure_signs += u8::from(!self.servers[server].has_failed);
+        zone.failed_servers += u8::from(!self.servers[server].has_failed);
         self.servers[server].has_failed = true;
     }
 
@@ -222,10 +222,10 @@
     fn record_closing(&mut self, zone_id: ZoneId) {
         let zone = self.zones[usize::from(zone_id)];
         let servers = servers_in_zone(zone_id).count() as u8;
-        if zone.failure_signs < servers.min(MIN_FAILURE_SIGNS) {
+        if zone.failed_servers < servers.min(MIN_FAILED_SERVERS) {
             self.record_violation(ZoneViolation::ClosedTooEarly {
                 zone: zone_id,
-                failure_signs: zone.failure_signs,
+                failed_servers: zone.failed_servers,
             });
         }
         let no_other_responded = self
@@ -236,7 +236,7 @@
         }
         let is_lost_again = zone
             .closed_at
-            .is_some_and(|closed_at| self.now < closed_at + LOST_AGAIN_WITHIN);
+            .is_some_and(|closed_at| self.now < closed_at + REPEATED_LOSS_WINDOW);
         let zone = &mut self.zones[usize::from(zone_id)];
         zone.consecutive_losses = if is_lost_again {
             zone.consecutive_losses + 1
@@ -325,7 +325,7 @@
     pub(super) fn fingerprint_text(&self) -> String {
         let age = |at: Duration| (self.now - at).as_millis();
         let zones = self.zones.map(|zone| {
-            let observed = (zone.is_listed, zone.failure_signs);
+            let observed = (zone.is_listed, zone.failed_servers);
             let decided = (zone.share, zone.consecutive_losses, zone.closed_at.map(age));
             let ages = (age(zone.last_response), age(zone.first_failure));
             (observed, decided, ages)
--- a/crates/model-checker/src/zone_failover/violation.rs
+++ b/crates/model-checker/src/zone_failover/violation.rs
@@ -13,12 +13,12 @@
         probes: usize,
     },
     /// A zone is closed though too few of its servers have failed.
-    #[error("place {zone} is given up at {failure_signs} signs")]
+    #[error("place {zone} is given up at {failed_servers} signs")]
     ClosedTooEarly {
         /// The zone.
         zone: ZoneId,
         /// Servers of the zone that failed since its last response.
-        failure_signs: u8,
+        failed_servers: u8,
     },
     /// A zone is closed though no other zone has responded since its first failure, so the proxy itself may be
     /// disconnected.
--- a/crates/model-checker/tests/counterexample_lines.rs
+++ b/crates/model-checker/tests/counterexample_lines.rs
@@ -104,7 +104,7 @@
 }
 
 #[test_case(ZoneViolation::TooManyProbes { probes: 15 }, "15 looks in one step")]
-#[test_case(ZoneViolation::ClosedTooEarly { zone: 1, failure_signs: 2 }, "place 1 is given up at 2 signs")]
+#[test_case(ZoneViolation::ClosedTooEarly { zone: 1, failed_servers: 2 }, "place 1 is given up at 2 signs")]
 #[test_case(ZoneViolation::ClosedWhileDisconnected { zone: 0 }, "place 0 is given up though nobody answers anywhere")]
 #[test_case(ZoneViolation::OpenedDuringHoldDown { zone: 0 }, "place 0 fell again and is opened at once")]
 #[test_case(ZoneViolation::ShareRampTooSteep { zone: 0, before: 1.0 / 6.0, after: 1.0 }, "place 0 goes from 0.17 to 1.00")]
