--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -3,7 +3,7 @@
 //! they work together. A host is the testbed's word for a server on which sessions are placed.
 //!
 //! - [`scenario`] reads the description of a run, [`plan`] draws clients and faults from it, [`context`] holds the state
-//! that the actors of a run share.
+//!   that the actors of a run share.
 //! - [`host`], [`client`], [`front_balancer`], [`discovery`] and [`link`] are the actors; [`testbed`] owns them.
 //! - [`proxy_process`] runs the program under test; [`plain_proxy`] is a simple proxy to compare it with.
 //! - [`run`] executes a scenario from start to end.
