--- a/crates/testbed/src/commands/outcome.rs
+++ b/crates/testbed/src/commands/outcome.rs
@@ -12,7 +12,7 @@
     RulesHeld,
     /// A rule was broken.
     RuleBroken,
-    /// The testbed ran too late, so the results say nothing about the proxies.
+    /// The testbed ran too late, so the results are invalid.
     Void,
 }
 
--- a/crates/testbed/src/proxy_process/addresses.rs
+++ b/crates/testbed/src/proxy_process/addresses.rs
@@ -14,11 +14,11 @@
 const PORT_COUNT: u32 = 10_000;
 /// Second byte of the IP addresses of this process's first run.
 const FIRST_RUN_BYTE: u8 = 60;
-/// Runs of this process after which the second byte of the IP addresses repeats; the most runs that can go on at once.
+/// Runs of this process after which the second byte of the IP addresses repeats; the most concurrent runs.
 const RUN_BYTES: u8 = 120;
 /// Addresses used of each block of 256, that is, with the same third byte.
 const ADDRESSES_PER_BLOCK: u32 = 250;
-/// Bit of the third byte that tells the IP address of a proxy's admin HTTP server from that of its listener.
+/// Bit of the third byte by which the IP address of a proxy's admin HTTP server differs from that of its listener.
 const OPERATOR_BIT: u8 = 0x80;
 
 /// A proxy's zone, and its address for clients.
@@ -56,7 +56,7 @@
     ))
 }
 
-/// The path of the file whose presence asks for a restart of a proxy; the restart command of a roll creates it.
+/// The path of the file whose presence requests a restart of a proxy; the restart command of a roll creates it.
 pub(super) fn restart_request_path(admin_socket: &Path) -> PathBuf {
     admin_socket.with_extension("restart")
 }
--- a/crates/testbed/src/proxy_process/command.rs
+++ b/crates/testbed/src/proxy_process/command.rs
@@ -19,7 +19,7 @@
     Reload,
     /// Starts a successor that takes over from the process.
     HotRestart {
-        /// How long after its start the successor is killed, in which case the predecessor serves on; absent: never.
+        /// How long after its start the successor is killed, in which case the predecessor continues to serve; absent: never.
         killed_after: Option<Duration>,
     },
     /// Drains the proxy by a request at its admin socket.
--- a/crates/testbed/src/proxy_process/hot_restart.rs
+++ b/crates/testbed/src/proxy_process/hot_restart.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Time that a successor has to become ready; it is killed after that, and the predecessor serves on.
+/// Time that a successor has to become ready; it is killed after that, and the predecessor continues to serve.
 const READY_TIMEOUT: Duration = Duration::from_secs(6);
 /// Pause between two readiness requests to a successor.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -49,7 +49,7 @@
             }
         };
         if startup_time.is_none() {
-            // The predecessor serves on, as it has not been told to shut down.
+            // The predecessor continues to serve, as it has not been sent SIGTERM.
             self.kill_process(&mut successor.child).await;
             let successor_socket = std::mem::replace(&mut self.admin_socket, predecessor_socket);
             let _ = std::fs::remove_file(successor_socket);
--- a/crates/testbed/src/proxy_process/operator_file.rs
+++ b/crates/testbed/src/proxy_process/operator_file.rs
@@ -9,7 +9,7 @@
 pub(super) struct OperatorFile<'a> {
     /// The plan of the run, whose drains need the admin socket.
     pub(super) plan: &'a Plan,
-    /// What the scenario asks of all proxies.
+    /// The scenario's settings of all proxies.
     pub(super) proxies: &'a Proxies,
     /// The path of the proxy's admin socket.
     pub(super) admin_socket: &'a Path,
--- a/crates/testbed/src/run/faults/schedule.rs
+++ b/crates/testbed/src/run/faults/schedule.rs
@@ -16,6 +16,7 @@
     at: Duration,
     /// The fault's number in the plan.
     fault: usize,
+    /// Whether the fault begins, or else ends.
     begins: bool,
 }
 
--- a/crates/testbed/src/run/outcome.rs
+++ b/crates/testbed/src/run/outcome.rs
@@ -19,7 +19,7 @@
     pub verdict: Verdict,
     /// The greatest lateness of the testbed itself.
     pub testbed_lateness: Duration,
-    /// Whether the lateness exceeds what the scenario allows; the results then say nothing about the proxies.
+    /// Whether the lateness exceeds what the scenario allows; the results are then invalid.
     pub is_void: bool,
     /// The resource usage of each proxy, about once a second.
     pub proxy_usage: Vec<Vec<ResourceUsage>>,
--- a/crates/testbed/src/scale/point.rs
+++ b/crates/testbed/src/scale/point.rs
@@ -42,7 +42,7 @@
     /// The greatest lateness of the testbed, in milliseconds.
     #[serde(rename = "rig_late_ms")]
     pub testbed_late_ms: f64,
-    /// Whether the testbed was so late that the measurements say nothing about the proxies.
+    /// Whether the testbed was so late that the measurements are invalid.
     pub void: bool,
     /// Whether no rule was broken.
     pub rules_held: bool,
