--- a/crates/zookeeper/src/frame.rs
+++ b/crates/zookeeper/src/frame.rs
@@ -1,32 +1,32 @@
-//! Frames: a record behind its length, which is four bytes, big-endian.
+//! Frames: each record is preceded by its length in bytes, a big-endian integer of four bytes.
 
 use crate::jute::DecodeError;
 
-/// Longest frame that is accepted, in bytes: a list of some thousand children, well above a store's own limit of a
-/// mebibyte.
+/// Longest record that is accepted, in bytes without the length prefix. A list of some thousand children fits, and it is
+/// well above a store's own limit of 1 MiB.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
-/// Bytes of a frame's length.
-const PREFIX_LENGTH: usize = 4;
+/// Bytes of the length prefix of a frame.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Appends the frame of the record that `record` appends.
-pub fn write_frame(out: &mut Vec<u8>, record: impl FnOnce(&mut Vec<u8>)) {
+/// Appends a frame: the length prefix, and the record that `write_record` appends.
+pub fn write_frame(out: &mut Vec<u8>, write_record: impl FnOnce(&mut Vec<u8>)) {
     let start = out.len();
-    out.extend([0; PREFIX_LENGTH]);
-    record(out);
-    let length = (out.len() - start - PREFIX_LENGTH) as u32;
-    out[start..start + PREFIX_LENGTH].copy_from_slice(&length.to_be_bytes());
+    out.extend([0; LENGTH_PREFIX_BYTES]);
+    write_record(out);
+    let length = (out.len() - start - LENGTH_PREFIX_BYTES) as u32;
+    out[start..start + LENGTH_PREFIX_BYTES].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Cuts a stream that comes in pieces of any size into frames.
+/// Splits a byte stream, received in pieces of any size, into frames.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     bytes: Vec<u8>,
-    /// Where the bytes begin that were not returned yet.
+    /// Offset in `bytes` of the first byte that has not been returned yet.
     start: usize,
 }
 
 impl FrameReader {
-    /// Adds bytes of the stream.
+    /// Adds the next bytes of the stream.
     pub fn append(&mut self, more: &[u8]) {
         if self.start > 0 {
             self.bytes.drain(..self.start);
@@ -35,11 +35,11 @@
         self.bytes.extend_from_slice(more);
     }
 
-    /// The next complete frame without its length.
+    /// Returns the next frame without its length prefix, or `None` until all of its bytes have been received.
     ///
-    /// Fails where its length is negative or above [`MAX_FRAME_BYTES`], as soon as the length is there.
+    /// Fails if the length is negative or above [`MAX_FRAME_BYTES`], as soon as the prefix has been received.
     pub fn next_frame(&mut self) -> Result<Option<&[u8]>, DecodeError> {
-        let Some(prefix) = self.bytes[self.start..].first_chunk::<PREFIX_LENGTH>() else {
+        let Some(prefix) = self.bytes[self.start..].first_chunk::<LENGTH_PREFIX_BYTES>() else {
             return Ok(None);
         };
         let length = i32::from_be_bytes(*prefix);
@@ -47,7 +47,7 @@
             .ok()
             .filter(|length| *length <= MAX_FRAME_BYTES)
             .ok_or(DecodeError::InvalidLength(length))?;
-        let from = self.start + PREFIX_LENGTH;
+        let from = self.start + LENGTH_PREFIX_BYTES;
         let to = from + record_length;
         if self.bytes.len() < to {
             return Ok(None);
@@ -56,7 +56,7 @@
         Ok(Some(&self.bytes[from..to]))
     }
 
-    /// How many bytes wait for the rest of their frame.
+    /// How many received bytes have not been returned as a frame.
     pub fn buffered_bytes(&self) -> usize {
         self.bytes.len() - self.start
     }
--- a/crates/zookeeper/src/session/mod.rs
+++ b/crates/zookeeper/src/session/mod.rs
@@ -1,5 +1,5 @@
-//! A client's session with a store, over one connection after the other. No I/O and no clock: what happens comes in
-//! with the time, effects go out, and whoever drives the session has the sockets.
+//! A client's session with a store, over successive connections. No I/O and no clock: the caller owns the sockets, reports
+//! what happens together with the present time, and performs the effects that the session returns.
 
 mod watches;
 
@@ -13,74 +13,77 @@
 use std::time::Duration;
 use watches::WatchedPaths;
 
-/// Longest that a connection may take to be established, and again for the store to answer the handshake.
+/// Longest time that a connection may take to be established, and again that the store may take to respond to the
+/// handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Delay before the second attempt to connect; it doubles with each that fails.
+/// Delay after the first failed connection, before jitter; it doubles with each further failure.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
-/// Bound of that delay, before it is spread.
+/// Longest delay between two connections, before jitter.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(5);
-/// After so many doublings the delay is above its bound.
-const MAX_DOUBLINGS: u32 = 7;
-/// Most requests that may wait for a response.
+/// Most doublings of the delay: it is above [`MAX_RECONNECT_DELAY`] by then, and more doublings could overflow.
+const MAX_DELAY_DOUBLINGS: u32 = 7;
+/// Most requests that may wait for a response; further ones are rejected.
 pub const MAX_PENDING_REQUESTS: usize = 4_096;
 /// Bytes of a session's password.
-const PASSWORD_LENGTH: usize = 16;
+const PASSWORD_BYTES: usize = 16;
 
-/// Where a session stands.
+/// State of a session and its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreSessionState {
-    /// Waits before the next address is tried.
+    /// The session waits before it connects to the next address.
     BackingOff,
     /// A connection is being established.
     Connecting,
-    /// The connection is established, and the store has not answered the handshake.
+    /// The connection is established, and the store has not responded to the handshake yet.
     Handshaking,
-    /// The session stands.
+    /// The store has accepted the session; requests can be sent.
     Connected,
     /// The client has closed the session.
     Closed,
 }
 
-/// What a session wants done, or reports.
+/// An action for the caller to perform, or an event that the session reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreSessionEffect {
-    /// Connect to the address with this index.
+    /// Connect to the store's address with this index, from 0 to below
+    /// [`address_count`](StoreSessionSettings::address_count).
     Connect(usize),
     /// Send these bytes over the connection.
     Send(Vec<u8>),
     /// Close the connection.
     CloseConnection,
-    /// The session stands.
+    /// The store has accepted the session.
     Established {
-        /// It is a new one, of which the store knows no watches and no ephemeral nodes.
+        /// Whether the session is a new one, without watches or ephemeral nodes at the store.
         new: bool,
     },
-    /// The connection is lost. Nothing is known to have changed by that.
+    /// The connection of an established session is lost. The session and its ephemeral nodes may still exist at the store.
     ConnectionLost,
-    /// This client's session has expired at the store, which says nothing of other clients'.
+    /// This client's session has expired at the store. Sessions of other clients are not concerned.
     Expired,
     /// The store has responded to a request.
     ResponseReceived {
         /// The request's number.
         xid: i32,
-        /// The response, or why the store did not do it.
+        /// The response, or why the store did not perform the request.
         response: Result<StoreResponse, StoreError>,
     },
-    /// The connection broke before the response: the request may have been done or not.
+    /// The connection broke before the response came: whether the store performed the request is unknown.
     ResponseLost {
         /// The request's number.
         xid: i32,
     },
-    /// A watch has fired.
+    /// The store has sent a watch event.
     WatchTriggered(WatchEvent),
-    /// What came can't be decoded or was not requested; a text for the log.
+    /// The store sent bytes that can't be decoded, rejected a ping, an authentication or the setting of watches, or sent a
+    /// response to no pending request. The text is for the log.
     ProtocolError(String),
 }
 
-/// A store's response to a request that it has done.
+/// A store's response to a request that it has performed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreResponse {
-    /// To a request without a result.
+    /// The request has no result, or, for a [`StoreRequest::Multi`], its results are not decoded.
     Empty,
     /// The path of the created node.
     Created(String),
@@ -92,67 +95,71 @@
     Children(Vec<String>, NodeStat),
 }
 
-/// What a session is opened with.
+/// Settings of a session.
 #[derive(Clone, Debug)]
 pub struct StoreSessionSettings {
-    /// How many addresses the store has; they are tried one after the other.
+    /// How many addresses the store has; they are tried in turn. 0 counts as 1.
     pub address_count: usize,
-    /// The time that is requested of the store after which a silent session expires.
+    /// Session timeout to request: the store ends a session from which it has received nothing for this long. The store may
+    /// grant another one.
     pub timeout: Duration,
-    /// The scheme and the secret to authenticate with.
+    /// The scheme and the secret to authenticate with; `None` to not authenticate.
     pub auth: Option<(String, Vec<u8>)>,
 }
 
-/// The state machine of a client's session.
+/// State machine of a client's session with the store.
 #[derive(Debug)]
 pub struct StoreSession {
     settings: StoreSessionSettings,
     state: StoreSessionState,
-    /// The address that is connected to, or is tried next.
-    address: usize,
-    /// Addresses that failed since a session stood.
+    /// Index of the address that is connected to, or of the next one to connect to.
+    address_index: usize,
+    /// Failed connections since the session was last established.
     failed_attempts: u32,
-    /// When the present state ends by itself.
-    state_ends: Duration,
+    /// When the present state times out; unused in `Connected` and `Closed`.
+    state_deadline: Duration,
+    /// When the last bytes were received.
     last_received: Duration,
+    /// When the last request was sent, or the session was established.
     last_sent: Duration,
-    /// The timeout that the store has granted.
+    /// The session timeout that the store has granted; the requested one before the first handshake.
     timeout: Duration,
-    /// 0 for none.
+    /// 0 while there is no session.
     session_id: i64,
     password: Vec<u8>,
-    /// The last transaction that was seen.
+    /// The last transaction that the store has reported.
     last_zxid: i64,
-    /// The last request's number.
+    /// Number of the last request.
     last_xid: i32,
     frames: FrameReader,
-    /// Requests without a response yet.
+    /// Requests without a response yet, by number.
     pending: BTreeMap<i32, StoreRequest>,
     watched: WatchedPaths,
-    /// State of the pseudorandom numbers that spread the delays.
+    /// State of the pseudorandom generator for the jitter of reconnect delays; never 0, which xorshift can't leave.
     random_state: u64,
 }
 
 impl StoreSession {
-    /// Begins by connecting; `seed` chooses the first address and spreads the delays.
+    /// Creates a session and at once requests its first connection. `seed` chooses the first address and the jitter of
+    /// reconnect delays.
     pub fn new(
         now: Duration,
         settings: StoreSessionSettings,
         seed: u64,
-        out: &mut Vec<StoreSessionEffect>,
+        effects: &mut Vec<StoreSessionEffect>,
     ) -> StoreSession {
         let address_count = settings.address_count.max(1);
         let mut session = StoreSession {
             timeout: settings.timeout,
             settings,
             state: StoreSessionState::BackingOff,
-            address: (seed % address_count as u64) as usize,
+            address_index: (seed % address_count as u64) as usize,
             failed_attempts: 0,
-            state_ends: now,
+            state_deadline: now,
             last_received: now,
             last_sent: now,
             session_id: 0,
-            password: vec![0; PASSWORD_LENGTH],
+            password: vec![0; PASSWORD_BYTES],
             last_zxid: 0,
             last_xid: 0,
             frames: FrameReader::default(),
@@ -160,40 +167,42 @@
             watched: WatchedPaths::default(),
             random_state: seed | 1,
         };
-        session.tick(now, out);
+        session.tick(now, effects);
         session
     }
 
-    /// Where the session stands.
+    /// The state of the session and its connection.
     pub fn state(&self) -> StoreSessionState {
         self.state
     }
 
-    /// When [`tick`](StoreSession::tick) has to be called next.
+    /// When [`tick`](StoreSession::tick) has to be called next; [`Duration::MAX`] for a closed session.
     pub fn next_tick_due(&self) -> Duration {
         match self.state {
-            StoreSessionState::Connected => self.ping_due().min(self.silence_ends()),
+            StoreSessionState::Connected => self.ping_due().min(self.receive_deadline()),
             StoreSessionState::Closed => Duration::MAX,
-            _ => self.state_ends,
+            _ => self.state_deadline,
         }
     }
 
-    /// A ping is sent after a third of the timeout.
+    /// When a ping is due: after a third of the timeout without a request.
     fn ping_due(&self) -> Duration {
         self.last_sent + self.timeout / 3
     }
 
-    /// The connection counts as lost after two thirds of the timeout, so that the rest is left for another.
-    fn silence_ends(&self) -> Duration {
+    /// When a silent connection counts as lost: after two thirds of the timeout, so that the last third is left to resume the
+    /// session over another connection.
+    fn receive_deadline(&self) -> Duration {
         self.last_received + self.timeout * 2 / 3
     }
 
-    /// Sends a request and returns its number; `None` where no session stands or too many requests are pending.
+    /// Sends a request and returns its number; `None` if the session is not connected or [`MAX_PENDING_REQUESTS`] requests
+    /// are pending.
     pub fn request(
         &mut self,
         now: Duration,
         request: StoreRequest,
-        out: &mut Vec<StoreSessionEffect>,
+        effects: &mut Vec<StoreSessionEffect>,
     ) -> Option<i32> {
         if self.state != StoreSessionState::Connected || self.pending.len() >= MAX_PENDING_REQUESTS
         {
@@ -204,30 +213,30 @@
         } else {
             self.last_xid + 1
         };
-        self.send(now, self.last_xid, &request, out);
+        self.send(now, self.last_xid, &request, effects);
         self.pending.insert(self.last_xid, request);
         Some(self.last_xid)
     }
 
-    /// Closes the session at the store too, so that its ephemeral nodes vanish at once.
-    pub fn close(&mut self, now: Duration, out: &mut Vec<StoreSessionEffect>) {
+    /// Closes the session. If it is connected, a close request is sent too, so that the store deletes its ephemeral nodes at once.
+    pub fn close(&mut self, now: Duration, effects: &mut Vec<StoreSessionEffect>) {
         if self.state == StoreSessionState::Connected {
             let xid = self.last_xid.wrapping_add(1);
-            self.send(now, xid, &StoreRequest::Close, out);
+            self.send(now, xid, &StoreRequest::Close, effects);
         }
         if self.state != StoreSessionState::Closed {
             self.state = StoreSessionState::Closed;
-            out.push(StoreSessionEffect::CloseConnection);
+            effects.push(StoreSessionEffect::CloseConnection);
         }
     }
 
-    /// The connection is established.
-    pub fn connection_opened(&mut self, now: Duration, out: &mut Vec<StoreSessionEffect>) {
+    /// Called by the driver once the requested connection is established; sends the handshake.
+    pub fn connection_opened(&mut self, now: Duration, effects: &mut Vec<StoreSessionEffect>) {
         if self.state != StoreSessionState::Connecting {
             return;
         }
         self.state = StoreSessionState::Handshaking;
-        self.state_ends = now + CONNECT_TIMEOUT;
+        self.state_deadline = now + CONNECT_TIMEOUT;
         self.frames = FrameReader::default();
         let connect = ConnectRequest {
             last_zxid: self.last_zxid,
@@ -237,48 +246,48 @@
         };
         let mut bytes = Vec::new();
         write_frame(&mut bytes, |out| connect.write(out));
-        out.push(StoreSessionEffect::Send(bytes));
+        effects.push(StoreSessionEffect::Send(bytes));
     }
 
-    /// The connection could not be established, or broke.
-    pub fn connection_failed(&mut self, now: Duration, out: &mut Vec<StoreSessionEffect>) {
+    /// Called by the driver when the connection could not be established, or broke.
+    pub fn connection_failed(&mut self, now: Duration, effects: &mut Vec<StoreSessionEffect>) {
         match self.state {
             StoreSessionState::Closed | StoreSessionState::BackingOff => return,
-            StoreSessionState::Connected => out.push(StoreSessionEffect::ConnectionLost),
+            StoreSessionState::Connected => effects.push(StoreSessionEffect::ConnectionLost),
             StoreSessionState::Connecting | StoreSessionState::Handshaking => {}
         }
-        // Whether the pending requests were done can't be known now.
+        // Whether the store performed the pending requests can't be known.
         for xid in std::mem::take(&mut self.pending).into_keys() {
-            out.push(StoreSessionEffect::ResponseLost { xid });
+            effects.push(StoreSessionEffect::ResponseLost { xid });
         }
         self.state = StoreSessionState::BackingOff;
-        self.address = (self.address + 1) % self.settings.address_count.max(1);
-        let doublings = self.failed_attempts.min(MAX_DOUBLINGS);
+        self.address_index = (self.address_index + 1) % self.settings.address_count.max(1);
+        let doublings = self.failed_attempts.min(MAX_DELAY_DOUBLINGS);
         let delay = (MIN_RECONNECT_DELAY * (1 << doublings)).min(MAX_RECONNECT_DELAY);
         self.failed_attempts = self.failed_attempts.saturating_add(1);
-        // Spread, or all clients would meet at a store that has just recovered.
-        self.state_ends = now + delay.mul_f64(0.5 + self.random());
-        out.push(StoreSessionEffect::CloseConnection);
+        // Jitter between half and one and a half of the delay, or all clients would reconnect to a recovered store at once.
+        self.state_deadline = now + delay.mul_f64(0.5 + self.random());
+        effects.push(StoreSessionEffect::CloseConnection);
     }
 
-    /// Does what is due at a time.
-    pub fn tick(&mut self, now: Duration, out: &mut Vec<StoreSessionEffect>) {
+    /// Connects, times out or sends a ping if that is due at `now`.
+    pub fn tick(&mut self, now: Duration, effects: &mut Vec<StoreSessionEffect>) {
         match self.state {
-            StoreSessionState::BackingOff if now >= self.state_ends => {
+            StoreSessionState::BackingOff if now >= self.state_deadline => {
                 self.state = StoreSessionState::Connecting;
-                self.state_ends = now + CONNECT_TIMEOUT;
-                out.push(StoreSessionEffect::Connect(self.address));
+                self.state_deadline = now + CONNECT_TIMEOUT;
+                effects.push(StoreSessionEffect::Connect(self.address_index));
             }
             StoreSessionState::Connecting | StoreSessionState::Handshaking
-                if now >= self.state_ends =>
+                if now >= self.state_deadline =>
             {
-                self.connection_failed(now, out);
+                self.connection_failed(now, effects);
             }
-            StoreSessionState::Connected if now >= self.silence_ends() => {
-                self.connection_failed(now, out);
+            StoreSessionState::Connected if now >= self.receive_deadline() => {
+                self.connection_failed(now, effects);
             }
             StoreSessionState::Connected if now >= self.ping_due() => {
-                self.send(now, XID_PING, &StoreRequest::Ping, out);
+                self.send(now, XID_PING, &StoreRequest::Ping, effects);
             }
             _ => {}
         }
@@ -291,8 +300,8 @@
         )
     }
 
-    /// Takes bytes that came over the connection, in pieces of any size.
-    pub fn receive(&mut self, now: Duration, bytes: &[u8], out: &mut Vec<StoreSessionEffect>) {
+    /// Handles bytes received over the connection, in pieces of any size.
+    pub fn receive(&mut self, now: Duration, bytes: &[u8], effects: &mut Vec<StoreSessionEffect>) {
         if self.is_receiving() {
             self.last_received = now;
             self.frames.append(bytes);
@@ -301,15 +310,15 @@
             let frame = match self.frames.next_frame() {
                 Ok(Some(frame)) => frame.to_vec(),
                 Ok(None) => return,
-                Err(error) => return self.protocol_error(now, error, out),
+                Err(error) => return self.protocol_error(now, error, effects),
             };
             let result = if self.state == StoreSessionState::Handshaking {
-                self.finish_handshake(now, &frame, out)
+                self.finish_handshake(now, &frame, effects)
             } else {
-                self.take_reply(&frame, out)
+                self.handle_reply(&frame, effects)
             };
             if let Err(error) = result {
-                return self.protocol_error(now, error, out);
+                return self.protocol_error(now, error, effects);
             }
         }
     }
@@ -318,23 +327,23 @@
         &mut self,
         now: Duration,
         error: DecodeError,
-        out: &mut Vec<StoreSessionEffect>,
+        effects: &mut Vec<StoreSessionEffect>,
     ) {
-        out.push(StoreSessionEffect::ProtocolError(error.to_string()));
-        self.connection_failed(now, out);
+        effects.push(StoreSessionEffect::ProtocolError(error.to_string()));
+        self.connection_failed(now, effects);
     }
 
     fn finish_handshake(
         &mut self,
         now: Duration,
         frame: &[u8],
-        out: &mut Vec<StoreSessionEffect>,
+        effects: &mut Vec<StoreSessionEffect>,
     ) -> Result<(), DecodeError> {
         let response = ConnectResponse::read(frame)?;
         if response.timeout_ms <= 0 {
-            self.forget_session();
-            out.push(StoreSessionEffect::Expired);
-            self.connection_failed(now, out);
+            self.discard_session();
+            effects.push(StoreSessionEffect::Expired);
+            self.connection_failed(now, effects);
             return Ok(());
         }
         let new = self.session_id != response.session_id;
@@ -346,30 +355,35 @@
         self.last_received = now;
         self.last_sent = now;
         if let Some((scheme, secret)) = self.settings.auth.clone() {
-            self.send(now, XID_AUTH, &StoreRequest::Auth { scheme, secret }, out);
+            self.send(
+                now,
+                XID_AUTH,
+                &StoreRequest::Auth { scheme, secret },
+                effects,
+            );
         }
         if new {
             self.watched = WatchedPaths::default();
         } else if !self.watched.is_empty() {
             let request = self.watched.to_set_watches_request(self.last_zxid);
-            self.send(now, XID_SET_WATCHES, &request, out);
+            self.send(now, XID_SET_WATCHES, &request, effects);
         }
-        out.push(StoreSessionEffect::Established { new });
+        effects.push(StoreSessionEffect::Established { new });
         Ok(())
     }
 
-    /// The session has expired; the next connection asks for a new one.
-    fn forget_session(&mut self) {
+    /// Discards an expired session, so that the next connection requests a new one.
+    fn discard_session(&mut self) {
         self.session_id = 0;
-        self.password = vec![0; PASSWORD_LENGTH];
+        self.password = vec![0; PASSWORD_BYTES];
         self.last_zxid = 0;
         self.watched = WatchedPaths::default();
     }
 
-    fn take_reply(
+    fn handle_reply(
         &mut self,
         frame: &[u8],
-        out: &mut Vec<StoreSessionEffect>,
+        effects: &mut Vec<StoreSessionEffect>,
     ) -> Result<(), DecodeError> {
         let mut reader = JuteReader::new(frame);
         let header = ReplyHeader::read(&mut reader)?;
@@ -378,8 +392,8 @@
         match header.xid {
             XID_PING | XID_AUTH | XID_SET_WATCHES => {
                 if let Some(error) = error {
-                    let text = format!("the store refuses {}: {error}", header.xid);
-                    out.push(StoreSessionEffect::ProtocolError(text));
+                    let text = format!("store rejected request with xid {}: {error}", header.xid);
+                    effects.push(StoreSessionEffect::ProtocolError(text));
                 }
                 Ok(())
             }
@@ -387,32 +401,32 @@
                 let event = WatchEvent::read(&mut reader)?;
                 reader.finish()?;
                 self.watched.remove_triggered(&event);
-                out.push(StoreSessionEffect::WatchTriggered(event));
+                effects.push(StoreSessionEffect::WatchTriggered(event));
                 Ok(())
             }
-            xid => self.take_response(xid, error, &mut reader, out),
+            xid => self.handle_response(xid, error, &mut reader, effects),
         }
     }
 
-    fn take_response(
+    fn handle_response(
         &mut self,
         xid: i32,
         error: Option<StoreError>,
         reader: &mut JuteReader<'_>,
-        out: &mut Vec<StoreSessionEffect>,
+        effects: &mut Vec<StoreSessionEffect>,
     ) -> Result<(), DecodeError> {
         let Some(request) = self.pending.remove(&xid) else {
-            let text = format!("an answer to {xid}, which nobody asked");
-            out.push(StoreSessionEffect::ProtocolError(text));
+            let text = format!("response with xid {xid} matches no pending request");
+            effects.push(StoreSessionEffect::ProtocolError(text));
             return Ok(());
         };
-        // A request for a node that doesn't exist leaves a watch for its creation.
+        // `Exists` on a missing node fails, and still sets a watch for its creation.
         self.watched.add(&request, error);
         let response = match error {
             Some(error) => Err(error),
             None => Ok(read_response(&request, reader)?),
         };
-        out.push(StoreSessionEffect::ResponseReceived { xid, response });
+        effects.push(StoreSessionEffect::ResponseReceived { xid, response });
         Ok(())
     }
 
@@ -421,15 +435,15 @@
         now: Duration,
         xid: i32,
         request: &StoreRequest,
-        out: &mut Vec<StoreSessionEffect>,
+        effects: &mut Vec<StoreSessionEffect>,
     ) {
         let mut bytes = Vec::new();
         write_frame(&mut bytes, |out| request.write(xid, out));
         self.last_sent = now;
-        out.push(StoreSessionEffect::Send(bytes));
+        effects.push(StoreSessionEffect::Send(bytes));
     }
 
-    /// The next pseudorandom number from 0 to 1, by xorshift.
+    /// The next pseudorandom number, from 0 to below 1, by xorshift.
     fn random(&mut self) -> f64 {
         self.random_state ^= self.random_state << 13;
         self.random_state ^= self.random_state >> 7;
@@ -438,7 +452,7 @@
     }
 }
 
-/// Decodes what follows the header of a response without an error.
+/// Decodes the body of a successful response to `request`.
 fn read_response(
     request: &StoreRequest,
     reader: &mut JuteReader<'_>,
@@ -456,7 +470,7 @@
             let children = reader.vector(|reader| Ok(reader.string()?.to_string()))?;
             StoreResponse::Children(children, NodeStat::read(reader)?)
         }
-        // The results of the parts are not decoded: all of it was done, or the response is an error.
+        // The results of the parts are not decoded: either all parts were performed, or the response is an error.
         StoreRequest::Multi(_) => return Ok(StoreResponse::Empty),
         _ => StoreResponse::Empty,
     };
--- a/crates/zookeeper/src/session/watches.rs
+++ b/crates/zookeeper/src/session/watches.rs
@@ -1,4 +1,4 @@
-//! The watches that a session has set, so that it can set them again at another connection.
+//! The watches that a session has set, so that it can set them again over another connection.
 
 use crate::record::{StoreError, StoreRequest, WatchEvent, WatchEventKind};
 use std::collections::BTreeSet;
@@ -6,9 +6,11 @@
 /// Paths watched at the store, by the kind of request that set the watch.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WatchedPaths {
+    /// Watched for changes of the node's data and for its deletion.
     data: BTreeSet<String>,
-    /// Nodes that don't exist yet.
+    /// Missing nodes, watched for their creation.
     exist: BTreeSet<String>,
+    /// Watched for changes of the node's children and for its deletion.
     child: BTreeSet<String>,
 }
 
@@ -17,7 +19,7 @@
         self.data.is_empty() && self.exist.is_empty() && self.child.is_empty()
     }
 
-    /// Notes the watch that a request leaves at the store.
+    /// Adds the watch that a request has set at the store, if any. `error` is the store's response to the request.
     pub(super) fn add(&mut self, request: &StoreRequest, error: Option<StoreError>) {
         let (paths, path) = match (request, error) {
             (StoreRequest::GetData { path, watch: true }, None)
@@ -31,7 +33,7 @@
         paths.insert(path.clone());
     }
 
-    /// Removes the watches that an event uses up: each fires once.
+    /// Removes the watches that an event has triggered: each fires only once.
     pub(super) fn remove_triggered(&mut self, event: &WatchEvent) {
         let (data, exist, child) = match event.kind {
             WatchEventKind::Session => (false, false, false),
@@ -51,7 +53,8 @@
         }
     }
 
-    /// The request that sets them again at a new connection.
+    /// The request that sets these watches again over a new connection. `since` is the last transaction that the client has
+    /// seen.
     pub(super) fn to_set_watches_request(&self, since: i64) -> StoreRequest {
         StoreRequest::SetWatches {
             since,
