--- a/crates/zookeeper/src/frame.rs
+++ b/crates/zookeeper/src/frame.rs
@@ -2,8 +2,8 @@
 
 use crate::jute::DecodeError;
 
-/// Longest record that is accepted, in bytes without the length prefix. A list of some thousand children fits, and it is
-/// well above a store's own limit of 1 MiB.
+/// Longest record that is accepted, in bytes without the length prefix. A list of some thousand children fits, and it
+/// is well above a store's own limit of 1 MiB.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 /// Bytes of the length prefix of a frame.
 const LENGTH_PREFIX_BYTES: usize = 4;
--- a/crates/zookeeper/src/jute.rs
+++ b/crates/zookeeper/src/jute.rs
@@ -1,5 +1,5 @@
-//! Jute, ZooKeeper's encoding: integers are big-endian, a boolean is one byte, strings and buffers are preceded by their
-//! length and vectors by their entry count; a length or count of -1 means that the value is absent.
+//! Jute, ZooKeeper's encoding: integers are big-endian, a boolean is one byte, strings and buffers are preceded by
+//! their length and vectors by their entry count; a length or count of -1 means that the value is absent.
 //!
 //! Lengths and counts are checked against the bytes that are left before anything is allocated for them.
 
@@ -102,8 +102,8 @@
         std::str::from_utf8(bytes).map_err(|_| DecodeError::NotUtf8)
     }
 
-    /// Decodes a vector, calling `read_entry` for each entry; an absent one is returned as empty. Fails if it has more than
-    /// [`MAX_VECTOR_ENTRIES`] entries.
+    /// Decodes a vector, calling `read_entry` for each entry; an absent one is returned as empty. Fails if it has more
+    /// than [`MAX_VECTOR_ENTRIES`] entries.
     pub fn vector<T>(
         &mut self,
         read_entry: impl Fn(&mut Self) -> Result<T, DecodeError>,
--- a/crates/zookeeper/src/listing.rs
+++ b/crates/zookeeper/src/listing.rs
@@ -1,77 +1,78 @@
-//! What a list of ephemeral nodes means for the servers that they name. No I/O; times come in.
+//! Derives the state of servers from a list of ephemeral nodes that name them. No I/O and no clock: the caller passes
+//! in what it read from the store, and the time.
 //!
-//! A server is **gone** when the store said so: its node was deleted, or a list that a standing session has read
-//! whole leaves it out. It is **not known at present** while the store can't be reached, while the client's own
-//! session has expired and the list was not read again, or while its node's data can't be read; then it stays as last
-//! reported, and [`NodeListing::age`] shows how old that is. A server that was reported gone stays so until the store
-//! says that it is there again.
+//! A server is **gone** when the store reported that: its node was deleted, or is missing from a complete list that was
+//! read over an established session. Its state is **unknown** while the store can't be reached, while the client's own
+//! session has expired and the list has not been read again, or while its node's data can't be read; then it keeps its
+//! last reported state, and [`NodeListing::age`] shows how old the list is. A server that was reported gone stays so
+//! until the store lists it again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Most servers that are remembered once they are gone.
-const MAX_REMEMBERED: usize = 4_096;
+/// Number of known servers above which those that are gone, and have not arrived within the flap window, are forgotten.
+const PRUNE_THRESHOLD_SERVERS: usize = 4_096;
 
-/// What a node says of its server.
+/// The data of a node, which describes its server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedNode {
-    /// The server's unique name, whatever its node is called.
+    /// The server's unique name, which need not be the name of its node.
     pub uid: String,
-    /// Where it listens.
+    /// The address on which the server accepts connections.
     pub address: String,
-    /// Its zone's name.
+    /// The name of the server's zone.
     pub zone: String,
-    /// Its capacity in relation to others.
+    /// The server's capacity relative to that of other servers.
     pub weight: f64,
-    /// When its process started, as Unix time; `None` for long ago.
+    /// When the server's process started, as Unix time; `None` counts as earlier than any time.
     pub started_at: Option<Duration>,
-    /// Whether it takes no further sessions.
+    /// Whether the server accepts no new sessions.
     pub draining: bool,
 }
 
-/// What is reported of a server.
+/// The reported state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// It takes sessions.
+    /// The server accepts sessions.
     Ready,
-    /// It takes no further sessions.
+    /// The server accepts no new sessions.
     Draining,
-    /// It has no node, or its node comes and goes too often.
+    /// The server has no node, or is suppressed because it flaps.
     Gone,
 }
 
-/// A change of what is known of a server.
+/// A change of a server's state or data.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedChange {
     /// The server's unique name.
     pub uid: String,
-    /// Its new state.
+    /// The server's new state.
     pub state: ListedState,
-    /// What its node says; `None` where it is gone.
+    /// The data of the server's node; `None` if the server is gone.
     pub node: Option<ListedNode>,
 }
 
-/// A peculiarity of the list, to be counted and logged.
+/// An irregularity of the list, for the caller to count and log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ListingWarning {
-    /// This node's data can't be read: its server stays as last reported.
+    /// The data of the node with this name can't be read: its server keeps its last reported state.
     Unreadable(String),
-    /// Several nodes name this server: the one that started last counts.
+    /// Several nodes name the server with this unique name: the data of the one that started last is used.
     DuplicateUid(String),
-    /// This server has come and gone so often that it is reported gone until it stays.
+    /// The server with this unique name flaps: it is reported gone for [`ListingSettings::suppression_time`].
     Flapping(String),
-    /// All nodes vanished at once.
+    /// All nodes, more than one, are missing from a complete list that has no other readable node.
     AllGone,
 }
 
-/// When a server that comes and goes counts as flapping.
+/// When a server whose node is repeatedly deleted and created counts as flapping.
 #[derive(Clone, Copy, Debug)]
 pub struct ListingSettings {
-    /// So many arrivals within `flap_window` make a server one that flaps.
+    /// Number of arrivals within `flap_window` at which a server counts as flapping.
     pub flap_count: usize,
-    /// The time within which arrivals are counted.
+    /// Length of the period up to the present in which arrivals are counted.
     pub flap_window: Duration,
-    /// How long a flapping server has to stay to be reported again.
+    /// How long the node of a flapping server has to exist without a break before the server is reported again.
     pub suppression_time: Duration,
 }
 
@@ -89,13 +90,13 @@
 #[derive(Clone, Debug)]
 struct KnownServer {
     node: ListedNode,
-    /// The state that was last reported.
+    /// The last reported state.
     reported: ListedState,
-    /// The names of the nodes that name it now.
+    /// Names of the nodes that name this server at present.
     node_names: BTreeSet<String>,
-    /// Its latest arrivals.
+    /// Times at which the server got its first node, within the flap window.
     arrivals: Vec<Duration>,
-    /// It flaps, and is reported gone until then.
+    /// Until when the server is reported gone because it flaps; `None` if it does not.
     suppressed_until: Option<Duration>,
 }
 
@@ -110,19 +111,19 @@
         }
     }
 
-    /// Notes that it has its first node again; returns whether it flaps by that.
-    fn arrive(&mut self, now: Duration, settings: &ListingSettings) -> bool {
+    /// Records that the server, which had no node, has one now; returns whether it counts as flapping.
+    fn record_arrival(&mut self, now: Duration, settings: &ListingSettings) -> bool {
         self.arrivals
             .retain(|at| now.saturating_sub(*at) < settings.flap_window);
         self.arrivals.push(now);
-        let flaps = self.arrivals.len() >= settings.flap_count;
-        if flaps {
+        let is_flapping = self.arrivals.len() >= settings.flap_count;
+        if is_flapping {
             self.suppressed_until = Some(now + settings.suppression_time);
         }
-        flaps
+        is_flapping
     }
 
-    /// The state to report, by its node that counts.
+    /// The state to report for the server, given the data that is used for it.
     fn state(&self, node: &ListedNode) -> ListedState {
         match (self.suppressed_until, node.draining) {
             (Some(_), _) => ListedState::Gone,
@@ -131,31 +132,31 @@
         }
     }
 
-    fn arrived_within(&self, now: Duration, window: Duration) -> bool {
+    fn has_arrived_within(&self, now: Duration, window: Duration) -> bool {
         self.arrivals
             .last()
             .is_some_and(|at| now.saturating_sub(*at) < window)
     }
 }
 
-/// The nodes of a list, and the servers that they name.
+/// The nodes of a list, and the state of the servers that they name.
 #[derive(Debug, Default)]
 pub struct NodeListing {
     settings: ListingSettings,
-    /// Servers by their unique names; those gone are kept, so that their return is known as one.
+    /// Servers by unique name. Those that are gone are kept, so that flapping is recognised.
     servers: BTreeMap<String, KnownServer>,
-    /// What each node said last.
+    /// The last data that could be read of each node, by node name.
     nodes: BTreeMap<String, ListedNode>,
     /// Names of the nodes whose data can't be read.
-    unreadable: BTreeSet<String>,
-    /// When the list was last known to be true.
-    last_known: Option<Duration>,
-    /// Whether the store can be reached.
-    available: bool,
+    unreadable_nodes: BTreeSet<String>,
+    /// When the list was last known to be current; `None` before it was first read.
+    last_current: Option<Duration>,
+    /// Whether the list is being kept current over an established session.
+    is_available: bool,
 }
 
 impl NodeListing {
-    /// A list that was not read yet.
+    /// Creates a listing that has not been read yet.
     pub fn new(settings: ListingSettings) -> NodeListing {
         NodeListing {
             settings,
@@ -163,160 +164,165 @@
         }
     }
 
-    /// How old the list is: zero while the store can be reached, `None` before it was read.
+    /// Age of the list: zero while the store can be reached, `None` before the list was first read.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        let last_known = self.last_known?;
-        Some(if self.available {
+        let last_current = self.last_current?;
+        Some(if self.is_available {
             Duration::ZERO
         } else {
-            now.saturating_sub(last_known)
+            now.saturating_sub(last_current)
         })
     }
 
-    /// The store can't be reached, or the client's session has expired: nothing is known to have changed.
+    /// Called when the store can't be reached, or the client's session has expired. Servers keep their last reported
+    /// state.
     pub fn store_unavailable(&mut self, now: Duration) {
-        if std::mem::replace(&mut self.available, false) {
-            self.last_known = Some(now);
+        if std::mem::replace(&mut self.is_available, false) {
+            self.last_current = Some(now);
         }
     }
 
-    /// Takes the whole list as a standing session has just read it: each child with its data, or `None` where that
-    /// can't be read.
+    /// Replaces the list by the complete one that was just read over an established session: the name of each child
+    /// with its data, or `None` if the data can't be read.
     pub fn replace_all(
         &mut self,
         now: Duration,
         children: &[(String, Option<ListedNode>)],
         changes: &mut Vec<ListedChange>,
-        remarks: &mut Vec<ListingWarning>,
+        warnings: &mut Vec<ListingWarning>,
     ) {
-        self.last_known = Some(now);
-        self.available = true;
-        let listed: BTreeSet<&String> = children.iter().map(|child| &child.0).collect();
-        let count_before = self.nodes.len();
+        self.last_current = Some(now);
+        self.is_available = true;
+        let listed_names: BTreeSet<&String> = children.iter().map(|child| &child.0).collect();
+        let previous_count = self.nodes.len();
         let vanished: Vec<String> = self
             .nodes
             .keys()
-            .filter(|name| !listed.contains(name))
+            .filter(|name| !listed_names.contains(name))
             .cloned()
             .collect();
-        self.unreadable.retain(|name| listed.contains(name));
+        self.unreadable_nodes
+            .retain(|name| listed_names.contains(name));
         for (name, node) in children {
-            self.set_node(name, node.clone(), remarks);
+            self.set_node(name, node.clone(), warnings);
         }
         for name in &vanished {
             self.nodes.remove(name);
         }
-        if count_before > 1 && vanished.len() == count_before && self.nodes.is_empty() {
-            remarks.push(ListingWarning::AllGone);
+        if previous_count > 1 && vanished.len() == previous_count && self.nodes.is_empty() {
+            warnings.push(ListingWarning::AllGone);
         }
-        self.report(now, changes, remarks);
+        self.report_changes(now, changes, warnings);
     }
 
-    /// Takes one node's data, read again because it changed; `None` where it can't be read.
+    /// Replaces the data of one node, which was read again because it changed; `None` if the data can't be read.
     pub fn node_changed(
         &mut self,
         now: Duration,
         name: &str,
         node: Option<ListedNode>,
         changes: &mut Vec<ListedChange>,
-        remarks: &mut Vec<ListingWarning>,
+        warnings: &mut Vec<ListingWarning>,
     ) {
-        self.set_node(name, node, remarks);
-        self.report(now, changes, remarks);
+        self.set_node(name, node, warnings);
+        self.report_changes(now, changes, warnings);
     }
 
-    /// One node was deleted.
+    /// Removes a node that was deleted.
     pub fn node_deleted(
         &mut self,
         now: Duration,
         name: &str,
         changes: &mut Vec<ListedChange>,
-        remarks: &mut Vec<ListingWarning>,
+        warnings: &mut Vec<ListingWarning>,
     ) {
         self.nodes.remove(name);
-        self.unreadable.remove(name);
-        self.report(now, changes, remarks);
+        self.unreadable_nodes.remove(name);
+        self.report_changes(now, changes, warnings);
     }
 
-    /// Reports flapping servers that have stayed long enough; to be called now and then.
+    /// Reports servers whose suppression for flapping has ended; to be called periodically.
     pub fn tick(
         &mut self,
         now: Duration,
         changes: &mut Vec<ListedChange>,
-        remarks: &mut Vec<ListingWarning>,
+        warnings: &mut Vec<ListingWarning>,
     ) {
-        self.report(now, changes, remarks);
+        self.report_changes(now, changes, warnings);
     }
 
-    /// A node that was read before and can't be read now stays what it was; one that never was names nobody.
+    /// Stores a node's data. If it can't be read, the node keeps the data that was read before; without any, it names
+    /// no server.
     fn set_node(
         &mut self,
         name: &str,
         node: Option<ListedNode>,
-        remarks: &mut Vec<ListingWarning>,
+        warnings: &mut Vec<ListingWarning>,
     ) {
         match node {
             Some(node) => {
-                self.unreadable.remove(name);
+                self.unreadable_nodes.remove(name);
                 self.nodes.insert(name.to_string(), node);
             }
             None => {
-                if self.unreadable.insert(name.to_string()) {
-                    remarks.push(ListingWarning::Unreadable(name.to_string()));
+                if self.unreadable_nodes.insert(name.to_string()) {
+                    warnings.push(ListingWarning::Unreadable(name.to_string()));
                 }
             }
         }
     }
 
-    /// Reports where servers differ from what was reported of them.
-    fn report(
+    /// Appends the changes of servers since they were last reported.
+    fn report_changes(
         &mut self,
         now: Duration,
         changes: &mut Vec<ListedChange>,
-        remarks: &mut Vec<ListingWarning>,
+        warnings: &mut Vec<ListingWarning>,
     ) {
-        let named = named_servers(&self.nodes);
-        for (uid, server) in &named {
+        let listed_servers = servers_by_uid(&self.nodes);
+        for (uid, server) in &listed_servers {
             let known = self
                 .servers
                 .entry((*uid).clone())
                 .or_insert_with(|| KnownServer::new(server.node.clone()));
-            let change = report_named(now, uid, server, known, &self.settings, remarks);
+            let change = update_listed_server(now, uid, server, known, &self.settings, warnings);
             changes.extend(change);
         }
         for (uid, known) in &mut self.servers {
-            if !named.contains_key(uid) {
-                changes.extend(report_unnamed(uid, known));
+            if !listed_servers.contains_key(uid) {
+                changes.extend(update_unlisted_server(uid, known));
             }
         }
-        self.forget_old(now);
+        self.prune_gone_servers(now);
     }
 
-    /// Forgets servers that are gone for long, once there are too many.
-    fn forget_old(&mut self, now: Duration) {
-        if self.servers.len() <= MAX_REMEMBERED {
+    /// Forgets servers that are gone and have not arrived within the flap window, once more than
+    /// [`PRUNE_THRESHOLD_SERVERS`] are known.
+    fn prune_gone_servers(&mut self, now: Duration) {
+        if self.servers.len() <= PRUNE_THRESHOLD_SERVERS {
             return;
         }
         let window = self.settings.flap_window;
         self.servers.retain(|_, known| {
             known.reported != ListedState::Gone
                 || !known.node_names.is_empty()
-                || known.arrived_within(now, window)
+                || known.has_arrived_within(now, window)
         });
     }
 }
 
-/// A server that has nodes.
-struct NamedServer<'a> {
-    /// The node that counts: the one that started last, or the one with the higher name where that ties.
+/// A server that is named by at least one node.
+struct ListedServer<'a> {
+    /// The data to use: that of the node that started last, or of the one with the greater name among equals.
     node: &'a ListedNode,
     node_names: BTreeSet<String>,
 }
 
-fn named_servers(nodes: &BTreeMap<String, ListedNode>) -> BTreeMap<&String, NamedServer<'_>> {
-    let mut servers: BTreeMap<&String, NamedServer<'_>> = BTreeMap::new();
+/// Groups the nodes of the list by the server that they name.
+fn servers_by_uid(nodes: &BTreeMap<String, ListedNode>) -> BTreeMap<&String, ListedServer<'_>> {
+    let mut servers: BTreeMap<&String, ListedServer<'_>> = BTreeMap::new();
     for (name, node) in nodes {
-        let server = servers.entry(&node.uid).or_insert_with(|| NamedServer {
+        let server = servers.entry(&node.uid).or_insert_with(|| ListedServer {
             node,
             node_names: BTreeSet::new(),
         });
@@ -328,19 +334,20 @@
     servers
 }
 
-fn report_named(
+/// Updates a server that is named by nodes; returns its change, if any.
+fn update_listed_server(
     now: Duration,
     uid: &str,
-    server: &NamedServer<'_>,
+    server: &ListedServer<'_>,
     known: &mut KnownServer,
     settings: &ListingSettings,
-    remarks: &mut Vec<ListingWarning>,
+    warnings: &mut Vec<ListingWarning>,
 ) -> Option<ListedChange> {
     if server.node_names.len() > 1 && known.node_names.len() <= 1 {
-        remarks.push(ListingWarning::DuplicateUid(uid.to_string()));
+        warnings.push(ListingWarning::DuplicateUid(uid.to_string()));
     }
-    if known.node_names.is_empty() && known.arrive(now, settings) {
-        remarks.push(ListingWarning::Flapping(uid.to_string()));
+    if known.node_names.is_empty() && known.record_arrival(now, settings) {
+        warnings.push(ListingWarning::Flapping(uid.to_string()));
     }
     known.node_names = server.node_names.clone();
     if known.suppressed_until.is_some_and(|until| now >= until) {
@@ -361,7 +368,8 @@
     })
 }
 
-fn report_unnamed(uid: &str, known: &mut KnownServer) -> Option<ListedChange> {
+/// Updates a server that no node names; returns its change, if any.
+fn update_unlisted_server(uid: &str, known: &mut KnownServer) -> Option<ListedChange> {
     if known.reported == ListedState::Gone && known.node_names.is_empty() {
         return None;
     }
--- a/crates/zookeeper/src/main.rs
+++ b/crates/zookeeper/src/main.rs
@@ -1,8 +1,14 @@
-//! The stub store on sockets, for tests: several listening members of one store, with faults by lines of standard
-//! input.
+//! The stub store as a TCP server, for tests. It listens on each address given on the command line, as the members of
+//! one store do, and prints each bound address on a line of its own.
 //!
-//! `mute` and `speak`: no member answers, and again; `refuse` and `accept`: connections are closed as they come;
-//! `expire`: all sessions end; `drop`: all connections break. It ends with its standard input.
+//! Lines on standard input inject faults into all members:
+//!
+//! - `mute`: received bytes are discarded and nothing is sent, until `speak`.
+//! - `refuse`: new connections are closed at once, until `accept`.
+//! - `expire`: all sessions end.
+//! - `drop`: all connections are closed; their sessions are kept until they expire.
+//!
+//! `done` and the line are printed after each. The program ends at the end of its standard input.
 
 use asterramp_zookeeper::frame::FrameReader;
 use asterramp_zookeeper::jute::DecodeError;
@@ -13,36 +19,40 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time between two looks for expired sessions.
+/// Interval between checks for expired sessions.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Bounds of the session timeout that a client may ask for; short ones make tests short.
+/// Shortest session timeout that is granted; below a real store's usual minimum, so that tests are short.
 const MIN_SESSION_TIMEOUT: Duration = Duration::from_millis(300);
+/// Longest session timeout that is granted.
 const MAX_SESSION_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a client that doesn't read may hold the store up.
+/// Longest time that a write to a client that doesn't read may block the store; the connection is then closed.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Most connections at once.
+/// Most open connections; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 1_000;
-/// Bytes of one read.
-const READ_LENGTH: usize = 4096;
-/// Exit code where an address can't be listened on.
+/// Most bytes that are read from a connection at once.
+const READ_BUFFER_BYTES: usize = 4096;
+/// Exit code if binding to an address fails.
 const EXIT_LISTEN_FAILED: i32 = 1;
-/// Exit code where no address is given.
+/// Exit code if no address is given.
 const EXIT_USAGE: i32 = 2;
 
-/// The store, its connections and its faults.
+/// The store, its connections and the faults in effect.
 struct ServerState {
     store: StubStore,
+    /// Writing ends of the open connections.
     connections: HashMap<ConnectionId, TcpStream>,
-    last_connection: ConnectionId,
-    /// What comes is lost, and nothing is sent.
+    /// Number of the last accepted connection.
+    last_connection_id: ConnectionId,
+    /// Received bytes are discarded, and nothing is sent.
     muted: bool,
-    /// Connections are closed as they come.
+    /// New connections are closed at once.
     refusing: bool,
 }
 
-/// What the threads share.
+/// State that is shared by all threads.
 struct Server {
     state: Mutex<ServerState>,
+    /// Origin of the times that are passed to the store.
     started: Instant,
 }
 
@@ -57,7 +67,7 @@
 }
 
 impl ServerState {
-    /// Does what the store wants done. A client that doesn't read is not waited for.
+    /// Performs the store's effects. A client that doesn't read is waited for no longer than [`WRITE_TIMEOUT`].
     fn perform(&mut self, effects: Vec<StoreEffect>) {
         for effect in effects {
             match effect {
@@ -88,8 +98,8 @@
         self.store.connection_closed(connection);
     }
 
-    /// Performs the requests that have come whole.
-    fn take_frames(
+    /// Passes the frames that have been received completely to the store.
+    fn handle_frames(
         &mut self,
         now: Duration,
         connection: ConnectionId,
@@ -122,24 +132,24 @@
         }
     }
 
-    /// Begins or ends the fault that a line names.
-    fn inject_fault(&mut self, name: &str) {
-        match name {
+    /// Performs a command from standard input: begins or ends a fault.
+    fn inject_fault(&mut self, command: &str) {
+        match command {
             "mute" => self.muted = true,
             "speak" => self.muted = false,
             "refuse" => self.refusing = true,
             "accept" => self.refusing = false,
             "expire" => self.expire_sessions(),
             "drop" => self.drop_connections(),
-            other => eprintln!("asterramp-zookeeper-stub: {other:?} is no fault"),
+            other => eprintln!("asterramp-zookeeper-stub: unknown command {other:?}"),
         }
     }
 }
 
-/// Serves one connection until it ends.
+/// Serves one connection until it is closed.
 fn serve(server: &Server, connection: ConnectionId, mut stream: TcpStream) {
     let mut frames = FrameReader::default();
-    let mut bytes = [0; READ_LENGTH];
+    let mut bytes = [0; READ_BUFFER_BYTES];
     while let Ok(count) = stream.read(&mut bytes) {
         if count == 0 {
             break;
@@ -147,12 +157,12 @@
         frames.append(&bytes[..count]);
         let mut state = server.lock();
         if state.muted {
-            // What comes meanwhile is lost, as at a store that hangs and is then restarted.
+            // Bytes received while muted are discarded, as by a store that hangs and is then restarted.
             frames = FrameReader::default();
             continue;
         }
         if state
-            .take_frames(server.now(), connection, &mut frames)
+            .handle_frames(server.now(), connection, &mut frames)
             .is_err()
         {
             return state.close(connection);
@@ -161,7 +171,7 @@
     server.lock().close(connection);
 }
 
-/// Accepts connections, each served by a thread of its own.
+/// Accepts connections and serves each on a thread of its own.
 fn accept_connections(server: Arc<Server>, listener: TcpListener) {
     for stream in listener.incoming().flatten() {
         let mut state = server.lock();
@@ -173,8 +183,8 @@
         let Ok(writer) = stream.try_clone() else {
             continue;
         };
-        state.last_connection += 1;
-        let connection = state.last_connection;
+        state.last_connection_id += 1;
+        let connection = state.last_connection_id;
         state.connections.insert(connection, writer);
         drop(state);
         let server = server.clone();
@@ -182,18 +192,21 @@
     }
 }
 
-/// Listens on an address and prints the one that it became, for callers that leave the port open.
+/// Listens on an address and prints the bound one, for callers that pass port 0.
 fn listen(server: &Arc<Server>, address: &str) -> std::io::Result<()> {
     let listener = TcpListener::bind(address)?;
     let bound = listener.local_addr();
-    println!("{}", bound.map(|at| at.to_string()).unwrap_or_default());
+    println!(
+        "{}",
+        bound.map(|address| address.to_string()).unwrap_or_default()
+    );
     let server = server.clone();
     std::thread::spawn(move || accept_connections(server, listener));
     Ok(())
 }
 
-/// Ends expired sessions, for ever.
-fn run_clock(server: &Server) {
+/// Ends expired sessions every [`TICK_INTERVAL`]; never returns.
+fn run_session_timer(server: &Server) {
     loop {
         std::thread::sleep(TICK_INTERVAL);
         let now = server.now();
@@ -207,13 +220,15 @@
 fn main() {
     let addresses: Vec<String> = std::env::args().skip(1).collect();
     if addresses.is_empty() {
-        eprintln!("asterramp-zookeeper-stub: wants addresses to listen at, as in 127.0.0.1:2181");
+        eprintln!(
+            "asterramp-zookeeper-stub: no listen address given, expected for example 127.0.0.1:2181"
+        );
         std::process::exit(EXIT_USAGE);
     }
     let state = ServerState {
         store: StubStore::new(MIN_SESSION_TIMEOUT, MAX_SESSION_TIMEOUT),
         connections: HashMap::new(),
-        last_connection: 0,
+        last_connection_id: 0,
         muted: false,
         refusing: false,
     };
@@ -227,12 +242,12 @@
             std::process::exit(EXIT_LISTEN_FAILED);
         }
     }
-    let clock = server.clone();
-    std::thread::spawn(move || run_clock(&clock));
+    let timer_server = server.clone();
+    std::thread::spawn(move || run_session_timer(&timer_server));
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-        let fault = line.trim();
+        let command = line.trim();
         let mut state = server.lock();
-        state.inject_fault(fault);
-        println!("done {fault}");
+        state.inject_fault(command);
+        println!("done {command}");
     }
 }
--- a/crates/zookeeper/src/record/connect.rs
+++ b/crates/zookeeper/src/record/connect.rs
@@ -1,20 +1,20 @@
-//! The handshake of a connection.
+//! Records of the handshake that begins a connection.
 
 use crate::jute::{DecodeError, JuteReader, JuteWrite};
 
-/// The only version of the protocol.
+/// The only published version of the protocol.
 const PROTOCOL_VERSION: i32 = 0;
 
-/// The first record that a client sends.
+/// The first record that a client sends over a connection.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConnectRequest {
     /// The last transaction that the client has seen.
     pub last_zxid: i64,
-    /// Milliseconds after which the store shall end a session that sends nothing.
+    /// Requested session timeout: milliseconds after which the store ends a session from which it has received nothing.
     pub timeout_ms: i32,
-    /// The session that the client goes on with; 0 for a new one.
+    /// The session to resume; 0 for a new one.
     pub session_id: i64,
-    /// That session's password; zeros for a new one.
+    /// Password of the session to resume; zeros for a new one.
     pub password: Vec<u8>,
 }
 
@@ -37,7 +37,7 @@
         let timeout_ms = reader.int()?;
         let session_id = reader.long()?;
         let password = reader.buffer()?.unwrap_or_default().to_vec();
-        read_read_only(&mut reader)?;
+        skip_read_only_flag(&mut reader)?;
         reader.finish()?;
         Ok(ConnectRequest {
             last_zxid,
@@ -48,14 +48,15 @@
     }
 }
 
-/// The store's answer to a [`ConnectRequest`].
+/// The store's response to a [`ConnectRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConnectResponse {
-    /// Milliseconds after which the store ends a session that sends nothing; 0 says that the session has expired.
+    /// Granted session timeout: milliseconds after which the store ends a session from which it has received nothing. 0
+    /// means that the session to resume has expired.
     pub timeout_ms: i32,
-    /// The session.
+    /// The session that was created or resumed; 0 if it has expired.
     pub session_id: i64,
-    /// Its password.
+    /// Password with which the session can be resumed.
     pub password: Vec<u8>,
 }
 
@@ -76,7 +77,7 @@
         let timeout_ms = reader.int()?;
         let session_id = reader.long()?;
         let password = reader.buffer()?.unwrap_or_default().to_vec();
-        read_read_only(&mut reader)?;
+        skip_read_only_flag(&mut reader)?;
         reader.finish()?;
         Ok(ConnectResponse {
             timeout_ms,
@@ -86,8 +87,8 @@
     }
 }
 
-/// Whether the connection is read-only, which older versions leave out.
-fn read_read_only(reader: &mut JuteReader<'_>) -> Result<(), DecodeError> {
+/// Skips the flag for a read-only connection, which older versions of the protocol leave out.
+fn skip_read_only_flag(reader: &mut JuteReader<'_>) -> Result<(), DecodeError> {
     if reader.remaining() > 0 {
         reader.boolean()?;
     }
--- a/crates/zookeeper/src/record/reply.rs
+++ b/crates/zookeeper/src/record/reply.rs
@@ -1,14 +1,14 @@
-//! What a store replies, and the watch events that it sends unasked.
+//! The store's replies, and the watch events that it sends without a request.
 
 use crate::jute::{DecodeError, JuteReader, JuteWrite};
 use thiserror::Error;
 
-/// The beginning of each reply and each watch event.
+/// Header of each reply and each watch event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplyHeader {
-    /// The request's number, or one of the `XID_` constants.
+    /// Number of the request, or one of the `XID_` constants.
     pub xid: i32,
-    /// The store's last transaction.
+    /// The store's last transaction; -1 in a watch event.
     pub zxid: i64,
     /// 0, or the code of a [`StoreError`].
     pub error_code: i32,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Why a store did not do what was requested. Log lines show the variant's name.
+/// Why a store did not perform a request. Log lines show the variant's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{self:?}")]
 pub enum StoreError {
@@ -40,31 +40,31 @@
     NoNode,
     /// The node exists already.
     NodeExists,
-    /// The node has another version.
+    /// The node's version is not the expected one.
     BadVersion,
     /// The node has children.
     NotEmpty,
     /// An ephemeral node can't have children.
     NoChildrenForEphemerals,
-    /// The session may not do that.
+    /// The session lacks the permission for the request.
     NoAuth,
     /// The authentication failed.
     AuthFailed,
     /// The session has expired.
     SessionExpired,
-    /// The session goes on at another connection.
+    /// The session was resumed over another connection.
     SessionMoved,
     /// The store can't decode the request.
     Marshalling,
-    /// The store doesn't have the operation.
+    /// The store doesn't support the operation.
     Unimplemented,
-    /// The request's arguments make no sense.
+    /// The request's arguments are invalid.
     BadArguments,
-    /// Another code.
+    /// An error code that this library has no variant for.
     Other(i32),
 }
 
-/// The published codes of errors.
+/// The published error codes.
 const ERROR_CODES: [(i32, StoreError); 12] = [
     (-101, StoreError::NoNode),
     (-110, StoreError::NodeExists),
@@ -79,11 +79,11 @@
     (-6, StoreError::Unimplemented),
     (-8, StoreError::BadArguments),
 ];
-/// The code of an error that has none.
+/// The code for an error that is missing from [`ERROR_CODES`]; the published code of a general system error.
 const UNKNOWN_ERROR_CODE: i32 = -1;
 
 impl StoreError {
-    /// The error of a code; `None` for 0, which is success.
+    /// The error with this code; `None` for 0, which means success.
     pub fn from_code(code: i32) -> Option<StoreError> {
         if code == 0 {
             return None;
@@ -92,7 +92,7 @@
         Some(known.map_or(StoreError::Other(code), |(_, error)| *error))
     }
 
-    /// The error's code.
+    /// The published code of the error.
     pub fn code(self) -> i32 {
         if let StoreError::Other(code) = self {
             return code;
@@ -102,30 +102,30 @@
     }
 }
 
-/// A node's metadata. Transactions are numbered by `zxid`; times are Unix times.
+/// A node's metadata. Transactions are given by their number (zxid), times as Unix time in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeStat {
-    /// The transaction that created the node.
+    /// The transaction that created the node (published as `czxid`).
     pub created_zxid: i64,
-    /// The transaction that last changed its data.
+    /// The transaction that last changed the node's data (`mzxid`).
     pub modified_zxid: i64,
-    /// When it was created, in milliseconds.
+    /// When the node was created (`ctime`).
     pub created_ms: i64,
-    /// When its data was last changed, in milliseconds.
+    /// When the node's data was last changed (`mtime`).
     pub modified_ms: i64,
-    /// How often its data was changed.
+    /// How often the node's data was changed.
     pub version: i32,
-    /// How often its children were changed.
+    /// How often children of the node were created or deleted (`cversion`).
     pub child_version: i32,
-    /// How often its rights were changed.
+    /// How often the node's access control list was changed (`aversion`).
     pub acl_version: i32,
-    /// The session that an ephemeral node belongs to; 0 for one that stays.
+    /// The session that an ephemeral node belongs to; 0 for a persistent node.
     pub ephemeral_owner: i64,
-    /// Bytes of its data.
+    /// Length of the node's data in bytes.
     pub data_length: i32,
-    /// How many children it has.
+    /// How many children the node has.
     pub child_count: i32,
-    /// The transaction that last changed its children.
+    /// The transaction that last created or deleted a child of the node (`pzxid`).
     pub child_modified_zxid: i64,
 }
 
@@ -163,21 +163,21 @@
     }
 }
 
-/// A notification that was not requested: of a node, or of the session where the path is empty.
+/// A notification about a watched node, or about the session if the path is empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchEvent {
     /// What happened.
     pub kind: WatchEventKind,
-    /// Whether the session stands: 3, or -112 where it has expired.
+    /// The session's state: 3 if it is connected, -112 if it has expired.
     pub state: i32,
-    /// The node's path.
+    /// Path of the node; empty for an event of the session.
     pub path: String,
 }
 
-/// What a watch event is of.
+/// What a watch event reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEventKind {
-    /// The session alone.
+    /// The state of the session has changed.
     Session,
     /// The node was created.
     Created,
@@ -190,7 +190,7 @@
 }
 
 impl WatchEventKind {
-    /// The published code.
+    /// The published code of the kind.
     fn code(self) -> i32 {
         match self {
             WatchEventKind::Session => -1,
--- a/crates/zookeeper/src/record/request.rs
+++ b/crates/zookeeper/src/record/request.rs
@@ -1,45 +1,45 @@
-//! What a client requests.
+//! The client's requests.
 
 use crate::jute::{DecodeError, JuteReader, JuteWrite};
 
-/// All rights on a node, which everybody has: no other are ever requested here.
-const ALL_RIGHTS: i32 = 31;
-/// The flags of a node that vanishes with its session.
-const EPHEMERAL: i32 = 1;
-/// In the head of a part of a [`StoreRequest::Multi`], where nothing is to be said.
-const UNUSED: i32 = -1;
+/// Permission bits for all operations on a node. Nodes are always created with all permissions for everybody.
+const ALL_PERMISSIONS: i32 = 31;
+/// Flags of a created node that the store deletes when its session ends; 0 is a persistent node.
+const EPHEMERAL_FLAG: i32 = 1;
+/// Value of the unused fields in the header of a part of a [`StoreRequest::Multi`].
+const UNUSED_FIELD: i32 = -1;
 
-/// A request of a client.
+/// A request that a client sends to a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreRequest {
     /// Creates a node.
     Create {
         /// The node's path.
         path: String,
-        /// Its data.
+        /// The node's data.
         data: Vec<u8>,
-        /// Whether it vanishes with the session.
+        /// Whether the store deletes the node when the session ends.
         ephemeral: bool,
     },
     /// Deletes a node.
     Delete {
         /// The node's path.
         path: String,
-        /// The version that it must have, or [`ANY_VERSION`](super::ANY_VERSION).
+        /// The version that the node must have, or [`ANY_VERSION`](super::ANY_VERSION).
         version: i32,
     },
-    /// Asks for a node's metadata.
+    /// Reads a node's metadata.
     Exists {
         /// The node's path.
         path: String,
-        /// Whether its next change, or its creation, is to be notified.
+        /// Whether to watch the node for its next change, or for its creation if it is missing.
         watch: bool,
     },
-    /// Asks for a node's data and metadata.
+    /// Reads a node's data and metadata.
     GetData {
         /// The node's path.
         path: String,
-        /// Whether its next change is to be notified.
+        /// Whether to watch the node for its next change.
         watch: bool,
     },
     /// Replaces a node's data.
@@ -48,26 +48,26 @@
         path: String,
         /// The new data.
         data: Vec<u8>,
-        /// The version that it must have, or [`ANY_VERSION`](super::ANY_VERSION).
+        /// The version that the node must have, or [`ANY_VERSION`](super::ANY_VERSION).
         version: i32,
     },
-    /// Asks for the names of a node's children and for its metadata.
+    /// Reads the names of a node's children and the node's metadata.
     GetChildren {
         /// The node's path.
         path: String,
-        /// Whether the next change of its children is to be notified.
+        /// Whether to watch for the next creation or deletion of a child.
         watch: bool,
     },
     /// Keeps the session alive.
     Ping,
     /// Authenticates the session.
     Auth {
-        /// The scheme, such as `digest`.
+        /// The authentication scheme, such as `digest`.
         scheme: String,
-        /// For `digest`, a name and a password.
+        /// The credentials; for `digest`, a name and a password separated by a colon.
         secret: Vec<u8>,
     },
-    /// Sets the watches of a former connection again; changes since are notified at once.
+    /// Sets the watches of a previous connection again; for changes since, the store sends watch events at once.
     SetWatches {
         /// The last transaction that the client has seen.
         since: i64,
@@ -78,13 +78,13 @@
         /// Paths watched for changes of their children.
         child: Vec<String>,
     },
-    /// Does all or none of some creations, deletions and replacements of data.
+    /// Performs all of these creations, deletions and replacements of data, or none of them.
     Multi(Vec<StoreRequest>),
     /// Ends the session.
     Close,
 }
 
-/// The published numbers of operations.
+/// The published operation codes.
 mod operation {
     pub(super) const CREATE: i32 = 1;
     pub(super) const DELETE: i32 = 2;
@@ -100,6 +100,7 @@
 }
 
 impl StoreRequest {
+    /// The published code of the operation.
     fn operation(&self) -> i32 {
         match self {
             StoreRequest::Create { .. } => operation::CREATE,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Appends the request under its number.
+    /// Appends the record with the request's number.
     pub fn write(&self, xid: i32, out: &mut Vec<u8>) {
         out.int(xid);
         out.int(self.operation());
@@ -170,7 +171,8 @@
         }
     }
 
-    /// Decodes a request and its number.
+    /// Decodes a request and its number; fails with [`DecodeError::InvalidValue`] for an operation that is not
+    /// supported.
     pub fn read(bytes: &[u8]) -> Result<(i32, StoreRequest), DecodeError> {
         let mut reader = JuteReader::new(bytes);
         let xid = reader.int()?;
@@ -188,24 +190,24 @@
 fn write_create(path: &str, data: &[u8], ephemeral: bool, out: &mut Vec<u8>) {
     out.string(path);
     out.buffer(Some(data));
-    out.vector(&[ALL_RIGHTS], |out, rights| {
-        out.int(*rights);
+    out.vector(&[ALL_PERMISSIONS], |out, permissions| {
+        out.int(*permissions);
         out.string("world");
         out.string("anyone");
     });
-    out.int(if ephemeral { EPHEMERAL } else { 0 });
+    out.int(if ephemeral { EPHEMERAL_FLAG } else { 0 });
 }
 
 fn write_multi(parts: &[StoreRequest], out: &mut Vec<u8>) {
     for part in parts {
         out.int(part.operation());
         out.boolean(false);
-        out.int(UNUSED);
+        out.int(UNUSED_FIELD);
         part.write_body(out);
     }
-    out.int(UNUSED);
+    out.int(UNUSED_FIELD);
     out.boolean(true);
-    out.int(UNUSED);
+    out.int(UNUSED_FIELD);
 }
 
 fn read_multi(reader: &mut JuteReader<'_>) -> Result<StoreRequest, DecodeError> {
@@ -272,17 +274,17 @@
 fn read_create(reader: &mut JuteReader<'_>) -> Result<StoreRequest, DecodeError> {
     let path = read_string(reader)?;
     let data = read_data(reader)?;
-    // Rights, each with a scheme and a name.
+    // The access control list is not kept: each entry has permission bits, a scheme and a name.
     reader.vector(|reader| {
         reader.int()?;
         reader.string()?;
         reader.string().map(drop)
     })?;
     match reader.int()? {
-        flags @ (0 | EPHEMERAL) => Ok(StoreRequest::Create {
+        flags @ (0 | EPHEMERAL_FLAG) => Ok(StoreRequest::Create {
             path,
             data,
-            ephemeral: flags == EPHEMERAL,
+            ephemeral: flags == EPHEMERAL_FLAG,
         }),
         other => Err(DecodeError::InvalidValue(other)),
     }
--- a/crates/zookeeper/src/session/mod.rs
+++ b/crates/zookeeper/src/session/mod.rs
@@ -1,5 +1,5 @@
-//! A client's session with a store, over successive connections. No I/O and no clock: the caller owns the sockets, reports
-//! what happens together with the present time, and performs the effects that the session returns.
+//! A client's session with a store, over successive connections. No I/O and no clock: the caller owns the sockets,
+//! reports what happens together with the present time, and performs the effects that the session returns.
 
 mod watches;
 
@@ -57,7 +57,8 @@
         /// Whether the session is a new one, without watches or ephemeral nodes at the store.
         new: bool,
     },
-    /// The connection of an established session is lost. The session and its ephemeral nodes may still exist at the store.
+    /// The connection of an established session is lost. The session and its ephemeral nodes may still exist at the
+    /// store.
     ConnectionLost,
     /// This client's session has expired at the store. Sessions of other clients are not concerned.
     Expired,
@@ -75,8 +76,8 @@
     },
     /// The store has sent a watch event.
     WatchTriggered(WatchEvent),
-    /// The store sent bytes that can't be decoded, rejected a ping, an authentication or the setting of watches, or sent a
-    /// response to no pending request. The text is for the log.
+    /// The store sent bytes that can't be decoded, rejected a ping, an authentication or the setting of watches, or
+    /// sent a response to no pending request. The text is for the log.
     ProtocolError(String),
 }
 
@@ -100,8 +101,8 @@
 pub struct StoreSessionSettings {
     /// How many addresses the store has; they are tried in turn. 0 counts as 1.
     pub address_count: usize,
-    /// Session timeout to request: the store ends a session from which it has received nothing for this long. The store may
-    /// grant another one.
+    /// Session timeout to request: the store ends a session from which it has received nothing for this long. The store
+    /// may grant another one.
     pub timeout: Duration,
     /// The scheme and the secret to authenticate with; `None` to not authenticate.
     pub auth: Option<(String, Vec<u8>)>,
@@ -190,14 +191,14 @@
         self.last_sent + self.timeout / 3
     }
 
-    /// When a silent connection counts as lost: after two thirds of the timeout, so that the last third is left to resume the
-    /// session over another connection.
+    /// When a silent connection counts as lost: after two thirds of the timeout, so that the last third is left to
+    /// resume the session over another connection.
     fn receive_deadline(&self) -> Duration {
         self.last_received + self.timeout * 2 / 3
     }
 
-    /// Sends a request and returns its number; `None` if the session is not connected or [`MAX_PENDING_REQUESTS`] requests
-    /// are pending.
+    /// Sends a request and returns its number; `None` if the session is not connected or [`MAX_PENDING_REQUESTS`]
+    /// requests are pending.
     pub fn request(
         &mut self,
         now: Duration,
@@ -218,7 +219,8 @@
         Some(self.last_xid)
     }
 
-    /// Closes the session. If it is connected, a close request is sent too, so that the store deletes its ephemeral nodes at once.
+    /// Closes the session. If it is connected, a close request is sent too, so that the store deletes its ephemeral
+    /// nodes at once.
     pub fn close(&mut self, now: Duration, effects: &mut Vec<StoreSessionEffect>) {
         if self.state == StoreSessionState::Connected {
             let xid = self.last_xid.wrapping_add(1);
@@ -265,7 +267,8 @@
         let doublings = self.failed_attempts.min(MAX_DELAY_DOUBLINGS);
         let delay = (MIN_RECONNECT_DELAY * (1 << doublings)).min(MAX_RECONNECT_DELAY);
         self.failed_attempts = self.failed_attempts.saturating_add(1);
-        // Jitter between half and one and a half of the delay, or all clients would reconnect to a recovered store at once.
+        // Jitter between half and one and a half of the delay, or all clients would reconnect to a recovered store at
+        // once.
         self.state_deadline = now + delay.mul_f64(0.5 + self.random());
         effects.push(StoreSessionEffect::CloseConnection);
     }
--- a/crates/zookeeper/src/session/watches.rs
+++ b/crates/zookeeper/src/session/watches.rs
@@ -53,8 +53,8 @@
         }
     }
 
-    /// The request that sets these watches again over a new connection. `since` is the last transaction that the client has
-    /// seen.
+    /// The request that sets these watches again over a new connection. `since` is the last transaction that the client
+    /// has seen.
     pub(super) fn to_set_watches_request(&self, since: i64) -> StoreRequest {
         StoreRequest::SetWatches {
             since,
--- a/crates/zookeeper/src/store/nodes.rs
+++ b/crates/zookeeper/src/store/nodes.rs
@@ -1,13 +1,13 @@
-//! The store's tree of nodes.
+//! The store's tree of nodes, and the transactions that change it.
 
 use super::{Node, RequestContext, StoreEffect, StubStore, WatchTarget};
 use crate::record::{ANY_VERSION, NodeStat, StoreError, WatchEventKind};
 use std::time::Duration;
 
-/// Most nodes.
+/// Most nodes, without the root; creations beyond are rejected.
 const MAX_NODES: usize = 50_000;
-/// Most bytes of a node's data.
-const MAX_DATA_LENGTH: usize = 1 << 20;
+/// Most bytes of a node's data: 1 MiB, as in a real store's default limit.
+const MAX_DATA_BYTES: usize = 1 << 20;
 
 impl StubStore {
     /// The names of a node's children.
@@ -20,11 +20,12 @@
         let prefix_length = prefix.len();
         self.nodes
             .range(prefix.clone()..)
-            .take_while(move |(below, _)| below.starts_with(&prefix))
-            .filter_map(move |(below, _)| below.get(prefix_length..))
+            .take_while(move |(descendant, _)| descendant.starts_with(&prefix))
+            .filter_map(move |(descendant, _)| descendant.get(prefix_length..))
             .filter(|name| !name.is_empty() && !name.contains('/'))
     }
 
+    /// Creates a node and triggers the watches for its creation and on its parent's children.
     pub(super) fn create(
         &mut self,
         context: RequestContext,
@@ -33,7 +34,7 @@
         ephemeral: bool,
         events: &mut Vec<StoreEffect>,
     ) -> Result<(), StoreError> {
-        if !is_valid_path(path) || data.len() > MAX_DATA_LENGTH || self.nodes.len() > MAX_NODES {
+        if !is_valid_path(path) || data.len() > MAX_DATA_BYTES || self.nodes.len() > MAX_NODES {
             return Err(StoreError::BadArguments);
         }
         let parent = parent_path(path);
@@ -62,9 +63,9 @@
         };
         self.nodes.insert(path.to_string(), node);
         if ephemeral && let Some(session) = self.sessions.get_mut(&context.session_id) {
-            session.nodes.insert(path.to_string());
+            session.ephemeral_paths.insert(path.to_string());
         }
-        self.count_child(parent, 1);
+        self.update_child_count(parent, 1);
         self.trigger_watches(path, WatchTarget::Node, WatchEventKind::Created, events);
         self.trigger_watches(
             parent,
@@ -75,8 +76,8 @@
         Ok(())
     }
 
-    /// Notes that a node has one child more or less.
-    fn count_child(&mut self, parent: &str, difference: i32) {
+    /// Updates a node's metadata after the creation or deletion of a child; `difference` is 1 or -1.
+    fn update_child_count(&mut self, parent: &str, difference: i32) {
         let zxid = self.zxid;
         if let Some(node) = self.nodes.get_mut(parent) {
             node.stat.child_count += difference;
@@ -85,6 +86,7 @@
         }
     }
 
+    /// Deletes a node without children, if its version is `version` or that is [`ANY_VERSION`].
     pub(super) fn delete(
         &mut self,
         path: &str,
@@ -102,20 +104,20 @@
         }
         let owner = node.stat.ephemeral_owner;
         if let Some(session) = self.sessions.get_mut(&owner) {
-            session.nodes.remove(path);
+            session.ephemeral_paths.remove(path);
         }
         self.remove(path, events);
         Ok(())
     }
 
-    /// Removes a node, if it exists, and fires the watches on it.
+    /// Removes a node, if it exists, and triggers the watches on it and on its parent's children.
     pub(super) fn remove(&mut self, path: &str, events: &mut Vec<StoreEffect>) {
         if self.nodes.remove(path).is_none() {
             return;
         }
         self.zxid += 1;
         let parent = parent_path(path);
-        self.count_child(parent, -1);
+        self.update_child_count(parent, -1);
         self.trigger_watches(path, WatchTarget::Node, WatchEventKind::Deleted, events);
         self.trigger_watches(path, WatchTarget::Children, WatchEventKind::Deleted, events);
         self.trigger_watches(
@@ -126,6 +128,7 @@
         );
     }
 
+    /// Replaces a node's data, if its version is `version` or that is [`ANY_VERSION`], and triggers the watches on it.
     pub(super) fn set_data(
         &mut self,
         now: Duration,
@@ -136,7 +139,7 @@
     ) -> Result<(), StoreError> {
         let node = self.nodes.get_mut(path).ok_or(StoreError::NoNode)?;
         check_version(node, version)?;
-        if data.len() > MAX_DATA_LENGTH {
+        if data.len() > MAX_DATA_BYTES {
             return Err(StoreError::BadArguments);
         }
         self.zxid += 1;
@@ -158,11 +161,12 @@
     }
 }
 
-/// Whether a path is absolute and has a name at its end.
+/// Whether a path is absolute, is not the root, and has no empty component and no NUL.
 fn is_valid_path(path: &str) -> bool {
     path.starts_with('/') && !path.ends_with('/') && !path.contains("//") && !path.contains('\0')
 }
 
+/// The path of a node's parent; the root's is the root itself.
 fn parent_path(path: &str) -> &str {
     match path.rfind('/') {
         Some(0) | None => "/",
--- a/crates/zookeeper/src/store/requests.rs
+++ b/crates/zookeeper/src/store/requests.rs
@@ -1,11 +1,12 @@
-//! What the store does for each request.
+//! The store's handling of each kind of request.
 
 use super::{RequestContext, StoreEffect, StubStore, WatchTarget};
 use crate::jute::JuteWrite;
 use crate::record::{StoreError, StoreRequest};
 
 impl StubStore {
-    /// Performs a request: appends its response's body to `body` and the watch events that it causes to `events`.
+    /// Performs a request. Appends the body of the response to `body`, and the watch events that the request triggers
+    /// to `events`.
     pub(super) fn apply_request(
         &mut self,
         context: RequestContext,
@@ -15,17 +16,17 @@
     ) -> Result<(), StoreError> {
         match request {
             StoreRequest::Create { path, .. } => {
-                self.change(context, request, events)?;
+                self.apply_change(context, request, events)?;
                 body.string(path);
             }
-            StoreRequest::Delete { .. } => self.change(context, request, events)?,
+            StoreRequest::Delete { .. } => self.apply_change(context, request, events)?,
             StoreRequest::SetData { path, .. } => {
-                self.change(context, request, events)?;
+                self.apply_change(context, request, events)?;
                 self.nodes[path.as_str()].stat.write(body);
             }
             StoreRequest::Exists { path, watch } => {
                 let stat = self.nodes.get(path).map(|node| node.stat);
-                // The watch on a node that doesn't exist is on its creation.
+                // On a missing node, the watch is for its creation.
                 if *watch {
                     self.add_watch(path, WatchTarget::Node, context.connection);
                 }
@@ -54,14 +55,15 @@
                 exist,
                 child,
             } => self.set_watches(context.connection, *since, [data, exist, child], events),
-            StoreRequest::Multi(parts) => self.multi(context, parts, events)?,
+            StoreRequest::Multi(parts) => self.apply_multi(context, parts, events)?,
             StoreRequest::Ping | StoreRequest::Auth { .. } | StoreRequest::Close => {}
         }
         Ok(())
     }
 
-    /// Performs a request that changes nodes; others make no sense as a part of several.
-    fn change(
+    /// Performs a request that creates, changes or deletes a node. Rejects other requests, which can't be part of a
+    /// [`StoreRequest::Multi`].
+    fn apply_change(
         &mut self,
         context: RequestContext,
         request: &StoreRequest,
@@ -83,28 +85,28 @@
         }
     }
 
-    /// Performs all of some changes, or none: those done are undone where a later one fails.
-    fn multi(
+    /// Performs all of these changes or none: if one fails, the state before the first is restored.
+    fn apply_multi(
         &mut self,
         context: RequestContext,
         parts: &[StoreRequest],
         events: &mut Vec<StoreEffect>,
     ) -> Result<(), StoreError> {
-        let nodes = self.nodes.clone();
-        let sessions = self.sessions.clone();
-        let watches = self.watches.clone();
-        let zxid = self.zxid;
-        let mut own_events = Vec::new();
+        let previous_nodes = self.nodes.clone();
+        let previous_sessions = self.sessions.clone();
+        let previous_watches = self.watches.clone();
+        let previous_zxid = self.zxid;
+        let mut multi_events = Vec::new();
         for part in parts {
-            if let Err(error) = self.change(context, part, &mut own_events) {
-                self.nodes = nodes;
-                self.sessions = sessions;
-                self.watches = watches;
-                self.zxid = zxid;
+            if let Err(error) = self.apply_change(context, part, &mut multi_events) {
+                self.nodes = previous_nodes;
+                self.sessions = previous_sessions;
+                self.watches = previous_watches;
+                self.zxid = previous_zxid;
                 return Err(error);
             }
         }
-        events.append(&mut own_events);
+        events.append(&mut multi_events);
         Ok(())
     }
 }
--- a/crates/zookeeper/src/store/watches.rs
+++ b/crates/zookeeper/src/store/watches.rs
@@ -1,14 +1,14 @@
-//! The store's watches and the events that they send.
+//! The store's watches, and the events that are sent when they are triggered.
 
 use super::{ConnectionId, StoreEffect, StubStore};
 use crate::record::{ReplyHeader, WatchEvent, WatchEventKind, XID_EVENT};
 
-/// In a watch event: the session stands.
+/// Session state in a watch event: the session is connected.
 const SESSION_CONNECTED: i32 = 3;
-/// In a watch event's header: no transaction.
+/// Transaction number in the header of a watch event, which belongs to no transaction.
 const NO_ZXID: i64 = -1;
 
-/// What a watch is on.
+/// What a watch observes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum WatchTarget {
     /// A node's existence and data.
@@ -17,7 +17,8 @@
     Children,
 }
 
-/// A watch of a connection; fires once. The order of fields is the order in which watches fire.
+/// A watch that was set over a connection; it is triggered only once. Watches are triggered in the order of these
+/// fields.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Watch {
     pub(super) path: String,
@@ -26,6 +27,7 @@
 }
 
 impl StubStore {
+    /// Adds a watch; no effect if the connection has the same one already.
     pub(super) fn add_watch(&mut self, path: &str, target: WatchTarget, connection: ConnectionId) {
         self.watches.insert(Watch {
             path: path.to_string(),
@@ -34,7 +36,7 @@
         });
     }
 
-    /// Fires the watches on a path, in the order of their connections.
+    /// Triggers and removes the watches on a path, in the order of their connections' numbers.
     pub(super) fn trigger_watches(
         &mut self,
         path: &str,
@@ -42,28 +44,28 @@
         kind: WatchEventKind,
         events: &mut Vec<StoreEffect>,
     ) {
-        let bound = |connection| Watch {
+        let watch_of = |connection| Watch {
             path: path.to_string(),
             target,
             connection,
         };
-        let fired: Vec<Watch> = self
+        let triggered: Vec<Watch> = self
             .watches
-            .range(bound(0)..=bound(ConnectionId::MAX))
+            .range(watch_of(0)..=watch_of(ConnectionId::MAX))
             .cloned()
             .collect();
-        for watch in fired {
+        for watch in triggered {
             self.watches.remove(&watch);
-            // A connection with both kinds of watches on a deleted node is notified once.
-            let event = event(watch.connection, kind, path);
+            // A connection that watches both a deleted node and its children gets a single event.
+            let event = watch_event_effect(watch.connection, kind, path);
             if !events.contains(&event) {
                 events.push(event);
             }
         }
     }
 
-    /// Sets the watches of a client's former connection again. What changed since a transaction is notified at once,
-    /// and the other watches are kept.
+    /// Sets the watches of a client's previous connection again. A watch whose node or children have changed since the
+    /// transaction `since` is triggered at once instead.
     pub(super) fn set_watches(
         &mut self,
         connection: ConnectionId,
@@ -72,49 +74,56 @@
         events: &mut Vec<StoreEffect>,
     ) {
         for path in data {
-            let missed = match self.nodes.get(path) {
+            let missed_event = match self.nodes.get(path) {
                 None => Some(WatchEventKind::Deleted),
                 Some(node) if node.stat.modified_zxid > since => Some(WatchEventKind::Data),
                 Some(_) => None,
             };
-            self.set_watch(connection, path, WatchTarget::Node, missed, events);
+            self.set_watch(connection, path, WatchTarget::Node, missed_event, events);
         }
         for path in exist {
-            let missed = self
+            let missed_event = self
                 .nodes
                 .contains_key(path)
                 .then_some(WatchEventKind::Created);
-            self.set_watch(connection, path, WatchTarget::Node, missed, events);
+            self.set_watch(connection, path, WatchTarget::Node, missed_event, events);
         }
         for path in child {
-            let missed = match self.nodes.get(path) {
+            let missed_event = match self.nodes.get(path) {
                 None => Some(WatchEventKind::Deleted),
                 Some(node) if node.stat.child_modified_zxid > since => {
                     Some(WatchEventKind::Children)
                 }
                 Some(_) => None,
             };
-            self.set_watch(connection, path, WatchTarget::Children, missed, events);
+            self.set_watch(
+                connection,
+                path,
+                WatchTarget::Children,
+                missed_event,
+                events,
+            );
         }
     }
 
-    /// Keeps a watch, or notifies what it missed.
+    /// Adds a watch, or sends the event that it missed_event.
     fn set_watch(
         &mut self,
         connection: ConnectionId,
         path: &str,
         target: WatchTarget,
-        missed: Option<WatchEventKind>,
+        missed_event: Option<WatchEventKind>,
         events: &mut Vec<StoreEffect>,
     ) {
-        match missed {
-            Some(kind) => events.push(event(connection, kind, path)),
+        match missed_event {
+            Some(kind) => events.push(watch_event_effect(connection, kind, path)),
             None => self.add_watch(path, target, connection),
         }
     }
 }
 
-fn event(connection: ConnectionId, kind: WatchEventKind, path: &str) -> StoreEffect {
+/// The effect that sends a watch event over a connection.
+fn watch_event_effect(connection: ConnectionId, kind: WatchEventKind, path: &str) -> StoreEffect {
     let header = ReplyHeader {
         xid: XID_EVENT,
         zxid: NO_ZXID,
