--- a/crates/zookeeper/src/store/mod.rs
+++ b/crates/zookeeper/src/store/mod.rs
@@ -177,8 +177,8 @@
             connection,
         };
         let mut body = Vec::new();
-        // Watch events precede the reply to the request that triggers them, so that a client that watches what it
-        // changes gets the event before the response.
+        // Watch events precede the reply to the request that triggers them, so that a client sees the event before the
+        // result of its own change.
         let mut events = Vec::new();
         let error = self
             .apply_request(context, &request, &mut body, &mut events)
--- a/crates/zookeeper/src/store/watches.rs
+++ b/crates/zookeeper/src/store/watches.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Sets the watches of a client's previous connection again. A watch whose node or children have changed since the
-    /// transaction `since` is triggered at once instead.
+    /// Sets the watches of a client's previous connection again. If a watched change has happened since the transaction
+    /// `since`, its event is sent at once instead.
     pub(super) fn set_watches(
         &mut self,
         connection: ConnectionId,
--- a/crates/zookeeper/tests/codec.rs
+++ b/crates/zookeeper/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Records against bytes worked out by hand from the published format, and back.
+//! Encoding and decoding of records, checked against bytes derived by hand from the published format.
 
 use asterramp_zookeeper::frame::{FrameReader, MAX_FRAME_BYTES, write_frame};
 use asterramp_zookeeper::jute::{DecodeError, JuteReader};
@@ -9,11 +9,14 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-/// Bytes written as hexadecimal digits with blanks, and text in quotes.
+/// Parses a test's notation for bytes: words of hexadecimal digits, and words of text in double quotes.
 fn bytes(spec: &str) -> Vec<u8> {
     let mut out = Vec::new();
     for word in spec.split_whitespace() {
-        match word.strip_prefix('"').and_then(|w| w.strip_suffix('"')) {
+        match word
+            .strip_prefix('"')
+            .and_then(|text| text.strip_suffix('"'))
+        {
             Some(text) => out.extend(text.bytes()),
             None => out.extend(
                 (0..word.len())
@@ -25,7 +28,7 @@
     out
 }
 
-fn request(path: &str) -> StoreRequest {
+fn children_request(path: &str) -> StoreRequest {
     StoreRequest::GetChildren {
         path: path.into(),
         watch: true,
@@ -34,7 +37,7 @@
 
 #[test_case(XID_PING, StoreRequest::Ping, "fffffffe 0000000b"; "ping")]
 #[test_case(7, StoreRequest::Close, "00000007 fffffff5"; "close")]
-#[test_case(1, request("/hosts"), "00000001 0000000c 00000006 \"/hosts\" 01"; "children with a watch")]
+#[test_case(1, children_request("/hosts"), "00000001 0000000c 00000006 \"/hosts\" 01"; "children with a watch")]
 #[test_case(2, StoreRequest::GetData { path: "/a".into(), watch: false }, "00000002 00000004 00000002 \"/a\" 00"; "data")]
 #[test_case(3, StoreRequest::Exists { path: "/a".into(), watch: true }, "00000003 00000003 00000002 \"/a\" 01"; "exists")]
 #[test_case(4, StoreRequest::Delete { path: "/a".into(), version: ANY_VERSION }, "00000004 00000002 00000002 \"/a\" ffffffff"; "delete")]
@@ -43,7 +46,7 @@
     "00000006 00000001 00000002 \"/a\" 00000002 \"{}\" 00000001 0000001f 00000005 \"world\" 00000006 \"anyone\" 00000001"; "an ephemeral node")]
 #[test_case(-4, StoreRequest::Auth { scheme: "digest".into(), secret: b"a:b".to_vec() }, "fffffffc 00000064 00000000 00000006 \"digest\" 00000003 \"a:b\""; "auth")]
 #[test_case(-8, StoreRequest::SetWatches { since: 258, data: vec!["/a".into()], exist: vec![], child: vec!["/b".into()] },
-    "fffffff8 00000065 0000000000000102 00000001 00000002 \"/a\" 00000000 00000001 00000002 \"/b\""; "watches again")]
+    "fffffff8 00000065 0000000000000102 00000001 00000002 \"/a\" 00000000 00000001 00000002 \"/b\""; "set watches")]
 #[test_case(9, StoreRequest::Multi(vec![StoreRequest::Delete { path: "/a".into(), version: 1 }]),
     "00000009 0000000e 00000002 00 ffffffff 00000002 \"/a\" 00000001 ffffffff 01 ffffffff"; "multi")]
 fn a_request_has_the_published_bytes(xid: i32, request: StoreRequest, spec: &str) {
@@ -55,11 +58,11 @@
         assert!(StoreRequest::read(&out[..cut]).is_err(), "cut at {cut}");
     }
     out.push(0);
-    assert!(StoreRequest::read(&out).is_err(), "a byte behind it");
+    assert!(StoreRequest::read(&out).is_err(), "a trailing byte");
 }
 
 #[test]
-fn a_handshake_has_the_published_bytes_with_and_without_the_last() {
+fn a_handshake_has_the_published_bytes_with_and_without_the_read_only_flag() {
     let connect = ConnectRequest {
         last_zxid: 1,
         timeout_ms: 4_000,
@@ -118,12 +121,15 @@
         out,
         bytes("ffffffff ffffffffffffffff 00000000 00000004 00000003 00000006 \"/hosts\"")
     );
-    let mut r = JuteReader::new(&out);
+    let mut reader = JuteReader::new(&out);
     assert_eq!(
-        ReplyHeader::read(&mut r).map(|head| head.xid),
+        ReplyHeader::read(&mut reader).map(|header| header.xid),
         Ok(XID_EVENT)
     );
-    assert_eq!((WatchEvent::read(&mut r), r.finish()), (Ok(event), Ok(())));
+    assert_eq!(
+        (WatchEvent::read(&mut reader), reader.finish()),
+        (Ok(event), Ok(()))
+    );
     let stat = NodeStat {
         created_zxid: 1,
         version: 2,
@@ -149,33 +155,36 @@
     assert!(error.is_none_or(|error| error.code() == code));
 }
 
-#[test_case("00000001 00000003 7fffffff \"/a\" 01", DecodeError::Truncated; "a length far beyond the record")]
-#[test_case("00000001 00000003 fffffffe \"/a\" 01", DecodeError::InvalidLength(-2); "a length below none")]
+#[test_case("00000001 00000003 7fffffff \"/a\" 01", DecodeError::Truncated; "a length above the bytes of the record")]
+#[test_case("00000001 00000003 fffffffe \"/a\" 01", DecodeError::InvalidLength(-2); "a length below -1")]
 #[test_case("00000001 00000003 00000002 \"/a\" 02", DecodeError::InvalidValue(2); "a boolean of two")]
 #[test_case("00000001 00000003 00000001 ff 01", DecodeError::NotUtf8; "not text")]
 #[test_case("00000001 00000063", DecodeError::InvalidValue(99); "an unknown operation")]
-#[test_case("00000001 00000065 0000000000000000 7fffffff", DecodeError::InvalidLength(i32::MAX); "a count beyond the bound")]
-#[test_case("00000001 00000065 0000000000000000 00010000", DecodeError::Truncated; "a count beyond the record")]
+#[test_case("00000001 00000065 0000000000000000 7fffffff", DecodeError::InvalidLength(i32::MAX); "a count above the limit")]
+#[test_case("00000001 00000065 0000000000000000 00010000", DecodeError::Truncated; "a count above the bytes of the record")]
 #[test_case("00000001 0000000e 0000000e 00 ffffffff", DecodeError::InvalidValue(14); "a multi within a multi")]
 fn a_record_that_cannot_be_decoded_is_rejected_with_its_reason(spec: &str, error: DecodeError) {
     assert_eq!(StoreRequest::read(&bytes(spec)), Err(error));
 }
 
 #[test]
-fn frames_are_found_however_the_stream_is_cut_and_too_long_ones_rejected() {
+fn frames_are_read_from_pieces_of_any_size_and_too_long_ones_are_rejected() {
     let mut out = Vec::new();
-    for n in [0_usize, 3, 300] {
-        write_frame(&mut out, |out| out.extend(vec![n as u8; n]));
+    for length in [0_usize, 3, 300] {
+        write_frame(&mut out, |out| out.extend(vec![length as u8; length]));
     }
-    for size in [1, 2, 5, 1_000] {
-        let (mut frames, mut found) = (FrameReader::default(), Vec::new());
-        for piece in out.chunks(size) {
+    for piece_length in [1, 2, 5, 1_000] {
+        let (mut frames, mut frame_lengths) = (FrameReader::default(), Vec::new());
+        for piece in out.chunks(piece_length) {
             frames.append(piece);
             while let Some(frame) = frames.next_frame().unwrap() {
-                found.push(frame.len());
+                frame_lengths.push(frame.len());
             }
         }
-        assert_eq!((found, frames.buffered_bytes()), (vec![0, 3, 300], 0));
+        assert_eq!(
+            (frame_lengths, frames.buffered_bytes()),
+            (vec![0, 3, 300], 0)
+        );
     }
     for length in [-1, MAX_FRAME_BYTES as i32 + 1] {
         let mut frames = FrameReader::default();
@@ -188,10 +197,10 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(512) })]
 
     #[test]
-    fn any_bytes_are_decoded_or_rejected(all in prop::collection::vec(any::<u8>(), 0..400), op in 0_u8..16) {
-        let mut headed = vec![0, 0, 0, 1, 0, 0, 0, op];
-        headed.extend(&all);
-        for bytes in [&all, &headed] {
+    fn any_bytes_are_decoded_or_rejected(body in prop::collection::vec(any::<u8>(), 0..400), operation in 0_u8..16) {
+        let mut request_bytes = vec![0, 0, 0, 1, 0, 0, 0, operation];
+        request_bytes.extend(&body);
+        for bytes in [&body, &request_bytes] {
             if let Ok((xid, request)) = StoreRequest::read(bytes) {
                 let mut out = Vec::new();
                 request.write(xid, &mut out);
--- a/crates/zookeeper/tests/former_name.rs
+++ b/crates/zookeeper/tests/former_name.rs
@@ -1,8 +1,8 @@
-//! The program still starts under its former name.
+//! The stub store's program can still be started under its former name.
 
 use std::process::{Command, Output};
 
-/// An address that cannot be listened at, so that the program ends.
+/// An address that can't be bound to, so that the program exits with an error.
 const BAD_ADDRESS: &str = "not-an-address";
 
 fn output_of(program: &str) -> Output {
--- a/crates/zookeeper/tests/listing.rs
+++ b/crates/zookeeper/tests/listing.rs
@@ -1,4 +1,4 @@
-//! What vanished, returned, changed and unreadable nodes mean for their servers.
+//! The reported state of servers whose nodes vanish, return, change or can't be read.
 
 use asterramp_zookeeper::listing::{
     ListedChange, ListedNode, ListedState, ListingSettings, ListingWarning, NodeListing,
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use test_case::test_case;
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
 fn node(uid: &str) -> ListedNode {
@@ -21,59 +21,61 @@
     }
 }
 
+/// A listing, with the changes and warnings that it has reported.
 struct ListingHarness {
     listing: NodeListing,
     changes: Vec<ListedChange>,
-    remarks: Vec<ListingWarning>,
+    warnings: Vec<ListingWarning>,
 }
 
 impl ListingHarness {
-    /// With servers a, b and c, which were reported.
+    /// A listing of servers a, b and c, which have been reported as ready.
     fn new() -> ListingHarness {
         let mut harness = ListingHarness {
             listing: NodeListing::new(ListingSettings::default()),
             changes: Vec::new(),
-            remarks: Vec::new(),
+            warnings: Vec::new(),
         };
-        harness.whole(0, &["a", "b", "c"].map(|uid| (uid, Some(node(uid)))));
+        harness.replace_all(0, &["a", "b", "c"].map(|uid| (uid, Some(node(uid)))));
         assert_eq!(harness.take_reports(), ["a ready", "b ready", "c ready"]);
         harness
     }
 
-    fn whole(&mut self, at: u64, children: &[(&str, Option<ListedNode>)]) {
+    fn replace_all(&mut self, at_ms: u64, children: &[(&str, Option<ListedNode>)]) {
         let children: Vec<(String, Option<ListedNode>)> = children
             .iter()
             .map(|(name, node)| (name.to_string(), node.clone()))
             .collect();
         self.listing
-            .replace_all(ms(at), &children, &mut self.changes, &mut self.remarks);
+            .replace_all(ms(at_ms), &children, &mut self.changes, &mut self.warnings);
     }
 
-    fn changed(&mut self, at: u64, name: &str, node: Option<ListedNode>) {
+    fn node_changed(&mut self, at_ms: u64, name: &str, node: Option<ListedNode>) {
         self.listing
-            .node_changed(ms(at), name, node, &mut self.changes, &mut self.remarks);
+            .node_changed(ms(at_ms), name, node, &mut self.changes, &mut self.warnings);
     }
 
-    fn deleted(&mut self, at: u64, name: &str) {
+    fn node_deleted(&mut self, at_ms: u64, name: &str) {
         self.listing
-            .node_deleted(ms(at), name, &mut self.changes, &mut self.remarks);
+            .node_deleted(ms(at_ms), name, &mut self.changes, &mut self.warnings);
     }
 
-    fn tick(&mut self, at: u64) {
+    fn tick(&mut self, at_ms: u64) {
         self.listing
-            .tick(ms(at), &mut self.changes, &mut self.remarks);
+            .tick(ms(at_ms), &mut self.changes, &mut self.warnings);
     }
 
+    /// The changes since the last call, each as the server's name and state.
     fn take_reports(&mut self) -> Vec<String> {
         let changes = std::mem::take(&mut self.changes);
-        let word = |standing| match standing {
+        let state_name = |state| match state {
             ListedState::Ready => "ready",
             ListedState::Draining => "draining",
             ListedState::Gone => "gone",
         };
         changes
             .iter()
-            .map(|t| format!("{} {}", t.uid, word(t.state)))
+            .map(|change| format!("{} {}", change.uid, state_name(change.state)))
             .collect()
     }
 }
@@ -85,10 +87,13 @@
     harness.listing.store_unavailable(ms(1_000));
     harness.listing.store_unavailable(ms(1_500));
     harness.tick(60_000);
-    assert!(harness.take_reports().is_empty(), "an outage moves nobody");
+    assert!(
+        harness.take_reports().is_empty(),
+        "an outage changes no state"
+    );
     assert_eq!(harness.listing.age(ms(61_000)), Some(ms(60_000)));
-    // It comes back with half its nodes gone: those are gone, since it said so.
-    harness.whole(61_000, &[("a", Some(node("a")))]);
+    // After the outage the store lists only one node: the other servers are reported gone.
+    harness.replace_all(61_000, &[("a", Some(node("a")))]);
     assert_eq!(
         (harness.take_reports(), harness.listing.age(ms(61_000))),
         (vec!["b gone".into(), "c gone".into()], Some(ms(0)))
@@ -96,15 +101,15 @@
 }
 
 #[test]
-fn a_deleted_node_is_gone_at_once_and_the_loss_of_all_is_remarked() {
+fn a_server_is_gone_once_its_node_is_deleted_and_the_loss_of_all_nodes_gives_a_warning() {
     let mut harness = ListingHarness::new();
-    harness.deleted(100, "b");
+    harness.node_deleted(100, "b");
     assert_eq!(harness.take_reports(), ["b gone"]);
-    harness.deleted(100, "b");
+    harness.node_deleted(100, "b");
     assert!(harness.take_reports().is_empty());
-    harness.whole(200, &[]);
+    harness.replace_all(200, &[]);
     assert_eq!(
-        (harness.take_reports(), harness.remarks),
+        (harness.take_reports(), harness.warnings),
         (
             vec!["a gone".into(), "c gone".into()],
             vec![ListingWarning::AllGone]
@@ -113,40 +118,40 @@
 }
 
 #[test_case(Some(ms(5)), false, "b ready"; "the same process")]
-#[test_case(Some(ms(900)), false, "b ready"; "a newer one, which is warming up")]
+#[test_case(Some(ms(900)), false, "b ready"; "a newer process, which is in slow start")]
 #[test_case(Some(ms(5)), true, "b draining"; "draining")]
 fn a_node_back_within_a_second_is_reported_gone_and_then_back(
-    boot: Option<Duration>,
+    started_at: Option<Duration>,
     draining: bool,
-    back: &str,
+    expected_report: &str,
 ) {
     let mut harness = ListingHarness::new();
-    harness.deleted(100, "b");
-    harness.changed(
+    harness.node_deleted(100, "b");
+    harness.node_changed(
         700,
         "b2",
         Some(ListedNode {
-            started_at: boot,
+            started_at,
             draining,
             ..node("b")
         }),
     );
-    assert_eq!(harness.take_reports(), ["b gone", back]);
-    let boots: Vec<Option<Duration>> = harness
+    assert_eq!(harness.take_reports(), ["b gone", expected_report]);
+    let start_times: Vec<Option<Duration>> = harness
         .changes
         .iter()
-        .filter_map(|t| t.node.as_ref())
-        .map(|n| n.started_at)
+        .filter_map(|change| change.node.as_ref())
+        .map(|node| node.started_at)
         .collect();
-    assert!(boots.iter().all(|b| *b == boot));
+    assert!(start_times.iter().all(|time| *time == started_at));
 }
 
 #[test]
-fn unreadable_data_leaves_a_server_as_it_was_and_names_no_new_one() {
+fn unreadable_data_keeps_the_state_of_a_known_server_and_adds_no_new_one() {
     let mut harness = ListingHarness::new();
-    harness.changed(100, "b", None);
-    harness.changed(200, "b", None);
-    harness.whole(
+    harness.node_changed(100, "b", None);
+    harness.node_changed(200, "b", None);
+    harness.replace_all(
         300,
         &[
             ("a", Some(node("a"))),
@@ -157,29 +162,29 @@
     );
     assert!(harness.take_reports().is_empty());
     assert_eq!(
-        harness.remarks,
+        harness.warnings,
         [
             ListingWarning::Unreadable("b".into()),
             ListingWarning::Unreadable("odd".into())
         ]
     );
-    harness.deleted(400, "b");
+    harness.node_deleted(400, "b");
     assert_eq!(
         harness.take_reports(),
         ["b gone"],
-        "its node went, read or not"
+        "its node is deleted, though its data was unreadable"
     );
 }
 
 #[test]
-fn of_two_nodes_of_one_server_the_newer_counts_and_it_stays_while_one_is_there() {
+fn the_newer_of_two_nodes_of_a_server_is_used_and_it_is_listed_until_both_are_deleted() {
     let mut harness = ListingHarness::new();
     let newer = ListedNode {
         started_at: Some(ms(900)),
         address: "127.0.0.1:10".into(),
         ..node("b")
     };
-    harness.changed(1_000, "b-2", Some(newer.clone()));
+    harness.node_changed(1_000, "b-2", Some(newer.clone()));
     assert_eq!(
         harness.changes,
         [ListedChange {
@@ -189,37 +194,37 @@
         }]
     );
     assert_eq!(
-        (harness.take_reports().len(), &harness.remarks[..]),
+        (harness.take_reports().len(), &harness.warnings[..]),
         (1, &[ListingWarning::DuplicateUid("b".into())][..])
     );
-    harness.deleted(2_000, "b");
+    harness.node_deleted(2_000, "b");
     assert!(
         harness.take_reports().is_empty(),
-        "the old process's node lapses late"
+        "the old process's node expires late"
     );
-    harness.deleted(3_000, "b-2");
+    harness.node_deleted(3_000, "b-2");
     assert_eq!(harness.take_reports(), ["b gone"]);
 }
 
 #[test]
-fn a_flapping_server_is_reported_gone_until_it_stays() {
+fn a_flapping_server_is_reported_gone_until_its_node_has_existed_for_the_suppression_time() {
     let mut harness = ListingHarness::new();
     for round in 1..=3 {
-        harness.deleted(round * 1_000, "b");
-        harness.changed(round * 1_000 + 500, "b", Some(node("b")));
+        harness.node_deleted(round * 1_000, "b");
+        harness.node_changed(round * 1_000 + 500, "b", Some(node("b")));
     }
     assert_eq!(
         harness.take_reports(),
         ["b gone", "b ready", "b gone", "b ready", "b gone"]
     );
-    assert_eq!(harness.remarks, [ListingWarning::Flapping("b".into())]);
+    assert_eq!(harness.warnings, [ListingWarning::Flapping("b".into())]);
     harness.tick(8_000);
     assert!(harness.take_reports().is_empty());
     harness.tick(8_600);
     assert_eq!(
         harness.take_reports(),
         ["b ready"],
-        "it stayed for five seconds"
+        "its node has existed for five seconds"
     );
 }
 
@@ -227,7 +232,7 @@
 fn a_change_of_a_nodes_data_is_reported_once() {
     let mut harness = ListingHarness::new();
     for _ in 0..2 {
-        harness.changed(
+        harness.node_changed(
             100,
             "a",
             Some(ListedNode {
@@ -237,7 +242,7 @@
         );
     }
     assert_eq!(harness.take_reports(), ["a ready"]);
-    harness.changed(
+    harness.node_changed(
         200,
         "a",
         Some(ListedNode {
@@ -245,6 +250,6 @@
             ..node("a")
         }),
     );
-    harness.changed(300, "a", Some(node("a")));
+    harness.node_changed(300, "a", Some(node("a")));
     assert_eq!(harness.take_reports(), ["a draining", "a ready"]);
 }
--- a/crates/zookeeper/tests/session.rs
+++ b/crates/zookeeper/tests/session.rs
@@ -1,4 +1,4 @@
-//! A client's session against a store that is scripted by the test.
+//! A client's session against a store whose replies are scripted by the test.
 
 use asterramp_zookeeper::frame::{FrameReader, write_frame};
 use asterramp_zookeeper::jute::JuteWrite;
@@ -12,39 +12,41 @@
 use std::time::Duration;
 use test_case::test_case;
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
+/// A session, the simulated time, and the effects that the session has returned.
 struct SessionHarness {
     session: StoreSession,
     now: Duration,
-    out: Vec<StoreSessionEffect>,
+    effects: Vec<StoreSessionEffect>,
 }
 
 impl SessionHarness {
-    fn new(addresses: usize) -> SessionHarness {
-        let mut out = Vec::new();
+    fn new(address_count: usize) -> SessionHarness {
+        let mut effects = Vec::new();
         let settings = StoreSessionSettings {
-            address_count: addresses,
+            address_count,
             timeout: ms(3_000),
             auth: None,
         };
-        let session = StoreSession::new(ms(0), settings, 4, &mut out);
+        let session = StoreSession::new(ms(0), settings, 4, &mut effects);
         SessionHarness {
             session,
             now: ms(0),
-            out,
+            effects,
         }
     }
 
     fn take_effects(&mut self) -> Vec<StoreSessionEffect> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// Connected, with a session of this number and timeout.
-    fn handshake(&mut self, session: i64, timeout: i32) -> ConnectRequest {
-        self.session.connection_opened(self.now, &mut self.out);
+    /// Establishes the connection and replies to the handshake with this session and timeout; returns the client's
+    /// record.
+    fn handshake(&mut self, session_id: i64, timeout_ms: i32) -> ConnectRequest {
+        self.session.connection_opened(self.now, &mut self.effects);
         let sent = self.take_effects();
         let Some(StoreSessionEffect::Send(bytes)) = sent.last() else {
             panic!("{sent:?}")
@@ -55,16 +57,17 @@
         let mut bytes = Vec::new();
         write_frame(&mut bytes, |out| {
             ConnectResponse {
-                timeout_ms: timeout,
-                session_id: session,
-                password: vec![session as u8; 16],
+                timeout_ms,
+                session_id,
+                password: vec![session_id as u8; 16],
             }
             .write(out)
         });
-        self.session.receive(self.now, &bytes, &mut self.out);
+        self.session.receive(self.now, &bytes, &mut self.effects);
         connect
     }
 
+    /// Establishes session 5 with a timeout of 3 s.
     fn establish(&mut self) {
         self.handshake(5, 3_000);
         assert_eq!(
@@ -73,45 +76,54 @@
         );
     }
 
+    /// Sends a request and returns its number.
     fn request(&mut self, request: StoreRequest) -> i32 {
         let xid = self
             .session
-            .request(self.now, request, &mut self.out)
-            .expect("a session stands");
+            .request(self.now, request, &mut self.effects)
+            .expect("session is connected");
         self.take_effects();
         xid
     }
 
-    fn reply(&mut self, xid: i32, zxid: i64, err: i32, body: impl FnOnce(&mut Vec<u8>)) {
+    /// Delivers a reply with this header, and the body that `write_body` appends.
+    fn reply(
+        &mut self,
+        xid: i32,
+        zxid: i64,
+        error_code: i32,
+        write_body: impl FnOnce(&mut Vec<u8>),
+    ) {
         let mut bytes = Vec::new();
         write_frame(&mut bytes, |out| {
             ReplyHeader {
                 xid,
                 zxid,
-                error_code: err,
+                error_code,
             }
             .write(out);
-            body(out);
+            write_body(out);
         });
-        // In two pieces, as it may come.
+        // In two pieces, as a TCP stream may deliver it.
         let (first, second) = bytes.split_at(bytes.len() / 2);
-        self.session.receive(self.now, first, &mut self.out);
-        self.session.receive(self.now, second, &mut self.out);
+        self.session.receive(self.now, first, &mut self.effects);
+        self.session.receive(self.now, second, &mut self.effects);
     }
 
-    fn wait_for(&mut self, until: StoreSessionState) {
+    /// Advances the time from tick to tick until the session has this state.
+    fn advance_until(&mut self, state: StoreSessionState) {
         for _ in 0..20 {
-            if self.session.state() == until {
+            if self.session.state() == state {
                 return;
             }
             self.now = self.now.max(self.session.next_tick_due());
-            self.session.tick(self.now, &mut self.out);
+            self.session.tick(self.now, &mut self.effects);
         }
-        panic!("never {until:?}");
+        panic!("session never reached {state:?}");
     }
 }
 
-/// Asks for the children of `/hosts` with a watch; the store has none, and its last change was `zxid`.
+/// Requests the children of `/hosts` with a watch; the store replies that there are none, as of transaction `zxid`.
 fn watch_hosts(harness: &mut SessionHarness, zxid: i64) {
     let xid = harness.request(children("/hosts"));
     harness.reply(xid, zxid, 0, |out| {
@@ -128,7 +140,7 @@
 }
 
 #[test]
-fn requests_are_responded_to_and_watches_fire() {
+fn responses_and_watch_events_are_reported() {
     let mut harness = SessionHarness::new(1);
     assert_eq!(harness.take_effects(), [StoreSessionEffect::Connect(0)]);
     harness.establish();
@@ -137,16 +149,13 @@
         out.vector(&["a", "b"], |out, name| out.string(name));
         NodeStat::default().write(out);
     });
-    let answer = Ok(StoreResponse::Children(
+    let response = Ok(StoreResponse::Children(
         vec!["a".into(), "b".into()],
         NodeStat::default(),
     ));
     assert_eq!(
         harness.take_effects(),
-        [StoreSessionEffect::ResponseReceived {
-            xid,
-            response: answer
-        }]
+        [StoreSessionEffect::ResponseReceived { xid, response }]
     );
     let event = WatchEvent {
         kind: WatchEventKind::Children,
@@ -178,29 +187,29 @@
     assert_eq!(harness.take_effects(), [StoreSessionEffect::Connect(1)]);
     harness.establish();
     watch_hosts(&mut harness, 77);
-    let open = harness.request(StoreRequest::Exists {
+    let pending_xid = harness.request(StoreRequest::Exists {
         path: "/x".into(),
         watch: true,
     });
     harness.take_effects();
     harness
         .session
-        .connection_failed(harness.now, &mut harness.out);
+        .connection_failed(harness.now, &mut harness.effects);
     assert_eq!(
         harness.take_effects(),
         [
             StoreSessionEffect::ConnectionLost,
-            StoreSessionEffect::ResponseLost { xid: open },
+            StoreSessionEffect::ResponseLost { xid: pending_xid },
             StoreSessionEffect::CloseConnection
         ]
     );
     assert!(
         harness
             .session
-            .request(harness.now, children("/y"), &mut harness.out)
+            .request(harness.now, children("/y"), &mut harness.effects)
             .is_none()
     );
-    harness.wait_for(StoreSessionState::Connecting);
+    harness.advance_until(StoreSessionState::Connecting);
     assert_eq!(
         harness.take_effects(),
         [StoreSessionEffect::Connect(2)],
@@ -211,18 +220,18 @@
         (connect.session_id, connect.last_zxid, connect.password),
         (5, 77, vec![5; 16])
     );
-    let take_effects = harness.take_effects();
+    let effects = harness.take_effects();
     let [
         StoreSessionEffect::Send(watches),
         StoreSessionEffect::Established { new: false },
-    ] = &take_effects[..]
+    ] = &effects[..]
     else {
-        panic!("{take_effects:?}")
+        panic!("{effects:?}")
     };
-    let (_, again) = StoreRequest::read(&watches[4..]).unwrap();
+    let (_, request) = StoreRequest::read(&watches[4..]).unwrap();
     let child = vec!["/hosts".to_string()];
     assert_eq!(
-        again,
+        request,
         StoreRequest::SetWatches {
             since: 77,
             data: vec![],
@@ -239,8 +248,8 @@
     harness.establish();
     harness
         .session
-        .connection_failed(harness.now, &mut harness.out);
-    harness.wait_for(StoreSessionState::Connecting);
+        .connection_failed(harness.now, &mut harness.effects);
+    harness.advance_until(StoreSessionState::Connecting);
     harness.take_effects();
     harness.handshake(0, 0);
     assert_eq!(
@@ -250,7 +259,7 @@
             StoreSessionEffect::CloseConnection
         ]
     );
-    harness.wait_for(StoreSessionState::Connecting);
+    harness.advance_until(StoreSessionState::Connecting);
     harness.take_effects();
     let connect = harness.handshake(6, 3_000);
     assert_eq!((connect.session_id, connect.last_zxid), (0, 0));
@@ -261,48 +270,48 @@
 }
 
 #[test]
-fn a_silent_store_is_pinged_and_then_left_before_the_session_would_expire() {
+fn a_silent_store_is_pinged_and_the_connection_closed_before_the_session_expires() {
     let mut harness = SessionHarness::new(1);
     harness.take_effects();
     harness.establish();
-    harness.wait_for(StoreSessionState::BackingOff);
+    harness.advance_until(StoreSessionState::BackingOff);
     assert_eq!(harness.now, ms(2_000));
-    let take_effects = harness.take_effects();
-    let pings = take_effects.iter().filter(
-        |e| matches!(e, StoreSessionEffect::Send(bytes) if bytes[4..8] == [255, 255, 255, 254]),
+    let effects = harness.take_effects();
+    let pings = effects.iter().filter(
+        |effect| matches!(effect, StoreSessionEffect::Send(bytes) if bytes[4..8] == [255, 255, 255, 254]),
     );
     assert_eq!(
         (
             pings.count(),
-            take_effects.contains(&StoreSessionEffect::ConnectionLost)
+            effects.contains(&StoreSessionEffect::ConnectionLost)
         ),
         (1, true),
-        "{take_effects:?}"
+        "{effects:?}"
     );
 }
 
 #[test]
-fn reconnect_delays_grow_are_spread_and_have_a_bound() {
+fn reconnect_delays_grow_up_to_a_limit_with_jitter() {
     let mut harness = SessionHarness::new(2);
-    let mut pauses = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..14 {
         harness
             .session
-            .connection_failed(harness.now, &mut harness.out);
-        pauses.push(harness.session.next_tick_due() - harness.now);
+            .connection_failed(harness.now, &mut harness.effects);
+        delays.push(harness.session.next_tick_due() - harness.now);
         harness.now = harness.session.next_tick_due();
-        harness.session.tick(harness.now, &mut harness.out);
+        harness.session.tick(harness.now, &mut harness.effects);
     }
-    assert!(pauses[0] <= ms(75) && pauses[6] >= ms(1_600), "{pauses:?}");
-    assert!(pauses.iter().all(|pause| *pause <= ms(7_500)), "{pauses:?}");
+    assert!(delays[0] <= ms(75) && delays[6] >= ms(1_600), "{delays:?}");
+    assert!(delays.iter().all(|delay| *delay <= ms(7_500)), "{delays:?}");
     assert!(
-        pauses[10..].windows(2).all(|w| w[0] != w[1]),
-        "spread: {pauses:?}"
+        delays[10..].windows(2).all(|pair| pair[0] != pair[1]),
+        "no jitter: {delays:?}"
     );
 }
 
-#[test_case(&[0x7f, 0xff, 0xff, 0xff]; "a frame beyond the bound")]
-#[test_case(&[0, 0, 0, 2, 1, 2]; "a record cut short")]
+#[test_case(&[0x7f, 0xff, 0xff, 0xff]; "a frame above the length limit")]
+#[test_case(&[0, 0, 0, 2, 1, 2]; "a truncated record")]
 #[test_case(&[0, 0, 0, 20, 255, 255, 255, 255, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 99]; "an unknown event")]
 fn undecodable_bytes_end_the_connection_and_not_the_session(bytes: &[u8]) {
     let mut harness = SessionHarness::new(1);
@@ -310,37 +319,37 @@
     harness.establish();
     harness
         .session
-        .receive(harness.now, bytes, &mut harness.out);
-    let take_effects = harness.take_effects();
+        .receive(harness.now, bytes, &mut harness.effects);
+    let effects = harness.take_effects();
     assert!(
         matches!(
-            take_effects[..],
+            effects[..],
             [
                 StoreSessionEffect::ProtocolError(_),
                 StoreSessionEffect::ConnectionLost,
                 StoreSessionEffect::CloseConnection
             ]
         ),
-        "{take_effects:?}"
+        "{effects:?}"
     );
-    harness.wait_for(StoreSessionState::Connecting);
+    harness.advance_until(StoreSessionState::Connecting);
     assert_eq!(harness.handshake(5, 3_000).session_id, 5);
 }
 
 #[test]
-fn a_close_is_sent_and_ends_the_session() {
+fn closing_sends_a_close_request_and_ends_the_session() {
     let mut harness = SessionHarness::new(1);
     harness.take_effects();
     harness.establish();
-    harness.session.close(harness.now, &mut harness.out);
-    let take_effects = harness.take_effects();
+    harness.session.close(harness.now, &mut harness.effects);
+    let effects = harness.take_effects();
     assert!(
-        matches!(&take_effects[..], [StoreSessionEffect::Send(bytes), StoreSessionEffect::CloseConnection] if bytes[8..] == [255, 255, 255, 245])
+        matches!(&effects[..], [StoreSessionEffect::Send(bytes), StoreSessionEffect::CloseConnection] if bytes[8..] == [255, 255, 255, 245])
     );
     harness
         .session
-        .connection_failed(harness.now, &mut harness.out);
-    harness.session.tick(ms(60_000), &mut harness.out);
+        .connection_failed(harness.now, &mut harness.effects);
+    harness.session.tick(ms(60_000), &mut harness.effects);
     assert_eq!(
         (harness.take_effects(), harness.session.next_tick_due()),
         (vec![], Duration::MAX)
--- a/crates/zookeeper/tests/session_with_store.rs
+++ b/crates/zookeeper/tests/session_with_store.rs
@@ -1,4 +1,4 @@
-//! Clients' sessions against the stub store, over a simulated network and clock.
+//! Sessions of several clients with the stub store, over a simulated network and clock.
 
 use asterramp_zookeeper::frame::FrameReader;
 use asterramp_zookeeper::record::{ANY_VERSION, StoreError, StoreRequest, WatchEventKind};
@@ -9,31 +9,33 @@
 use std::time::Duration;
 use test_case::test_case;
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
+/// A client of the store.
 struct Client {
     session: StoreSession,
     connection: Option<ConnectionId>,
     frames: FrameReader,
-    /// Its process is stopped: it does nothing, and nothing reachable it.
+    /// Whether its process is suspended: its session isn't driven, and it receives nothing.
     suspended: bool,
-    /// Effects that are not the network's to do.
+    /// Events that the session has reported, oldest first.
     reported: Vec<StoreSessionEffect>,
 }
 
+/// The store, its clients, and the network between them.
 struct SimulatedNetwork {
     now: Duration,
     store: StubStore,
-    /// Whether the store can be connected to and answers.
+    /// Whether clients can connect to the store and send requests.
     reachable: bool,
     last_connection: ConnectionId,
     clients: Vec<Client>,
 }
 
 impl SimulatedNetwork {
-    fn new(clients: usize) -> SimulatedNetwork {
+    fn new(client_count: usize) -> SimulatedNetwork {
         let mut network = SimulatedNetwork {
             now: ms(0),
             store: StubStore::new(ms(500), ms(60_000)),
@@ -41,14 +43,15 @@
             last_connection: 1,
             clients: Vec::new(),
         };
-        for seed in 0..clients {
+        for client_index in 0..client_count {
             let mut out = Vec::new();
             let settings = StoreSessionSettings {
                 address_count: 2,
                 timeout: ms(3_000),
                 auth: None,
             };
-            let session = StoreSession::new(network.now, settings, seed as u64 + 1, &mut out);
+            let session =
+                StoreSession::new(network.now, settings, client_index as u64 + 1, &mut out);
             let client = Client {
                 session,
                 connection: None,
@@ -57,53 +60,61 @@
                 reported: Vec::new(),
             };
             network.clients.push(client);
-            network.perform(seed, out);
+            network.perform(client_index, out);
         }
         network
     }
 
-    /// Does what a client wants done.
-    fn perform(&mut self, nth: usize, effects: Vec<StoreSessionEffect>) {
+    /// Performs the effects of a client's session.
+    fn perform(&mut self, client_index: usize, effects: Vec<StoreSessionEffect>) {
         for effect in effects {
             match effect {
                 StoreSessionEffect::Connect(_) => {
                     if !self.reachable {
-                        self.event(nth, |session, now, out| session.connection_failed(now, out));
+                        self.drive_session(client_index, |session, now, out| {
+                            session.connection_failed(now, out)
+                        });
                         continue;
                     }
                     self.last_connection += 1;
-                    self.clients[nth].connection = Some(self.last_connection);
-                    self.clients[nth].frames = FrameReader::default();
-                    self.event(nth, |session, now, out| session.connection_opened(now, out));
+                    self.clients[client_index].connection = Some(self.last_connection);
+                    self.clients[client_index].frames = FrameReader::default();
+                    self.drive_session(client_index, |session, now, out| {
+                        session.connection_opened(now, out)
+                    });
                 }
-                StoreSessionEffect::Send(bytes) => self.deliver_to_store(nth, &bytes),
+                StoreSessionEffect::Send(bytes) => self.deliver_to_store(client_index, &bytes),
                 StoreSessionEffect::CloseConnection => {
-                    if let Some(connection) = self.clients[nth].connection.take() {
+                    if let Some(connection) = self.clients[client_index].connection.take() {
                         self.store.connection_closed(connection);
                     }
                 }
-                other => self.clients[nth].reported.push(other),
+                other => self.clients[client_index].reported.push(other),
             }
         }
     }
 
-    fn event(
+    /// Calls `input` with a client's session, and performs the effects that it returns.
+    fn drive_session(
         &mut self,
-        nth: usize,
-        act: impl FnOnce(&mut StoreSession, Duration, &mut Vec<StoreSessionEffect>),
+        client_index: usize,
+        input: impl FnOnce(&mut StoreSession, Duration, &mut Vec<StoreSessionEffect>),
     ) {
         let mut out = Vec::new();
-        act(&mut self.clients[nth].session, self.now, &mut out);
-        self.perform(nth, out);
+        input(&mut self.clients[client_index].session, self.now, &mut out);
+        self.perform(client_index, out);
     }
 
-    /// A client's bytes at the store.
-    fn deliver_to_store(&mut self, nth: usize, bytes: &[u8]) {
-        let Some(connection) = self.clients[nth].connection.filter(|_| self.reachable) else {
+    /// Delivers a client's bytes to the store.
+    fn deliver_to_store(&mut self, client_index: usize, bytes: &[u8]) {
+        let Some(connection) = self.clients[client_index]
+            .connection
+            .filter(|_| self.reachable)
+        else {
             return;
         };
-        self.clients[nth].frames.append(bytes);
-        while let Some(frame) = self.clients[nth]
+        self.clients[client_index].frames.append(bytes);
+        while let Some(frame) = self.clients[client_index]
             .frames
             .next_frame()
             .unwrap()
@@ -117,7 +128,7 @@
         }
     }
 
-    /// What the store wants done.
+    /// Performs the store's effects.
     fn deliver_to_clients(&mut self, effects: Vec<StoreEffect>) {
         for effect in effects {
             let connection = match &effect {
@@ -125,64 +136,72 @@
                     *connection
                 }
             };
-            let awake = |c: &Client| c.connection == Some(connection) && !c.suspended;
-            let Some(nth) = self.clients.iter().position(awake) else {
+            let is_receiver =
+                |client: &Client| client.connection == Some(connection) && !client.suspended;
+            let Some(client_index) = self.clients.iter().position(is_receiver) else {
                 continue;
             };
             match effect {
                 StoreEffect::Send(_, frame) => {
                     let mut bytes = (frame.len() as u32).to_be_bytes().to_vec();
                     bytes.extend(frame);
-                    self.event(nth, |session, now, out| session.receive(now, &bytes, out));
+                    self.drive_session(client_index, |session, now, out| {
+                        session.receive(now, &bytes, out)
+                    });
                 }
                 StoreEffect::CloseConnection(_) => {
-                    self.clients[nth].connection = None;
-                    self.event(nth, |session, now, out| session.connection_failed(now, out));
+                    self.clients[client_index].connection = None;
+                    self.drive_session(client_index, |session, now, out| {
+                        session.connection_failed(now, out)
+                    });
                 }
             }
         }
     }
 
-    /// Lets time go by in small steps.
-    fn advance(&mut self, span: Duration) {
+    /// Advances the simulated time in steps of 10 ms.
+    fn advance_time(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.now += ms(10);
             let mut out = Vec::new();
             self.store.tick(self.now, &mut out);
             self.deliver_to_clients(out);
-            for nth in 0..self.clients.len() {
-                if self.clients[nth].session.next_tick_due() <= self.now
-                    && !self.clients[nth].suspended
+            for client_index in 0..self.clients.len() {
+                if self.clients[client_index].session.next_tick_due() <= self.now
+                    && !self.clients[client_index].suspended
                 {
-                    self.event(nth, |session, now, out| session.tick(now, out));
+                    self.drive_session(client_index, |session, now, out| session.tick(now, out));
                 }
             }
         }
     }
 
-    /// Asks and hears the answer.
-    fn request(&mut self, nth: usize, request: StoreRequest) -> Result<StoreResponse, StoreError> {
-        let mut asked = None;
-        self.event(nth, |session, now, out| {
-            asked = session.request(now, request, out)
+    /// Sends a request and returns the store's response.
+    fn request(
+        &mut self,
+        client_index: usize,
+        request: StoreRequest,
+    ) -> Result<StoreResponse, StoreError> {
+        let mut sent_xid = None;
+        self.drive_session(client_index, |session, now, out| {
+            sent_xid = session.request(now, request, out)
         });
-        let asked = asked.expect("a session stands");
-        let reported = &mut self.clients[nth].reported;
-        let at = reported.iter().position(
-            |e| matches!(e, StoreSessionEffect::ResponseReceived { xid, .. } if *xid == asked),
+        let sent_xid = sent_xid.expect("session is connected");
+        let reported = &mut self.clients[client_index].reported;
+        let position = reported.iter().position(
+            |effect| matches!(effect, StoreSessionEffect::ResponseReceived { xid, .. } if *xid == sent_xid),
         );
-        match reported.remove(at.expect("an answer")) {
-            StoreSessionEffect::ResponseReceived {
-                response: answer, ..
-            } => answer,
+        match reported.remove(position.expect("store responds")) {
+            StoreSessionEffect::ResponseReceived { response, .. } => response,
             _ => unreachable!(),
         }
     }
 
-    fn children(&mut self, nth: usize, path: &str) -> Vec<String> {
+    /// Reads the names of a node's children and watches them.
+    fn children(&mut self, client_index: usize, path: &str) -> Vec<String> {
         match self.request(
-            nth,
+            client_index,
             StoreRequest::GetChildren {
                 path: path.into(),
                 watch: true,
@@ -193,21 +212,22 @@
         }
     }
 
-    /// Changes that a client was notified of, since they were last taken.
-    fn take_notifications(&mut self, nth: usize) -> Vec<(WatchEventKind, String)> {
-        let reported = std::mem::take(&mut self.clients[nth].reported);
-        let event = reported.into_iter().filter_map(|e| match e {
+    /// The watch events that a client has received since the last call.
+    fn take_notifications(&mut self, client_index: usize) -> Vec<(WatchEventKind, String)> {
+        let reported = std::mem::take(&mut self.clients[client_index].reported);
+        let events = reported.into_iter().filter_map(|effect| match effect {
             StoreSessionEffect::WatchTriggered(event) => Some((event.kind, event.path)),
             _ => None,
         });
-        event.collect()
+        events.collect()
     }
 
-    fn count_reported(&self, nth: usize, effect: &StoreSessionEffect) -> usize {
-        self.clients[nth]
+    /// How often a client's session has reported this event since the reports were last taken.
+    fn count_reported(&self, client_index: usize, effect: &StoreSessionEffect) -> usize {
+        self.clients[client_index]
             .reported
             .iter()
-            .filter(|e| *e == effect)
+            .filter(|reported| *reported == effect)
             .count()
     }
 }
@@ -220,7 +240,7 @@
     }
 }
 
-/// Two servers with ephemeral nodes, and a third client that watches.
+/// A network with three clients: 0 and 1 are servers with an ephemeral node each, 2 watches the list of the nodes.
 fn network_with_servers() -> SimulatedNetwork {
     let mut network = SimulatedNetwork::new(3);
     network.request(2, create("/hosts", false)).unwrap();
@@ -234,11 +254,11 @@
 #[test]
 fn a_silent_client_loses_its_node_and_a_watcher_is_notified_once() {
     let mut network = network_with_servers();
-    // It sends no ping any more, and its connection stays open.
+    // The client sends no more pings, while its connection stays open.
     network.clients[0].suspended = true;
-    network.advance(ms(2_900));
+    network.advance_time(ms(2_900));
     assert_eq!(network.take_notifications(2), []);
-    network.advance(ms(200));
+    network.advance_time(ms(200));
     let reported = network.take_notifications(2);
     assert_eq!(reported, [(WatchEventKind::Children, "/hosts".to_string())]);
     assert_eq!(network.children(2, "/hosts"), ["b"]);
@@ -264,24 +284,29 @@
 #[test]
 fn a_short_outage_keeps_sessions_nodes_and_watches() {
     let mut network = network_with_servers();
-    let up = network.store.session_ids().count();
+    let session_count = network.store.session_ids().count();
     network.reachable = false;
-    for nth in 0..3 {
-        network.event(nth, |session, now, out| session.connection_failed(now, out));
+    for client_index in 0..3 {
+        network.drive_session(client_index, |session, now, out| {
+            session.connection_failed(now, out)
+        });
     }
-    network.advance(ms(1_000));
+    network.advance_time(ms(1_000));
     network.reachable = true;
-    network.advance(ms(1_500));
+    network.advance_time(ms(1_500));
     assert_eq!(
         (
             network.store.session_ids().count(),
             network.store.node_count()
         ),
-        (up, 3)
+        (session_count, 3)
     );
-    for nth in 0..3 {
+    for client_index in 0..3 {
         assert_eq!(
-            network.count_reported(nth, &StoreSessionEffect::Established { new: false }),
+            network.count_reported(
+                client_index,
+                &StoreSessionEffect::Established { new: false }
+            ),
             1
         );
     }
@@ -298,12 +323,12 @@
     assert_eq!(
         network.take_notifications(2),
         [(WatchEventKind::Children, "/hosts".to_string())],
-        "its watch was set again"
+        "the watch was set again"
     );
 }
 
 #[test]
-fn changes_during_a_watchers_absence_are_notified_when_it_is_back() {
+fn changes_while_a_watcher_is_disconnected_are_notified_after_it_reconnects() {
     let mut network = network_with_servers();
     let connection = network.clients[2].connection.take();
     network.store.connection_closed(connection.unwrap());
@@ -316,8 +341,8 @@
             },
         )
         .unwrap();
-    network.event(2, |session, now, out| session.connection_failed(now, out));
-    network.advance(ms(500));
+    network.drive_session(2, |session, now, out| session.connection_failed(now, out));
+    network.advance_time(ms(500));
     assert_eq!(
         network.take_notifications(2),
         [(WatchEventKind::Children, "/hosts".to_string())]
@@ -326,12 +351,12 @@
 }
 
 #[test]
-fn a_long_outage_expires_the_clients_session_alone_and_a_new_one_begins() {
+fn a_long_suspension_expires_only_that_clients_session_and_a_new_one_begins() {
     let mut network = network_with_servers();
     network.clients[2].suspended = true;
-    network.advance(ms(3_500));
+    network.advance_time(ms(3_500));
     network.clients[2].suspended = false;
-    network.advance(ms(1_000));
+    network.advance_time(ms(1_000));
     assert_eq!(network.count_reported(2, &StoreSessionEffect::Expired), 1);
     assert_eq!(
         network.count_reported(2, &StoreSessionEffect::Established { new: true }),
@@ -340,14 +365,14 @@
     assert_eq!(
         network.children(2, "/hosts"),
         ["a", "b"],
-        "the servers' sessions are their own"
+        "the servers' sessions have not expired"
     );
 }
 
 #[test]
 fn a_closed_sessions_node_vanishes_at_once() {
     let mut network = network_with_servers();
-    network.event(0, |session, now, out| session.close(now, out));
+    network.drive_session(0, |session, now, out| session.close(now, out));
     assert_eq!(
         (
             network.take_notifications(2).len(),
@@ -360,13 +385,13 @@
 
 #[test_case(create("/hosts", false), StoreError::NodeExists; "exists already")]
 #[test_case(create("/none/a", false), StoreError::NoNode; "no parent")]
-#[test_case(create("/hosts/a/x", true), StoreError::NoChildrenForEphemerals; "below an ephemeral")]
-#[test_case(create("hosts", false), StoreError::BadArguments; "no path")]
+#[test_case(create("/hosts/a/x", true), StoreError::NoChildrenForEphemerals; "below an ephemeral node")]
+#[test_case(create("hosts", false), StoreError::BadArguments; "not a path")]
 #[test_case(StoreRequest::Delete { path: "/hosts".into(), version: ANY_VERSION }, StoreError::NotEmpty; "not empty")]
-#[test_case(StoreRequest::Delete { path: "/hosts/a".into(), version: 7 }, StoreError::BadVersion; "another version")]
+#[test_case(StoreRequest::Delete { path: "/hosts/a".into(), version: 7 }, StoreError::BadVersion; "not the expected version")]
 #[test_case(StoreRequest::GetData { path: "/x".into(), watch: false }, StoreError::NoNode; "no node")]
-#[test_case(StoreRequest::Multi(vec![create("/y", false), create("/hosts", false)]), StoreError::NodeExists; "a part of several")]
-fn an_impossible_request_fails_and_changes_nothing(request: StoreRequest, error: StoreError) {
+#[test_case(StoreRequest::Multi(vec![create("/y", false), create("/hosts", false)]), StoreError::NodeExists; "part of a multi")]
+fn an_invalid_request_is_rejected_and_changes_nothing(request: StoreRequest, error: StoreError) {
     let mut network = network_with_servers();
     let before = network.store.node_count();
     assert_eq!(
