--- a/crates/zookeeper/src/listing.rs
+++ b/crates/zookeeper/src/listing.rs
@@ -70,7 +70,7 @@
 pub struct ListingSettings {
     /// Number of arrivals within `flap_window` at which a server counts as flapping.
     pub flap_count: usize,
-    /// Length of the period up to the present in which arrivals are counted.
+    /// Arrivals are counted if they are less than this time ago.
     pub flap_window: Duration,
     /// How long the node of a flapping server has to exist without a break before the server is reported again.
     pub suppression_time: Duration,
@@ -89,6 +89,7 @@
 /// What is known of a server.
 #[derive(Clone, Debug)]
 struct KnownServer {
+    /// The data that was last used for the server.
     node: ListedNode,
     /// The last reported state.
     reported: ListedState,
--- a/crates/zookeeper/src/main.rs
+++ b/crates/zookeeper/src/main.rs
@@ -238,7 +238,7 @@
     });
     for address in addresses {
         if let Err(error) = listen(&server, &address) {
-            eprintln!("asterramp-zookeeper-stub: {address}: {error}");
+            eprintln!("asterramp-zookeeper-stub: cannot listen on {address}: {error}");
             std::process::exit(EXIT_LISTEN_FAILED);
         }
     }
--- a/crates/zookeeper/src/session/mod.rs
+++ b/crates/zookeeper/src/session/mod.rs
@@ -127,14 +127,17 @@
     timeout: Duration,
     /// 0 while there is no session.
     session_id: i64,
+    /// Password with which the session can be resumed; zeros while there is none.
     password: Vec<u8>,
     /// The last transaction that the store has reported.
     last_zxid: i64,
     /// Number of the last request.
     last_xid: i32,
+    /// Received bytes of the present connection.
     frames: FrameReader,
     /// Requests without a response yet, by number.
     pending: BTreeMap<i32, StoreRequest>,
+    /// Watches to set again when the session is resumed.
     watched: WatchedPaths,
     /// State of the pseudorandom generator for the jitter of reconnect delays; never 0, which xorshift can't leave.
     random_state: u64,
@@ -296,6 +299,7 @@
         }
     }
 
+    /// Whether received bytes are handled in the present state.
     fn is_receiving(&self) -> bool {
         matches!(
             self.state,
@@ -326,6 +330,7 @@
         }
     }
 
+    /// Reports bytes that can't be decoded and gives up the connection; the session is kept.
     fn protocol_error(
         &mut self,
         now: Duration,
@@ -336,6 +341,7 @@
         self.connection_failed(now, effects);
     }
 
+    /// Handles the response to the handshake: the session is established, or has expired if the granted timeout is 0.
     fn finish_handshake(
         &mut self,
         now: Duration,
@@ -383,6 +389,7 @@
         self.watched = WatchedPaths::default();
     }
 
+    /// Handles a frame of an established session: a watch event or a reply.
     fn handle_reply(
         &mut self,
         frame: &[u8],
@@ -411,6 +418,7 @@
         }
     }
 
+    /// Handles the reply to a request of the caller.
     fn handle_response(
         &mut self,
         xid: i32,
@@ -433,6 +441,7 @@
         Ok(())
     }
 
+    /// Sends a request with this number.
     fn send(
         &mut self,
         now: Duration,
