--- a/crates/testbed/tests/command.rs
+++ b/crates/testbed/tests/command.rs
@@ -1,4 +1,4 @@
-//! The program as its users meet it: what it rejects, how it ends, what it leaves behind.
+//! The command `run` as a process: rejected scenarios, exit codes, reports, and child processes after an interrupt.
 
 mod help;
 
@@ -8,23 +8,23 @@
 use test_case::test_case;
 
 const TESTBED: &str = env!("CARGO_BIN_EXE_asterramp-testbed");
-/// How long a rejected scenario may take.
-const REJECTED_WITHIN: Duration = Duration::from_secs(5);
+/// Longest time until an invalid scenario is rejected.
+const MAX_REJECTION_TIME: Duration = Duration::from_secs(5);
 
-/// A path of this process and test alone.
-fn own_path(name: &str) -> PathBuf {
+/// A path in the temporary folder that is unique to this test program and `name`.
+fn unique_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("asterramp-{}-{name}", std::process::id()))
 }
 
-/// A scenario in a file of its own.
+/// Writes a scenario to a file of its own and returns the path.
 fn scenario_file(name: &str, text: &str) -> PathBuf {
-    let path = own_path(&format!("{name}.toml"));
+    let path = unique_path(&format!("{name}.toml"));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-/// Plays a scenario by the command `run`.
-fn run(name: &str, scenario: &str, args: &[&str]) -> Output {
+/// Runs a scenario by the command `run`, with further arguments.
+fn run_command(name: &str, scenario: &str, args: &[&str]) -> Output {
     let path = scenario_file(name, scenario);
     let output = Command::new(TESTBED)
         .arg("run")
@@ -37,38 +37,38 @@
 }
 
 #[test_case("key", "rate = 45.0", "rat = 45.0", "unknown field `rat`"; "an unknown key")]
-#[test_case("large", "rate = 45.0", "rate = 45.0\ninherited = 50000", "descriptors of the rig, and this machine allows"; "larger than the machine")]
-#[test_case("sockets", "count = 2", "count = 2\nsockets = 900000", "proxies.sockets is 900000"; "more descriptors than there are")]
-fn what_cannot_be_played_is_rejected_in_a_line_before_anything_starts(
+#[test_case("large", "rate = 45.0", "rate = 45.0\ninherited = 50000", "descriptors of the rig, and this machine allows"; "more descriptors than the machine allows")]
+#[test_case("sockets", "count = 2", "count = 2\nsockets = 900000", "proxies.sockets is 900000"; "too many descriptors for one proxy")]
+fn an_invalid_scenario_is_rejected_before_any_process_starts(
     name: &str,
     from: &str,
     to: &str,
-    says: &str,
+    expected_error: &str,
 ) {
-    let since = Instant::now();
-    let output = run(name, &help::BASE_SCENARIO.replacen(from, to, 1), &[]);
+    let started = Instant::now();
+    let output = run_command(name, &help::BASE_SCENARIO.replacen(from, to, 1), &[]);
     let error = String::from_utf8(output.stderr).unwrap();
     assert!(
-        output.status.code() == Some(2) && error.contains(says),
+        output.status.code() == Some(2) && error.contains(expected_error),
         "{error}"
     );
-    assert!(since.elapsed() < REJECTED_WITHIN);
+    assert!(started.elapsed() < MAX_REJECTION_TIME);
 }
 
-/// A program that writes a line and never serves.
-fn write_sleeper(path: &Path) {
+/// Writes a program in place of a proxy, which prints a line to stderr and never becomes ready.
+fn write_program_that_never_serves(path: &Path) {
     std::fs::write(path, "#!/bin/sh\necho not today >&2\nexec sleep 30\n").unwrap();
     let status = Command::new("chmod").arg("+x").arg(path).status();
     assert!(status.unwrap().success());
 }
 
 #[test]
-fn a_proxy_that_never_becomes_ready_is_named_with_its_last_words() {
-    let sleeper = own_path("sleeper");
-    write_sleeper(&sleeper);
-    let args = ["--proxy", sleeper.to_str().unwrap()];
-    let output = run("unready", help::BASE_SCENARIO, &args);
-    std::fs::remove_file(sleeper).unwrap();
+fn a_proxy_that_never_becomes_ready_is_reported_with_its_output() {
+    let program = unique_path("never-serves");
+    write_program_that_never_serves(&program);
+    let args = ["--proxy", program.to_str().unwrap()];
+    let output = run_command("unready", help::BASE_SCENARIO, &args);
+    std::fs::remove_file(program).unwrap();
     let error = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(3));
     assert!(
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn a_broken_rule_is_told_by_the_exit_code_and_in_the_report() {
-    let folder = own_path("report");
+fn a_violation_is_reported_by_the_exit_code_and_in_the_report() {
+    let folder = unique_path("report");
     let args = [
         "--baseline",
         "random",
@@ -89,11 +89,11 @@
         folder.to_str().unwrap(),
     ];
     let scenario = help::BASE_SCENARIO.replace("length = \"5s\"", "length = \"3s\"");
-    let output = run("broken", &scenario, &args);
-    let written = |name: &str| std::fs::read_to_string(folder.join(name)).unwrap();
-    let report = written("report.json");
+    let output = run_command("broken", &scenario, &args);
+    let read_report_file = |name: &str| std::fs::read_to_string(folder.join(name)).unwrap();
+    let report = read_report_file("report.json");
     for plot in ["service.svg", "hosts.svg", "proxies.svg"] {
-        assert!(written(plot).contains("<svg"), "{plot}");
+        assert!(read_report_file(plot).contains("<svg"), "{plot}");
     }
     std::fs::remove_dir_all(folder).unwrap();
     let table = String::from_utf8(output.stdout).unwrap();
@@ -104,7 +104,8 @@
     assert!(report.contains("\"rules_held\": false") && report.contains("cut off"));
 }
 
-/// The fields of a process behind its name, from its state on; `None` where there is no such process.
+/// The fields of `/proc/PID/stat` behind the process name: its state first, its parent second. `None` if there is no such
+/// process.
 fn process_fields(process: u32) -> Option<Vec<String>> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
     let fields = stat.rsplit_once(") ")?.1.split(' ');
@@ -114,8 +115,9 @@
 fn children(parent: u32) -> Vec<u32> {
     let entries = std::fs::read_dir("/proc").unwrap().flatten();
     let processes = entries.filter_map(|entry| entry.file_name().to_str()?.parse().ok());
-    let is_child =
-        |process: &u32| process_fields(*process).is_some_and(|f| f[1] == parent.to_string());
+    let is_child = |process: &u32| {
+        process_fields(*process).is_some_and(|fields| fields[1] == parent.to_string())
+    };
     processes.filter(is_child).collect()
 }
 
--- a/crates/testbed/tests/former_name.rs
+++ b/crates/testbed/tests/former_name.rs
@@ -1,8 +1,8 @@
-//! The program still starts under its former name.
+//! The program also runs under its former name, `asterramp-rig`.
 
 use std::process::{Command, Output};
 
-fn help_of(program: &str) -> Output {
+fn help_output(program: &str) -> Output {
     Command::new(program)
         .arg("--help")
         .output()
@@ -11,8 +11,8 @@
 
 #[test]
 fn the_former_name_runs_the_program_with_its_arguments() {
-    let former = help_of(env!("CARGO_BIN_EXE_asterramp-rig"));
-    let present = help_of(env!("CARGO_BIN_EXE_asterramp-testbed"));
+    let former = help_output(env!("CARGO_BIN_EXE_asterramp-rig"));
+    let present = help_output(env!("CARGO_BIN_EXE_asterramp-testbed"));
     assert!(former.status.success());
     assert!(!present.stdout.is_empty());
     assert_eq!(former.stdout, present.stdout);
--- a/crates/testbed/tests/golden_command_line.rs
+++ b/crates/testbed/tests/golden_command_line.rs
@@ -1,6 +1,6 @@
-//! The command line as builds before the renames answered it: its help, its error lines and its exit codes. The files under
-//! `golden/command_line/` were written by such a build and never change; the name of the program is the only difference
-//! allowed.
+//! The help, error lines and exit codes of the command line stay as they were when the program was called `asterramp-rig`.
+//! The files under `golden/command_line/` were written by such a build and never change; the only difference allowed is the
+//! name of the program.
 
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
 const FORMER_NAME: &str = "asterramp-rig";
 const PRESENT_NAME: &str = "asterramp-testbed";
 
-/// The configurations of the plain proxy that the cases name, each with its mistake.
+/// The invalid configuration files of the plain proxy that the cases refer to: name and content.
 const CONFIGURATIONS: [(&str, &str); 4] = [
     ("no_json.json", r#"{"listen": "#),
     ("no_address.json", r#"{"listen": "here"}"#),
@@ -22,7 +22,7 @@
     std::fs::read_to_string(folder.join(name)).unwrap()
 }
 
-/// A folder with the files that the cases name.
+/// Creates a folder with the files that the cases refer to.
 fn folder_with_files(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("asterramp-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -34,8 +34,8 @@
     folder
 }
 
-/// What a case's command line gives, in the form of the golden file.
-fn played(folder: &Path, case: &str) -> String {
+/// Runs the command line of a case and returns its exit code and output in the format of the golden file.
+fn run_case(folder: &Path, case: &str) -> String {
     let line = |key: &str| case.lines().find_map(|line| line.strip_prefix(key));
     let arguments = line("args:").unwrap().trim_start();
     let mut command = Command::new(env!("CARGO_BIN_EXE_asterramp-testbed"));
@@ -59,25 +59,25 @@
     text
 }
 
-fn assert_same_as_before(name: &str, count: usize) {
+fn assert_cases_match(name: &str, count: usize) {
     let folder = folder_with_files(name);
     let cases = golden(&format!("command_line/{name}.txt"));
     let cases: Vec<&str> = cases.split("\n\n").collect();
     for case in &cases {
         let expected = format!("{}\n", case.trim_end_matches('\n'));
-        let actual = played(&folder, case);
+        let actual = run_case(&folder, case);
         assert_eq!(actual, expected.replace(FORMER_NAME, PRESENT_NAME));
     }
     std::fs::remove_dir_all(folder).unwrap();
-    assert_eq!(cases.len(), count, "no case is left out");
+    assert_eq!(cases.len(), count, "the number of cases");
 }
 
 #[test]
-fn what_cannot_be_done_is_rejected_with_the_same_words_as_before() {
-    assert_same_as_before("errors", 32);
+fn error_lines_and_exit_codes_are_unchanged() {
+    assert_cases_match("errors", 32);
 }
 
 #[test]
-fn the_help_of_each_command_reads_as_before() {
-    assert_same_as_before("help", 20);
+fn the_help_of_each_command_is_unchanged() {
+    assert_cases_match("help", 20);
 }
--- a/crates/testbed/tests/golden_proxy_files.rs
+++ b/crates/testbed/tests/golden_proxy_files.rs
@@ -1,6 +1,6 @@
-//! The files that a run writes for a proxy, as builds before the renames wrote them: the platform's configuration and the
-//! operator's file. The files under `golden/proxy_files/` were written by such a build and never change; ports, the id of
-//! the process and the folder are of each run alone.
+//! The files that a run writes for a proxy, the platform's configuration and the operator's file, stay as earlier builds
+//! wrote them. The files under `golden/proxy_files/` were written by such a build and never change.
+//! Ports, the process id and the folder differ between runs and are replaced by placeholders.
 
 use std::path::Path;
 use std::process::Command;
@@ -10,7 +10,7 @@
     std::fs::read_to_string(folder.join(name)).unwrap()
 }
 
-/// The text with `PORT` in place of each port of a loopback address in quotes, except the fixed one of operators' calls.
+/// Replaces the port of each quoted loopback address by `PORT`, except 9000, the fixed port of the metrics.
 fn without_ports(text: &str) -> String {
     let mut parts = text.split('"').map(|part| match part.rsplit_once(':') {
         Some((address, port)) if address.starts_with("127.") && port != "9000" => {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_proxy_gets_the_same_files_as_before() {
+fn the_files_of_a_proxy_are_unchanged() {
     let folder = std::env::temp_dir().join(format!("asterramp-files-{}", std::process::id()));
     let scenario =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/proxy_files/scenario.toml");
@@ -36,11 +36,14 @@
         .unwrap();
     let process = testbed.id();
     let output = testbed.wait_with_output().unwrap();
-    let written = |name: &str| std::fs::read_to_string(folder.join(name)).unwrap();
-    let configuration = without_ports(&written("proxy-1.json"));
-    let socket = std::env::temp_dir().join(format!("asterramp-rig-{process}-"));
-    let operator_file = written("proxy-1.toml")
-        .replace(&socket.display().to_string(), "TEMP/asterramp-rig-PROCESS-")
+    let read_run_file = |name: &str| std::fs::read_to_string(folder.join(name)).unwrap();
+    let configuration = without_ports(&read_run_file("proxy-1.json"));
+    let socket_prefix = std::env::temp_dir().join(format!("asterramp-rig-{process}-"));
+    let operator_file = read_run_file("proxy-1.toml")
+        .replace(
+            &socket_prefix.display().to_string(),
+            "TEMP/asterramp-rig-PROCESS-",
+        )
         .replace(&folder.display().to_string(), "FOLDER");
     std::fs::remove_dir_all(&folder).unwrap();
     assert_eq!(output.status.code(), Some(0));
--- a/crates/testbed/tests/golden_report.rs
+++ b/crates/testbed/tests/golden_report.rs
@@ -1,5 +1,5 @@
-//! `report.json` keeps its keys and their order: reports with the values of files that the build 17cc2a9 wrote give the
-//! same bytes.
+//! `report.json` keeps its keys, their order and its format: reports that are read from files of the build 17cc2a9 are
+//! written as the same lines again.
 
 use asterramp_testbed::judge::{Rule, Tally};
 use asterramp_testbed::report::{
@@ -145,35 +145,35 @@
     }
 }
 
-/// Splits a line into what stands before its number and the number.
-fn number(line: &str) -> Option<(&str, f64)> {
+/// Splits a line of JSON into the text before its number and the number; `None` if it does not end in a number.
+fn split_number(line: &str) -> Option<(&str, f64)> {
     let line = line.trim_end_matches(',');
     let (before, number) = line.rsplit_once(' ')?;
     Some((before, number.parse().ok()?))
 }
 
-/// Whether two lines are the same. The reader of JSON may take a number for its neighbour, so the last digit may differ.
-fn is_same(line: &str, golden: &str) -> bool {
-    let numbers = number(line).zip(number(golden));
+/// Whether two lines are equal. The JSON parser may round a number to a neighbouring float, so its last digit may differ.
+fn is_equal_line(line: &str, golden: &str) -> bool {
+    let numbers = split_number(line).zip(split_number(golden));
     let same_number = numbers.is_some_and(|((before, number), (golden_before, golden_number))| {
         before == golden_before && (number - golden_number).abs() <= golden_number * f64::EPSILON
     });
-    let ends_alike = line.ends_with(',') == golden.ends_with(',');
-    line == golden || same_number && ends_alike
+    let same_ending = line.ends_with(',') == golden.ends_with(',');
+    line == golden || same_number && same_ending
 }
 
-#[test_case(include_str!("golden/report.json"); "of a run that kept the rules")]
-fn a_report_is_written_as_before(golden: &str) {
+#[test_case(include_str!("golden/report.json"); "run without violations")]
+fn the_format_of_a_report_is_unchanged(golden: &str) {
     let report = report(&serde_json::from_str(golden).unwrap());
     let written = serde_json::to_string_pretty(&report).unwrap();
     assert_eq!(written.lines().count(), golden.lines().count());
     for (line, golden) in written.lines().zip(golden.lines()) {
-        assert!(is_same(line, golden), "{line}\n{golden}");
+        assert!(is_equal_line(line, golden), "{line}\n{golden}");
     }
 }
 
 #[test]
-fn a_violation_is_written_as_before() {
+fn the_format_of_a_violation_is_unchanged() {
     let golden = include_str!("golden/violation.json");
     let violation = violation(&serde_json::from_str(golden).unwrap());
     assert_eq!(serde_json::to_string_pretty(&violation).unwrap(), golden);
--- a/crates/testbed/tests/golden_scenario_errors.rs
+++ b/crates/testbed/tests/golden_scenario_errors.rs
@@ -1,6 +1,6 @@
-//! What the program says of scenario files that it cannot take, as builds before the renames said it: the lines and the
-//! exit codes. The files under `golden/scenario_errors/` were written by such a build and never change; the name of the
-//! program, at the head of a line, is the only difference allowed.
+//! The error lines and exit codes for invalid scenario files stay as they were when the program was called `asterramp-rig`.
+//! The files under `golden/scenario_errors/` were written by such a build and never change; the only difference allowed is
+//! the name of the program.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -15,12 +15,12 @@
     std::fs::read_to_string(folder.join(name)).unwrap()
 }
 
-/// A text of the golden file, in which a line break is written as `\n`.
+/// Replaces each `\n` of a text from the golden file by a line break.
 fn unescaped(text: &str) -> String {
     text.replace("\\n", "\n")
 }
 
-/// The base scenario with a case's edits; each `from` is replaced once by the `to` that follows it.
+/// The base scenario with the edits of a case: the first occurrence of each `from` is replaced by the `to` in the next line.
 fn edited(base: &str, case: &str) -> String {
     let mut text = base.to_owned();
     let mut lines = case.lines();
@@ -39,7 +39,7 @@
     text
 }
 
-/// The exit code and the lines that came out of `run` on a scenario.
+/// Runs a scenario and returns its exit code and output in the format of the golden file.
 fn outcome(folder: &Path, scenario: &str) -> String {
     std::fs::write(folder.join(SCENARIO_FILE), scenario).unwrap();
     let output = Command::new(env!("CARGO_BIN_EXE_asterramp-testbed"))
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn each_bad_scenario_is_rejected_with_the_same_words_as_before() {
+fn the_error_lines_for_invalid_scenarios_are_unchanged() {
     let folder = std::env::temp_dir().join(format!("asterramp-errors-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let base = golden("base.toml");
@@ -75,5 +75,5 @@
         count += 1;
     }
     std::fs::remove_dir_all(folder).unwrap();
-    assert_eq!(count, 86, "no case is left out");
+    assert_eq!(count, 86, "the number of cases");
 }
--- a/crates/testbed/tests/golden_summaries.rs
+++ b/crates/testbed/tests/golden_summaries.rs
@@ -1,4 +1,5 @@
-//! The tables of records and of logs are those that the build 17cc2a9 printed of the same files.
+//! The tables of journals and of logs equal those that the build 17cc2a9 printed for the same files, and errors name the
+//! folder that cannot be read.
 
 use asterramp_testbed::journal::Journal;
 use asterramp_testbed::log_summary::LogSummary;
@@ -11,26 +12,26 @@
 }
 
 #[test]
-fn records_are_summed_as_before() {
+fn the_table_of_a_journal_is_unchanged() {
     let journal = Journal::from_folder(&golden("journal"), "+mass").unwrap();
     assert_eq!(journal.table(), include_str!("golden/journal.txt"));
 }
 
 #[test]
-fn logs_are_summed_as_before() {
+fn the_table_of_logs_is_unchanged() {
     let summary = LogSummary::from_folder(&golden("logs"), 3).unwrap();
     assert_eq!(summary.table(), include_str!("golden/logs.txt"));
 }
 
 #[test]
-fn errors_name_the_folder_as_before() {
+fn errors_still_name_the_folder() {
     let absent = Path::new("/no-such-folder");
-    let system = "/no-such-folder: No such file or directory (os error 2)";
+    let expected = "/no-such-folder: No such file or directory (os error 2)";
     let journal = Journal::from_folder(absent, "+mass").unwrap_err();
     let logs = LogSummary::from_folder(absent, 3).unwrap_err();
     assert_eq!(
         [journal.to_string(), logs.to_string()],
-        [system.to_string(), system.to_string()]
+        [expected.to_string(), expected.to_string()]
     );
     let (journal, logs) = (golden("journal"), golden("logs"));
     assert_eq!(
--- a/crates/testbed/tests/load_model.rs
+++ b/crates/testbed/tests/load_model.rs
@@ -1,4 +1,4 @@
-//! The load model of a host.
+//! The load model of a host: utilization, message times, collapse while cold, and load reports.
 
 use asterramp_testbed::load_model::{LoadModel, LoadModelSettings, SetUpOutcome};
 use std::time::Duration;
@@ -24,56 +24,57 @@
 }
 
 #[test]
-fn a_host_shares_its_speed_and_each_group_pays_once() {
+fn sessions_of_a_group_share_the_group_cost_and_overload_delays_messages() {
     let mut model = LoadModel::new(settings(), 1);
     for group in [Some(1), Some(1), Some(2), None] {
         model.connect(ms(0), group, 0.05);
     }
     assert!((model.utilization(ms(0)) - 0.4).abs() < 1e-9);
-    let light = model.message_time(ms(10));
+    let light_load = model.message_time(ms(10));
     model.speed_factor = 0.42;
     assert!(
-        model.message_time(ms(20)) > light * 5,
-        "near its limit messages take long"
+        model.message_time(ms(20)) > light_load * 5,
+        "near its capacity messages take long"
     );
-    let queued = (
+    let overloaded = (
         model.message_time(ms(1_020)),
         model.speed_factor = 0.2,
         model.message_time(ms(3_020)),
     );
     assert!(
-        queued.2 > queued.0 + ms(1_900),
-        "over it work piles up: {queued:?}"
+        overloaded.2 > overloaded.0 + ms(1_900),
+        "above its capacity the queue grows: {overloaded:?}"
     );
     model.speed_factor = 1.0;
     model.disconnect(ms(3_020), Some(1), 0.05);
     assert!(
         (model.utilization(ms(3_020)) - 0.35).abs() < 1e-9,
-        "the group is still held"
+        "another session of the group is open, so the group cost stays"
     );
     model.disconnect(ms(3_020), Some(1), 0.05);
     assert!((model.utilization(ms(3_020)) - 0.2).abs() < 1e-9);
 }
 
 #[test]
-fn a_cold_host_collapses_by_too_many_set_ups_and_a_warm_one_does_not() {
-    let collapses = |cold: bool, every: u64| {
+fn only_a_cold_host_collapses_under_many_set_ups() {
+    let collapses = |cold: bool, interval_ms: u64| {
         let mut model = LoadModel::new(settings(), 1);
         if cold {
             model.restart(ms(0));
         }
         (0..200).any(|n| {
-            let taken = model.begin_set_up(ms(n * every), n);
+            let outcome = model.begin_set_up(ms(n * interval_ms), n);
             model.finish_set_up();
-            taken == SetUpOutcome::Collapsed
+            outcome == SetUpOutcome::Collapsed
         })
     };
-    // Four times a quarter of its speed is fifty set-ups of 20 ms a second.
+    // While cold, the host has a quarter of its speed, and the overload factor is 4: the limit is 1 s of work per second,
+    // or fifty set-ups of 20 ms.
     assert!(collapses(true, 10) && !collapses(true, 25) && !collapses(false, 10));
 }
 
 #[test]
-fn reports_are_as_old_as_they_are_told_to_be_and_places_run_out() {
+fn reports_are_delayed_by_the_report_age_and_a_full_host_accepts_no_session() {
     let mut model = LoadModel::new(settings(), 1);
     (0..50).for_each(|n| model.connect(ms(n * 10), None, 0.0));
     assert_eq!(model.report(ms(600)).outstanding, 10);
--- a/crates/testbed/tests/scenarios_and_plans.rs
+++ b/crates/testbed/tests/scenarios_and_plans.rs
@@ -1,4 +1,4 @@
-//! Scenario files and the plans that are drawn from them.
+//! Errors of scenario files, and the plans of clients and faults that are drawn from a scenario.
 
 mod help;
 
@@ -11,27 +11,30 @@
     Duration::from_millis(ms)
 }
 
-#[test_case("length = \"5s\"", "length = \"5 parsecs\"", &["length", "ms, s or m"]; "a time without unit")]
+#[test_case("length = \"5s\"", "length = \"5 parsecs\"", &["length", "ms, s or m"]; "time with an unknown unit")]
 #[test_case("length = \"5s\"", "length = \"5s\"\nlenght = 1", &["lenght", "expected one of", "length"]; "unknown key")]
 #[test_case("count = 4", "count = 0", &["fleet.hosts, their number", "1 to"]; "no hosts")]
-#[test_case("count = 4", "count = 4\nplace = \"c\"", &["fleet.hosts.0.place", "\"a\", \"b\""]; "unknown place")]
+#[test_case("count = 4", "count = 4\nplace = \"c\"", &["fleet.hosts.0.place", "\"a\", \"b\""]; "unknown zone")]
 #[test_case("kind = \"repeatable\"", "kind = \"often\"", &["often", "`repeatable`"]; "unknown kind")]
 #[test_case("rate = 45.0", "rate = -1", &["traffic.rate", "0 to"]; "negative rate")]
-#[test_case("name = \"acme\"", "name = \"a b\"", &["members.0.name", "letters"]; "a name with a blank")]
-#[test_case("name = \"order\"", "name = \"feed\"", &["listeners.1.name", "its own"]; "a name twice")]
-#[test_case("[platform]", "[[faults]]\nat = \"1s\"\nkind = \"host-mute\"\non = [4]\n[platform]", &["faults.0.on", "1 to 4"]; "a fault on no host")]
+#[test_case("name = \"acme\"", "name = \"a b\"", &["members.0.name", "letters"]; "name with a space")]
+#[test_case("name = \"order\"", "name = \"feed\"", &["listeners.1.name", "its own"]; "duplicate name")]
+#[test_case("[platform]", "[[faults]]\nat = \"1s\"\nkind = \"host-mute\"\non = [4]\n[platform]", &["faults.0.on", "1 to 4"]; "fault of a host that does not exist")]
 #[test_case("[platform]", "[[faults]]\nat = \"1s\"\nkind = \"host-odd\"\n[platform]", &["host-odd", "`host-mute`"]; "unknown fault")]
-#[test_case("[[members]]\nname = \"acme\"", "[[members]]\nname = \"acme\"\nportion = 0", &["members", "one must be more"]; "no portion")]
-fn an_invalid_scenario_is_reported_with_its_key_and_what_is_allowed(
+#[test_case("[[members]]\nname = \"acme\"", "[[members]]\nname = \"acme\"\nportion = 0", &["members", "one must be more"]; "all portions are zero")]
+fn an_invalid_scenario_is_reported_with_the_key_and_the_allowed_values(
     from: &str,
     to: &str,
-    says: &[&str],
+    expected_words: &[&str],
 ) {
     assert!(help::BASE_SCENARIO.contains(from));
     let error = Scenario::read(&help::BASE_SCENARIO.replacen(from, to, 1))
         .unwrap_err()
         .to_string();
-    assert!(says.iter().all(|word| error.contains(word)), "{error}");
+    assert!(
+        expected_words.iter().all(|word| error.contains(word)),
+        "{error}"
+    );
 }
 
 #[test]
@@ -47,30 +50,34 @@
 }
 
 #[test]
-fn arrivals_follow_their_curve_and_lives_their_median() {
-    let more = "[[faults]]\nat = \"1s\"\nkind = \"clients-bad\"";
-    let text = format!("{}\n{more}", help::BASE_SCENARIO)
+fn arrivals_follow_the_rate_curve_and_session_lengths_the_median() {
+    let fault = "[[faults]]\nat = \"1s\"\nkind = \"clients-bad\"";
+    let text = format!("{}\n{fault}", help::BASE_SCENARIO)
         .replace("length = \"5s\"", "length = \"300s\"")
         .replace(
             "rate = 45.0",
             "rate = 45.0\ncurve = [{ at = \"100s\", times = 1.0 }, { at = \"200s\", times = 3.0 }]",
         );
     let plan = Plan::new(&Scenario::read(&text).unwrap(), 1, None);
-    let between = |from: u64, to: u64| {
+    let arrival_rate = |from: u64, to: u64| {
         let inside = plan
             .clients
             .iter()
-            .filter(|c| c.at >= ms(from * 1000) && c.at < ms(to * 1000));
+            .filter(|client| client.at >= ms(from * 1000) && client.at < ms(to * 1000));
         inside.count() as f64 / (to - from) as f64
     };
     for (from, to, rate) in [(0, 100, 45.0), (100, 200, 90.0), (200, 299, 135.0)] {
         assert!(
-            (between(from, to) / rate - 1.0).abs() < 0.06,
+            (arrival_rate(from, to) / rate - 1.0).abs() < 0.06,
             "{from}: {}",
-            between(from, to)
+            arrival_rate(from, to)
         );
     }
-    let mut lives: Vec<Duration> = plan.clients.iter().map(|c| c.session_length).collect();
-    lives.sort_unstable();
-    assert!((lives[lives.len() / 2].as_secs_f64() - 2.0).abs() < 0.1);
+    let mut session_lengths: Vec<Duration> = plan
+        .clients
+        .iter()
+        .map(|client| client.session_length)
+        .collect();
+    session_lengths.sort_unstable();
+    assert!((session_lengths[session_lengths.len() / 2].as_secs_f64() - 2.0).abs() < 0.1);
 }
