--- a/crates/testbed/tests/chaos.rs
+++ b/crates/testbed/tests/chaos.rs
@@ -33,8 +33,8 @@
 #[test_case("proxy-replaced-badly", 300; "successors killed as they begin to serve")]
 fn hot_restarts_under_load_lose_no_session(kind: &str, killed_after_ms: u64) {
     let fault = |at: &str, proxy: u8| {
-        let rest = format!("on = [{proxy}]\nspan = \"{killed_after_ms}ms\"");
-        help::fault_table(at, None, kind, &rest)
+        let other_keys = format!("on = [{proxy}]\nspan = \"{killed_after_ms}ms\"");
+        help::fault_table(at, None, kind, &other_keys)
     };
     let faults = [fault("1s", 0), fault("1500ms", 1), fault("2500ms", 0)].concat();
     let scenario = help::base_with_proxy_keys(&faults, "callers = 2");
--- a/crates/testbed/tests/golden_proxy_files.rs
+++ b/crates/testbed/tests/golden_proxy_files.rs
@@ -10,7 +10,7 @@
     std::fs::read_to_string(folder.join(name)).unwrap()
 }
 
-/// Replaces the port of each quoted loopback address by `PORT`, except 9000, the fixed port of the metrics.
+/// Replaces the port of each quoted loopback address by `PORT`, except 9000, the fixed port at which proxies reach each other.
 fn without_ports(text: &str) -> String {
     let mut parts = text.split('"').map(|part| match part.rsplit_once(':') {
         Some((address, port)) if address.starts_with("127.") && port != "9000" => {
--- a/crates/testbed/tests/golden_report.rs
+++ b/crates/testbed/tests/golden_report.rs
@@ -9,6 +9,7 @@
 use serde_json::Value;
 use test_case::test_case;
 
+/// Every rule, so that the rule of a violation is found by its text.
 const RULES: [Rule; 10] = [
     Rule::NoSessionLost,
     Rule::NoDuplicateEffect,
--- a/crates/testbed/tests/recovery.rs
+++ b/crates/testbed/tests/recovery.rs
@@ -44,10 +44,12 @@
     run.count_events_between(from, to, is_session_accepted)
 }
 
+/// Runs the scenario of the tests with further tables, and checks its rules.
 fn run_with_faults(faults: &str) -> FinishedRun {
     run_scenario_text(&scenario_text(faults))
 }
 
+/// Runs a scenario with the real proxy, and checks that the rules hold and that no host collapses.
 fn run_scenario_text(text: &str) -> FinishedRun {
     let scenario = Scenario::read(text).unwrap();
     let run = help::run_scenario(scenario, help::real_proxy(), 3, None);
@@ -133,7 +135,7 @@
 }
 
 #[test]
-fn proxies_with_sound_snapshots_serve_until_discovery_is_back() {
+fn proxies_with_valid_snapshots_serve_until_discovery_returns() {
     let faults = silent_discovery(Some("4s"))
         + &fault_table("4500ms", Some("1s"), "disk-spoilt", "on = [0, 2, 4]");
     let run = run_with_faults(&(power_cut() + &faults));
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -10,13 +10,13 @@
 use std::collections::BTreeSet;
 use test_case::test_case;
 
-/// The base scenario with three zones, six proxies and nine hosts. `proxies` are further keys of the table `proxies`.
-fn scenario(faults: &str, proxies: &str) -> Scenario {
-    scenario_with_work(faults, proxies, "0.04")
+/// The base scenario with three zones, six proxies and nine hosts. `proxy_keys` are further keys of the table `proxies`.
+fn scenario(faults: &str, proxy_keys: &str) -> Scenario {
+    scenario_with_work(faults, proxy_keys, "0.04")
 }
 
 /// The scenario of the tests with the key `work` of all listeners given, which sets the load of a session.
-fn scenario_with_work(faults: &str, proxies: &str, work: &str) -> Scenario {
+fn scenario_with_work(faults: &str, proxy_keys: &str, work: &str) -> Scenario {
     let text = help::BASE_SCENARIO
         .replace("places = [\"a\", \"b\"]", "places = [\"a\", \"b\", \"c\"]")
         .replace("length = \"5s\"", "length = \"9s\"")
@@ -33,17 +33,20 @@
         .replace("name = \"order\"", "name = \"order\"\nutility = 3.0")
         .replace(
             "count = 2",
-            &format!("count = 6\nby_worth = true\n{proxies}"),
+            &format!("count = 6\nby_worth = true\n{proxy_keys}"),
         );
     Scenario::read(&format!("{text}\n{faults}")).unwrap()
 }
 
+/// The table of a fault that ends after `duration`.
 fn timed_fault(at: &str, duration: &str, kind: &str, other_keys: &str) -> String {
     help::fault_table(at, Some(duration), kind, other_keys)
 }
 
-fn run_with_faults(faults: &str, proxies: &str) -> FinishedRun {
-    let run = help::run_scenario(scenario(faults, proxies), help::real_proxy(), 3, None);
+/// Runs the scenario of the tests with the real proxy, and checks that the rules hold and that enough sessions are
+/// accepted.
+fn run_with_faults(faults: &str, proxy_keys: &str) -> FinishedRun {
+    let run = help::run_scenario(scenario(faults, proxy_keys), help::real_proxy(), 3, None);
     run.assert_rules_held();
     let tally = run.outcome.verdict.tally;
     assert!(tally.sessions > 300 && tally.accepted > 200, "{tally:?}");
