--- a/crates/model-checker/src/explorer.rs
+++ b/crates/model-checker/src/explorer.rs
@@ -94,9 +94,9 @@
 /// A counterexample of the model `M`.
 type CounterexampleOf<M> = Counterexample<<M as Model>::Action, <M as Model>::Violation>;
 
-/// How a state was reached.
+/// The transition by which a state was first reached.
 #[derive(Clone, Copy, Debug)]
-struct Origin<A> {
+struct IncomingTransition<A> {
     /// Index of the predecessor state in its level, which is the level before.
     predecessor: u32,
     action: A,
@@ -111,7 +111,7 @@
 
 /// The outcome of an action that led to a violation or to a state that was not known at the time.
 struct Successor<M: Model> {
-    origin: Origin<M::Action>,
+    transition: IncomingTransition<M::Action>,
     outcome: Result<VisitedState<M>, M::Violation>,
 }
 
@@ -175,10 +175,10 @@
     /// The states to be expanded next; while a level is being expanded, the new states found so far.
     level: Vec<M>,
     /// How each state of `level` was reached; empty for the initial state.
-    level_origins: Vec<Origin<M::Action>>,
+    level_transitions: Vec<IncomingTransition<M::Action>>,
     /// How the states of each level up to the one being expanded were reached; empty for the first level, which has only
     /// the initial state.
-    earlier_origins: Vec<Vec<Origin<M::Action>>>,
+    earlier_transitions: Vec<Vec<IncomingTransition<M::Action>>>,
     result: ExplorationOf<M>,
 }
 
@@ -192,8 +192,8 @@
             known,
             batches_begun: 1,
             level: vec![initial],
-            level_origins: Vec::new(),
-            earlier_origins: Vec::new(),
+            level_transitions: Vec::new(),
+            earlier_transitions: Vec::new(),
             result: Exploration {
                 states: 1,
                 steps: 0,
@@ -215,8 +215,8 @@
     /// Replaces the level by those of its successors that were not known yet.
     fn expand_level(&mut self) {
         let expanded = std::mem::take(&mut self.level);
-        let expanded_origins = std::mem::take(&mut self.level_origins);
-        self.earlier_origins.push(expanded_origins);
+        let expanded_transitions = std::mem::take(&mut self.level_transitions);
+        self.earlier_transitions.push(expanded_transitions);
         for (batch_number, batch) in expanded.chunks(BATCH_SIZE).enumerate() {
             for successor in self.expand_batch(batch, batch_number * BATCH_SIZE) {
                 self.merge(successor);
@@ -263,14 +263,17 @@
 
     /// Adds a new state to the next level, or makes a counterexample of the first violation.
     fn merge(&mut self, successor: Successor<M>) {
-        let Successor { origin, outcome } = successor;
+        let Successor {
+            transition,
+            outcome,
+        } = successor;
         match outcome {
             Ok(visited) => {
                 self.level.push(visited.state);
-                self.level_origins.push(origin);
+                self.level_transitions.push(transition);
             }
             Err(violation) if self.result.counterexample.is_none() => {
-                let actions = self.actions_to(origin);
+                let actions = self.actions_to(transition);
                 self.result.counterexample = Some(Counterexample { violation, actions });
             }
             Err(_) => {}
@@ -278,13 +281,13 @@
     }
 
     /// All actions from the initial state up to the one of `last`, which was applied to a state of the level being expanded.
-    fn actions_to(&self, last: Origin<M::Action>) -> Vec<M::Action> {
+    fn actions_to(&self, last: IncomingTransition<M::Action>) -> Vec<M::Action> {
         let mut reversed = vec![last.action];
         let mut index = last.predecessor;
-        for origins in self.earlier_origins[1..].iter().rev() {
-            let origin = &origins[index as usize];
-            reversed.push(origin.action);
-            index = origin.predecessor;
+        for transitions in self.earlier_transitions[1..].iter().rev() {
+            let transition = &transitions[index as usize];
+            reversed.push(transition.action);
+            index = transition.predecessor;
         }
         reversed.reverse();
         [self.prefix, &reversed].concat()
@@ -308,11 +311,14 @@
     let visits = (first_visit..).zip(actions);
     let successors = visits.filter_map(|(visit, action)| {
         let outcome = apply_to_clone(state, action, visit, known)?;
-        let origin = Origin {
+        let transition = IncomingTransition {
             predecessor: state_index,
             action,
         };
-        Some(Successor { origin, outcome })
+        Some(Successor {
+            transition,
+            outcome,
+        })
     });
     Expansion {
         steps,
--- a/crates/model-checker/src/monitor/mod.rs
+++ b/crates/model-checker/src/monitor/mod.rs
@@ -138,15 +138,15 @@
 
     /// A session that an earlier dial may have run is not dialled again, unless running it again has no second effect.
     fn check_no_second_effect(&mut self, session: u8, now: Duration, zone: u8) {
-        let Some(run) = self.session(session).possible_run else {
+        let Some(execution) = self.session(session).possible_execution else {
             return;
         };
         let may_have_second_effect = match self.retry_safety[usize::from(session)] {
             RetrySafety::Idempotent => false,
             RetrySafety::NotIdempotent => true,
             RetrySafety::IdempotencyKey(scope, lifetime) => {
-                let is_expired = now >= run.started_at + lifetime;
-                let is_out_of_scope = scope != IdempotencyScope::All && zone != run.zone;
+                let is_expired = now >= execution.started_at + lifetime;
+                let is_out_of_scope = scope != IdempotencyScope::All && zone != execution.zone;
                 is_expired || is_out_of_scope
             }
         };
@@ -231,7 +231,7 @@
     /// on any server has no second effect.
     fn check_rejection(&mut self, session: u8) {
         let observed = self.session(session);
-        let may_have_run = observed.possible_run.is_some();
+        let may_have_run = observed.possible_execution.is_some();
         // Checked of rejections only: a client that sent data early is answered at once, and its dial is closed in the
         // handling of the same event.
         if observed.is_dialling() {
--- a/crates/model-checker/src/monitor/observed_session.rs
+++ b/crates/model-checker/src/monitor/observed_session.rs
@@ -15,9 +15,9 @@
     pub(super) is_request_written: bool,
 }
 
-/// A dial whose server may have run the session.
+/// A dial whose server may have executed the request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PossibleRun {
+pub(super) struct PossibleExecution {
     pub(super) started_at: Duration,
     /// The zone of its server.
     pub(super) zone: u8,
@@ -42,8 +42,8 @@
     pub(super) current_dial: Option<ObservedDial>,
     /// Number of its connections to servers that are not closed.
     pub(super) connections: u8,
-    /// The first dial whose server may have run the session, unless that was disproved.
-    pub(super) possible_run: Option<PossibleRun>,
+    /// The first dial whose server may have executed the request, unless that was disproved.
+    pub(super) possible_execution: Option<PossibleExecution>,
     /// Whether lines are being forwarded between its client and its server.
     pub(super) is_open: bool,
 }
@@ -64,19 +64,24 @@
     pub(super) fn record_request_written(&mut self) {
         if let Some(dial) = &mut self.current_dial {
             dial.is_request_written = true;
-            let run = PossibleRun {
+            let execution = PossibleExecution {
                 started_at: dial.started_at,
                 zone: dial.zone,
             };
-            self.possible_run.get_or_insert(run);
+            self.possible_execution.get_or_insert(execution);
         }
     }
 
-    /// Records that the current dial is proved not to have run. A possible run of an earlier dial remains.
+    /// Records that the current dial is proved not to have executed the request. A possible execution by an earlier dial
+    /// remains.
     pub(super) fn rule_out_run_of_current_dial(&mut self) {
         let started_at = self.current_dial.map(|dial| dial.started_at);
-        if self.possible_run.map(|run| run.started_at) == started_at {
-            self.possible_run = None;
+        if self
+            .possible_execution
+            .map(|execution| execution.started_at)
+            == started_at
+        {
+            self.possible_execution = None;
         }
     }
 
--- a/crates/model-checker/src/report.rs
+++ b/crates/model-checker/src/report.rs
@@ -27,9 +27,9 @@
     }
 }
 
-/// The part of a model that was to be explored.
+/// Which states of a model an exploration covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Extent {
+pub(crate) enum ExplorationScope {
     /// All of it.
     Complete,
     /// All states within the number of steps given on the command line.
@@ -39,7 +39,7 @@
 /// Prints the result of exploring one of the smaller models.
 pub(crate) fn print_exploration<A: Display, V: Display>(
     exploration: &Exploration<A, V>,
-    extent: Extent,
+    scope: ExplorationScope,
 ) -> Verdict {
     let Exploration {
         states,
@@ -55,17 +55,17 @@
             Verdict::Broken
         }
         None => {
-            println!("{}", all_hold_text(extent));
+            println!("{}", all_hold_text(scope));
             Verdict::Holds
         }
     }
 }
 
 /// The text for an exploration in which all properties hold.
-fn all_hold_text(extent: Extent) -> &'static str {
-    match extent {
-        Extent::Complete => "all seen, all hold",
-        Extent::ToDepth => "all seen to that depth, all hold",
+fn all_hold_text(scope: ExplorationScope) -> &'static str {
+    match scope {
+        ExplorationScope::Complete => "all seen, all hold",
+        ExplorationScope::ToDepth => "all seen to that depth, all hold",
     }
 }
 
@@ -90,7 +90,7 @@
     let end = match (&exploration.counterexample, exploration.is_truncated) {
         (Some(found), _) => format!("BROKEN after {} steps", found.actions.len()),
         (None, true) => format!("stopped; {unexpanded} states not gone on from"),
-        (None, false) => all_hold_text(Extent::Complete).to_owned(),
+        (None, false) => all_hold_text(ExplorationScope::Complete).to_owned(),
     };
     format!(
         "{name:<18} {states:>9} states, depth {depth:>3}, {seconds:>6.1} s, {rate:>6.0}k steps/s  {end}"
--- a/crates/model-checker/src/warm_start/model.rs
+++ b/crates/model-checker/src/warm_start/model.rs
@@ -78,7 +78,7 @@
                     proxy.receive_listing(now, REPLACEMENT_ENDPOINT)
                 });
             }
-            WarmStartAction::TimePasses => self.let_time_pass(),
+            WarmStartAction::TimePasses => self.advance_clock(),
         }
     }
 
@@ -147,7 +147,8 @@
         self.update(proxy, |proxy, now| proxy.receive_list(now, &ready, is_cold));
     }
 
-    fn let_time_pass(&mut self) {
+    /// Advances the clock by one tick and lets each running proxy handle its deadlines that have passed.
+    fn advance_clock(&mut self) {
         self.now += TICK;
         for proxy in 0..PROXY_COUNT {
             self.update(proxy, ProxyModel::handle_deadlines);
@@ -175,7 +176,7 @@
         }
         for _ in 0..TICKS_TO_RECOVER {
             (0..PROXY_COUNT).for_each(|proxy| model.finish_all_probes(proxy));
-            model.let_time_pass();
+            model.advance_clock();
         }
         for (number, proxy) in model.running_proxies() {
             let stage = proxy.warm_start.stage();
--- a/crates/placement/src/engine/selection.rs
+++ b/crates/placement/src/engine/selection.rs
@@ -39,7 +39,7 @@
     GroupHolders,
     All,
     /// Those that answer probes, ejected or not: before a session is rejected, an ejected server may take it.
-    Ejected,
+    AnsweringProbes,
 }
 
 /// Load, as a fraction of a server's capacity, that a server must be below to take the session.
@@ -88,7 +88,7 @@
         first_two_if_hashed: false,
     },
     Pool {
-        members: PoolMembers::Ejected,
+        members: PoolMembers::AnsweringProbes,
         limit: LoadLimit::Fixed(LOW_LOAD),
         first_two_if_hashed: false,
     },
@@ -295,7 +295,7 @@
             PoolMembers::OwnZone => self.zone(id) == self.engine.deployment.zone,
             PoolMembers::GroupHolders => self.holds_group(id),
             PoolMembers::All => true,
-            PoolMembers::Ejected => {
+            PoolMembers::AnsweringProbes => {
                 let answers = self.engine.server(id).probes.last_was_answered();
                 answers && !self.session.failed_servers.contains(&id)
             }
@@ -304,7 +304,8 @@
 
     /// Whether the session may be sent to the server as a member of the pool.
     fn is_usable(&self, members: PoolMembers, id: ServerId) -> bool {
-        let requires_availability = members != PoolMembers::Ejected && !self.none_is_available;
+        let requires_availability =
+            members != PoolMembers::AnsweringProbes && !self.none_is_available;
         self.zone_admits(id)
             && (!requires_availability || self.is_available(id))
             && self.engine.may_dial(self.session, id)
--- a/crates/testbed/src/client/attempt.rs
+++ b/crates/testbed/src/client/attempt.rs
@@ -137,7 +137,7 @@
     /// Connects to the proxy that the front balancer picks; `None` if there is none or it does not accept.
     async fn connect_to_proxy(&mut self) -> Option<ProxyConnection> {
         let draw = self.random.random();
-        let proxy = self.front.pick(self.planned.zone, draw)?;
+        let proxy = self.front.select_proxy(self.planned.zone, draw)?;
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(proxy.address)).await;
         let stream = connected.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -78,9 +78,11 @@
     sum / report.proxies.len() as f64
 }
 
-/// The reports of both programs on one seed, in the order of the command line; `None` for a void run.
-struct Pair {
+/// The runs of both programs on one seed.
+struct PairedRuns {
+    /// Their reports in the order of the command line; `None` for a void run.
     reports: [Option<Report>; 2],
+    /// Whether neither run, void or not, broke a rule.
     rules_held: bool,
 }
 
@@ -159,13 +161,13 @@
     programs: &[Program; 2],
     seed: u64,
     chaos: Option<u64>,
-) -> Result<Pair, CommandError> {
+) -> Result<PairedRuns, CommandError> {
     let order = if seed.is_multiple_of(2) {
         [0, 1]
     } else {
         [1, 0]
     };
-    let mut pair = Pair {
+    let mut pair = PairedRuns {
         reports: [None, None],
         rules_held: true,
     };
--- a/crates/testbed/src/front_balancer.rs
+++ b/crates/testbed/src/front_balancer.rs
@@ -36,9 +36,9 @@
     }
 }
 
-/// The proxy that a client is to connect to.
+/// The proxy that the front balancer selected for a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PickedProxy {
+pub struct SelectedProxy {
     /// The proxy's number.
     pub number: u16,
     /// The address to which the client connects.
@@ -100,9 +100,9 @@
             .map(|backend| usize::from(backend.proxy))
     }
 
-    /// Picks a proxy for a client of a zone by the random number `draw`, among those in use in the same zone, or among
-    /// all in use if that zone has none; `None` if no proxy is in use.
-    pub fn pick(&self, zone: u8, draw: u64) -> Option<PickedProxy> {
+    /// Selects a proxy for a client of a zone by the random number `draw`, among those in use in the same zone, or
+    /// among all in use if that zone has none; `None` if no proxy is in use.
+    pub fn select_proxy(&self, zone: u8, draw: u64) -> Option<SelectedProxy> {
         let backends = self.backends();
         let in_use = || backends.iter().filter(|backend| backend.serves(zone));
         let in_zone: Vec<&Backend> = in_use().filter(|backend| backend.zone == zone).collect();
@@ -113,7 +113,7 @@
         };
         let index = draw % candidates.len().max(1) as u64;
         let backend = candidates.get(index as usize)?;
-        Some(PickedProxy {
+        Some(SelectedProxy {
             number: backend.proxy,
             address: backend.address,
         })
--- a/crates/testbed/src/judge/reported_metrics.rs
+++ b/crates/testbed/src/judge/reported_metrics.rs
@@ -19,8 +19,8 @@
 /// How long a proxy may take to answer a metrics request, in addition to the scenario's answer slack.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(1);
 
-/// Relative error allowed for the number of sessions brought up.
-const MAX_BROUGHT_UP_ERROR: f64 = 0.01;
+/// Relative error allowed for the number of sessions opened.
+const MAX_OPENED_SESSIONS_ERROR: f64 = 0.01;
 
 /// Relative error allowed for the number of sessions in flight.
 const MAX_IN_FLIGHT_ERROR: f64 = 0.1;
@@ -70,7 +70,7 @@
     at: Duration,
     /// From sending the request to reading the answer.
     took: Duration,
-    /// Sessions brought up and sessions in flight, as the proxy reported them; `None` if no answer came or it had no
+    /// Sessions opened and sessions in flight, as the proxy reported them; `None` if no answer came or it had no
     /// metrics.
     metrics: Option<(u64, u64)>,
 }
@@ -106,7 +106,7 @@
         let in_time = call.took <= MAX_ANSWER_TIME + self.settings.answer_slack;
         match call.metrics.filter(|_| in_time) {
             None => self.unanswered(call).into_iter().collect(),
-            Some((brought_up, in_flight)) => self.inaccurate(call, brought_up, in_flight),
+            Some((opened_sessions, in_flight)) => self.inaccurate(call, opened_sessions, in_flight),
         }
     }
 
@@ -131,7 +131,12 @@
     }
 
     /// The violations by metrics that are outside what the peers saw, by more than the allowed error.
-    fn inaccurate(&self, call: &OperatorCall, brought_up: u64, in_flight: u64) -> Vec<RunFinding> {
+    fn inaccurate(
+        &self,
+        call: &OperatorCall,
+        opened_sessions: u64,
+        in_flight: u64,
+    ) -> Vec<RunFinding> {
         let Some(process) = self.processes.get(call.proxy) else {
             return Vec::new();
         };
@@ -153,13 +158,13 @@
                 ),
             })
         };
-        let up_seen = process.brought_up(&lifetimes, measured);
+        let up_seen = process.opened_sessions(&lifetimes, measured);
         let in_flight_seen = process.in_flight(&lifetimes, measured);
         let up = finding(
             "sessions brought up",
-            brought_up,
+            opened_sessions,
             up_seen,
-            MAX_BROUGHT_UP_ERROR,
+            MAX_OPENED_SESSIONS_ERROR,
         );
         let in_flight = finding("in flight", in_flight, in_flight_seen, MAX_IN_FLIGHT_ERROR);
         up.into_iter().chain(in_flight).collect()
--- a/crates/testbed/src/judge/reported_metrics/serving_process.rs
+++ b/crates/testbed/src/judge/reported_metrics/serving_process.rs
@@ -96,14 +96,14 @@
             || self.shared.iter().any(|shared| shared.overlaps(within))
     }
 
-    /// How many sessions this process had brought up when it measured: at least those that no other process can have
-    /// brought up, at most all since it may first have served.
-    pub(super) fn brought_up(
+    /// How many sessions this process had opened when it measured: at least those that no other process can have
+    /// opened, at most all since it may first have served.
+    pub(super) fn opened_sessions(
         &self,
         lifetimes: &[&SessionLifetime],
         measured: Interval,
     ) -> CountRange {
-        let brought_up = || lifetimes.iter().filter_map(|lifetime| lifetime.up);
+        let opened_sessions = || lifetimes.iter().filter_map(|lifetime| lifetime.up);
         let certainly = |up: &Duration| {
             let instant = Interval { from: *up, to: *up };
             *up > self.alone_since + MAX_METRICS_AGE
@@ -112,8 +112,8 @@
         };
         let possibly = |up: &Duration| *up >= self.serving_since && *up <= measured.to;
         CountRange {
-            min: brought_up().filter(certainly).count(),
-            max: brought_up().filter(possibly).count(),
+            min: opened_sessions().filter(certainly).count(),
+            max: opened_sessions().filter(possibly).count(),
         }
     }
 
--- a/crates/testbed/src/misbehaving_clients.rs
+++ b/crates/testbed/src/misbehaving_clients.rs
@@ -130,7 +130,7 @@
     nth: u32,
 ) {
     let zone = nth as usize % context.scenario.zones.len();
-    let Some(proxy) = front.pick(zone as u8, u64::from(nth)) else {
+    let Some(proxy) = front.select_proxy(zone as u8, u64::from(nth)) else {
         return;
     };
     let reply_timeout = if misbehaviour.sends_huge_value() {
@@ -142,7 +142,11 @@
         let Ok(stream) = TcpStream::connect(proxy.address).await else {
             return;
         };
-        let reply = timeout(reply_timeout, misbehave(&context, misbehaviour, stream)).await;
+        let reply = timeout(
+            reply_timeout,
+            send_misbehaving_request(&context, misbehaviour, stream),
+        )
+        .await;
         context.event_log.record(Event::MisbehavingClient {
             sort: misbehaviour.name,
             owed: reply.is_ok(),
@@ -163,7 +167,11 @@
 }
 
 /// Sends a client's text and padding, and returns the first reaction to it.
-async fn misbehave(context: &RunContext, misbehaviour: &Misbehaviour, stream: TcpStream) -> Reply {
+async fn send_misbehaving_request(
+    context: &RunContext,
+    misbehaviour: &Misbehaviour,
+    stream: TcpStream,
+) -> Reply {
     let text = (misbehaviour.text)(context);
     let (read, write) = stream.into_split();
     // The proxy may answer before everything is sent.
--- a/crates/testbed/src/proxy_process/configuration.rs
+++ b/crates/testbed/src/proxy_process/configuration.rs
@@ -47,7 +47,7 @@
     load_info: LoadInfo<'a>,
     permissions: Permissions,
     rules: Rules,
-    specifics: Specifics,
+    specifics: SessionHandlingSettings,
 }
 
 #[derive(Debug, Serialize)]
@@ -97,8 +97,10 @@
     answer_slack: u64,
 }
 
+/// The settings below the key `specifics`: the message latency objective of each listener in microseconds, the forwarding
+/// mode, and whether sessions have groups.
 #[derive(Debug, Serialize)]
-struct Specifics {
+struct SessionHandlingSettings {
     message_aim: Vec<f64>,
     mode: &'static str,
     groups: bool,
@@ -167,7 +169,7 @@
         },
         permissions: permissions(scenario),
         rules: rules(scenario),
-        specifics: Specifics {
+        specifics: SessionHandlingSettings {
             message_aim: message_targets.map(|t| microseconds(t) as f64).collect(),
             mode: "proxy",
             groups: scenario.traffic.groups > 0,
--- a/crates/testbed/src/sockets.rs
+++ b/crates/testbed/src/sockets.rs
@@ -46,18 +46,18 @@
     listener: &TcpListener,
     address: SocketAddr,
     attempt_timeout: Duration,
-) -> FilledQueue {
+) -> BacklogFillingConnections {
     let _ = rustix::net::listen(listener, 0);
     let connect = || timeout(attempt_timeout, TcpStream::connect(address));
     let (first, second) = (connect().await, connect().await);
-    FilledQueue {
+    BacklogFillingConnections {
         _connections: [first, second].map(|attempt| attempt.ok().and_then(Result::ok)),
     }
 }
 
 /// The connections that keep a listener's queue full until this value is dropped.
 #[derive(Debug)]
-pub(crate) struct FilledQueue {
+pub(crate) struct BacklogFillingConnections {
     _connections: [Option<TcpStream>; 2],
 }
 
