--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -73,7 +73,7 @@
     pub address: String,
     /// Name of its availability zone; at most [`MAX_NAME_BYTES`].
     pub zone: String,
-    /// Number of its failure domain within the zone.
+    /// Number of its cell, within which servers may share idempotency keys.
     pub cell: u16,
     /// State in discovery's list.
     pub state: EndpointRecordState,
--- a/crates/zookeeper/src/store/watches.rs
+++ b/crates/zookeeper/src/store/watches.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Adds a watch, or sends the event that it missed_event.
+    /// Adds a watch, or sends the event that it missed.
     fn set_watch(
         &mut self,
         connection: ConnectionId,
